--- a/cmd/notchlab/chaos.go
+++ b/cmd/piernotch-lab/chaos.go
@@ -7,8 +7,8 @@
 	"os"
 
 	"piernotch/internal/lab/chaos"
-	"piernotch/internal/lab/model"
-	"piernotch/internal/lab/rehearse"
+	"piernotch/internal/lab/loadtest"
+	"piernotch/internal/lab/simulation"
 )
 
 type chaosCmd struct {
@@ -37,7 +37,7 @@
 	Steps  []chaos.Step     `json:"steps"`
 	Words  []string         `json:"words"`
 	Failed string           `json:"failed,omitempty"`
-	Report *rehearse.Report `json:"report,omitempty"`
+	Report *loadtest.Report `json:"report,omitempty"`
 }
 
 func (c *chaosCmd) Run(ctx context.Context, o *output) error {
@@ -127,7 +127,7 @@
 	for _, s := range run.Steps {
 		run.Words = append(run.Words, s.String())
 	}
-	r, err := rehearse.Run(ctx, d, rehearse.Options{Program: c.Program, Logs: c.Logs, Faults: run.Steps, Voter: c.voter})
+	r, err := loadtest.Run(ctx, d, loadtest.Options{Program: c.Program, Logs: c.Logs, Faults: run.Steps, Voter: c.voter})
 	run.Report = r
 	switch {
 	case r == nil || r.Void != "":
@@ -164,8 +164,8 @@
 	for _, w := range run.Words {
 		fmt.Fprintln(o.out, " ", w)
 	}
-	tellBreaks(o, []*model.Result{&run.Report.Result})
-	fmt.Fprintf(o.out, "again: notchlab chaos %s --seed %d --steps %d\n", run.Kind, run.Seed, c.Steps)
+	tellBreaks(o, []*simulation.Result{&run.Report.Result})
+	fmt.Fprintf(o.out, "again: piernotch-lab chaos %s --seed %d --steps %d\n", run.Kind, run.Seed, c.Steps)
 }
 
 // shrink looks for fewer faults that still fail, and keeps them in a file.
@@ -189,7 +189,7 @@
 		fmt.Fprintln(o.err, err)
 		return
 	}
-	fmt.Fprintf(o.out, "%d faults still fail: notchlab chaos --replay %s\n", len(short.Steps), name)
+	fmt.Fprintf(o.out, "%d faults still fail: piernotch-lab chaos --replay %s\n", len(short.Steps), name)
 	for _, w := range short.Words {
 		fmt.Fprintln(o.out, " ", w)
 	}
--- a/cmd/notchlab/drill.go
+++ b/cmd/piernotch-lab/drill.go
@@ -11,9 +11,9 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 
 	"piernotch/internal/lab/experiment"
-	"piernotch/internal/lab/model"
-	"piernotch/internal/lab/rehearse"
+	"piernotch/internal/lab/loadtest"
 	"piernotch/internal/lab/scenario"
+	"piernotch/internal/lab/simulation"
 )
 
 type drillCmd struct {
@@ -23,11 +23,11 @@
 	Model   bool     `help:"In simulated time, instead of on sockets."`
 	Program string   `placeholder:"FILE" help:"The balancer; piernotch beside this program is the default."`
 	List    bool     `help:"Only list the drills."`
-	JSON    string   `name:"json" placeholder:"DIR" help:"Keep the results there, a file a drill; notchlab plot draws them."`
+	JSON    string   `name:"json" placeholder:"DIR" help:"Keep the results there, a file a drill; piernotch-lab plot draws them."`
 }
 
 func (c *drillCmd) Run(ctx context.Context, o *output) error {
-	drills := rehearse.Drills()
+	drills := loadtest.Drills()
 	if c.List {
 		for _, d := range drills {
 			fmt.Fprintf(o.out, "%-24s %s\n", d.Name, d.What)
@@ -35,7 +35,7 @@
 		return nil
 	}
 	for _, name := range c.Names {
-		if !slices.ContainsFunc(drills, func(d rehearse.Drill) bool { return d.Name == name }) {
+		if !slices.ContainsFunc(drills, func(d loadtest.Drill) bool { return d.Name == name }) {
 			return fmt.Errorf("no drill %q; --list tells them", name)
 		}
 	}
@@ -44,8 +44,8 @@
 	}
 	t := table.NewWriter()
 	t.AppendHeader(table.Row{"drill", "served, of the control", "worst 3 s", "back after, s", "refused", "failed", "rules broken"})
-	var broken []*model.Result
-	controls := map[string][]*model.Result{}
+	var broken []*simulation.Result
+	controls := map[string][]*simulation.Result{}
 	for _, d := range drills {
 		if len(c.Names) > 0 && !slices.Contains(c.Names, d.Name) {
 			continue
@@ -70,13 +70,13 @@
 		if ctx.Err() != nil {
 			break
 		}
-		broken = append(broken, slices.DeleteFunc(slices.Clone(runs), func(r *model.Result) bool { return r == nil })...)
+		broken = append(broken, slices.DeleteFunc(slices.Clone(runs), func(r *simulation.Result) bool { return r == nil })...)
 		t.AppendRow(drillRow(d, runs, controls[key]))
 		if c.JSON != "" {
 			if err := os.MkdirAll(c.JSON, 0o755); err != nil {
 				return err
 			}
-			kept := slices.DeleteFunc(slices.Clone(runs), func(r *model.Result) bool { return r == nil })
+			kept := slices.DeleteFunc(slices.Clone(runs), func(r *simulation.Result) bool { return r == nil })
 			f := &experiment.File{Kind: "run", Scenario: s.Name, About: s.About, Seed: c.Seed, Runs: kept, Summary: experiment.Summary(kept)}
 			if err := f.Write(filepath.Join(c.JSON, d.Name+".json")); err != nil {
 				return err
@@ -92,17 +92,17 @@
 }
 
 // play plays all seeds of a drill.
-func (c *drillCmd) play(ctx context.Context, o *output, s *scenario.Scenario) ([]*model.Result, error) {
+func (c *drillCmd) play(ctx context.Context, o *output, s *scenario.Scenario) ([]*simulation.Result, error) {
 	if c.Model {
 		return experiment.Run(ctx, experiment.Plan{Scenario: s, Seed: c.Seed, Runs: c.Runs}, experiment.Variant{}, nil)
 	}
-	var runs []*model.Result
+	var runs []*simulation.Result
 	for i := range c.Runs {
 		d, err := s.Draw(c.Seed + uint64(i))
 		if err != nil {
 			return nil, err
 		}
-		r, err := rehearse.Run(ctx, d, rehearse.Options{Program: c.Program})
+		r, err := loadtest.Run(ctx, d, loadtest.Options{Program: c.Program})
 		if err != nil {
 			return nil, err
 		}
@@ -117,7 +117,7 @@
 }
 
 // drillRow sums up a drill; runs that are void on either side are left out.
-func drillRow(d rehearse.Drill, runs, controls []*model.Result) table.Row {
+func drillRow(d loadtest.Drill, runs, controls []*simulation.Result) table.Row {
 	var whole, worst, refused, failed []float64
 	var back []string
 	broken := 0
@@ -125,7 +125,7 @@
 		if r == nil || controls[i] == nil {
 			continue
 		}
-		v := rehearse.Recover(r, controls[i], rehearse.DrillAt)
+		v := loadtest.Recover(r, controls[i], loadtest.DrillAt)
 		whole, worst = append(whole, v.Whole), append(worst, v.Lowest)
 		refused, failed = append(refused, v.Refused), append(failed, v.Failed)
 		back = append(back, fmt.Sprintf("%.0f", v.Back))
--- a/cmd/notchlab/group.go
+++ b/cmd/piernotch-lab/group.go
@@ -16,8 +16,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"piernotch/internal/lab/chaos"
-	"piernotch/internal/lab/groupmodel"
-	"piernotch/internal/lab/grouprig"
+	"piernotch/internal/lab/clustersim"
+	"piernotch/internal/lab/clustertest"
 )
 
 type groupCmd struct {
@@ -40,7 +40,7 @@
 }
 
 // draw keeps the picture of a seed.
-func (g *groupSize) draw(seed uint64, faults []groupmodel.Fault, spans []groupmodel.Span) error {
+func (g *groupSize) draw(seed uint64, faults []clustersim.Fault, spans []clustersim.Span) error {
 	if g.SVG == "" || g.Runs != 1 {
 		return nil
 	}
@@ -49,12 +49,12 @@
 		return err
 	}
 	defer f.Close()
-	groupmodel.Timeline(f, fmt.Sprintf("seed %d", seed), g.size().Length, faults, spans)
+	clustersim.Timeline(f, fmt.Sprintf("seed %d", seed), g.size().Length, faults, spans)
 	return nil
 }
 
-func (g *groupSize) size() groupmodel.Size {
-	return groupmodel.Size{
+func (g *groupSize) size() clustersim.Size {
+	return clustersim.Size{
 		Voters: g.Voters, Members: g.Members, Receivers: 2, Duties: g.Duties,
 		Length: time.Duration(g.Length) * time.Second, Faults: g.Faults,
 	}
@@ -71,8 +71,8 @@
 // schedule is a seed's faults as they are kept in a file.
 type schedule struct {
 	Seed   uint64             `json:"seed"`
-	Size   groupmodel.Size    `json:"size"`
-	Faults []groupmodel.Fault `json:"faults"`
+	Size   clustersim.Size    `json:"size"`
+	Faults []clustersim.Fault `json:"faults"`
 	Broken string             `json:"broken"`
 }
 
@@ -115,7 +115,7 @@
 // one plays one seed, or a schedule of a file, here.
 func (c *groupModelCmd) one(o *output) error {
 	s := schedule{Seed: c.Seed, Size: c.size()}
-	s.Faults = groupmodel.Draw(s.Seed, s.Size)
+	s.Faults = clustersim.Draw(s.Seed, s.Size)
 	if c.Replay != "" {
 		data, err := os.ReadFile(c.Replay)
 		if err == nil {
@@ -125,7 +125,7 @@
 			return fmt.Errorf("%s: %w", c.Replay, err)
 		}
 	}
-	r := groupmodel.PlayFaults(s.Seed, s.Size, s.Faults)
+	r := clustersim.PlayFaults(s.Seed, s.Size, s.Faults)
 	fmt.Fprintf(o.out, "seed %d: %d grants, %d acts, %d refused by their token\n", r.Seed, r.Grants, r.Acts, r.Fenced)
 	if err := c.draw(s.Seed, s.Faults, r.Spans); err != nil {
 		return err
@@ -134,21 +134,21 @@
 	if len(r.Broken) > 0 {
 		broken = append(broken, told{r.Seed, r.Broken, r.Faults})
 	}
-	return c.end(o, "model", []groupmodel.Result{r}, broken)
+	return c.end(o, "model", []clustersim.Result{r}, broken)
 }
 
 // shrink looks for fewer faults that still break something, and keeps them in a file.
 func (c *groupModelCmd) shrink(o *output, b told) error {
 	s := schedule{Seed: b.seed, Size: c.size(), Broken: b.broken[0]}
-	s.Faults = chaos.Shrink(b.faults, c.Shrink, func(faults []groupmodel.Fault) bool {
-		r := groupmodel.PlayFaults(s.Seed, s.Size, faults)
+	s.Faults = chaos.Shrink(b.faults, c.Shrink, func(faults []clustersim.Fault) bool {
+		r := clustersim.PlayFaults(s.Seed, s.Size, faults)
 		if len(r.Broken) > 0 {
 			s.Broken = r.Broken[0]
 		}
 		return len(r.Broken) > 0
 	})
 	name := fmt.Sprintf("group-%d.json", s.Seed)
-	fmt.Fprintf(o.out, "%d faults still break something: notchlab group model --replay %s\n", len(s.Faults), name)
+	fmt.Fprintf(o.out, "%d faults still break something: piernotch-lab group model --replay %s\n", len(s.Faults), name)
 	return write(name, s)
 }
 
@@ -156,7 +156,7 @@
 type told struct {
 	seed   uint64
 	broken []string
-	faults []groupmodel.Fault
+	faults []clustersim.Fault
 }
 
 // end tells what was broken, keeps the results, and gives the exit code.
@@ -166,7 +166,7 @@
 		for _, f := range b.faults {
 			fmt.Fprintln(o.out, " ", f)
 		}
-		fmt.Fprintf(o.out, "again: notchlab group %s --seed %d --runs 1 --voters %d --members %d --duties %d --faults %d --length %d\n",
+		fmt.Fprintf(o.out, "again: piernotch-lab group %s --seed %d --runs 1 --voters %d --members %d --duties %d --faults %d --length %d\n",
 			verb, b.seed, g.Voters, g.Members, g.Duties, g.Faults, g.Length)
 	}
 	if g.JSON != "" {
@@ -187,14 +187,14 @@
 		if ctx.Err() != nil {
 			break
 		}
-		if err := enc.Encode(groupmodel.Play(c.Seed+uint64(i), c.size())); err != nil {
+		if err := enc.Encode(clustersim.Play(c.Seed+uint64(i), c.size())); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *groupModelCmd) spread(ctx context.Context, o *output) ([]groupmodel.Result, error) {
+func (c *groupModelCmd) spread(ctx context.Context, o *output) ([]clustersim.Result, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -203,7 +203,7 @@
 	bar := progressbar.NewOptions(c.Runs, progressbar.OptionSetWriter(o.err), progressbar.OptionClearOnFinish())
 	var (
 		mu   sync.Mutex
-		all  []groupmodel.Result
+		all  []clustersim.Result
 		work = make(chan int)
 		over sync.WaitGroup
 		bad  error
@@ -224,7 +224,7 @@
 				got := 0
 				if err == nil {
 					for dec := json.NewDecoder(out); ; got++ {
-						var r groupmodel.Result
+						var r clustersim.Result
 						if dec.Decode(&r) != nil {
 							break
 						}
@@ -251,7 +251,7 @@
 	}
 	close(work)
 	over.Wait()
-	slices.SortFunc(all, func(a, b groupmodel.Result) int { return int(int64(a.Seed) - int64(b.Seed)) })
+	slices.SortFunc(all, func(a, b clustersim.Result) int { return int(int64(a.Seed) - int64(b.Seed)) })
 	return all, bad
 }
 
@@ -263,7 +263,7 @@
 }
 
 // each plays seeds side by side, each with a directory of its own.
-func (c *groupRigCmd) each(ctx context.Context, o *output, play func(grouprig.Options) error) error {
+func (c *groupRigCmd) each(ctx context.Context, o *output, play func(clustertest.Options) error) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -292,7 +292,7 @@
 			if err := os.MkdirAll(own, 0o700); err != nil {
 				return err
 			}
-			if err := play(grouprig.Options{Voter: c.Program, Holder: self, Seed: seed, Size: c.size(), Dir: own}); err != nil {
+			if err := play(clustertest.Options{Voter: c.Program, Holder: self, Seed: seed, Size: c.size(), Dir: own}); err != nil {
 				return fmt.Errorf("seed %d: %w", seed, err)
 			}
 			return nil
@@ -304,21 +304,21 @@
 func (c *groupRigCmd) Run(ctx context.Context, o *output) error {
 	var (
 		mu  sync.Mutex
-		all []grouprig.Result
+		all []clustertest.Result
 	)
-	if err := c.each(ctx, o, func(opts grouprig.Options) error {
-		r, err := grouprig.Run(ctx, opts)
+	if err := c.each(ctx, o, func(opts clustertest.Options) error {
+		r, err := clustertest.Run(ctx, opts)
 		if err != nil {
 			return err
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		all = append(all, r)
-		return c.draw(r.Seed, groupmodel.Draw(r.Seed, opts.Size), r.Spans)
+		return c.draw(r.Seed, clustersim.Draw(r.Seed, opts.Size), r.Spans)
 	}); err != nil {
 		return err
 	}
-	slices.SortFunc(all, func(a, b grouprig.Result) int { return int(int64(a.Seed) - int64(b.Seed)) })
+	slices.SortFunc(all, func(a, b clustertest.Result) int { return int(int64(a.Seed) - int64(b.Seed)) })
 	acts, fenced, grants := 0, 0, 0
 	var gaps []float64
 	broken := []told{}
@@ -345,10 +345,10 @@
 func (c *groupTimesCmd) Run(ctx context.Context, o *output) error {
 	var (
 		mu  sync.Mutex
-		all grouprig.Times
+		all clustertest.Times
 	)
-	err := c.each(ctx, o, func(opts grouprig.Options) error {
-		t, err := grouprig.Measure(ctx, opts, c.Times)
+	err := c.each(ctx, o, func(opts clustertest.Options) error {
+		t, err := clustertest.Measure(ctx, opts, c.Times)
 		mu.Lock()
 		defer mu.Unlock()
 		all.Planned, all.Unplanned = append(all.Planned, t.Planned...), append(all.Unplanned, t.Unplanned...)
@@ -378,4 +378,4 @@
 	Rig  string `arg:"" help:"Where the rig listens."`
 }
 
-func (c *holdCmd) Run(ctx context.Context) error { return grouprig.Act(ctx, c.File, c.Rig) }
+func (c *holdCmd) Run(ctx context.Context) error { return clustertest.Act(ctx, c.File, c.Rig) }
--- a/cmd/notchlab/handover.go
+++ b/cmd/piernotch-lab/handover.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"time"
 
-	"piernotch/internal/lab/model"
-	"piernotch/internal/lab/rehearse"
+	"piernotch/internal/lab/loadtest"
+	"piernotch/internal/lab/simulation"
 )
 
 type handoverCmd struct {
@@ -24,19 +24,19 @@
 		return err
 	}
 	rounds := (c.Times + c.Balancers - 1) / c.Balancers
-	length := rehearse.HandOverLead + time.Duration(rounds)*rehearse.HandOverEvery
+	length := loadtest.HandOverLead + time.Duration(rounds)*loadtest.HandOverEvery
 	set := append([]string{fmt.Sprintf("length_s=%.0f", length.Seconds())}, c.Set...)
 	_, d, err := day(c.Scenario, set, c.Balancers, c.Seed)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(o.out, "%d hand-overs of %d balancers in %v, seed %d\n", c.Times, c.Balancers, length, c.Seed)
-	r, err := rehearse.Run(ctx, d, rehearse.Options{Program: c.Program, Logs: c.Logs, HandOvers: rehearse.DrawHandOvers(d, c.Times)})
+	r, err := loadtest.Run(ctx, d, loadtest.Options{Program: c.Program, Logs: c.Logs, HandOvers: loadtest.DrawHandOvers(d, c.Times)})
 	if err != nil {
 		return err
 	}
 	h, n := r.Handed, 0
-	for _, way := range rehearse.Ways {
+	for _, way := range loadtest.Ways {
 		fmt.Fprintf(o.out, "  %-12s %d\n", way, h.Done[way])
 		n += h.Done[way]
 	}
@@ -49,7 +49,7 @@
 	for _, text := range h.Wrong {
 		fmt.Fprintln(o.out, "wrong:", text)
 	}
-	tellBreaks(o, []*model.Result{&r.Result})
+	tellBreaks(o, []*simulation.Result{&r.Result})
 	switch {
 	case r.Void != "":
 		fmt.Fprintln(o.out, "VOID:", r.Void)
--- a/cmd/notchlab/logs.go
+++ b/cmd/piernotch-lab/logs.go
@@ -6,7 +6,7 @@
 
 	"github.com/jedib0t/go-pretty/v6/table"
 
-	"piernotch/internal/lab/logread"
+	"piernotch/internal/lab/loganalysis"
 )
 
 type logsCmd struct {
@@ -19,7 +19,7 @@
 
 func (c *logsCmd) Run(o *output) error {
 	if c.ID != "" {
-		lines, err := logread.Follow(c.Dir, c.ID)
+		lines, err := loganalysis.Follow(c.Dir, c.ID)
 		for _, l := range lines {
 			fmt.Fprintln(o.out, l.Balancer, l.Text)
 		}
@@ -28,7 +28,7 @@
 		}
 		return err
 	}
-	r, err := logread.Sum(c.Dir, c.Span)
+	r, err := loganalysis.Sum(c.Dir, c.Span)
 	if err != nil {
 		return err
 	}
--- a/cmd/notchlab/main.go
+++ b/cmd/piernotch-lab/main.go
@@ -1,4 +1,4 @@
-// Command notchlab is the laboratory: it plays scenarios against the decision module
+// Command piernotch-lab is the laboratory: it plays scenarios against the decision module
 // in simulated time, compares versions and settings, and draws what came of it.
 package main
 
@@ -47,19 +47,19 @@
 balancers in simulated time, with the real decisions. One seed is one day: the same seed gives
 the same result on every machine.
 
-	notchlab scenario list
-	notchlab model run felt-quake --runs 10
-	notchlab model run quiet --runs 20 --json quiet.json && notchlab plot quiet.json -o quiet.html
-	notchlab model compare addis --a builtin --b 'balancers.max_attempts=1' --runs 20
-	notchlab model compare addis --a bin/adapter --b ../old/bin/adapter
-	notchlab model sweep base --vary traffic.load=0.5,0.7,0.9 --vary fleet.servers=8,16
+	piernotch-lab scenario list
+	piernotch-lab model run felt-quake --runs 10
+	piernotch-lab model run quiet --runs 20 --json quiet.json && piernotch-lab plot quiet.json -o quiet.html
+	piernotch-lab model compare addis --a builtin --b 'balancers.max_attempts=1' --runs 20
+	piernotch-lab model compare addis --a bin/simulator-adapter --b ../old/bin/simulator-adapter
+	piernotch-lab model sweep base --vary traffic.load=0.5,0.7,0.9 --vary fleet.servers=8,16
 
 It exits with 0 if all rules and aims held, 1 if not, 2 if it was called wrongly.`
 
 func main() {
 	if os.Getenv(proxyVariable) != "" {
 		if err := proxy(); err != nil {
-			fmt.Fprintln(os.Stderr, "notchlab:", err)
+			fmt.Fprintln(os.Stderr, "piernotch-lab:", err)
 			os.Exit(exitFails)
 		}
 		return
@@ -83,11 +83,11 @@
 	defer stop()
 	var c cli
 	exited := -1
-	parser, err := kong.New(&c, kong.Name("notchlab"), kong.Description(about), kong.Writers(stdout, stderr),
+	parser, err := kong.New(&c, kong.Name("piernotch-lab"), kong.Description(about), kong.Writers(stdout, stderr),
 		kong.Exit(func(code int) { exited = code }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 		kong.BindTo(ctx, (*context.Context)(nil)), kong.Bind(&output{stdout, stderr}))
 	if err != nil {
-		fmt.Fprintln(stderr, "notchlab:", err)
+		fmt.Fprintln(stderr, "piernotch-lab:", err)
 		return exitUsage
 	}
 	if len(args) == 0 {
@@ -100,7 +100,7 @@
 	if err == nil {
 		err = k.Run()
 	} else {
-		fmt.Fprintf(stderr, "notchlab: %v\nnotchlab --help tells more\n", err)
+		fmt.Fprintf(stderr, "piernotch-lab: %v\nnotchlab --help tells more\n", err)
 		return exitUsage
 	}
 	var problems scenario.Problems
@@ -113,7 +113,7 @@
 		fmt.Fprintln(stderr, problems.Error())
 		return exitUsage
 	}
-	fmt.Fprintln(stderr, "notchlab:", err)
+	fmt.Fprintln(stderr, "piernotch-lab:", err)
 	return exitUsage
 }
 
--- a/cmd/notchlab/main_test.go
+++ b/cmd/piernotch-lab/main_test.go
@@ -26,7 +26,7 @@
 		code int
 		says string
 	}{
-		{nil, 0, "notchlab model run felt-quake"},
+		{nil, 0, "piernotch-lab model run felt-quake"},
 		{[]string{"model", "run", "--help"}, 0, "--runs"},
 		{[]string{"scenario", "list"}, 0, "felt-quake"},
 		{[]string{"scenario", "check", "wide", bad}, 1, "bad.toml:2: tick_ms"},
--- a/cmd/notchlab/model.go
+++ b/cmd/piernotch-lab/model.go
@@ -12,8 +12,8 @@
 	"github.com/schollz/progressbar/v3"
 
 	"piernotch/internal/lab/experiment"
-	"piernotch/internal/lab/model"
 	"piernotch/internal/lab/scenario"
+	"piernotch/internal/lab/simulation"
 	"piernotch/internal/trace"
 )
 
@@ -97,7 +97,7 @@
 }
 
 // tell prints the broken rules and how to see them again.
-func tell(w io.Writer, c *common, set []string, adapter string, runs []*model.Result) {
+func tell(w io.Writer, c *common, set []string, adapter string, runs []*simulation.Result) {
 	told := 0
 	for _, r := range runs {
 		for _, b := range r.Breaks {
@@ -108,7 +108,7 @@
 			for _, s := range b.Steps {
 				fmt.Fprintln(w, "    "+s)
 			}
-			again := fmt.Sprintf("notchlab model run %s --runs 1 --seed %d", c.Scenario, r.Seed)
+			again := fmt.Sprintf("piernotch-lab model run %s --runs 1 --seed %d", c.Scenario, r.Seed)
 			for _, s := range append(append([]string{}, c.Set...), set...) {
 				again += fmt.Sprintf(" --set '%s'", s)
 			}
--- a/cmd/notchlab/rehearse.go
+++ b/cmd/piernotch-lab/rehearse.go
@@ -16,9 +16,9 @@
 	"piernotch/internal/lab/emulator"
 	"piernotch/internal/lab/experiment"
 	"piernotch/internal/lab/load"
-	"piernotch/internal/lab/model"
-	"piernotch/internal/lab/rehearse"
+	"piernotch/internal/lab/loadtest"
 	"piernotch/internal/lab/scenario"
+	"piernotch/internal/lab/simulation"
 )
 
 // day reads a scenario for the commands that play on sockets.
@@ -50,7 +50,7 @@
 	MemoryMB  int      `name:"memory-mb" default:"192" help:"Memory limit told to each balancer."`
 	Sockets   int      `default:"1024" help:"Descriptor limit told to each balancer."`
 	Logs      string   `placeholder:"DIR" help:"Keep the balancers' configurations and logs there."`
-	JSON      string   `name:"json" placeholder:"FILE" help:"Keep the result; notchlab plot draws it."`
+	JSON      string   `name:"json" placeholder:"FILE" help:"Keep the result; piernotch-lab plot draws it."`
 	Aim       []string `sep:"none" placeholder:"FIGURE>=X" help:"A bound for a mean; may be repeated."`
 }
 
@@ -74,7 +74,7 @@
 		}
 		aims = append(aims, a)
 	}
-	var runs []*model.Result
+	var runs []*simulation.Result
 	var s *scenario.Scenario
 	void := false
 	for i := range c.Runs {
@@ -88,7 +88,7 @@
 		for _, in := range d.Troubles {
 			fmt.Fprintf(o.out, "  %s from %.1f s for %.1f s\n", in.Kind, in.At.Seconds(), in.For.Seconds())
 		}
-		r, err := rehearse.Run(ctx, d, rehearse.Options{Program: c.Program, Env: env, MemoryMB: c.MemoryMB, Sockets: c.Sockets, Logs: c.Logs})
+		r, err := loadtest.Run(ctx, d, loadtest.Options{Program: c.Program, Env: env, MemoryMB: c.MemoryMB, Sockets: c.Sockets, Logs: c.Logs})
 		if r != nil {
 			show(o, r)
 			if r.Void != "" {
@@ -126,7 +126,7 @@
 	return held.held(o.out, aims, summary, experiment.Broken(runs))
 }
 
-func tellBreaks(o *output, runs []*model.Result) {
+func tellBreaks(o *output, runs []*simulation.Result) {
 	for _, r := range runs {
 		for _, b := range r.Breaks[:min(len(r.Breaks), 5)] {
 			fmt.Fprintf(o.out, "BROKEN seed %d: %s\n    %s\n", r.Seed, b, strings.Join(b.Steps, "\n    "))
@@ -135,7 +135,7 @@
 }
 
 // bars draws service over time, a character for each second.
-func bars(r *model.Result) string {
+func bars(r *simulation.Result) string {
 	levels := []rune(" ▁▂▃▄▅▆▇█")
 	var out strings.Builder
 	for _, s := range r.Seconds {
@@ -148,7 +148,7 @@
 	return out.String()
 }
 
-func show(o *output, r *rehearse.Report) {
+func show(o *output, r *loadtest.Report) {
 	fmt.Fprintf(o.out, "  |%s| served in time, by second\n", bars(&r.Result))
 	fmt.Fprintf(o.out, "  service %.3f (whole %.3f, worst 10 s %.3f, worst class %.3f); p50 %.0f ms, p99 %.0f ms\n",
 		r.Service, r.Whole, r.WorstWindow, r.WorstClass, r.P50, r.P99)
@@ -246,7 +246,7 @@
 	if err != nil {
 		return err
 	}
-	arrivals, err := model.Arrivals(d)
+	arrivals, err := simulation.Arrivals(d)
 	if err != nil {
 		return err
 	}
--- a/cmd/piernotch/group.go
+++ b/cmd/piernotch/group.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"piernotch/internal/group"
-	"piernotch/internal/group/member"
-	"piernotch/internal/serve/node"
+	"piernotch/internal/group/client"
+	"piernotch/internal/serve/runtime"
 )
 
 // leaveFor is how long a planned end waits for the group to hear of it.
@@ -18,7 +18,7 @@
 
 // join takes part in the group that a file tells of, and returns what leaves it, which may be called
 // more than once. Without a file there is no group, and nothing is opened.
-func join(file string, n *node.Node) (leave func(), err error) {
+func join(file string, n *runtime.Node) (leave func(), err error) {
 	if file == "" {
 		return func() {}, nil
 	}
@@ -27,7 +27,7 @@
 		return nil, err
 	}
 	cfg.Disk = ""
-	m := member.Start(cfg, nil)
+	m := client.Start(cfg, nil)
 	n.Share(m.Lists)
 	return sync.OnceFunc(func() { m.Close(leaveFor) }), nil
 }
@@ -44,7 +44,7 @@
 		return err
 	}
 	cfg.Duties = nil
-	m := member.Start(cfg, nil)
+	m := client.Start(cfg, nil)
 	defer m.Close(0)
 	ctx, stop := context.WithTimeout(context.Background(), c.Wait)
 	defer stop()
--- a/cmd/piernotch/main.go
+++ b/cmd/piernotch/main.go
@@ -8,7 +8,7 @@
 	"log/slog"
 	"os"
 	"os/signal"
-	"runtime"
+	goruntime "runtime"
 	"runtime/debug"
 	"syscall"
 
@@ -16,7 +16,7 @@
 
 	"piernotch/internal/logs"
 	"piernotch/internal/serve/config"
-	"piernotch/internal/serve/node"
+	"piernotch/internal/serve/runtime"
 )
 
 type cli struct {
@@ -85,7 +85,7 @@
 			changed = ", changed since"
 		}
 	}
-	fmt.Printf("piernotch %s%s, %s %s/%s\n", revision, changed, info.GoVersion, runtime.GOOS, runtime.GOARCH)
+	fmt.Printf("piernotch %s%s, %s %s/%s\n", revision, changed, info.GoVersion, goruntime.GOOS, goruntime.GOARCH)
 	return nil
 }
 
@@ -106,8 +106,8 @@
 	if err := logs.Start(cfg.Log); err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(1) // the machine has one core, and others may share it
-	n, err := node.New(cfg)
+	goruntime.GOMAXPROCS(1) // the machine has one core, and others may share it
+	n, err := runtime.New(cfg)
 	if err != nil {
 		return err
 	}
--- a/internal/group/member/lists.go
+++ b/internal/group/client/lists.go
@@ -1,4 +1,4 @@
-package member
+package client
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 
 	"piernotch/internal/group"
 	"piernotch/internal/group/lease"
-	"piernotch/internal/group/message"
+	"piernotch/internal/group/protocol"
 	"piernotch/internal/group/watch"
 )
 
@@ -113,9 +113,9 @@
 
 // follow has the group tell what leads on from what is known here.
 func (l *lists) follow() {
-	l.m.ask(message.Question{
-		Kind: message.Follow, Command: lease.Command{Duty: l.duty}, Post: &group.Post{Source: l.source, To: l.version},
-	}, func(message.Answer) {})
+	l.m.ask(protocol.Question{
+		Kind: protocol.Follow, Command: lease.Command{Duty: l.duty}, Post: &group.Post{Source: l.source, To: l.version},
+	}, func(protocol.Answer) {})
 }
 
 // connected begins again with another voter: it may know nothing.
@@ -169,9 +169,9 @@
 
 // post sends one. A voter that lacks what is before it has to hear all again.
 func (l *lists) post(token uint64, p group.Post) {
-	l.m.ask(message.Question{
-		Kind: message.Publish, Command: lease.Command{Duty: l.duty, Who: l.m.me, Token: token}, Post: &p,
-	}, func(a message.Answer) {
+	l.m.ask(protocol.Question{
+		Kind: protocol.Publish, Command: lease.Command{Duty: l.duty, Who: l.m.me, Token: token}, Post: &p,
+	}, func(a protocol.Answer) {
 		if errors.Is(a.Err, watch.ErrMissing) || errors.Is(a.Err, watch.ErrStale) {
 			l.token = 0
 		}
--- a/internal/group/member/lists_test.go
+++ b/internal/group/client/lists_test.go
@@ -1,4 +1,4 @@
-package member
+package client
 
 import (
 	"testing"
--- a/internal/group/member/member.go
+++ b/internal/group/client/member.go
@@ -1,7 +1,7 @@
-// Package member is a balancer's side of the control group: it wants duties, holds them as long as its
+// Package client is a balancer's side of the control group: it wants duties, holds them as long as its
 // own clock allows, and asks the voters for them one after the other until it finds the one that leads.
 // Without the group it holds nothing, and whoever asks it for leave to act is told no.
-package member
+package client
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 
 	"piernotch/internal/group"
 	"piernotch/internal/group/lease"
-	"piernotch/internal/group/message"
-	"piernotch/internal/group/peer"
+	"piernotch/internal/group/protocol"
+	"piernotch/internal/group/transport"
 )
 
 const (
@@ -25,7 +25,7 @@
 )
 
 // Seen is told of every question and its answer, for a judge; err is set where none came.
-type Seen func(ask message.Question, asked, answered time.Time, answer message.Answer, err error)
+type Seen func(ask protocol.Question, asked, answered time.Time, answer protocol.Answer, err error)
 
 // Member is a running member.
 type Member struct {
@@ -42,15 +42,15 @@
 	was     map[lease.Duty]uint64 // the token last told in the log; 0: none
 	out     map[uint64]question
 	key     uint64
-	conn    *peer.Conn
+	conn    *transport.Conn
 	leader  string
 	lists   *lists // nil: this balancer asks discovery itself
 }
 
 type question struct {
-	q     message.Question
+	q     protocol.Question
 	asked time.Time
-	then  func(message.Answer)
+	then  func(protocol.Answer)
 }
 
 // Start has a member want the duties of its configuration. seen may be nil.
@@ -141,8 +141,8 @@
 
 // hold asks for a holder.
 func (m *Member) hold(h *lease.Holder, a lease.Ask) {
-	sent := m.ask(message.Of(a), func(b message.Answer) {
-		if message.Final(b.Err) {
+	sent := m.ask(protocol.Of(a), func(b protocol.Answer) {
+		if protocol.Final(b.Err) {
 			h.Answered(m.now(), a.Seq, b.Grant, b.Err)
 		} else {
 			h.Lost(a.Seq)
@@ -155,14 +155,14 @@
 
 // ask sends a question, if there is a connection, and tells whether; m.mu is held, then is called
 // under it, with ErrUnknown if no answer comes.
-func (m *Member) ask(q message.Question, then func(message.Answer)) bool {
+func (m *Member) ask(q protocol.Question, then func(protocol.Answer)) bool {
 	if m.conn == nil {
 		return false
 	}
 	m.key++
 	q.Key = m.key
 	m.out[q.Key] = question{q, time.Now(), then}
-	m.conn.Send(peer.Frame{Ask: &peer.Ask{Key: q.Key, Kind: q.Kind, Command: q.Command, Voter: q.Voter, Post: q.Post}})
+	m.conn.Send(transport.Frame{Ask: &transport.Ask{Key: q.Key, Kind: q.Kind, Command: q.Command, Voter: q.Voter, Post: q.Post}})
 	return true
 }
 
@@ -191,7 +191,7 @@
 		m.leader = ""
 		m.mu.Unlock()
 		next++
-		c, err := peer.Dial(to.Address, func() peer.Hail { return peer.Hail{Group: m.cfg.Name, Name: m.cfg.Self} })
+		c, err := transport.Dial(to.Address, func() transport.Hail { return transport.Hail{Group: m.cfg.Name, Name: m.cfg.Self} })
 		if err == nil {
 			ended := context.AfterFunc(ctx, c.Close)
 			m.mu.Lock()
@@ -211,13 +211,13 @@
 	}
 }
 
-func (m *Member) read(c *peer.Conn) {
+func (m *Member) read(c *transport.Conn) {
 	defer func() {
 		m.mu.Lock()
 		m.conn = nil
 		for k, q := range m.out {
-			m.saw(q, message.Answer{}, peer.ErrClosed)
-			q.then(message.Answer{Err: message.ErrUnknown})
+			m.saw(q, protocol.Answer{}, transport.ErrClosed)
+			q.then(protocol.Answer{Err: protocol.ErrUnknown})
 			delete(m.out, k)
 		}
 		m.mu.Unlock()
@@ -242,10 +242,10 @@
 		q, is := m.out[t.Key]
 		delete(m.out, t.Key)
 		if is {
-			a := message.Answer{Key: t.Key, Grant: t.Grant, Image: t.Image, Err: t.Code.Err()}
+			a := protocol.Answer{Key: t.Key, Grant: t.Grant, Image: t.Image, Err: t.Code.Err()}
 			m.saw(q, a, nil)
 			q.then(a)
-			if errors.Is(a.Err, message.ErrNotLeading) {
+			if errors.Is(a.Err, protocol.ErrNotLeading) {
 				m.leader = t.Leader
 				c.Close()
 			}
@@ -254,18 +254,18 @@
 	}
 }
 
-func (m *Member) saw(q question, a message.Answer, err error) {
+func (m *Member) saw(q question, a protocol.Answer, err error) {
 	if m.seen != nil {
 		m.seen(q.q, q.asked, time.Now(), a, err)
 	}
 }
 
 // List asks the group for all that is held, and who votes.
-func (m *Member) List(ctx context.Context) (message.Image, error) {
+func (m *Member) List(ctx context.Context) (protocol.Image, error) {
 	for {
-		got := make(chan message.Answer, 1)
+		got := make(chan protocol.Answer, 1)
 		m.mu.Lock()
-		m.ask(message.Question{Kind: message.List}, func(a message.Answer) { got <- a })
+		m.ask(protocol.Question{Kind: protocol.List}, func(a protocol.Answer) { got <- a })
 		m.mu.Unlock()
 		select {
 		case a := <-got:
@@ -274,7 +274,7 @@
 			}
 		case <-time.After(silent / 2):
 		case <-ctx.Done():
-			return message.Image{}, fmt.Errorf("no voter that leads was found: %w", ctx.Err())
+			return protocol.Image{}, fmt.Errorf("no voter that leads was found: %w", ctx.Err())
 		}
 	}
 }
--- a/internal/group/agree/disk.go
+++ b/internal/group/consensus/disk.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"crypto/rand"
--- a/internal/group/agree/disk_test.go
+++ b/internal/group/consensus/disk_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"os"
@@ -9,7 +9,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"piernotch/internal/group/message"
+	"piernotch/internal/group/protocol"
 )
 
 func entryAt(i, term uint64, data string) *raftpb.Entry {
@@ -35,7 +35,7 @@
 	_, _, err = OpenDisk(path, "g", "n1")
 	require.ErrorContains(t, err, "another process uses it")
 
-	born := Born([]message.Voter{{ID: first.ID, Name: "n1", Address: "127.0.0.1:1"}})
+	born := Born([]protocol.Voter{{ID: first.ID, Name: "n1", Address: "127.0.0.1:1"}})
 	require.NoError(t, d.Begin(born))
 	require.NoError(t, d.Write(Work{Entries: []*raftpb.Entry{entryAt(2, 1, "a"), entryAt(3, 1, "b"), entryAt(4, 1, "c")}}))
 	require.NoError(t, d.Write(Work{Entries: []*raftpb.Entry{entryAt(3, 2, "d")}, Starts: map[uint64]Start{9: {4, 7}}}))
@@ -62,7 +62,7 @@
 	path := filepath.Join(t.TempDir(), "voter")
 	d, _, err := OpenDisk(path, "g", "n1")
 	require.NoError(t, err)
-	require.NoError(t, d.Begin(Born([]message.Voter{{ID: d.Identity().ID, Name: "n1"}})))
+	require.NoError(t, d.Begin(Born([]protocol.Voter{{ID: d.Identity().ID, Name: "n1"}})))
 	require.NoError(t, d.Write(Work{Entries: []*raftpb.Entry{entryAt(2, 1, "a word that is easy to find")}}))
 	require.NoError(t, d.Close())
 	_, _, err = OpenDisk(path, "g", "n2")
--- a/internal/group/agree/machine.go
+++ b/internal/group/consensus/machine.go
@@ -1,10 +1,10 @@
-// Package agree is the control group: three or five voters among the balancers that agree on who holds
+// Package consensus is the control group: three or five voters among the balancers that agree on who holds
 // which duty. Agreement is go.etcd.io/raft's, with pre-vote and check-quorum on.
 //
 // Machine is pure, like the balancer's core: messages, questions and ticks go in; what has to be
 // written, then sent, and then answered comes out. Who drives it owns disk, network and clock, so the
 // same code runs in service and under thousands of seeds in simulated time.
-package agree
+package consensus
 
 import (
 	"errors"
@@ -21,9 +21,9 @@
 	"go.etcd.io/raft/v3/tracker"
 	"google.golang.org/protobuf/proto"
 
+	"piernotch/internal/group/failpoint"
 	"piernotch/internal/group/lease"
-	"piernotch/internal/group/message"
-	"piernotch/internal/group/plant"
+	"piernotch/internal/group/protocol"
 )
 
 // Ticks of the engine: a leader is heard of every tick; who hears nothing for electionTicks, and by
@@ -42,7 +42,7 @@
 // Message is between two voters. One of its parts is set.
 type Message struct {
 	From, To uint64
-	Hello    *message.Hello
+	Hello    *protocol.Hello
 	Welcome  *bool // whether the hello shows a disk that is as new as was seen
 	Raft     *raftpb.Message
 }
@@ -62,13 +62,13 @@
 }
 
 // Born is what every store of a new group begins with.
-func Born(voters []message.Voter) Log {
+func Born(voters []protocol.Voter) Log {
 	cs := &raftpb.ConfState{}
 	for _, v := range voters {
 		cs.Voters = append(cs.Voters, v.ID)
 	}
 	slices.Sort(cs.Voters)
-	data, err := cbor.Marshal(message.Image{Voters: voters})
+	data, err := cbor.Marshal(protocol.Image{Voters: voters})
 	if err != nil {
 		panic(err) // plain values
 	}
@@ -115,7 +115,7 @@
 
 // waiting is a question that has no answer yet.
 type waiting struct {
-	q     message.Question
+	q     protocol.Question
 	index uint64 // of a read: answered once so much is applied; 0: not confirmed yet
 }
 
@@ -132,7 +132,7 @@
 	mem     *raft.MemoryStorage
 	conf    *raftpb.ConfState
 	table   lease.Table
-	voters  []message.Voter
+	voters  []protocol.Voter
 	applied uint64
 	imaged  uint64           // up to where the snapshot reaches
 	image   *raftpb.Snapshot // to be written
@@ -148,7 +148,7 @@
 	reads   map[uint64]waiting // by the question that they came with: all up to it share one look at who leads
 	unsent  bool               // some have not been looked for yet
 	free    []lease.Duty       // that have come free, or into another hand, since Freed was called
-	answers []message.Answer
+	answers []protocol.Answer
 
 	welcome map[uint64]bool // who found the disk new enough
 	in      bool            // enough of them have
@@ -199,7 +199,7 @@
 }
 
 func (m *Machine) restore(s *raftpb.Snapshot) error {
-	var i message.Image
+	var i protocol.Image
 	if err := cbor.Unmarshal(s.GetData(), &i); err != nil {
 		return fmt.Errorf("image at %d: %w", s.GetMetadata().GetIndex(), err)
 	}
@@ -211,20 +211,20 @@
 }
 
 // Leader returns the voter that leads, as far as this one knows.
-func (m *Machine) Leader() (message.Voter, bool) {
+func (m *Machine) Leader() (protocol.Voter, bool) {
 	for _, v := range m.voters {
 		if v.ID == m.leader && m.leader != 0 {
 			return v, true
 		}
 	}
-	return message.Voter{}, false
+	return protocol.Voter{}, false
 }
 
 // Leading tells whether this voter leads and may answer.
 func (m *Machine) Leading() bool { return m.keeper != nil }
 
 // Voters returns who votes.
-func (m *Machine) Voters() []message.Voter { return m.voters }
+func (m *Machine) Voters() []protocol.Voter { return m.voters }
 
 // Old tells whether a voter has found the disk older than what it had seen of it. The machine then
 // takes no part, and its store must not be used again under its number.
@@ -262,7 +262,7 @@
 			}
 		}
 		// A voter that is being added has an empty log: who leads will fill it.
-		m.in = n > len(m.conf.GetVoters())/2 || plant.Is("disk-unchecked")
+		m.in = n > len(m.conf.GetVoters())/2 || failpoint.Is("disk-unchecked")
 	}
 	return m.in
 }
@@ -273,7 +273,7 @@
 	}
 	hs, _, _ := m.mem.InitialState()
 	last, _ := m.mem.LastIndex()
-	h := &message.Hello{Starts: m.cfg.Starts, Run: m.cfg.Run, Term: hs.GetTerm(), Vote: hs.GetVote(), Last: last}
+	h := &protocol.Hello{Starts: m.cfg.Starts, Run: m.cfg.Run, Term: hs.GetTerm(), Vote: hs.GetVote(), Last: last}
 	for _, id := range m.conf.GetVoters() {
 		if id != m.cfg.ID && !m.welcome[id] {
 			m.out = append(m.out, Message{From: m.cfg.ID, To: id, Hello: h})
@@ -282,7 +282,7 @@
 }
 
 // greeted judges another voter's hello by what was heard of it before.
-func (m *Machine) greeted(from uint64, h *message.Hello) {
+func (m *Machine) greeted(from uint64, h *protocol.Hello) {
 	s, last, now := m.seen[from], m.starts[from], Start{h.Starts, h.Run}
 	ok := (now.N > last.N || now == last) && h.Term >= s.term &&
 		(h.Term > s.term || h.Last >= s.last && (h.Vote != 0 || !s.voted))
@@ -316,7 +316,7 @@
 	r := msg.Raft
 	m.sight(msg.From, r)
 	// The engine gives up the process over a leader that knows more of this log than there is of it.
-	if last, _ := m.mem.LastIndex(); !plant.Is("disk-unchecked") && r.GetType() == raftpb.MsgHeartbeat && r.GetCommit() > last && r.GetTerm() >= m.status().GetTerm() {
+	if last, _ := m.mem.LastIndex(); !failpoint.Is("disk-unchecked") && r.GetType() == raftpb.MsgHeartbeat && r.GetCommit() > last && r.GetTerm() >= m.status().GetTerm() {
 		m.old = true
 		return ErrOldCopy
 	}
@@ -355,23 +355,23 @@
 
 // Ask takes a question; its answer comes from Answers, now or later, or never: who asks has to bound
 // its own patience.
-func (m *Machine) Ask(now time.Duration, q message.Question) {
+func (m *Machine) Ask(now time.Duration, q protocol.Question) {
 	switch {
-	case m.keeper == nil && !(plant.Is("stale-reads") && q.Kind == message.Read && m.leading):
-		m.answer(q, lease.Grant{}, message.ErrNotLeading)
+	case m.keeper == nil && !(failpoint.Is("stale-reads") && q.Kind == protocol.Read && m.leading):
+		m.answer(q, lease.Grant{}, protocol.ErrNotLeading)
 	case len(m.changes)+len(m.reads) >= mostWaiting:
-		m.answer(q, lease.Grant{}, message.ErrBusy)
-	case q.Kind == message.Change && !m.heldByOther(q.Command):
-		if plant.Is("answered-too-early") {
+		m.answer(q, lease.Grant{}, protocol.ErrBusy)
+	case q.Kind == protocol.Change && !m.heldByOther(q.Command):
+		if failpoint.Is("answered-too-early") {
 			var t lease.Table
 			t.Restore(m.table.Image())
 			g, err := t.Apply(q.Command)
 			m.answer(q, g, err)
 		}
 		m.propose(q.Command, m.wait(q))
-	case q.Kind == message.Admit:
+	case q.Kind == protocol.Admit:
 		m.admit(q)
-	case q.Kind == message.Read && plant.Is("stale-reads"), q.Kind == message.Renew && plant.Is("unconfirmed-renewals"):
+	case q.Kind == protocol.Read && failpoint.Is("stale-reads"), q.Kind == protocol.Renew && failpoint.Is("unconfirmed-renewals"):
 		m.look(now, q)
 	default:
 		m.seq++
@@ -397,18 +397,18 @@
 	return f
 }
 
-func (m *Machine) answer(q message.Question, g lease.Grant, err error) {
-	m.answers = append(m.answers, message.Answer{Key: q.Key, Grant: g, Err: err})
+func (m *Machine) answer(q protocol.Question, g lease.Grant, err error) {
+	m.answers = append(m.answers, protocol.Answer{Key: q.Key, Grant: g, Err: err})
 }
 
 // Answers returns what has been answered since the last call.
-func (m *Machine) Answers() []message.Answer {
+func (m *Machine) Answers() []protocol.Answer {
 	a := m.answers
 	m.answers = nil
 	return a
 }
 
-func (m *Machine) wait(q message.Question) uint64 {
+func (m *Machine) wait(q protocol.Question) uint64 {
 	m.seq++
 	m.changes[m.seq] = waiting{q: q}
 	return m.seq
@@ -428,13 +428,13 @@
 func (m *Machine) dropped(seq uint64, err error) {
 	if w, is := m.changes[seq]; is {
 		delete(m.changes, seq)
-		m.answer(w.q, lease.Grant{}, fmt.Errorf("%w: %w", message.ErrNotLeading, err))
+		m.answer(w.q, lease.Grant{}, fmt.Errorf("%w: %w", protocol.ErrNotLeading, err))
 	}
 }
 
 // admit changes who votes, one step at a time: first the voter of that name that is gone is taken out,
 // then the new one is taken in. Who wants to be taken in asks until it is.
-func (m *Machine) admit(q message.Question) {
+func (m *Machine) admit(q protocol.Question) {
 	v := q.Voter
 	change := raftpb.ConfChange{Type: raftpb.ConfChangeAddNode.Enum(), NodeId: &v.ID}
 	for _, o := range m.voters {
@@ -443,7 +443,7 @@
 			m.answer(q, lease.Grant{}, nil)
 			return
 		case o.Name == v.Name && m.heard(o.ID):
-			m.answer(q, lease.Grant{}, message.ErrNameInUse)
+			m.answer(q, lease.Grant{}, protocol.ErrNameInUse)
 			return
 		case o.Name == v.Name:
 			change = raftpb.ConfChange{Type: raftpb.ConfChangeRemoveNode.Enum(), NodeId: &o.ID}
@@ -462,9 +462,9 @@
 
 // admission is what comes with a change of who votes.
 type admission struct {
-	Run   uint64        `cbor:"1,keyasint"`
-	Seq   uint64        `cbor:"2,keyasint"`
-	Voter message.Voter `cbor:"3,keyasint"`
+	Run   uint64         `cbor:"1,keyasint"`
+	Seq   uint64         `cbor:"2,keyasint"`
+	Voter protocol.Voter `cbor:"3,keyasint"`
 }
 
 // heard tells whether a voter has answered this leader of late.
@@ -557,10 +557,10 @@
 func (m *Machine) depose() {
 	m.keeper = nil
 	for _, seq := range slices.Sorted(maps.Keys(m.changes)) {
-		m.answer(m.changes[seq].q, lease.Grant{}, message.ErrUnknown)
+		m.answer(m.changes[seq].q, lease.Grant{}, protocol.ErrUnknown)
 	}
 	for _, seq := range slices.Sorted(maps.Keys(m.reads)) {
-		m.answer(m.reads[seq].q, lease.Grant{}, message.ErrNotLeading)
+		m.answer(m.reads[seq].q, lease.Grant{}, protocol.ErrNotLeading)
 	}
 	clear(m.changes)
 	clear(m.reads)
@@ -620,12 +620,12 @@
 		return fmt.Errorf("change of voters: %w", err)
 	}
 	m.conf, m.changed = m.node.ApplyConfChange(cc), true
-	m.voters = slices.DeleteFunc(slices.Clone(m.voters), func(v message.Voter) bool { return v.ID == cc.GetNodeId() })
+	m.voters = slices.DeleteFunc(slices.Clone(m.voters), func(v protocol.Voter) bool { return v.ID == cc.GetNodeId() })
 	err := error(nil)
 	if cc.GetType() == raftpb.ConfChangeAddNode {
 		m.voters = append(m.voters, a.Voter)
 	} else {
-		err = message.ErrUnknown // half of it: the asker comes again
+		err = protocol.ErrUnknown // half of it: the asker comes again
 	}
 	if w, is := m.changes[a.Seq]; is && a.Run == m.cfg.Run {
 		delete(m.changes, a.Seq)
@@ -658,18 +658,18 @@
 	}
 }
 
-func (m *Machine) look(now time.Duration, q message.Question) {
+func (m *Machine) look(now time.Duration, q protocol.Question) {
 	g, held := m.table.Held(q.Command.Duty)
 	switch {
-	case q.Kind == message.List:
-		m.answers = append(m.answers, message.Answer{Key: q.Key, Image: m.state()})
-	case q.Kind == message.Change && m.heldByOther(q.Command):
+	case q.Kind == protocol.List:
+		m.answers = append(m.answers, protocol.Answer{Key: q.Key, Image: m.state()})
+	case q.Kind == protocol.Change && m.heldByOther(q.Command):
 		m.answer(q, g, lease.ErrHeld)
-	case q.Kind == message.Change: // it has come free since
+	case q.Kind == protocol.Change: // it has come free since
 		m.propose(q.Command, m.wait(q))
-	case q.Kind == message.Renew && (!held || g.Token != q.Command.Token || g.Holder != q.Command.Who):
+	case q.Kind == protocol.Renew && (!held || g.Token != q.Command.Token || g.Holder != q.Command.Who):
 		m.answer(q, g, lease.ErrNotHeld)
-	case q.Kind == message.Renew:
+	case q.Kind == protocol.Renew:
 		m.answer(q, g, m.keeper.Renew(now, q.Command.Duty, q.Command.Token))
 	case !held:
 		m.answer(q, lease.Grant{}, lease.ErrNotHeld)
@@ -678,8 +678,8 @@
 	}
 }
 
-func (m *Machine) state() message.Image {
-	return message.Image{Table: m.table.Image(), Voters: slices.Clone(m.voters)}
+func (m *Machine) state() protocol.Image {
+	return protocol.Image{Table: m.table.Image(), Voters: slices.Clone(m.voters)}
 }
 
 // compact replaces the log by the state it has led to, now and then.
--- a/internal/group/plant/off.go
+++ b/internal/group/failpoint/off.go
@@ -1,8 +1,8 @@
 //go:build !planted
 
-// Package plant has faults that the laboratory plants to see that its campaigns find them. They are
+// Package failpoint has faults that the laboratory plants to see that its campaigns find them. They are
 // compiled in with the build tag "planted" alone: in every other build Is is a constant.
-package plant
+package failpoint
 
 // Is tells whether the fault of that name is planted: never, in this build.
 func Is(string) bool { return false }
--- a/internal/group/plant/on.go
+++ b/internal/group/failpoint/on.go
@@ -1,6 +1,6 @@
 //go:build planted
 
-package plant
+package failpoint
 
 var planted string
 
--- a/internal/group/lease/holder.go
+++ b/internal/group/lease/holder.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"piernotch/internal/group/plant"
+	"piernotch/internal/group/failpoint"
 )
 
 // Ask is what a holder wants of the group: a command, or a renewal of what it holds.
@@ -104,7 +104,7 @@
 	}
 	h.asked = false
 	from := h.sent
-	if plant.Is("counted-from-answer") {
+	if failpoint.Is("counted-from-answer") {
 		from = now
 	}
 	switch {
@@ -117,7 +117,7 @@
 			h.since = now
 		}
 		h.grant, h.until, h.held = g, from+h.terms.Valid(), true
-		if plant.Is("drift-ignored") {
+		if failpoint.Is("drift-ignored") {
 			h.until = from + h.terms.Length + h.terms.Length/8
 		}
 		h.next = from + h.terms.Valid()/3
@@ -161,7 +161,7 @@
 // Admit tells whether an act under a token may be done; fresh says that the token is higher than any
 // before, and has to be kept first.
 func (f *Fence) Admit(d Duty, token uint64) (ok, fresh bool) {
-	if token < f.seen[d] && !plant.Is("no-fence") {
+	if token < f.seen[d] && !failpoint.Is("no-fence") {
 		return false, false
 	}
 	if fresh = token > f.seen[d]; fresh {
--- a/internal/group/lease/lease.go
+++ b/internal/group/lease/lease.go
@@ -17,7 +17,7 @@
 	"slices"
 	"time"
 
-	"piernotch/internal/group/plant"
+	"piernotch/internal/group/failpoint"
 )
 
 // Duty names what one process at a time may do.
@@ -97,7 +97,7 @@
 		t.grants = map[Duty]Grant{}
 	}
 	t.last++
-	if plant.Is("token-reused") {
+	if failpoint.Is("token-reused") {
 		t.last = 1
 	}
 	g := Grant{d, to, t.last}
@@ -165,7 +165,7 @@
 	k := &Keeper{terms: terms, until: map[Duty]deadline{}}
 	for _, g := range held {
 		_ = k.Granted(now, g)
-		if plant.Is("timers-forgotten") {
+		if failpoint.Is("timers-forgotten") {
 			k.until[g.Duty] = deadline{token: g.Token, at: now}
 		}
 	}
@@ -175,7 +175,7 @@
 // Granted notes a grant, or one that was asked for again. A grant whose end is on its way must not be
 // answered with, though the table still has it.
 func (k *Keeper) Granted(now time.Duration, g Grant) error {
-	if d := k.until[g.Duty]; d.token == g.Token && d.lapsing && !plant.Is("granted-while-lapsing") {
+	if d := k.until[g.Duty]; d.token == g.Token && d.lapsing && !failpoint.Is("granted-while-lapsing") {
 		return ErrNotHeld
 	}
 	k.until[g.Duty] = deadline{token: g.Token, at: now + k.terms.Length}
@@ -188,7 +188,7 @@
 // Renew prolongs a grant, unless it is not the one that stands, or its end is on its way.
 func (k *Keeper) Renew(now time.Duration, d Duty, token uint64) error {
 	u, is := k.until[d]
-	if !is || u.token != token || u.lapsing && !plant.Is("renewed-after-expiry") {
+	if !is || u.token != token || u.lapsing && !failpoint.Is("renewed-after-expiry") {
 		return ErrNotHeld
 	}
 	u.at = now + k.terms.Length
--- a/internal/group/message/message.go
+++ b/internal/group/protocol/message.go
@@ -1,6 +1,6 @@
-// Package message holds what the voters of a control group and its members say to each other: plain
+// Package protocol holds what the voters of a control group and its members say to each other: plain
 // values, which link no engine of agreement.
-package message
+package protocol
 
 import (
 	"errors"
--- a/internal/group/peer/peer.go
+++ b/internal/group/transport/peer.go
@@ -1,7 +1,7 @@
-// Package peer is how members of a group speak: frames of CBOR over TCP, each with its length and its
+// Package transport is how members of a group speak: frames of CBOR over TCP, each with its length and its
 // checksum. The first frame each way says which group, program version and member it comes from; what
 // does not fit is refused with a word that names it, and nothing of it is used.
-package peer
+package transport
 
 import (
 	"bufio"
@@ -18,7 +18,7 @@
 
 	"piernotch/internal/group"
 	"piernotch/internal/group/lease"
-	"piernotch/internal/group/message"
+	"piernotch/internal/group/protocol"
 	"piernotch/internal/group/watch"
 )
 
@@ -45,27 +45,27 @@
 
 // Vote is a message between voters.
 type Vote struct {
-	From    uint64         `cbor:"1,keyasint"`
-	To      uint64         `cbor:"2,keyasint"`
-	Hello   *message.Hello `cbor:"3,keyasint,omitempty"`
-	Welcome *bool          `cbor:"4,keyasint,omitempty"`
-	Raft    []byte         `cbor:"5,keyasint,omitempty"`
+	From    uint64          `cbor:"1,keyasint"`
+	To      uint64          `cbor:"2,keyasint"`
+	Hello   *protocol.Hello `cbor:"3,keyasint,omitempty"`
+	Welcome *bool           `cbor:"4,keyasint,omitempty"`
+	Raft    []byte          `cbor:"5,keyasint,omitempty"`
 }
 
 // Ask is a member's question.
 type Ask struct {
-	Key     uint64        `cbor:"1,keyasint"`
-	Kind    message.Kind  `cbor:"2,keyasint"`
-	Command lease.Command `cbor:"3,keyasint"`
-	Voter   message.Voter `cbor:"4,keyasint,omitempty"`
-	Post    *group.Post   `cbor:"5,keyasint,omitempty"`
+	Key     uint64         `cbor:"1,keyasint"`
+	Kind    protocol.Kind  `cbor:"2,keyasint"`
+	Command lease.Command  `cbor:"3,keyasint"`
+	Voter   protocol.Voter `cbor:"4,keyasint,omitempty"`
+	Post    *group.Post    `cbor:"5,keyasint,omitempty"`
 }
 
 // Code is an error as it travels.
 type Code uint8
 
 // codes are the errors that have a code, by it.
-var codes = []error{nil, lease.ErrHeld, lease.ErrNotHeld, message.ErrNotLeading, message.ErrUnknown, message.ErrBusy, message.ErrNameInUse, watch.ErrMissing, watch.ErrStale, watch.ErrLarge}
+var codes = []error{nil, lease.ErrHeld, lease.ErrNotHeld, protocol.ErrNotLeading, protocol.ErrUnknown, protocol.ErrBusy, protocol.ErrNameInUse, watch.ErrMissing, watch.ErrStale, watch.ErrLarge}
 
 // CodeOf returns an error's code.
 func CodeOf(err error) Code {
@@ -82,20 +82,20 @@
 	if int(c) < len(codes) {
 		return codes[c]
 	}
-	return message.ErrUnknown
+	return protocol.ErrUnknown
 }
 
 // Tell is the answer to an Ask.
 type Tell struct {
-	Key    uint64        `cbor:"1,keyasint"`
-	Code   Code          `cbor:"2,keyasint"`
-	Grant  lease.Grant   `cbor:"3,keyasint,omitempty"`
-	Image  message.Image `cbor:"4,keyasint,omitempty"`
-	Leader string        `cbor:"5,keyasint,omitempty"` // the name of who leads, if known
-	Free   lease.Duty    `cbor:"6,keyasint,omitempty"` // without a Key: this duty may have come free
-	Duty   lease.Duty    `cbor:"7,keyasint,omitempty"` // without a Key: of Post
-	Token  uint64        `cbor:"8,keyasint,omitempty"` // under which Post was published
-	Post   *group.Post   `cbor:"9,keyasint,omitempty"`
+	Key    uint64         `cbor:"1,keyasint"`
+	Code   Code           `cbor:"2,keyasint"`
+	Grant  lease.Grant    `cbor:"3,keyasint,omitempty"`
+	Image  protocol.Image `cbor:"4,keyasint,omitempty"`
+	Leader string         `cbor:"5,keyasint,omitempty"` // the name of who leads, if known
+	Free   lease.Duty     `cbor:"6,keyasint,omitempty"` // without a Key: this duty may have come free
+	Duty   lease.Duty     `cbor:"7,keyasint,omitempty"` // without a Key: of Post
+	Token  uint64         `cbor:"8,keyasint,omitempty"` // under which Post was published
+	Post   *group.Post    `cbor:"9,keyasint,omitempty"`
 }
 
 // Frame is one of its parts.
--- a/internal/group/voter/voter.go
+++ b/internal/group/voter/voter.go
@@ -19,10 +19,10 @@
 	"google.golang.org/protobuf/proto"
 
 	"piernotch/internal/group"
-	"piernotch/internal/group/agree"
+	"piernotch/internal/group/consensus"
 	"piernotch/internal/group/lease"
-	"piernotch/internal/group/message"
-	"piernotch/internal/group/peer"
+	"piernotch/internal/group/protocol"
+	"piernotch/internal/group/transport"
 	"piernotch/internal/group/watch"
 )
 
@@ -46,33 +46,33 @@
 	wait     sync.WaitGroup
 	listener net.Listener
 
-	disk    *agree.Disk
-	machine *agree.Machine // nil until the group is known
+	disk    *consensus.Disk
+	machine *consensus.Machine // nil until the group is known
 
 	mu    sync.Mutex
-	hail  peer.Hail
+	hail  transport.Hail
 	conns int
 
 	out   map[string]*link // to other voters, by name
 	asked uint64
-	asks  map[uint64]func(message.Answer)
-	hails map[string]peer.Hail        // the last of each other voter
-	told  string                      // who was last told to lead
-	queue map[lease.Duty][]*peer.Conn // who was refused a duty, and is told when it comes free
-	feeds map[lease.Duty]*feed        // what holders publish, while this voter leads
+	asks  map[uint64]func(protocol.Answer)
+	hails map[string]transport.Hail        // the last of each other voter
+	told  string                           // who was last told to lead
+	queue map[lease.Duty][]*transport.Conn // who was refused a duty, and is told when it comes free
+	feeds map[lease.Duty]*feed             // what holders publish, while this voter leads
 	admit time.Duration
 }
 
 // feed is what is published under a duty, and who is told.
 type feed struct {
 	watch.Feed
-	to []*peer.Conn
+	to []*transport.Conn
 }
 
 // link is the connection to another voter.
 type link struct {
 	to   group.Voter
-	conn *peer.Conn // nil: it does not stand
+	conn *transport.Conn // nil: it does not stand
 }
 
 // Start opens the voter's file and listens. A file that cannot be read is set aside: the voter comes
@@ -84,7 +84,7 @@
 	}
 	v := &Voter{
 		cfg: cfg, begun: time.Now(), events: make(chan func(), mostWait), out: map[string]*link{},
-		asks: map[uint64]func(message.Answer){}, hails: map[string]peer.Hail{}, queue: map[lease.Duty][]*peer.Conn{}, feeds: map[lease.Duty]*feed{},
+		asks: map[uint64]func(protocol.Answer){}, hails: map[string]transport.Hail{}, queue: map[lease.Duty][]*transport.Conn{}, feeds: map[lease.Duty]*feed{},
 	}
 	if err := v.open(); err != nil {
 		return nil, err
@@ -111,14 +111,14 @@
 
 // open reads the file and makes the machine, if the file is of a group.
 func (v *Voter) open() error {
-	disk, log, err := agree.OpenDisk(v.cfg.Disk, v.cfg.Name, v.cfg.Self)
-	if errors.Is(err, agree.ErrSpoilt) {
-		aside, moved := agree.SetAside(v.cfg.Disk)
+	disk, log, err := consensus.OpenDisk(v.cfg.Disk, v.cfg.Name, v.cfg.Self)
+	if errors.Is(err, consensus.ErrSpoilt) {
+		aside, moved := consensus.SetAside(v.cfg.Disk)
 		if moved != nil {
 			return errors.Join(err, moved)
 		}
 		slog.Error("group: the voter's file is spoilt, set aside; this voter comes back as a new one", "err", err, "aside", aside)
-		disk, log, err = agree.OpenDisk(v.cfg.Disk, v.cfg.Name, v.cfg.Self)
+		disk, log, err = consensus.OpenDisk(v.cfg.Disk, v.cfg.Name, v.cfg.Self)
 	}
 	if err != nil {
 		return fmt.Errorf("group.disk: %w", err)
@@ -126,7 +126,7 @@
 	v.disk = disk
 	id := disk.Identity()
 	v.mu.Lock()
-	v.hail = peer.Hail{Group: v.cfg.Name, Name: v.cfg.Self, ID: id.ID, Born: id.Born}
+	v.hail = transport.Hail{Group: v.cfg.Name, Name: v.cfg.Self, ID: id.ID, Born: id.Born}
 	v.mu.Unlock()
 	slog.Info("group: voter", "group", v.cfg.Name, "name", v.cfg.Self, "id", fmt.Sprintf("%x", id.ID), "starts", id.Starts, "known", id.Born)
 	if !id.Born {
@@ -135,17 +135,17 @@
 	return v.make(log)
 }
 
-func (v *Voter) make(log agree.Log) error {
+func (v *Voter) make(log consensus.Log) error {
 	id := v.disk.Identity()
 	var err error
-	v.machine, err = agree.New(agree.Config{
+	v.machine, err = consensus.New(consensus.Config{
 		ID: id.ID, Run: rand.Uint64(), Starts: id.Starts, Log: log,
 		Terms: lease.Terms{Length: v.cfg.Length, Drift: v.cfg.Drift},
 	})
 	return err
 }
 
-func (v *Voter) us() peer.Hail {
+func (v *Voter) us() transport.Hail {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.hail
@@ -209,21 +209,21 @@
 // missing nobody knows which, and nothing happens: an empty disk is no proof that there is no group.
 func (v *Voter) begin() {
 	me := v.us()
-	all := []message.Voter{{ID: me.ID, Name: me.Name}}
+	all := []protocol.Voter{{ID: me.ID, Name: me.Name}}
 	known := false
 	for _, o := range v.cfg.Voters {
 		if h, is := v.hails[o.Name]; is {
 			known = known || h.Born
-			all = append(all, message.Voter{ID: h.ID, Name: h.Name})
+			all = append(all, protocol.Voter{ID: h.ID, Name: h.Name})
 		}
 	}
 	var err error
 	switch {
 	case known:
-		err = v.make(agree.Log{})
+		err = v.make(consensus.Log{})
 	case len(all) == len(v.cfg.Voters):
-		slices.SortFunc(all, func(a, b message.Voter) int { return cmp.Compare(a.Name, b.Name) })
-		log := agree.Born(all)
+		slices.SortFunc(all, func(a, b protocol.Voter) int { return cmp.Compare(a.Name, b.Name) })
+		log := consensus.Born(all)
 		if err = v.disk.Begin(log); err == nil {
 			slog.Info("group: begins", "group", v.cfg.Name, "voters", len(all))
 			err = v.make(log)
@@ -240,13 +240,13 @@
 // join asks to be taken in, as long as this disk is not one that votes.
 func (v *Voter) join() {
 	id := v.us().ID
-	if v.now() < v.admit || slices.ContainsFunc(v.machine.Voters(), func(o message.Voter) bool { return o.ID == id }) {
+	if v.now() < v.admit || slices.ContainsFunc(v.machine.Voters(), func(o protocol.Voter) bool { return o.ID == id }) {
 		return
 	}
 	v.admit = v.now() + admitEach
 	for _, l := range v.out {
 		if l.conn != nil {
-			l.conn.Send(peer.Frame{Ask: &peer.Ask{Kind: message.Admit, Voter: message.Voter{ID: id, Name: v.cfg.Self}}})
+			l.conn.Send(transport.Frame{Ask: &transport.Ask{Kind: protocol.Admit, Voter: protocol.Voter{ID: id, Name: v.cfg.Self}}})
 		}
 	}
 }
@@ -254,7 +254,7 @@
 // renew gives up a disk that is older than what the group has seen of it.
 func (v *Voter) renew() {
 	_ = v.disk.Close()
-	aside, err := agree.SetAside(v.cfg.Disk)
+	aside, err := consensus.SetAside(v.cfg.Disk)
 	slog.Error("group: the voter's file is an older copy, set aside; this voter comes back as a new one", "aside", aside)
 	v.machine = nil
 	if err == nil {
@@ -317,15 +317,15 @@
 	g, _ := v.machine.Held(d)
 	for i, c := range all {
 		if i < atOnce || c.Them.Name == g.Holder.Name {
-			c.Send(peer.Frame{Tell: &peer.Tell{Free: d}})
+			c.Send(transport.Frame{Tell: &transport.Tell{Free: d}})
 		} else {
 			v.queue[d] = append(v.queue[d], c)
 		}
 	}
 }
 
-func (v *Voter) send(m agree.Message) {
-	p := &peer.Vote{From: m.From, To: m.To, Hello: m.Hello, Welcome: m.Welcome}
+func (v *Voter) send(m consensus.Message) {
+	p := &transport.Vote{From: m.From, To: m.To, Hello: m.Hello, Welcome: m.Welcome}
 	if m.Raft != nil {
 		var err error
 		if p.Raft, err = proto.Marshal(m.Raft); err != nil {
@@ -335,7 +335,7 @@
 	}
 	for name, l := range v.out {
 		if l.conn != nil && v.hails[name].ID == m.To {
-			l.conn.Send(peer.Frame{Vote: p})
+			l.conn.Send(transport.Frame{Vote: p})
 		}
 	}
 }
@@ -344,7 +344,7 @@
 func (v *Voter) keep(l *link) {
 	said := ""
 	for v.ctx.Err() == nil {
-		c, err := peer.Dial(l.to.Address, v.us)
+		c, err := transport.Dial(l.to.Address, v.us)
 		if err == nil && c.Them.Name != l.to.Name {
 			err = fmt.Errorf("%q answers there", c.Them.Name)
 			c.Close()
@@ -393,7 +393,7 @@
 		}
 		v.wait.Go(func() {
 			defer v.left()
-			c, err := peer.Shake(nc, v.us)
+			c, err := transport.Shake(nc, v.us)
 			if err != nil {
 				slog.Warn("group: a caller is refused", "from", nc.RemoteAddr(), "err", err)
 				return
@@ -411,14 +411,14 @@
 }
 
 // read takes frames until the connection ends.
-func (v *Voter) read(c *peer.Conn) {
+func (v *Voter) read(c *transport.Conn) {
 	ended := context.AfterFunc(v.ctx, c.Close)
 	defer ended()
 	defer c.Close()
 	for {
 		f, err := c.Read()
 		if err != nil {
-			if errors.Is(err, peer.ErrFrame) {
+			if errors.Is(err, transport.ErrFrame) {
 				slog.Warn("group: a connection is closed", "name", c.Them.Name, "err", err)
 			}
 			return
@@ -432,11 +432,11 @@
 	}
 }
 
-func (v *Voter) vote(c *peer.Conn, p *peer.Vote) {
+func (v *Voter) vote(c *transport.Conn, p *transport.Vote) {
 	if v.machine == nil || p.To != v.us().ID || p.From != c.Them.ID {
 		return
 	}
-	m := agree.Message{From: p.From, To: p.To, Hello: p.Hello, Welcome: p.Welcome}
+	m := consensus.Message{From: p.From, To: p.To, Hello: p.Hello, Welcome: p.Welcome}
 	if len(p.Raft) > 0 {
 		m.Raft = &raftpb.Message{}
 		if err := proto.Unmarshal(p.Raft, m.Raft); err != nil {
@@ -451,25 +451,25 @@
 }
 
 // ask has the machine answer a question, whose asker may be gone by then.
-func (v *Voter) ask(c *peer.Conn, a *peer.Ask) {
-	tell := func(b message.Answer) {
-		t := &peer.Tell{Key: a.Key, Code: peer.CodeOf(b.Err), Grant: b.Grant, Image: b.Image, Leader: v.told}
-		c.Send(peer.Frame{Tell: t})
+func (v *Voter) ask(c *transport.Conn, a *transport.Ask) {
+	tell := func(b protocol.Answer) {
+		t := &transport.Tell{Key: a.Key, Code: transport.CodeOf(b.Err), Grant: b.Grant, Image: b.Image, Leader: v.told}
+		c.Send(transport.Frame{Tell: t})
 		if q := v.queue[a.Command.Duty]; errors.Is(b.Err, lease.ErrHeld) && len(q) < mostQueue && !slices.Contains(q, c) {
 			v.queue[a.Command.Duty] = append(q, c)
 		}
 	}
 	if v.machine == nil {
-		tell(message.Answer{Err: message.ErrNotLeading})
+		tell(protocol.Answer{Err: protocol.ErrNotLeading})
 		return
 	}
-	if a.Kind == message.Publish || a.Kind == message.Follow {
-		tell(message.Answer{Err: v.feed(c, a)})
+	if a.Kind == protocol.Publish || a.Kind == protocol.Follow {
+		tell(protocol.Answer{Err: v.feed(c, a)})
 		return
 	}
 	v.asked++
 	v.asks[v.asked] = tell
-	v.machine.Ask(v.now(), message.Question{Key: v.asked, Kind: a.Kind, Command: a.Command, Voter: a.Voter})
+	v.machine.Ask(v.now(), protocol.Question{Key: v.asked, Kind: a.Kind, Command: a.Command, Voter: a.Voter})
 }
 
 // Ended is closed once the voter has ended, by itself or by Close.
@@ -478,29 +478,29 @@
 // feed takes what a holder publishes, or has a member told of it. The table is the fence: only the
 // token that stands is taken. A voter that no longer leads and does not know yet may pass on what an
 // old holder says; followers check versions, and it ends when the engine finds no majority.
-func (v *Voter) feed(c *peer.Conn, a *peer.Ask) error {
+func (v *Voter) feed(c *transport.Conn, a *transport.Ask) error {
 	duty := a.Command.Duty
 	g, held := v.machine.Held(duty)
 	switch {
 	case !v.machine.Leading():
-		return message.ErrNotLeading
-	case a.Post == nil, a.Kind == message.Publish && (!held || g.Token != a.Command.Token || g.Holder != a.Command.Who):
+		return protocol.ErrNotLeading
+	case a.Post == nil, a.Kind == protocol.Publish && (!held || g.Token != a.Command.Token || g.Holder != a.Command.Who):
 		return lease.ErrNotHeld
 	}
 	f := v.feeds[duty]
 	if f == nil {
 		if len(v.feeds) >= group.MostDuties {
-			return message.ErrBusy
+			return protocol.ErrBusy
 		}
 		f = &feed{}
 		v.feeds[duty] = f
 	}
-	if a.Kind == message.Follow {
+	if a.Kind == protocol.Follow {
 		if !slices.Contains(f.to, c) {
 			f.to = append(f.to, c)
 		}
 		for _, p := range f.Since(a.Post.Source, a.Post.To) {
-			c.Send(peer.Frame{Tell: &peer.Tell{Duty: duty, Token: f.Token(), Post: &p}})
+			c.Send(transport.Frame{Tell: &transport.Tell{Duty: duty, Token: f.Token(), Post: &p}})
 		}
 		return nil
 	}
@@ -509,15 +509,15 @@
 	}
 	for _, o := range f.to {
 		if o != c {
-			o.Send(peer.Frame{Tell: &peer.Tell{Duty: duty, Token: g.Token, Post: a.Post}})
+			o.Send(transport.Frame{Tell: &transport.Tell{Duty: duty, Token: g.Token, Post: a.Post}})
 		}
 	}
 	return nil
 }
 
 // forget drops a connection that has ended.
-func (v *Voter) forget(c *peer.Conn) {
-	is := func(o *peer.Conn) bool { return o == c }
+func (v *Voter) forget(c *transport.Conn) {
+	is := func(o *transport.Conn) bool { return o == c }
 	for d, q := range v.queue {
 		if v.queue[d] = slices.DeleteFunc(q, is); len(v.queue[d]) == 0 {
 			delete(v.queue, d)
--- a/internal/group/voter/voter_test.go
+++ b/internal/group/voter/voter_test.go
@@ -13,7 +13,7 @@
 	"go.uber.org/goleak"
 
 	"piernotch/internal/group"
-	"piernotch/internal/group/member"
+	"piernotch/internal/group/client"
 )
 
 // patience bounds every wait; nothing depends on how long one takes.
@@ -44,12 +44,12 @@
 }
 
 // takes returns a member of the group that wants a duty.
-func takes(c group.Config, name, duty string) *member.Member {
+func takes(c group.Config, name, duty string) *client.Member {
 	c.Self, c.Disk, c.Duties = name, "", []string{duty}
-	return member.Start(c, nil)
+	return client.Start(c, nil)
 }
 
-func holds(t *testing.T, m *member.Member, duty string) (token uint64) {
+func holds(t *testing.T, m *client.Member, duty string) (token uint64) {
 	require.Eventually(t, func() bool {
 		var may bool
 		token, may = m.May("watch")
--- a/internal/lab/chaos/chaos.go
+++ b/internal/lab/chaos/chaos.go
@@ -13,7 +13,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"piernotch/internal/lab/faultnet"
+	"piernotch/internal/lab/faultproxy"
 )
 
 // Act is what a step does.
@@ -41,8 +41,8 @@
 )
 
 // Has tells whether a direction is concerned.
-func (w Way) Has(d faultnet.Direction) bool {
-	return w == Both || w == OnlyThere && d == faultnet.There || w == OnlyBack && d == faultnet.Back
+func (w Way) Has(d faultproxy.Direction) bool {
+	return w == Both || w == OnlyThere && d == faultproxy.There || w == OnlyBack && d == faultproxy.Back
 }
 
 // Ends of a link that are no server.
@@ -53,13 +53,13 @@
 
 // Step is one fault.
 type Step struct {
-	At       time.Duration  `json:"at_ns"`
-	For      time.Duration  `json:"for_ns"`
-	Act      Act            `json:"act"`
-	Balancer int            `json:"balancer"`
-	To       int            `json:"to"` // of Link and Flap: a server, Roster or Servers
-	Way      Way            `json:"way"`
-	Fault    faultnet.Fault `json:"fault"`
+	At       time.Duration    `json:"at_ns"`
+	For      time.Duration    `json:"for_ns"`
+	Act      Act              `json:"act"`
+	Balancer int              `json:"balancer"`
+	To       int              `json:"to"` // of Link and Flap: a server, Roster or Servers
+	Way      Way              `json:"way"`
+	Fault    faultproxy.Fault `json:"fault"`
 }
 
 // End is when the step is over.
@@ -82,7 +82,7 @@
 		to = "all servers"
 	}
 	what := []string{}
-	if f := s.Fault; f.Cut != faultnet.Open {
+	if f := s.Fault; f.Cut != faultproxy.Open {
 		what = append(what, "cut, "+f.Cut.String())
 	} else {
 		if f.Delay+f.Jitter > 0 {
@@ -172,9 +172,9 @@
 	s.Way = Way(rng.IntN(3))
 	switch n := rng.IntN(5); {
 	case n < 2 || s.Act == Flap && n < 4:
-		s.Fault.Cut = faultnet.Silent
+		s.Fault.Cut = faultproxy.Silent
 	case n == 2 || s.Act == Flap:
-		s.Fault.Cut, s.Way = faultnet.Reset, Both
+		s.Fault.Cut, s.Way = faultproxy.Reset, Both
 	case n == 3:
 		s.Fault.Delay, s.Fault.Jitter = between(10*time.Millisecond, 800*time.Millisecond), between(time.Millisecond, 300*time.Millisecond)
 	default:
--- a/internal/lab/groupmodel/groupmodel_test.go
+++ b/internal/lab/clustersim/groupmodel_test.go
@@ -1,4 +1,4 @@
-package groupmodel
+package clustersim
 
 import (
 	"testing"
--- a/internal/lab/groupmodel/member.go
+++ b/internal/lab/clustersim/member.go
@@ -1,4 +1,4 @@
-package groupmodel
+package clustersim
 
 import (
 	"errors"
@@ -9,9 +9,9 @@
 
 	"github.com/anishathalye/porcupine"
 
+	"piernotch/internal/group/failpoint"
 	"piernotch/internal/group/lease"
-	"piernotch/internal/group/message"
-	"piernotch/internal/group/plant"
+	"piernotch/internal/group/protocol"
 )
 
 // member is a process that wants all duties, and acts under those that it holds.
@@ -84,13 +84,13 @@
 	}
 	if m.w.rng.IntN(6) == 0 {
 		i := m.w.rng.IntN(m.w.size.Duties)
-		m.call(message.Question{Kind: message.Read, Command: lease.Command{Duty: duty(i)}}, func(message.Answer) {})
+		m.call(protocol.Question{Kind: protocol.Read, Command: lease.Command{Duty: duty(i)}}, func(protocol.Answer) {})
 	}
 }
 
 func (m *member) look(i int) (uint64, bool) {
 	token, may := m.holders[i].May(m.now())
-	if plant.Is("no-look") {
+	if failpoint.Is("no-look") {
 		token, may = m.tokens[i], m.tokens[i] > 0
 	}
 	if may {
@@ -166,8 +166,8 @@
 // ask asks the group for a holder, and has it hear the answer.
 func (m *member) ask(i int, a lease.Ask) {
 	h := m.holders[i]
-	m.call(message.Of(a), func(b message.Answer) {
-		if !message.Final(b.Err) {
+	m.call(protocol.Of(a), func(b protocol.Answer) {
+		if !protocol.Final(b.Err) {
 			h.Lost(a.Seq)
 			return
 		}
@@ -180,7 +180,7 @@
 
 // Call is one question as its asker saw it, and the group's answer.
 type Call struct {
-	Question message.Question
+	Question protocol.Question
 	From, To time.Duration
 	Grant    lease.Grant
 	Err      error
@@ -188,7 +188,7 @@
 }
 
 // call asks a voter, and keeps the question for the judge.
-func (m *member) call(q message.Question, then func(message.Answer)) {
+func (m *member) call(q protocol.Question, then func(protocol.Answer)) {
 	w := m.w
 	n := len(w.calls)
 	w.calls = append(w.calls, Call{Question: q, From: w.now})
@@ -201,10 +201,10 @@
 	})
 	w.send(m.number, to, func() {
 		v := w.nodes[to].voter
-		v.ask(q, func(a message.Answer) {
+		v.ask(q, func(a protocol.Answer) {
 			w.send(to, m.number, func() {
 				answered = true
-				if errors.Is(a.Err, message.ErrNotLeading) {
+				if errors.Is(a.Err, protocol.ErrNotLeading) {
 					m.leader = w.rng.IntN(w.size.Voters)
 				}
 				if c := &w.calls[n]; !c.answered {
@@ -231,7 +231,7 @@
 		}
 	}
 	w.result.Unheld /= w.size.Length.Seconds() * float64(w.size.Duties)
-	told := slices.DeleteFunc(slices.Clone(w.calls), func(c Call) bool { return !c.answered || !message.Final(c.Err) })
+	told := slices.DeleteFunc(slices.Clone(w.calls), func(c Call) bool { return !c.answered || !protocol.Final(c.Err) })
 	w.result.Broken = append(w.result.Broken, Linear(told)...)
 }
 
@@ -254,7 +254,7 @@
 		if verdict == porcupine.Unknown {
 			verdict = porcupine.CheckOperationsTimeout(table, slices.DeleteFunc(ops, func(o porcupine.Operation) bool {
 				c := o.Input.(Call)
-				return (c.Question.Kind != message.Change || c.Err != nil) && c.To-c.From > watched
+				return (c.Question.Kind != protocol.Change || c.Err != nil) && c.To-c.From > watched
 			}), 20*time.Second)
 		}
 		switch verdict {
@@ -295,7 +295,7 @@
 			return ok, next
 		case c.Err == nil, errors.Is(c.Err, lease.ErrHeld):
 			return k.look(c.Grant)
-		case c.Question.Kind == message.Read: // held by nobody
+		case c.Question.Kind == protocol.Read: // held by nobody
 			k.over = true
 		}
 		return true, k // refused: what was asked about may still stand for a moment
--- a/internal/lab/groupmodel/planted_test.go
+++ b/internal/lab/clustersim/planted_test.go
@@ -1,23 +1,23 @@
 //go:build planted
 
-package groupmodel
+package clustersim
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"piernotch/internal/group/plant"
+	"piernotch/internal/group/failpoint"
 )
 
 // Each planted fault is found, and the seed and time it took are told. Run it with -tags planted -v.
 func TestPlantedFaultsAreFound(t *testing.T) {
-	defer plant.Set("")
+	defer failpoint.Set("")
 	for _, name := range Plants {
 		t.Run(name, func(t *testing.T) {
 			begun := time.Now()
 			for seed := range uint64(4000) {
-				plant.Set(name)
+				failpoint.Set(name)
 				if found := broken(seed); found != "" {
 					t.Logf("seed %d, %v: %s", seed, time.Since(begun).Round(time.Millisecond), found)
 					return
--- a/internal/lab/groupmodel/world.go
+++ b/internal/lab/clustersim/world.go
@@ -1,10 +1,10 @@
-// Package groupmodel plays the control group in simulated time: voters that run the real agreement and
+// Package clustersim plays the control group in simulated time: voters that run the real agreement and
 // keep it on simulated disks, members that want duties and act under them, and receivers that refuse
 // what is fenced. One seed gives the schedule of faults and everything that follows from it.
 //
 // The judge is not the group: it knows true time, looks at every act, and reads the history of calls as
 // members saw them.
-package groupmodel
+package clustersim
 
 import (
 	"container/heap"
@@ -17,10 +17,10 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"piernotch/internal/group/agree"
+	"piernotch/internal/group/consensus"
+	"piernotch/internal/group/failpoint"
 	"piernotch/internal/group/lease"
-	"piernotch/internal/group/message"
-	"piernotch/internal/group/plant"
+	"piernotch/internal/group/protocol"
 )
 
 // tick is the engine's tick, and looks how often a holder acts.
@@ -86,7 +86,7 @@
 // now is the node's monotonic clock.
 func (n *node) now() time.Duration {
 	t := time.Duration(float64(n.w.now)*n.rate) + time.Duration(n.number)*time.Hour
-	if plant.Is("wall-clock") {
+	if failpoint.Is("wall-clock") {
 		t += n.wall
 	}
 	return t
@@ -187,17 +187,17 @@
 		size: size, rng: rand.New(rand.NewPCG(seed, 0x90de)), cuts: map[[2]int]int{}, digest: 14695981039346656037,
 		acts: map[lease.Duty]map[uint64]int{}, free: map[lease.Duty]time.Duration{}, result: Result{Seed: seed},
 	}
-	var voters []message.Voter
+	var voters []protocol.Voter
 	for i := range size.Voters {
 		w.ids++
-		voters = append(voters, message.Voter{ID: w.ids, Name: fmt.Sprintf("v%d", i)})
+		voters = append(voters, protocol.Voter{ID: w.ids, Name: fmt.Sprintf("v%d", i)})
 	}
 	for i := range size.Voters + size.Members + size.Receivers {
 		n := &node{w: w, number: i, up: true, rate: 1 + (w.rng.Float64()*2-1)*Terms.Drift}
 		w.nodes = append(w.nodes, n)
 		switch {
 		case i < size.Voters:
-			n.voter = &voter{node: n, name: voters[i].Name, disk: disk{id: voters[i].ID, log: agree.Born(voters)}}
+			n.voter = &voter{node: n, name: voters[i].Name, disk: disk{id: voters[i].ID, log: consensus.Born(voters)}}
 		case i < size.Voters+size.Members:
 			n.member = &member{node: n}
 		}
@@ -233,7 +233,7 @@
 		n.member.start()
 	default:
 		n.fence = &lease.Fence{}
-		if !plant.Is("fence-forgotten") {
+		if !failpoint.Is("fence-forgotten") {
 			n.fence.Restore(maps.Clone(n.seen))
 		}
 	}
@@ -338,7 +338,7 @@
 func (w *world) whole() bool {
 	return slices.ContainsFunc(w.nodes[:w.size.Voters], func(n *node) bool {
 		return n.up && n.voter.m.Leading() && !slices.ContainsFunc(w.nodes[:w.size.Voters], func(o *node) bool {
-			return !slices.ContainsFunc(n.voter.m.Voters(), func(v message.Voter) bool { return v.ID == o.voter.disk.id })
+			return !slices.ContainsFunc(n.voter.m.Voters(), func(v protocol.Voter) bool { return v.ID == o.voter.disk.id })
 		})
 	})
 }
@@ -347,11 +347,11 @@
 type disk struct {
 	id     uint64
 	starts uint64
-	log    agree.Log
+	log    consensus.Log
 }
 
 // write makes work durable.
-func (d *disk) write(w agree.Work) {
+func (d *disk) write(w consensus.Work) {
 	l := &d.log
 	if w.Snapshot != nil {
 		l.Snapshot, l.Entries = w.Snapshot, nil
@@ -378,21 +378,21 @@
 	name    string
 	disk    disk
 	copies  []disk // as it was at earlier starts
-	m       *agree.Machine
+	m       *consensus.Machine
 	busy    bool
-	writing *agree.Work
+	writing *consensus.Work
 	inbox   []func()
 	slow    int
-	asks    map[uint64]func(message.Answer)
+	asks    map[uint64]func(protocol.Answer)
 	next    uint64
 }
 
 func (v *voter) start() {
 	v.copies = append(v.copies, v.disk)
 	v.disk.starts++
-	v.busy, v.writing, v.inbox, v.asks = false, nil, nil, map[uint64]func(message.Answer){}
+	v.busy, v.writing, v.inbox, v.asks = false, nil, nil, map[uint64]func(protocol.Answer){}
 	var err error
-	v.m, err = agree.New(agree.Config{ID: v.disk.id, Run: v.w.rng.Uint64(), Starts: v.disk.starts, Terms: Terms, Log: v.disk.log})
+	v.m, err = consensus.New(consensus.Config{ID: v.disk.id, Run: v.w.rng.Uint64(), Starts: v.disk.starts, Terms: Terms, Log: v.disk.log})
 	if err != nil {
 		v.w.broke("%s does not start: %v", v.name, err)
 		return
@@ -413,12 +413,12 @@
 		v.disk = v.copies[v.w.rng.IntN(len(v.copies))]
 		return
 	}
-	if plant.Is("disk-unchecked") {
-		var voters []message.Voter
+	if failpoint.Is("disk-unchecked") {
+		var voters []protocol.Voter
 		for i := range v.w.size.Voters {
-			voters = append(voters, message.Voter{ID: uint64(i + 1), Name: fmt.Sprintf("v%d", i)})
+			voters = append(voters, protocol.Voter{ID: uint64(i + 1), Name: fmt.Sprintf("v%d", i)})
 		}
-		v.disk = disk{id: v.disk.id, starts: v.disk.starts, log: agree.Born(voters)}
+		v.disk = disk{id: v.disk.id, starts: v.disk.starts, log: consensus.Born(voters)}
 		return
 	}
 	v.renew()
@@ -439,10 +439,10 @@
 		v.node.start()
 		return
 	}
-	if !slices.ContainsFunc(v.m.Voters(), func(o message.Voter) bool { return o.ID == v.disk.id }) && v.w.rng.IntN(5) == 0 {
-		q := message.Question{Kind: message.Admit, Voter: message.Voter{ID: v.disk.id, Name: v.name}}
+	if !slices.ContainsFunc(v.m.Voters(), func(o protocol.Voter) bool { return o.ID == v.disk.id }) && v.w.rng.IntN(5) == 0 {
+		q := protocol.Question{Kind: protocol.Admit, Voter: protocol.Voter{ID: v.disk.id, Name: v.name}}
 		to := v.w.nodes[v.w.rng.IntN(v.w.size.Voters)]
-		v.w.send(v.number, to.number, func() { to.voter.ask(q, func(message.Answer) {}) })
+		v.w.send(v.number, to.number, func() { to.voter.ask(q, func(protocol.Answer) {}) })
 	}
 }
 
@@ -463,7 +463,7 @@
 			v.answer()
 			return
 		}
-		if plant.Is("sent-before-written") {
+		if failpoint.Is("sent-before-written") {
 			v.post(w)
 		}
 		if w.Empty() {
@@ -491,8 +491,8 @@
 	}
 }
 
-func (v *voter) done(w agree.Work) {
-	if !plant.Is("sent-before-written") {
+func (v *voter) done(w consensus.Work) {
+	if !failpoint.Is("sent-before-written") {
 		v.post(w)
 	}
 	if err := v.m.Done(v.now(), w); err != nil {
@@ -500,7 +500,7 @@
 	}
 }
 
-func (v *voter) post(w agree.Work) {
+func (v *voter) post(w consensus.Work) {
 	for _, msg := range w.Messages {
 		for _, n := range v.w.nodes[:v.w.size.Voters] {
 			if n.voter.disk.id == msg.To {
@@ -510,19 +510,19 @@
 	}
 }
 
-func (v *voter) receive(msg agree.Message) {
+func (v *voter) receive(msg consensus.Message) {
 	v.do(func() {
 		if msg.To != v.disk.id { // it has another identity by now
 			return
 		}
-		if err := v.m.Receive(msg); err != nil && !errors.Is(err, agree.ErrOldCopy) {
+		if err := v.m.Receive(msg); err != nil && !errors.Is(err, consensus.ErrOldCopy) {
 			v.w.broke("%s: %v", v.name, err)
 		}
 	})
 }
 
 // ask takes a question that has come.
-func (v *voter) ask(q message.Question, back func(message.Answer)) {
+func (v *voter) ask(q protocol.Question, back func(protocol.Answer)) {
 	v.do(func() {
 		v.next++
 		q.Key = v.next
--- a/internal/lab/grouprig/actor.go
+++ b/internal/lab/clustertest/actor.go
@@ -1,7 +1,7 @@
-// Package grouprig plays the control group on real processes: voters with a disk of their
+// Package clustertest plays the control group on real processes: voters with a disk of their
 // own, holders that act under their duties, and a relay in every link. The schedules are those of
 // groupmodel; the judge sits in the rig and knows acts and calls alone.
-package grouprig
+package clustertest
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"time"
 
 	"piernotch/internal/group"
+	"piernotch/internal/group/client"
 	"piernotch/internal/group/lease"
-	"piernotch/internal/group/member"
-	"piernotch/internal/group/message"
+	"piernotch/internal/group/protocol"
 )
 
 // line is what a holder says to the rig: an act, or a call and its answer.
@@ -33,7 +33,7 @@
 
 // call is a question and the group's answer.
 type call struct {
-	Kind     message.Kind  `json:"kind"`
+	Kind     protocol.Kind `json:"kind"`
 	Command  lease.Command `json:"command"`
 	Asked    int64         `json:"asked"`
 	Answered int64         `json:"answered"`
@@ -64,8 +64,8 @@
 		l.Name = cfg.Self
 		_ = enc.Encode(l) // a rig that is gone has ended
 	}
-	m := member.Start(cfg, func(q message.Question, asked, answered time.Time, a message.Answer, err error) {
-		if err != nil || !message.Final(a.Err) {
+	m := client.Start(cfg, func(q protocol.Question, asked, answered time.Time, a protocol.Answer, err error) {
+		if err != nil || !protocol.Final(a.Err) {
 			return
 		}
 		c := &call{Kind: q.Kind, Command: q.Command, Asked: asked.UnixNano(), Answered: answered.UnixNano(), Grant: a.Grant}
--- a/internal/lab/grouprig/rig.go
+++ b/internal/lab/clustertest/rig.go
@@ -1,4 +1,4 @@
-package grouprig
+package clustertest
 
 import (
 	"bufio"
@@ -17,19 +17,19 @@
 	"time"
 
 	"piernotch/internal/group"
+	"piernotch/internal/group/client"
 	"piernotch/internal/group/lease"
-	"piernotch/internal/group/member"
-	"piernotch/internal/group/message"
-	"piernotch/internal/lab/faultnet"
-	"piernotch/internal/lab/groupmodel"
+	"piernotch/internal/group/protocol"
+	"piernotch/internal/lab/clustersim"
+	"piernotch/internal/lab/faultproxy"
 )
 
 // Options say what is played.
 type Options struct {
 	Voter  string // the program of a voter
-	Holder string // the program of a holder, as its first words: notchlab hold
+	Holder string // the program of a holder, as its first words: piernotch-lab hold
 	Seed   uint64
-	Size   groupmodel.Size // receivers are the rig's own
+	Size   clustersim.Size // receivers are the rig's own
 	Dir    string          // configurations, disks and logs
 }
 
@@ -40,8 +40,8 @@
 type Result struct {
 	Seed   uint64             `json:"seed"`
 	Broken []string           `json:"broken,omitempty"`
-	Faults []groupmodel.Fault `json:"faults,omitempty"`
-	Spans  []groupmodel.Span  `json:"-"`
+	Faults []clustersim.Fault `json:"faults,omitempty"`
+	Spans  []clustersim.Span  `json:"-"`
 	Left   []string           `json:"left,omitempty"` // kinds that the rig cannot play on processes
 	Acts   int                `json:"acts"`
 	Fenced int                `json:"fenced"`
@@ -64,14 +64,14 @@
 
 type rig struct {
 	opts   Options
-	net    *faultnet.Net
+	net    *faultproxy.Net
 	ctx    context.Context
 	stop   context.CancelFunc
 	begun  time.Time
 	rng    *rand.Rand
 	procs  []*process
 	judge  net.Listener
-	look   *member.Member    // the rig's own, to see who votes
+	look   *client.Member    // the rig's own, to see who votes
 	votes  map[string]uint64 // the disks that vote, when whole was last called, by name
 	lost   map[string]uint64 // the disks that were lost last
 	result Result
@@ -79,7 +79,7 @@
 	mu    sync.Mutex
 	acts  map[lease.Duty]map[uint64]*span
 	fence lease.Fence
-	calls []groupmodel.Call
+	calls []clustersim.Call
 }
 
 // span is when a token was acted under.
@@ -99,7 +99,7 @@
 // begin starts all processes and waits until every duty is held. What it returns has to be closed.
 func begin(ctx context.Context, opts Options) (*rig, error) {
 	r := &rig{
-		opts: opts, net: faultnet.New(opts.Seed), rng: rand.New(rand.NewPCG(opts.Seed, 0x916)), votes: map[string]uint64{}, lost: map[string]uint64{},
+		opts: opts, net: faultproxy.New(opts.Seed), rng: rand.New(rand.NewPCG(opts.Seed, 0x916)), votes: map[string]uint64{}, lost: map[string]uint64{},
 		acts: map[lease.Duty]map[uint64]*span{}, result: Result{Seed: opts.Seed},
 	}
 	r.ctx, r.stop = context.WithCancel(ctx)
@@ -144,7 +144,7 @@
 		return r.result, err
 	}
 	r.begun = time.Now()
-	faults := groupmodel.Draw(opts.Seed, opts.Size)
+	faults := clustersim.Draw(opts.Seed, opts.Size)
 	var playing sync.WaitGroup
 	for _, f := range faults {
 		playing.Go(func() {
@@ -178,7 +178,7 @@
 	size := r.opts.Size
 	var addresses []string
 	for range size.Voters {
-		a, err := faultnet.Free()
+		a, err := faultproxy.Free()
 		if err != nil {
 			return err
 		}
@@ -222,7 +222,7 @@
 	}
 	c, err := config(-1, "rig")
 	if err == nil {
-		r.look = member.Start(c, nil)
+		r.look = client.Start(c, nil)
 	}
 	return err
 }
@@ -304,16 +304,16 @@
 }
 
 // strike plays a fault, until it is over.
-func (r *rig) strike(f groupmodel.Fault) {
+func (r *rig) strike(f clustersim.Fault) {
 	size := r.opts.Size
 	rest := func() { r.sleep(f.At + f.For - time.Since(r.begun)) }
-	if f.Node >= size.Voters+size.Members || f.Kind == groupmodel.Cut && f.Other >= size.Voters {
+	if f.Node >= size.Voters+size.Members || f.Kind == clustersim.Cut && f.Other >= size.Voters {
 		return // receivers are the rig's own
 	}
 	p := r.procs[f.Node]
 	switch f.Kind {
-	case groupmodel.Cut, groupmodel.Isolate, groupmodel.Split, groupmodel.Flap, groupmodel.Lossy:
-		if f.Kind != groupmodel.Flap {
+	case clustersim.Cut, clustersim.Isolate, clustersim.Split, clustersim.Flap, clustersim.Lossy:
+		if f.Kind != clustersim.Flap {
 			r.set(f, true)
 			rest()
 			r.set(f, false)
@@ -323,7 +323,7 @@
 			r.set(f, on)
 		}
 		r.set(f, false)
-	case groupmodel.Stall:
+	case clustersim.Stall:
 		r.mu.Lock()
 		cmd := p.cmd
 		if cmd != nil && !p.stalled {
@@ -338,9 +338,9 @@
 		}
 		p.stalled = false
 		r.mu.Unlock()
-	case groupmodel.Crash, groupmodel.Forget, groupmodel.Rewind, groupmodel.Leave, groupmodel.HandOn:
+	case clustersim.Crash, clustersim.Forget, clustersim.Rewind, clustersim.Leave, clustersim.HandOn:
 		r.again(f, p)
-	case groupmodel.AllDown:
+	case clustersim.AllDown:
 		var all sync.WaitGroup
 		for _, p := range r.procs[:size.Voters] {
 			all.Go(func() { r.again(f, p) })
@@ -356,12 +356,12 @@
 }
 
 // again ends a process, has its disk be lost where that is the fault, and starts it again.
-func (r *rig) again(f groupmodel.Fault, p *process) {
+func (r *rig) again(f clustersim.Fault, p *process) {
 	s := syscall.SIGKILL
-	if f.Kind == groupmodel.Leave || f.Kind == groupmodel.HandOn {
+	if f.Kind == clustersim.Leave || f.Kind == clustersim.HandOn {
 		s = syscall.SIGTERM
 	}
-	whole := (f.Kind == groupmodel.Forget || f.Kind == groupmodel.Rewind) && r.whole()
+	whole := (f.Kind == clustersim.Forget || f.Kind == clustersim.Rewind) && r.whole()
 	done := r.kill(p, s)
 	if done == nil {
 		return
@@ -399,10 +399,10 @@
 	return true
 }
 
-func (r *rig) lose(k groupmodel.Kind, p *process) {
+func (r *rig) lose(k clustersim.Kind, p *process) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if k == groupmodel.Rewind {
+	if k == clustersim.Rewind {
 		if len(p.copies) == 0 {
 			return
 		}
@@ -416,34 +416,34 @@
 }
 
 // set has the links of a fault fail, or be whole again.
-func (r *rig) set(f groupmodel.Fault, fails bool) {
+func (r *rig) set(f clustersim.Fault, fails bool) {
 	from, to := fmt.Sprintf("%d>", f.Node), fmt.Sprintf(">%d", f.Node)
-	fault := faultnet.Fault{Cut: faultnet.Silent}
+	fault := faultproxy.Fault{Cut: faultproxy.Silent}
 	which := func(name string) bool {
-		return f.Kind == groupmodel.Lossy || strings.HasPrefix(name, from) || strings.HasSuffix(name, to)
+		return f.Kind == clustersim.Lossy || strings.HasPrefix(name, from) || strings.HasSuffix(name, to)
 	}
 	switch f.Kind {
-	case groupmodel.Split:
+	case clustersim.Split:
 		which = func(name string) bool {
 			var a, b int
 			_, err := fmt.Sscanf(name, "%d>%d", &a, &b)
 			return err == nil && a >= 0 && f.Side(r.opts.Size, a) != f.Side(r.opts.Size, b)
 		}
-	case groupmodel.Cut:
+	case clustersim.Cut:
 		which = func(name string) bool { return name == link(f.Node, f.Other) }
-	case groupmodel.Lossy:
-		fault = faultnet.Fault{Delay: 20 * time.Millisecond, Jitter: 400 * time.Millisecond}
+	case clustersim.Lossy:
+		fault = faultproxy.Fault{Delay: 20 * time.Millisecond, Jitter: 400 * time.Millisecond}
 	}
 	if !fails {
-		fault = faultnet.Fault{}
+		fault = faultproxy.Fault{}
 	}
-	r.net.Each(which, func(l *faultnet.Link) {
-		out := faultnet.There // what the node says: there on its own links, back on those to it
+	r.net.Each(which, func(l *faultproxy.Link) {
+		out := faultproxy.There // what the node says: there on its own links, back on those to it
 		if strings.HasSuffix(l.Name, to) {
-			out = faultnet.Back
+			out = faultproxy.Back
 		}
-		for _, d := range []faultnet.Direction{faultnet.There, faultnet.Back} {
-			if !f.OneWay || f.Kind == groupmodel.Lossy || f.Kind == groupmodel.Split || d == out {
+		for _, d := range []faultproxy.Direction{faultproxy.There, faultproxy.Back} {
+			if !f.OneWay || f.Kind == clustersim.Lossy || f.Kind == clustersim.Split || d == out {
 				l.Set(d, fault)
 			}
 		}
@@ -476,8 +476,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if c := l.Call; c != nil {
-		r.calls = append(r.calls, groupmodel.Call{
-			Question: message.Question{Kind: c.Kind, Command: c.Command}, Grant: c.Grant, Err: refusal(c.Err),
+		r.calls = append(r.calls, clustersim.Call{
+			Question: protocol.Question{Kind: c.Kind, Command: c.Command}, Grant: c.Grant, Err: refusal(c.Err),
 			From: time.Duration(c.Asked), To: time.Duration(c.Answered),
 		})
 	}
@@ -518,7 +518,7 @@
 // finish judges the run as a whole.
 func (r *rig) finish() {
 	if err := r.settled(time.Second); err != nil {
-		r.broke("not every duty is held, %v after the last fault: %v", groupmodel.Calm, err)
+		r.broke("not every duty is held, %v after the last fault: %v", clustersim.Calm, err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -530,7 +530,7 @@
 		slices.Sort(tokens)
 		for _, t := range tokens {
 			s := by[t]
-			r.result.Spans = append(r.result.Spans, groupmodel.Span{
+			r.result.Spans = append(r.result.Spans, clustersim.Span{
 				Duty: string(d), Token: t, Member: s.name, From: time.Unix(0, s.first).Sub(r.begun), To: time.Unix(0, s.last).Sub(r.begun),
 			})
 		}
@@ -545,7 +545,7 @@
 		r.result.Grants += len(tokens)
 	}
 	r.result.Calls = len(r.calls)
-	r.result.Broken = append(r.result.Broken, groupmodel.Linear(r.calls)...)
+	r.result.Broken = append(r.result.Broken, clustersim.Linear(r.calls)...)
 }
 
 func (r *rig) at(unix int64) float64 { return time.Unix(0, unix).Sub(r.begun).Seconds() }
--- a/internal/lab/grouprig/times.go
+++ b/internal/lab/clustertest/times.go
@@ -1,4 +1,4 @@
-package grouprig
+package clustertest
 
 import (
 	"context"
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"piernotch"
-	"piernotch/internal/lab/fleet"
 	"piernotch/internal/lab/scenario"
+	"piernotch/internal/lab/servermodel"
 )
 
 // Fleet is the stand-in feed servers of a day and their roster.
@@ -169,9 +169,9 @@
 	case scenario.Slow:
 		f.slow(at, s.Size)
 	case scenario.Pauses:
-		at.do(func(p *fleet.Server, now time.Duration) { p.SetPauses(now, s.Every, s.Length) })
+		at.do(func(p *servermodel.Server, now time.Duration) { p.SetPauses(now, s.Every, s.Length) })
 	case scenario.Choke:
-		at.do(func(p *fleet.Server, now time.Duration) {
+		at.do(func(p *servermodel.Server, now time.Duration) {
 			p.SetChoked(now)
 			at.choked = true
 		})
@@ -200,7 +200,7 @@
 }
 
 func (f *Fleet) slow(s *server, times float64) {
-	s.do(func(p *fleet.Server, now time.Duration) {
+	s.do(func(p *servermodel.Server, now time.Duration) {
 		s.slow *= times
 		p.SetSlow(now, s.slow)
 	})
@@ -208,8 +208,8 @@
 
 func (f *Fleet) drain(s *server) {
 	up := false
-	s.do(func(p *fleet.Server, now time.Duration) {
-		up = p.Life() == fleet.Up
+	s.do(func(p *servermodel.Server, now time.Duration) {
+		up = p.Life() == servermodel.Up
 		p.Drain(now)
 	})
 	if up {
@@ -222,7 +222,7 @@
 	for _, n := range servers {
 		s := f.servers[n]
 		s.mu.Lock()
-		up, born := s.phys.Life() == fleet.Up, s.phys.Started()
+		up, born := s.phys.Life() == servermodel.Up, s.phys.Started()
 		s.mu.Unlock()
 		if up {
 			f.roster.publish(n, state, born)
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -1,4 +1,4 @@
-// Package emulator puts the physics of internal/lab/fleet behind sockets: stand-in feed
+// Package emulator puts the physics of internal/lab/servermodel behind sockets: stand-in feed
 // servers and a stand-in roster on loopback, scripted by the same scenario files as the
 // model. Work is waited for, not burnt, so that hundreds of servers fit on a core.
 package emulator
@@ -14,8 +14,8 @@
 	"time"
 
 	"piernotch/internal/http1"
-	"piernotch/internal/lab/fleet"
 	"piernotch/internal/lab/scenario"
+	"piernotch/internal/lab/servermodel"
 )
 
 // Observer is told what servers and roster see. Its methods may be called from any
@@ -48,7 +48,7 @@
 	spec   scenario.Server
 
 	mu      sync.Mutex
-	phys    *fleet.Server
+	phys    *servermodel.Server
 	timer   *time.Timer
 	calls   map[uint64]*call
 	last    uint64
@@ -65,11 +65,11 @@
 // call is one request that the server holds.
 type call struct {
 	job  uint64
-	done chan fleet.Done
+	done chan servermodel.Done
 }
 
 func newServer(f *Fleet, number int, spec scenario.Server, seed uint64) (*server, error) {
-	phys, err := fleet.New(spec.Kind, seed, 0)
+	phys, err := servermodel.New(spec.Kind, seed, 0)
 	if err != nil {
 		return nil, err
 	}
@@ -218,12 +218,12 @@
 		life, fields := s.phys.Life(), s.load(now)
 		s.arm()
 		s.mu.Unlock()
-		if life == fleet.Silent {
+		if life == servermodel.Silent {
 			<-gone
 			return false
 		}
 		status := 200
-		if life != fleet.Up {
+		if life != servermodel.Up {
 			status = 503
 		}
 		var body []byte
@@ -242,17 +242,17 @@
 	}
 	entry, cl := s.take(m, id, n, now)
 	switch entry {
-	case fleet.TurnedAway:
+	case servermodel.TurnedAway:
 		s.mu.Lock()
 		fields := append(s.load(now), http1.Field{Name: "X-Not-Run", Value: "1"})
 		s.mu.Unlock()
 		s.fleet.watch.Over(id, n, true)
 		return write(c, 503, fields, nil) && !m.Close
-	case fleet.Refused:
+	case servermodel.Refused:
 		s.fleet.watch.Over(id, n, false)
 		reset(c)
 		return false
-	case fleet.Unheard:
+	case servermodel.Unheard:
 		<-gone
 		s.fleet.watch.Over(id, n, false)
 		return false
@@ -277,7 +277,7 @@
 }
 
 // take brings a request to the physics.
-func (s *server) take(m *http1.Message, id string, n int, now time.Duration) (fleet.Entry, *call) {
+func (s *server) take(m *http1.Message, id string, n int, now time.Duration) (servermodel.Entry, *call) {
 	work, _ := strconv.ParseFloat(m.Query("w"), 64)
 	if !(work > 0 && work < 1e9) { // whoever sent it did not say: what its class takes
 		work = s.fleet.meanWork(strings.TrimPrefix(m.Path(), "/"))
@@ -294,17 +294,17 @@
 		s.fleet.watch.Reached(id, s.number, s.phys.Started(), work)
 	}
 	s.last++
-	entry, lost := s.phys.Arrive(now, fleet.Job{ID: s.last, Work: work, Key: key, Expires: expires, Luck: s.luck.Float64()})
-	if cold && s.phys.Life() == fleet.Fallen {
+	entry, lost := s.phys.Arrive(now, servermodel.Job{ID: s.last, Work: work, Key: key, Expires: expires, Luck: s.luck.Float64()})
+	if cold && s.phys.Life() == servermodel.Fallen {
 		s.fleet.watch.Fell(s.number)
 		s.ended(lost)
 		s.closeAll()
-		return fleet.Refused, nil
+		return servermodel.Refused, nil
 	}
-	if entry != fleet.Accepted {
+	if entry != servermodel.Accepted {
 		return entry, nil
 	}
-	cl := &call{job: s.last, done: make(chan fleet.Done, 1)}
+	cl := &call{job: s.last, done: make(chan servermodel.Done, 1)}
 	s.calls[s.last] = cl
 	s.fleet.watch.Began(id, n)
 	s.arm()
@@ -312,22 +312,22 @@
 }
 
 // finish sends the answer of a job that has ended.
-func (s *server) finish(c net.Conn, m *http1.Message, id string, n int, d fleet.Done, gone <-chan struct{}) bool {
+func (s *server) finish(c net.Conn, m *http1.Message, id string, n int, d servermodel.Done, gone <-chan struct{}) bool {
 	if d.Started {
 		s.fleet.watch.Ran(id, n)
 	}
 	s.mu.Lock()
 	fields := s.load(s.fleet.clock())
 	s.mu.Unlock()
-	unrun := d.Ending == fleet.Expired
+	unrun := d.Ending == servermodel.Expired
 	s.fleet.watch.Over(id, n, unrun)
 	switch d.Ending {
-	case fleet.Reset:
+	case servermodel.Reset:
 		reset(c)
 		return false
-	case fleet.Expired:
+	case servermodel.Expired:
 		return write(c, 504, append(fields, http1.Field{Name: "X-Not-Run", Value: "1"}), nil) && !m.Close
-	case fleet.Erred:
+	case servermodel.Erred:
 		return write(c, 500, fields, nil) && !m.Close
 	}
 	body := []byte(s.name + " " + id)
@@ -346,7 +346,7 @@
 // arm sets the timer to when the physics must be looked at. The lock is held.
 func (s *server) arm() {
 	next := s.phys.Next()
-	if next == fleet.Never {
+	if next == servermodel.Never {
 		s.timer.Stop()
 		return
 	}
@@ -362,7 +362,7 @@
 }
 
 // ended hands out what the physics has ended. The lock is held.
-func (s *server) ended(dones []fleet.Done) {
+func (s *server) ended(dones []servermodel.Done) {
 	for _, d := range dones {
 		if cl := s.calls[d.ID]; cl != nil {
 			delete(s.calls, d.ID)
@@ -407,7 +407,7 @@
 // start begins a new process, which is cold.
 func (s *server) start() error {
 	s.mu.Lock()
-	if s.phys.Life() == fleet.Fallen {
+	if s.phys.Life() == servermodel.Fallen {
 		s.mu.Unlock()
 		return nil // it stays down
 	}
@@ -417,7 +417,7 @@
 	return s.open()
 }
 
-func (s *server) do(f func(p *fleet.Server, now time.Duration)) {
+func (s *server) do(f func(p *servermodel.Server, now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.phys, s.fleet.clock())
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -18,8 +18,8 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"piernotch/internal/lab/model"
 	"piernotch/internal/lab/scenario"
+	"piernotch/internal/lab/simulation"
 )
 
 // Format names the layout of a result file.
@@ -78,12 +78,12 @@
 
 // Run plays all seeds for one variant. Results stand in the order of the seeds,
 // whatever the number of workers.
-func Run(ctx context.Context, p Plan, v Variant, done Progress) ([]*model.Result, error) {
+func Run(ctx context.Context, p Plan, v Variant, done Progress) ([]*simulation.Result, error) {
 	s, err := p.Scenario.With(v.Set...)
 	if err != nil {
 		return nil, err
 	}
-	results := make([]*model.Result, p.Runs)
+	results := make([]*simulation.Result, p.Runs)
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(max(p.Workers, 1))
 	if p.Workers == 0 {
@@ -111,18 +111,18 @@
 	return results, nil
 }
 
-func one(s *scenario.Scenario, seed uint64, adapter string) (*model.Result, error) {
+func one(s *scenario.Scenario, seed uint64, adapter string) (*simulation.Result, error) {
 	day, err := s.Draw(seed)
 	if err != nil {
 		return nil, err
 	}
-	var tier model.Tier = model.NewInProcess()
+	var tier simulation.Tier = simulation.NewInProcess()
 	if adapter != "" {
-		if tier, err = model.StartChild(day, adapter); err != nil {
+		if tier, err = simulation.StartChild(day, adapter); err != nil {
 			return nil, err
 		}
 	}
-	w, err := model.New(day, tier)
+	w, err := simulation.New(day, tier)
 	if err != nil {
 		_ = tier.Close()
 		return nil, err
@@ -165,33 +165,33 @@
 // figures are what is summed up of each run.
 var figures = []struct {
 	Name string
-	Of   func(r *model.Result) float64
+	Of   func(r *simulation.Result) float64
 }{
-	{"service", func(r *model.Result) float64 { return r.Service }},
-	{"whole", func(r *model.Result) float64 { return r.Whole }},
-	{"worst_window", func(r *model.Result) float64 { return r.WorstWindow }},
-	{"worst_class", func(r *model.Result) float64 { return r.WorstClass }},
-	{"deducted", func(r *model.Result) float64 { return r.Deducted }},
-	{"lost", func(r *model.Result) float64 { return float64(r.Lost) }},
-	{"repeated", func(r *model.Result) float64 { return float64(r.Repeated) }},
-	{"drain_breaks", func(r *model.Result) float64 { return float64(r.DrainBreaks) }},
-	{"cold_falls", func(r *model.Result) float64 { return float64(r.ColdFalls) }},
-	{"cold_peak", func(r *model.Result) float64 { return r.ColdPeak }},
-	{"drain_latest_ms", func(r *model.Result) float64 { return r.DrainLatest }},
-	{"falls", func(r *model.Result) float64 { return float64(r.Falls) }},
-	{"requests", func(r *model.Result) float64 { return float64(r.Requests) }},
-	{"refused_rate", func(r *model.Result) float64 { return r.RefusedRate }},
-	{"failed_rate", func(r *model.Result) float64 { return r.FailedRate }},
-	{"retry_rate", func(r *model.Result) float64 { return r.RetryRate }},
-	{"waste_rate", func(r *model.Result) float64 { return r.WasteRate }},
-	{"cross_rate", func(r *model.Result) float64 { return r.CrossRate }},
-	{"probe_rate", func(r *model.Result) float64 { return r.ProbeRate }},
-	{"choked_share", func(r *model.Result) float64 { return r.ChokedShare }},
-	{"p50_ms", func(r *model.Result) float64 { return r.P50 }},
-	{"p99_ms", func(r *model.Result) float64 { return r.P99 }},
-	{"events", func(r *model.Result) float64 { return float64(r.Events) }},
-	{"wall_s", func(r *model.Result) float64 { return r.WallS }},
-	{"module_s", func(r *model.Result) float64 { return r.ModuleS }},
+	{"service", func(r *simulation.Result) float64 { return r.Service }},
+	{"whole", func(r *simulation.Result) float64 { return r.Whole }},
+	{"worst_window", func(r *simulation.Result) float64 { return r.WorstWindow }},
+	{"worst_class", func(r *simulation.Result) float64 { return r.WorstClass }},
+	{"deducted", func(r *simulation.Result) float64 { return r.Deducted }},
+	{"lost", func(r *simulation.Result) float64 { return float64(r.Lost) }},
+	{"repeated", func(r *simulation.Result) float64 { return float64(r.Repeated) }},
+	{"drain_breaks", func(r *simulation.Result) float64 { return float64(r.DrainBreaks) }},
+	{"cold_falls", func(r *simulation.Result) float64 { return float64(r.ColdFalls) }},
+	{"cold_peak", func(r *simulation.Result) float64 { return r.ColdPeak }},
+	{"drain_latest_ms", func(r *simulation.Result) float64 { return r.DrainLatest }},
+	{"falls", func(r *simulation.Result) float64 { return float64(r.Falls) }},
+	{"requests", func(r *simulation.Result) float64 { return float64(r.Requests) }},
+	{"refused_rate", func(r *simulation.Result) float64 { return r.RefusedRate }},
+	{"failed_rate", func(r *simulation.Result) float64 { return r.FailedRate }},
+	{"retry_rate", func(r *simulation.Result) float64 { return r.RetryRate }},
+	{"waste_rate", func(r *simulation.Result) float64 { return r.WasteRate }},
+	{"cross_rate", func(r *simulation.Result) float64 { return r.CrossRate }},
+	{"probe_rate", func(r *simulation.Result) float64 { return r.ProbeRate }},
+	{"choked_share", func(r *simulation.Result) float64 { return r.ChokedShare }},
+	{"p50_ms", func(r *simulation.Result) float64 { return r.P50 }},
+	{"p99_ms", func(r *simulation.Result) float64 { return r.P99 }},
+	{"events", func(r *simulation.Result) float64 { return float64(r.Events) }},
+	{"wall_s", func(r *simulation.Result) float64 { return r.WallS }},
+	{"module_s", func(r *simulation.Result) float64 { return r.ModuleS }},
 }
 
 // FigureNames lists what is summed up.
@@ -204,7 +204,7 @@
 }
 
 // Summary is the interval of each figure.
-func Summary(runs []*model.Result) map[string]Interval {
+func Summary(runs []*simulation.Result) map[string]Interval {
 	out := map[string]Interval{}
 	for _, f := range figures {
 		out[f.Name] = Summarize(column(runs, f.Of))
@@ -212,7 +212,7 @@
 	return out
 }
 
-func column(runs []*model.Result, of func(*model.Result) float64) []float64 {
+func column(runs []*simulation.Result, of func(*simulation.Result) float64) []float64 {
 	values := make([]float64, len(runs))
 	for i, r := range runs {
 		values[i] = of(r)
@@ -221,7 +221,7 @@
 }
 
 // Broken is how often rules were broken over all runs.
-func Broken(runs []*model.Result) int {
+func Broken(runs []*simulation.Result) int {
 	n := 0
 	for _, r := range runs {
 		n += r.Broken()
@@ -241,14 +241,14 @@
 
 // Comparison is B against A on the same seeds.
 type Comparison struct {
-	A          Variant             `json:"a"`
-	B          Variant             `json:"b"`
-	SummaryA   map[string]Interval `json:"summary_a"`
-	SummaryB   map[string]Interval `json:"summary_b"`
-	Difference map[string]Interval `json:"difference"` // B less A, paired by seed
-	Verdict    Verdict             `json:"verdict"`    // on service, for B
-	RunsA      []*model.Result     `json:"runs_a"`
-	RunsB      []*model.Result     `json:"runs_b"`
+	A          Variant              `json:"a"`
+	B          Variant              `json:"b"`
+	SummaryA   map[string]Interval  `json:"summary_a"`
+	SummaryB   map[string]Interval  `json:"summary_b"`
+	Difference map[string]Interval  `json:"difference"` // B less A, paired by seed
+	Verdict    Verdict              `json:"verdict"`    // on service, for B
+	RunsA      []*simulation.Result `json:"runs_a"`
+	RunsB      []*simulation.Result `json:"runs_b"`
 }
 
 // Compare plays both variants on the same seeds.
@@ -337,9 +337,9 @@
 
 // Point is one setting of a sweep.
 type Point struct {
-	Values  []string            `json:"values"` // by dimension
-	Summary map[string]Interval `json:"summary"`
-	Runs    []*model.Result     `json:"runs,omitempty"`
+	Values  []string             `json:"values"` // by dimension
+	Summary map[string]Interval  `json:"summary"`
+	Runs    []*simulation.Result `json:"runs,omitempty"`
 }
 
 // Sweep plays every combination of one or two dimensions on the same seeds.
@@ -379,22 +379,22 @@
 
 // File is a result as it is kept.
 type File struct {
-	Format   string              `json:"format"`
-	Kind     string              `json:"kind"` // run, compare, sweep
-	Scenario string              `json:"scenario"`
-	About    string              `json:"about,omitempty"`
-	Seed     uint64              `json:"seed"`
-	Variant  *Variant            `json:"variant,omitempty"`
-	Runs     []*model.Result     `json:"runs,omitempty"`
-	Summary  map[string]Interval `json:"summary,omitempty"`
-	Compare  *Comparison         `json:"compare,omitempty"`
-	Vary     []Vary              `json:"vary,omitempty"`
-	Points   []Point             `json:"points,omitempty"`
+	Format   string               `json:"format"`
+	Kind     string               `json:"kind"` // run, compare, sweep
+	Scenario string               `json:"scenario"`
+	About    string               `json:"about,omitempty"`
+	Seed     uint64               `json:"seed"`
+	Variant  *Variant             `json:"variant,omitempty"`
+	Runs     []*simulation.Result `json:"runs,omitempty"`
+	Summary  map[string]Interval  `json:"summary,omitempty"`
+	Compare  *Comparison          `json:"compare,omitempty"`
+	Vary     []Vary               `json:"vary,omitempty"`
+	Points   []Point              `json:"points,omitempty"`
 }
 
 // Reproducible removes what depends on the machine's speed.
 func (f *File) Reproducible() {
-	clean := func(runs []*model.Result) {
+	clean := func(runs []*simulation.Result) {
 		for _, r := range runs {
 			r.WallS, r.ModuleS = 0, 0
 		}
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"piernotch/internal/lab/audit"
+	"piernotch/internal/lab/invariants"
 	"piernotch/internal/lab/scenario"
 )
 
@@ -94,7 +94,7 @@
 	cmp, err := Compare(context.Background(), p, Variant{Name: "x"}, Variant{Name: "y"}, nil)
 	require.NoError(t, err)
 	broken := points[0].Runs[0]
-	broken.ColdFalls, broken.Breaks = 1, []audit.Break{{Rule: audit.Cold, Server: 3, What: "pushed over", Steps: []string{"a step"}}}
+	broken.ColdFalls, broken.Breaks = 1, []invariants.Break{{Rule: invariants.Cold, Server: 3, What: "pushed over", Steps: []string{"a step"}}}
 	for _, f := range []*File{
 		{Kind: "sweep", Scenario: "s", Vary: dims, Points: points},
 		{Kind: "run", Scenario: "s", Runs: runs, Summary: Summary(runs)},
@@ -120,7 +120,7 @@
 		require.NotContains(t, string(html), "src=", "it needs nothing beside it")
 		if f.Kind == "sweep" {
 			require.Contains(t, string(html), "pushed over\na step")
-			require.Equal(t, audit.Cold, back.Points[0].Runs[0].Breaks[0].Rule)
+			require.Equal(t, invariants.Cold, back.Points[0].Runs[0].Breaks[0].Rule)
 		} else {
 			require.Contains(t, string(html), "No rule was broken")
 		}
--- a/internal/lab/experiment/plot.go
+++ b/internal/lab/experiment/plot.go
@@ -17,7 +17,7 @@
 	"gonum.org/v1/plot/vg/vgimg"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"piernotch/internal/lab/model"
+	"piernotch/internal/lab/simulation"
 )
 
 var inks = []color.RGBA{{31, 119, 180, 255}, {214, 39, 40, 255}, {44, 160, 44, 255}, {148, 103, 189, 255}, {255, 127, 14, 255}, {140, 86, 75, 255}}
@@ -53,7 +53,7 @@
 	}
 	type set struct {
 		name string
-		runs []*model.Result
+		runs []*simulation.Result
 	}
 	var sets []set
 	switch {
@@ -96,7 +96,7 @@
 	return charts, nil
 }
 
-func hasLatency(runs []*model.Result) bool {
+func hasLatency(runs []*simulation.Result) bool {
 	for _, r := range runs {
 		if len(r.Latency) > 0 {
 			return true
@@ -143,7 +143,7 @@
 	return nil
 }
 
-func serviceLine(p *plot.Plot, name string, runs []*model.Result, c color.RGBA) error {
+func serviceLine(p *plot.Plot, name string, runs []*simulation.Result, c color.RGBA) error {
 	n := 0
 	for _, r := range runs {
 		n = max(n, len(r.Seconds))
@@ -173,7 +173,7 @@
 	{Value: nine(99.9), Label: "99.9"}, {Value: nine(99.99), Label: "99.99"},
 }
 
-func latencyLine(p *plot.Plot, name string, runs []*model.Result, c color.RGBA) error {
+func latencyLine(p *plot.Plot, name string, runs []*simulation.Result, c color.RGBA) error {
 	if !hasLatency(runs) {
 		return nil
 	}
@@ -201,7 +201,7 @@
 }
 
 // strips draws a row of cells for each server, a cell a second.
-type strips struct{ tracks []model.ServerTrack }
+type strips struct{ tracks []simulation.ServerTrack }
 
 // colours of what is not up and warm.
 var stateInk = map[uint8]color.RGBA{
@@ -232,7 +232,7 @@
 	return 0, xmax, 0, float64(len(s.tracks))
 }
 
-func serverChart(name string, r *model.Result) *Chart {
+func serverChart(name string, r *simulation.Result) *Chart {
 	c := chart("servers", fmt.Sprintf("%s, seed %d: servers (green: busy, blue: cold, yellow: draining, red: choked,\ngrey: down, black: silent, violet: pushed over)", name, r.Seed), "second of the day", "")
 	c.Plot.Add(strips{r.Servers})
 	var ticks []plot.Tick
@@ -367,7 +367,7 @@
 }
 
 var page = template.Must(template.New("report").Parse(`<!doctype html>
-<html lang="en"><head><meta charset="utf-8"><title>{{.File.Scenario}} - notchlab</title>
+<html lang="en"><head><meta charset="utf-8"><title>{{.File.Scenario}} - piernotch-lab</title>
 <style>body{font:15px/1.5 sans-serif;max-width:60em;margin:2em auto;padding:0 1em;color:#222}
 table{border-collapse:collapse;margin:1em 0}td,th{padding:.2em .8em;border-bottom:1px solid #ddd;text-align:right}
 th:first-child,td:first-child{text-align:left}svg{max-width:100%;height:auto}.bad{color:#b00;font-weight:bold}pre{background:#f4f4f4;padding:.6em;overflow:auto}</style></head><body>
@@ -391,7 +391,7 @@
 		Charts  []template.HTML
 		Breaks  []string
 	}{File: f}
-	breaks := func(runs []*model.Result) {
+	breaks := func(runs []*simulation.Result) {
 		data.Broken += Broken(runs)
 		for _, r := range runs {
 			for _, b := range r.Breaks {
--- a/internal/lab/faultnet/faultnet.go
+++ b/internal/lab/faultproxy/faultnet.go
@@ -1,4 +1,4 @@
-// Package faultnet stands between processes: each link from one to another goes through a relay on
+// Package faultproxy stands between processes: each link from one to another goes through a relay on
 // loopback that can cut it, one way or both, silently or with resets, delay, throttle and heal it.
 // What a link does is set from outside, at times that a seeded schedule draws; what chance decides
 // within a link comes from the same seed.
@@ -7,7 +7,7 @@
 // heals, as retransmission would; connections that were under a long one are reset then. A connection
 // that is opened under a silent cut stands and says nothing: loopback cannot lose the first packet, so
 // this is a half-open connection and not one that never comes up.
-package faultnet
+package faultproxy
 
 import (
 	"errors"
--- a/internal/lab/faultnet/free.go
+++ b/internal/lab/faultproxy/free.go
@@ -1,4 +1,4 @@
-package faultnet
+package faultproxy
 
 import (
 	"errors"
--- a/internal/lab/tally/tally.go
+++ b/internal/lab/goodput/tally.go
@@ -1,7 +1,7 @@
-// Package tally counts service as the operators do: the worth answered in time over the
+// Package goodput counts service as the operators do: the worth answered in time over the
 // worth asked for, by second and by class, whoever plays the day. A client's retries
 // belong to its first try.
-package tally
+package goodput
 
 import (
 	"math"
--- a/internal/lab/audit/audit.go
+++ b/internal/lab/invariants/audit.go
@@ -1,4 +1,4 @@
-// Package audit judges the rules from what clients, servers and discovery saw: what
+// Package invariants judges the rules from what clients, servers and discovery saw: what
 // went over the wire, and when. It asks no balancer about itself. The model feeds it
 // in simulated time; whoever stands at the sockets of real balancers can feed it the
 // same observations.
@@ -8,7 +8,7 @@
 // otherwise (Repeated); nothing new to a server a while after it was told that it
 // drains or is gone (Drain); no cold server is pushed over by balancers that knew of
 // its start (Cold).
-package audit
+package invariants
 
 import (
 	"fmt"
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -20,9 +20,9 @@
 
 	"piernotch"
 	"piernotch/internal/http1"
-	"piernotch/internal/lab/model"
+	"piernotch/internal/lab/goodput"
 	"piernotch/internal/lab/scenario"
-	"piernotch/internal/lab/tally"
+	"piernotch/internal/lab/simulation"
 )
 
 // Answer is how a try ended for its client.
@@ -53,14 +53,14 @@
 // Clients are the clients of a day.
 type Clients struct {
 	Day      *scenario.Day
-	Arrivals []model.Arrival
+	Arrivals []simulation.Arrival
 	Clock    func() time.Duration
 	Front    Front
 	Watch    Observer
 
 	ids   atomic.Uint64
 	mu    sync.Mutex
-	tally *tally.Tally
+	tally *goodput.Tally
 	late  *hdrhistogram.Histogram // of sending after the due time, us
 	ends  [Unreached + 1]int
 	cross int
@@ -87,7 +87,7 @@
 // Run sends all arrivals at their times and returns when the last has ended, or soon
 // after the context has.
 func (c *Clients) Run(ctx context.Context) {
-	c.tally = tally.New(c.Day)
+	c.tally = goodput.New(c.Day)
 	c.late = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	c.pools = map[string][]*conn{}
 	var wg sync.WaitGroup
@@ -119,7 +119,7 @@
 }
 
 // Tally is what was counted; it is complete once Run has returned.
-func (c *Clients) Tally() *tally.Tally { return c.tally }
+func (c *Clients) Tally() *goodput.Tally { return c.tally }
 
 // Lateness is how late requests were sent, at a percentile: the rig's own fault.
 func (c *Clients) Lateness(percentile float64) time.Duration {
@@ -136,7 +136,7 @@
 }
 
 // ask is one client with one request and its tries.
-func (c *Clients) ask(ctx context.Context, a *model.Arrival) {
+func (c *Clients) ask(ctx context.Context, a *simulation.Arrival) {
 	d := c.Day
 	k := &d.Classes[a.Class]
 	first, until := a.At, a.At+k.Deadline
@@ -185,7 +185,7 @@
 const patience = 150 * time.Millisecond
 
 // try sends the request once, and once more where a kept connection was closed under it.
-func (c *Clients) try(ctx context.Context, a *model.Arrival, wait time.Duration, rng *rand.Rand) (Answer, time.Duration) {
+func (c *Clients) try(ctx context.Context, a *simulation.Arrival, wait time.Duration, rng *rand.Rand) (Answer, time.Duration) {
 	deadline := c.Clock() + wait
 	balancer, address, ok := c.Front(a.Zone, rng)
 	if !ok {
@@ -240,7 +240,7 @@
 
 // exchange writes a request and reads its answer. Crossed: the connection ended before
 // anything of an answer came.
-func (c *Clients) exchange(k *conn, a *model.Arrival, id string, left time.Duration) (answer Answer, advice time.Duration, crossed bool) {
+func (c *Clients) exchange(k *conn, a *simulation.Arrival, id string, left time.Duration) (answer Answer, advice time.Duration, crossed bool) {
 	class := &c.Day.Classes[a.Class]
 	method, body := "GET", []byte(nil)
 	if class.Effect != piernotch.Safe {
--- a/internal/lab/rehearse/drills.go
+++ b/internal/lab/loadtest/drills.go
@@ -1,11 +1,11 @@
-package rehearse
+package loadtest
 
 import (
 	"fmt"
 	"strings"
 
-	"piernotch/internal/lab/model"
 	"piernotch/internal/lab/scenario"
+	"piernotch/internal/lab/simulation"
 )
 
 // Drill is one failure that matters, played alone on an ordinary day.
@@ -80,7 +80,7 @@
 }
 
 // Recover measures a day whose failure came at a second. Both days are of one seed.
-func Recover(r, control *model.Result, at int) Recovery {
+func Recover(r, control *simulation.Result, at int) Recovery {
 	n := min(len(r.Seconds), len(control.Seconds))
 	ratio := func(from, to int) float64 {
 		got, want := 0.0, 0.0
--- a/internal/lab/rehearse/faults.go
+++ b/internal/lab/loadtest/faults.go
@@ -1,4 +1,4 @@
-package rehearse
+package loadtest
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"piernotch"
 	"piernotch/internal/lab/chaos"
-	"piernotch/internal/lab/faultnet"
+	"piernotch/internal/lab/faultproxy"
 )
 
 // link is the name of the link from a balancer to a server or to the roster.
@@ -50,7 +50,7 @@
 		return
 	}
 	go func() {
-		if l.Delivered(faultnet.Back) {
+		if l.Delivered(faultproxy.Back) {
 			r.judge.Told(balancer, server, state, born)
 		}
 	}()
@@ -105,9 +105,9 @@
 	if s.To == chaos.Servers {
 		which = func(name string) bool { return strings.HasPrefix(name, fmt.Sprintf("n%d>s", s.Balancer)) }
 	}
-	r.net.Each(which, func(l *faultnet.Link) {
-		for _, d := range []faultnet.Direction{faultnet.There, faultnet.Back} {
-			f := faultnet.Fault{}
+	r.net.Each(which, func(l *faultproxy.Link) {
+		for _, d := range []faultproxy.Direction{faultproxy.There, faultproxy.Back} {
+			f := faultproxy.Fault{}
 			if fails && s.Way.Has(d) {
 				f = s.Fault
 			}
--- a/internal/lab/rehearse/handover.go
+++ b/internal/lab/loadtest/handover.go
@@ -1,4 +1,4 @@
-package rehearse
+package loadtest
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"time"
 
 	"piernotch"
-	"piernotch/internal/lab/faultnet"
+	"piernotch/internal/lab/faultproxy"
 	"piernotch/internal/lab/scenario"
 )
 
@@ -100,7 +100,7 @@
 	if p.door == nil {
 		return env, "", nil
 	}
-	management, err = faultnet.Free()
+	management, err = faultproxy.Free()
 	return append(env, "ROUTER_LISTEN_FD=3", "TMPDIR="+p.door.temp, "ROUTER_MANAGEMENT="+management), management, err
 }
 
--- a/internal/lab/rehearse/judge.go
+++ b/internal/lab/loadtest/judge.go
@@ -1,14 +1,14 @@
-// Package rehearse plays a scenario on real sockets: stand-in feed servers and roster,
-// open-loop clients, and balancers as processes of their own, judged by internal/lab/audit
+// Package loadtest plays a scenario on real sockets: stand-in feed servers and roster,
+// open-loop clients, and balancers as processes of their own, judged by internal/lab/invariants
 // from what both ends saw.
-package rehearse
+package loadtest
 
 import (
 	"sync"
 	"time"
 
 	"piernotch"
-	"piernotch/internal/lab/audit"
+	"piernotch/internal/lab/invariants"
 	"piernotch/internal/lab/load"
 	"piernotch/internal/lab/scenario"
 )
@@ -30,7 +30,7 @@
 	clock func() time.Duration
 	cross time.Duration // crossing, or crossingLinks
 	mu    sync.Mutex
-	audit *audit.Auditor
+	audit *invariants.Auditor
 	last  uint64
 	ids   map[string]*seen
 	ended []ending    // to be forgotten in time
@@ -54,14 +54,14 @@
 
 // NewJudge returns a judge of a day. Zone and cell tell where a server is.
 func NewJudge(day *scenario.Day, clock func() time.Duration, zone, cell func(int) int) *Judge {
-	fig := audit.Figures{
+	fig := invariants.Figures{
 		Slack: day.Rules.Slack + onSockets, Grace: day.Rules.Grace + onSockets, FallFor: day.Rules.Fall.For,
 		MaxAttempts: day.Settings.Limits.MaxAttempts, SecondCopies: day.Settings.Limits.SecondCopies, Zone: zone, Cell: cell,
 	}
 	for _, c := range day.Classes {
 		fig.Classes = append(fig.Classes, c.Class)
 	}
-	return &Judge{clock: clock, cross: crossing, audit: audit.New(fig), ids: map[string]*seen{}, dying: map[int]int{}}
+	return &Judge{clock: clock, cross: crossing, audit: invariants.New(fig), ids: map[string]*seen{}, dying: map[int]int{}}
 }
 
 // Taken implements load.Observer.
@@ -101,11 +101,11 @@
 	}
 	switch answer {
 	case load.Served:
-		j.audit.Answered(now, s.seq, audit.Served)
+		j.audit.Answered(now, s.seq, invariants.Served)
 	case load.Refused:
-		j.audit.Answered(now, s.seq, audit.Refused)
+		j.audit.Answered(now, s.seq, invariants.Refused)
 	case load.Failed:
-		j.audit.Answered(now, s.seq, audit.Failed)
+		j.audit.Answered(now, s.seq, invariants.Failed)
 	case load.Broken:
 		if j.dying[s.balancer] > 0 {
 			j.audit.Excused(now, s.seq)
@@ -249,7 +249,7 @@
 }
 
 // Verdict ends the judging.
-func (j *Judge) Verdict() *audit.Auditor {
+func (j *Judge) Verdict() *invariants.Auditor {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.audit.Look(j.clock() + time.Minute)
--- a/internal/lab/rehearse/process.go
+++ b/internal/lab/loadtest/process.go
@@ -1,4 +1,4 @@
-package rehearse
+package loadtest
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"piernotch/internal/lab/faultnet"
+	"piernotch/internal/lab/faultproxy"
 	"piernotch/internal/lab/scenario"
 	"piernotch/internal/wire"
 )
@@ -55,7 +55,7 @@
 }
 
 func newProcess(opts Options, number int, day *scenario.Day) (*process, error) {
-	address, err := faultnet.Free()
+	address, err := faultproxy.Free()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/rehearse/rehearse.go
+++ b/internal/lab/loadtest/rehearse.go
@@ -1,4 +1,4 @@
-package rehearse
+package loadtest
 
 import (
 	"context"
@@ -12,13 +12,13 @@
 	"syscall"
 	"time"
 
-	"piernotch/internal/lab/audit"
 	"piernotch/internal/lab/chaos"
 	"piernotch/internal/lab/emulator"
-	"piernotch/internal/lab/faultnet"
+	"piernotch/internal/lab/faultproxy"
+	"piernotch/internal/lab/invariants"
 	"piernotch/internal/lab/load"
-	"piernotch/internal/lab/model"
 	"piernotch/internal/lab/scenario"
+	"piernotch/internal/lab/simulation"
 )
 
 // Options say how a day is rehearsed.
@@ -46,7 +46,7 @@
 // Report is what came of a rehearsal: the figures that the model gives, too, and what
 // only sockets can tell.
 type Report struct {
-	model.Result
+	simulation.Result
 	Counts       load.Counts `json:"counts"`
 	LatenessMS   float64     `json:"lateness_p99_ms"` // of the rig itself
 	Void         string      `json:"void,omitempty"`  // why the run does not count
@@ -73,9 +73,9 @@
 	limits limits
 	rude   load.Rude
 	hand   *Handed
-	over   sync.WaitGroup // hand-overs and faults that go on
-	net    *faultnet.Net  // nil: nothing stands between the processes
-	shared *shared        // nil: each balancer asks discovery itself
+	over   sync.WaitGroup  // hand-overs and faults that go on
+	net    *faultproxy.Net // nil: nothing stands between the processes
+	shared *shared         // nil: each balancer asks discovery itself
 	ended  atomic.Bool
 	mu     sync.Mutex
 	err    error
@@ -108,7 +108,7 @@
 	} else if err := os.MkdirAll(opts.Logs, 0o755); err != nil {
 		return nil, err
 	}
-	arrivals, err := model.Arrivals(day)
+	arrivals, err := simulation.Arrivals(day)
 	if err != nil {
 		return nil, err
 	}
@@ -131,7 +131,7 @@
 		if r.shared != nil {
 			return nil, errors.New("balancers that share a list reach servers at the same addresses: no faults of links can be played")
 		}
-		r.net = faultnet.New(day.Seed)
+		r.net = faultproxy.New(day.Seed)
 		r.judge.cross = crossingLinks
 		r.fleet.Roster().Through = r.through
 		defer r.net.Close()
@@ -374,10 +374,10 @@
 	a := r.judge.Verdict()
 	counts := clients.Counts()
 	out := &Report{Counts: counts, Balancers: quarters, LatenessMS: clients.Lateness(99).Seconds() * 1000}
-	out.Result = model.Result{
+	out.Result = simulation.Result{
 		Seed: d.Seed, Requests: t.Asked, Tries: counts.Tries, Whole: p.Whole, WorstWindow: p.WorstWindow, WorstClass: p.WorstClass,
 		Classes: p.Classes, Seconds: t.Seconds, Latency: t.Latency(), WallS: r.clock().Seconds(),
-		Lost: a.Count(audit.Lost), Repeated: a.Count(audit.Repeated), DrainBreaks: a.Count(audit.Drain), ColdFalls: a.Count(audit.Cold),
+		Lost: a.Count(invariants.Lost), Repeated: a.Count(invariants.Repeated), DrainBreaks: a.Count(invariants.Drain), ColdFalls: a.Count(invariants.Cold),
 		Breaks: a.Breaks(), DrainLatest: a.DrainLatest().Seconds() * 1000,
 	}
 	if out.Latency != nil {
--- a/internal/lab/rehearse/rehearse_test.go
+++ b/internal/lab/loadtest/rehearse_test.go
@@ -1,4 +1,4 @@
-package rehearse
+package loadtest
 
 import (
 	"bytes"
@@ -20,10 +20,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"piernotch/internal/lab/audit"
-	"piernotch/internal/lab/model"
+	"piernotch/internal/lab/goodput"
+	"piernotch/internal/lab/invariants"
 	"piernotch/internal/lab/scenario"
-	"piernotch/internal/lab/tally"
+	"piernotch/internal/lab/simulation"
 )
 
 // TestMain lets the test's own program stand in for a balancer with a fault.
@@ -143,13 +143,13 @@
 	leave := "[[trouble]]\nkind = \"leave\"\nat_s = 0.5\nfor_s = 0.1\npart = 0.4\nramp_s = 5\n"
 	for _, c := range []struct {
 		fault, trouble string
-		rule           audit.Rule
+		rule           invariants.Rule
 		what           string
 	}{
-		{"repeats", "", audit.Repeated, "though an earlier attempt may have run"},
-		{"drops", "", audit.Lost, "its connection was ended without an answer"},
-		{"lies", "", audit.Repeated, "refused what may have run"},
-		{"ignores drains", leave, audit.Drain, "after it was told that the server leaves"},
+		{"repeats", "", invariants.Repeated, "though an earlier attempt may have run"},
+		{"drops", "", invariants.Lost, "its connection was ended without an answer"},
+		{"lies", "", invariants.Repeated, "refused what may have run"},
+		{"ignores drains", leave, invariants.Drain, "after it was told that the server leaves"},
 	} {
 		t.Run(c.fault, func(t *testing.T) {
 			t.Parallel()
@@ -244,10 +244,10 @@
 }
 
 func TestRecoveryIsMeasuredAgainstTheControl(t *testing.T) {
-	control, r := &model.Result{}, &model.Result{}
+	control, r := &simulation.Result{}, &simulation.Result{}
 	for i := range 30 {
-		control.Seconds = append(control.Seconds, tally.Second{Asked: 10, Served: 8, Tries: 4})
-		r.Seconds = append(r.Seconds, tally.Second{Asked: 10, Served: 8, Tries: 4})
+		control.Seconds = append(control.Seconds, goodput.Second{Asked: 10, Served: 8, Tries: 4})
+		r.Seconds = append(r.Seconds, goodput.Second{Asked: 10, Served: 8, Tries: 4})
 		if i >= 12 && i < 16 {
 			r.Seconds[i].Served, r.Seconds[i].Refuse = 2, 2
 		}
--- a/internal/lab/rehearse/shared.go
+++ b/internal/lab/loadtest/shared.go
@@ -1,4 +1,4 @@
-package rehearse
+package loadtest
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"piernotch"
 	"piernotch/internal/group"
 	"piernotch/internal/group/watch"
-	"piernotch/internal/lab/faultnet"
+	"piernotch/internal/lab/faultproxy"
 )
 
 // shared is one watch of discovery for all balancers, by a group of three voters.
@@ -36,7 +36,7 @@
 	s := &shared{balancers: balancers, last: map[[2]int]int{}}
 	c := group.Config{Name: "rehearsal", Length: sharedLength, Drift: 0.01}
 	for i := range 3 {
-		address, err := faultnet.Free()
+		address, err := faultproxy.Free()
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/logread/logread.go
+++ b/internal/lab/loganalysis/logread.go
@@ -1,10 +1,10 @@
-// Package logread reads the logs of many balancers together: what all of them did, second
+// Package loganalysis reads the logs of many balancers together: what all of them did, second
 // by second and by server, and what became of one request. Requests and attempts are in a
 // log of level debug only (PIERNOTCH_LOG=debug).
 //
 // A line is logfmt, key=value. A number
 // in front of it, seconds since a common start, goes before the line's own time.
-package logread
+package loganalysis
 
 import (
 	"bufio"
--- a/internal/lab/logread/logread_test.go
+++ b/internal/lab/loganalysis/logread_test.go
@@ -1,4 +1,4 @@
-package logread
+package loganalysis
 
 import (
 	"os"
--- a/internal/lab/scenario/day.go
+++ b/internal/lab/scenario/day.go
@@ -11,7 +11,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 
 	"piernotch"
-	"piernotch/internal/lab/fleet"
+	"piernotch/internal/lab/servermodel"
 )
 
 // Stream returns the random numbers of one concern of one seed. Concerns do not
@@ -50,7 +50,7 @@
 
 // Server is one machine of the day.
 type Server struct {
-	Kind      fleet.Kind
+	Kind      servermodel.Kind
 	KindIndex int
 	Zone      int
 	Cell      int
@@ -110,7 +110,7 @@
 	Slack, AskWithin, Grace, Dial, Probe, KeepAlive time.Duration
 	ColdFrom                                        float64
 	Cold                                            time.Duration
-	Fall                                            fleet.Fall
+	Fall                                            servermodel.Fall
 }
 
 // DayScore is how service is counted.
@@ -140,7 +140,7 @@
 
 // kindDraw is what all machines of a kind have in common on the day.
 type kindDraw struct {
-	kind    fleet.Kind
+	kind    servermodel.Kind
 	speedCV float64
 	rtts    int
 }
@@ -240,7 +240,7 @@
 		Grace: millis(r.DrainGraceMS.draw(rng)), Dial: millis(r.DialTimeoutMS.draw(rng)),
 		Probe: millis(r.ProbeTimeoutMS.draw(rng)), KeepAlive: millis(r.KeepaliveMS.draw(rng)),
 		ColdFrom: r.ColdFrom.draw(rng), Cold: millis(r.ColdMS.draw(rng)),
-		Fall: fleet.Fall{Multiple: r.FallMultiple.draw(rng), For: millis(r.FallMS.draw(rng))},
+		Fall: servermodel.Fall{Multiple: r.FallMultiple.draw(rng), For: millis(r.FallMS.draw(rng))},
 	}
 	d.Clients = DayClients{
 		Retries: c.Retries.draw(rng), Backoff: millis(c.BackoffMS.draw(rng)), TryShare: c.TryShare.draw(rng),
@@ -259,27 +259,27 @@
 }
 
 // draw makes the day's machine of a kind.
-func (k *Kind) draw(rng *rand.Rand, fall fleet.Fall) kindDraw {
+func (k *Kind) draw(rng *rand.Rand, fall servermodel.Fall) kindDraw {
 	cores := float64(k.Cores)
 	yes := func(v, yes, no string) bool { // drawn always, so that the stream stays in step
 		coin := rng.Float64() < 0.5
 		return v == yes || v != no && coin
 	}
 	out := kindDraw{
-		kind: fleet.Kind{
+		kind: servermodel.Kind{
 			Name: k.Name, Cores: k.Cores, Speed: k.Speed.draw(rng),
 			Slots: max(int(math.Round(k.SlotsPerCore.draw(rng)*cores)), 1), Queue: int(math.Round(k.QueuePerCore.draw(rng) * cores)),
 			Thrash: k.Thrash.draw(rng), ThrashAt: k.ThrashAt.draw(rng),
 			ColdFrom: k.ColdFrom.draw(rng), Cold: seconds(k.ColdS.draw(rng)),
 			PauseEvery: seconds(k.PauseEveryS.draw(rng)), PauseFor: millis(k.PauseMS.draw(rng)), PauseGrow: k.PauseGrow.draw(rng),
 			ErrorRate: k.ErrorRate.draw(rng),
-			Choke: fleet.Choke{
+			Choke: servermodel.Choke{
 				At: k.ChokeAt.draw(rng), Over: seconds(k.ChokeOverS.draw(rng)), Slower: k.ChokeSlower.draw(rng),
 				Below: k.ChokeBelow.draw(rng), Rest: seconds(k.ChokeRestS.draw(rng)), Most: seconds(k.ChokeMostS.draw(rng)),
 			},
-			Keys: fleet.Keys{Gain: k.KeyGain.draw(rng), For: seconds(k.KeyS.draw(rng)), Most: int(k.KeysPerCore.draw(rng) * cores)},
-			Conn: fleet.Conn{Handshake: k.HandshakeMS.draw(rng), Most: int(k.ConnPerCore.draw(rng) * cores), Tax: k.ConnTax.draw(rng)},
-			Report: fleet.Report{
+			Keys: servermodel.Keys{Gain: k.KeyGain.draw(rng), For: seconds(k.KeyS.draw(rng)), Most: int(k.KeysPerCore.draw(rng) * cores)},
+			Conn: servermodel.Conn{Handshake: k.HandshakeMS.draw(rng), Most: int(k.ConnPerCore.draw(rng) * cores), Tax: k.ConnTax.draw(rng)},
+			Report: servermodel.Report{
 				Every: millis(k.ReportEveryMS.draw(rng)), Delay: millis(k.ReportDelayMS.draw(rng)), Noise: k.ReportNoise.draw(rng),
 			},
 			Fall: fall, ProbeWork: k.ProbeMS.draw(rng),
@@ -289,7 +289,7 @@
 	out.kind.StopRunning = yes(k.Cancel, "all", "queued")
 	out.kind.DropExpired = yes(k.DropExpired, "yes", "no")
 	if k.WarmBy == "work" {
-		out.kind.WarmBy = fleet.WarmByWork
+		out.kind.WarmBy = servermodel.WarmByWork
 	}
 	return out
 }
--- a/internal/lab/scenario/schema.go
+++ b/internal/lab/scenario/schema.go
@@ -116,7 +116,7 @@
 	RoughCV Range  `toml:"rough_cv"` // of rough weights
 }
 
-// Kind is a kind of machine; internal/lab/fleet says what each figure does.
+// Kind is a kind of machine; internal/lab/servermodel says what each figure does.
 type Kind struct {
 	Name         string `toml:"name"`
 	Share        Range  `toml:"share"`
--- a/internal/lab/fleet/kind.go
+++ b/internal/lab/servermodel/kind.go
@@ -1,4 +1,4 @@
-// Package fleet is the physics of a feed server: what it does with the work it is
+// Package servermodel is the physics of a feed server: what it does with the work it is
 // sent. A Server is pure: it has no clock, no sockets and no random source but the
 // one it is given; every method takes the present time, and Next says when Advance
 // must be called at the latest. The model runs thousands of them in simulated time,
@@ -6,7 +6,7 @@
 //
 // Work is counted in milliseconds on a yardstick core, as cost hints are: a core of
 // speed 2 does two milliseconds of work in one.
-package fleet
+package servermodel
 
 import (
 	"fmt"
--- a/internal/lab/fleet/server_test.go
+++ b/internal/lab/servermodel/server_test.go
@@ -1,4 +1,4 @@
-package fleet
+package servermodel
 
 import (
 	"testing"
--- a/internal/lab/model/child_test.go
+++ b/internal/lab/simulation/child_test.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"os"
@@ -16,7 +16,7 @@
 func adapter(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "adapter")
-	out, err := exec.Command("go", "build", "-o", path, "piernotch/cmd/adapter").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", path, "piernotch/cmd/simulator-adapter").CombinedOutput()
 	require.NoError(t, err, "%s", out)
 	return path
 }
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -1,12 +1,12 @@
-package model
+package simulation
 
 import (
 	"slices"
 	"time"
 
 	"piernotch"
-	"piernotch/internal/lab/fleet"
 	"piernotch/internal/lab/scenario"
+	"piernotch/internal/lab/servermodel"
 )
 
 // discovery is the list of servers as a service: it learns of changes late, publishes
@@ -121,7 +121,7 @@
 func (d *discovery) mistake(w *World, servers []int, state piernotch.State) {
 	d.version++
 	for _, s := range servers {
-		if m := &w.servers[s]; m.Life() != fleet.Up {
+		if m := &w.servers[s]; m.Life() != servermodel.Up {
 			continue
 		}
 		l := &d.listed[s]
--- a/internal/lab/model/faults_test.go
+++ b/internal/lab/simulation/faults_test.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"strings"
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"piernotch"
-	"piernotch/internal/lab/audit"
+	"piernotch/internal/lab/invariants"
 	"piernotch/internal/lab/scenario"
 )
 
@@ -40,7 +40,7 @@
 }
 
 // caught wants a break of a rule with its story.
-func caught(t *testing.T, r *Result, rule audit.Rule, what string) {
+func caught(t *testing.T, r *Result, rule invariants.Rule, what string) {
 	t.Helper()
 	for _, b := range r.Breaks {
 		if b.Rule == rule && strings.Contains(b.What, what) {
@@ -69,8 +69,8 @@
 		return out
 	})
 	require.Positive(t, r.Repeated)
-	caught(t, r, audit.Repeated, "sent again, though an earlier attempt may have run")
-	caught(t, r, audit.Repeated, "ran a second time")
+	caught(t, r, invariants.Repeated, "sent again, though an earlier attempt may have run")
+	caught(t, r, invariants.Repeated, "ran a second time")
 }
 
 func TestALyingRefusalIsCaught(t *testing.T) {
@@ -84,7 +84,7 @@
 		}
 		return out
 	})
-	caught(t, r, audit.Repeated, "refused what may have run")
+	caught(t, r, invariants.Repeated, "refused what may have run")
 }
 
 func TestASendAfterADrainIsCaught(t *testing.T) {
@@ -108,7 +108,7 @@
 		return actions
 	})
 	require.Positive(t, r.DrainBreaks)
-	caught(t, r, audit.Drain, "after it was told that the server leaves")
+	caught(t, r, invariants.Drain, "after it was told that the server leaves")
 }
 
 func TestAForgottenAnswerIsCaught(t *testing.T) {
@@ -126,7 +126,7 @@
 		return out
 	})
 	require.Positive(t, r.Lost)
-	caught(t, r, audit.Lost, "no final answer")
+	caught(t, r, invariants.Lost, "no final answer")
 }
 
 func TestASecondAnswerAndASendAfterTheEndAreCaught(t *testing.T) {
@@ -153,7 +153,7 @@
 		}
 		return out
 	}, "balancers.count=1")
-	caught(t, r, audit.Lost, "sent after its final answer")
+	caught(t, r, invariants.Lost, "sent after its final answer")
 }
 
 func TestAFloodedColdServerIsCaught(t *testing.T) {
@@ -176,7 +176,7 @@
 		return actions
 	})
 	require.Positive(t, r.ColdFalls)
-	caught(t, r, audit.Cold, "pushed over by")
+	caught(t, r, invariants.Cold, "pushed over by")
 }
 
 func TestTheModuleItselfBreaksNothingInTheStorm(t *testing.T) {
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/simulation/model_test.go
@@ -1,12 +1,12 @@
-package model
+package simulation
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
+	"piernotch/internal/lab/goodput"
 	"piernotch/internal/lab/scenario"
-	"piernotch/internal/lab/tally"
 )
 
 // play runs one day of a scenario, with overrides.
@@ -93,7 +93,7 @@
 	require.Len(t, list, r.Requests)
 	d, err = s.Draw(3)
 	require.NoError(t, err)
-	tl := tally.New(d)
+	tl := goodput.New(d)
 	for _, a := range list {
 		tl.Ask(a.At, a.Class, a.Work)
 	}
--- a/internal/lab/model/replay_test.go
+++ b/internal/lab/simulation/replay_test.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"path/filepath"
--- a/internal/lab/model/result.go
+++ b/internal/lab/simulation/result.go
@@ -1,14 +1,14 @@
-package model
+package simulation
 
 import (
 	"math"
 	"time"
 
 	"piernotch"
-	"piernotch/internal/lab/audit"
-	"piernotch/internal/lab/fleet"
+	"piernotch/internal/lab/goodput"
+	"piernotch/internal/lab/invariants"
 	"piernotch/internal/lab/scenario"
-	"piernotch/internal/lab/tally"
+	"piernotch/internal/lab/servermodel"
 )
 
 // Result is what came of one day. Service and its parts are shares of 1.
@@ -55,18 +55,18 @@
 	WallS       float64 `json:"wall_s"`
 	ModuleS     float64 `json:"module_s"` // of it, in the balancers' decisions
 
-	Seconds []Second       `json:"seconds,omitempty"`
-	Servers []ServerTrack  `json:"servers,omitempty"`
-	Latency []LatencyStep  `json:"latency,omitempty"`
-	Breaks  []audit.Break  `json:"breaks,omitempty"`
-	Ended   map[string]int `json:"attempts_ended"`
+	Seconds []Second           `json:"seconds,omitempty"`
+	Servers []ServerTrack      `json:"servers,omitempty"`
+	Latency []LatencyStep      `json:"latency,omitempty"`
+	Breaks  []invariants.Break `json:"breaks,omitempty"`
+	Ended   map[string]int     `json:"attempts_ended"`
 }
 
 // Parts of a result that whoever plays a day has in common.
 type (
-	Share       = tally.Share
-	Second      = tally.Second
-	LatencyStep = tally.LatencyStep
+	Share       = goodput.Share
+	Second      = goodput.Second
+	LatencyStep = goodput.LatencyStep
 )
 
 // Little compares what servers held on the mean with arrivals times time spent there.
@@ -101,7 +101,7 @@
 	ServedWork                                     float64
 	ModuleTime                                     time.Duration
 
-	tally  *tally.Tally
+	tally  *goodput.Tally
 	digest uint64
 
 	inside   int // attempts that servers hold
@@ -113,7 +113,7 @@
 	tracks []ServerTrack
 }
 
-func (m *meter) begin(d *scenario.Day) { m.tally = tally.New(d) }
+func (m *meter) begin(d *scenario.Day) { m.tally = goodput.New(d) }
 
 // finish counts a request that is over.
 func (m *meter) finish(w *World, a *ask, served bool) {
@@ -167,9 +167,9 @@
 		s := &w.servers[t.Server]
 		state := uint8(s.Life())
 		switch {
-		case s.Life() == fleet.Up && s.Choked():
+		case s.Life() == servermodel.Up && s.Choked():
 			state = 6
-		case s.Life() == fleet.Up && s.Cold(w.now):
+		case s.Life() == servermodel.Up && s.Cold(w.now):
 			state = 5
 		}
 		t.Busy = append(t.Busy, float32(math.Round(1000*s.Busy())/1000))
@@ -193,8 +193,8 @@
 	r := &Result{
 		Seed: d.Seed, Requests: t.Asked, Tries: m.Tries, Attempts: m.Attempts, Events: m.Events, Digest: m.digest, Falls: m.Falls,
 		Whole: p.Whole, WorstWindow: p.WorstWindow, WorstClass: p.WorstClass, Classes: p.Classes,
-		Lost: w.audit.Count(audit.Lost), Repeated: w.audit.Count(audit.Repeated),
-		DrainBreaks: w.audit.Count(audit.Drain), ColdFalls: w.audit.Count(audit.Cold), Breaks: w.audit.Breaks(),
+		Lost: w.audit.Count(invariants.Lost), Repeated: w.audit.Count(invariants.Repeated),
+		DrainBreaks: w.audit.Count(invariants.Drain), ColdFalls: w.audit.Count(invariants.Cold), Breaks: w.audit.Breaks(),
 		WallS: wall.Seconds(), ModuleS: m.ModuleTime.Seconds(), Seconds: t.Seconds, Servers: m.tracks,
 		Handshakes: m.Opened, ListFailed: m.ListFailed, Ended: map[string]int{},
 	}
--- a/internal/lab/model/tier.go
+++ b/internal/lab/simulation/tier.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"piernotch"
-	"piernotch/internal/lab/fleet"
+	"piernotch/internal/lab/servermodel"
 )
 
 // EventKind is what a balancer hears of.
@@ -37,7 +37,7 @@
 	Backend  piernotch.BackendID // Probed
 	Status   piernotch.Status    // Probed
 	Took     time.Duration       // Probed
-	Load     fleet.Load          // Verdict, Probed
+	Load     servermodel.Load    // Verdict, Probed
 	HasLoad  bool
 	List     piernotch.ListKind // View
 	Version  uint64             // View
--- a/internal/lab/model/ties_test.go
+++ b/internal/lab/simulation/ties_test.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"math/rand/v2"
--- a/internal/lab/model/world.go
+++ b/internal/lab/simulation/world.go
@@ -1,5 +1,5 @@
-// Package model is a world in simulated time: clients, the front that spreads them,
-// balancers with real decisions, servers with the physics of internal/lab/fleet, the list
+// Package simulation is a world in simulated time: clients, the front that spreads them,
+// balancers with real decisions, servers with the physics of internal/lab/servermodel, the list
 // of servers as a service, and the network between them. One World plays one day, on
 // one goroutine; the same day and seed give the same bytes.
 //
@@ -8,7 +8,7 @@
 // does (a message's delay, the noise of an attempt's work, a client's wait before it
 // tries again) is drawn from a hash of what it belongs to: the n-th attempt of the
 // m-th try of a client's request draws the same numbers whatever else was decided.
-package model
+package simulation
 
 import (
 	"cmp"
@@ -20,10 +20,10 @@
 	"time"
 
 	"piernotch"
-	"piernotch/internal/lab/audit"
-	"piernotch/internal/lab/fleet"
 	"piernotch/internal/lab/idtable"
+	"piernotch/internal/lab/invariants"
 	"piernotch/internal/lab/scenario"
+	"piernotch/internal/lab/servermodel"
 )
 
 // ask is what a client wants: one request with all its tries.
@@ -54,7 +54,7 @@
 	expired  bool // its deadline has passed
 	own      bool // the balancer ended it itself
 	closedAt time.Duration
-	answer   audit.Answer
+	answer   invariants.Answer
 	lost     bool // the balancer died under it
 	advice   time.Duration
 	deadline time.Duration
@@ -83,7 +83,7 @@
 	reach   time.Duration
 	work    float64
 	spent   float64
-	load    fleet.Load
+	load    servermodel.Load
 }
 
 type probe struct {
@@ -92,7 +92,7 @@
 	status       piernotch.Status
 	sent         time.Duration
 	delay        time.Duration
-	load         fleet.Load
+	load         servermodel.Load
 	hasLoad      bool
 }
 
@@ -117,7 +117,7 @@
 }
 
 type machine struct {
-	*fleet.Server
+	*servermodel.Server
 	spec   scenario.Server
 	id     piernotch.BackendID
 	wake   time.Duration // when it is looked at next
@@ -157,7 +157,7 @@
 
 	pcg   rand.PCG
 	roll  *rand.Rand
-	audit *audit.Auditor
+	audit *invariants.Auditor
 	meter meter
 	stop  bool
 	err   error
@@ -180,7 +180,7 @@
 	}
 	zone := func(i int) int { return w.servers[i].spec.Zone }
 	cell := func(i int) int { return w.servers[i].spec.Cell }
-	fig := audit.Figures{
+	fig := invariants.Figures{
 		Slack: day.Rules.Slack, Grace: day.Rules.Grace, FallFor: day.Rules.Fall.For, MaxAttempts: day.Settings.Limits.MaxAttempts,
 		SecondCopies: day.Settings.Limits.SecondCopies, Zone: zone, Cell: cell,
 	}
@@ -188,7 +188,7 @@
 	for _, c := range day.Classes {
 		fig.Classes = append(fig.Classes, c.Class)
 	}
-	w.audit = audit.New(fig)
+	w.audit = invariants.New(fig)
 	w.meter.begin(day)
 	w.insts = make([]instance, len(day.Balancers))
 	w.zoneOf = make([][]int, len(day.Zones))
@@ -216,7 +216,7 @@
 
 func (w *World) addServer(spec scenario.Server) (int, error) {
 	n := len(w.servers)
-	s, err := fleet.New(spec.Kind, mix(w.day.Seed^mix(uint64(n)+0x5e)), 0)
+	s, err := servermodel.New(spec.Kind, mix(w.day.Seed^mix(uint64(n)+0x5e)), 0)
 	if err != nil {
 		return 0, err
 	}
@@ -229,7 +229,7 @@
 		id++
 	}
 	w.byID[id] = int32(n)
-	w.servers = append(w.servers, machine{Server: s, spec: spec, id: id, wake: fleet.Never, slow: 1})
+	w.servers = append(w.servers, machine{Server: s, spec: spec, id: id, wake: servermodel.Never, slow: 1})
 	return n, nil
 }
 
@@ -412,9 +412,9 @@
 	case Cancel:
 		w.cancel(a)
 	case Refuse:
-		w.final(a, audit.Refused)
+		w.final(a, invariants.Refused)
 	case Fail:
-		w.final(a, audit.Failed)
+		w.final(a, invariants.Failed)
 	case Probe:
 		w.sendProbe(a)
 	case Watch, Fetch:
@@ -516,7 +516,7 @@
 }
 
 // final takes a balancer's own final answer.
-func (w *World) final(act *Action, answer audit.Answer) {
+func (w *World) final(act *Action, answer invariants.Answer) {
 	t := w.tries.Get(uint64(act.ID))
 	if t == nil || t.closed || int(t.inst) != act.Instance {
 		return // what is over already is ignored
@@ -526,7 +526,7 @@
 }
 
 // answer sends a final answer on its way to the client.
-func (w *World) answer(id uint64, t *try, answer audit.Answer) {
+func (w *World) answer(id uint64, t *try, answer invariants.Answer) {
 	w.audit.Answered(w.now, id, answer)
 	t.closed, t.closedAt, t.answer = true, w.now, answer
 	w.cal.plan(w.now+w.delay(w.day.Client, mix(id), ofClient), atMessage, evReply, id, 0)
@@ -552,7 +552,7 @@
 	t.closed, t.closedAt, t.settled = true, w.now, true
 	t.expired = t.expired || t.inst < 0
 	w.meter.Unreachable++
-	w.settle(t, audit.Failed, true)
+	w.settle(t, invariants.Failed, true)
 	w.releaseTry(id)
 }
 
@@ -569,7 +569,7 @@
 	if !t.settled {
 		t.settled = true
 		w.meter.GivenUp++
-		w.settle(t, audit.Failed, false)
+		w.settle(t, invariants.Failed, false)
 	}
 	w.releaseTry(id)
 }
@@ -604,19 +604,19 @@
 }
 
 // settle has the client take how a try ended: it is content, tries again or gives up.
-func (w *World) settle(t *try, answer audit.Answer, unreached bool) {
+func (w *World) settle(t *try, answer invariants.Answer, unreached bool) {
 	askID := t.ask
 	a := w.asks.Get(askID)
 	if a == nil {
 		return
 	}
-	if answer == audit.Served {
+	if answer == invariants.Served {
 		w.finishAsk(askID, true)
 		return
 	}
-	w.meter.tally.Ended(a.first, answer == audit.Refused)
+	w.meter.tally.Ended(a.first, answer == invariants.Refused)
 	k := &w.day.Classes[a.class]
-	again := k.Effect == piernotch.Safe || answer == audit.Refused || unreached ||
+	again := k.Effect == piernotch.Safe || answer == invariants.Refused || unreached ||
 		k.Effect == piernotch.Keyed && k.Scope == piernotch.ScopeAll && w.now < a.first+k.Window
 	if !again || a.tries > a.most {
 		w.finishAsk(askID, false)
@@ -795,31 +795,31 @@
 	if cold {
 		w.audit.Reached(w.now, int(a.inst), int(a.server), m.Started(), a.work)
 	}
-	entry, lost := m.Arrive(w.now, fleet.Job{ID: aid, Work: a.work, Key: ask.path, Expires: t.deadline, Luck: w.dice(a.key, ofLuck).Float64()})
-	if m.Life() == fleet.Fallen && cold {
+	entry, lost := m.Arrive(w.now, servermodel.Job{ID: aid, Work: a.work, Key: ask.path, Expires: t.deadline, Luck: w.dice(a.key, ofLuck).Float64()})
+	if m.Life() == servermodel.Fallen && cold {
 		w.audit.Fell(w.now, int(a.server))
 		w.meter.Falls++
 		w.ended(a.server, lost)
 		w.dropConns(int(a.server))
 	}
 	switch entry {
-	case fleet.Accepted:
+	case servermodel.Accepted:
 		a.holds = true
 		w.meter.enter(w)
 		a.reach = w.now
 		w.audit.Began(a.try, int(a.n))
 		w.schedule(int(a.server))
-	case fleet.TurnedAway:
+	case servermodel.TurnedAway:
 		w.meter.TurnedAway++
 		a.load, a.hasLoad = m.Report(w.now, w.late)
 		w.outcomeAt(aid, a, piernotch.Full, w.now+a.delay)
-	case fleet.Refused:
+	case servermodel.Refused:
 		status := piernotch.ConnectFailed
 		if !a.fresh { // it was written to a connection that is no more
 			status = piernotch.Reset
 		}
 		w.outcomeAt(aid, a, status, w.now+a.delay)
-	case fleet.Unheard:
+	case servermodel.Unheard:
 		if a.fresh {
 			w.outcomeAt(aid, a, piernotch.ConnectFailed, max(a.sent+w.day.Rules.Dial, w.now))
 		}
@@ -840,14 +840,14 @@
 	if m.wake != at {
 		return
 	}
-	m.wake = fleet.Never
+	m.wake = servermodel.Never
 	w.ended(int32(s), m.Advance(w.now))
 	m.choked = m.choked || m.Choked()
 	w.schedule(s)
 }
 
 // ended sends the answers of what a server has ended.
-func (w *World) ended(s int32, dones []fleet.Done) {
+func (w *World) ended(s int32, dones []servermodel.Done) {
 	m := &w.servers[s]
 	for _, d := range dones {
 		a := w.attempts.Get(d.ID)
@@ -865,15 +865,15 @@
 		}
 		a.load, a.hasLoad = m.Report(w.now, w.late)
 		status := piernotch.OK
-		if d.Ending == fleet.Answered && w.dice(a.key, ofSpoil).Float64() < w.spoilt {
-			d.Ending = fleet.Erred
+		if d.Ending == servermodel.Answered && w.dice(a.key, ofSpoil).Float64() < w.spoilt {
+			d.Ending = servermodel.Erred
 		}
 		switch d.Ending {
-		case fleet.Erred:
+		case servermodel.Erred:
 			status = piernotch.Error
-		case fleet.Expired:
+		case servermodel.Expired:
 			status = piernotch.Full
-		case fleet.Reset:
+		case servermodel.Reset:
 			status, a.hasLoad = piernotch.Reset, false
 		}
 		w.outcomeAt(d.ID, a, status, w.now+a.delay)
@@ -939,7 +939,7 @@
 		t.out--
 		if status == piernotch.OK && !t.closed {
 			w.meter.ServedWork += a.spent
-			w.answer(a.try, t, audit.Served)
+			w.answer(a.try, t, invariants.Served)
 		}
 		if in.up && a.epoch == in.epoch {
 			e := Event{Kind: Verdict, Outcome: piernotch.Outcome{
@@ -1021,12 +1021,12 @@
 	m := &w.servers[p.server]
 	back := w.now + p.delay
 	switch m.Life() {
-	case fleet.Up:
+	case servermodel.Up:
 		m.Charge(w.now, m.spec.Kind.ProbeWork)
 		p.load, p.hasLoad = m.Report(w.now, w.late)
-	case fleet.Draining:
+	case servermodel.Draining:
 		p.status = piernotch.Full
-	case fleet.Silent:
+	case servermodel.Silent:
 		p.status, back = piernotch.Timeout, p.sent+w.day.Rules.Probe
 	default:
 		p.status = piernotch.ConnectFailed
@@ -1109,7 +1109,7 @@
 		}
 		if !t.closed {
 			w.audit.Excused(w.now, id)
-			t.closed, t.closedAt, t.answer, t.lost = true, w.now, audit.Failed, true
+			t.closed, t.closedAt, t.answer, t.lost = true, w.now, invariants.Failed, true
 			w.cal.plan(w.now+w.day.Client, atMessage, evReply, id, 0)
 		}
 		w.releaseTry(id)
--- a/internal/serve/manage/manage.go
+++ b/internal/serve/admin/manage.go
@@ -1,7 +1,7 @@
-// Package manage holds the operators' address: HTTP/1.1 with one call a connection, answered
+// Package admin holds the operators' address: HTTP/1.1 with one call a connection, answered
 // with 2xx for yes and with 4xx or 5xx and one plain sentence for no. Its connections are few
 // and apart from the clients', so that neither can take the other's.
-package manage
+package admin
 
 import (
 	"encoding/json"
@@ -11,8 +11,8 @@
 	"time"
 
 	"piernotch/internal/http1"
-	"piernotch/internal/serve/sock"
-	"piernotch/internal/serve/words"
+	"piernotch/internal/serve/eventloop"
+	"piernotch/internal/serve/overrides"
 )
 
 const (
@@ -29,15 +29,15 @@
 	maxName  = 256
 )
 
-var verbs = map[string]words.Verb{
-	"/api/exclude": words.Exclude, "/api/include": words.Include,
-	"/api/evacuate": words.Evacuate, "/api/rejoin": words.Rejoin,
+var verbs = map[string]overrides.Verb{
+	"/api/exclude": overrides.Exclude, "/api/include": overrides.Include,
+	"/api/evacuate": overrides.Evacuate, "/api/rejoin": overrides.Rejoin,
 }
 
 // Server answers operators. It must be used from the goroutine that owns the sockets.
 type Server struct {
 	// Do carries out a call; Said has to follow, at once or later.
-	Do func(call uint64, verb words.Verb, server string)
+	Do func(call uint64, verb overrides.Verb, server string)
 	// Ready tells whether this process can serve.
 	Ready func() bool
 	// Now is a clock that does not jump.
@@ -50,7 +50,7 @@
 
 type conn struct {
 	s      *Server
-	sock   *sock.Conn
+	sock   *eventloop.Conn
 	parser *http1.Parser
 	what   string // the call, for the log
 	since  time.Duration
@@ -60,7 +60,7 @@
 }
 
 // Accepted takes in a new connection.
-func (s *Server) Accepted(c *sock.Conn) sock.Handler {
+func (s *Server) Accepted(c *eventloop.Conn) eventloop.Handler {
 	if s.conns == nil {
 		s.conns, s.waiting = map[*conn]struct{}{}, map[uint64]*conn{}
 	}
@@ -105,9 +105,9 @@
 	switch {
 	case err == nil:
 		c.answer(http1.StatusOK, "yes")
-	case errors.Is(err, words.ErrUnknown):
+	case errors.Is(err, overrides.ErrUnknown):
 		c.answer(http1.StatusNotFound, err.Error())
-	case errors.Is(err, words.ErrTooMany):
+	case errors.Is(err, overrides.ErrTooMany):
 		c.answer(http1.StatusConflict, err.Error())
 	default:
 		c.answer(http1.StatusServiceUnavailable, err.Error())
@@ -157,7 +157,7 @@
 		return
 	}
 	server := ""
-	if verb == words.Exclude || verb == words.Include {
+	if verb == overrides.Exclude || verb == overrides.Include {
 		var err error
 		if server, err = name(m.Body); err != nil {
 			c.answer(http1.StatusBadRequest, err.Error())
--- a/internal/serve/core/core.go
+++ b/internal/serve/core/core.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"piernotch"
-	"piernotch/internal/serve/words"
+	"piernotch/internal/serve/overrides"
 	"piernotch/internal/wheel"
 )
 
@@ -87,11 +87,11 @@
 	// Operated is an operator's call, which is answered by Said.
 	Operated struct {
 		Call   uint64
-		Verb   words.Verb
+		Verb   overrides.Verb
 		Server string // the name of the feed server that it is about
 	}
 	// Heard is what another process of this balancer was told.
-	Heard struct{ Words *words.Words }
+	Heard struct{ Words *overrides.Words }
 	// Learnt is what another process of this balancer knows of the traffic.
 	Learnt struct{ Learnt piernotch.Learnt }
 	// Terminate asks the balancer to end once nothing is owed.
@@ -262,7 +262,7 @@
 	ids       map[string]struct{} // clients' ids of what is owed an answer
 	backends  map[piernotch.BackendID]*backend
 	names     map[string]*backend
-	words     words.Words
+	words     overrides.Words
 	by        uint64  // this process, in stamps
 	routes    []Route // how clients name the classes
 	listed    bool
--- a/internal/serve/core/core_test.go
+++ b/internal/serve/core/core_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"piernotch"
-	"piernotch/internal/serve/words"
+	"piernotch/internal/serve/overrides"
 )
 
 const start = 1000 * time.Second
@@ -126,13 +126,13 @@
 func TestNothingIsWrittenToAServerThatIsLeftOutMeanwhile(t *testing.T) {
 	c := newCore(t)
 	send := arrive(c, 1)[0].(Send)
-	effects := c.Handle(start, Operated{Call: 7, Verb: words.Exclude, Server: "s-1"})
+	effects := c.Handle(start, Operated{Call: 7, Verb: overrides.Exclude, Server: "s-1"})
 	require.Equal(t, []Effect{Forget{Place{send.To.Backend, "127.0.0.1:1"}}, Keep{}, Said{Call: 7}}, effects)
 	effects = c.Handle(start, Connected{send.Ref})
 	require.Equal(t, Drop{send.Ref}, effects[0])
 	require.Equal(t, Refused, effects[1].(Reply).Verdict)
-	require.Equal(t, []Effect{Said{8, words.ErrUnknown}}, c.Handle(start, Operated{Call: 8, Verb: words.Exclude, Server: "s-9"}))
-	require.Equal(t, []Effect{Drain{true}, Keep{}, Said{Call: 9}}, c.Handle(start, Operated{Call: 9, Verb: words.Evacuate}))
+	require.Equal(t, []Effect{Said{8, overrides.ErrUnknown}}, c.Handle(start, Operated{Call: 8, Verb: overrides.Exclude, Server: "s-9"}))
+	require.Equal(t, []Effect{Drain{true}, Keep{}, Said{Call: 9}}, c.Handle(start, Operated{Call: 9, Verb: overrides.Evacuate}))
 }
 
 // wide is a core with two servers that has served some requests, in 10 ms each, so that the module knows how
--- a/internal/serve/core/operate.go
+++ b/internal/serve/core/operate.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"piernotch"
-	"piernotch/internal/serve/words"
+	"piernotch/internal/serve/overrides"
 )
 
 // What operators change while requests are under way: feed servers left out, clients sent
@@ -23,7 +23,7 @@
 func (c *Core) Settings() piernotch.Settings { return c.set }
 
 // Words returns a copy of what operators said.
-func (c *Core) Words() words.Words { return c.words.Clone() }
+func (c *Core) Words() overrides.Words { return c.words.Clone() }
 
 // PruneWords forgets old words that no other process can hold any more.
 func (c *Core) PruneWords() { c.words.Prune(c.now - 2*c.set.Rules.Cold - time.Minute) }
@@ -45,7 +45,7 @@
 	changed, err := c.words.Say(c.now, c.by, ev.Verb, ev.Server, c.names[ev.Server] != nil)
 	if changed {
 		slog.Info("operator", "call", ev.Verb, "server", ev.Server)
-		if ev.Verb == words.Evacuate || ev.Verb == words.Rejoin {
+		if ev.Verb == overrides.Evacuate || ev.Verb == overrides.Rejoin {
 			c.do(Drain{c.words.Drain.On})
 		} else {
 			c.follow(ev.Server)
@@ -56,7 +56,7 @@
 }
 
 // heard takes what another process of this balancer was told.
-func (c *Core) heard(other *words.Words) {
+func (c *Core) heard(other *overrides.Words) {
 	servers, drain := c.words.Merge(other)
 	for _, name := range servers {
 		slog.Info("operator, told to the process beside this one", "server", name, "excluded", c.words.Excluded(name))
--- a/internal/serve/discovery/discovery.go
+++ b/internal/serve/discovery/discovery.go
@@ -17,7 +17,7 @@
 	"piernotch/internal/group"
 	"piernotch/internal/http1"
 	"piernotch/internal/serve/core"
-	"piernotch/internal/serve/sock"
+	"piernotch/internal/serve/eventloop"
 )
 
 const (
@@ -100,7 +100,7 @@
 // Watcher follows the list. Each call after an answer follows at once: a later
 // one would count as a new watch.
 type Watcher struct {
-	engine  *sock.Engine
+	engine  *eventloop.Engine
 	emit    func(core.Event)
 	now     func() time.Duration
 	address string
@@ -120,12 +120,12 @@
 
 type conn struct {
 	w      *Watcher
-	sock   *sock.Conn
+	sock   *eventloop.Conn
 	parser *http1.Parser
 }
 
 // New returns a watcher that knows the list up to version.
-func New(engine *sock.Engine, emit func(core.Event), now func() time.Duration, address string, zones []string, version uint64) *Watcher {
+func New(engine *eventloop.Engine, emit func(core.Event), now func() time.Duration, address string, zones []string, version uint64) *Watcher {
 	return &Watcher{engine: engine, emit: emit, now: now, address: address, zones: zones, version: version}
 }
 
@@ -215,11 +215,11 @@
 		return
 	}
 	c, epoch := &conn{w: w, parser: http1.NewResponseParser(maxList)}, w.epoch
-	w.engine.Dial(w.address, dialFor, func(s *sock.Conn) sock.Handler {
+	w.engine.Dial(w.address, dialFor, func(s *eventloop.Conn) eventloop.Handler {
 		c.sock = s
 		s.First()
 		return c
-	}, func(s *sock.Conn, err error) {
+	}, func(s *eventloop.Conn, err error) {
 		switch {
 		case w.epoch != epoch:
 			if err == nil {
--- a/internal/serve/front/front.go
+++ b/internal/serve/downstream/front.go
@@ -1,6 +1,6 @@
-// Package front holds the clients' connections: it reads their requests, says at
+// Package downstream holds the clients' connections: it reads their requests, says at
 // once what is wrong with a bad one, and writes the one answer to each.
-package front
+package downstream
 
 import (
 	"cmp"
@@ -16,7 +16,7 @@
 	"piernotch"
 	"piernotch/internal/http1"
 	"piernotch/internal/serve/core"
-	"piernotch/internal/serve/sock"
+	"piernotch/internal/serve/eventloop"
 	"piernotch/internal/serve/upstream"
 )
 
@@ -102,7 +102,7 @@
 
 type conn struct {
 	f      *Front
-	sock   *sock.Conn
+	sock   *eventloop.Conn
 	parser *http1.Parser
 	client core.Client   // the exchange that is owed an answer; 0: none
 	final  bool          // to be closed when the request in hand is answered
@@ -140,7 +140,7 @@
 }
 
 // Accepted takes in a new connection.
-func (f *Front) Accepted(s *sock.Conn) sock.Handler {
+func (f *Front) Accepted(s *eventloop.Conn) eventloop.Handler {
 	c := &conn{f: f, sock: s, parser: http1.NewRequestParser(), since: f.now()}
 	f.conns[c] = struct{}{}
 	return c
--- a/internal/serve/sock/sock.go
+++ b/internal/serve/eventloop/sock.go
@@ -1,6 +1,6 @@
-// Package sock holds the program's TCP sockets: it runs nbio's engine and hands
+// Package eventloop holds the program's TCP sockets: it runs nbio's engine and hands
 // whatever happens on a socket to one goroutine, which owns all state.
-package sock
+package eventloop
 
 import (
 	"cmp"
--- a/internal/serve/sock/sock_test.go
+++ b/internal/serve/eventloop/sock_test.go
@@ -1,4 +1,4 @@
-package sock
+package eventloop
 
 import (
 	"context"
--- a/internal/serve/handover/record.go
+++ b/internal/serve/handover/record.go
@@ -14,7 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"piernotch"
-	"piernotch/internal/serve/words"
+	"piernotch/internal/serve/overrides"
 )
 
 // Phase is how far a process is.
@@ -87,7 +87,7 @@
 	Discovery  string           `json:"discovery"`
 	Generation uint64           `json:"generation"`
 	Members    []Member         `json:"members"` // nil: no list is known
-	Words      words.Words      `json:"words"`
+	Words      overrides.Words  `json:"words"`
 	Learnt     piernotch.Learnt `json:"learnt"`
 }
 
--- a/internal/serve/words/words.go
+++ b/internal/serve/overrides/words.go
@@ -1,10 +1,10 @@
-// Package words holds what operators have told a balancer: which feed servers are left out,
+// Package overrides holds what operators have told a balancer: which feed servers are left out,
 // and whether it sends its clients away. Two processes of one balancer stand side by side while
 // one takes over from the other, and each may be told something: what they hold merges entry by
 // entry, the later word wins, and the order in which records are read makes no difference.
 //
 // The package does no I/O and reads no clock.
-package words
+package overrides
 
 import (
 	"errors"
--- a/internal/serve/words/words_test.go
+++ b/internal/serve/overrides/words_test.go
@@ -1,4 +1,4 @@
-package words
+package overrides
 
 import (
 	"testing"
--- a/internal/serve/node/beside.go
+++ b/internal/serve/runtime/beside.go
@@ -1,4 +1,4 @@
-package node
+package runtime
 
 import (
 	"log/slog"
@@ -7,11 +7,11 @@
 	"time"
 
 	"piernotch"
+	"piernotch/internal/serve/admin"
 	"piernotch/internal/serve/core"
 	"piernotch/internal/serve/discovery"
+	"piernotch/internal/serve/eventloop"
 	"piernotch/internal/serve/handover"
-	"piernotch/internal/serve/manage"
-	"piernotch/internal/serve/sock"
 )
 
 const (
@@ -186,14 +186,14 @@
 	b := &n.beside
 	sockets, memory := n.cfg.Sockets, int64(n.cfg.MemoryMB)<<20*6/10 // stacks, the runtime and the kernel's share come on top
 	if n.cfg.Management != "" {
-		sockets -= manage.Descriptors
+		sockets -= admin.Descriptors
 	}
 	switch {
 	case b.alone:
 	case len(b.others) == 0: // nothing is known of whoever is there
 		sockets, memory = sockets/2, memory/2
 	default:
-		sockets, memory = b.self.Share(b.others, sockets, n.engine.Open()+sock.Reserve), memory/2
+		sockets, memory = b.self.Share(b.others, sockets, n.engine.Open()+eventloop.Reserve), memory/2
 	}
 	if sockets != n.sockets {
 		n.sockets = sockets
@@ -210,4 +210,4 @@
 }
 
 // leastSockets leaves room to serve, whatever the others hold.
-const leastSockets = sock.Reserve + 16
+const leastSockets = eventloop.Reserve + 16
--- a/internal/serve/node/daily_test.go
+++ b/internal/serve/runtime/daily_test.go
@@ -1,4 +1,4 @@
-package node
+package runtime
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 
 	"piernotch"
 	"piernotch/internal/serve/config"
-	"piernotch/internal/serve/sock"
+	"piernotch/internal/serve/eventloop"
 )
 
 // echo is a feed server that answers with its own name.
@@ -309,7 +309,7 @@
 	})
 	<-stopped
 	c.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\n\r\n")
-	time.Sleep(sock.LongStall) // and the request is in the mailbox
+	time.Sleep(eventloop.LongStall) // and the request is in the mailbox
 	tell <- list(2, false, "terminating", server)
 	time.Sleep(100 * time.Millisecond)
 	close(goOn)
--- a/internal/serve/node/node.go
+++ b/internal/serve/runtime/node.go
@@ -1,6 +1,6 @@
-// Package node holds one running balancer: it joins the reducer to the sockets,
+// Package runtime holds one running balancer: it joins the reducer to the sockets,
 // carrying events one way and effects the other.
-package node
+package runtime
 
 import (
 	"context"
@@ -10,15 +10,15 @@
 
 	"piernotch"
 	"piernotch/internal/group"
+	"piernotch/internal/serve/admin"
 	"piernotch/internal/serve/config"
 	"piernotch/internal/serve/core"
 	"piernotch/internal/serve/discovery"
-	"piernotch/internal/serve/front"
+	"piernotch/internal/serve/downstream"
+	"piernotch/internal/serve/eventloop"
 	"piernotch/internal/serve/handover"
-	"piernotch/internal/serve/manage"
-	"piernotch/internal/serve/sock"
+	"piernotch/internal/serve/overrides"
 	"piernotch/internal/serve/upstream"
-	"piernotch/internal/serve/words"
 )
 
 // summaryEvery is the time between two lines of totals in the log.
@@ -35,14 +35,14 @@
 
 	cfg       config.Config
 	next      config.Config // what was read again, until it is taken
-	engine    *sock.Engine
+	engine    *eventloop.Engine
 	core      *core.Core
-	front     *front.Front
+	front     *downstream.Front
 	upstream  *upstream.Upstream
 	watcher   *discovery.Watcher
-	listener  *sock.Listener
-	manage    manage.Server
-	operators *sock.Listener // nil: no management address
+	listener  *eventloop.Listener
+	manage    admin.Server
+	operators *eventloop.Listener // nil: no management address
 	beside    beside
 	stopped   bool          // no clients are accepted any more
 	sockets   int           // what this process may hold now
@@ -68,14 +68,14 @@
 	if n.core, err = core.New(cfg.Settings, cfg.Seed, n.now(), cfg.Discovery, uint64(n.base)); err != nil {
 		return nil, err
 	}
-	if n.engine, err = sock.New(cfg.Sockets); err != nil {
+	if n.engine, err = eventloop.New(cfg.Sockets); err != nil {
 		return nil, err
 	}
 	if n.recorder, err = newRecorder(&cfg, n.now()); err != nil {
 		return nil, err
 	}
 	n.upstream = upstream.New(n.engine, n.emit, n.now, cfg.KeepAlive, cfg.DialTimeout)
-	n.front = front.New(n.emit, n.now, n.healthy, cfg.Sockets)
+	n.front = downstream.New(n.emit, n.now, n.healthy, cfg.Sockets)
 	n.route(n.core.Routes())
 	n.listener = n.engine.Clients(n.front.Accepted)
 	n.engine.Stalled = func(gap time.Duration) {
@@ -84,9 +84,9 @@
 		}
 		n.front.Stalled(gap)
 	}
-	n.manage = manage.Server{
+	n.manage = admin.Server{
 		Now: n.now, Ready: func() bool { return n.core.Listed() && !n.core.Ending() },
-		Do: func(call uint64, verb words.Verb, server string) {
+		Do: func(call uint64, verb overrides.Verb, server string) {
 			n.emit(core.Operated{Call: call, Verb: verb, Server: server})
 		},
 	}
@@ -150,7 +150,7 @@
 
 func (n *Node) listen() error {
 	if n.cfg.Management != "" {
-		n.operators = n.engine.Apart(manage.Connections, n.manage.Accepted, n.manage.Shed)
+		n.operators = n.engine.Apart(admin.Connections, n.manage.Accepted, n.manage.Shed)
 		if err := n.operators.Listen(n.cfg.Management); err != nil {
 			return fmt.Errorf("management: %w", err)
 		}
--- a/internal/serve/node/recorder.go
+++ b/internal/serve/runtime/recorder.go
@@ -1,4 +1,4 @@
-package node
+package runtime
 
 import (
 	"log/slog"
--- a/internal/serve/upstream/upstream.go
+++ b/internal/serve/upstream/upstream.go
@@ -14,7 +14,7 @@
 	"piernotch"
 	"piernotch/internal/http1"
 	"piernotch/internal/serve/core"
-	"piernotch/internal/serve/sock"
+	"piernotch/internal/serve/eventloop"
 )
 
 const (
@@ -100,7 +100,7 @@
 // conn is one connection to a feed server.
 type conn struct {
 	pool   *pool
-	sock   *sock.Conn
+	sock   *eventloop.Conn
 	parser *http1.Parser
 	errand *errand
 	since  time.Duration // idle, or heard from, since
@@ -121,7 +121,7 @@
 
 // Upstream holds all pools.
 type Upstream struct {
-	engine  *sock.Engine
+	engine  *eventloop.Engine
 	emit    func(core.Event)
 	now     func() time.Duration
 	keep    time.Duration
@@ -135,7 +135,7 @@
 
 // New returns empty pools. Idle connections are closed well before keepAlive,
 // when the feed server closes them: a request that crosses such a close is lost.
-func New(engine *sock.Engine, emit func(core.Event), now func() time.Duration, keepAlive, dialFor time.Duration) *Upstream {
+func New(engine *eventloop.Engine, emit func(core.Event), now func() time.Duration, keepAlive, dialFor time.Duration) *Upstream {
 	u := &Upstream{
 		engine: engine, emit: emit, now: now,
 		pools: map[core.Place]*pool{}, errands: map[core.Ref]*errand{}, probes: map[*errand]struct{}{},
@@ -196,10 +196,10 @@
 		p.dials++
 		p.u.Opened++
 		c := &conn{pool: p, parser: http1.NewResponseParser(http1.MaxBody)}
-		p.u.engine.Dial(p.to.Address, p.u.dialFor, func(s *sock.Conn) sock.Handler {
+		p.u.engine.Dial(p.to.Address, p.u.dialFor, func(s *eventloop.Conn) eventloop.Handler {
 			c.sock = s
 			return c
-		}, func(_ *sock.Conn, err error) {
+		}, func(_ *eventloop.Conn, err error) {
 			p.dials--
 			if err != nil {
 				p.failed(err)
--- a/internal/serve/upstream/upstream_test.go
+++ b/internal/serve/upstream/upstream_test.go
@@ -11,7 +11,7 @@
 
 	"piernotch"
 	"piernotch/internal/serve/core"
-	"piernotch/internal/serve/sock"
+	"piernotch/internal/serve/eventloop"
 )
 
 // More attempts wait for connections than may come up at once, and those that have one lose it: what still
@@ -42,7 +42,7 @@
 					}()
 				}
 			}()
-			e, err := sock.New(256)
+			e, err := eventloop.New(256)
 			require.NoError(t, err)
 			const attempts = maxDials + 4
 			began, connected, all := time.Now(), 0, make(chan struct{})
