--- a/balancer.go
+++ b/balancer.go
@@ -70,7 +70,7 @@
 func (b *Balancer) makeBands() {
 	b.bands = nil
 	for _, c := range b.set.Classes {
-		b.bands = append(b.bands, band{worth: c.Worth}, band{worth: c.Worth * b.set.OverShareWorth})
+		b.bands = append(b.bands, band{worth: c.PriorityWeight}, band{worth: c.PriorityWeight * b.set.OverQuotaWeight})
 	}
 	b.value()
 }
@@ -79,7 +79,7 @@
 func (b *Balancer) value() {
 	for i := range b.bands {
 		b.bands[i].value = b.bands[i].worth
-		if work := b.unhinted(i / 2); b.set.WorthByRequest && work > 0 {
+		if work := b.unhinted(i / 2); b.set.WeightPerRequest && work > 0 {
 			b.bands[i].value /= work
 		}
 	}
@@ -96,8 +96,8 @@
 	b.host.SetTimer(b.sweep, sweepToken)
 }
 
-// Request takes a client's request, which is owed one final answer from here on.
-func (b *Balancer) Request(now time.Duration, in Request) {
+// HandleRequest takes a client's request, which is owed one final answer from here on.
+func (b *Balancer) HandleRequest(now time.Duration, in Request) {
 	b.begin(now)
 	if in.Class < 0 || in.Class >= len(b.set.Classes) || b.byID[in.ID] != nil {
 		return
@@ -116,7 +116,7 @@
 
 // hold lets a request wait for the next sweep, unless that would come too late.
 func (b *Balancer) hold(now time.Duration, r *request) {
-	needs := min(time.Duration(r.work*b.pace*float64(time.Millisecond)), r.class.Aim/2)
+	needs := min(time.Duration(r.work*b.pace*float64(time.Millisecond)), r.class.LatencyObjective/2)
 	if now+2*b.sweep >= min(b.lastMoment(r)-needs, r.patience) || b.crowdedOut(now, r) {
 		b.finish(r)
 	}
@@ -131,12 +131,12 @@
 	}
 	c := &b.set.Classes[in.Class]
 	*r = request{Request: in, class: c, at: len(b.open), tries: r.tries[:0]}
-	r.aim = min(now+c.Aim, r.Deadline)
+	r.aim = min(now+c.LatencyObjective, r.Deadline)
 	r.patience = now + (r.Deadline-now)/2
-	r.lane, r.work = 0, in.Hint
+	r.lane, r.work = 0, in.CostHint
 	if !r.hinted() {
 		r.work = b.unhinted(in.Class)
-	} else if b.hints > 0 && in.Hint > b.median {
+	} else if b.hints > 0 && in.CostHint > b.median {
 		r.lane = 1
 	}
 	r.band = 2 * in.Class
@@ -153,7 +153,7 @@
 	if tenant < 0 || tenant >= len(b.quota) || b.set.Tenants[tenant].QuotaPerSec == 0 {
 		return false
 	}
-	return !b.quota[tenant].take(now, b.set.Tenants[tenant].QuotaPerSec/float64(b.set.Proxies))
+	return !b.quota[tenant].take(now, b.set.Tenants[tenant].QuotaPerSec/float64(b.set.BalancerCount))
 }
 
 // dispatch sends r to a backend, or leaves it waiting for room.
@@ -201,7 +201,7 @@
 			least = min(least, share)
 		}
 	}
-	return own > spurned && own > 3*least && now < to.sent[r.Class]+4*r.class.Aim
+	return own > spurned && own > 3*least && now < to.sent[r.Class]+4*r.class.LatencyObjective
 }
 
 // fits tells whether the backend is likely to answer in time. A heavy request on
@@ -254,14 +254,14 @@
 // foreign tells whether a backend elsewhere is left to the spill of other proxies:
 // the bounds of all of them together must not crowd it.
 func (b *Balancer) foreign(to *backend) bool {
-	return to.away == 1 && len(b.groups[0].members) > 0 && to.rank*float64(b.set.Proxies-1) > b.spillers
+	return to.away == 1 && len(b.groups[0].members) > 0 && to.rank*float64(b.set.BalancerCount-1) > b.spillers
 }
 
 // keyTurn is the turn of a request whose key makes it cheap where it was lately
 // met: each key has a backend of the lane that all proxies find alike, from the
 // ids alone, and takes its turn there unless that one is slow or holds its bound.
 func (b *Balancer) keyTurn(now time.Duration, r *request, g *group, lane int, depth float64) *backend {
-	if !b.set.WarmKeys || r.Key == 0 {
+	if !b.set.KeyAffinity || r.Key == 0 {
 		return nil
 	}
 	var best *backend
@@ -307,7 +307,7 @@
 		return false
 	}
 	// Draining and gone backends get nothing from the moment this proxy knows.
-	if !to.usable() || r.out > 0 && (!b.set.Limits.SecondCopies || r.class.Effect == Unsafe) {
+	if !to.usable() || r.out > 0 && (!b.set.Limits.HedgedRequests || r.class.RetrySafety == NonIdempotent) {
 		return false
 	}
 	if first := r.firstRun(); first != nil && !r.repeatable(now, first, to) {
@@ -340,15 +340,17 @@
 }
 
 // many tells whether there are too many proxies for the bounds on their own to do.
-func (b *Balancer) many() bool { return float64(b.set.Proxies) > ownBounds*float64(len(b.set.Zones)) }
+func (b *Balancer) many() bool {
+	return float64(b.set.BalancerCount) > ownBounds*float64(len(b.set.Zones))
+}
 
 // sparse tells whether there are zones without a proxy: a cold backend there would not get
 // anything from anyone until it counts as warm.
-func (b *Balancer) sparse() bool { return b.set.Proxies < len(b.set.Zones) }
+func (b *Balancer) sparse() bool { return b.set.BalancerCount < len(b.set.Zones) }
 
 // triable tells whether an ejected backend may have its trial: paused and, if allowed, probed.
 func (b *Balancer) triable(now time.Duration, to *backend) bool {
-	return now >= to.retryAt && (to.probed || !b.set.Limits.Probes)
+	return now >= to.retryAt && (to.probed || !b.set.Limits.HealthChecks)
 }
 
 // firstRun is the first attempt that may have run, or nil.
@@ -361,9 +363,9 @@
 	return nil
 }
 
-// Stands tells whether an attempt may still be written now that it has a connection: meanwhile
+// AttemptAllowed tells whether an attempt may still be written now that it has a connection: meanwhile
 // its request may have been answered, its backend told to leave, its window for repeats have closed.
-func (b *Balancer) Stands(now time.Duration, id RequestID, try int) bool {
+func (b *Balancer) AttemptAllowed(now time.Duration, id RequestID, try int) bool {
 	r := b.byID[id]
 	if r == nil || r.final || try < 0 || try >= len(r.tries) || now >= r.Deadline {
 		return false
@@ -381,13 +383,13 @@
 func (r *request) repeatable(now time.Duration, first *attempt, to *backend) bool {
 	way := time.Duration(to.path.quickest / 2 * float64(time.Millisecond))
 	switch {
-	case r.class.Effect == Safe:
+	case r.class.RetrySafety == Idempotent:
 		return true
-	case r.class.Effect == Unsafe, now+way > first.sent+r.class.Window:
+	case r.class.RetrySafety == NonIdempotent, now+way > first.sent+r.class.DedupWindow:
 		return false
-	case r.class.Scope == ScopeZone:
+	case r.class.DedupScope == DedupInZone:
 		return to.Zone == first.to.Zone
-	case r.class.Scope == ScopeCell:
+	case r.class.DedupScope == DedupInCell:
 		return to.Cell == first.to.Cell
 	}
 	return true
@@ -411,12 +413,12 @@
 	to.trial = to.trial || to.ejected > 0
 	r.tries = append(r.tries, attempt{to: to, sent: now, warm: warm})
 	r.out++
-	b.host.Send(r.ID, to.ID, b.lastMoment(r)-now)
+	b.host.StartAttempt(r.ID, to.ID, b.lastMoment(r)-now)
 }
 
 // lastMoment is when an answer stops being worth the backend's work.
 func (b *Balancer) lastMoment(r *request) time.Duration {
-	if r.class.LateWorth > 0 && b.shed == 0 {
+	if r.class.LateWeightShare > 0 && b.shed == 0 {
 		return r.Deadline
 	}
 	return r.aim
@@ -428,13 +430,13 @@
 // are too low as often as not: hence the mean. Many proxies together send it no more than
 // it can do; what pushes it over beyond that is room for uneven zones, weights and hints.
 func (b *Balancer) coldGap(now time.Duration, to *backend) time.Duration {
-	mates, growth, longest := b.mates(to), coldGrowth, b.set.Rules.Cold
+	mates, growth, longest := b.mates(to), coldGrowth, b.set.Rules.SlowStartDuration
 	perSec := b.usual * b.meanWork / mates
 	switch {
 	case b.window == 0:
 		perSec = coldSpeed * max(b.warmRate(now), perSec)
 		if to.away == 1 && len(b.groups[0].members) > 0 {
-			perSec /= float64(b.set.Proxies) // all of them may send there
+			perSec /= float64(b.set.BalancerCount) // all of them may send there
 		}
 	case perSec == 0: // nothing was ever said
 		perSec = b.warmRate(now)
@@ -464,8 +466,8 @@
 	return b.coldGap(now, to)
 }
 
-// Outcome takes the end of an attempt.
-func (b *Balancer) Outcome(now time.Duration, o Outcome) {
+// HandleOutcome takes the end of an attempt.
+func (b *Balancer) HandleOutcome(now time.Duration, o Outcome) {
 	b.begin(now)
 	r := b.byID[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.tries) || r.tries[o.Attempt].ended {
@@ -531,7 +533,7 @@
 	if o.Status == OK || o.Status == Full || o.Status == Error {
 		to.answered = now
 	}
-	late := o.Status == Timeout || o.Status == Cancelled && o.Latency > r.class.Aim/2
+	late := o.Status == Timeout || o.Status == Cancelled && o.Latency > r.class.LatencyObjective/2
 	if late && to.answered >= t.sent || o.Status == OK || o.Status == Error {
 		to.failing[r.Class] += backendWeight * (share(o.Status != OK) - to.failing[r.Class])
 	}
@@ -563,7 +565,7 @@
 // They are taken beyond the request's own work, so that lanes compare.
 func (b *Balancer) measure(now time.Duration, r *request, to *backend, took time.Duration) {
 	ms := took.Seconds() * 1000
-	aim := r.class.Aim.Seconds() * 1000
+	aim := r.class.LatencyObjective.Seconds() * 1000
 	wait := min(max(ms-r.work, 0), aim)
 	typical := max(ms-r.work, -b.meanWork/2) + b.meanWork
 	g := &b.groups[to.away]
@@ -586,7 +588,7 @@
 	pace := b.controlPace(now)
 	b.balanceLanes(pace, r.lane, share(wait > aim/2))
 	if r.work < aim/4 { // a heavy request is late on an idle server, too
-		b.control(pace, to.away, share(took > r.class.Aim/2))
+		b.control(pace, to.away, share(took > r.class.LatencyObjective/2))
 	}
 }
 
@@ -633,7 +635,7 @@
 	to.ejected = 0
 	if to.coldSince < 0 && down >= 2 {
 		b.chill(now, to, now)
-		to.doubt = now + b.set.Rules.Cold/4
+		to.doubt = now + b.set.Rules.SlowStartDuration/4
 	}
 	b.dirty = true
 }
@@ -666,8 +668,8 @@
 // finish gives the final answer: refused where that is true, else failed.
 func (b *Balancer) finish(r *request) {
 	switch {
-	case r.firstRun() == nil, r.class.Effect == Safe, r.class.Effect == Keyed && r.class.Scope == ScopeAll:
-		b.host.Refuse(r.ID, b.advice())
+	case r.firstRun() == nil, r.class.RetrySafety == Idempotent, r.class.RetrySafety == IdempotencyKey && r.class.DedupScope == DedupEverywhere:
+		b.host.Reject(r.ID, b.advice())
 	default:
 		b.host.Fail(r.ID)
 	}
@@ -685,10 +687,10 @@
 // end closes a request that is owed nothing more and cancels what is still out.
 func (b *Balancer) end(r *request) {
 	r.final = true
-	if b.set.Limits.Cancel && !r.stream {
+	if b.set.Limits.CancelAttempts && !r.stream {
 		for i := range r.tries {
 			if !r.tries[i].ended {
-				b.host.Cancel(r.ID, i)
+				b.host.CancelAttempt(r.ID, i)
 			}
 		}
 	}
@@ -703,8 +705,8 @@
 	}
 }
 
-// Streaming notes that an answer has started: the attempt is the client's now.
-func (b *Balancer) Streaming(now time.Duration, id RequestID, try int) {
+// ResponseStarted notes that an answer has started: the attempt is the client's now.
+func (b *Balancer) ResponseStarted(now time.Duration, id RequestID, try int) {
 	b.begin(now)
 	if r := b.byID[id]; r != nil && try >= 0 && try < len(r.tries) && !r.tries[try].ended {
 		r.stream = true
@@ -712,8 +714,8 @@
 	}
 }
 
-// Probed takes the result of a probe of an ejected backend.
-func (b *Balancer) Probed(now time.Duration, id BackendID, status Status) {
+// HealthCheckCompleted takes the result of a probe of an ejected backend.
+func (b *Balancer) HealthCheckCompleted(now time.Duration, id BackendID, status Status) {
 	b.begin(now)
 	to := b.backends[id]
 	if to == nil || !to.probing {
@@ -810,15 +812,15 @@
 // survey finds who has warmed up and whose time for a trial has come, and weighs all.
 func (b *Balancer) survey(now time.Duration) {
 	for _, to := range b.sorted {
-		if to.coldSince >= 0 && (now >= to.coldSince+b.set.Rules.Cold || (to.doubt > 0 && now >= to.doubt)) {
+		if to.coldSince >= 0 && (now >= to.coldSince+b.set.Rules.SlowStartDuration || (to.doubt > 0 && now >= to.doubt)) {
 			to.coldSince, to.doubt = -1, 0
 		}
 		if to.ejected == 0 || now < to.retryAt || !to.usable() {
 			continue
 		}
-		if b.set.Limits.Probes && !to.probed && !to.probing {
+		if b.set.Limits.HealthChecks && !to.probed && !to.probing {
 			to.probing = true
-			b.host.Probe(to.ID)
+			b.host.HealthCheck(to.ID)
 		}
 	}
 	b.regroup(now)
@@ -879,13 +881,13 @@
 	}
 }
 
-// List takes word of the backends.
-func (b *Balancer) List(now time.Duration, kind ListKind, entries []Entry) {
+// UpdateEndpoints takes word of the backends.
+func (b *Balancer) UpdateEndpoints(now time.Duration, kind UpdateKind, entries []Endpoint) {
 	b.begin(now)
-	if kind == ListFailed {
+	if kind == UpdateFailed {
 		b.watching = false
 		b.watchAt = now + b.watchGap/2 + jitter(b.rng, b.watchGap)
-		b.watchGap = min(2*b.watchGap, max(b.set.Rules.AskWithin, b.watchGap))
+		b.watchGap = min(2*b.watchGap, max(b.set.Rules.PollInterval, b.watchGap))
 		return
 	}
 	named := make(map[BackendID]bool, len(entries))
@@ -893,15 +895,15 @@
 		named[e.ID] = true
 		b.apply(now, e)
 	}
-	if kind != ListDelta {
+	if kind != UpdateDelta {
 		for _, to := range b.sorted {
 			if !named[to.ID] {
 				to.State = Gone
 			}
 		}
 	}
-	if kind != ListCached {
-		b.watchGap = b.set.Rules.AskWithin / 8
+	if kind != UpdateCached {
+		b.watchGap = b.set.Rules.PollInterval / 8
 	}
 	b.sorted = slices.DeleteFunc(b.sorted, func(to *backend) bool {
 		if to.State != Gone {
@@ -915,7 +917,7 @@
 	b.regroup(now)
 }
 
-func (b *Balancer) apply(now time.Duration, e Entry) {
+func (b *Balancer) apply(now time.Duration, e Endpoint) {
 	if !(e.Size > 0) || math.IsInf(e.Size, 0) {
 		e.Size = 1
 	}
@@ -924,7 +926,7 @@
 		if e.State == Gone {
 			return
 		}
-		to = &backend{Entry: e, salt: mix(uint64(e.ID)), coldSince: -1, rank: b.rng.Float64()}
+		to = &backend{Endpoint: e, salt: mix(uint64(e.ID)), coldSince: -1, rank: b.rng.Float64()}
 		to.excluded = b.excluded[e.ID]
 		to.failing, to.sent = make([]float64, len(b.set.Classes)), make([]time.Duration, len(b.set.Classes))
 		if e.Zone != b.set.Zone {
@@ -939,8 +941,8 @@
 		b.birth(now, to)
 		return
 	}
-	reborn := e.Born != to.Born
-	to.Entry = e
+	reborn := e.StartedAt != to.StartedAt
+	to.Endpoint = e
 	if reborn {
 		to.ejected, to.strikes, to.trial, to.probed = 0, 0, false, false
 		b.birth(now, to)
@@ -949,23 +951,23 @@
 
 // birth starts the slow start of a backend that the list says is young.
 func (b *Balancer) birth(now time.Duration, to *backend) {
-	if to.Born > 0 && now < to.Born+b.set.Rules.Cold {
-		b.chill(now, to, to.Born)
+	if to.StartedAt > 0 && now < to.StartedAt+b.set.Rules.SlowStartDuration {
+		b.chill(now, to, to.StartedAt)
 	}
 }
 
 // followList keeps the subscription where the list comes only on request.
 func (b *Balancer) followList(now time.Duration) {
-	if !b.set.AskDiscovery || b.watching || now < b.watchAt {
+	if !b.set.PollDiscovery || b.watching || now < b.watchAt {
 		return
 	}
 	b.watching = true
-	b.host.Watch()
+	b.host.WatchEndpoints()
 }
 
-// Reported takes a backend's load report.
-func (b *Balancer) Reported(now time.Duration, id BackendID, load Load) {
-	if to := b.backends[id]; to != nil && load.Inflight >= 0 && load.PerSec >= 0 {
+// LoadReported takes a backend's load report.
+func (b *Balancer) LoadReported(now time.Duration, id BackendID, load LoadReport) {
+	if to := b.backends[id]; to != nil && load.Inflight >= 0 && load.CompletedPerSecond >= 0 {
 		to.crowd.hear(now, load, to.inflight)
 	}
 }
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -33,14 +33,14 @@
 	token uint32
 }
 
-func (h *recorder) Send(id RequestID, to BackendID, timeout time.Duration) {
+func (h *recorder) StartAttempt(id RequestID, to BackendID, timeout time.Duration) {
 	h.sent = append(h.sent, sent{id, to, timeout})
 }
-func (h *recorder) Cancel(_ RequestID, attempt int)      { h.canceled = append(h.canceled, attempt) }
-func (h *recorder) Refuse(id RequestID, _ time.Duration) { h.refused = append(h.refused, id) }
-func (h *recorder) Fail(id RequestID)                    { h.failed = append(h.failed, id) }
-func (h *recorder) Probe(b BackendID)                    { h.probed = append(h.probed, b) }
-func (h *recorder) Watch()                               { h.watches++ }
+func (h *recorder) CancelAttempt(_ RequestID, attempt int) { h.canceled = append(h.canceled, attempt) }
+func (h *recorder) Reject(id RequestID, _ time.Duration)   { h.refused = append(h.refused, id) }
+func (h *recorder) Fail(id RequestID)                      { h.failed = append(h.failed, id) }
+func (h *recorder) HealthCheck(b BackendID)                { h.probed = append(h.probed, b) }
+func (h *recorder) WatchEndpoints()                        { h.watches++ }
 func (h *recorder) SetTimer(d time.Duration, token uint32) {
 	h.timers = append(h.timers, timer{d, token})
 }
@@ -55,52 +55,52 @@
 )
 
 func settings() Settings {
-	class := func(e Effect, s Scope) Class {
-		return Class{Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1, Effect: e, Scope: s, Window: time.Second}
+	class := func(e RetrySafety, s DedupScope) Class {
+		return Class{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, RetrySafety: e, DedupScope: s, DedupWindow: time.Second}
 	}
 	return Settings{
-		Proxies: 2, Zones: []string{"a", "b"}, Tick: 5 * ms,
-		Classes: []Class{class(Safe, 0), class(Keyed, ScopeAll), class(Keyed, ScopeZone),
-			class(Keyed, ScopeCell), class(Unsafe, 0)},
-		Limits: Limits{MaxAttempts: 3, SecondCopies: true, Cancel: true},
-		Rules:  Rules{AskWithin: 10 * time.Second, ColdFrom: 0.2, Cold: 20 * time.Second},
+		BalancerCount: 2, Zones: []string{"a", "b"}, Tick: 5 * ms,
+		Classes: []Class{class(Idempotent, 0), class(IdempotencyKey, DedupEverywhere), class(IdempotencyKey, DedupInZone),
+			class(IdempotencyKey, DedupInCell), class(NonIdempotent, 0)},
+		Limits: Limits{MaxAttempts: 3, HedgedRequests: true, CancelAttempts: true},
+		Rules:  Rules{PollInterval: 10 * time.Second, SlowStartCapacity: 0.2, SlowStartDuration: 20 * time.Second},
 	}
 }
 
 // fleet is n ready, warm backends in each of the zones; ids count from 1.
-func fleet(n, zones int) []Entry {
-	var all []Entry
+func fleet(n, zones int) []Endpoint {
+	var all []Endpoint
 	for z := range zones {
 		for i := range n {
-			all = append(all, Entry{ID: BackendID(z*n + i + 1), Zone: z, Cell: i % 2, Size: 1})
+			all = append(all, Endpoint{ID: BackendID(z*n + i + 1), Zone: z, Cell: i % 2, Size: 1})
 		}
 	}
 	return all
 }
 
-func start(t *testing.T, s Settings, list []Entry) (*Balancer, *recorder) {
+func start(t *testing.T, s Settings, list []Endpoint) (*Balancer, *recorder) {
 	t.Helper()
 	h := &recorder{}
 	b, err := New(s, 1, h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.List(time.Second, ListFull, list)
+	b.UpdateEndpoints(time.Second, UpdateFull, list)
 	return b, h
 }
 
 func ask(id RequestID, class int, hint float64) Request {
-	return Request{ID: id, Class: class, Deadline: 3 * time.Second, Hint: hint}
+	return Request{ID: id, Class: class, Deadline: 3 * time.Second, CostHint: hint}
 }
 
 func end(b *Balancer, now time.Duration, id RequestID, try int, to BackendID, s Status) {
-	b.Outcome(now, Outcome{ID: id, Attempt: try, Backend: to, Status: s, Latency: 20 * ms, Closed: s == OK})
+	b.HandleOutcome(now, Outcome{ID: id, Attempt: try, Backend: to, Status: s, Latency: 20 * ms, Closed: s == OK})
 }
 
 func TestStaysInZoneUntilItIsEmpty(t *testing.T) {
 	b, h := start(t, settings(), fleet(3, 2))
 	for i := range 20 {
-		b.Request(time.Second, ask(RequestID(i), safeClass, 10))
+		b.HandleRequest(time.Second, ask(RequestID(i), safeClass, 10))
 		if to := h.last().to; to > 3 {
 			t.Fatalf("request %d left its zone for backend %d", i, to)
 		}
@@ -108,8 +108,8 @@
 	}
 	list := fleet(3, 2)
 	list[0].State, list[1].State, list[2].State = Draining, Gone, Draining
-	b.List(time.Second, ListDelta, list[:3])
-	b.Request(time.Second, ask(100, safeClass, 10))
+	b.UpdateEndpoints(time.Second, UpdateDelta, list[:3])
+	b.HandleRequest(time.Second, ask(100, safeClass, 10))
 	if to := h.last().to; to < 4 {
 		t.Fatalf("sent to %d, which is not ready", to)
 	}
@@ -123,7 +123,7 @@
 		if i%2 == 1 {
 			hint, seen = 11, heavy
 		}
-		b.Request(time.Second, ask(RequestID(i), safeClass, hint))
+		b.HandleRequest(time.Second, ask(RequestID(i), safeClass, hint))
 		if i >= 100 {
 			seen[h.last().to]++
 		}
@@ -142,14 +142,14 @@
 func TestNoHintRidesTheSmallLaneAndALoneBackendServesBoth(t *testing.T) {
 	b, h := start(t, settings(), fleet(8, 1))
 	for i, hint := range []float64{math.NaN(), math.Inf(1), 0, -3} {
-		b.Request(time.Second, ask(RequestID(i), safeClass, hint))
+		b.HandleRequest(time.Second, ask(RequestID(i), safeClass, hint))
 		if to := h.last().to; to < 4 {
 			t.Errorf("hint %v went to %d", hint, to)
 		}
 	}
 	b, h = start(t, settings(), fleet(1, 1))
-	b.Request(time.Second, ask(1, safeClass, 5))
-	b.Request(time.Second, ask(2, safeClass, 50))
+	b.HandleRequest(time.Second, ask(1, safeClass, 5))
+	b.HandleRequest(time.Second, ask(2, safeClass, 50))
 	if len(h.sent) != 2 {
 		t.Errorf("a lone backend got %d of 2", len(h.sent))
 	}
@@ -179,7 +179,7 @@
 		}
 		b, h := start(t, settings(), list)
 		b.budget = 10
-		b.Request(time.Second, ask(1, c.class, 10))
+		b.HandleRequest(time.Second, ask(1, c.class, 10))
 		first := h.last().to
 		end(b, time.Second+10*ms, 1, 0, first, c.status)
 		if again := len(h.sent) == 2; again != c.again {
@@ -199,9 +199,9 @@
 func TestKeyedRepeatsEndWithTheWindow(t *testing.T) {
 	b, h := start(t, settings(), fleet(3, 1))
 	r := ask(1, keyedAll, 10)
-	b.set.Classes[keyedAll].Window = 50 * ms
+	b.set.Classes[keyedAll].DedupWindow = 50 * ms
 	b.budget = 10
-	b.Request(time.Second, r)
+	b.HandleRequest(time.Second, r)
 	end(b, time.Second+60*ms, 1, 0, h.last().to, Reset)
 	if len(h.sent) != 1 {
 		t.Fatal("sent again after the window")
@@ -211,7 +211,7 @@
 func TestAttemptsRunOut(t *testing.T) {
 	b, h := start(t, settings(), fleet(6, 1))
 	b.budget = 10
-	b.Request(time.Second, ask(1, safeClass, 10))
+	b.HandleRequest(time.Second, ask(1, safeClass, 10))
 	for i := range 3 {
 		end(b, time.Second+ms, 1, i, h.last().to, Full)
 	}
@@ -226,7 +226,7 @@
 func TestNoAnswerIsOwedTwiceOrLate(t *testing.T) {
 	b, h := start(t, settings(), nil) // no backend at all
 	r := ask(1, safeClass, 10)
-	b.Request(time.Second, r)
+	b.HandleRequest(time.Second, r)
 	for now := time.Second; now < r.Deadline; now += b.sweep {
 		b.Timer(now, sweepToken)
 	}
@@ -236,7 +236,7 @@
 	// Held, with less than a sweep left: the next sweep would come too late.
 	r = ask(2, safeClass, 10)
 	r.Deadline = time.Second + b.sweep/2
-	b.Request(time.Second, r)
+	b.HandleRequest(time.Second, r)
 	if len(h.refused) != 2 {
 		t.Fatal("a request near its end waits for a sweep that comes too late")
 	}
@@ -249,7 +249,7 @@
 
 func TestTimeoutAtTheDeadlineFails(t *testing.T) {
 	b, h := start(t, settings(), fleet(2, 1))
-	b.Request(time.Second, ask(1, unsafeClass, 10))
+	b.HandleRequest(time.Second, ask(1, unsafeClass, 10))
 	if to := h.last().timeout; to <= 0 || to > 2*time.Second {
 		t.Fatalf("timeout %v", to)
 	}
@@ -261,7 +261,7 @@
 
 func TestClientGoneCancels(t *testing.T) {
 	b, h := start(t, settings(), fleet(2, 1))
-	b.Request(time.Second, ask(1, safeClass, 10))
+	b.HandleRequest(time.Second, ask(1, safeClass, 10))
 	b.ClientGone(time.Second+ms, 1)
 	if len(h.canceled) != 1 || len(h.failed)+len(h.refused) != 0 {
 		t.Fatal("the attempt goes on, or a gone client was answered")
@@ -274,8 +274,8 @@
 
 func TestAStreamIsLeftAlone(t *testing.T) {
 	b, h := start(t, settings(), fleet(2, 1))
-	b.Request(time.Second, ask(1, safeClass, 10))
-	b.Streaming(time.Second+ms, 1, 0)
+	b.HandleRequest(time.Second, ask(1, safeClass, 10))
+	b.ResponseStarted(time.Second+ms, 1, 0)
 	for now := time.Second; now < 5*time.Second; now += b.sweep {
 		b.Timer(now, sweepToken)
 	}
@@ -294,7 +294,7 @@
 		id++
 		r := ask(id, unsafeClass, 10)
 		r.Deadline = now + 2*time.Second
-		b.Request(now, r)
+		b.HandleRequest(now, r)
 		if to := h.last().to; to != hung.ID {
 			end(b, now+20*ms, id, 0, to, OK)
 		}
@@ -343,7 +343,7 @@
 
 func TestProbesGoBeforeTheTrial(t *testing.T) {
 	s := settings()
-	s.Limits.Probes = true
+	s.Limits.HealthChecks = true
 	b, h := start(t, s, fleet(2, 1))
 	to := b.sorted[0]
 	b.eject(time.Second, to)
@@ -353,12 +353,12 @@
 	if len(h.probed) != 1 {
 		t.Fatalf("%d probes", len(h.probed)) // one each sweep once cost more than it told
 	}
-	b.Probed(to.retryAt+ms, to.ID, Timeout)
+	b.HealthCheckCompleted(to.retryAt+ms, to.ID, Timeout)
 	if to.ejected != 2 {
 		t.Fatal("a failed probe must prolong the ejection")
 	}
 	b.Timer(to.retryAt+ms, sweepToken)
-	b.Probed(to.retryAt+2*ms, to.ID, OK)
+	b.HealthCheckCompleted(to.retryAt+2*ms, to.ID, OK)
 	if !b.triable(to.retryAt+3*ms, to) {
 		t.Fatal("no trial after a good probe")
 	}
@@ -366,15 +366,15 @@
 
 func TestColdBackendIsPaced(t *testing.T) {
 	list := fleet(3, 2)
-	list[0].Born = 900 * ms
-	list[4].Born = 900 * ms // a cold one elsewhere
+	list[0].StartedAt = 900 * ms
+	list[4].StartedAt = 900 * ms // a cold one elsewhere
 	b, h := start(t, settings(), list)
 	work := map[BackendID]float64{}
 	for i := range 1000 {
 		now := time.Second + time.Duration(i)*5*ms
 		r := ask(RequestID(i), safeClass, 10)
 		r.Deadline = now + time.Second
-		b.Request(now, r)
+		b.HandleRequest(now, r)
 		work[h.last().to] += 10
 		end(b, now, r.ID, 0, h.last().to, OK)
 	}
@@ -387,7 +387,7 @@
 	}
 	// Heavy requests from many proxies at once pushed one over.
 	cold := b.backends[1]
-	r := b.newRequest(7*time.Second, Request{ID: 5000, Deadline: 9 * time.Second, Hint: 500})
+	r := b.newRequest(7*time.Second, Request{ID: 5000, Deadline: 9 * time.Second, CostHint: 500})
 	cold.coldNext = 0
 	if b.may(7*time.Second, r, cold) {
 		t.Error("a cold backend may get a heavy request")
@@ -405,7 +405,7 @@
 // A zone of which only the cold backend is left is not a small zone.
 func TestColdPaceDoesNotGrowWithLosses(t *testing.T) {
 	list := fleet(4, 2)
-	list[0].Born = 900 * ms
+	list[0].StartedAt = 900 * ms
 	b, _ := start(t, settings(), list)
 	for i := range 100 {
 		b.groups[0].sent.add(time.Second+time.Duration(i)*10*ms, 10)
@@ -415,7 +415,7 @@
 	for i := 1; i < 4; i++ {
 		list[i].State = Gone
 	}
-	b.List(now, ListDelta, list[1:4])
+	b.UpdateEndpoints(now, UpdateDelta, list[1:4])
 	if after := b.warmRate(now); after > 2*before {
 		t.Errorf("what a cold backend may get rose from %.1f to %.1f as the others went", before, after)
 	}
@@ -425,9 +425,9 @@
 	b, _ := start(t, settings(), fleet(2, 1))
 	b.eject(time.Second, b.sorted[0])
 	e := fleet(2, 1)[0]
-	e.Born = 1500 * ms
-	b.List(2*time.Second, ListDelta, []Entry{e})
-	if to := b.backends[1]; to.ejected != 0 || to.coldSince != e.Born {
+	e.StartedAt = 1500 * ms
+	b.UpdateEndpoints(2*time.Second, UpdateDelta, []Endpoint{e})
+	if to := b.backends[1]; to.ejected != 0 || to.coldSince != e.StartedAt {
 		t.Fatalf("ejected %d, cold since %v", to.ejected, to.coldSince)
 	}
 }
@@ -435,7 +435,7 @@
 // Overload: refuse what is worth least, and come back from refusing everything.
 func TestSheddingByWorthAndBack(t *testing.T) {
 	s := settings()
-	s.Classes[keyedAll].Worth = 10
+	s.Classes[keyedAll].PriorityWeight = 10
 	b, h := start(t, s, fleet(2, 1))
 	now := time.Second
 	for i := range 2000 {
@@ -443,9 +443,9 @@
 		r := ask(RequestID(i), i%2, 10)
 		r.Deadline = now + 2*time.Second
 		n := len(h.sent)
-		b.Request(now, r)
+		b.HandleRequest(now, r)
 		if len(h.sent) > n {
-			b.Outcome(now, Outcome{ID: r.ID, Backend: h.last().to, Latency: 450 * ms, Closed: true})
+			b.HandleOutcome(now, Outcome{ID: r.ID, Backend: h.last().to, Latency: 450 * ms, Closed: true})
 		}
 		b.Timer(now, sweepToken)
 	}
@@ -468,12 +468,12 @@
 
 func TestBeyondQuotaIsWorthLess(t *testing.T) {
 	s := settings()
-	s.OverShareWorth = 0.1
+	s.OverQuotaWeight = 0.1
 	s.Tenants = []Tenant{{QuotaPerSec: 20}, {}}
 	b, _ := start(t, s, fleet(2, 1))
 	over := 0
 	for i := range 40 {
-		r := b.newRequest(time.Second+time.Duration(i)*25*ms, Request{ID: RequestID(i), Hint: 5, Deadline: 9 * time.Second})
+		r := b.newRequest(time.Second+time.Duration(i)*25*ms, Request{ID: RequestID(i), CostHint: 5, Deadline: 9 * time.Second})
 		if b.bands[r.band].worth < 1 {
 			over++
 		}
@@ -481,7 +481,7 @@
 	if over < 15 || over > 30 { // 40 a second against this proxy's half of 20
 		t.Errorf("%d of 40 counted as beyond the share", over)
 	}
-	if r := b.newRequest(time.Second, Request{ID: 99, Tenant: 1, Hint: 5}); b.bands[r.band].worth < 1 {
+	if r := b.newRequest(time.Second, Request{ID: 99, Tenant: 1, CostHint: 5}); b.bands[r.band].worth < 1 {
 		t.Error("a tenant without a quota is within it")
 	}
 }
@@ -490,17 +490,17 @@
 // and most requests were refused for the lateness that came of it.
 func TestFullZoneSpillsAndThenHolds(t *testing.T) {
 	set := settings()
-	set.Classes[unsafeClass].Worth = 2
-	set.Proxies = 4
+	set.Classes[unsafeClass].PriorityWeight = 2
+	set.BalancerCount = 4
 	b, h := start(t, set, fleet(3, 2))
 	for i := range 9 {
-		b.Request(time.Second, ask(RequestID(i), safeClass, 10))
+		b.HandleRequest(time.Second, ask(RequestID(i), safeClass, 10))
 		if home := h.last().to <= 3; home != (i < 6) {
 			t.Fatalf("request %d went to backend %d", i, h.last().to)
 		}
 	}
-	b.Request(time.Second, ask(10, safeClass, 10))
-	b.Request(time.Second, ask(11, unsafeClass, 10))
+	b.HandleRequest(time.Second, ask(10, safeClass, 10))
+	b.HandleRequest(time.Second, ask(11, unsafeClass, 10))
 	if len(h.sent) != 9 || len(h.refused) > 0 {
 		t.Fatalf("%d sent, %d refused: no room is no reason to refuse", len(h.sent), len(h.refused))
 	}
@@ -517,14 +517,14 @@
 // A zone's only backend came back as if cold; others stood idle next door, and
 // requests were refused because none of them was among this proxy's few.
 func TestNothingIsHeldBesideIdleBackends(t *testing.T) {
-	list := append(fleet(1, 1), Entry{ID: 8, Zone: 1, Size: 1}, Entry{ID: 9, Zone: 1, Size: 1})
-	list[0].Born = 900 * ms
+	list := append(fleet(1, 1), Endpoint{ID: 8, Zone: 1, Size: 1}, Endpoint{ID: 9, Zone: 1, Size: 1})
+	list[0].StartedAt = 900 * ms
 	b, h := start(t, settings(), list)
 	for _, to := range b.sorted {
 		to.rank = 0.9
 	}
 	b.hints, b.works, b.median, b.meanWork = 100, 100, 10, 10
-	b.Request(time.Second, ask(1, safeClass, 100))
+	b.HandleRequest(time.Second, ask(1, safeClass, 100))
 	if len(h.sent) != 1 || h.last().to == 1 {
 		t.Fatalf("sent %v", h.sent)
 	}
@@ -540,8 +540,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.List(time.Second, ListFull, fleet(20, 1))
-		b.Request(time.Second, ask(1, safeClass, 10))
+		b.UpdateEndpoints(time.Second, UpdateFull, fleet(20, 1))
+		b.HandleRequest(time.Second, ask(1, safeClass, 10))
 		first[h.last().to]++
 	}
 	for id, n := range first {
@@ -553,7 +553,7 @@
 
 func TestDiscoveryOnRequest(t *testing.T) {
 	s := settings()
-	s.AskDiscovery = true
+	s.PollDiscovery = true
 	b, h := start(t, s, fleet(2, 1))
 	now := time.Second
 	run := func(d time.Duration) {
@@ -561,11 +561,11 @@
 			b.Timer(now, sweepToken)
 		}
 	}
-	run(s.Rules.AskWithin)
+	run(s.Rules.PollInterval)
 	if h.watches != 1 {
 		t.Fatalf("%d subscriptions within the time to ask", h.watches)
 	}
-	b.List(now, ListFailed, nil)
+	b.UpdateEndpoints(now, UpdateFailed, nil)
 	gap := b.watchGap
 	if len(b.sorted) != 2 {
 		t.Fatal("a failed call emptied the list")
@@ -578,7 +578,7 @@
 	if h.watches != 2 {
 		t.Fatal("did not ask again")
 	}
-	b.List(now, ListFailed, nil)
+	b.UpdateEndpoints(now, UpdateFailed, nil)
 	if b.watchGap <= gap {
 		t.Fatal("no back-off")
 	}
@@ -588,12 +588,12 @@
 	for name, spoil := range map[string]func(*Settings){
 		"zone":       func(s *Settings) { s.Zone = 9 },
 		"classes":    func(s *Settings) { s.Classes = nil },
-		"classes[1]": func(s *Settings) { s.Classes[1].Aim = -ms },
+		"classes[1]": func(s *Settings) { s.Classes[1].LatencyObjective = -ms },
 		"tick":       func(s *Settings) { s.Tick = -1 },
 		"attempts":   func(s *Settings) { s.Limits.MaxAttempts = 0 },
-		"cold from":  func(s *Settings) { s.Rules.ColdFrom = math.NaN() },
+		"cold from":  func(s *Settings) { s.Rules.SlowStartCapacity = math.NaN() },
 		"tenants[0]": func(s *Settings) { s.Tenants = []Tenant{{QuotaPerSec: -1}} },
-		"proxies":    func(s *Settings) { s.Proxies = 0 },
+		"proxies":    func(s *Settings) { s.BalancerCount = 0 },
 	} {
 		s := settings()
 		spoil(&s)
@@ -610,7 +610,7 @@
 	now      time.Duration
 	requests map[RequestID]*tracked
 	told     map[BackendID]time.Duration // when it was told: not ready
-	entries  map[BackendID]Entry
+	entries  map[BackendID]Endpoint
 	broken   []string
 	timers   []time.Duration
 }
@@ -632,7 +632,7 @@
 	c.broken = append(c.broken, fmt.Sprintf(format, args...))
 }
 
-func (c *checker) Send(id RequestID, to BackendID, _ time.Duration) {
+func (c *checker) StartAttempt(id RequestID, to BackendID, _ time.Duration) {
 	r := c.requests[id]
 	if r.answers > 0 {
 		c.breach("attempt for %d after its answer", id)
@@ -642,13 +642,13 @@
 	}
 	class := c.set.Classes[r.Class]
 	for _, t := range r.tries {
-		if t.done && t.status.NeverRan() {
+		if t.done && t.status.NeverExecuted() {
 			continue
 		}
 		first, second := c.entries[t.to], c.entries[to]
-		same := class.Scope == ScopeAll || class.Scope == ScopeZone && first.Zone == second.Zone ||
-			class.Scope == ScopeCell && first.Cell == second.Cell
-		if class.Effect == Unsafe || class.Effect == Keyed && (!same || c.now > t.at+class.Window) {
+		same := class.DedupScope == DedupEverywhere || class.DedupScope == DedupInZone && first.Zone == second.Zone ||
+			class.DedupScope == DedupInCell && first.Cell == second.Cell
+		if class.RetrySafety == NonIdempotent || class.RetrySafety == IdempotencyKey && (!same || c.now > t.at+class.DedupWindow) {
 			c.breach("class %d sent again from %d to %d", r.Class, t.to, to)
 		}
 		break
@@ -660,13 +660,13 @@
 }
 
 func (c *checker) mayHaveRun(r *tracked) bool {
-	return slices.ContainsFunc(r.tries, func(t trackedTry) bool { return !t.done || !t.status.NeverRan() })
+	return slices.ContainsFunc(r.tries, func(t trackedTry) bool { return !t.done || !t.status.NeverExecuted() })
 }
 
-func (c *checker) Refuse(id RequestID, _ time.Duration) {
+func (c *checker) Reject(id RequestID, _ time.Duration) {
 	r := c.requests[id]
 	class := c.set.Classes[r.Class]
-	harmless := class.Effect == Safe || class.Effect == Keyed && class.Scope == ScopeAll
+	harmless := class.RetrySafety == Idempotent || class.RetrySafety == IdempotencyKey && class.DedupScope == DedupEverywhere
 	if c.mayHaveRun(r) && !harmless {
 		c.breach("refused %d, which may have run", id)
 	}
@@ -683,18 +683,18 @@
 	}
 }
 
-func (c *checker) Cancel(RequestID, int)              {}
-func (c *checker) Probe(BackendID)                    {}
-func (c *checker) Watch()                             {}
+func (c *checker) CancelAttempt(RequestID, int)       {}
+func (c *checker) HealthCheck(BackendID)              {}
+func (c *checker) WatchEndpoints()                    {}
 func (c *checker) SetTimer(d time.Duration, _ uint32) { c.timers = append(c.timers, c.now+d) }
 
 // chaos plays a long random sequence of events and returns the broken rules.
 func chaos(t *testing.T, seed uint64, spoil func(*Balancer)) []string {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	s := settings()
-	s.Limits.Probes, s.WarmKeys = seed%2 == 0, seed%3 == 0
+	s.Limits.HealthChecks, s.KeyAffinity = seed%2 == 0, seed%3 == 0
 	c := &checker{t: t, set: s, now: time.Second, requests: map[RequestID]*tracked{},
-		told: map[BackendID]time.Duration{}, entries: map[BackendID]Entry{}}
+		told: map[BackendID]time.Duration{}, entries: map[BackendID]Endpoint{}}
 	b, err := New(s, seed, c)
 	if err != nil {
 		t.Fatal(err)
@@ -703,7 +703,7 @@
 	for _, e := range list {
 		c.entries[e.ID] = e
 	}
-	b.List(c.now, ListCached, list)
+	b.UpdateEndpoints(c.now, UpdateCached, list)
 	next := RequestID(1)
 	var live []RequestID
 	for range 20000 {
@@ -718,11 +718,11 @@
 		switch k := rng.IntN(20); {
 		case k < 9:
 			r := Request{ID: next, Class: rng.IntN(len(s.Classes)), Key: uint64(rng.IntN(5)),
-				Deadline: c.now + time.Duration(5+rng.IntN(1500))*ms, Hint: rng.ExpFloat64() * 20}
+				Deadline: c.now + time.Duration(5+rng.IntN(1500))*ms, CostHint: rng.ExpFloat64() * 20}
 			c.requests[next] = &tracked{Request: r}
 			live = append(live, next)
 			next++
-			b.Request(c.now, r)
+			b.HandleRequest(c.now, r)
 		case k < 10:
 			e := &list[rng.IntN(len(list))]
 			e.State = State(rng.IntN(3))
@@ -730,13 +730,13 @@
 				e.State = Ready
 			}
 			if rng.IntN(4) == 0 {
-				e.Born = c.now
+				e.StartedAt = c.now
 			}
 			delete(c.told, e.ID)
 			if e.State != Ready {
 				c.told[e.ID] = c.now - 1
 			}
-			b.List(c.now, ListDelta, []Entry{*e})
+			b.UpdateEndpoints(c.now, UpdateDelta, []Endpoint{*e})
 		case k < 11 && len(live) > 0:
 			id := live[rng.IntN(len(live))]
 			if c.requests[id].answers == 0 {
@@ -776,7 +776,7 @@
 	if s == OK {
 		r.answers = max(r.answers, 1)
 	}
-	b.Outcome(c.now, Outcome{ID: r.ID, Attempt: i, Backend: t.to, Status: s, Latency: c.now - t.at, Closed: r.answers > 0})
+	b.HandleOutcome(c.now, Outcome{ID: r.ID, Attempt: i, Backend: t.to, Status: s, Latency: c.now - t.at, Closed: r.answers > 0})
 }
 
 // expire times out what has reached its deadline and drops what is over.
@@ -814,7 +814,7 @@
 func TestTheRandomDaysNoticeABrokenGuard(t *testing.T) {
 	spoil := func(b *Balancer) {
 		for i := range b.set.Classes {
-			b.set.Classes[i].Effect = Safe
+			b.set.Classes[i].RetrySafety = Idempotent
 		}
 	}
 	if len(chaos(t, 1, func(b *Balancer) {
@@ -838,7 +838,7 @@
 		b, h := start(t, settings(), fleet(5, 2))
 		for i := range 300 {
 			now := time.Second + time.Duration(i)*3*ms
-			b.Request(now, Request{ID: RequestID(i), Class: i % 5, Hint: float64(i%17 + 1), Deadline: now + time.Second})
+			b.HandleRequest(now, Request{ID: RequestID(i), Class: i % 5, CostHint: float64(i%17 + 1), Deadline: now + time.Second})
 			if i%3 == 0 {
 				end(b, now, RequestID(i), 0, h.last().to, OK)
 			}
@@ -860,13 +860,13 @@
 			if err != nil {
 				bench.Fatal(err)
 			}
-			b.List(time.Second, ListFull, fleet(n, 2))
+			b.UpdateEndpoints(time.Second, UpdateFull, fleet(n, 2))
 			bench.ReportAllocs()
 			now := time.Second
 			for i := range bench.N {
 				now += ms
-				b.Request(now, Request{ID: RequestID(i), Hint: float64(i%13 + 1), Deadline: now + time.Second})
-				b.Outcome(now, Outcome{ID: RequestID(i), Backend: h.to, Latency: 20 * ms, Closed: true})
+				b.HandleRequest(now, Request{ID: RequestID(i), CostHint: float64(i%13 + 1), Deadline: now + time.Second})
+				b.HandleOutcome(now, Outcome{ID: RequestID(i), Backend: h.to, Latency: 20 * ms, Closed: true})
 			}
 		})
 	}
@@ -874,13 +874,13 @@
 
 type nothing struct{ to BackendID }
 
-func (h *nothing) Send(_ RequestID, to BackendID, _ time.Duration) { h.to = to }
-func (h *nothing) Cancel(RequestID, int)                           {}
-func (h *nothing) Refuse(RequestID, time.Duration)                 {}
-func (h *nothing) Fail(RequestID)                                  {}
-func (h *nothing) Probe(BackendID)                                 {}
-func (h *nothing) Watch()                                          {}
-func (h *nothing) SetTimer(time.Duration, uint32)                  {}
+func (h *nothing) StartAttempt(_ RequestID, to BackendID, _ time.Duration) { h.to = to }
+func (h *nothing) CancelAttempt(RequestID, int)                            {}
+func (h *nothing) Reject(RequestID, time.Duration)                         {}
+func (h *nothing) Fail(RequestID)                                          {}
+func (h *nothing) HealthCheck(BackendID)                                   {}
+func (h *nothing) WatchEndpoints()                                         {}
+func (h *nothing) SetTimer(time.Duration, uint32)                          {}
 
 // A heavy request took its turn on a slow backend, where it was late for certain.
 func TestHeavyRequestsGoWhereTheyAreInTime(t *testing.T) {
@@ -890,11 +890,11 @@
 		to.pace = 3
 	}
 	b.sorted[2].pace = 0.5
-	b.Request(time.Second, ask(1, unsafeClass, 300))
+	b.HandleRequest(time.Second, ask(1, unsafeClass, 300))
 	if h.last().to != 3 {
 		t.Fatalf("300 ms of work within 500 ms went to backend %d", h.last().to)
 	}
-	b.Request(time.Second, ask(2, unsafeClass, 300)) // fits nowhere: done first behind the other
+	b.HandleRequest(time.Second, ask(2, unsafeClass, 300)) // fits nowhere: done first behind the other
 	if h.last().to != 3 {
 		t.Fatalf("went to backend %d", h.last().to)
 	}
@@ -904,7 +904,7 @@
 // out left the servers there idle, while clients were refused for want of room.
 func TestWhatIsOnItsWayIsNoLoad(t *testing.T) {
 	set := settings()
-	set.Proxies = 4
+	set.BalancerCount = 4
 	b, _ := start(t, set, fleet(1, 2))
 	now := time.Second
 	far := b.backends[2]
@@ -931,10 +931,10 @@
 func TestFewProxiesSpillDeeper(t *testing.T) {
 	for proxies, want := range map[int]int{2: 4, 4: 3} {
 		set := settings()
-		set.Proxies = proxies
+		set.BalancerCount = proxies
 		b, h := start(t, set, fleet(1, 2))
 		for i := range 9 {
-			b.Request(time.Second, ask(RequestID(i), safeClass, 10))
+			b.HandleRequest(time.Second, ask(RequestID(i), safeClass, 10))
 		}
 		if len(h.sent) != want {
 			t.Errorf("%d proxies: %d sent, want %d", proxies, len(h.sent), want)
@@ -976,7 +976,7 @@
 	now := time.Second
 	send := func(class int) BackendID {
 		id := RequestID(len(b.byID)) + RequestID(now)
-		b.Request(now, ask(id, class, 10))
+		b.HandleRequest(now, ask(id, class, 10))
 		return h.last().to
 	}
 	bad := b.backends[1]
@@ -996,7 +996,7 @@
 	if to := send(safeClass); to != 1 {
 		t.Errorf("the other class went to %d", to)
 	}
-	now += 4 * set.Classes[unsafeClass].Aim
+	now += 4 * set.Classes[unsafeClass].LatencyObjective
 	if to := send(unsafeClass); to != 1 {
 		t.Errorf("no trial: sent to %d", to)
 	}
@@ -1014,12 +1014,12 @@
 		if i%3 == 0 {
 			took *= 5 // it waited
 		}
-		b.Request(now, Request{ID: i, Class: class, Deadline: now + 2*time.Second, Hint: math.NaN()})
+		b.HandleRequest(now, Request{ID: i, Class: class, Deadline: now + 2*time.Second, CostHint: math.NaN()})
 		now += took
-		b.Outcome(now, Outcome{ID: i, Status: OK, Latency: took, Closed: true})
+		b.HandleOutcome(now, Outcome{ID: i, Status: OK, Latency: took, Closed: true})
 	}
 	for class, want := range map[int]float64{safeClass: 20, unsafeClass: 80} {
-		if got := b.newRequest(now, Request{ID: 1000 + RequestID(class), Class: class, Hint: math.NaN()}).work; got < want/2 || got > 1.5*want {
+		if got := b.newRequest(now, Request{ID: 1000 + RequestID(class), Class: class, CostHint: math.NaN()}).work; got < want/2 || got > 1.5*want {
 			t.Errorf("class %d: work %.1f, want about %.0f", class, got, want)
 		}
 	}
@@ -1035,7 +1035,7 @@
 // what has to be refused is refused of both alike.
 func TestClassesOfEqualWorthShareAlike(t *testing.T) {
 	set := settings()
-	set.Proxies = 100
+	set.BalancerCount = 100
 	b, _ := start(t, set, fleet(2, 1))
 	x, y := &b.bands[2*safeClass], &b.bands[2*unsafeClass]
 	if x.value != y.value {
@@ -1065,8 +1065,8 @@
 func TestWorthByRequestAndByWork(t *testing.T) {
 	for _, byRequest := range []bool{false, true} {
 		set := settings()
-		set.Proxies, set.WorthByRequest = 100, byRequest
-		set.Classes[safeClass].Worth, set.Classes[unsafeClass].Worth = 2, 3
+		set.BalancerCount, set.WeightPerRequest = 100, byRequest
+		set.Classes[safeClass].PriorityWeight, set.Classes[unsafeClass].PriorityWeight = 2, 3
 		b, _ := start(t, set, fleet(2, 1))
 		for i := range b.quick {
 			b.quick[i] = 20
@@ -1089,10 +1089,10 @@
 // repeat, and has to be written within the window of the other.
 func TestWhatWaitedForLongIsTheRepeat(t *testing.T) {
 	set := settings()
-	set.Limits.SecondCopies = true
+	set.Limits.HedgedRequests = true
 	b, h := start(t, set, fleet(2, 1))
 	now := time.Second
-	b.Request(now, Request{ID: 1, Class: keyedAll, Deadline: now + 3*time.Second, Hint: 10})
+	b.HandleRequest(now, Request{ID: 1, Class: keyedAll, Deadline: now + 3*time.Second, CostHint: 10})
 	r := b.byID[1]
 	b.budget = 1
 	if now += 100 * ms; !b.dispatch(now, r) || len(h.sent) != 2 {
@@ -1102,7 +1102,7 @@
 		after         time.Duration // the first attempt was sent
 		first, second bool
 	}{{900 * ms, true, true}, {1050 * ms, true, false}, {1200 * ms, false, false}} { // the window is a second
-		if x, y := b.Stands(time.Second+c.after, 1, 0), b.Stands(time.Second+c.after, 1, 1); x != c.first || y != c.second {
+		if x, y := b.AttemptAllowed(time.Second+c.after, 1, 0), b.AttemptAllowed(time.Second+c.after, 1, 1); x != c.first || y != c.second {
 			t.Errorf("%v: the first stands: %v, the second: %v", c.after, x, y)
 		}
 	}
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -58,7 +58,7 @@
 	columns   []string // of load reports; the same for all instances
 	reply     wire.Reply
 	event     wire.Event
-	entries   []piernotch.Entry
+	entries   []piernotch.Endpoint
 }
 
 // handle passes the current event to its instance.
@@ -108,17 +108,17 @@
 func (a *adapter) dispatch(b *piernotch.Balancer, now time.Duration) error {
 	e := &a.event
 	if load, ok := wire.Report(e, a.columns); ok {
-		b.Reported(now, piernotch.BackendID(e.Backend), load)
+		b.LoadReported(now, piernotch.BackendID(e.Backend), load)
 	}
 	switch e.Code {
 	case wire.Demand:
-		b.Request(now, demand(e))
+		b.HandleRequest(now, demand(e))
 	case wire.Verdict:
 		status, err := wire.Status(e.Status)
 		if err != nil {
 			return err
 		}
-		b.Outcome(now, piernotch.Outcome{
+		b.HandleOutcome(now, piernotch.Outcome{
 			ID: piernotch.RequestID(e.ID), Attempt: int(e.Attempt), Backend: piernotch.BackendID(e.Backend),
 			Status: status, Latency: wire.Duration(e.TookMS), Closed: e.Closed,
 		})
@@ -127,20 +127,20 @@
 	case wire.ClientGone:
 		b.ClientGone(now, piernotch.RequestID(e.ID))
 	case wire.Streaming:
-		b.Streaming(now, piernotch.RequestID(e.ID), int(e.Attempt))
+		b.ResponseStarted(now, piernotch.RequestID(e.ID), int(e.Attempt))
 	case wire.PingResult:
 		status, err := wire.Status(e.Status)
 		if err != nil {
 			return err
 		}
-		b.Probed(now, piernotch.BackendID(e.Backend), status)
+		b.HealthCheckCompleted(now, piernotch.BackendID(e.Backend), status)
 	case wire.View:
 		kind, entries, err := wire.List(e, a.entries[:0])
 		if err != nil {
 			return err
 		}
 		a.entries = entries
-		b.List(now, kind, entries)
+		b.UpdateEndpoints(now, kind, entries)
 	}
 	return nil
 }
@@ -152,7 +152,7 @@
 	}
 	return piernotch.Request{
 		ID: piernotch.RequestID(e.ID), Class: int(e.Class), Tenant: int(e.Tenant), Key: e.Key,
-		Deadline: wire.Duration(e.DeadlineM), Hint: hint,
+		Deadline: wire.Duration(e.DeadlineM), CostHint: hint,
 	}
 }
 
@@ -162,19 +162,19 @@
 	reply *wire.Reply
 }
 
-func (h *host) Send(id piernotch.RequestID, to piernotch.BackendID, timeout time.Duration) {
+func (h *host) StartAttempt(id piernotch.RequestID, to piernotch.BackendID, timeout time.Duration) {
 	h.reply.Send(h.inst, uint64(id), uint32(to), wire.Milliseconds(timeout))
 }
 
-func (h *host) Cancel(id piernotch.RequestID, attempt int) {
+func (h *host) CancelAttempt(id piernotch.RequestID, attempt int) {
 	h.reply.Cancel(h.inst, uint64(id), uint8(attempt))
 }
 
-func (h *host) Refuse(id piernotch.RequestID, retryAfter time.Duration) {
+func (h *host) Reject(id piernotch.RequestID, retryAfter time.Duration) {
 	h.reply.Refuse(h.inst, uint64(id), wire.Milliseconds(retryAfter))
 }
 
 func (h *host) Fail(id piernotch.RequestID)        { h.reply.Fail(h.inst, uint64(id)) }
-func (h *host) Probe(b piernotch.BackendID)        { h.reply.Probe(h.inst, uint32(b)) }
-func (h *host) Watch()                             { h.reply.Watch(h.inst, true) }
+func (h *host) HealthCheck(b piernotch.BackendID)  { h.reply.Probe(h.inst, uint32(b)) }
+func (h *host) WatchEndpoints()                    { h.reply.Watch(h.inst, true) }
 func (h *host) SetTimer(d time.Duration, t uint32) { h.reply.Timer(h.inst, wire.Milliseconds(d), t) }
--- a/crowd.go
+++ b/crowd.go
@@ -24,8 +24,8 @@
 }
 
 // hear takes a report. own is what this proxy has there, which the report counts, too.
-func (c *crowd) hear(now time.Duration, load Load, own int) {
-	c.others, c.last = max(load.Inflight-float64(own), 0), load.PerSec
+func (c *crowd) hear(now time.Duration, load LoadReport, own int) {
+	c.others, c.last = max(load.Inflight-float64(own), 0), load.CompletedPerSecond
 	if c.at == 0 {
 		c.mean, c.rate = c.others, c.last
 	}
@@ -49,9 +49,9 @@
 // mates is how many proxies send to a backend, if they are spread evenly over the zones.
 func (b *Balancer) mates(to *backend) float64 {
 	if to.away == 1 {
-		return float64(b.set.Proxies)
+		return float64(b.set.BalancerCount)
 	}
-	return max(float64(b.set.Proxies)/float64(max(len(b.set.Zones), 1)), 1)
+	return max(float64(b.set.BalancerCount)/float64(max(len(b.set.Zones), 1)), 1)
 }
 
 // followUsual learns what a warm backend of size 1 answers a second, for all proxies. It
--- a/crowd_test.go
+++ b/crowd_test.go
@@ -11,7 +11,7 @@
 // manyProxies is a settings of which each proxy has seen nothing but what it sent itself.
 func manyProxies() Settings {
 	s := settings()
-	s.Proxies = 80
+	s.BalancerCount = 80
 	return s
 }
 
@@ -19,16 +19,16 @@
 // says so. Without its word it gets its turn.
 func TestACrowdedBackendIsPassedOver(t *testing.T) {
 	b, h := start(t, manyProxies(), fleet(4, 1))
-	b.Reported(time.Second, 2, Load{Inflight: 15, PerSec: 20})
+	b.LoadReported(time.Second, 2, LoadReport{Inflight: 15, CompletedPerSecond: 20})
 	for i := range 40 {
-		b.Request(time.Second, ask(RequestID(i), safeClass, 10))
+		b.HandleRequest(time.Second, ask(RequestID(i), safeClass, 10))
 		require.NotEqual(t, BackendID(2), h.last().to, "request %d went into the crowd", i)
 		end(b, time.Second, RequestID(i), 0, h.last().to, OK)
 	}
 	seen := map[BackendID]bool{}
 	for i := range 40 { // the report is old by now and is not believed for good
 		id, now := RequestID(100+i), 8*time.Second
-		b.Request(now, Request{ID: id, Class: safeClass, Deadline: now + time.Second, Hint: 10})
+		b.HandleRequest(now, Request{ID: id, Class: safeClass, Deadline: now + time.Second, CostHint: 10})
 		seen[h.last().to] = true
 		end(b, now, id, 0, h.last().to, OK)
 	}
@@ -38,12 +38,12 @@
 // TestNonsenseInReportsChangesNothing: what lies or cannot be read leaves the last belief.
 func TestNonsenseInReportsChangesNothing(t *testing.T) {
 	b, _ := start(t, manyProxies(), fleet(2, 1))
-	b.Reported(time.Second, 1, Load{Inflight: 3, PerSec: 20})
+	b.LoadReported(time.Second, 1, LoadReport{Inflight: 3, CompletedPerSecond: 20})
 	was := b.backends[1].crowd
-	for _, l := range []Load{{Inflight: -1}, {Inflight: math.NaN()}, {Inflight: 1, PerSec: -1}} {
-		b.Reported(2*time.Second, 1, l)
+	for _, l := range []LoadReport{{Inflight: -1}, {Inflight: math.NaN()}, {Inflight: 1, CompletedPerSecond: -1}} {
+		b.LoadReported(2*time.Second, 1, l)
 	}
-	b.Reported(2*time.Second, 77, Load{Inflight: 3})
+	b.LoadReported(2*time.Second, 77, LoadReport{Inflight: 3})
 	require.Equal(t, was, b.backends[1].crowd)
 }
 
@@ -55,7 +55,7 @@
 	drawn := 0
 	for i := range 200 {
 		now := time.Second + time.Duration(i)*ms
-		b.Request(now, ask(RequestID(i), safeClass, 10))
+		b.HandleRequest(now, ask(RequestID(i), safeClass, 10))
 		try := 0
 		if h.last().to == 1 {
 			drawn++
@@ -76,7 +76,7 @@
 		b, _ := start(t, manyProxies(), fleet(4, 2))
 		if report {
 			for id := range BackendID(8) {
-				b.Reported(time.Second, id+1, Load{Inflight: 2, PerSec: 30})
+				b.LoadReported(time.Second, id+1, LoadReport{Inflight: 2, CompletedPerSecond: 30})
 			}
 		}
 		b.survey(time.Second)
@@ -99,9 +99,9 @@
 	to := b.backends[1]
 	b.chill(time.Second, to, time.Second)
 	slow := b.coldGap(time.Second, to)
-	b.Reported(time.Second, 1, Load{Inflight: 9, PerSec: 200})
+	b.LoadReported(time.Second, 1, LoadReport{Inflight: 9, CompletedPerSecond: 200})
 	require.Equal(t, slow, b.coldGap(time.Second, to), "it holds a queue: no more")
-	b.Reported(time.Second, 1, Load{Inflight: 0, PerSec: 200})
+	b.LoadReported(time.Second, 1, LoadReport{Inflight: 0, CompletedPerSecond: 200})
 	require.Less(t, b.coldGap(time.Second, to), slow)
 }
 
@@ -112,12 +112,12 @@
 	b.sweep = 10 * ms
 	now := time.Second
 	for i := range 2 + int(2*held) {
-		b.Request(now, Request{ID: RequestID(1 + i), Class: safeClass, Deadline: time.Minute, Hint: 10})
+		b.HandleRequest(now, Request{ID: RequestID(1 + i), Class: safeClass, Deadline: time.Minute, CostHint: 10})
 	}
 	for i := range 300 {
 		now += b.sweep
 		for id := BackendID(1); i%50 == 0 && id <= 6; id++ {
-			b.Reported(now, id, Load{Inflight: held, PerSec: 20})
+			b.LoadReported(now, id, LoadReport{Inflight: held, CompletedPerSecond: 20})
 		}
 		b.survey(now)
 	}
@@ -129,7 +129,7 @@
 func TestAllTogetherHoldAGroupToItsAim(t *testing.T) {
 	b, h := sweepWith(t, manyProxies(), 5)
 	require.True(t, b.groups[0].full(), "limit %v", b.groups[0].limit)
-	b.Request(4*time.Second, Request{ID: 100, Class: safeClass, Deadline: time.Minute, Hint: 10})
+	b.HandleRequest(4*time.Second, Request{ID: 100, Class: safeClass, Deadline: time.Minute, CostHint: 10})
 	require.Greater(t, h.last().to, BackendID(6), "a full zone counts as empty")
 
 	b, _ = sweepWith(t, manyProxies(), 0.1)
@@ -142,24 +142,24 @@
 // while they were idle, must not come from all of them in the moment in which all are busy.
 func TestManyBusyAtOnceDoNotPushAColdBackendOver(t *testing.T) {
 	s := manyProxies()
-	s.Rules.OverloadFor = 2 * time.Second
+	s.Rules.OverloadWindow = 2 * time.Second
 	const warm, work, multiple = 10.0, 50.0, 2.5 // answers a second, ms each, and the rule's multiple
 	born, most, all := 2*time.Second, 0.0, 0.0
 	for round := range uint64(10) {
 		sends := 0.0
-		for i := range uint64(s.Proxies / len(s.Zones)) {
+		for i := range uint64(s.BalancerCount / len(s.Zones)) {
 			b, err := New(s, round<<32+i, &recorder{})
 			require.NoError(t, err)
-			b.List(time.Second, ListFull, fleet(4, 2))
+			b.UpdateEndpoints(time.Second, UpdateFull, fleet(4, 2))
 			for id := range BackendID(8) {
-				b.Reported(time.Second, id+1, Load{Inflight: 2, PerSec: warm})
+				b.LoadReported(time.Second, id+1, LoadReport{Inflight: 2, CompletedPerSecond: warm})
 			}
 			b.survey(time.Second)
 			b.meanWork = work
 			to := b.backends[1]
 			b.chill(born, to, born)
 			for now := born + 3*time.Second; now < born+5*time.Second; now += 20 * ms {
-				r := b.newRequest(now, Request{ID: RequestID(now), Class: safeClass, Deadline: now + time.Second, Hint: work})
+				r := b.newRequest(now, Request{ID: RequestID(now), Class: safeClass, Deadline: now + time.Second, CostHint: work})
 				if b.may(now, r, to) {
 					b.send(now, r, to)
 					to.inflight-- // answered at once
@@ -178,13 +178,13 @@
 // of it in two classes. By worth alone the lesser one would get nothing for as long as it lasts.
 func TestNoClassStarvesWhereThereIsNeverRoomEnough(t *testing.T) {
 	s := manyProxies()
-	s.Classes[unsafeClass].Worth = 3
+	s.Classes[unsafeClass].PriorityWeight = 3
 	b, h := start(t, s, fleet(1, 1))
 	served, sends := map[int]int{}, 0
 	class := func(id RequestID) int { return int(id) % 2 * unsafeClass }
 	for now, id := time.Second, RequestID(2); now < 9*time.Second; now += 20 * ms {
 		for range 2 {
-			b.Request(now, Request{ID: id, Class: class(id), Deadline: now + 2*time.Second, Hint: 10})
+			b.HandleRequest(now, Request{ID: id, Class: class(id), Deadline: now + 2*time.Second, CostHint: 10})
 			id++
 		}
 		if sends < len(h.sent) {
@@ -206,9 +206,9 @@
 // late for certain, whatever this proxy has there. Its word is not believed for good.
 func TestNothingIsSentWhereItCannotBeInTime(t *testing.T) {
 	b, h := start(t, manyProxies(), fleet(1, 1))
-	b.Reported(time.Second, 1, Load{Inflight: 5, PerSec: 1})
-	b.Request(time.Second, ask(1, safeClass, 10))
+	b.LoadReported(time.Second, 1, LoadReport{Inflight: 5, CompletedPerSecond: 1})
+	b.HandleRequest(time.Second, ask(1, safeClass, 10))
 	require.Empty(t, h.sent)
-	b.Request(5*time.Second, Request{ID: 2, Class: safeClass, Deadline: 6 * time.Second, Hint: 10})
+	b.HandleRequest(5*time.Second, Request{ID: 2, Class: safeClass, Deadline: 6 * time.Second, CostHint: 10})
 	require.Len(t, h.sent, 1)
 }
--- a/estimate.go
+++ b/estimate.go
@@ -120,8 +120,8 @@
 		step := 1 + max(1/b.hints, smoothing/2)
 		switch {
 		case b.hints == 1:
-			b.median = r.Hint
-		case r.Hint > b.median:
+			b.median = r.CostHint
+		case r.CostHint > b.median:
 			b.median *= step
 		default:
 			b.median /= step
@@ -139,11 +139,11 @@
 
 // warmth is the share of its capacity that a backend can be counted on for.
 func (b *Balancer) warmth(now time.Duration, to *backend) float64 {
-	if to.coldSince < 0 || b.set.Rules.Cold <= 0 {
+	if to.coldSince < 0 || b.set.Rules.SlowStartDuration <= 0 {
 		return 1
 	}
-	age := float64(now-to.coldSince) / float64(b.set.Rules.Cold)
-	return b.set.Rules.ColdFrom + (1-b.set.Rules.ColdFrom)*min(max(age, 0), 1)
+	age := float64(now-to.coldSince) / float64(b.set.Rules.SlowStartDuration)
+	return b.set.Rules.SlowStartCapacity + (1-b.set.Rules.SlowStartCapacity)*min(max(age, 0), 1)
 }
 
 // warmRate is the work a second that this proxy sends a warm backend of size 1
--- a/example_test.go
+++ b/example_test.go
@@ -10,26 +10,26 @@
 // printer is a Host that prints what a proxy would do.
 type printer struct{}
 
-func (printer) Send(id piernotch.RequestID, to piernotch.BackendID, timeout time.Duration) {
+func (printer) StartAttempt(id piernotch.RequestID, to piernotch.BackendID, timeout time.Duration) {
 	fmt.Printf("send request %d to backend %d, wait %v\n", id, to, timeout)
 }
-func (printer) Cancel(id piernotch.RequestID, attempt int) {
+func (printer) CancelAttempt(id piernotch.RequestID, attempt int) {
 	fmt.Printf("cancel attempt %d of request %d\n", attempt, id)
 }
-func (printer) Refuse(id piernotch.RequestID, _ time.Duration) {
+func (printer) Reject(id piernotch.RequestID, _ time.Duration) {
 	fmt.Printf("refuse request %d\n", id)
 }
-func (printer) Fail(id piernotch.RequestID)    { fmt.Printf("fail request %d\n", id) }
-func (printer) Probe(b piernotch.BackendID)    { fmt.Printf("probe backend %d\n", b) }
-func (printer) Watch()                         { fmt.Println("subscribe to the list") }
-func (printer) SetTimer(time.Duration, uint32) {} // call Timer with the token when it is due
+func (printer) Fail(id piernotch.RequestID)       { fmt.Printf("fail request %d\n", id) }
+func (printer) HealthCheck(b piernotch.BackendID) { fmt.Printf("probe backend %d\n", b) }
+func (printer) WatchEndpoints()                   { fmt.Println("subscribe to the list") }
+func (printer) SetTimer(time.Duration, uint32)    {} // call Timer with the token when it is due
 
 func Example() {
 	settings := piernotch.Settings{
-		Proxies: 1, Zones: []string{"here", "there"}, Tick: time.Millisecond,
-		Classes: []piernotch.Class{{Name: "read", Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1}},
+		BalancerCount: 1, Zones: []string{"here", "there"}, Tick: time.Millisecond,
+		Classes: []piernotch.Class{{Name: "read", LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}},
 		Limits:  piernotch.Limits{MaxAttempts: 3},
-		Rules:   piernotch.Rules{ColdFrom: 0.2, Cold: 10 * time.Second},
+		Rules:   piernotch.Rules{SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second},
 	}
 	b, err := piernotch.New(settings, 42, printer{})
 	if err != nil {
@@ -37,15 +37,15 @@
 		return
 	}
 	now := time.Second // any clock that only advances
-	b.List(now, piernotch.ListFull, []piernotch.Entry{
+	b.UpdateEndpoints(now, piernotch.UpdateFull, []piernotch.Endpoint{
 		{ID: 1, Zone: 0, Size: 1}, {ID: 2, Zone: 1, Size: 1},
 	})
-	b.Request(now, piernotch.Request{ID: 7, Deadline: now + time.Second})
-	b.Outcome(now+30*time.Millisecond, piernotch.Outcome{
+	b.HandleRequest(now, piernotch.Request{ID: 7, Deadline: now + time.Second})
+	b.HandleOutcome(now+30*time.Millisecond, piernotch.Outcome{
 		ID: 7, Backend: 1, Status: piernotch.OK, Latency: 30 * time.Millisecond, Closed: true,
 	})
-	b.List(now, piernotch.ListDelta, []piernotch.Entry{{ID: 1, Zone: 0, State: piernotch.Draining}})
-	b.Request(now+40*time.Millisecond, piernotch.Request{ID: 8, Deadline: now + time.Second})
+	b.UpdateEndpoints(now, piernotch.UpdateDelta, []piernotch.Endpoint{{ID: 1, Zone: 0, State: piernotch.Draining}})
+	b.HandleRequest(now+40*time.Millisecond, piernotch.Request{ID: 8, Deadline: now + time.Second})
 	// Output:
 	// send request 7 to backend 1, wait 200ms
 	// send request 8 to backend 2, wait 200ms
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -233,10 +233,10 @@
 	f.start(f.servers[0])
 	change, _ = get(fmt.Sprintf("?index=%d&wait=20000", change.Generation))
 	require.Equal(t, piernotch.Ready, change.Members[0].Entry.State)
-	born := change.Members[0].Entry.Born
+	born := change.Members[0].Entry.StartedAt
 	require.Positive(t, born)
 	again, _ := get("")
-	require.Equal(t, born, again.Members[0].Entry.Born, "one start is told as one")
+	require.Equal(t, born, again.Members[0].Entry.StartedAt, "one start is told as one")
 	f.roster.outage(true)
 	_, status := get("")
 	require.Equal(t, 503, status)
--- a/internal/lab/goodput/tally.go
+++ b/internal/lab/goodput/tally.go
@@ -64,9 +64,9 @@
 // Worth is what a request of a class and a work (ms) is worth.
 func Worth(d *scenario.Day, class int, work float64) float64 {
 	if d.Score.ByWork {
-		return d.Classes[class].Worth * work
+		return d.Classes[class].PriorityWeight * work
 	}
-	return d.Classes[class].Worth
+	return d.Classes[class].PriorityWeight
 }
 
 // Ask counts a client's request when it is first made.
@@ -98,12 +98,12 @@
 	if served {
 		_ = t.hist.RecordValue(max(int64(took/time.Microsecond), 1))
 		earned = worth
-		if took > c.Aim {
-			earned *= c.LateWorth
+		if took > c.LatencyObjective {
+			earned *= c.LateWeightShare
 		} else {
 			t.InAim++
 		}
-	} else if took > c.Aim {
+	} else if took > c.LatencyObjective {
 		t.LateUnserved += worth
 	}
 	t.classServed[class] += earned
--- a/internal/lab/invariants/audit.go
+++ b/internal/lab/invariants/audit.go
@@ -215,7 +215,7 @@
 			a.broke(Break{Lost, at, int(r.inst), id, -1, "served, but no server ran it", a.steps(id)})
 		}
 	case Refused:
-		if k := a.class(r); k != nil && (k.Effect == piernotch.Unsafe || k.Effect == piernotch.Keyed && k.Scope != piernotch.ScopeAll) {
+		if k := a.class(r); k != nil && (k.RetrySafety == piernotch.NonIdempotent || k.RetrySafety == piernotch.IdempotencyKey && k.DedupScope != piernotch.DedupEverywhere) {
 			for _, s := range r.shots {
 				if !s.unrun {
 					a.broke(Break{Repeated, at, int(r.inst), id, int(s.server), "refused what may have run", a.steps(id)})
@@ -313,13 +313,13 @@
 		return
 	}
 	switch {
-	case k.Effect == piernotch.Unsafe:
+	case k.RetrySafety == piernotch.NonIdempotent:
 		bad("sent again, though an earlier attempt may have run")
-	case k.Effect == piernotch.Keyed && at > first.at+k.Window:
+	case k.RetrySafety == piernotch.IdempotencyKey && at > first.at+k.DedupWindow:
 		bad("sent again after the time in which repeats are dropped")
-	case k.Effect == piernotch.Keyed && k.Scope == piernotch.ScopeZone && a.fig.Zone(server) != a.fig.Zone(int(first.server)):
+	case k.RetrySafety == piernotch.IdempotencyKey && k.DedupScope == piernotch.DedupInZone && a.fig.Zone(server) != a.fig.Zone(int(first.server)):
 		bad("sent again to another zone")
-	case k.Effect == piernotch.Keyed && k.Scope == piernotch.ScopeCell && a.fig.Cell(server) != a.fig.Cell(int(first.server)):
+	case k.RetrySafety == piernotch.IdempotencyKey && k.DedupScope == piernotch.DedupInCell && a.fig.Cell(server) != a.fig.Cell(int(first.server)):
 		bad("sent again to another cell")
 	}
 }
@@ -346,7 +346,7 @@
 		return
 	}
 	s.ran = true
-	if k := a.class(r); k == nil || k.Effect != piernotch.Unsafe {
+	if k := a.class(r); k == nil || k.RetrySafety != piernotch.NonIdempotent {
 		return
 	}
 	for i := range r.shots {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -164,7 +164,7 @@
 			end(try, true)
 			return
 		}
-		again := k.Effect == piernotch.Safe || answer == Refused || answer == Unreached || answer == Broken
+		again := k.RetrySafety == piernotch.Idempotent || answer == Refused || answer == Unreached || answer == Broken
 		pause := time.Duration(float64(d.Clients.Backoff) * math.Exp2(float64(try-1)) * (0.5 + rng.Float64()))
 		if rng.Float64() < d.Clients.Honour {
 			pause = max(pause, min(advice, d.Settings.Limits.MaxRetryAfter))
@@ -243,7 +243,7 @@
 func (c *Clients) exchange(k *conn, a *simulation.Arrival, id string, left time.Duration) (answer Answer, advice time.Duration, crossed bool) {
 	class := &c.Day.Classes[a.Class]
 	method, body := "GET", []byte(nil)
-	if class.Effect != piernotch.Safe {
+	if class.RetrySafety != piernotch.Idempotent {
 		method, body = "POST", []byte("waveform "+id)
 	}
 	target := "/" + class.Name + "?w=" + strconv.FormatFloat(a.Work, 'f', 4, 64)
--- a/internal/lab/loadtest/judge.go
+++ b/internal/lab/loadtest/judge.go
@@ -56,7 +56,7 @@
 func NewJudge(day *scenario.Day, clock func() time.Duration, zone, cell func(int) int) *Judge {
 	fig := invariants.Figures{
 		Slack: day.Rules.Slack + onSockets, Grace: day.Rules.Grace + onSockets, FallFor: day.Rules.Fall.For,
-		MaxAttempts: day.Settings.Limits.MaxAttempts, SecondCopies: day.Settings.Limits.SecondCopies, Zone: zone, Cell: cell,
+		MaxAttempts: day.Settings.Limits.MaxAttempts, SecondCopies: day.Settings.Limits.HedgedRequests, Zone: zone, Cell: cell,
 	}
 	for _, c := range day.Classes {
 		fig.Classes = append(fig.Classes, c.Class)
--- a/internal/lab/scenario/day.go
+++ b/internal/lab/scenario/day.go
@@ -400,8 +400,8 @@
 
 // Effects and scopes as files name them.
 var (
-	effects = map[string]piernotch.Effect{"safe": piernotch.Safe, "keyed": piernotch.Keyed, "unsafe": piernotch.Unsafe}
-	scopes  = map[string]piernotch.Scope{"": piernotch.ScopeAll, "all": piernotch.ScopeAll, "zone": piernotch.ScopeZone, "cell": piernotch.ScopeCell}
+	effects = map[string]piernotch.RetrySafety{"safe": piernotch.Idempotent, "keyed": piernotch.IdempotencyKey, "unsafe": piernotch.NonIdempotent}
+	scopes  = map[string]piernotch.DedupScope{"": piernotch.DedupEverywhere, "all": piernotch.DedupEverywhere, "zone": piernotch.DedupInZone, "cell": piernotch.DedupInCell}
 )
 
 func (d *Day) classes(s *Scenario, rng *rand.Rand) {
@@ -414,8 +414,8 @@
 		mean, cv := k.WorkMS.draw(rng), k.CV.draw(rng)
 		d.Classes = append(d.Classes, DayClass{
 			Class: piernotch.Class{
-				Name: k.Name, Aim: millis(k.AimMS.draw(rng)), Deadline: millis(k.DeadlineMS.draw(rng)), Worth: k.Worth.draw(rng),
-				LateWorth: k.LateWorth.draw(rng), Effect: effects[k.Effect], Scope: scopes[k.Scope], Window: millis(k.WindowMS.draw(rng)),
+				Name: k.Name, LatencyObjective: millis(k.AimMS.draw(rng)), Deadline: millis(k.DeadlineMS.draw(rng)), PriorityWeight: k.Worth.draw(rng),
+				LateWeightShare: k.LateWorth.draw(rng), RetrySafety: effects[k.Effect], DedupScope: scopes[k.Scope], DedupWindow: millis(k.WindowMS.draw(rng)),
 			},
 			Share: share, MeanWork: mean, AttemptCV: k.AttemptCV.draw(rng), Work: workOf(k.Dist, mean, cv, works),
 		})
@@ -460,20 +460,20 @@
 func (d *Day) settings(s *Scenario) {
 	b := &s.Balancers
 	set := piernotch.Settings{
-		Proxies: b.Count, Zones: d.Zones, Tick: d.Tick, AskDiscovery: !d.Discovery.Push,
+		BalancerCount: b.Count, Zones: d.Zones, Tick: d.Tick, PollDiscovery: !d.Discovery.Push,
 		Limits: piernotch.Limits{
-			MaxAttempts: b.MaxAttempts, SecondCopies: b.SecondCopies, Cancel: b.Cancel, Probes: b.Probes,
+			MaxAttempts: b.MaxAttempts, HedgedRequests: b.SecondCopies, CancelAttempts: b.Cancel, HealthChecks: b.Probes,
 			RetryAfter: b.RetryAfter, MaxRetryAfter: millis(b.MaxRetryAfterMS.From),
 		},
-		Rules: piernotch.Rules{AskWithin: d.Rules.AskWithin, ColdFrom: d.Rules.ColdFrom, Cold: d.Rules.Cold,
-			OverloadFor: d.Rules.Fall.For},
-		OverShareWorth: 0.1,
+		Rules: piernotch.Rules{PollInterval: d.Rules.AskWithin, SlowStartCapacity: d.Rules.ColdFrom, SlowStartDuration: d.Rules.Cold,
+			OverloadWindow: d.Rules.Fall.For},
+		OverQuotaWeight: 0.1,
 	}
 	for _, c := range d.Classes {
 		set.Classes = append(set.Classes, c.Class)
 	}
 	for _, k := range d.kinds {
-		set.WarmKeys = set.WarmKeys || k.kind.Keys.Gain > 0
+		set.KeyAffinity = set.KeyAffinity || k.kind.Keys.Gain > 0
 	}
 	d.Settings = set
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -104,7 +104,7 @@
 		share := 0.0
 		for _, c := range d.Classes {
 			share += c.Share
-			if c.Aim > c.Deadline {
+			if c.LatencyObjective > c.Deadline {
 				t.Fatalf("%s", c.Name)
 			}
 		}
--- a/internal/lab/simulation/child.go
+++ b/internal/lab/simulation/child.go
@@ -213,14 +213,14 @@
 		b.Stop(inst)
 	case Demand:
 		flags := uint8(0)
-		if e.Request.Hint > 0 {
+		if e.Request.CostHint > 0 {
 			flags |= wire.FlagHint
 		}
 		if e.Retry {
 			flags |= wire.FlagRetry
 		}
 		b.Demand(inst, uint64(e.Request.ID), uint8(e.Request.Class), uint16(e.Request.Tenant), e.Request.Key,
-			wire.Milliseconds(e.Request.Deadline), e.Request.Hint, flags)
+			wire.Milliseconds(e.Request.Deadline), e.Request.CostHint, flags)
 	case Gone:
 		b.Gone(inst, uint64(e.ID))
 	case Verdict:
@@ -233,7 +233,7 @@
 		for i, en := range e.Entries {
 			c.lines = append(c.lines, wire.Line{
 				Backend: uint32(en.ID), Zone: uint8(en.Zone), Kind: uint8(e.Machines[i]), Cell: uint16(en.Cell),
-				State: wire.StateCode(en.State), Size: en.Size, BornMS: wire.Milliseconds(en.Born),
+				State: wire.StateCode(en.State), Size: en.Size, BornMS: wire.Milliseconds(en.StartedAt),
 			})
 		}
 		b.View(inst, wire.ScopeCode(e.List), e.Version, c.lines)
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -185,12 +185,12 @@
 	switch what & 0xff {
 	case answerFailed:
 		in.watch, in.failed = w.day.Discovery.Push, true
-		w.tell(i, Event{Kind: View, List: piernotch.ListFailed, Version: in.version})
+		w.tell(i, Event{Kind: View, List: piernotch.UpdateFailed, Version: in.version})
 		return
 	case answerFetch:
 		in.failed = false
 		d.whole(w, i)
-		d.send(w, i, piernotch.ListFull, d.all(w))
+		d.send(w, i, piernotch.UpdateFull, d.all(w))
 		return
 	case answerWatch:
 		in.watch, in.failed = true, false
@@ -211,7 +211,7 @@
 	for _, s := range servers {
 		d.remember(in, s, w)
 	}
-	d.send(w, i, piernotch.ListDelta, servers)
+	d.send(w, i, piernotch.UpdateDelta, servers)
 }
 
 // all is every server on the list.
@@ -225,15 +225,15 @@
 	return servers
 }
 
-func (d *discovery) entry(w *World, s int) piernotch.Entry {
+func (d *discovery) entry(w *World, s int) piernotch.Endpoint {
 	l, m := &d.listed[s], &w.servers[s]
-	return piernotch.Entry{ID: m.id, Zone: m.spec.Zone, Cell: m.spec.Cell, State: l.state, Size: m.spec.Size, Born: l.born}
+	return piernotch.Endpoint{ID: m.id, Zone: m.spec.Zone, Cell: m.spec.Cell, State: l.state, Size: m.spec.Size, StartedAt: l.born}
 }
 
 // remember keeps what an instance was told, for its successor.
 func (d *discovery) remember(in *instance, s int, w *World) {
 	if in.entries == nil {
-		in.entries = map[int32]piernotch.Entry{}
+		in.entries = map[int32]piernotch.Endpoint{}
 	}
 	if !d.listed[s].present {
 		delete(in.entries, int32(s))
@@ -255,15 +255,15 @@
 }
 
 // send tells an instance of servers as they are listed now.
-func (d *discovery) send(w *World, i int, kind piernotch.ListKind, servers []int) {
+func (d *discovery) send(w *World, i int, kind piernotch.UpdateKind, servers []int) {
 	e := Event{Kind: View, List: kind, Version: d.version}
 	for _, s := range servers {
 		entry := d.entry(w, s)
 		e.Entries = append(e.Entries, entry)
 		e.Machines = append(e.Machines, w.servers[s].spec.KindIndex)
-		w.audit.Told(w.now, i, s, entry.State, entry.Born)
+		w.audit.Told(w.now, i, s, entry.State, entry.StartedAt)
 	}
-	if kind == piernotch.ListFull {
+	if kind == piernotch.UpdateFull {
 		d.missing(w, i)
 	}
 	w.tell(i, e)
@@ -281,7 +281,7 @@
 // cached brings a starting instance the list that its forerunner had last.
 func (d *discovery) cached(w *World, i int) {
 	in := &w.insts[i]
-	e := Event{Kind: View, List: piernotch.ListCached, Version: in.version}
+	e := Event{Kind: View, List: piernotch.UpdateCached, Version: in.version}
 	servers := make([]int, 0, len(in.entries))
 	for s := range in.entries {
 		servers = append(servers, int(s))
@@ -291,7 +291,7 @@
 		entry := in.entries[int32(s)]
 		e.Entries = append(e.Entries, entry)
 		e.Machines = append(e.Machines, w.servers[s].spec.KindIndex)
-		w.audit.Told(w.now, i, s, entry.State, entry.Born)
+		w.audit.Told(w.now, i, s, entry.State, entry.StartedAt)
 	}
 	w.tell(i, e)
 }
--- a/internal/lab/simulation/faults_test.go
+++ b/internal/lab/simulation/faults_test.go
@@ -92,7 +92,7 @@
 	first := map[int]piernotch.BackendID{}
 	r := playFaulty(t, 1, func(_ time.Duration, events []Event, actions []Action) []Action {
 		for _, e := range events {
-			if e.Kind == View && e.List == piernotch.ListDelta {
+			if e.Kind == View && e.List == piernotch.UpdateDelta {
 				for _, en := range e.Entries {
 					if _, ok := first[e.Instance]; !ok && en.State == piernotch.Draining {
 						first[e.Instance] = en.ID
@@ -163,8 +163,8 @@
 	r := playFaulty(t, 2, func(_ time.Duration, events []Event, actions []Action) []Action {
 		for _, e := range events {
 			for _, en := range e.Entries {
-				if e.Kind == View && en.State == piernotch.Ready && en.Born > born[e.Instance] {
-					cold[e.Instance], born[e.Instance] = en.ID, en.Born
+				if e.Kind == View && en.State == piernotch.Ready && en.StartedAt > born[e.Instance] {
+					cold[e.Instance], born[e.Instance] = en.ID, en.StartedAt
 				}
 			}
 		}
--- a/internal/lab/simulation/quake_test.go
+++ b/internal/lab/simulation/quake_test.go
@@ -122,7 +122,7 @@
 		for s := range w.servers {
 			w.disc.listed[s].state = piernotch.Draining
 		}
-		w.disc.send(w, 0, piernotch.ListDelta, []int{0, 1})
+		w.disc.send(w, 0, piernotch.UpdateDelta, []int{0, 1})
 	})
 	r, err := w.Run()
 	require.NoError(t, err)
--- a/internal/lab/simulation/result.go
+++ b/internal/lab/simulation/result.go
@@ -97,7 +97,7 @@
 	Events, Tries, Attempts, Firsts, Cross, Probes int
 	TurnedAway, TableFull, Opened, Falls           int
 	Unreachable, GivenUp, Left, ListFailed         int
-	Outcomes                                       [piernotch.Moot + 1]int
+	Outcomes                                       [piernotch.NotSent + 1]int
 	ServedWork                                     float64
 	ModuleTime                                     time.Duration
 
@@ -198,7 +198,7 @@
 		WallS: wall.Seconds(), ModuleS: m.ModuleTime.Seconds(), Seconds: t.Seconds, Servers: m.tracks,
 		Handshakes: m.Opened, ListFailed: m.ListFailed, Ended: map[string]int{},
 	}
-	for s := piernotch.OK; s <= piernotch.Moot; s++ {
+	for s := piernotch.OK; s <= piernotch.NotSent; s++ {
 		r.Ended[s.String()] = m.Outcomes[s]
 	}
 	asks := float64(t.Asked)
--- a/internal/lab/simulation/tier.go
+++ b/internal/lab/simulation/tier.go
@@ -39,11 +39,11 @@
 	Took     time.Duration       // Probed
 	Load     servermodel.Load    // Verdict, Probed
 	HasLoad  bool
-	List     piernotch.ListKind // View
-	Version  uint64             // View
-	Entries  []piernotch.Entry  // View
-	Machines []int              // View: the kind of each entry's machine
-	Token    uint32             // Timer
+	List     piernotch.UpdateKind // View
+	Version  uint64               // View
+	Entries  []piernotch.Endpoint // View
+	Machines []int                // View: the kind of each entry's machine
+	Token    uint32               // Timer
 }
 
 // ActionKind is what a balancer asks for.
@@ -127,21 +127,21 @@
 			if e.Kind == Verdict {
 				id = e.Outcome.Backend
 			}
-			b.Reported(now, id, piernotch.Load{Inflight: e.Load.Inflight, PerSec: e.Load.PerSec})
+			b.LoadReported(now, id, piernotch.LoadReport{Inflight: e.Load.Inflight, CompletedPerSecond: e.Load.PerSec})
 		}
 		switch e.Kind {
 		case Stop:
 			p.instances[e.Instance] = nil
 		case Demand:
-			b.Request(now, e.Request)
+			b.HandleRequest(now, e.Request)
 		case Gone:
 			b.ClientGone(now, e.ID)
 		case Verdict:
-			b.Outcome(now, e.Outcome)
+			b.HandleOutcome(now, e.Outcome)
 		case Probed:
-			b.Probed(now, e.Backend, e.Status)
+			b.HealthCheckCompleted(now, e.Backend, e.Status)
 		case View:
-			b.List(now, e.List, e.Entries)
+			b.UpdateEndpoints(now, e.List, e.Entries)
 		case Timer:
 			b.Timer(now, e.Token)
 		}
@@ -159,18 +159,18 @@
 	h.p.actions = append(h.p.actions, a)
 }
 
-func (h inProcessHost) Send(id piernotch.RequestID, to piernotch.BackendID, timeout time.Duration) {
+func (h inProcessHost) StartAttempt(id piernotch.RequestID, to piernotch.BackendID, timeout time.Duration) {
 	h.add(Action{Kind: Send, ID: id, Backend: to, Delay: timeout})
 }
-func (h inProcessHost) Cancel(id piernotch.RequestID, attempt int) {
+func (h inProcessHost) CancelAttempt(id piernotch.RequestID, attempt int) {
 	h.add(Action{Kind: Cancel, ID: id, Attempt: attempt})
 }
-func (h inProcessHost) Refuse(id piernotch.RequestID, retryAfter time.Duration) {
+func (h inProcessHost) Reject(id piernotch.RequestID, retryAfter time.Duration) {
 	h.add(Action{Kind: Refuse, ID: id, Delay: retryAfter})
 }
-func (h inProcessHost) Fail(id piernotch.RequestID) { h.add(Action{Kind: Fail, ID: id}) }
-func (h inProcessHost) Probe(b piernotch.BackendID) { h.add(Action{Kind: Probe, Backend: b}) }
-func (h inProcessHost) Watch()                      { h.add(Action{Kind: Watch}) }
+func (h inProcessHost) Fail(id piernotch.RequestID)       { h.add(Action{Kind: Fail, ID: id}) }
+func (h inProcessHost) HealthCheck(b piernotch.BackendID) { h.add(Action{Kind: Probe, Backend: b}) }
+func (h inProcessHost) WatchEndpoints()                   { h.add(Action{Kind: Watch}) }
 func (h inProcessHost) SetTimer(d time.Duration, token uint32) {
 	h.add(Action{Kind: SetTimer, Delay: d, Token: token})
 }
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -110,7 +110,7 @@
 	queued  bool
 	pools   []pool
 	version uint64 // of its list
-	entries map[int32]piernotch.Entry
+	entries map[int32]piernotch.Endpoint
 	watch   bool
 	asked   time.Duration
 	failed  bool
@@ -182,7 +182,7 @@
 	cell := func(i int) int { return w.servers[i].spec.Cell }
 	fig := invariants.Figures{
 		Slack: day.Rules.Slack, Grace: day.Rules.Grace, FallFor: day.Rules.Fall.For, MaxAttempts: day.Settings.Limits.MaxAttempts,
-		SecondCopies: day.Settings.Limits.SecondCopies, Zone: zone, Cell: cell,
+		SecondCopies: day.Settings.Limits.HedgedRequests, Zone: zone, Cell: cell,
 	}
 	fig.Slack += day.Tick
 	for _, c := range day.Classes {
@@ -511,7 +511,7 @@
 	t.taken = true
 	w.audit.Taken(w.now, int(t.inst), id, a.class, t.deadline)
 	w.tell(int(t.inst), Event{Kind: Demand, Retry: t.n > 0 && w.day.Clients.MarksRetry, Request: piernotch.Request{
-		ID: piernotch.RequestID(id), Class: a.class, Key: a.path, Deadline: t.deadline, Hint: a.hint,
+		ID: piernotch.RequestID(id), Class: a.class, Key: a.path, Deadline: t.deadline, CostHint: a.hint,
 	}})
 }
 
@@ -616,8 +616,8 @@
 	}
 	w.meter.tally.Ended(a.first, answer == invariants.Refused)
 	k := &w.day.Classes[a.class]
-	again := k.Effect == piernotch.Safe || answer == invariants.Refused || unreached ||
-		k.Effect == piernotch.Keyed && k.Scope == piernotch.ScopeAll && w.now < a.first+k.Window
+	again := k.RetrySafety == piernotch.Idempotent || answer == invariants.Refused || unreached ||
+		k.RetrySafety == piernotch.IdempotencyKey && k.DedupScope == piernotch.DedupEverywhere && w.now < a.first+k.DedupWindow
 	if !again || a.tries > a.most {
 		w.finishAsk(askID, false)
 		return
@@ -709,9 +709,9 @@
 	if t != nil {
 		n = int(t.attempts)
 	}
-	w.meter.Outcomes[piernotch.Moot]++
+	w.meter.Outcomes[piernotch.NotSent]++
 	w.tell(act.Instance, Event{Kind: Verdict, Outcome: piernotch.Outcome{
-		ID: act.ID, Attempt: n, Backend: act.Backend, Status: piernotch.Moot, Closed: t == nil || t.closed,
+		ID: act.ID, Attempt: n, Backend: act.Backend, Status: piernotch.NotSent, Closed: t == nil || t.closed,
 	}})
 }
 
@@ -933,7 +933,7 @@
 			w.closeConns(int(a.server), 1)
 		}
 	}
-	w.audit.Over(a.try, int(a.n), status.NeverRan())
+	w.audit.Over(a.try, int(a.n), status.NeverExecuted())
 	t := w.tries.Get(a.try)
 	if t != nil {
 		t.out--
--- a/internal/serve/config/file.go
+++ b/internal/serve/config/file.go
@@ -79,7 +79,7 @@
 	return f
 }
 
-var classEffects = map[string]piernotch.Effect{"safe": piernotch.Safe, "unsafe": piernotch.Unsafe}
+var classEffects = map[string]piernotch.RetrySafety{"safe": piernotch.Idempotent, "unsafe": piernotch.NonIdempotent}
 
 // LoadFile reads the product's own configuration, in TOML. The error is of type
 // tomlfile.Problems and tells all that is wrong, with file and line.
@@ -168,15 +168,15 @@
 		add("rules.cold_from", "%v, a share from 0 to 1 is expected", f.Rules.ColdFrom)
 	}
 	c.Settings = piernotch.Settings{
-		Proxies: f.Balancers.Count, Zone: max(mine, 0), Zones: zones, Tick: 5 * time.Millisecond, AskDiscovery: true, WarmKeys: f.Servers.WarmKeys,
+		BalancerCount: f.Balancers.Count, Zone: max(mine, 0), Zones: zones, Tick: 5 * time.Millisecond, PollDiscovery: true, KeyAffinity: f.Servers.WarmKeys,
 		Limits: piernotch.Limits{
-			MaxAttempts: f.Requests.MaxAttempts, SecondCopies: f.Requests.SecondCopies, Cancel: f.Requests.Cancel, Probes: f.Requests.Probes,
+			MaxAttempts: f.Requests.MaxAttempts, HedgedRequests: f.Requests.SecondCopies, CancelAttempts: f.Requests.Cancel, HealthChecks: f.Requests.Probes,
 			RetryAfter: f.Requests.RetryAfter, MaxRetryAfter: ms(f.Requests.RetryMostMS),
 		},
 		Rules: piernotch.Rules{
-			AskWithin: ms(f.Rules.AskWithinMS), ColdFrom: f.Rules.ColdFrom, Cold: ms(f.Rules.ColdMS), OverloadFor: ms(f.Rules.OverloadMS),
+			PollInterval: ms(f.Rules.AskWithinMS), SlowStartCapacity: f.Rules.ColdFrom, SlowStartDuration: ms(f.Rules.ColdMS), OverloadWindow: ms(f.Rules.OverloadMS),
 		},
-		OverShareWorth: 0.1,
+		OverQuotaWeight: 0.1,
 	}
 	f.classes(&c, within, add)
 	if f.Known != "" {
@@ -220,8 +220,8 @@
 			add(at+"late_worth", "%v, a share from 0 to 1 is expected", k.LateWorth)
 		}
 		c.Settings.Classes = append(c.Settings.Classes, piernotch.Class{
-			Name: k.Name, Aim: time.Duration(k.AimMS) * time.Millisecond, Deadline: time.Duration(k.DeadlineMS) * time.Millisecond,
-			Worth: k.Worth, LateWorth: k.LateWorth, Effect: effect,
+			Name: k.Name, LatencyObjective: time.Duration(k.AimMS) * time.Millisecond, Deadline: time.Duration(k.DeadlineMS) * time.Millisecond,
+			PriorityWeight: k.Worth, LateWeightShare: k.LateWorth, RetrySafety: effect,
 		})
 	}
 }
--- a/internal/serve/core/core.go
+++ b/internal/serve/core/core.go
@@ -69,11 +69,11 @@
 	// Reported is a feed server's account of its load, which came with an answer.
 	Reported struct {
 		Backend piernotch.BackendID
-		Load    piernotch.Load
+		Load    piernotch.LoadReport
 	}
 	// Members is word of the feed servers, or of discovery's failure.
 	Members struct {
-		Kind    piernotch.ListKind
+		Kind    piernotch.UpdateKind
 		Entries []Member
 	}
 	// Ticked is the passing of time.
@@ -93,7 +93,7 @@
 	// Heard is what another process of this balancer was told.
 	Heard struct{ Words *overrides.Words }
 	// Learnt is what another process of this balancer knows of the traffic.
-	Learnt struct{ Learnt piernotch.Learnt }
+	Learnt struct{ Learnt piernotch.Snapshot }
 	// Terminate asks the balancer to end once nothing is owed.
 	Terminate struct{}
 )
@@ -116,7 +116,7 @@
 type Member struct {
 	Name    string
 	Address string
-	Entry   piernotch.Entry // all but the ID
+	Entry   piernotch.Endpoint // all but the ID
 }
 
 // Effect is something to be done outside.
@@ -358,13 +358,13 @@
 		if t := c.probes[ev.Backend]; t != nil {
 			t.Stop()
 			delete(c.probes, ev.Backend)
-			c.balancer.Probed(c.now, ev.Backend, ev.Status)
+			c.balancer.HealthCheckCompleted(c.now, ev.Backend, ev.Status)
 		}
 	case Reported:
 		if b := c.backends[ev.Backend]; c.debug && b != nil {
-			slog.Debug("report", "server", b.name, "inflight", ev.Load.Inflight, "per_s", ev.Load.PerSec)
+			slog.Debug("report", "server", b.name, "inflight", ev.Load.Inflight, "per_s", ev.Load.CompletedPerSecond)
 		}
-		c.balancer.Reported(c.now, ev.Backend, ev.Load)
+		c.balancer.LoadReported(c.now, ev.Backend, ev.Load)
 	case Members:
 		c.members(ev)
 	case Ticked:
@@ -376,7 +376,7 @@
 	case Heard:
 		c.heard(ev.Words)
 	case Learnt:
-		c.balancer.Resume(ev.Learnt)
+		c.balancer.Restore(ev.Learnt)
 	case Terminate:
 		if !c.ending {
 			longest := time.Duration(0)
@@ -405,7 +405,7 @@
 	c.ids[ev.ID] = struct{}{}
 	c.lastID++
 	c.Counts.Taken++
-	r := &request{id: c.lastID, name: ev.ID, client: ev.Client, message: ev.Message, deadline: ev.Deadline, class: ev.Class, last: piernotch.Moot}
+	r := &request{id: c.lastID, name: ev.ID, client: ev.Client, message: ev.Message, deadline: ev.Deadline, class: ev.Class, last: piernotch.NotSent}
 	c.requests[r.id], c.clients[r.client] = r, r
 	if c.debug {
 		slog.Debug("request", "id", r.name, "class", ev.Class, "hint", ev.Hint, "wait_ms", (ev.Deadline - c.now).Milliseconds())
@@ -413,8 +413,8 @@
 	// The module's own time-outs end at the deadline; this comes a tick later, for
 	// whatever it has left unanswered even so.
 	r.overdue = c.wheel.At(ev.Deadline+2*Tick, func() { c.overrun(r) })
-	c.balancer.Request(c.now, piernotch.Request{
-		ID: r.id, Class: ev.Class, Tenant: ev.Tenant, Key: ev.Key, Deadline: ev.Deadline, Hint: ev.Hint,
+	c.balancer.HandleRequest(c.now, piernotch.Request{
+		ID: r.id, Class: ev.Class, Tenant: ev.Tenant, Key: ev.Key, Deadline: ev.Deadline, CostHint: ev.Hint,
 	})
 }
 
@@ -440,7 +440,7 @@
 	delete(c.ids, r.name)
 	for n, a := range r.tries {
 		if !a.ended && !a.written {
-			c.callOff(r, n, piernotch.Moot)
+			c.callOff(r, n, piernotch.NotSent)
 		}
 	}
 }
@@ -498,8 +498,8 @@
 	if a == nil || a.written {
 		return
 	}
-	if !c.balancer.Stands(c.now, ref.ID, ref.Attempt) {
-		c.callOff(r, ref.Attempt, piernotch.Moot)
+	if !c.balancer.AttemptAllowed(c.now, ref.ID, ref.Attempt) {
+		c.callOff(r, ref.Attempt, piernotch.NotSent)
 		return
 	}
 	if c.debug {
@@ -527,7 +527,7 @@
 	if status == piernotch.OK {
 		c.reply(r, Reply{Verdict: Served, Answer: answer})
 	}
-	c.balancer.Outcome(c.now, piernotch.Outcome{
+	c.balancer.HandleOutcome(c.now, piernotch.Outcome{
 		ID: r.id, Attempt: n, Backend: a.to.id, Status: status, Latency: c.now - a.sent, Closed: r.answered,
 	})
 	c.forget(r)
@@ -550,12 +550,12 @@
 
 // members takes a list to the table and to the module.
 func (c *Core) members(ev Members) {
-	if ev.Kind == piernotch.ListFailed {
-		c.balancer.List(c.now, ev.Kind, nil)
+	if ev.Kind == piernotch.UpdateFailed {
+		c.balancer.UpdateEndpoints(c.now, ev.Kind, nil)
 		return
 	}
 	c.listed = true
-	entries := make([]piernotch.Entry, 0, len(ev.Entries))
+	entries := make([]piernotch.Endpoint, 0, len(ev.Entries))
 	named := make(map[string]bool, len(ev.Entries))
 	for _, m := range ev.Entries {
 		named[m.Name] = true
@@ -569,16 +569,16 @@
 		}
 		// A server that has moved, restarted or is leaving: connections to what was
 		// there lead nowhere, and a machine that vanished never says so.
-		stale := b.address != m.Address || b.born != m.Entry.Born
+		stale := b.address != m.Address || b.born != m.Entry.StartedAt
 		if b.address != "" && (stale || m.Entry.State != piernotch.Ready) {
 			c.do(Forget{b.place()})
 		}
 		b.member = m
-		b.address, b.state, b.born = m.Address, m.Entry.State, m.Entry.Born
+		b.address, b.state, b.born = m.Address, m.Entry.State, m.Entry.StartedAt
 		m.Entry.ID = b.id
 		entries = append(entries, m.Entry)
 	}
-	if ev.Kind != piernotch.ListDelta {
+	if ev.Kind != piernotch.UpdateDelta {
 		for name, b := range c.names {
 			if !named[name] && b.state != piernotch.Gone {
 				b.state = piernotch.Gone
@@ -594,7 +594,7 @@
 			gone = append(gone, b)
 		}
 	}
-	c.balancer.List(c.now, ev.Kind, entries)
+	c.balancer.UpdateEndpoints(c.now, ev.Kind, entries)
 	for _, b := range gone { // the words stay: they hold for the name, should it come back
 		if b.out {
 			c.balancer.Include(c.now, b.id, 0)
@@ -617,7 +617,7 @@
 // waits until its call has returned.
 type host struct{ c *Core }
 
-func (h host) Send(id piernotch.RequestID, to piernotch.BackendID, timeout time.Duration) {
+func (h host) StartAttempt(id piernotch.RequestID, to piernotch.BackendID, timeout time.Duration) {
 	c := h.c
 	r, b := c.requests[id], c.backends[to]
 	if r == nil || b == nil {
@@ -629,7 +629,7 @@
 	r.tries = append(r.tries, a)
 	r.out++
 	if r.answered || n >= c.set.Limits.MaxAttempts {
-		c.pending = append(c.pending, func() { c.ended(r, n, piernotch.Moot, nil) })
+		c.pending = append(c.pending, func() { c.ended(r, n, piernotch.NotSent, nil) })
 		return
 	}
 	c.Counts.Attempts++
@@ -655,13 +655,13 @@
 	c.do(Send{Ref: ref, To: b.place(), Message: r.message, Wait: wait})
 }
 
-func (h host) Cancel(id piernotch.RequestID, n int) {
+func (h host) CancelAttempt(id piernotch.RequestID, n int) {
 	if r, a := h.c.attempt(Ref{id, n}); a != nil {
 		h.c.callOff(r, n, piernotch.Cancelled)
 	}
 }
 
-func (h host) Refuse(id piernotch.RequestID, retryAfter time.Duration) {
+func (h host) Reject(id piernotch.RequestID, retryAfter time.Duration) {
 	if r := h.c.requests[id]; r != nil {
 		h.c.reply(r, Reply{Verdict: Refused, RetryAfter: retryAfter})
 		h.c.pending = append(h.c.pending, func() { h.c.forget(r) })
@@ -678,7 +678,7 @@
 // ProbeTimeout is how long a feed server may take to answer a probe.
 const ProbeTimeout = 500 * time.Millisecond
 
-func (h host) Probe(id piernotch.BackendID) {
+func (h host) HealthCheck(id piernotch.BackendID) {
 	c := h.c
 	b := c.backends[id]
 	if b == nil || c.probes[id] != nil {
@@ -686,12 +686,12 @@
 	}
 	c.probes[id] = c.wheel.At(c.now+ProbeTimeout+2*Tick, func() {
 		delete(c.probes, id)
-		c.balancer.Probed(c.now, id, piernotch.Timeout)
+		c.balancer.HealthCheckCompleted(c.now, id, piernotch.Timeout)
 	})
 	c.do(Probe{b.place()})
 }
 
-func (h host) Watch() { h.c.do(Watch{}) }
+func (h host) WatchEndpoints() { h.c.do(Watch{}) }
 
 func (h host) SetTimer(d time.Duration, token uint32) {
 	h.c.wheel.At(h.c.now+d, func() { h.c.balancer.Timer(h.c.now, token) })
--- a/internal/serve/core/core_test.go
+++ b/internal/serve/core/core_test.go
@@ -15,19 +15,19 @@
 
 func newCore(t *testing.T) *Core {
 	set := piernotch.Settings{
-		Proxies: 1, Zones: []string{"a"}, Tick: Tick,
-		Classes: []piernotch.Class{{Name: "c", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Effect: piernotch.Unsafe}},
-		Limits:  piernotch.Limits{MaxAttempts: 2, Cancel: true},
-		Rules:   piernotch.Rules{Cold: time.Second},
+		BalancerCount: 1, Zones: []string{"a"}, Tick: Tick,
+		Classes: []piernotch.Class{{Name: "c", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, RetrySafety: piernotch.NonIdempotent}},
+		Limits:  piernotch.Limits{MaxAttempts: 2, CancelAttempts: true},
+		Rules:   piernotch.Rules{SlowStartDuration: time.Second},
 	}
 	c, err := New(set, 1, start, "127.0.0.1:2", 1)
 	require.NoError(t, err)
-	c.Handle(start, Members{Kind: piernotch.ListFull, Entries: []Member{server(piernotch.Ready)}})
+	c.Handle(start, Members{Kind: piernotch.UpdateFull, Entries: []Member{server(piernotch.Ready)}})
 	return c
 }
 
 func server(state piernotch.State) Member {
-	return Member{Name: "s-1", Address: "127.0.0.1:1", Entry: piernotch.Entry{State: state, Size: 1}}
+	return Member{Name: "s-1", Address: "127.0.0.1:1", Entry: piernotch.Endpoint{State: state, Size: 1}}
 }
 
 func arrive(c *Core, client Client) []Effect {
@@ -38,7 +38,7 @@
 func TestNothingIsWrittenToAServerThatDrainsMeanwhile(t *testing.T) {
 	c := newCore(t)
 	send := arrive(c, 1)[0].(Send)
-	c.Handle(start, Members{Kind: piernotch.ListDelta, Entries: []Member{server(piernotch.Draining)}})
+	c.Handle(start, Members{Kind: piernotch.UpdateDelta, Entries: []Member{server(piernotch.Draining)}})
 	effects := c.Handle(start, Connected{send.Ref})
 	require.Contains(t, effects, Drop{send.Ref})
 	require.NotContains(t, effects, Write{send.Ref})
@@ -53,7 +53,7 @@
 	require.NotContains(t, c.Handle(start+time.Second-Tick, Ticked{}), Exit{})
 	require.Equal(t, 1, c.Owed())
 	effects := c.Handle(start+time.Second+2*Tick, Ticked{})
-	require.Contains(t, effects, Reply{Client: 7, Verdict: Failed, Last: piernotch.Moot})
+	require.Contains(t, effects, Reply{Client: 7, Verdict: Failed, Last: piernotch.NotSent})
 	require.Zero(t, c.Owed())
 	require.Empty(t, c.requests)
 }
@@ -74,14 +74,14 @@
 func TestARestartForgetsConnections(t *testing.T) {
 	c := newCore(t)
 	again := server(piernotch.Ready)
-	again.Entry.Born = start - time.Millisecond
-	list := Members{Kind: piernotch.ListDelta, Entries: []Member{again}}
+	again.Entry.StartedAt = start - time.Millisecond
+	list := Members{Kind: piernotch.UpdateDelta, Entries: []Member{again}}
 	require.Contains(t, c.Handle(start, list), Forget{Place{c.names["s-1"].id, "127.0.0.1:1"}})
 	require.Empty(t, c.Handle(start, list), "once is enough")
 }
 
-func classed(name string, effect piernotch.Effect) piernotch.Class {
-	return piernotch.Class{Name: name, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Effect: effect}
+func classed(name string, effect piernotch.RetrySafety) piernotch.Class {
+	return piernotch.Class{Name: name, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, RetrySafety: effect}
 }
 
 // A class keeps its number while requests of it are under way, one whose effect changes gets
@@ -102,19 +102,19 @@
 	_, err := retune()
 	require.Error(t, err)
 	send := arrive(c, 1)[0].(Send)
-	routes, err := retune(classed("c", piernotch.Safe), classed("d", piernotch.Unsafe))
+	routes, err := retune(classed("c", piernotch.Idempotent), classed("d", piernotch.NonIdempotent))
 	require.NoError(t, err)
 	require.Equal(t, []Route{
 		{Name: "c", Class: 0, Until: now + routeGrace}, {Name: "c", Safe: true, Class: 1}, {Name: "d", Class: 2},
 	}, routes)
-	routes, err = retune(classed("d", piernotch.Unsafe), classed("e", piernotch.Unsafe))
+	routes, err = retune(classed("d", piernotch.NonIdempotent), classed("e", piernotch.NonIdempotent))
 	require.NoError(t, err)
 	require.Equal(t, []Route{{Name: "d", Class: 2}, {Name: "e", Class: 1}}, routes, "0 has a request under way")
 	c.Handle(now, Connected{send.Ref})
 	effects := c.Handle(now, Ended{Ref: send.Ref, Status: piernotch.Reset})
 	require.Equal(t, Failed, effects[0].(Reply).Verdict, "it keeps the class that it came with")
 	for i := range 50 {
-		routes, err = retune(classed(fmt.Sprint("n", i), piernotch.Safe))
+		routes, err = retune(classed(fmt.Sprint("n", i), piernotch.Idempotent))
 		require.NoError(t, err)
 	}
 	require.LessOrEqual(t, len(c.Settings().Classes), 3)
@@ -139,12 +139,12 @@
 // long an answer takes and may repeat.
 func wide(t *testing.T, class piernotch.Class, limits piernotch.Limits) (*Core, time.Duration) {
 	c, err := New(piernotch.Settings{
-		Proxies: 1, Zones: []string{"a"}, Tick: Tick, Classes: []piernotch.Class{class}, Limits: limits,
-		Rules: piernotch.Rules{Cold: time.Second},
+		BalancerCount: 1, Zones: []string{"a"}, Tick: Tick, Classes: []piernotch.Class{class}, Limits: limits,
+		Rules: piernotch.Rules{SlowStartDuration: time.Second},
 	}, 1, start, "127.0.0.1:2", 1)
 	require.NoError(t, err)
-	c.Handle(start, Members{Kind: piernotch.ListFull, Entries: []Member{
-		server(piernotch.Ready), {Name: "s-2", Address: "127.0.0.1:3", Entry: piernotch.Entry{Size: 1}},
+	c.Handle(start, Members{Kind: piernotch.UpdateFull, Entries: []Member{
+		server(piernotch.Ready), {Name: "s-2", Address: "127.0.0.1:3", Entry: piernotch.Endpoint{Size: 1}},
 	}})
 	now := start
 	for i := range Client(20) {
@@ -177,7 +177,7 @@
 
 // The connection of a second copy that comes up behind the answer must not carry the request.
 func TestNothingIsWrittenBehindTheAnswer(t *testing.T) {
-	c, now := wide(t, classed("c", piernotch.Safe), piernotch.Limits{MaxAttempts: 2, SecondCopies: true, Cancel: true})
+	c, now := wide(t, classed("c", piernotch.Idempotent), piernotch.Limits{MaxAttempts: 2, HedgedRequests: true, CancelAttempts: true})
 	first := come(c, now, 1)
 	c.Handle(now, Connected{first.Ref})
 	copied, now := again(t, c, now)
@@ -193,7 +193,7 @@
 // the settings let no attempt be called off.
 func TestNothingIsWrittenForAClientThatLeft(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		c, now := wide(t, classed("c", piernotch.Safe), piernotch.Limits{MaxAttempts: 2, Cancel: cancel})
+		c, now := wide(t, classed("c", piernotch.Idempotent), piernotch.Limits{MaxAttempts: 2, CancelAttempts: cancel})
 		send := come(c, now, 1)
 		require.Contains(t, c.Handle(now, ClientGone{1}), Drop{send.Ref})
 		require.NotContains(t, c.Handle(now, Connected{send.Ref}), Write{send.Ref})
@@ -203,13 +203,13 @@
 
 // A repeat is decided within its window, and has to be written within it, too.
 func TestARepeatIsNotWrittenOutsideItsWindow(t *testing.T) {
-	class := classed("c", piernotch.Keyed)
-	class.Window = 300 * time.Millisecond
+	class := classed("c", piernotch.IdempotencyKey)
+	class.DedupWindow = 300 * time.Millisecond
 	for _, x := range []struct {
 		after time.Duration
 		write bool
 	}{{290 * time.Millisecond, true}, {301 * time.Millisecond, false}} {
-		c, sent := wide(t, class, piernotch.Limits{MaxAttempts: 3, Cancel: true})
+		c, sent := wide(t, class, piernotch.Limits{MaxAttempts: 3, CancelAttempts: true})
 		first := come(c, sent, 1)
 		c.Handle(sent, Connected{first.Ref})
 		effects := c.Handle(sent+10*time.Millisecond, Ended{Ref: first.Ref, Status: piernotch.Reset})
@@ -230,9 +230,9 @@
 	for _, x := range []struct{ deadline, kill time.Duration }{
 		{2 * time.Second, 2700 * time.Millisecond}, {6 * time.Second, 3700 * time.Millisecond},
 	} {
-		class := classed("c", piernotch.Unsafe)
-		class.Deadline, class.Aim = x.deadline, x.deadline
-		c, now := wide(t, class, piernotch.Limits{MaxAttempts: 1, Cancel: true})
+		class := classed("c", piernotch.NonIdempotent)
+		class.Deadline, class.LatencyObjective = x.deadline, x.deadline
+		c, now := wide(t, class, piernotch.Limits{MaxAttempts: 1, CancelAttempts: true})
 		c.Handle(now, Terminate{})
 		kill := now + x.kill
 		now += 1500 * time.Millisecond
--- a/internal/serve/core/operate.go
+++ b/internal/serve/core/operate.go
@@ -26,10 +26,10 @@
 func (c *Core) Words() overrides.Words { return c.words.Clone() }
 
 // PruneWords forgets old words that no other process can hold any more.
-func (c *Core) PruneWords() { c.words.Prune(c.now - 2*c.set.Rules.Cold - time.Minute) }
+func (c *Core) PruneWords() { c.words.Prune(c.now - 2*c.set.Rules.SlowStartDuration - time.Minute) }
 
 // Learnt tells what is known of the traffic.
-func (c *Core) Learnt() piernotch.Learnt { return c.balancer.Learnt() }
+func (c *Core) Learnt() piernotch.Snapshot { return c.balancer.Snapshot() }
 
 // Listing returns all feed servers as they were listed last, by name.
 func (c *Core) Listing() []Member {
@@ -102,7 +102,7 @@
 func routes(classes []piernotch.Class) []Route {
 	var rs []Route
 	for i, k := range classes {
-		rs = append(rs, Route{Name: k.Name, Safe: k.Effect == piernotch.Safe, Class: i})
+		rs = append(rs, Route{Name: k.Name, Safe: k.RetrySafety == piernotch.Idempotent, Class: i})
 	}
 	return rs
 }
@@ -114,7 +114,7 @@
 	var rs []Route
 	if err == nil {
 		set.Classes, rs = c.reclass(set.Classes)
-		err = c.balancer.Retune(c.now, set)
+		err = c.balancer.UpdateSettings(c.now, set)
 	}
 	if err != nil {
 		c.do(Retuning{Err: err})
@@ -152,13 +152,13 @@
 		i, ok := old[k.Name]
 		delete(old, k.Name)
 		switch {
-		case ok && classes[i].Effect == k.Effect:
+		case ok && classes[i].RetrySafety == k.RetrySafety:
 			classes[i], taken[i], kept[i] = k, true, true
-			rs = append(rs, Route{Name: k.Name, Safe: k.Effect == piernotch.Safe, Class: i})
+			rs = append(rs, Route{Name: k.Name, Safe: k.RetrySafety == piernotch.Idempotent, Class: i})
 			continue
 		case ok:
 			taken[i], kept[i] = true, true
-			rs = append(rs, Route{Name: k.Name, Safe: classes[i].Effect == piernotch.Safe, Class: i, Until: c.now + routeGrace})
+			rs = append(rs, Route{Name: k.Name, Safe: classes[i].RetrySafety == piernotch.Idempotent, Class: i, Until: c.now + routeGrace})
 		}
 		added = append(added, k)
 	}
@@ -169,7 +169,7 @@
 			classes, taken, kept = append(classes, k), append(taken, true), append(kept, true)
 		}
 		classes[i], taken[i], kept[i] = k, true, true
-		rs = append(rs, Route{Name: k.Name, Safe: k.Effect == piernotch.Safe, Class: i})
+		rs = append(rs, Route{Name: k.Name, Safe: k.RetrySafety == piernotch.Idempotent, Class: i})
 	}
 	for i := range classes {
 		if !kept[i] {
--- a/internal/serve/discovery/discovery.go
+++ b/internal/serve/discovery/discovery.go
@@ -88,9 +88,9 @@
 		}
 		out.Members = append(out.Members, core.Member{
 			Name: e.InstanceID, Address: e.HostPort,
-			Entry: piernotch.Entry{
+			Entry: piernotch.Endpoint{
 				Zone: slices.Index(zones, e.Zone), Cell: e.Cell, State: state, Size: e.Weight,
-				Born: time.Duration(e.StartedAtMs * float64(time.Millisecond)),
+				StartedAt: time.Duration(e.StartedAtMs * float64(time.Millisecond)),
 			},
 		})
 	}
@@ -254,7 +254,7 @@
 		w.lists.Failed()
 	}
 	w.hangUp()
-	w.emit(core.Members{Kind: piernotch.ListFailed})
+	w.emit(core.Members{Kind: piernotch.UpdateFailed})
 	if w.pushed && !w.asking {
 		w.ask(w.now() + pushPause)
 	}
@@ -328,9 +328,9 @@
 // told takes a list to the core.
 func (w *Watcher) told(list List) {
 	w.version, w.whole = list.Generation, w.whole && !list.Reset
-	kind := piernotch.ListDelta
+	kind := piernotch.UpdateDelta
 	if list.Reset {
-		kind = piernotch.ListFull
+		kind = piernotch.UpdateFull
 	}
 	for _, e := range list.Members {
 		slog.Info("list change", "server", e.Name, "address", e.Address, "state", e.Entry.State, "generation", w.version)
--- a/internal/serve/runtime/beside.go
+++ b/internal/serve/runtime/beside.go
@@ -66,8 +66,8 @@
 func (n *Node) takeOver(from *handover.Record) {
 	known := discovery.List{Generation: from.Generation, Reset: true}
 	for _, m := range from.Members {
-		known.Members = append(known.Members, core.Member{Name: m.Name, Address: m.Address, Entry: piernotch.Entry{
-			Zone: slices.Index(n.cfg.Settings.Zones, m.Zone), Cell: m.Cell, State: m.State, Size: m.Size, Born: m.Born,
+		known.Members = append(known.Members, core.Member{Name: m.Name, Address: m.Address, Entry: piernotch.Endpoint{
+			Zone: slices.Index(n.cfg.Settings.Zones, m.Zone), Cell: m.Cell, State: m.State, Size: m.Size, StartedAt: m.Born,
 		}})
 	}
 	n.cfg.Known, n.cfg.HasKnown = known, true
@@ -173,7 +173,7 @@
 			zone = n.cfg.Settings.Zones[z]
 		}
 		r.Members = append(r.Members, handover.Member{
-			Name: m.Name, Address: m.Address, Zone: zone, Cell: m.Entry.Cell, State: m.Entry.State, Size: m.Entry.Size, Born: m.Entry.Born,
+			Name: m.Name, Address: m.Address, Zone: zone, Cell: m.Entry.Cell, State: m.Entry.State, Size: m.Entry.Size, Born: m.Entry.StartedAt,
 		})
 	}
 	if err := b.dir.Write(r); err != nil {
--- a/internal/serve/runtime/crossings_test.go
+++ b/internal/serve/runtime/crossings_test.go
@@ -112,7 +112,7 @@
 			var got ran
 			server, open := late(t, got.serves)
 			n, _ := startWith(t, func(cfg *config.Config) {
-				cfg.Settings.Limits.Cancel, cfg.DialTimeout = cancel, 4*time.Second
+				cfg.Settings.Limits.CancelAttempts, cfg.DialTimeout = cancel, 4*time.Second
 			}, quiet(t), server)
 			c := connect(t, n)
 			c.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: left\r\n\r\n")
@@ -220,8 +220,8 @@
 			server, open := late(t, got.serves)
 			n, _ := startWith(t, func(cfg *config.Config) {
 				cfg.DialTimeout = 4 * time.Second
-				cfg.Settings.Classes[1].Effect, cfg.Settings.Classes[1].Window = piernotch.Keyed, x.window
-				cfg.Settings.Classes[1].Aim = 4 * time.Second
+				cfg.Settings.Classes[1].RetrySafety, cfg.Settings.Classes[1].DedupWindow = piernotch.IdempotencyKey, x.window
+				cfg.Settings.Classes[1].LatencyObjective = 4 * time.Second
 				// Only the second server is elsewhere: all goes to the first until that one fails.
 				cfg.Settings.Zones = []string{"a", "b"}
 				cfg.Known.Members[1].Entry.Zone = 1
@@ -531,15 +531,15 @@
 // A connection is reset long after its request has begun: the request may have run, and its class decides.
 func TestAResetLongAfterARequestHasBegun(t *testing.T) {
 	for name, x := range map[string]struct {
-		effect piernotch.Effect
+		effect piernotch.RetrySafety
 		window time.Duration
 		status string
 		runs   int
 	}{
-		"safe":                  {piernotch.Safe, 0, " 200 ", 2},
-		"keyed":                 {piernotch.Keyed, 2 * time.Second, " 200 ", 2},
-		"keyed, window is over": {piernotch.Keyed, 300 * time.Millisecond, " 503 ", 1}, // a repeat by the client does no harm
-		"unsafe":                {piernotch.Unsafe, 0, " 502 ", 1},
+		"safe":                  {piernotch.Idempotent, 0, " 200 ", 2},
+		"keyed":                 {piernotch.IdempotencyKey, 2 * time.Second, " 200 ", 2},
+		"keyed, window is over": {piernotch.IdempotencyKey, 300 * time.Millisecond, " 503 ", 1}, // a repeat by the client does no harm
+		"unsafe":                {piernotch.NonIdempotent, 0, " 502 ", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -563,13 +563,13 @@
 			}
 			n, _ := startWith(t, func(cfg *config.Config) {
 				k := &cfg.Settings.Classes[1]
-				if k.Effect, k.Window = x.effect, x.window; x.effect == piernotch.Safe {
+				if k.RetrySafety, k.DedupWindow = x.effect, x.window; x.effect == piernotch.Idempotent {
 					k.Name = "look"
 				}
 			}, quiet(t), peer(t, script), peer(t, script))
 			c := connect(t, n)
 			method, target := "POST", "/append"
-			if x.effect == piernotch.Safe {
+			if x.effect == piernotch.Idempotent {
 				method, target = "GET", "/look"
 			}
 			for i := range 20 { // repeats have a budget, by what is asked; the time that an answer takes is known
@@ -586,7 +586,7 @@
 func TestEachTenantHasItsOwnShare(t *testing.T) {
 	asked, release := make(chan string, 8), make(chan struct{})
 	n, _ := startWith(t, func(cfg *config.Config) {
-		cfg.Settings.OverShareWorth = 0.1
+		cfg.Settings.OverQuotaWeight = 0.1
 		cfg.Settings.Tenants = []piernotch.Tenant{{Name: "north", QuotaPerSec: 0.5}, {Name: "south", QuotaPerSec: 1000}}
 	}, quiet(t), peer(t, func(c net.Conn, r *bufio.Reader) {
 		for head, body := message(r); head != ""; head, body = message(r) {
--- a/internal/serve/runtime/daily_test.go
+++ b/internal/serve/runtime/daily_test.go
@@ -222,7 +222,7 @@
 	<-arrived
 	cfg := n.cfg
 	read := cfg.Settings.Classes[0]
-	read.Effect = piernotch.Unsafe
+	read.RetrySafety = piernotch.NonIdempotent
 	extra := read
 	extra.Name = "extra"
 	cfg.Settings.Classes = []piernotch.Class{read, extra}
--- a/internal/serve/runtime/node.go
+++ b/internal/serve/runtime/node.go
@@ -130,12 +130,12 @@
 	}
 	n.limits()
 	if n.cfg.HasKnown {
-		n.emit(core.Members{Kind: piernotch.ListCached, Entries: n.cfg.Known.Members})
+		n.emit(core.Members{Kind: piernotch.UpdateCached, Entries: n.cfg.Known.Members})
 	} else {
 		n.emit(core.Ticked{})
 		n.watcher.Watch()
 	}
-	if !n.cfg.Settings.AskDiscovery {
+	if !n.cfg.Settings.PollDiscovery {
 		n.watcher.Push()
 	}
 	n.beside.merge(peers) // what was said is of servers that are listed by now
--- a/internal/serve/runtime/shared_test.go
+++ b/internal/serve/runtime/shared_test.go
@@ -63,9 +63,9 @@
 	cfg := config.Config{
 		Name: "n", Listen: "127.0.0.1:0", Discovery: disco, Seed: 1, MemoryMB: 64, Sockets: 256, KeepAlive: patience, DialTimeout: patience, HasKnown: true,
 		Settings: piernotch.Settings{
-			Proxies: 1, Zones: []string{"a"}, Tick: 5e6, AskDiscovery: true,
-			Classes: []piernotch.Class{{Name: "read", Aim: 2e9, Deadline: 5e9, Worth: 1, Effect: piernotch.Safe}},
-			Limits:  piernotch.Limits{MaxAttempts: 3, Cancel: true}, Rules: piernotch.Rules{AskWithin: 4e8, ColdFrom: 0.2, Cold: 1e9},
+			BalancerCount: 1, Zones: []string{"a"}, Tick: 5e6, PollDiscovery: true,
+			Classes: []piernotch.Class{{Name: "read", LatencyObjective: 2e9, Deadline: 5e9, PriorityWeight: 1, RetrySafety: piernotch.Idempotent}},
+			Limits:  piernotch.Limits{MaxAttempts: 3, CancelAttempts: true}, Rules: piernotch.Rules{PollInterval: 4e8, SlowStartCapacity: 0.2, SlowStartDuration: 1e9},
 		},
 	}
 	var err error
--- a/internal/serve/runtime/stories_test.go
+++ b/internal/serve/runtime/stories_test.go
@@ -91,13 +91,13 @@
 		Name: "n", Listen: "127.0.0.1:0", Discovery: disco, Seed: 1, MemoryMB: 64, Sockets: 256,
 		KeepAlive: time.Minute, DialTimeout: time.Second, HasKnown: true,
 		Settings: piernotch.Settings{
-			Proxies: 1, Zones: []string{"a"}, Tick: 5 * time.Millisecond, AskDiscovery: true,
+			BalancerCount: 1, Zones: []string{"a"}, Tick: 5 * time.Millisecond, PollDiscovery: true,
 			Classes: []piernotch.Class{
-				{Name: "read", Aim: aim, Deadline: deadline, Worth: 1, Effect: piernotch.Safe},
-				{Name: "append", Aim: aim, Deadline: deadline, Worth: 1, Effect: piernotch.Unsafe},
+				{Name: "read", LatencyObjective: aim, Deadline: deadline, PriorityWeight: 1, RetrySafety: piernotch.Idempotent},
+				{Name: "append", LatencyObjective: aim, Deadline: deadline, PriorityWeight: 1, RetrySafety: piernotch.NonIdempotent},
 			},
-			Limits: piernotch.Limits{MaxAttempts: 3, Cancel: true, Probes: true},
-			Rules:  piernotch.Rules{AskWithin: 400 * time.Millisecond, ColdFrom: 0.2, Cold: time.Second},
+			Limits: piernotch.Limits{MaxAttempts: 3, CancelAttempts: true, HealthChecks: true},
+			Rules:  piernotch.Rules{PollInterval: 400 * time.Millisecond, SlowStartCapacity: 0.2, SlowStartDuration: time.Second},
 		},
 	}
 	var err error
--- a/internal/serve/runtime/watch_test.go
+++ b/internal/serve/runtime/watch_test.go
@@ -52,7 +52,7 @@
 		message(r)
 	})
 	n, _ := startWith(t, func(cfg *config.Config) {
-		cfg.Settings.AskDiscovery, cfg.Settings.Rules.AskWithin = false, time.Hour
+		cfg.Settings.PollDiscovery, cfg.Settings.Rules.PollInterval = false, time.Hour
 	}, disco, server)
 	require.Eventually(t, refuses(t, n), 1500*time.Millisecond, 20*time.Millisecond, "the list that leaves it out is not known")
 }
@@ -73,7 +73,7 @@
 			}
 		}
 	})
-	n, _ := startWith(t, func(cfg *config.Config) { cfg.Settings.Rules.AskWithin = 40 * time.Second }, disco, server)
+	n, _ := startWith(t, func(cfg *config.Config) { cfg.Settings.Rules.PollInterval = 40 * time.Second }, disco, server)
 	require.Eventually(t, func() bool { return calls.Load() == 1 }, patience, time.Millisecond)
 	told := time.Now().Add(7 * time.Second)
 	for i := 0; time.Now().Before(told.Add(2 * time.Second)); i++ {
@@ -105,7 +105,7 @@
 		message(r)
 	})
 	within := 2 * time.Second
-	n, _ := startWith(t, func(cfg *config.Config) { cfg.Settings.Rules.AskWithin = within }, disco, server)
+	n, _ := startWith(t, func(cfg *config.Config) { cfg.Settings.Rules.PollInterval = within }, disco, server)
 	require.Eventually(t, func() bool { return calls.Load() == 2 }, within, time.Millisecond)
 	require.Eventually(t, refuses(t, n), time.Second, 20*time.Millisecond)
 }
@@ -137,7 +137,7 @@
 			require.NoError(t, err)
 			within := 2 * time.Second
 			n, _ := startWith(t, func(cfg *config.Config) {
-				cfg.Settings.AskDiscovery, cfg.Settings.Rules.AskWithin = !pushed, within
+				cfg.Settings.PollDiscovery, cfg.Settings.Rules.PollInterval = !pushed, within
 			}, l.Addr().String(), server)
 			time.Sleep(100 * time.Millisecond)
 			require.NoError(t, l.Close()) // whoever asked is reset, whoever asks now is refused
--- a/internal/serve/upstream/report.go
+++ b/internal/serve/upstream/report.go
@@ -18,18 +18,18 @@
 
 // report reads a load report, as name=value,… with any names, each at most once and
 // inflight among them. Values are finite and not negative.
-func report(text string) (load piernotch.Load, err error) {
+func report(text string) (load piernotch.LoadReport, err error) {
 	seen := make([]string, 0, 4) // on the stack: every answer brings one
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 		v, bad := strconv.ParseFloat(value, 64)
 		if !ok || bad != nil || slices.Contains(seen, name) || !wire.SetLoad(&load, name, v) {
-			return piernotch.Load{}, fmt.Errorf("%q", part)
+			return piernotch.LoadReport{}, fmt.Errorf("%q", part)
 		}
 		seen = append(seen, name)
 	}
 	if !slices.Contains(seen, wire.Inflight) {
-		return piernotch.Load{}, fmt.Errorf("no inflight in %q", text)
+		return piernotch.LoadReport{}, fmt.Errorf("no inflight in %q", text)
 	}
 	return load, nil
 }
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -101,10 +101,10 @@
 		t.Fatal(err)
 	}
 	kind, list, err := List(&e, nil)
-	if err != nil || kind != piernotch.ListCached || len(list) != 2 {
+	if err != nil || kind != piernotch.UpdateCached || len(list) != 2 {
 		t.Fatalf("%v %v %v", kind, list, err)
 	}
-	if l := list[1]; l.ID != 0x2c9011f2 || l.Zone != 1 || l.Size != 1.5 || l.Born != Duration(6100) || l.State != piernotch.Ready {
+	if l := list[1]; l.ID != 0x2c9011f2 || l.Zone != 1 || l.Size != 1.5 || l.StartedAt != Duration(6100) || l.State != piernotch.Ready {
 		t.Errorf("%+v", l)
 	}
 }
@@ -256,10 +256,10 @@
 		t.Fatal(err)
 	}
 	c := s.Classes[0]
-	if c.Effect != piernotch.Keyed || c.Scope != piernotch.ScopeCell || c.Window != Duration(1200) || c.Worth != 3 {
+	if c.RetrySafety != piernotch.IdempotencyKey || c.DedupScope != piernotch.DedupInCell || c.DedupWindow != Duration(1200) || c.PriorityWeight != 3 {
 		t.Errorf("%+v", c)
 	}
-	if !s.AskDiscovery || !s.WarmKeys || s.Zone != 1 || s.Rules.Cold != Duration(23000) {
+	if !s.PollDiscovery || !s.KeyAffinity || s.Zone != 1 || s.Rules.SlowStartDuration != Duration(23000) {
 		t.Errorf("%+v", s)
 	}
 	for _, bad := range []string{"", "nonsense", `{"classes":[{"effect":"odd"}]}`, `{"classes":[{"effect":"safe","dedup_scope":"moon"}]}`} {
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -235,7 +235,7 @@
 }
 
 // ScopeCode is the wire's number of a kind of list.
-func ScopeCode(k piernotch.ListKind) uint8 {
+func ScopeCode(k piernotch.UpdateKind) uint8 {
 	for code, kind := range listKinds {
 		if kind == k {
 			return uint8(code)
@@ -296,32 +296,32 @@
 	}
 	out.Family, out.MyNumber, out.MachineTypes, out.WorthBy, out.Weights = "proxy", x.Number, x.MachineTypes, x.WorthBy, "rough"
 	out.Report.Columns, out.Report.How = x.Columns, "answers"
-	out.GroupSize, out.MyZone, out.Zones, out.QuantumMS = s.Proxies, s.Zone, s.Zones, Milliseconds(s.Tick)
+	out.GroupSize, out.MyZone, out.Zones, out.QuantumMS = s.BalancerCount, s.Zone, s.Zones, Milliseconds(s.Tick)
 	out.Discovery = "pushed"
-	if s.AskDiscovery {
+	if s.PollDiscovery {
 		out.Discovery = "on_request"
 	}
-	out.OverShareWorth = s.OverShareWorth
-	out.Specifics.WarmKeys = s.WarmKeys
+	out.OverShareWorth = s.OverQuotaWeight
+	out.Specifics.WarmKeys = s.KeyAffinity
 	l := &out.Limits
-	l.MostTries, l.SecondCopies, l.Cancelling, l.MayProbe = s.Limits.MaxAttempts, s.Limits.SecondCopies, s.Limits.Cancel, s.Limits.Probes
+	l.MostTries, l.SecondCopies, l.Cancelling, l.MayProbe = s.Limits.MaxAttempts, s.Limits.HedgedRequests, s.Limits.CancelAttempts, s.Limits.HealthChecks
 	l.RetryAfter, l.MaxRetryAfterMS = s.Limits.RetryAfter, Milliseconds(s.Limits.MaxRetryAfter)
 	l.KeepAliveMS, l.DialMS, l.MaxOpen, l.Multiplex, l.CPU = x.KeepAliveMS, x.DialMS, 20000, 1, 1e6
 	r := &out.Rules
-	r.AskWithinMS, r.ColdFrom, r.ColdMS = Milliseconds(s.Rules.AskWithin), s.Rules.ColdFrom, Milliseconds(s.Rules.Cold)
+	r.AskWithinMS, r.ColdFrom, r.ColdMS = Milliseconds(s.Rules.PollInterval), s.Rules.SlowStartCapacity, Milliseconds(s.Rules.SlowStartDuration)
 	r.SlackMS, r.GraceMS, r.FallMultiple, r.FallMS = x.SlackMS, x.GraceMS, x.FallMultiple, x.FallMS
 	out.Classes = append(out.Classes, make([]classJSON, len(s.Classes))...)
 	for i, c := range s.Classes {
 		j := &out.Classes[i]
-		j.Name, j.GoalTimeMS, j.DeadlineMS, j.Points, j.LateWorth = c.Name, Milliseconds(c.Aim), Milliseconds(c.Deadline), c.Worth, c.LateWorth
-		j.DedupWindowMS = Milliseconds(c.Window)
+		j.Name, j.GoalTimeMS, j.DeadlineMS, j.Points, j.LateWorth = c.Name, Milliseconds(c.LatencyObjective), Milliseconds(c.Deadline), c.PriorityWeight, c.LateWeightShare
+		j.DedupWindowMS = Milliseconds(c.DedupWindow)
 		for name, e := range effects {
-			if e == c.Effect {
+			if e == c.RetrySafety {
 				j.Effect = name
 			}
 		}
 		for name, sc := range scopes {
-			if sc == c.Scope && name != "" {
+			if sc == c.DedupScope && name != "" {
 				j.DedupScope = name
 			}
 		}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -58,13 +58,13 @@
 	WorthBy        string  `json:"worth_by"`
 }
 
-var effects = map[string]piernotch.Effect{
-	"safe": piernotch.Safe, "keyed": piernotch.Keyed, "unsafe": piernotch.Unsafe,
+var effects = map[string]piernotch.RetrySafety{
+	"safe": piernotch.Idempotent, "keyed": piernotch.IdempotencyKey, "unsafe": piernotch.NonIdempotent,
 }
 
-var scopes = map[string]piernotch.Scope{
-	"": piernotch.ScopeAll, "all": piernotch.ScopeAll,
-	"zone": piernotch.ScopeZone, "cell": piernotch.ScopeCell,
+var scopes = map[string]piernotch.DedupScope{
+	"": piernotch.DedupEverywhere, "all": piernotch.DedupEverywhere,
+	"zone": piernotch.DedupInZone, "cell": piernotch.DedupInCell,
 }
 
 // Settings reads the settings of a Start event. Keys it does not know are
@@ -75,22 +75,22 @@
 		return piernotch.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	s := piernotch.Settings{
-		Proxies: in.GroupSize, Zone: in.MyZone, Zones: in.Zones,
-		Tick:         Duration(in.QuantumMS),
-		AskDiscovery: in.Discovery == "on_request",
-		WarmKeys:     in.Specifics.WarmKeys,
+		BalancerCount: in.GroupSize, Zone: in.MyZone, Zones: in.Zones,
+		Tick:          Duration(in.QuantumMS),
+		PollDiscovery: in.Discovery == "on_request",
+		KeyAffinity:   in.Specifics.WarmKeys,
 		Limits: piernotch.Limits{
-			MaxAttempts: in.Limits.MostTries, SecondCopies: in.Limits.SecondCopies,
-			Cancel: in.Limits.Cancelling, Probes: in.Limits.MayProbe,
+			MaxAttempts: in.Limits.MostTries, HedgedRequests: in.Limits.SecondCopies,
+			CancelAttempts: in.Limits.Cancelling, HealthChecks: in.Limits.MayProbe,
 			RetryAfter: in.Limits.RetryAfter, MaxRetryAfter: Duration(in.Limits.MaxRetryAfterMS),
 		},
 		Rules: piernotch.Rules{
-			AskWithin: Duration(in.Rules.AskWithinMS),
-			ColdFrom:  in.Rules.ColdFrom, Cold: Duration(in.Rules.ColdMS),
-			OverloadFor: Duration(in.Rules.OverloadMS),
+			PollInterval:      Duration(in.Rules.AskWithinMS),
+			SlowStartCapacity: in.Rules.ColdFrom, SlowStartDuration: Duration(in.Rules.ColdMS),
+			OverloadWindow: Duration(in.Rules.OverloadMS),
 		},
-		OverShareWorth: in.OverShareWorth,
-		WorthByRequest: in.WorthBy == "request",
+		OverQuotaWeight:  in.OverShareWorth,
+		WeightPerRequest: in.WorthBy == "request",
 	}
 	for i, c := range in.Classes {
 		effect, ok := effects[c.Effect]
@@ -102,9 +102,9 @@
 			return s, fmt.Errorf("settings: classes[%d].dedup_scope is %q", i, c.DedupScope)
 		}
 		s.Classes = append(s.Classes, piernotch.Class{
-			Name: c.Name, Aim: Duration(c.GoalTimeMS), Deadline: Duration(c.DeadlineMS),
-			Worth: c.Points, LateWorth: c.LateWorth, Effect: effect, Scope: scope,
-			Window: Duration(c.DedupWindowMS),
+			Name: c.Name, LatencyObjective: Duration(c.GoalTimeMS), Deadline: Duration(c.DeadlineMS),
+			PriorityWeight: c.Points, LateWeightShare: c.LateWorth, RetrySafety: effect, DedupScope: scope,
+			DedupWindow: Duration(c.DedupWindowMS),
 		})
 	}
 	for _, t := range in.Tenants {
@@ -124,10 +124,10 @@
 
 // Report translates the load report of a Verdict or a PingResult; ok is false if there is
 // none, or if it makes no sense.
-func Report(e *Event, columns []string) (load piernotch.Load, ok bool) {
+func Report(e *Event, columns []string) (load piernotch.LoadReport, ok bool) {
 	for i, name := range columns[:min(len(columns), e.LoadN)] {
 		if !SetLoad(&load, name, e.Load[i]) {
-			return piernotch.Load{}, false
+			return piernotch.LoadReport{}, false
 		}
 		ok = ok || name == Inflight
 	}
@@ -139,12 +139,12 @@
 
 // SetLoad takes one named value of a load report; names that nobody needs are passed over.
 // It returns false for a value that cannot be: negative, infinite or no number.
-func SetLoad(load *piernotch.Load, name string, v float64) bool {
+func SetLoad(load *piernotch.LoadReport, name string, v float64) bool {
 	switch name {
 	case Inflight:
 		load.Inflight = v
 	case "qps":
-		load.PerSec = v
+		load.CompletedPerSecond = v
 	}
 	return v >= 0 && !math.IsInf(v, 0)
 }
@@ -165,7 +165,7 @@
 
 var statuses = map[uint8]piernotch.Status{
 	0: piernotch.OK, 13: piernotch.Error, 8: piernotch.Full, 4: piernotch.Timeout,
-	14: piernotch.ConnectFailed, 10: piernotch.Reset, 1: piernotch.Cancelled, 9: piernotch.Moot,
+	14: piernotch.ConnectFailed, 10: piernotch.Reset, 1: piernotch.Cancelled, 9: piernotch.NotSent,
 }
 
 // Status translates the wire's disposition.
@@ -179,12 +179,12 @@
 
 var states = [...]piernotch.State{0: piernotch.Draining, 1: piernotch.Gone, 2: piernotch.Ready}
 
-var listKinds = [...]piernotch.ListKind{
-	0: piernotch.ListFailed, 1: piernotch.ListCached, 2: piernotch.ListFull, 3: piernotch.ListDelta,
+var listKinds = [...]piernotch.UpdateKind{
+	0: piernotch.UpdateFailed, 1: piernotch.UpdateCached, 2: piernotch.UpdateFull, 3: piernotch.UpdateDelta,
 }
 
 // List translates the kind and the entries of a View, appending to into.
-func List(e *Event, into []piernotch.Entry) (piernotch.ListKind, []piernotch.Entry, error) {
+func List(e *Event, into []piernotch.Endpoint) (piernotch.UpdateKind, []piernotch.Endpoint, error) {
 	if int(e.Scope) >= len(listKinds) {
 		return 0, into, fmt.Errorf("unknown list kind %d", e.Scope)
 	}
@@ -193,9 +193,9 @@
 		if int(l.State) >= len(states) {
 			return 0, into, fmt.Errorf("entry %d: unknown state %d", i, l.State)
 		}
-		into = append(into, piernotch.Entry{
+		into = append(into, piernotch.Endpoint{
 			ID: piernotch.BackendID(l.Backend), Zone: int(l.Zone), Cell: int(l.Cell),
-			State: states[l.State], Size: l.Size, Born: Duration(l.BornMS),
+			State: states[l.State], Size: l.Size, StartedAt: Duration(l.BornMS),
 		})
 	}
 	return listKinds[e.Scope], into, nil
--- a/maintenance.go
+++ b/maintenance.go
@@ -32,7 +32,7 @@
 	}
 	to.excluded = false
 	to.ejected, to.strikes, to.trial, to.probed = 0, 0, false, false
-	if since = max(since, to.Born); now < since+b.set.Rules.Cold {
+	if since = max(since, to.StartedAt); now < since+b.set.Rules.SlowStartDuration {
 		b.chill(now, to, since)
 	}
 	b.regroup(now)
@@ -41,10 +41,10 @@
 // usable tells whether the list and the operators allow new requests to the backend.
 func (to *backend) usable() bool { return to.State == Ready && !to.excluded }
 
-// Retune takes other settings while requests are under way, or none of them and an error that
+// UpdateSettings takes other settings while requests are under way, or none of them and an error that
 // names the one it cannot take. A class keeps its index: those of s must be the present ones,
 // in their places, and new ones after them. Requests under way keep the class they came with.
-func (b *Balancer) Retune(now time.Duration, s Settings) error {
+func (b *Balancer) UpdateSettings(now time.Duration, s Settings) error {
 	if err := s.Validate(); err != nil {
 		return err
 	}
@@ -71,43 +71,43 @@
 // configure derives from the settings what the decisions go by.
 func (b *Balancer) configure() {
 	s := &b.set
-	b.shortAim = s.Classes[0].Aim
+	b.shortAim = s.Classes[0].LatencyObjective
 	for _, c := range s.Classes {
-		b.shortAim = min(b.shortAim, c.Aim)
+		b.shortAim = min(b.shortAim, c.LatencyObjective)
 	}
-	b.spillers = max(spillers, spillShare*float64(s.Proxies))
+	b.spillers = max(spillers, spillShare*float64(s.BalancerCount))
 	b.window = 0
 	if b.many() {
-		b.window = s.Rules.OverloadFor / coldWindows
+		b.window = s.Rules.OverloadWindow / coldWindows
 	}
 	// A zone counts as empty when each of its backends holds its bound of this proxy's
 	// requests: what would queue there unseen waits here instead, where it can still go to
 	// whichever backend is free first. The bounds are small, for a backend is crowded by all
 	// proxies together: elsewhere, the fewer may spill there, the more each of them may.
 	b.levels = []level{{0, 1}, {0, 2}, {1, 1}}
-	for depth := 2.0; depth*float64(s.Proxies-1) <= spillers && depth < spillers; depth++ {
+	for depth := 2.0; depth*float64(s.BalancerCount-1) <= spillers && depth < spillers; depth++ {
 		b.levels = append(b.levels, level{1, depth})
 	}
 	b.sweep = max(s.Tick, time.Duration(float64(b.shortAim)/sweepsPerAim))
-	b.watchGap = s.Rules.AskWithin / 8
+	b.watchGap = s.Rules.PollInterval / 8
 	for len(b.quick) < len(s.Classes) {
 		b.quick = append(b.quick, 0)
 	}
 	b.makeBands()
 }
 
-// Learnt is what a proxy has learnt of its traffic, for the one that takes over from it.
-type Learnt struct {
+// Snapshot is what a proxy has learnt of its traffic, for the one that takes over from it.
+type Snapshot struct {
 	Median, MeanWork, LargeShare float64 // of the hints, ms, ms and a share
 	Usual                        float64 // answers a second of a warm backend of size 1
 }
 
-// Learnt tells what has been learnt so far.
-func (b *Balancer) Learnt() Learnt { return Learnt{b.median, b.meanWork, b.largeShare, b.usual} }
+// Snapshot tells what has been learnt so far.
+func (b *Balancer) Snapshot() Snapshot { return Snapshot{b.median, b.meanWork, b.largeShare, b.usual} }
 
-// Resume starts a proxy from what another has learnt, unless it has learnt more by itself.
+// Restore starts a proxy from what another has learnt, unless it has learnt more by itself.
 // Figures that cannot be are passed over.
-func (b *Balancer) Resume(l Learnt) {
+func (b *Balancer) Restore(l Snapshot) {
 	for _, v := range []float64{l.Median, l.MeanWork, l.Usual} {
 		if !(v >= 0) || math.IsInf(v, 0) {
 			return
--- a/maintenance_test.go
+++ b/maintenance_test.go
@@ -17,21 +17,21 @@
 	b.Exclude(0, list[0].ID) // a call may arrive twice
 	id := RequestID(1)
 	serve := func(now time.Duration) BackendID {
-		b.Request(now, ask(id, safeClass, 1))
+		b.HandleRequest(now, ask(id, safeClass, 1))
 		to := h.last()
 		require.Equal(t, id, to.id)
 		end(b, now+ms, id, 0, to.to, OK)
 		id++
 		return to.to
 	}
-	for _, kind := range []ListKind{ListDelta, ListFull, ListCached} {
-		b.List(ms, kind, list)
+	for _, kind := range []UpdateKind{UpdateDelta, UpdateFull, UpdateCached} {
+		b.UpdateEndpoints(ms, kind, list)
 		for range 8 {
 			require.Equal(t, list[1].ID, serve(ms))
 		}
 	}
-	b.List(ms, ListFull, list[1:]) // gone
-	b.List(ms, ListFull, list)     // and back
+	b.UpdateEndpoints(ms, UpdateFull, list[1:]) // gone
+	b.UpdateEndpoints(ms, UpdateFull, list)     // and back
 	require.Equal(t, list[1].ID, serve(ms))
 	require.Equal(t, list[1].ID, serve(ms))
 
@@ -48,24 +48,24 @@
 func TestOtherSettingsWhileRequestsAreUnderWay(t *testing.T) {
 	s := settings()
 	b, h := start(t, s, fleet(3, 1))
-	b.Request(0, ask(1, safeClass, 1))
+	b.HandleRequest(0, ask(1, safeClass, 1))
 	first := h.last().to
 	next := s
 	next.Classes = append([]Class(nil), s.Classes...)
-	next.Classes[safeClass].Effect = Unsafe
-	next.Classes = append(next.Classes, Class{Name: "new", Aim: 500 * ms, Deadline: time.Second, Worth: 9, Effect: Unsafe})
+	next.Classes[safeClass].RetrySafety = NonIdempotent
+	next.Classes = append(next.Classes, Class{Name: "new", LatencyObjective: 500 * ms, Deadline: time.Second, PriorityWeight: 9, RetrySafety: NonIdempotent})
 	next.Limits.MaxAttempts = 1
 
 	bad := next
 	bad.Classes = bad.Classes[:1]
-	require.ErrorContains(t, b.Retune(0, bad), "keep their places")
+	require.ErrorContains(t, b.UpdateSettings(0, bad), "keep their places")
 	bad = next
 	bad.Limits.MaxAttempts = 0
-	require.Error(t, b.Retune(0, bad))
+	require.Error(t, b.UpdateSettings(0, bad))
 	require.Equal(t, s.Limits.MaxAttempts, b.set.Limits.MaxAttempts, "nothing of it is taken")
 
-	require.NoError(t, b.Retune(0, next))
-	b.Request(ms, ask(2, len(next.Classes)-1, 1))
+	require.NoError(t, b.UpdateSettings(0, next))
+	b.HandleRequest(ms, ask(2, len(next.Classes)-1, 1))
 	require.Equal(t, RequestID(2), h.last().id)
 	end(b, 2*ms, 1, 0, first, Reset) // it may have run: its class allows another, the settings do not
 	require.Len(t, h.sent, 2)
@@ -75,11 +75,11 @@
 
 func TestWhatAnotherProxyHasLearntIsTakenOnce(t *testing.T) {
 	b, _ := start(t, settings(), fleet(2, 1))
-	b.Resume(Learnt{Median: -1, MeanWork: 2, LargeShare: 0.5})
+	b.Restore(Snapshot{Median: -1, MeanWork: 2, LargeShare: 0.5})
 	require.Zero(t, b.median)
-	b.Resume(Learnt{Median: 50, MeanWork: 80, LargeShare: 0.7, Usual: 3})
-	require.Equal(t, Learnt{50, 80, 0.7, 3}, b.Learnt())
-	b.Resume(Learnt{Median: 1, MeanWork: 1})
+	b.Restore(Snapshot{Median: 50, MeanWork: 80, LargeShare: 0.7, Usual: 3})
+	require.Equal(t, Snapshot{50, 80, 0.7, 3}, b.Snapshot())
+	b.Restore(Snapshot{Median: 1, MeanWork: 1})
 	require.Equal(t, 50.0, b.median, "its own experience goes before")
 }
 
@@ -94,7 +94,7 @@
 		s.Zones = c.zones
 		list := fleet(1, len(c.zones))
 		for i := 1; i < len(list); i++ {
-			list[i].Born = 900 * ms
+			list[i].StartedAt = 900 * ms
 		}
 		b, h := start(t, s, list)
 		away := 0
@@ -104,7 +104,7 @@
 			for k := range 4 { // more than the own zone takes at once
 				r := ask(RequestID(4*i+k), safeClass, 10)
 				r.Deadline = now + time.Second
-				b.Request(now, r)
+				b.HandleRequest(now, r)
 			}
 			for _, at := range h.sent[first:] {
 				if at.to != list[0].ID {
--- a/piernotch.go
+++ b/piernotch.go
@@ -19,36 +19,36 @@
 // BackendID names a backend. It survives a restart of the backend's process.
 type BackendID uint32
 
-// Effect says what a class permits once an attempt may have run.
-type Effect uint8
+// RetrySafety says what a class permits once an attempt may have run.
+type RetrySafety uint8
 
 // Effects.
 const (
-	Safe   Effect = iota // may run any number of times
-	Keyed                // repeats are discarded within Scope and Window
-	Unsafe               // must not run twice
+	Idempotent     RetrySafety = iota // may run any number of times
+	IdempotencyKey                    // repeats are discarded within Scope and Window
+	NonIdempotent                     // must not run twice
 )
 
-// Scope is the set of backends that discard each other's repeats.
-type Scope uint8
+// DedupScope is the set of backends that discard each other's repeats.
+type DedupScope uint8
 
 // Scopes.
 const (
-	ScopeAll Scope = iota
-	ScopeZone
-	ScopeCell
+	DedupEverywhere DedupScope = iota
+	DedupInZone
+	DedupInCell
 )
 
 // Class describes one kind of request.
 type Class struct {
-	Name      string
-	Aim       time.Duration // an answer within this earns its full worth
-	Deadline  time.Duration
-	Worth     float64
-	LateWorth float64 // share of the worth earned after the aim
-	Effect    Effect
-	Scope     Scope         // Keyed only
-	Window    time.Duration // Keyed only: how long repeats are discarded
+	Name             string
+	LatencyObjective time.Duration // an answer within this earns its full worth
+	Deadline         time.Duration
+	PriorityWeight   float64
+	LateWeightShare  float64 // share of the worth earned after the aim
+	RetrySafety      RetrySafety
+	DedupScope       DedupScope    // Keyed only
+	DedupWindow      time.Duration // Keyed only: how long repeats are discarded
 }
 
 // Tenant is a customer with a share of the service.
@@ -59,38 +59,38 @@
 
 // Limits says what this deployment permits.
 type Limits struct {
-	MaxAttempts   int
-	SecondCopies  bool // two attempts of a request may be out at once
-	Cancel        bool
-	Probes        bool
-	RetryAfter    bool // refusals may carry advice on when to come back
-	MaxRetryAfter time.Duration
+	MaxAttempts    int
+	HedgedRequests bool // two attempts of a request may be out at once
+	CancelAttempts bool
+	HealthChecks   bool
+	RetryAfter     bool // refusals may carry advice on when to come back
+	MaxRetryAfter  time.Duration
 }
 
 // Rules holds the figures of the rules on drains and cold starts.
 type Rules struct {
-	AskWithin time.Duration // discovery on request: ask at least this often
-	ColdFrom  float64       // share of its capacity a backend starts with
-	Cold      time.Duration // and the time by which it has all of it
+	PollInterval      time.Duration // discovery on request: ask at least this often
+	SlowStartCapacity float64       // share of its capacity a backend starts with
+	SlowStartDuration time.Duration // and the time by which it has all of it
 	// Too much for so long, from all proxies together, pushes a cold backend over; 0: not told.
-	OverloadFor time.Duration
+	OverloadWindow time.Duration
 }
 
 // Settings is what a Balancer is told once. The names in it are labels for
 // people: no decision reads one.
 type Settings struct {
-	Proxies        int // how many proxies there are, this one included
-	Zone           int // this proxy's zone, an index into Zones
-	Zones          []string
-	Classes        []Class
-	Tenants        []Tenant
-	Tick           time.Duration // least time between two clock readings
-	AskDiscovery   bool          // the list comes only when asked for
-	WarmKeys       bool          // a backend that met a key lately serves it with less work
-	Limits         Limits
-	Rules          Rules
-	OverShareWorth float64 // worth of a request beyond its tenant's share
-	WorthByRequest bool    // a heavy request is worth no more than a light one of its class
+	BalancerCount    int // how many proxies there are, this one included
+	Zone             int // this proxy's zone, an index into Zones
+	Zones            []string
+	Classes          []Class
+	Tenants          []Tenant
+	Tick             time.Duration // least time between two clock readings
+	PollDiscovery    bool          // the list comes only when asked for
+	KeyAffinity      bool          // a backend that met a key lately serves it with less work
+	Limits           Limits
+	Rules            Rules
+	OverQuotaWeight  float64 // worth of a request beyond its tenant's share
+	WeightPerRequest bool    // a heavy request is worth no more than a light one of its class
 }
 
 // State is what the list says of a backend.
@@ -103,25 +103,25 @@
 	Gone
 )
 
-// Entry is one line of the list of backends.
-type Entry struct {
-	ID    BackendID
-	Zone  int
-	Cell  int
-	State State
-	Size  float64       // unitless, to compare with other backends
-	Born  time.Duration // clock time of its last start; 0 means long ago
+// Endpoint is one line of the list of backends.
+type Endpoint struct {
+	ID        BackendID
+	Zone      int
+	Cell      int
+	State     State
+	Size      float64       // unitless, to compare with other backends
+	StartedAt time.Duration // clock time of its last start; 0 means long ago
 }
 
-// ListKind says how a list event is to be read.
-type ListKind uint8
+// UpdateKind says how a list event is to be read.
+type UpdateKind uint8
 
 // List kinds.
 const (
-	ListDelta  ListKind = iota // changed entries only
-	ListFull                   // everything; what is missing is gone
-	ListCached                 // everything this proxy last held, maybe stale
-	ListFailed                 // discovery did not answer, or hung up
+	UpdateDelta  UpdateKind = iota // changed entries only
+	UpdateFull                     // everything; what is missing is gone
+	UpdateCached                   // everything this proxy last held, maybe stale
+	UpdateFailed                   // discovery did not answer, or hung up
 )
 
 // Request is a client's request on arrival.
@@ -131,7 +131,7 @@
 	Tenant   int
 	Key      uint64        // what the request is about; 0 means nothing
 	Deadline time.Duration // clock time at which the client gives up
-	Hint     float64       // expected work in milliseconds; NaN or <= 0: none
+	CostHint float64       // expected work in milliseconds; NaN or <= 0: none
 }
 
 // Status tells how an attempt ended.
@@ -146,16 +146,16 @@
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot
+	NotSent
 )
 
 var statuses = [...]string{"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"}
 
 func (s Status) String() string { return statuses[s] }
 
-// NeverRan tells whether the status proves that the backend did nothing.
-func (s Status) NeverRan() bool {
-	return s == Full || s == ConnectFailed || s == Moot
+// NeverExecuted tells whether the status proves that the backend did nothing.
+func (s Status) NeverExecuted() bool {
+	return s == Full || s == ConnectFailed || s == NotSent
 }
 
 // Outcome is the end of one attempt.
@@ -168,28 +168,28 @@
 	Closed  bool // the request has its final answer
 }
 
-// Load is a backend's own account of its load. It is some time old when it comes, and
+// LoadReport is a backend's own account of its load. It is some time old when it comes, and
 // counts what all proxies sent.
-type Load struct {
-	Inflight float64 // requests that it holds
-	PerSec   float64 // requests that it answers a second; 0: not said
+type LoadReport struct {
+	Inflight           float64 // requests that it holds
+	CompletedPerSecond float64 // requests that it answers a second; 0: not said
 }
 
 // Host carries out a Balancer's decisions, in the order of the calls.
 type Host interface {
-	// Send starts the next attempt of a request. The attempt ends with an
+	// StartAttempt starts the next attempt of a request. The attempt ends with an
 	// outcome after timeout at the latest; 0 means the client's deadline.
-	Send(id RequestID, to BackendID, timeout time.Duration)
-	// Cancel ends the wait for one attempt.
-	Cancel(id RequestID, attempt int)
-	// Refuse is a final answer: not done, and trying again does no harm.
-	Refuse(id RequestID, retryAfter time.Duration)
+	StartAttempt(id RequestID, to BackendID, timeout time.Duration)
+	// CancelAttempt ends the wait for one attempt.
+	CancelAttempt(id RequestID, attempt int)
+	// Reject is a final answer: not done, and trying again does no harm.
+	Reject(id RequestID, retryAfter time.Duration)
 	// Fail is a final answer that promises nothing.
 	Fail(id RequestID)
-	// Probe examines a backend.
-	Probe(b BackendID)
-	// Watch subscribes to changes of the list.
-	Watch()
+	// HealthCheck examines a backend.
+	HealthCheck(b BackendID)
+	// WatchEndpoints subscribes to changes of the list.
+	WatchEndpoints()
 	// SetTimer asks for a call of Timer after d.
 	SetTimer(d time.Duration, token uint32)
 }
--- a/queue_test.go
+++ b/queue_test.go
@@ -11,7 +11,7 @@
 // clients' connections are left for what is worth more, and as much is sent as with a long one.
 func TestAQueueThatIsTooLongIsCutAtOnce(t *testing.T) {
 	s := settings()
-	s.Classes[unsafeClass].Worth = 5
+	s.Classes[unsafeClass].PriorityWeight = 5
 	b, h := start(t, s, fleet(4, 1))
 	type out struct {
 		at sent
@@ -34,7 +34,7 @@
 			}
 			class[r.ID] = r.Class
 			r.Deadline = now + 2*time.Second
-			b.Request(now, r)
+			b.HandleRequest(now, r)
 		}
 		b.Timer(now, sweepToken)
 		for _, at := range h.sent {
--- a/settings.go
+++ b/settings.go
@@ -5,8 +5,8 @@
 // Validate returns an error that names the first setting that cannot be used.
 func (s Settings) Validate() error {
 	switch {
-	case s.Proxies < 1:
-		return fmt.Errorf("settings: proxies is %d", s.Proxies)
+	case s.BalancerCount < 1:
+		return fmt.Errorf("settings: proxies is %d", s.BalancerCount)
 	case len(s.Classes) == 0:
 		return fmt.Errorf("settings: no classes")
 	case s.Zone < 0 || s.Zone >= max(1, len(s.Zones)):
@@ -15,17 +15,17 @@
 		return fmt.Errorf("settings: tick is %v", s.Tick)
 	case s.Limits.MaxAttempts < 1:
 		return fmt.Errorf("settings: limits: max attempts is %d", s.Limits.MaxAttempts)
-	case s.Rules.Cold < 0 || s.Rules.AskWithin < 0 || s.Rules.OverloadFor < 0:
+	case s.Rules.SlowStartDuration < 0 || s.Rules.PollInterval < 0 || s.Rules.OverloadWindow < 0:
 		return fmt.Errorf("settings: rules: negative time")
-	case !(s.Rules.ColdFrom >= 0 && s.Rules.ColdFrom <= 1):
-		return fmt.Errorf("settings: rules: cold from is %v", s.Rules.ColdFrom)
+	case !(s.Rules.SlowStartCapacity >= 0 && s.Rules.SlowStartCapacity <= 1):
+		return fmt.Errorf("settings: rules: cold from is %v", s.Rules.SlowStartCapacity)
 	}
 	for i, c := range s.Classes {
-		if c.Aim <= 0 || c.Deadline < c.Aim || c.Window < 0 {
-			return fmt.Errorf("settings: classes[%d]: aim %v, deadline %v, window %v", i, c.Aim, c.Deadline, c.Window)
+		if c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.DedupWindow < 0 {
+			return fmt.Errorf("settings: classes[%d]: aim %v, deadline %v, window %v", i, c.LatencyObjective, c.Deadline, c.DedupWindow)
 		}
-		if !(c.Worth >= 0) || !(c.LateWorth >= 0) {
-			return fmt.Errorf("settings: classes[%d]: worth %v, late worth %v", i, c.Worth, c.LateWorth)
+		if !(c.PriorityWeight >= 0) || !(c.LateWeightShare >= 0) {
+			return fmt.Errorf("settings: classes[%d]: worth %v, late worth %v", i, c.PriorityWeight, c.LateWeightShare)
 		}
 	}
 	for i, t := range s.Tenants {
--- a/state.go
+++ b/state.go
@@ -103,7 +103,7 @@
 }
 
 type backend struct {
-	Entry
+	Endpoint
 	excluded  bool    // left out by operators
 	salt      uint64  // of its id, for keys
 	away      int     // 0 own zone, 1 elsewhere: its index in groups
@@ -140,7 +140,7 @@
 }
 
 // mayHaveRun tells whether nothing proves that the attempt did not.
-func (t *attempt) mayHaveRun() bool { return !t.ended || !t.status.NeverRan() }
+func (t *attempt) mayHaveRun() bool { return !t.ended || !t.status.NeverExecuted() }
 
 type request struct {
 	Request
@@ -159,7 +159,7 @@
 }
 
 // hinted tells whether the request's cost hint can be used.
-func (r *request) hinted() bool { return r.Hint > 0 && !math.IsInf(r.Hint, 0) }
+func (r *request) hinted() bool { return r.CostHint > 0 && !math.IsInf(r.CostHint, 0) }
 
 // tried tells whether an attempt already went to the backend.
 func (r *request) tried(to *backend) bool {
