--- a/internal/serve/core/core.go
+++ b/internal/serve/core/core.go
@@ -16,21 +16,21 @@
 	"piernotch/internal/wheel"
 )
 
-// Tick is the grain of all timers.
-const Tick = 5 * time.Millisecond
+// TickInterval is the grain of all timers.
+const TickInterval = 5 * time.Millisecond
 
-// Client names one exchange with a client: the request and its one answer.
-type Client uint64
+// ExchangeID names one exchange with a client: the request and its one answer.
+type ExchangeID uint64
 
-// Ref names an attempt.
-type Ref struct {
-	ID      piernotch.RequestID
+// AttemptRef names an attempt.
+type AttemptRef struct {
+	Request piernotch.RequestID
 	Attempt int
 }
 
-// Place is a feed server at its address. A new server may come up at the address
+// Endpoint is a feed server at its address. A new server may come up at the address
 // of one that has gone; what belongs to the one must not pass to the other.
-type Place struct {
+type Endpoint struct {
 	Backend piernotch.BackendID
 	Address string
 }
@@ -40,9 +40,9 @@
 
 // The events.
 type (
-	// Arrived is a client's request, owed one final answer from here on.
-	Arrived struct {
-		Client   Client
+	// RequestReceived is a client's request, owed one final answer from here on.
+	RequestReceived struct {
+		Client   ExchangeID
 		ID       string // the client's own name for it, unique while it is open
 		Message  any
 		Class    int
@@ -52,71 +52,71 @@
 		Deadline time.Duration // the client waits until then
 	}
 	// ClientGone says that the client of an exchange has left.
-	ClientGone struct{ Client Client }
-	// Connected says that an attempt has a connection and could be written.
-	Connected struct{ Ref Ref }
-	// Ended is the end of an attempt. Answer is set if it was served.
-	Ended struct {
-		Ref    Ref
+	ClientGone struct{ Client ExchangeID }
+	// AttemptConnected says that an attempt has a connection and could be written.
+	AttemptConnected struct{ Ref AttemptRef }
+	// AttemptCompleted is the end of an attempt. Answer is set if it was served.
+	AttemptCompleted struct {
+		Ref    AttemptRef
 		Status piernotch.Status
 		Answer any
 	}
-	// Probed is the end of a probe.
-	Probed struct {
+	// HealthCheckCompleted is the end of a probe.
+	HealthCheckCompleted struct {
 		Backend piernotch.BackendID
 		Status  piernotch.Status
 	}
-	// Reported is a feed server's account of its load, which came with an answer.
-	Reported struct {
+	// LoadReported is a feed server's account of its load, which came with an answer.
+	LoadReported struct {
 		Backend piernotch.BackendID
 		Load    piernotch.LoadReport
 	}
-	// Members is word of the feed servers, or of discovery's failure.
-	Members struct {
-		Kind    piernotch.UpdateKind
-		Entries []Member
+	// EndpointUpdate is word of the feed servers, or of discovery's failure.
+	EndpointUpdate struct {
+		Kind      piernotch.UpdateKind
+		Endpoints []DiscoveredEndpoint
 	}
-	// Ticked is the passing of time.
-	Ticked struct{}
-	// Retuned brings other settings, and discovery's address, where it is another now. They
+	// Tick is the passing of time.
+	Tick struct{}
+	// SettingsChanged brings other settings, and discovery's address, where it is another now. They
 	// are taken whole or not at all; Retuning tells which.
-	Retuned struct {
+	SettingsChanged struct {
 		Settings  piernotch.Settings
 		Discovery string
 	}
-	// Operated is an operator's call, which is answered by Said.
-	Operated struct {
+	// AdminCommand is an operator's call, which is answered by Said.
+	AdminCommand struct {
 		Call   uint64
-		Verb   overrides.Verb
+		Action overrides.Verb
 		Server string // the name of the feed server that it is about
 	}
-	// Heard is what another process of this balancer was told.
-	Heard struct{ Words *overrides.Words }
-	// Learnt is what another process of this balancer knows of the traffic.
-	Learnt struct{ Learnt piernotch.Snapshot }
-	// Terminate asks the balancer to end once nothing is owed.
-	Terminate struct{}
+	// PeerOverrides is what another process of this balancer was told.
+	PeerOverrides struct{ Overrides *overrides.Words }
+	// PeerSnapshot is what another process of this balancer knows of the traffic.
+	PeerSnapshot struct{ Snapshot piernotch.Snapshot }
+	// Shutdown asks the balancer to end once nothing is owed.
+	Shutdown struct{}
 )
 
-func (Arrived) event()    {}
-func (ClientGone) event() {}
-func (Connected) event()  {}
-func (Ended) event()      {}
-func (Probed) event()     {}
-func (Reported) event()   {}
-func (Members) event()    {}
-func (Ticked) event()     {}
-func (Retuned) event()    {}
-func (Operated) event()   {}
-func (Heard) event()      {}
-func (Learnt) event()     {}
-func (Terminate) event()  {}
-
-// Member is one feed server as discovery lists it.
-type Member struct {
-	Name    string
-	Address string
-	Entry   piernotch.Endpoint // all but the ID
+func (RequestReceived) event()      {}
+func (ClientGone) event()           {}
+func (AttemptConnected) event()     {}
+func (AttemptCompleted) event()     {}
+func (HealthCheckCompleted) event() {}
+func (LoadReported) event()         {}
+func (EndpointUpdate) event()       {}
+func (Tick) event()                 {}
+func (SettingsChanged) event()      {}
+func (AdminCommand) event()         {}
+func (PeerOverrides) event()        {}
+func (PeerSnapshot) event()         {}
+func (Shutdown) event()             {}
+
+// DiscoveredEndpoint is one feed server as discovery lists it.
+type DiscoveredEndpoint struct {
+	Name     string
+	Address  string
+	Endpoint piernotch.Endpoint // all but the ID
 }
 
 // Effect is something to be done outside.
@@ -124,88 +124,88 @@
 
 // The effects.
 type (
-	// Send asks for a connection for an attempt; Write follows Connected.
-	Send struct {
-		Ref     Ref
-		To      Place
+	// StartAttempt asks for a connection for an attempt; Write follows Connected.
+	StartAttempt struct {
+		Ref     AttemptRef
+		To      Endpoint
 		Message any
-		Wait    time.Duration
-	}
-	// Write sends an attempt whose connection stands.
-	Write struct{ Ref Ref }
-	// Drop ends the wait for an attempt: nothing of it may be heard any more.
-	Drop struct{ Ref Ref }
-	// Reply is the final answer of an exchange.
-	Reply struct {
-		Client     Client
-		Verdict    Verdict
+		Timeout time.Duration
+	}
+	// WriteAttempt sends an attempt whose connection stands.
+	WriteAttempt struct{ Ref AttemptRef }
+	// CancelAttempt ends the wait for an attempt: nothing of it may be heard any more.
+	CancelAttempt struct{ Ref AttemptRef }
+	// Respond is the final answer of an exchange.
+	Respond struct {
+		Client     ExchangeID
+		Result     Result
 		Answer     any              // of a served request
-		Last       piernotch.Status // of a failed one: how its last attempt ended
+		LastStatus piernotch.Status // of a failed one: how its last attempt ended
 		RetryAfter time.Duration
 		Close      bool // the connection is to be closed after it
 	}
-	// Probe examines a feed server.
-	Probe struct{ To Place }
-	// Watch subscribes to discovery.
-	Watch struct{}
-	// MoveWatch has the whole list asked for at another address, and the watch go
+	// HealthCheck examines a feed server.
+	HealthCheck struct{ To Endpoint }
+	// WatchDiscovery subscribes to discovery.
+	WatchDiscovery struct{}
+	// MoveDiscovery has the whole list asked for at another address, and the watch go
 	// on from there.
-	MoveWatch struct{ Address string }
-	// Forget closes idle connections to a server.
-	Forget struct{ To Place }
+	MoveDiscovery struct{ Address string }
+	// CloseIdle closes idle connections to a server.
+	CloseIdle struct{ To Endpoint }
 	// StopListening ends the taking of new work.
 	StopListening struct{}
 	// Exit ends the program: nothing is owed any more.
 	Exit struct{}
-	// Keep has what operators said written down before anything that follows.
-	Keep struct{}
-	// Said is the answer to an operator's call: yes without an error.
-	Said struct {
+	// PersistOverrides has what operators said written down before anything that follows.
+	PersistOverrides struct{}
+	// AdminResult is the answer to an operator's call: yes without an error.
+	AdminResult struct {
 		Call uint64
 		Err  error
 	}
-	// Drain has clients sent away, or taken again.
-	Drain struct{ On bool }
-	// Retuning tells what became of other settings: Routes are those in use now.
-	Retuning struct {
+	// DrainClients has clients sent away, or taken again.
+	DrainClients struct{ On bool }
+	// SettingsApplied tells what became of other settings: Routes are those in use now.
+	SettingsApplied struct {
 		Routes []Route
 		Err    error
 	}
 )
 
-func (Send) effect()          {}
-func (Write) effect()         {}
-func (Drop) effect()          {}
-func (Reply) effect()         {}
-func (Probe) effect()         {}
-func (Watch) effect()         {}
-func (MoveWatch) effect()     {}
-func (Forget) effect()        {}
-func (StopListening) effect() {}
-func (Exit) effect()          {}
-func (Keep) effect()          {}
-func (Said) effect()          {}
-func (Drain) effect()         {}
-func (Retuning) effect()      {}
-
-// Verdict is what becomes of a request.
-type Verdict uint8
+func (StartAttempt) effect()     {}
+func (WriteAttempt) effect()     {}
+func (CancelAttempt) effect()    {}
+func (Respond) effect()          {}
+func (HealthCheck) effect()      {}
+func (WatchDiscovery) effect()   {}
+func (MoveDiscovery) effect()    {}
+func (CloseIdle) effect()        {}
+func (StopListening) effect()    {}
+func (Exit) effect()             {}
+func (PersistOverrides) effect() {}
+func (AdminResult) effect()      {}
+func (DrainClients) effect()     {}
+func (SettingsApplied) effect()  {}
+
+// Result is what becomes of a request.
+type Result uint8
 
 // Verdicts.
 const (
-	Served Verdict = iota
-	Refused
+	Served Result = iota
+	Rejected
 	Failed
-	Rejected // never taken: the id is that of another open request
+	DuplicateID // never taken: the id is that of another open request
 )
 
 var verdicts = [...]string{"served", "refused", "failed", "rejected"}
 
-func (v Verdict) String() string { return verdicts[v] }
+func (v Result) String() string { return verdicts[v] }
 
-// LameDuck is how long after a Terminate new work is still taken: clients hear
+// ShutdownGrace is how long after a Terminate new work is still taken: clients hear
 // of the end only some time later.
-const LameDuck = 700 * time.Millisecond
+const ShutdownGrace = 700 * time.Millisecond
 
 // The platform kills a process so long after the end of its lame duck at the soonest: the longest
 // deadline, counted as killWithin where that is longer. All is answered lastAnswer before.
@@ -226,7 +226,7 @@
 	id       piernotch.RequestID
 	name     string // the client's id
 	class    int
-	client   Client
+	client   ExchangeID
 	message  any
 	deadline time.Duration
 	tries    []*attempt
@@ -241,12 +241,12 @@
 	name    string
 	address string
 	state   piernotch.State
-	out     bool   // left out by operators
-	member  Member // as it was listed last
+	out     bool               // left out by operators
+	member  DiscoveredEndpoint // as it was listed last
 	born    time.Duration
 }
 
-func (b *backend) place() Place { return Place{b.id, b.address} }
+func (b *backend) place() Endpoint { return Endpoint{b.id, b.address} }
 
 // Core is the reducer. It must be used from one goroutine.
 type Core struct {
@@ -258,7 +258,7 @@
 	pending   []func() // what the module is to hear after its present call
 	lastID    piernotch.RequestID
 	requests  map[piernotch.RequestID]*request
-	clients   map[Client]*request
+	clients   map[ExchangeID]*request
 	ids       map[string]struct{} // clients' ids of what is owed an answer
 	backends  map[piernotch.BackendID]*backend
 	names     map[string]*backend
@@ -277,15 +277,15 @@
 
 // Counts are running totals, for the log.
 type Counts struct {
-	Taken, Served, Refused, Failed, Gone, Attempts, Timeouts, Resets, ConnectFailed, Full, Errors, Overdue int
+	Accepted, Served, Rejected, Failed, ClientsGone, Attempts, Timeouts, Resets, ConnectFailed, Full, Errors, DeadlineExceeded int
 }
 
 // New returns a reducer that starts at now with no feed servers. by tells this process from
 // others of the same balancer.
 func New(set piernotch.Settings, seed uint64, now time.Duration, discovery string, by uint64) (*Core, error) {
 	c := &Core{
-		set: set, now: now, discovery: discovery, by: by, wheel: wheel.New(Tick, now), routes: routes(set.Classes),
-		requests: map[piernotch.RequestID]*request{}, clients: map[Client]*request{},
+		set: set, now: now, discovery: discovery, by: by, wheel: wheel.New(TickInterval, now), routes: routes(set.Classes),
+		requests: map[piernotch.RequestID]*request{}, clients: map[ExchangeID]*request{},
 		ids:      map[string]struct{}{},
 		backends: map[piernotch.BackendID]*backend{}, names: map[string]*backend{},
 		probes: map[piernotch.BackendID]*wheel.Timer{},
@@ -299,17 +299,17 @@
 	return c, nil
 }
 
-// Owed returns how many requests have no answer yet.
-func (c *Core) Owed() int { return len(c.clients) }
+// PendingRequests returns how many requests have no answer yet.
+func (c *Core) PendingRequests() int { return len(c.clients) }
 
-// Listed tells whether a usable list of feed servers is known.
-func (c *Core) Listed() bool { return c.listed }
+// EndpointsKnown tells whether a usable list of feed servers is known.
+func (c *Core) EndpointsKnown() bool { return c.listed }
 
-// Ending tells whether the program is on its way out.
-func (c *Core) Ending() bool { return c.ending }
+// ShuttingDown tells whether the program is on its way out.
+func (c *Core) ShuttingDown() bool { return c.ending }
 
-// Mood is a line for the log, at level debug, of what the module believes.
-func (c *Core) Mood() {
+// LogState is a line for the log, at level debug, of what the module believes.
+func (c *Core) LogState() {
 	if c.debug {
 		slog.Debug("mood", "module", c.balancer.String())
 	}
@@ -336,11 +336,11 @@
 
 func (c *Core) reduce(ev Event) {
 	switch ev := ev.(type) {
-	case Arrived:
+	case RequestReceived:
 		c.arrived(ev)
 	case ClientGone:
 		if r := c.clients[ev.Client]; r != nil {
-			c.Counts.Gone++
+			c.Counts.ClientsGone++
 			if c.debug {
 				slog.Debug("client gone", "id", r.name, "attempts", len(r.tries), "left_ms", (r.deadline - c.now).Milliseconds())
 			}
@@ -348,43 +348,43 @@
 			c.balancer.ClientGone(c.now, r.id)
 			c.forget(r)
 		}
-	case Connected:
+	case AttemptConnected:
 		c.connected(ev.Ref)
-	case Ended:
+	case AttemptCompleted:
 		if r, a := c.attempt(ev.Ref); a != nil {
 			c.ended(r, ev.Ref.Attempt, ev.Status, ev.Answer)
 		}
-	case Probed:
+	case HealthCheckCompleted:
 		if t := c.probes[ev.Backend]; t != nil {
 			t.Stop()
 			delete(c.probes, ev.Backend)
 			c.balancer.HealthCheckCompleted(c.now, ev.Backend, ev.Status)
 		}
-	case Reported:
+	case LoadReported:
 		if b := c.backends[ev.Backend]; c.debug && b != nil {
 			slog.Debug("report", "server", b.name, "inflight", ev.Load.Inflight, "per_s", ev.Load.CompletedPerSecond)
 		}
 		c.balancer.LoadReported(c.now, ev.Backend, ev.Load)
-	case Members:
+	case EndpointUpdate:
 		c.members(ev)
-	case Ticked:
+	case Tick:
 		c.wheel.Advance(c.now)
-	case Retuned:
+	case SettingsChanged:
 		c.retuned(ev)
-	case Operated:
+	case AdminCommand:
 		c.operated(ev)
-	case Heard:
-		c.heard(ev.Words)
-	case Learnt:
-		c.balancer.Restore(ev.Learnt)
-	case Terminate:
+	case PeerOverrides:
+		c.heard(ev.Overrides)
+	case PeerSnapshot:
+		c.balancer.Restore(ev.Snapshot)
+	case Shutdown:
 		if !c.ending {
 			longest := time.Duration(0)
 			for _, k := range c.set.Classes {
 				longest = max(longest, k.Deadline)
 			}
-			c.ending, c.endBy = true, c.now+LameDuck+min(longest, killWithin)-lastAnswer
-			c.wheel.At(c.now+LameDuck, func() {
+			c.ending, c.endBy = true, c.now+ShutdownGrace+min(longest, killWithin)-lastAnswer
+			c.wheel.At(c.now+ShutdownGrace, func() {
 				c.closed = true
 				c.do(StopListening{})
 			})
@@ -392,11 +392,11 @@
 	}
 }
 
-func (c *Core) arrived(ev Arrived) {
+func (c *Core) arrived(ev RequestReceived) {
 	// Two open requests of one id would be one request to the feed servers: a copy
 	// that nobody ordered, and an answer that could be either's.
 	if _, open := c.ids[ev.ID]; open && ev.ID != "" {
-		c.do(Reply{Client: ev.Client, Verdict: Rejected, Close: c.ending})
+		c.do(Respond{Client: ev.Client, Result: DuplicateID, Close: c.ending})
 		return
 	}
 	if c.ending {
@@ -404,7 +404,7 @@
 	}
 	c.ids[ev.ID] = struct{}{}
 	c.lastID++
-	c.Counts.Taken++
+	c.Counts.Accepted++
 	r := &request{id: c.lastID, name: ev.ID, client: ev.Client, message: ev.Message, deadline: ev.Deadline, class: ev.Class, last: piernotch.NotSent}
 	c.requests[r.id], c.clients[r.client] = r, r
 	if c.debug {
@@ -412,7 +412,7 @@
 	}
 	// The module's own time-outs end at the deadline; this comes a tick later, for
 	// whatever it has left unanswered even so.
-	r.overdue = c.wheel.At(ev.Deadline+2*Tick, func() { c.overrun(r) })
+	r.overdue = c.wheel.At(ev.Deadline+2*TickInterval, func() { c.overrun(r) })
 	c.balancer.HandleRequest(c.now, piernotch.Request{
 		ID: r.id, Class: ev.Class, Tenant: ev.Tenant, Key: ev.Key, Deadline: ev.Deadline, CostHint: ev.Hint,
 	})
@@ -424,9 +424,9 @@
 	if r.answered {
 		return
 	}
-	c.Counts.Overdue++
+	c.Counts.DeadlineExceeded++
 	slog.Warn("request unanswered at its deadline", "request", r.id, "attempts", len(r.tries))
-	c.reply(r, Reply{Verdict: Failed, Last: r.last})
+	c.reply(r, Respond{Result: Failed, LastStatus: r.last})
 	c.balancer.ClientGone(c.now, r.id)
 	c.forget(r)
 }
@@ -447,7 +447,7 @@
 
 // callOff ends the wait for an attempt, of which the module hears after its present call.
 func (c *Core) callOff(r *request, n int, status piernotch.Status) {
-	c.do(Drop{Ref{r.id, n}})
+	c.do(CancelAttempt{AttemptRef{r.id, n}})
 	c.pending = append(c.pending, func() {
 		if !r.tries[n].ended {
 			c.ended(r, n, status, nil)
@@ -455,21 +455,21 @@
 	})
 }
 
-func (c *Core) reply(r *request, reply Reply) {
+func (c *Core) reply(r *request, reply Respond) {
 	if r.answered {
 		return
 	}
-	switch reply.Verdict {
+	switch reply.Result {
 	case Served:
 		c.Counts.Served++
-	case Refused:
-		c.Counts.Refused++
+	case Rejected:
+		c.Counts.Rejected++
 	case Failed:
 		c.Counts.Failed++
 	}
 	reply.Client, reply.Close = r.client, c.ending || c.words.Drain.On
 	if c.debug {
-		slog.Debug("answer", "id", r.name, "verdict", reply.Verdict, "attempts", len(r.tries), "left_ms", (r.deadline - c.now).Milliseconds())
+		slog.Debug("answer", "id", r.name, "verdict", reply.Result, "attempts", len(r.tries), "left_ms", (r.deadline - c.now).Milliseconds())
 	}
 	c.do(reply)
 	c.over(r)
@@ -483,8 +483,8 @@
 }
 
 // attempt finds an attempt that has not ended.
-func (c *Core) attempt(ref Ref) (*request, *attempt) {
-	r := c.requests[ref.ID]
+func (c *Core) attempt(ref AttemptRef) (*request, *attempt) {
+	r := c.requests[ref.Request]
 	if r == nil || ref.Attempt < 0 || ref.Attempt >= len(r.tries) || r.tries[ref.Attempt].ended {
 		return nil, nil
 	}
@@ -493,12 +493,12 @@
 
 // connected lets an attempt be written if that is still right: a dial that waited must not
 // become a late send to a server that drains, or a repeat outside its window.
-func (c *Core) connected(ref Ref) {
+func (c *Core) connected(ref AttemptRef) {
 	r, a := c.attempt(ref)
 	if a == nil || a.written {
 		return
 	}
-	if !c.balancer.AttemptAllowed(c.now, ref.ID, ref.Attempt) {
+	if !c.balancer.AttemptAllowed(c.now, ref.Request, ref.Attempt) {
 		c.callOff(r, ref.Attempt, piernotch.NotSent)
 		return
 	}
@@ -506,7 +506,7 @@
 		slog.Debug("written", "id", r.name, "attempt", ref.Attempt, "server", a.to.name, "ms", (c.now - a.sent).Milliseconds())
 	}
 	a.written = true
-	c.do(Write{ref})
+	c.do(WriteAttempt{ref})
 }
 
 // ended records how an attempt ended, answers the client if it was served, and
@@ -525,7 +525,7 @@
 		r.last = status
 	}
 	if status == piernotch.OK {
-		c.reply(r, Reply{Verdict: Served, Answer: answer})
+		c.reply(r, Respond{Result: Served, Answer: answer})
 	}
 	c.balancer.HandleOutcome(c.now, piernotch.Outcome{
 		ID: r.id, Attempt: n, Backend: a.to.id, Status: status, Latency: c.now - a.sent, Closed: r.answered,
@@ -549,15 +549,15 @@
 }
 
 // members takes a list to the table and to the module.
-func (c *Core) members(ev Members) {
+func (c *Core) members(ev EndpointUpdate) {
 	if ev.Kind == piernotch.UpdateFailed {
 		c.balancer.UpdateEndpoints(c.now, ev.Kind, nil)
 		return
 	}
 	c.listed = true
-	entries := make([]piernotch.Endpoint, 0, len(ev.Entries))
-	named := make(map[string]bool, len(ev.Entries))
-	for _, m := range ev.Entries {
+	entries := make([]piernotch.Endpoint, 0, len(ev.Endpoints))
+	named := make(map[string]bool, len(ev.Endpoints))
+	for _, m := range ev.Endpoints {
 		named[m.Name] = true
 		b := c.names[m.Name]
 		if b == nil {
@@ -569,20 +569,20 @@
 		}
 		// A server that has moved, restarted or is leaving: connections to what was
 		// there lead nowhere, and a machine that vanished never says so.
-		stale := b.address != m.Address || b.born != m.Entry.StartedAt
-		if b.address != "" && (stale || m.Entry.State != piernotch.Ready) {
-			c.do(Forget{b.place()})
+		stale := b.address != m.Address || b.born != m.Endpoint.StartedAt
+		if b.address != "" && (stale || m.Endpoint.State != piernotch.Ready) {
+			c.do(CloseIdle{b.place()})
 		}
 		b.member = m
-		b.address, b.state, b.born = m.Address, m.Entry.State, m.Entry.StartedAt
-		m.Entry.ID = b.id
-		entries = append(entries, m.Entry)
+		b.address, b.state, b.born = m.Address, m.Endpoint.State, m.Endpoint.StartedAt
+		m.Endpoint.ID = b.id
+		entries = append(entries, m.Endpoint)
 	}
 	if ev.Kind != piernotch.UpdateDelta {
 		for name, b := range c.names {
 			if !named[name] && b.state != piernotch.Gone {
 				b.state = piernotch.Gone
-				c.do(Forget{b.place()})
+				c.do(CloseIdle{b.place()})
 			}
 		}
 	}
@@ -637,7 +637,7 @@
 	if timeout != 0 {
 		wait = min(wait, timeout)
 	}
-	ref := Ref{id, n}
+	ref := AttemptRef{id, n}
 	if c.debug {
 		slog.Debug("send", "id", r.name, "attempt", n, "server", b.name, "wait_ms", wait.Milliseconds())
 	}
@@ -645,32 +645,32 @@
 		if a.ended {
 			return
 		}
-		c.do(Drop{ref})
+		c.do(CancelAttempt{ref})
 		status := piernotch.Timeout
 		if !a.written { // no connection came up: it never ran
 			status = piernotch.ConnectFailed
 		}
 		c.ended(r, n, status, nil)
 	})
-	c.do(Send{Ref: ref, To: b.place(), Message: r.message, Wait: wait})
+	c.do(StartAttempt{Ref: ref, To: b.place(), Message: r.message, Timeout: wait})
 }
 
 func (h host) CancelAttempt(id piernotch.RequestID, n int) {
-	if r, a := h.c.attempt(Ref{id, n}); a != nil {
+	if r, a := h.c.attempt(AttemptRef{id, n}); a != nil {
 		h.c.callOff(r, n, piernotch.Cancelled)
 	}
 }
 
 func (h host) Reject(id piernotch.RequestID, retryAfter time.Duration) {
 	if r := h.c.requests[id]; r != nil {
-		h.c.reply(r, Reply{Verdict: Refused, RetryAfter: retryAfter})
+		h.c.reply(r, Respond{Result: Rejected, RetryAfter: retryAfter})
 		h.c.pending = append(h.c.pending, func() { h.c.forget(r) })
 	}
 }
 
 func (h host) Fail(id piernotch.RequestID) {
 	if r := h.c.requests[id]; r != nil {
-		h.c.reply(r, Reply{Verdict: Failed, Last: r.last})
+		h.c.reply(r, Respond{Result: Failed, LastStatus: r.last})
 		h.c.pending = append(h.c.pending, func() { h.c.forget(r) })
 	}
 }
@@ -684,14 +684,14 @@
 	if b == nil || c.probes[id] != nil {
 		return
 	}
-	c.probes[id] = c.wheel.At(c.now+ProbeTimeout+2*Tick, func() {
+	c.probes[id] = c.wheel.At(c.now+ProbeTimeout+2*TickInterval, func() {
 		delete(c.probes, id)
 		c.balancer.HealthCheckCompleted(c.now, id, piernotch.Timeout)
 	})
-	c.do(Probe{b.place()})
+	c.do(HealthCheck{b.place()})
 }
 
-func (h host) WatchEndpoints() { h.c.do(Watch{}) }
+func (h host) WatchEndpoints() { h.c.do(WatchDiscovery{}) }
 
 func (h host) SetTimer(d time.Duration, token uint32) {
 	h.c.wheel.At(h.c.now+d, func() { h.c.balancer.Timer(h.c.now, token) })
--- a/internal/serve/core/core_test.go
+++ b/internal/serve/core/core_test.go
@@ -15,56 +15,56 @@
 
 func newCore(t *testing.T) *Core {
 	set := piernotch.Settings{
-		BalancerCount: 1, Zones: []string{"a"}, Tick: Tick,
+		BalancerCount: 1, Zones: []string{"a"}, Tick: TickInterval,
 		Classes: []piernotch.Class{{Name: "c", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, RetrySafety: piernotch.NonIdempotent}},
 		Limits:  piernotch.Limits{MaxAttempts: 2, CancelAttempts: true},
 		Rules:   piernotch.Rules{SlowStartDuration: time.Second},
 	}
 	c, err := New(set, 1, start, "127.0.0.1:2", 1)
 	require.NoError(t, err)
-	c.Handle(start, Members{Kind: piernotch.UpdateFull, Entries: []Member{server(piernotch.Ready)}})
+	c.Handle(start, EndpointUpdate{Kind: piernotch.UpdateFull, Endpoints: []DiscoveredEndpoint{server(piernotch.Ready)}})
 	return c
 }
 
-func server(state piernotch.State) Member {
-	return Member{Name: "s-1", Address: "127.0.0.1:1", Entry: piernotch.Endpoint{State: state, Size: 1}}
+func server(state piernotch.State) DiscoveredEndpoint {
+	return DiscoveredEndpoint{Name: "s-1", Address: "127.0.0.1:1", Endpoint: piernotch.Endpoint{State: state, Size: 1}}
 }
 
-func arrive(c *Core, client Client) []Effect {
-	return append([]Effect(nil), c.Handle(start, Arrived{Client: client, Deadline: start + 2*time.Second})...)
+func arrive(c *Core, client ExchangeID) []Effect {
+	return append([]Effect(nil), c.Handle(start, RequestReceived{Client: client, Deadline: start + 2*time.Second})...)
 }
 
 // A dial that was asked for before its server drained must not end in a send.
 func TestNothingIsWrittenToAServerThatDrainsMeanwhile(t *testing.T) {
 	c := newCore(t)
-	send := arrive(c, 1)[0].(Send)
-	c.Handle(start, Members{Kind: piernotch.UpdateDelta, Entries: []Member{server(piernotch.Draining)}})
-	effects := c.Handle(start, Connected{send.Ref})
-	require.Contains(t, effects, Drop{send.Ref})
-	require.NotContains(t, effects, Write{send.Ref})
-	require.Contains(t, effects, Reply{Client: 1, Verdict: Refused}, "it never ran, and that is known")
+	send := arrive(c, 1)[0].(StartAttempt)
+	c.Handle(start, EndpointUpdate{Kind: piernotch.UpdateDelta, Endpoints: []DiscoveredEndpoint{server(piernotch.Draining)}})
+	effects := c.Handle(start, AttemptConnected{send.Ref})
+	require.Contains(t, effects, CancelAttempt{send.Ref})
+	require.NotContains(t, effects, WriteAttempt{send.Ref})
+	require.Contains(t, effects, Respond{Client: 1, Result: Rejected}, "it never ran, and that is known")
 }
 
 // The module never hears of a class that it does not know; the client still gets
 // one answer, by its deadline, which promises nothing.
 func TestWhatTheModuleLeavesOpenFailsAtTheDeadline(t *testing.T) {
 	c := newCore(t)
-	require.Empty(t, c.Handle(start, Arrived{Client: 7, Class: 99, Deadline: start + time.Second}))
-	require.NotContains(t, c.Handle(start+time.Second-Tick, Ticked{}), Exit{})
-	require.Equal(t, 1, c.Owed())
-	effects := c.Handle(start+time.Second+2*Tick, Ticked{})
-	require.Contains(t, effects, Reply{Client: 7, Verdict: Failed, Last: piernotch.NotSent})
-	require.Zero(t, c.Owed())
+	require.Empty(t, c.Handle(start, RequestReceived{Client: 7, Class: 99, Deadline: start + time.Second}))
+	require.NotContains(t, c.Handle(start+time.Second-TickInterval, Tick{}), Exit{})
+	require.Equal(t, 1, c.PendingRequests())
+	effects := c.Handle(start+time.Second+2*TickInterval, Tick{})
+	require.Contains(t, effects, Respond{Client: 7, Result: Failed, LastStatus: piernotch.NotSent})
+	require.Zero(t, c.PendingRequests())
 	require.Empty(t, c.requests)
 }
 
 // An answer that comes when its request is over must find nobody.
 func TestOneAnswerOnly(t *testing.T) {
 	c := newCore(t)
-	send := arrive(c, 1)[0].(Send)
-	require.Contains(t, c.Handle(start, Connected{send.Ref}), Write{send.Ref})
-	require.Contains(t, c.Handle(start, ClientGone{1}), Drop{send.Ref})
-	require.Empty(t, c.Handle(start, Ended{Ref: send.Ref, Status: piernotch.OK, Answer: "late"}))
+	send := arrive(c, 1)[0].(StartAttempt)
+	require.Contains(t, c.Handle(start, AttemptConnected{send.Ref}), WriteAttempt{send.Ref})
+	require.Contains(t, c.Handle(start, ClientGone{1}), CancelAttempt{send.Ref})
+	require.Empty(t, c.Handle(start, AttemptCompleted{Ref: send.Ref, Status: piernotch.OK, Answer: "late"}))
 	require.Empty(t, c.requests)
 	require.Len(t, arrive(c, 1), 1, "the client's id may come again")
 }
@@ -74,9 +74,9 @@
 func TestARestartForgetsConnections(t *testing.T) {
 	c := newCore(t)
 	again := server(piernotch.Ready)
-	again.Entry.StartedAt = start - time.Millisecond
-	list := Members{Kind: piernotch.UpdateDelta, Entries: []Member{again}}
-	require.Contains(t, c.Handle(start, list), Forget{Place{c.names["s-1"].id, "127.0.0.1:1"}})
+	again.Endpoint.StartedAt = start - time.Millisecond
+	list := EndpointUpdate{Kind: piernotch.UpdateDelta, Endpoints: []DiscoveredEndpoint{again}}
+	require.Contains(t, c.Handle(start, list), CloseIdle{Endpoint{c.names["s-1"].id, "127.0.0.1:1"}})
 	require.Empty(t, c.Handle(start, list), "once is enough")
 }
 
@@ -92,8 +92,8 @@
 	retune := func(classes ...piernotch.Class) (routes []Route, err error) {
 		set := c.Settings()
 		set.Classes = classes
-		for _, e := range c.Handle(now, Retuned{Settings: set, Discovery: "127.0.0.1:2"}) {
-			if r, ok := e.(Retuning); ok {
+		for _, e := range c.Handle(now, SettingsChanged{Settings: set, Discovery: "127.0.0.1:2"}) {
+			if r, ok := e.(SettingsApplied); ok {
 				routes, err = r.Routes, r.Err
 			}
 		}
@@ -101,18 +101,18 @@
 	}
 	_, err := retune()
 	require.Error(t, err)
-	send := arrive(c, 1)[0].(Send)
+	send := arrive(c, 1)[0].(StartAttempt)
 	routes, err := retune(classed("c", piernotch.Idempotent), classed("d", piernotch.NonIdempotent))
 	require.NoError(t, err)
 	require.Equal(t, []Route{
-		{Name: "c", Class: 0, Until: now + routeGrace}, {Name: "c", Safe: true, Class: 1}, {Name: "d", Class: 2},
+		{Name: "c", Class: 0, ExpiresAt: now + routeGrace}, {Name: "c", Idempotent: true, Class: 1}, {Name: "d", Class: 2},
 	}, routes)
 	routes, err = retune(classed("d", piernotch.NonIdempotent), classed("e", piernotch.NonIdempotent))
 	require.NoError(t, err)
 	require.Equal(t, []Route{{Name: "d", Class: 2}, {Name: "e", Class: 1}}, routes, "0 has a request under way")
-	c.Handle(now, Connected{send.Ref})
-	effects := c.Handle(now, Ended{Ref: send.Ref, Status: piernotch.Reset})
-	require.Equal(t, Failed, effects[0].(Reply).Verdict, "it keeps the class that it came with")
+	c.Handle(now, AttemptConnected{send.Ref})
+	effects := c.Handle(now, AttemptCompleted{Ref: send.Ref, Status: piernotch.Reset})
+	require.Equal(t, Failed, effects[0].(Respond).Result, "it keeps the class that it came with")
 	for i := range 50 {
 		routes, err = retune(classed(fmt.Sprint("n", i), piernotch.Idempotent))
 		require.NoError(t, err)
@@ -125,67 +125,67 @@
 // answer to the call comes behind the record of it.
 func TestNothingIsWrittenToAServerThatIsLeftOutMeanwhile(t *testing.T) {
 	c := newCore(t)
-	send := arrive(c, 1)[0].(Send)
-	effects := c.Handle(start, Operated{Call: 7, Verb: overrides.Exclude, Server: "s-1"})
-	require.Equal(t, []Effect{Forget{Place{send.To.Backend, "127.0.0.1:1"}}, Keep{}, Said{Call: 7}}, effects)
-	effects = c.Handle(start, Connected{send.Ref})
-	require.Equal(t, Drop{send.Ref}, effects[0])
-	require.Equal(t, Refused, effects[1].(Reply).Verdict)
-	require.Equal(t, []Effect{Said{8, overrides.ErrUnknown}}, c.Handle(start, Operated{Call: 8, Verb: overrides.Exclude, Server: "s-9"}))
-	require.Equal(t, []Effect{Drain{true}, Keep{}, Said{Call: 9}}, c.Handle(start, Operated{Call: 9, Verb: overrides.Evacuate}))
+	send := arrive(c, 1)[0].(StartAttempt)
+	effects := c.Handle(start, AdminCommand{Call: 7, Action: overrides.Exclude, Server: "s-1"})
+	require.Equal(t, []Effect{CloseIdle{Endpoint{send.To.Backend, "127.0.0.1:1"}}, PersistOverrides{}, AdminResult{Call: 7}}, effects)
+	effects = c.Handle(start, AttemptConnected{send.Ref})
+	require.Equal(t, CancelAttempt{send.Ref}, effects[0])
+	require.Equal(t, Rejected, effects[1].(Respond).Result)
+	require.Equal(t, []Effect{AdminResult{8, overrides.ErrUnknown}}, c.Handle(start, AdminCommand{Call: 8, Action: overrides.Exclude, Server: "s-9"}))
+	require.Equal(t, []Effect{DrainClients{true}, PersistOverrides{}, AdminResult{Call: 9}}, c.Handle(start, AdminCommand{Call: 9, Action: overrides.Evacuate}))
 }
 
 // wide is a core with two servers that has served some requests, in 10 ms each, so that the module knows how
 // long an answer takes and may repeat.
 func wide(t *testing.T, class piernotch.Class, limits piernotch.Limits) (*Core, time.Duration) {
 	c, err := New(piernotch.Settings{
-		BalancerCount: 1, Zones: []string{"a"}, Tick: Tick, Classes: []piernotch.Class{class}, Limits: limits,
+		BalancerCount: 1, Zones: []string{"a"}, Tick: TickInterval, Classes: []piernotch.Class{class}, Limits: limits,
 		Rules: piernotch.Rules{SlowStartDuration: time.Second},
 	}, 1, start, "127.0.0.1:2", 1)
 	require.NoError(t, err)
-	c.Handle(start, Members{Kind: piernotch.UpdateFull, Entries: []Member{
-		server(piernotch.Ready), {Name: "s-2", Address: "127.0.0.1:3", Entry: piernotch.Endpoint{Size: 1}},
+	c.Handle(start, EndpointUpdate{Kind: piernotch.UpdateFull, Endpoints: []DiscoveredEndpoint{
+		server(piernotch.Ready), {Name: "s-2", Address: "127.0.0.1:3", Endpoint: piernotch.Endpoint{Size: 1}},
 	}})
 	now := start
-	for i := range Client(20) {
+	for i := range ExchangeID(20) {
 		ref := come(c, now, 100+i).Ref
-		c.Handle(now, Connected{ref})
+		c.Handle(now, AttemptConnected{ref})
 		now += 10 * time.Millisecond
-		c.Handle(now, Ended{Ref: ref, Status: piernotch.OK})
+		c.Handle(now, AttemptCompleted{Ref: ref, Status: piernotch.OK})
 	}
 	return c, now
 }
 
 // come has a request arrive, and returns how it is sent.
-func come(c *Core, now time.Duration, client Client) Send {
-	return c.Handle(now, Arrived{Client: client, ID: fmt.Sprint(client), Hint: 1, Deadline: now + 2*time.Second})[0].(Send)
+func come(c *Core, now time.Duration, client ExchangeID) StartAttempt {
+	return c.Handle(now, RequestReceived{Client: client, ID: fmt.Sprint(client), Hint: 1, Deadline: now + 2*time.Second})[0].(StartAttempt)
 }
 
 // again lets time pass until an attempt is sent.
-func again(t *testing.T, c *Core, now time.Duration) (Send, time.Duration) {
+func again(t *testing.T, c *Core, now time.Duration) (StartAttempt, time.Duration) {
 	for end := now + time.Second; now < end; {
-		now += Tick
-		for _, e := range c.Handle(now, Ticked{}) {
-			if s, ok := e.(Send); ok {
+		now += TickInterval
+		for _, e := range c.Handle(now, Tick{}) {
+			if s, ok := e.(StartAttempt); ok {
 				return s, now
 			}
 		}
 	}
 	require.Fail(t, "nothing was sent again")
-	return Send{}, 0
+	return StartAttempt{}, 0
 }
 
 // The connection of a second copy that comes up behind the answer must not carry the request.
 func TestNothingIsWrittenBehindTheAnswer(t *testing.T) {
 	c, now := wide(t, classed("c", piernotch.Idempotent), piernotch.Limits{MaxAttempts: 2, HedgedRequests: true, CancelAttempts: true})
 	first := come(c, now, 1)
-	c.Handle(now, Connected{first.Ref})
+	c.Handle(now, AttemptConnected{first.Ref})
 	copied, now := again(t, c, now)
-	require.Equal(t, first.Ref.ID, copied.Ref.ID)
-	effects := c.Handle(now, Ended{Ref: first.Ref, Status: piernotch.OK})
-	require.Equal(t, Served, effects[0].(Reply).Verdict)
-	require.Contains(t, effects, Drop{copied.Ref})
-	require.NotContains(t, c.Handle(now, Connected{copied.Ref}), Write{copied.Ref})
+	require.Equal(t, first.Ref.Request, copied.Ref.Request)
+	effects := c.Handle(now, AttemptCompleted{Ref: first.Ref, Status: piernotch.OK})
+	require.Equal(t, Served, effects[0].(Respond).Result)
+	require.Contains(t, effects, CancelAttempt{copied.Ref})
+	require.NotContains(t, c.Handle(now, AttemptConnected{copied.Ref}), WriteAttempt{copied.Ref})
 	require.Empty(t, c.requests)
 }
 
@@ -195,8 +195,8 @@
 	for _, cancel := range []bool{true, false} {
 		c, now := wide(t, classed("c", piernotch.Idempotent), piernotch.Limits{MaxAttempts: 2, CancelAttempts: cancel})
 		send := come(c, now, 1)
-		require.Contains(t, c.Handle(now, ClientGone{1}), Drop{send.Ref})
-		require.NotContains(t, c.Handle(now, Connected{send.Ref}), Write{send.Ref})
+		require.Contains(t, c.Handle(now, ClientGone{1}), CancelAttempt{send.Ref})
+		require.NotContains(t, c.Handle(now, AttemptConnected{send.Ref}), WriteAttempt{send.Ref})
 		require.Empty(t, c.requests)
 	}
 }
@@ -211,16 +211,16 @@
 	}{{290 * time.Millisecond, true}, {301 * time.Millisecond, false}} {
 		c, sent := wide(t, class, piernotch.Limits{MaxAttempts: 3, CancelAttempts: true})
 		first := come(c, sent, 1)
-		c.Handle(sent, Connected{first.Ref})
-		effects := c.Handle(sent+10*time.Millisecond, Ended{Ref: first.Ref, Status: piernotch.Reset})
-		repeat := effects[0].(Send)
-		effects = append([]Effect(nil), c.Handle(sent+x.after, Connected{repeat.Ref})...)
+		c.Handle(sent, AttemptConnected{first.Ref})
+		effects := c.Handle(sent+10*time.Millisecond, AttemptCompleted{Ref: first.Ref, Status: piernotch.Reset})
+		repeat := effects[0].(StartAttempt)
+		effects = append([]Effect(nil), c.Handle(sent+x.after, AttemptConnected{repeat.Ref})...)
 		if x.write {
-			require.Contains(t, effects, Write{repeat.Ref})
+			require.Contains(t, effects, WriteAttempt{repeat.Ref})
 			continue
 		}
-		require.NotContains(t, effects, Write{repeat.Ref})
-		require.Equal(t, Refused, effects[1].(Reply).Verdict, "within the window of its own retry, repeats do no harm")
+		require.NotContains(t, effects, WriteAttempt{repeat.Ref})
+		require.Equal(t, Rejected, effects[1].(Respond).Result, "within the window of its own retry, repeats do no harm")
 	}
 }
 
@@ -233,15 +233,15 @@
 		class := classed("c", piernotch.NonIdempotent)
 		class.Deadline, class.LatencyObjective = x.deadline, x.deadline
 		c, now := wide(t, class, piernotch.Limits{MaxAttempts: 1, CancelAttempts: true})
-		c.Handle(now, Terminate{})
+		c.Handle(now, Shutdown{})
 		kill := now + x.kill
 		now += 1500 * time.Millisecond
-		send := c.Handle(now, Arrived{Client: 1, ID: "1", Hint: 1, Deadline: now + x.deadline})[0].(Send)
-		c.Handle(now, Connected{send.Ref})
+		send := c.Handle(now, RequestReceived{Client: 1, ID: "1", Hint: 1, Deadline: now + x.deadline})[0].(StartAttempt)
+		c.Handle(now, AttemptConnected{send.Ref})
 		answered := false
-		for ; now < kill && !answered; now += Tick {
-			for _, e := range c.Handle(now, Ticked{}) {
-				_, ok := e.(Reply)
+		for ; now < kill && !answered; now += TickInterval {
+			for _, e := range c.Handle(now, Tick{}) {
+				_, ok := e.(Respond)
 				answered = answered || ok
 			}
 		}
--- a/internal/serve/core/operate.go
+++ b/internal/serve/core/operate.go
@@ -13,8 +13,8 @@
 // What operators change while requests are under way: feed servers left out, clients sent
 // away, other settings.
 
-// Drained tells whether clients are sent away.
-func (c *Core) Drained() bool { return c.words.Drain.On }
+// ClientsDrained tells whether clients are sent away.
+func (c *Core) ClientsDrained() bool { return c.words.Drain.On }
 
 // Routes are how clients name the classes.
 func (c *Core) Routes() []Route { return c.routes }
@@ -22,37 +22,37 @@
 // Settings are those in force; classes that are no longer taken hold their places in them.
 func (c *Core) Settings() piernotch.Settings { return c.set }
 
-// Words returns a copy of what operators said.
-func (c *Core) Words() overrides.Words { return c.words.Clone() }
+// Overrides returns a copy of what operators said.
+func (c *Core) Overrides() overrides.Words { return c.words.Clone() }
 
-// PruneWords forgets old words that no other process can hold any more.
-func (c *Core) PruneWords() { c.words.Prune(c.now - 2*c.set.Rules.SlowStartDuration - time.Minute) }
+// PruneOverrides forgets old words that no other process can hold any more.
+func (c *Core) PruneOverrides() { c.words.Prune(c.now - 2*c.set.Rules.SlowStartDuration - time.Minute) }
 
-// Learnt tells what is known of the traffic.
-func (c *Core) Learnt() piernotch.Snapshot { return c.balancer.Snapshot() }
+// Snapshot tells what is known of the traffic.
+func (c *Core) Snapshot() piernotch.Snapshot { return c.balancer.Snapshot() }
 
-// Listing returns all feed servers as they were listed last, by name.
-func (c *Core) Listing() []Member {
-	list := make([]Member, 0, len(c.names))
+// Endpoints returns all feed servers as they were listed last, by name.
+func (c *Core) Endpoints() []DiscoveredEndpoint {
+	list := make([]DiscoveredEndpoint, 0, len(c.names))
 	for _, b := range c.names {
 		list = append(list, b.member)
 	}
-	slices.SortFunc(list, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(list, func(a, b DiscoveredEndpoint) int { return cmp.Compare(a.Name, b.Name) })
 	return list
 }
 
-func (c *Core) operated(ev Operated) {
-	changed, err := c.words.Say(c.now, c.by, ev.Verb, ev.Server, c.names[ev.Server] != nil)
+func (c *Core) operated(ev AdminCommand) {
+	changed, err := c.words.Say(c.now, c.by, ev.Action, ev.Server, c.names[ev.Server] != nil)
 	if changed {
-		slog.Info("operator", "call", ev.Verb, "server", ev.Server)
-		if ev.Verb == overrides.Evacuate || ev.Verb == overrides.Rejoin {
-			c.do(Drain{c.words.Drain.On})
+		slog.Info("operator", "call", ev.Action, "server", ev.Server)
+		if ev.Action == overrides.Evacuate || ev.Action == overrides.Rejoin {
+			c.do(DrainClients{c.words.Drain.On})
 		} else {
 			c.follow(ev.Server)
 		}
-		c.do(Keep{})
+		c.do(PersistOverrides{})
 	}
-	c.do(Said{ev.Call, err})
+	c.do(AdminResult{ev.Call, err})
 }
 
 // heard takes what another process of this balancer was told.
@@ -64,10 +64,10 @@
 	}
 	if drain {
 		slog.Info("operator, told to the process beside this one", "drain", c.words.Drain.On)
-		c.do(Drain{c.words.Drain.On})
+		c.do(DrainClients{c.words.Drain.On})
 	}
 	if drain || len(servers) > 0 {
-		c.do(Keep{})
+		c.do(PersistOverrides{})
 	}
 }
 
@@ -79,7 +79,7 @@
 	}
 	b.out = word.On
 	if b.out {
-		c.do(Forget{b.place()})
+		c.do(CloseIdle{b.place()})
 		c.balancer.Exclude(c.now, b.id)
 	} else {
 		c.balancer.Include(c.now, b.id, word.At)
@@ -89,10 +89,10 @@
 // Route is how clients name a class: the first part of the path and whether repeats are safe,
 // which decides the method.
 type Route struct {
-	Name  string
-	Safe  bool
-	Class int
-	Until time.Duration // not taken from then on; 0: for as long as the settings last
+	Name       string
+	Idempotent bool
+	Class      int
+	ExpiresAt  time.Duration // not taken from then on; 0: for as long as the settings last
 }
 
 // routeGrace is how long a class is still taken in its old form after its effect has changed:
@@ -102,13 +102,13 @@
 func routes(classes []piernotch.Class) []Route {
 	var rs []Route
 	for i, k := range classes {
-		rs = append(rs, Route{Name: k.Name, Safe: k.RetrySafety == piernotch.Idempotent, Class: i})
+		rs = append(rs, Route{Name: k.Name, Idempotent: k.RetrySafety == piernotch.Idempotent, Class: i})
 	}
 	return rs
 }
 
 // retuned takes other settings, whole or not at all.
-func (c *Core) retuned(ev Retuned) {
+func (c *Core) retuned(ev SettingsChanged) {
 	set := ev.Settings
 	err := set.Validate()
 	var rs []Route
@@ -117,15 +117,15 @@
 		err = c.balancer.UpdateSettings(c.now, set)
 	}
 	if err != nil {
-		c.do(Retuning{Err: err})
+		c.do(SettingsApplied{Err: err})
 		return
 	}
 	c.set, c.routes = set, rs
-	c.do(Retuning{Routes: rs})
+	c.do(SettingsApplied{Routes: rs})
 	// What is known stays until the new address has told the whole list.
 	if ev.Discovery != c.discovery {
 		c.discovery = ev.Discovery
-		c.do(MoveWatch{ev.Discovery})
+		c.do(MoveDiscovery{ev.Discovery})
 	}
 }
 
@@ -141,7 +141,7 @@
 	}
 	old := map[string]int{}
 	for _, r := range c.routes {
-		if r.Until == 0 {
+		if r.ExpiresAt == 0 {
 			old[r.Name] = r.Class
 		}
 	}
@@ -154,11 +154,11 @@
 		switch {
 		case ok && classes[i].RetrySafety == k.RetrySafety:
 			classes[i], taken[i], kept[i] = k, true, true
-			rs = append(rs, Route{Name: k.Name, Safe: k.RetrySafety == piernotch.Idempotent, Class: i})
+			rs = append(rs, Route{Name: k.Name, Idempotent: k.RetrySafety == piernotch.Idempotent, Class: i})
 			continue
 		case ok:
 			taken[i], kept[i] = true, true
-			rs = append(rs, Route{Name: k.Name, Safe: classes[i].RetrySafety == piernotch.Idempotent, Class: i, Until: c.now + routeGrace})
+			rs = append(rs, Route{Name: k.Name, Idempotent: classes[i].RetrySafety == piernotch.Idempotent, Class: i, ExpiresAt: c.now + routeGrace})
 		}
 		added = append(added, k)
 	}
@@ -169,7 +169,7 @@
 			classes, taken, kept = append(classes, k), append(taken, true), append(kept, true)
 		}
 		classes[i], taken[i], kept[i] = k, true, true
-		rs = append(rs, Route{Name: k.Name, Safe: k.RetrySafety == piernotch.Idempotent, Class: i})
+		rs = append(rs, Route{Name: k.Name, Idempotent: k.RetrySafety == piernotch.Idempotent, Class: i})
 	}
 	for i := range classes {
 		if !kept[i] {
--- a/internal/serve/discovery/discovery.go
+++ b/internal/serve/discovery/discovery.go
@@ -61,7 +61,7 @@
 type List struct {
 	Generation uint64
 	Reset      bool
-	Members    []core.Member
+	Members    []core.DiscoveredEndpoint
 }
 
 // Parse reads a list. Zones are given by their place among zones; an unknown one
@@ -86,9 +86,9 @@
 		if host, _, err := net.SplitHostPort(e.HostPort); state != piernotch.Gone && (err != nil || net.ParseIP(host) == nil) {
 			return List{}, fmt.Errorf("list: instances[%d].hostPort is %q", i, e.HostPort)
 		}
-		out.Members = append(out.Members, core.Member{
+		out.Members = append(out.Members, core.DiscoveredEndpoint{
 			Name: e.InstanceID, Address: e.HostPort,
-			Entry: piernotch.Endpoint{
+			Endpoint: piernotch.Endpoint{
 				Zone: slices.Index(zones, e.Zone), Cell: e.Cell, State: state, Size: e.Weight,
 				StartedAt: time.Duration(e.StartedAtMs * float64(time.Millisecond)),
 			},
@@ -254,7 +254,7 @@
 		w.lists.Failed()
 	}
 	w.hangUp()
-	w.emit(core.Members{Kind: piernotch.UpdateFailed})
+	w.emit(core.EndpointUpdate{Kind: piernotch.UpdateFailed})
 	if w.pushed && !w.asking {
 		w.ask(w.now() + pushPause)
 	}
@@ -333,9 +333,9 @@
 		kind = piernotch.UpdateFull
 	}
 	for _, e := range list.Members {
-		slog.Info("list change", "server", e.Name, "address", e.Address, "state", e.Entry.State, "generation", w.version)
+		slog.Info("list change", "server", e.Name, "address", e.Address, "state", e.Endpoint.State, "generation", w.version)
 	}
-	w.emit(core.Members{Kind: kind, Entries: list.Members})
+	w.emit(core.EndpointUpdate{Kind: kind, Endpoints: list.Members})
 }
 
 func (w *Watcher) answered(m *http1.Message) {
--- a/internal/serve/downstream/front.go
+++ b/internal/serve/downstream/front.go
@@ -67,8 +67,8 @@
 	waits   []time.Duration         // the longest of each class
 	tenants []piernotch.Tenant
 	conns   map[*conn]struct{}
-	waiting map[core.Client]*conn
-	last    core.Client
+	waiting map[core.ExchangeID]*conn
+	last    core.ExchangeID
 	ending  bool
 	stale   stale
 	drained time.Duration // since when clients are sent away; 0: they are not
@@ -104,12 +104,12 @@
 	f      *Front
 	sock   *eventloop.Conn
 	parser *http1.Parser
-	client core.Client   // the exchange that is owed an answer; 0: none
-	final  bool          // to be closed when the request in hand is answered
-	asked  bool          // has sent a byte
-	since  time.Duration // when the request in hand, or else the quiet, began; of the shutdown, once shut
-	dying  bool          // nothing is read any more; shuts once all is written
-	shut   bool          // the sending side has ended; closes once the client's has
+	client core.ExchangeID // the exchange that is owed an answer; 0: none
+	final  bool            // to be closed when the request in hand is answered
+	asked  bool            // has sent a byte
+	since  time.Duration   // when the request in hand, or else the quiet, began; of the shutdown, once shut
+	dying  bool            // nothing is read any more; shuts once all is written
+	shut   bool            // the sending side has ended; closes once the client's has
 }
 
 // New returns a front with no connections. ready says whether requests can be
@@ -117,7 +117,7 @@
 func New(emit func(core.Event), now func() time.Duration, ready func() bool, sockets int) *Front {
 	return &Front{
 		emit: emit, now: now, ready: ready, crowd: sockets / 4,
-		conns: map[*conn]struct{}{}, waiting: map[core.Client]*conn{},
+		conns: map[*conn]struct{}{}, waiting: map[core.ExchangeID]*conn{},
 	}
 }
 
@@ -230,7 +230,7 @@
 	c.f.last++
 	c.client = c.f.last
 	c.f.waiting[c.client] = c
-	c.f.emit(core.Arrived{
+	c.f.emit(core.RequestReceived{
 		Client: c.client, ID: id, Class: class, Tenant: c.f.tenant(m.Fields.Get("x-tenant")), Key: key(m.Query("k")), Hint: hint(m.Fields.Get("x-cost-hint")),
 		Deadline: c.f.came() + wait - margin,
 		Message: &upstream.Request{
@@ -243,11 +243,11 @@
 // class finds the class that a request names, and the method it takes; "" if there is none.
 func (f *Front) class(name, method string) (class int, takes string) {
 	for _, r := range f.routes[name] {
-		if r.Until > 0 && f.now() >= r.Until {
+		if r.ExpiresAt > 0 && f.now() >= r.ExpiresAt {
 			continue
 		}
 		class, takes = r.Class, http1.MethodPost
-		if r.Safe {
+		if r.Idempotent {
 			takes = http1.MethodGet
 		}
 		if takes == method {
@@ -337,7 +337,7 @@
 }
 
 // Reply writes the final answer of an exchange.
-func (f *Front) Reply(r core.Reply) {
+func (f *Front) Reply(r core.Respond) {
 	c := f.waiting[r.Client]
 	if c == nil {
 		return
@@ -345,7 +345,7 @@
 	delete(f.waiting, r.Client)
 	c.client = 0
 	c.final = c.final || r.Close
-	switch r.Verdict {
+	switch r.Result {
 	case core.Served:
 		a := r.Answer.(*upstream.Answer)
 		var fields http1.Fields
@@ -353,7 +353,7 @@
 			fields = append(fields, http1.Field{Name: "Content-Type", Value: a.ContentType})
 		}
 		c.answer(http1.StatusOK, fields, a.Body)
-	case core.Refused:
+	case core.Rejected:
 		var fields http1.Fields
 		if r.RetryAfter > 0 {
 			fields = append(fields, http1.Field{
@@ -361,11 +361,11 @@
 			})
 		}
 		c.answer(http1.StatusServiceUnavailable, fields, []byte("refused: trying again is harmless\n"))
-	case core.Rejected:
+	case core.DuplicateID:
 		c.answer(http1.StatusConflict, nil, []byte("another open request has this X-Request-Id\n"))
 	default:
 		status := http1.StatusBadGateway
-		if r.Last == piernotch.Timeout {
+		if r.LastStatus == piernotch.Timeout {
 			status = http1.StatusGatewayTimeout
 		}
 		c.answer(status, nil, []byte("failed: the request may have run\n"))
--- a/internal/serve/runtime/beside.go
+++ b/internal/serve/runtime/beside.go
@@ -66,13 +66,13 @@
 func (n *Node) takeOver(from *handover.Record) {
 	known := discovery.List{Generation: from.Generation, Reset: true}
 	for _, m := range from.Members {
-		known.Members = append(known.Members, core.Member{Name: m.Name, Address: m.Address, Entry: piernotch.Endpoint{
+		known.Members = append(known.Members, core.DiscoveredEndpoint{Name: m.Name, Address: m.Address, Endpoint: piernotch.Endpoint{
 			Zone: slices.Index(n.cfg.Settings.Zones, m.Zone), Cell: m.Cell, State: m.State, Size: m.Size, StartedAt: m.Born,
 		}})
 	}
 	n.cfg.Known, n.cfg.HasKnown = known, true
 	n.watcher.Resume(from.Generation, from.Discovery == n.cfg.Discovery)
-	n.emit(core.Learnt{Learnt: from.Learnt})
+	n.emit(core.PeerSnapshot{Snapshot: from.Learnt})
 	slog.Info("taking over", "from_pid", from.PID, "epoch", from.Epoch, "generation", from.Generation, "servers", len(known.Members))
 }
 
@@ -107,7 +107,7 @@
 	for i := range peers {
 		p := &peers[i]
 		if p.Err == nil {
-			b.n.emit(core.Heard{Words: &p.Words})
+			b.n.emit(core.PeerOverrides{Overrides: &p.Words})
 		}
 		if p.Alive {
 			alone = false
@@ -121,7 +121,7 @@
 		slog.Info("processes of this balancer", "others", len(b.others), "pid", b.self.PID, "epoch", b.self.Epoch)
 	}
 	if alone {
-		b.n.core.PruneWords()
+		b.n.core.PruneOverrides()
 	}
 }
 
@@ -162,18 +162,18 @@
 	b.kept = n.now()
 	r := handover.Record{
 		Standing: b.self, At: b.kept, Discovery: n.cfg.Discovery, Generation: n.watcher.Version(),
-		Words: n.core.Words(), Learnt: n.core.Learnt(),
+		Words: n.core.Overrides(), Learnt: n.core.Snapshot(),
 	}
-	if n.core.Listed() {
+	if n.core.EndpointsKnown() {
 		r.Members = []handover.Member{}
 	}
-	for _, m := range n.core.Listing() {
+	for _, m := range n.core.Endpoints() {
 		zone := ""
-		if z := m.Entry.Zone; z >= 0 && z < len(n.cfg.Settings.Zones) {
+		if z := m.Endpoint.Zone; z >= 0 && z < len(n.cfg.Settings.Zones) {
 			zone = n.cfg.Settings.Zones[z]
 		}
 		r.Members = append(r.Members, handover.Member{
-			Name: m.Name, Address: m.Address, Zone: zone, Cell: m.Entry.Cell, State: m.Entry.State, Size: m.Entry.Size, Born: m.Entry.StartedAt,
+			Name: m.Name, Address: m.Address, Zone: zone, Cell: m.Endpoint.Cell, State: m.Endpoint.State, Size: m.Endpoint.Size, Born: m.Endpoint.StartedAt,
 		})
 	}
 	if err := b.dir.Write(r); err != nil {
--- a/internal/serve/runtime/crossings_test.go
+++ b/internal/serve/runtime/crossings_test.go
@@ -224,7 +224,7 @@
 				cfg.Settings.Classes[1].LatencyObjective = 4 * time.Second
 				// Only the second server is elsewhere: all goes to the first until that one fails.
 				cfg.Settings.Zones = []string{"a", "b"}
-				cfg.Known.Members[1].Entry.Zone = 1
+				cfg.Known.Members[1].Endpoint.Zone = 1
 			}, quiet(t), peer(t, breaks), server)
 			c := connect(t, n)
 			for i := range 10 { // repeats have a budget, by what is asked
@@ -518,7 +518,7 @@
 	var got ran
 	n, done := start(t, quiet(t), peer(t, got.serves))
 	n.Terminate()
-	time.Sleep(core.LameDuck - 50*time.Millisecond)
+	time.Sleep(core.ShutdownGrace - 50*time.Millisecond)
 	c := connect(t, n)
 	time.Sleep(150 * time.Millisecond)
 	head, body := c.ask("POST", "/append", "1", "mine")
--- a/internal/serve/runtime/node.go
+++ b/internal/serve/runtime/node.go
@@ -85,9 +85,9 @@
 		n.front.Stalled(gap)
 	}
 	n.manage = admin.Server{
-		Now: n.now, Ready: func() bool { return n.core.Listed() && !n.core.Ending() },
+		Now: n.now, Ready: func() bool { return n.core.EndpointsKnown() && !n.core.ShuttingDown() },
 		Do: func(call uint64, verb overrides.Verb, server string) {
-			n.emit(core.Operated{Call: call, Verb: verb, Server: server})
+			n.emit(core.AdminCommand{Call: call, Action: verb, Server: server})
 		},
 	}
 	n.watcher = discovery.New(n.engine, n.emit, n.now, cfg.Discovery, cfg.Settings.Zones, cfg.Known.Generation)
@@ -119,7 +119,7 @@
 // healthy is what the front of the clients is told. Where another process has taken over, this
 // one speaks for the two: the front may ask either.
 func (n *Node) healthy() bool {
-	return n.core.Listed() && !n.core.Drained() && (!n.core.Ending() || n.beside.succeeded)
+	return n.core.EndpointsKnown() && !n.core.ClientsDrained() && (!n.core.ShuttingDown() || n.beside.succeeded)
 }
 
 // Start listens. Clients are served once Run is called.
@@ -130,9 +130,9 @@
 	}
 	n.limits()
 	if n.cfg.HasKnown {
-		n.emit(core.Members{Kind: piernotch.UpdateCached, Entries: n.cfg.Known.Members})
+		n.emit(core.EndpointUpdate{Kind: piernotch.UpdateCached, Endpoints: n.cfg.Known.Members})
 	} else {
-		n.emit(core.Ticked{})
+		n.emit(core.Tick{})
 		n.watcher.Watch()
 	}
 	if !n.cfg.Settings.PollDiscovery {
@@ -170,7 +170,7 @@
 
 // settle notes when this process can serve.
 func (n *Node) settle() {
-	if n.core.Listed() && !n.core.Ending() {
+	if n.core.EndpointsKnown() && !n.core.ShuttingDown() {
 		n.beside.advance(handover.Ready)
 	}
 }
@@ -198,7 +198,7 @@
 func (n *Node) Run(ctx context.Context) {
 	ctx, n.exit = context.WithCancel(ctx)
 	defer n.exit()
-	n.engine.Run(ctx, core.Tick, n.tick)
+	n.engine.Run(ctx, core.TickInterval, n.tick)
 	n.stop()
 	if n.operators != nil {
 		n.operators.Stop()
@@ -222,9 +222,9 @@
 // Terminate begins an orderly end. It may be called from any goroutine.
 func (n *Node) Terminate() {
 	n.engine.Post(func() {
-		slog.Info("terminating", "owed", n.core.Owed(), "clients", n.front.Conns())
+		slog.Info("terminating", "owed", n.core.PendingRequests(), "clients", n.front.Conns())
 		n.front.Terminate()
-		n.emit(core.Terminate{})
+		n.emit(core.Shutdown{})
 		n.beside.advance(handover.Ending)
 	})
 }
@@ -234,12 +234,12 @@
 func (n *Node) Reload(cfg config.Config) {
 	n.engine.Post(func() {
 		n.next = cfg
-		n.emit(core.Retuned{Settings: cfg.Settings, Discovery: cfg.Discovery})
+		n.emit(core.SettingsChanged{Settings: cfg.Settings, Discovery: cfg.Discovery})
 	})
 }
 
 // retuned takes the rest of a configuration whose settings were taken.
-func (n *Node) retuned(e core.Retuning) {
+func (n *Node) retuned(e core.SettingsApplied) {
 	if e.Err != nil {
 		slog.Error("configuration not taken, the old one stands", "err", e.Err)
 		return
@@ -254,7 +254,7 @@
 }
 
 func (n *Node) tick() {
-	n.emit(core.Ticked{})
+	n.emit(core.Tick{})
 	n.front.Tick()
 	n.upstream.Tick()
 	n.watcher.Tick()
@@ -271,19 +271,19 @@
 	}
 	if now-n.mood >= time.Second {
 		n.mood = now
-		n.core.Mood()
+		n.core.LogState()
 	}
 }
 
 // settleFor is how long the sockets get, once nothing is owed, for requests that
 // have arrived but were not read yet.
-const settleFor = 4 * core.Tick
+const settleFor = 4 * core.TickInterval
 
 // leave ends the program once the core is done and the sockets are: an answer
 // that is still in a buffer, or a request of which a part has come, would be lost.
 func (n *Node) leave() {
 	now := n.now()
-	if n.leaving == 0 || n.core.Owed() > 0 || now-n.leaving < settleFor {
+	if n.leaving == 0 || n.core.PendingRequests() > 0 || now-n.leaving < settleFor {
 		return
 	}
 	n.front.CloseIdle()
@@ -294,10 +294,10 @@
 
 func (n *Node) log(what string) {
 	c := n.core.Counts
-	slog.Info(what, "taken", c.Taken, "served", c.Served, "refused", c.Refused, "failed", c.Failed,
-		"gone", c.Gone, "overdue", c.Overdue, "attempts", c.Attempts, "timeouts", c.Timeouts, "resets", c.Resets,
+	slog.Info(what, "taken", c.Accepted, "served", c.Served, "refused", c.Rejected, "failed", c.Failed,
+		"gone", c.ClientsGone, "overdue", c.DeadlineExceeded, "attempts", c.Attempts, "timeouts", c.Timeouts, "resets", c.Resets,
 		"connect_failed", c.ConnectFailed, "full", c.Full, "errors", c.Errors, "opened", n.upstream.Opened,
-		"owed", n.core.Owed(), "clients", n.front.Conns(), "sockets", n.engine.Open())
+		"owed", n.core.PendingRequests(), "clients", n.front.Conns(), "sockets", n.engine.Open())
 }
 
 // emit takes an event to the reducer. Effects may bring further events, which
@@ -326,24 +326,24 @@
 
 func (n *Node) perform(e core.Effect) {
 	switch e := e.(type) {
-	case core.Send:
+	case core.StartAttempt:
 		n.upstream.Send(e, e.Message.(*upstream.Request))
-	case core.Write:
+	case core.WriteAttempt:
 		n.upstream.Write(e.Ref)
-	case core.Drop:
+	case core.CancelAttempt:
 		n.upstream.Drop(e.Ref)
-	case core.Reply:
+	case core.Respond:
 		if n.recorder != nil {
 			n.recorder.answer(n.now(), e)
 		}
 		n.front.Reply(e)
-	case core.Probe:
+	case core.HealthCheck:
 		n.upstream.Probe(e)
-	case core.Watch:
+	case core.WatchDiscovery:
 		n.watcher.Watch()
-	case core.MoveWatch:
+	case core.MoveDiscovery:
 		n.watcher.Move(e.Address)
-	case core.Forget:
+	case core.CloseIdle:
 		n.upstream.Forget(e.To)
 	case core.StopListening:
 		n.stop()
@@ -352,13 +352,13 @@
 		if n.leaving == 0 {
 			n.leaving = n.now()
 		}
-	case core.Keep:
+	case core.PersistOverrides:
 		n.beside.keep()
-	case core.Said:
+	case core.AdminResult:
 		n.manage.Said(e.Call, e.Err)
-	case core.Drain:
+	case core.DrainClients:
 		n.front.Drain(e.On)
-	case core.Retuning:
+	case core.SettingsApplied:
 		n.retuned(e)
 	}
 }
--- a/internal/serve/runtime/recorder.go
+++ b/internal/serve/runtime/recorder.go
@@ -15,7 +15,7 @@
 type recorder struct {
 	out  *trace.Writer
 	from time.Duration
-	open map[core.Client]trace.Record
+	open map[core.ExchangeID]trace.Record
 }
 
 func newRecorder(cfg *config.Config, now time.Duration) (*recorder, error) {
@@ -33,13 +33,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return &recorder{out: out, from: now, open: map[core.Client]trace.Record{}}, nil
+	return &recorder{out: out, from: now, open: map[core.ExchangeID]trace.Record{}}, nil
 }
 
 // hear notes what a client asked, or that it left.
 func (r *recorder) hear(now time.Duration, ev core.Event) {
 	switch ev := ev.(type) {
-	case core.Arrived:
+	case core.RequestReceived:
 		rec := trace.Record{At: now - r.from, Class: uint16(ev.Class), Key: ev.Key, Deadline: ev.Deadline - now}
 		if ev.Hint > 0 && !math.IsInf(ev.Hint, 0) {
 			rec.Hint = ev.Hint
@@ -51,11 +51,11 @@
 }
 
 // answer notes a final answer.
-func (r *recorder) answer(now time.Duration, reply core.Reply) {
-	switch reply.Verdict {
+func (r *recorder) answer(now time.Duration, reply core.Respond) {
+	switch reply.Result {
 	case core.Served:
 		r.end(now, reply.Client, trace.Served)
-	case core.Refused:
+	case core.Rejected:
 		r.end(now, reply.Client, trace.Refused)
 	case core.Failed:
 		r.end(now, reply.Client, trace.Failed)
@@ -64,7 +64,7 @@
 	}
 }
 
-func (r *recorder) end(now time.Duration, c core.Client, how trace.Outcome) {
+func (r *recorder) end(now time.Duration, c core.ExchangeID, how trace.Outcome) {
 	rec, ok := r.open[c]
 	if !ok {
 		return
--- a/internal/serve/upstream/report.go
+++ b/internal/serve/upstream/report.go
@@ -36,13 +36,13 @@
 
 // reported passes a load report on. One that cannot be read leaves what is believed as
 // it was: the answer that it came with is as good as without it.
-func (u *Upstream) reported(to core.Place, text string) {
+func (u *Upstream) reported(to core.Endpoint, text string) {
 	if text == "" {
 		return
 	}
 	load, err := report(text)
 	if err == nil {
-		u.emit(core.Reported{Backend: to.Backend, Load: load})
+		u.emit(core.LoadReported{Backend: to.Backend, Load: load})
 		return
 	}
 	if now := u.now(); u.saidBad == 0 || now-u.saidBad > sayEvery {
--- a/internal/serve/upstream/upstream.go
+++ b/internal/serve/upstream/upstream.go
@@ -20,7 +20,7 @@
 const (
 	// restFor is how long a connection rests after an answer. More than belongs to
 	// the answer may come right behind it, and must not be read as the next one's.
-	restFor = 2 * core.Tick
+	restFor = 2 * core.TickInterval
 	// stallFor is how long an answer that has begun may stop. Servers write answers
 	// whole, so what stops ends never, and its request has nothing to wait for.
 	stallFor = 250 * time.Millisecond
@@ -88,7 +88,7 @@
 
 // errand is an attempt or a probe on its way.
 type errand struct {
-	ref     core.Ref
+	ref     core.AttemptRef
 	probe   bool
 	pool    *pool
 	message *Request
@@ -111,7 +111,7 @@
 
 type pool struct {
 	u       *Upstream
-	to      core.Place
+	to      core.Endpoint
 	idle    []*conn // newest last
 	resting []*conn // oldest first; not to be used yet
 	queue   []*errand
@@ -126,8 +126,8 @@
 	now     func() time.Duration
 	keep    time.Duration
 	dialFor time.Duration
-	pools   map[core.Place]*pool
-	errands map[core.Ref]*errand
+	pools   map[core.Endpoint]*pool
+	errands map[core.AttemptRef]*errand
 	probes  map[*errand]struct{}
 	Opened  int           // connections opened so far, for the log
 	saidBad time.Duration // when a load report was last called bad; 0: never
@@ -138,7 +138,7 @@
 func New(engine *eventloop.Engine, emit func(core.Event), now func() time.Duration, keepAlive, dialFor time.Duration) *Upstream {
 	u := &Upstream{
 		engine: engine, emit: emit, now: now,
-		pools: map[core.Place]*pool{}, errands: map[core.Ref]*errand{}, probes: map[*errand]struct{}{},
+		pools: map[core.Endpoint]*pool{}, errands: map[core.AttemptRef]*errand{}, probes: map[*errand]struct{}{},
 	}
 	u.Keep(keepAlive, dialFor)
 	return u
@@ -147,7 +147,7 @@
 // Keep sets how long a feed server keeps an idle connection, and how long one may take to come up.
 func (u *Upstream) Keep(keepAlive, dialFor time.Duration) { u.keep, u.dialFor = keepAlive*3/4, dialFor }
 
-func (u *Upstream) pool(to core.Place) *pool {
+func (u *Upstream) pool(to core.Endpoint) *pool {
 	p := u.pools[to]
 	if p == nil {
 		p = &pool{u: u, to: to}
@@ -157,14 +157,14 @@
 }
 
 // Send finds a connection for an attempt; the core hears Connected or Ended.
-func (u *Upstream) Send(e core.Send, message *Request) {
-	x := &errand{ref: e.Ref, pool: u.pool(e.To), message: message, until: u.now() + e.Wait}
+func (u *Upstream) Send(e core.StartAttempt, message *Request) {
+	x := &errand{ref: e.Ref, pool: u.pool(e.To), message: message, until: u.now() + e.Timeout}
 	u.errands[e.Ref] = x
 	x.pool.take(x)
 }
 
 // Probe asks a feed server whether it serves.
-func (u *Upstream) Probe(e core.Probe) {
+func (u *Upstream) Probe(e core.HealthCheck) {
 	x := &errand{
 		probe: true, pool: u.pool(e.To), until: u.now() + core.ProbeTimeout,
 		message: &Request{Method: http1.MethodGet, Target: "/ping"},
@@ -275,11 +275,11 @@
 		c.write(p.u.now())
 		return
 	}
-	p.u.emit(core.Connected{Ref: x.ref})
+	p.u.emit(core.AttemptConnected{Ref: x.ref})
 }
 
 // Write sends an attempt's request on the connection that it was given.
-func (u *Upstream) Write(ref core.Ref) {
+func (u *Upstream) Write(ref core.AttemptRef) {
 	if x := u.errands[ref]; x != nil && x.conn != nil {
 		x.conn.write(u.now())
 	}
@@ -307,7 +307,7 @@
 
 // Drop ends the wait for an attempt. What it has written is called off by
 // closing its connection, so that a late answer cannot reach another request.
-func (u *Upstream) Drop(ref core.Ref) {
+func (u *Upstream) Drop(ref core.AttemptRef) {
 	if x := u.errands[ref]; x != nil {
 		u.abandon(x)
 	}
@@ -345,10 +345,10 @@
 	x.conn = nil
 	slog.Info("attempt failed", "server", f.Address, "stage", f.Stage, "kept_ms", f.Kept.Milliseconds(), "probe", x.probe, "err", f.Err)
 	if x.probe {
-		u.emit(core.Probed{Backend: x.pool.to.Backend, Status: f.Status()})
+		u.emit(core.HealthCheckCompleted{Backend: x.pool.to.Backend, Status: f.Status()})
 		return
 	}
-	u.emit(core.Ended{Ref: x.ref, Status: f.Status()})
+	u.emit(core.AttemptCompleted{Ref: x.ref, Status: f.Status()})
 }
 
 // Data takes bytes from a feed server.
@@ -442,10 +442,10 @@
 	}
 	u.reported(c.pool.to, m.Fields.Get("x-load"))
 	if x.probe {
-		u.emit(core.Probed{Backend: x.pool.to.Backend, Status: status})
+		u.emit(core.HealthCheckCompleted{Backend: x.pool.to.Backend, Status: status})
 		return
 	}
-	ended := core.Ended{Ref: x.ref, Status: status}
+	ended := core.AttemptCompleted{Ref: x.ref, Status: status}
 	if status == piernotch.OK {
 		ended.Answer = &Answer{ContentType: m.Fields.Get("content-type"), Body: m.Body}
 	} else {
@@ -455,7 +455,7 @@
 }
 
 // Forget closes idle connections to a server and keeps no further ones.
-func (u *Upstream) Forget(to core.Place) {
+func (u *Upstream) Forget(to core.Endpoint) {
 	if p := u.pools[to]; p != nil {
 		p.barred = true
 		p.shed(len(p.idle))
--- a/internal/serve/upstream/upstream_test.go
+++ b/internal/serve/upstream/upstream_test.go
@@ -17,9 +17,9 @@
 // More attempts wait for connections than may come up at once, and those that have one lose it: what still
 // waits gets others.
 func TestWhatWaitsForAConnectionGetsAnother(t *testing.T) {
-	for name, lose := range map[string]func(u *Upstream, ref core.Ref){
-		"called off": func(u *Upstream, ref core.Ref) { u.Drop(ref) },
-		"closed":     func(*Upstream, core.Ref) {}, // by the server, with its answer
+	for name, lose := range map[string]func(u *Upstream, ref core.AttemptRef){
+		"called off": func(u *Upstream, ref core.AttemptRef) { u.Drop(ref) },
+		"closed":     func(*Upstream, core.AttemptRef) {}, // by the server, with its answer
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,7 +48,7 @@
 			began, connected, all := time.Now(), 0, make(chan struct{})
 			var u *Upstream
 			u = New(e, func(ev core.Event) {
-				if c, ok := ev.(core.Connected); ok {
+				if c, ok := ev.(core.AttemptConnected); ok {
 					u.Write(c.Ref)
 					if connected++; connected == attempts {
 						close(all)
@@ -57,14 +57,14 @@
 				}
 			}, func() time.Duration { return time.Since(began) }, time.Minute, time.Second)
 			e.Post(func() {
-				to := core.Place{Backend: 1, Address: l.Addr().String()}
+				to := core.Endpoint{Backend: 1, Address: l.Addr().String()}
 				for i := range attempts {
-					u.Send(core.Send{Ref: core.Ref{ID: piernotch.RequestID(i)}, To: to, Wait: time.Minute}, &Request{Method: "GET", Target: "/", ID: "1"})
+					u.Send(core.StartAttempt{Ref: core.AttemptRef{Request: piernotch.RequestID(i)}, To: to, Timeout: time.Minute}, &Request{Method: "GET", Target: "/", ID: "1"})
 				}
 			})
 			ctx, stop := context.WithCancel(t.Context())
 			done := make(chan struct{})
-			go func() { e.Run(ctx, core.Tick, func() { u.Tick() }); close(done) }()
+			go func() { e.Run(ctx, core.TickInterval, func() { u.Tick() }); close(done) }()
 			select {
 			case <-all:
 			case <-time.After(5 * time.Second):
