--- a/internal/serve/admin/manage.go
+++ b/internal/serve/admin/manage.go
@@ -29,7 +29,7 @@
 	maxName  = 256
 )
 
-var verbs = map[string]overrides.Verb{
+var verbs = map[string]overrides.Action{
 	"/api/exclude": overrides.Exclude, "/api/include": overrides.Include,
 	"/api/evacuate": overrides.Evacuate, "/api/rejoin": overrides.Rejoin,
 }
@@ -37,7 +37,7 @@
 // Server answers operators. It must be used from the goroutine that owns the sockets.
 type Server struct {
 	// Do carries out a call; Said has to follow, at once or later.
-	Do func(call uint64, verb overrides.Verb, server string)
+	Do func(call uint64, verb overrides.Action, server string)
 	// Ready tells whether this process can serve.
 	Ready func() bool
 	// Now is a clock that does not jump.
@@ -105,9 +105,9 @@
 	switch {
 	case err == nil:
 		c.answer(http1.StatusOK, "yes")
-	case errors.Is(err, overrides.ErrUnknown):
+	case errors.Is(err, overrides.ErrUnknownServer):
 		c.answer(http1.StatusNotFound, err.Error())
-	case errors.Is(err, overrides.ErrTooMany):
+	case errors.Is(err, overrides.ErrTooManyExcluded):
 		c.answer(http1.StatusConflict, err.Error())
 	default:
 		c.answer(http1.StatusServiceUnavailable, err.Error())
--- a/internal/serve/core/core.go
+++ b/internal/serve/core/core.go
@@ -87,11 +87,11 @@
 	// AdminCommand is an operator's call, which is answered by Said.
 	AdminCommand struct {
 		Call   uint64
-		Action overrides.Verb
+		Action overrides.Action
 		Server string // the name of the feed server that it is about
 	}
 	// PeerOverrides is what another process of this balancer was told.
-	PeerOverrides struct{ Overrides *overrides.Words }
+	PeerOverrides struct{ Overrides *overrides.Overrides }
 	// PeerSnapshot is what another process of this balancer knows of the traffic.
 	PeerSnapshot struct{ Snapshot piernotch.Snapshot }
 	// Shutdown asks the balancer to end once nothing is owed.
@@ -262,7 +262,7 @@
 	ids       map[string]struct{} // clients' ids of what is owed an answer
 	backends  map[piernotch.BackendID]*backend
 	names     map[string]*backend
-	words     overrides.Words
+	words     overrides.Overrides
 	by        uint64  // this process, in stamps
 	routes    []Route // how clients name the classes
 	listed    bool
@@ -467,7 +467,7 @@
 	case Failed:
 		c.Counts.Failed++
 	}
-	reply.Client, reply.Close = r.client, c.ending || c.words.Drain.On
+	reply.Client, reply.Close = r.client, c.ending || c.words.Drain.Active
 	if c.debug {
 		slog.Debug("answer", "id", r.name, "verdict", reply.Result, "attempts", len(r.tries), "left_ms", (r.deadline - c.now).Milliseconds())
 	}
--- a/internal/serve/core/core_test.go
+++ b/internal/serve/core/core_test.go
@@ -131,7 +131,7 @@
 	effects = c.Handle(start, AttemptConnected{send.Ref})
 	require.Equal(t, CancelAttempt{send.Ref}, effects[0])
 	require.Equal(t, Rejected, effects[1].(Respond).Result)
-	require.Equal(t, []Effect{AdminResult{8, overrides.ErrUnknown}}, c.Handle(start, AdminCommand{Call: 8, Action: overrides.Exclude, Server: "s-9"}))
+	require.Equal(t, []Effect{AdminResult{8, overrides.ErrUnknownServer}}, c.Handle(start, AdminCommand{Call: 8, Action: overrides.Exclude, Server: "s-9"}))
 	require.Equal(t, []Effect{DrainClients{true}, PersistOverrides{}, AdminResult{Call: 9}}, c.Handle(start, AdminCommand{Call: 9, Action: overrides.Evacuate}))
 }
 
--- a/internal/serve/core/operate.go
+++ b/internal/serve/core/operate.go
@@ -14,7 +14,7 @@
 // away, other settings.
 
 // ClientsDrained tells whether clients are sent away.
-func (c *Core) ClientsDrained() bool { return c.words.Drain.On }
+func (c *Core) ClientsDrained() bool { return c.words.Drain.Active }
 
 // Routes are how clients name the classes.
 func (c *Core) Routes() []Route { return c.routes }
@@ -23,7 +23,7 @@
 func (c *Core) Settings() piernotch.Settings { return c.set }
 
 // Overrides returns a copy of what operators said.
-func (c *Core) Overrides() overrides.Words { return c.words.Clone() }
+func (c *Core) Overrides() overrides.Overrides { return c.words.Clone() }
 
 // PruneOverrides forgets old words that no other process can hold any more.
 func (c *Core) PruneOverrides() { c.words.Prune(c.now - 2*c.set.Rules.SlowStartDuration - time.Minute) }
@@ -42,11 +42,11 @@
 }
 
 func (c *Core) operated(ev AdminCommand) {
-	changed, err := c.words.Say(c.now, c.by, ev.Action, ev.Server, c.names[ev.Server] != nil)
+	changed, err := c.words.Apply(c.now, c.by, ev.Action, ev.Server, c.names[ev.Server] != nil)
 	if changed {
 		slog.Info("operator", "call", ev.Action, "server", ev.Server)
 		if ev.Action == overrides.Evacuate || ev.Action == overrides.Rejoin {
-			c.do(DrainClients{c.words.Drain.On})
+			c.do(DrainClients{c.words.Drain.Active})
 		} else {
 			c.follow(ev.Server)
 		}
@@ -56,15 +56,15 @@
 }
 
 // heard takes what another process of this balancer was told.
-func (c *Core) heard(other *overrides.Words) {
+func (c *Core) heard(other *overrides.Overrides) {
 	servers, drain := c.words.Merge(other)
 	for _, name := range servers {
 		slog.Info("operator, told to the process beside this one", "server", name, "excluded", c.words.Excluded(name))
 		c.follow(name)
 	}
 	if drain {
-		slog.Info("operator, told to the process beside this one", "drain", c.words.Drain.On)
-		c.do(DrainClients{c.words.Drain.On})
+		slog.Info("operator, told to the process beside this one", "drain", c.words.Drain.Active)
+		c.do(DrainClients{c.words.Drain.Active})
 	}
 	if drain || len(servers) > 0 {
 		c.do(PersistOverrides{})
@@ -77,12 +77,12 @@
 	if b == nil {
 		return // once it is listed again
 	}
-	b.out = word.On
+	b.out = word.Active
 	if b.out {
 		c.do(CloseIdle{b.place()})
 		c.balancer.Exclude(c.now, b.id)
 	} else {
-		c.balancer.Include(c.now, b.id, word.At)
+		c.balancer.Include(c.now, b.id, word.SetAt)
 	}
 }
 
--- a/internal/serve/handover/handover_test.go
+++ b/internal/serve/handover/handover_test.go
@@ -49,7 +49,7 @@
 
 func TestARecordIsReadWholeOrNotAtAll(t *testing.T) {
 	r := Record{Standing: Standing{3, 4, Ready, 5}, Generation: 9, Members: []Member{{Name: "s-1", Zone: "a"}}}
-	_, err := r.Words.Say(1, 1, overrides.Exclude, "s-1", true)
+	_, err := r.Words.Apply(1, 1, overrides.Exclude, "s-1", true)
 	require.NoError(t, err)
 	data, err := Encode(r)
 	require.NoError(t, err)
--- a/internal/serve/handover/record.go
+++ b/internal/serve/handover/record.go
@@ -82,13 +82,13 @@
 // Record is what a process tells the others of its balancer.
 type Record struct {
 	Standing
-	Name       string             `json:"name"` // the balancer's
-	At         time.Duration      `json:"at"`   // Unix time of the writing
-	Discovery  string             `json:"discovery"`
-	Generation uint64             `json:"generation"`
-	Members    []Member           `json:"members"` // nil: no list is known
-	Words      overrides.Words    `json:"words"`
-	Learnt     piernotch.Snapshot `json:"learnt"`
+	Name       string              `json:"name"` // the balancer's
+	At         time.Duration       `json:"at"`   // Unix time of the writing
+	Discovery  string              `json:"discovery"`
+	Generation uint64              `json:"generation"`
+	Members    []Member            `json:"members"` // nil: no list is known
+	Words      overrides.Overrides `json:"words"`
+	Learnt     piernotch.Snapshot  `json:"learnt"`
 }
 
 // Member is a feed server as it was listed last. The zone is a name: its number is the settings'.
--- a/internal/serve/overrides/words.go
+++ b/internal/serve/overrides/words.go
@@ -12,66 +12,66 @@
 	"time"
 )
 
-// Verb is what an operator asks for.
-type Verb uint8
+// Action is what an operator asks for.
+type Action uint8
 
 // Verbs.
 const (
-	Exclude  Verb = iota // leave a feed server out
-	Include              // it may serve again
-	Evacuate             // send clients away
-	Rejoin               // take them again
+	Exclude  Action = iota // leave a feed server out
+	Include                // it may serve again
+	Evacuate               // send clients away
+	Rejoin                 // take them again
 )
 
 var verbs = [...]string{"exclude", "include", "evacuate", "rejoin"}
 
-func (v Verb) String() string { return verbs[v] }
+func (v Action) String() string { return verbs[v] }
 
 // Errors of Say.
 var (
-	ErrUnknown = errors.New("no feed server of that name is known")
-	ErrTooMany = errors.New("too many feed servers are left out already")
+	ErrUnknownServer   = errors.New("no feed server of that name is known")
+	ErrTooManyExcluded = errors.New("too many feed servers are left out already")
 )
 
 // MaxExcluded bounds how many servers may be left out at a time.
 const MaxExcluded = 4096
 
-// Stamp orders words. Count is above that of every word that was known when it was given; two
+// Timestamp orders words. Count is above that of every word that was known when it was given; two
 // processes that were told something in the same moment differ in By.
-type Stamp struct {
-	Count uint64 `json:"count"`
-	By    uint64 `json:"by"`
+type Timestamp struct {
+	Counter uint64 `json:"count"`
+	Process uint64 `json:"by"`
 }
 
-func (s Stamp) before(t Stamp) bool {
-	return s.Count < t.Count || s.Count == t.Count && s.By < t.By
+func (s Timestamp) before(t Timestamp) bool {
+	return s.Counter < t.Counter || s.Counter == t.Counter && s.Process < t.Process
 }
 
-// Word is the last that was said of one thing.
-type Word struct {
-	Stamp
-	On bool          `json:"on"`
-	At time.Duration `json:"at"` // Unix time
+// Override is the last that was said of one thing.
+type Override struct {
+	Timestamp
+	Active bool          `json:"on"`
+	SetAt  time.Duration `json:"at"` // Unix time
 }
 
-// Words are all that count. The zero value says nothing; it must not be copied while in use.
-type Words struct {
-	Servers map[string]Word `json:"servers,omitempty"` // On: left out
-	Drain   Word            `json:"drain"`             // On: clients are sent away
+// Overrides are all that count. The zero value says nothing; it must not be copied while in use.
+type Overrides struct {
+	Servers map[string]Override `json:"servers,omitempty"` // On: left out
+	Drain   Override            `json:"drain"`             // On: clients are sent away
 }
 
 // Excluded tells whether the server is left out.
-func (w *Words) Excluded(server string) bool { return w.Servers[server].On }
+func (w *Overrides) Excluded(server string) bool { return w.Servers[server].Active }
 
 // Clone returns a copy that shares nothing.
-func (w *Words) Clone() Words { return Words{maps.Clone(w.Servers), w.Drain} }
+func (w *Overrides) Clone() Overrides { return Overrides{maps.Clone(w.Servers), w.Drain} }
 
-// Say takes an operator's word at now from process by. known tells whether a server of that
+// Apply takes an operator's word at now from process by. known tells whether a server of that
 // name is listed. It returns whether anything is different now; what was said twice is not.
-func (w *Words) Say(now time.Duration, by uint64, verb Verb, server string, known bool) (changed bool, err error) {
-	next := Word{Stamp{w.top() + 1, by}, verb == Exclude || verb == Evacuate, now}
+func (w *Overrides) Apply(now time.Duration, by uint64, verb Action, server string, known bool) (changed bool, err error) {
+	next := Override{Timestamp{w.top() + 1, by}, verb == Exclude || verb == Evacuate, now}
 	if verb == Evacuate || verb == Rejoin {
-		if w.Drain.On == next.On {
+		if w.Drain.Active == next.Active {
 			return false, nil
 		}
 		w.Drain = next
@@ -79,15 +79,15 @@
 	}
 	was := w.Servers[server]
 	switch {
-	case !known && !was.On:
-		return false, ErrUnknown
-	case was.On == next.On:
+	case !known && !was.Active:
+		return false, ErrUnknownServer
+	case was.Active == next.Active:
 		return false, nil
-	case next.On && w.count() >= MaxExcluded:
-		return false, ErrTooMany
+	case next.Active && w.count() >= MaxExcluded:
+		return false, ErrTooManyExcluded
 	}
 	if w.Servers == nil {
-		w.Servers = map[string]Word{}
+		w.Servers = map[string]Override{}
 	}
 	w.Servers[server] = next
 	return true, nil
@@ -95,22 +95,22 @@
 
 // Merge takes what another process holds and returns the servers of which another word counts
 // now, and whether that of the drain does.
-func (w *Words) Merge(other *Words) (servers []string, drain bool) {
+func (w *Overrides) Merge(other *Overrides) (servers []string, drain bool) {
 	for name, theirs := range other.Servers {
 		ours, ok := w.Servers[name]
-		if ok && !ours.before(theirs.Stamp) {
+		if ok && !ours.before(theirs.Timestamp) {
 			continue
 		}
 		if w.Servers == nil {
-			w.Servers = map[string]Word{}
+			w.Servers = map[string]Override{}
 		}
 		w.Servers[name] = theirs
-		if ours.On != theirs.On || !ok {
+		if ours.Active != theirs.Active || !ok {
 			servers = append(servers, name)
 		}
 	}
-	if w.Drain.before(other.Drain.Stamp) {
-		drain = w.Drain.On != other.Drain.On
+	if w.Drain.before(other.Drain.Timestamp) {
+		drain = w.Drain.Active != other.Drain.Active
 		w.Drain = other.Drain
 	}
 	return servers, drain
@@ -118,21 +118,21 @@
 
 // Prune forgets that servers were included again, where that was before the given time. It must
 // not be called while another process holds words: it could still hold the exclusion.
-func (w *Words) Prune(before time.Duration) {
-	maps.DeleteFunc(w.Servers, func(_ string, word Word) bool { return !word.On && word.At < before })
+func (w *Overrides) Prune(before time.Duration) {
+	maps.DeleteFunc(w.Servers, func(_ string, word Override) bool { return !word.Active && word.SetAt < before })
 }
 
-func (w *Words) top() uint64 {
-	top := w.Drain.Count
+func (w *Overrides) top() uint64 {
+	top := w.Drain.Counter
 	for _, word := range w.Servers {
-		top = max(top, word.Count)
+		top = max(top, word.Counter)
 	}
 	return top
 }
 
-func (w *Words) count() (n int) {
+func (w *Overrides) count() (n int) {
 	for _, word := range w.Servers {
-		if word.On {
+		if word.Active {
 			n++
 		}
 	}
--- a/internal/serve/overrides/words_test.go
+++ b/internal/serve/overrides/words_test.go
@@ -9,31 +9,31 @@
 )
 
 func TestACallOutMayArriveTwiceAndOneCallBackUndoesBoth(t *testing.T) {
-	var w Words
+	var w Overrides
 	for i, c := range []struct {
-		verb    Verb
+		verb    Action
 		server  string
 		known   bool
 		changed bool
 		err     error
 	}{
-		{Exclude, "s-1", false, false, ErrUnknown},
-		{Include, "s-1", false, false, ErrUnknown},
+		{Exclude, "s-1", false, false, ErrUnknownServer},
+		{Include, "s-1", false, false, ErrUnknownServer},
 		{Exclude, "s-1", true, true, nil},
 		{Exclude, "s-1", false, false, nil}, // not listed any more
 		{Include, "s-1", false, true, nil},
-		{Exclude, "s-1", false, false, ErrUnknown},
+		{Exclude, "s-1", false, false, ErrUnknownServer},
 		{Include, "s-2", true, false, nil},
 		{Evacuate, "", false, true, nil},
 		{Evacuate, "", false, false, nil},
 		{Rejoin, "", false, true, nil},
 	} {
-		changed, err := w.Say(time.Duration(i), 1, c.verb, c.server, c.known)
+		changed, err := w.Apply(time.Duration(i), 1, c.verb, c.server, c.known)
 		require.ErrorIs(t, err, c.err, i)
 		require.Equal(t, c.changed, changed, i)
 	}
 	require.False(t, w.Excluded("s-1"))
-	require.False(t, w.Drain.On)
+	require.False(t, w.Drain.Active)
 	require.Len(t, w.Servers, 1)
 	w.Prune(time.Hour)
 	require.Empty(t, w.Servers)
@@ -43,7 +43,7 @@
 // same, and the word that was given last where both were known counts.
 func TestMergeIsTheSameInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := make([]Words, 3)
+		all := make([]Overrides, 3)
 		names := []string{"a", "b"}
 		for i := range rapid.IntRange(0, 30).Draw(t, "steps") {
 			k := rapid.IntRange(0, 2).Draw(t, "process")
@@ -52,8 +52,8 @@
 				all[k].Merge(&other)
 				continue
 			}
-			verb := Verb(rapid.IntRange(0, 3).Draw(t, "verb"))
-			_, err := all[k].Say(time.Duration(i), uint64(k), verb, rapid.SampledFrom(names).Draw(t, "server"), true)
+			verb := Action(rapid.IntRange(0, 3).Draw(t, "verb"))
+			_, err := all[k].Apply(time.Duration(i), uint64(k), verb, rapid.SampledFrom(names).Draw(t, "server"), true)
 			require.NoError(t, err)
 		}
 		for range 2 {
@@ -70,7 +70,7 @@
 				require.Equal(t, word, all[i].Servers[name])
 			}
 		}
-		changed, err := all[1].Say(time.Hour, 1, Exclude, "a", true)
+		changed, err := all[1].Apply(time.Hour, 1, Exclude, "a", true)
 		require.NoError(t, err)
 		servers, _ := all[2].Merge(&all[1])
 		require.Equal(t, changed, len(servers) == 1)
--- a/internal/serve/runtime/node.go
+++ b/internal/serve/runtime/node.go
@@ -86,7 +86,7 @@
 	}
 	n.manage = admin.Server{
 		Now: n.now, Ready: func() bool { return n.core.EndpointsKnown() && !n.core.ShuttingDown() },
-		Do: func(call uint64, verb overrides.Verb, server string) {
+		Do: func(call uint64, verb overrides.Action, server string) {
 			n.emit(core.AdminCommand{Call: call, Action: verb, Server: server})
 		},
 	}
