--- a/internal/serve/admin/manage.go
+++ b/internal/serve/admin/manage.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// Connections is how many may be open at a time; the longest silent gives way to a new one.
-	Connections = 16
-	// Descriptors is what the address takes of the process's limit: its connections, each of
+	// MaxConnections is how many may be open at a time; the longest silent gives way to a new one.
+	MaxConnections = 16
+	// ReservedDescriptors is what the address takes of the process's limit: its connections, each of
 	// which has a second one for a moment, and the listener.
-	Descriptors = Connections + 4
+	ReservedDescriptors = MaxConnections + 4
 	// callFor is how long a caller may take over its call. Some take seconds by mistake, and
 	// are no harm while there is room.
 	callFor = 5 * time.Second
@@ -36,8 +36,8 @@
 
 // Server answers operators. It must be used from the goroutine that owns the sockets.
 type Server struct {
-	// Do carries out a call; Said has to follow, at once or later.
-	Do func(call uint64, verb overrides.Action, server string)
+	// Execute carries out a call; Said has to follow, at once or later.
+	Execute func(call uint64, verb overrides.Action, server string)
 	// Ready tells whether this process can serve.
 	Ready func() bool
 	// Now is a clock that does not jump.
@@ -95,8 +95,8 @@
 	}
 }
 
-// Said takes the answer to a call.
-func (s *Server) Said(call uint64, err error) {
+// Complete takes the answer to a call.
+func (s *Server) Complete(call uint64, err error) {
 	c := s.waiting[call]
 	if c == nil {
 		return
@@ -168,7 +168,7 @@
 	c.s.last++
 	c.call = c.s.last
 	c.s.waiting[c.call] = c
-	c.s.Do(c.call, verb, server)
+	c.s.Execute(c.call, verb, server)
 }
 
 // name reads {"name":"ID"}.
--- a/internal/serve/runtime/beside.go
+++ b/internal/serve/runtime/beside.go
@@ -186,7 +186,7 @@
 	b := &n.beside
 	sockets, memory := n.cfg.Sockets, int64(n.cfg.MemoryMB)<<20*6/10 // stacks, the runtime and the kernel's share come on top
 	if n.cfg.Management != "" {
-		sockets -= admin.Descriptors
+		sockets -= admin.ReservedDescriptors
 	}
 	switch {
 	case b.alone:
--- a/internal/serve/runtime/node.go
+++ b/internal/serve/runtime/node.go
@@ -86,7 +86,7 @@
 	}
 	n.manage = admin.Server{
 		Now: n.now, Ready: func() bool { return n.core.EndpointsKnown() && !n.core.ShuttingDown() },
-		Do: func(call uint64, verb overrides.Action, server string) {
+		Execute: func(call uint64, verb overrides.Action, server string) {
 			n.emit(core.AdminCommand{Call: call, Action: verb, Server: server})
 		},
 	}
@@ -150,7 +150,7 @@
 
 func (n *Node) listen() error {
 	if n.cfg.Management != "" {
-		n.operators = n.engine.Apart(admin.Connections, n.manage.Accepted, n.manage.Shed)
+		n.operators = n.engine.Apart(admin.MaxConnections, n.manage.Accepted, n.manage.Shed)
 		if err := n.operators.Listen(n.cfg.Management); err != nil {
 			return fmt.Errorf("management: %w", err)
 		}
@@ -355,7 +355,7 @@
 	case core.PersistOverrides:
 		n.beside.keep()
 	case core.AdminResult:
-		n.manage.Said(e.Call, e.Err)
+		n.manage.Complete(e.Call, e.Err)
 	case core.DrainClients:
 		n.front.Drain(e.On)
 	case core.SettingsApplied:
