--- a/internal/serve/admin/manage.go
+++ b/internal/serve/admin/manage.go
@@ -190,7 +190,7 @@
 func (c *conn) answer(status int, text string, more ...http1.Field) {
 	slog.Info("operator answered", "call", c.what, "status", status, "text", text)
 	c.done, c.since = true, c.s.Now()
-	c.sock.Ignore() // what still comes must not reset the answer away
+	c.sock.DiscardInput() // what still comes must not reset the answer away
 	fields := append(more, http1.Field{Name: "Content-Type", Value: "text/plain"}, http1.Field{Name: "Connection", Value: "close"})
 	if c.sock.Write(http1.AppendResponse(nil, status, fields, []byte(text+"\n"))) == nil {
 		c.leave(c.since)
@@ -199,7 +199,7 @@
 
 // leave ends a connection whose answer is written, once the caller has left or had its time.
 func (c *conn) leave(now time.Duration) {
-	if !c.shut && c.sock.Unsent() == 0 {
+	if !c.shut && c.sock.UnsentBytes() == 0 {
 		c.shut = true
 		c.sock.CloseWrite()
 	}
--- a/internal/serve/discovery/discovery.go
+++ b/internal/serve/discovery/discovery.go
@@ -100,7 +100,7 @@
 // Watcher follows the list. Each call after an answer follows at once: a later
 // one would count as a new watch.
 type Watcher struct {
-	engine  *eventloop.Engine
+	engine  *eventloop.Loop
 	emit    func(core.Event)
 	now     func() time.Duration
 	address string
@@ -125,7 +125,7 @@
 }
 
 // New returns a watcher that knows the list up to version.
-func New(engine *eventloop.Engine, emit func(core.Event), now func() time.Duration, address string, zones []string, version uint64) *Watcher {
+func New(engine *eventloop.Loop, emit func(core.Event), now func() time.Duration, address string, zones []string, version uint64) *Watcher {
 	return &Watcher{engine: engine, emit: emit, now: now, address: address, zones: zones, version: version}
 }
 
@@ -217,7 +217,7 @@
 	c, epoch := &conn{w: w, parser: http1.NewResponseParser(maxList)}, w.epoch
 	w.engine.Dial(w.address, dialFor, func(s *eventloop.Conn) eventloop.Handler {
 		c.sock = s
-		s.First()
+		s.Prioritize()
 		return c
 	}, func(s *eventloop.Conn, err error) {
 		switch {
--- a/internal/serve/downstream/front.go
+++ b/internal/serve/downstream/front.go
@@ -224,7 +224,7 @@
 		c.plain(http1.StatusBadRequest, reason)
 		return
 	}
-	if c.sock.Gone() { // it left behind its request, which was not looked at sooner
+	if c.sock.PeerClosed() { // it left behind its request, which was not looked at sooner
 		return
 	}
 	c.f.last++
@@ -392,13 +392,13 @@
 // end has nothing more served on the connection: what comes from now on is not read as a request.
 func (c *conn) end() {
 	c.dying = true
-	c.sock.Ignore()
+	c.sock.DiscardInput()
 	c.finish()
 }
 
 // finish ends the sending side if all has been written; Tick tries again. The client's end closes.
 func (c *conn) finish() {
-	if !c.shut && c.sock.Unsent() == 0 {
+	if !c.shut && c.sock.UnsentBytes() == 0 {
 		c.shut, c.since = true, c.f.now()
 		c.sock.CloseWrite()
 	}
@@ -426,7 +426,7 @@
 
 // idle tells whether nothing is under way on the connection.
 func (c *conn) idle() bool {
-	return c.client == 0 && !c.dying && c.parser.Idle() && c.sock.Unsent() == 0
+	return c.client == 0 && !c.dying && c.parser.Idle() && c.sock.UnsentBytes() == 0
 }
 
 // Shed closes connections because descriptors are short.
@@ -438,12 +438,12 @@
 		switch {
 		case c.shut && age >= spareShut:
 			out[0] = append(out[0], c)
-		case c.dying || c.client != 0 || c.sock.Unsent() > 0: // an answer is owed
-		case !c.asked && age >= spareSilent && c.sock.Silent():
+		case c.dying || c.client != 0 || c.sock.UnsentBytes() > 0: // an answer is owed
+		case !c.asked && age >= spareSilent && c.sock.InputEmpty():
 			out[0] = append(out[0], c)
 		case !c.parser.Idle() && age >= spareHalf:
 			out[1] = append(out[1], c)
-		case c.asked && c.parser.Idle() && age >= spareIdle && c.sock.Silent():
+		case c.asked && c.parser.Idle() && age >= spareIdle && c.sock.InputEmpty():
 			out[2] = append(out[2], c)
 		}
 	}
@@ -461,7 +461,7 @@
 // be expected.
 func (f *Front) CloseIdle() {
 	for c := range f.conns {
-		if c.idle() && (c.asked || f.now()-c.since > spareNew) && c.sock.Silent() {
+		if c.idle() && (c.asked || f.now()-c.since > spareNew) && c.sock.InputEmpty() {
 			c.end()
 		}
 	}
@@ -488,21 +488,21 @@
 				c.drop()
 			}
 		case c.client != 0: // the core sees to it
-		case c.dying || c.sock.Unsent() > 0:
+		case c.dying || c.sock.UnsentBytes() > 0:
 			if age > writeFor {
 				c.drop()
 			} else if c.dying {
 				c.finish()
 			}
 		case !c.asked:
-			if age > silentFor && c.sock.Silent() {
+			if age > silentFor && c.sock.InputEmpty() {
 				c.end()
 			}
 		case !c.parser.Idle():
 			if age > readFor {
 				c.bad(http1.StatusRequestTimeout, "the request did not come to its end")
 			}
-		case age > keep && c.sock.Silent():
+		case age > keep && c.sock.InputEmpty():
 			c.end()
 		}
 	}
--- a/internal/serve/eventloop/sock.go
+++ b/internal/serve/eventloop/sock.go
@@ -22,13 +22,13 @@
 	"github.com/lesismal/nbio/logging"
 )
 
-// Reserve is the number of descriptors that are not handed out: standard
+// ReservedDescriptors is the number of descriptors that are not handed out: standard
 // streams, pollers, the listener, and the second descriptor that a connection
 // has for a moment while nbio takes it over.
-const Reserve = 32
+const ReservedDescriptors = 32
 
-// ErrShort says that the descriptor budget is spent.
-var ErrShort = errors.New("descriptor budget is spent")
+// ErrDescriptorsExhausted says that the descriptor budget is spent.
+var ErrDescriptorsExhausted = errors.New("descriptor budget is spent")
 
 // errEnd is an end in order that was read; the poller's own word for any end is io.EOF, also where a
 // reset has come and nothing is left to be read. errUnread is told then.
@@ -77,8 +77,8 @@
 // sent to it: the time given for that may be over. After a stall of LongStall all that waits in the
 // sockets is read for readFor before; the protocol has a slack of half as much on every time limit.
 const (
-	LongStall = 100 * time.Millisecond
-	readFor   = 20 * time.Millisecond
+	LongStallThreshold = 100 * time.Millisecond
+	readFor            = 20 * time.Millisecond
 )
 
 // mail is one thing that has happened: f, or else data on a connection.
@@ -89,8 +89,8 @@
 	first bool // of f: heard before others after a stall
 }
 
-// Engine runs the sockets.
-type Engine struct {
+// Loop runs the sockets.
+type Loop struct {
 	// Shed is called when descriptors are short; it should close what can be
 	// spared, for a new client or for a connection to a feed server.
 	Shed func(client bool)
@@ -130,9 +130,9 @@
 
 // New starts an engine that holds at most sockets descriptors, those of listeners of their own
 // count not included.
-func New(sockets int) (*Engine, error) {
+func New(sockets int) (*Loop, error) {
 	prepare(sockets)
-	e := &Engine{
+	e := &Loop{
 		wake: make(chan struct{}, 1), buf: make([]byte, readSize), Shed: func(bool) {}, Stalled: func(time.Duration) {},
 		buffers: sync.Pool{New: func() any { b := make([]byte, 0, 1<<10); return &b }},
 		nb: nbio.NewEngine(nbio.Config{
@@ -140,7 +140,7 @@
 		}),
 	}
 	e.room = sync.NewCond(&e.mu)
-	e.SetSockets(sockets)
+	e.SetDescriptorLimit(sockets)
 	e.nb.OnOpen(func(*nbio.Conn) {})
 	e.nb.OnRead(e.read)
 	e.nb.OnClose(func(nc *nbio.Conn, err error) {
@@ -172,7 +172,7 @@
 }
 
 // Run serves events until the context ends. tick is called once a period.
-func (e *Engine) Run(ctx context.Context, period time.Duration, tick func()) {
+func (e *Loop) Run(ctx context.Context, period time.Duration, tick func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	var batch []mail
@@ -195,7 +195,7 @@
 		} else if ticked {
 			guard(tick)
 		}
-		if gap > LongStall {
+		if gap > LongStallThreshold {
 			time.Sleep(readFor)
 		}
 		e.mu.Lock()
@@ -224,7 +224,7 @@
 	return 0
 }
 
-func (e *Engine) serve(m mail) {
+func (e *Loop) serve(m mail) {
 	if m.conn == nil {
 		guard(m.f)
 		return
@@ -235,7 +235,7 @@
 }
 
 // arrived takes what the poller has read, whose buffer it uses again.
-func (e *Engine) arrived(c *Conn, data []byte) {
+func (e *Loop) arrived(c *Conn, data []byte) {
 	e.mu.Lock()
 	for e.bytes > mostMail {
 		e.room.Wait()
@@ -255,7 +255,7 @@
 // the end has come, whatever is left, and calls a reset an end in order; an answer whose length its end
 // gives would pass for whole where it was cut short. So what a server sends is read up to its end or to
 // nothing; its reader closes what sends too much. A client may have a few pieces at a time.
-func (e *Engine) read(nc *nbio.Conn) {
+func (e *Loop) read(nc *nbio.Conn) {
 	c := nc.Session().(*Conn)
 	e.mu.Lock()     // which makes a new connection's fields visible here
 	c.unread.Add(1) // what is read here is neither in the kernel nor in the mailbox
@@ -282,7 +282,7 @@
 	}
 }
 
-func (e *Engine) nudge() {
+func (e *Loop) nudge() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -301,29 +301,29 @@
 
 // Post has f run on the owning goroutine, after what has come before it. It never
 // blocks and may be called from any goroutine.
-func (e *Engine) Post(f func()) { e.post(mail{f: f}) }
+func (e *Loop) Post(f func()) { e.post(mail{f: f}) }
 
-func (e *Engine) post(m mail) {
+func (e *Loop) post(m mail) {
 	e.mu.Lock()
 	e.mail = append(e.mail, m)
 	e.mu.Unlock()
 	e.nudge()
 }
 
-// SetSockets has the engine hold at most so many descriptors from now on. What is open stays
+// SetDescriptorLimit has the engine hold at most so many descriptors from now on. What is open stays
 // open, but for what can be spared.
-func (e *Engine) SetSockets(sockets int) {
-	e.budget.Store(int64(sockets - Reserve))
-	if e.open.Load() > int64(sockets-Reserve) {
+func (e *Loop) SetDescriptorLimit(sockets int) {
+	e.budget.Store(int64(sockets - ReservedDescriptors))
+	if e.open.Load() > int64(sockets-ReservedDescriptors) {
 		e.Post(func() { e.Shed(false) })
 	}
 }
 
-// Open returns how many sockets are open.
-func (e *Engine) Open() int { return int(e.open.Load()) }
+// OpenConnections returns how many sockets are open.
+func (e *Loop) OpenConnections() int { return int(e.open.Load()) }
 
 // release takes a connection out of the count, once however it ended.
-func (e *Engine) release(c *Conn) {
+func (e *Loop) release(c *Conn) {
 	if c.count != nil {
 		c.count.Add(-1)
 		c.count = nil
@@ -331,7 +331,7 @@
 }
 
 // adopt makes a connection nbio's. The handler must be set before it reads.
-func (e *Engine) adopt(nc net.Conn, c *Conn) error {
+func (e *Loop) adopt(nc net.Conn, c *Conn) error {
 	nb, err := nbio.NBConn(nc)
 	if err != nil {
 		_ = nc.Close()
@@ -353,11 +353,11 @@
 // Dial connects and calls done on the owning goroutine. nbio's own asynchronous
 // dial reports a refused connection as made, and a time-out that it sets may
 // strike after the connection is up; so the dial is net's and the rest nbio's.
-func (e *Engine) Dial(addr string, timeout time.Duration, h func(*Conn) Handler, done func(*Conn, error)) {
+func (e *Loop) Dial(addr string, timeout time.Duration, h func(*Conn) Handler, done func(*Conn, error)) {
 	if budget := e.budget.Load(); e.open.Load() >= budget {
 		e.Shed(false)
-		if e.open.Load() >= budget+Reserve/4 { // closes take a moment to count
-			e.Post(func() { done(nil, ErrShort) })
+		if e.open.Load() >= budget+ReservedDescriptors/4 { // closes take a moment to count
+			e.Post(func() { done(nil, ErrDescriptorsExhausted) })
 			return
 		}
 	}
@@ -384,7 +384,7 @@
 
 // Listener accepts connections.
 type Listener struct {
-	e        *Engine
+	e        *Loop
 	accepted func(*Conn) Handler
 	open     *atomic.Int64 // where its connections are counted
 	most     func() int64  // no more are accepted while so many are open
@@ -396,19 +396,19 @@
 	addr string
 }
 
-// Clients is what a listener for clients goes by: its connections are the engine's, and room
+// ClientListener is what a listener for clients goes by: its connections are the engine's, and room
 // is kept for feed servers. A client taken in but not served is worse off than one that waits
 // in the listener's queue.
-func (e *Engine) Clients(accepted func(*Conn) Handler) *Listener {
+func (e *Loop) ClientListener(accepted func(*Conn) Handler) *Listener {
 	return &Listener{
 		e: e, accepted: accepted, open: &e.open, most: func() int64 { return e.budget.Load() * 3 / 4 },
 		shed: func() { e.Shed(true) },
 	}
 }
 
-// Apart is a listener whose connections are counted on their own; shed has to close one when
+// AdminListener is a listener whose connections are counted on their own; shed has to close one when
 // most are open.
-func (e *Engine) Apart(most int, accepted func(*Conn) Handler, shed func()) *Listener {
+func (e *Loop) AdminListener(most int, accepted func(*Conn) Handler, shed func()) *Listener {
 	return &Listener{e: e, accepted: accepted, open: new(atomic.Int64), most: func() int64 { return int64(most) }, shed: shed}
 }
 
@@ -433,9 +433,9 @@
 	return nl.Close()
 }
 
-// Accept has an inherited socket accepted from, or left to its other holders: connections
+// SetAccepting has an inherited socket accepted from, or left to its other holders: connections
 // wait in the kernel until one of them takes them.
-func (l *Listener) Accept(on bool) error {
+func (l *Listener) SetAccepting(on bool) error {
 	if !on {
 		l.Stop()
 		return nil
@@ -538,18 +538,18 @@
 	return err
 }
 
-// First has what comes on the connection heard before anything else after a stall.
-func (c *Conn) First() { c.first.Store(true) }
+// Prioritize has what comes on the connection heard before anything else after a stall.
+func (c *Conn) Prioritize() { c.first.Store(true) }
 
-// Ignore has whatever the peer still sends thrown away as it is read.
-func (c *Conn) Ignore() { c.deaf.Store(true) }
+// DiscardInput has whatever the peer still sends thrown away as it is read.
+func (c *Conn) DiscardInput() { c.deaf.Store(true) }
 
-// Gone tells whether the peer has ended or broken the connection, also where Closed was not called yet.
-func (c *Conn) Gone() bool { return c.over.Load() }
+// PeerClosed tells whether the peer has ended or broken the connection, also where Closed was not called yet.
+func (c *Conn) PeerClosed() bool { return c.over.Load() }
 
-// Silent tells whether nothing from the peer waits to be read: neither in the kernel nor, looked at
+// InputEmpty tells whether nothing from the peer waits to be read: neither in the kernel nor, looked at
 // in the order in which bytes come, on its way to the handler.
-func (c *Conn) Silent() bool {
+func (c *Conn) InputEmpty() bool {
 	if c.closed {
 		return false
 	}
@@ -564,8 +564,8 @@
 	return silent && c.unread.Load() == 0
 }
 
-// Unsent returns how many bytes the kernel has not taken yet.
-func (c *Conn) Unsent() int64 { return c.queued - c.written.Load() }
+// UnsentBytes returns how many bytes the kernel has not taken yet.
+func (c *Conn) UnsentBytes() int64 { return c.queued - c.written.Load() }
 
 // Close ends the connection. The handler hears no more of it.
 func (c *Conn) Close() {
--- a/internal/serve/eventloop/sock_test.go
+++ b/internal/serve/eventloop/sock_test.go
@@ -97,7 +97,7 @@
 	var mu sync.Mutex
 	var log []string
 	names := []string{"stays", "leaves"}
-	l := e.Clients(func(*Conn) Handler {
+	l := e.ClientListener(func(*Conn) Handler {
 		h := told{&mu, &log, names[0]}
 		names = names[1:]
 		return h
@@ -146,7 +146,7 @@
 	e, err := New(64)
 	require.NoError(t, err)
 	taken := make(chan *Conn, 2)
-	l := e.Clients(func(c *Conn) Handler { taken <- c; return &heard{end: make(chan error, 1)} })
+	l := e.ClientListener(func(c *Conn) Handler { taken <- c; return &heard{end: make(chan error, 1)} })
 	require.NoError(t, l.Listen("127.0.0.1:0"))
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
--- a/internal/serve/runtime/beside.go
+++ b/internal/serve/runtime/beside.go
@@ -148,7 +148,7 @@
 		return
 	}
 	slog.Info("accepting", "on", on, "pid", b.self.PID, "others", len(b.others))
-	if err := n.listener.Accept(on); err != nil {
+	if err := n.listener.SetAccepting(on); err != nil {
 		slog.Error("inherited listener", "err", err)
 	}
 }
@@ -193,11 +193,11 @@
 	case len(b.others) == 0: // nothing is known of whoever is there
 		sockets, memory = sockets/2, memory/2
 	default:
-		sockets, memory = b.self.Share(b.others, sockets, n.engine.Open()+eventloop.Reserve), memory/2
+		sockets, memory = b.self.Share(b.others, sockets, n.engine.OpenConnections()+eventloop.ReservedDescriptors), memory/2
 	}
 	if sockets != n.sockets {
 		n.sockets = sockets
-		n.engine.SetSockets(max(sockets, leastSockets))
+		n.engine.SetDescriptorLimit(max(sockets, leastSockets))
 	}
 	if memory != n.memory && n.LimitMemory != nil {
 		n.memory = memory
@@ -210,4 +210,4 @@
 }
 
 // leastSockets leaves room to serve, whatever the others hold.
-const leastSockets = eventloop.Reserve + 16
+const leastSockets = eventloop.ReservedDescriptors + 16
--- a/internal/serve/runtime/crossings_test.go
+++ b/internal/serve/runtime/crossings_test.go
@@ -373,7 +373,7 @@
 		_, body := connect(t, n).ask("POST", "/append", fmt.Sprint("good-", i), "mine")
 		require.Equal(t, "mine", body)
 	}
-	require.Eventually(t, func() bool { return n.engine.Open() < 40 }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return n.engine.OpenConnections() < 40 }, patience, 10*time.Millisecond)
 }
 
 // A server stops in the middle of its answer, in every way. The request may have run: it is repeated
--- a/internal/serve/runtime/daily_test.go
+++ b/internal/serve/runtime/daily_test.go
@@ -309,7 +309,7 @@
 	})
 	<-stopped
 	c.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\n\r\n")
-	time.Sleep(eventloop.LongStall) // and the request is in the mailbox
+	time.Sleep(eventloop.LongStallThreshold) // and the request is in the mailbox
 	tell <- list(2, false, "terminating", server)
 	time.Sleep(100 * time.Millisecond)
 	close(goOn)
--- a/internal/serve/runtime/node.go
+++ b/internal/serve/runtime/node.go
@@ -35,7 +35,7 @@
 
 	cfg       config.Config
 	next      config.Config // what was read again, until it is taken
-	engine    *eventloop.Engine
+	engine    *eventloop.Loop
 	core      *core.Core
 	front     *downstream.Front
 	upstream  *upstream.Upstream
@@ -77,7 +77,7 @@
 	n.upstream = upstream.New(n.engine, n.emit, n.now, cfg.KeepAlive, cfg.DialTimeout)
 	n.front = downstream.New(n.emit, n.now, n.healthy, cfg.Sockets)
 	n.route(n.core.Routes())
-	n.listener = n.engine.Clients(n.front.Accepted)
+	n.listener = n.engine.ClientListener(n.front.Accepted)
 	n.engine.Stalled = func(gap time.Duration) {
 		if gap > time.Second {
 			slog.Warn("stood still", "ms", gap.Milliseconds())
@@ -94,7 +94,7 @@
 	n.engine.Shed = func(client bool) {
 		if now := n.now(); now-n.shed > time.Second { // it may go on for a while
 			n.shed = now
-			slog.Warn("descriptors are short, closing idle connections", "open", n.engine.Open())
+			slog.Warn("descriptors are short, closing idle connections", "open", n.engine.OpenConnections())
 		}
 		n.front.Shed()
 		if !client { // a client must not cost feed servers their connections
@@ -150,7 +150,7 @@
 
 func (n *Node) listen() error {
 	if n.cfg.Management != "" {
-		n.operators = n.engine.Apart(admin.MaxConnections, n.manage.Accepted, n.manage.Shed)
+		n.operators = n.engine.AdminListener(admin.MaxConnections, n.manage.Accepted, n.manage.Shed)
 		if err := n.operators.Listen(n.cfg.Management); err != nil {
 			return fmt.Errorf("management: %w", err)
 		}
@@ -297,7 +297,7 @@
 	slog.Info(what, "taken", c.Accepted, "served", c.Served, "refused", c.Rejected, "failed", c.Failed,
 		"gone", c.ClientsGone, "overdue", c.DeadlineExceeded, "attempts", c.Attempts, "timeouts", c.Timeouts, "resets", c.Resets,
 		"connect_failed", c.ConnectFailed, "full", c.Full, "errors", c.Errors, "opened", n.upstream.Opened,
-		"owed", n.core.PendingRequests(), "clients", n.front.Conns(), "sockets", n.engine.Open())
+		"owed", n.core.PendingRequests(), "clients", n.front.Conns(), "sockets", n.engine.OpenConnections())
 }
 
 // emit takes an event to the reducer. Effects may bring further events, which
--- a/internal/serve/upstream/upstream.go
+++ b/internal/serve/upstream/upstream.go
@@ -121,7 +121,7 @@
 
 // Upstream holds all pools.
 type Upstream struct {
-	engine  *eventloop.Engine
+	engine  *eventloop.Loop
 	emit    func(core.Event)
 	now     func() time.Duration
 	keep    time.Duration
@@ -135,7 +135,7 @@
 
 // New returns empty pools. Idle connections are closed well before keepAlive,
 // when the feed server closes them: a request that crosses such a close is lost.
-func New(engine *eventloop.Engine, emit func(core.Event), now func() time.Duration, keepAlive, dialFor time.Duration) *Upstream {
+func New(engine *eventloop.Loop, emit func(core.Event), now func() time.Duration, keepAlive, dialFor time.Duration) *Upstream {
 	u := &Upstream{
 		engine: engine, emit: emit, now: now,
 		pools: map[core.Endpoint]*pool{}, errands: map[core.AttemptRef]*errand{}, probes: map[*errand]struct{}{},
@@ -179,7 +179,7 @@
 	for n := len(p.idle); n > 0; n = len(p.idle) {
 		c := p.idle[n-1]
 		p.idle = p.idle[:n-1]
-		if c.sock.Silent() {
+		if c.sock.InputEmpty() {
 			p.assign(c, x)
 			return
 		}
@@ -259,7 +259,7 @@
 	for len(p.resting) > 0 && now-p.resting[0].since >= restFor {
 		c := p.resting[0]
 		p.resting = slices.Delete(p.resting, 0, 1)
-		if c.sock.Silent() {
+		if c.sock.InputEmpty() {
 			p.release(c)
 		} else {
 			c.close()
@@ -323,7 +323,7 @@
 	if c := x.conn; c != nil {
 		c.errand = nil
 		x.conn = nil
-		if c.wrote || !c.sock.Silent() {
+		if c.wrote || !c.sock.InputEmpty() {
 			c.close()
 		} else {
 			c.pool.release(c)
@@ -389,7 +389,7 @@
 	switch {
 	case c.heard:
 		stage = Answering
-	case c.wrote && c.sock.Unsent() == 0:
+	case c.wrote && c.sock.UnsentBytes() == 0:
 		stage = Waiting
 	case c.wrote:
 		stage = Writing
@@ -427,7 +427,7 @@
 	u.done(x)
 	// Bytes beyond the answer, or an answer before the request was whole, leave
 	// the connection in no state to carry another.
-	if m.Close || !c.parser.Idle() || c.sock.Unsent() > 0 {
+	if m.Close || !c.parser.Idle() || c.sock.UnsentBytes() > 0 {
 		c.close()
 	} else {
 		c.pool.rest(c)
