--- a/internal/serve/downstream/front.go
+++ b/internal/serve/downstream/front.go
@@ -58,8 +58,8 @@
 	maxID = 128
 )
 
-// Front holds all client connections.
-type Front struct {
+// Downstream holds all client connections.
+type Downstream struct {
 	emit    func(core.Event)
 	now     func() time.Duration
 	ready   func() bool
@@ -82,7 +82,7 @@
 const readWithin = 50 * time.Millisecond
 
 // Stalled says that nothing was read for so long.
-func (f *Front) Stalled(gap time.Duration) {
+func (f *Downstream) Stalled(gap time.Duration) {
 	now := f.now()
 	if f.stale.until < now {
 		f.stale.from = now - gap
@@ -93,7 +93,7 @@
 // came is when the request that is read now may have come. A client's time runs from its sending: a
 // process that stood still would take old requests for new ones, and serve them too late. Taken for
 // older than it is, a request is refused at worst, which is true: it was sent to nobody.
-func (f *Front) came() time.Duration {
+func (f *Downstream) came() time.Duration {
 	if now := f.now(); now >= f.stale.until {
 		return now
 	}
@@ -101,7 +101,7 @@
 }
 
 type conn struct {
-	f      *Front
+	f      *Downstream
 	sock   *eventloop.Conn
 	parser *http1.Parser
 	client core.ExchangeID // the exchange that is owed an answer; 0: none
@@ -114,25 +114,25 @@
 
 // New returns a front with no connections. ready says whether requests can be
 // served.
-func New(emit func(core.Event), now func() time.Duration, ready func() bool, sockets int) *Front {
-	return &Front{
+func New(emit func(core.Event), now func() time.Duration, ready func() bool, sockets int) *Downstream {
+	return &Downstream{
 		emit: emit, now: now, ready: ready, crowd: sockets / 4,
 		conns: map[*conn]struct{}{}, waiting: map[core.ExchangeID]*conn{},
 	}
 }
 
-// Route has requests taken by these names from now on. waits is how long a client of each class
+// SetRoutes has requests taken by these names from now on. waits is how long a client of each class
 // may wait at most, and tenants are the customers that requests name.
-func (f *Front) Route(routes []core.Route, waits []time.Duration, tenants []piernotch.Tenant) {
+func (f *Downstream) SetRoutes(routes []core.Route, waits []time.Duration, tenants []piernotch.Tenant) {
 	f.routes, f.waits, f.tenants = map[string][]core.Route{}, waits, tenants
 	for _, r := range routes {
 		f.routes[r.Name] = append(f.routes[r.Name], r)
 	}
 }
 
-// Drain sends clients away, or takes them again. Each answer ends its connection from now on,
+// SetDraining sends clients away, or takes them again. Each answer ends its connection from now on,
 // and connections on which nothing comes are closed a little later.
-func (f *Front) Drain(on bool) {
+func (f *Downstream) SetDraining(on bool) {
 	f.drained = 0
 	if on {
 		f.drained = f.now()
@@ -140,14 +140,14 @@
 }
 
 // Accepted takes in a new connection.
-func (f *Front) Accepted(s *eventloop.Conn) eventloop.Handler {
+func (f *Downstream) Accepted(s *eventloop.Conn) eventloop.Handler {
 	c := &conn{f: f, sock: s, parser: http1.NewRequestParser(), since: f.now()}
 	f.conns[c] = struct{}{}
 	return c
 }
 
-// Conns returns how many client connections are open.
-func (f *Front) Conns() int { return len(f.conns) }
+// ConnectionCount returns how many client connections are open.
+func (f *Downstream) ConnectionCount() int { return len(f.conns) }
 
 // Data takes bytes from a client.
 func (c *conn) Data(data []byte) {
@@ -241,7 +241,7 @@
 }
 
 // class finds the class that a request names, and the method it takes; "" if there is none.
-func (f *Front) class(name, method string) (class int, takes string) {
+func (f *Downstream) class(name, method string) (class int, takes string) {
 	for _, r := range f.routes[name] {
 		if r.ExpiresAt > 0 && f.now() >= r.ExpiresAt {
 			continue
@@ -259,7 +259,7 @@
 
 // tenant is the place of a tenant among the settings', -1 for one that they do not name: it has no share
 // to go beyond, and must not use up another's.
-func (f *Front) tenant(name string) int {
+func (f *Downstream) tenant(name string) int {
 	return slices.IndexFunc(f.tenants, func(t piernotch.Tenant) bool { return t.Name == name })
 }
 
@@ -336,8 +336,8 @@
 	return us / 1000
 }
 
-// Reply writes the final answer of an exchange.
-func (f *Front) Reply(r core.Respond) {
+// Respond writes the final answer of an exchange.
+func (f *Downstream) Respond(r core.Respond) {
 	c := f.waiting[r.Client]
 	if c == nil {
 		return
@@ -430,7 +430,7 @@
 }
 
 // Shed closes connections because descriptors are short.
-func (f *Front) Shed() {
+func (f *Downstream) Shed() {
 	now := f.now()
 	var out [3][]*conn
 	for c := range f.conns {
@@ -459,7 +459,7 @@
 
 // CloseIdle ends all idle connections, but for those on which a request has just come, or is to
 // be expected.
-func (f *Front) CloseIdle() {
+func (f *Downstream) CloseIdle() {
 	for c := range f.conns {
 		if c.idle() && (c.asked || f.now()-c.since > spareNew) && c.sock.InputEmpty() {
 			c.end()
@@ -467,12 +467,12 @@
 	}
 }
 
-// Terminate has every further answer end its connection.
-func (f *Front) Terminate() { f.ending = true }
+// Shutdown has every further answer end its connection.
+func (f *Downstream) Shutdown() { f.ending = true }
 
 // Tick ends connections that are done, silent or idle for too long, or too slow to
 // send their request or to read their answer.
-func (f *Front) Tick() {
+func (f *Downstream) Tick() {
 	now, keep := f.now(), keep
 	if len(f.conns) > f.crowd {
 		keep = keepCrowded
--- a/internal/serve/runtime/node.go
+++ b/internal/serve/runtime/node.go
@@ -37,7 +37,7 @@
 	next      config.Config // what was read again, until it is taken
 	engine    *eventloop.Loop
 	core      *core.Core
-	front     *downstream.Front
+	front     *downstream.Downstream
 	upstream  *upstream.Upstream
 	watcher   *discovery.Watcher
 	listener  *eventloop.Listener
@@ -191,7 +191,7 @@
 	for _, c := range n.core.Settings().Classes {
 		waits = append(waits, c.Deadline)
 	}
-	n.front.Route(routes, waits, n.core.Settings().Tenants)
+	n.front.SetRoutes(routes, waits, n.core.Settings().Tenants)
 }
 
 // Run serves until the context ends or, after Terminate, nothing is owed.
@@ -222,8 +222,8 @@
 // Terminate begins an orderly end. It may be called from any goroutine.
 func (n *Node) Terminate() {
 	n.engine.Post(func() {
-		slog.Info("terminating", "owed", n.core.PendingRequests(), "clients", n.front.Conns())
-		n.front.Terminate()
+		slog.Info("terminating", "owed", n.core.PendingRequests(), "clients", n.front.ConnectionCount())
+		n.front.Shutdown()
 		n.emit(core.Shutdown{})
 		n.beside.advance(handover.Ending)
 	})
@@ -287,7 +287,7 @@
 		return
 	}
 	n.front.CloseIdle()
-	if n.front.Conns() == 0 || now-n.leaving > lastWords {
+	if n.front.ConnectionCount() == 0 || now-n.leaving > lastWords {
 		n.exit()
 	}
 }
@@ -297,7 +297,7 @@
 	slog.Info(what, "taken", c.Accepted, "served", c.Served, "refused", c.Rejected, "failed", c.Failed,
 		"gone", c.ClientsGone, "overdue", c.DeadlineExceeded, "attempts", c.Attempts, "timeouts", c.Timeouts, "resets", c.Resets,
 		"connect_failed", c.ConnectFailed, "full", c.Full, "errors", c.Errors, "opened", n.upstream.Opened,
-		"owed", n.core.PendingRequests(), "clients", n.front.Conns(), "sockets", n.engine.OpenConnections())
+		"owed", n.core.PendingRequests(), "clients", n.front.ConnectionCount(), "sockets", n.engine.OpenConnections())
 }
 
 // emit takes an event to the reducer. Effects may bring further events, which
@@ -336,7 +336,7 @@
 		if n.recorder != nil {
 			n.recorder.answer(n.now(), e)
 		}
-		n.front.Reply(e)
+		n.front.Respond(e)
 	case core.HealthCheck:
 		n.upstream.Probe(e)
 	case core.WatchDiscovery:
@@ -357,7 +357,7 @@
 	case core.AdminResult:
 		n.manage.Complete(e.Call, e.Err)
 	case core.DrainClients:
-		n.front.Drain(e.On)
+		n.front.SetDraining(e.On)
 	case core.SettingsApplied:
 		n.retuned(e)
 	}
