--- a/internal/serve/downstream/front.go
+++ b/internal/serve/downstream/front.go
@@ -347,7 +347,7 @@
 	c.final = c.final || r.Close
 	switch r.Result {
 	case core.Served:
-		a := r.Answer.(*upstream.Answer)
+		a := r.Answer.(*upstream.Response)
 		var fields http1.Fields
 		if a.ContentType != "" {
 			fields = append(fields, http1.Field{Name: "Content-Type", Value: a.ContentType})
--- a/internal/serve/runtime/node.go
+++ b/internal/serve/runtime/node.go
@@ -248,7 +248,7 @@
 		"classes", len(n.next.Settings.Classes), "max_attempts", n.next.Settings.Limits.MaxAttempts)
 	n.cfg.Discovery, n.cfg.Settings = n.next.Discovery, n.next.Settings
 	n.cfg.Sockets, n.cfg.MemoryMB = n.next.Sockets, n.next.MemoryMB
-	n.upstream.Keep(n.next.KeepAlive, n.next.DialTimeout)
+	n.upstream.SetTimeouts(n.next.KeepAlive, n.next.DialTimeout)
 	n.limits()
 	n.route(e.Routes)
 }
@@ -296,7 +296,7 @@
 	c := n.core.Counts
 	slog.Info(what, "taken", c.Accepted, "served", c.Served, "refused", c.Rejected, "failed", c.Failed,
 		"gone", c.ClientsGone, "overdue", c.DeadlineExceeded, "attempts", c.Attempts, "timeouts", c.Timeouts, "resets", c.Resets,
-		"connect_failed", c.ConnectFailed, "full", c.Full, "errors", c.Errors, "opened", n.upstream.Opened,
+		"connect_failed", c.ConnectFailed, "full", c.Full, "errors", c.Errors, "opened", n.upstream.ConnectionsOpened,
 		"owed", n.core.PendingRequests(), "clients", n.front.ConnectionCount(), "sockets", n.engine.OpenConnections())
 }
 
@@ -327,24 +327,24 @@
 func (n *Node) perform(e core.Effect) {
 	switch e := e.(type) {
 	case core.StartAttempt:
-		n.upstream.Send(e, e.Message.(*upstream.Request))
+		n.upstream.StartAttempt(e, e.Message.(*upstream.Request))
 	case core.WriteAttempt:
-		n.upstream.Write(e.Ref)
+		n.upstream.WriteAttempt(e.Ref)
 	case core.CancelAttempt:
-		n.upstream.Drop(e.Ref)
+		n.upstream.CancelAttempt(e.Ref)
 	case core.Respond:
 		if n.recorder != nil {
 			n.recorder.answer(n.now(), e)
 		}
 		n.front.Respond(e)
 	case core.HealthCheck:
-		n.upstream.Probe(e)
+		n.upstream.HealthCheck(e)
 	case core.WatchDiscovery:
 		n.watcher.Watch()
 	case core.MoveDiscovery:
 		n.watcher.Move(e.Address)
 	case core.CloseIdle:
-		n.upstream.Forget(e.To)
+		n.upstream.CloseIdle(e.To)
 	case core.StopListening:
 		n.stop()
 		n.front.CloseIdle()
--- a/internal/serve/upstream/upstream.go
+++ b/internal/serve/upstream/upstream.go
@@ -35,45 +35,45 @@
 
 // Stages.
 const (
-	Connecting Stage = iota // nothing of the request was written
-	Writing                 // its last byte had not been written: it cannot have run
-	Waiting                 // the request was written, no answer had begun
-	Answering               // an answer had begun
-	Spoilt                  // an answer came that cannot be read, or stopped half-way
+	Connecting       Stage = iota // nothing of the request was written
+	Writing                       // its last byte had not been written: it cannot have run
+	AwaitingResponse              // the request was written, no answer had begun
+	ReadingResponse               // an answer had begun
+	Malformed                     // an answer came that cannot be read, or stopped half-way
 )
 
 var stageNames = [...]string{"connecting", "writing", "waiting", "answering", "spoilt"}
 
 func (s Stage) String() string { return stageNames[s] }
 
-// Failure is the end of an attempt that brought no answer. Its stage decides
+// AttemptError is the end of an attempt that brought no answer. Its stage decides
 // whether the request may have run.
-type Failure struct {
+type AttemptError struct {
 	Stage   Stage
 	Address string
-	Kept    time.Duration // how long its connection had been idle before
+	IdleFor time.Duration // how long its connection had been idle before
 	Err     error
 }
 
-func (f *Failure) Error() string {
+func (f *AttemptError) Error() string {
 	return fmt.Sprintf("%s while %s: %v", f.Address, f.Stage, f.Err)
 }
 
-func (f *Failure) Unwrap() error { return f.Err }
+func (f *AttemptError) Unwrap() error { return f.Err }
 
 // Status is what the module is told of the failure.
-func (f *Failure) Status() piernotch.Status {
+func (f *AttemptError) Status() piernotch.Status {
 	switch {
-	case f.Stage < Waiting:
+	case f.Stage < AwaitingResponse:
 		return piernotch.ConnectFailed
-	case f.Stage == Spoilt: // the connection stands: the server has not restarted
+	case f.Stage == Malformed: // the connection stands: the server has not restarted
 		return piernotch.Error
 	}
 	return piernotch.Reset
 }
 
-// Answer is a feed server's 200 answer.
-type Answer struct {
+// Response is a feed server's 200 answer.
+type Response struct {
 	ContentType string
 	Body        []byte
 }
@@ -121,16 +121,16 @@
 
 // Upstream holds all pools.
 type Upstream struct {
-	engine  *eventloop.Loop
-	emit    func(core.Event)
-	now     func() time.Duration
-	keep    time.Duration
-	dialFor time.Duration
-	pools   map[core.Endpoint]*pool
-	errands map[core.AttemptRef]*errand
-	probes  map[*errand]struct{}
-	Opened  int           // connections opened so far, for the log
-	saidBad time.Duration // when a load report was last called bad; 0: never
+	engine            *eventloop.Loop
+	emit              func(core.Event)
+	now               func() time.Duration
+	keep              time.Duration
+	dialFor           time.Duration
+	pools             map[core.Endpoint]*pool
+	errands           map[core.AttemptRef]*errand
+	probes            map[*errand]struct{}
+	ConnectionsOpened int           // connections opened so far, for the log
+	saidBad           time.Duration // when a load report was last called bad; 0: never
 }
 
 // New returns empty pools. Idle connections are closed well before keepAlive,
@@ -140,12 +140,14 @@
 		engine: engine, emit: emit, now: now,
 		pools: map[core.Endpoint]*pool{}, errands: map[core.AttemptRef]*errand{}, probes: map[*errand]struct{}{},
 	}
-	u.Keep(keepAlive, dialFor)
+	u.SetTimeouts(keepAlive, dialFor)
 	return u
 }
 
-// Keep sets how long a feed server keeps an idle connection, and how long one may take to come up.
-func (u *Upstream) Keep(keepAlive, dialFor time.Duration) { u.keep, u.dialFor = keepAlive*3/4, dialFor }
+// SetTimeouts sets how long a feed server keeps an idle connection, and how long one may take to come up.
+func (u *Upstream) SetTimeouts(keepAlive, dialFor time.Duration) {
+	u.keep, u.dialFor = keepAlive*3/4, dialFor
+}
 
 func (u *Upstream) pool(to core.Endpoint) *pool {
 	p := u.pools[to]
@@ -156,15 +158,15 @@
 	return p
 }
 
-// Send finds a connection for an attempt; the core hears Connected or Ended.
-func (u *Upstream) Send(e core.StartAttempt, message *Request) {
+// StartAttempt finds a connection for an attempt; the core hears Connected or Ended.
+func (u *Upstream) StartAttempt(e core.StartAttempt, message *Request) {
 	x := &errand{ref: e.Ref, pool: u.pool(e.To), message: message, until: u.now() + e.Timeout}
 	u.errands[e.Ref] = x
 	x.pool.take(x)
 }
 
-// Probe asks a feed server whether it serves.
-func (u *Upstream) Probe(e core.HealthCheck) {
+// HealthCheck asks a feed server whether it serves.
+func (u *Upstream) HealthCheck(e core.HealthCheck) {
 	x := &errand{
 		probe: true, pool: u.pool(e.To), until: u.now() + core.ProbeTimeout,
 		message: &Request{Method: http1.MethodGet, Target: "/ping"},
@@ -194,7 +196,7 @@
 func (p *pool) dial() {
 	for p.dials < maxDials && p.dials+len(p.resting) < len(p.queue) {
 		p.dials++
-		p.u.Opened++
+		p.u.ConnectionsOpened++
 		c := &conn{pool: p, parser: http1.NewResponseParser(http1.MaxBody)}
 		p.u.engine.Dial(p.to.Address, p.u.dialFor, func(s *eventloop.Conn) eventloop.Handler {
 			c.sock = s
@@ -214,7 +216,7 @@
 // failed ends the errand that has waited longest: the failed dial was its own.
 func (p *pool) failed(err error) {
 	if x := p.next(); x != nil {
-		p.u.fail(x, &Failure{Stage: Connecting, Address: p.to.Address, Err: err})
+		p.u.fail(x, &AttemptError{Stage: Connecting, Address: p.to.Address, Err: err})
 	}
 	p.dial()
 }
@@ -278,8 +280,8 @@
 	p.u.emit(core.AttemptConnected{Ref: x.ref})
 }
 
-// Write sends an attempt's request on the connection that it was given.
-func (u *Upstream) Write(ref core.AttemptRef) {
+// WriteAttempt sends an attempt's request on the connection that it was given.
+func (u *Upstream) WriteAttempt(ref core.AttemptRef) {
 	if x := u.errands[ref]; x != nil && x.conn != nil {
 		x.conn.write(u.now())
 	}
@@ -305,9 +307,9 @@
 	_ = c.sock.Write(http1.AppendRequest(nil, m.Method, m.Target, fields, m.Body))
 }
 
-// Drop ends the wait for an attempt. What it has written is called off by
+// CancelAttempt ends the wait for an attempt. What it has written is called off by
 // closing its connection, so that a late answer cannot reach another request.
-func (u *Upstream) Drop(ref core.AttemptRef) {
+func (u *Upstream) CancelAttempt(ref core.AttemptRef) {
 	if x := u.errands[ref]; x != nil {
 		u.abandon(x)
 	}
@@ -340,10 +342,10 @@
 	}
 }
 
-func (u *Upstream) fail(x *errand, f *Failure) {
+func (u *Upstream) fail(x *errand, f *AttemptError) {
 	u.done(x)
 	x.conn = nil
-	slog.Info("attempt failed", "server", f.Address, "stage", f.Stage, "kept_ms", f.Kept.Milliseconds(), "probe", x.probe, "err", f.Err)
+	slog.Info("attempt failed", "server", f.Address, "stage", f.Stage, "kept_ms", f.IdleFor.Milliseconds(), "probe", x.probe, "err", f.Err)
 	if x.probe {
 		u.emit(core.HealthCheckCompleted{Backend: x.pool.to.Backend, Status: f.Status()})
 		return
@@ -362,7 +364,7 @@
 	m, err := c.parser.Next()
 	switch {
 	case err != nil:
-		c.fail(Spoilt, err)
+		c.fail(Malformed, err)
 	case m != nil:
 		c.answered(m)
 	}
@@ -388,9 +390,9 @@
 	stage := Connecting
 	switch {
 	case c.heard:
-		stage = Answering
+		stage = ReadingResponse
 	case c.wrote && c.sock.UnsentBytes() == 0:
-		stage = Waiting
+		stage = AwaitingResponse
 	case c.wrote:
 		stage = Writing
 	}
@@ -403,7 +405,7 @@
 	c.sock.Close()
 	c.pool.remove(c)
 	if x != nil {
-		c.pool.u.fail(x, &Failure{stage, c.pool.to.Address, c.kept, err})
+		c.pool.u.fail(x, &AttemptError{stage, c.pool.to.Address, c.kept, err})
 	}
 }
 
@@ -447,15 +449,15 @@
 	}
 	ended := core.AttemptCompleted{Ref: x.ref, Status: status}
 	if status == piernotch.OK {
-		ended.Answer = &Answer{ContentType: m.Fields.Get("content-type"), Body: m.Body}
+		ended.Answer = &Response{ContentType: m.Fields.Get("content-type"), Body: m.Body}
 	} else {
 		slog.Info("attempt not served", "server", c.pool.to.Address, "status", m.Status, "ran", status != piernotch.Full)
 	}
 	u.emit(ended)
 }
 
-// Forget closes idle connections to a server and keeps no further ones.
-func (u *Upstream) Forget(to core.Endpoint) {
+// CloseIdle closes idle connections to a server and keeps no further ones.
+func (u *Upstream) CloseIdle(to core.Endpoint) {
 	if p := u.pools[to]; p != nil {
 		p.barred = true
 		p.shed(len(p.idle))
@@ -494,7 +496,7 @@
 	}
 	for _, x := range u.errands {
 		if c := x.conn; c != nil && c.heard && now-c.since > stallFor {
-			c.fail(Spoilt, errStalled)
+			c.fail(Malformed, errStalled)
 		}
 	}
 	for to, p := range u.pools {
--- a/internal/serve/upstream/upstream_test.go
+++ b/internal/serve/upstream/upstream_test.go
@@ -18,7 +18,7 @@
 // waits gets others.
 func TestWhatWaitsForAConnectionGetsAnother(t *testing.T) {
 	for name, lose := range map[string]func(u *Upstream, ref core.AttemptRef){
-		"called off": func(u *Upstream, ref core.AttemptRef) { u.Drop(ref) },
+		"called off": func(u *Upstream, ref core.AttemptRef) { u.CancelAttempt(ref) },
 		"closed":     func(*Upstream, core.AttemptRef) {}, // by the server, with its answer
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -49,7 +49,7 @@
 			var u *Upstream
 			u = New(e, func(ev core.Event) {
 				if c, ok := ev.(core.AttemptConnected); ok {
-					u.Write(c.Ref)
+					u.WriteAttempt(c.Ref)
 					if connected++; connected == attempts {
 						close(all)
 					}
@@ -59,7 +59,7 @@
 			e.Post(func() {
 				to := core.Endpoint{Backend: 1, Address: l.Addr().String()}
 				for i := range attempts {
-					u.Send(core.StartAttempt{Ref: core.AttemptRef{Request: piernotch.RequestID(i)}, To: to, Timeout: time.Minute}, &Request{Method: "GET", Target: "/", ID: "1"})
+					u.StartAttempt(core.StartAttempt{Ref: core.AttemptRef{Request: piernotch.RequestID(i)}, To: to, Timeout: time.Minute}, &Request{Method: "GET", Target: "/", ID: "1"})
 				}
 			})
 			ctx, stop := context.WithCancel(t.Context())
