--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -207,14 +207,14 @@
 	heard := make(chan word, 10)
 	f, _ := open(t, "", func(balancer, server int, state piernotch.State, _ time.Duration) { heard <- word{server, state} })
 	client := &http.Client{Timeout: patience}
-	get := func(query string) (discovery.List, int) {
+	get := func(query string) (discovery.EndpointList, int) {
 		r, err := client.Get("http://" + f.Roster().Address(0) + "/catalog/members" + query)
 		require.NoError(t, err)
 		defer r.Body.Close()
 		data, err := io.ReadAll(r.Body)
 		require.NoError(t, err)
 		if r.StatusCode != 200 {
-			return discovery.List{}, r.StatusCode
+			return discovery.EndpointList{}, r.StatusCode
 		}
 		l, err := discovery.Parse(data, []string{"zone"})
 		require.NoError(t, err)
@@ -222,21 +222,21 @@
 	}
 	whole, _ := get("")
 	require.True(t, whole.Reset)
-	require.Len(t, whole.Members, 1)
+	require.Len(t, whole.Endpoints, 1)
 	require.Equal(t, word{0, piernotch.Ready}, <-heard)
 	nothing, _ := get(fmt.Sprintf("?index=%d&wait=50", whole.Generation))
-	require.Empty(t, nothing.Members)
+	require.Empty(t, nothing.Endpoints)
 	f.drain(f.servers[0])
 	change, _ := get(fmt.Sprintf("?index=%d&wait=20000", whole.Generation))
-	require.Equal(t, piernotch.Draining, change.Members[0].Endpoint.State)
+	require.Equal(t, piernotch.Draining, change.Endpoints[0].Endpoint.State)
 	require.Equal(t, word{0, piernotch.Draining}, <-heard)
 	f.start(f.servers[0])
 	change, _ = get(fmt.Sprintf("?index=%d&wait=20000", change.Generation))
-	require.Equal(t, piernotch.Ready, change.Members[0].Endpoint.State)
-	born := change.Members[0].Endpoint.StartedAt
+	require.Equal(t, piernotch.Ready, change.Endpoints[0].Endpoint.State)
+	born := change.Endpoints[0].Endpoint.StartedAt
 	require.Positive(t, born)
 	again, _ := get("")
-	require.Equal(t, born, again.Members[0].Endpoint.StartedAt, "one start is told as one")
+	require.Equal(t, born, again.Endpoints[0].Endpoint.StartedAt, "one start is told as one")
 	f.roster.outage(true)
 	_, status := get("")
 	require.Equal(t, 503, status)
--- a/internal/serve/config/config.go
+++ b/internal/serve/config/config.go
@@ -21,7 +21,7 @@
 	Name, Listen, Discovery string
 	Seed                    uint64
 	MemoryMB, Sockets       int
-	Known                   discovery.List
+	Known                   discovery.EndpointList
 	HasKnown                bool
 	Settings                piernotch.Settings
 	KeepAlive, DialTimeout  time.Duration
--- a/internal/serve/discovery/discovery.go
+++ b/internal/serve/discovery/discovery.go
@@ -57,36 +57,36 @@
 	"in_service": piernotch.Ready, "terminating": piernotch.Draining, "terminated": piernotch.Gone,
 }
 
-// List is the whole list of feed servers, or what has changed of it.
-type List struct {
+// EndpointList is the whole list of feed servers, or what has changed of it.
+type EndpointList struct {
 	Generation uint64
 	Reset      bool
-	Members    []core.DiscoveredEndpoint
+	Endpoints  []core.DiscoveredEndpoint
 }
 
 // Parse reads a list. Zones are given by their place among zones; an unknown one
 // is nobody's own.
-func Parse(data []byte, zones []string) (List, error) {
+func Parse(data []byte, zones []string) (EndpointList, error) {
 	var in listJSON
 	if err := json.Unmarshal(data, &in); err != nil {
-		return List{}, fmt.Errorf("list: %w", err)
+		return EndpointList{}, fmt.Errorf("list: %w", err)
 	}
 	if in.Generation == nil {
-		return List{}, fmt.Errorf("list: no generation")
+		return EndpointList{}, fmt.Errorf("list: no generation")
 	}
-	out := List{Generation: *in.Generation, Reset: in.Reset}
+	out := EndpointList{Generation: *in.Generation, Reset: in.Reset}
 	for i, e := range in.Instances {
 		state, ok := states[e.Lifecycle]
 		if !ok {
-			return List{}, fmt.Errorf("list: instances[%d].lifecycle is %q", i, e.Lifecycle)
+			return EndpointList{}, fmt.Errorf("list: instances[%d].lifecycle is %q", i, e.Lifecycle)
 		}
 		if e.InstanceID == "" {
-			return List{}, fmt.Errorf("list: instances[%d].instanceId is missing", i)
+			return EndpointList{}, fmt.Errorf("list: instances[%d].instanceId is missing", i)
 		}
 		if host, _, err := net.SplitHostPort(e.HostPort); state != piernotch.Gone && (err != nil || net.ParseIP(host) == nil) {
-			return List{}, fmt.Errorf("list: instances[%d].hostPort is %q", i, e.HostPort)
+			return EndpointList{}, fmt.Errorf("list: instances[%d].hostPort is %q", i, e.HostPort)
 		}
-		out.Members = append(out.Members, core.DiscoveredEndpoint{
+		out.Endpoints = append(out.Endpoints, core.DiscoveredEndpoint{
 			Name: e.InstanceID, Address: e.HostPort,
 			Endpoint: piernotch.Endpoint{
 				Zone: slices.Index(zones, e.Zone), Cell: e.Cell, State: state, Size: e.Weight,
@@ -136,12 +136,12 @@
 // versions mean nothing here.
 func (w *Watcher) Resume(version uint64, same bool) { w.version, w.whole = version, !same }
 
-// Share has the watch go by a group in which one balancer may ask for many; nil: it does not.
-func (w *Watcher) Share(lists group.Lists) { w.lists = lists }
+// UseSharedWatch has the watch go by a group in which one balancer may ask for many; nil: it does not.
+func (w *Watcher) UseSharedWatch(lists group.Lists) { w.lists = lists }
 
-// Take takes a list that another balancer was told. What is older than what is known is not taken, and
+// ReceiveShared takes a list that another balancer was told. What is older than what is known is not taken, and
 // what does not follow it is looked for.
-func (w *Watcher) Take(p group.Post) {
+func (w *Watcher) ReceiveShared(p group.Post) {
 	take, missing := p.Fits(w.address, w.version)
 	if w.whole && p.Source == w.address { // what is known is of another discovery
 		take, missing = p.Whole, !p.Whole
@@ -164,8 +164,8 @@
 	w.told(list)
 }
 
-// Push has the watch go on by itself from now on, whatever fails.
-func (w *Watcher) Push() {
+// SetPush has the watch go on by itself from now on, whatever fails.
+func (w *Watcher) SetPush() {
 	w.pushed = true
 	w.Watch()
 }
@@ -326,16 +326,16 @@
 }
 
 // told takes a list to the core.
-func (w *Watcher) told(list List) {
+func (w *Watcher) told(list EndpointList) {
 	w.version, w.whole = list.Generation, w.whole && !list.Reset
 	kind := piernotch.UpdateDelta
 	if list.Reset {
 		kind = piernotch.UpdateFull
 	}
-	for _, e := range list.Members {
+	for _, e := range list.Endpoints {
 		slog.Info("list change", "server", e.Name, "address", e.Address, "state", e.Endpoint.State, "generation", w.version)
 	}
-	w.emit(core.EndpointUpdate{Kind: kind, Endpoints: list.Members})
+	w.emit(core.EndpointUpdate{Kind: kind, Endpoints: list.Endpoints})
 }
 
 func (w *Watcher) answered(m *http1.Message) {
--- a/internal/serve/runtime/beside.go
+++ b/internal/serve/runtime/beside.go
@@ -64,16 +64,16 @@
 
 // takeOver starts from the list and the experience of another process.
 func (n *Node) takeOver(from *handover.Record) {
-	known := discovery.List{Generation: from.Generation, Reset: true}
+	known := discovery.EndpointList{Generation: from.Generation, Reset: true}
 	for _, m := range from.Members {
-		known.Members = append(known.Members, core.DiscoveredEndpoint{Name: m.Name, Address: m.Address, Endpoint: piernotch.Endpoint{
+		known.Endpoints = append(known.Endpoints, core.DiscoveredEndpoint{Name: m.Name, Address: m.Address, Endpoint: piernotch.Endpoint{
 			Zone: slices.Index(n.cfg.Settings.Zones, m.Zone), Cell: m.Cell, State: m.State, Size: m.Size, StartedAt: m.Born,
 		}})
 	}
 	n.cfg.Known, n.cfg.HasKnown = known, true
 	n.watcher.Resume(from.Generation, from.Discovery == n.cfg.Discovery)
 	n.emit(core.PeerSnapshot{Snapshot: from.Learnt})
-	slog.Info("taking over", "from_pid", from.PID, "epoch", from.Epoch, "generation", from.Generation, "servers", len(known.Members))
+	slog.Info("taking over", "from_pid", from.PID, "epoch", from.Epoch, "generation", from.Generation, "servers", len(known.Endpoints))
 }
 
 // look follows the other processes.
--- a/internal/serve/runtime/crossings_test.go
+++ b/internal/serve/runtime/crossings_test.go
@@ -224,7 +224,7 @@
 				cfg.Settings.Classes[1].LatencyObjective = 4 * time.Second
 				// Only the second server is elsewhere: all goes to the first until that one fails.
 				cfg.Settings.Zones = []string{"a", "b"}
-				cfg.Known.Members[1].Endpoint.Zone = 1
+				cfg.Known.Endpoints[1].Endpoint.Zone = 1
 			}, quiet(t), peer(t, breaks), server)
 			c := connect(t, n)
 			for i := range 10 { // repeats have a budget, by what is asked
--- a/internal/serve/runtime/node.go
+++ b/internal/serve/runtime/node.go
@@ -107,8 +107,8 @@
 // Share has the watch of discovery go by a group in which one balancer may ask for many. It is called
 // before Start.
 func (n *Node) Share(join group.Join) {
-	if l := join(n.cfg.Discovery, func(p group.Post) { n.engine.Post(func() { n.watcher.Take(p) }) }); l != nil {
-		n.watcher.Share(l)
+	if l := join(n.cfg.Discovery, func(p group.Post) { n.engine.Post(func() { n.watcher.ReceiveShared(p) }) }); l != nil {
+		n.watcher.UseSharedWatch(l)
 	}
 }
 
@@ -130,13 +130,13 @@
 	}
 	n.limits()
 	if n.cfg.HasKnown {
-		n.emit(core.EndpointUpdate{Kind: piernotch.UpdateCached, Endpoints: n.cfg.Known.Members})
+		n.emit(core.EndpointUpdate{Kind: piernotch.UpdateCached, Endpoints: n.cfg.Known.Endpoints})
 	} else {
 		n.emit(core.Tick{})
 		n.watcher.Watch()
 	}
 	if !n.cfg.Settings.PollDiscovery {
-		n.watcher.Push()
+		n.watcher.SetPush()
 	}
 	n.beside.merge(peers) // what was said is of servers that are listed by now
 	n.beside.keep()
@@ -144,7 +144,7 @@
 		return err
 	}
 	slog.Info("serving", "name", n.cfg.Name, "listen", n.listener.Addr(), "management", n.cfg.Management, "discovery", n.cfg.Discovery,
-		"servers", len(n.cfg.Known.Members), "sockets", n.cfg.Sockets, "memory_mb", n.cfg.MemoryMB)
+		"servers", len(n.cfg.Known.Endpoints), "sockets", n.cfg.Sockets, "memory_mb", n.cfg.MemoryMB)
 	return nil
 }
 
