--- a/internal/serve/handover/dir.go
+++ b/internal/serve/handover/dir.go
@@ -14,10 +14,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Dir is the place where the processes of one balancer keep their records. Beside each record
+// Directory is the place where the processes of one balancer keep their records. Beside each record
 // lies a lock, which its writer holds as long as it lives: the kernel takes it away from a
 // process that has ended, whichever way it did.
-type Dir struct {
+type Directory struct {
 	path   string
 	prefix string // of this balancer's files
 	name   string // the balancer's
@@ -45,8 +45,8 @@
 
 // Enter makes this process known in the directory to others of the balancer of that name. Its
 // first record follows with Write.
-func Enter(path, name string) (*Dir, error) {
-	d := &Dir{path: path, name: name, seen: map[string]seen{}}
+func Enter(path, name string) (*Directory, error) {
+	d := &Directory{path: path, name: name, seen: map[string]seen{}}
 	d.prefix = fmt.Sprintf("piernotch-%016x-", xxhash.Sum64String(name))
 	d.own = d.prefix + strconv.Itoa(os.Getpid()) + "-" + strconv.FormatInt(time.Now().UnixNano(), 36)
 	// The lock is held before it has its name: without a holder it would be taken for a dead
@@ -68,10 +68,10 @@
 	return d, nil
 }
 
-func (d *Dir) file(name, ending string) string { return filepath.Join(d.path, name+ending) }
+func (d *Directory) file(name, ending string) string { return filepath.Join(d.path, name+ending) }
 
 // Write replaces this process's record.
-func (d *Dir) Write(r Record) error {
+func (d *Directory) Write(r Record) error {
 	r.Name = d.name
 	data, err := Encode(r)
 	if err != nil {
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// Look returns the other processes. One that has ended is returned once and its files removed.
-func (d *Dir) Look() ([]Peer, error) {
+// Peers returns the other processes. One that has ended is returned once and its files removed.
+func (d *Directory) Peers() ([]Peer, error) {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
 		return nil, fmt.Errorf("hand-over: %w", err)
@@ -117,7 +117,7 @@
 }
 
 // read reads a record, if it is another than the one that was read last.
-func (d *Dir) read(name string) seen {
+func (d *Directory) read(name string) seen {
 	path := d.file(name, recordEnding)
 	info, err := os.Stat(path)
 	was, known := d.seen[name]
@@ -136,9 +136,9 @@
 	return s
 }
 
-func (d *Dir) load(path string, size int64) (Record, error) {
+func (d *Directory) load(path string, size int64) (Record, error) {
 	if size > maxSize {
-		return Record{}, fmt.Errorf("%w: %d bytes", ErrTorn, size)
+		return Record{}, fmt.Errorf("%w: %d bytes", ErrTruncated, size)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -153,7 +153,7 @@
 
 // Leave lets the lock go, as the end of the process would. The record stays for whoever comes
 // next.
-func (d *Dir) Leave() { _ = d.lock.Close() }
+func (d *Directory) Leave() { _ = d.lock.Close() }
 
 // locked tells whether a living process holds the lock.
 func locked(path string) (bool, error) {
--- a/internal/serve/handover/handover_test.go
+++ b/internal/serve/handover/handover_test.go
@@ -13,24 +13,24 @@
 
 // Of two processes one accepts, and never none while one of them can serve.
 func TestOneOfThoseThatCanServeAccepts(t *testing.T) {
-	at := func(epoch uint64, p Phase) Standing { return Standing{Epoch: epoch, PID: int(epoch), Phase: p} }
+	at := func(epoch uint64, p Phase) ProcessState { return ProcessState{Epoch: epoch, PID: int(epoch), Phase: p} }
 	for _, c := range []struct {
-		all  []Standing
+		all  []ProcessState
 		want []bool
 	}{
-		{[]Standing{at(1, Starting)}, []bool{false}},
-		{[]Standing{at(1, Ready)}, []bool{true}},
-		{[]Standing{at(1, Ready), at(2, Starting)}, []bool{true, false}},
-		{[]Standing{at(1, Ready), at(2, Ready)}, []bool{false, true}},
-		{[]Standing{at(1, Ending), at(2, Starting)}, []bool{true, false}},
-		{[]Standing{at(1, Ending), at(2, Ready)}, []bool{false, true}},
-		{[]Standing{at(1, Ready), at(2, Ending)}, []bool{true, false}}, // the new one is taken back
-		{[]Standing{at(1, Ready), at(2, Ready), at(3, Ready)}, []bool{false, false, true}},
-		{[]Standing{at(1, Ending), at(2, Ending)}, []bool{true, true}}, // until each is done
-		{[]Standing{{2, 7, Ready, 0}, {2, 9, Ready, 0}}, []bool{false, true}},
+		{[]ProcessState{at(1, Starting)}, []bool{false}},
+		{[]ProcessState{at(1, Ready)}, []bool{true}},
+		{[]ProcessState{at(1, Ready), at(2, Starting)}, []bool{true, false}},
+		{[]ProcessState{at(1, Ready), at(2, Ready)}, []bool{false, true}},
+		{[]ProcessState{at(1, ShuttingDown), at(2, Starting)}, []bool{true, false}},
+		{[]ProcessState{at(1, ShuttingDown), at(2, Ready)}, []bool{false, true}},
+		{[]ProcessState{at(1, Ready), at(2, ShuttingDown)}, []bool{true, false}}, // the new one is taken back
+		{[]ProcessState{at(1, Ready), at(2, Ready), at(3, Ready)}, []bool{false, false, true}},
+		{[]ProcessState{at(1, ShuttingDown), at(2, ShuttingDown)}, []bool{true, true}}, // until each is done
+		{[]ProcessState{{2, 7, Ready, 0}, {2, 9, Ready, 0}}, []bool{false, true}},
 	} {
 		for i, s := range c.all {
-			others := append(append([]Standing(nil), c.all[:i]...), c.all[i+1:]...)
+			others := append(append([]ProcessState(nil), c.all[:i]...), c.all[i+1:]...)
 			require.Equal(t, c.want[i], s.Accepts(others), "%v %d", c.all, i)
 		}
 	}
@@ -38,18 +38,18 @@
 
 // Together they hold no more than the limit, and the one that accepts has what the others leave.
 func TestDescriptorsAreShared(t *testing.T) {
-	old, next := Standing{Epoch: 1, Phase: Ready, Claim: 384}, Standing{Epoch: 2, Phase: Ready}
-	require.Equal(t, 384, old.Share(nil, 384, 100))
-	require.Equal(t, growth, next.Share([]Standing{old}, 384, 0), "the old one has not yielded yet")
-	old.Claim = old.Share([]Standing{next}, 384, 100)
-	require.Equal(t, 116, old.Claim)
-	require.Equal(t, 384-116, next.Share([]Standing{old}, 384, 50))
-	require.Equal(t, 192, old.Share([]Standing{next}, 384, 300))
+	old, next := ProcessState{Epoch: 1, Phase: Ready, DescriptorClaim: 384}, ProcessState{Epoch: 2, Phase: Ready}
+	require.Equal(t, 384, old.DescriptorShare(nil, 384, 100))
+	require.Equal(t, growth, next.DescriptorShare([]ProcessState{old}, 384, 0), "the old one has not yielded yet")
+	old.DescriptorClaim = old.DescriptorShare([]ProcessState{next}, 384, 100)
+	require.Equal(t, 116, old.DescriptorClaim)
+	require.Equal(t, 384-116, next.DescriptorShare([]ProcessState{old}, 384, 50))
+	require.Equal(t, 192, old.DescriptorShare([]ProcessState{next}, 384, 300))
 }
 
 func TestARecordIsReadWholeOrNotAtAll(t *testing.T) {
-	r := Record{Standing: Standing{3, 4, Ready, 5}, Generation: 9, Members: []Member{{Name: "s-1", Zone: "a"}}}
-	_, err := r.Words.Apply(1, 1, overrides.Exclude, "s-1", true)
+	r := Record{ProcessState: ProcessState{3, 4, Ready, 5}, Generation: 9, Endpoints: []Endpoint{{Name: "s-1", Zone: "a"}}}
+	_, err := r.Overrides.Apply(1, 1, overrides.Exclude, "s-1", true)
 	require.NoError(t, err)
 	data, err := Encode(r)
 	require.NoError(t, err)
@@ -58,7 +58,7 @@
 	require.Equal(t, r, got)
 	for i := range data {
 		_, err = Decode(data[:i])
-		require.ErrorIs(t, err, ErrTorn, i)
+		require.ErrorIs(t, err, ErrTruncated, i)
 		spoilt := append([]byte(nil), data...)
 		spoilt[i] ^= 0x10
 		_, err = Decode(spoilt)
@@ -72,13 +72,13 @@
 	path := t.TempDir()
 	old, err := Enter(path, "n1")
 	require.NoError(t, err)
-	require.NoError(t, old.Write(Record{Standing: Standing{1, 10, Ready, 0}, Generation: 7}))
+	require.NoError(t, old.Write(Record{ProcessState: ProcessState{1, 10, Ready, 0}, Generation: 7}))
 	next, err := Enter(path, "n1")
 	require.NoError(t, err)
 	another, err := Enter(path, "n2")
 	require.NoError(t, err)
-	look := func(d *Dir) []Peer {
-		peers, err := d.Look()
+	look := func(d *Directory) []Peer {
+		peers, err := d.Peers()
 		require.NoError(t, err)
 		return peers
 	}
@@ -87,8 +87,8 @@
 	require.Error(t, look(old)[0].Err, "it has written nothing yet")
 	require.True(t, look(old)[0].Alive)
 	require.EqualValues(t, 7, look(next)[0].Generation)
-	require.NoError(t, old.Write(Record{Standing: Standing{1, 10, Ending, 0}, Generation: 8}))
-	require.Equal(t, Ending, look(next)[0].Phase)
+	require.NoError(t, old.Write(Record{ProcessState: ProcessState{1, 10, ShuttingDown, 0}, Generation: 8}))
+	require.Equal(t, ShuttingDown, look(next)[0].Phase)
 
 	old.Leave()
 	last := look(next)
--- a/internal/serve/handover/record.go
+++ b/internal/serve/handover/record.go
@@ -22,26 +22,26 @@
 
 // Phases.
 const (
-	Starting Phase = "starting"
-	Ready    Phase = "ready"  // it can serve
-	Ending   Phase = "ending" // it was asked to end, and finishes what it has
+	Starting     Phase = "starting"
+	Ready        Phase = "ready"  // it can serve
+	ShuttingDown Phase = "ending" // it was asked to end, and finishes what it has
 )
 
-// Standing is what the others need to know of a process to share the work with it.
-type Standing struct {
-	Epoch uint64 `json:"epoch"` // counts the processes that were started beside each other
-	PID   int    `json:"pid"`
-	Phase Phase  `json:"phase"`
-	Claim int    `json:"claim"` // descriptors that it may come to hold
+// ProcessState is what the others need to know of a process to share the work with it.
+type ProcessState struct {
+	Epoch           uint64 `json:"epoch"` // counts the processes that were started beside each other
+	PID             int    `json:"pid"`
+	Phase           Phase  `json:"phase"`
+	DescriptorClaim int    `json:"claim"` // descriptors that it may come to hold
 }
 
-func (s Standing) younger(than Standing) bool {
+func (s ProcessState) younger(than ProcessState) bool {
 	return s.Epoch > than.Epoch || s.Epoch == than.Epoch && s.PID > than.PID
 }
 
 // Accepts tells whether a process accepts clients beside others that are alive: of those that
 // can serve, the youngest does. One that ends leaves it to whoever can, and does it alone else.
-func (s Standing) Accepts(others []Standing) bool {
+func (s ProcessState) Accepts(others []ProcessState) bool {
 	for _, o := range others {
 		if o.Phase == Ready && (s.Phase != Ready || o.younger(s)) {
 			return false
@@ -53,10 +53,10 @@
 // growth is how many descriptors a process may open beyond what it holds, while another accepts.
 const growth = 16
 
-// Share is how many descriptors of limit a process may hold beside others that are alive, if it
+// DescriptorShare is how many descriptors of limit a process may hold beside others that are alive, if it
 // holds open by now. Whoever accepts clients needs most: the others claim little more than they
 // have, and what they do not claim is the accepting one's.
-func (s Standing) Share(others []Standing, limit, open int) int {
+func (s ProcessState) DescriptorShare(others []ProcessState, limit, open int) int {
 	if len(others) == 0 {
 		return limit
 	}
@@ -64,13 +64,13 @@
 		return min(open+growth, limit/2)
 	}
 	for _, o := range others {
-		limit -= o.Claim
+		limit -= o.DescriptorClaim
 	}
 	return max(limit, growth)
 }
 
-// Succeeded tells whether another that is alive can serve in this one's place.
-func (s Standing) Succeeded(others []Standing) bool {
+// HasSuccessor tells whether another that is alive can serve in this one's place.
+func (s ProcessState) HasSuccessor(others []ProcessState) bool {
 	for _, o := range others {
 		if o.Phase == Ready {
 			return true
@@ -81,25 +81,25 @@
 
 // Record is what a process tells the others of its balancer.
 type Record struct {
-	Standing
+	ProcessState
 	Name       string              `json:"name"` // the balancer's
-	At         time.Duration       `json:"at"`   // Unix time of the writing
+	WrittenAt  time.Duration       `json:"at"`   // Unix time of the writing
 	Discovery  string              `json:"discovery"`
 	Generation uint64              `json:"generation"`
-	Members    []Member            `json:"members"` // nil: no list is known
-	Words      overrides.Overrides `json:"words"`
-	Learnt     piernotch.Snapshot  `json:"learnt"`
+	Endpoints  []Endpoint          `json:"members"` // nil: no list is known
+	Overrides  overrides.Overrides `json:"words"`
+	Snapshot   piernotch.Snapshot  `json:"learnt"`
 }
 
-// Member is a feed server as it was listed last. The zone is a name: its number is the settings'.
-type Member struct {
-	Name    string          `json:"name"`
-	Address string          `json:"address"`
-	Zone    string          `json:"zone"`
-	Cell    int             `json:"cell"`
-	State   piernotch.State `json:"state"`
-	Size    float64         `json:"size"`
-	Born    time.Duration   `json:"born"`
+// Endpoint is a feed server as it was listed last. The zone is a name: its number is the settings'.
+type Endpoint struct {
+	Name      string          `json:"name"`
+	Address   string          `json:"address"`
+	Zone      string          `json:"zone"`
+	Cell      int             `json:"cell"`
+	State     piernotch.State `json:"state"`
+	Size      float64         `json:"size"`
+	StartedAt time.Duration   `json:"born"`
 }
 
 // The first line of a record: a name, the version of the form, xxHash64 of the rest, its length.
@@ -111,8 +111,8 @@
 
 // Errors of Decode. A record that cannot be read counts for nothing.
 var (
-	ErrTorn    = errors.New("record is torn")
-	ErrVersion = errors.New("record is of another version")
+	ErrTruncated = errors.New("record is torn")
+	ErrVersion   = errors.New("record is of another version")
 )
 
 // Encode writes a record.
@@ -131,22 +131,22 @@
 	var v, n int
 	var sum uint64
 	if !ok {
-		return r, fmt.Errorf("%w: no first line", ErrTorn)
+		return r, fmt.Errorf("%w: no first line", ErrTruncated)
 	}
 	if got, err := fmt.Sscanf(string(line)+"\n", "piernotch-handover %d", &v); got != 1 || err != nil {
-		return r, fmt.Errorf("%w: the first line is no record's", ErrTorn)
+		return r, fmt.Errorf("%w: the first line is no record's", ErrTruncated)
 	}
 	if v != version {
 		return r, fmt.Errorf("%w: %d, this program reads %d", ErrVersion, v, version)
 	}
 	if _, err := fmt.Sscanf(string(line)+"\n", header, &v, &sum, &n); err != nil {
-		return r, fmt.Errorf("%w: %w", ErrTorn, err)
+		return r, fmt.Errorf("%w: %w", ErrTruncated, err)
 	}
 	if n != len(body) || sum != xxhash.Sum64(body) {
-		return r, fmt.Errorf("%w: %d bytes of %d, or others", ErrTorn, len(body), n)
+		return r, fmt.Errorf("%w: %d bytes of %d, or others", ErrTruncated, len(body), n)
 	}
 	if err := json.Unmarshal(body, &r); err != nil {
-		return Record{}, fmt.Errorf("%w: %w", ErrTorn, err)
+		return Record{}, fmt.Errorf("%w: %w", ErrTruncated, err)
 	}
 	return r, nil
 }
--- a/internal/serve/runtime/beside.go
+++ b/internal/serve/runtime/beside.go
@@ -24,9 +24,9 @@
 // beside is this process among others of its balancer. Without a directory it is alone.
 type beside struct {
 	n         *Node
-	dir       *handover.Dir
-	self      handover.Standing
-	others    []handover.Standing // that are alive and could be read
+	dir       *handover.Directory
+	self      handover.ProcessState
+	others    []handover.ProcessState // that are alive and could be read
 	alone     bool
 	looked    time.Duration
 	kept      time.Duration
@@ -37,7 +37,7 @@
 func (n *Node) enter() ([]handover.Peer, error) {
 	b := &n.beside
 	b.n, b.alone = n, true
-	b.self = handover.Standing{Epoch: 1, PID: os.Getpid(), Phase: handover.Starting}
+	b.self = handover.ProcessState{Epoch: 1, PID: os.Getpid(), Phase: handover.Starting}
 	if n.cfg.StateDir == "" {
 		return nil, nil
 	}
@@ -51,7 +51,7 @@
 	for i := range peers {
 		p := &peers[i]
 		b.self.Epoch = max(b.self.Epoch, p.Epoch+1)
-		usable := p.Err == nil && p.Members != nil && (p.Alive || p.Discovery == n.cfg.Discovery && p.Generation >= n.cfg.Known.Generation)
+		usable := p.Err == nil && p.Endpoints != nil && (p.Alive || p.Discovery == n.cfg.Discovery && p.Generation >= n.cfg.Known.Generation)
 		if usable && (from == nil || p.Epoch > from.Epoch) {
 			from = &p.Record
 		}
@@ -65,14 +65,14 @@
 // takeOver starts from the list and the experience of another process.
 func (n *Node) takeOver(from *handover.Record) {
 	known := discovery.EndpointList{Generation: from.Generation, Reset: true}
-	for _, m := range from.Members {
+	for _, m := range from.Endpoints {
 		known.Endpoints = append(known.Endpoints, core.DiscoveredEndpoint{Name: m.Name, Address: m.Address, Endpoint: piernotch.Endpoint{
-			Zone: slices.Index(n.cfg.Settings.Zones, m.Zone), Cell: m.Cell, State: m.State, Size: m.Size, StartedAt: m.Born,
+			Zone: slices.Index(n.cfg.Settings.Zones, m.Zone), Cell: m.Cell, State: m.State, Size: m.Size, StartedAt: m.StartedAt,
 		}})
 	}
 	n.cfg.Known, n.cfg.HasKnown = known, true
 	n.watcher.Resume(from.Generation, from.Discovery == n.cfg.Discovery)
-	n.emit(core.PeerSnapshot{Snapshot: from.Learnt})
+	n.emit(core.PeerSnapshot{Snapshot: from.Snapshot})
 	slog.Info("taking over", "from_pid", from.PID, "epoch", from.Epoch, "generation", from.Generation, "servers", len(known.Endpoints))
 }
 
@@ -93,7 +93,7 @@
 }
 
 func (b *beside) read() []handover.Peer {
-	peers, err := b.dir.Look()
+	peers, err := b.dir.Peers()
 	if err != nil {
 		slog.Warn("other processes cannot be seen", "err", err)
 	}
@@ -107,12 +107,12 @@
 	for i := range peers {
 		p := &peers[i]
 		if p.Err == nil {
-			b.n.emit(core.PeerOverrides{Overrides: &p.Words})
+			b.n.emit(core.PeerOverrides{Overrides: &p.Overrides})
 		}
 		if p.Alive {
 			alone = false
 			if p.Err == nil {
-				b.others = append(b.others, p.Standing)
+				b.others = append(b.others, p.ProcessState)
 			}
 		}
 	}
@@ -127,7 +127,7 @@
 
 // advance notes how far this process is.
 func (b *beside) advance(to handover.Phase) {
-	if b.self.Phase == to || b.self.Phase == handover.Ending {
+	if b.self.Phase == to || b.self.Phase == handover.ShuttingDown {
 		return
 	}
 	b.self.Phase = to
@@ -139,7 +139,7 @@
 // stand accepts clients, or leaves them to another process.
 func (b *beside) stand() {
 	n := b.n
-	b.succeeded = b.self.Succeeded(b.others)
+	b.succeeded = b.self.HasSuccessor(b.others)
 	if n.cfg.ListenFD == 0 || n.stopped {
 		return
 	}
@@ -161,19 +161,19 @@
 	n := b.n
 	b.kept = n.now()
 	r := handover.Record{
-		Standing: b.self, At: b.kept, Discovery: n.cfg.Discovery, Generation: n.watcher.Version(),
-		Words: n.core.Overrides(), Learnt: n.core.Snapshot(),
+		ProcessState: b.self, WrittenAt: b.kept, Discovery: n.cfg.Discovery, Generation: n.watcher.Version(),
+		Overrides: n.core.Overrides(), Snapshot: n.core.Snapshot(),
 	}
 	if n.core.EndpointsKnown() {
-		r.Members = []handover.Member{}
+		r.Endpoints = []handover.Endpoint{}
 	}
 	for _, m := range n.core.Endpoints() {
 		zone := ""
 		if z := m.Endpoint.Zone; z >= 0 && z < len(n.cfg.Settings.Zones) {
 			zone = n.cfg.Settings.Zones[z]
 		}
-		r.Members = append(r.Members, handover.Member{
-			Name: m.Name, Address: m.Address, Zone: zone, Cell: m.Endpoint.Cell, State: m.Endpoint.State, Size: m.Endpoint.Size, Born: m.Endpoint.StartedAt,
+		r.Endpoints = append(r.Endpoints, handover.Endpoint{
+			Name: m.Name, Address: m.Address, Zone: zone, Cell: m.Endpoint.Cell, State: m.Endpoint.State, Size: m.Endpoint.Size, StartedAt: m.Endpoint.StartedAt,
 		})
 	}
 	if err := b.dir.Write(r); err != nil {
@@ -193,7 +193,7 @@
 	case len(b.others) == 0: // nothing is known of whoever is there
 		sockets, memory = sockets/2, memory/2
 	default:
-		sockets, memory = b.self.Share(b.others, sockets, n.engine.OpenConnections()+eventloop.ReservedDescriptors), memory/2
+		sockets, memory = b.self.DescriptorShare(b.others, sockets, n.engine.OpenConnections()+eventloop.ReservedDescriptors), memory/2
 	}
 	if sockets != n.sockets {
 		n.sockets = sockets
@@ -203,8 +203,8 @@
 		n.memory = memory
 		n.LimitMemory(memory)
 	}
-	if d := sockets - b.self.Claim; d < 0 || d > 8 { // a record for each descriptor would be many
-		b.self.Claim = sockets
+	if d := sockets - b.self.DescriptorClaim; d < 0 || d > 8 { // a record for each descriptor would be many
+		b.self.DescriptorClaim = sockets
 		b.keep()
 	}
 }
--- a/internal/serve/runtime/node.go
+++ b/internal/serve/runtime/node.go
@@ -225,7 +225,7 @@
 		slog.Info("terminating", "owed", n.core.PendingRequests(), "clients", n.front.ConnectionCount())
 		n.front.Shutdown()
 		n.emit(core.Shutdown{})
-		n.beside.advance(handover.Ending)
+		n.beside.advance(handover.ShuttingDown)
 	})
 }
 
