--- a/internal/group/protocol/message.go
+++ b/internal/group/protocol/message.go
@@ -79,9 +79,9 @@
 // Hello is what a voter says of itself before it takes part: an older copy of its disk would vote twice,
 // or have forgotten what it promised to keep.
 type Hello struct {
-	Starts uint64 // how often its store was opened, this time included
-	Run    uint64 // drawn at this start: a copy that was taken before it counts as far
-	Term   uint64
-	Vote   uint64
-	Last   uint64
+	Starts uint64 `cbor:"Starts"` // how often its store was opened, this time included
+	Run    uint64 `cbor:"Run"`    // drawn at this start: a copy that was taken before it counts as far
+	Term   uint64 `cbor:"Term"`
+	Vote   uint64 `cbor:"Vote"`
+	Last   uint64 `cbor:"Last"`
 }
