--- a/cmd/piernotch/group.go
+++ b/cmd/piernotch/group.go
@@ -18,7 +18,7 @@
 
 // join takes part in the group that a file tells of, and returns what leaves it, which may be called
 // more than once. Without a file there is no group, and nothing is opened.
-func join(file string, n *runtime.Node) (leave func(), err error) {
+func join(file string, n *runtime.Balancer) (leave func(), err error) {
 	if file == "" {
 		return func() {}, nil
 	}
@@ -28,7 +28,7 @@
 	}
 	cfg.Disk = ""
 	m := client.Start(cfg, nil)
-	n.Share(m.Lists)
+	n.ShareWatch(m.Lists)
 	return sync.OnceFunc(func() { m.Close(leaveFor) }), nil
 }
 
--- a/cmd/piernotch/main.go
+++ b/cmd/piernotch/main.go
@@ -123,7 +123,7 @@
 	go func() {
 		for s := range signals {
 			if s != syscall.SIGHUP {
-				n.Terminate()
+				n.Shutdown()
 				go leave() // a duty passes on while clients are still served
 			} else if next, err := c.again(cfg); err != nil {
 				slog.Error("configuration not taken, the old one stands", "err", err)
--- a/internal/serve/runtime/beside.go
+++ b/internal/serve/runtime/beside.go
@@ -23,7 +23,7 @@
 
 // beside is this process among others of its balancer. Without a directory it is alone.
 type beside struct {
-	n         *Node
+	n         *Balancer
 	dir       *handover.Directory
 	self      handover.ProcessState
 	others    []handover.ProcessState // that are alive and could be read
@@ -34,7 +34,7 @@
 }
 
 // enter makes this process known, takes over the list of another, and returns the others.
-func (n *Node) enter() ([]handover.Peer, error) {
+func (n *Balancer) enter() ([]handover.Peer, error) {
 	b := &n.beside
 	b.n, b.alone = n, true
 	b.self = handover.ProcessState{Epoch: 1, PID: os.Getpid(), Phase: handover.Starting}
@@ -63,7 +63,7 @@
 }
 
 // takeOver starts from the list and the experience of another process.
-func (n *Node) takeOver(from *handover.Record) {
+func (n *Balancer) takeOver(from *handover.Record) {
 	known := discovery.EndpointList{Generation: from.Generation, Reset: true}
 	for _, m := range from.Endpoints {
 		known.Endpoints = append(known.Endpoints, core.DiscoveredEndpoint{Name: m.Name, Address: m.Address, Endpoint: piernotch.Endpoint{
@@ -182,7 +182,7 @@
 }
 
 // limits keeps all processes of the balancer within its limits.
-func (n *Node) limits() {
+func (n *Balancer) limits() {
 	b := &n.beside
 	sockets, memory := n.cfg.Sockets, int64(n.cfg.MemoryMB)<<20*6/10 // stacks, the runtime and the kernel's share come on top
 	if n.cfg.Management != "" {
--- a/internal/serve/runtime/crossings_test.go
+++ b/internal/serve/runtime/crossings_test.go
@@ -129,7 +129,7 @@
 }
 
 // standStill keeps the node from looking at anything until the function that it returns is called.
-func standStill(n *Node) (goOn func()) {
+func standStill(n *Balancer) (goOn func()) {
 	stopped, on := make(chan struct{}), make(chan struct{})
 	n.engine.Post(func() { close(stopped); <-on })
 	<-stopped
@@ -263,7 +263,7 @@
 }
 
 // narrow is a client whose system takes in next to nothing that it has not read.
-func narrow(t *testing.T, n *Node) *client {
+func narrow(t *testing.T, n *Balancer) *client {
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2<<10) })
 	}}
@@ -300,7 +300,7 @@
 			_, body := c.ask("POST", "/append", "1", "first")
 			require.Equal(t, "first", body)
 			if term {
-				n.Terminate()
+				n.Shutdown()
 			}
 			_, err := c.r.Peek(1)
 			require.ErrorIs(t, err, io.EOF)
@@ -347,7 +347,7 @@
 		})
 	}
 	time.Sleep(100 * time.Millisecond)
-	n.Terminate()
+	n.Shutdown()
 	clients.Wait()
 	select {
 	case <-done:
@@ -517,7 +517,7 @@
 func TestAConnectionThatComesAsListeningEnds(t *testing.T) {
 	var got ran
 	n, done := start(t, quiet(t), peer(t, got.serves))
-	n.Terminate()
+	n.Shutdown()
 	time.Sleep(core.ShutdownGrace - 50*time.Millisecond)
 	c := connect(t, n)
 	time.Sleep(150 * time.Millisecond)
--- a/internal/serve/runtime/daily_test.go
+++ b/internal/serve/runtime/daily_test.go
@@ -28,8 +28,8 @@
 }
 
 // call makes one call at the operators' address and returns the status line's number.
-func call(t *testing.T, n *Node, method, path, body string) int {
-	head, _ := raw(t, n.Management(), fmt.Sprintf("%s %s HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body))
+func call(t *testing.T, n *Balancer, method, path, body string) int {
+	head, _ := raw(t, n.AdminAddr(), fmt.Sprintf("%s %s HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body))
 	var status int
 	_, err := fmt.Sscanf(head, "HTTP/1.1 %d", &status)
 	require.NoError(t, err, head)
@@ -90,7 +90,7 @@
 func TestSilentCallersGiveWay(t *testing.T) {
 	n, _ := startWith(t, managed, quiet(t), echo(t, "a"))
 	for range 3 * 16 {
-		c, err := net.Dial("tcp", n.Management())
+		c, err := net.Dial("tcp", n.AdminAddr())
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = c.Close() })
 		_, _ = io.WriteString(c, "POST /api/excl")
@@ -178,7 +178,7 @@
 		return body == "a"
 	}, patience, 10*time.Millisecond)
 
-	old.Terminate()
+	old.Shutdown()
 	head, _ := held.ask("GET", "/_health", "1", "")
 	require.Contains(t, head, " 200 ", "the two are one balancer")
 	require.Contains(t, head, "Connection: close")
@@ -203,7 +203,7 @@
 	require.Contains(t, head, " 503 ", "it has heard of the drain")
 }
 
-func accepting(n *Node, want bool) bool { return n.listener.Accepting() == want }
+func accepting(n *Balancer, want bool) bool { return n.listener.Accepting() == want }
 
 // New settings are in use at once, and what is under way keeps the class that it came with.
 func TestSettingsAreTakenWhileRequestsAreUnderWay(t *testing.T) {
--- a/internal/serve/runtime/node.go
+++ b/internal/serve/runtime/node.go
@@ -28,8 +28,8 @@
 // read, once no answer is owed.
 const lastWords = 5 * time.Second
 
-// Node is one balancer.
-type Node struct {
+// Balancer is one balancer.
+type Balancer struct {
 	// LimitMemory, if set, is told how much the runtime may use, in bytes.
 	LimitMemory func(int64) int64
 
@@ -61,8 +61,8 @@
 }
 
 // New returns a balancer that does not listen yet.
-func New(cfg config.Config) (*Node, error) {
-	n := &Node{cfg: cfg, epoch: time.Now()}
+func New(cfg config.Config) (*Balancer, error) {
+	n := &Balancer{cfg: cfg, epoch: time.Now()}
 	n.base = time.Duration(n.epoch.UnixNano())
 	var err error
 	if n.core, err = core.New(cfg.Settings, cfg.Seed, n.now(), cfg.Discovery, uint64(n.base)); err != nil {
@@ -104,9 +104,9 @@
 	return n, nil
 }
 
-// Share has the watch of discovery go by a group in which one balancer may ask for many. It is called
+// ShareWatch has the watch of discovery go by a group in which one balancer may ask for many. It is called
 // before Start.
-func (n *Node) Share(join group.Join) {
+func (n *Balancer) ShareWatch(join group.Join) {
 	if l := join(n.cfg.Discovery, func(p group.Post) { n.engine.Post(func() { n.watcher.ReceiveShared(p) }) }); l != nil {
 		n.watcher.UseSharedWatch(l)
 	}
@@ -114,16 +114,16 @@
 
 // now is the module's clock: Unix time, as the servers' starts are told in it,
 // read once and advanced by the monotonic clock so that it never jumps.
-func (n *Node) now() time.Duration { return n.base + time.Since(n.epoch) }
+func (n *Balancer) now() time.Duration { return n.base + time.Since(n.epoch) }
 
 // healthy is what the front of the clients is told. Where another process has taken over, this
 // one speaks for the two: the front may ask either.
-func (n *Node) healthy() bool {
+func (n *Balancer) healthy() bool {
 	return n.core.EndpointsKnown() && !n.core.ClientsDrained() && (!n.core.ShuttingDown() || n.beside.succeeded)
 }
 
 // Start listens. Clients are served once Run is called.
-func (n *Node) Start() error {
+func (n *Balancer) Start() error {
 	peers, err := n.enter()
 	if err != nil {
 		return err
@@ -148,7 +148,7 @@
 	return nil
 }
 
-func (n *Node) listen() error {
+func (n *Balancer) listen() error {
 	if n.cfg.Management != "" {
 		n.operators = n.engine.AdminListener(admin.MaxConnections, n.manage.Accepted, n.manage.Shed)
 		if err := n.operators.Listen(n.cfg.Management); err != nil {
@@ -169,24 +169,24 @@
 }
 
 // settle notes when this process can serve.
-func (n *Node) settle() {
+func (n *Balancer) settle() {
 	if n.core.EndpointsKnown() && !n.core.ShuttingDown() {
 		n.beside.advance(handover.Ready)
 	}
 }
 
 // Addr is the address that is listened on.
-func (n *Node) Addr() string { return n.listener.Addr() }
+func (n *Balancer) Addr() string { return n.listener.Addr() }
 
-// Management is the operators' address, "" if there is none.
-func (n *Node) Management() string {
+// AdminAddr is the operators' address, "" if there is none.
+func (n *Balancer) AdminAddr() string {
 	if n.operators == nil {
 		return ""
 	}
 	return n.operators.Addr()
 }
 
-func (n *Node) route(routes []core.Route) {
+func (n *Balancer) route(routes []core.Route) {
 	var waits []time.Duration
 	for _, c := range n.core.Settings().Classes {
 		waits = append(waits, c.Deadline)
@@ -195,7 +195,7 @@
 }
 
 // Run serves until the context ends or, after Terminate, nothing is owed.
-func (n *Node) Run(ctx context.Context) {
+func (n *Balancer) Run(ctx context.Context) {
 	ctx, n.exit = context.WithCancel(ctx)
 	defer n.exit()
 	n.engine.Run(ctx, core.TickInterval, n.tick)
@@ -214,13 +214,13 @@
 }
 
 // stop accepts no clients any more.
-func (n *Node) stop() {
+func (n *Balancer) stop() {
 	n.stopped = true
 	n.listener.Stop()
 }
 
-// Terminate begins an orderly end. It may be called from any goroutine.
-func (n *Node) Terminate() {
+// Shutdown begins an orderly end. It may be called from any goroutine.
+func (n *Balancer) Shutdown() {
 	n.engine.Post(func() {
 		slog.Info("terminating", "owed", n.core.PendingRequests(), "clients", n.front.ConnectionCount())
 		n.front.Shutdown()
@@ -231,7 +231,7 @@
 
 // Reload takes over what of a new configuration can change while the program runs, which is
 // the settings, the limits and discovery's address. It may be called from any goroutine.
-func (n *Node) Reload(cfg config.Config) {
+func (n *Balancer) Reload(cfg config.Config) {
 	n.engine.Post(func() {
 		n.next = cfg
 		n.emit(core.SettingsChanged{Settings: cfg.Settings, Discovery: cfg.Discovery})
@@ -239,7 +239,7 @@
 }
 
 // retuned takes the rest of a configuration whose settings were taken.
-func (n *Node) retuned(e core.SettingsApplied) {
+func (n *Balancer) retuned(e core.SettingsApplied) {
 	if e.Err != nil {
 		slog.Error("configuration not taken, the old one stands", "err", e.Err)
 		return
@@ -253,7 +253,7 @@
 	n.route(e.Routes)
 }
 
-func (n *Node) tick() {
+func (n *Balancer) tick() {
 	n.emit(core.Tick{})
 	n.front.Tick()
 	n.upstream.Tick()
@@ -281,7 +281,7 @@
 
 // leave ends the program once the core is done and the sockets are: an answer
 // that is still in a buffer, or a request of which a part has come, would be lost.
-func (n *Node) leave() {
+func (n *Balancer) leave() {
 	now := n.now()
 	if n.leaving == 0 || n.core.PendingRequests() > 0 || now-n.leaving < settleFor {
 		return
@@ -292,7 +292,7 @@
 	}
 }
 
-func (n *Node) log(what string) {
+func (n *Balancer) log(what string) {
 	c := n.core.Counts
 	slog.Info(what, "taken", c.Accepted, "served", c.Served, "refused", c.Rejected, "failed", c.Failed,
 		"gone", c.ClientsGone, "overdue", c.DeadlineExceeded, "attempts", c.Attempts, "timeouts", c.Timeouts, "resets", c.Resets,
@@ -302,7 +302,7 @@
 
 // emit takes an event to the reducer. Effects may bring further events, which
 // wait their turn: the reducer is never entered twice.
-func (n *Node) emit(ev core.Event) {
+func (n *Balancer) emit(ev core.Event) {
 	n.queue = append(n.queue, ev)
 	if n.busy {
 		return
@@ -324,7 +324,7 @@
 	n.queue, n.head = n.queue[:0], 0
 }
 
-func (n *Node) perform(e core.Effect) {
+func (n *Balancer) perform(e core.Effect) {
 	switch e := e.(type) {
 	case core.StartAttempt:
 		n.upstream.StartAttempt(e, e.Message.(*upstream.Request))
--- a/internal/serve/runtime/recorder_test.go
+++ b/internal/serve/runtime/recorder_test.go
@@ -39,7 +39,7 @@
 	}
 	_, body := c.ask("POST", "/append", "4", "body")
 	require.Equal(t, "x", body)
-	n.Terminate()
+	n.Shutdown()
 	select {
 	case <-done:
 	case <-time.After(patience):
--- a/internal/serve/runtime/shared_test.go
+++ b/internal/serve/runtime/shared_test.go
@@ -75,7 +75,7 @@
 	require.NoError(t, err)
 	l := &lists{}
 	var take group.Take
-	n.Share(func(source string, t group.Take) group.Lists { take = t; return l })
+	n.ShareWatch(func(source string, t group.Take) group.Lists { take = t; return l })
 	require.NoError(t, n.Start())
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
--- a/internal/serve/runtime/stories_test.go
+++ b/internal/serve/runtime/stories_test.go
@@ -77,15 +77,15 @@
 }
 
 // start runs a balancer in front of the servers until the test ends.
-func start(t *testing.T, disco string, servers ...string) (*Node, chan struct{}) {
+func start(t *testing.T, disco string, servers ...string) (*Balancer, chan struct{}) {
 	return startWith(t, func(*config.Config) {}, disco, servers...)
 }
 
-func startWith(t *testing.T, set func(*config.Config), disco string, servers ...string) (*Node, chan struct{}) {
+func startWith(t *testing.T, set func(*config.Config), disco string, servers ...string) (*Balancer, chan struct{}) {
 	return startIn(t, context.Background(), set, disco, servers...)
 }
 
-func startIn(t *testing.T, ctx context.Context, set func(*config.Config), disco string, servers ...string) (*Node, chan struct{}) {
+func startIn(t *testing.T, ctx context.Context, set func(*config.Config), disco string, servers ...string) (*Balancer, chan struct{}) {
 	aim, deadline := 2*time.Second, 5*time.Second
 	cfg := config.Config{
 		Name: "n", Listen: "127.0.0.1:0", Discovery: disco, Seed: 1, MemoryMB: 64, Sockets: 256,
@@ -121,7 +121,7 @@
 	r *bufio.Reader
 }
 
-func connect(t *testing.T, n *Node) *client {
+func connect(t *testing.T, n *Balancer) *client {
 	c, err := net.Dial("tcp", n.Addr())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
@@ -362,7 +362,7 @@
 	<-arrived
 	late := connect(t, n)
 	late.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\n") // the rest comes after the SIGTERM
-	n.Terminate()
+	n.Shutdown()
 	head, _ := connect(t, n).ask("GET", "/_health", "", "")
 	require.Contains(t, head, "503")
 	require.Contains(t, head, "Connection: close")
--- a/internal/serve/runtime/watch_test.go
+++ b/internal/serve/runtime/watch_test.go
@@ -20,7 +20,7 @@
 // A watch that dies, falls silent or is not there while servers begin to drain.
 
 // refuses tells whether the node has no server to send a request to.
-func refuses(t *testing.T, n *Node) func() bool {
+func refuses(t *testing.T, n *Balancer) func() bool {
 	return func() bool {
 		c := connect(t, n)
 		defer func() { _ = c.Close() }()
