--- a/cmd/piernotch/main.go
+++ b/cmd/piernotch/main.go
@@ -64,7 +64,7 @@
 	cfg, err := c.load()
 	if err == nil {
 		fmt.Printf("good: %s listens on %s, asks %s, %d classes, %d servers known\n",
-			cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.Settings.Classes), len(cfg.Known.Endpoints))
+			cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.Settings.Classes), len(cfg.KnownEndpoints.Endpoints))
 	}
 	return err
 }
--- a/internal/serve/config/config.go
+++ b/internal/serve/config/config.go
@@ -18,19 +18,19 @@
 
 // Config is a checked configuration.
 type Config struct {
-	Name, Listen, Discovery string
-	Seed                    uint64
-	MemoryMB, Sockets       int
-	Known                   discovery.EndpointList
-	HasKnown                bool
-	Settings                piernotch.Settings
-	KeepAlive, DialTimeout  time.Duration
-	Log                     logs.Options
-	Trace                   Trace
-	Management              string // the operators' address; "": there is none
-	ListenFD                int    // a listening socket that was handed down; 0: none, Listen is bound
-	raw                     []byte // the file
-	StateDir                string // where processes of this balancer beside each other meet; "": nowhere
+	Name, Listen, Discovery  string
+	Seed                     uint64
+	MemoryMB, MaxDescriptors int
+	KnownEndpoints           discovery.EndpointList
+	HasKnownEndpoints        bool
+	Settings                 piernotch.Settings
+	KeepAlive, DialTimeout   time.Duration
+	Log                      logs.Options
+	Trace                    Trace
+	AdminAddress             string // the operators' address; "": there is none
+	ListenFD                 int    // a listening socket that was handed down; 0: none, Listen is bound
+	raw                      []byte // the file
+	StateDir                 string // where processes of this balancer beside each other meet; "": nowhere
 }
 
 // Trace is where traffic is recorded; without a file it is not.
@@ -101,12 +101,12 @@
 		return value
 	}
 	c := Config{
-		raw:        data,
-		Name:       pick("ROUTER_NAME", in.Name),
-		Listen:     pick("ROUTER_LISTEN", in.Listen),
-		Discovery:  pick("ROUTER_DISCOVERY", in.Discovery),
-		Management: pick("ROUTER_MANAGEMENT", in.Management),
-		MemoryMB:   in.Limits.MemoryMB, Sockets: in.Limits.Sockets,
+		raw:          data,
+		Name:         pick("ROUTER_NAME", in.Name),
+		Listen:       pick("ROUTER_LISTEN", in.Listen),
+		Discovery:    pick("ROUTER_DISCOVERY", in.Discovery),
+		AdminAddress: pick("ROUTER_MANAGEMENT", in.Management),
+		MemoryMB:     in.Limits.MemoryMB, MaxDescriptors: in.Limits.Sockets,
 		Log: logs.Options{Level: getenv("PIERNOTCH_LOG")}, // the platform's file has no place for it
 	}
 	if err := c.Log.Check(); err != nil {
@@ -119,7 +119,7 @@
 		}
 		c.ListenFD, c.StateDir = n, getenv("TMPDIR")
 	}
-	for _, a := range []struct{ field, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}, {"management", c.Management}} {
+	for _, a := range []struct{ field, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}, {"management", c.AdminAddress}} {
 		if a.field == "management" && a.value == "" {
 			continue
 		}
@@ -140,8 +140,8 @@
 	} else {
 		c.Seed = uint64(time.Now().UnixNano())
 	}
-	if c.Sockets < minSockets {
-		return c, fmt.Errorf("limits.sockets: %d, at least %d are needed", c.Sockets, minSockets)
+	if c.MaxDescriptors < minSockets {
+		return c, fmt.Errorf("limits.sockets: %d, at least %d are needed", c.MaxDescriptors, minSockets)
 	}
 	if c.MemoryMB < 32 {
 		return c, fmt.Errorf("limits.memory_mb: %d, at least 32 are needed", c.MemoryMB)
@@ -157,10 +157,10 @@
 		return c, err
 	}
 	if len(in.Known) > 0 && string(in.Known) != "null" {
-		if c.Known, err = discovery.Parse(in.Known, c.Settings.Zones); err != nil {
+		if c.KnownEndpoints, err = discovery.Parse(in.Known, c.Settings.Zones); err != nil {
 			return c, fmt.Errorf("known: %w", err)
 		}
-		c.HasKnown = true
+		c.HasKnownEndpoints = true
 	}
 	return c, nil
 }
--- a/internal/serve/config/config_test.go
+++ b/internal/serve/config/config_test.go
@@ -15,7 +15,7 @@
 	none := func(string) string { return "" }
 	good, err := parse(data, none)
 	require.NoError(t, err)
-	require.Len(t, good.Known.Endpoints, 1)
+	require.Len(t, good.KnownEndpoints.Endpoints, 1)
 	require.Equal(t, "segment-read", good.Settings.Classes[0].Name)
 	for _, c := range []struct{ old, new, field string }{
 		{`"listen": "127.0.0.1:18000"`, `"listen": "here"`, "listen: "},
--- a/internal/serve/config/file.go
+++ b/internal/serve/config/file.go
@@ -117,9 +117,9 @@
 	}
 	const hour = 3600000
 	c := Config{
-		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Log: f.Log,
+		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, MemoryMB: f.Limits.MemoryMB, MaxDescriptors: f.Limits.Sockets, Log: f.Log,
 		KeepAlive: ms(f.Servers.KeepAliveMS), DialTimeout: ms(f.Servers.DialMS),
-		Trace: Trace{f.Trace.File, int64(f.Trace.MaxMB) << 20}, Management: f.Management,
+		Trace: Trace{f.Trace.File, int64(f.Trace.MaxMB) << 20}, AdminAddress: f.Management,
 	}
 	addresses := []struct{ key, value string }{{"listen", f.Listen}, {"discovery", f.Discovery}}
 	if f.Management != "" {
@@ -186,12 +186,12 @@
 		}
 		data, err := os.ReadFile(path)
 		if err == nil {
-			c.Known, err = discovery.Parse(data, zones)
+			c.KnownEndpoints, err = discovery.Parse(data, zones)
 		}
 		if err != nil {
 			add("known_file", "%s", err)
 		}
-		c.HasKnown = err == nil
+		c.HasKnownEndpoints = err == nil
 	}
 	return c
 }
--- a/internal/serve/runtime/beside.go
+++ b/internal/serve/runtime/beside.go
@@ -51,7 +51,7 @@
 	for i := range peers {
 		p := &peers[i]
 		b.self.Epoch = max(b.self.Epoch, p.Epoch+1)
-		usable := p.Err == nil && p.Endpoints != nil && (p.Alive || p.Discovery == n.cfg.Discovery && p.Generation >= n.cfg.Known.Generation)
+		usable := p.Err == nil && p.Endpoints != nil && (p.Alive || p.Discovery == n.cfg.Discovery && p.Generation >= n.cfg.KnownEndpoints.Generation)
 		if usable && (from == nil || p.Epoch > from.Epoch) {
 			from = &p.Record
 		}
@@ -70,7 +70,7 @@
 			Zone: slices.Index(n.cfg.Settings.Zones, m.Zone), Cell: m.Cell, State: m.State, Size: m.Size, StartedAt: m.StartedAt,
 		}})
 	}
-	n.cfg.Known, n.cfg.HasKnown = known, true
+	n.cfg.KnownEndpoints, n.cfg.HasKnownEndpoints = known, true
 	n.watcher.Resume(from.Generation, from.Discovery == n.cfg.Discovery)
 	n.emit(core.PeerSnapshot{Snapshot: from.Snapshot})
 	slog.Info("taking over", "from_pid", from.PID, "epoch", from.Epoch, "generation", from.Generation, "servers", len(known.Endpoints))
@@ -184,8 +184,8 @@
 // limits keeps all processes of the balancer within its limits.
 func (n *Balancer) limits() {
 	b := &n.beside
-	sockets, memory := n.cfg.Sockets, int64(n.cfg.MemoryMB)<<20*6/10 // stacks, the runtime and the kernel's share come on top
-	if n.cfg.Management != "" {
+	sockets, memory := n.cfg.MaxDescriptors, int64(n.cfg.MemoryMB)<<20*6/10 // stacks, the runtime and the kernel's share come on top
+	if n.cfg.AdminAddress != "" {
 		sockets -= admin.ReservedDescriptors
 	}
 	switch {
--- a/internal/serve/runtime/crossings_test.go
+++ b/internal/serve/runtime/crossings_test.go
@@ -224,7 +224,7 @@
 				cfg.Settings.Classes[1].LatencyObjective = 4 * time.Second
 				// Only the second server is elsewhere: all goes to the first until that one fails.
 				cfg.Settings.Zones = []string{"a", "b"}
-				cfg.Known.Endpoints[1].Endpoint.Zone = 1
+				cfg.KnownEndpoints.Endpoints[1].Endpoint.Zone = 1
 			}, quiet(t), peer(t, breaks), server)
 			c := connect(t, n)
 			for i := range 10 { // repeats have a budget, by what is asked
@@ -484,7 +484,7 @@
 // is slow to read.
 func TestAnAnswerThatIsReadSlowlyDoesNotGiveWay(t *testing.T) {
 	body := strings.Repeat("a", 60<<10)
-	n, _ := startWith(t, func(cfg *config.Config) { cfg.Sockets = 64 }, quiet(t),
+	n, _ := startWith(t, func(cfg *config.Config) { cfg.MaxDescriptors = 64 }, quiet(t),
 		peer(t, func(c net.Conn, r *bufio.Reader) { message(r); answer(c, body) }))
 	c := narrow(t, n)
 	c.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 1\r\nConnection: close\r\n\r\n")
--- a/internal/serve/runtime/daily_test.go
+++ b/internal/serve/runtime/daily_test.go
@@ -46,7 +46,7 @@
 	return message(bufio.NewReader(c))
 }
 
-func managed(cfg *config.Config) { cfg.Management = "127.0.0.1:0" }
+func managed(cfg *config.Config) { cfg.AdminAddress = "127.0.0.1:0" }
 
 func TestOperatorsAreAnswered(t *testing.T) {
 	a, b := echo(t, "a"), echo(t, "b")
--- a/internal/serve/runtime/node.go
+++ b/internal/serve/runtime/node.go
@@ -68,14 +68,14 @@
 	if n.core, err = core.New(cfg.Settings, cfg.Seed, n.now(), cfg.Discovery, uint64(n.base)); err != nil {
 		return nil, err
 	}
-	if n.engine, err = eventloop.New(cfg.Sockets); err != nil {
+	if n.engine, err = eventloop.New(cfg.MaxDescriptors); err != nil {
 		return nil, err
 	}
 	if n.recorder, err = newRecorder(&cfg, n.now()); err != nil {
 		return nil, err
 	}
 	n.upstream = upstream.New(n.engine, n.emit, n.now, cfg.KeepAlive, cfg.DialTimeout)
-	n.front = downstream.New(n.emit, n.now, n.healthy, cfg.Sockets)
+	n.front = downstream.New(n.emit, n.now, n.healthy, cfg.MaxDescriptors)
 	n.route(n.core.Routes())
 	n.listener = n.engine.ClientListener(n.front.Accepted)
 	n.engine.Stalled = func(gap time.Duration) {
@@ -90,7 +90,7 @@
 			n.emit(core.AdminCommand{Call: call, Action: verb, Server: server})
 		},
 	}
-	n.watcher = discovery.New(n.engine, n.emit, n.now, cfg.Discovery, cfg.Settings.Zones, cfg.Known.Generation)
+	n.watcher = discovery.New(n.engine, n.emit, n.now, cfg.Discovery, cfg.Settings.Zones, cfg.KnownEndpoints.Generation)
 	n.engine.Shed = func(client bool) {
 		if now := n.now(); now-n.shed > time.Second { // it may go on for a while
 			n.shed = now
@@ -129,8 +129,8 @@
 		return err
 	}
 	n.limits()
-	if n.cfg.HasKnown {
-		n.emit(core.EndpointUpdate{Kind: piernotch.UpdateCached, Endpoints: n.cfg.Known.Endpoints})
+	if n.cfg.HasKnownEndpoints {
+		n.emit(core.EndpointUpdate{Kind: piernotch.UpdateCached, Endpoints: n.cfg.KnownEndpoints.Endpoints})
 	} else {
 		n.emit(core.Tick{})
 		n.watcher.Watch()
@@ -143,15 +143,15 @@
 	if err := n.listen(); err != nil {
 		return err
 	}
-	slog.Info("serving", "name", n.cfg.Name, "listen", n.listener.Addr(), "management", n.cfg.Management, "discovery", n.cfg.Discovery,
-		"servers", len(n.cfg.Known.Endpoints), "sockets", n.cfg.Sockets, "memory_mb", n.cfg.MemoryMB)
+	slog.Info("serving", "name", n.cfg.Name, "listen", n.listener.Addr(), "management", n.cfg.AdminAddress, "discovery", n.cfg.Discovery,
+		"servers", len(n.cfg.KnownEndpoints.Endpoints), "sockets", n.cfg.MaxDescriptors, "memory_mb", n.cfg.MemoryMB)
 	return nil
 }
 
 func (n *Balancer) listen() error {
-	if n.cfg.Management != "" {
+	if n.cfg.AdminAddress != "" {
 		n.operators = n.engine.AdminListener(admin.MaxConnections, n.manage.Accepted, n.manage.Shed)
-		if err := n.operators.Listen(n.cfg.Management); err != nil {
+		if err := n.operators.Listen(n.cfg.AdminAddress); err != nil {
 			return fmt.Errorf("management: %w", err)
 		}
 	}
@@ -247,7 +247,7 @@
 	slog.Info("configuration read again", "discovery", n.next.Discovery, "was", n.cfg.Discovery,
 		"classes", len(n.next.Settings.Classes), "max_attempts", n.next.Settings.Limits.MaxAttempts)
 	n.cfg.Discovery, n.cfg.Settings = n.next.Discovery, n.next.Settings
-	n.cfg.Sockets, n.cfg.MemoryMB = n.next.Sockets, n.next.MemoryMB
+	n.cfg.MaxDescriptors, n.cfg.MemoryMB = n.next.MaxDescriptors, n.next.MemoryMB
 	n.upstream.SetTimeouts(n.next.KeepAlive, n.next.DialTimeout)
 	n.limits()
 	n.route(e.Routes)
--- a/internal/serve/runtime/shared_test.go
+++ b/internal/serve/runtime/shared_test.go
@@ -61,7 +61,7 @@
 		}
 	})
 	cfg := config.Config{
-		Name: "n", Listen: "127.0.0.1:0", Discovery: disco, Seed: 1, MemoryMB: 64, Sockets: 256, KeepAlive: patience, DialTimeout: patience, HasKnown: true,
+		Name: "n", Listen: "127.0.0.1:0", Discovery: disco, Seed: 1, MemoryMB: 64, MaxDescriptors: 256, KeepAlive: patience, DialTimeout: patience, HasKnownEndpoints: true,
 		Settings: piernotch.Settings{
 			BalancerCount: 1, Zones: []string{"a"}, Tick: 5e6, PollDiscovery: true,
 			Classes: []piernotch.Class{{Name: "read", LatencyObjective: 2e9, Deadline: 5e9, PriorityWeight: 1, RetrySafety: piernotch.Idempotent}},
@@ -69,7 +69,7 @@
 		},
 	}
 	var err error
-	cfg.Known, err = discovery.Parse([]byte(list(1, true, "in_service", a)), cfg.Settings.Zones)
+	cfg.KnownEndpoints, err = discovery.Parse([]byte(list(1, true, "in_service", a)), cfg.Settings.Zones)
 	require.NoError(t, err)
 	n, err := New(cfg)
 	require.NoError(t, err)
--- a/internal/serve/runtime/stories_test.go
+++ b/internal/serve/runtime/stories_test.go
@@ -88,8 +88,8 @@
 func startIn(t *testing.T, ctx context.Context, set func(*config.Config), disco string, servers ...string) (*Balancer, chan struct{}) {
 	aim, deadline := 2*time.Second, 5*time.Second
 	cfg := config.Config{
-		Name: "n", Listen: "127.0.0.1:0", Discovery: disco, Seed: 1, MemoryMB: 64, Sockets: 256,
-		KeepAlive: time.Minute, DialTimeout: time.Second, HasKnown: true,
+		Name: "n", Listen: "127.0.0.1:0", Discovery: disco, Seed: 1, MemoryMB: 64, MaxDescriptors: 256,
+		KeepAlive: time.Minute, DialTimeout: time.Second, HasKnownEndpoints: true,
 		Settings: piernotch.Settings{
 			BalancerCount: 1, Zones: []string{"a"}, Tick: 5 * time.Millisecond, PollDiscovery: true,
 			Classes: []piernotch.Class{
@@ -101,7 +101,7 @@
 		},
 	}
 	var err error
-	cfg.Known, err = discovery.Parse([]byte(list(1, true, "in_service", servers...)), cfg.Settings.Zones)
+	cfg.KnownEndpoints, err = discovery.Parse([]byte(list(1, true, "in_service", servers...)), cfg.Settings.Zones)
 	require.NoError(t, err)
 	set(&cfg)
 	n, err := New(cfg)
@@ -342,7 +342,7 @@
 	for range 400 {
 		_, body := connect(t, n).ask("GET", "/read", "i", "")
 		require.Equal(t, "served", body)
-		require.Less(t, n.engine.OpenConnections(), n.cfg.Sockets)
+		require.Less(t, n.engine.OpenConnections(), n.cfg.MaxDescriptors)
 	}
 }
 
