--- a/cmd/piernotch-lab/model.go
+++ b/cmd/piernotch-lab/model.go
@@ -334,7 +334,7 @@
 		n++
 		classes[rec.Class]++
 		ends[min(int(rec.Outcome), 3)]++
-		if rec.Hint > 0 {
+		if rec.CostHint > 0 {
 			hinted++
 		}
 	}
--- a/internal/lab/simulation/quake_test.go
+++ b/internal/lab/simulation/quake_test.go
@@ -71,7 +71,7 @@
 	}
 	n := 0
 	for at := time.Duration(0); at < 55*time.Second; at += gap(at) {
-		out.Add(trace.Record{At: at, Key: uint64(n%500 + 1), Hint: 80, Deadline: time.Second})
+		out.Add(trace.Record{At: at, Key: uint64(n%500 + 1), CostHint: 80, Deadline: time.Second})
 		n++
 	}
 	require.NoError(t, out.Close())
--- a/internal/lab/simulation/replay_test.go
+++ b/internal/lab/simulation/replay_test.go
@@ -17,7 +17,7 @@
 	require.NoError(t, err)
 	for i := range 400 { // in the order in which they ended: pairs stand crosswise
 		at := time.Duration(i^1) * 20 * time.Millisecond
-		out.Add(trace.Record{At: at, Class: uint16(i % 2), Key: uint64(i%7 + 1), Hint: 30, Deadline: time.Second})
+		out.Add(trace.Record{At: at, Class: uint16(i % 2), Key: uint64(i%7 + 1), CostHint: 30, Deadline: time.Second})
 	}
 	require.NoError(t, out.Close())
 	r := play(t, NewInProcess(), "quiet", 1, "traffic.trace="+name, "length_s=10", "clients.retries=0")
--- a/internal/lab/simulation/traffic.go
+++ b/internal/lab/simulation/traffic.go
@@ -258,7 +258,7 @@
 	}
 	a.path = r.Key
 	a.work = w.day.Classes[a.class].Work.Rand()
-	if r.Hint > 0 {
-		a.work, a.hint = r.Hint, r.Hint
+	if r.CostHint > 0 {
+		a.work, a.hint = r.CostHint, r.CostHint
 	}
 }
--- a/internal/serve/runtime/recorder.go
+++ b/internal/serve/runtime/recorder.go
@@ -22,7 +22,7 @@
 	if cfg.Trace.File == "" {
 		return nil, nil
 	}
-	h := trace.Header{Name: cfg.Name, Started: int64(now)}
+	h := trace.Header{Name: cfg.Name, StartedAt: int64(now)}
 	for _, c := range cfg.Settings.Classes {
 		h.Classes = append(h.Classes, c.Name)
 	}
@@ -42,11 +42,11 @@
 	case core.RequestReceived:
 		rec := trace.Record{At: now - r.from, Class: uint16(ev.Class), Key: ev.Key, Deadline: ev.Deadline - now}
 		if ev.Hint > 0 && !math.IsInf(ev.Hint, 0) {
-			rec.Hint = ev.Hint
+			rec.CostHint = ev.Hint
 		}
 		r.open[ev.Client] = rec
 	case core.ClientGone:
-		r.end(now, ev.Client, trace.Left)
+		r.end(now, ev.Client, trace.ClientGone)
 	}
 }
 
@@ -56,7 +56,7 @@
 	case core.Served:
 		r.end(now, reply.Client, trace.Served)
 	case core.Rejected:
-		r.end(now, reply.Client, trace.Refused)
+		r.end(now, reply.Client, trace.Rejected)
 	case core.Failed:
 		r.end(now, reply.Client, trace.Failed)
 	default: // it was never taken
@@ -70,7 +70,7 @@
 		return
 	}
 	delete(r.open, c)
-	rec.Outcome, rec.Took = how, now-r.from-rec.At
+	rec.Outcome, rec.Latency = how, now-r.from-rec.At
 	r.out.Add(rec)
 }
 
--- a/internal/serve/runtime/recorder_test.go
+++ b/internal/serve/runtime/recorder_test.go
@@ -54,7 +54,7 @@
 	for i := range 4 {
 		require.NoError(t, r.Next(&rec))
 		require.Equal(t, trace.Served, rec.Outcome)
-		require.Positive(t, rec.Took)
+		require.Positive(t, rec.Latency)
 		require.Equal(t, i == 3, rec.Class == 1)
 		require.Equal(t, i < 3, rec.Key != 0)
 	}
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -44,11 +44,11 @@
 
 // Header says where a recording comes from.
 type Header struct {
-	Version int      `cbor:"version"`
-	Name    string   `cbor:"name"`    // of the balancer
-	Zone    string   `cbor:"zone"`    // its zone
-	Classes []string `cbor:"classes"` // by the records' class numbers
-	Started int64    `cbor:"started"` // Unix time of the start, ns
+	Version   int      `cbor:"version"`
+	Name      string   `cbor:"name"`    // of the balancer
+	Zone      string   `cbor:"zone"`    // its zone
+	Classes   []string `cbor:"classes"` // by the records' class numbers
+	StartedAt int64    `cbor:"started"` // Unix time of the start, ns
 }
 
 // Outcome is how a request ended.
@@ -57,9 +57,9 @@
 // Outcomes.
 const (
 	Served Outcome = iota
-	Refused
+	Rejected
 	Failed
-	Left // the client went away
+	ClientGone // the client went away
 )
 
 // Record is one request.
@@ -68,10 +68,10 @@
 	At       time.Duration // since the start
 	Class    uint16
 	Key      uint64        // 0: none
-	Hint     float64       // ms; 0: none
+	CostHint float64       // ms; 0: none
 	Deadline time.Duration // from its arrival
 	Outcome  Outcome
-	Took     time.Duration
+	Latency  time.Duration
 }
 
 // Limits bounds a recording. Zeros take the defaults.
@@ -226,8 +226,8 @@
 	return b, nil
 }
 
-// ErrCut says that a recording ends in the middle of a block.
-var ErrCut = errors.New("the recording is cut short")
+// ErrTruncated says that a recording ends in the middle of a block.
+var ErrTruncated = errors.New("the recording is cut short")
 
 // Reader reads a recording.
 type Reader struct {
@@ -266,7 +266,7 @@
 	}
 	head := make([]byte, n)
 	if _, err := io.ReadFull(r.src, head); err != nil {
-		return ErrCut
+		return ErrTruncated
 	}
 	if err := cbor.Unmarshal(head, &r.head); err != nil {
 		return fmt.Errorf("header: %w", err)
@@ -316,7 +316,7 @@
 		if n == 0 && errors.Is(err, io.EOF) {
 			return blockInfo{}, io.EOF
 		}
-		return blockInfo{}, ErrCut
+		return blockInfo{}, ErrTruncated
 	}
 	b := blockInfo{
 		length: binary.LittleEndian.Uint32(h[:]), records: binary.LittleEndian.Uint32(h[4:]),
@@ -336,7 +336,7 @@
 	r.number++
 	data := make([]byte, h.length)
 	if _, err := io.ReadFull(r.src, data); err != nil {
-		return ErrCut
+		return ErrTruncated
 	}
 	if crc32.Checksum(data, castagnoli) != h.sum {
 		return errors.New("its checksum is wrong")
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -12,7 +12,7 @@
 )
 
 func record(i int) Record {
-	return Record{At: time.Duration(i) * time.Millisecond, Class: uint16(i % 2), Key: uint64(i * 7), Hint: float64(i), Deadline: time.Second, Outcome: Outcome(i % 4), Took: time.Duration(i)}
+	return Record{At: time.Duration(i) * time.Millisecond, Class: uint16(i % 2), Key: uint64(i * 7), CostHint: float64(i), Deadline: time.Second, Outcome: Outcome(i % 4), Latency: time.Duration(i)}
 }
 
 func write(t *testing.T, n int, limits Limits) (string, *Writer) {
@@ -69,7 +69,7 @@
 		}
 	}
 	n, err := count(data[:len(data)-10])
-	require.ErrorIs(t, err, ErrCut)
+	require.ErrorIs(t, err, ErrTruncated)
 	require.Equal(t, blockRecords, n)
 	spoilt := append([]byte(nil), data...)
 	spoilt[len(spoilt)-10] ^= 1
@@ -79,7 +79,7 @@
 	_, err = count([]byte("PNTRACE9 and more"))
 	require.ErrorContains(t, err, "no recording")
 	_, err = count(data[:20])
-	require.ErrorIs(t, err, ErrCut)
+	require.ErrorIs(t, err, ErrTruncated)
 }
 
 func TestARecordingIsBoundedAndNeverWaits(t *testing.T) {
