--- a/internal/group/client/lists.go
+++ b/internal/group/client/lists.go
@@ -17,7 +17,7 @@
 type lists struct {
 	m        *Member
 	duty     lease.Duty
-	take     group.Take
+	take     group.OnUpdate
 	address  string     // where this balancer reaches what the group calls cfg.Source
 	own      watch.Feed // what this balancer's own calls brought
 	follower *watch.Follower
@@ -35,14 +35,14 @@
 func newLists(m *Member, d lease.Duty) *lists {
 	now := m.now()
 	return &lists{
-		m: m, duty: d, take: func(group.Post) {}, holder: watch.NewHolder(watch.Default, now),
+		m: m, duty: d, take: func(group.WatchEvent) {}, holder: watch.NewHolder(watch.Default, now),
 		follower: watch.NewFollower(watch.Default, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), now),
 	}
 }
 
 // Lists is the member's side of the balancer's watch; it is a group.Join. take is called from the
 // member's goroutines.
-func (m *Member) Lists(source string, take group.Take) group.Lists {
+func (m *Member) Lists(source string, take group.OnUpdate) group.SharedWatch {
 	if m.lists == nil {
 		return nil
 	}
@@ -56,7 +56,7 @@
 // seam is lists as the balancer sees it.
 type seam struct{ l *lists }
 
-func (s seam) Asks(source string) (ask, whole bool) {
+func (s seam) ShouldPoll(source string) (ask, whole bool) {
 	l := s.l
 	l.m.mu.Lock()
 	defer l.m.mu.Unlock()
@@ -80,12 +80,12 @@
 	return address
 }
 
-func (s seam) Told(p group.Post) {
+func (s seam) Publish(p group.WatchEvent) {
 	l := s.l
 	l.m.mu.Lock()
 	defer l.m.mu.Unlock()
 	p.Source = l.common(p.Source)
-	l.source, l.version = p.Source, p.To
+	l.source, l.version = p.Source, p.ToVersion
 	l.holder.Heard(l.m.now())
 	if err := l.own.Take(0, p); errors.Is(err, watch.ErrMissing) {
 		l.own = watch.Feed{} // a whole list comes next, if it is to be published
@@ -94,13 +94,13 @@
 	l.publish()
 }
 
-func (s seam) Failed() {
+func (s seam) PollFailed() {
 	s.l.m.mu.Lock()
 	defer s.l.m.mu.Unlock()
 	s.l.holder.Failed()
 }
 
-func (s seam) Behind(source string, version uint64) {
+func (s seam) RequestUpdate(source string, version uint64) {
 	l := s.l
 	l.m.mu.Lock()
 	defer l.m.mu.Unlock()
@@ -114,7 +114,7 @@
 // follow has the group tell what leads on from what is known here.
 func (l *lists) follow() {
 	l.m.ask(protocol.Question{
-		Kind: protocol.Follow, Command: lease.Command{Duty: l.duty}, Post: &group.Post{Source: l.source, To: l.version},
+		Kind: protocol.Follow, Command: lease.Command{Duty: l.duty}, Post: &group.WatchEvent{Source: l.source, ToVersion: l.version},
 	}, func(protocol.Answer) {})
 }
 
@@ -142,7 +142,7 @@
 		h.Leave()
 	case l.holder.Due(now):
 		if source, version, any := l.own.Last(); any {
-			l.post(token, group.Post{Source: source, From: version, To: version})
+			l.post(token, group.WatchEvent{Source: source, FromVersion: version, ToVersion: version})
 		}
 	}
 }
@@ -168,7 +168,7 @@
 }
 
 // post sends one. A voter that lacks what is before it has to hear all again.
-func (l *lists) post(token uint64, p group.Post) {
+func (l *lists) post(token uint64, p group.WatchEvent) {
 	l.m.ask(protocol.Question{
 		Kind: protocol.Publish, Command: lease.Command{Duty: l.duty, Who: l.m.me, Token: token}, Post: &p,
 	}, func(a protocol.Answer) {
@@ -179,7 +179,7 @@
 }
 
 // heard takes what a holder has published.
-func (l *lists) heard(token uint64, p group.Post) {
+func (l *lists) heard(token uint64, p group.WatchEvent) {
 	if p.Source != l.by { // a holder that asks another discovery is none of this balancer's
 		return
 	}
--- a/internal/group/client/member.go
+++ b/internal/group/client/member.go
@@ -56,7 +56,7 @@
 // Start has a member want the duties of its configuration. seen may be nil.
 func Start(cfg group.Config, seen Seen) *Member {
 	m := &Member{
-		cfg: cfg, me: lease.Member{Name: cfg.Self, Run: rand.Uint64()}, terms: lease.Terms{Length: cfg.Length, Drift: cfg.Drift},
+		cfg: cfg, me: lease.Member{Name: cfg.Self, Run: rand.Uint64()}, terms: lease.Terms{Length: cfg.LeaseDuration, Drift: cfg.MaxClockDrift},
 		begun: time.Now(), seen: seen, done: make(chan struct{}),
 		holders: map[lease.Duty]*lease.Holder{}, was: map[lease.Duty]uint64{}, out: map[uint64]question{},
 	}
--- a/internal/group/file.go
+++ b/internal/group/file.go
@@ -34,8 +34,8 @@
 	f := &file{LengthMS: 5000, Drift: 0.01}
 	problems := tomlfile.Decode(name, data, f)
 	c := Config{
-		Name: f.Name, Self: f.Self, Disk: f.Disk, Length: time.Duration(f.LengthMS) * time.Millisecond,
-		Drift: f.Drift, Duties: f.Duties, Watch: f.Watch, Source: f.Source,
+		Name: f.Name, Self: f.Self, Disk: f.Disk, LeaseDuration: time.Duration(f.LengthMS) * time.Millisecond,
+		MaxClockDrift: f.Drift, Duties: f.Duties, Watch: f.Watch, Source: f.Source,
 	}
 	for _, v := range f.Voters {
 		c.Voters = append(c.Voters, Voter{v.Name, v.Address})
@@ -43,7 +43,7 @@
 	if len(problems) == 0 { // what cannot be read is not checked
 		lines := tomlfile.Lines(data)
 		for _, p := range c.Check() {
-			problems = append(problems, tomlfile.Problem{File: name, Line: lines[p.Key], Key: p.Key, What: p.What})
+			problems = append(problems, tomlfile.Problem{File: name, Line: lines[p.Key], Key: p.Key, What: p.Message})
 		}
 	}
 	if len(problems) > 0 {
@@ -54,7 +54,7 @@
 
 // Text is a configuration as a file.
 func (c Config) Text() string {
-	s := fmt.Sprintf("name = %q\nself = %q\ndisk = %q\nlength_ms = %d\ndrift = %v\nduties = [", c.Name, c.Self, c.Disk, c.Length.Milliseconds(), c.Drift)
+	s := fmt.Sprintf("name = %q\nself = %q\ndisk = %q\nlength_ms = %d\ndrift = %v\nduties = [", c.Name, c.Self, c.Disk, c.LeaseDuration.Milliseconds(), c.MaxClockDrift)
 	for i, d := range c.Duties {
 		if i > 0 {
 			s += ", "
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -11,7 +11,7 @@
 func TestAFileIsReadAsItWasWritten(t *testing.T) {
 	c, err := LoadFile("../../deploy/group.toml")
 	require.NoError(t, err)
-	v, votes := c.Votes()
+	v, votes := c.Voter()
 	require.True(t, votes)
 	require.Equal(t, Voter{"n0", "127.0.0.1:18700"}, v)
 	name := filepath.Join(t.TempDir(), "again.toml")
@@ -28,8 +28,8 @@
 		"name":      func(c *Config) { c.Name = "" },
 		"self":      func(c *Config) { c.Self = "" },
 		"disk":      func(c *Config) { c.Disk = "" },
-		"length_ms": func(c *Config) { c.Length = 1 },
-		"drift":     func(c *Config) { c.Drift = 0.2 },
+		"length_ms": func(c *Config) { c.LeaseDuration = 1 },
+		"drift":     func(c *Config) { c.MaxClockDrift = 0.2 },
 		"duties":    func(c *Config) { c.Duties = []string{""} },
 		"voter":     func(c *Config) { c.Voters = c.Voters[:2] },
 	} {
--- a/internal/group/protocol/message.go
+++ b/internal/group/protocol/message.go
@@ -45,7 +45,7 @@
 	Kind    Kind
 	Command lease.Command
 	Voter   Voter
-	Post    *group.Post
+	Post    *group.WatchEvent
 }
 
 // Of is the question that a holder asks.
--- a/internal/group/transport/peer.go
+++ b/internal/group/transport/peer.go
@@ -54,11 +54,11 @@
 
 // Ask is a member's question.
 type Ask struct {
-	Key     uint64         `cbor:"1,keyasint"`
-	Kind    protocol.Kind  `cbor:"2,keyasint"`
-	Command lease.Command  `cbor:"3,keyasint"`
-	Voter   protocol.Voter `cbor:"4,keyasint,omitempty"`
-	Post    *group.Post    `cbor:"5,keyasint,omitempty"`
+	Key     uint64            `cbor:"1,keyasint"`
+	Kind    protocol.Kind     `cbor:"2,keyasint"`
+	Command lease.Command     `cbor:"3,keyasint"`
+	Voter   protocol.Voter    `cbor:"4,keyasint,omitempty"`
+	Post    *group.WatchEvent `cbor:"5,keyasint,omitempty"`
 }
 
 // Code is an error as it travels.
@@ -87,15 +87,15 @@
 
 // Tell is the answer to an Ask.
 type Tell struct {
-	Key    uint64         `cbor:"1,keyasint"`
-	Code   Code           `cbor:"2,keyasint"`
-	Grant  lease.Grant    `cbor:"3,keyasint,omitempty"`
-	Image  protocol.Image `cbor:"4,keyasint,omitempty"`
-	Leader string         `cbor:"5,keyasint,omitempty"` // the name of who leads, if known
-	Free   lease.Duty     `cbor:"6,keyasint,omitempty"` // without a Key: this duty may have come free
-	Duty   lease.Duty     `cbor:"7,keyasint,omitempty"` // without a Key: of Post
-	Token  uint64         `cbor:"8,keyasint,omitempty"` // under which Post was published
-	Post   *group.Post    `cbor:"9,keyasint,omitempty"`
+	Key    uint64            `cbor:"1,keyasint"`
+	Code   Code              `cbor:"2,keyasint"`
+	Grant  lease.Grant       `cbor:"3,keyasint,omitempty"`
+	Image  protocol.Image    `cbor:"4,keyasint,omitempty"`
+	Leader string            `cbor:"5,keyasint,omitempty"` // the name of who leads, if known
+	Free   lease.Duty        `cbor:"6,keyasint,omitempty"` // without a Key: this duty may have come free
+	Duty   lease.Duty        `cbor:"7,keyasint,omitempty"` // without a Key: of Post
+	Token  uint64            `cbor:"8,keyasint,omitempty"` // under which Post was published
+	Post   *group.WatchEvent `cbor:"9,keyasint,omitempty"`
 }
 
 // Frame is one of its parts.
--- a/internal/group/voter/voter.go
+++ b/internal/group/voter/voter.go
@@ -78,7 +78,7 @@
 // Start opens the voter's file and listens. A file that cannot be read is set aside: the voter comes
 // back as another one, which the group has to take in.
 func Start(cfg group.Config) (*Voter, error) {
-	me, is := cfg.Votes()
+	me, is := cfg.Voter()
 	if !is {
 		return nil, fmt.Errorf("group.self: %q is none of the voters", cfg.Self)
 	}
@@ -140,7 +140,7 @@
 	var err error
 	v.machine, err = consensus.New(consensus.Config{
 		ID: id.ID, Run: rand.Uint64(), Starts: id.Starts, Log: log,
-		Terms: lease.Terms{Length: v.cfg.Length, Drift: v.cfg.Drift},
+		Terms: lease.Terms{Length: v.cfg.LeaseDuration, Drift: v.cfg.MaxClockDrift},
 	})
 	return err
 }
@@ -489,7 +489,7 @@
 	}
 	f := v.feeds[duty]
 	if f == nil {
-		if len(v.feeds) >= group.MostDuties {
+		if len(v.feeds) >= group.MaxDuties {
 			return protocol.ErrBusy
 		}
 		f = &feed{}
@@ -499,7 +499,7 @@
 		if !slices.Contains(f.to, c) {
 			f.to = append(f.to, c)
 		}
-		for _, p := range f.Since(a.Post.Source, a.Post.To) {
+		for _, p := range f.Since(a.Post.Source, a.Post.ToVersion) {
 			c.Send(transport.Frame{Tell: &transport.Tell{Duty: duty, Token: f.Token(), Post: &p}})
 		}
 		return nil
--- a/internal/group/voter/voter_test.go
+++ b/internal/group/voter/voter_test.go
@@ -31,7 +31,7 @@
 	var out []group.Config
 	for _, v := range voters {
 		out = append(out, group.Config{
-			Name: "g", Self: v.Name, Disk: filepath.Join(t.TempDir(), "voter"), Length: 2 * time.Second, Drift: 0.01, Voters: voters,
+			Name: "g", Self: v.Name, Disk: filepath.Join(t.TempDir(), "voter"), LeaseDuration: 2 * time.Second, MaxClockDrift: 0.01, Voters: voters,
 		})
 	}
 	return out
--- a/internal/group/watch/watch.go
+++ b/internal/group/watch/watch.go
@@ -47,38 +47,38 @@
 	token   uint64
 	source  string
 	version uint64
-	posts   []group.Post // a whole one first
+	posts   []group.WatchEvent // a whole one first
 }
 
 // Take adds a post. A holder's whole list replaces what an earlier holder brought; a change has to
 // follow what is there.
-func (f *Feed) Take(token uint64, p group.Post) error {
+func (f *Feed) Take(token uint64, p group.WatchEvent) error {
 	switch {
 	case token < f.token:
 		return ErrStale
 	case len(p.Body) > MostBody:
 		return ErrLarge
 	case p.Whole:
-		if token == f.token && p.Source == f.source && p.To < f.version {
+		if token == f.token && p.Source == f.source && p.ToVersion < f.version {
 			return ErrStale
 		}
-		f.token, f.source, f.version, f.posts = token, p.Source, p.To, append(f.posts[:0:0], p)
+		f.token, f.source, f.version, f.posts = token, p.Source, p.ToVersion, append(f.posts[:0:0], p)
 		return nil
-	case len(f.posts) == 0 || p.Source != f.source || p.From != f.version || !p.Beat() && len(f.posts) > mostChanges:
+	case len(f.posts) == 0 || p.Source != f.source || p.FromVersion != f.version || !p.IsHeartbeat() && len(f.posts) > mostChanges:
 		return ErrMissing
 	}
-	f.token, f.version = token, p.To
-	if !p.Beat() {
+	f.token, f.version = token, p.ToVersion
+	if !p.IsHeartbeat() {
 		f.posts = append(f.posts, p)
 	}
 	return nil
 }
 
 // Since returns what leads from a version to the last one; all of it where the version is not known here.
-func (f *Feed) Since(source string, version uint64) []group.Post {
+func (f *Feed) Since(source string, version uint64) []group.WatchEvent {
 	if source == f.source {
 		for i, p := range f.posts {
-			if p.To == version {
+			if p.ToVersion == version {
 				return f.posts[i+1:]
 			}
 		}
--- a/internal/group/watch/watch_test.go
+++ b/internal/group/watch/watch_test.go
@@ -17,32 +17,32 @@
 		version, token := uint64(0), uint64(1)
 		known := map[int]uint64{} // versions of followers
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			p := group.Post{Source: "d", From: version, To: version + 1}
+			p := group.WatchEvent{Source: "d", FromVersion: version, ToVersion: version + 1}
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				p.Whole, p.From = true, 0
+				p.Whole, p.FromVersion = true, 0
 			case 1:
-				p.From, p.To = version+3, version+4 // something between was lost
+				p.FromVersion, p.ToVersion = version+3, version+4 // something between was lost
 			case 2:
 				token++ // another holds the duty, which begins with a whole list
-				p.Whole, p.From = true, 0
+				p.Whole, p.FromVersion = true, 0
 			case 3:
-				require.ErrorIs(t, f.Take(token-1, group.Post{Source: "d", Whole: true, To: version + 9}), map[bool]error{true: ErrStale}[f.token == token])
+				require.ErrorIs(t, f.Take(token-1, group.WatchEvent{Source: "d", Whole: true, ToVersion: version + 9}), map[bool]error{true: ErrStale}[f.token == token])
 				if f.token < token {
 					version = version + 9
 				}
 				continue
 			}
 			if f.Take(token, p) == nil {
-				version = p.To
+				version = p.ToVersion
 			}
 			who := rapid.IntRange(0, 3).Draw(t, "follower")
 			for _, p := range f.Since("d", known[who]) {
-				take, missing := p.Fits("d", known[who])
+				take, missing := p.Follows("d", known[who])
 				require.False(t, missing)
 				if take {
-					require.Greater(t, p.To, known[who])
-					known[who] = p.To
+					require.Greater(t, p.ToVersion, known[who])
+					known[who] = p.ToVersion
 				}
 			}
 			if _, last, any := f.Last(); any {
@@ -54,19 +54,19 @@
 
 func TestWhatIsOlderIsNotTaken(t *testing.T) {
 	for _, c := range []struct {
-		p             group.Post
+		p             group.WatchEvent
 		take, missing bool
 	}{
-		{group.Post{Source: "d", From: 5, To: 6}, true, false},
-		{group.Post{Source: "d", From: 6, To: 7}, false, true},
-		{group.Post{Source: "d", From: 4, To: 5}, false, false},
-		{group.Post{Source: "d", Whole: true, To: 4}, false, false},
-		{group.Post{Source: "d", Whole: true, To: 9}, true, false},
-		{group.Post{Source: "d", From: 9, To: 9}, false, true},
-		{group.Post{Source: "d", From: 5, To: 5}, false, false},
-		{group.Post{Source: "e", Whole: true, To: 9}, false, false},
+		{group.WatchEvent{Source: "d", FromVersion: 5, ToVersion: 6}, true, false},
+		{group.WatchEvent{Source: "d", FromVersion: 6, ToVersion: 7}, false, true},
+		{group.WatchEvent{Source: "d", FromVersion: 4, ToVersion: 5}, false, false},
+		{group.WatchEvent{Source: "d", Whole: true, ToVersion: 4}, false, false},
+		{group.WatchEvent{Source: "d", Whole: true, ToVersion: 9}, true, false},
+		{group.WatchEvent{Source: "d", FromVersion: 9, ToVersion: 9}, false, true},
+		{group.WatchEvent{Source: "d", FromVersion: 5, ToVersion: 5}, false, false},
+		{group.WatchEvent{Source: "e", Whole: true, ToVersion: 9}, false, false},
 	} {
-		take, missing := c.p.Fits("d", 5)
+		take, missing := c.p.Follows("d", 5)
 		require.Equal(t, c.take, take, c.p)
 		require.Equal(t, c.missing, missing, c.p)
 	}
--- a/internal/lab/clustertest/rig.go
+++ b/internal/lab/clustertest/rig.go
@@ -185,7 +185,7 @@
 		addresses = append(addresses, a)
 	}
 	config := func(number int, name string) (group.Config, error) {
-		c := group.Config{Name: "rig", Self: name, Length: Length, Drift: 0.01}
+		c := group.Config{Name: "rig", Self: name, LeaseDuration: Length, MaxClockDrift: 0.01}
 		for i, a := range addresses {
 			if i != number {
 				l, err := r.net.Link(link(number, i), a)
--- a/internal/lab/loadtest/shared.go
+++ b/internal/lab/loadtest/shared.go
@@ -34,7 +34,7 @@
 
 func share(opts Options, balancers int) (*shared, error) {
 	s := &shared{balancers: balancers, last: map[[2]int]int{}}
-	c := group.Config{Name: "rehearsal", Length: sharedLength, Drift: 0.01}
+	c := group.Config{Name: "rehearsal", LeaseDuration: sharedLength, MaxClockDrift: 0.01}
 	for i := range 3 {
 		address, err := faultproxy.Free()
 		if err != nil {
--- a/internal/serve/discovery/discovery.go
+++ b/internal/serve/discovery/discovery.go
@@ -115,7 +115,7 @@
 	asked   time.Duration // when the last call was made
 	askAt   time.Duration // when the next is due; 0: none is
 	until   time.Duration
-	lists   group.Lists // nil: this balancer asks for itself alone
+	lists   group.SharedWatch // nil: this balancer asks for itself alone
 }
 
 type conn struct {
@@ -137,12 +137,12 @@
 func (w *Watcher) Resume(version uint64, same bool) { w.version, w.whole = version, !same }
 
 // UseSharedWatch has the watch go by a group in which one balancer may ask for many; nil: it does not.
-func (w *Watcher) UseSharedWatch(lists group.Lists) { w.lists = lists }
+func (w *Watcher) UseSharedWatch(lists group.SharedWatch) { w.lists = lists }
 
 // ReceiveShared takes a list that another balancer was told. What is older than what is known is not taken, and
 // what does not follow it is looked for.
-func (w *Watcher) ReceiveShared(p group.Post) {
-	take, missing := p.Fits(w.address, w.version)
+func (w *Watcher) ReceiveShared(p group.WatchEvent) {
+	take, missing := p.Follows(w.address, w.version)
 	if w.whole && p.Source == w.address { // what is known is of another discovery
 		take, missing = p.Whole, !p.Whole
 	}
@@ -151,14 +151,14 @@
 		if w.whole {
 			known = 0
 		}
-		w.lists.Behind(w.address, known)
+		w.lists.RequestUpdate(w.address, known)
 	}
 	if !take {
 		return
 	}
 	list, err := Parse(p.Body, w.zones)
 	if err != nil {
-		slog.Warn("list of another balancer not taken", "generation", p.To, "err", err)
+		slog.Warn("list of another balancer not taken", "generation", p.ToVersion, "err", err)
 		return
 	}
 	w.told(list)
@@ -201,7 +201,7 @@
 // begin makes a call, on the connection that stands or on a new one.
 func (w *Watcher) begin() {
 	if w.lists != nil {
-		ask, whole := w.lists.Asks(w.address)
+		ask, whole := w.lists.ShouldPoll(w.address)
 		if !ask { // the call is made once nobody asks for this balancer any more
 			w.ask(w.now() + lookAgain)
 			return
@@ -251,7 +251,7 @@
 	slog.Warn("discovery failed", "address", w.address, "generation", w.version, "err", err)
 	w.asking, w.askAt, w.anew = false, 0, false
 	if w.lists != nil {
-		w.lists.Failed()
+		w.lists.PollFailed()
 	}
 	w.hangUp()
 	w.emit(core.EndpointUpdate{Kind: piernotch.UpdateFailed})
@@ -349,11 +349,11 @@
 		return
 	}
 	if w.lists != nil {
-		p := group.Post{Source: w.address, From: w.version, To: list.Generation, Whole: list.Reset, Body: m.Body}
+		p := group.WatchEvent{Source: w.address, FromVersion: w.version, ToVersion: list.Generation, Whole: list.Reset, Body: m.Body}
 		if p.Whole {
-			p.From = 0
+			p.FromVersion = 0
 		}
-		w.lists.Told(p)
+		w.lists.Publish(p)
 	}
 	// A call that was out while another balancer's list came may bring an older one.
 	if w.lists == nil || list.Reset || list.Generation >= w.version {
--- a/internal/serve/runtime/node.go
+++ b/internal/serve/runtime/node.go
@@ -106,8 +106,8 @@
 
 // ShareWatch has the watch of discovery go by a group in which one balancer may ask for many. It is called
 // before Start.
-func (n *Balancer) ShareWatch(join group.Join) {
-	if l := join(n.cfg.Discovery, func(p group.Post) { n.engine.Post(func() { n.watcher.ReceiveShared(p) }) }); l != nil {
+func (n *Balancer) ShareWatch(join group.JoinWatch) {
+	if l := join(n.cfg.Discovery, func(p group.WatchEvent) { n.engine.Post(func() { n.watcher.ReceiveShared(p) }) }); l != nil {
 		n.watcher.UseSharedWatch(l)
 	}
 }
--- a/internal/serve/runtime/shared_test.go
+++ b/internal/serve/runtime/shared_test.go
@@ -21,20 +21,28 @@
 type lists struct {
 	mu     sync.Mutex
 	ask    bool
-	told   []group.Post
+	told   []group.WatchEvent
 	behind []uint64
 }
 
-func (l *lists) Asks(string) (bool, bool) { l.mu.Lock(); defer l.mu.Unlock(); return l.ask, false }
-func (l *lists) Told(p group.Post)        { l.mu.Lock(); defer l.mu.Unlock(); l.told = append(l.told, p) }
-func (l *lists) Failed()                  {}
-func (l *lists) Behind(_ string, version uint64) {
+func (l *lists) ShouldPoll(string) (bool, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.ask, false
+}
+func (l *lists) Publish(p group.WatchEvent) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.told = append(l.told, p)
+}
+func (l *lists) PollFailed() {}
+func (l *lists) RequestUpdate(_ string, version uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.behind = append(l.behind, version)
 }
 
-func (l *lists) seen() (told []group.Post, behind []uint64) {
+func (l *lists) seen() (told []group.WatchEvent, behind []uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.told, l.behind
@@ -74,8 +82,8 @@
 	n, err := New(cfg)
 	require.NoError(t, err)
 	l := &lists{}
-	var take group.Take
-	n.ShareWatch(func(source string, t group.Take) group.Lists { take = t; return l })
+	var take group.OnUpdate
+	n.ShareWatch(func(source string, t group.OnUpdate) group.SharedWatch { take = t; return l })
 	require.NoError(t, n.Start())
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -89,7 +97,7 @@
 	}
 	serves("a")
 	post := func(from, to uint64, body string) {
-		take(group.Post{Source: disco, From: from, To: to, Whole: from == 0, Body: []byte(body)})
+		take(group.WatchEvent{Source: disco, FromVersion: from, ToVersion: to, Whole: from == 0, Body: []byte(body)})
 	}
 	post(0, 2, list(2, true, "in_service", b))
 	serves("b")
@@ -105,5 +113,5 @@
 	require.Contains(t, <-asked, "index=3")
 	serves("a")
 	told, _ := l.seen()
-	require.Equal(t, group.Post{Source: disco, To: 4, Whole: true, Body: []byte(list(4, true, "in_service", a))}, told[0])
+	require.Equal(t, group.WatchEvent{Source: disco, ToVersion: 4, Whole: true, Body: []byte(list(4, true, "in_service", a))}, told[0])
 }
