--- a/internal/group/client/lists.go
+++ b/internal/group/client/lists.go
@@ -62,7 +62,7 @@
 	defer l.m.mu.Unlock()
 	l.by = l.common(source)
 	now := l.m.now()
-	_, holds := l.m.holders[l.duty].May(now)
+	_, holds := l.m.holders[l.duty].Token(now)
 	ask = l.follower.Asks(now, holds)
 	if alone := l.follower.Alone() && !holds; alone != l.alone {
 		l.alone = alone
@@ -127,7 +127,7 @@
 // turn says that the watch stands, and gives the duty up where it does not.
 func (l *lists) turn(now time.Duration) {
 	h := l.m.holders[l.duty]
-	token, holds := h.May(now)
+	token, holds := h.Token(now)
 	switch {
 	case !holds:
 		if l.rests > 0 && now >= l.rests {
@@ -138,8 +138,8 @@
 		l.publish()
 	case !l.holder.Stands(now) && l.rests == 0:
 		slog.Warn("group: duty is given up, discovery does not answer here", "duty", l.duty)
-		l.rests = now + 2*l.m.terms.Length + rand.N(2*l.m.terms.Length)
-		h.Leave()
+		l.rests = now + 2*l.m.terms.Duration + rand.N(2*l.m.terms.Duration)
+		h.Release()
 	case l.holder.Due(now):
 		if source, version, any := l.own.Last(); any {
 			l.post(token, group.WatchEvent{Source: source, FromVersion: version, ToVersion: version})
@@ -150,7 +150,7 @@
 // publish passes on what own calls brought. A new token begins with the whole list.
 func (l *lists) publish() {
 	now := l.m.now()
-	token, holds := l.m.holders[l.duty].May(now)
+	token, holds := l.m.holders[l.duty].Token(now)
 	source, version, any := l.own.Last()
 	if !holds || !any || l.m.conn == nil {
 		return
@@ -170,7 +170,7 @@
 // post sends one. A voter that lacks what is before it has to hear all again.
 func (l *lists) post(token uint64, p group.WatchEvent) {
 	l.m.ask(protocol.Question{
-		Kind: protocol.Publish, Command: lease.Command{Duty: l.duty, Who: l.m.me, Token: token}, Post: &p,
+		Kind: protocol.Publish, Command: lease.Command{Duty: l.duty, Process: l.m.me, Token: token}, Post: &p,
 	}, func(a protocol.Answer) {
 		if errors.Is(a.Err, watch.ErrMissing) || errors.Is(a.Err, watch.ErrStale) {
 			l.token = 0
@@ -183,7 +183,7 @@
 	if p.Source != l.by { // a holder that asks another discovery is none of this balancer's
 		return
 	}
-	if _, holds := l.m.holders[l.duty].May(l.m.now()); holds || !l.follower.Word(l.m.now(), token) {
+	if _, holds := l.m.holders[l.duty].Token(l.m.now()); holds || !l.follower.Word(l.m.now(), token) {
 		return
 	}
 	if p.Source == l.common(l.address) {
--- a/internal/group/client/member.go
+++ b/internal/group/client/member.go
@@ -30,8 +30,8 @@
 // Member is a running member.
 type Member struct {
 	cfg   group.Config
-	me    lease.Member
-	terms lease.Terms
+	me    lease.Process
+	terms lease.Timing
 	begun time.Time
 	seen  Seen
 	stop  context.CancelFunc
@@ -56,7 +56,7 @@
 // Start has a member want the duties of its configuration. seen may be nil.
 func Start(cfg group.Config, seen Seen) *Member {
 	m := &Member{
-		cfg: cfg, me: lease.Member{Name: cfg.Self, Run: rand.Uint64()}, terms: lease.Terms{Length: cfg.LeaseDuration, Drift: cfg.MaxClockDrift},
+		cfg: cfg, me: lease.Process{Name: cfg.Self, Incarnation: rand.Uint64()}, terms: lease.Timing{Duration: cfg.LeaseDuration, MaxClockDrift: cfg.MaxClockDrift},
 		begun: time.Now(), seen: seen, done: make(chan struct{}),
 		holders: map[lease.Duty]*lease.Holder{}, was: map[lease.Duty]uint64{}, out: map[uint64]question{},
 	}
@@ -88,7 +88,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if h := m.holders[d]; h != nil {
-		return h.May(m.now())
+		return h.Token(m.now())
 	}
 	return 0, false
 }
@@ -114,8 +114,8 @@
 	for d, h := range m.holders {
 		m.tell(d, h, now)
 		// Who waits is told when the duty comes free; looking now and then is for when that is lost.
-		pause := m.terms.Length/2 + rand.N(m.terms.Length/2)
-		if a, is := h.Next(now, pause); is {
+		pause := m.terms.Duration/2 + rand.N(m.terms.Duration/2)
+		if a, is := h.NextRequest(now, pause); is {
 			m.hold(h, a)
 		}
 	}
@@ -127,7 +127,7 @@
 
 // tell logs when a duty comes or goes.
 func (m *Member) tell(d lease.Duty, h *lease.Holder, now time.Duration) {
-	token, _ := h.May(now)
+	token, _ := h.Token(now)
 	switch was := m.was[d]; {
 	case token == was:
 		return
@@ -140,16 +140,16 @@
 }
 
 // hold asks for a holder.
-func (m *Member) hold(h *lease.Holder, a lease.Ask) {
+func (m *Member) hold(h *lease.Holder, a lease.Request) {
 	sent := m.ask(protocol.Of(a), func(b protocol.Answer) {
 		if protocol.Final(b.Err) {
-			h.Answered(m.now(), a.Seq, b.Grant, b.Err)
+			h.HandleResponse(m.now(), a.Seq, b.Grant, b.Err)
 		} else {
-			h.Lost(a.Seq)
+			h.RequestLost(a.Seq)
 		}
 	})
 	if !sent {
-		h.Lost(a.Seq)
+		h.RequestLost(a.Seq)
 	}
 }
 
@@ -233,7 +233,7 @@
 		t := f.Tell
 		m.mu.Lock()
 		if h := m.holders[t.Free]; t.Key == 0 && h != nil {
-			h.Nudge()
+			h.RetryNow()
 			m.turn()
 		}
 		if t.Post != nil && m.lists != nil && t.Duty == m.lists.duty {
@@ -284,7 +284,7 @@
 func (m *Member) Close(patience time.Duration) {
 	m.mu.Lock()
 	for _, h := range m.holders {
-		h.Leave()
+		h.Release()
 	}
 	m.turn()
 	m.mu.Unlock()
@@ -300,7 +300,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, h := range m.holders {
-		if h.Owes(m.now()) {
+		if h.ReleasePending(m.now()) {
 			return true
 		}
 	}
--- a/internal/group/consensus/machine.go
+++ b/internal/group/consensus/machine.go
@@ -84,7 +84,7 @@
 	ID     uint64
 	Run    uint64 // drawn at this start: questions of an earlier one are not this one's
 	Starts uint64 // how often the store was opened, kept before now
-	Terms  lease.Terms
+	Terms  lease.Timing
 	Log    Log
 }
 
@@ -142,7 +142,7 @@
 	leading bool
 	leader  uint64
 	term    uint64
-	keeper  *lease.Keeper // while it leads, and knows all that was agreed on before
+	keeper  *lease.ExpiryClock // while it leads, and knows all that was agreed on before
 	seq     uint64
 	changes map[uint64]waiting
 	reads   map[uint64]waiting // by the question that they came with: all up to it share one look at who leads
@@ -244,7 +244,7 @@
 	if m.keeper == nil {
 		return
 	}
-	for _, c := range m.keeper.Due(now) {
+	for _, c := range m.keeper.Expired(now) {
 		m.propose(c, 0)
 	}
 }
@@ -364,7 +364,7 @@
 	case q.Kind == protocol.Change && !m.heldByOther(q.Command):
 		if failpoint.Is("answered-too-early") {
 			var t lease.Table
-			t.Restore(m.table.Image())
+			t.Restore(m.table.Snapshot())
 			g, err := t.Apply(q.Command)
 			m.answer(q, g, err)
 		}
@@ -383,12 +383,12 @@
 // heldByOther tells whether a command asks for what another process holds. Many ask for that all the
 // time; the answer takes a look at who leads, and no entry in the log.
 func (m *Machine) heldByOther(c lease.Command) bool {
-	g, held := m.table.Held(c.Duty)
-	return c.Op == lease.Acquire && held && g.Holder != c.Who
+	g, held := m.table.Holder(c.Duty)
+	return c.Op == lease.Acquire && held && g.Holder != c.Process
 }
 
 // Held returns who holds a duty, as far as this voter has applied what was agreed on.
-func (m *Machine) Held(d lease.Duty) (lease.Grant, bool) { return m.table.Held(d) }
+func (m *Machine) Held(d lease.Duty) (lease.Grant, bool) { return m.table.Holder(d) }
 
 // Freed returns the duties that have come free, or into another hand, since the last call.
 func (m *Machine) Freed() []lease.Duty {
@@ -570,7 +570,7 @@
 	m.applied = e.GetIndex()
 	// The first entry of its own term is behind all that earlier leaders agreed on.
 	if m.leading && m.keeper == nil && e.GetTerm() == m.term {
-		m.keeper = lease.NewKeeper(m.cfg.Terms, now, m.table.Image().Grants)
+		m.keeper = lease.NewExpiryClock(m.cfg.Terms, now, m.table.Snapshot().Grants)
 	}
 	switch e.GetType() {
 	case raftpb.EntryNormal:
@@ -603,7 +603,7 @@
 func (m *Machine) timed(now time.Duration, c lease.Command, g lease.Grant, err error) error {
 	switch {
 	case m.keeper == nil || err != nil:
-	case c.Op == lease.Acquire || c.Op == lease.HandOn:
+	case c.Op == lease.Acquire || c.Op == lease.Transfer:
 		err = m.keeper.Granted(now, g)
 	default:
 		m.keeper.Ended(c.Duty)
@@ -659,7 +659,7 @@
 }
 
 func (m *Machine) look(now time.Duration, q protocol.Question) {
-	g, held := m.table.Held(q.Command.Duty)
+	g, held := m.table.Holder(q.Command.Duty)
 	switch {
 	case q.Kind == protocol.List:
 		m.answers = append(m.answers, protocol.Answer{Key: q.Key, Image: m.state()})
@@ -667,7 +667,7 @@
 		m.answer(q, g, lease.ErrHeld)
 	case q.Kind == protocol.Change: // it has come free since
 		m.propose(q.Command, m.wait(q))
-	case q.Kind == protocol.Renew && (!held || g.Token != q.Command.Token || g.Holder != q.Command.Who):
+	case q.Kind == protocol.Renew && (!held || g.Token != q.Command.Token || g.Holder != q.Command.Process):
 		m.answer(q, g, lease.ErrNotHeld)
 	case q.Kind == protocol.Renew:
 		m.answer(q, g, m.keeper.Renew(now, q.Command.Duty, q.Command.Token))
@@ -679,7 +679,7 @@
 }
 
 func (m *Machine) state() protocol.Image {
-	return protocol.Image{Table: m.table.Image(), Voters: slices.Clone(m.voters)}
+	return protocol.Image{Table: m.table.Snapshot(), Voters: slices.Clone(m.voters)}
 }
 
 // compact replaces the log by the state it has led to, now and then.
--- a/internal/group/lease/holder.go
+++ b/internal/group/lease/holder.go
@@ -6,8 +6,8 @@
 	"piernotch/internal/group/failpoint"
 )
 
-// Ask is what a holder wants of the group: a command, or a renewal of what it holds.
-type Ask struct {
+// Request is what a holder wants of the group: a command, or a renewal of what it holds.
+type Request struct {
 	Seq     uint64 // of this holder's questions; an answer names it
 	Renew   bool
 	Command Command
@@ -16,8 +16,8 @@
 // Holder is a process that wants a duty and may hold it. All times are its own monotonic clock's, which
 // must not stand while the machine runs.
 type Holder struct {
-	terms Terms
-	me    Member
+	terms Timing
+	me    Process
 	duty  Duty
 	seq   uint64
 
@@ -25,7 +25,7 @@
 	until time.Duration // the grant may be gone by for so long
 	held  bool
 
-	out   Ask // the question that is on its way
+	out   Request // the question that is on its way
 	sent  time.Duration
 	asked bool
 	next  time.Duration // no question before that
@@ -34,71 +34,71 @@
 }
 
 // NewHolder returns one that wants a duty from now on.
-func NewHolder(terms Terms, me Member, duty Duty) *Holder {
+func NewHolder(terms Timing, me Process, duty Duty) *Holder {
 	return &Holder{terms: terms, me: me, duty: duty}
 }
 
-// Next returns what to ask the group at now, if anything. pause is how long to wait before a duty that
+// NextRequest returns what to ask the group at now, if anything. pause is how long to wait before a duty that
 // another holds is asked for again; the caller spreads it, so that many do not come at once.
-func (h *Holder) Next(now, pause time.Duration) (Ask, bool) {
+func (h *Holder) NextRequest(now, pause time.Duration) (Request, bool) {
 	h.lapse(now)
 	// A question that has no answer for a third of the time is asked again: every command may be.
-	if h.asked && now < h.sent+h.terms.Valid()/3 || now < h.next || h.left && !h.held {
-		return Ask{}, false
+	if h.asked && now < h.sent+h.terms.HolderDuration()/3 || now < h.next || h.left && !h.held {
+		return Request{}, false
 	}
 	h.seq++
-	a := Ask{Seq: h.seq}
+	a := Request{Seq: h.seq}
 	switch {
 	case h.left:
-		a.Command = Command{Op: Release, Duty: h.duty, Who: h.me, Token: h.grant.Token}
+		a.Command = Command{Op: Release, Duty: h.duty, Process: h.me, Token: h.grant.Token}
 	case h.held:
-		a.Renew, a.Command = true, Command{Duty: h.duty, Who: h.me, Token: h.grant.Token}
+		a.Renew, a.Command = true, Command{Duty: h.duty, Process: h.me, Token: h.grant.Token}
 	default:
-		a.Command = Command{Op: Acquire, Duty: h.duty, Who: h.me}
+		a.Command = Command{Op: Acquire, Duty: h.duty, Process: h.me}
 	}
 	h.out, h.sent, h.asked, h.next = a, now, true, now+pause
 	return a, true
 }
 
-// HandOn gives the duty to another process: the holder stops here and now, and the returned question
+// Transfer gives the duty to another process: the holder stops here and now, and the returned question
 // makes it official. If that is lost, the grant ends by time.
-func (h *Holder) HandOn(now time.Duration, to Member) (Ask, bool) {
+func (h *Holder) Transfer(now time.Duration, to Process) (Request, bool) {
 	h.lapse(now)
 	if !h.held {
-		return Ask{}, false
+		return Request{}, false
 	}
 	h.seq++
-	a := Ask{Seq: h.seq, Command: Command{Op: HandOn, Duty: h.duty, Who: h.me, Token: h.grant.Token, To: to}}
+	a := Request{Seq: h.seq, Command: Command{Op: Transfer, Duty: h.duty, Process: h.me, Token: h.grant.Token, Successor: to}}
 	h.held, h.left, h.asked = false, true, false
 	return a, true
 }
 
-// Leave has the holder want the duty no more: it stops at once, and Next tells the group.
-func (h *Holder) Leave() { h.left, h.asked, h.next = true, false, 0 }
+// Release has the holder want the duty no more: it stops at once, and Next tells the group.
+func (h *Holder) Release() { h.left, h.asked, h.next = true, false, 0 }
 
-// Lost says that question seq will not be answered: another may be asked at once, of another voter.
-func (h *Holder) Lost(seq uint64) {
+// RequestLost says that question seq will not be answered: another may be asked at once, of another voter.
+func (h *Holder) RequestLost(seq uint64) {
 	if h.asked && seq == h.out.Seq {
 		h.asked, h.next = false, 0
 	}
 }
 
-// Nudge says that the duty may have come free: it is asked for at once.
-func (h *Holder) Nudge() {
+// RetryNow says that the duty may have come free: it is asked for at once.
+func (h *Holder) RetryNow() {
 	if !h.held && !h.asked {
 		h.next = 0
 	}
 }
 
-// Owes tells whether the group has yet to hear that the duty is given up.
-func (h *Holder) Owes(now time.Duration) bool {
+// ReleasePending tells whether the group has yet to hear that the duty is given up.
+func (h *Holder) ReleasePending(now time.Duration) bool {
 	h.lapse(now)
 	return h.left && h.held
 }
 
-// Answered takes the group's answer to question seq. Only the answer to the last question counts, and
+// HandleResponse takes the group's answer to question seq. Only the answer to the last question counts, and
 // from when that was asked: the way back may have been long.
-func (h *Holder) Answered(now time.Duration, seq uint64, g Grant, err error) {
+func (h *Holder) HandleResponse(now time.Duration, seq uint64, g Grant, err error) {
 	if !h.asked || seq != h.out.Seq {
 		return
 	}
@@ -116,11 +116,11 @@
 		if !h.held || h.grant.Token != g.Token {
 			h.since = now
 		}
-		h.grant, h.until, h.held = g, from+h.terms.Valid(), true
+		h.grant, h.until, h.held = g, from+h.terms.HolderDuration(), true
 		if failpoint.Is("drift-ignored") {
-			h.until = from + h.terms.Length + h.terms.Length/8
+			h.until = from + h.terms.Duration + h.terms.Duration/8
 		}
-		h.next = from + h.terms.Valid()/3
+		h.next = from + h.terms.HolderDuration()/3
 	}
 	h.lapse(now)
 }
@@ -131,9 +131,9 @@
 	}
 }
 
-// May is the look at the clock before an act: the token to act under, if the duty is still held. It
+// Token is the look at the clock before an act: the token to act under, if the duty is still held. It
 // must be asked before each act, not once for several.
-func (h *Holder) May(now time.Duration) (uint64, bool) {
+func (h *Holder) Token(now time.Duration) (uint64, bool) {
 	if h.lapse(now); !h.held || h.left {
 		return 0, false
 	}
@@ -150,7 +150,7 @@
 
 // Status tells what the holder believes at now.
 func (h *Holder) Status(now time.Duration) Status {
-	_, may := h.May(now)
+	_, may := h.Token(now)
 	return Status{h.grant, h.since, h.until, may}
 }
 
@@ -173,8 +173,8 @@
 	return true, fresh
 }
 
-// Seen returns the highest token of each duty.
-func (f *Fence) Seen() map[Duty]uint64 { return f.seen }
+// Tokens returns the highest token of each duty.
+func (f *Fence) Tokens() map[Duty]uint64 { return f.seen }
 
 // Restore sets what a fence had seen before its process ended.
 func (f *Fence) Restore(seen map[Duty]uint64) { f.seen = seen }
--- a/internal/group/lease/lease.go
+++ b/internal/group/lease/lease.go
@@ -23,18 +23,18 @@
 // Duty names what one process at a time may do.
 type Duty string
 
-// Member is a process: its name, and a number that it drew at its start. A process that was started
+// Process is a process: its name, and a number that it drew at its start. A process that was started
 // again is not the one that holds what it held before.
-type Member struct {
-	Name string `cbor:"1,keyasint"`
-	Run  uint64 `cbor:"2,keyasint"`
+type Process struct {
+	Name        string `cbor:"1,keyasint"`
+	Incarnation uint64 `cbor:"2,keyasint"`
 }
 
 // Grant is one duty in one hand. Token rises with every grant of the group, whatever the duty.
 type Grant struct {
-	Duty   Duty   `cbor:"1,keyasint"`
-	Holder Member `cbor:"2,keyasint"`
-	Token  uint64 `cbor:"3,keyasint"`
+	Duty   Duty    `cbor:"1,keyasint"`
+	Holder Process `cbor:"2,keyasint"`
+	Token  uint64  `cbor:"3,keyasint"`
 }
 
 // Op is what a command does.
@@ -42,19 +42,19 @@
 
 // Operations. Renewals are none: they change nothing that the group agrees on.
 const (
-	Acquire Op = iota + 1 // Who takes a duty that nobody holds; asked again, its grant stands
-	Release               // Who gives up what it holds under Token
-	HandOn                // Who gives what it holds under Token to To, under a new token
-	Expire                // the grantor takes back what is held under Token
+	Acquire  Op = iota + 1 // Who takes a duty that nobody holds; asked again, its grant stands
+	Release                // Who gives up what it holds under Token
+	Transfer               // Who gives what it holds under Token to To, under a new token
+	Expire                 // the grantor takes back what is held under Token
 )
 
 // Command is a change of the table.
 type Command struct {
-	Op    Op     `cbor:"1,keyasint"`
-	Duty  Duty   `cbor:"2,keyasint"`
-	Who   Member `cbor:"3,keyasint"`
-	Token uint64 `cbor:"4,keyasint,omitempty"`
-	To    Member `cbor:"5,keyasint,omitempty"`
+	Op        Op      `cbor:"1,keyasint"`
+	Duty      Duty    `cbor:"2,keyasint"`
+	Process   Process `cbor:"3,keyasint"`
+	Token     uint64  `cbor:"4,keyasint,omitempty"`
+	Successor Process `cbor:"5,keyasint,omitempty"`
 }
 
 // Errors of a command. ErrHeld comes with the grant that stands.
@@ -75,24 +75,24 @@
 	held, is := t.grants[c.Duty]
 	if c.Op == Acquire {
 		switch {
-		case is && held.Holder == c.Who:
+		case is && held.Holder == c.Process:
 			return held, nil
 		case is:
 			return held, ErrHeld
 		}
-		return t.grant(c.Duty, c.Who), nil
+		return t.grant(c.Duty, c.Process), nil
 	}
-	if !is || held.Token != c.Token || c.Op != Expire && held.Holder != c.Who {
+	if !is || held.Token != c.Token || c.Op != Expire && held.Holder != c.Process {
 		return held, ErrNotHeld
 	}
-	if c.Op == HandOn {
-		return t.grant(c.Duty, c.To), nil
+	if c.Op == Transfer {
+		return t.grant(c.Duty, c.Successor), nil
 	}
 	delete(t.grants, c.Duty)
 	return held, nil
 }
 
-func (t *Table) grant(d Duty, to Member) Grant {
+func (t *Table) grant(d Duty, to Process) Grant {
 	if t.grants == nil {
 		t.grants = map[Duty]Grant{}
 	}
@@ -105,50 +105,50 @@
 	return g
 }
 
-// Held returns the grant of a duty, if it is held.
-func (t *Table) Held(d Duty) (Grant, bool) {
+// Holder returns the grant of a duty, if it is held.
+func (t *Table) Holder(d Duty) (Grant, bool) {
 	g, is := t.grants[d]
 	return g, is
 }
 
-// Image is a table as it is kept and sent.
-type Image struct {
-	Last   uint64  `cbor:"1,keyasint"`
-	Grants []Grant `cbor:"2,keyasint"`
+// Snapshot is a table as it is kept and sent.
+type Snapshot struct {
+	LastToken uint64  `cbor:"1,keyasint"`
+	Grants    []Grant `cbor:"2,keyasint"`
 }
 
-// Image returns the table's content, duties in order.
-func (t *Table) Image() Image {
+// Snapshot returns the table's content, duties in order.
+func (t *Table) Snapshot() Snapshot {
 	all := slices.SortedFunc(maps.Values(t.grants), func(a, b Grant) int { return cmp.Compare(a.Duty, b.Duty) })
-	return Image{t.last, all}
+	return Snapshot{t.last, all}
 }
 
 // Restore replaces the table's content.
-func (t *Table) Restore(i Image) {
-	t.last, t.grants = i.Last, map[Duty]Grant{}
+func (t *Table) Restore(i Snapshot) {
+	t.last, t.grants = i.LastToken, map[Duty]Grant{}
 	for _, g := range i.Grants {
 		t.grants[g.Duty] = g
 	}
 }
 
-// Terms are what both sides go by.
-type Terms struct {
-	// Length is how long a grant stands at the grantor without a renewal.
-	Length time.Duration
-	// Drift bounds how far any clock's rate lies from true time: 0.01 is one second in a hundred.
+// Timing are what both sides go by.
+type Timing struct {
+	// Duration is how long a grant stands at the grantor without a renewal.
+	Duration time.Duration
+	// MaxClockDrift bounds how far any clock's rate lies from true time: 0.01 is one second in a hundred.
 	// Crystals keep to 0.0002; the rest is for machines that are stopped for moments.
-	Drift float64
+	MaxClockDrift float64
 }
 
-// Valid is how long a holder may go by a grant, from when it asked: so much less than Length that the
+// HolderDuration is how long a holder may go by a grant, from when it asked: so much less than Length that the
 // quickest grantor lets go only after the slowest holder has stopped.
-func (t Terms) Valid() time.Duration {
-	return time.Duration(float64(t.Length) * (1 - t.Drift) / (1 + t.Drift))
+func (t Timing) HolderDuration() time.Duration {
+	return time.Duration(float64(t.Duration) * (1 - t.MaxClockDrift) / (1 + t.MaxClockDrift))
 }
 
-// Keeper is the grantor's clock: who leads the group keeps one, from when it begins to lead.
-type Keeper struct {
-	terms Terms
+// ExpiryClock is the grantor's clock: who leads the group keeps one, from when it begins to lead.
+type ExpiryClock struct {
+	terms Timing
 	until map[Duty]deadline
 }
 
@@ -159,10 +159,10 @@
 	proposed time.Duration // when
 }
 
-// NewKeeper begins at now. What is held counts from now: the last leader may have renewed it a moment
+// NewExpiryClock begins at now. What is held counts from now: the last leader may have renewed it a moment
 // ago.
-func NewKeeper(terms Terms, now time.Duration, held []Grant) *Keeper {
-	k := &Keeper{terms: terms, until: map[Duty]deadline{}}
+func NewExpiryClock(terms Timing, now time.Duration, held []Grant) *ExpiryClock {
+	k := &ExpiryClock{terms: terms, until: map[Duty]deadline{}}
 	for _, g := range held {
 		_ = k.Granted(now, g)
 		if failpoint.Is("timers-forgotten") {
@@ -174,35 +174,35 @@
 
 // Granted notes a grant, or one that was asked for again. A grant whose end is on its way must not be
 // answered with, though the table still has it.
-func (k *Keeper) Granted(now time.Duration, g Grant) error {
+func (k *ExpiryClock) Granted(now time.Duration, g Grant) error {
 	if d := k.until[g.Duty]; d.token == g.Token && d.lapsing && !failpoint.Is("granted-while-lapsing") {
 		return ErrNotHeld
 	}
-	k.until[g.Duty] = deadline{token: g.Token, at: now + k.terms.Length}
+	k.until[g.Duty] = deadline{token: g.Token, at: now + k.terms.Duration}
 	return nil
 }
 
 // Ended notes that a duty is held by nobody.
-func (k *Keeper) Ended(d Duty) { delete(k.until, d) }
+func (k *ExpiryClock) Ended(d Duty) { delete(k.until, d) }
 
 // Renew prolongs a grant, unless it is not the one that stands, or its end is on its way.
-func (k *Keeper) Renew(now time.Duration, d Duty, token uint64) error {
+func (k *ExpiryClock) Renew(now time.Duration, d Duty, token uint64) error {
 	u, is := k.until[d]
 	if !is || u.token != token || u.lapsing && !failpoint.Is("renewed-after-expiry") {
 		return ErrNotHeld
 	}
-	u.at = now + k.terms.Length
+	u.at = now + k.terms.Duration
 	k.until[d] = u
 	return nil
 }
 
-// Due returns the commands that take back what was not renewed in time, duties in order. Each comes
+// Expired returns the commands that take back what was not renewed in time, duties in order. Each comes
 // again after a whole term, in case it was lost.
-func (k *Keeper) Due(now time.Duration) []Command {
+func (k *ExpiryClock) Expired(now time.Duration) []Command {
 	var out []Command
 	for _, d := range slices.Sorted(maps.Keys(k.until)) {
 		u := k.until[d]
-		if now < u.at || u.lapsing && now < u.proposed+k.terms.Length {
+		if now < u.at || u.lapsing && now < u.proposed+k.terms.Duration {
 			continue
 		}
 		u.lapsing, u.proposed = true, now
--- a/internal/group/lease/lease_test.go
+++ b/internal/group/lease/lease_test.go
@@ -9,62 +9,62 @@
 )
 
 var (
-	a, b  = Member{"a", 1}, Member{"b", 1}
-	terms = Terms{Length: 3 * time.Second, Drift: 0.01}
+	a, b  = Process{"a", 1}, Process{"b", 1}
+	terms = Timing{Duration: 3 * time.Second, MaxClockDrift: 0.01}
 )
 
 func TestADutyHasOneHolderAndRisingTokens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
 		var last uint64
-		given := map[uint64]Member{}
+		given := map[uint64]Process{}
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			c := Command{
-				Op:    Op(rapid.IntRange(1, 4).Draw(t, "op")),
-				Duty:  Duty(rapid.SampledFrom([]string{"x", "y"}).Draw(t, "duty")),
-				Who:   rapid.SampledFrom([]Member{a, b, {"a", 2}}).Draw(t, "who"),
-				Token: uint64(rapid.IntRange(0, 12).Draw(t, "token")),
-				To:    b,
+				Op:        Op(rapid.IntRange(1, 4).Draw(t, "op")),
+				Duty:      Duty(rapid.SampledFrom([]string{"x", "y"}).Draw(t, "duty")),
+				Process:   rapid.SampledFrom([]Process{a, b, {"a", 2}}).Draw(t, "who"),
+				Token:     uint64(rapid.IntRange(0, 12).Draw(t, "token")),
+				Successor: b,
 			}
-			before, held := table.Held(c.Duty)
+			before, held := table.Holder(c.Duty)
 			g, err := table.Apply(c)
 			switch {
 			case err != nil:
-				require.True(t, c.Op != Acquire || held && before.Holder != c.Who)
-				after, still := table.Held(c.Duty)
+				require.True(t, c.Op != Acquire || held && before.Holder != c.Process)
+				after, still := table.Holder(c.Duty)
 				require.Equal(t, held, still)
 				require.Equal(t, before, after, "what is refused changes nothing")
 			case c.Op == Acquire && held:
 				require.Equal(t, before, g, "asked again, a grant stands")
-			case c.Op == Acquire || c.Op == HandOn:
+			case c.Op == Acquire || c.Op == Transfer:
 				require.Greater(t, g.Token, last)
 				last = g.Token
 				given[g.Token] = g.Holder
 			}
 			var copied Table
-			copied.Restore(table.Image())
-			require.Equal(t, table.Image(), copied.Image())
+			copied.Restore(table.Snapshot())
+			require.Equal(t, table.Snapshot(), copied.Snapshot())
 		}
 	})
 }
 
 func TestTheGrantorLetsGoAfterTheHolderHasStopped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rate := func(name string) float64 { return 1 + terms.Drift*rapid.Float64Range(-1, 1).Draw(t, name) }
+		rate := func(name string) float64 { return 1 + terms.MaxClockDrift*rapid.Float64Range(-1, 1).Draw(t, name) }
 		of := func(true time.Duration, rate float64) time.Duration { return time.Duration(float64(true) * rate) }
 		holder, grantor := rate("holder"), rate("grantor")
 		asked := time.Duration(rapid.IntRange(0, 1e9).Draw(t, "asked"))
 		came := asked + time.Duration(rapid.IntRange(0, 1e9).Draw(t, "way"))
 		h := NewHolder(terms, a, "x")
-		ask, is := h.Next(of(asked, holder), 0)
+		ask, is := h.NextRequest(of(asked, holder), 0)
 		require.True(t, is)
-		k := NewKeeper(terms, of(came, grantor), nil)
+		k := NewExpiryClock(terms, of(came, grantor), nil)
 		g := Grant{"x", a, 7}
 		require.NoError(t, k.Granted(of(came, grantor), g))
-		h.Answered(of(came+time.Duration(rapid.IntRange(0, 4e9).Draw(t, "back")), holder), ask.Seq, g, nil)
+		h.HandleResponse(of(came+time.Duration(rapid.IntRange(0, 4e9).Draw(t, "back")), holder), ask.Seq, g, nil)
 		for at := came; at < asked+8*time.Second; at += 10 * time.Millisecond {
-			if len(k.Due(of(at, grantor))) > 0 {
-				_, may := h.May(of(at, holder))
+			if len(k.Expired(of(at, grantor))) > 0 {
+				_, may := h.Token(of(at, holder))
 				require.False(t, may, "%v after it was asked for", at-asked)
 				return
 			}
@@ -75,15 +75,15 @@
 
 func TestNothingIsProlongedWhoseEndIsOnItsWay(t *testing.T) {
 	g := Grant{"x", a, 7}
-	k := NewKeeper(terms, 0, []Grant{g})
+	k := NewExpiryClock(terms, 0, []Grant{g})
 	require.NoError(t, k.Renew(time.Second, "x", 7))
 	require.ErrorIs(t, k.Renew(time.Second, "x", 6), ErrNotHeld)
-	require.Empty(t, k.Due(3*time.Second))
-	require.Equal(t, []Command{{Op: Expire, Duty: "x", Token: 7}}, k.Due(4*time.Second))
+	require.Empty(t, k.Expired(3*time.Second))
+	require.Equal(t, []Command{{Op: Expire, Duty: "x", Token: 7}}, k.Expired(4*time.Second))
 	require.ErrorIs(t, k.Renew(4*time.Second, "x", 7), ErrNotHeld)
 	require.ErrorIs(t, k.Granted(4*time.Second, g), ErrNotHeld, "nor by asking for it again")
-	require.Empty(t, k.Due(5*time.Second))
-	require.Len(t, k.Due(7*time.Second), 1, "it may have been lost")
+	require.Empty(t, k.Expired(5*time.Second))
+	require.Len(t, k.Expired(7*time.Second), 1, "it may have been lost")
 	k.Ended("x")
 	require.NoError(t, k.Granted(8*time.Second, Grant{"x", b, 8}))
 }
@@ -92,45 +92,45 @@
 	h := NewHolder(terms, a, "x")
 	now := time.Duration(0)
 	take := func(token uint64) {
-		ask, is := h.Next(now, time.Second)
+		ask, is := h.NextRequest(now, time.Second)
 		require.True(t, is)
-		h.Answered(now, ask.Seq, Grant{"x", a, token}, nil)
-		got, may := h.May(now)
+		h.HandleResponse(now, ask.Seq, Grant{"x", a, token}, nil)
+		got, may := h.Token(now)
 		require.True(t, may)
 		require.Equal(t, token, got)
 	}
 	take(1)
-	_, is := h.Next(now+time.Second/2, time.Second)
+	_, is := h.NextRequest(now+time.Second/2, time.Second)
 	require.False(t, is, "too early for a renewal")
-	now += terms.Valid()
-	_, may := h.May(now)
+	now += terms.HolderDuration()
+	_, may := h.Token(now)
 	require.False(t, may, "it was not renewed")
 	take(2)
-	ask, is := h.HandOn(now, b)
+	ask, is := h.Transfer(now, b)
 	require.True(t, is)
-	require.Equal(t, Command{Op: HandOn, Duty: "x", Who: a, Token: 2, To: b}, ask.Command)
-	_, may = h.May(now)
+	require.Equal(t, Command{Op: Transfer, Duty: "x", Process: a, Token: 2, Successor: b}, ask.Command)
+	_, may = h.Token(now)
 	require.False(t, may)
 
 	h = NewHolder(terms, a, "x")
-	ask, _ = h.Next(now, time.Hour)
-	h.Nudge()
-	_, is = h.Next(now, time.Hour)
+	ask, _ = h.NextRequest(now, time.Hour)
+	h.RetryNow()
+	_, is = h.NextRequest(now, time.Hour)
 	require.False(t, is, "an answer is on its way")
-	h.Lost(ask.Seq)
-	_, is = h.Next(now, time.Hour)
+	h.RequestLost(ask.Seq)
+	_, is = h.NextRequest(now, time.Hour)
 	require.True(t, is, "another voter is asked at once")
 
 	h = NewHolder(terms, a, "x")
 	take(3)
-	h.Leave()
-	_, may = h.May(now)
+	h.Release()
+	_, may = h.Token(now)
 	require.False(t, may)
-	ask, is = h.Next(now, time.Second)
+	ask, is = h.NextRequest(now, time.Second)
 	require.True(t, is)
 	require.Equal(t, Release, ask.Command.Op)
-	h.Answered(now, ask.Seq, Grant{}, nil)
-	_, is = h.Next(now+time.Hour, time.Second)
+	h.HandleResponse(now, ask.Seq, Grant{}, nil)
+	_, is = h.NextRequest(now+time.Hour, time.Second)
 	require.False(t, is)
 }
 
@@ -145,7 +145,7 @@
 		require.Equal(t, c.fresh, fresh)
 	}
 	var again Fence
-	again.Restore(f.Seen())
+	again.Restore(f.Tokens())
 	ok, _ := again.Admit("x", 8)
 	require.False(t, ok)
 }
--- a/internal/group/protocol/message.go
+++ b/internal/group/protocol/message.go
@@ -49,7 +49,7 @@
 }
 
 // Of is the question that a holder asks.
-func Of(a lease.Ask) Question {
+func Of(a lease.Request) Question {
 	kind := Change
 	if a.Renew {
 		kind = Renew
@@ -72,8 +72,8 @@
 
 // Image is the state that all members come to.
 type Image struct {
-	Table  lease.Image `cbor:"1,keyasint"`
-	Voters []Voter     `cbor:"2,keyasint"`
+	Table  lease.Snapshot `cbor:"1,keyasint"`
+	Voters []Voter        `cbor:"2,keyasint"`
 }
 
 // Hello is what a voter says of itself before it takes part: an older copy of its disk would vote twice,
--- a/internal/group/transport/peer_test.go
+++ b/internal/group/transport/peer_test.go
@@ -16,7 +16,7 @@
 	for _, f := range []Frame{
 		{Hail: &Hail{Magic: magic, Version: 1, Group: "g", Name: "n", ID: 7, Born: true}},
 		{Vote: &Vote{From: 1, To: 2, Hello: &protocol.Hello{Starts: 3}, Welcome: &yes, Raft: []byte{1, 2}}},
-		{Ask: &Ask{Key: 9, Kind: protocol.Change, Command: lease.Command{Op: lease.HandOn, Duty: "d", Token: 4, To: lease.Member{Name: "m", Run: 5}}}},
+		{Ask: &Ask{Key: 9, Kind: protocol.Change, Command: lease.Command{Op: lease.Transfer, Duty: "d", Token: 4, Successor: lease.Process{Name: "m", Incarnation: 5}}}},
 		{Tell: &Tell{Key: 9, Code: CodeOf(lease.ErrHeld), Grant: lease.Grant{Duty: "d", Token: 3}, Leader: "n1"}},
 	} {
 		data, err := Append(nil, f)
--- a/internal/group/voter/voter.go
+++ b/internal/group/voter/voter.go
@@ -140,7 +140,7 @@
 	var err error
 	v.machine, err = consensus.New(consensus.Config{
 		ID: id.ID, Run: rand.Uint64(), Starts: id.Starts, Log: log,
-		Terms: lease.Terms{Length: v.cfg.LeaseDuration, Drift: v.cfg.MaxClockDrift},
+		Terms: lease.Timing{Duration: v.cfg.LeaseDuration, MaxClockDrift: v.cfg.MaxClockDrift},
 	})
 	return err
 }
@@ -484,7 +484,7 @@
 	switch {
 	case !v.machine.Leading():
 		return protocol.ErrNotLeading
-	case a.Post == nil, a.Kind == protocol.Publish && (!held || g.Token != a.Command.Token || g.Holder != a.Command.Who):
+	case a.Post == nil, a.Kind == protocol.Publish && (!held || g.Token != a.Command.Token || g.Holder != a.Command.Process):
 		return lease.ErrNotHeld
 	}
 	f := v.feeds[duty]
--- a/internal/lab/clustersim/member.go
+++ b/internal/lab/clustersim/member.go
@@ -17,7 +17,7 @@
 // member is a process that wants all duties, and acts under those that it holds.
 type member struct {
 	*node
-	me      lease.Member
+	me      lease.Process
 	holders []*lease.Holder // by duty
 	tokens  []uint64        // of the last answer, for who does not look
 	leader  int             // the voter to ask
@@ -26,7 +26,7 @@
 func duty(i int) lease.Duty { return lease.Duty(fmt.Sprintf("d%d", i)) }
 
 func (m *member) start() {
-	m.me = lease.Member{Name: fmt.Sprintf("m%d", m.number), Run: uint64(m.life)}
+	m.me = lease.Process{Name: fmt.Sprintf("m%d", m.number), Incarnation: uint64(m.life)}
 	m.leader = m.w.rng.IntN(m.w.size.Voters)
 	m.want()
 	m.after(time.Duration(m.w.rng.Int64N(int64(looks))), m.turn)
@@ -41,7 +41,7 @@
 
 func (m *member) leave() {
 	for i, h := range m.holders {
-		h.Leave()
+		h.Release()
 		m.tokens[i] = 0
 	}
 }
@@ -49,7 +49,7 @@
 func (m *member) nudge(d lease.Duty) {
 	for i, h := range m.holders {
 		if duty(i) == d {
-			h.Nudge()
+			h.RetryNow()
 		}
 	}
 }
@@ -57,7 +57,7 @@
 func (m *member) handOn() {
 	to := m.w.nodes[m.w.size.Voters+m.w.rng.IntN(m.w.size.Members)]
 	for i, h := range m.holders {
-		if a, is := h.HandOn(m.now(), to.member.me); is {
+		if a, is := h.Transfer(m.now(), to.member.me); is {
 			m.tokens[i] = 0
 			m.ask(i, a)
 		}
@@ -70,7 +70,7 @@
 	m.after(looks, m.turn)
 	for i, h := range m.holders {
 		pause := 200*time.Millisecond + time.Duration(m.w.rng.Int64N(int64(500*time.Millisecond)))
-		if a, is := h.Next(m.now(), pause); is {
+		if a, is := h.NextRequest(m.now(), pause); is {
 			m.ask(i, a)
 		}
 		if token, may := m.look(i); may && m.w.rng.IntN(3) == 0 {
@@ -89,7 +89,7 @@
 }
 
 func (m *member) look(i int) (uint64, bool) {
-	token, may := m.holders[i].May(m.now())
+	token, may := m.holders[i].Token(m.now())
 	if failpoint.Is("no-look") {
 		token, may = m.tokens[i], m.tokens[i] > 0
 	}
@@ -120,7 +120,7 @@
 	w.free[duty(i)] = w.now
 	for _, n := range w.nodes[w.size.Voters : w.size.Voters+w.size.Members] {
 		if o := n.member; o != m && n.up {
-			if token, may := o.holders[i].May(o.now()); may {
+			if token, may := o.holders[i].Token(o.now()); may {
 				w.broke("duty %d is held by m%d and, under token %d, by m%d", i, m.number, token, o.number)
 			}
 		}
@@ -164,14 +164,14 @@
 }
 
 // ask asks the group for a holder, and has it hear the answer.
-func (m *member) ask(i int, a lease.Ask) {
+func (m *member) ask(i int, a lease.Request) {
 	h := m.holders[i]
 	m.call(protocol.Of(a), func(b protocol.Answer) {
 		if !protocol.Final(b.Err) {
-			h.Lost(a.Seq)
+			h.RequestLost(a.Seq)
 			return
 		}
-		h.Answered(m.now(), a.Seq, b.Grant, b.Err)
+		h.HandleResponse(m.now(), a.Seq, b.Grant, b.Err)
 		if b.Err == nil && (a.Renew || a.Command.Op == lease.Acquire) {
 			m.tokens[i] = b.Grant.Token
 		}
@@ -220,7 +220,7 @@
 func (w *world) finish() {
 	for i := range w.size.Duties {
 		held := slices.ContainsFunc(w.nodes[w.size.Voters:w.size.Voters+w.size.Members], func(n *node) bool {
-			_, may := n.member.holders[i].May(n.now())
+			_, may := n.member.holders[i].Token(n.now())
 			return may
 		})
 		if !held {
@@ -270,7 +270,7 @@
 // known is what the calls so far tell of one duty.
 type known struct {
 	last   uint64
-	holder lease.Member
+	holder lease.Process
 	over   bool // that grant has ended, whoever asks
 }
 
@@ -290,7 +290,7 @@
 		k, c := state.(known), input.(Call)
 		switch {
 		case c.Err == nil && c.Question.Command.Op == lease.Release:
-			ok, next := k.sees(lease.Grant{Holder: c.Question.Command.Who, Token: c.Question.Command.Token})
+			ok, next := k.sees(lease.Grant{Holder: c.Question.Command.Process, Token: c.Question.Command.Token})
 			next.over = true
 			return ok, next
 		case c.Err == nil, errors.Is(c.Err, lease.ErrHeld):
--- a/internal/lab/clustersim/world.go
+++ b/internal/lab/clustersim/world.go
@@ -30,7 +30,7 @@
 )
 
 // Terms are the model's: short ones, so that a schedule holds many grants.
-var Terms = lease.Terms{Length: 3 * time.Second, Drift: 0.01}
+var Terms = lease.Timing{Duration: 3 * time.Second, MaxClockDrift: 0.01}
 
 // Result is what came of one seed.
 type Result struct {
@@ -193,7 +193,7 @@
 		voters = append(voters, protocol.Voter{ID: w.ids, Name: fmt.Sprintf("v%d", i)})
 	}
 	for i := range size.Voters + size.Members + size.Receivers {
-		n := &node{w: w, number: i, up: true, rate: 1 + (w.rng.Float64()*2-1)*Terms.Drift}
+		n := &node{w: w, number: i, up: true, rate: 1 + (w.rng.Float64()*2-1)*Terms.MaxClockDrift}
 		w.nodes = append(w.nodes, n)
 		switch {
 		case i < size.Voters:
