--- a/cmd/piernotch/group.go
+++ b/cmd/piernotch/group.go
@@ -54,7 +54,7 @@
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "duty\tholder\tprocess\ttoken")
-	for _, g := range i.Table.Grants {
+	for _, g := range i.Leases.Grants {
 		fmt.Fprintf(w, "%s\t%s\t%x\t%d\n", g.Duty, g.Holder.Name, g.Holder.Incarnation, g.Token)
 	}
 	fmt.Fprintln(w, "\nvoter\tdisk")
--- a/internal/group/client/lists.go
+++ b/internal/group/client/lists.go
@@ -113,9 +113,9 @@
 
 // follow has the group tell what leads on from what is known here.
 func (l *lists) follow() {
-	l.m.ask(protocol.Question{
-		Kind: protocol.Follow, Command: lease.Command{Duty: l.duty}, Post: &group.WatchEvent{Source: l.source, ToVersion: l.version},
-	}, func(protocol.Answer) {})
+	l.m.ask(protocol.Request{
+		Kind: protocol.Subscribe, Command: lease.Command{Duty: l.duty}, Event: &group.WatchEvent{Source: l.source, ToVersion: l.version},
+	}, func(protocol.Response) {})
 }
 
 // connected begins again with another voter: it may know nothing.
@@ -169,9 +169,9 @@
 
 // post sends one. A voter that lacks what is before it has to hear all again.
 func (l *lists) post(token uint64, p group.WatchEvent) {
-	l.m.ask(protocol.Question{
-		Kind: protocol.Publish, Command: lease.Command{Duty: l.duty, Process: l.m.me, Token: token}, Post: &p,
-	}, func(a protocol.Answer) {
+	l.m.ask(protocol.Request{
+		Kind: protocol.Publish, Command: lease.Command{Duty: l.duty, Process: l.m.me, Token: token}, Event: &p,
+	}, func(a protocol.Response) {
 		if errors.Is(a.Err, watch.ErrMissing) || errors.Is(a.Err, watch.ErrStale) {
 			l.token = 0
 		}
--- a/internal/group/client/member.go
+++ b/internal/group/client/member.go
@@ -25,7 +25,7 @@
 )
 
 // Seen is told of every question and its answer, for a judge; err is set where none came.
-type Seen func(ask protocol.Question, asked, answered time.Time, answer protocol.Answer, err error)
+type Seen func(ask protocol.Request, asked, answered time.Time, answer protocol.Response, err error)
 
 // Member is a running member.
 type Member struct {
@@ -48,9 +48,9 @@
 }
 
 type question struct {
-	q     protocol.Question
+	q     protocol.Request
 	asked time.Time
-	then  func(protocol.Answer)
+	then  func(protocol.Response)
 }
 
 // Start has a member want the duties of its configuration. seen may be nil.
@@ -141,8 +141,8 @@
 
 // hold asks for a holder.
 func (m *Member) hold(h *lease.Holder, a lease.Request) {
-	sent := m.ask(protocol.Of(a), func(b protocol.Answer) {
-		if protocol.Final(b.Err) {
+	sent := m.ask(protocol.RequestFor(a), func(b protocol.Response) {
+		if protocol.IsFinal(b.Err) {
 			h.HandleResponse(m.now(), a.Seq, b.Grant, b.Err)
 		} else {
 			h.RequestLost(a.Seq)
@@ -155,14 +155,14 @@
 
 // ask sends a question, if there is a connection, and tells whether; m.mu is held, then is called
 // under it, with ErrUnknown if no answer comes.
-func (m *Member) ask(q protocol.Question, then func(protocol.Answer)) bool {
+func (m *Member) ask(q protocol.Request, then func(protocol.Response)) bool {
 	if m.conn == nil {
 		return false
 	}
 	m.key++
 	q.Key = m.key
 	m.out[q.Key] = question{q, time.Now(), then}
-	m.conn.Send(transport.Frame{Ask: &transport.Ask{Key: q.Key, Kind: q.Kind, Command: q.Command, Voter: q.Voter, Post: q.Post}})
+	m.conn.Send(transport.Frame{Ask: &transport.Ask{Key: q.Key, Kind: q.Kind, Command: q.Command, Voter: q.Voter, Post: q.Event}})
 	return true
 }
 
@@ -216,8 +216,8 @@
 		m.mu.Lock()
 		m.conn = nil
 		for k, q := range m.out {
-			m.saw(q, protocol.Answer{}, transport.ErrClosed)
-			q.then(protocol.Answer{Err: protocol.ErrUnknown})
+			m.saw(q, protocol.Response{}, transport.ErrClosed)
+			q.then(protocol.Response{Err: protocol.ErrOutcomeUnknown})
 			delete(m.out, k)
 		}
 		m.mu.Unlock()
@@ -242,10 +242,10 @@
 		q, is := m.out[t.Key]
 		delete(m.out, t.Key)
 		if is {
-			a := protocol.Answer{Key: t.Key, Grant: t.Grant, Image: t.Image, Err: t.Code.Err()}
+			a := protocol.Response{Key: t.Key, Grant: t.Grant, Snapshot: t.Image, Err: t.Code.Err()}
 			m.saw(q, a, nil)
 			q.then(a)
-			if errors.Is(a.Err, protocol.ErrNotLeading) {
+			if errors.Is(a.Err, protocol.ErrNotLeader) {
 				m.leader = t.Leader
 				c.Close()
 			}
@@ -254,27 +254,27 @@
 	}
 }
 
-func (m *Member) saw(q question, a protocol.Answer, err error) {
+func (m *Member) saw(q question, a protocol.Response, err error) {
 	if m.seen != nil {
 		m.seen(q.q, q.asked, time.Now(), a, err)
 	}
 }
 
 // List asks the group for all that is held, and who votes.
-func (m *Member) List(ctx context.Context) (protocol.Image, error) {
+func (m *Member) List(ctx context.Context) (protocol.Snapshot, error) {
 	for {
-		got := make(chan protocol.Answer, 1)
+		got := make(chan protocol.Response, 1)
 		m.mu.Lock()
-		m.ask(protocol.Question{Kind: protocol.List}, func(a protocol.Answer) { got <- a })
+		m.ask(protocol.Request{Kind: protocol.List}, func(a protocol.Response) { got <- a })
 		m.mu.Unlock()
 		select {
 		case a := <-got:
 			if a.Err == nil {
-				return a.Image, nil
+				return a.Snapshot, nil
 			}
 		case <-time.After(silent / 2):
 		case <-ctx.Done():
-			return protocol.Image{}, fmt.Errorf("no voter that leads was found: %w", ctx.Err())
+			return protocol.Snapshot{}, fmt.Errorf("no voter that leads was found: %w", ctx.Err())
 		}
 	}
 }
--- a/internal/group/consensus/machine.go
+++ b/internal/group/consensus/machine.go
@@ -42,7 +42,7 @@
 // Message is between two voters. One of its parts is set.
 type Message struct {
 	From, To uint64
-	Hello    *protocol.Hello
+	Hello    *protocol.Announcement
 	Welcome  *bool // whether the hello shows a disk that is as new as was seen
 	Raft     *raftpb.Message
 }
@@ -68,7 +68,7 @@
 		cs.Voters = append(cs.Voters, v.ID)
 	}
 	slices.Sort(cs.Voters)
-	data, err := cbor.Marshal(protocol.Image{Voters: voters})
+	data, err := cbor.Marshal(protocol.Snapshot{Voters: voters})
 	if err != nil {
 		panic(err) // plain values
 	}
@@ -115,7 +115,7 @@
 
 // waiting is a question that has no answer yet.
 type waiting struct {
-	q     protocol.Question
+	q     protocol.Request
 	index uint64 // of a read: answered once so much is applied; 0: not confirmed yet
 }
 
@@ -148,7 +148,7 @@
 	reads   map[uint64]waiting // by the question that they came with: all up to it share one look at who leads
 	unsent  bool               // some have not been looked for yet
 	free    []lease.Duty       // that have come free, or into another hand, since Freed was called
-	answers []protocol.Answer
+	answers []protocol.Response
 
 	welcome map[uint64]bool // who found the disk new enough
 	in      bool            // enough of them have
@@ -199,11 +199,11 @@
 }
 
 func (m *Machine) restore(s *raftpb.Snapshot) error {
-	var i protocol.Image
+	var i protocol.Snapshot
 	if err := cbor.Unmarshal(s.GetData(), &i); err != nil {
 		return fmt.Errorf("image at %d: %w", s.GetMetadata().GetIndex(), err)
 	}
-	m.table.Restore(i.Table)
+	m.table.Restore(i.Leases)
 	m.voters = i.Voters
 	m.applied, m.imaged = s.GetMetadata().GetIndex(), s.GetMetadata().GetIndex()
 	m.conf = s.GetMetadata().GetConfState()
@@ -273,7 +273,7 @@
 	}
 	hs, _, _ := m.mem.InitialState()
 	last, _ := m.mem.LastIndex()
-	h := &protocol.Hello{Starts: m.cfg.Starts, Run: m.cfg.Run, Term: hs.GetTerm(), Vote: hs.GetVote(), Last: last}
+	h := &protocol.Announcement{Starts: m.cfg.Starts, Incarnation: m.cfg.Run, Term: hs.GetTerm(), Vote: hs.GetVote(), LastIndex: last}
 	for _, id := range m.conf.GetVoters() {
 		if id != m.cfg.ID && !m.welcome[id] {
 			m.out = append(m.out, Message{From: m.cfg.ID, To: id, Hello: h})
@@ -282,10 +282,10 @@
 }
 
 // greeted judges another voter's hello by what was heard of it before.
-func (m *Machine) greeted(from uint64, h *protocol.Hello) {
-	s, last, now := m.seen[from], m.starts[from], Start{h.Starts, h.Run}
+func (m *Machine) greeted(from uint64, h *protocol.Announcement) {
+	s, last, now := m.seen[from], m.starts[from], Start{h.Starts, h.Incarnation}
 	ok := (now.N > last.N || now == last) && h.Term >= s.term &&
-		(h.Term > s.term || h.Last >= s.last && (h.Vote != 0 || !s.voted))
+		(h.Term > s.term || h.LastIndex >= s.last && (h.Vote != 0 || !s.voted))
 	if ok && now != last {
 		m.starts[from], m.fresh = now, true
 	}
@@ -355,13 +355,13 @@
 
 // Ask takes a question; its answer comes from Answers, now or later, or never: who asks has to bound
 // its own patience.
-func (m *Machine) Ask(now time.Duration, q protocol.Question) {
+func (m *Machine) Ask(now time.Duration, q protocol.Request) {
 	switch {
 	case m.keeper == nil && !(failpoint.Is("stale-reads") && q.Kind == protocol.Read && m.leading):
-		m.answer(q, lease.Grant{}, protocol.ErrNotLeading)
+		m.answer(q, lease.Grant{}, protocol.ErrNotLeader)
 	case len(m.changes)+len(m.reads) >= mostWaiting:
-		m.answer(q, lease.Grant{}, protocol.ErrBusy)
-	case q.Kind == protocol.Change && !m.heldByOther(q.Command):
+		m.answer(q, lease.Grant{}, protocol.ErrOverloaded)
+	case q.Kind == protocol.Propose && !m.heldByOther(q.Command):
 		if failpoint.Is("answered-too-early") {
 			var t lease.Table
 			t.Restore(m.table.Snapshot())
@@ -369,7 +369,7 @@
 			m.answer(q, g, err)
 		}
 		m.propose(q.Command, m.wait(q))
-	case q.Kind == protocol.Admit:
+	case q.Kind == protocol.AddVoter:
 		m.admit(q)
 	case q.Kind == protocol.Read && failpoint.Is("stale-reads"), q.Kind == protocol.Renew && failpoint.Is("unconfirmed-renewals"):
 		m.look(now, q)
@@ -397,18 +397,18 @@
 	return f
 }
 
-func (m *Machine) answer(q protocol.Question, g lease.Grant, err error) {
-	m.answers = append(m.answers, protocol.Answer{Key: q.Key, Grant: g, Err: err})
+func (m *Machine) answer(q protocol.Request, g lease.Grant, err error) {
+	m.answers = append(m.answers, protocol.Response{Key: q.Key, Grant: g, Err: err})
 }
 
 // Answers returns what has been answered since the last call.
-func (m *Machine) Answers() []protocol.Answer {
+func (m *Machine) Answers() []protocol.Response {
 	a := m.answers
 	m.answers = nil
 	return a
 }
 
-func (m *Machine) wait(q protocol.Question) uint64 {
+func (m *Machine) wait(q protocol.Request) uint64 {
 	m.seq++
 	m.changes[m.seq] = waiting{q: q}
 	return m.seq
@@ -428,13 +428,13 @@
 func (m *Machine) dropped(seq uint64, err error) {
 	if w, is := m.changes[seq]; is {
 		delete(m.changes, seq)
-		m.answer(w.q, lease.Grant{}, fmt.Errorf("%w: %w", protocol.ErrNotLeading, err))
+		m.answer(w.q, lease.Grant{}, fmt.Errorf("%w: %w", protocol.ErrNotLeader, err))
 	}
 }
 
 // admit changes who votes, one step at a time: first the voter of that name that is gone is taken out,
 // then the new one is taken in. Who wants to be taken in asks until it is.
-func (m *Machine) admit(q protocol.Question) {
+func (m *Machine) admit(q protocol.Request) {
 	v := q.Voter
 	change := raftpb.ConfChange{Type: raftpb.ConfChangeAddNode.Enum(), NodeId: &v.ID}
 	for _, o := range m.voters {
@@ -557,10 +557,10 @@
 func (m *Machine) depose() {
 	m.keeper = nil
 	for _, seq := range slices.Sorted(maps.Keys(m.changes)) {
-		m.answer(m.changes[seq].q, lease.Grant{}, protocol.ErrUnknown)
+		m.answer(m.changes[seq].q, lease.Grant{}, protocol.ErrOutcomeUnknown)
 	}
 	for _, seq := range slices.Sorted(maps.Keys(m.reads)) {
-		m.answer(m.reads[seq].q, lease.Grant{}, protocol.ErrNotLeading)
+		m.answer(m.reads[seq].q, lease.Grant{}, protocol.ErrNotLeader)
 	}
 	clear(m.changes)
 	clear(m.reads)
@@ -625,7 +625,7 @@
 	if cc.GetType() == raftpb.ConfChangeAddNode {
 		m.voters = append(m.voters, a.Voter)
 	} else {
-		err = protocol.ErrUnknown // half of it: the asker comes again
+		err = protocol.ErrOutcomeUnknown // half of it: the asker comes again
 	}
 	if w, is := m.changes[a.Seq]; is && a.Run == m.cfg.Run {
 		delete(m.changes, a.Seq)
@@ -658,14 +658,14 @@
 	}
 }
 
-func (m *Machine) look(now time.Duration, q protocol.Question) {
+func (m *Machine) look(now time.Duration, q protocol.Request) {
 	g, held := m.table.Holder(q.Command.Duty)
 	switch {
 	case q.Kind == protocol.List:
-		m.answers = append(m.answers, protocol.Answer{Key: q.Key, Image: m.state()})
-	case q.Kind == protocol.Change && m.heldByOther(q.Command):
+		m.answers = append(m.answers, protocol.Response{Key: q.Key, Snapshot: m.state()})
+	case q.Kind == protocol.Propose && m.heldByOther(q.Command):
 		m.answer(q, g, lease.ErrHeld)
-	case q.Kind == protocol.Change: // it has come free since
+	case q.Kind == protocol.Propose: // it has come free since
 		m.propose(q.Command, m.wait(q))
 	case q.Kind == protocol.Renew && (!held || g.Token != q.Command.Token || g.Holder != q.Command.Process):
 		m.answer(q, g, lease.ErrNotHeld)
@@ -678,8 +678,8 @@
 	}
 }
 
-func (m *Machine) state() protocol.Image {
-	return protocol.Image{Table: m.table.Snapshot(), Voters: slices.Clone(m.voters)}
+func (m *Machine) state() protocol.Snapshot {
+	return protocol.Snapshot{Leases: m.table.Snapshot(), Voters: slices.Clone(m.voters)}
 }
 
 // compact replaces the log by the state it has led to, now and then.
--- a/internal/group/transport/peer.go
+++ b/internal/group/transport/peer.go
@@ -45,11 +45,11 @@
 
 // Vote is a message between voters.
 type Vote struct {
-	From    uint64          `cbor:"1,keyasint"`
-	To      uint64          `cbor:"2,keyasint"`
-	Hello   *protocol.Hello `cbor:"3,keyasint,omitempty"`
-	Welcome *bool           `cbor:"4,keyasint,omitempty"`
-	Raft    []byte          `cbor:"5,keyasint,omitempty"`
+	From    uint64                 `cbor:"1,keyasint"`
+	To      uint64                 `cbor:"2,keyasint"`
+	Hello   *protocol.Announcement `cbor:"3,keyasint,omitempty"`
+	Welcome *bool                  `cbor:"4,keyasint,omitempty"`
+	Raft    []byte                 `cbor:"5,keyasint,omitempty"`
 }
 
 // Ask is a member's question.
@@ -65,7 +65,7 @@
 type Code uint8
 
 // codes are the errors that have a code, by it.
-var codes = []error{nil, lease.ErrHeld, lease.ErrNotHeld, protocol.ErrNotLeading, protocol.ErrUnknown, protocol.ErrBusy, protocol.ErrNameInUse, watch.ErrMissing, watch.ErrStale, watch.ErrLarge}
+var codes = []error{nil, lease.ErrHeld, lease.ErrNotHeld, protocol.ErrNotLeader, protocol.ErrOutcomeUnknown, protocol.ErrOverloaded, protocol.ErrNameInUse, watch.ErrMissing, watch.ErrStale, watch.ErrLarge}
 
 // CodeOf returns an error's code.
 func CodeOf(err error) Code {
@@ -82,7 +82,7 @@
 	if int(c) < len(codes) {
 		return codes[c]
 	}
-	return protocol.ErrUnknown
+	return protocol.ErrOutcomeUnknown
 }
 
 // Tell is the answer to an Ask.
@@ -90,7 +90,7 @@
 	Key    uint64            `cbor:"1,keyasint"`
 	Code   Code              `cbor:"2,keyasint"`
 	Grant  lease.Grant       `cbor:"3,keyasint,omitempty"`
-	Image  protocol.Image    `cbor:"4,keyasint,omitempty"`
+	Image  protocol.Snapshot `cbor:"4,keyasint,omitempty"`
 	Leader string            `cbor:"5,keyasint,omitempty"` // the name of who leads, if known
 	Free   lease.Duty        `cbor:"6,keyasint,omitempty"` // without a Key: this duty may have come free
 	Duty   lease.Duty        `cbor:"7,keyasint,omitempty"` // without a Key: of Post
--- a/internal/group/transport/peer_test.go
+++ b/internal/group/transport/peer_test.go
@@ -15,8 +15,8 @@
 	yes := true
 	for _, f := range []Frame{
 		{Hail: &Hail{Magic: magic, Version: 1, Group: "g", Name: "n", ID: 7, Born: true}},
-		{Vote: &Vote{From: 1, To: 2, Hello: &protocol.Hello{Starts: 3}, Welcome: &yes, Raft: []byte{1, 2}}},
-		{Ask: &Ask{Key: 9, Kind: protocol.Change, Command: lease.Command{Op: lease.Transfer, Duty: "d", Token: 4, Successor: lease.Process{Name: "m", Incarnation: 5}}}},
+		{Vote: &Vote{From: 1, To: 2, Hello: &protocol.Announcement{Starts: 3}, Welcome: &yes, Raft: []byte{1, 2}}},
+		{Ask: &Ask{Key: 9, Kind: protocol.Propose, Command: lease.Command{Op: lease.Transfer, Duty: "d", Token: 4, Successor: lease.Process{Name: "m", Incarnation: 5}}}},
 		{Tell: &Tell{Key: 9, Code: CodeOf(lease.ErrHeld), Grant: lease.Grant{Duty: "d", Token: 3}, Leader: "n1"}},
 	} {
 		data, err := Append(nil, f)
@@ -36,7 +36,7 @@
 	for i, err := range codes {
 		require.Equal(t, err, CodeOf(err).Err(), "code %d", i)
 	}
-	require.Equal(t, protocol.ErrUnknown, Code(200).Err())
+	require.Equal(t, protocol.ErrOutcomeUnknown, Code(200).Err())
 }
 
 // What does not belong to the group is refused with a word that names it.
--- a/internal/group/voter/voter.go
+++ b/internal/group/voter/voter.go
@@ -55,7 +55,7 @@
 
 	out   map[string]*link // to other voters, by name
 	asked uint64
-	asks  map[uint64]func(protocol.Answer)
+	asks  map[uint64]func(protocol.Response)
 	hails map[string]transport.Hail        // the last of each other voter
 	told  string                           // who was last told to lead
 	queue map[lease.Duty][]*transport.Conn // who was refused a duty, and is told when it comes free
@@ -84,7 +84,7 @@
 	}
 	v := &Voter{
 		cfg: cfg, begun: time.Now(), events: make(chan func(), mostWait), out: map[string]*link{},
-		asks: map[uint64]func(protocol.Answer){}, hails: map[string]transport.Hail{}, queue: map[lease.Duty][]*transport.Conn{}, feeds: map[lease.Duty]*feed{},
+		asks: map[uint64]func(protocol.Response){}, hails: map[string]transport.Hail{}, queue: map[lease.Duty][]*transport.Conn{}, feeds: map[lease.Duty]*feed{},
 	}
 	if err := v.open(); err != nil {
 		return nil, err
@@ -246,7 +246,7 @@
 	v.admit = v.now() + admitEach
 	for _, l := range v.out {
 		if l.conn != nil {
-			l.conn.Send(transport.Frame{Ask: &transport.Ask{Kind: protocol.Admit, Voter: protocol.Voter{ID: id, Name: v.cfg.Self}}})
+			l.conn.Send(transport.Frame{Ask: &transport.Ask{Kind: protocol.AddVoter, Voter: protocol.Voter{ID: id, Name: v.cfg.Self}}})
 		}
 	}
 }
@@ -452,24 +452,24 @@
 
 // ask has the machine answer a question, whose asker may be gone by then.
 func (v *Voter) ask(c *transport.Conn, a *transport.Ask) {
-	tell := func(b protocol.Answer) {
-		t := &transport.Tell{Key: a.Key, Code: transport.CodeOf(b.Err), Grant: b.Grant, Image: b.Image, Leader: v.told}
+	tell := func(b protocol.Response) {
+		t := &transport.Tell{Key: a.Key, Code: transport.CodeOf(b.Err), Grant: b.Grant, Image: b.Snapshot, Leader: v.told}
 		c.Send(transport.Frame{Tell: t})
 		if q := v.queue[a.Command.Duty]; errors.Is(b.Err, lease.ErrHeld) && len(q) < mostQueue && !slices.Contains(q, c) {
 			v.queue[a.Command.Duty] = append(q, c)
 		}
 	}
 	if v.machine == nil {
-		tell(protocol.Answer{Err: protocol.ErrNotLeading})
+		tell(protocol.Response{Err: protocol.ErrNotLeader})
 		return
 	}
-	if a.Kind == protocol.Publish || a.Kind == protocol.Follow {
-		tell(protocol.Answer{Err: v.feed(c, a)})
+	if a.Kind == protocol.Publish || a.Kind == protocol.Subscribe {
+		tell(protocol.Response{Err: v.feed(c, a)})
 		return
 	}
 	v.asked++
 	v.asks[v.asked] = tell
-	v.machine.Ask(v.now(), protocol.Question{Key: v.asked, Kind: a.Kind, Command: a.Command, Voter: a.Voter})
+	v.machine.Ask(v.now(), protocol.Request{Key: v.asked, Kind: a.Kind, Command: a.Command, Voter: a.Voter})
 }
 
 // Ended is closed once the voter has ended, by itself or by Close.
@@ -483,19 +483,19 @@
 	g, held := v.machine.Held(duty)
 	switch {
 	case !v.machine.Leading():
-		return protocol.ErrNotLeading
+		return protocol.ErrNotLeader
 	case a.Post == nil, a.Kind == protocol.Publish && (!held || g.Token != a.Command.Token || g.Holder != a.Command.Process):
 		return lease.ErrNotHeld
 	}
 	f := v.feeds[duty]
 	if f == nil {
 		if len(v.feeds) >= group.MaxDuties {
-			return protocol.ErrBusy
+			return protocol.ErrOverloaded
 		}
 		f = &feed{}
 		v.feeds[duty] = f
 	}
-	if a.Kind == protocol.Follow {
+	if a.Kind == protocol.Subscribe {
 		if !slices.Contains(f.to, c) {
 			f.to = append(f.to, c)
 		}
--- a/internal/group/voter/voter_test.go
+++ b/internal/group/voter/voter_test.go
@@ -75,7 +75,7 @@
 	defer stop()
 	before, err := b.List(ctx)
 	require.NoError(t, err)
-	require.Equal(t, "a", before.Table.Grants[0].Holder.Name)
+	require.Equal(t, "a", before.Leases.Grants[0].Holder.Name)
 
 	_, may := b.May("watch")
 	require.False(t, may)
--- a/internal/lab/clustersim/member.go
+++ b/internal/lab/clustersim/member.go
@@ -84,7 +84,7 @@
 	}
 	if m.w.rng.IntN(6) == 0 {
 		i := m.w.rng.IntN(m.w.size.Duties)
-		m.call(protocol.Question{Kind: protocol.Read, Command: lease.Command{Duty: duty(i)}}, func(protocol.Answer) {})
+		m.call(protocol.Request{Kind: protocol.Read, Command: lease.Command{Duty: duty(i)}}, func(protocol.Response) {})
 	}
 }
 
@@ -166,8 +166,8 @@
 // ask asks the group for a holder, and has it hear the answer.
 func (m *member) ask(i int, a lease.Request) {
 	h := m.holders[i]
-	m.call(protocol.Of(a), func(b protocol.Answer) {
-		if !protocol.Final(b.Err) {
+	m.call(protocol.RequestFor(a), func(b protocol.Response) {
+		if !protocol.IsFinal(b.Err) {
 			h.RequestLost(a.Seq)
 			return
 		}
@@ -180,7 +180,7 @@
 
 // Call is one question as its asker saw it, and the group's answer.
 type Call struct {
-	Question protocol.Question
+	Question protocol.Request
 	From, To time.Duration
 	Grant    lease.Grant
 	Err      error
@@ -188,7 +188,7 @@
 }
 
 // call asks a voter, and keeps the question for the judge.
-func (m *member) call(q protocol.Question, then func(protocol.Answer)) {
+func (m *member) call(q protocol.Request, then func(protocol.Response)) {
 	w := m.w
 	n := len(w.calls)
 	w.calls = append(w.calls, Call{Question: q, From: w.now})
@@ -201,10 +201,10 @@
 	})
 	w.send(m.number, to, func() {
 		v := w.nodes[to].voter
-		v.ask(q, func(a protocol.Answer) {
+		v.ask(q, func(a protocol.Response) {
 			w.send(to, m.number, func() {
 				answered = true
-				if errors.Is(a.Err, protocol.ErrNotLeading) {
+				if errors.Is(a.Err, protocol.ErrNotLeader) {
 					m.leader = w.rng.IntN(w.size.Voters)
 				}
 				if c := &w.calls[n]; !c.answered {
@@ -231,7 +231,7 @@
 		}
 	}
 	w.result.Unheld /= w.size.Length.Seconds() * float64(w.size.Duties)
-	told := slices.DeleteFunc(slices.Clone(w.calls), func(c Call) bool { return !c.answered || !protocol.Final(c.Err) })
+	told := slices.DeleteFunc(slices.Clone(w.calls), func(c Call) bool { return !c.answered || !protocol.IsFinal(c.Err) })
 	w.result.Broken = append(w.result.Broken, Linear(told)...)
 }
 
@@ -254,7 +254,7 @@
 		if verdict == porcupine.Unknown {
 			verdict = porcupine.CheckOperationsTimeout(table, slices.DeleteFunc(ops, func(o porcupine.Operation) bool {
 				c := o.Input.(Call)
-				return (c.Question.Kind != protocol.Change || c.Err != nil) && c.To-c.From > watched
+				return (c.Question.Kind != protocol.Propose || c.Err != nil) && c.To-c.From > watched
 			}), 20*time.Second)
 		}
 		switch verdict {
--- a/internal/lab/clustersim/world.go
+++ b/internal/lab/clustersim/world.go
@@ -383,14 +383,14 @@
 	writing *consensus.Work
 	inbox   []func()
 	slow    int
-	asks    map[uint64]func(protocol.Answer)
+	asks    map[uint64]func(protocol.Response)
 	next    uint64
 }
 
 func (v *voter) start() {
 	v.copies = append(v.copies, v.disk)
 	v.disk.starts++
-	v.busy, v.writing, v.inbox, v.asks = false, nil, nil, map[uint64]func(protocol.Answer){}
+	v.busy, v.writing, v.inbox, v.asks = false, nil, nil, map[uint64]func(protocol.Response){}
 	var err error
 	v.m, err = consensus.New(consensus.Config{ID: v.disk.id, Run: v.w.rng.Uint64(), Starts: v.disk.starts, Terms: Terms, Log: v.disk.log})
 	if err != nil {
@@ -440,9 +440,9 @@
 		return
 	}
 	if !slices.ContainsFunc(v.m.Voters(), func(o protocol.Voter) bool { return o.ID == v.disk.id }) && v.w.rng.IntN(5) == 0 {
-		q := protocol.Question{Kind: protocol.Admit, Voter: protocol.Voter{ID: v.disk.id, Name: v.name}}
+		q := protocol.Request{Kind: protocol.AddVoter, Voter: protocol.Voter{ID: v.disk.id, Name: v.name}}
 		to := v.w.nodes[v.w.rng.IntN(v.w.size.Voters)]
-		v.w.send(v.number, to.number, func() { to.voter.ask(q, func(protocol.Answer) {}) })
+		v.w.send(v.number, to.number, func() { to.voter.ask(q, func(protocol.Response) {}) })
 	}
 }
 
@@ -522,7 +522,7 @@
 }
 
 // ask takes a question that has come.
-func (v *voter) ask(q protocol.Question, back func(protocol.Answer)) {
+func (v *voter) ask(q protocol.Request, back func(protocol.Response)) {
 	v.do(func() {
 		v.next++
 		q.Key = v.next
--- a/internal/lab/clustertest/actor.go
+++ b/internal/lab/clustertest/actor.go
@@ -64,8 +64,8 @@
 		l.Name = cfg.Self
 		_ = enc.Encode(l) // a rig that is gone has ended
 	}
-	m := client.Start(cfg, func(q protocol.Question, asked, answered time.Time, a protocol.Answer, err error) {
-		if err != nil || !protocol.Final(a.Err) {
+	m := client.Start(cfg, func(q protocol.Request, asked, answered time.Time, a protocol.Response, err error) {
+		if err != nil || !protocol.IsFinal(a.Err) {
 			return
 		}
 		c := &call{Kind: q.Kind, Command: q.Command, Asked: asked.UnixNano(), Answered: answered.UnixNano(), Grant: a.Grant}
--- a/internal/lab/clustertest/rig.go
+++ b/internal/lab/clustertest/rig.go
@@ -296,7 +296,7 @@
 		switch {
 		case err != nil:
 			return fmt.Errorf("the group does not begin: %w", err)
-		case len(i.Table.Grants) == r.opts.Size.Duties:
+		case len(i.Leases.Grants) == r.opts.Size.Duties:
 			return nil
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -477,7 +477,7 @@
 	defer r.mu.Unlock()
 	if c := l.Call; c != nil {
 		r.calls = append(r.calls, clustersim.Call{
-			Question: protocol.Question{Kind: c.Kind, Command: c.Command}, Grant: c.Grant, Err: refusal(c.Err),
+			Question: protocol.Request{Kind: c.Kind, Command: c.Command}, Grant: c.Grant, Err: refusal(c.Err),
 			From: time.Duration(c.Asked), To: time.Duration(c.Answered),
 		})
 	}
