--- a/internal/group/consensus/disk.go
+++ b/internal/group/consensus/disk.go
@@ -23,16 +23,16 @@
 
 // Identity is what a voter's file says of itself.
 type Identity struct {
-	Version int    `cbor:"1,keyasint"`
-	Group   string `cbor:"2,keyasint"`
-	Name    string `cbor:"3,keyasint"`
-	ID      uint64 `cbor:"4,keyasint"`
-	Starts  uint64 `cbor:"5,keyasint"`
-	Born    bool   `cbor:"6,keyasint"` // it has been part of a group
+	Version      int    `cbor:"1,keyasint"`
+	Group        string `cbor:"2,keyasint"`
+	Name         string `cbor:"3,keyasint"`
+	ID           uint64 `cbor:"4,keyasint"`
+	StartCount   uint64 `cbor:"5,keyasint"`
+	Bootstrapped bool   `cbor:"6,keyasint"` // it has been part of a group
 }
 
-// ErrSpoilt is a file that holds something else than was written.
-var ErrSpoilt = errors.New("spoilt")
+// ErrCorrupt is a file that holds something else than was written.
+var ErrCorrupt = errors.New("spoilt")
 
 var (
 	boltHead = []byte("voter")
@@ -44,34 +44,34 @@
 	keyStarts   = []byte("starts")
 )
 
-// Disk is a voter's file. Every write is synced before it returns.
-type Disk struct {
+// Store is a voter's file. Every write is synced before it returns.
+type Store struct {
 	db   *bbolt.DB
 	path string
 	who  Identity
 }
 
-// OpenDisk opens a voter's file, makes it if there is none, and counts the start. An error of ErrSpoilt
+// OpenStore opens a voter's file, makes it if there is none, and counts the start. An error of ErrSpoilt
 // names the file and what of it cannot be read; the caller may SetAside and open again.
-func OpenDisk(path, group, name string) (d *Disk, l Log, err error) {
+func OpenStore(path, group, name string) (d *Store, l PersistentState, err error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
-		return nil, Log{}, err
+		return nil, PersistentState{}, err
 	}
 	// The file is mapped: where it was cut short, reading it is a fault.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	db, err := open(path)
 	switch {
 	case errors.Is(err, bolterrors.ErrTimeout):
-		return nil, Log{}, fmt.Errorf("%s: another process uses it", path)
+		return nil, PersistentState{}, fmt.Errorf("%s: another process uses it", path)
 	case err != nil && !errors.Is(err, os.ErrPermission):
-		return nil, Log{}, fmt.Errorf("%s: %w: %w", path, ErrSpoilt, err)
+		return nil, PersistentState{}, fmt.Errorf("%s: %w: %w", path, ErrCorrupt, err)
 	case err != nil:
-		return nil, Log{}, err
+		return nil, PersistentState{}, err
 	}
-	d = &Disk{db: db, path: path}
+	d = &Store{db: db, path: path}
 	defer func() {
 		if p := recover(); p != nil { // bbolt's word for pages that make no sense
-			err = fmt.Errorf("%s: %w: %v", path, ErrSpoilt, p)
+			err = fmt.Errorf("%s: %w: %v", path, ErrCorrupt, p)
 		}
 		if err != nil {
 			_ = db.Close()
@@ -104,7 +104,7 @@
 	return bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second})
 }
 
-func (d *Disk) identify(head *bbolt.Bucket, group, name string) error {
+func (d *Store) identify(head *bbolt.Bucket, group, name string) error {
 	data, err := d.get(head, keyIdentity)
 	if err != nil {
 		return err
@@ -116,7 +116,7 @@
 		}
 		d.who = Identity{Version: diskVersion, Group: group, Name: name, ID: binary.LittleEndian.Uint64(id[:]) | 1}
 	} else if err := cbor.Unmarshal(data, &d.who); err != nil {
-		return fmt.Errorf("%s: identity: %w: %w", d.path, ErrSpoilt, err)
+		return fmt.Errorf("%s: identity: %w: %w", d.path, ErrCorrupt, err)
 	}
 	switch w := d.who; {
 	case w.Version != diskVersion:
@@ -124,11 +124,11 @@
 	case w.Group != group || w.Name != name:
 		return fmt.Errorf("%s: belongs to %q of group %q, not to %q of %q", d.path, w.Name, w.Group, name, group)
 	}
-	d.who.Starts++
+	d.who.StartCount++
 	return d.putIdentity(head)
 }
 
-func (d *Disk) putIdentity(head *bbolt.Bucket) error {
+func (d *Store) putIdentity(head *bbolt.Bucket) error {
 	data, err := cbor.Marshal(d.who)
 	if err != nil {
 		return err
@@ -137,44 +137,44 @@
 }
 
 // Identity is what the file says of itself.
-func (d *Disk) Identity() Identity { return d.who }
+func (d *Store) Identity() Identity { return d.who }
 
 // put keeps a value with its checksum: bbolt has none for its pages.
 func put(b *bbolt.Bucket, key, value []byte) error {
 	return b.Put(key, append(binary.LittleEndian.AppendUint64(nil, xxhash.Sum64(value)), value...))
 }
 
-func (d *Disk) get(b *bbolt.Bucket, key []byte) ([]byte, error) {
+func (d *Store) get(b *bbolt.Bucket, key []byte) ([]byte, error) {
 	v := b.Get(key)
 	if v == nil {
 		return nil, nil
 	}
 	if len(v) < 8 || binary.LittleEndian.Uint64(v) != xxhash.Sum64(v[8:]) {
-		return nil, fmt.Errorf("%s: %x: %w: its checksum is another", d.path, key, ErrSpoilt)
+		return nil, fmt.Errorf("%s: %x: %w: its checksum is another", d.path, key, ErrCorrupt)
 	}
 	return v[8:], nil
 }
 
 // message reads a protobuf value into m, and tells whether there is one.
-func (d *Disk) message(b *bbolt.Bucket, key []byte, m proto.Message) (bool, error) {
+func (d *Store) message(b *bbolt.Bucket, key []byte, m proto.Message) (bool, error) {
 	v, err := d.get(b, key)
 	if err != nil || v == nil {
 		return false, err
 	}
 	if err := proto.Unmarshal(v, m); err != nil {
-		return false, fmt.Errorf("%s: %x: %w: %w", d.path, key, ErrSpoilt, err)
+		return false, fmt.Errorf("%s: %x: %w: %w", d.path, key, ErrCorrupt, err)
 	}
 	return true, nil
 }
 
-func (d *Disk) read(tx *bbolt.Tx) (Log, error) {
-	var l Log
+func (d *Store) read(tx *bbolt.Tx) (PersistentState, error) {
+	var l PersistentState
 	head := tx.Bucket(boltHead)
 	hard, snapshot := &raftpb.HardState{}, &raftpb.Snapshot{}
 	if is, err := d.message(head, keyHard, hard); err != nil {
 		return l, err
 	} else if is {
-		l.Hard = hard
+		l.HardState = hard
 	}
 	if is, err := d.message(head, keySnapshot, snapshot); err != nil {
 		return l, err
@@ -183,7 +183,7 @@
 	}
 	starts, err := d.get(head, keyStarts)
 	if err == nil && starts != nil {
-		err = cbor.Unmarshal(starts, &l.Starts)
+		err = cbor.Unmarshal(starts, &l.Incarnations)
 	}
 	if err != nil {
 		return l, err
@@ -196,7 +196,7 @@
 			return err
 		}
 		if e.GetIndex() != next {
-			return fmt.Errorf("%s: entry %d: %w: entry %d was expected", d.path, e.GetIndex(), ErrSpoilt, next)
+			return fmt.Errorf("%s: entry %d: %w: entry %d was expected", d.path, e.GetIndex(), ErrCorrupt, next)
 		}
 		next++
 		l.Entries = append(l.Entries, e)
@@ -208,16 +208,16 @@
 func index(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
 
 // Write makes work durable, whole or not at all.
-func (d *Disk) Write(w Work) error {
+func (d *Store) Write(w Ready) error {
 	if w.Empty() {
 		return nil
 	}
 	return d.db.Update(func(tx *bbolt.Tx) error { return d.write(tx, w) })
 }
 
-func (d *Disk) write(tx *bbolt.Tx, w Work) error {
+func (d *Store) write(tx *bbolt.Tx, w Ready) error {
 	head, log := tx.Bucket(boltHead), tx.Bucket(boltLog)
-	snapshot, from, to := w.Image, uint64(0), w.Image.GetMetadata().GetIndex()
+	snapshot, from, to := w.Compaction, uint64(0), w.Compaction.GetMetadata().GetIndex()
 	if w.Snapshot != nil { // and nothing of the log is left
 		snapshot, to = w.Snapshot, ^uint64(0)
 	}
@@ -239,13 +239,13 @@
 			return err
 		}
 	}
-	if w.Hard != nil {
-		if err := putMessage(head, keyHard, w.Hard); err != nil {
+	if w.HardState != nil {
+		if err := putMessage(head, keyHard, w.HardState); err != nil {
 			return err
 		}
 	}
-	if w.Starts != nil {
-		data, err := cbor.Marshal(w.Starts)
+	if w.Incarnations != nil {
+		data, err := cbor.Marshal(w.Incarnations)
 		if err != nil {
 			return err
 		}
@@ -253,8 +253,8 @@
 			return err
 		}
 	}
-	if !d.who.Born && w.Hard != nil {
-		d.who.Born = true
+	if !d.who.Bootstrapped && w.HardState != nil {
+		d.who.Bootstrapped = true
 		return d.putIdentity(head)
 	}
 	return nil
@@ -279,16 +279,16 @@
 	return nil
 }
 
-// Begin makes the file that of a voter of a new group.
-func (d *Disk) Begin(l Log) error {
-	return d.Write(Work{Hard: l.Hard, Snapshot: l.Snapshot})
+// Bootstrap makes the file that of a voter of a new group.
+func (d *Store) Bootstrap(l PersistentState) error {
+	return d.Write(Ready{HardState: l.HardState, Snapshot: l.Snapshot})
 }
 
 // Close closes the file.
-func (d *Disk) Close() error { return d.db.Close() }
+func (d *Store) Close() error { return d.db.Close() }
 
-// SetAside renames a file that must not be used again, and returns its new name.
-func SetAside(path string) (string, error) {
+// Quarantine renames a file that must not be used again, and returns its new name.
+func Quarantine(path string) (string, error) {
 	for i := 1; ; i++ {
 		to := fmt.Sprintf("%s.aside-%d", path, i)
 		if _, err := os.Lstat(to); errors.Is(err, os.ErrNotExist) {
--- a/internal/group/consensus/machine.go
+++ b/internal/group/consensus/machine.go
@@ -36,33 +36,33 @@
 	compactAfter = 1000
 )
 
-// ErrOldCopy says that this voter's disk must not be used any more.
-var ErrOldCopy = errors.New("the disk is older than what the group has seen of it")
+// ErrStaleStore says that this voter's disk must not be used any more.
+var ErrStaleStore = errors.New("the disk is older than what the group has seen of it")
 
 // Message is between two voters. One of its parts is set.
 type Message struct {
-	From, To uint64
-	Hello    *protocol.Announcement
-	Welcome  *bool // whether the hello shows a disk that is as new as was seen
-	Raft     *raftpb.Message
+	From, To     uint64
+	Announcement *protocol.Announcement
+	Accepted     *bool // whether the hello shows a disk that is as new as was seen
+	Raft         *raftpb.Message
 }
 
-// Start is one start of a voter.
-type Start struct {
-	N   uint64 `cbor:"1,keyasint"` // so many there have been
-	Run uint64 `cbor:"2,keyasint"` // and this was drawn at it
+// Incarnation is one start of a voter.
+type Incarnation struct {
+	Count uint64 `cbor:"1,keyasint"` // so many there have been
+	ID    uint64 `cbor:"2,keyasint"` // and this was drawn at it
 }
 
-// Log is what a store holds of a voter.
-type Log struct {
-	Hard     *raftpb.HardState
-	Snapshot *raftpb.Snapshot
-	Entries  []*raftpb.Entry
-	Starts   map[uint64]Start // the last of other voters, as they said themselves
+// PersistentState is what a store holds of a voter.
+type PersistentState struct {
+	HardState    *raftpb.HardState
+	Snapshot     *raftpb.Snapshot
+	Entries      []*raftpb.Entry
+	Incarnations map[uint64]Incarnation // the last of other voters, as they said themselves
 }
 
-// Born is what every store of a new group begins with.
-func Born(voters []protocol.Voter) Log {
+// Bootstrap is what every store of a new group begins with.
+func Bootstrap(voters []protocol.Voter) PersistentState {
 	cs := &raftpb.ConfState{}
 	for _, v := range voters {
 		cs.Voters = append(cs.Voters, v.ID)
@@ -73,37 +73,37 @@
 		panic(err) // plain values
 	}
 	one := uint64(1)
-	return Log{
-		Hard:     &raftpb.HardState{Term: &one, Commit: &one},
-		Snapshot: &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{ConfState: cs, Index: &one, Term: &one}},
+	return PersistentState{
+		HardState: &raftpb.HardState{Term: &one, Commit: &one},
+		Snapshot:  &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{ConfState: cs, Index: &one, Term: &one}},
 	}
 }
 
 // Config says what a machine starts from.
 type Config struct {
-	ID     uint64
-	Run    uint64 // drawn at this start: questions of an earlier one are not this one's
-	Starts uint64 // how often the store was opened, kept before now
-	Terms  lease.Timing
-	Log    Log
+	ID          uint64
+	Incarnation uint64 // drawn at this start: questions of an earlier one are not this one's
+	StartCount  uint64 // how often the store was opened, kept before now
+	Timing      lease.Timing
+	Log         PersistentState
 }
 
-// Work is what has to be done outside, in order: everything but Messages is written and synced, then
+// Ready is what has to be done outside, in order: everything but Messages is written and synced, then
 // Messages are sent, then Done is called.
-type Work struct {
-	Hard     *raftpb.HardState
-	Entries  []*raftpb.Entry
-	Snapshot *raftpb.Snapshot // another member's; it replaces all that is held
-	Image    *raftpb.Snapshot // this one's; it replaces the entries up to its index
-	Starts   map[uint64]Start // what other voters said; nil: as before
-	Messages []Message
-	ready    raft.Ready
-	raft     bool
+type Ready struct {
+	HardState    *raftpb.HardState
+	Entries      []*raftpb.Entry
+	Snapshot     *raftpb.Snapshot       // another member's; it replaces all that is held
+	Compaction   *raftpb.Snapshot       // this one's; it replaces the entries up to its index
+	Incarnations map[uint64]Incarnation // what other voters said; nil: as before
+	Messages     []Message
+	ready        raft.Ready
+	raft         bool
 }
 
 // Empty tells whether nothing has to be written.
-func (w *Work) Empty() bool {
-	return w.Hard == nil && len(w.Entries) == 0 && w.Snapshot == nil && w.Image == nil && w.Starts == nil
+func (w *Ready) Empty() bool {
+	return w.HardState == nil && len(w.Entries) == 0 && w.Snapshot == nil && w.Compaction == nil && w.Incarnations == nil
 }
 
 // entry is a command in the log, with who proposed it.
@@ -153,7 +153,7 @@
 	welcome map[uint64]bool // who found the disk new enough
 	in      bool            // enough of them have
 	old     bool            // one has not
-	starts  map[uint64]Start
+	starts  map[uint64]Incarnation
 	fresh   bool // starts have to be written
 	seen    map[uint64]sighting
 	out     []Message
@@ -166,10 +166,10 @@
 func New(cfg Config) (*Machine, error) {
 	m := &Machine{
 		cfg: cfg, mem: raft.NewMemoryStorage(), changes: map[uint64]waiting{}, reads: map[uint64]waiting{},
-		welcome: map[uint64]bool{}, starts: maps.Clone(cfg.Log.Starts), seen: map[uint64]sighting{},
+		welcome: map[uint64]bool{}, starts: maps.Clone(cfg.Log.Incarnations), seen: map[uint64]sighting{},
 	}
 	if m.starts == nil {
-		m.starts = map[uint64]Start{}
+		m.starts = map[uint64]Incarnation{}
 	}
 	l := cfg.Log
 	if l.Snapshot != nil {
@@ -180,8 +180,8 @@
 			return nil, err
 		}
 	}
-	if l.Hard != nil {
-		if err := m.mem.SetHardState(l.Hard); err != nil {
+	if l.HardState != nil {
+		if err := m.mem.SetHardState(l.HardState); err != nil {
 			return nil, err
 		}
 	}
@@ -220,15 +220,15 @@
 	return protocol.Voter{}, false
 }
 
-// Leading tells whether this voter leads and may answer.
-func (m *Machine) Leading() bool { return m.keeper != nil }
+// IsLeader tells whether this voter leads and may answer.
+func (m *Machine) IsLeader() bool { return m.keeper != nil }
 
 // Voters returns who votes.
 func (m *Machine) Voters() []protocol.Voter { return m.voters }
 
-// Old tells whether a voter has found the disk older than what it had seen of it. The machine then
+// Outdated tells whether a voter has found the disk older than what it had seen of it. The machine then
 // takes no part, and its store must not be used again under its number.
-func (m *Machine) Old() bool { return m.old }
+func (m *Machine) Outdated() bool { return m.old }
 
 // Tick is the passing of one tick.
 func (m *Machine) Tick(now time.Duration) {
@@ -273,23 +273,23 @@
 	}
 	hs, _, _ := m.mem.InitialState()
 	last, _ := m.mem.LastIndex()
-	h := &protocol.Announcement{Starts: m.cfg.Starts, Incarnation: m.cfg.Run, Term: hs.GetTerm(), Vote: hs.GetVote(), LastIndex: last}
+	h := &protocol.Announcement{Starts: m.cfg.StartCount, Incarnation: m.cfg.Incarnation, Term: hs.GetTerm(), Vote: hs.GetVote(), LastIndex: last}
 	for _, id := range m.conf.GetVoters() {
 		if id != m.cfg.ID && !m.welcome[id] {
-			m.out = append(m.out, Message{From: m.cfg.ID, To: id, Hello: h})
+			m.out = append(m.out, Message{From: m.cfg.ID, To: id, Announcement: h})
 		}
 	}
 }
 
 // greeted judges another voter's hello by what was heard of it before.
 func (m *Machine) greeted(from uint64, h *protocol.Announcement) {
-	s, last, now := m.seen[from], m.starts[from], Start{h.Starts, h.Incarnation}
-	ok := (now.N > last.N || now == last) && h.Term >= s.term &&
+	s, last, now := m.seen[from], m.starts[from], Incarnation{h.Starts, h.Incarnation}
+	ok := (now.Count > last.Count || now == last) && h.Term >= s.term &&
 		(h.Term > s.term || h.LastIndex >= s.last && (h.Vote != 0 || !s.voted))
 	if ok && now != last {
 		m.starts[from], m.fresh = now, true
 	}
-	m.out = append(m.out, Message{From: m.cfg.ID, To: from, Welcome: &ok})
+	m.out = append(m.out, Message{From: m.cfg.ID, To: from, Accepted: &ok})
 }
 
 // Receive takes a message from another voter.
@@ -298,11 +298,11 @@
 		return fmt.Errorf("a message for voter %x came to voter %x", msg.To, m.cfg.ID)
 	}
 	switch {
-	case msg.Hello != nil:
-		m.greeted(msg.From, msg.Hello)
+	case msg.Announcement != nil:
+		m.greeted(msg.From, msg.Announcement)
 		return nil
-	case msg.Welcome != nil:
-		if *msg.Welcome {
+	case msg.Accepted != nil:
+		if *msg.Accepted {
 			m.welcome[msg.From] = true
 		} else if !m.in {
 			m.old = true
@@ -318,7 +318,7 @@
 	// The engine gives up the process over a leader that knows more of this log than there is of it.
 	if last, _ := m.mem.LastIndex(); !failpoint.Is("disk-unchecked") && r.GetType() == raftpb.MsgHeartbeat && r.GetCommit() > last && r.GetTerm() >= m.status().GetTerm() {
 		m.old = true
-		return ErrOldCopy
+		return ErrStaleStore
 	}
 	if err := m.node.Step(r); err != nil && !errors.Is(err, raft.ErrProposalDropped) && !errors.Is(err, raft.ErrStepPeerNotFound) {
 		return err
@@ -353,9 +353,9 @@
 	m.seen[from] = s
 }
 
-// Ask takes a question; its answer comes from Answers, now or later, or never: who asks has to bound
+// Propose takes a question; its answer comes from Answers, now or later, or never: who asks has to bound
 // its own patience.
-func (m *Machine) Ask(now time.Duration, q protocol.Request) {
+func (m *Machine) Propose(now time.Duration, q protocol.Request) {
 	switch {
 	case m.keeper == nil && !(failpoint.Is("stale-reads") && q.Kind == protocol.Read && m.leading):
 		m.answer(q, lease.Grant{}, protocol.ErrNotLeader)
@@ -387,8 +387,8 @@
 	return c.Op == lease.Acquire && held && g.Holder != c.Process
 }
 
-// Held returns who holds a duty, as far as this voter has applied what was agreed on.
-func (m *Machine) Held(d lease.Duty) (lease.Grant, bool) { return m.table.Holder(d) }
+// Holder returns who holds a duty, as far as this voter has applied what was agreed on.
+func (m *Machine) Holder(d lease.Duty) (lease.Grant, bool) { return m.table.Holder(d) }
 
 // Freed returns the duties that have come free, or into another hand, since the last call.
 func (m *Machine) Freed() []lease.Duty {
@@ -401,8 +401,8 @@
 	m.answers = append(m.answers, protocol.Response{Key: q.Key, Grant: g, Err: err})
 }
 
-// Answers returns what has been answered since the last call.
-func (m *Machine) Answers() []protocol.Response {
+// Responses returns what has been answered since the last call.
+func (m *Machine) Responses() []protocol.Response {
 	a := m.answers
 	m.answers = nil
 	return a
@@ -415,7 +415,7 @@
 }
 
 func (m *Machine) propose(c lease.Command, seq uint64) {
-	data, err := cbor.Marshal(entry{m.cfg.Run, seq, c})
+	data, err := cbor.Marshal(entry{m.cfg.Incarnation, seq, c})
 	if err == nil {
 		err = m.node.Propose(data)
 	}
@@ -450,7 +450,7 @@
 		}
 	}
 	seq := m.wait(q)
-	data, err := cbor.Marshal(admission{m.cfg.Run, seq, v})
+	data, err := cbor.Marshal(admission{m.cfg.Incarnation, seq, v})
 	change.Context = data
 	if err == nil {
 		err = m.node.ProposeConfChange(&change)
@@ -480,12 +480,12 @@
 
 func key(seq uint64) []byte { return fmt.Appendf(nil, "%x", seq) }
 
-// Work returns what has to be done outside now, if anything.
-func (m *Machine) Work() (Work, bool) {
-	w := Work{Messages: m.out, Image: m.image}
+// Ready returns what has to be done outside now, if anything.
+func (m *Machine) Ready() (Ready, bool) {
+	w := Ready{Messages: m.out, Compaction: m.image}
 	m.out, m.image = nil, nil
 	if m.fresh {
-		w.Starts, m.fresh = maps.Clone(m.starts), false
+		w.Incarnations, m.fresh = maps.Clone(m.starts), false
 	}
 	if m.unsent {
 		m.unsent = false
@@ -496,7 +496,7 @@
 		w.ready, w.raft = rd, true
 		w.Entries = rd.Entries
 		if !raft.IsEmptyHardState(rd.HardState) {
-			w.Hard = rd.HardState
+			w.HardState = rd.HardState
 		}
 		if !raft.IsEmptySnap(rd.Snapshot) {
 			w.Snapshot = rd.Snapshot
@@ -508,8 +508,8 @@
 	return w, w.raft || len(w.Messages) > 0 || !w.Empty()
 }
 
-// Done says that work has been written and sent.
-func (m *Machine) Done(now time.Duration, w Work) error {
+// Advance says that work has been written and sent.
+func (m *Machine) Advance(now time.Duration, w Ready) error {
 	if !w.raft {
 		return nil
 	}
@@ -522,8 +522,8 @@
 			return err
 		}
 	}
-	if w.Hard != nil {
-		_ = m.mem.SetHardState(w.Hard)
+	if w.HardState != nil {
+		_ = m.mem.SetHardState(w.HardState)
 	}
 	if err := m.mem.Append(w.Entries); err != nil {
 		return err
@@ -570,7 +570,7 @@
 	m.applied = e.GetIndex()
 	// The first entry of its own term is behind all that earlier leaders agreed on.
 	if m.leading && m.keeper == nil && e.GetTerm() == m.term {
-		m.keeper = lease.NewExpiryClock(m.cfg.Terms, now, m.table.Snapshot().Grants)
+		m.keeper = lease.NewExpiryClock(m.cfg.Timing, now, m.table.Snapshot().Grants)
 	}
 	switch e.GetType() {
 	case raftpb.EntryNormal:
@@ -583,7 +583,7 @@
 		}
 		g, err := m.table.Apply(in.Command)
 		err = m.timed(now, in.Command, g, err)
-		if w, is := m.changes[in.Seq]; is && in.Run == m.cfg.Run {
+		if w, is := m.changes[in.Seq]; is && in.Run == m.cfg.Incarnation {
 			delete(m.changes, in.Seq)
 			m.answer(w.q, g, err)
 		}
@@ -627,7 +627,7 @@
 	} else {
 		err = protocol.ErrOutcomeUnknown // half of it: the asker comes again
 	}
-	if w, is := m.changes[a.Seq]; is && a.Run == m.cfg.Run {
+	if w, is := m.changes[a.Seq]; is && a.Run == m.cfg.Incarnation {
 		delete(m.changes, a.Seq)
 		m.answer(w.q, lease.Grant{}, err)
 	}
--- a/internal/group/voter/voter.go
+++ b/internal/group/voter/voter.go
@@ -46,7 +46,7 @@
 	wait     sync.WaitGroup
 	listener net.Listener
 
-	disk    *consensus.Disk
+	disk    *consensus.Store
 	machine *consensus.Machine // nil until the group is known
 
 	mu    sync.Mutex
@@ -111,14 +111,14 @@
 
 // open reads the file and makes the machine, if the file is of a group.
 func (v *Voter) open() error {
-	disk, log, err := consensus.OpenDisk(v.cfg.Disk, v.cfg.Name, v.cfg.Self)
-	if errors.Is(err, consensus.ErrSpoilt) {
-		aside, moved := consensus.SetAside(v.cfg.Disk)
+	disk, log, err := consensus.OpenStore(v.cfg.Disk, v.cfg.Name, v.cfg.Self)
+	if errors.Is(err, consensus.ErrCorrupt) {
+		aside, moved := consensus.Quarantine(v.cfg.Disk)
 		if moved != nil {
 			return errors.Join(err, moved)
 		}
 		slog.Error("group: the voter's file is spoilt, set aside; this voter comes back as a new one", "err", err, "aside", aside)
-		disk, log, err = consensus.OpenDisk(v.cfg.Disk, v.cfg.Name, v.cfg.Self)
+		disk, log, err = consensus.OpenStore(v.cfg.Disk, v.cfg.Name, v.cfg.Self)
 	}
 	if err != nil {
 		return fmt.Errorf("group.disk: %w", err)
@@ -126,21 +126,21 @@
 	v.disk = disk
 	id := disk.Identity()
 	v.mu.Lock()
-	v.hail = transport.Hail{Group: v.cfg.Name, Name: v.cfg.Self, ID: id.ID, Born: id.Born}
+	v.hail = transport.Hail{Group: v.cfg.Name, Name: v.cfg.Self, ID: id.ID, Born: id.Bootstrapped}
 	v.mu.Unlock()
-	slog.Info("group: voter", "group", v.cfg.Name, "name", v.cfg.Self, "id", fmt.Sprintf("%x", id.ID), "starts", id.Starts, "known", id.Born)
-	if !id.Born {
+	slog.Info("group: voter", "group", v.cfg.Name, "name", v.cfg.Self, "id", fmt.Sprintf("%x", id.ID), "starts", id.StartCount, "known", id.Bootstrapped)
+	if !id.Bootstrapped {
 		return nil
 	}
 	return v.make(log)
 }
 
-func (v *Voter) make(log consensus.Log) error {
+func (v *Voter) make(log consensus.PersistentState) error {
 	id := v.disk.Identity()
 	var err error
 	v.machine, err = consensus.New(consensus.Config{
-		ID: id.ID, Run: rand.Uint64(), Starts: id.Starts, Log: log,
-		Terms: lease.Timing{Duration: v.cfg.LeaseDuration, MaxClockDrift: v.cfg.MaxClockDrift},
+		ID: id.ID, Incarnation: rand.Uint64(), StartCount: id.StartCount, Log: log,
+		Timing: lease.Timing{Duration: v.cfg.LeaseDuration, MaxClockDrift: v.cfg.MaxClockDrift},
 	})
 	return err
 }
@@ -189,12 +189,12 @@
 		return
 	}
 	v.machine.Tick(v.now())
-	if v.machine.Old() {
+	if v.machine.Outdated() {
 		v.renew()
 		return
 	}
 	v.join()
-	if !v.machine.Leading() { // whoever leads next hears it all again
+	if !v.machine.IsLeader() { // whoever leads next hears it all again
 		clear(v.feeds)
 	}
 	leader, _ := v.machine.Leader()
@@ -220,11 +220,11 @@
 	var err error
 	switch {
 	case known:
-		err = v.make(consensus.Log{})
+		err = v.make(consensus.PersistentState{})
 	case len(all) == len(v.cfg.Voters):
 		slices.SortFunc(all, func(a, b protocol.Voter) int { return cmp.Compare(a.Name, b.Name) })
-		log := consensus.Born(all)
-		if err = v.disk.Begin(log); err == nil {
+		log := consensus.Bootstrap(all)
+		if err = v.disk.Bootstrap(log); err == nil {
 			slog.Info("group: begins", "group", v.cfg.Name, "voters", len(all))
 			err = v.make(log)
 		}
@@ -254,7 +254,7 @@
 // renew gives up a disk that is older than what the group has seen of it.
 func (v *Voter) renew() {
 	_ = v.disk.Close()
-	aside, err := consensus.SetAside(v.cfg.Disk)
+	aside, err := consensus.Quarantine(v.cfg.Disk)
 	slog.Error("group: the voter's file is an older copy, set aside; this voter comes back as a new one", "aside", aside)
 	v.machine = nil
 	if err == nil {
@@ -275,7 +275,7 @@
 // work writes, sends and answers what the machine has come to.
 func (v *Voter) work() error {
 	for v.machine != nil {
-		w, any := v.machine.Work()
+		w, any := v.machine.Ready()
 		if !any {
 			break
 		}
@@ -285,19 +285,19 @@
 		for _, m := range w.Messages {
 			v.send(m)
 		}
-		if err := v.machine.Done(v.now(), w); err != nil {
+		if err := v.machine.Advance(v.now(), w); err != nil {
 			return err
 		}
 	}
 	if v.machine == nil {
 		return nil
 	}
-	if born := v.disk.Identity().Born; born && !v.us().Born {
+	if born := v.disk.Identity().Bootstrapped; born && !v.us().Born {
 		v.mu.Lock()
 		v.hail.Born = true
 		v.mu.Unlock()
 	}
-	for _, a := range v.machine.Answers() {
+	for _, a := range v.machine.Responses() {
 		if back := v.asks[a.Key]; back != nil {
 			delete(v.asks, a.Key)
 			back(a)
@@ -314,7 +314,7 @@
 	all := v.queue[d]
 	delete(v.queue, d)
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	g, _ := v.machine.Held(d)
+	g, _ := v.machine.Holder(d)
 	for i, c := range all {
 		if i < atOnce || c.Them.Name == g.Holder.Name {
 			c.Send(transport.Frame{Tell: &transport.Tell{Free: d}})
@@ -325,7 +325,7 @@
 }
 
 func (v *Voter) send(m consensus.Message) {
-	p := &transport.Vote{From: m.From, To: m.To, Hello: m.Hello, Welcome: m.Welcome}
+	p := &transport.Vote{From: m.From, To: m.To, Hello: m.Announcement, Welcome: m.Accepted}
 	if m.Raft != nil {
 		var err error
 		if p.Raft, err = proto.Marshal(m.Raft); err != nil {
@@ -436,7 +436,7 @@
 	if v.machine == nil || p.To != v.us().ID || p.From != c.Them.ID {
 		return
 	}
-	m := consensus.Message{From: p.From, To: p.To, Hello: p.Hello, Welcome: p.Welcome}
+	m := consensus.Message{From: p.From, To: p.To, Announcement: p.Hello, Accepted: p.Welcome}
 	if len(p.Raft) > 0 {
 		m.Raft = &raftpb.Message{}
 		if err := proto.Unmarshal(p.Raft, m.Raft); err != nil {
@@ -469,7 +469,7 @@
 	}
 	v.asked++
 	v.asks[v.asked] = tell
-	v.machine.Ask(v.now(), protocol.Request{Key: v.asked, Kind: a.Kind, Command: a.Command, Voter: a.Voter})
+	v.machine.Propose(v.now(), protocol.Request{Key: v.asked, Kind: a.Kind, Command: a.Command, Voter: a.Voter})
 }
 
 // Ended is closed once the voter has ended, by itself or by Close.
@@ -480,9 +480,9 @@
 // old holder says; followers check versions, and it ends when the engine finds no majority.
 func (v *Voter) feed(c *transport.Conn, a *transport.Ask) error {
 	duty := a.Command.Duty
-	g, held := v.machine.Held(duty)
+	g, held := v.machine.Holder(duty)
 	switch {
-	case !v.machine.Leading():
+	case !v.machine.IsLeader():
 		return protocol.ErrNotLeader
 	case a.Post == nil, a.Kind == protocol.Publish && (!held || g.Token != a.Command.Token || g.Holder != a.Command.Process):
 		return lease.ErrNotHeld
--- a/internal/lab/clustersim/world.go
+++ b/internal/lab/clustersim/world.go
@@ -197,7 +197,7 @@
 		w.nodes = append(w.nodes, n)
 		switch {
 		case i < size.Voters:
-			n.voter = &voter{node: n, name: voters[i].Name, disk: disk{id: voters[i].ID, log: consensus.Born(voters)}}
+			n.voter = &voter{node: n, name: voters[i].Name, disk: disk{id: voters[i].ID, log: consensus.Bootstrap(voters)}}
 		case i < size.Voters+size.Members:
 			n.member = &member{node: n}
 		}
@@ -337,7 +337,7 @@
 // not been replaced yet, another loss may be that of the majority, and no group bears that.
 func (w *world) whole() bool {
 	return slices.ContainsFunc(w.nodes[:w.size.Voters], func(n *node) bool {
-		return n.up && n.voter.m.Leading() && !slices.ContainsFunc(w.nodes[:w.size.Voters], func(o *node) bool {
+		return n.up && n.voter.m.IsLeader() && !slices.ContainsFunc(w.nodes[:w.size.Voters], func(o *node) bool {
 			return !slices.ContainsFunc(n.voter.m.Voters(), func(v protocol.Voter) bool { return v.ID == o.voter.disk.id })
 		})
 	})
@@ -347,28 +347,28 @@
 type disk struct {
 	id     uint64
 	starts uint64
-	log    consensus.Log
+	log    consensus.PersistentState
 }
 
 // write makes work durable.
-func (d *disk) write(w consensus.Work) {
+func (d *disk) write(w consensus.Ready) {
 	l := &d.log
 	if w.Snapshot != nil {
 		l.Snapshot, l.Entries = w.Snapshot, nil
 	}
-	if w.Image != nil {
-		l.Snapshot = w.Image
-		l.Entries = slices.DeleteFunc(slices.Clone(l.Entries), func(e *raftpb.Entry) bool { return e.GetIndex() <= w.Image.GetMetadata().GetIndex() })
+	if w.Compaction != nil {
+		l.Snapshot = w.Compaction
+		l.Entries = slices.DeleteFunc(slices.Clone(l.Entries), func(e *raftpb.Entry) bool { return e.GetIndex() <= w.Compaction.GetMetadata().GetIndex() })
 	}
-	if w.Hard != nil {
-		l.Hard = w.Hard
+	if w.HardState != nil {
+		l.HardState = w.HardState
 	}
 	if len(w.Entries) > 0 {
 		first := w.Entries[0].GetIndex()
 		l.Entries = append(slices.DeleteFunc(slices.Clone(l.Entries), func(e *raftpb.Entry) bool { return e.GetIndex() >= first }), w.Entries...)
 	}
-	if w.Starts != nil {
-		l.Starts = w.Starts
+	if w.Incarnations != nil {
+		l.Incarnations = w.Incarnations
 	}
 }
 
@@ -380,7 +380,7 @@
 	copies  []disk // as it was at earlier starts
 	m       *consensus.Machine
 	busy    bool
-	writing *consensus.Work
+	writing *consensus.Ready
 	inbox   []func()
 	slow    int
 	asks    map[uint64]func(protocol.Response)
@@ -392,7 +392,7 @@
 	v.disk.starts++
 	v.busy, v.writing, v.inbox, v.asks = false, nil, nil, map[uint64]func(protocol.Response){}
 	var err error
-	v.m, err = consensus.New(consensus.Config{ID: v.disk.id, Run: v.w.rng.Uint64(), Starts: v.disk.starts, Terms: Terms, Log: v.disk.log})
+	v.m, err = consensus.New(consensus.Config{ID: v.disk.id, Incarnation: v.w.rng.Uint64(), StartCount: v.disk.starts, Timing: Terms, Log: v.disk.log})
 	if err != nil {
 		v.w.broke("%s does not start: %v", v.name, err)
 		return
@@ -418,7 +418,7 @@
 		for i := range v.w.size.Voters {
 			voters = append(voters, protocol.Voter{ID: uint64(i + 1), Name: fmt.Sprintf("v%d", i)})
 		}
-		v.disk = disk{id: v.disk.id, starts: v.disk.starts, log: consensus.Born(voters)}
+		v.disk = disk{id: v.disk.id, starts: v.disk.starts, log: consensus.Bootstrap(voters)}
 		return
 	}
 	v.renew()
@@ -433,7 +433,7 @@
 func (v *voter) tick() {
 	v.after(tick, v.tick)
 	v.do(func() { v.m.Tick(v.now()) })
-	if v.m.Old() {
+	if v.m.Outdated() {
 		v.end()
 		v.renew()
 		v.node.start()
@@ -458,7 +458,7 @@
 
 func (v *voter) pump() {
 	for {
-		w, any := v.m.Work()
+		w, any := v.m.Ready()
 		if !any {
 			v.answer()
 			return
@@ -491,16 +491,16 @@
 	}
 }
 
-func (v *voter) done(w consensus.Work) {
+func (v *voter) done(w consensus.Ready) {
 	if !failpoint.Is("sent-before-written") {
 		v.post(w)
 	}
-	if err := v.m.Done(v.now(), w); err != nil {
+	if err := v.m.Advance(v.now(), w); err != nil {
 		v.w.broke("%s: %v", v.name, err)
 	}
 }
 
-func (v *voter) post(w consensus.Work) {
+func (v *voter) post(w consensus.Ready) {
 	for _, msg := range w.Messages {
 		for _, n := range v.w.nodes[:v.w.size.Voters] {
 			if n.voter.disk.id == msg.To {
@@ -515,7 +515,7 @@
 		if msg.To != v.disk.id { // it has another identity by now
 			return
 		}
-		if err := v.m.Receive(msg); err != nil && !errors.Is(err, consensus.ErrOldCopy) {
+		if err := v.m.Receive(msg); err != nil && !errors.Is(err, consensus.ErrStaleStore) {
 			v.w.broke("%s: %v", v.name, err)
 		}
 	})
@@ -527,7 +527,7 @@
 		v.next++
 		q.Key = v.next
 		v.asks[q.Key] = back
-		v.m.Ask(v.now(), q)
+		v.m.Propose(v.now(), q)
 	})
 }
 
@@ -536,7 +536,7 @@
 		to := v.w.nodes[v.w.size.Voters+v.w.rng.IntN(v.w.size.Members)]
 		v.w.send(v.number, to.number, func() { to.member.nudge(d) })
 	}
-	for _, a := range v.m.Answers() {
+	for _, a := range v.m.Responses() {
 		if back := v.asks[a.Key]; back != nil {
 			delete(v.asks, a.Key)
 			back(a)
