--- a/internal/group/client/member.go
+++ b/internal/group/client/member.go
@@ -162,7 +162,7 @@
 	m.key++
 	q.Key = m.key
 	m.out[q.Key] = question{q, time.Now(), then}
-	m.conn.Send(transport.Frame{Ask: &transport.Ask{Key: q.Key, Kind: q.Kind, Command: q.Command, Voter: q.Voter, Post: q.Event}})
+	m.conn.Send(transport.Frame{Request: &transport.Request{Key: q.Key, Kind: q.Kind, Command: q.Command, Voter: q.Voter, Event: q.Event}})
 	return true
 }
 
@@ -191,7 +191,7 @@
 		m.leader = ""
 		m.mu.Unlock()
 		next++
-		c, err := transport.Dial(to.Address, func() transport.Hail { return transport.Hail{Group: m.cfg.Name, Name: m.cfg.Self} })
+		c, err := transport.Dial(to.Address, func() transport.Handshake { return transport.Handshake{Group: m.cfg.Name, Name: m.cfg.Self} })
 		if err == nil {
 			ended := context.AfterFunc(ctx, c.Close)
 			m.mu.Lock()
@@ -227,22 +227,22 @@
 		if err != nil {
 			return
 		}
-		if f.Tell == nil {
+		if f.Response == nil {
 			continue
 		}
-		t := f.Tell
+		t := f.Response
 		m.mu.Lock()
-		if h := m.holders[t.Free]; t.Key == 0 && h != nil {
+		if h := m.holders[t.FreedDuty]; t.Key == 0 && h != nil {
 			h.RetryNow()
 			m.turn()
 		}
-		if t.Post != nil && m.lists != nil && t.Duty == m.lists.duty {
-			m.lists.heard(t.Token, *t.Post)
+		if t.Event != nil && m.lists != nil && t.Duty == m.lists.duty {
+			m.lists.heard(t.Token, *t.Event)
 		}
 		q, is := m.out[t.Key]
 		delete(m.out, t.Key)
 		if is {
-			a := protocol.Response{Key: t.Key, Grant: t.Grant, Snapshot: t.Image, Err: t.Code.Err()}
+			a := protocol.Response{Key: t.Key, Grant: t.Grant, Snapshot: t.Snapshot, Err: t.Code.Err()}
 			m.saw(q, a, nil)
 			q.then(a)
 			if errors.Is(a.Err, protocol.ErrNotLeader) {
--- a/internal/group/transport/peer_test.go
+++ b/internal/group/transport/peer_test.go
@@ -14,10 +14,10 @@
 func TestFramesComeAsTheyWereSent(t *testing.T) {
 	yes := true
 	for _, f := range []Frame{
-		{Hail: &Hail{Magic: magic, Version: 1, Group: "g", Name: "n", ID: 7, Born: true}},
-		{Vote: &Vote{From: 1, To: 2, Hello: &protocol.Announcement{Starts: 3}, Welcome: &yes, Raft: []byte{1, 2}}},
-		{Ask: &Ask{Key: 9, Kind: protocol.Propose, Command: lease.Command{Op: lease.Transfer, Duty: "d", Token: 4, Successor: lease.Process{Name: "m", Incarnation: 5}}}},
-		{Tell: &Tell{Key: 9, Code: CodeOf(lease.ErrHeld), Grant: lease.Grant{Duty: "d", Token: 3}, Leader: "n1"}},
+		{Handshake: &Handshake{Magic: magic, Version: 1, Group: "g", Name: "n", ID: 7, Bootstrapped: true}},
+		{VoterMessage: &VoterMessage{From: 1, To: 2, Announcement: &protocol.Announcement{Starts: 3}, Accepted: &yes, Raft: []byte{1, 2}}},
+		{Request: &Request{Key: 9, Kind: protocol.Propose, Command: lease.Command{Op: lease.Transfer, Duty: "d", Token: 4, Successor: lease.Process{Name: "m", Incarnation: 5}}}},
+		{Response: &Response{Key: 9, Code: ErrorCodeOf(lease.ErrHeld), Grant: lease.Grant{Duty: "d", Token: 3}, Leader: "n1"}},
 	} {
 		data, err := Append(nil, f)
 		require.NoError(t, err)
@@ -34,23 +34,23 @@
 		}
 	}
 	for i, err := range codes {
-		require.Equal(t, err, CodeOf(err).Err(), "code %d", i)
+		require.Equal(t, err, ErrorCodeOf(err).Err(), "code %d", i)
 	}
-	require.Equal(t, protocol.ErrOutcomeUnknown, Code(200).Err())
+	require.Equal(t, protocol.ErrOutcomeUnknown, ErrorCode(200).Err())
 }
 
 // What does not belong to the group is refused with a word that names it.
 func TestStrangersAreRefused(t *testing.T) {
-	us := func() Hail { return Hail{Group: "g", Name: "us"} }
-	frame := func(h Hail) []byte {
-		data, err := Append(nil, Frame{Hail: &h})
+	us := func() Handshake { return Handshake{Group: "g", Name: "us"} }
+	frame := func(h Handshake) []byte {
+		data, err := Append(nil, Frame{Handshake: &h})
 		require.NoError(t, err)
 		return data
 	}
 	for want, says := range map[string][]byte{
-		`"they" is of group "other", this is "g"`:   frame(Hail{Magic: magic, Version: Version, Group: "other", Name: "they"}),
-		`"they" speaks version 2, this program 1`:   frame(Hail{Magic: magic, Version: 2, Group: "g", Name: "they"}),
-		"it does not begin with a hail":             frame(Hail{Magic: "else"}),
+		`"they" is of group "other", this is "g"`:   frame(Handshake{Magic: magic, Version: Version, Group: "other", Name: "they"}),
+		`"they" speaks version 2, this program 1`:   frame(Handshake{Magic: magic, Version: 2, Group: "g", Name: "they"}),
+		"it does not begin with a hail":             frame(Handshake{Magic: "else"}),
 		"it says 1195725856 bytes, at most 1048576": []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
 		"its checksum is another":                   append([]byte{0, 0, 0, 1}, make([]byte, 9)...),
 		"cut short":                                 append([]byte{0, 0, 0, 9}, make([]byte, 9)...),
@@ -61,13 +61,13 @@
 			_, _ = there.Write(says)
 			_ = there.Close()
 		}()
-		_, err := Shake(here, us)
+		_, err := Accept(here, us)
 		require.ErrorContains(t, err, want)
 	}
 }
 
 func FuzzRead(f *testing.F) {
-	data, err := Append(nil, Frame{Hail: &Hail{Magic: magic}})
+	data, err := Append(nil, Frame{Handshake: &Handshake{Magic: magic}})
 	require.NoError(f, err)
 	f.Add(data)
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/group/voter/voter.go
+++ b/internal/group/voter/voter.go
@@ -50,13 +50,13 @@
 	machine *consensus.Machine // nil until the group is known
 
 	mu    sync.Mutex
-	hail  transport.Hail
+	hail  transport.Handshake
 	conns int
 
 	out   map[string]*link // to other voters, by name
 	asked uint64
 	asks  map[uint64]func(protocol.Response)
-	hails map[string]transport.Hail        // the last of each other voter
+	hails map[string]transport.Handshake   // the last of each other voter
 	told  string                           // who was last told to lead
 	queue map[lease.Duty][]*transport.Conn // who was refused a duty, and is told when it comes free
 	feeds map[lease.Duty]*feed             // what holders publish, while this voter leads
@@ -84,7 +84,7 @@
 	}
 	v := &Voter{
 		cfg: cfg, begun: time.Now(), events: make(chan func(), mostWait), out: map[string]*link{},
-		asks: map[uint64]func(protocol.Response){}, hails: map[string]transport.Hail{}, queue: map[lease.Duty][]*transport.Conn{}, feeds: map[lease.Duty]*feed{},
+		asks: map[uint64]func(protocol.Response){}, hails: map[string]transport.Handshake{}, queue: map[lease.Duty][]*transport.Conn{}, feeds: map[lease.Duty]*feed{},
 	}
 	if err := v.open(); err != nil {
 		return nil, err
@@ -126,7 +126,7 @@
 	v.disk = disk
 	id := disk.Identity()
 	v.mu.Lock()
-	v.hail = transport.Hail{Group: v.cfg.Name, Name: v.cfg.Self, ID: id.ID, Born: id.Bootstrapped}
+	v.hail = transport.Handshake{Group: v.cfg.Name, Name: v.cfg.Self, ID: id.ID, Bootstrapped: id.Bootstrapped}
 	v.mu.Unlock()
 	slog.Info("group: voter", "group", v.cfg.Name, "name", v.cfg.Self, "id", fmt.Sprintf("%x", id.ID), "starts", id.StartCount, "known", id.Bootstrapped)
 	if !id.Bootstrapped {
@@ -145,7 +145,7 @@
 	return err
 }
 
-func (v *Voter) us() transport.Hail {
+func (v *Voter) us() transport.Handshake {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.hail
@@ -213,7 +213,7 @@
 	known := false
 	for _, o := range v.cfg.Voters {
 		if h, is := v.hails[o.Name]; is {
-			known = known || h.Born
+			known = known || h.Bootstrapped
 			all = append(all, protocol.Voter{ID: h.ID, Name: h.Name})
 		}
 	}
@@ -246,7 +246,7 @@
 	v.admit = v.now() + admitEach
 	for _, l := range v.out {
 		if l.conn != nil {
-			l.conn.Send(transport.Frame{Ask: &transport.Ask{Kind: protocol.AddVoter, Voter: protocol.Voter{ID: id, Name: v.cfg.Self}}})
+			l.conn.Send(transport.Frame{Request: &transport.Request{Kind: protocol.AddVoter, Voter: protocol.Voter{ID: id, Name: v.cfg.Self}}})
 		}
 	}
 }
@@ -292,9 +292,9 @@
 	if v.machine == nil {
 		return nil
 	}
-	if born := v.disk.Identity().Bootstrapped; born && !v.us().Born {
+	if born := v.disk.Identity().Bootstrapped; born && !v.us().Bootstrapped {
 		v.mu.Lock()
-		v.hail.Born = true
+		v.hail.Bootstrapped = true
 		v.mu.Unlock()
 	}
 	for _, a := range v.machine.Responses() {
@@ -316,8 +316,8 @@
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	g, _ := v.machine.Holder(d)
 	for i, c := range all {
-		if i < atOnce || c.Them.Name == g.Holder.Name {
-			c.Send(transport.Frame{Tell: &transport.Tell{Free: d}})
+		if i < atOnce || c.Peer.Name == g.Holder.Name {
+			c.Send(transport.Frame{Response: &transport.Response{FreedDuty: d}})
 		} else {
 			v.queue[d] = append(v.queue[d], c)
 		}
@@ -325,7 +325,7 @@
 }
 
 func (v *Voter) send(m consensus.Message) {
-	p := &transport.Vote{From: m.From, To: m.To, Hello: m.Announcement, Welcome: m.Accepted}
+	p := &transport.VoterMessage{From: m.From, To: m.To, Announcement: m.Announcement, Accepted: m.Accepted}
 	if m.Raft != nil {
 		var err error
 		if p.Raft, err = proto.Marshal(m.Raft); err != nil {
@@ -335,7 +335,7 @@
 	}
 	for name, l := range v.out {
 		if l.conn != nil && v.hails[name].ID == m.To {
-			l.conn.Send(transport.Frame{Vote: p})
+			l.conn.Send(transport.Frame{VoterMessage: p})
 		}
 	}
 }
@@ -345,8 +345,8 @@
 	said := ""
 	for v.ctx.Err() == nil {
 		c, err := transport.Dial(l.to.Address, v.us)
-		if err == nil && c.Them.Name != l.to.Name {
-			err = fmt.Errorf("%q answers there", c.Them.Name)
+		if err == nil && c.Peer.Name != l.to.Name {
+			err = fmt.Errorf("%q answers there", c.Peer.Name)
 			c.Close()
 		}
 		if err != nil {
@@ -356,7 +356,7 @@
 			}
 		} else {
 			said = ""
-			v.post(func() { l.conn, v.hails[l.to.Name] = c, c.Them })
+			v.post(func() { l.conn, v.hails[l.to.Name] = c, c.Peer })
 			v.read(c)
 			v.post(func() {
 				if l.conn == c { // what it said of its disk is no longer known, either
@@ -393,7 +393,7 @@
 		}
 		v.wait.Go(func() {
 			defer v.left()
-			c, err := transport.Shake(nc, v.us)
+			c, err := transport.Accept(nc, v.us)
 			if err != nil {
 				slog.Warn("group: a caller is refused", "from", nc.RemoteAddr(), "err", err)
 				return
@@ -418,43 +418,43 @@
 	for {
 		f, err := c.Read()
 		if err != nil {
-			if errors.Is(err, transport.ErrFrame) {
-				slog.Warn("group: a connection is closed", "name", c.Them.Name, "err", err)
+			if errors.Is(err, transport.ErrInvalidFrame) {
+				slog.Warn("group: a connection is closed", "name", c.Peer.Name, "err", err)
 			}
 			return
 		}
 		switch {
-		case f.Vote != nil:
-			v.post(func() { v.vote(c, f.Vote) })
-		case f.Ask != nil:
-			v.post(func() { v.ask(c, f.Ask) })
+		case f.VoterMessage != nil:
+			v.post(func() { v.vote(c, f.VoterMessage) })
+		case f.Request != nil:
+			v.post(func() { v.ask(c, f.Request) })
 		}
 	}
 }
 
-func (v *Voter) vote(c *transport.Conn, p *transport.Vote) {
-	if v.machine == nil || p.To != v.us().ID || p.From != c.Them.ID {
+func (v *Voter) vote(c *transport.Conn, p *transport.VoterMessage) {
+	if v.machine == nil || p.To != v.us().ID || p.From != c.Peer.ID {
 		return
 	}
-	m := consensus.Message{From: p.From, To: p.To, Announcement: p.Hello, Accepted: p.Welcome}
+	m := consensus.Message{From: p.From, To: p.To, Announcement: p.Announcement, Accepted: p.Accepted}
 	if len(p.Raft) > 0 {
 		m.Raft = &raftpb.Message{}
 		if err := proto.Unmarshal(p.Raft, m.Raft); err != nil {
-			slog.Warn("group: a message cannot be read", "name", c.Them.Name, "err", err)
+			slog.Warn("group: a message cannot be read", "name", c.Peer.Name, "err", err)
 			c.Close()
 			return
 		}
 	}
 	if err := v.machine.Receive(m); err != nil {
-		slog.Warn("group: a message is refused", "name", c.Them.Name, "err", err)
+		slog.Warn("group: a message is refused", "name", c.Peer.Name, "err", err)
 	}
 }
 
 // ask has the machine answer a question, whose asker may be gone by then.
-func (v *Voter) ask(c *transport.Conn, a *transport.Ask) {
+func (v *Voter) ask(c *transport.Conn, a *transport.Request) {
 	tell := func(b protocol.Response) {
-		t := &transport.Tell{Key: a.Key, Code: transport.CodeOf(b.Err), Grant: b.Grant, Image: b.Snapshot, Leader: v.told}
-		c.Send(transport.Frame{Tell: t})
+		t := &transport.Response{Key: a.Key, Code: transport.ErrorCodeOf(b.Err), Grant: b.Grant, Snapshot: b.Snapshot, Leader: v.told}
+		c.Send(transport.Frame{Response: t})
 		if q := v.queue[a.Command.Duty]; errors.Is(b.Err, lease.ErrHeld) && len(q) < mostQueue && !slices.Contains(q, c) {
 			v.queue[a.Command.Duty] = append(q, c)
 		}
@@ -478,13 +478,13 @@
 // feed takes what a holder publishes, or has a member told of it. The table is the fence: only the
 // token that stands is taken. A voter that no longer leads and does not know yet may pass on what an
 // old holder says; followers check versions, and it ends when the engine finds no majority.
-func (v *Voter) feed(c *transport.Conn, a *transport.Ask) error {
+func (v *Voter) feed(c *transport.Conn, a *transport.Request) error {
 	duty := a.Command.Duty
 	g, held := v.machine.Holder(duty)
 	switch {
 	case !v.machine.IsLeader():
 		return protocol.ErrNotLeader
-	case a.Post == nil, a.Kind == protocol.Publish && (!held || g.Token != a.Command.Token || g.Holder != a.Command.Process):
+	case a.Event == nil, a.Kind == protocol.Publish && (!held || g.Token != a.Command.Token || g.Holder != a.Command.Process):
 		return lease.ErrNotHeld
 	}
 	f := v.feeds[duty]
@@ -499,17 +499,17 @@
 		if !slices.Contains(f.to, c) {
 			f.to = append(f.to, c)
 		}
-		for _, p := range f.Since(a.Post.Source, a.Post.ToVersion) {
-			c.Send(transport.Frame{Tell: &transport.Tell{Duty: duty, Token: f.Token(), Post: &p}})
+		for _, p := range f.Since(a.Event.Source, a.Event.ToVersion) {
+			c.Send(transport.Frame{Response: &transport.Response{Duty: duty, Token: f.Token(), Event: &p}})
 		}
 		return nil
 	}
-	if err := f.Take(g.Token, *a.Post); err != nil {
+	if err := f.Take(g.Token, *a.Event); err != nil {
 		return err
 	}
 	for _, o := range f.to {
 		if o != c {
-			o.Send(transport.Frame{Tell: &transport.Tell{Duty: duty, Token: g.Token, Post: a.Post}})
+			o.Send(transport.Frame{Response: &transport.Response{Duty: duty, Token: g.Token, Event: a.Event}})
 		}
 	}
 	return nil
