--- a/cmd/piernotch/group.go
+++ b/cmd/piernotch/group.go
@@ -28,7 +28,7 @@
 	}
 	cfg.Disk = ""
 	m := client.Start(cfg, nil)
-	n.ShareWatch(m.Lists)
+	n.ShareWatch(m.SharedWatch)
 	return sync.OnceFunc(func() { m.Close(leaveFor) }), nil
 }
 
--- a/internal/group/client/lists.go
+++ b/internal/group/client/lists.go
@@ -15,7 +15,7 @@
 // lists is the duty of asking discovery for all: who holds it publishes what it is told, the others
 // take that and ask themselves only where nothing comes. All of it is under the member's lock.
 type lists struct {
-	m        *Member
+	m        *Client
 	duty     lease.Duty
 	take     group.OnUpdate
 	address  string     // where this balancer reaches what the group calls cfg.Source
@@ -32,7 +32,7 @@
 	behind   time.Duration // when it last asked for what it lacks
 }
 
-func newLists(m *Member, d lease.Duty) *lists {
+func newLists(m *Client, d lease.Duty) *lists {
 	now := m.now()
 	return &lists{
 		m: m, duty: d, take: func(group.WatchEvent) {}, holder: watch.NewHolder(watch.Default, now),
@@ -40,9 +40,9 @@
 	}
 }
 
-// Lists is the member's side of the balancer's watch; it is a group.Join. take is called from the
+// SharedWatch is the member's side of the balancer's watch; it is a group.Join. take is called from the
 // member's goroutines.
-func (m *Member) Lists(source string, take group.OnUpdate) group.SharedWatch {
+func (m *Client) SharedWatch(source string, take group.OnUpdate) group.SharedWatch {
 	if m.lists == nil {
 		return nil
 	}
--- a/internal/group/client/lists_test.go
+++ b/internal/group/client/lists_test.go
@@ -17,7 +17,7 @@
 	}, nil)
 	defer m.Close(0)
 	took := 0
-	l := m.Lists("old", func(group.WatchEvent) { took++ })
+	l := m.SharedWatch("old", func(group.WatchEvent) { took++ })
 	hear := func() (asks bool) {
 		m.mu.Lock()
 		m.lists.heard(1, group.WatchEvent{Source: "old", Whole: true, ToVersion: 1})
--- a/internal/group/client/member.go
+++ b/internal/group/client/member.go
@@ -24,16 +24,16 @@
 	silent = time.Second // a voter that owes an answer for so long is left for another
 )
 
-// Seen is told of every question and its answer, for a judge; err is set where none came.
-type Seen func(ask protocol.Request, asked, answered time.Time, answer protocol.Response, err error)
+// RequestObserver is told of every question and its answer, for a judge; err is set where none came.
+type RequestObserver func(ask protocol.Request, asked, answered time.Time, answer protocol.Response, err error)
 
-// Member is a running member.
-type Member struct {
+// Client is a running member.
+type Client struct {
 	cfg   group.Config
 	me    lease.Process
 	terms lease.Timing
 	begun time.Time
-	seen  Seen
+	seen  RequestObserver
 	stop  context.CancelFunc
 	done  chan struct{}
 
@@ -54,8 +54,8 @@
 }
 
 // Start has a member want the duties of its configuration. seen may be nil.
-func Start(cfg group.Config, seen Seen) *Member {
-	m := &Member{
+func Start(cfg group.Config, seen RequestObserver) *Client {
+	m := &Client{
 		cfg: cfg, me: lease.Process{Name: cfg.Self, Incarnation: rand.Uint64()}, terms: lease.Timing{Duration: cfg.LeaseDuration, MaxClockDrift: cfg.MaxClockDrift},
 		begun: time.Now(), seen: seen, done: make(chan struct{}),
 		holders: map[lease.Duty]*lease.Holder{}, was: map[lease.Duty]uint64{}, out: map[uint64]question{},
@@ -81,10 +81,10 @@
 
 // now is the clock that holders go by. It is monotonic; it stands while a machine is suspended as a
 // whole, which is why receivers check tokens.
-func (m *Member) now() time.Duration { return time.Since(m.begun) }
+func (m *Client) now() time.Duration { return time.Since(m.begun) }
 
-// May is the look at the clock before an act: the token to act under, if the duty is held.
-func (m *Member) May(d lease.Duty) (token uint64, ok bool) {
+// Token is the look at the clock before an act: the token to act under, if the duty is held.
+func (m *Client) Token(d lease.Duty) (token uint64, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if h := m.holders[d]; h != nil {
@@ -93,7 +93,7 @@
 	return 0, false
 }
 
-func (m *Member) turns(ctx context.Context) {
+func (m *Client) turns(ctx context.Context) {
 	ticker := time.NewTicker(each)
 	defer ticker.Stop()
 	for {
@@ -109,7 +109,7 @@
 }
 
 // turn does what is due; m.mu is held.
-func (m *Member) turn() {
+func (m *Client) turn() {
 	now := m.now()
 	for d, h := range m.holders {
 		m.tell(d, h, now)
@@ -126,7 +126,7 @@
 }
 
 // tell logs when a duty comes or goes.
-func (m *Member) tell(d lease.Duty, h *lease.Holder, now time.Duration) {
+func (m *Client) tell(d lease.Duty, h *lease.Holder, now time.Duration) {
 	token, _ := h.Token(now)
 	switch was := m.was[d]; {
 	case token == was:
@@ -140,7 +140,7 @@
 }
 
 // hold asks for a holder.
-func (m *Member) hold(h *lease.Holder, a lease.Request) {
+func (m *Client) hold(h *lease.Holder, a lease.Request) {
 	sent := m.ask(protocol.RequestFor(a), func(b protocol.Response) {
 		if protocol.IsFinal(b.Err) {
 			h.HandleResponse(m.now(), a.Seq, b.Grant, b.Err)
@@ -155,7 +155,7 @@
 
 // ask sends a question, if there is a connection, and tells whether; m.mu is held, then is called
 // under it, with ErrUnknown if no answer comes.
-func (m *Member) ask(q protocol.Request, then func(protocol.Response)) bool {
+func (m *Client) ask(q protocol.Request, then func(protocol.Response)) bool {
 	if m.conn == nil {
 		return false
 	}
@@ -167,7 +167,7 @@
 }
 
 // silence leaves a voter that does not answer.
-func (m *Member) silence() {
+func (m *Client) silence() {
 	for _, q := range m.out {
 		if time.Since(q.asked) > silent && m.conn != nil {
 			m.conn.Close()
@@ -178,7 +178,7 @@
 }
 
 // connect keeps a connection to the voter that leads, or to any until one tells.
-func (m *Member) connect(ctx context.Context) {
+func (m *Client) connect(ctx context.Context) {
 	next := rand.IntN(len(m.cfg.Voters))
 	for ctx.Err() == nil {
 		m.mu.Lock()
@@ -211,7 +211,7 @@
 	}
 }
 
-func (m *Member) read(c *transport.Conn) {
+func (m *Client) read(c *transport.Conn) {
 	defer func() {
 		m.mu.Lock()
 		m.conn = nil
@@ -254,14 +254,14 @@
 	}
 }
 
-func (m *Member) saw(q question, a protocol.Response, err error) {
+func (m *Client) saw(q question, a protocol.Response, err error) {
 	if m.seen != nil {
 		m.seen(q.q, q.asked, time.Now(), a, err)
 	}
 }
 
 // List asks the group for all that is held, and who votes.
-func (m *Member) List(ctx context.Context) (protocol.Snapshot, error) {
+func (m *Client) List(ctx context.Context) (protocol.Snapshot, error) {
 	for {
 		got := make(chan protocol.Response, 1)
 		m.mu.Lock()
@@ -281,7 +281,7 @@
 
 // Close gives up all duties: it stops at once, and tells the group for as long as patience lasts, so
 // that others need not wait for the end of the term.
-func (m *Member) Close(patience time.Duration) {
+func (m *Client) Close(patience time.Duration) {
 	m.mu.Lock()
 	for _, h := range m.holders {
 		h.Release()
@@ -296,7 +296,7 @@
 }
 
 // holds tells whether the group has not heard yet that a duty was given up.
-func (m *Member) holds() bool {
+func (m *Client) holds() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, h := range m.holders {
--- a/internal/group/voter/voter_test.go
+++ b/internal/group/voter/voter_test.go
@@ -44,15 +44,15 @@
 }
 
 // takes returns a member of the group that wants a duty.
-func takes(c group.Config, name, duty string) *client.Member {
+func takes(c group.Config, name, duty string) *client.Client {
 	c.Self, c.Disk, c.Duties = name, "", []string{duty}
 	return client.Start(c, nil)
 }
 
-func holds(t *testing.T, m *client.Member, duty string) (token uint64) {
+func holds(t *testing.T, m *client.Client, duty string) (token uint64) {
 	require.Eventually(t, func() bool {
 		var may bool
-		token, may = m.May("watch")
+		token, may = m.Token("watch")
 		return may
 	}, patience, 5*time.Millisecond)
 	return token
@@ -77,7 +77,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "a", before.Leases.Grants[0].Holder.Name)
 
-	_, may := b.May("watch")
+	_, may := b.Token("watch")
 	require.False(t, may)
 	a.Close(patience)
 	second := holds(t, b, "watch")
@@ -115,7 +115,7 @@
 	v0, v1 := begin(t, cfgs[0]), begin(t, cfgs[1])
 	m := takes(cfgs[0], "a", "watch")
 	time.Sleep(time.Second)
-	_, may := m.May("watch")
+	_, may := m.Token("watch")
 	require.False(t, may)
 	m.Close(0)
 	v0.Close()
--- a/internal/lab/clustertest/actor.go
+++ b/internal/lab/clustertest/actor.go
@@ -85,7 +85,7 @@
 		}
 		for _, d := range cfg.Duties {
 			looked := time.Now().UnixNano()
-			if token, may := m.May(lease.Duty(d)); may {
+			if token, may := m.Token(lease.Duty(d)); may {
 				say(line{Act: &act{lease.Duty(d), token, looked}})
 			}
 		}
--- a/internal/lab/clustertest/rig.go
+++ b/internal/lab/clustertest/rig.go
@@ -71,7 +71,7 @@
 	rng    *rand.Rand
 	procs  []*process
 	judge  net.Listener
-	look   *client.Member    // the rig's own, to see who votes
+	look   *client.Client    // the rig's own, to see who votes
 	votes  map[string]uint64 // the disks that vote, when whole was last called, by name
 	lost   map[string]uint64 // the disks that were lost last
 	result Result
