--- a/internal/group/client/lists.go
+++ b/internal/group/client/lists.go
@@ -18,8 +18,8 @@
 	m        *Client
 	duty     lease.Duty
 	take     group.OnUpdate
-	address  string     // where this balancer reaches what the group calls cfg.Source
-	own      watch.Feed // what this balancer's own calls brought
+	address  string         // where this balancer reaches what the group calls cfg.Source
+	own      watch.EventLog // what this balancer's own calls brought
 	follower *watch.Follower
 	holder   *watch.Holder
 	token    uint64 // under which own was published last
@@ -35,8 +35,8 @@
 func newLists(m *Client, d lease.Duty) *lists {
 	now := m.now()
 	return &lists{
-		m: m, duty: d, take: func(group.WatchEvent) {}, holder: watch.NewHolder(watch.Default, now),
-		follower: watch.NewFollower(watch.Default, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), now),
+		m: m, duty: d, take: func(group.WatchEvent) {}, holder: watch.NewHolder(watch.DefaultTiming, now),
+		follower: watch.NewFollower(watch.DefaultTiming, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), now),
 	}
 }
 
@@ -63,12 +63,12 @@
 	l.by = l.common(source)
 	now := l.m.now()
 	_, holds := l.m.holders[l.duty].Token(now)
-	ask = l.follower.Asks(now, holds)
-	if alone := l.follower.Alone() && !holds; alone != l.alone {
+	ask = l.follower.ShouldPoll(now, holds)
+	if alone := l.follower.Independent() && !holds; alone != l.alone {
 		l.alone = alone
 		slog.Info("group: discovery is asked", "by_itself", alone, "duty", l.duty)
 	}
-	from, _, any := l.own.Last()
+	from, _, any := l.own.Version()
 	return ask, holds && (!any || from != l.by)
 }
 
@@ -86,9 +86,9 @@
 	defer l.m.mu.Unlock()
 	p.Source = l.common(p.Source)
 	l.source, l.version = p.Source, p.ToVersion
-	l.holder.Heard(l.m.now())
-	if err := l.own.Take(0, p); errors.Is(err, watch.ErrMissing) {
-		l.own = watch.Feed{} // a whole list comes next, if it is to be published
+	l.holder.PollSucceeded(l.m.now())
+	if err := l.own.Append(0, p); errors.Is(err, watch.ErrVersionGap) {
+		l.own = watch.EventLog{} // a whole list comes next, if it is to be published
 		return
 	}
 	l.publish()
@@ -97,7 +97,7 @@
 func (s seam) PollFailed() {
 	s.l.m.mu.Lock()
 	defer s.l.m.mu.Unlock()
-	s.l.holder.Failed()
+	s.l.holder.PollFailed()
 }
 
 func (s seam) RequestUpdate(source string, version uint64) {
@@ -105,7 +105,7 @@
 	l.m.mu.Lock()
 	defer l.m.mu.Unlock()
 	l.source, l.version = l.common(source), version
-	if now := l.m.now(); now >= l.behind+watch.Default.Beat { // posts that come meanwhile say the same
+	if now := l.m.now(); now >= l.behind+watch.DefaultTiming.HeartbeatInterval { // posts that come meanwhile say the same
 		l.behind = now
 		l.follow()
 	}
@@ -136,12 +136,12 @@
 		}
 	case token != l.token:
 		l.publish()
-	case !l.holder.Stands(now) && l.rests == 0:
+	case !l.holder.Healthy(now) && l.rests == 0:
 		slog.Warn("group: duty is given up, discovery does not answer here", "duty", l.duty)
 		l.rests = now + 2*l.m.terms.Duration + rand.N(2*l.m.terms.Duration)
 		h.Release()
-	case l.holder.Due(now):
-		if source, version, any := l.own.Last(); any {
+	case l.holder.HeartbeatDue(now):
+		if source, version, any := l.own.Version(); any {
 			l.post(token, group.WatchEvent{Source: source, FromVersion: version, ToVersion: version})
 		}
 	}
@@ -151,14 +151,14 @@
 func (l *lists) publish() {
 	now := l.m.now()
 	token, holds := l.m.holders[l.duty].Token(now)
-	source, version, any := l.own.Last()
+	source, version, any := l.own.Version()
 	if !holds || !any || l.m.conn == nil {
 		return
 	}
 	posts := l.own.Since(source, l.sent)
 	if l.token != token {
 		posts = l.own.Since("", 0)
-		l.holder.Heard(now) // it has a chance to show that its watch stands
+		l.holder.PollSucceeded(now) // it has a chance to show that its watch stands
 	}
 	l.token, l.source, l.version = token, source, version
 	for _, p := range posts {
@@ -172,7 +172,7 @@
 	l.m.ask(protocol.Request{
 		Kind: protocol.Publish, Command: lease.Command{Duty: l.duty, Process: l.m.me, Token: token}, Event: &p,
 	}, func(a protocol.Response) {
-		if errors.Is(a.Err, watch.ErrMissing) || errors.Is(a.Err, watch.ErrStale) {
+		if errors.Is(a.Err, watch.ErrVersionGap) || errors.Is(a.Err, watch.ErrStaleToken) {
 			l.token = 0
 		}
 	})
@@ -183,7 +183,7 @@
 	if p.Source != l.by { // a holder that asks another discovery is none of this balancer's
 		return
 	}
-	if _, holds := l.m.holders[l.duty].Token(l.m.now()); holds || !l.follower.Word(l.m.now(), token) {
+	if _, holds := l.m.holders[l.duty].Token(l.m.now()); holds || !l.follower.Heartbeat(l.m.now(), token) {
 		return
 	}
 	if p.Source == l.common(l.address) {
--- a/internal/group/client/lists_test.go
+++ b/internal/group/client/lists_test.go
@@ -29,7 +29,7 @@
 	require.Equal(t, 1, took)
 	l.ShouldPoll("new")
 	m.mu.Lock()
-	m.lists.follower.Word(-watch.Default.Silent-watch.Default.Spread, 1) // long ago
+	m.lists.follower.Heartbeat(-watch.DefaultTiming.HeartbeatTimeout-watch.DefaultTiming.TimeoutJitter, 1) // long ago
 	m.lists.heard(1, group.WatchEvent{Source: "old", Whole: true, ToVersion: 2})
 	m.mu.Unlock()
 	asks, _ := l.ShouldPoll("new")
--- a/internal/group/transport/peer.go
+++ b/internal/group/transport/peer.go
@@ -65,7 +65,7 @@
 type ErrorCode uint8
 
 // codes are the errors that have a code, by it.
-var codes = []error{nil, lease.ErrHeld, lease.ErrNotHeld, protocol.ErrNotLeader, protocol.ErrOutcomeUnknown, protocol.ErrOverloaded, protocol.ErrNameInUse, watch.ErrMissing, watch.ErrStale, watch.ErrLarge}
+var codes = []error{nil, lease.ErrHeld, lease.ErrNotHeld, protocol.ErrNotLeader, protocol.ErrOutcomeUnknown, protocol.ErrOverloaded, protocol.ErrNameInUse, watch.ErrVersionGap, watch.ErrStaleToken, watch.ErrTooLarge}
 
 // ErrorCodeOf returns an error's code.
 func ErrorCodeOf(err error) ErrorCode {
--- a/internal/group/voter/voter.go
+++ b/internal/group/voter/voter.go
@@ -65,7 +65,7 @@
 
 // feed is what is published under a duty, and who is told.
 type feed struct {
-	watch.Feed
+	watch.EventLog
 	to []*transport.Conn
 }
 
@@ -504,7 +504,7 @@
 		}
 		return nil
 	}
-	if err := f.Take(g.Token, *a.Event); err != nil {
+	if err := f.Append(g.Token, *a.Event); err != nil {
 		return err
 	}
 	for _, o := range f.to {
--- a/internal/group/watch/watch.go
+++ b/internal/group/watch/watch.go
@@ -15,57 +15,57 @@
 	"piernotch/internal/group"
 )
 
-// Terms are the times that holder and followers go by.
-type Terms struct {
-	Beat   time.Duration // a holder whose watch stands says so this often
-	Silent time.Duration // a holder that says nothing for so long is not relied on
-	Spread time.Duration // a follower waits by chance up to so much longer
-	Stale  time.Duration // a holder whose own call brought nothing for so long does not say that its watch stands
+// Timing are the times that holder and followers go by.
+type Timing struct {
+	HeartbeatInterval time.Duration // a holder whose watch stands says so this often
+	HeartbeatTimeout  time.Duration // a holder that says nothing for so long is not relied on
+	TimeoutJitter     time.Duration // a follower waits by chance up to so much longer
+	PollTimeout       time.Duration // a holder whose own call brought nothing for so long does not say that its watch stands
 }
 
-// Default is what the group's members use. A change that the holder was told of and could not pass on
+// DefaultTiming is what the group's members use. A change that the holder was told of and could not pass on
 // is asked for by the others within Silent and Spread, which stays under the six seconds after which
 // discovery's word counts as told.
-var Default = Terms{Beat: 500 * time.Millisecond, Silent: 2 * time.Second, Spread: 2 * time.Second, Stale: 7 * time.Second}
+var DefaultTiming = Timing{HeartbeatInterval: 500 * time.Millisecond, HeartbeatTimeout: 2 * time.Second, TimeoutJitter: 2 * time.Second, PollTimeout: 7 * time.Second}
 
 // Bounds on what a feed keeps.
 const (
-	MostBody    = 512 << 10 // bytes of one post
+	MaxBodySize = 512 << 10 // bytes of one post
 	mostChanges = 256       // posts behind a whole list
 )
 
 // Errors of a post.
 var (
-	ErrStale   = errors.New("a later holder has spoken")
-	ErrMissing = errors.New("a whole list is needed first")
-	ErrLarge   = errors.New("a list of over 512 KiB is not passed on")
+	ErrStaleToken = errors.New("a later holder has spoken")
+	ErrVersionGap = errors.New("a whole list is needed first")
+	ErrTooLarge   = errors.New("a list of over 512 KiB is not passed on")
 )
 
-// Feed is a whole list and what has changed since, under the token of who brought it. The zero value is
+// EventLog is a whole list and what has changed since, under the token of who brought it. The zero value is
 // empty. Who leads the group keeps one for each duty; so does whoever asks discovery.
-type Feed struct {
+type EventLog struct {
 	token   uint64
 	source  string
 	version uint64
 	posts   []group.WatchEvent // a whole one first
 }
 
-// Take adds a post. A holder's whole list replaces what an earlier holder brought; a change has to
+// Append adds a post. A holder's whole list replaces what an earlier holder brought; a change has to
 // follow what is there.
-func (f *Feed) Take(token uint64, p group.WatchEvent) error {
+func (f *EventLog) Append(token uint64, p group.WatchEvent) error {
 	switch {
 	case token < f.token:
-		return ErrStale
-	case len(p.Body) > MostBody:
-		return ErrLarge
+		return ErrStaleToken
+	case len(p.Body) > MaxBodySize:
+		return ErrTooLarge
 	case p.Whole:
 		if token == f.token && p.Source == f.source && p.ToVersion < f.version {
-			return ErrStale
+			return ErrStaleToken
 		}
 		f.token, f.source, f.version, f.posts = token, p.Source, p.ToVersion, append(f.posts[:0:0], p)
 		return nil
 	case len(f.posts) == 0 || p.Source != f.source || p.FromVersion != f.version || !p.IsHeartbeat() && len(f.posts) > mostChanges:
-		return ErrMissing
+		return ErrVersionGap
 	}
 	f.token, f.version = token, p.ToVersion
 	if !p.IsHeartbeat() {
@@ -75,7 +75,7 @@
 }
 
 // Since returns what leads from a version to the last one; all of it where the version is not known here.
-func (f *Feed) Since(source string, version uint64) []group.WatchEvent {
+func (f *EventLog) Since(source string, version uint64) []group.WatchEvent {
 	if source == f.source {
 		for i, p := range f.posts {
 			if p.ToVersion == version {
@@ -87,16 +87,16 @@
 }
 
 // Token returns under which the last post was published.
-func (f *Feed) Token() uint64 { return f.token }
+func (f *EventLog) Token() uint64 { return f.token }
 
-// Last returns where a feed has come to, and whether it holds anything.
-func (f *Feed) Last() (source string, version uint64, any bool) {
+// Version returns where a feed has come to, and whether it holds anything.
+func (f *EventLog) Version() (source string, version uint64, any bool) {
 	return f.source, f.version, len(f.posts) > 0
 }
 
 // Follower is a balancer that may rely on another's watch.
 type Follower struct {
-	terms Terms
+	terms Timing
 	rng   *rand.Rand
 	token uint64
 	until time.Duration // the holder is relied on until then
@@ -104,19 +104,19 @@
 }
 
 // NewFollower returns one that gives a holder its first chance from now on.
-func NewFollower(terms Terms, rng *rand.Rand, now time.Duration) *Follower {
+func NewFollower(terms Timing, rng *rand.Rand, now time.Duration) *Follower {
 	f := &Follower{terms: terms, rng: rng}
 	f.wait(now)
 	return f
 }
 
 func (f *Follower) wait(now time.Duration) {
-	f.until = now + f.terms.Silent + time.Duration(f.rng.Int64N(int64(f.terms.Spread)))
+	f.until = now + f.terms.HeartbeatTimeout + time.Duration(f.rng.Int64N(int64(f.terms.TimeoutJitter)))
 }
 
-// Word notes that something came from a holder. It is false for one that has been replaced: its lists
+// Heartbeat notes that something came from a holder. It is false for one that has been replaced: its lists
 // are not taken, and its word keeps nobody from asking.
-func (f *Follower) Word(now time.Duration, token uint64) bool {
+func (f *Follower) Heartbeat(now time.Duration, token uint64) bool {
 	if token < f.token {
 		return false
 	}
@@ -125,38 +125,40 @@
 	return true
 }
 
-// Asks tells whether this balancer asks discovery itself: it holds the duty, or relies on nobody.
-func (f *Follower) Asks(now time.Duration, holds bool) bool {
+// ShouldPoll tells whether this balancer asks discovery itself: it holds the duty, or relies on nobody.
+func (f *Follower) ShouldPoll(now time.Duration, holds bool) bool {
 	f.alone = now >= f.until
 	return holds || f.alone
 }
 
-// Alone tells whether nobody was relied on when Asks was last called.
-func (f *Follower) Alone() bool { return f.alone }
+// Independent tells whether nobody was relied on when Asks was last called.
+func (f *Follower) Independent() bool { return f.alone }
 
 // Holder is the side that asks for all: whether it may say that its watch stands.
 type Holder struct {
-	terms Terms
+	terms Timing
 	heard time.Duration // when its call last brought something
 	fails bool
 	beat  time.Duration // when it last said so
 }
 
 // NewHolder returns the state of a watch that stands as far as anybody knows.
-func NewHolder(terms Terms, now time.Duration) *Holder { return &Holder{terms: terms, heard: now} }
+func NewHolder(terms Timing, now time.Duration) *Holder { return &Holder{terms: terms, heard: now} }
 
-// Heard notes that a call brought something, if only that nothing has changed.
-func (h *Holder) Heard(now time.Duration) { h.heard, h.fails = now, false }
+// PollSucceeded notes that a call brought something, if only that nothing has changed.
+func (h *Holder) PollSucceeded(now time.Duration) { h.heard, h.fails = now, false }
 
-// Failed notes that a call failed.
-func (h *Holder) Failed() { h.fails = true }
+// PollFailed notes that a call failed.
+func (h *Holder) PollFailed() { h.fails = true }
 
-// Stands tells whether the watch can be relied on.
-func (h *Holder) Stands(now time.Duration) bool { return !h.fails && now < h.heard+h.terms.Stale }
+// Healthy tells whether the watch can be relied on.
+func (h *Holder) Healthy(now time.Duration) bool {
+	return !h.fails && now < h.heard+h.terms.PollTimeout
+}
 
-// Due tells whether it is time to say that the watch stands.
-func (h *Holder) Due(now time.Duration) bool {
-	if !h.Stands(now) || now < h.beat+h.terms.Beat {
+// HeartbeatDue tells whether it is time to say that the watch stands.
+func (h *Holder) HeartbeatDue(now time.Duration) bool {
+	if !h.Healthy(now) || now < h.beat+h.terms.HeartbeatInterval {
 		return false
 	}
 	h.beat = now
--- a/internal/group/watch/watch_test.go
+++ b/internal/group/watch/watch_test.go
@@ -13,7 +13,7 @@
 
 func TestAFeedLeadsEveryFollowerToTheLastVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var f Feed
+		var f EventLog
 		version, token := uint64(0), uint64(1)
 		known := map[int]uint64{} // versions of followers
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
@@ -27,13 +27,13 @@
 				token++ // another holds the duty, which begins with a whole list
 				p.Whole, p.FromVersion = true, 0
 			case 3:
-				require.ErrorIs(t, f.Take(token-1, group.WatchEvent{Source: "d", Whole: true, ToVersion: version + 9}), map[bool]error{true: ErrStale}[f.token == token])
+				require.ErrorIs(t, f.Append(token-1, group.WatchEvent{Source: "d", Whole: true, ToVersion: version + 9}), map[bool]error{true: ErrStaleToken}[f.token == token])
 				if f.token < token {
 					version = version + 9
 				}
 				continue
 			}
-			if f.Take(token, p) == nil {
+			if f.Append(token, p) == nil {
 				version = p.ToVersion
 			}
 			who := rapid.IntRange(0, 3).Draw(t, "follower")
@@ -45,7 +45,7 @@
 					known[who] = p.ToVersion
 				}
 			}
-			if _, last, any := f.Last(); any {
+			if _, last, any := f.Version(); any {
 				require.GreaterOrEqual(t, known[who], last)
 			}
 		}
@@ -77,41 +77,41 @@
 	const n = 300
 	var all []*Follower
 	for i := range n {
-		f := NewFollower(Default, rand.New(rand.NewPCG(uint64(i), 1)), 0)
-		require.True(t, f.Word(time.Second, 7))
+		f := NewFollower(DefaultTiming, rand.New(rand.NewPCG(uint64(i), 1)), 0)
+		require.True(t, f.Heartbeat(time.Second, 7))
 		all = append(all, f)
 	}
 	asking := func(at time.Duration) (k int) {
 		for _, f := range all {
-			if f.Asks(at, false) {
+			if f.ShouldPoll(at, false) {
 				k++
 			}
 		}
 		return k
 	}
 	lost := time.Second
-	require.Zero(t, asking(lost+Default.Silent-1))
-	require.InDelta(t, n/2, asking(lost+Default.Silent+Default.Spread/2), n/8)
-	require.Equal(t, n, asking(lost+Default.Silent+Default.Spread))
-	require.Less(t, Default.Silent+Default.Spread, 6*time.Second)
+	require.Zero(t, asking(lost+DefaultTiming.HeartbeatTimeout-1))
+	require.InDelta(t, n/2, asking(lost+DefaultTiming.HeartbeatTimeout+DefaultTiming.TimeoutJitter/2), n/8)
+	require.Equal(t, n, asking(lost+DefaultTiming.HeartbeatTimeout+DefaultTiming.TimeoutJitter))
+	require.Less(t, DefaultTiming.HeartbeatTimeout+DefaultTiming.TimeoutJitter, 6*time.Second)
 	for _, f := range all {
-		require.False(t, f.Word(20*time.Second, 6), "a holder that has been replaced")
+		require.False(t, f.Heartbeat(20*time.Second, 6), "a holder that has been replaced")
 	}
 	require.Equal(t, n, asking(20*time.Second))
 	for _, f := range all {
-		require.True(t, f.Word(20*time.Second, 8))
-		require.True(t, f.Asks(20*time.Second, true), "who holds the duty asks")
+		require.True(t, f.Heartbeat(20*time.Second, 8))
+		require.True(t, f.ShouldPoll(20*time.Second, true), "who holds the duty asks")
 	}
 	require.Zero(t, asking(20*time.Second))
 }
 
 func TestAHolderWhoseWatchFailsSaysNothing(t *testing.T) {
-	h := NewHolder(Default, 0)
-	require.True(t, h.Due(time.Second))
-	require.False(t, h.Due(time.Second+1))
-	h.Failed()
-	require.False(t, h.Due(2*time.Second))
-	h.Heard(3 * time.Second)
-	require.True(t, h.Due(3*time.Second))
-	require.False(t, h.Due(3*time.Second+Default.Stale))
+	h := NewHolder(DefaultTiming, 0)
+	require.True(t, h.HeartbeatDue(time.Second))
+	require.False(t, h.HeartbeatDue(time.Second+1))
+	h.PollFailed()
+	require.False(t, h.HeartbeatDue(2*time.Second))
+	h.PollSucceeded(3 * time.Second)
+	require.True(t, h.HeartbeatDue(3*time.Second))
+	require.False(t, h.HeartbeatDue(3*time.Second+DefaultTiming.PollTimeout))
 }
--- a/internal/lab/loadtest/shared.go
+++ b/internal/lab/loadtest/shared.go
@@ -30,7 +30,7 @@
 
 // sharedLate is by when what one balancer was told counts as told to all: by then each has heard it or
 // asks itself.
-var sharedLate = watch.Default.Silent + watch.Default.Spread + 500*time.Millisecond
+var sharedLate = watch.DefaultTiming.HeartbeatTimeout + watch.DefaultTiming.TimeoutJitter + 500*time.Millisecond
 
 func share(opts Options, balancers int) (*shared, error) {
 	s := &shared{balancers: balancers, last: map[[2]int]int{}}
