--- a/internal/group/consensus/machine.go
+++ b/internal/group/consensus/machine.go
@@ -262,7 +262,7 @@
 			}
 		}
 		// A voter that is being added has an empty log: who leads will fill it.
-		m.in = n > len(m.conf.GetVoters())/2 || failpoint.Is("disk-unchecked")
+		m.in = n > len(m.conf.GetVoters())/2 || failpoint.Enabled("disk-unchecked")
 	}
 	return m.in
 }
@@ -316,7 +316,7 @@
 	r := msg.Raft
 	m.sight(msg.From, r)
 	// The engine gives up the process over a leader that knows more of this log than there is of it.
-	if last, _ := m.mem.LastIndex(); !failpoint.Is("disk-unchecked") && r.GetType() == raftpb.MsgHeartbeat && r.GetCommit() > last && r.GetTerm() >= m.status().GetTerm() {
+	if last, _ := m.mem.LastIndex(); !failpoint.Enabled("disk-unchecked") && r.GetType() == raftpb.MsgHeartbeat && r.GetCommit() > last && r.GetTerm() >= m.status().GetTerm() {
 		m.old = true
 		return ErrStaleStore
 	}
@@ -357,12 +357,12 @@
 // its own patience.
 func (m *Machine) Propose(now time.Duration, q protocol.Request) {
 	switch {
-	case m.keeper == nil && !(failpoint.Is("stale-reads") && q.Kind == protocol.Read && m.leading):
+	case m.keeper == nil && !(failpoint.Enabled("stale-reads") && q.Kind == protocol.Read && m.leading):
 		m.answer(q, lease.Grant{}, protocol.ErrNotLeader)
 	case len(m.changes)+len(m.reads) >= mostWaiting:
 		m.answer(q, lease.Grant{}, protocol.ErrOverloaded)
 	case q.Kind == protocol.Propose && !m.heldByOther(q.Command):
-		if failpoint.Is("answered-too-early") {
+		if failpoint.Enabled("answered-too-early") {
 			var t lease.Table
 			t.Restore(m.table.Snapshot())
 			g, err := t.Apply(q.Command)
@@ -371,7 +371,7 @@
 		m.propose(q.Command, m.wait(q))
 	case q.Kind == protocol.AddVoter:
 		m.admit(q)
-	case q.Kind == protocol.Read && failpoint.Is("stale-reads"), q.Kind == protocol.Renew && failpoint.Is("unconfirmed-renewals"):
+	case q.Kind == protocol.Read && failpoint.Enabled("stale-reads"), q.Kind == protocol.Renew && failpoint.Enabled("unconfirmed-renewals"):
 		m.look(now, q)
 	default:
 		m.seq++
--- a/internal/group/failpoint/off.go
+++ b/internal/group/failpoint/off.go
@@ -4,5 +4,5 @@
 // compiled in with the build tag "planted" alone: in every other build Is is a constant.
 package failpoint
 
-// Is tells whether the fault of that name is planted: never, in this build.
-func Is(string) bool { return false }
+// Enabled tells whether the fault of that name is planted: never, in this build.
+func Enabled(string) bool { return false }
--- a/internal/group/failpoint/on.go
+++ b/internal/group/failpoint/on.go
@@ -4,8 +4,8 @@
 
 var planted string
 
-// Is tells whether the fault of that name is planted.
-func Is(name string) bool { return name == planted }
+// Enabled tells whether the fault of that name is planted.
+func Enabled(name string) bool { return name == planted }
 
 // Set plants one fault, or none with "". It must not be called while anything runs.
 func Set(name string) { planted = name }
--- a/internal/group/lease/holder.go
+++ b/internal/group/lease/holder.go
@@ -104,7 +104,7 @@
 	}
 	h.asked = false
 	from := h.sent
-	if failpoint.Is("counted-from-answer") {
+	if failpoint.Enabled("counted-from-answer") {
 		from = now
 	}
 	switch {
@@ -117,7 +117,7 @@
 			h.since = now
 		}
 		h.grant, h.until, h.held = g, from+h.terms.HolderDuration(), true
-		if failpoint.Is("drift-ignored") {
+		if failpoint.Enabled("drift-ignored") {
 			h.until = from + h.terms.Duration + h.terms.Duration/8
 		}
 		h.next = from + h.terms.HolderDuration()/3
@@ -161,7 +161,7 @@
 // Admit tells whether an act under a token may be done; fresh says that the token is higher than any
 // before, and has to be kept first.
 func (f *Fence) Admit(d Duty, token uint64) (ok, fresh bool) {
-	if token < f.seen[d] && !failpoint.Is("no-fence") {
+	if token < f.seen[d] && !failpoint.Enabled("no-fence") {
 		return false, false
 	}
 	if fresh = token > f.seen[d]; fresh {
--- a/internal/group/lease/lease.go
+++ b/internal/group/lease/lease.go
@@ -97,7 +97,7 @@
 		t.grants = map[Duty]Grant{}
 	}
 	t.last++
-	if failpoint.Is("token-reused") {
+	if failpoint.Enabled("token-reused") {
 		t.last = 1
 	}
 	g := Grant{d, to, t.last}
@@ -165,7 +165,7 @@
 	k := &ExpiryClock{terms: terms, until: map[Duty]deadline{}}
 	for _, g := range held {
 		_ = k.Granted(now, g)
-		if failpoint.Is("timers-forgotten") {
+		if failpoint.Enabled("timers-forgotten") {
 			k.until[g.Duty] = deadline{token: g.Token, at: now}
 		}
 	}
@@ -175,7 +175,7 @@
 // Granted notes a grant, or one that was asked for again. A grant whose end is on its way must not be
 // answered with, though the table still has it.
 func (k *ExpiryClock) Granted(now time.Duration, g Grant) error {
-	if d := k.until[g.Duty]; d.token == g.Token && d.lapsing && !failpoint.Is("granted-while-lapsing") {
+	if d := k.until[g.Duty]; d.token == g.Token && d.lapsing && !failpoint.Enabled("granted-while-lapsing") {
 		return ErrNotHeld
 	}
 	k.until[g.Duty] = deadline{token: g.Token, at: now + k.terms.Duration}
@@ -188,7 +188,7 @@
 // Renew prolongs a grant, unless it is not the one that stands, or its end is on its way.
 func (k *ExpiryClock) Renew(now time.Duration, d Duty, token uint64) error {
 	u, is := k.until[d]
-	if !is || u.token != token || u.lapsing && !failpoint.Is("renewed-after-expiry") {
+	if !is || u.token != token || u.lapsing && !failpoint.Enabled("renewed-after-expiry") {
 		return ErrNotHeld
 	}
 	u.at = now + k.terms.Duration
--- a/internal/lab/clustersim/member.go
+++ b/internal/lab/clustersim/member.go
@@ -90,7 +90,7 @@
 
 func (m *member) look(i int) (uint64, bool) {
 	token, may := m.holders[i].Token(m.now())
-	if failpoint.Is("no-look") {
+	if failpoint.Enabled("no-look") {
 		token, may = m.tokens[i], m.tokens[i] > 0
 	}
 	if may {
--- a/internal/lab/clustersim/world.go
+++ b/internal/lab/clustersim/world.go
@@ -86,7 +86,7 @@
 // now is the node's monotonic clock.
 func (n *node) now() time.Duration {
 	t := time.Duration(float64(n.w.now)*n.rate) + time.Duration(n.number)*time.Hour
-	if failpoint.Is("wall-clock") {
+	if failpoint.Enabled("wall-clock") {
 		t += n.wall
 	}
 	return t
@@ -233,7 +233,7 @@
 		n.member.start()
 	default:
 		n.fence = &lease.Fence{}
-		if !failpoint.Is("fence-forgotten") {
+		if !failpoint.Enabled("fence-forgotten") {
 			n.fence.Restore(maps.Clone(n.seen))
 		}
 	}
@@ -413,7 +413,7 @@
 		v.disk = v.copies[v.w.rng.IntN(len(v.copies))]
 		return
 	}
-	if failpoint.Is("disk-unchecked") {
+	if failpoint.Enabled("disk-unchecked") {
 		var voters []protocol.Voter
 		for i := range v.w.size.Voters {
 			voters = append(voters, protocol.Voter{ID: uint64(i + 1), Name: fmt.Sprintf("v%d", i)})
@@ -463,7 +463,7 @@
 			v.answer()
 			return
 		}
-		if failpoint.Is("sent-before-written") {
+		if failpoint.Enabled("sent-before-written") {
 			v.post(w)
 		}
 		if w.Empty() {
@@ -492,7 +492,7 @@
 }
 
 func (v *voter) done(w consensus.Ready) {
-	if !failpoint.Is("sent-before-written") {
+	if !failpoint.Enabled("sent-before-written") {
 		v.post(w)
 	}
 	if err := v.m.Advance(v.now(), w); err != nil {
