--- a/cmd/piernotch-lab/chaos.go
+++ b/cmd/piernotch-lab/chaos.go
@@ -139,7 +139,7 @@
 		run.Failed = err.Error()
 	case r.Broken() > 0:
 		b := r.Breaks[0]
-		run.Failed = fmt.Sprintf("%d breaks of a rule, first %s at %.2f s: %s", r.Broken(), b.Rule, b.At.Seconds(), b.What)
+		run.Failed = fmt.Sprintf("%d breaks of a rule, first %s at %.2f s: %s", r.Broken(), b.Rule, b.At.Seconds(), b.Message)
 	default:
 		from := int((d.Length - chaos.Rest/2).Seconds())
 		asked, served := 0.0, 0.0
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -209,7 +209,7 @@
 func (f *Fleet) drain(s *server) {
 	up := false
 	s.do(func(p *servermodel.Server, now time.Duration) {
-		up = p.Life() == servermodel.Up
+		up = p.State() == servermodel.Up
 		p.Drain(now)
 	})
 	if up {
@@ -222,7 +222,7 @@
 	for _, n := range servers {
 		s := f.servers[n]
 		s.mu.Lock()
-		up, born := s.phys.Life() == servermodel.Up, s.phys.Started()
+		up, born := s.phys.State() == servermodel.Up, s.phys.Started()
 		s.mu.Unlock()
 		if up {
 			f.roster.publish(n, state, born)
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -65,7 +65,7 @@
 // call is one request that the server holds.
 type call struct {
 	job  uint64
-	done chan servermodel.Done
+	done chan servermodel.Completion
 }
 
 func newServer(f *Fleet, number int, spec scenario.Server, seed uint64) (*server, error) {
@@ -215,7 +215,7 @@
 	if m.Path() == "/ping" || m.Path() == "/_load" {
 		s.mu.Lock()
 		s.phys.Charge(now, s.spec.Kind.ProbeWork)
-		life, fields := s.phys.Life(), s.load(now)
+		life, fields := s.phys.State(), s.load(now)
 		s.arm()
 		s.mu.Unlock()
 		if life == servermodel.Silent {
@@ -242,7 +242,7 @@
 	}
 	entry, cl := s.take(m, id, n, now)
 	switch entry {
-	case servermodel.TurnedAway:
+	case servermodel.Rejected:
 		s.mu.Lock()
 		fields := append(s.load(now), http1.Field{Name: "X-Not-Run", Value: "1"})
 		s.mu.Unlock()
@@ -277,7 +277,7 @@
 }
 
 // take brings a request to the physics.
-func (s *server) take(m *http1.Message, id string, n int, now time.Duration) (servermodel.Entry, *call) {
+func (s *server) take(m *http1.Message, id string, n int, now time.Duration) (servermodel.Admission, *call) {
 	work, _ := strconv.ParseFloat(m.Query("w"), 64)
 	if !(work > 0 && work < 1e9) { // whoever sent it did not say: what its class takes
 		work = s.fleet.meanWork(strings.TrimPrefix(m.Path(), "/"))
@@ -295,7 +295,7 @@
 	}
 	s.last++
 	entry, lost := s.phys.Arrive(now, servermodel.Job{ID: s.last, Work: work, Key: key, Expires: expires, Luck: s.luck.Float64()})
-	if cold && s.phys.Life() == servermodel.Fallen {
+	if cold && s.phys.State() == servermodel.Collapsed {
 		s.fleet.watch.Fell(s.number)
 		s.ended(lost)
 		s.closeAll()
@@ -304,7 +304,7 @@
 	if entry != servermodel.Accepted {
 		return entry, nil
 	}
-	cl := &call{job: s.last, done: make(chan servermodel.Done, 1)}
+	cl := &call{job: s.last, done: make(chan servermodel.Completion, 1)}
 	s.calls[s.last] = cl
 	s.fleet.watch.Began(id, n)
 	s.arm()
@@ -312,7 +312,7 @@
 }
 
 // finish sends the answer of a job that has ended.
-func (s *server) finish(c net.Conn, m *http1.Message, id string, n int, d servermodel.Done, gone <-chan struct{}) bool {
+func (s *server) finish(c net.Conn, m *http1.Message, id string, n int, d servermodel.Completion, gone <-chan struct{}) bool {
 	if d.Started {
 		s.fleet.watch.Ran(id, n)
 	}
@@ -362,7 +362,7 @@
 }
 
 // ended hands out what the physics has ended. The lock is held.
-func (s *server) ended(dones []servermodel.Done) {
+func (s *server) ended(dones []servermodel.Completion) {
 	for _, d := range dones {
 		if cl := s.calls[d.ID]; cl != nil {
 			delete(s.calls, d.ID)
@@ -407,7 +407,7 @@
 // start begins a new process, which is cold.
 func (s *server) start() error {
 	s.mu.Lock()
-	if s.phys.Life() == servermodel.Fallen {
+	if s.phys.State() == servermodel.Collapsed {
 		s.mu.Unlock()
 		return nil // it stays down
 	}
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -94,7 +94,7 @@
 	cmp, err := Compare(context.Background(), p, Variant{Name: "x"}, Variant{Name: "y"}, nil)
 	require.NoError(t, err)
 	broken := points[0].Runs[0]
-	broken.ColdFalls, broken.Breaks = 1, []invariants.Break{{Rule: invariants.Cold, Server: 3, What: "pushed over", Steps: []string{"a step"}}}
+	broken.ColdFalls, broken.Breaks = 1, []invariants.Violation{{Rule: invariants.Cold, Server: 3, Message: "pushed over", Steps: []string{"a step"}}}
 	for _, f := range []*File{
 		{Kind: "sweep", Scenario: "s", Vary: dims, Points: points},
 		{Kind: "run", Scenario: "s", Runs: runs, Summary: Summary(runs)},
--- a/internal/lab/goodput/tally.go
+++ b/internal/lab/goodput/tally.go
@@ -34,8 +34,8 @@
 	MS         float64 `json:"ms"`
 }
 
-// Tally counts. It is for one goroutine.
-type Tally struct {
+// Counter counts. It is for one goroutine.
+type Counter struct {
 	day                    *scenario.Day
 	Asked, Refused, Failed int
 	InAim                  int
@@ -49,20 +49,20 @@
 }
 
 // New returns a tally of a day.
-func New(d *scenario.Day) *Tally {
+func New(d *scenario.Day) *Counter {
 	n := len(d.Classes)
-	return &Tally{
+	return &Counter{
 		day: d, classAsked: make([]float64, n), classServed: make([]float64, n), classCount: make([]int, n),
 		Seconds: make([]Second, int(math.Ceil(d.Length.Seconds()))), hist: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3),
 	}
 }
 
-func (t *Tally) second(at time.Duration) *Second {
+func (t *Counter) second(at time.Duration) *Second {
 	return &t.Seconds[min(max(int(at/time.Second), 0), len(t.Seconds)-1)]
 }
 
-// Worth is what a request of a class and a work (ms) is worth.
-func Worth(d *scenario.Day, class int, work float64) float64 {
+// Weight is what a request of a class and a work (ms) is worth.
+func Weight(d *scenario.Day, class int, work float64) float64 {
 	if d.Score.ByWork {
 		return d.Classes[class].PriorityWeight * work
 	}
@@ -70,8 +70,8 @@
 }
 
 // Ask counts a client's request when it is first made.
-func (t *Tally) Ask(first time.Duration, class int, work float64) {
-	worth := Worth(t.day, class, work)
+func (t *Counter) Ask(first time.Duration, class int, work float64) {
+	worth := Weight(t.day, class, work)
 	t.Asked++
 	t.AskedWork += work
 	t.classAsked[class] += worth
@@ -80,7 +80,7 @@
 }
 
 // Ended counts a try that brought its client nothing.
-func (t *Tally) Ended(first time.Duration, refused bool) {
+func (t *Counter) Ended(first time.Duration, refused bool) {
 	s := t.second(first)
 	if refused {
 		t.Refused++
@@ -92,9 +92,9 @@
 }
 
 // Finish counts a request that is over, and returns the worth that it earned.
-func (t *Tally) Finish(first, took time.Duration, class int, work float64, tries int, served bool) float64 {
+func (t *Counter) Finish(first, took time.Duration, class int, work float64, tries int, served bool) float64 {
 	c := &t.day.Classes[class]
-	worth, earned := Worth(t.day, class, work), 0.0
+	worth, earned := Weight(t.day, class, work), 0.0
 	if served {
 		_ = t.hist.RecordValue(max(int64(took/time.Microsecond), 1))
 		earned = worth
@@ -121,7 +121,7 @@
 }
 
 // Parts works them out.
-func (t *Tally) Parts() Parts {
+func (t *Counter) Parts() Parts {
 	p := Parts{Whole: 1, WorstClass: 1}
 	asked, served := 0.0, 0.0
 	for i, c := range t.day.Classes {
@@ -148,7 +148,7 @@
 
 // worstWindow is the least share served in any span of so many whole seconds in which
 // something was asked for. A day shorter than that is one window.
-func (t *Tally) worstWindow(n int, whole float64) float64 {
+func (t *Counter) worstWindow(n int, whole float64) float64 {
 	n = min(max(n, 1), len(t.Seconds))
 	worst := whole
 	asked, served := 0.0, 0.0
@@ -167,7 +167,7 @@
 }
 
 // Latency is the distribution of served requests' latency from their first try.
-func (t *Tally) Latency() []LatencyStep {
+func (t *Counter) Latency() []LatencyStep {
 	if t.hist.TotalCount() == 0 {
 		return nil
 	}
@@ -179,4 +179,4 @@
 }
 
 // Percentile is one of them, ms.
-func (t *Tally) Percentile(p float64) float64 { return float64(t.hist.ValueAtPercentile(p)) / 1000 }
+func (t *Counter) Percentile(p float64) float64 { return float64(t.hist.ValueAtPercentile(p)) / 1000 }
--- a/internal/lab/invariants/audit.go
+++ b/internal/lab/invariants/audit.go
@@ -48,43 +48,43 @@
 	return fmt.Errorf("%q is no rule", text)
 }
 
-// Answer is a final answer as the client got it.
-type Answer uint8
+// Result is a final answer as the client got it.
+type Result uint8
 
 // Answers.
 const (
-	Served Answer = iota
-	Refused
+	Served Result = iota
+	Rejected
 	Failed
 )
 
 // String names an answer.
-func (a Answer) String() string { return [...]string{"served", "refused", "failed"}[a] }
-
-// Figures are what the rules are measured by.
-type Figures struct {
-	Slack        time.Duration // a final answer may be so much later than the deadline
-	Grace        time.Duration // sends may go on for so long after a drain was told
-	FallFor      time.Duration // the span over which a fall's work is counted
-	MaxAttempts  int
-	SecondCopies bool
-	Classes      []piernotch.Class
-	Zone, Cell   func(server int) int // of keyed classes; nil: there are none
+func (a Result) String() string { return [...]string{"served", "refused", "failed"}[a] }
+
+// Limits are what the rules are measured by.
+type Limits struct {
+	Slack          time.Duration // a final answer may be so much later than the deadline
+	Grace          time.Duration // sends may go on for so long after a drain was told
+	FallFor        time.Duration // the span over which a fall's work is counted
+	MaxAttempts    int
+	HedgedRequests bool
+	Classes        []piernotch.Class
+	Zone, Cell     func(server int) int // of keyed classes; nil: there are none
 }
 
-// Break is one broken rule.
-type Break struct {
+// Violation is one broken rule.
+type Violation struct {
 	Rule     Rule          `json:"rule"`
 	At       time.Duration `json:"at_ns"`
 	Instance int           `json:"instance"`
 	Request  uint64        `json:"request,omitempty"`
 	Server   int           `json:"server"` // -1: none
-	What     string        `json:"what"`
+	Message  string        `json:"what"`
 	Steps    []string      `json:"steps,omitempty"` // what was seen of the request or the server
 }
 
 // String is the break in one line.
-func (b Break) String() string {
+func (b Violation) String() string {
 	s := fmt.Sprintf("%s at %.6f s: balancer %d", b.Rule, b.At.Seconds(), b.Instance)
 	if b.Request != 0 {
 		s += fmt.Sprintf(", request %d", b.Request)
@@ -92,7 +92,7 @@
 	if b.Server >= 0 {
 		s += fmt.Sprintf(", server %d", b.Server)
 	}
-	return s + ": " + b.What
+	return s + ": " + b.Message
 }
 
 // maxBreaks bounds the breaks that are kept whole; all are counted.
@@ -114,7 +114,7 @@
 	inst     int32
 	class    int8
 	answered bool
-	answer   Answer
+	answer   Result
 	taken    time.Duration
 	deadline time.Duration
 	done     time.Duration
@@ -130,9 +130,9 @@
 	work float64
 }
 
-// Auditor judges. Its methods must be called in the order of time.
-type Auditor struct {
-	fig      Figures
+// Checker judges. Its methods must be called in the order of time.
+type Checker struct {
+	fig      Limits
 	requests idtable.Table[request]
 	due      map[int64][]uint64 // by when their answers must be there, in steps
 	step     int64              // steps that have been looked at
@@ -140,14 +140,14 @@
 	born     map[pair]time.Duration
 	pushes   map[int32][]push
 	counts   [rules]int
-	breaks   []Break
+	breaks   []Violation
 	spare    [][]shot
 	latest   time.Duration // of sends after a drain was told
 }
 
 // New returns an auditor.
-func New(fig Figures) *Auditor {
-	return &Auditor{
+func New(fig Limits) *Checker {
+	return &Checker{
 		fig: fig, due: map[int64][]uint64{}, away: map[pair]time.Duration{}, born: map[pair]time.Duration{},
 		pushes: map[int32][]push{},
 	}
@@ -156,7 +156,7 @@
 // lookEvery is how often overdue answers are looked for.
 const lookEvery = 100 * time.Millisecond
 
-func (a *Auditor) broke(b Break) {
+func (a *Checker) broke(b Violation) {
 	a.counts[b.Rule]++
 	if len(a.breaks) < maxBreaks {
 		a.breaks = append(a.breaks, b)
@@ -164,16 +164,16 @@
 }
 
 // Count is how often a rule was broken.
-func (a *Auditor) Count(r Rule) int { return a.counts[r] }
+func (a *Checker) Count(r Rule) int { return a.counts[r] }
 
 // DrainLatest is the latest that anything was sent after a drain was told.
-func (a *Auditor) DrainLatest() time.Duration { return a.latest }
+func (a *Checker) DrainLatest() time.Duration { return a.latest }
 
-// Breaks returns the first breaks.
-func (a *Auditor) Breaks() []Break { return a.breaks }
+// Violations returns the first breaks.
+func (a *Checker) Violations() []Violation { return a.breaks }
 
-// Open is how many requests have no final answer yet.
-func (a *Auditor) Open() int {
+// PendingRequests is how many requests have no final answer yet.
+func (a *Checker) PendingRequests() int {
 	n := 0
 	a.requests.Each(func(_ uint64, r *request) {
 		if !r.answered {
@@ -183,8 +183,8 @@
 	return n
 }
 
-// Taken says that a balancer has a client's request, whole. Numbers must rise.
-func (a *Auditor) Taken(at time.Duration, inst int, id uint64, class int, deadline time.Duration) {
+// RequestReceived says that a balancer has a client's request, whole. Numbers must rise.
+func (a *Checker) RequestReceived(at time.Duration, inst int, id uint64, class int, deadline time.Duration) {
 	r := a.requests.Put(id)
 	*r = request{inst: int32(inst), class: int8(class), taken: at, deadline: deadline}
 	if n := len(a.spare); n > 0 {
@@ -194,31 +194,31 @@
 	a.due[k] = append(a.due[k], id)
 }
 
-// Answered says that a final answer left for the client.
-func (a *Auditor) Answered(at time.Duration, id uint64, answer Answer) {
+// RequestAnswered says that a final answer left for the client.
+func (a *Checker) RequestAnswered(at time.Duration, id uint64, answer Result) {
 	r := a.requests.Get(id)
 	if r == nil || r.answered {
 		server, inst := -1, -1
 		if r != nil {
 			inst = int(r.inst)
 		}
-		a.broke(Break{Lost, at, inst, id, server, answer.String() + ": a second final answer, or one to nobody", a.steps(id)})
+		a.broke(Violation{Lost, at, inst, id, server, answer.String() + ": a second final answer, or one to nobody", a.steps(id)})
 		return
 	}
 	if at > r.deadline+a.fig.Slack {
-		a.broke(Break{Lost, at, int(r.inst), id, -1, fmt.Sprintf("%s %v after its deadline", answer, at-r.deadline), a.steps(id)})
+		a.broke(Violation{Lost, at, int(r.inst), id, -1, fmt.Sprintf("%s %v after its deadline", answer, at-r.deadline), a.steps(id)})
 	}
 	r.answered, r.answer, r.done = true, answer, at
 	switch answer {
 	case Served:
 		if !slices.ContainsFunc(r.shots, func(s shot) bool { return s.ran }) {
-			a.broke(Break{Lost, at, int(r.inst), id, -1, "served, but no server ran it", a.steps(id)})
+			a.broke(Violation{Lost, at, int(r.inst), id, -1, "served, but no server ran it", a.steps(id)})
 		}
-	case Refused:
+	case Rejected:
 		if k := a.class(r); k != nil && (k.RetrySafety == piernotch.NonIdempotent || k.RetrySafety == piernotch.IdempotencyKey && k.DedupScope != piernotch.DedupEverywhere) {
 			for _, s := range r.shots {
 				if !s.unrun {
-					a.broke(Break{Repeated, at, int(r.inst), id, int(s.server), "refused what may have run", a.steps(id)})
+					a.broke(Violation{Repeated, at, int(r.inst), id, int(s.server), "refused what may have run", a.steps(id)})
 					break
 				}
 			}
@@ -227,24 +227,24 @@
 	a.release(id, r)
 }
 
-// Excused says that nothing is owed any more: the client left, or its balancer was
+// RequestExcused says that nothing is owed any more: the client left, or its balancer was
 // killed.
-func (a *Auditor) Excused(at time.Duration, id uint64) {
+func (a *Checker) RequestExcused(at time.Duration, id uint64) {
 	if r := a.requests.Get(id); r != nil && !r.answered {
 		r.answered, r.answer, r.done = true, Failed, at
 		a.release(id, r)
 	}
 }
 
-// Dropped says that a balancer ended the connection of a request without an answer.
-func (a *Auditor) Dropped(at time.Duration, id uint64) {
+// RequestDropped says that a balancer ended the connection of a request without an answer.
+func (a *Checker) RequestDropped(at time.Duration, id uint64) {
 	if r := a.requests.Get(id); r != nil && !r.answered {
-		a.broke(Break{Lost, at, int(r.inst), id, -1, "its connection was ended without an answer", a.steps(id)})
-		a.Excused(at, id)
+		a.broke(Violation{Lost, at, int(r.inst), id, -1, "its connection was ended without an answer", a.steps(id)})
+		a.RequestExcused(at, id)
 	}
 }
 
-func (a *Auditor) class(r *request) *piernotch.Class {
+func (a *Checker) class(r *request) *piernotch.Class {
 	if r.class < 0 || int(r.class) >= len(a.fig.Classes) {
 		return nil
 	}
@@ -252,7 +252,7 @@
 }
 
 // release forgets a request that is answered and has nothing out.
-func (a *Auditor) release(id uint64, r *request) {
+func (a *Checker) release(id uint64, r *request) {
 	if !r.answered || slices.ContainsFunc(r.shots, func(s shot) bool { return !s.over }) {
 		return
 	}
@@ -262,19 +262,19 @@
 	a.requests.Delete(id)
 }
 
-// Sent says that an attempt left a balancer for a server. Attempts are numbered from
+// AttemptSent says that an attempt left a balancer for a server. Attempts are numbered from
 // 0 in the order of their sending.
-func (a *Auditor) Sent(at time.Duration, inst int, id uint64, server int) {
+func (a *Checker) AttemptSent(at time.Duration, inst int, id uint64, server int) {
 	told, ok := a.away[pair{int32(inst), int32(server)}]
 	if ok {
 		a.latest = max(a.latest, at-told)
 	}
 	if ok && at > told+a.fig.Grace {
-		a.broke(Break{Drain, at, inst, id, server, fmt.Sprintf("sent %v after it was told that the server leaves", at-told), a.steps(id)})
+		a.broke(Violation{Drain, at, inst, id, server, fmt.Sprintf("sent %v after it was told that the server leaves", at-told), a.steps(id)})
 	}
 	r := a.requests.Get(id)
 	if r == nil || r.answered {
-		a.broke(Break{Lost, at, inst, id, server, "sent after its final answer", a.steps(id)})
+		a.broke(Violation{Lost, at, inst, id, server, "sent after its final answer", a.steps(id)})
 		if r == nil {
 			return
 		}
@@ -286,13 +286,13 @@
 }
 
 // repeat judges a further attempt.
-func (a *Auditor) repeat(at time.Duration, r *request, id uint64, server int) {
+func (a *Checker) repeat(at time.Duration, r *request, id uint64, server int) {
 	k := a.class(r)
 	if k == nil || len(r.shots) == 0 {
 		return
 	}
 	bad := func(what string) {
-		a.broke(Break{Repeated, at, int(r.inst), id, server, what, a.steps(id)})
+		a.broke(Violation{Repeated, at, int(r.inst), id, server, what, a.steps(id)})
 	}
 	if len(r.shots) >= a.fig.MaxAttempts {
 		bad(fmt.Sprintf("attempt %d of %d allowed", len(r.shots)+1, a.fig.MaxAttempts))
@@ -306,7 +306,7 @@
 		}
 		out = out || !s.over
 	}
-	if out && !a.fig.SecondCopies {
+	if out && !a.fig.HedgedRequests {
 		bad("a second copy, which is not allowed here")
 	}
 	if first == nil {
@@ -324,7 +324,7 @@
 	}
 }
 
-func (a *Auditor) shot(id uint64, n int) (*request, *shot) {
+func (a *Checker) shot(id uint64, n int) (*request, *shot) {
 	r := a.requests.Get(id)
 	if r == nil || n < 0 || n >= len(r.shots) {
 		return nil, nil
@@ -332,15 +332,15 @@
 	return r, &r.shots[n]
 }
 
-// Began says that a server took an attempt in: from here on it may run.
-func (a *Auditor) Began(id uint64, n int) {
+// AttemptAccepted says that a server took an attempt in: from here on it may run.
+func (a *Checker) AttemptAccepted(id uint64, n int) {
 	if _, s := a.shot(id, n); s != nil {
 		s.began = true
 	}
 }
 
-// Ran says that a server ran an attempt, or a part of it.
-func (a *Auditor) Ran(at time.Duration, id uint64, n int) {
+// AttemptExecuted says that a server ran an attempt, or a part of it.
+func (a *Checker) AttemptExecuted(at time.Duration, id uint64, n int) {
 	r, s := a.shot(id, n)
 	if s == nil {
 		return
@@ -351,24 +351,24 @@
 	}
 	for i := range r.shots {
 		if i != n && r.shots[i].ran {
-			a.broke(Break{Repeated, at, int(r.inst), id, int(s.server), "ran a second time", a.steps(id)})
+			a.broke(Violation{Repeated, at, int(r.inst), id, int(s.server), "ran a second time", a.steps(id)})
 			return
 		}
 	}
 }
 
-// Over says that the balancer knows how an attempt ended, and whether what it was
+// AttemptCompleted says that the balancer knows how an attempt ended, and whether what it was
 // told proves that it never ran.
-func (a *Auditor) Over(id uint64, n int, unrun bool) {
+func (a *Checker) AttemptCompleted(id uint64, n int, unrun bool) {
 	if r, s := a.shot(id, n); s != nil {
 		s.over, s.unrun = true, unrun
 		a.release(id, r)
 	}
 }
 
-// Told says that a balancer was told of a server's state by the list. Born is when
+// EndpointNotified says that a balancer was told of a server's state by the list. Born is when
 // the server's process started; 0: long ago.
-func (a *Auditor) Told(at time.Duration, inst, server int, state piernotch.State, born time.Duration) {
+func (a *Checker) EndpointNotified(at time.Duration, inst, server int, state piernotch.State, born time.Duration) {
 	p := pair{int32(inst), int32(server)}
 	if state == piernotch.Ready {
 		delete(a.away, p)
@@ -382,9 +382,9 @@
 	}
 }
 
-// Restarted says that a balancer starts with nothing: what its forerunner was told
+// BalancerRestarted says that a balancer starts with nothing: what its forerunner was told
 // does not count.
-func (a *Auditor) Restarted(inst int) {
+func (a *Checker) BalancerRestarted(inst int) {
 	for p := range a.away {
 		if p.inst == int32(inst) {
 			delete(a.away, p)
@@ -397,8 +397,8 @@
 	}
 }
 
-// Reached says that work from a balancer arrived at a cold server.
-func (a *Auditor) Reached(at time.Duration, inst, server int, born time.Duration, work float64) {
+// SlowStartWork says that work from a balancer arrived at a cold server.
+func (a *Checker) SlowStartWork(at time.Duration, inst, server int, born time.Duration, work float64) {
 	list := a.pushes[int32(server)]
 	for len(list) > 0 && list[0].at <= at-a.fig.FallFor {
 		list = list[1:]
@@ -407,9 +407,9 @@
 	a.pushes[int32(server)] = append(list, push{at, int32(inst), told, work})
 }
 
-// Fell says that a cold server was pushed over. It breaks the rule if two thirds of
+// ServerCollapsed says that a cold server was pushed over. It breaks the rule if two thirds of
 // what it was sent came from balancers that knew of its start.
-func (a *Auditor) Fell(at time.Duration, server int) {
+func (a *Checker) ServerCollapsed(at time.Duration, server int) {
 	list := a.pushes[int32(server)]
 	total, told := 0.0, 0.0
 	by := map[int32]float64{}
@@ -433,19 +433,19 @@
 		}
 		steps = append(steps, fmt.Sprintf("%.6f s: %.1f ms of work from balancer %d%s", p.at.Seconds(), p.work, p.inst, knew))
 	}
-	a.broke(Break{Cold, at, last, 0, server, fmt.Sprintf("pushed over by %.0f ms of work within %v, from %d balancers", total, a.fig.FallFor, len(by)), steps})
+	a.broke(Violation{Cold, at, last, 0, server, fmt.Sprintf("pushed over by %.0f ms of work within %v, from %d balancers", total, a.fig.FallFor, len(by)), steps})
 }
 
-// Look finds answers that are overdue. It is to be called now and then, and at the
+// CheckOverdue finds answers that are overdue. It is to be called now and then, and at the
 // end.
-func (a *Auditor) Look(now time.Duration) {
+func (a *Checker) CheckOverdue(now time.Duration) {
 	for ; a.step <= int64(now/lookEvery); a.step++ {
 		for _, id := range a.due[a.step] {
 			r := a.requests.Get(id)
 			if r == nil || r.answered {
 				continue
 			}
-			a.broke(Break{Lost, now, int(r.inst), id, -1, fmt.Sprintf("no final answer %v after its deadline", now-r.deadline), a.steps(id)})
+			a.broke(Violation{Lost, now, int(r.inst), id, -1, fmt.Sprintf("no final answer %v after its deadline", now-r.deadline), a.steps(id)})
 			r.answered, r.answer, r.done = true, Failed, now
 			a.release(id, r)
 		}
@@ -454,7 +454,7 @@
 }
 
 // steps tells in words what was seen of a request.
-func (a *Auditor) steps(id uint64) []string {
+func (a *Checker) steps(id uint64) []string {
 	r := a.requests.Get(id)
 	if r == nil {
 		return []string{"no more is known of it: it was never taken, or it had its final answer and nothing was out"}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -60,7 +60,7 @@
 
 	ids   atomic.Uint64
 	mu    sync.Mutex
-	tally *goodput.Tally
+	tally *goodput.Counter
 	late  *hdrhistogram.Histogram // of sending after the due time, us
 	ends  [Unreached + 1]int
 	cross int
@@ -119,7 +119,7 @@
 }
 
 // Tally is what was counted; it is complete once Run has returned.
-func (c *Clients) Tally() *goodput.Tally { return c.tally }
+func (c *Clients) Tally() *goodput.Counter { return c.tally }
 
 // Lateness is how late requests were sent, at a percentile: the rig's own fault.
 func (c *Clients) Lateness(percentile float64) time.Duration {
--- a/internal/lab/loadtest/judge.go
+++ b/internal/lab/loadtest/judge.go
@@ -30,7 +30,7 @@
 	clock func() time.Duration
 	cross time.Duration // crossing, or crossingLinks
 	mu    sync.Mutex
-	audit *invariants.Auditor
+	audit *invariants.Checker
 	last  uint64
 	ids   map[string]*seen
 	ended []ending    // to be forgotten in time
@@ -54,9 +54,9 @@
 
 // NewJudge returns a judge of a day. Zone and cell tell where a server is.
 func NewJudge(day *scenario.Day, clock func() time.Duration, zone, cell func(int) int) *Judge {
-	fig := invariants.Figures{
+	fig := invariants.Limits{
 		Slack: day.Rules.Slack + onSockets, Grace: day.Rules.Grace + onSockets, FallFor: day.Rules.Fall.For,
-		MaxAttempts: day.Settings.Limits.MaxAttempts, SecondCopies: day.Settings.Limits.HedgedRequests, Zone: zone, Cell: cell,
+		MaxAttempts: day.Settings.Limits.MaxAttempts, HedgedRequests: day.Settings.Limits.HedgedRequests, Zone: zone, Cell: cell,
 	}
 	for _, c := range day.Classes {
 		fig.Classes = append(fig.Classes, c.Class)
@@ -71,7 +71,7 @@
 	now := j.clock()
 	j.last++
 	j.ids[id] = &seen{seq: j.last, balancer: balancer}
-	j.audit.Taken(now, balancer, j.last, class, deadline)
+	j.audit.RequestReceived(now, balancer, j.last, class, deadline)
 	for len(j.ended) > 0 && now-j.ended[0].at > 10*time.Second {
 		delete(j.ids, j.ended[0].id)
 		j.ended = j.ended[1:]
@@ -96,24 +96,24 @@
 	}
 	// Who stands still cannot be in time. But what came meanwhile must not be served late.
 	if s.paused || j.dying[s.balancer] > 0 && (answer == load.Refused || answer == load.Failed) {
-		j.audit.Excused(now, s.seq)
+		j.audit.RequestExcused(now, s.seq)
 		return
 	}
 	switch answer {
 	case load.Served:
-		j.audit.Answered(now, s.seq, invariants.Served)
+		j.audit.RequestAnswered(now, s.seq, invariants.Served)
 	case load.Refused:
-		j.audit.Answered(now, s.seq, invariants.Refused)
+		j.audit.RequestAnswered(now, s.seq, invariants.Rejected)
 	case load.Failed:
-		j.audit.Answered(now, s.seq, invariants.Failed)
+		j.audit.RequestAnswered(now, s.seq, invariants.Failed)
 	case load.Broken:
 		if j.dying[s.balancer] > 0 {
-			j.audit.Excused(now, s.seq)
+			j.audit.RequestExcused(now, s.seq)
 			return
 		}
-		j.audit.Dropped(now, s.seq)
+		j.audit.RequestDropped(now, s.seq)
 	default:
-		j.audit.Excused(now, s.seq)
+		j.audit.RequestExcused(now, s.seq)
 	}
 }
 
@@ -128,7 +128,7 @@
 		if s.balancer == balancer && s.done == 0 {
 			s.done = now
 			j.ended = append(j.ended, ending{id, now})
-			j.audit.Excused(now, s.seq)
+			j.audit.RequestExcused(now, s.seq)
 		}
 	}
 }
@@ -138,7 +138,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	delete(j.dying, balancer)
-	j.audit.Restarted(balancer)
+	j.audit.BalancerRestarted(balancer)
 }
 
 // TurnedBack is how many requests met a connection that was closed under them, by a balancer that
@@ -185,7 +185,7 @@
 		s.skip[n] = true
 		return n
 	}
-	j.audit.Sent(now, s.balancer, s.seq, server)
+	j.audit.AttemptSent(now, s.balancer, s.seq, server)
 	return n
 }
 
@@ -203,7 +203,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if s := j.of(id, n); s != nil {
-		j.audit.Began(s.seq, n)
+		j.audit.AttemptAccepted(s.seq, n)
 	}
 }
 
@@ -212,7 +212,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if s := j.of(id, n); s != nil {
-		j.audit.Ran(j.clock(), s.seq, n)
+		j.audit.AttemptExecuted(j.clock(), s.seq, n)
 	}
 }
 
@@ -221,7 +221,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if s := j.of(id, n); s != nil {
-		j.audit.Over(s.seq, n, unrun)
+		j.audit.AttemptCompleted(s.seq, n, unrun)
 	}
 }
 
@@ -230,7 +230,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if s := j.ids[id]; s != nil {
-		j.audit.Reached(j.clock(), s.balancer, server, started, work)
+		j.audit.SlowStartWork(j.clock(), s.balancer, server, started, work)
 	}
 }
 
@@ -238,20 +238,20 @@
 func (j *Judge) Fell(server int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.audit.Fell(j.clock(), server)
+	j.audit.ServerCollapsed(j.clock(), server)
 }
 
 // Told is called when the roster has told a balancer of a server.
 func (j *Judge) Told(balancer, server int, state piernotch.State, born time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.audit.Told(j.clock(), balancer, server, state, born)
+	j.audit.EndpointNotified(j.clock(), balancer, server, state, born)
 }
 
 // Verdict ends the judging.
-func (j *Judge) Verdict() *invariants.Auditor {
+func (j *Judge) Verdict() *invariants.Checker {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.audit.Look(j.clock() + time.Minute)
+	j.audit.CheckOverdue(j.clock() + time.Minute)
 	return j.audit
 }
--- a/internal/lab/loadtest/rehearse.go
+++ b/internal/lab/loadtest/rehearse.go
@@ -378,7 +378,7 @@
 		Seed: d.Seed, Requests: t.Asked, Tries: counts.Tries, Whole: p.Whole, WorstWindow: p.WorstWindow, WorstClass: p.WorstClass,
 		Classes: p.Classes, Seconds: t.Seconds, Latency: t.Latency(), WallS: r.clock().Seconds(),
 		Lost: a.Count(invariants.Lost), Repeated: a.Count(invariants.Repeated), DrainBreaks: a.Count(invariants.Drain), ColdFalls: a.Count(invariants.Cold),
-		Breaks: a.Breaks(), DrainLatest: a.DrainLatest().Seconds() * 1000,
+		Breaks: a.Violations(), DrainLatest: a.DrainLatest().Seconds() * 1000,
 	}
 	if out.Latency != nil {
 		out.P50, out.P90, out.P99, out.P999 = t.Percentile(50), t.Percentile(90), t.Percentile(99), t.Percentile(99.9)
--- a/internal/lab/loadtest/rehearse_test.go
+++ b/internal/lab/loadtest/rehearse_test.go
@@ -158,7 +158,7 @@
 			conserved(t, r)
 			found := false
 			for _, b := range r.Breaks {
-				found = found || b.Rule == c.rule && strings.Contains(b.What, c.what) && len(b.Steps) > 0
+				found = found || b.Rule == c.rule && strings.Contains(b.Message, c.what) && len(b.Steps) > 0
 			}
 			require.True(t, found, "%v", r.Breaks)
 		})
--- a/internal/lab/scenario/day.go
+++ b/internal/lab/scenario/day.go
@@ -110,7 +110,7 @@
 	Slack, AskWithin, Grace, Dial, Probe, KeepAlive time.Duration
 	ColdFrom                                        float64
 	Cold                                            time.Duration
-	Fall                                            servermodel.Fall
+	Fall                                            servermodel.Collapse
 }
 
 // DayScore is how service is counted.
@@ -240,7 +240,7 @@
 		Grace: millis(r.DrainGraceMS.draw(rng)), Dial: millis(r.DialTimeoutMS.draw(rng)),
 		Probe: millis(r.ProbeTimeoutMS.draw(rng)), KeepAlive: millis(r.KeepaliveMS.draw(rng)),
 		ColdFrom: r.ColdFrom.draw(rng), Cold: millis(r.ColdMS.draw(rng)),
-		Fall: servermodel.Fall{Multiple: r.FallMultiple.draw(rng), For: millis(r.FallMS.draw(rng))},
+		Fall: servermodel.Collapse{Multiple: r.FallMultiple.draw(rng), For: millis(r.FallMS.draw(rng))},
 	}
 	d.Clients = DayClients{
 		Retries: c.Retries.draw(rng), Backoff: millis(c.BackoffMS.draw(rng)), TryShare: c.TryShare.draw(rng),
@@ -259,7 +259,7 @@
 }
 
 // draw makes the day's machine of a kind.
-func (k *Kind) draw(rng *rand.Rand, fall servermodel.Fall) kindDraw {
+func (k *Kind) draw(rng *rand.Rand, fall servermodel.Collapse) kindDraw {
 	cores := float64(k.Cores)
 	yes := func(v, yes, no string) bool { // drawn always, so that the stream stays in step
 		coin := rng.Float64() < 0.5
@@ -273,13 +273,13 @@
 			ColdFrom: k.ColdFrom.draw(rng), Cold: seconds(k.ColdS.draw(rng)),
 			PauseEvery: seconds(k.PauseEveryS.draw(rng)), PauseFor: millis(k.PauseMS.draw(rng)), PauseGrow: k.PauseGrow.draw(rng),
 			ErrorRate: k.ErrorRate.draw(rng),
-			Choke: servermodel.Choke{
+			Choke: servermodel.Overload{
 				At: k.ChokeAt.draw(rng), Over: seconds(k.ChokeOverS.draw(rng)), Slower: k.ChokeSlower.draw(rng),
 				Below: k.ChokeBelow.draw(rng), Rest: seconds(k.ChokeRestS.draw(rng)), Most: seconds(k.ChokeMostS.draw(rng)),
 			},
 			Keys: servermodel.Keys{Gain: k.KeyGain.draw(rng), For: seconds(k.KeyS.draw(rng)), Most: int(k.KeysPerCore.draw(rng) * cores)},
-			Conn: servermodel.Conn{Handshake: k.HandshakeMS.draw(rng), Most: int(k.ConnPerCore.draw(rng) * cores), Tax: k.ConnTax.draw(rng)},
-			Report: servermodel.Report{
+			Conn: servermodel.ConnectionCost{Handshake: k.HandshakeMS.draw(rng), Most: int(k.ConnPerCore.draw(rng) * cores), Tax: k.ConnTax.draw(rng)},
+			Report: servermodel.ReportTiming{
 				Every: millis(k.ReportEveryMS.draw(rng)), Delay: millis(k.ReportDelayMS.draw(rng)), Noise: k.ReportNoise.draw(rng),
 			},
 			Fall: fall, ProbeWork: k.ProbeMS.draw(rng),
--- a/internal/lab/servermodel/kind.go
+++ b/internal/lab/servermodel/kind.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// Warming says by what a cold server becomes warm.
-type Warming uint8
+// WarmUp says by what a cold server becomes warm.
+type WarmUp uint8
 
 // Warmings.
 const (
-	WarmByTime Warming = iota // evenly over Cold
-	WarmByWork                // with the work done, and over Cold at the latest
+	WarmByTime WarmUp = iota // evenly over Cold
+	WarmByWork               // with the work done, and over Cold at the latest
 )
 
 // Kind is what is known of one machine. The zero value of a field turns its
@@ -38,7 +38,7 @@
 
 	ColdFrom float64       // share of its capacity that it starts with, 0 to 1
 	Cold     time.Duration // time to warm up in; 0: always warm
-	WarmBy   Warming
+	WarmBy   WarmUp
 
 	PauseEvery time.Duration // mean time from the start of one pause to the next
 	PauseFor   time.Duration // mean length of a pause
@@ -48,18 +48,18 @@
 	StopRunning bool    // a cancel ends running work too, not only waiting work
 	DropExpired bool    // waiting work whose time is up is turned away, not run
 
-	Choke  Choke
+	Choke  Overload
 	Keys   Keys
-	Conn   Conn
-	Report Report
-	Fall   Fall
+	Conn   ConnectionCost
+	Report ReportTiming
+	Fall   Collapse
 
 	ProbeWork float64 // ms
 }
 
-// Choke is what too many waiting requests do: the server turns slower and stays so
+// Overload is what too many waiting requests do: the server turns slower and stays so
 // after the cause has gone.
-type Choke struct {
+type Overload struct {
 	At     float64       // waiting requests for each core, more than which count; 0: never
 	Over   time.Duration // for how long they must
 	Slower float64       // how many times slower it turns
@@ -75,24 +75,24 @@
 	Most int           // keys remembered; the one met longest ago goes first
 }
 
-// Conn is what connections cost.
-type Conn struct {
+// ConnectionCost is what connections cost.
+type ConnectionCost struct {
 	Handshake float64 // work for a new one, ms
 	Most      int     // connections accepted; 0: unlimited
 	Tax       float64 // share of the capacity that a full table takes, less in proportion
 }
 
-// Report is how load reports are made.
-type Report struct {
+// ReportTiming is how load reports are made.
+type ReportTiming struct {
 	Every time.Duration // time between two; 0: none
 	Delay time.Duration // from its making until answers carry it
 	Noise float64       // coefficient of variation of each value
 }
 
-// Fall is when a cold server is pushed over. What arrives within any span of For may
+// Collapse is when a cold server is pushed over. What arrives within any span of For may
 // not be more than Multiple times what the server could do in it at its present
 // capacity, else it falls and stays down. What it turns away counts.
-type Fall struct {
+type Collapse struct {
 	Multiple float64 // 0: never
 	For      time.Duration
 }
--- a/internal/lab/servermodel/queue_test.go
+++ b/internal/lab/servermodel/queue_test.go
@@ -22,7 +22,7 @@
 	sojourn = make([]float64, jobs)
 	var now, last time.Duration
 	area := 0.0
-	take := func(done []Done) {
+	take := func(done []Completion) {
 		for _, d := range done {
 			sojourn[d.ID] = (now - came[d.ID]).Seconds()
 		}
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -11,20 +11,20 @@
 // Never is a time that does not come.
 const Never = time.Duration(math.MaxInt64)
 
-// Life is whether a server's process runs.
-type Life uint8
+// State is whether a server's process runs.
+type State uint8
 
 // Lives.
 const (
-	Up       Life = iota
-	Draining      // finishes what it has, turns new work away
-	Down          // connections are refused
-	Silent        // it vanished: nothing is said any more
-	Fallen        // pushed over while cold; refuses like Down, and stays down
+	Up        State = iota
+	Draining        // finishes what it has, turns new work away
+	Down            // connections are refused
+	Silent          // it vanished: nothing is said any more
+	Collapsed       // pushed over while cold; refuses like Down, and stays down
 )
 
 // String names a life, as reports do.
-func (l Life) String() string {
+func (l State) String() string {
 	return [...]string{"up", "draining", "down", "silent", "fallen"}[l]
 }
 
@@ -37,38 +37,38 @@
 	Luck    float64       // a draw from [0, 1): below the error rate, the answer is an error
 }
 
-// Entry is what became of a job on arrival.
-type Entry uint8
+// Admission is what became of a job on arrival.
+type Admission uint8
 
 // Entries.
 const (
-	Accepted   Entry = iota
-	TurnedAway       // the queue is full, or the server drains; it never ran
-	Refused          // no process is there
-	Unheard          // nothing comes back
+	Accepted Admission = iota
+	Rejected           // the queue is full, or the server drains; it never ran
+	Refused            // no process is there
+	Unheard            // nothing comes back
 )
 
-// Ending is how an accepted job ended.
-type Ending uint8
+// Outcome is how an accepted job ended.
+type Outcome uint8
 
 // Endings.
 const (
-	Answered Ending = iota
-	Erred           // answered with an error after running
-	Expired         // dropped from the queue, unrun
-	Reset           // the process died; it may have run
+	Answered Outcome = iota
+	Erred            // answered with an error after running
+	Expired          // dropped from the queue, unrun
+	Reset            // the process died; it may have run
 )
 
-// Done is the end of one job.
-type Done struct {
+// Completion is the end of one job.
+type Completion struct {
 	ID      uint64
-	Ending  Ending
+	Ending  Outcome
 	Started bool    // it had begun to run
 	Spent   float64 // work spent on it, ms
 }
 
-// Load is a load report.
-type Load struct {
+// LoadReport is a load report.
+type LoadReport struct {
 	ErrorsPerSec float64
 	PerSec       float64 // requests answered a second
 	Inflight     float64 // requests held
@@ -88,7 +88,7 @@
 
 type snapshot struct {
 	at   time.Duration
-	load Load
+	load LoadReport
 }
 
 type pushed struct {
@@ -101,7 +101,7 @@
 	kind   Kind
 	pauses *rand.Rand // drawn from at scripted times only, whatever the load
 	noise  *rand.Rand
-	life   Life
+	life   State
 
 	now     time.Duration
 	run     []running
@@ -132,7 +132,7 @@
 	reported        int
 
 	spent float64 // all work done, ms
-	dones []Done
+	dones []Completion
 }
 
 // New returns a server that runs and is warm. Its random numbers (pauses, report
@@ -168,8 +168,8 @@
 // Kind returns what the server was made of.
 func (s *Server) Kind() *Kind { return &s.kind }
 
-// Life tells whether the process runs.
-func (s *Server) Life() Life { return s.life }
+// State tells whether the process runs.
+func (s *Server) State() State { return s.life }
 
 // Holds is how many requests it has in work and waiting.
 func (s *Server) Holds() int { return len(s.run) + len(s.queue) }
@@ -194,7 +194,7 @@
 func (s *Server) Started() time.Duration { return s.started }
 
 // Start begins a new process, which is cold.
-func (s *Server) Start(now time.Duration) []Done {
+func (s *Server) Start(now time.Duration) []Completion {
 	s.move(now)
 	ended := s.drop()
 	s.reset(now)
@@ -211,7 +211,7 @@
 }
 
 // Crash ends the process: what it held is reset.
-func (s *Server) Crash(now time.Duration) []Done {
+func (s *Server) Crash(now time.Duration) []Completion {
 	s.move(now)
 	s.life = Down
 	return s.drop()
@@ -219,20 +219,20 @@
 
 // Vanish cuts it off: what it held is never answered, and nothing new is. The jobs
 // are returned, but nobody is told.
-func (s *Server) Vanish(now time.Duration) []Done {
+func (s *Server) Vanish(now time.Duration) []Completion {
 	s.move(now)
 	s.life = Silent
 	return s.drop()
 }
 
 // drop takes all work out and returns it as reset.
-func (s *Server) drop() []Done {
+func (s *Server) drop() []Completion {
 	s.dones = s.dones[:0]
 	for _, r := range s.run {
-		s.dones = append(s.dones, Done{ID: r.ID, Ending: Reset, Started: true, Spent: r.spent})
+		s.dones = append(s.dones, Completion{ID: r.ID, Ending: Reset, Started: true, Spent: r.spent})
 	}
 	for _, j := range s.queue {
-		s.dones = append(s.dones, Done{ID: j.ID, Ending: Reset})
+		s.dones = append(s.dones, Completion{ID: j.ID, Ending: Reset})
 	}
 	s.run, s.queue, s.debt = s.run[:0], s.queue[:0], 0
 	return s.dones
@@ -323,20 +323,20 @@
 
 // Arrive brings a job. A fall that it causes shows in Life; the jobs lost by it are
 // returned.
-func (s *Server) Arrive(now time.Duration, j Job) (Entry, []Done) {
+func (s *Server) Arrive(now time.Duration, j Job) (Admission, []Completion) {
 	s.move(now)
 	switch s.life {
 	case Silent:
 		return Unheard, nil
-	case Down, Fallen:
+	case Down, Collapsed:
 		return Refused, nil
 	}
 	if s.push(now, j.Work) {
-		s.life = Fallen
+		s.life = Collapsed
 		return Refused, s.drop()
 	}
 	if s.life == Draining || len(s.run) >= s.kind.Slots && len(s.queue) >= s.kind.Queue {
-		return TurnedAway, nil
+		return Rejected, nil
 	}
 	if len(s.run) < s.kind.Slots {
 		s.begin(now, j)
@@ -385,7 +385,7 @@
 		j := s.queue[0]
 		s.queue = s.queue[:copy(s.queue, s.queue[1:])]
 		if s.kind.DropExpired && j.Expires > 0 && now >= j.Expires {
-			s.dones = append(s.dones, Done{ID: j.ID, Ending: Expired})
+			s.dones = append(s.dones, Completion{ID: j.ID, Ending: Expired})
 			continue
 		}
 		s.begin(now, j)
@@ -473,7 +473,7 @@
 
 // Advance brings the server to now and returns what has ended, in order. The slice
 // is used again by the next call of any method.
-func (s *Server) Advance(now time.Duration) []Done {
+func (s *Server) Advance(now time.Duration) []Completion {
 	s.dones = s.dones[:0]
 	s.move(now)
 	if s.life > Draining {
@@ -491,7 +491,7 @@
 			end = Erred
 			s.erred++
 		}
-		s.dones = append(s.dones, Done{ID: r.ID, Ending: end, Started: true, Spent: r.spent})
+		s.dones = append(s.dones, Completion{ID: r.ID, Ending: end, Started: true, Spent: r.spent})
 		s.run = append(s.run[:i], s.run[i+1:]...)
 	}
 	s.refill(now)
@@ -609,7 +609,7 @@
 func (s *Server) snap() {
 	span := s.kind.Report.Every.Seconds()
 	noisy := func(v float64) float64 { return max(v*(1+s.kind.Report.Noise*s.noise.NormFloat64()), 0) }
-	s.reports[s.reported%snapshots] = snapshot{s.reportAt, Load{
+	s.reports[s.reported%snapshots] = snapshot{s.reportAt, LoadReport{
 		ErrorsPerSec: noisy(float64(s.erred) / span), PerSec: noisy(float64(s.answered) / span),
 		Inflight: noisy(float64(s.Holds())),
 	}}
@@ -620,11 +620,11 @@
 
 // Report is the load report that an answer at now carries, when reports come late by
 // a further `late`. It is false before the first one.
-func (s *Server) Report(now, late time.Duration) (Load, bool) {
+func (s *Server) Report(now, late time.Duration) (LoadReport, bool) {
 	for i := s.reported - 1; i >= 0 && i >= s.reported-snapshots; i-- {
 		if r := &s.reports[i%snapshots]; r.at+s.kind.Report.Delay+late <= now {
 			return r.load, true
 		}
 	}
-	return Load{}, false
+	return LoadReport{}, false
 }
--- a/internal/lab/servermodel/server_test.go
+++ b/internal/lab/servermodel/server_test.go
@@ -14,7 +14,7 @@
 	t   *testing.T
 	s   *Server
 	end map[uint64]time.Duration
-	how map[uint64]Ending
+	how map[uint64]Outcome
 	n   uint64
 }
 
@@ -26,7 +26,7 @@
 	}
 	s, err := New(kind, 1, 0)
 	require.NoError(t, err)
-	return &bench{t: t, s: s, end: map[uint64]time.Duration{}, how: map[uint64]Ending{}}
+	return &bench{t: t, s: s, end: map[uint64]time.Duration{}, how: map[uint64]Outcome{}}
 }
 
 func (b *bench) until(at time.Duration) {
@@ -42,7 +42,7 @@
 	}
 }
 
-func (b *bench) job(at time.Duration, j Job) Entry {
+func (b *bench) job(at time.Duration, j Job) Admission {
 	b.until(at)
 	if j.Luck == 0 {
 		j.Luck = 1
@@ -61,7 +61,7 @@
 	require.Equal(t, Accepted, b.job(0, Job{Work: 100}))
 	require.Equal(t, Accepted, b.job(0, Job{Work: 100}))
 	require.Equal(t, Accepted, b.job(0, Job{Work: 100}))
-	require.Equal(t, TurnedAway, b.job(0, Job{Work: 100}), "the waiting room is full")
+	require.Equal(t, Rejected, b.job(0, Job{Work: 100}), "the waiting room is full")
 	b.until(time.Second)
 	require.Equal(t, map[uint64]time.Duration{1: 50 * ms, 2: 100 * ms, 3: 150 * ms}, b.end)
 	require.InDelta(t, 300, b.s.Spent(), 1e-6)
@@ -75,7 +75,7 @@
 
 func TestAColdServerWarmsUpByTimeOrByWork(t *testing.T) {
 	for _, c := range []struct {
-		by       Warming
+		by       WarmUp
 		busy     time.Duration
 		at, want float64
 	}{
@@ -99,7 +99,7 @@
 }
 
 func TestTooManyWaitingChokeAServerUntilItIsMostlyIdle(t *testing.T) {
-	choke := Choke{At: 4, Over: 2 * time.Second, Slower: 3, Below: 0.3, Rest: 3 * time.Second, Most: 30 * time.Second}
+	choke := Overload{At: 4, Over: 2 * time.Second, Slower: 3, Below: 0.3, Rest: 3 * time.Second, Most: 30 * time.Second}
 	b := put(t, Kind{Queue: 100, Choke: choke})
 	for range 12 {
 		b.job(0, Job{Work: 400})
@@ -126,7 +126,7 @@
 }
 
 func TestAShortCrowdDoesNotChoke(t *testing.T) {
-	b := put(t, Kind{Queue: 100, Choke: Choke{At: 4, Over: 2 * time.Second, Slower: 3, Below: 0.3, Rest: time.Second}})
+	b := put(t, Kind{Queue: 100, Choke: Overload{At: 4, Over: 2 * time.Second, Slower: 3, Below: 0.3, Rest: time.Second}})
 	for i := range 20 { // six wait for 1 s, then two
 		if i%2 == 0 {
 			for range 7 {
@@ -186,7 +186,7 @@
 	b.until(201 * ms)
 	require.Len(t, b.end, 1)
 
-	b = put(t, Kind{Conn: Conn{Handshake: 30, Most: 10, Tax: 0.2}})
+	b = put(t, Kind{Conn: ConnectionCost{Handshake: 30, Most: 10, Tax: 0.2}})
 	b.s.SetTable(0, 5)
 	b.s.Charge(0, 30)
 	b.job(0, Job{Work: 60})
@@ -195,7 +195,7 @@
 }
 
 func TestReportsAreLateAndOfAWhileAgo(t *testing.T) {
-	b := put(t, Kind{Queue: 100, Report: Report{Every: time.Second, Delay: 200 * ms}})
+	b := put(t, Kind{Queue: 100, Report: ReportTiming{Every: time.Second, Delay: 200 * ms}})
 	_, ok := b.s.Report(0, 0)
 	require.False(t, ok)
 	for i := range 40 { // 10 a second are answered, then nothing
@@ -210,18 +210,18 @@
 }
 
 func TestAColdServerIsPushedOverAndStaysDown(t *testing.T) {
-	kind := Kind{Queue: 1000, ColdFrom: 0.2, Cold: 20 * time.Second, Fall: Fall{Multiple: 2.5, For: 2 * time.Second}}
+	kind := Kind{Queue: 1000, ColdFrom: 0.2, Cold: 20 * time.Second, Fall: Collapse{Multiple: 2.5, For: 2 * time.Second}}
 	b := put(t, kind)
 	b.s.Start(0)
 	// 1,000 ms of work in 2 s is the budget at a fifth of one core, 1,100 with slack.
 	for i := range 10 {
 		b.job(time.Duration(i)*100*ms, Job{Work: 100})
 	}
-	require.Equal(t, Up, b.s.Life())
+	require.Equal(t, Up, b.s.State())
 	for i := range 6 {
 		b.job(time.Second+time.Duration(i)*50*ms, Job{Work: 100})
 	}
-	require.Equal(t, Fallen, b.s.Life())
+	require.Equal(t, Collapsed, b.s.State())
 	require.Equal(t, Refused, b.job(2*time.Second, Job{Work: 1}))
 	require.Equal(t, Reset, b.how[10])
 
@@ -259,11 +259,11 @@
 	b.job(0, Job{Work: 100, Luck: 0.2})
 	b.job(0, Job{Work: 100, Expires: 80 * ms})
 	b.until(time.Second)
-	require.Equal(t, map[uint64]Ending{1: Erred, 2: Expired}, b.how)
+	require.Equal(t, map[uint64]Outcome{1: Erred, 2: Expired}, b.how)
 
 	b.job(time.Second, Job{Work: 1000})
 	b.s.Drain(1100 * ms)
-	require.Equal(t, TurnedAway, b.job(1200*ms, Job{Work: 1}))
+	require.Equal(t, Rejected, b.job(1200*ms, Job{Work: 1}))
 	b.until(2500 * ms)
 	require.Equal(t, Answered, b.how[3], "what it held is finished")
 	require.Empty(t, b.s.Crash(3*time.Second))
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -121,7 +121,7 @@
 func (d *discovery) mistake(w *World, servers []int, state piernotch.State) {
 	d.version++
 	for _, s := range servers {
-		if m := &w.servers[s]; m.Life() != servermodel.Up {
+		if m := &w.servers[s]; m.State() != servermodel.Up {
 			continue
 		}
 		l := &d.listed[s]
@@ -261,7 +261,7 @@
 		entry := d.entry(w, s)
 		e.Entries = append(e.Entries, entry)
 		e.Machines = append(e.Machines, w.servers[s].spec.KindIndex)
-		w.audit.Told(w.now, i, s, entry.State, entry.StartedAt)
+		w.audit.EndpointNotified(w.now, i, s, entry.State, entry.StartedAt)
 	}
 	if kind == piernotch.UpdateFull {
 		d.missing(w, i)
@@ -273,7 +273,7 @@
 func (d *discovery) missing(w *World, i int) {
 	for s := range d.listed {
 		if !d.listed[s].present {
-			w.audit.Told(w.now, i, s, piernotch.Gone, 0)
+			w.audit.EndpointNotified(w.now, i, s, piernotch.Gone, 0)
 		}
 	}
 }
@@ -291,7 +291,7 @@
 		entry := in.entries[int32(s)]
 		e.Entries = append(e.Entries, entry)
 		e.Machines = append(e.Machines, w.servers[s].spec.KindIndex)
-		w.audit.Told(w.now, i, s, entry.State, entry.StartedAt)
+		w.audit.EndpointNotified(w.now, i, s, entry.State, entry.StartedAt)
 	}
 	w.tell(i, e)
 }
@@ -310,7 +310,7 @@
 		}
 		for s := range d.listed {
 			if l := &d.listed[s]; l.state != piernotch.Ready && l.changed > in.version && l.at <= w.now-limit {
-				w.audit.Told(w.now, i, s, l.state, 0)
+				w.audit.EndpointNotified(w.now, i, s, l.state, 0)
 			}
 		}
 	}
--- a/internal/lab/simulation/faults_test.go
+++ b/internal/lab/simulation/faults_test.go
@@ -43,7 +43,7 @@
 func caught(t *testing.T, r *Result, rule invariants.Rule, what string) {
 	t.Helper()
 	for _, b := range r.Breaks {
-		if b.Rule == rule && strings.Contains(b.What, what) {
+		if b.Rule == rule && strings.Contains(b.Message, what) {
 			require.NotEmpty(t, b.Steps, b)
 			require.Positive(t, b.At)
 			return
--- a/internal/lab/simulation/result.go
+++ b/internal/lab/simulation/result.go
@@ -55,11 +55,11 @@
 	WallS       float64 `json:"wall_s"`
 	ModuleS     float64 `json:"module_s"` // of it, in the balancers' decisions
 
-	Seconds []Second           `json:"seconds,omitempty"`
-	Servers []ServerTrack      `json:"servers,omitempty"`
-	Latency []LatencyStep      `json:"latency,omitempty"`
-	Breaks  []invariants.Break `json:"breaks,omitempty"`
-	Ended   map[string]int     `json:"attempts_ended"`
+	Seconds []Second               `json:"seconds,omitempty"`
+	Servers []ServerTrack          `json:"servers,omitempty"`
+	Latency []LatencyStep          `json:"latency,omitempty"`
+	Breaks  []invariants.Violation `json:"breaks,omitempty"`
+	Ended   map[string]int         `json:"attempts_ended"`
 }
 
 // Parts of a result that whoever plays a day has in common.
@@ -101,7 +101,7 @@
 	ServedWork                                     float64
 	ModuleTime                                     time.Duration
 
-	tally  *goodput.Tally
+	tally  *goodput.Counter
 	digest uint64
 
 	inside   int // attempts that servers hold
@@ -165,11 +165,11 @@
 	for i := range m.tracks {
 		t := &m.tracks[i]
 		s := &w.servers[t.Server]
-		state := uint8(s.Life())
+		state := uint8(s.State())
 		switch {
-		case s.Life() == servermodel.Up && s.Choked():
+		case s.State() == servermodel.Up && s.Choked():
 			state = 6
-		case s.Life() == servermodel.Up && s.Cold(w.now):
+		case s.State() == servermodel.Up && s.Cold(w.now):
 			state = 5
 		}
 		t.Busy = append(t.Busy, float32(math.Round(1000*s.Busy())/1000))
@@ -194,7 +194,7 @@
 		Seed: d.Seed, Requests: t.Asked, Tries: m.Tries, Attempts: m.Attempts, Events: m.Events, Digest: m.digest, Falls: m.Falls,
 		Whole: p.Whole, WorstWindow: p.WorstWindow, WorstClass: p.WorstClass, Classes: p.Classes,
 		Lost: w.audit.Count(invariants.Lost), Repeated: w.audit.Count(invariants.Repeated),
-		DrainBreaks: w.audit.Count(invariants.Drain), ColdFalls: w.audit.Count(invariants.Cold), Breaks: w.audit.Breaks(),
+		DrainBreaks: w.audit.Count(invariants.Drain), ColdFalls: w.audit.Count(invariants.Cold), Breaks: w.audit.Violations(),
 		WallS: wall.Seconds(), ModuleS: m.ModuleTime.Seconds(), Seconds: t.Seconds, Servers: m.tracks,
 		Handshakes: m.Opened, ListFailed: m.ListFailed, Ended: map[string]int{},
 	}
--- a/internal/lab/simulation/tier.go
+++ b/internal/lab/simulation/tier.go
@@ -28,16 +28,16 @@
 type Event struct {
 	Kind     EventKind
 	Instance int
-	Seed     uint64              // Start
-	Settings *piernotch.Settings // Start
-	Request  piernotch.Request   // Demand
-	Retry    bool                // Demand, where clients mark repeats
-	ID       piernotch.RequestID // Gone
-	Outcome  piernotch.Outcome   // Verdict
-	Backend  piernotch.BackendID // Probed
-	Status   piernotch.Status    // Probed
-	Took     time.Duration       // Probed
-	Load     servermodel.Load    // Verdict, Probed
+	Seed     uint64                 // Start
+	Settings *piernotch.Settings    // Start
+	Request  piernotch.Request      // Demand
+	Retry    bool                   // Demand, where clients mark repeats
+	ID       piernotch.RequestID    // Gone
+	Outcome  piernotch.Outcome      // Verdict
+	Backend  piernotch.BackendID    // Probed
+	Status   piernotch.Status       // Probed
+	Took     time.Duration          // Probed
+	Load     servermodel.LoadReport // Verdict, Probed
 	HasLoad  bool
 	List     piernotch.UpdateKind // View
 	Version  uint64               // View
--- a/internal/lab/simulation/troubles.go
+++ b/internal/lab/simulation/troubles.go
@@ -94,7 +94,7 @@
 
 func (w *World) drain(s int) {
 	m := &w.servers[s]
-	if m.Life() != servermodel.Up {
+	if m.State() != servermodel.Up {
 		return
 	}
 	m.Drain(w.now)
@@ -104,7 +104,7 @@
 // endServer ends a server's process: by plan after a drain, else as a crash.
 func (w *World) endServer(s int) {
 	m := &w.servers[s]
-	if m.Life() == servermodel.Silent || m.Life() == servermodel.Down {
+	if m.State() == servermodel.Silent || m.State() == servermodel.Down {
 		return
 	}
 	w.ended(int32(s), m.Crash(w.now))
@@ -126,7 +126,7 @@
 
 func (w *World) startServer(s int) {
 	m := &w.servers[s]
-	if m.Life() == servermodel.Fallen { // it stays down
+	if m.State() == servermodel.Collapsed { // it stays down
 		return
 	}
 	w.ended(int32(s), m.Start(w.now))
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -54,7 +54,7 @@
 	expired  bool // its deadline has passed
 	own      bool // the balancer ended it itself
 	closedAt time.Duration
-	answer   invariants.Answer
+	answer   invariants.Result
 	lost     bool // the balancer died under it
 	advice   time.Duration
 	deadline time.Duration
@@ -83,7 +83,7 @@
 	reach   time.Duration
 	work    float64
 	spent   float64
-	load    servermodel.Load
+	load    servermodel.LoadReport
 }
 
 type probe struct {
@@ -92,7 +92,7 @@
 	status       piernotch.Status
 	sent         time.Duration
 	delay        time.Duration
-	load         servermodel.Load
+	load         servermodel.LoadReport
 	hasLoad      bool
 }
 
@@ -157,7 +157,7 @@
 
 	pcg   rand.PCG
 	roll  *rand.Rand
-	audit *invariants.Auditor
+	audit *invariants.Checker
 	meter meter
 	stop  bool
 	err   error
@@ -180,9 +180,9 @@
 	}
 	zone := func(i int) int { return w.servers[i].spec.Zone }
 	cell := func(i int) int { return w.servers[i].spec.Cell }
-	fig := invariants.Figures{
+	fig := invariants.Limits{
 		Slack: day.Rules.Slack, Grace: day.Rules.Grace, FallFor: day.Rules.Fall.For, MaxAttempts: day.Settings.Limits.MaxAttempts,
-		SecondCopies: day.Settings.Limits.HedgedRequests, Zone: zone, Cell: cell,
+		HedgedRequests: day.Settings.Limits.HedgedRequests, Zone: zone, Cell: cell,
 	}
 	fig.Slack += day.Tick
 	for _, c := range day.Classes {
@@ -284,7 +284,7 @@
 			return nil, fmt.Errorf("seed %d, %.3f s: %w", w.day.Seed, w.now.Seconds(), w.err)
 		}
 	}
-	w.audit.Look(w.now + time.Second)
+	w.audit.CheckOverdue(w.now + time.Second)
 	return w.result(time.Since(began)), nil
 }
 
@@ -341,7 +341,7 @@
 
 // look is the once-a-second work: samples, overdue answers, the end of the day.
 func (w *World) look() {
-	w.audit.Look(w.now)
+	w.audit.CheckOverdue(w.now)
 	w.disc.implied(w)
 	w.meter.sample(w)
 	if w.now >= w.day.Length && (w.asks.Len() == 0 || w.now > w.day.Length+drainAfter) {
@@ -412,7 +412,7 @@
 	case Cancel:
 		w.cancel(a)
 	case Refuse:
-		w.final(a, invariants.Refused)
+		w.final(a, invariants.Rejected)
 	case Fail:
 		w.final(a, invariants.Failed)
 	case Probe:
@@ -509,14 +509,14 @@
 		return
 	}
 	t.taken = true
-	w.audit.Taken(w.now, int(t.inst), id, a.class, t.deadline)
+	w.audit.RequestReceived(w.now, int(t.inst), id, a.class, t.deadline)
 	w.tell(int(t.inst), Event{Kind: Demand, Retry: t.n > 0 && w.day.Clients.MarksRetry, Request: piernotch.Request{
 		ID: piernotch.RequestID(id), Class: a.class, Key: a.path, Deadline: t.deadline, CostHint: a.hint,
 	}})
 }
 
 // final takes a balancer's own final answer.
-func (w *World) final(act *Action, answer invariants.Answer) {
+func (w *World) final(act *Action, answer invariants.Result) {
 	t := w.tries.Get(uint64(act.ID))
 	if t == nil || t.closed || int(t.inst) != act.Instance {
 		return // what is over already is ignored
@@ -526,8 +526,8 @@
 }
 
 // answer sends a final answer on its way to the client.
-func (w *World) answer(id uint64, t *try, answer invariants.Answer) {
-	w.audit.Answered(w.now, id, answer)
+func (w *World) answer(id uint64, t *try, answer invariants.Result) {
+	w.audit.RequestAnswered(w.now, id, answer)
 	t.closed, t.closedAt, t.answer = true, w.now, answer
 	w.cal.plan(w.now+w.delay(w.day.Client, mix(id), ofClient), atMessage, evReply, id, 0)
 }
@@ -583,7 +583,7 @@
 	if t == nil || t.closed {
 		return
 	}
-	w.audit.Look(w.now)
+	w.audit.CheckOverdue(w.now)
 	t.closed, t.closedAt = true, w.now
 	w.tell(int(t.inst), Event{Kind: Gone, ID: piernotch.RequestID(id)})
 	w.releaseTry(id)
@@ -597,14 +597,14 @@
 	}
 	t.settled, t.closed, t.closedAt = true, true, w.now
 	w.meter.Left++
-	w.audit.Excused(w.now, id)
+	w.audit.RequestExcused(w.now, id)
 	w.tell(int(t.inst), Event{Kind: Gone, ID: piernotch.RequestID(id)})
 	w.finishAsk(t.ask, false)
 	w.releaseTry(id)
 }
 
 // settle has the client take how a try ended: it is content, tries again or gives up.
-func (w *World) settle(t *try, answer invariants.Answer, unreached bool) {
+func (w *World) settle(t *try, answer invariants.Result, unreached bool) {
 	askID := t.ask
 	a := w.asks.Get(askID)
 	if a == nil {
@@ -614,9 +614,9 @@
 		w.finishAsk(askID, true)
 		return
 	}
-	w.meter.tally.Ended(a.first, answer == invariants.Refused)
+	w.meter.tally.Ended(a.first, answer == invariants.Rejected)
 	k := &w.day.Classes[a.class]
-	again := k.RetrySafety == piernotch.Idempotent || answer == invariants.Refused || unreached ||
+	again := k.RetrySafety == piernotch.Idempotent || answer == invariants.Rejected || unreached ||
 		k.RetrySafety == piernotch.IdempotencyKey && k.DedupScope == piernotch.DedupEverywhere && w.now < a.first+k.DedupWindow
 	if !again || a.tries > a.most {
 		w.finishAsk(askID, false)
@@ -663,7 +663,7 @@
 	if t == nil || t.closed || int(t.inst) != act.Instance {
 		// Told of the end in this very turn, a balancer may not have read it yet.
 		if t == nil || t.own || t.closedAt <= w.before {
-			w.audit.Sent(w.now, act.Instance, id, int(s))
+			w.audit.AttemptSent(w.now, act.Instance, id, int(s))
 		}
 		w.moot(act, t)
 		return
@@ -672,7 +672,7 @@
 		w.moot(act, t)
 		return
 	}
-	w.audit.Sent(w.now, act.Instance, id, int(s))
+	w.audit.AttemptSent(w.now, act.Instance, id, int(s))
 	ask := w.asks.Get(t.ask)
 	if ask == nil { // the client is gone for good, but the balancer was not told
 		ask = &gone
@@ -793,11 +793,11 @@
 	}
 	cold := m.Cold(w.now)
 	if cold {
-		w.audit.Reached(w.now, int(a.inst), int(a.server), m.Started(), a.work)
+		w.audit.SlowStartWork(w.now, int(a.inst), int(a.server), m.Started(), a.work)
 	}
 	entry, lost := m.Arrive(w.now, servermodel.Job{ID: aid, Work: a.work, Key: ask.path, Expires: t.deadline, Luck: w.dice(a.key, ofLuck).Float64()})
-	if m.Life() == servermodel.Fallen && cold {
-		w.audit.Fell(w.now, int(a.server))
+	if m.State() == servermodel.Collapsed && cold {
+		w.audit.ServerCollapsed(w.now, int(a.server))
 		w.meter.Falls++
 		w.ended(a.server, lost)
 		w.dropConns(int(a.server))
@@ -807,9 +807,9 @@
 		a.holds = true
 		w.meter.enter(w)
 		a.reach = w.now
-		w.audit.Began(a.try, int(a.n))
+		w.audit.AttemptAccepted(a.try, int(a.n))
 		w.schedule(int(a.server))
-	case servermodel.TurnedAway:
+	case servermodel.Rejected:
 		w.meter.TurnedAway++
 		a.load, a.hasLoad = m.Report(w.now, w.late)
 		w.outcomeAt(aid, a, piernotch.Full, w.now+a.delay)
@@ -847,7 +847,7 @@
 }
 
 // ended sends the answers of what a server has ended.
-func (w *World) ended(s int32, dones []servermodel.Done) {
+func (w *World) ended(s int32, dones []servermodel.Completion) {
 	m := &w.servers[s]
 	for _, d := range dones {
 		a := w.attempts.Get(d.ID)
@@ -857,7 +857,7 @@
 		w.meter.exit(w, a)
 		a.holds, a.spent = false, d.Spent
 		if d.Started {
-			w.audit.Ran(w.now, a.try, int(a.n))
+			w.audit.AttemptExecuted(w.now, a.try, int(a.n))
 		}
 		if a.ended {
 			w.releaseAttempt(d.ID, a)
@@ -933,7 +933,7 @@
 			w.closeConns(int(a.server), 1)
 		}
 	}
-	w.audit.Over(a.try, int(a.n), status.NeverExecuted())
+	w.audit.AttemptCompleted(a.try, int(a.n), status.NeverExecuted())
 	t := w.tries.Get(a.try)
 	if t != nil {
 		t.out--
@@ -970,7 +970,7 @@
 	if a.holds {
 		gone, begun, spent := w.servers[a.server].Cancel(w.now, aid)
 		if begun {
-			w.audit.Ran(w.now, a.try, int(a.n))
+			w.audit.AttemptExecuted(w.now, a.try, int(a.n))
 		}
 		if gone {
 			w.meter.exit(w, a)
@@ -1020,7 +1020,7 @@
 	p := w.probes.Get(id)
 	m := &w.servers[p.server]
 	back := w.now + p.delay
-	switch m.Life() {
+	switch m.State() {
 	case servermodel.Up:
 		m.Charge(w.now, m.spec.Kind.ProbeWork)
 		p.load, p.hasLoad = m.Report(w.now, w.late)
@@ -1058,7 +1058,7 @@
 	if first {
 		w.disc.whole(w, i)
 	}
-	w.audit.Restarted(i)
+	w.audit.BalancerRestarted(i)
 	w.disc.cached(w, i)
 	w.admit(i, true)
 }
@@ -1103,12 +1103,12 @@
 			if a := w.attempts.Get(aid); a != nil && !a.ended {
 				a.ended = true
 				t.out--
-				w.audit.Over(id, n, false)
+				w.audit.AttemptCompleted(id, n, false)
 				w.cal.plan(w.now+a.delay, atMessage, evCancel, aid, 0)
 			}
 		}
 		if !t.closed {
-			w.audit.Excused(w.now, id)
+			w.audit.RequestExcused(w.now, id)
 			t.closed, t.closedAt, t.answer, t.lost = true, w.now, invariants.Failed, true
 			w.cal.plan(w.now+w.day.Client, atMessage, evReply, id, 0)
 		}
