--- a/cmd/piernotch-voter/main.go
+++ b/cmd/piernotch-voter/main.go
@@ -50,7 +50,7 @@
 	defer v.Close()
 	select {
 	case <-signals:
-		slog.Info("group: voter ends")
+		slog.Info("group: voter stopped")
 		return nil
 	case <-v.Ended():
 		return errEnded
--- a/cmd/piernotch/main.go
+++ b/cmd/piernotch/main.go
@@ -126,7 +126,7 @@
 				n.Shutdown()
 				go leave() // a duty passes on while clients are still served
 			} else if next, err := c.again(cfg); err != nil {
-				slog.Error("configuration not taken, the old one stands", "err", err)
+				slog.Error("configuration rejected", "err", err)
 			} else {
 				n.Reload(next)
 			}
--- a/internal/group/client/lists.go
+++ b/internal/group/client/lists.go
@@ -66,7 +66,7 @@
 	ask = l.follower.ShouldPoll(now, holds)
 	if alone := l.follower.Independent() && !holds; alone != l.alone {
 		l.alone = alone
-		slog.Info("group: discovery is asked", "by_itself", alone, "duty", l.duty)
+		slog.Info("group: polling discovery", "independent", alone, "duty", l.duty)
 	}
 	from, _, any := l.own.Version()
 	return ask, holds && (!any || from != l.by)
@@ -137,7 +137,7 @@
 	case token != l.token:
 		l.publish()
 	case !l.holder.Healthy(now) && l.rests == 0:
-		slog.Warn("group: duty is given up, discovery does not answer here", "duty", l.duty)
+		slog.Warn("group: duty released, discovery unreachable", "duty", l.duty)
 		l.rests = now + 2*l.m.terms.Duration + rand.N(2*l.m.terms.Duration)
 		h.Release()
 	case l.holder.HeartbeatDue(now):
--- a/internal/group/client/member.go
+++ b/internal/group/client/member.go
@@ -132,9 +132,9 @@
 	case token == was:
 		return
 	case token == 0:
-		slog.Info("group: duty is gone", "duty", d, "token", was)
+		slog.Info("group: duty lost", "duty", d, "token", was)
 	default:
-		slog.Info("group: duty is held", "duty", d, "token", token)
+		slog.Info("group: duty acquired", "duty", d, "token", token)
 	}
 	m.was[d] = token
 }
--- a/internal/group/voter/voter.go
+++ b/internal/group/voter/voter.go
@@ -117,7 +117,7 @@
 		if moved != nil {
 			return errors.Join(err, moved)
 		}
-		slog.Error("group: the voter's file is spoilt, set aside; this voter comes back as a new one", "err", err, "aside", aside)
+		slog.Error("group: voter file corrupt, quarantined", "err", err, "quarantined", aside)
 		disk, log, err = consensus.OpenStore(v.cfg.Disk, v.cfg.Name, v.cfg.Self)
 	}
 	if err != nil {
@@ -128,7 +128,7 @@
 	v.mu.Lock()
 	v.hail = transport.Handshake{Group: v.cfg.Name, Name: v.cfg.Self, ID: id.ID, Bootstrapped: id.Bootstrapped}
 	v.mu.Unlock()
-	slog.Info("group: voter", "group", v.cfg.Name, "name", v.cfg.Self, "id", fmt.Sprintf("%x", id.ID), "starts", id.StartCount, "known", id.Bootstrapped)
+	slog.Info("group: voter started", "group", v.cfg.Name, "name", v.cfg.Self, "id", fmt.Sprintf("%x", id.ID), "starts", id.StartCount, "bootstrapped", id.Bootstrapped)
 	if !id.Bootstrapped {
 		return nil
 	}
@@ -176,7 +176,7 @@
 			v.tick()
 		}
 		if err := v.work(); err != nil {
-			slog.Error("group: the voter ends, its file cannot be written", "err", err)
+			slog.Error("group: voter file write failed, voter stopped", "err", err)
 			v.stop()
 			return
 		}
@@ -200,7 +200,7 @@
 	leader, _ := v.machine.Leader()
 	if leader.Name != v.told {
 		v.told = leader.Name
-		slog.Info("group: leader", "name", leader.Name, "id", fmt.Sprintf("%x", leader.ID))
+		slog.Info("group: leader changed", "name", leader.Name, "id", fmt.Sprintf("%x", leader.ID))
 	}
 }
 
@@ -225,14 +225,14 @@
 		slices.SortFunc(all, func(a, b protocol.Voter) int { return cmp.Compare(a.Name, b.Name) })
 		log := consensus.Bootstrap(all)
 		if err = v.disk.Bootstrap(log); err == nil {
-			slog.Info("group: begins", "group", v.cfg.Name, "voters", len(all))
+			slog.Info("group: bootstrapped", "group", v.cfg.Name, "voters", len(all))
 			err = v.make(log)
 		}
 	default:
 		return
 	}
 	if err != nil {
-		slog.Error("group: does not begin", "err", err)
+		slog.Error("group: bootstrap failed", "err", err)
 		v.stop()
 	}
 }
@@ -255,13 +255,13 @@
 func (v *Voter) renew() {
 	_ = v.disk.Close()
 	aside, err := consensus.Quarantine(v.cfg.Disk)
-	slog.Error("group: the voter's file is an older copy, set aside; this voter comes back as a new one", "aside", aside)
+	slog.Error("group: voter file stale, quarantined", "quarantined", aside)
 	v.machine = nil
 	if err == nil {
 		err = v.open()
 	}
 	if err != nil {
-		slog.Error("group: the voter ends", "err", err)
+		slog.Error("group: voter failed", "err", err)
 		v.stop()
 		return
 	}
@@ -329,7 +329,7 @@
 	if m.Raft != nil {
 		var err error
 		if p.Raft, err = proto.Marshal(m.Raft); err != nil {
-			slog.Error("group: a message cannot be written", "err", err)
+			slog.Error("group: message encoding failed", "err", err)
 			return
 		}
 	}
@@ -352,7 +352,7 @@
 		if err != nil {
 			if said != err.Error() {
 				said = err.Error()
-				slog.Warn("group: no connection to a voter", "name", l.to.Name, "address", l.to.Address, "err", err)
+				slog.Warn("group: voter unreachable", "name", l.to.Name, "address", l.to.Address, "err", err)
 			}
 		} else {
 			said = ""
@@ -395,7 +395,7 @@
 			defer v.left()
 			c, err := transport.Accept(nc, v.us)
 			if err != nil {
-				slog.Warn("group: a caller is refused", "from", nc.RemoteAddr(), "err", err)
+				slog.Warn("group: connection rejected", "from", nc.RemoteAddr(), "err", err)
 				return
 			}
 			v.read(c)
@@ -419,7 +419,7 @@
 		f, err := c.Read()
 		if err != nil {
 			if errors.Is(err, transport.ErrInvalidFrame) {
-				slog.Warn("group: a connection is closed", "name", c.Peer.Name, "err", err)
+				slog.Warn("group: connection closed", "name", c.Peer.Name, "err", err)
 			}
 			return
 		}
@@ -440,13 +440,13 @@
 	if len(p.Raft) > 0 {
 		m.Raft = &raftpb.Message{}
 		if err := proto.Unmarshal(p.Raft, m.Raft); err != nil {
-			slog.Warn("group: a message cannot be read", "name", c.Peer.Name, "err", err)
+			slog.Warn("group: message decoding failed", "name", c.Peer.Name, "err", err)
 			c.Close()
 			return
 		}
 	}
 	if err := v.machine.Receive(m); err != nil {
-		slog.Warn("group: a message is refused", "name", c.Peer.Name, "err", err)
+		slog.Warn("group: message rejected", "name", c.Peer.Name, "err", err)
 	}
 }
 
--- a/internal/lab/loganalysis/logread.go
+++ b/internal/lab/loganalysis/logread.go
@@ -162,13 +162,13 @@
 			seconds[n] = s
 		}
 		switch l.Msg {
-		case "request":
+		case "request received":
 			s.Requests++
-		case "answer":
-			switch l.Fields["verdict"] {
+		case "request completed":
+			switch l.Fields["result"] {
 			case "served":
 				s.Served++
-			case "refused":
+			case "rejected":
 				s.Refused++
 				if l.Fields["attempts"] == "0" {
 					s.NeverSent++
@@ -176,19 +176,19 @@
 			case "failed":
 				s.Failed++
 			}
-		case "client gone":
+		case "client disconnected":
 			s.GivenUp++
-		case "send":
+		case "attempt started":
 			s.Sends++
 			to := server(l)
 			to.sends = append(to.sends, send{l.At, l.Balancer})
-		case "attempt ended":
+		case "attempt completed":
 			s.Ends[l.Fields["status"]]++
 			server(l).Ends[l.Fields["status"]]++
 			if l.Fields["written"] == "false" {
 				s.Dropped++
 			}
-		case "list change":
+		case "endpoint update":
 			if to := server(l); to.Listed == 0 || l.At < to.Listed {
 				to.Listed = l.At
 			}
--- a/internal/logs/limit.go
+++ b/internal/logs/limit.go
@@ -47,7 +47,7 @@
 	}
 	l.mu.Unlock()
 	if kept > 0 {
-		note := slog.NewRecord(time.Now(), slog.LevelWarn, "log lines were left out", 0)
+		note := slog.NewRecord(time.Now(), slog.LevelWarn, "log lines dropped", 0)
 		note.AddAttrs(slog.Int("lines", kept))
 		_ = l.Handler.Handle(ctx, note)
 	}
--- a/internal/serve/admin/manage.go
+++ b/internal/serve/admin/manage.go
@@ -188,7 +188,7 @@
 }
 
 func (c *conn) answer(status int, text string, more ...http1.Field) {
-	slog.Info("operator answered", "call", c.what, "status", status, "text", text)
+	slog.Info("admin response", "action", c.what, "status", status, "text", text)
 	c.done, c.since = true, c.s.Now()
 	c.sock.DiscardInput() // what still comes must not reset the answer away
 	fields := append(more, http1.Field{Name: "Content-Type", Value: "text/plain"}, http1.Field{Name: "Connection", Value: "close"})
--- a/internal/serve/core/core.go
+++ b/internal/serve/core/core.go
@@ -199,7 +199,7 @@
 	DuplicateID // never taken: the id is that of another open request
 )
 
-var verdicts = [...]string{"served", "refused", "failed", "rejected"}
+var verdicts = [...]string{"served", "rejected", "failed", "duplicate_id"}
 
 func (v Result) String() string { return verdicts[v] }
 
@@ -311,7 +311,7 @@
 // LogState is a line for the log, at level debug, of what the module believes.
 func (c *Core) LogState() {
 	if c.debug {
-		slog.Debug("mood", "module", c.balancer.String())
+		slog.Debug("state", "module", c.balancer.String())
 	}
 }
 
@@ -342,7 +342,7 @@
 		if r := c.clients[ev.Client]; r != nil {
 			c.Counts.ClientsGone++
 			if c.debug {
-				slog.Debug("client gone", "id", r.name, "attempts", len(r.tries), "left_ms", (r.deadline - c.now).Milliseconds())
+				slog.Debug("client disconnected", "id", r.name, "attempts", len(r.tries), "remaining_ms", (r.deadline - c.now).Milliseconds())
 			}
 			c.over(r)
 			c.balancer.ClientGone(c.now, r.id)
@@ -362,7 +362,7 @@
 		}
 	case LoadReported:
 		if b := c.backends[ev.Backend]; c.debug && b != nil {
-			slog.Debug("report", "server", b.name, "inflight", ev.Load.Inflight, "per_s", ev.Load.CompletedPerSecond)
+			slog.Debug("load report", "server", b.name, "inflight", ev.Load.Inflight, "completed_per_s", ev.Load.CompletedPerSecond)
 		}
 		c.balancer.LoadReported(c.now, ev.Backend, ev.Load)
 	case EndpointUpdate:
@@ -408,7 +408,7 @@
 	r := &request{id: c.lastID, name: ev.ID, client: ev.Client, message: ev.Message, deadline: ev.Deadline, class: ev.Class, last: piernotch.NotSent}
 	c.requests[r.id], c.clients[r.client] = r, r
 	if c.debug {
-		slog.Debug("request", "id", r.name, "class", ev.Class, "hint", ev.Hint, "wait_ms", (ev.Deadline - c.now).Milliseconds())
+		slog.Debug("request received", "id", r.name, "class", ev.Class, "cost_hint", ev.Hint, "deadline_ms", (ev.Deadline - c.now).Milliseconds())
 	}
 	// The module's own time-outs end at the deadline; this comes a tick later, for
 	// whatever it has left unanswered even so.
@@ -425,7 +425,7 @@
 		return
 	}
 	c.Counts.DeadlineExceeded++
-	slog.Warn("request unanswered at its deadline", "request", r.id, "attempts", len(r.tries))
+	slog.Warn("request deadline exceeded", "request", r.id, "attempts", len(r.tries))
 	c.reply(r, Respond{Result: Failed, LastStatus: r.last})
 	c.balancer.ClientGone(c.now, r.id)
 	c.forget(r)
@@ -469,7 +469,7 @@
 	}
 	reply.Client, reply.Close = r.client, c.ending || c.words.Drain.Active
 	if c.debug {
-		slog.Debug("answer", "id", r.name, "verdict", reply.Result, "attempts", len(r.tries), "left_ms", (r.deadline - c.now).Milliseconds())
+		slog.Debug("request completed", "id", r.name, "result", reply.Result, "attempts", len(r.tries), "remaining_ms", (r.deadline - c.now).Milliseconds())
 	}
 	c.do(reply)
 	c.over(r)
@@ -503,7 +503,7 @@
 		return
 	}
 	if c.debug {
-		slog.Debug("written", "id", r.name, "attempt", ref.Attempt, "server", a.to.name, "ms", (c.now - a.sent).Milliseconds())
+		slog.Debug("attempt written", "id", r.name, "attempt", ref.Attempt, "server", a.to.name, "elapsed_ms", (c.now - a.sent).Milliseconds())
 	}
 	a.written = true
 	c.do(WriteAttempt{ref})
@@ -517,8 +517,8 @@
 	a.timer.Stop()
 	r.out--
 	if c.debug {
-		slog.Debug("attempt ended", "id", r.name, "attempt", n, "server", a.to.name, "status", status, "written", a.written,
-			"ms", (c.now - a.sent).Milliseconds())
+		slog.Debug("attempt completed", "id", r.name, "attempt", n, "server", a.to.name, "status", status, "written", a.written,
+			"elapsed_ms", (c.now - a.sent).Milliseconds())
 	}
 	c.count(status)
 	if status != piernotch.Cancelled {
@@ -621,7 +621,7 @@
 	c := h.c
 	r, b := c.requests[id], c.backends[to]
 	if r == nil || b == nil {
-		slog.Error("send of an unknown request or to an unknown feed server", "request", id, "backend", to)
+		slog.Error("attempt for unknown request or backend", "request", id, "backend", to)
 		return
 	}
 	n := len(r.tries)
@@ -639,7 +639,7 @@
 	}
 	ref := AttemptRef{id, n}
 	if c.debug {
-		slog.Debug("send", "id", r.name, "attempt", n, "server", b.name, "wait_ms", wait.Milliseconds())
+		slog.Debug("attempt started", "id", r.name, "attempt", n, "server", b.name, "timeout_ms", wait.Milliseconds())
 	}
 	a.timer = c.wheel.At(c.now+wait, func() {
 		if a.ended {
--- a/internal/serve/core/operate.go
+++ b/internal/serve/core/operate.go
@@ -44,7 +44,7 @@
 func (c *Core) operated(ev AdminCommand) {
 	changed, err := c.words.Apply(c.now, c.by, ev.Action, ev.Server, c.names[ev.Server] != nil)
 	if changed {
-		slog.Info("operator", "call", ev.Action, "server", ev.Server)
+		slog.Info("admin command", "action", ev.Action, "server", ev.Server)
 		if ev.Action == overrides.Evacuate || ev.Action == overrides.Rejoin {
 			c.do(DrainClients{c.words.Drain.Active})
 		} else {
@@ -59,11 +59,11 @@
 func (c *Core) heard(other *overrides.Overrides) {
 	servers, drain := c.words.Merge(other)
 	for _, name := range servers {
-		slog.Info("operator, told to the process beside this one", "server", name, "excluded", c.words.Excluded(name))
+		slog.Info("peer override applied", "server", name, "excluded", c.words.Excluded(name))
 		c.follow(name)
 	}
 	if drain {
-		slog.Info("operator, told to the process beside this one", "drain", c.words.Drain.Active)
+		slog.Info("peer override applied", "drain", c.words.Drain.Active)
 		c.do(DrainClients{c.words.Drain.Active})
 	}
 	if drain || len(servers) > 0 {
--- a/internal/serve/discovery/discovery.go
+++ b/internal/serve/discovery/discovery.go
@@ -158,7 +158,7 @@
 	}
 	list, err := Parse(p.Body, w.zones)
 	if err != nil {
-		slog.Warn("list of another balancer not taken", "generation", p.ToVersion, "err", err)
+		slog.Warn("shared endpoint update rejected", "generation", p.ToVersion, "err", err)
 		return
 	}
 	w.told(list)
@@ -281,7 +281,7 @@
 		w.fail(fmt.Errorf("silent for too long"))
 		return
 	}
-	slog.Warn("watch silent, opened anew", "address", w.address, "generation", w.version)
+	slog.Warn("watch timeout", "address", w.address, "generation", w.version)
 	w.hangUp()
 	w.anew = true
 	w.begin()
@@ -333,7 +333,7 @@
 		kind = piernotch.UpdateFull
 	}
 	for _, e := range list.Endpoints {
-		slog.Info("list change", "server", e.Name, "address", e.Address, "state", e.Endpoint.State, "generation", w.version)
+		slog.Info("endpoint update", "server", e.Name, "address", e.Address, "state", e.Endpoint.State, "generation", w.version)
 	}
 	w.emit(core.EndpointUpdate{Kind: kind, Endpoints: list.Endpoints})
 }
--- a/internal/serve/eventloop/sock.go
+++ b/internal/serve/eventloop/sock.go
@@ -293,7 +293,7 @@
 func guard(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			slog.Error("panic in an event", "panic", p, "stack", string(debug.Stack()))
+			slog.Error("event handler panic", "panic", p, "stack", string(debug.Stack()))
 		}
 	}()
 	f()
@@ -498,7 +498,7 @@
 		l.e.Post(func() {
 			c.handler = l.accepted(c)
 			if err := l.e.adopt(nc, c); err != nil {
-				slog.Warn("connection not taken over", "err", err)
+				slog.Warn("connection registration failed", "err", err)
 				c.ended(err)
 			}
 		})
@@ -512,7 +512,7 @@
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			slog.Error("panic on a connection, which is closed", "panic", p, "stack", string(debug.Stack()))
+			slog.Error("connection handler panic", "panic", p, "stack", string(debug.Stack()))
 			_ = c.nb.Close()
 		}
 	}()
--- a/internal/serve/handover/dir.go
+++ b/internal/serve/handover/dir.go
@@ -130,7 +130,7 @@
 	s := seen{file: info}
 	s.record, s.err = d.load(path, info.Size())
 	if s.err != nil {
-		slog.Warn("record of the process beside this one not taken", "file", name, "err", s.err)
+		slog.Warn("handover record rejected", "file", name, "err", s.err)
 	}
 	d.seen[name] = s
 	return s
--- a/internal/serve/runtime/beside.go
+++ b/internal/serve/runtime/beside.go
@@ -73,7 +73,7 @@
 	n.cfg.KnownEndpoints, n.cfg.HasKnownEndpoints = known, true
 	n.watcher.Resume(from.Generation, from.Discovery == n.cfg.Discovery)
 	n.emit(core.PeerSnapshot{Snapshot: from.Snapshot})
-	slog.Info("taking over", "from_pid", from.PID, "epoch", from.Epoch, "generation", from.Generation, "servers", len(known.Endpoints))
+	slog.Info("handover started", "from_pid", from.PID, "epoch", from.Epoch, "generation", from.Generation, "servers", len(known.Endpoints))
 }
 
 // look follows the other processes.
@@ -95,7 +95,7 @@
 func (b *beside) read() []handover.Peer {
 	peers, err := b.dir.Peers()
 	if err != nil {
-		slog.Warn("other processes cannot be seen", "err", err)
+		slog.Warn("sibling processes unreadable", "err", err)
 	}
 	return peers
 }
@@ -118,7 +118,7 @@
 	}
 	if alone != b.alone {
 		b.alone = alone
-		slog.Info("processes of this balancer", "others", len(b.others), "pid", b.self.PID, "epoch", b.self.Epoch)
+		slog.Info("sibling processes changed", "others", len(b.others), "pid", b.self.PID, "epoch", b.self.Epoch)
 	}
 	if alone {
 		b.n.core.PruneOverrides()
@@ -131,7 +131,7 @@
 		return
 	}
 	b.self.Phase = to
-	slog.Info("phase", "is", to, "pid", b.self.PID, "epoch", b.self.Epoch)
+	slog.Info("process phase changed", "phase", to, "pid", b.self.PID, "epoch", b.self.Epoch)
 	b.keep()
 	b.stand()
 }
@@ -147,9 +147,13 @@
 	if on == n.listener.Accepting() {
 		return
 	}
-	slog.Info("accepting", "on", on, "pid", b.self.PID, "others", len(b.others))
+	event := "listener stopped"
+	if on {
+		event = "listener started"
+	}
+	slog.Info(event, "pid", b.self.PID, "others", len(b.others))
 	if err := n.listener.SetAccepting(on); err != nil {
-		slog.Error("inherited listener", "err", err)
+		slog.Error("inherited listener failed", "err", err)
 	}
 }
 
@@ -177,7 +181,7 @@
 		})
 	}
 	if err := b.dir.Write(r); err != nil {
-		slog.Error("record for the next process not written", "err", err)
+		slog.Error("handover record write failed", "err", err)
 	}
 }
 
--- a/internal/serve/runtime/node.go
+++ b/internal/serve/runtime/node.go
@@ -80,7 +80,7 @@
 	n.listener = n.engine.ClientListener(n.front.Accepted)
 	n.engine.Stalled = func(gap time.Duration) {
 		if gap > time.Second {
-			slog.Warn("stood still", "ms", gap.Milliseconds())
+			slog.Warn("stall detected", "duration_ms", gap.Milliseconds())
 		}
 		n.front.Stalled(gap)
 	}
@@ -94,7 +94,7 @@
 	n.engine.Shed = func(client bool) {
 		if now := n.now(); now-n.shed > time.Second { // it may go on for a while
 			n.shed = now
-			slog.Warn("descriptors are short, closing idle connections", "open", n.engine.OpenConnections())
+			slog.Warn("descriptor limit reached", "open", n.engine.OpenConnections())
 		}
 		n.front.Shed()
 		if !client { // a client must not cost feed servers their connections
@@ -143,7 +143,7 @@
 	if err := n.listen(); err != nil {
 		return err
 	}
-	slog.Info("serving", "name", n.cfg.Name, "listen", n.listener.Addr(), "management", n.cfg.AdminAddress, "discovery", n.cfg.Discovery,
+	slog.Info("serving", "name", n.cfg.Name, "listen", n.listener.Addr(), "admin", n.cfg.AdminAddress, "discovery", n.cfg.Discovery,
 		"servers", len(n.cfg.KnownEndpoints.Endpoints), "sockets", n.cfg.MaxDescriptors, "memory_mb", n.cfg.MemoryMB)
 	return nil
 }
@@ -207,7 +207,7 @@
 		n.beside.keep()
 		n.beside.dir.Leave()
 	}
-	n.log("ended")
+	n.log("shutdown completed")
 	if n.recorder != nil {
 		n.recorder.close()
 	}
@@ -222,7 +222,7 @@
 // Shutdown begins an orderly end. It may be called from any goroutine.
 func (n *Balancer) Shutdown() {
 	n.engine.Post(func() {
-		slog.Info("terminating", "owed", n.core.PendingRequests(), "clients", n.front.ConnectionCount())
+		slog.Info("shutdown started", "pending", n.core.PendingRequests(), "clients", n.front.ConnectionCount())
 		n.front.Shutdown()
 		n.emit(core.Shutdown{})
 		n.beside.advance(handover.ShuttingDown)
@@ -241,10 +241,10 @@
 // retuned takes the rest of a configuration whose settings were taken.
 func (n *Balancer) retuned(e core.SettingsApplied) {
 	if e.Err != nil {
-		slog.Error("configuration not taken, the old one stands", "err", e.Err)
+		slog.Error("configuration rejected", "err", e.Err)
 		return
 	}
-	slog.Info("configuration read again", "discovery", n.next.Discovery, "was", n.cfg.Discovery,
+	slog.Info("configuration reloaded", "discovery", n.next.Discovery, "previous_discovery", n.cfg.Discovery,
 		"classes", len(n.next.Settings.Classes), "max_attempts", n.next.Settings.Limits.MaxAttempts)
 	n.cfg.Discovery, n.cfg.Settings = n.next.Discovery, n.next.Settings
 	n.cfg.MaxDescriptors, n.cfg.MemoryMB = n.next.MaxDescriptors, n.next.MemoryMB
@@ -294,10 +294,10 @@
 
 func (n *Balancer) log(what string) {
 	c := n.core.Counts
-	slog.Info(what, "taken", c.Accepted, "served", c.Served, "refused", c.Rejected, "failed", c.Failed,
-		"gone", c.ClientsGone, "overdue", c.DeadlineExceeded, "attempts", c.Attempts, "timeouts", c.Timeouts, "resets", c.Resets,
-		"connect_failed", c.ConnectFailed, "full", c.Full, "errors", c.Errors, "opened", n.upstream.ConnectionsOpened,
-		"owed", n.core.PendingRequests(), "clients", n.front.ConnectionCount(), "sockets", n.engine.OpenConnections())
+	slog.Info(what, "accepted", c.Accepted, "served", c.Served, "rejected", c.Rejected, "failed", c.Failed,
+		"clients_gone", c.ClientsGone, "deadline_exceeded", c.DeadlineExceeded, "attempts", c.Attempts, "timeouts", c.Timeouts, "resets", c.Resets,
+		"connect_failed", c.ConnectFailed, "full", c.Full, "errors", c.Errors, "connections_opened", n.upstream.ConnectionsOpened,
+		"pending", n.core.PendingRequests(), "clients", n.front.ConnectionCount(), "descriptors", n.engine.OpenConnections())
 }
 
 // emit takes an event to the reducer. Effects may bring further events, which
--- a/internal/serve/runtime/recorder.go
+++ b/internal/serve/runtime/recorder.go
@@ -76,9 +76,9 @@
 
 func (r *recorder) close() {
 	if err := r.out.Close(); err != nil {
-		slog.Error("the recording failed", "err", err)
+		slog.Error("trace recording failed", "err", err)
 	}
 	if n := r.out.Dropped(); n > 0 {
-		slog.Warn("requests were left out of the recording", "requests", n)
+		slog.Warn("trace records dropped", "records", n)
 	}
 }
--- a/internal/serve/upstream/report.go
+++ b/internal/serve/upstream/report.go
@@ -47,6 +47,6 @@
 	}
 	if now := u.now(); u.saidBad == 0 || now-u.saidBad > sayEvery {
 		u.saidBad = now
-		slog.Warn("load report not taken", "server", to.Address, "err", err)
+		slog.Warn("load report rejected", "server", to.Address, "err", err)
 	}
 }
--- a/internal/serve/upstream/upstream.go
+++ b/internal/serve/upstream/upstream.go
@@ -42,7 +42,7 @@
 	Malformed                     // an answer came that cannot be read, or stopped half-way
 )
 
-var stageNames = [...]string{"connecting", "writing", "waiting", "answering", "spoilt"}
+var stageNames = [...]string{"connecting", "writing", "awaiting_response", "reading_response", "malformed"}
 
 func (s Stage) String() string { return stageNames[s] }
 
@@ -345,7 +345,7 @@
 func (u *Upstream) fail(x *errand, f *AttemptError) {
 	u.done(x)
 	x.conn = nil
-	slog.Info("attempt failed", "server", f.Address, "stage", f.Stage, "kept_ms", f.IdleFor.Milliseconds(), "probe", x.probe, "err", f.Err)
+	slog.Info("attempt failed", "server", f.Address, "stage", f.Stage, "idle_ms", f.IdleFor.Milliseconds(), "health_check", x.probe, "err", f.Err)
 	if x.probe {
 		u.emit(core.HealthCheckCompleted{Backend: x.pool.to.Backend, Status: f.Status()})
 		return
@@ -451,7 +451,7 @@
 	if status == piernotch.OK {
 		ended.Answer = &Response{ContentType: m.Fields.Get("content-type"), Body: m.Body}
 	} else {
-		slog.Info("attempt not served", "server", c.pool.to.Address, "status", m.Status, "ran", status != piernotch.Full)
+		slog.Info("attempt unsuccessful", "server", c.pool.to.Address, "status", m.Status, "executed", status != piernotch.Full)
 	}
 	u.emit(ended)
 }
