--- /dev/null
+++ b/cmd/piernotch-lab/golden_test.go
@@ -0,0 +1,60 @@
+package main
+
+import (
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"piernotch/internal/lab/chaos"
+	"piernotch/internal/lab/clustersim"
+	"piernotch/internal/lab/faultproxy"
+	"piernotch/internal/lab/load"
+	"piernotch/internal/lab/loadtest"
+)
+
+var update = flag.Bool("update", false, "write the golden files again; only where the form changes on purpose")
+
+// checkGolden compares what write keeps of a value with a file under testdata, and reads the file.
+func checkGolden[T any](t *testing.T, name string, value T) {
+	t.Helper()
+	path, fresh := filepath.Join("testdata", name), filepath.Join(t.TempDir(), name)
+	if *update {
+		require.NoError(t, os.MkdirAll("testdata", 0o755))
+		require.NoError(t, write(path, value))
+	}
+	require.NoError(t, write(fresh, value))
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	got, err := os.ReadFile(fresh)
+	require.NoError(t, err)
+	require.Equal(t, string(want), string(got), "%s: the form on disk has changed", path)
+	var read T
+	require.NoError(t, json.Unmarshal(want, &read))
+	require.Equal(t, value, read)
+}
+
+// TestSchedulesGoldenFile guards the schedules of faults that are kept in files and played again.
+func TestSchedulesGoldenFile(t *testing.T) {
+	checkGolden(t, "group-schedule.json", schedule{
+		Seed:   7,
+		Size:   clustersim.Size{Voters: 3, Members: 4, Receivers: 2, Duties: 5, Length: 90 * time.Second, Faults: 6},
+		Faults: []clustersim.Fault{{At: time.Second, For: 2 * time.Second, Kind: clustersim.Cut, Node: 1, Other: 2, OneWay: true}},
+		Broken: "two holders at once",
+	})
+	checkGolden(t, "chaos-schedule.json", chaosRun{
+		Kind: "links", Seed: 8, Words: []string{"a word"}, Failed: "a rule was broken",
+		Steps: []chaos.Step{{
+			At: time.Second, For: 2 * time.Second, Act: chaos.Flap, Balancer: 1, To: chaos.Servers, Way: chaos.OnlyBack,
+			Fault: faultproxy.Fault{Cut: faultproxy.Reset, Delay: 3 * time.Millisecond, Jitter: 4 * time.Millisecond, Rate: 5000},
+		}},
+		Report: &loadtest.Report{
+			Counts:    load.Counts{Tries: 1, Served: 2, Refused: 3, Failed: 4, Unanswered: 5, Broken: 6, Unreached: 7, Crossed: 8},
+			Balancers: [][]loadtest.Quarter{{{CPUSeconds: 1, ResidentMB: 2, Descriptors: 3}}}, Rude: map[string]load.RudeCount{"nothing": {Sent: 1, Answered: 2, Served: 3}},
+		},
+	})
+}
--- /dev/null
+++ b/internal/group/consensus/golden_test.go
@@ -0,0 +1,142 @@
+package consensus
+
+import (
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/stretchr/testify/require"
+	"go.etcd.io/bbolt"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"piernotch/internal/group/lease"
+	"piernotch/internal/group/protocol"
+)
+
+var update = flag.Bool("update", false, "write the golden files again; only where the form changes on purpose")
+
+const goldenID = 0x1122334455667701
+
+// goldenPath is a voter's file of group "example", voter "n1".
+var goldenPath = filepath.Join("testdata", "n1.voter")
+
+// The values of the golden file, each field of them set.
+var (
+	goldenVoters = []protocol.Voter{
+		{ID: goldenID, Name: "n1", Address: "127.0.0.1:18701"},
+		{ID: 0x1122334455667703, Name: "n2", Address: "127.0.0.1:18702"},
+	}
+	goldenImage = protocol.Snapshot{
+		Leases: lease.Snapshot{LastToken: 25, Grants: []lease.Grant{{Duty: "watch/addis", Holder: lease.Process{Name: "n1", Incarnation: 23}, Token: 24}}},
+		Voters: goldenVoters,
+	}
+	goldenEntry = entry{Run: 31, Seq: 32, Command: lease.Command{
+		Op: lease.Transfer, Duty: "watch/addis", Process: lease.Process{Name: "n1", Incarnation: 23}, Token: 24, Successor: lease.Process{Name: "n2", Incarnation: 26},
+	}}
+	goldenAdmission = admission{Run: 33, Seq: 34, Voter: protocol.Voter{ID: 0x1122334455667705, Name: "n3", Address: "127.0.0.1:18703"}}
+	goldenStarts    = map[uint64]Incarnation{0x1122334455667703: {Count: 41, ID: 42}} // one: the order of more is not fixed
+	goldenHard      = &raftpb.HardState{Term: proto.Uint64(5), Vote: proto.Uint64(goldenID), Commit: proto.Uint64(8)}
+)
+
+func inCBOR(t *testing.T, value any) []byte {
+	t.Helper()
+	data, err := cbor.Marshal(value)
+	require.NoError(t, err)
+	return data
+}
+
+func goldenSnapshot(t *testing.T) *raftpb.Snapshot {
+	return &raftpb.Snapshot{Data: inCBOR(t, goldenImage), Metadata: &raftpb.SnapshotMetadata{
+		ConfState: &raftpb.ConfState{Voters: []uint64{goldenID, 0x1122334455667703}}, Index: proto.Uint64(6), Term: proto.Uint64(4),
+	}}
+}
+
+func goldenEntries(t *testing.T) []*raftpb.Entry {
+	change, err := proto.Marshal(&raftpb.ConfChange{
+		Type: raftpb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(goldenAdmission.Voter.ID), Context: inCBOR(t, goldenAdmission),
+	})
+	require.NoError(t, err)
+	return []*raftpb.Entry{
+		{Index: proto.Uint64(7), Term: proto.Uint64(5), Type: raftpb.EntryNormal.Enum(), Data: inCBOR(t, goldenEntry)},
+		{Index: proto.Uint64(8), Term: proto.Uint64(5), Type: raftpb.EntryConfChange.Enum(), Data: change},
+	}
+}
+
+// writeVoterFile writes the golden values to a new file, by a voter of a known number.
+func writeVoterFile(t *testing.T, path string) {
+	t.Helper()
+	disk, _, err := OpenStore(path, "example", "n1")
+	require.NoError(t, err)
+	disk.who.ID = goldenID
+	require.NoError(t, disk.Bootstrap(PersistentState{HardState: goldenHard, Snapshot: goldenSnapshot(t)}))
+	require.NoError(t, disk.Write(Ready{Entries: goldenEntries(t), Incarnations: goldenStarts}))
+	require.NoError(t, disk.Close())
+}
+
+// values returns all keys and values of a bbolt file, by bucket. How bbolt lays them out is its own.
+func values(t *testing.T, path string) map[string]string {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, nil)
+	require.NoError(t, err)
+	defer db.Close()
+	all := map[string]string{}
+	require.NoError(t, db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
+			return b.ForEach(func(k, v []byte) error {
+				all[string(bucket)+"/"+string(k)] = string(v)
+				return nil
+			})
+		})
+	}))
+	return all
+}
+
+// copyOfGolden copies the golden file to where it may be written.
+func copyOfGolden(t *testing.T) string {
+	t.Helper()
+	if *update {
+		require.NoError(t, os.MkdirAll("testdata", 0o755))
+		require.NoError(t, os.RemoveAll(goldenPath))
+		writeVoterFile(t, goldenPath)
+	}
+	data, err := os.ReadFile(goldenPath)
+	require.NoError(t, err)
+	path := filepath.Join(t.TempDir(), "n1.voter")
+	require.NoError(t, os.WriteFile(path, data, 0o600))
+	return path
+}
+
+// TestVoterFileGoldenFile guards what a voter keeps: a file of an older program is read to the same
+// values, and the same values are written to the same bytes, key by key.
+func TestVoterFileGoldenFile(t *testing.T) {
+	path := copyOfGolden(t)
+	fresh := filepath.Join(t.TempDir(), "fresh.voter")
+	writeVoterFile(t, fresh)
+	require.Equal(t, values(t, path), values(t, fresh), "the form on disk has changed")
+
+	disk, log, err := OpenStore(path, "example", "n1")
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = disk.Close() })
+	require.Equal(t, Identity{Version: 1, Group: "example", Name: "n1", ID: goldenID, StartCount: 2, Bootstrapped: true}, disk.Identity())
+	require.True(t, proto.Equal(goldenHard, log.HardState))
+	require.Equal(t, goldenStarts, log.Incarnations)
+	require.True(t, proto.Equal(goldenSnapshot(t), log.Snapshot))
+	var image protocol.Snapshot
+	require.NoError(t, cbor.Unmarshal(log.Snapshot.GetData(), &image))
+	require.Equal(t, goldenImage, image)
+	require.Len(t, log.Entries, 2)
+	for i, want := range goldenEntries(t) {
+		require.True(t, proto.Equal(want, log.Entries[i]), "entry %d", i)
+	}
+	var command entry
+	require.NoError(t, cbor.Unmarshal(log.Entries[0].GetData(), &command))
+	require.Equal(t, goldenEntry, command)
+	var change raftpb.ConfChange
+	require.NoError(t, proto.Unmarshal(log.Entries[1].GetData(), &change))
+	var admitted admission
+	require.NoError(t, cbor.Unmarshal(change.GetContext(), &admitted))
+	require.Equal(t, goldenAdmission, admitted)
+}
--- /dev/null
+++ b/internal/group/golden_test.go
@@ -0,0 +1,36 @@
+package group
+
+import (
+	"os"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// TestGroupFileGoldenFile guards the keys of a group's file: each is set to what is no default.
+// testdata/group.toml is what Config.Text writes.
+func TestGroupFileGoldenFile(t *testing.T) {
+	want := Config{
+		Name: "lakes", Self: "n1", Disk: "/var/lib/piernotch/n1.voter", LeaseDuration: 7500 * time.Millisecond, MaxClockDrift: 0.02,
+		Voters: []Voter{{Name: "n0", Address: "127.0.0.1:18700"}, {Name: "n1", Address: "127.0.0.1:18701"}, {Name: "n2", Address: "[::1]:18702"}},
+		Duties: []string{"sweep", "count"}, Watch: "watch/lakes", Source: "discovery-lakes",
+	}
+	got, err := LoadFile("testdata/group.toml")
+	require.NoError(t, err)
+	require.Equal(t, want, got)
+	text, err := os.ReadFile("testdata/group.toml")
+	require.NoError(t, err)
+	require.Equal(t, string(text), want.Text())
+}
+
+// TestShippedGroupFile guards what deploy/group.toml means.
+func TestShippedGroupFile(t *testing.T) {
+	got, err := LoadFile("../../deploy/group.toml")
+	require.NoError(t, err)
+	require.Equal(t, Config{
+		Name: "example", Self: "n0", Disk: "/var/lib/piernotch/n0.voter", LeaseDuration: 5 * time.Second, MaxClockDrift: 0.01,
+		Voters: []Voter{{Name: "n0", Address: "127.0.0.1:18700"}, {Name: "n1", Address: "127.0.0.1:18701"}, {Name: "n2", Address: "127.0.0.1:18702"}},
+		Duties: []string{}, Watch: "watch/addis",
+	}, got)
+}
