--- /dev/null
+++ b/internal/serve/core/doc.go
@@ -0,0 +1,33 @@
+// Package core is the reducer of a balancer process: events go in, effects come out.
+//
+// Every change of state is made by [Core.Handle], which takes one [Event] (a request was received,
+// an attempt completed, time has passed) and returns the [Effect] values that follow from it, in
+// the order in which they have to be carried out (start an attempt, respond to a client). The
+// package owns the life of requests and attempts, the table of endpoints, the operators' overrides
+// and the settings in force. Load-balancing decisions are made by the module, [piernotch.Balancer],
+// which core drives; a [host] translates the module's decisions into effects.
+//
+// The package does no I/O, reads no clock and knows no message format: a request's message and its
+// answer pass through it unread, as values of type any, so another protocol can use it unchanged.
+// It must not import any package that does. The time is an argument of Handle.
+//
+// internal/serve/runtime is the caller: it collects events from the sockets, from discovery and
+// from operators, passes them to Handle one at a time on the event loop's goroutine, and carries
+// out the effects. Nothing in this package may be called from another goroutine, and the package
+// starts none.
+//
+// # Life of a request
+//
+// A [RequestReceived] event opens an exchange, which is closed by exactly one [Respond] effect, or
+// by [ClientGone] without one. In between the module starts attempts. For each attempt there is a
+// [StartAttempt] effect; once [AttemptConnected] reports a connection, the module is asked again
+// whether the attempt may still be sent, and only then [WriteAttempt] follows. An attempt ends with
+// [AttemptCompleted], by its timeout, or by [CancelAttempt]. A request is released when it has been
+// answered and no attempt is in flight any more.
+//
+// # Reentrancy
+//
+// The module must not be called while one of its own calls is running. What it has to learn as a
+// consequence of its own decision (an attempt that was cancelled before it was written, say) is
+// deferred until that call has returned; see [Core.Handle].
+package core
--- /dev/null
+++ b/internal/serve/core/endpoints.go
@@ -0,0 +1,166 @@
+package core
+
+import (
+	"cmp"
+	"hash/fnv"
+	"log/slog"
+	"slices"
+	"time"
+
+	"piernotch"
+)
+
+// backend is an entry of the endpoint table.
+type backend struct {
+	id        piernotch.BackendID
+	name      string
+	address   string
+	state     piernotch.State
+	startedAt time.Duration
+	excluded  bool               // by operators
+	listed    DiscoveredEndpoint // as discovery listed it last
+}
+
+func (b *backend) endpoint() Endpoint { return Endpoint{b.id, b.address} }
+
+// EndpointsKnown reports whether a usable endpoint list has been received.
+func (c *Core) EndpointsKnown() bool { return c.endpointsKnown }
+
+// Endpoints returns all endpoints as discovery listed them last, sorted by name.
+func (c *Core) Endpoints() []DiscoveredEndpoint {
+	list := make([]DiscoveredEndpoint, 0, len(c.backendsByName))
+	for _, b := range c.backendsByName {
+		list = append(list, b.listed)
+	}
+	slices.SortFunc(list, func(a, b DiscoveredEndpoint) int { return cmp.Compare(a.Name, b.Name) })
+	return list
+}
+
+// handleEndpointUpdate applies an update from discovery to the endpoint table and to the module.
+func (c *Core) handleEndpointUpdate(ev EndpointUpdate) {
+	if ev.Kind == piernotch.UpdateFailed {
+		c.balancer.UpdateEndpoints(c.now, ev.Kind, nil)
+		return
+	}
+	c.endpointsKnown = true
+	entries := make([]piernotch.Endpoint, 0, len(ev.Endpoints))
+	listed := make(map[string]bool, len(ev.Endpoints))
+	for _, e := range ev.Endpoints {
+		listed[e.Name] = true
+		entries = append(entries, c.updateBackend(e))
+	}
+	if ev.Kind != piernotch.UpdateDelta {
+		c.markUnlistedGone(listed)
+	}
+	gone := c.removeGone()
+	c.balancer.UpdateEndpoints(c.now, ev.Kind, entries)
+	// The module forgets that these were excluded. The overrides remain, as they apply to the name,
+	// should it be listed again.
+	for _, b := range gone {
+		if b.excluded {
+			c.balancer.Include(c.now, b.id, 0)
+		}
+	}
+}
+
+// updateBackend enters a listed endpoint into the table and returns it as the module takes it.
+func (c *Core) updateBackend(e DiscoveredEndpoint) piernotch.Endpoint {
+	b := c.backendsByName[e.Name]
+	if b == nil {
+		b = c.addBackend(e.Name)
+	}
+	// Of a backend that has moved, has restarted or is draining, idle connections are of no use, and
+	// a machine that vanished never closes its own.
+	replaced := b.address != e.Address || b.startedAt != e.Endpoint.StartedAt
+	if b.address != "" && (replaced || e.Endpoint.State != piernotch.Ready) {
+		c.emit(CloseIdle{b.endpoint()})
+	}
+	b.listed = e
+	b.address = e.Address
+	b.state = e.Endpoint.State
+	b.startedAt = e.Endpoint.StartedAt
+	entry := e.Endpoint
+	entry.ID = b.id
+	return entry
+}
+
+// addBackend adds a backend to the table, excluded if operators have excluded its name.
+func (c *Core) addBackend(name string) *backend {
+	b := &backend{id: c.newBackendID(name), name: name}
+	c.backendsByName[name] = b
+	c.backends[b.id] = b
+	b.excluded = c.overrides.Excluded(name)
+	if b.excluded {
+		c.balancer.Exclude(c.now, b.id)
+	}
+	return b
+}
+
+// newBackendID derives an ID from the name alone, so that all balancers arrive at the same.
+func (c *Core) newBackendID(name string) piernotch.BackendID {
+	h := fnv.New32a()
+	_, _ = h.Write([]byte(name))
+	id := piernotch.BackendID(h.Sum32())
+	for c.backends[id] != nil {
+		id++
+	}
+	return id
+}
+
+// markUnlistedGone marks the backends that a complete list does not contain as gone.
+func (c *Core) markUnlistedGone(listed map[string]bool) {
+	for name, b := range c.backendsByName {
+		if !listed[name] && b.state != piernotch.Gone {
+			b.state = piernotch.Gone
+			c.emit(CloseIdle{b.endpoint()})
+		}
+	}
+}
+
+// removeGone removes the backends that are gone from the table and returns them. Attempts in flight
+// keep their reference.
+func (c *Core) removeGone() []*backend {
+	var gone []*backend
+	for name, b := range c.backendsByName {
+		if b.state == piernotch.Gone {
+			delete(c.backendsByName, name)
+			delete(c.backends, b.id)
+			gone = append(gone, b)
+		}
+	}
+	return gone
+}
+
+// ProbeTimeout is how long a backend may take to answer a health check.
+const ProbeTimeout = 500 * time.Millisecond
+
+// startHealthCheck checks a backend, unless a check of it is running.
+func (c *Core) startHealthCheck(b *backend) {
+	if c.healthChecks[b.id] != nil {
+		return
+	}
+	id := b.id
+	c.healthChecks[id] = c.timers.At(c.now+ProbeTimeout+2*TickInterval, func() {
+		delete(c.healthChecks, id)
+		c.balancer.HealthCheckCompleted(c.now, id, piernotch.Timeout)
+	})
+	c.emit(HealthCheck{b.endpoint()})
+}
+
+func (c *Core) handleHealthCheckCompleted(ev HealthCheckCompleted) {
+	timer := c.healthChecks[ev.Backend]
+	if timer == nil {
+		return
+	}
+	timer.Stop()
+	delete(c.healthChecks, ev.Backend)
+	c.balancer.HealthCheckCompleted(c.now, ev.Backend, ev.Status)
+}
+
+func (c *Core) handleLoadReported(ev LoadReported) {
+	if b := c.backends[ev.Backend]; c.debug && b != nil {
+		slog.Debug("load report", "server", b.name, "inflight", ev.Load.Inflight,
+			"completed_per_s", ev.Load.CompletedPerSecond)
+	}
+	c.balancer.LoadReported(c.now, ev.Backend, ev.Load)
+}
--- /dev/null
+++ b/internal/serve/core/events.go
@@ -0,0 +1,110 @@
+package core
+
+import (
+	"time"
+
+	"piernotch"
+	"piernotch/internal/serve/overrides"
+)
+
+// ExchangeID identifies one exchange with a client: a request and its single response.
+type ExchangeID uint64
+
+// AttemptRef identifies an attempt by its request and its index, from 0, among the request's
+// attempts.
+type AttemptRef struct {
+	Request piernotch.RequestID
+	Attempt int
+}
+
+// Endpoint is a backend together with its address. A new backend may come up at the address of one
+// that is gone; connections and results of the one must not be attributed to the other.
+type Endpoint struct {
+	Backend piernotch.BackendID
+	Address string
+}
+
+// DiscoveredEndpoint is one backend as discovery lists it.
+type DiscoveredEndpoint struct {
+	Name     string
+	Address  string
+	Endpoint piernotch.Endpoint // everything but the ID, which core assigns
+}
+
+// Event is something that happened outside of the reducer.
+type Event interface{ event() }
+
+// The events. Times are durations on the clock that Core.Handle is given.
+type (
+	// RequestReceived reports a client's request. It obliges the core to send exactly one final
+	// response, unless the client leaves first.
+	RequestReceived struct {
+		Client   ExchangeID
+		ID       string // the client's identifier of the request, unique while it is open; may be empty
+		Message  any
+		Class    int           // index into the settings' classes
+		Tenant   int           // index into the settings' tenants; -1: none of them
+		Key      uint64        // what the request is about, for key affinity; 0: nothing
+		Hint     float64       // expected work in milliseconds; NaN: unknown
+		Deadline time.Duration // the client waits until then
+	}
+	// ClientGone reports that the client of an exchange has disconnected.
+	ClientGone struct{ Client ExchangeID }
+	// AttemptConnected reports that an attempt has a connection and can be written.
+	AttemptConnected struct{ Ref AttemptRef }
+	// AttemptCompleted reports the end of an attempt. Answer is set if Status is OK.
+	AttemptCompleted struct {
+		Ref    AttemptRef
+		Status piernotch.Status
+		Answer any
+	}
+	// HealthCheckCompleted reports the result of a health check.
+	HealthCheckCompleted struct {
+		Backend piernotch.BackendID
+		Status  piernotch.Status
+	}
+	// LoadReported carries the load report that a backend attached to an answer.
+	LoadReported struct {
+		Backend piernotch.BackendID
+		Load    piernotch.LoadReport
+	}
+	// EndpointUpdate carries endpoints from discovery, or reports that discovery failed.
+	EndpointUpdate struct {
+		Kind      piernotch.UpdateKind
+		Endpoints []DiscoveredEndpoint
+	}
+	// Tick reports that time has passed. It is what makes timers fire.
+	Tick struct{}
+	// SettingsChanged carries new settings and the address of discovery, which may have changed too.
+	// They are applied completely or not at all; SettingsApplied reports which.
+	SettingsChanged struct {
+		Settings  piernotch.Settings
+		Discovery string
+	}
+	// AdminCommand is an operator's command. AdminResult answers it.
+	AdminCommand struct {
+		Call   uint64 // identifies the command in AdminResult
+		Action overrides.Action
+		Server string // name of the backend concerned; unused by Evacuate and Rejoin
+	}
+	// PeerOverrides carries the overrides held by another process of this balancer.
+	PeerOverrides struct{ Overrides *overrides.Overrides }
+	// PeerSnapshot carries what another process of this balancer has learnt about the traffic.
+	PeerSnapshot struct{ Snapshot piernotch.Snapshot }
+	// Shutdown starts a graceful shutdown, which ends with Exit once no response is pending.
+	Shutdown struct{}
+)
+
+func (RequestReceived) event()      {}
+func (ClientGone) event()           {}
+func (AttemptConnected) event()     {}
+func (AttemptCompleted) event()     {}
+func (HealthCheckCompleted) event() {}
+func (LoadReported) event()         {}
+func (EndpointUpdate) event()       {}
+func (Tick) event()                 {}
+func (SettingsChanged) event()      {}
+func (AdminCommand) event()         {}
+func (PeerOverrides) event()        {}
+func (PeerSnapshot) event()         {}
+func (Shutdown) event()             {}
--- /dev/null
+++ b/internal/serve/core/shutdown.go
@@ -0,0 +1,40 @@
+package core
+
+import "time"
+
+// ShutdownGrace is how long new work is still accepted after a Shutdown: clients learn of it only
+// some time later.
+const ShutdownGrace = 700 * time.Millisecond
+
+// After ShutdownGrace the platform gives a process the longest deadline of a request, but
+// maxDrainTime at most, before it may kill it. All responses are sent responseMargin before that.
+const (
+	maxDrainTime   = 3 * time.Second
+	responseMargin = 200 * time.Millisecond
+)
+
+// ShuttingDown reports whether a graceful shutdown has started.
+func (c *Core) ShuttingDown() bool { return c.shuttingDown }
+
+// handleShutdown starts a graceful shutdown: after ShutdownGrace the process stops listening, and it
+// exits once no response is pending.
+func (c *Core) handleShutdown() {
+	if c.shuttingDown {
+		return
+	}
+	c.shuttingDown = true
+	c.answerBy = c.now + ShutdownGrace + min(c.longestDeadline(), maxDrainTime) - responseMargin
+	c.timers.At(c.now+ShutdownGrace, func() {
+		c.stoppedListening = true
+		c.emit(StopListening{})
+	})
+}
+
+// longestDeadline returns the longest deadline of any class, from the receipt of a request.
+func (c *Core) longestDeadline() time.Duration {
+	longest := time.Duration(0)
+	for _, class := range c.settings.Classes {
+		longest = max(longest, class.Deadline)
+	}
+	return longest
+}
--- a/internal/serve/handover/record_test.go
+++ b/internal/serve/handover/record_test.go
@@ -49,7 +49,7 @@
 
 func TestARecordIsReadWholeOrNotAtAll(t *testing.T) {
 	r := Record{ProcessState: ProcessState{3, 4, Ready, 5}, Generation: 9, Endpoints: []Endpoint{{Name: "s-1", Zone: "a"}}}
-	_, err := r.Overrides.Apply(1, 1, overrides.Exclude, "s-1", true)
+	_, err := r.Overrides.Apply(overrides.Command{At: 1, Process: 1, Action: overrides.Exclude, Server: "s-1", Listed: true})
 	require.NoError(t, err)
 	data, err := Encode(r)
 	require.NoError(t, err)
--- a/internal/serve/overrides/overrides.go
+++ b/internal/serve/overrides/overrides.go
@@ -1,9 +1,15 @@
-// Package overrides holds what operators have told a balancer: which feed servers are left out,
-// and whether it sends its clients away. Two processes of one balancer stand side by side while
-// one takes over from the other, and each may be told something: what they hold merges entry by
-// entry, the later word wins, and the order in which records are read makes no difference.
+// Package overrides holds the operators' overrides of a balancer: which backends are excluded, and
+// whether it sends its clients to other balancers.
 //
-// The package does no I/O and reads no clock.
+// While one process of a balancer takes over from another, both are alive and either may receive
+// commands. Their overrides are therefore a last-writer-wins map: each entry carries a Lamport
+// timestamp, merging takes the later one entry by entry, and the order of merges makes no
+// difference.
+//
+// The package does no I/O, reads no clock and knows neither sockets nor the module; it is not safe
+// for concurrent use. internal/serve/core owns the overrides of a running process and applies them,
+// internal/serve/handover stores them in records, and internal/serve/admin translates calls into
+// actions.
 package overrides
 
 import (
@@ -12,127 +18,163 @@
 	"time"
 )
 
-// Action is what an operator asks for.
+// Action is what an operator requests.
 type Action uint8
 
-// Verbs.
+// Actions.
 const (
-	Exclude  Action = iota // leave a feed server out
-	Include                // it may serve again
-	Evacuate               // send clients away
-	Rejoin                 // take them again
+	Exclude  Action = iota // send no requests to a backend
+	Include                // undo Exclude
+	Evacuate               // send clients to other balancers
+	Rejoin                 // undo Evacuate
 )
 
-var verbs = [...]string{"exclude", "include", "evacuate", "rejoin"}
+var actionNames = [...]string{"exclude", "include", "evacuate", "rejoin"}
+
+// String returns the name of the action as the log has it.
+func (a Action) String() string { return actionNames[a] }
 
-func (v Action) String() string { return verbs[v] }
+// ConcernsServer reports whether the action is about one backend, not about the balancer's clients.
+func (a Action) ConcernsServer() bool { return a == Exclude || a == Include }
 
-// Errors of Say.
+// activates reports whether the action sets an override rather than undoing it.
+func (a Action) activates() bool { return a == Exclude || a == Evacuate }
+
+// Errors of Apply. Their text is shown to operators.
 var (
-	ErrUnknownServer   = errors.New("no feed server of that name is known")
+	// ErrUnknownServer means that the backend is neither listed nor excluded.
+	ErrUnknownServer = errors.New("no feed server of that name is known")
+	// ErrTooManyExcluded means that MaxExcluded backends are excluded already.
 	ErrTooManyExcluded = errors.New("too many feed servers are left out already")
 )
 
-// MaxExcluded bounds how many servers may be left out at a time.
+// MaxExcluded bounds the number of backends that may be excluded at a time.
 const MaxExcluded = 4096
 
-// Timestamp orders words. Count is above that of every word that was known when it was given; two
-// processes that were told something in the same moment differ in By.
+// Timestamp is a Lamport timestamp: Counter is above that of every override that was known when it
+// was made. Process breaks the tie of two processes that receive commands at the same time.
 type Timestamp struct {
 	Counter uint64 `json:"count"`
 	Process uint64 `json:"by"`
 }
 
-func (s Timestamp) before(t Timestamp) bool {
-	return s.Counter < t.Counter || s.Counter == t.Counter && s.Process < t.Process
+// before reports whether t is older than other.
+func (t Timestamp) before(other Timestamp) bool {
+	if t.Counter != other.Counter {
+		return t.Counter < other.Counter
+	}
+	return t.Process < other.Process
 }
 
-// Override is the last that was said of one thing.
+// Override is the last command on one subject.
 type Override struct {
 	Timestamp
 	Active bool          `json:"on"`
 	SetAt  time.Duration `json:"at"` // Unix time
 }
 
-// Overrides are all that count. The zero value says nothing; it must not be copied while in use.
+// Overrides are all overrides of a balancer. The zero value has none. A copy shares the map; use
+// Clone.
 type Overrides struct {
-	Servers map[string]Override `json:"servers,omitempty"` // On: left out
-	Drain   Override            `json:"drain"`             // On: clients are sent away
+	Servers map[string]Override `json:"servers,omitempty"` // by name; active: excluded
+	Drain   Override            `json:"drain"`             // active: clients are sent to other balancers
 }
 
-// Excluded tells whether the server is left out.
-func (w *Overrides) Excluded(server string) bool { return w.Servers[server].Active }
+// Excluded reports whether the named backend is excluded.
+func (o *Overrides) Excluded(server string) bool { return o.Servers[server].Active }
 
-// Clone returns a copy that shares nothing.
-func (w *Overrides) Clone() Overrides { return Overrides{maps.Clone(w.Servers), w.Drain} }
+// Clone returns a deep copy.
+func (o *Overrides) Clone() Overrides {
+	return Overrides{Servers: maps.Clone(o.Servers), Drain: o.Drain}
+}
+
+// Command is an operator's command as a process receives it.
+type Command struct {
+	At      time.Duration // Unix time
+	Process uint64        // the receiving process, for the timestamp
+	Action  Action
+	Server  string // name of the backend, if the action concerns one
+	Listed  bool   // that backend is in the endpoint list
+}
 
-// Apply takes an operator's word at now from process by. known tells whether a server of that
-// name is listed. It returns whether anything is different now; what was said twice is not.
-func (w *Overrides) Apply(now time.Duration, by uint64, verb Action, server string, known bool) (changed bool, err error) {
-	next := Override{Timestamp{w.top() + 1, by}, verb == Exclude || verb == Evacuate, now}
-	if verb == Evacuate || verb == Rejoin {
-		if w.Drain.Active == next.Active {
+// Apply carries out a command and reports whether anything has changed: a repeated command changes
+// nothing and is no error. The errors are ErrUnknownServer and ErrTooManyExcluded.
+func (o *Overrides) Apply(cmd Command) (changed bool, err error) {
+	next := Override{
+		Timestamp: Timestamp{Counter: o.maxCounter() + 1, Process: cmd.Process},
+		Active:    cmd.Action.activates(),
+		SetAt:     cmd.At,
+	}
+	if !cmd.Action.ConcernsServer() {
+		if o.Drain.Active == next.Active {
 			return false, nil
 		}
-		w.Drain = next
+		o.Drain = next
 		return true, nil
 	}
-	was := w.Servers[server]
+	current := o.Servers[cmd.Server]
 	switch {
-	case !known && !was.Active:
+	case !cmd.Listed && !current.Active:
 		return false, ErrUnknownServer
-	case was.Active == next.Active:
+	case current.Active == next.Active:
 		return false, nil
-	case next.Active && w.count() >= MaxExcluded:
+	case next.Active && o.countExcluded() >= MaxExcluded:
 		return false, ErrTooManyExcluded
 	}
-	if w.Servers == nil {
-		w.Servers = map[string]Override{}
-	}
-	w.Servers[server] = next
+	o.setServer(cmd.Server, next)
 	return true, nil
 }
 
-// Merge takes what another process holds and returns the servers of which another word counts
-// now, and whether that of the drain does.
-func (w *Overrides) Merge(other *Overrides) (servers []string, drain bool) {
+// Merge takes over the later overrides of another process. It returns the names of the backends
+// whose override has changed or is new, in no particular order, and whether Drain has changed.
+func (o *Overrides) Merge(other *Overrides) (servers []string, drainChanged bool) {
 	for name, theirs := range other.Servers {
-		ours, ok := w.Servers[name]
-		if ok && !ours.before(theirs.Timestamp) {
+		ours, known := o.Servers[name]
+		if known && !ours.before(theirs.Timestamp) {
 			continue
 		}
-		if w.Servers == nil {
-			w.Servers = map[string]Override{}
-		}
-		w.Servers[name] = theirs
-		if ours.Active != theirs.Active || !ok {
+		o.setServer(name, theirs)
+		if ours.Active != theirs.Active || !known {
 			servers = append(servers, name)
 		}
 	}
-	if w.Drain.before(other.Drain.Timestamp) {
-		drain = w.Drain.Active != other.Drain.Active
-		w.Drain = other.Drain
+	if o.Drain.before(other.Drain.Timestamp) {
+		drainChanged = o.Drain.Active != other.Drain.Active
+		o.Drain = other.Drain
 	}
-	return servers, drain
+	return servers, drainChanged
 }
 
-// Prune forgets that servers were included again, where that was before the given time. It must
-// not be called while another process holds words: it could still hold the exclusion.
-func (w *Overrides) Prune(before time.Duration) {
-	maps.DeleteFunc(w.Servers, func(_ string, word Override) bool { return !word.Active && word.SetAt < before })
+// Prune removes the entries of backends that were included again before the given time (Unix time).
+// It must not be called while another process of the balancer is alive: that one could still hold
+// the exclusion, and a merge would bring it back.
+func (o *Overrides) Prune(before time.Duration) {
+	maps.DeleteFunc(o.Servers, func(_ string, override Override) bool {
+		return !override.Active && override.SetAt < before
+	})
+}
+
+func (o *Overrides) setServer(name string, override Override) {
+	if o.Servers == nil {
+		o.Servers = map[string]Override{}
+	}
+	o.Servers[name] = override
 }
 
-func (w *Overrides) top() uint64 {
-	top := w.Drain.Counter
-	for _, word := range w.Servers {
-		top = max(top, word.Counter)
+// maxCounter returns the highest counter of any entry.
+func (o *Overrides) maxCounter() uint64 {
+	highest := o.Drain.Counter
+	for _, override := range o.Servers {
+		highest = max(highest, override.Counter)
 	}
-	return top
+	return highest
 }
 
-func (w *Overrides) count() (n int) {
-	for _, word := range w.Servers {
-		if word.Active {
+// countExcluded returns the number of excluded backends.
+func (o *Overrides) countExcluded() int {
+	n := 0
+	for _, override := range o.Servers {
+		if override.Active {
 			n++
 		}
 	}
--- a/internal/serve/overrides/overrides_test.go
+++ b/internal/serve/overrides/overrides_test.go
@@ -8,19 +8,19 @@
 	"pgregory.net/rapid"
 )
 
-func TestACallOutMayArriveTwiceAndOneCallBackUndoesBoth(t *testing.T) {
-	var w Overrides
-	for i, c := range []struct {
-		verb    Action
+func TestRepeatedExcludeIsUndoneByOneInclude(t *testing.T) {
+	var o Overrides
+	for i, tc := range []struct {
+		action  Action
 		server  string
-		known   bool
+		listed  bool
 		changed bool
 		err     error
 	}{
 		{Exclude, "s-1", false, false, ErrUnknownServer},
 		{Include, "s-1", false, false, ErrUnknownServer},
 		{Exclude, "s-1", true, true, nil},
-		{Exclude, "s-1", false, false, nil}, // not listed any more
+		{Exclude, "s-1", false, false, nil}, // no longer listed
 		{Include, "s-1", false, true, nil},
 		{Exclude, "s-1", false, false, ErrUnknownServer},
 		{Include, "s-2", true, false, nil},
@@ -28,32 +28,37 @@
 		{Evacuate, "", false, false, nil},
 		{Rejoin, "", false, true, nil},
 	} {
-		changed, err := w.Apply(time.Duration(i), 1, c.verb, c.server, c.known)
-		require.ErrorIs(t, err, c.err, i)
-		require.Equal(t, c.changed, changed, i)
+		changed, err := o.Apply(Command{
+			At: time.Duration(i), Process: 1, Action: tc.action, Server: tc.server, Listed: tc.listed,
+		})
+		require.ErrorIs(t, err, tc.err, i)
+		require.Equal(t, tc.changed, changed, i)
 	}
-	require.False(t, w.Excluded("s-1"))
-	require.False(t, w.Drain.Active)
-	require.Len(t, w.Servers, 1)
-	w.Prune(time.Hour)
-	require.Empty(t, w.Servers)
+	require.False(t, o.Excluded("s-1"))
+	require.False(t, o.Drain.Active)
+	require.Len(t, o.Servers, 1)
+	o.Prune(time.Hour)
+	require.Empty(t, o.Servers)
 }
 
-// Processes that hear of each other's words in any order, any number of times, end up with the
-// same, and the word that was given last where both were known counts.
-func TestMergeIsTheSameInAnyOrder(t *testing.T) {
+// Processes that merge each other's overrides in any order, any number of times, end up with the
+// same ones, and a command overrides every command that was known when it was received.
+func TestMergeOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := make([]Overrides, 3)
 		names := []string{"a", "b"}
 		for i := range rapid.IntRange(0, 30).Draw(t, "steps") {
 			k := rapid.IntRange(0, 2).Draw(t, "process")
-			if rapid.Bool().Draw(t, "hears") {
+			if rapid.Bool().Draw(t, "merges") {
 				other := all[rapid.IntRange(0, 2).Draw(t, "other")].Clone()
 				all[k].Merge(&other)
 				continue
 			}
-			verb := Action(rapid.IntRange(0, 3).Draw(t, "verb"))
-			_, err := all[k].Apply(time.Duration(i), uint64(k), verb, rapid.SampledFrom(names).Draw(t, "server"), true)
+			action := Action(rapid.IntRange(0, 3).Draw(t, "action"))
+			server := rapid.SampledFrom(names).Draw(t, "server")
+			_, err := all[k].Apply(Command{
+				At: time.Duration(i), Process: uint64(k), Action: action, Server: server, Listed: true,
+			})
 			require.NoError(t, err)
 		}
 		for range 2 {
@@ -66,11 +71,11 @@
 		for i := range all {
 			require.Equal(t, all[0].Drain, all[i].Drain)
 			require.Equal(t, len(all[0].Servers), len(all[i].Servers))
-			for name, word := range all[0].Servers {
-				require.Equal(t, word, all[i].Servers[name])
+			for name, override := range all[0].Servers {
+				require.Equal(t, override, all[i].Servers[name])
 			}
 		}
-		changed, err := all[1].Apply(time.Hour, 1, Exclude, "a", true)
+		changed, err := all[1].Apply(Command{At: time.Hour, Process: 1, Action: Exclude, Server: "a", Listed: true})
 		require.NoError(t, err)
 		servers, _ := all[2].Merge(&all[1])
 		require.Equal(t, changed, len(servers) == 1)
