--- a/internal/serve/handover/directory.go
+++ b/internal/serve/handover/directory.go
@@ -1,32 +1,38 @@
 package handover
 
 import (
-	"errors"
 	"fmt"
 	"log/slog"
 	"os"
 	"path/filepath"
 	"strconv"
 	"strings"
-	"syscall"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// Directory is the place where the processes of one balancer keep their records. Beside each record
-// lies a lock, which its writer holds as long as it lives: the kernel takes it away from a
-// process that has ended, whichever way it did.
+// Suffixes of the files of a process. They share a stem: the balancer's prefix, the process ID and
+// the time of the start.
+const (
+	lockSuffix   = ".lock"
+	recordSuffix = ".record"
+	tempSuffix   = ".tmp"
+)
+
+// Directory is the directory in which the processes of a balancer keep their records, as one of
+// these processes uses it. It must be used from one goroutine; create it with Enter.
 type Directory struct {
-	path   string
-	prefix string // of this balancer's files
-	name   string // the balancer's
-	own    string // this process's files, without their endings
-	lock   *os.File
-	seen   map[string]seen // by the name of the file, without its ending
+	path    string
+	name    string // of the balancer
+	prefix  string // of the files of this balancer's processes
+	ownStem string // of this process's files
+	lock    *os.File
+	cache   map[string]cachedRecord // by stem
 }
 
-type seen struct {
+// cachedRecord is what was read last from a record file.
+type cachedRecord struct {
 	file   os.FileInfo
 	record Record
 	err    error
@@ -35,109 +41,113 @@
 // Peer is another process of the balancer.
 type Peer struct {
 	Record
-	Alive bool  // else it has ended: this is the last that is heard of it
-	Err   error // its record could not be read; nothing else of it is known
+	Alive bool  // false: it has ended, and will not be returned again
+	Err   error // its record could not be read; Record is empty then
 }
 
-const (
-	lockEnding, recordEnding, tempEnding = ".lock", ".record", ".tmp"
-)
-
-// Enter makes this process known in the directory to others of the balancer of that name. Its
-// first record follows with Write.
+// Enter makes this process known in the directory at path to others of the named balancer, and
+// returns the directory. Its first record is published with Write. Leave ends it.
 func Enter(path, name string) (*Directory, error) {
-	d := &Directory{path: path, name: name, seen: map[string]seen{}}
-	d.prefix = fmt.Sprintf("piernotch-%016x-", xxhash.Sum64String(name))
-	d.own = d.prefix + strconv.Itoa(os.Getpid()) + "-" + strconv.FormatInt(time.Now().UnixNano(), 36)
-	// The lock is held before it has its name: without a holder it would be taken for a dead
-	// process's.
-	temp := d.file(d.own, tempEnding)
-	f, err := os.OpenFile(temp, os.O_CREATE|os.O_RDWR|os.O_EXCL, 0o600)
-	if err != nil {
-		return nil, fmt.Errorf("hand-over: %w", err)
-	}
-	if err = syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err == nil {
-		err = os.Rename(temp, d.file(d.own, lockEnding))
+	prefix := fmt.Sprintf("piernotch-%016x-", xxhash.Sum64String(name))
+	startedAt := strconv.FormatInt(time.Now().UnixNano(), 36)
+	d := &Directory{
+		path:    path,
+		name:    name,
+		prefix:  prefix,
+		ownStem: prefix + strconv.Itoa(os.Getpid()) + "-" + startedAt,
+		cache:   map[string]cachedRecord{},
 	}
+	lock, err := acquireLock(d.file(d.ownStem, lockSuffix), d.file(d.ownStem, tempSuffix))
 	if err != nil {
-		_ = f.Close()
-		_ = os.Remove(temp)
 		return nil, fmt.Errorf("hand-over: %w", err)
 	}
-	d.lock = f
+	d.lock = lock
 	return d, nil
 }
 
-func (d *Directory) file(name, ending string) string { return filepath.Join(d.path, name+ending) }
+// Leave releases the lock, as the end of the process would. The record stays for the other
+// processes to read.
+func (d *Directory) Leave() { _ = d.lock.Close() }
+
+func (d *Directory) file(stem, suffix string) string { return filepath.Join(d.path, stem+suffix) }
 
-// Write replaces this process's record.
+// Write replaces this process's record atomically. The balancer's name in it is filled in here.
 func (d *Directory) Write(r Record) error {
 	r.Name = d.name
 	data, err := Encode(r)
 	if err != nil {
 		return fmt.Errorf("hand-over: %w", err)
 	}
-	temp := d.file(d.own, tempEnding)
-	if err = os.WriteFile(temp, data, 0o600); err == nil {
-		err = os.Rename(temp, d.file(d.own, recordEnding))
+	temporary := d.file(d.ownStem, tempSuffix)
+	err = os.WriteFile(temporary, data, 0o600)
+	if err == nil {
+		err = os.Rename(temporary, d.file(d.ownStem, recordSuffix))
 	}
 	if err != nil {
-		_ = os.Remove(temp)
+		_ = os.Remove(temporary)
 		return fmt.Errorf("hand-over: %w", err)
 	}
 	return nil
 }
 
-// Peers returns the other processes. One that has ended is returned once and its files removed.
+// Peers returns the other processes of the balancer. One that has ended is returned once, with its
+// last record, and its files are removed.
 func (d *Directory) Peers() ([]Peer, error) {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
 		return nil, fmt.Errorf("hand-over: %w", err)
 	}
 	var peers []Peer
-	for _, e := range entries {
-		name, isLock := strings.CutSuffix(e.Name(), lockEnding)
-		if !isLock || name == d.own || !strings.HasPrefix(name, d.prefix) {
+	for _, entry := range entries {
+		stem, isLock := strings.CutSuffix(entry.Name(), lockSuffix)
+		if !isLock || stem == d.ownStem || !strings.HasPrefix(stem, d.prefix) {
 			continue
 		}
-		alive, err := locked(d.file(name, lockEnding))
+		alive, err := isLocked(d.file(stem, lockSuffix))
 		if err != nil {
-			continue // another removed it
+			continue // another process has removed it
 		}
-		s := d.read(name)
-		if !alive { // its last record may be younger than the one read
-			delete(d.seen, name)
-			for _, ending := range []string{recordEnding, tempEnding, lockEnding} {
-				_ = os.Remove(d.file(name, ending))
-			}
+		// The record is read after the lock was examined: of a process that has ended this is the last.
+		cached := d.read(stem)
+		if !alive {
+			d.remove(stem)
 		}
-		peers = append(peers, Peer{s.record, alive, s.err})
+		peers = append(peers, Peer{Record: cached.record, Alive: alive, Err: cached.err})
 	}
 	return peers, nil
 }
 
-// read reads a record, if it is another than the one that was read last.
-func (d *Directory) read(name string) seen {
-	path := d.file(name, recordEnding)
+// remove removes the files of a process that has ended.
+func (d *Directory) remove(stem string) {
+	delete(d.cache, stem)
+	for _, suffix := range []string{recordSuffix, tempSuffix, lockSuffix} {
+		_ = os.Remove(d.file(stem, suffix))
+	}
+}
+
+// read returns the record of a process, from the cache if its file has not been replaced.
+func (d *Directory) read(stem string) cachedRecord {
+	path := d.file(stem, recordSuffix)
 	info, err := os.Stat(path)
-	was, known := d.seen[name]
-	switch {
-	case err != nil:
-		return seen{err: err} // it has just started
-	case known && os.SameFile(info, was.file) && info.ModTime().Equal(was.file.ModTime()):
-		return was
+	if err != nil {
+		return cachedRecord{err: err} // it has just started
 	}
-	s := seen{file: info}
-	s.record, s.err = d.load(path, info.Size())
-	if s.err != nil {
-		slog.Warn("handover record rejected", "file", name, "err", s.err)
+	previous, cached := d.cache[stem]
+	if cached && os.SameFile(info, previous.file) && info.ModTime().Equal(previous.file.ModTime()) {
+		return previous
 	}
-	d.seen[name] = s
-	return s
+	current := cachedRecord{file: info}
+	current.record, current.err = d.load(path, info.Size())
+	if current.err != nil {
+		slog.Warn("handover record rejected", "file", stem, "err", current.err)
+	}
+	d.cache[stem] = current
+	return current
 }
 
+// load reads a record file of the given size in bytes.
 func (d *Directory) load(path string, size int64) (Record, error) {
-	if size > maxSize {
+	if size > maxRecordSize {
 		return Record{}, fmt.Errorf("%w: %d bytes", ErrTruncated, size)
 	}
 	data, err := os.ReadFile(path)
@@ -145,23 +155,11 @@
 		return Record{}, err
 	}
 	r, err := Decode(data)
-	if err == nil && r.Name != d.name {
-		return Record{}, fmt.Errorf("record of another balancer, %q", r.Name)
-	}
-	return r, err
-}
-
-// Leave lets the lock go, as the end of the process would. The record stays for whoever comes
-// next.
-func (d *Directory) Leave() { _ = d.lock.Close() }
-
-// locked tells whether a living process holds the lock.
-func locked(path string) (bool, error) {
-	f, err := os.Open(path)
 	if err != nil {
-		return false, err
+		return Record{}, err
+	}
+	if r.Name != d.name {
+		return Record{}, fmt.Errorf("%w, %q", ErrOtherBalancer, r.Name)
 	}
-	defer func() { _ = f.Close() }()
-	err = syscall.Flock(int(f.Fd()), syscall.LOCK_SH|syscall.LOCK_NB)
-	return errors.Is(err, syscall.EWOULDBLOCK), nil
+	return r, nil
 }
--- /dev/null
+++ b/internal/serve/handover/process_test.go
@@ -0,0 +1,48 @@
+package handover
+
+import (
+	"slices"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// Of several processes one accepts clients, and there is never none while one of them can serve.
+func TestNewestReadyProcessAccepts(t *testing.T) {
+	state := func(epoch uint64, phase Phase) ProcessState {
+		return ProcessState{Epoch: epoch, PID: int(epoch), Phase: phase}
+	}
+	for _, tc := range []struct {
+		all     []ProcessState
+		accepts []bool
+	}{
+		{[]ProcessState{state(1, Starting)}, []bool{false}},
+		{[]ProcessState{state(1, Ready)}, []bool{true}},
+		{[]ProcessState{state(1, Ready), state(2, Starting)}, []bool{true, false}},
+		{[]ProcessState{state(1, Ready), state(2, Ready)}, []bool{false, true}},
+		{[]ProcessState{state(1, ShuttingDown), state(2, Starting)}, []bool{true, false}},
+		{[]ProcessState{state(1, ShuttingDown), state(2, Ready)}, []bool{false, true}},
+		{[]ProcessState{state(1, Ready), state(2, ShuttingDown)}, []bool{true, false}}, // the new one is rolled back
+		{[]ProcessState{state(1, Ready), state(2, Ready), state(3, Ready)}, []bool{false, false, true}},
+		{[]ProcessState{state(1, ShuttingDown), state(2, ShuttingDown)}, []bool{true, true}}, // until each is done
+		{[]ProcessState{{2, 7, Ready, 0}, {2, 9, Ready, 0}}, []bool{false, true}},
+	} {
+		for i, s := range tc.all {
+			others := slices.Delete(slices.Clone(tc.all), i, i+1)
+			require.Equal(t, tc.accepts[i], s.Accepts(others), "%v %d", tc.all, i)
+		}
+	}
+}
+
+// Together the processes stay within the limit, and the one that accepts gets what the others leave.
+func TestDescriptorSharesStayWithinLimit(t *testing.T) {
+	previous := ProcessState{Epoch: 1, Phase: Ready, DescriptorClaim: 384}
+	next := ProcessState{Epoch: 2, Phase: Ready}
+	require.Equal(t, 384, previous.DescriptorShare(nil, 384, 100))
+	require.Equal(t, descriptorHeadroom, next.DescriptorShare([]ProcessState{previous}, 384, 0),
+		"the previous one has not lowered its claim yet")
+	previous.DescriptorClaim = previous.DescriptorShare([]ProcessState{next}, 384, 100)
+	require.Equal(t, 116, previous.DescriptorClaim)
+	require.Equal(t, 384-116, next.DescriptorShare([]ProcessState{previous}, 384, 50))
+	require.Equal(t, 192, previous.DescriptorShare([]ProcessState{next}, 384, 300))
+}
