--- /dev/null
+++ b/internal/serve/admin/connection.go
@@ -0,0 +1,98 @@
+package admin
+
+import (
+	"errors"
+	"log/slog"
+	"time"
+
+	"piernotch/internal/http1"
+	"piernotch/internal/serve/eventloop"
+)
+
+// connection is the connection of one caller. It is the event loop's handler of the connection.
+type connection struct {
+	server      *Server
+	conn        *eventloop.Conn
+	parser      *http1.Parser
+	operation   string        // path and backend of the call, for the log
+	since       time.Duration // when it was accepted; once it is answered, when that was
+	call        uint64        // being executed, or last executed; 0: none so far
+	answered    bool
+	writeClosed bool
+}
+
+// Data implements eventloop.Handler.
+func (c *connection) Data(data []byte) {
+	if c.answered || c.call != 0 {
+		return // one call for each connection: whatever follows it is ignored
+	}
+	c.parser.Feed(data)
+	request, err := c.parser.Next()
+	var malformed *http1.Error
+	switch {
+	case errors.As(err, &malformed):
+		c.respond(malformed.Status, malformed.Reason)
+	case err != nil:
+		c.respond(http1.StatusBadRequest, err.Error())
+	case request != nil:
+		c.serve(request)
+	case c.parser.ExpectsContinue():
+		_ = c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")) // a failure is reported to Closed, too
+	}
+}
+
+// Closed implements eventloop.Handler.
+func (c *connection) Closed(error) { c.server.remove(c) }
+
+// checkTimeouts ends a connection whose time is over. A call that is being executed has no timeout.
+func (c *connection) checkTimeouts(now time.Duration) {
+	switch {
+	case c.answered:
+		c.linger(now)
+	case c.call == 0 && now-c.since > requestTimeout:
+		c.respond(http1.StatusRequestTimeout, "the call did not come to its end")
+	}
+}
+
+// respond sends the response, of one line of text, and starts closing the connection.
+func (c *connection) respond(status int, text string, extra ...http1.Field) {
+	slog.Info("admin response", "action", c.operation, "status", status, "text", text)
+	c.answered = true
+	c.since = c.server.Now()
+	// Unread input would have the kernel reset the connection, and the response with it.
+	c.conn.DiscardInput()
+	fields := append(extra,
+		http1.Field{Name: "Content-Type", Value: "text/plain"},
+		http1.Field{Name: "Connection", Value: "close"},
+	)
+	err := c.conn.Write(http1.AppendResponse(nil, status, fields, []byte(text+"\n")))
+	if err == nil {
+		c.linger(c.since)
+	}
+}
+
+// linger ends the sending side once the response is written, and closes the connection after
+// lingerTimeout if the caller has not done so.
+func (c *connection) linger(now time.Duration) {
+	if !c.writeClosed && c.conn.UnsentBytes() == 0 {
+		c.writeClosed = true
+		c.conn.CloseWrite()
+	}
+	if now-c.since > lingerTimeout {
+		c.close()
+	}
+}
+
+// close closes the connection at once. Closed is not called for it.
+func (c *connection) close() {
+	c.conn.Close()
+	c.server.remove(c)
+}
+
+// shedBefore reports whether c is to be closed rather than other.
+func (c *connection) shedBefore(other *connection) bool {
+	if c.answered != other.answered {
+		return c.answered
+	}
+	return c.since < other.since
+}
--- a/internal/serve/admin/golden_test.go
+++ b/internal/serve/admin/golden_test.go
@@ -25,7 +25,7 @@
 func TestAnswersGoldenFile(t *testing.T) {
 	engine, err := eventloop.New(64)
 	require.NoError(t, err)
-	began := time.Now()
+	startedAt := time.Now()
 	ready := false // the engine's goroutine reads and writes it
 	answers := map[string]error{
 		"exclude s-1": nil, "include s-2": nil, "evacuate ": nil, "rejoin ": errors.New("ending"),
@@ -33,10 +33,10 @@
 	}
 	var server Server
 	server = Server{
-		Now:   func() time.Duration { return time.Since(began) },
+		Now:   func() time.Duration { return time.Since(startedAt) },
 		Ready: func() bool { ready = !ready; return ready },
-		Execute: func(call uint64, verb overrides.Action, name string) {
-			err, known := answers[verb.String()+" "+name]
+		Execute: func(call uint64, action overrides.Action, name string) {
+			err, known := answers[action.String()+" "+name]
 			if !known {
 				err = errors.New("another call was made")
 			}
@@ -46,15 +46,15 @@
 	listener := engine.AdminListener(MaxConnections, server.Accepted, server.Shed)
 	require.NoError(t, listener.Listen("127.0.0.1:0"))
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
 		engine.Run(ctx, 5*time.Millisecond, server.Tick)
-		close(ended)
+		close(stopped)
 	}()
 	t.Cleanup(func() {
 		listener.Stop()
 		stop()
-		<-ended
+		<-stopped
 	})
 
 	var got bytes.Buffer
--- a/internal/serve/admin/server.go
+++ b/internal/serve/admin/server.go
@@ -1,13 +1,15 @@
-// Package admin holds the operators' address: HTTP/1.1 with one call a connection, answered
-// with 2xx for yes and with 4xx or 5xx and one plain sentence for no. Its connections are few
-// and apart from the clients', so that neither can take the other's.
+// Package admin serves the operators' HTTP/1.1 API: one call for each connection, answered by a 2xx
+// status if it was carried out, and otherwise by a 4xx or 5xx status and a sentence that says why.
+//
+// Its connections are few and counted apart from the clients', so that neither can exhaust the
+// other's. The package translates calls into an [overrides.Action] and results into responses. It
+// neither knows nor changes the state of the balancer: internal/serve/runtime, the only caller,
+// connects it to the event loop and to the core by the functions in [Server]. Everything runs on
+// the event loop's goroutine; the package starts none.
 package admin
 
 import (
-	"encoding/json"
 	"errors"
-	"fmt"
-	"log/slog"
 	"time"
 
 	"piernotch/internal/http1"
@@ -16,207 +18,105 @@
 )
 
 const (
-	// MaxConnections is how many may be open at a time; the longest silent gives way to a new one.
+	// MaxConnections is the number of connections that may be open at a time. Beyond it the longest
+	// idle one is closed for a new one.
 	MaxConnections = 16
-	// ReservedDescriptors is what the address takes of the process's limit: its connections, each of
-	// which has a second one for a moment, and the listener.
+	// ReservedDescriptors is how many file descriptors the API takes of the process's limit: one for
+	// each connection, the listener, and a few for the second one that a connection has for a moment.
 	ReservedDescriptors = MaxConnections + 4
-	// callFor is how long a caller may take over its call. Some take seconds by mistake, and
-	// are no harm while there is room.
-	callFor = 5 * time.Second
-	// leaveFor is how long a caller may take to read its answer and leave.
-	leaveFor = time.Second
-	maxName  = 256
-)
 
-var verbs = map[string]overrides.Action{
-	"/api/exclude": overrides.Exclude, "/api/include": overrides.Include,
-	"/api/evacuate": overrides.Evacuate, "/api/rejoin": overrides.Rejoin,
-}
+	// requestTimeout is how long a caller may take to send its call. It is generous, since a slow
+	// caller does no harm while there is room.
+	requestTimeout = 5 * time.Second
+	// lingerTimeout is how long a caller may take to read its response and disconnect.
+	lingerTimeout = time.Second
+)
 
-// Server answers operators. It must be used from the goroutine that owns the sockets.
+// Server answers operators' calls. Its fields must be set before the first connection is accepted.
+// It must be used from the event loop's goroutine and not be copied while in use.
 type Server struct {
-	// Execute carries out a call; Said has to follow, at once or later.
-	Execute func(call uint64, verb overrides.Action, server string)
-	// Ready tells whether this process can serve.
+	// Execute carries out an action. Complete must follow with the same call, at once or later. server
+	// is the name of a backend, or empty if the action concerns none.
+	Execute func(call uint64, action overrides.Action, server string)
+	// Ready reports whether this process can serve clients.
 	Ready func() bool
-	// Now is a clock that does not jump.
+	// Now is a monotonic clock.
 	Now func() time.Duration
 
-	conns   map[*conn]struct{}
-	waiting map[uint64]*conn
-	last    uint64
-}
-
-type conn struct {
-	s      *Server
-	sock   *eventloop.Conn
-	parser *http1.Parser
-	what   string // the call, for the log
-	since  time.Duration
-	call   uint64 // waits for Said; 0: it does not
-	done   bool   // answered
-	shut   bool   // the sending side has ended
+	connections map[*connection]struct{}
+	executing   map[uint64]*connection // by call
+	lastCall    uint64
 }
 
-// Accepted takes in a new connection.
-func (s *Server) Accepted(c *eventloop.Conn) eventloop.Handler {
-	if s.conns == nil {
-		s.conns, s.waiting = map[*conn]struct{}{}, map[uint64]*conn{}
+// Accepted takes over a connection that the listener has accepted.
+func (s *Server) Accepted(conn *eventloop.Conn) eventloop.Handler {
+	if s.connections == nil {
+		s.connections = map[*connection]struct{}{}
+		s.executing = map[uint64]*connection{}
 	}
-	k := &conn{s: s, sock: c, parser: http1.NewRequestParser(), since: s.Now()}
-	s.conns[k] = struct{}{}
-	return k
+	c := &connection{server: s, conn: conn, parser: http1.NewRequestParser(), since: s.Now()}
+	s.connections[c] = struct{}{}
+	return c
 }
 
-// Shed closes the connection that has said nothing of use for longest, answered ones first.
+// Shed closes one connection: the one that has waited longest, answered ones first.
 func (s *Server) Shed() {
-	var out *conn
-	for c := range s.conns {
-		if out == nil || c.done && !out.done || c.done == out.done && c.since < out.since {
-			out = c
+	var victim *connection
+	for c := range s.connections {
+		if victim == nil || c.shedBefore(victim) {
+			victim = c
 		}
 	}
-	if out != nil {
-		out.drop()
+	if victim != nil {
+		victim.close()
 	}
 }
 
-// Tick ends connections whose time is over.
+// Tick enforces the timeouts. It must be called regularly.
 func (s *Server) Tick() {
 	now := s.Now()
-	for c := range s.conns {
-		switch {
-		case c.done:
-			c.leave(now)
-		case c.call == 0 && now-c.since > callFor:
-			c.answer(http1.StatusRequestTimeout, "the call did not come to its end")
-		}
+	for c := range s.connections {
+		c.checkTimeouts(now)
 	}
 }
 
-// Complete takes the answer to a call.
+// Complete reports the result of a call that Execute has been given; err is nil if it was carried
+// out. If the caller is gone, nothing happens.
 func (s *Server) Complete(call uint64, err error) {
-	c := s.waiting[call]
+	c := s.executing[call]
 	if c == nil {
 		return
 	}
-	delete(s.waiting, call)
-	switch {
-	case err == nil:
-		c.answer(http1.StatusOK, "yes")
-	case errors.Is(err, overrides.ErrUnknownServer):
-		c.answer(http1.StatusNotFound, err.Error())
-	case errors.Is(err, overrides.ErrTooManyExcluded):
-		c.answer(http1.StatusConflict, err.Error())
-	default:
-		c.answer(http1.StatusServiceUnavailable, err.Error())
-	}
-}
-
-// Data takes bytes from a caller.
-func (c *conn) Data(data []byte) {
-	if c.done || c.call != 0 {
-		return // one call a connection: what follows it is not read
-	}
-	c.parser.Feed(data)
-	m, err := c.parser.Next()
-	var e *http1.Error
-	switch {
-	case errors.As(err, &e):
-		c.answer(e.Status, e.Reason)
-	case err != nil:
-		c.answer(http1.StatusBadRequest, err.Error())
-	case m != nil:
-		c.serve(m)
-	case c.parser.ExpectsContinue():
-		_ = c.sock.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
-	}
-}
-
-func (c *conn) serve(m *http1.Message) {
-	path := m.Path()
-	c.what = path
-	verb, known := verbs[path]
-	method := http1.MethodPost
-	if path == "/api/ready" {
-		known, method = true, http1.MethodGet
-	}
-	switch {
-	case !known:
-		c.answer(http1.StatusNotFound, "no such call")
-		return
-	case m.Method != method:
-		c.answer(http1.StatusMethodNotAllowed, "use "+method, http1.Field{Name: "Allow", Value: method})
-		return
-	case path == "/api/ready" && c.s.Ready():
-		c.answer(http1.StatusOK, "yes")
+	delete(s.executing, call)
+	if err != nil {
+		c.respond(statusOf(err), err.Error())
 		return
-	case path == "/api/ready":
-		c.answer(http1.StatusServiceUnavailable, "no list of feed servers yet, or ending")
-		return
-	}
-	server := ""
-	if verb == overrides.Exclude || verb == overrides.Include {
-		var err error
-		if server, err = name(m.Body); err != nil {
-			c.answer(http1.StatusBadRequest, err.Error())
-			return
-		}
-		c.what += " " + server
 	}
-	c.s.last++
-	c.call = c.s.last
-	c.s.waiting[c.call] = c
-	c.s.Execute(c.call, verb, server)
+	c.respond(http1.StatusOK, "yes")
 }
 
-// name reads {"name":"ID"}.
-func name(body []byte) (string, error) {
-	var in struct {
-		Name *string `json:"name"`
-	}
-	switch err := json.Unmarshal(body, &in); {
-	case err != nil:
-		return "", fmt.Errorf("the body is not JSON of the form {\"name\":\"ID\"}: %w", err)
-	case in.Name == nil || *in.Name == "":
-		return "", errors.New("name is missing")
-	case len(*in.Name) > maxName:
-		return "", fmt.Errorf("name is longer than %d bytes", maxName)
-	}
-	return *in.Name, nil
+// execute has an action carried out for a connection.
+func (s *Server) execute(c *connection, action overrides.Action, server string) {
+	s.lastCall++
+	c.call = s.lastCall
+	s.executing[c.call] = c
+	s.Execute(c.call, action, server)
 }
 
-func (c *conn) answer(status int, text string, more ...http1.Field) {
-	slog.Info("admin response", "action", c.what, "status", status, "text", text)
-	c.done, c.since = true, c.s.Now()
-	c.sock.DiscardInput() // what still comes must not reset the answer away
-	fields := append(more, http1.Field{Name: "Content-Type", Value: "text/plain"}, http1.Field{Name: "Connection", Value: "close"})
-	if c.sock.Write(http1.AppendResponse(nil, status, fields, []byte(text+"\n"))) == nil {
-		c.leave(c.since)
-	}
+// remove forgets a connection and the call that it waits for.
+func (s *Server) remove(c *connection) {
+	delete(s.connections, c)
+	delete(s.executing, c.call)
 }
 
-// leave ends a connection whose answer is written, once the caller has left or had its time.
-func (c *conn) leave(now time.Duration) {
-	if !c.shut && c.sock.UnsentBytes() == 0 {
-		c.shut = true
-		c.sock.CloseWrite()
-	}
-	if now-c.since > leaveFor {
-		c.drop()
+// statusOf returns the HTTP status of a call that was not carried out.
+func statusOf(err error) int {
+	switch {
+	case errors.Is(err, overrides.ErrUnknownServer):
+		return http1.StatusNotFound
+	case errors.Is(err, overrides.ErrTooManyExcluded):
+		return http1.StatusConflict
+	default:
+		return http1.StatusServiceUnavailable
 	}
 }
-
-// Closed takes the end of a caller's connection.
-func (c *conn) Closed(error) { c.forget() }
-
-func (c *conn) drop() {
-	c.sock.Close()
-	c.forget()
-}
-
-func (c *conn) forget() {
-	delete(c.s.conns, c)
-	delete(c.s.waiting, c.call)
-}
