--- a/internal/wheel/wheel.go
+++ b/internal/wheel/wheel.go
@@ -1,77 +1,97 @@
-// Package wheel holds coarse timers: callbacks that are due at the first tick at
-// or after their time. It reads no clock; whoever owns it says what time it is.
+// Package wheel provides coarse timers on a hashed timing wheel: a ring of slots, one for each tick,
+// in which starting and stopping a timer take constant time.
+//
+// The wheel reads no clock and starts no goroutine: its owner passes the time to Advance, and
+// callbacks run within that call. It knows nothing of what the timers are for. internal/serve/core
+// uses it for all timers of a balancer.
 package wheel
 
 import "time"
 
-const slots = 512
+// slotCount is the number of slots. A timer that is due more than so many ticks ahead stays in its
+// slot for further rounds.
+const slotCount = 512
 
-// Wheel is a hashed timing wheel. It must be used from one goroutine.
+// Wheel is a hashed timing wheel. It must be used from one goroutine; create it with New.
 type Wheel struct {
-	tick time.Duration
-	at   int64 // the last tick that has been served
-	ring [slots][]*Timer
+	tick     time.Duration
+	lastTick int64 // the last tick that Advance has processed
+	slots    [slotCount][]*Timer
 }
 
-// Timer is one callback that is due once.
+// Timer is a callback that runs once. It must be used from the goroutine that uses its wheel.
 type Timer struct {
-	due  int64
-	call func()
+	dueTick  int64
+	callback func() // nil once the timer has fired or was stopped
 }
 
-// Stop keeps the timer from firing. Stopping nil or a spent timer is harmless.
+// Stop keeps the timer from firing. Stopping nil, or a timer that has fired, does nothing.
 func (t *Timer) Stop() {
 	if t != nil {
-		t.call = nil
+		t.callback = nil
 	}
 }
 
-// New returns a wheel that has served all up to now.
+// New returns a wheel of the given resolution without timers, at time now.
 func New(tick, now time.Duration) *Wheel {
-	return &Wheel{tick: tick, at: int64(now / tick)}
+	return &Wheel{tick: tick, lastTick: int64(now / tick)}
 }
 
-// At has call run at the first tick at or after the given time, never within
-// the present one.
-func (w *Wheel) At(at time.Duration, call func()) *Timer {
-	due := max(int64((at+w.tick-1)/w.tick), w.at+1)
-	t := &Timer{due: due, call: call}
-	w.ring[due%slots] = append(w.ring[due%slots], t)
+// At starts a timer whose callback runs at the first tick at or after the given time, but not within
+// an Advance of the present tick, however early that time is.
+func (w *Wheel) At(at time.Duration, callback func()) *Timer {
+	atTick := int64((at + w.tick - 1) / w.tick)
+	t := &Timer{dueTick: max(atTick, w.lastTick+1), callback: callback}
+	slot := t.dueTick % slotCount
+	w.slots[slot] = append(w.slots[slot], t)
 	return t
 }
 
-// Advance runs what has come due by now, tick by tick. After a long stall it
-// passes each slot once, so a clock that leaps costs one round at most.
+// Advance runs the callbacks of all timers that are due at now, tick by tick; callbacks may start
+// and stop timers. After a long pause each slot is processed once, so a clock that leaps costs one
+// round at most; timers may fire out of order then. A time before that of an earlier call does
+// nothing.
 func (w *Wheel) Advance(now time.Duration) {
 	target := int64(now / w.tick)
-	if target-w.at > slots {
-		w.at = target - slots
+	if target-w.lastTick > slotCount {
+		w.lastTick = target - slotCount
 	}
-	for w.at < target {
-		w.at++
-		slot := w.ring[w.at%slots]
-		if len(slot) == 0 {
-			continue
-		}
-		// Callbacks may add timers to this very slot, for a later round.
-		w.ring[w.at%slots] = nil
-		keep := slot[:0]
-		var due []*Timer
-		for _, t := range slot {
-			switch {
-			case t.call == nil:
-			case t.due <= target:
-				due = append(due, t)
-			default:
-				keep = append(keep, t)
-			}
+	for w.lastTick < target {
+		w.lastTick++
+		w.fireSlot(w.lastTick%slotCount, target)
+	}
+}
+
+// fireSlot fires the timers in a slot that are due by the target tick, and keeps the others.
+func (w *Wheel) fireSlot(slot, target int64) {
+	timers := w.slots[slot]
+	if len(timers) == 0 {
+		return
+	}
+	later, due := split(timers, target)
+	w.slots[slot] = later
+	for _, t := range due {
+		callback := t.callback
+		if callback == nil {
+			continue // a callback before it has stopped it
 		}
-		w.ring[w.at%slots] = append(keep, w.ring[w.at%slots]...)
-		for _, t := range due {
-			if call := t.call; call != nil {
-				t.call = nil
-				call()
-			}
+		t.callback = nil
+		callback()
+	}
+}
+
+// split divides timers into those that are due after the target tick, for which it uses the slice
+// again, and those that are due by then. Stopped ones are dropped.
+func split(timers []*Timer, target int64) (later, due []*Timer) {
+	later = timers[:0]
+	for _, t := range timers {
+		switch {
+		case t.callback == nil:
+		case t.dueTick <= target:
+			due = append(due, t)
+		default:
+			later = append(later, t)
 		}
 	}
+	return later, due
 }
