--- a/internal/serve/core/core.go
+++ b/internal/serve/core/core.go
@@ -95,7 +95,7 @@
 	case RequestReceived:
 		c.handleRequestReceived(ev)
 	case ClientGone:
-		c.handleClientGone(ev)
+		c.handleClientDisconnected(ev)
 	case AttemptConnected:
 		c.handleAttemptConnected(ev)
 	case AttemptCompleted:
--- a/internal/serve/core/requests.go
+++ b/internal/serve/core/requests.go
@@ -68,7 +68,7 @@
 	return r
 }
 
-func (c *Core) handleClientGone(ev ClientGone) {
+func (c *Core) handleClientDisconnected(ev ClientGone) {
 	r := c.exchanges[ev.Client]
 	if r == nil {
 		return
