--- /dev/null
+++ b/internal/serve/overrides/overrides.go
@@ -0,0 +1,182 @@
+// Package overrides holds the operators' overrides of a balancer: which backends are excluded, and
+// whether it sends its clients to other balancers.
+//
+// While one process of a balancer takes over from another, both are alive and either may receive
+// commands. Their overrides are therefore a last-writer-wins map: each entry carries a Lamport
+// timestamp, merging takes the later one entry by entry, and the order of merges makes no
+// difference.
+//
+// The package does no I/O, reads no clock and knows neither sockets nor the module; it is not safe
+// for concurrent use. internal/serve/core owns the overrides of a running process and applies them,
+// internal/serve/handover stores them in records, and internal/serve/admin translates calls into
+// actions.
+package overrides
+
+import (
+	"errors"
+	"maps"
+	"time"
+)
+
+// Action is what an operator requests.
+type Action uint8
+
+// Actions.
+const (
+	Exclude  Action = iota // send no requests to a backend
+	Include                // undo Exclude
+	Evacuate               // send clients to other balancers
+	Rejoin                 // undo Evacuate
+)
+
+var actionNames = [...]string{"exclude", "include", "evacuate", "rejoin"}
+
+// String returns the name of the action as the log has it.
+func (a Action) String() string { return actionNames[a] }
+
+// ConcernsServer reports whether the action is about one backend, not about the balancer's clients.
+func (a Action) ConcernsServer() bool { return a == Exclude || a == Include }
+
+// activates reports whether the action sets an override rather than undoing it.
+func (a Action) activates() bool { return a == Exclude || a == Evacuate }
+
+// Errors of Apply. Their text is shown to operators.
+var (
+	// ErrUnknownServer means that the backend is neither listed nor excluded.
+	ErrUnknownServer = errors.New("no feed server of that name is known")
+	// ErrTooManyExcluded means that MaxExcluded backends are excluded already.
+	ErrTooManyExcluded = errors.New("too many feed servers are left out already")
+)
+
+// MaxExcluded bounds the number of backends that may be excluded at a time.
+const MaxExcluded = 4096
+
+// Timestamp is a Lamport timestamp: Counter is above that of every override that was known when it
+// was made. Process breaks the tie of two processes that receive commands at the same time.
+type Timestamp struct {
+	Counter uint64 `json:"count"`
+	Process uint64 `json:"by"`
+}
+
+// before reports whether t is older than other.
+func (t Timestamp) before(other Timestamp) bool {
+	if t.Counter != other.Counter {
+		return t.Counter < other.Counter
+	}
+	return t.Process < other.Process
+}
+
+// Override is the last command on one subject.
+type Override struct {
+	Timestamp
+	Active bool          `json:"on"`
+	SetAt  time.Duration `json:"at"` // Unix time
+}
+
+// Overrides are all overrides of a balancer. The zero value has none. A copy shares the map; use
+// Clone.
+type Overrides struct {
+	Servers map[string]Override `json:"servers,omitempty"` // by name; active: excluded
+	Drain   Override            `json:"drain"`             // active: clients are sent to other balancers
+}
+
+// Excluded reports whether the named backend is excluded.
+func (o *Overrides) Excluded(server string) bool { return o.Servers[server].Active }
+
+// Clone returns a deep copy.
+func (o *Overrides) Clone() Overrides {
+	return Overrides{Servers: maps.Clone(o.Servers), Drain: o.Drain}
+}
+
+// Command is an operator's command as a process receives it.
+type Command struct {
+	At      time.Duration // Unix time
+	Process uint64        // the receiving process, for the timestamp
+	Action  Action
+	Server  string // name of the backend, if the action concerns one
+	Listed  bool   // that backend is in the endpoint list
+}
+
+// Apply carries out a command and reports whether anything has changed: a repeated command changes
+// nothing and is no error. The errors are ErrUnknownServer and ErrTooManyExcluded.
+func (o *Overrides) Apply(cmd Command) (changed bool, err error) {
+	next := Override{
+		Timestamp: Timestamp{Counter: o.maxCounter() + 1, Process: cmd.Process},
+		Active:    cmd.Action.activates(),
+		SetAt:     cmd.At,
+	}
+	if !cmd.Action.ConcernsServer() {
+		if o.Drain.Active == next.Active {
+			return false, nil
+		}
+		o.Drain = next
+		return true, nil
+	}
+	current := o.Servers[cmd.Server]
+	switch {
+	case !cmd.Listed && !current.Active:
+		return false, ErrUnknownServer
+	case current.Active == next.Active:
+		return false, nil
+	case next.Active && o.countExcluded() >= MaxExcluded:
+		return false, ErrTooManyExcluded
+	}
+	o.setServer(cmd.Server, next)
+	return true, nil
+}
+
+// Merge takes over the later overrides of another process. It returns the names of the backends
+// whose override has changed or is new, in no particular order, and whether Drain has changed.
+func (o *Overrides) Merge(other *Overrides) (servers []string, drainChanged bool) {
+	for name, theirs := range other.Servers {
+		ours, known := o.Servers[name]
+		if known && !ours.before(theirs.Timestamp) {
+			continue
+		}
+		o.setServer(name, theirs)
+		if ours.Active != theirs.Active || !known {
+			servers = append(servers, name)
+		}
+	}
+	if o.Drain.before(other.Drain.Timestamp) {
+		drainChanged = o.Drain.Active != other.Drain.Active
+		o.Drain = other.Drain
+	}
+	return servers, drainChanged
+}
+
+// Prune removes the entries of backends that were included again before the given time (Unix time).
+// It must not be called while another process of the balancer is alive: that one could still hold
+// the exclusion, and a merge would bring it back.
+func (o *Overrides) Prune(before time.Duration) {
+	maps.DeleteFunc(o.Servers, func(_ string, override Override) bool {
+		return !override.Active && override.SetAt < before
+	})
+}
+
+func (o *Overrides) setServer(name string, override Override) {
+	if o.Servers == nil {
+		o.Servers = map[string]Override{}
+	}
+	o.Servers[name] = override
+}
+
+// maxCounter returns the highest counter of any entry.
+func (o *Overrides) maxCounter() uint64 {
+	highest := o.Drain.Counter
+	for _, override := range o.Servers {
+		highest = max(highest, override.Counter)
+	}
+	return highest
+}
+
+// countExcluded returns the number of excluded backends.
+func (o *Overrides) countExcluded() int {
+	n := 0
+	for _, override := range o.Servers {
+		if override.Active {
+			n++
+		}
+	}
+	return n
+}
