--- a/internal/group/consensus/golden_test.go
+++ b/internal/group/consensus/golden_test.go
@@ -33,10 +33,10 @@
 		Leases: lease.Snapshot{LastToken: 25, Grants: []lease.Grant{{Duty: "watch/addis", Holder: lease.Process{Name: "n1", Incarnation: 23}, Token: 24}}},
 		Voters: goldenVoters,
 	}
-	goldenEntry = entry{Run: 31, Seq: 32, Command: lease.Command{
+	goldenEntry = commandEntry{Incarnation: 31, Seq: 32, Command: lease.Command{
 		Op: lease.Transfer, Duty: "watch/addis", Process: lease.Process{Name: "n1", Incarnation: 23}, Token: 24, Successor: lease.Process{Name: "n2", Incarnation: 26},
 	}}
-	goldenAdmission = admission{Run: 33, Seq: 34, Voter: protocol.Voter{ID: 0x1122334455667705, Name: "n3", Address: "127.0.0.1:18703"}}
+	goldenAdmission = membershipChange{Incarnation: 33, Seq: 34, Voter: protocol.Voter{ID: 0x1122334455667705, Name: "n3", Address: "127.0.0.1:18703"}}
 	goldenStarts    = map[uint64]Incarnation{0x1122334455667703: {Count: 41, ID: 42}} // one: the order of more is not fixed
 	goldenHard      = &raftpb.HardState{Term: proto.Uint64(5), Vote: proto.Uint64(goldenID), Commit: proto.Uint64(8)}
 )
@@ -70,7 +70,7 @@
 	t.Helper()
 	disk, _, err := OpenStore(path, "example", "n1")
 	require.NoError(t, err)
-	disk.who.ID = goldenID
+	disk.identity.ID = goldenID
 	require.NoError(t, disk.Bootstrap(PersistentState{HardState: goldenHard, Snapshot: goldenSnapshot(t)}))
 	require.NoError(t, disk.Write(Ready{Entries: goldenEntries(t), Incarnations: goldenStarts}))
 	require.NoError(t, disk.Close())
@@ -131,12 +131,12 @@
 	for i, want := range goldenEntries(t) {
 		require.True(t, proto.Equal(want, log.Entries[i]), "entry %d", i)
 	}
-	var command entry
+	var command commandEntry
 	require.NoError(t, cbor.Unmarshal(log.Entries[0].GetData(), &command))
 	require.Equal(t, goldenEntry, command)
 	var change raftpb.ConfChange
 	require.NoError(t, proto.Unmarshal(log.Entries[1].GetData(), &change))
-	var admitted admission
+	var admitted membershipChange
 	require.NoError(t, cbor.Unmarshal(change.GetContext(), &admitted))
 	require.Equal(t, goldenAdmission, admitted)
 }
--- /dev/null
+++ b/internal/group/consensus/snapshot.go
@@ -0,0 +1,88 @@
+package consensus
+
+import (
+	"fmt"
+	"slices"
+
+	"github.com/fxamacker/cbor/v2"
+	"go.etcd.io/raft/v3/raftpb"
+
+	"piernotch/internal/group/protocol"
+)
+
+// compactionInterval is how many entries are applied between two snapshots of the state.
+const compactionInterval = 1000
+
+// Incarnation identifies one start of a voter.
+type Incarnation struct {
+	Count uint64 `cbor:"1,keyasint"` // how often the store was opened, this start included
+	ID    uint64 `cbor:"2,keyasint"` // drawn at random for this start
+}
+
+// PersistentState is what a store holds of a voter. The zero value is that of a new store.
+type PersistentState struct {
+	HardState    *raftpb.HardState
+	Snapshot     *raftpb.Snapshot
+	Entries      []*raftpb.Entry        // those behind Snapshot, without gaps
+	Incarnations map[uint64]Incarnation // the last one that each other voter announced, by its store's ID
+}
+
+// Bootstrap returns the state that every store of a new group starts with. Equal arguments give equal
+// states: all voters of the group must pass the same voters in the same order.
+func Bootstrap(voters []protocol.Voter) PersistentState {
+	confState := &raftpb.ConfState{}
+	for _, v := range voters {
+		confState.Voters = append(confState.Voters, v.ID)
+	}
+	slices.Sort(confState.Voters)
+	data, err := cbor.Marshal(protocol.Snapshot{Voters: voters})
+	if err != nil {
+		panic(err) // cannot happen: integers and strings
+	}
+	one := uint64(1)
+	metadata := &raftpb.SnapshotMetadata{ConfState: confState, Index: &one, Term: &one}
+	return PersistentState{
+		HardState: &raftpb.HardState{Term: &one, Commit: &one},
+		Snapshot:  &raftpb.Snapshot{Data: data, Metadata: metadata},
+	}
+}
+
+// restore replaces the replicated state by a snapshot's.
+func (m *Machine) restore(s *raftpb.Snapshot) error {
+	metadata := s.GetMetadata()
+	var state protocol.Snapshot
+	if err := cbor.Unmarshal(s.GetData(), &state); err != nil {
+		return fmt.Errorf("snapshot at %d: %w", metadata.GetIndex(), err)
+	}
+	m.table.Restore(state.Leases)
+	m.voters = state.Voters
+	m.applied = metadata.GetIndex()
+	m.snapshotIndex = metadata.GetIndex()
+	m.confState = metadata.GetConfState()
+	return nil
+}
+
+// replicatedState returns a copy of the state that all voters agree on.
+func (m *Machine) replicatedState() protocol.Snapshot {
+	return protocol.Snapshot{Leases: m.table.Snapshot(), Voters: slices.Clone(m.voters)}
+}
+
+// compactLog replaces the log by a snapshot of the state that it led to, when it has grown long, or when the
+// voters have changed: a new voter cannot use a snapshot in which it is none.
+func (m *Machine) compactLog() error {
+	isDue := m.membershipChanged || m.applied >= m.snapshotIndex+compactionInterval
+	if !isDue || m.applied == m.snapshotIndex {
+		return nil
+	}
+	m.membershipChanged = false
+	data, err := cbor.Marshal(m.replicatedState())
+	if err != nil {
+		return err
+	}
+	m.pendingCompaction, err = m.storage.CreateSnapshot(m.applied, m.confState, data)
+	if err != nil {
+		return err
+	}
+	m.snapshotIndex = m.applied
+	return m.storage.Compact(m.applied)
+}
--- /dev/null
+++ b/internal/group/consensus/store_records.go
@@ -0,0 +1,219 @@
+package consensus
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"math"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/fxamacker/cbor/v2"
+	"go.etcd.io/bbolt"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+// The buckets of a voter's file: single records by key, and log entries by index.
+var (
+	metadataBucket = []byte("voter")
+	logBucket      = []byte("log")
+)
+
+// The keys of metadataBucket.
+var (
+	keyIdentity     = []byte("identity") // Identity, as CBOR
+	keyHardState    = []byte("hard")     // raftpb.HardState
+	keySnapshot     = []byte("snapshot") // raftpb.Snapshot
+	keyIncarnations = []byte("starts")   // map[uint64]Incarnation, as CBOR
+)
+
+// checksumSize is the length of the xxHash64 before each value: bbolt has no checksums of its pages.
+const checksumSize = 8
+
+var errChecksum = errors.New("checksum mismatch")
+
+// Write makes a Ready durable, whole or not at all.
+func (s *Store) Write(r Ready) error {
+	if r.Empty() {
+		return nil
+	}
+	return s.db.Update(func(tx *bbolt.Tx) error { return s.write(tx, r) })
+}
+
+func (s *Store) write(tx *bbolt.Tx, r Ready) error {
+	metadata := tx.Bucket(metadataBucket)
+	log := tx.Bucket(logBucket)
+	if err := writeSnapshot(metadata, log, r); err != nil {
+		return err
+	}
+	if err := writeEntries(log, r.Entries); err != nil {
+		return err
+	}
+	if r.HardState != nil {
+		if err := putMessage(metadata, keyHardState, r.HardState); err != nil {
+			return err
+		}
+	}
+	if r.Incarnations != nil {
+		if err := putCBOR(metadata, keyIncarnations, r.Incarnations); err != nil {
+			return err
+		}
+	}
+	if r.HardState != nil && !s.identity.Bootstrapped {
+		s.identity.Bootstrapped = true
+		return s.putIdentity(metadata)
+	}
+	return nil
+}
+
+// writeSnapshot writes a snapshot and removes the entries that it replaces: all of them where it came from the
+// leader, those up to its index where it is this voter's own.
+func writeSnapshot(metadata, log *bbolt.Bucket, r Ready) error {
+	snapshot := r.Compaction
+	last := r.Compaction.GetMetadata().GetIndex()
+	if r.Snapshot != nil {
+		snapshot = r.Snapshot
+		last = math.MaxUint64
+	}
+	if snapshot == nil {
+		return nil
+	}
+	if err := deleteEntries(log, 0, last); err != nil {
+		return err
+	}
+	return putMessage(metadata, keySnapshot, snapshot)
+}
+
+// writeEntries writes entries in place of all from the first one's index on.
+func writeEntries(log *bbolt.Bucket, entries []*raftpb.Entry) error {
+	if len(entries) == 0 {
+		return nil
+	}
+	if err := deleteEntries(log, entries[0].GetIndex(), math.MaxUint64); err != nil {
+		return err
+	}
+	for _, e := range entries {
+		if err := putMessage(log, indexKey(e.GetIndex()), e); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// deleteEntries removes the entries from index first to index last.
+func deleteEntries(log *bbolt.Bucket, first, last uint64) error {
+	cursor := log.Cursor()
+	for key, _ := cursor.Seek(indexKey(first)); key != nil; key, _ = cursor.Next() {
+		if binary.BigEndian.Uint64(key) > last {
+			break
+		}
+		if err := cursor.Delete(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// read returns the file's content, every record and the order of the entries checked.
+func (s *Store) read(tx *bbolt.Tx) (PersistentState, error) {
+	var state PersistentState
+	metadata := tx.Bucket(metadataBucket)
+	hardState := &raftpb.HardState{}
+	found, err := s.getMessage(metadata, keyHardState, hardState)
+	if err != nil {
+		return state, err
+	}
+	if found {
+		state.HardState = hardState
+	}
+	snapshot := &raftpb.Snapshot{}
+	found, err = s.getMessage(metadata, keySnapshot, snapshot)
+	if err != nil {
+		return state, err
+	}
+	if found {
+		state.Snapshot = snapshot
+	}
+	incarnations, err := s.get(metadata, keyIncarnations)
+	if err != nil {
+		return state, err
+	}
+	if incarnations != nil {
+		if err := cbor.Unmarshal(incarnations, &state.Incarnations); err != nil {
+			return state, err
+		}
+	}
+	state.Entries, err = s.readEntries(tx.Bucket(logBucket), snapshot.GetMetadata().GetIndex()+1)
+	return state, err
+}
+
+// readEntries returns the log, which has to start at index first and to have no gaps.
+func (s *Store) readEntries(log *bbolt.Bucket, first uint64) ([]*raftpb.Entry, error) {
+	var entries []*raftpb.Entry
+	next := first
+	err := log.ForEach(func(key, _ []byte) error {
+		e := &raftpb.Entry{}
+		if _, err := s.getMessage(log, key, e); err != nil {
+			return err
+		}
+		if e.GetIndex() != next {
+			return s.corrupt(fmt.Sprintf("entry %d", e.GetIndex()), fmt.Errorf("entry %d was expected", next))
+		}
+		next++
+		entries = append(entries, e)
+		return nil
+	})
+	return entries, err
+}
+
+// indexKey returns the key of a log entry: bbolt keeps keys in byte order, so that of the indexes.
+func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
+
+// get returns the value of a key, or nil, its checksum checked.
+func (s *Store) get(bucket *bbolt.Bucket, key []byte) ([]byte, error) {
+	record := bucket.Get(key)
+	if record == nil {
+		return nil, nil
+	}
+	if len(record) < checksumSize || binary.LittleEndian.Uint64(record) != xxhash.Sum64(record[checksumSize:]) {
+		return nil, s.corrupt(fmt.Sprintf("%x", key), errChecksum)
+	}
+	return record[checksumSize:], nil
+}
+
+// getMessage reads a protobuf value into message, and reports whether there is one.
+func (s *Store) getMessage(bucket *bbolt.Bucket, key []byte, message proto.Message) (bool, error) {
+	value, err := s.get(bucket, key)
+	if err != nil || value == nil {
+		return false, err
+	}
+	if err := proto.Unmarshal(value, message); err != nil {
+		return false, s.corrupt(fmt.Sprintf("%x", key), err)
+	}
+	return true, nil
+}
+
+func put(bucket *bbolt.Bucket, key, value []byte) error {
+	record := binary.LittleEndian.AppendUint64(nil, xxhash.Sum64(value))
+	return bucket.Put(key, append(record, value...))
+}
+
+func putMessage(bucket *bbolt.Bucket, key []byte, message proto.Message) error {
+	data, err := proto.Marshal(message)
+	if err != nil {
+		return err
+	}
+	return put(bucket, key, data)
+}
+
+func putCBOR(bucket *bbolt.Bucket, key []byte, value any) error {
+	data, err := cbor.Marshal(value)
+	if err != nil {
+		return err
+	}
+	return put(bucket, key, data)
+}
+
+func (s *Store) putIdentity(metadata *bbolt.Bucket) error {
+	return putCBOR(metadata, keyIdentity, s.identity)
+}
--- a/internal/group/consensus/store_test.go
+++ b/internal/group/consensus/store_test.go
@@ -1,6 +1,7 @@
 package consensus
 
 import (
+	"bytes"
 	"os"
 	"path/filepath"
 	"testing"
@@ -12,88 +13,92 @@
 	"piernotch/internal/group/protocol"
 )
 
-func entryAt(i, term uint64, data string) *raftpb.Entry {
-	return &raftpb.Entry{Index: &i, Term: &term, Data: []byte(data)}
+func entryAt(index, term uint64, data string) *raftpb.Entry {
+	return &raftpb.Entry{Index: &index, Term: &term, Data: []byte(data)}
 }
 
-// reopened closes a disk and returns what its file holds.
-func reopened(t *testing.T, d *Store) (*Store, PersistentState) {
-	require.NoError(t, d.Close())
-	d, l, err := OpenStore(d.path, "g", "n1")
+// reopen closes a store and returns what its file holds.
+func reopen(t *testing.T, s *Store) (*Store, PersistentState) {
+	t.Helper()
+	require.NoError(t, s.Close())
+	s, state, err := OpenStore(s.path, "g", "n1")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = d.Close() })
-	return d, l
+	t.Cleanup(func() { _ = s.Close() })
+	return s, state
 }
 
-func TestADiskKeepsWhatWasWritten(t *testing.T) {
+func TestStoreReturnsWhatWasWritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "deep", "voter")
-	d, l, err := OpenStore(path, "g", "n1")
+	store, state, err := OpenStore(path, "g", "n1")
 	require.NoError(t, err)
-	require.Nil(t, l.HardState)
-	first := d.Identity()
+	require.Nil(t, state.HardState)
+	first := store.Identity()
 	require.False(t, first.Bootstrapped)
 	_, _, err = OpenStore(path, "g", "n1")
 	require.ErrorContains(t, err, "another process uses it")
+	require.ErrorIs(t, err, ErrStoreInUse)
 
-	born := Bootstrap([]protocol.Voter{{ID: first.ID, Name: "n1", Address: "127.0.0.1:1"}})
-	require.NoError(t, d.Bootstrap(born))
-	require.NoError(t, d.Write(Ready{Entries: []*raftpb.Entry{entryAt(2, 1, "a"), entryAt(3, 1, "b"), entryAt(4, 1, "c")}}))
-	require.NoError(t, d.Write(Ready{Entries: []*raftpb.Entry{entryAt(3, 2, "d")}, Incarnations: map[uint64]Incarnation{9: {4, 7}}}))
-	d, l = reopened(t, d)
-	require.Equal(t, Identity{diskVersion, "g", "n1", first.ID, 2, true}, d.Identity())
-	require.Len(t, l.Entries, 2, "a later term's entry takes the place of all behind it")
-	require.True(t, proto.Equal(entryAt(3, 2, "d"), l.Entries[1]))
-	require.Equal(t, map[uint64]Incarnation{9: {4, 7}}, l.Incarnations)
-	require.True(t, proto.Equal(born.Snapshot, l.Snapshot))
+	bootstrapped := Bootstrap([]protocol.Voter{{ID: first.ID, Name: "n1", Address: "127.0.0.1:1"}})
+	require.NoError(t, store.Bootstrap(bootstrapped))
+	require.NoError(t, store.Write(Ready{Entries: []*raftpb.Entry{entryAt(2, 1, "a"), entryAt(3, 1, "b"), entryAt(4, 1, "c")}}))
+	require.NoError(t, store.Write(Ready{
+		Entries:      []*raftpb.Entry{entryAt(3, 2, "d")},
+		Incarnations: map[uint64]Incarnation{9: {Count: 4, ID: 7}},
+	}))
+	store, state = reopen(t, store)
+	require.Equal(t, Identity{storeVersion, "g", "n1", first.ID, 2, true}, store.Identity())
+	require.Len(t, state.Entries, 2, "an entry of a later term replaces all from its index on")
+	require.True(t, proto.Equal(entryAt(3, 2, "d"), state.Entries[1]))
+	require.Equal(t, map[uint64]Incarnation{9: {Count: 4, ID: 7}}, state.Incarnations)
+	require.True(t, proto.Equal(bootstrapped.Snapshot, state.Snapshot))
 
 	three := uint64(3)
-	image := proto.Clone(born.Snapshot).(*raftpb.Snapshot)
-	image.Metadata.Index = &three
-	require.NoError(t, d.Write(Ready{Entries: []*raftpb.Entry{entryAt(4, 2, "e")}}))
-	require.NoError(t, d.Write(Ready{Compaction: image}))
-	d, l = reopened(t, d)
-	require.Len(t, l.Entries, 1, "an image takes the place of what led to it")
-	require.NoError(t, d.Write(Ready{Snapshot: born.Snapshot}))
-	_, l = reopened(t, d)
-	require.Empty(t, l.Entries, "and another member's of all")
+	compaction := proto.Clone(bootstrapped.Snapshot).(*raftpb.Snapshot)
+	compaction.Metadata.Index = &three
+	require.NoError(t, store.Write(Ready{Entries: []*raftpb.Entry{entryAt(4, 2, "e")}}))
+	require.NoError(t, store.Write(Ready{Compaction: compaction}))
+	store, state = reopen(t, store)
+	require.Len(t, state.Entries, 1, "a compaction replaces the entries up to its index")
+	require.NoError(t, store.Write(Ready{Snapshot: bootstrapped.Snapshot}))
+	_, state = reopen(t, store)
+	require.Empty(t, state.Entries, "a leader's snapshot replaces all entries")
 }
 
-func TestADiskOfAnotherIsNotRead(t *testing.T) {
+func TestStoreRefusesOtherVotersAndCorruptFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
-	d, _, err := OpenStore(path, "g", "n1")
+	store, _, err := OpenStore(path, "g", "n1")
 	require.NoError(t, err)
-	require.NoError(t, d.Bootstrap(Bootstrap([]protocol.Voter{{ID: d.Identity().ID, Name: "n1"}})))
-	require.NoError(t, d.Write(Ready{Entries: []*raftpb.Entry{entryAt(2, 1, "a word that is easy to find")}}))
-	require.NoError(t, d.Close())
+	require.NoError(t, store.Bootstrap(Bootstrap([]protocol.Voter{{ID: store.Identity().ID, Name: "n1"}})))
+	require.NoError(t, store.Write(Ready{Entries: []*raftpb.Entry{entryAt(2, 1, "easy to find")}}))
+	require.NoError(t, store.Close())
 	_, _, err = OpenStore(path, "g", "n2")
 	require.ErrorContains(t, err, `belongs to "n1" of group "g", not to "n2" of "g"`)
+	var owner *OwnerError
+	require.ErrorAs(t, err, &owner)
 
-	whole, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	require.NoError(t, err)
-	for name, spoil := range map[string]func([]byte) []byte{
-		"a bit": func(b []byte) []byte {
-			b = append([]byte(nil), b...)
-			for i := range b {
-				if string(b[i:min(i+6, len(b))]) == "a word" {
-					b[i] ^= 1
-				}
-			}
-			return b
+	require.Contains(t, string(intact), "easy to find")
+	for name, corrupt := range map[string]func([]byte) []byte{
+		"flipped bit": func(data []byte) []byte {
+			return bytes.ReplaceAll(data, []byte("easy"), []byte{'e' ^ 1, 'a', 's', 'y'})
 		},
-		"cut short": func(b []byte) []byte { return b[:3*len(b)/8] },
-		"noise":     func(b []byte) []byte { return []byte("what is this") },
+		"truncated": func(data []byte) []byte { return data[:3*len(data)/8] },
+		"noise":     func([]byte) []byte { return []byte("what is this") },
 	} {
-		require.NoError(t, os.WriteFile(path, spoil(whole), 0o600), name)
-		_, _, err = OpenStore(path, "g", "n1")
-		require.ErrorIs(t, err, ErrCorrupt, name)
-		require.ErrorContains(t, err, path, name)
-		aside, err := Quarantine(path)
-		require.NoError(t, err)
-		require.FileExists(t, aside)
-		fresh, l, err := OpenStore(path, "g", "n1")
-		require.NoError(t, err)
-		require.Nil(t, l.HardState)
-		require.NotEqual(t, d.Identity().ID, fresh.Identity().ID, "it comes back as another voter")
-		require.NoError(t, fresh.Close())
+		t.Run(name, func(t *testing.T) {
+			require.NoError(t, os.WriteFile(path, corrupt(intact), 0o600))
+			_, _, err := OpenStore(path, "g", "n1")
+			require.ErrorIs(t, err, ErrCorrupt)
+			require.ErrorContains(t, err, path)
+			quarantined, err := Quarantine(path)
+			require.NoError(t, err)
+			require.FileExists(t, quarantined)
+			fresh, state, err := OpenStore(path, "g", "n1")
+			require.NoError(t, err)
+			require.Nil(t, state.HardState)
+			require.NotEqual(t, store.Identity().ID, fresh.Identity().ID, "the voter comes back under a new ID")
+			require.NoError(t, fresh.Close())
+		})
 	}
 }
--- a/internal/group/lease/holder_test.go
+++ b/internal/group/lease/holder_test.go
@@ -60,7 +60,7 @@
 		require.True(t, is)
 		k := NewExpiryClock(terms, of(came, grantor), nil)
 		g := Grant{"x", a, 7}
-		require.NoError(t, k.Granted(of(came, grantor), g))
+		require.NoError(t, k.Start(of(came, grantor), g))
 		h.HandleResponse(of(came+time.Duration(rapid.IntRange(0, 4e9).Draw(t, "back")), holder), ask.Seq, g, nil)
 		for at := came; at < asked+8*time.Second; at += 10 * time.Millisecond {
 			if len(k.Expired(of(at, grantor))) > 0 {
@@ -81,11 +81,11 @@
 	require.Empty(t, k.Expired(3*time.Second))
 	require.Equal(t, []Command{{Op: Expire, Duty: "x", Token: 7}}, k.Expired(4*time.Second))
 	require.ErrorIs(t, k.Renew(4*time.Second, "x", 7), ErrNotHeld)
-	require.ErrorIs(t, k.Granted(4*time.Second, g), ErrNotHeld, "nor by asking for it again")
+	require.ErrorIs(t, k.Start(4*time.Second, g), ErrNotHeld, "nor by asking for it again")
 	require.Empty(t, k.Expired(5*time.Second))
 	require.Len(t, k.Expired(7*time.Second), 1, "it may have been lost")
-	k.Ended("x")
-	require.NoError(t, k.Granted(8*time.Second, Grant{"x", b, 8}))
+	k.Stop("x")
+	require.NoError(t, k.Start(8*time.Second, Grant{"x", b, 8}))
 }
 
 func TestAHolderStopsAtOnce(t *testing.T) {
--- a/internal/group/lease/table.go
+++ b/internal/group/lease/table.go
@@ -164,7 +164,7 @@
 func NewExpiryClock(terms Timing, now time.Duration, held []Grant) *ExpiryClock {
 	k := &ExpiryClock{terms: terms, until: map[Duty]deadline{}}
 	for _, g := range held {
-		_ = k.Granted(now, g)
+		_ = k.Start(now, g)
 		if failpoint.Enabled("timers-forgotten") {
 			k.until[g.Duty] = deadline{token: g.Token, at: now}
 		}
@@ -174,7 +174,7 @@
 
 // Granted notes a grant, or one that was asked for again. A grant whose end is on its way must not be
 // answered with, though the table still has it.
-func (k *ExpiryClock) Granted(now time.Duration, g Grant) error {
+func (k *ExpiryClock) Start(now time.Duration, g Grant) error {
 	if d := k.until[g.Duty]; d.token == g.Token && d.lapsing && !failpoint.Enabled("granted-while-lapsing") {
 		return ErrNotHeld
 	}
@@ -183,7 +183,7 @@
 }
 
 // Ended notes that a duty is held by nobody.
-func (k *ExpiryClock) Ended(d Duty) { delete(k.until, d) }
+func (k *ExpiryClock) Stop(d Duty) { delete(k.until, d) }
 
 // Renew prolongs a grant, unless it is not the one that stands, or its end is on its way.
 func (k *ExpiryClock) Renew(now time.Duration, d Duty, token uint64) error {
