--- a/internal/group/failpoint/enabled.go
+++ b/internal/group/failpoint/enabled.go
@@ -2,10 +2,12 @@
 
 package failpoint
 
-var planted string
+// enabledName is the fault that is enabled; "": none.
+var enabledName string
 
-// Enabled tells whether the fault of that name is planted.
-func Enabled(name string) bool { return name == planted }
+// Enabled reports whether the fault of that name is enabled.
+func Enabled(name string) bool { return name == enabledName }
 
-// Set plants one fault, or none with "". It must not be called while anything runs.
-func Set(name string) { planted = name }
+// Set enables one fault in place of the last, or none with "". It must not be called while anything that
+// calls Enabled runs.
+func Set(name string) { enabledName = name }
