--- a/cmd/piernotch-voter/main.go
+++ b/cmd/piernotch-voter/main.go
@@ -1,5 +1,6 @@
-// Command piernotch-voter is one voter of a control group: it keeps on its disk who holds which duty. It
-// runs beside a balancer and apart from it, so that a slow disk or a fault here never touches service.
+// Command piernotch-voter runs one voter of a control group, which agrees on the process that holds each duty and
+// keeps that in a file. It runs beside a balancer in a process of its own, so that a slow disk or a fault here never
+// affects requests. All of its work is package voter's.
 package main
 
 import (
@@ -17,30 +18,36 @@
 	"piernotch/internal/logs"
 )
 
-type cli struct {
+// commandLine holds the command's flags.
+type commandLine struct {
 	Group string       `required:"" placeholder:"FILE" help:"The group's file; it names this voter and its disk."`
 	Log   logs.Options `embed:"" prefix:"log-"`
 }
 
 func main() {
-	c := cli{}
-	kong.Parse(&c, kong.Name("piernotch-voter"), kong.Description("One voter of a control group of balancers."), kong.UsageOnError())
-	if err := run(c); err != nil {
+	flags := commandLine{}
+	kong.Parse(&flags,
+		kong.Name("piernotch-voter"),
+		kong.Description("One voter of a control group of balancers."),
+		kong.UsageOnError())
+	if err := run(flags); err != nil {
 		fmt.Fprintln(os.Stderr, "piernotch-voter:", err)
 		os.Exit(1)
 	}
 }
 
-var errEnded = errors.New("ended by itself; the log says why")
+// errVoterEnded is returned by run when the voter ended without a signal.
+var errVoterEnded = errors.New("ended by itself; the log says why")
 
-func run(c cli) error {
+// run runs the voter until SIGTERM or SIGINT, or until it ends by itself.
+func run(flags commandLine) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
-	cfg, err := group.LoadFile(c.Group)
+	cfg, err := group.LoadFile(flags.Group)
 	if err != nil {
 		return err
 	}
-	if err := logs.Start(c.Log); err != nil {
+	if err := logs.Start(flags.Log); err != nil {
 		return err
 	}
 	v, err := voter.Start(cfg)
@@ -52,7 +59,7 @@
 	case <-signals:
 		slog.Info("group: voter stopped")
 		return nil
-	case <-v.Ended():
-		return errEnded
+	case <-v.Done():
+		return errVoterEnded
 	}
 }
--- /dev/null
+++ b/internal/group/voter/requests.go
@@ -0,0 +1,84 @@
+package voter
+
+import (
+	"errors"
+	"math/rand/v2"
+	"slices"
+
+	"piernotch/internal/group/lease"
+	"piernotch/internal/group/protocol"
+	"piernotch/internal/group/transport"
+)
+
+const (
+	maxWaiters  = 1024 // for one duty; others find out by asking again
+	maxNotified = 4    // waiters that are notified when a duty comes free; one of them will get it
+)
+
+// handleRequest has a client's request served, and answered if the client is still connected by then.
+func (v *Voter) handleRequest(conn *transport.Conn, request *transport.Request) {
+	if v.machine == nil {
+		v.respond(conn, request, protocol.Response{Err: protocol.ErrNotLeader})
+		return
+	}
+	if request.Kind == protocol.Publish || request.Kind == protocol.Subscribe {
+		v.respond(conn, request, protocol.Response{Err: v.publishOrSubscribe(conn, request)})
+		return
+	}
+	v.lastKey++
+	v.pending[v.lastKey] = func(response protocol.Response) { v.respond(conn, request, response) }
+	v.machine.Propose(v.now(), protocol.Request{
+		Key:     v.lastKey,
+		Kind:    request.Kind,
+		Command: request.Command,
+		Voter:   request.Voter,
+	})
+}
+
+// respond answers a client's request, and notes a client that was refused a duty as one that waits for it.
+func (v *Voter) respond(conn *transport.Conn, request *transport.Request, response protocol.Response) {
+	conn.Send(transport.Frame{Response: &transport.Response{
+		Key:      request.Key,
+		Code:     transport.ErrorCodeOf(response.Err),
+		Grant:    response.Grant,
+		Snapshot: response.Snapshot,
+		Leader:   v.leaderName,
+	}})
+	if errors.Is(response.Err, lease.ErrHeld) {
+		v.addWaiter(request.Command.Duty, conn)
+	}
+}
+
+// respondAll passes on the machine's responses.
+func (v *Voter) respondAll() {
+	for _, response := range v.machine.Responses() {
+		respond := v.pending[response.Key]
+		if respond != nil {
+			delete(v.pending, response.Key)
+			respond(response)
+		}
+	}
+}
+
+func (v *Voter) addWaiter(duty lease.Duty, conn *transport.Conn) {
+	waiting := v.waiters[duty]
+	if len(waiting) < maxWaiters && !slices.Contains(waiting, conn) {
+		v.waiters[duty] = append(waiting, conn)
+	}
+}
+
+// notifyWaiters tells a few waiters, drawn at random, that a duty has come free, and in any case the process that
+// it was transferred to.
+func (v *Voter) notifyWaiters(duty lease.Duty) {
+	waiting := v.waiters[duty]
+	delete(v.waiters, duty)
+	rand.Shuffle(len(waiting), func(i, j int) { waiting[i], waiting[j] = waiting[j], waiting[i] })
+	grant, _ := v.machine.Holder(duty)
+	for i, conn := range waiting {
+		if i < maxNotified || conn.Peer.Name == grant.Holder.Name {
+			conn.Send(transport.Frame{Response: &transport.Response{FreedDuty: duty}})
+		} else {
+			v.waiters[duty] = append(v.waiters[duty], conn)
+		}
+	}
+}
--- /dev/null
+++ b/internal/group/voter/subscriptions.go
@@ -0,0 +1,75 @@
+package voter
+
+import (
+	"slices"
+
+	"piernotch/internal/group"
+	"piernotch/internal/group/lease"
+	"piernotch/internal/group/protocol"
+	"piernotch/internal/group/transport"
+	"piernotch/internal/group/watch"
+)
+
+// subscription is what the holder of a duty has published, and who is sent it.
+type subscription struct {
+	watch.EventLog
+	subscribers []*transport.Conn
+}
+
+// publishOrSubscribe serves the two kinds of requests that need no agreement. The lease table is the fence: only
+// the holder may publish, under the token in force. A voter that lost leadership and does not know it yet may
+// pass on what a former holder publishes; subscribers check versions, and check-quorum ends it soon.
+func (v *Voter) publishOrSubscribe(conn *transport.Conn, request *transport.Request) error {
+	if !v.machine.IsLeader() {
+		return protocol.ErrNotLeader
+	}
+	if request.Event == nil {
+		return lease.ErrNotHeld
+	}
+	duty := request.Command.Duty
+	if request.Kind == protocol.Publish && !v.isInForce(request.Command) {
+		return lease.ErrNotHeld
+	}
+	s := v.subscriptions[duty]
+	if s == nil {
+		if len(v.subscriptions) >= group.MaxDuties {
+			return protocol.ErrOverloaded
+		}
+		s = &subscription{}
+		v.subscriptions[duty] = s
+	}
+	if request.Kind == protocol.Subscribe {
+		s.subscribe(conn, duty, request.Event)
+		return nil
+	}
+	return s.publish(conn, duty, request.Command.Token, request.Event)
+}
+
+// isInForce reports whether a command names the grant of its duty as the lease table has it.
+func (v *Voter) isInForce(command lease.Command) bool {
+	grant, held := v.machine.Holder(command.Duty)
+	return held && grant.Token == command.Token && grant.Holder == command.Process
+}
+
+// subscribe sends a connection the events after a version, and then each new one.
+func (s *subscription) subscribe(conn *transport.Conn, duty lease.Duty, from *group.WatchEvent) {
+	if !slices.Contains(s.subscribers, conn) {
+		s.subscribers = append(s.subscribers, conn)
+	}
+	for _, event := range s.Since(from.Source, from.ToVersion) {
+		conn.Send(transport.Frame{Response: &transport.Response{Duty: duty, Token: s.Token(), Event: &event}})
+	}
+}
+
+// publish adds an event, and sends it to all subscribers but the publisher.
+func (s *subscription) publish(conn *transport.Conn, duty lease.Duty, token uint64, event *group.WatchEvent) error {
+	if err := s.Append(token, *event); err != nil {
+		return err
+	}
+	for _, subscriber := range s.subscribers {
+		if subscriber != conn {
+			subscriber.Send(transport.Frame{Response: &transport.Response{Duty: duty, Token: token, Event: event}})
+		}
+	}
+	return nil
+}
--- a/internal/group/voter/voter_test.go
+++ b/internal/group/voter/voter_test.go
@@ -14,13 +14,15 @@
 
 	"piernotch/internal/group"
 	"piernotch/internal/group/client"
+	"piernotch/internal/group/lease"
 )
 
-// patience bounds every wait; nothing depends on how long one takes.
-const patience = 30 * time.Second
+// waitLimit bounds every wait; nothing depends on how long one takes.
+const waitLimit = 30 * time.Second
 
-// three returns the configurations of three voters.
-func three(t *testing.T) []group.Config {
+// threeConfigs returns the configurations of the three voters of a group.
+func threeConfigs(t *testing.T) []group.Config {
+	t.Helper()
 	var voters []group.Voter
 	for i := range 3 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,96 +30,106 @@
 		voters = append(voters, group.Voter{Name: fmt.Sprintf("n%d", i), Address: l.Addr().String()})
 		require.NoError(t, l.Close())
 	}
-	var out []group.Config
+	var configs []group.Config
 	for _, v := range voters {
-		out = append(out, group.Config{
-			Name: "g", Self: v.Name, Disk: filepath.Join(t.TempDir(), "voter"), LeaseDuration: 2 * time.Second, MaxClockDrift: 0.01, Voters: voters,
+		configs = append(configs, group.Config{
+			Name:          "g",
+			Self:          v.Name,
+			Disk:          filepath.Join(t.TempDir(), "voter"),
+			LeaseDuration: 2 * time.Second,
+			MaxClockDrift: 0.01,
+			Voters:        voters,
 		})
 	}
-	return out
+	return configs
 }
 
-func begin(t *testing.T, c group.Config) *Voter {
+func startVoter(t *testing.T, c group.Config) *Voter {
+	t.Helper()
 	v, err := Start(c)
 	require.NoError(t, err)
 	return v
 }
 
-// takes returns a member of the group that wants a duty.
-func takes(c group.Config, name, duty string) *client.Client {
-	c.Self, c.Disk, c.Duties = name, "", []string{duty}
+// startClient returns a client of the group that wants a duty.
+func startClient(c group.Config, name string, duty lease.Duty) *client.Client {
+	c.Self = name
+	c.Disk = ""
+	c.Duties = []string{string(duty)}
 	return client.Start(c, nil)
 }
 
-func holds(t *testing.T, m *client.Client, duty string) (token uint64) {
+// awaitToken waits until a client holds a duty, and returns its token.
+func awaitToken(t *testing.T, c *client.Client, duty lease.Duty) (token uint64) {
+	t.Helper()
 	require.Eventually(t, func() bool {
-		var may bool
-		token, may = m.Token("watch")
-		return may
-	}, patience, 5*time.Millisecond)
+		var mayAct bool
+		token, mayAct = c.Token(duty)
+		return mayAct
+	}, waitLimit, 5*time.Millisecond)
 	return token
 }
 
-// A duty passes on when its holder leaves and while a voter comes back with its disk emptied, under
-// tokens that rise.
-func TestADutyPassesOn(t *testing.T) {
+// A duty is acquired by another client when its holder ends, and stays held while a voter is replaced and another
+// ends, under rising tokens.
+func TestDutyMovesOnAcrossHolderExitAndVoterReplacement(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	cfgs := three(t)
-	v0, v1, v2 := begin(t, cfgs[0]), begin(t, cfgs[1]), begin(t, cfgs[2])
+	configs := threeConfigs(t)
+	v0, v1, v2 := startVoter(t, configs[0]), startVoter(t, configs[1]), startVoter(t, configs[2])
 	defer v0.Close()
 	defer v1.Close()
-	a := takes(cfgs[0], "a", "watch")
-	first := holds(t, a, "watch")
-	b := takes(cfgs[0], "b", "watch")
+	a := startClient(configs[0], "a", "watch")
+	first := awaitToken(t, a, "watch")
+	b := startClient(configs[0], "b", "watch")
 	defer b.Close(time.Second)
 
-	ctx, stop := context.WithTimeout(t.Context(), patience)
+	ctx, stop := context.WithTimeout(t.Context(), waitLimit)
 	defer stop()
 	before, err := b.List(ctx)
 	require.NoError(t, err)
 	require.Equal(t, "a", before.Leases.Grants[0].Holder.Name)
 
-	_, may := b.Token("watch")
-	require.False(t, may)
-	a.Close(patience)
-	second := holds(t, b, "watch")
+	_, mayAct := b.Token("watch")
+	require.False(t, mayAct)
+	a.Close(waitLimit)
+	second := awaitToken(t, b, "watch")
 	require.Greater(t, second, first)
 
 	v2.Close()
-	require.NoError(t, os.WriteFile(cfgs[2].Disk, []byte("what is this"), 0o600))
-	v2 = begin(t, cfgs[2])
+	require.NoError(t, os.WriteFile(configs[2].Disk, []byte("what is this"), 0o600))
+	v2 = startVoter(t, configs[2])
 	defer v2.Close()
-	require.FileExists(t, cfgs[2].Disk+".aside-1")
+	require.FileExists(t, configs[2].Disk+".aside-1")
 	require.Eventually(t, func() bool {
-		now, err := b.List(ctx)
-		if err != nil || len(now.Voters) != 3 {
+		listed, err := b.List(ctx)
+		if err != nil || len(listed.Voters) != 3 {
 			return false
 		}
-		for _, v := range now.Voters {
+		for _, v := range listed.Voters {
 			if v.Name == "n2" {
-				return v.ID == v2.us().ID
+				return v.ID == v2.ownHandshake().ID
 			}
 		}
 		return false
-	}, patience, 20*time.Millisecond, "an emptied disk is taken in as another voter")
-	v0.Close() // the new voter counts: with it two of three are there
+	}, waitLimit, 20*time.Millisecond, "the voter with the corrupt file is added under its new ID")
+	v0.Close() // the group has a majority only if the new voter votes
 	require.Eventually(t, func() bool {
 		_, err := b.List(ctx)
 		return err == nil
-	}, patience, 20*time.Millisecond)
-	require.GreaterOrEqual(t, holds(t, b, "watch"), second)
+	}, waitLimit, 20*time.Millisecond)
+	require.GreaterOrEqual(t, awaitToken(t, b, "watch"), second)
 }
 
-// Without a majority nothing is held: a group that may exist elsewhere is not begun again.
-func TestAGroupIsNotBegunByAMinority(t *testing.T) {
+// A group that may exist elsewhere is not bootstrapped while a voter is missing, and no duty is held.
+func TestGroupIsNotBootstrappedWhileAVoterIsMissing(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	cfgs := three(t)
-	v0, v1 := begin(t, cfgs[0]), begin(t, cfgs[1])
-	m := takes(cfgs[0], "a", "watch")
+	configs := threeConfigs(t)
+	v0, v1 := startVoter(t, configs[0]), startVoter(t, configs[1])
+	c := startClient(configs[0], "a", "watch")
 	time.Sleep(time.Second)
-	_, may := m.Token("watch")
-	require.False(t, may)
-	m.Close(0)
+	_, mayAct := c.Token("watch")
+	require.False(t, mayAct)
+	c.Close(0)
 	v0.Close()
 	v1.Close()
 }
