--- a/internal/group/voter/voter_test.go
+++ b/internal/group/voter/voter_test.go
@@ -133,3 +133,22 @@
 	v0.Close()
 	v1.Close()
 }
+
+func TestStartRejectsUnusableSettings(t *testing.T) {
+	configs := threeConfigs(t)
+	notAVoter := configs[0]
+	notAVoter.Self = "n9"
+	addressInUse := configs[1]
+	listener, err := net.Listen("tcp", addressInUse.Voters[1].Address)
+	require.NoError(t, err)
+	defer func() { _ = listener.Close() }()
+	for setting, c := range map[string]group.Config{"self": notAVoter, "voter": addressInUse} {
+		t.Run(setting, func(t *testing.T) {
+			_, err := Start(c)
+			var startError *StartError
+			require.ErrorAs(t, err, &startError)
+			require.Equal(t, setting, startError.Setting)
+			require.ErrorContains(t, err, "group."+setting+": ")
+		})
+	}
+}
