--- /dev/null
+++ b/internal/group/consensus/store.go
@@ -0,0 +1,214 @@
+package consensus
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"runtime/debug"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"go.etcd.io/bbolt"
+	bolterrors "go.etcd.io/bbolt/errors"
+)
+
+// storeVersion is the version of a voter file's format. A file of another version is refused as a whole.
+const storeVersion = 1
+
+// lockTimeout is how long OpenStore waits for another process to close the file.
+const lockTimeout = time.Second
+
+// Identity is how a voter's file describes itself.
+type Identity struct {
+	Version      int    `cbor:"1,keyasint"`
+	Group        string `cbor:"2,keyasint"`
+	Name         string `cbor:"3,keyasint"` // of the voter
+	ID           uint64 `cbor:"4,keyasint"` // drawn at random when the file was created; never 0
+	StartCount   uint64 `cbor:"5,keyasint"` // how often the file was opened
+	Bootstrapped bool   `cbor:"6,keyasint"` // it has been part of a group
+}
+
+// Errors of OpenStore, wrapped in a *StoreError. After ErrCorrupt the caller may Quarantine the file and open
+// a new one.
+var (
+	ErrCorrupt    = errors.New("corrupt")
+	ErrStoreInUse = errors.New("another process uses it")
+)
+
+// StoreError says which voter file, and which part of it, could not be used.
+type StoreError struct {
+	Path string
+	Item string // "": the file as a whole
+	Err  error
+}
+
+// Error returns path, item and cause.
+func (e *StoreError) Error() string {
+	if e.Item == "" {
+		return fmt.Sprintf("%s: %v", e.Path, e.Err)
+	}
+	return fmt.Sprintf("%s: %s: %v", e.Path, e.Item, e.Err)
+}
+
+// Unwrap returns the cause.
+func (e *StoreError) Unwrap() error { return e.Err }
+
+// VersionError is the cause of a StoreError for a file of another format.
+type VersionError struct{ Found, Supported int }
+
+// Error names both versions.
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("form %d, this program reads %d", e.Found, e.Supported)
+}
+
+// OwnerError is the cause of a StoreError for a file of another voter.
+type OwnerError struct {
+	Group, Name         string // whose the file is
+	WantGroup, WantName string // who opened it
+}
+
+// Error names both voters.
+func (e *OwnerError) Error() string {
+	return fmt.Sprintf("belongs to %q of group %q, not to %q of %q", e.Name, e.Group, e.WantName, e.WantGroup)
+}
+
+// Store is a voter's file. Every write is synced before it returns. It must be used from one goroutine.
+type Store struct {
+	db       *bbolt.DB
+	path     string
+	identity Identity
+}
+
+// OpenStore opens a voter's file, or creates it with a new ID, counts the start, and returns its content. An
+// error about the file's content, owner or lock is a *StoreError; others come from the operating system as they
+// are, and say nothing against the file.
+func OpenStore(path, group, name string) (s *Store, state PersistentState, err error) {
+	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
+		return nil, PersistentState{}, err
+	}
+	// The file is memory-mapped: reading beyond the end of a truncated one is a fault, and the panic that this
+	// makes of it is recovered below.
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
+	db, err := openDatabase(path)
+	if err != nil {
+		return nil, PersistentState{}, err
+	}
+	s = &Store{db: db, path: path}
+	defer func() {
+		if p := recover(); p != nil { // bbolt panics over inconsistent pages
+			err = s.corrupt("", fmt.Errorf("%v", p))
+		}
+		if err != nil {
+			_ = db.Close()
+			s = nil
+		}
+	}()
+	err = db.Update(func(tx *bbolt.Tx) error {
+		metadata, err := tx.CreateBucketIfNotExists(metadataBucket)
+		if err != nil {
+			return err
+		}
+		if _, err := tx.CreateBucketIfNotExists(logBucket); err != nil {
+			return err
+		}
+		if err := s.identify(metadata, group, name); err != nil {
+			return err
+		}
+		state, err = s.read(tx)
+		return err
+	})
+	return s, state, err
+}
+
+// openDatabase opens the file as a bbolt database, and says what kind of error prevented it.
+func openDatabase(path string) (*bbolt.DB, error) {
+	db, err := openRecovering(path)
+	switch {
+	case err == nil:
+		return db, nil
+	case errors.Is(err, bolterrors.ErrTimeout):
+		return nil, &StoreError{Path: path, Err: ErrStoreInUse}
+	case errors.Is(err, os.ErrPermission):
+		return nil, err
+	default:
+		return nil, &StoreError{Path: path, Err: fmt.Errorf("%w: %w", ErrCorrupt, err)}
+	}
+}
+
+// openRecovering turns the panics of bbolt.Open over inconsistent pages into errors.
+func openRecovering(path string) (db *bbolt.DB, err error) {
+	defer func() {
+		if p := recover(); p != nil {
+			err = fmt.Errorf("%v", p)
+		}
+	}()
+	return bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout})
+}
+
+// identify reads the file's identity, or makes it if the file is new, checks it and counts the start.
+func (s *Store) identify(metadata *bbolt.Bucket, group, name string) error {
+	data, err := s.get(metadata, keyIdentity)
+	if err != nil {
+		return err
+	}
+	if data == nil {
+		s.identity, err = newIdentity(group, name)
+		if err != nil {
+			return err
+		}
+	} else if err := cbor.Unmarshal(data, &s.identity); err != nil {
+		return s.corrupt("identity", err)
+	}
+	if s.identity.Version != storeVersion {
+		return &StoreError{Path: s.path, Err: &VersionError{Found: s.identity.Version, Supported: storeVersion}}
+	}
+	if s.identity.Group != group || s.identity.Name != name {
+		owner := &OwnerError{Group: s.identity.Group, Name: s.identity.Name, WantGroup: group, WantName: name}
+		return &StoreError{Path: s.path, Err: owner}
+	}
+	s.identity.StartCount++
+	return s.putIdentity(metadata)
+}
+
+func newIdentity(group, name string) (Identity, error) {
+	var id [8]byte
+	if _, err := rand.Read(id[:]); err != nil {
+		return Identity{}, err
+	}
+	return Identity{
+		Version: storeVersion,
+		Group:   group,
+		Name:    name,
+		ID:      binary.LittleEndian.Uint64(id[:]) | 1, // not 0, which raft takes for no voter
+	}, nil
+}
+
+// corrupt returns the error for an item of the file that cannot be read.
+func (s *Store) corrupt(item string, cause error) error {
+	return &StoreError{Path: s.path, Item: item, Err: fmt.Errorf("%w: %w", ErrCorrupt, cause)}
+}
+
+// Identity returns the file's identity, this start counted.
+func (s *Store) Identity() Identity { return s.identity }
+
+// Bootstrap makes the file that of a voter of a new group; state is what the function Bootstrap returns.
+func (s *Store) Bootstrap(state PersistentState) error {
+	return s.Write(Ready{HardState: state.HardState, Snapshot: state.Snapshot})
+}
+
+// Close closes the file. The Store must not be used afterwards.
+func (s *Store) Close() error { return s.db.Close() }
+
+// Quarantine renames a closed file that must not be used again, and returns its new path: the old one with
+// ".aside-" and the first free number from 1 on.
+func Quarantine(path string) (string, error) {
+	for i := 1; ; i++ {
+		quarantined := fmt.Sprintf("%s.aside-%d", path, i)
+		if _, err := os.Lstat(quarantined); errors.Is(err, os.ErrNotExist) {
+			return quarantined, os.Rename(path, quarantined)
+		}
+	}
+}
--- /dev/null
+++ b/internal/group/consensus/store_test.go
@@ -0,0 +1,104 @@
+package consensus
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"piernotch/internal/group/protocol"
+)
+
+func entryAt(index, term uint64, data string) *raftpb.Entry {
+	return &raftpb.Entry{Index: &index, Term: &term, Data: []byte(data)}
+}
+
+// reopen closes a store and returns what its file holds.
+func reopen(t *testing.T, s *Store) (*Store, PersistentState) {
+	t.Helper()
+	require.NoError(t, s.Close())
+	s, state, err := OpenStore(s.path, "g", "n1")
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = s.Close() })
+	return s, state
+}
+
+func TestStoreReturnsWhatWasWritten(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "deep", "voter")
+	store, state, err := OpenStore(path, "g", "n1")
+	require.NoError(t, err)
+	require.Nil(t, state.HardState)
+	first := store.Identity()
+	require.False(t, first.Bootstrapped)
+	_, _, err = OpenStore(path, "g", "n1")
+	require.ErrorContains(t, err, "another process uses it")
+	require.ErrorIs(t, err, ErrStoreInUse)
+
+	bootstrapped := Bootstrap([]protocol.Voter{{ID: first.ID, Name: "n1", Address: "127.0.0.1:1"}})
+	require.NoError(t, store.Bootstrap(bootstrapped))
+	require.NoError(t, store.Write(Ready{Entries: []*raftpb.Entry{entryAt(2, 1, "a"), entryAt(3, 1, "b"), entryAt(4, 1, "c")}}))
+	require.NoError(t, store.Write(Ready{
+		Entries:      []*raftpb.Entry{entryAt(3, 2, "d")},
+		Incarnations: map[uint64]Incarnation{9: {Count: 4, ID: 7}},
+	}))
+	store, state = reopen(t, store)
+	require.Equal(t, Identity{storeVersion, "g", "n1", first.ID, 2, true}, store.Identity())
+	require.Len(t, state.Entries, 2, "an entry of a later term replaces all from its index on")
+	require.True(t, proto.Equal(entryAt(3, 2, "d"), state.Entries[1]))
+	require.Equal(t, map[uint64]Incarnation{9: {Count: 4, ID: 7}}, state.Incarnations)
+	require.True(t, proto.Equal(bootstrapped.Snapshot, state.Snapshot))
+
+	three := uint64(3)
+	compaction := proto.Clone(bootstrapped.Snapshot).(*raftpb.Snapshot)
+	compaction.Metadata.Index = &three
+	require.NoError(t, store.Write(Ready{Entries: []*raftpb.Entry{entryAt(4, 2, "e")}}))
+	require.NoError(t, store.Write(Ready{Compaction: compaction}))
+	store, state = reopen(t, store)
+	require.Len(t, state.Entries, 1, "a compaction replaces the entries up to its index")
+	require.NoError(t, store.Write(Ready{Snapshot: bootstrapped.Snapshot}))
+	_, state = reopen(t, store)
+	require.Empty(t, state.Entries, "a leader's snapshot replaces all entries")
+}
+
+func TestStoreRefusesOtherVotersAndCorruptFiles(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "voter")
+	store, _, err := OpenStore(path, "g", "n1")
+	require.NoError(t, err)
+	require.NoError(t, store.Bootstrap(Bootstrap([]protocol.Voter{{ID: store.Identity().ID, Name: "n1"}})))
+	require.NoError(t, store.Write(Ready{Entries: []*raftpb.Entry{entryAt(2, 1, "easy to find")}}))
+	require.NoError(t, store.Close())
+	_, _, err = OpenStore(path, "g", "n2")
+	require.ErrorContains(t, err, `belongs to "n1" of group "g", not to "n2" of "g"`)
+	var owner *OwnerError
+	require.ErrorAs(t, err, &owner)
+
+	intact, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Contains(t, string(intact), "easy to find")
+	for name, corrupt := range map[string]func([]byte) []byte{
+		"flipped bit": func(data []byte) []byte {
+			return bytes.ReplaceAll(data, []byte("easy"), []byte{'e' ^ 1, 'a', 's', 'y'})
+		},
+		"truncated": func(data []byte) []byte { return data[:3*len(data)/8] },
+		"noise":     func([]byte) []byte { return []byte("what is this") },
+	} {
+		t.Run(name, func(t *testing.T) {
+			require.NoError(t, os.WriteFile(path, corrupt(intact), 0o600))
+			_, _, err := OpenStore(path, "g", "n1")
+			require.ErrorIs(t, err, ErrCorrupt)
+			require.ErrorContains(t, err, path)
+			quarantined, err := Quarantine(path)
+			require.NoError(t, err)
+			require.FileExists(t, quarantined)
+			fresh, state, err := OpenStore(path, "g", "n1")
+			require.NoError(t, err)
+			require.Nil(t, state.HardState)
+			require.NotEqual(t, store.Identity().ID, fresh.Identity().ID, "the voter comes back under a new ID")
+			require.NoError(t, fresh.Close())
+		})
+	}
+}
