--- a/internal/group/consensus/golden_test.go
+++ b/internal/group/consensus/golden_test.go
@@ -81,7 +81,7 @@
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, nil)
 	require.NoError(t, err)
-	defer db.Close()
+	defer func() { _ = db.Close() }()
 	all := map[string]string{}
 	require.NoError(t, db.View(func(tx *bbolt.Tx) error {
 		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
