--- /dev/null
+++ b/internal/serve/upstream/connection.go
@@ -0,0 +1,142 @@
+package upstream
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"strconv"
+	"time"
+
+	"piernotch/internal/http1"
+	"piernotch/internal/serve/eventloop"
+)
+
+// connection is one connection to a feed server. It carries one attempt at a
+// time. It implements eventloop.Handler, whose methods run on the loop's owning
+// goroutine.
+type connection struct {
+	pool            *pool
+	socket          *eventloop.Conn
+	parser          *http1.Parser
+	attempt         *attempt      // nil: the connection is free
+	lastActivity    time.Duration // when it became idle, or when data last arrived
+	idleFor         time.Duration // how long it had been idle when it got its attempt
+	requestWritten  bool          // the attempt's request was handed to the socket
+	responseStarted bool          // part of a response has arrived
+}
+
+// writeRequest hands the attempt's request to the socket.
+func (c *connection) writeRequest(now time.Duration) {
+	request := c.attempt.request
+	fields := http1.Fields{{Name: "Host", Value: c.pool.endpoint.Address}}
+	if request.ID != "" {
+		fields = append(fields, http1.Field{Name: "X-Request-Id", Value: request.ID})
+	}
+	if request.IdempotencyKey != "" {
+		fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: request.IdempotencyKey})
+	}
+	if request.ContentType != "" {
+		fields = append(fields, http1.Field{Name: "Content-Type", Value: request.ContentType})
+	}
+	if remaining := (c.attempt.deadline - now).Milliseconds(); remaining > 0 {
+		fields = append(fields, http1.Field{Name: "X-Deadline-Ms", Value: strconv.FormatInt(remaining, 10)})
+	}
+	c.requestWritten = true
+	// An error is reported as a close of the connection, which ends the attempt.
+	_ = c.socket.Write(http1.AppendRequest(nil, request.Method, request.Target, fields, request.Body))
+}
+
+// Data implements eventloop.Handler: bytes from the feed server.
+func (c *connection) Data(data []byte) {
+	if c.attempt == nil || !c.requestWritten {
+		c.disconnected(fmt.Errorf("%w: %d bytes", errUnsolicitedData, len(data)))
+		return
+	}
+	c.responseStarted = true
+	c.lastActivity = c.pool.upstream.now()
+	c.parser.Feed(data)
+	response, err := c.parser.Next()
+	switch {
+	case err != nil:
+		c.fail(Malformed, err)
+	case response != nil:
+		c.responseReceived(response)
+	}
+}
+
+// Closed implements eventloop.Handler: the connection has ended. An orderly end
+// may complete a response whose length it gives. Any other error must not: the
+// response was cut short.
+func (c *connection) Closed(err error) {
+	responsePending := c.attempt != nil && c.requestWritten && c.responseStarted
+	if responsePending && errors.Is(err, io.EOF) {
+		if response := c.parser.End(); response != nil {
+			c.responseReceived(response)
+			return
+		}
+	}
+	if err == nil {
+		err = errClosedByServer
+	}
+	c.disconnected(err)
+}
+
+// disconnected fails the connection at the stage that its attempt had reached.
+func (c *connection) disconnected(err error) {
+	stage := Connecting
+	switch {
+	case c.responseStarted:
+		stage = ReadingResponse
+	case c.requestWritten && c.socket.UnsentBytes() == 0:
+		stage = AwaitingResponse
+	case c.requestWritten:
+		stage = Writing
+	}
+	c.fail(stage, err)
+}
+
+// fail closes the connection and fails its attempt, if it has one.
+func (c *connection) fail(stage Stage, err error) {
+	a := c.attempt
+	c.attempt = nil
+	c.socket.Close()
+	c.pool.remove(c)
+	if a == nil {
+		return
+	}
+	c.pool.upstream.fail(a, &AttemptError{
+		Stage:   stage,
+		Address: c.pool.endpoint.Address,
+		IdleFor: c.idleFor,
+		Err:     err,
+	})
+}
+
+// closeAndReplace closes a connection that is in none of its pool's lists, and
+// has another one opened for the attempts that wait.
+func (c *connection) closeAndReplace() {
+	c.socket.Close()
+	c.pool.dialForWaiting()
+}
+
+// responseReceived ends the attempt with the feed server's response, and frees
+// the connection.
+func (c *connection) responseReceived(response *http1.Message) {
+	a := c.attempt
+	c.attempt = nil
+	a.conn = nil
+	c.pool.upstream.forget(a)
+	if c.reusableAfter(response) {
+		c.pool.settle(c)
+	} else {
+		c.closeAndReplace()
+	}
+	c.pool.upstream.complete(a, response)
+}
+
+// reusableAfter reports whether the connection can carry another request. It
+// cannot behind bytes beyond the response, or a response that came before the
+// request was completely written.
+func (c *connection) reusableAfter(response *http1.Message) bool {
+	return !response.Close && c.parser.Idle() && c.socket.UnsentBytes() <= 0
+}
--- a/internal/serve/upstream/load_report.go
+++ b/internal/serve/upstream/load_report.go
@@ -13,40 +13,45 @@
 	"piernotch/internal/wire"
 )
 
-// sayEvery is the least time between two lines about reports that cannot be used.
-const sayEvery = 10 * time.Second
+// reportWarningInterval is the least time between two log lines about invalid
+// load reports.
+const reportWarningInterval = 10 * time.Second
 
-// report reads a load report, as name=value,… with any names, each at most once and
-// inflight among them. Values are finite and not negative.
-func report(text string) (load piernotch.LoadReport, err error) {
-	seen := make([]string, 0, 4) // on the stack: every answer brings one
-	for part := range strings.SplitSeq(text, ",") {
-		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
-		v, bad := strconv.ParseFloat(value, 64)
-		if !ok || bad != nil || slices.Contains(seen, name) || !wire.SetLoad(&load, name, v) {
-			return piernotch.LoadReport{}, fmt.Errorf("%q", part)
+// parseLoadReport parses a load report: name=value pairs between commas. Names
+// may be any, each at most once, and inflight must be one of them. Values are
+// finite and not negative.
+func parseLoadReport(text string) (piernotch.LoadReport, error) {
+	var load piernotch.LoadReport
+	seen := make([]string, 0, 4) // stays on the stack: every response may carry a report
+	for pair := range strings.SplitSeq(text, ",") {
+		name, value, found := strings.Cut(strings.TrimSpace(pair), "=")
+		number, err := strconv.ParseFloat(value, 64)
+		wellFormed := found && err == nil && !slices.Contains(seen, name)
+		if !wellFormed || !wire.SetLoad(&load, name, number) {
+			return piernotch.LoadReport{}, fmt.Errorf("%w: %q", errInvalidLoadValue, pair)
 		}
 		seen = append(seen, name)
 	}
 	if !slices.Contains(seen, wire.Inflight) {
-		return piernotch.LoadReport{}, fmt.Errorf("no inflight in %q", text)
+		return piernotch.LoadReport{}, fmt.Errorf("%w in %q", errNoInflight, text)
 	}
 	return load, nil
 }
 
-// reported passes a load report on. One that cannot be read leaves what is believed as
-// it was: the answer that it came with is as good as without it.
-func (u *Upstream) reported(to core.Endpoint, text string) {
+// loadReportReceived passes a response's load report to the core; "" is none.
+// An invalid one changes nothing: the response is as good as without it.
+func (u *Upstream) loadReportReceived(from core.Endpoint, text string) {
 	if text == "" {
 		return
 	}
-	load, err := report(text)
+	load, err := parseLoadReport(text)
 	if err == nil {
-		u.emit(core.LoadReported{Backend: to.Backend, Load: load})
+		u.emit(core.LoadReported{Backend: from.Backend, Load: load})
 		return
 	}
-	if now := u.now(); u.saidBad == 0 || now-u.saidBad > sayEvery {
-		u.saidBad = now
-		slog.Warn("load report rejected", "server", to.Address, "err", err)
+	now := u.now()
+	if u.lastReportWarning == 0 || now-u.lastReportWarning > reportWarningInterval {
+		u.lastReportWarning = now
+		slog.Warn("load report rejected", "server", from.Address, "err", err)
 	}
 }
--- a/internal/serve/upstream/load_report_test.go
+++ b/internal/serve/upstream/load_report_test.go
@@ -8,15 +8,15 @@
 	"piernotch"
 )
 
-func TestReports(t *testing.T) {
-	got, err := report("eps=0.1, qps=20.5,inflight=7,new=3")
+func TestParseLoadReport(t *testing.T) {
+	got, err := parseLoadReport("eps=0.1, qps=20.5,inflight=7,new=3")
 	require.NoError(t, err)
 	require.Equal(t, piernotch.LoadReport{Inflight: 7, CompletedPerSecond: 20.5}, got)
-	for _, bad := range []string{
+	for _, invalid := range []string{
 		"qps=3", "inflight", "inflight=", "inflight=-1", "inflight=NaN", "inflight=Inf", "inflight=1e999",
 		"inflight=1,inflight=2", "inflight=1,,", "\x00\xff", "inflight=1;qps=2",
 	} {
-		_, err := report(bad)
-		require.Error(t, err, bad)
+		_, err := parseLoadReport(invalid)
+		require.Error(t, err, invalid)
 	}
 }
--- a/internal/serve/upstream/pool_test.go
+++ b/internal/serve/upstream/pool_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"io"
 	"net"
 	"testing"
 	"time"
@@ -14,69 +15,92 @@
 	"piernotch/internal/serve/eventloop"
 )
 
-// More attempts wait for connections than may come up at once, and those that have one lose it: what still
-// waits gets others.
-func TestWhatWaitsForAConnectionGetsAnother(t *testing.T) {
-	for name, lose := range map[string]func(u *Upstream, ref core.AttemptRef){
-		"called off": func(u *Upstream, ref core.AttemptRef) { u.CancelAttempt(ref) },
-		"closed":     func(*Upstream, core.AttemptRef) {}, // by the server, with its answer
-	} {
-		t.Run(name, func(t *testing.T) {
-			l, err := net.Listen("tcp", "127.0.0.1:0")
-			require.NoError(t, err)
-			defer func() { _ = l.Close() }()
-			go func() {
-				for {
-					c, err := l.Accept()
-					if err != nil {
-						return
-					}
-					go func() {
-						r := bufio.NewReader(c)
-						_, _ = r.ReadString('\n')
-						if name == "closed" {
-							_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
-						}
-						_, _ = r.WriteTo(nowhere{})
-						_ = c.Close()
-					}()
-				}
-			}()
-			e, err := eventloop.New(256)
-			require.NoError(t, err)
-			const attempts = maxDials + 4
-			began, connected, all := time.Now(), 0, make(chan struct{})
-			var u *Upstream
-			u = New(e, func(ev core.Event) {
-				if c, ok := ev.(core.AttemptConnected); ok {
-					u.WriteAttempt(c.Ref)
-					if connected++; connected == attempts {
-						close(all)
-					}
-					e.Post(func() { lose(u, c.Ref) })
-				}
-			}, func() time.Duration { return time.Since(began) }, time.Minute, time.Second)
-			e.Post(func() {
-				to := core.Endpoint{Backend: 1, Address: l.Addr().String()}
-				for i := range attempts {
-					u.StartAttempt(core.StartAttempt{Ref: core.AttemptRef{Request: piernotch.RequestID(i)}, To: to, Timeout: time.Minute}, &Request{Method: "GET", Target: "/", ID: "1"})
-				}
-			})
-			ctx, stop := context.WithCancel(t.Context())
-			done := make(chan struct{})
-			go func() { e.Run(ctx, core.TickInterval, func() { u.Tick() }); close(done) }()
-			select {
-			case <-all:
-			case <-time.After(5 * time.Second):
-				t.Error("some still wait")
-			}
-			stop()
-			<-done
-		})
+// More attempts wait for connections than may be dialled at once, and those that have a connection lose it. The
+// attempts that still wait must be given others.
+func TestWaitingAttemptsGetReplacementConnections(t *testing.T) {
+	t.Run("attempt cancelled", func(t *testing.T) {
+		requireAllAttemptsConnect(t, "", func(u *Upstream, ref core.AttemptRef) { u.CancelAttempt(ref) })
+	})
+	t.Run("connection closed by the server", func(t *testing.T) {
+		closing := "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+		requireAllAttemptsConnect(t, closing, func(*Upstream, core.AttemptRef) {})
+	})
+}
+
+// requireAllAttemptsConnect starts more attempts than may be dialled at once, and calls onConnected for each one
+// that got a connection and wrote its request. The server answers each with response.
+func requireAllAttemptsConnect(t *testing.T, response string, onConnected func(*Upstream, core.AttemptRef)) {
+	const attempts = maxConcurrentDials + 4
+	address := startServer(t, response)
+	loop, err := eventloop.New(256)
+	require.NoError(t, err)
+
+	started := time.Now()
+	connected := 0
+	allConnected := make(chan struct{})
+	var u *Upstream
+	emit := func(event core.Event) {
+		c, ok := event.(core.AttemptConnected)
+		if !ok {
+			return
+		}
+		u.WriteAttempt(c.Ref)
+		connected++
+		if connected == attempts {
+			close(allConnected)
+		}
+		loop.Post(func() { onConnected(u, c.Ref) })
+	}
+	u = New(loop, emit, func() time.Duration { return time.Since(started) }, time.Minute, time.Second)
+	loop.Post(func() {
+		for i := range attempts {
+			u.StartAttempt(core.StartAttempt{
+				Ref:     core.AttemptRef{Request: piernotch.RequestID(i)},
+				To:      core.Endpoint{Backend: 1, Address: address},
+				Timeout: time.Minute,
+			}, &Request{Method: "GET", Target: "/", ID: "1"})
+		}
+	})
+
+	ctx, stop := context.WithCancel(t.Context())
+	loopEnded := make(chan struct{})
+	go func() { // ends with ctx, which is awaited below
+		loop.Run(ctx, core.TickInterval, func() { u.Tick() })
+		close(loopEnded)
+	}()
+	select {
+	case <-allConnected:
+	case <-time.After(5 * time.Second):
+		t.Error("some attempts still wait for a connection")
 	}
+	stop()
+	<-loopEnded
 }
 
-// nowhere takes what nobody reads.
-type nowhere struct{}
+// startServer accepts connections until the test ends. On each it answers the first line with response, and then
+// discards what comes until the client closes.
+func startServer(t *testing.T, response string) (address string) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = listener.Close() })
+	go func() { // ends when the listener is closed
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go serveOnce(conn, response) // ends when the client closes
+		}
+	}()
+	return listener.Addr().String()
+}
 
-func (nowhere) Write(p []byte) (int, error) { return len(p), nil }
+func serveOnce(conn net.Conn, response string) {
+	reader := bufio.NewReader(conn)
+	_, _ = reader.ReadString('\n')
+	if response != "" {
+		_, _ = conn.Write([]byte(response))
+	}
+	_, _ = reader.WriteTo(io.Discard)
+	_ = conn.Close()
+}
