--- /dev/null
+++ b/internal/serve/downstream/request.go
@@ -0,0 +1,185 @@
+package downstream
+
+import (
+	"errors"
+	"hash/fnv"
+	"math"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"piernotch"
+	"piernotch/internal/http1"
+	"piernotch/internal/serve/core"
+	"piernotch/internal/serve/upstream"
+)
+
+const (
+	// deadlineMargin is how long before the client's own deadline a response must
+	// be on its way: the request took time to arrive, and so will the response.
+	deadlineMargin = 10 * time.Millisecond
+
+	// maxRequestIDLength and maxKeyLength bound what a client may send, in bytes.
+	maxRequestIDLength = 128
+	maxKeyLength       = 256
+
+	// reasonTrailingBytes is the body of the response to a second request that
+	// came before the first one's response.
+	reasonTrailingBytes = "bytes beyond the request"
+)
+
+// invalidRequest is the response to a request that cannot be served.
+type invalidRequest struct {
+	status int
+	reason string
+	allow  string // the method that the path takes, for the Allow field; "": no such field
+}
+
+func badRequest(reason string) *invalidRequest {
+	return &invalidRequest{status: http1.StatusBadRequest, reason: reason}
+}
+
+// parseRequest turns a message into the core's event, all but its exchange ID.
+func (d *Downstream) parseRequest(message *http1.Message) (core.RequestReceived, *invalidRequest) {
+	className, _, _ := strings.Cut(strings.TrimPrefix(message.Path(), "/"), "/")
+	class, method := d.route(className, message.Method)
+	switch {
+	case method == "":
+		return core.RequestReceived{}, &invalidRequest{status: http1.StatusNotFound, reason: "no such class"}
+	case message.Method != method:
+		return core.RequestReceived{}, methodNotAllowed(method)
+	}
+	id, wait, invalid := parseHeaders(message, d.maxWaits[class])
+	if invalid != nil {
+		return core.RequestReceived{}, invalid
+	}
+	return core.RequestReceived{
+		ID:       id,
+		Class:    class,
+		Tenant:   d.tenantIndex(message.Fields.Get("x-tenant")),
+		Key:      parseKey(message.Query("k")),
+		Hint:     parseCostHint(message.Fields.Get("x-cost-hint")),
+		Deadline: d.arrivalTime() + wait - deadlineMargin,
+		Message: &upstream.Request{
+			Method:         message.Method,
+			Target:         message.Target,
+			ID:             id,
+			IdempotencyKey: message.Fields.Get("idempotency-key"),
+			ContentType:    message.Fields.Get("content-type"),
+			Body:           message.Body,
+		},
+	}, nil
+}
+
+func methodNotAllowed(allowed string) *invalidRequest {
+	return &invalidRequest{status: http1.StatusMethodNotAllowed, reason: "use " + allowed, allow: allowed}
+}
+
+// route finds the class that a request names and the method that the class takes,
+// "" if there is no such class. A class may have two routes for a while after its
+// retry safety was changed: the one that takes the request's method is preferred.
+func (d *Downstream) route(className, method string) (class int, allowedMethod string) {
+	for _, route := range d.routes[className] {
+		if route.ExpiresAt > 0 && d.now() >= route.ExpiresAt {
+			continue
+		}
+		class = route.Class
+		allowedMethod = http1.MethodPost
+		if route.Idempotent {
+			allowedMethod = http1.MethodGet
+		}
+		if allowedMethod == method {
+			break
+		}
+	}
+	return class, allowedMethod
+}
+
+// tenantIndex returns the index of a tenant in the settings, -1 for one that they
+// do not name: it has no quota of its own, and must not use up another's.
+func (d *Downstream) tenantIndex(name string) int {
+	return slices.IndexFunc(d.tenants, func(tenant piernotch.Tenant) bool { return tenant.Name == name })
+}
+
+// parseHeaders validates a request's header fields and body framing. It returns
+// the request's ID and how long the client waits: maxWait, or less if the client
+// names a shorter deadline. What a feed server could not use, or could interpret
+// differently, is rejected.
+func parseHeaders(message *http1.Message, maxWait time.Duration) (id string, wait time.Duration, invalid *invalidRequest) {
+	idCount, deadlineCount, keyCount := 0, 0, 0
+	wait = maxWait
+	for _, field := range message.Fields {
+		switch field.Name {
+		case "x-request-id":
+			idCount++
+			id = field.Value
+		case "idempotency-key":
+			keyCount++
+		case "x-deadline-ms":
+			deadlineCount++
+			deadline, valid := parseDeadline(field.Value)
+			if !valid {
+				return "", 0, badRequest("X-Deadline-Ms is not a number of milliseconds")
+			}
+			wait = min(deadline, maxWait)
+		}
+	}
+	switch {
+	case idCount != 1 || deadlineCount > 1 || keyCount > 1:
+		return "", 0, badRequest("not one X-Request-Id, or more than one X-Deadline-Ms or Idempotency-Key")
+	case !validRequestID(id):
+		return "", 0, badRequest("X-Request-Id is not a name")
+	case message.Method == http1.MethodGet && len(message.Body) > 0:
+		return "", 0, badRequest("GET takes no body")
+	case message.Method != http1.MethodGet && !message.Sized:
+		return "", 0, badRequest("no length")
+	}
+	return id, wait, nil
+}
+
+// parseDeadline parses a positive number of milliseconds. Numbers too large for a
+// time.Duration count as the largest uint32.
+func parseDeadline(text string) (deadline time.Duration, valid bool) {
+	milliseconds, err := strconv.ParseUint(text, 10, 64)
+	if errors.Is(err, strconv.ErrRange) {
+		return math.MaxUint32 * time.Millisecond, true
+	}
+	if err != nil || milliseconds == 0 {
+		return 0, false
+	}
+	return time.Duration(min(milliseconds, math.MaxUint32)) * time.Millisecond, true
+}
+
+// validRequestID reports whether an ID is of visible ASCII characters alone, and
+// neither empty nor too long.
+func validRequestID(id string) bool {
+	invisible := func(r rune) bool { return r <= ' ' || r > '~' }
+	return id != "" && len(id) <= maxRequestIDLength && !strings.ContainsFunc(id, invisible)
+}
+
+// parseKey turns a request's affinity key into a number, 0 for none. A key is
+// normally hexadecimal; any other is hashed, as only equality matters. One that
+// is too long counts as none.
+func parseKey(text string) uint64 {
+	if text == "" || len(text) > maxKeyLength {
+		return 0
+	}
+	if number, err := strconv.ParseUint(text, 16, 64); err == nil {
+		return number
+	}
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(text))
+	return hash.Sum64()
+}
+
+// parseCostHint parses an estimate of the request's work in microseconds and
+// returns it in milliseconds, or NaN if there is no positive, finite one.
+func parseCostHint(text string) float64 {
+	microseconds, err := strconv.ParseFloat(text, 64)
+	positive := microseconds > 0 // false for NaN
+	if err != nil || !positive || math.IsInf(microseconds, 0) {
+		return math.NaN()
+	}
+	return microseconds / 1000
+}
--- /dev/null
+++ b/internal/serve/downstream/response.go
@@ -0,0 +1,109 @@
+package downstream
+
+import (
+	"strconv"
+	"time"
+
+	"piernotch"
+	"piernotch/internal/http1"
+	"piernotch/internal/serve/core"
+	"piernotch/internal/serve/upstream"
+)
+
+// healthPath is where this process answers health checks.
+const healthPath = "/_health"
+
+// The bodies of the final responses that are not a feed server's.
+const (
+	bodyRejected    = "refused: trying again is harmless\n"
+	bodyDuplicateID = "another open request has this X-Request-Id\n"
+	bodyFailed      = "failed: the request may have run\n"
+)
+
+// Respond writes the final response of an exchange. It does nothing if the
+// exchange is unknown, because its client has gone.
+func (d *Downstream) Respond(effect core.Respond) {
+	c := d.pending[effect.Client]
+	if c == nil {
+		return
+	}
+	delete(d.pending, effect.Client)
+	c.exchange = 0
+	c.closeAfterResponse = c.closeAfterResponse || effect.Close
+	switch effect.Result {
+	case core.Served:
+		c.respondServed(effect.Answer.(*upstream.Response))
+	case core.Rejected:
+		c.respondRejected(effect.RetryAfter)
+	case core.DuplicateID:
+		c.respond(http1.StatusConflict, nil, []byte(bodyDuplicateID))
+	default:
+		status := http1.StatusBadGateway
+		if effect.LastStatus == piernotch.Timeout {
+			status = http1.StatusGatewayTimeout
+		}
+		c.respond(status, nil, []byte(bodyFailed))
+	}
+}
+
+// respondServed forwards a feed server's response.
+func (c *connection) respondServed(response *upstream.Response) {
+	var fields http1.Fields
+	if response.ContentType != "" {
+		fields = append(fields, http1.Field{Name: "Content-Type", Value: response.ContentType})
+	}
+	c.respond(http1.StatusOK, fields, response.Body)
+}
+
+// respondRejected tells the client that its request was not executed, and after
+// what time a retry makes sense; 0: at any time.
+func (c *connection) respondRejected(retryAfter time.Duration) {
+	var fields http1.Fields
+	if retryAfter > 0 {
+		seconds := strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64)
+		fields = append(fields, http1.Field{Name: "Retry-After", Value: seconds})
+	}
+	c.respond(http1.StatusServiceUnavailable, fields, []byte(bodyRejected))
+}
+
+// serveHealth answers a health check of this process.
+func (c *connection) serveHealth(message *http1.Message) {
+	switch {
+	case message.Method != http1.MethodGet:
+		c.respondInvalid(methodNotAllowed(http1.MethodGet))
+	case !c.downstream.ready():
+		c.respondText(http1.StatusServiceUnavailable, "no list of feed servers yet, drained, or ending")
+	default:
+		c.respondText(http1.StatusOK, "ok")
+	}
+}
+
+// respondInvalid answers a request that cannot be served.
+func (c *connection) respondInvalid(invalid *invalidRequest) {
+	if invalid.allow == "" {
+		c.respondText(invalid.status, invalid.reason)
+		return
+	}
+	c.respondText(invalid.status, invalid.reason, http1.Field{Name: "Allow", Value: invalid.allow})
+}
+
+// respondText writes a response with a line of plain text.
+func (c *connection) respondText(status int, text string, fields ...http1.Field) {
+	fields = append(fields, http1.Field{Name: "Content-Type", Value: "text/plain"})
+	c.respond(status, fields, []byte(text+"\n"))
+}
+
+// respond writes a response, and closes the connection behind it if it is the
+// last one.
+func (c *connection) respond(status int, fields http1.Fields, body []byte) {
+	if c.closeAfterResponse {
+		fields = append(fields, http1.Field{Name: "Connection", Value: "close"})
+	}
+	c.phaseStart = c.downstream.now()
+	if c.socket.Write(http1.AppendResponse(nil, status, fields, body)) != nil {
+		return // reported as a close of the connection
+	}
+	if c.closeAfterResponse {
+		c.startClose()
+	}
+}
