--- /dev/null
+++ b/internal/serve/discovery/connection.go
@@ -0,0 +1,86 @@
+package discovery
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"strconv"
+
+	"piernotch/internal/http1"
+	"piernotch/internal/serve/eventloop"
+)
+
+const (
+	// listPath is where the discovery service answers polls.
+	listPath = "/catalog/members"
+
+	// maxListSize is the largest list accepted, in bytes.
+	maxListSize = 4 << 20
+)
+
+// connection is a connection to the discovery service. It implements
+// eventloop.Handler, whose methods run on the loop's owning goroutine. Once it is
+// no longer its watcher's connection, it ignores whatever happens to it.
+type connection struct {
+	watcher *Watcher
+	socket  *eventloop.Conn
+	parser  *http1.Parser
+}
+
+// writePoll writes the request for a change of the list since version, or for the
+// complete list, which is answered at once.
+func (c *connection) writePoll(host string, version uint64, complete bool) {
+	target := listPath
+	if !complete {
+		wait := strconv.FormatInt(watchWait.Milliseconds(), 10)
+		target += "?index=" + strconv.FormatUint(version, 10) + "&wait=" + wait
+	}
+	fields := http1.Fields{{Name: "Host", Value: host}}
+	// An error is reported as a close of the connection, which fails the poll.
+	_ = c.socket.Write(http1.AppendRequest(nil, http1.MethodGet, target, fields, nil))
+}
+
+// Data implements eventloop.Handler: bytes from the discovery service.
+func (c *connection) Data(data []byte) {
+	w := c.watcher
+	if w.connection != c {
+		return
+	}
+	if !w.responseDue() {
+		w.fail(fmt.Errorf("%w: %d bytes", errUnsolicitedData, len(data)))
+		return
+	}
+	c.parser.Feed(data)
+	response, err := c.parser.Next()
+	switch {
+	case err != nil:
+		w.fail(err)
+	case response != nil:
+		w.responseReceived(response)
+	}
+}
+
+// Closed implements eventloop.Handler: the connection has ended. An orderly end
+// may complete a response whose length it gives. Any other error must not: the
+// response was cut short.
+func (c *connection) Closed(err error) {
+	w := c.watcher
+	if w.connection != c {
+		return
+	}
+	var response *http1.Message
+	if errors.Is(err, io.EOF) {
+		response = c.parser.End()
+	}
+	if err == nil {
+		err = errClosedByServer
+	}
+	switch {
+	case response != nil:
+		w.responseReceived(response)
+	case w.responseDue():
+		w.fail(fmt.Errorf("connection ended: %w", err))
+	default:
+		w.connection = nil
+	}
+}
--- a/internal/serve/discovery/watcher.go
+++ b/internal/serve/discovery/watcher.go
@@ -1,16 +1,9 @@
-// Package discovery holds the list of feed servers as discovery tells it: the
-// form of the list on the wire, and the watch that follows its changes.
 package discovery
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
-	"net"
-	"slices"
-	"strconv"
 	"time"
 
 	"piernotch"
@@ -21,347 +14,263 @@
 )
 
 const (
-	path = "/catalog/members"
-	wait = 5 * time.Second // how long discovery may hold a watch
-	// grace is how much longer it may be silent. What a silent watch misses counts as told two seconds
-	// after the wait, so the next call has to be answered by then.
-	grace   = time.Second
-	dialFor = time.Second
-	maxList = 4 << 20
-	// pause is the least time from one call to the next: a discovery that answers
-	// at once, though nothing has changed, must not be asked without end. It
-	// stays well under the 200 ms in which a watch counts as going on.
-	pause = 100 * time.Millisecond
-	// lookAgain is how often a balancer that another one asks for looks whether that still holds.
-	lookAgain = 50 * time.Millisecond
-	// pushPause is the time between two tries where the list is pushed: who pushes it is near, and what
-	// it has counts as told.
-	pushPause = 200 * time.Millisecond
-)
+	// watchWait is how long the service may hold a poll without a change.
+	watchWait = 5 * time.Second
 
-type listJSON struct {
-	Generation *uint64 `json:"generation"`
-	Reset      bool    `json:"reset"`
-	Instances  []struct {
-		InstanceID  string  `json:"instanceId"`
-		HostPort    string  `json:"hostPort"`
-		Zone        string  `json:"zone"`
-		Cell        int     `json:"cell"`
-		Lifecycle   string  `json:"lifecycle"`
-		Weight      float64 `json:"weight"`
-		StartedAtMs float64 `json:"startedAtMs"`
-	} `json:"instances"`
-}
+	// silenceGrace is how much longer than watchWait the service may be silent.
+	// What a silent watch misses counts as delivered two seconds after the wait, so the
+	// next poll must be answered by then.
+	silenceGrace = time.Second
 
-var states = map[string]piernotch.State{
-	"in_service": piernotch.Ready, "terminating": piernotch.Draining, "terminated": piernotch.Gone,
-}
+	dialTimeout = time.Second
 
-// EndpointList is the whole list of feed servers, or what has changed of it.
-type EndpointList struct {
-	Generation uint64
-	Reset      bool
-	Endpoints  []core.DiscoveredEndpoint
-}
+	// minPollInterval is the least time between two polls: a service that answers
+	// at once without a change must not be polled in a busy loop. It stays well
+	// under the 200 ms within which the service counts a watch as continuing.
+	minPollInterval = 100 * time.Millisecond
 
-// Parse reads a list. Zones are given by their place among zones; an unknown one
-// is nobody's own.
-func Parse(data []byte, zones []string) (EndpointList, error) {
-	var in listJSON
-	if err := json.Unmarshal(data, &in); err != nil {
-		return EndpointList{}, fmt.Errorf("list: %w", err)
-	}
-	if in.Generation == nil {
-		return EndpointList{}, fmt.Errorf("list: no generation")
-	}
-	out := EndpointList{Generation: *in.Generation, Reset: in.Reset}
-	for i, e := range in.Instances {
-		state, ok := states[e.Lifecycle]
-		if !ok {
-			return EndpointList{}, fmt.Errorf("list: instances[%d].lifecycle is %q", i, e.Lifecycle)
-		}
-		if e.InstanceID == "" {
-			return EndpointList{}, fmt.Errorf("list: instances[%d].instanceId is missing", i)
-		}
-		if host, _, err := net.SplitHostPort(e.HostPort); state != piernotch.Gone && (err != nil || net.ParseIP(host) == nil) {
-			return EndpointList{}, fmt.Errorf("list: instances[%d].hostPort is %q", i, e.HostPort)
-		}
-		out.Endpoints = append(out.Endpoints, core.DiscoveredEndpoint{
-			Name: e.InstanceID, Address: e.HostPort,
-			Endpoint: piernotch.Endpoint{
-				Zone: slices.Index(zones, e.Zone), Cell: e.Cell, State: state, Size: e.Weight,
-				StartedAt: time.Duration(e.StartedAtMs * float64(time.Millisecond)),
-			},
-		})
-	}
-	return out, nil
-}
+	// sharedRecheckInterval is how often a balancer for which another one polls
+	// checks whether that is still so.
+	sharedRecheckInterval = 50 * time.Millisecond
 
-// Watcher follows the list. Each call after an answer follows at once: a later
-// one would count as a new watch.
+	// restartDelay is the time from a failure to the next poll of a watch that
+	// restarts by itself. It is short: the service that pushes the list is near,
+	// and what it has to send counts as delivered.
+	restartDelay = 200 * time.Millisecond
+)
+
+var (
+	errUnsolicitedData = errors.New("data received while no response was due")
+	errClosedByServer  = errors.New("closed by the discovery service")
+	errWatchTimeout    = errors.New("watch timed out")
+)
+
+// Watcher watches the endpoint list. It must be used on the event loop's owning
+// goroutine only.
 type Watcher struct {
-	engine  *eventloop.Loop
+	loop    *eventloop.Loop
 	emit    func(core.Event)
 	now     func() time.Duration
 	address string
 	zones   []string
-	version uint64
-	whole   bool // the next call asks for the whole list
-	pushed  bool // the module asks for no list: the watch goes on by itself
-	anew    bool // the call that is out stands in for one that fell silent
-	conn    *conn
-	epoch   int           // counts moves: what an earlier address still says is void
-	asking  bool          // a call is out or is being made
-	asked   time.Duration // when the last call was made
-	askAt   time.Duration // when the next is due; 0: none is
-	until   time.Duration
-	lists   group.SharedWatch // nil: this balancer asks for itself alone
-}
 
-type conn struct {
-	w      *Watcher
-	sock   *eventloop.Conn
-	parser *http1.Parser
+	version      uint64 // the last generation that is known
+	needsReset   bool   // the next poll requests the complete list: the known version cannot be continued
+	restarts     bool   // a failed watch restarts by itself; the balancer does not call Watch
+	active       bool   // a poll is in flight, is being dialled or is scheduled
+	redialled    bool   // the poll in flight replaces one that timed out
+	lastPollAt   time.Duration
+	nextPollAt   time.Duration // 0: no poll is scheduled
+	pollDeadline time.Duration // when the poll in flight times out
+
+	connection *connection // nil: there is none, or it is being dialled
+	epoch      int         // counts moves, to ignore dials of an earlier address
+
+	shared group.SharedWatch // nil: this balancer polls for itself alone
 }
 
-// New returns a watcher that knows the list up to version.
-func New(engine *eventloop.Loop, emit func(core.Event), now func() time.Duration, address string, zones []string, version uint64) *Watcher {
-	return &Watcher{engine: engine, emit: emit, now: now, address: address, zones: zones, version: version}
+// New returns a Watcher that knows the list up to version and does not watch yet.
+// Events are handed to emit on the loop's owning goroutine; now is the clock of
+// the core, and address is the discovery service's. See Parse for zones.
+func New(loop *eventloop.Loop, emit func(core.Event), now func() time.Duration, address string, zones []string, version uint64) *Watcher {
+	return &Watcher{loop: loop, emit: emit, now: now, address: address, zones: zones, version: version}
 }
 
-// Version is the last version of the list that is known.
+// Version returns the last generation of the list that is known.
 func (w *Watcher) Version() uint64 { return w.version }
 
-// Resume starts from a list that another watcher had, of this discovery or of another one, whose
-// versions mean nothing here.
-func (w *Watcher) Resume(version uint64, same bool) { w.version, w.whole = version, !same }
+// Resume continues from the version that another watcher knew. sameService
+// reports whether it was a version of this discovery service; one of another
+// service means nothing here.
+func (w *Watcher) Resume(version uint64, sameService bool) {
+	w.version = version
+	w.needsReset = !sameService
+}
 
-// UseSharedWatch has the watch go by a group in which one balancer may ask for many; nil: it does not.
-func (w *Watcher) UseSharedWatch(lists group.SharedWatch) { w.lists = lists }
+// SetPush starts the watch, and has it restart by itself from now on when it
+// fails.
+func (w *Watcher) SetPush() {
+	w.restarts = true
+	w.Watch()
+}
 
-// ReceiveShared takes a list that another balancer was told. What is older than what is known is not taken, and
-// what does not follow it is looked for.
-func (w *Watcher) ReceiveShared(p group.WatchEvent) {
-	take, missing := p.Follows(w.address, w.version)
-	if w.whole && p.Source == w.address { // what is known is of another discovery
-		take, missing = p.Whole, !p.Whole
-	}
-	if missing {
-		known := w.version
-		if w.whole {
-			known = 0
-		}
-		w.lists.RequestUpdate(w.address, known)
-	}
-	if !take {
+// Watch starts the watch, unless it is active.
+func (w *Watcher) Watch() {
+	if w.active {
 		return
 	}
-	list, err := Parse(p.Body, w.zones)
-	if err != nil {
-		slog.Warn("shared endpoint update rejected", "generation", p.ToVersion, "err", err)
+	w.active = true
+	due := w.lastPollAt + minPollInterval
+	if w.now() < due {
+		w.schedulePoll(due)
 		return
 	}
-	w.told(list)
+	w.poll()
 }
 
-// SetPush has the watch go on by itself from now on, whatever fails.
-func (w *Watcher) SetPush() {
-	w.pushed = true
+// Move ends the watch and starts one at another address. Its versions are its
+// own, so the complete list is requested. Late responses from the old address are
+// ignored.
+func (w *Watcher) Move(address string) {
+	w.disconnect()
+	w.epoch++
+	w.address = address
+	w.needsReset = true
+	w.active = false
+	w.redialled = false
+	w.lastPollAt = 0
 	w.Watch()
 }
 
-// Watch begins the watch, unless one stands.
-func (w *Watcher) Watch() {
-	if w.asking {
+// Tick must be called once per core.TickInterval. It makes scheduled polls and
+// handles polls that time out: a service that vanished sends nothing, and its
+// connection stays open. Only the connection may have been lost, and what the
+// watch misses counts as delivered soon, so a poll that times out is repeated at once
+// on a new connection. The watch fails if that times out, too.
+func (w *Watcher) Tick() {
+	if w.nextPollAt > 0 && w.now() >= w.nextPollAt {
+		w.poll()
+	}
+	if !w.active || w.now() <= w.pollDeadline {
 		return
 	}
-	w.asking = true
-	if due := w.asked + pause; w.now() < due {
-		w.ask(due)
+	if w.connection == nil || w.redialled {
+		w.fail(errWatchTimeout)
 		return
 	}
-	w.begin()
-}
-
-// ask has the next call made at a time.
-func (w *Watcher) ask(at time.Duration) {
-	w.asking, w.askAt = true, at
-	w.until = at + dialFor + wait + grace
+	slog.Warn("watch timeout", "address", w.address, "generation", w.version)
+	w.disconnect()
+	w.redialled = true
+	w.poll()
 }
 
-// Move leaves the address that is watched for another. Its versions are its own,
-// so the whole list is asked for; late answers from the old address find nobody.
-func (w *Watcher) Move(address string) {
-	w.hangUp()
-	w.epoch++
-	w.address, w.whole, w.asking, w.anew, w.asked = address, true, false, false, 0
-	w.Watch()
+// schedulePoll has Tick make the next poll at a time.
+func (w *Watcher) schedulePoll(at time.Duration) {
+	w.active = true
+	w.nextPollAt = at
+	w.pollDeadline = at + dialTimeout + watchWait + silenceGrace
 }
 
-// begin makes a call, on the connection that stands or on a new one.
-func (w *Watcher) begin() {
-	if w.lists != nil {
-		ask, whole := w.lists.ShouldPoll(w.address)
-		if !ask { // the call is made once nobody asks for this balancer any more
-			w.ask(w.now() + lookAgain)
+// poll makes a poll on the open connection or on a new one. If another balancer
+// polls for this one, that is checked again a little later instead.
+func (w *Watcher) poll() {
+	if w.shared != nil {
+		pollHere, complete := w.shared.ShouldPoll(w.address)
+		if !pollHere {
+			w.schedulePoll(w.now() + sharedRecheckInterval)
 			return
 		}
-		w.whole = w.whole || whole
+		w.needsReset = w.needsReset || complete
 	}
-	w.askAt, w.asked = 0, w.now()
-	w.until = w.asked + dialFor + wait + grace
-	if w.conn != nil {
-		w.call()
+	w.nextPollAt = 0
+	w.lastPollAt = w.now()
+	w.pollDeadline = w.lastPollAt + dialTimeout + watchWait + silenceGrace
+	if w.connection != nil {
+		w.writePoll()
 		return
 	}
-	c, epoch := &conn{w: w, parser: http1.NewResponseParser(maxList)}, w.epoch
-	w.engine.Dial(w.address, dialFor, func(s *eventloop.Conn) eventloop.Handler {
-		c.sock = s
-		s.Prioritize()
+	w.dial()
+}
+
+// dial opens a connection and makes the poll on it.
+func (w *Watcher) dial() {
+	c := &connection{watcher: w, parser: http1.NewResponseParser(maxListSize)}
+	epoch := w.epoch
+	opened := func(socket *eventloop.Conn) eventloop.Handler {
+		c.socket = socket
+		socket.Prioritize()
 		return c
-	}, func(s *eventloop.Conn, err error) {
+	}
+	done := func(socket *eventloop.Conn, err error) {
 		switch {
-		case w.epoch != epoch:
+		case w.epoch != epoch: // the watch has moved meanwhile
 			if err == nil {
-				s.Close()
+				socket.Close()
 			}
 		case err != nil:
 			w.fail(err)
 		default:
-			w.conn = c
-			w.call()
+			w.connection = c
+			w.writePoll()
 		}
-	})
+	}
+	w.loop.Dial(w.address, dialTimeout, opened, done)
 }
 
-// call writes the call.
-func (w *Watcher) call() {
-	w.until = w.now() + wait + grace
-	target := path
-	if !w.whole {
-		target += "?index=" + strconv.FormatUint(w.version, 10) + "&wait=" + strconv.FormatInt(wait.Milliseconds(), 10)
-	}
-	// An error is reported as a close, which fails the call.
-	_ = w.conn.sock.Write(http1.AppendRequest(nil, http1.MethodGet, target,
-		http1.Fields{{Name: "Host", Value: w.address}}, nil))
+// writePoll writes the poll's request on the open connection.
+func (w *Watcher) writePoll() {
+	w.pollDeadline = w.now() + watchWait + silenceGrace
+	w.connection.writePoll(w.address, w.version, w.needsReset)
 }
 
-// fail ends the watch; the module decides when to ask again.
+// fail ends the watch. The balancer decides when to start it again, unless it
+// restarts by itself.
 func (w *Watcher) fail(err error) {
 	slog.Warn("discovery failed", "address", w.address, "generation", w.version, "err", err)
-	w.asking, w.askAt, w.anew = false, 0, false
-	if w.lists != nil {
-		w.lists.PollFailed()
+	w.active = false
+	w.nextPollAt = 0
+	w.redialled = false
+	if w.shared != nil {
+		w.shared.PollFailed()
 	}
-	w.hangUp()
+	w.disconnect()
 	w.emit(core.EndpointUpdate{Kind: piernotch.UpdateFailed})
-	if w.pushed && !w.asking {
-		w.ask(w.now() + pushPause)
+	if w.restarts && !w.active {
+		w.schedulePoll(w.now() + restartDelay)
 	}
 }
 
-func (w *Watcher) hangUp() {
-	if w.conn != nil {
-		w.conn.sock.Close()
-		w.conn = nil
+// disconnect closes the connection, if there is one.
+func (w *Watcher) disconnect() {
+	if w.connection != nil {
+		w.connection.socket.Close()
+		w.connection = nil
 	}
 }
 
-// Tick gives up a call that has been silent for too long: a discovery that
-// vanished says nothing, and its connection stays open. The watch may have died alone, and what
-// it misses counts as told soon: the call is made anew at once, and fails if that is silent, too.
-func (w *Watcher) Tick() {
-	if w.askAt > 0 && w.now() >= w.askAt {
-		w.begin()
-	}
-	if !w.asking || w.now() <= w.until {
-		return
-	}
-	if w.conn == nil || w.anew {
-		w.fail(fmt.Errorf("silent for too long"))
-		return
-	}
-	slog.Warn("watch timeout", "address", w.address, "generation", w.version)
-	w.hangUp()
-	w.anew = true
-	w.begin()
-}
+// responseDue reports whether a poll is in flight.
+func (w *Watcher) responseDue() bool { return w.active && w.nextPollAt == 0 }
 
-// Data takes bytes from discovery.
-func (c *conn) Data(data []byte) {
-	if c.w.conn != c {
+// responseReceived takes the response to the poll in flight, and makes the next
+// poll.
+func (w *Watcher) responseReceived(response *http1.Message) {
+	if response.Status != http1.StatusOK {
+		w.fail(fmt.Errorf("status %d", response.Status))
 		return
 	}
-	if !c.w.asking || c.w.askAt > 0 {
-		c.w.fail(fmt.Errorf("%d bytes that nobody asked for", len(data)))
+	list, err := Parse(response.Body, w.zones)
+	if err != nil {
+		w.fail(err)
 		return
 	}
-	c.parser.Feed(data)
-	m, err := c.parser.Next()
-	switch {
-	case err != nil:
-		c.w.fail(err)
-	case m != nil:
-		c.w.answered(m)
+	if w.shared != nil {
+		w.publish(list, response.Body)
 	}
-}
-
-// Closed takes the end of the connection, which may complete an answer.
-func (c *conn) Closed(err error) {
-	if c.w.conn != c {
-		return
+	// A poll that was in flight while another balancer's list arrived may bring an
+	// older one.
+	outdated := w.shared != nil && !list.Reset && list.Generation < w.version
+	if !outdated {
+		w.apply(list)
 	}
-	var m *http1.Message
-	if errors.Is(err, io.EOF) { // an answer that breaks off is not whole
-		m = c.parser.End()
-	}
-	switch {
-	case m != nil:
-		c.w.answered(m)
-	case c.w.asking && c.w.askAt == 0:
-		c.w.fail(fmt.Errorf("connection ended: %v", err))
-	default:
-		c.w.conn = nil
+	w.active = false
+	w.redialled = false
+	if response.Close {
+		w.disconnect()
 	}
+	w.Watch()
 }
 
-// told takes a list to the core.
-func (w *Watcher) told(list EndpointList) {
-	w.version, w.whole = list.Generation, w.whole && !list.Reset
+// apply passes a list to the core.
+func (w *Watcher) apply(list EndpointList) {
+	w.version = list.Generation
+	w.needsReset = w.needsReset && !list.Reset
 	kind := piernotch.UpdateDelta
 	if list.Reset {
 		kind = piernotch.UpdateFull
 	}
-	for _, e := range list.Endpoints {
-		slog.Info("endpoint update", "server", e.Name, "address", e.Address, "state", e.Endpoint.State, "generation", w.version)
+	for _, endpoint := range list.Endpoints {
+		slog.Info("endpoint update", "server", endpoint.Name, "address", endpoint.Address,
+			"state", endpoint.Endpoint.State, "generation", w.version)
 	}
 	w.emit(core.EndpointUpdate{Kind: kind, Endpoints: list.Endpoints})
 }
-
-func (w *Watcher) answered(m *http1.Message) {
-	if m.Status != http1.StatusOK {
-		w.fail(fmt.Errorf("status %d", m.Status))
-		return
-	}
-	list, err := Parse(m.Body, w.zones)
-	if err != nil {
-		w.fail(err)
-		return
-	}
-	if w.lists != nil {
-		p := group.WatchEvent{Source: w.address, FromVersion: w.version, ToVersion: list.Generation, Whole: list.Reset, Body: m.Body}
-		if p.Whole {
-			p.FromVersion = 0
-		}
-		w.lists.Publish(p)
-	}
-	// A call that was out while another balancer's list came may bring an older one.
-	if w.lists == nil || list.Reset || list.Generation >= w.version {
-		w.told(list)
-	}
-	w.asking, w.anew = false, false
-	if m.Close {
-		w.hangUp()
-	}
-	w.Watch()
-}
