--- /dev/null
+++ b/internal/http1/body.go
@@ -0,0 +1,209 @@
+package http1
+
+import (
+	"bytes"
+	"strconv"
+	"strings"
+)
+
+// Bounds on the lines of a chunked body, in bytes.
+const (
+	maxChunkLine = 256 // a line that gives a chunk's size
+	maxTrailer   = 4 << 10
+)
+
+// framing is how the end of a body is found.
+type framing uint8
+
+const (
+	framingSized framing = iota
+	framingChunked
+	framingUntilClose
+)
+
+// framingFields is what the header fields say about a message's framing.
+type framingFields struct {
+	lengths int // how many Content-Length fields there are
+	length  int // the last one's value
+	codings int // how many Transfer-Encoding fields there are; all are "chunked"
+	hosts   int // how many Host fields there are
+}
+
+// startBody finds how the body ends and has the parser expect it.
+func (p *Parser) startBody(message *Message, minorVersion int) *Error {
+	fields, err := readFramingFields(message.Fields)
+	if err != nil {
+		return err
+	}
+	message.Sized = fields.lengths+fields.codings > 0
+	if err := p.validateFraming(fields, minorVersion); err != nil {
+		return err
+	}
+	switch {
+	case p.responses && message.Status < 200:
+		return p.skipInterim(message)
+	case p.responses && (message.Status == 204 || message.Status == 304): // never a body
+		p.expectSized(0)
+	case fields.codings == 1:
+		p.framing = framingChunked
+		p.state = stateChunkSize
+		p.expectsContinue = expectsContinue(message, minorVersion)
+	case fields.lengths == 1 && fields.length > p.maxBody:
+		return bodyTooLarge()
+	case fields.lengths == 0 && p.responses:
+		p.framing = framingUntilClose
+		p.state = stateBody
+		message.Close = true
+	default:
+		p.expectSized(fields.length)
+		p.expectsContinue = fields.length > 0 && expectsContinue(message, minorVersion)
+	}
+	return nil
+}
+
+// expectsContinue reports whether the sender of a message with a body waits for a
+// 100 Continue.
+func expectsContinue(message *Message, minorVersion int) bool {
+	return minorVersion == 1 && message.Fields.containsToken("expect", "100-continue")
+}
+
+func (p *Parser) expectSized(length int) {
+	p.framing = framingSized
+	p.remaining = length
+	p.state = stateBody
+}
+
+// readFramingFields reads the fields on which the framing depends.
+func readFramingFields(all Fields) (framingFields, *Error) {
+	var fields framingFields
+	for _, field := range all {
+		switch field.Name {
+		case "content-length":
+			fields.lengths++
+			length, err := strconv.ParseUint(field.Value, 10, 31)
+			if err != nil || field.Value[0] == '+' {
+				return fields, badRequest("malformed content length")
+			}
+			fields.length = int(length)
+		case "transfer-encoding":
+			fields.codings++
+			if !strings.EqualFold(field.Value, "chunked") {
+				return fields, &Error{Status: StatusNotImplemented, Reason: "unknown transfer coding"}
+			}
+		case "host":
+			fields.hosts++
+		}
+	}
+	return fields, nil
+}
+
+// validateFraming rejects messages whose end is ambiguous, and requests that do
+// not name one host.
+func (p *Parser) validateFraming(fields framingFields, minorVersion int) *Error {
+	hostRequired := minorVersion == 1
+	switch {
+	case fields.lengths+fields.codings > 1:
+		return badRequest("ambiguous length")
+	case !p.responses && (fields.hosts > 1 || hostRequired && fields.hosts == 0):
+		return badRequest("not one host field")
+	case fields.codings == 1 && minorVersion == 0:
+		return badRequest("chunked in HTTP/1.0")
+	}
+	return nil
+}
+
+// skipInterim skips a 1xx response; the final one follows it.
+func (p *Parser) skipInterim(message *Message) *Error {
+	if message.Status == 101 {
+		return badRequest("unasked change of protocol")
+	}
+	p.message = nil
+	p.state = stateHead
+	return nil
+}
+
+// parseBody returns the message once its body is complete. One that lasts until
+// the close is completed by End.
+func (p *Parser) parseBody() (*Message, *Error) {
+	if p.framing == framingUntilClose {
+		if len(p.buffer) > p.maxBody {
+			return nil, bodyTooLarge()
+		}
+		return nil, nil
+	}
+	if len(p.buffer) < p.remaining {
+		return nil, nil
+	}
+	p.message.Body = append([]byte(nil), p.buffer[:p.remaining]...)
+	p.consume(p.remaining)
+	return p.finish(), nil
+}
+
+// parseChunkSize parses the line before a chunk, and reports whether it was
+// complete.
+func (p *Parser) parseChunkSize() (complete bool, err *Error) {
+	line, err := p.line(maxChunkLine, "chunk size line too long")
+	if err != nil || line == nil {
+		return false, err
+	}
+	size, valid := chunkSize(line)
+	if !valid {
+		return false, badRequest("malformed chunk size")
+	}
+	if size > p.maxBody-len(p.message.Body) {
+		return false, bodyTooLarge()
+	}
+	p.consume(len(line) + 2)
+	p.remaining = size
+	p.state = stateChunk
+	if size == 0 {
+		p.state = stateTrailer
+		p.trailerSize = 0
+	}
+	return true, nil
+}
+
+// chunkSize parses the size in a chunk's first line. Extensions are ignored.
+func chunkSize(line []byte) (size int, valid bool) {
+	digits, _, _ := bytes.Cut(line, []byte(";"))
+	digits = bytes.TrimRight(digits, " \t")
+	if len(digits) == 0 || len(digits) > 8 {
+		return 0, false
+	}
+	number, err := strconv.ParseUint(string(digits), 16, 32)
+	return int(number), err == nil
+}
+
+// parseChunk adds a chunk to the body once it is complete, and reports whether it
+// was.
+func (p *Parser) parseChunk() (complete bool, err *Error) {
+	if len(p.buffer) < p.remaining+2 {
+		return false, nil
+	}
+	if p.buffer[p.remaining] != '\r' || p.buffer[p.remaining+1] != '\n' {
+		return false, badRequest("chunk without its end")
+	}
+	p.message.Body = append(p.message.Body, p.buffer[:p.remaining]...)
+	p.consume(p.remaining + 2)
+	p.state = stateChunkSize
+	return true, nil
+}
+
+// parseTrailerLine discards a line of the trailer. The empty one at its end
+// completes the message.
+func (p *Parser) parseTrailerLine() (message *Message, complete bool, err *Error) {
+	line, err := p.line(maxTrailer, "trailer too large")
+	if err != nil || line == nil {
+		return nil, false, err
+	}
+	size := len(line) + 2
+	p.trailerSize += size
+	if p.trailerSize > maxTrailer {
+		return nil, false, fieldsTooLarge("trailer too large")
+	}
+	p.consume(size)
+	if len(line) == 0 {
+		return p.finish(), true, nil
+	}
+	return nil, true, nil
+}
--- /dev/null
+++ b/internal/http1/head.go
@@ -0,0 +1,164 @@
+package http1
+
+import (
+	"bytes"
+	"strconv"
+	"strings"
+)
+
+// headEnd is the end of the last header line and the empty line behind it.
+const headEnd = "\r\n\r\n"
+
+// parseHead parses the start line and the header fields once they are complete,
+// and reports whether they were.
+func (p *Parser) parseHead() (complete bool, err *Error) {
+	p.skipEmptyLines()
+	text, complete, err := p.takeHead()
+	if err != nil || !complete {
+		return false, err
+	}
+	startLine, fieldLines, _ := strings.Cut(text, "\r\n")
+	message := &Message{}
+	minorVersion, err := p.parseStartLine(message, startLine)
+	if err != nil {
+		return false, err
+	}
+	message.Fields, err = parseFields(fieldLines, p.responses)
+	if err != nil {
+		return false, err
+	}
+	closes := message.Fields.containsToken("connection", "close")
+	message.Close = closes || minorVersion == 0 && !message.Fields.containsToken("connection", "keep-alive")
+	p.message = message
+	return true, p.startBody(message, minorVersion)
+}
+
+// skipEmptyLines drops empty lines before a request, as RFC 9112 asks of servers.
+func (p *Parser) skipEmptyLines() {
+	for !p.responses && bytes.HasPrefix(p.buffer, []byte("\r\n")) {
+		p.consume(2)
+		p.searched = 0
+	}
+}
+
+// takeHead consumes the head and returns it without its end, if it is complete.
+func (p *Parser) takeHead() (text string, complete bool, err *Error) {
+	from := max(p.searched-(len(headEnd)-1), 0) // the end may lie across the searched prefix
+	end := bytes.Index(p.buffer[from:], []byte(headEnd))
+	if end < 0 {
+		p.searched = len(p.buffer)
+		if len(p.buffer) > MaxHead {
+			return "", false, fieldsTooLarge("header too large")
+		}
+		return "", false, nil
+	}
+	end += from
+	if end > MaxHead {
+		return "", false, fieldsTooLarge("header too large")
+	}
+	text = string(p.buffer[:end])
+	p.consume(end + len(headEnd))
+	p.searched = 0
+	return text, true, nil
+}
+
+func (p *Parser) parseStartLine(message *Message, line string) (minorVersion int, err *Error) {
+	if p.responses {
+		return parseStatusLine(message, line)
+	}
+	return parseRequestLine(message, line)
+}
+
+func parseStatusLine(message *Message, line string) (minorVersion int, err *Error) {
+	version, rest, _ := strings.Cut(line, " ")
+	code, _, _ := strings.Cut(rest, " ")
+	status, notNumber := strconv.Atoi(code)
+	if notNumber != nil || len(code) != 3 || status < 100 {
+		return 0, badRequest("malformed status line")
+	}
+	message.Status = status
+	return parseVersion(version)
+}
+
+func parseRequestLine(message *Message, line string) (minorVersion int, err *Error) {
+	parts := strings.Split(line, " ")
+	if len(parts) != 3 || !isToken(parts[0]) {
+		return 0, badRequest("malformed request line")
+	}
+	message.Method = parts[0]
+	message.Target = parts[1]
+	if !strings.HasPrefix(message.Target, "/") || strings.ContainsFunc(message.Target, isNotVisible) {
+		return 0, badRequest("malformed target")
+	}
+	return parseVersion(parts[2])
+}
+
+// parseVersion returns the minor version of HTTP/1.
+func parseVersion(version string) (minorVersion int, err *Error) {
+	switch version {
+	case "HTTP/1.1":
+		return 1, nil
+	case "HTTP/1.0":
+		return 0, nil
+	}
+	if strings.HasPrefix(version, "HTTP/") {
+		return 0, &Error{Status: StatusHTTPVersionNotSupported, Reason: "unsupported version"}
+	}
+	return 0, badRequest("malformed version")
+}
+
+// parseFields parses the header lines. In a response, a field with an invalid
+// value is left out, unless it determines where the response ends: an invalid
+// load report must not invalidate the response.
+func parseFields(lines string, response bool) (Fields, *Error) {
+	if lines == "" {
+		return nil, nil
+	}
+	var fields Fields
+	for line := range strings.SplitSeq(lines, "\r\n") {
+		name, value, found := strings.Cut(line, ":")
+		if !found || !isToken(name) { // folded lines and blanks before the colon, too
+			return nil, badRequest("malformed header field")
+		}
+		value = strings.Trim(value, " \t")
+		if strings.ContainsFunc(value, isNotText) {
+			if response && !determinesFraming(name) {
+				continue
+			}
+			return nil, badRequest("malformed header value")
+		}
+		if len(fields) == MaxFields {
+			return nil, fieldsTooLarge("too many header fields")
+		}
+		fields = append(fields, Field{Name: strings.ToLower(name), Value: value})
+	}
+	return fields, nil
+}
+
+// determinesFraming reports whether a field takes part in where a message ends.
+func determinesFraming(name string) bool {
+	return strings.EqualFold(name, "content-length") || strings.EqualFold(name, "transfer-encoding")
+}
+
+func isNotVisible(r rune) bool { return r <= ' ' || r > '~' }
+
+func isNotText(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
+
+// isToken reports whether text is a token of RFC 9110.
+func isToken(text string) bool {
+	if text == "" {
+		return false
+	}
+	for i := range len(text) {
+		if !isTokenByte(text[i]) {
+			return false
+		}
+	}
+	return true
+}
+
+func isTokenByte(c byte) bool {
+	letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
+	digit := c >= '0' && c <= '9'
+	return letter || digit || strings.ContainsRune("!#$%&'*+-.^_`|~", rune(c))
+}
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -7,35 +7,36 @@
 	"github.com/stretchr/testify/require"
 )
 
-// feed parses text in steps of n bytes and returns all messages and the error.
-func feed(p *Parser, text string, n int) ([]Message, error) {
-	var all []Message
+// parseInPieces feeds text in pieces of size bytes, and then the end of the connection. It returns all messages, and
+// the error that ended the parsing.
+func parseInPieces(p *Parser, text string, size int) ([]Message, error) {
+	var messages []Message
 	for len(text) > 0 {
-		n = min(n, len(text))
-		p.Feed([]byte(text[:n]))
-		text = text[n:]
+		size = min(size, len(text))
+		p.Feed([]byte(text[:size]))
+		text = text[size:]
 		for {
-			m, err := p.Next()
+			message, err := p.Next()
 			if err != nil {
-				return all, err
+				return messages, err
 			}
-			if m == nil {
+			if message == nil {
 				break
 			}
-			all = append(all, *m)
+			messages = append(messages, *message)
 		}
 	}
-	if m := p.End(); m != nil {
-		all = append(all, *m)
+	if message := p.End(); message != nil {
+		messages = append(messages, *message)
 	}
-	return all, nil
+	return messages, nil
 }
 
-func TestMessages(t *testing.T) {
-	two := "POST /a/b?x=1&k=7f HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3;e=1\r\nabc\r\n2\r\nde\r\n0\r\nT: 1\r\n\r\n" +
+func TestParseRequests(t *testing.T) {
+	requests := "POST /a/b?x=1&k=7f HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3;e=1\r\nabc\r\n2\r\nde\r\n0\r\nT: 1\r\n\r\n" +
 		"GET / HTTP/1.0\r\n\r\n"
-	for _, n := range []int{1, 7, len(two)} {
-		got, err := feed(NewRequestParser(), two, n)
+	for _, size := range []int{1, 7, len(requests)} {
+		got, err := parseInPieces(NewRequestParser(), requests, size)
 		require.NoError(t, err)
 		require.Len(t, got, 2)
 		require.Equal(t, "abcde", string(got[0].Body))
@@ -44,8 +45,11 @@
 		require.False(t, got[0].Close)
 		require.True(t, got[1].Close)
 	}
-	answers := "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 2\r\n\r\nnoHTTP/1.1 200 OK\r\n\r\nto the end"
-	got, err := feed(NewResponseParser(MaxBody), answers, 1)
+}
+
+func TestParseResponses(t *testing.T) {
+	responses := "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 2\r\n\r\nnoHTTP/1.1 200 OK\r\n\r\nto the end"
+	got, err := parseInPieces(NewResponseParser(MaxBody), responses, 1)
 	require.NoError(t, err)
 	require.Len(t, got, 2)
 	require.Equal(t, "1", got[0].Fields.Get("x-not-run"))
@@ -53,7 +57,7 @@
 	require.True(t, got[1].Close)
 }
 
-func TestBadRequests(t *testing.T) {
+func TestParserRejectsInvalidRequests(t *testing.T) {
 	post := "POST / HTTP/1.1\r\nHost: h\r\n"
 	for text, status := range map[string]int{
 		post + "Content-Length: 1\r\nContent-Length: 1\r\n\r\n":            400,
@@ -76,27 +80,27 @@
 		"GET / HTTP/2.0\r\nHost: h\r\n\r\n":                                505,
 		"POST / HTTP/1.0\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n": 400,
 	} {
-		got, err := feed(NewRequestParser(), text, len(text))
+		got, err := parseInPieces(NewRequestParser(), text, len(text))
 		require.Empty(t, got, text)
-		var e *Error
-		require.ErrorAs(t, err, &e, text)
-		require.Equal(t, status, e.Status, text)
+		var parseError *Error
+		require.ErrorAs(t, err, &parseError, text)
+		require.Equal(t, status, parseError.Status, text)
 	}
 }
 
-// FuzzParser checks that neither parser panics, that what arrives in pieces reads
-// as what arrives at once, and that no bound is passed.
+// FuzzParser checks that neither parser panics, that what arrives in pieces is parsed
+// as what arrives at once, and that no bound is exceeded.
 func FuzzParser(f *testing.F) {
 	f.Add([]byte("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n\r\nrest"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		for _, make := range []func() *Parser{NewRequestParser, func() *Parser { return NewResponseParser(64) }} {
-			whole, err := feed(make(), string(data), max(len(data), 1))
-			pieces, err2 := feed(make(), string(data), 1)
-			require.Equal(t, err == nil, err2 == nil)
-			require.Equal(t, whole, pieces)
-			for _, m := range whole {
-				require.LessOrEqual(t, len(m.Body), MaxBody)
+		for _, newParser := range []func() *Parser{NewRequestParser, func() *Parser { return NewResponseParser(64) }} {
+			atOnce, atOnceErr := parseInPieces(newParser(), string(data), max(len(data), 1))
+			inPieces, inPiecesErr := parseInPieces(newParser(), string(data), 1)
+			require.Equal(t, atOnceErr == nil, inPiecesErr == nil)
+			require.Equal(t, atOnce, inPieces)
+			for _, message := range atOnce {
+				require.LessOrEqual(t, len(message.Body), MaxBody)
 			}
 		}
 	})
