--- a/internal/serve/downstream/request_test.go
+++ b/internal/serve/downstream/request_test.go
@@ -115,7 +115,7 @@
 	require.Equal(t, uint64(0x7f), parseKey("7F"))
 	require.Zero(t, parseKey(""))
 	require.Zero(t, parseKey(strings.Repeat("a", maxKeyLength+1)))
-	require.Equal(t, uint64(0x8762a13b8d7e4149), parseKey("not hexadecimal")) // FNV-1a of 64 bits
+	require.Equal(t, uint64(0x8762a13b8d7e4149), parseKey("not hexadecimal"))   // FNV-1a of 64 bits
 	require.Equal(t, uint64(0x73b20de4e2ae2de8), parseKey("11112222333344445")) // too long for a number: hashed, too
 }
 
--- a/internal/serve/upstream/errors.go
+++ b/internal/serve/upstream/errors.go
@@ -10,11 +10,9 @@
 
 // Causes of an AttemptError that are found here, not by the event loop.
 var (
-	errUnsolicitedData  = errors.New("data received while no response was due")
-	errClosedByServer   = errors.New("closed by the feed server")
-	errResponseStalled  = errors.New("response stalled")
-	errNoInflight       = errors.New("no inflight")
-	errInvalidLoadValue = errors.New("not a load value")
+	errUnsolicitedData = errors.New("data received while no response was due")
+	errClosedByServer  = errors.New("closed by the feed server")
+	errResponseStalled = errors.New("response stalled")
 )
 
 // Stage is how far an attempt had come when it failed. The stages are in the
--- a/internal/serve/upstream/load_report.go
+++ b/internal/serve/upstream/load_report.go
@@ -1,6 +1,7 @@
 package upstream
 
 import (
+	"errors"
 	"fmt"
 	"log/slog"
 	"slices"
@@ -17,6 +18,11 @@
 // load reports.
 const reportWarningInterval = 10 * time.Second
 
+var (
+	errNoInflight       = errors.New("no inflight")
+	errInvalidLoadValue = errors.New("not a load value")
+)
+
 // parseLoadReport parses a load report: name=value pairs between commas. Names
 // may be any, each at most once, and inflight must be one of them. Values are
 // finite and not negative.
