--- /dev/null
+++ b/internal/http1/parser.go
@@ -0,0 +1,144 @@
+package http1
+
+import "bytes"
+
+// maxRetainedBuffer is the largest empty buffer that a parser keeps, in bytes.
+const maxRetainedBuffer = 4 << 10
+
+// state is what a parser expects next.
+type state uint8
+
+const (
+	stateHead state = iota
+	stateBody
+	stateChunkSize
+	stateChunk
+	stateTrailer
+)
+
+// Parser parses the bytes of one connection into complete messages. It is not
+// safe for concurrent use.
+type Parser struct {
+	responses       bool // it parses responses, not requests
+	maxBody         int
+	buffer          []byte
+	searched        int // length of the buffer's prefix without the end of the head
+	state           state
+	framing         framing
+	remaining       int // bytes of the body or of the chunk, received or not
+	trailerSize     int
+	message         *Message // its head is parsed; nil: it is not
+	expectsContinue bool
+	failure         *Error
+}
+
+// NewRequestParser returns a parser of requests, whose body may have up to
+// MaxBody bytes.
+func NewRequestParser() *Parser { return &Parser{maxBody: MaxBody} }
+
+// NewResponseParser returns a parser of responses, whose body may have up to
+// maxBody bytes. It assumes that no request was a HEAD.
+func NewResponseParser(maxBody int) *Parser { return &Parser{responses: true, maxBody: maxBody} }
+
+// Feed adds bytes that have arrived. It copies them.
+func (p *Parser) Feed(data []byte) { p.buffer = append(p.buffer, data...) }
+
+// Idle reports whether no byte of a next message has arrived.
+func (p *Parser) Idle() bool { return p.state == stateHead && len(p.buffer) == 0 }
+
+// ExpectsContinue reports, once for a request, that its sender waits for a
+// 100 Continue before it sends the body.
+func (p *Parser) ExpectsContinue() bool {
+	expected := p.expectsContinue
+	p.expectsContinue = false
+	return expected
+}
+
+// Next returns the next complete message, or nil if more bytes are needed. Errors
+// are of type *Error and final: every further call returns the same one.
+func (p *Parser) Next() (*Message, error) {
+	if p.failure != nil {
+		return nil, p.failure
+	}
+	message, err := p.parse()
+	if err != nil {
+		p.failure = err
+		return nil, err
+	}
+	return message, nil
+}
+
+// End takes the end of the connection. It returns the response that the end
+// completes, nil for anything cut short.
+func (p *Parser) End() *Message {
+	if p.failure != nil || p.state != stateBody || p.framing != framingUntilClose || len(p.buffer) > p.maxBody {
+		return nil
+	}
+	p.message.Body = append([]byte(nil), p.buffer...)
+	p.consume(len(p.buffer))
+	return p.finish()
+}
+
+// parse takes steps until a message is complete or more bytes are needed.
+func (p *Parser) parse() (*Message, *Error) {
+	for {
+		message, proceed, err := p.step()
+		if err != nil {
+			return nil, err
+		}
+		if message != nil || !proceed {
+			return message, nil
+		}
+	}
+}
+
+// step parses the next element: the head, a body, a line or a chunk. proceed is
+// false if that is not complete yet.
+func (p *Parser) step() (message *Message, proceed bool, err *Error) {
+	switch p.state {
+	case stateHead:
+		proceed, err = p.parseHead()
+	case stateBody:
+		message, err = p.parseBody()
+	case stateChunkSize:
+		proceed, err = p.parseChunkSize()
+	case stateChunk:
+		proceed, err = p.parseChunk()
+	case stateTrailer:
+		message, proceed, err = p.parseTrailerLine()
+	}
+	return message, proceed, err
+}
+
+// finish returns the message, whose body is complete, and expects the next one.
+func (p *Parser) finish() *Message {
+	message := p.message
+	p.message = nil
+	p.state = stateHead
+	p.searched = 0
+	p.expectsContinue = false
+	return message
+}
+
+// consume drops bytes from the front of the buffer. A large buffer is released
+// once it is empty, so that idle connections stay small.
+func (p *Parser) consume(n int) {
+	rest := copy(p.buffer, p.buffer[n:])
+	p.buffer = p.buffer[:rest]
+	if rest == 0 && cap(p.buffer) > maxRetainedBuffer {
+		p.buffer = nil
+	}
+}
+
+// line returns the next line without its CRLF, nil if it is not complete yet. It
+// may have up to maxLength bytes; reason is the error's for a longer one.
+func (p *Parser) line(maxLength int, reason string) ([]byte, *Error) {
+	end := bytes.Index(p.buffer[:min(len(p.buffer), maxLength+2)], []byte("\r\n"))
+	if end >= 0 {
+		return p.buffer[:end:end], nil
+	}
+	if len(p.buffer) > maxLength {
+		return nil, badRequest(reason)
+	}
+	return nil, nil
+}
--- /dev/null
+++ b/internal/serve/discovery/watcher.go
@@ -0,0 +1,276 @@
+package discovery
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"time"
+
+	"piernotch"
+	"piernotch/internal/group"
+	"piernotch/internal/http1"
+	"piernotch/internal/serve/core"
+	"piernotch/internal/serve/eventloop"
+)
+
+const (
+	// watchWait is how long the service may hold a poll without a change.
+	watchWait = 5 * time.Second
+
+	// silenceGrace is how much longer than watchWait the service may be silent.
+	// What a silent watch misses counts as delivered two seconds after the wait, so the
+	// next poll must be answered by then.
+	silenceGrace = time.Second
+
+	dialTimeout = time.Second
+
+	// minPollInterval is the least time between two polls: a service that answers
+	// at once without a change must not be polled in a busy loop. It stays well
+	// under the 200 ms within which the service counts a watch as continuing.
+	minPollInterval = 100 * time.Millisecond
+
+	// sharedRecheckInterval is how often a balancer for which another one polls
+	// checks whether that is still so.
+	sharedRecheckInterval = 50 * time.Millisecond
+
+	// restartDelay is the time from a failure to the next poll of a watch that
+	// restarts by itself. It is short: the service that pushes the list is near,
+	// and what it has to send counts as delivered.
+	restartDelay = 200 * time.Millisecond
+)
+
+var (
+	errUnsolicitedData = errors.New("data received while no response was due")
+	errClosedByServer  = errors.New("closed by the discovery service")
+	errWatchTimeout    = errors.New("watch timed out")
+)
+
+// Watcher watches the endpoint list. It must be used on the event loop's owning
+// goroutine only.
+type Watcher struct {
+	loop    *eventloop.Loop
+	emit    func(core.Event)
+	now     func() time.Duration
+	address string
+	zones   []string
+
+	version      uint64 // the last generation that is known
+	needsReset   bool   // the next poll requests the complete list: the known version cannot be continued
+	restarts     bool   // a failed watch restarts by itself; the balancer does not call Watch
+	active       bool   // a poll is in flight, is being dialled or is scheduled
+	redialled    bool   // the poll in flight replaces one that timed out
+	lastPollAt   time.Duration
+	nextPollAt   time.Duration // 0: no poll is scheduled
+	pollDeadline time.Duration // when the poll in flight times out
+
+	connection *connection // nil: there is none, or it is being dialled
+	epoch      int         // counts moves, to ignore dials of an earlier address
+
+	shared group.SharedWatch // nil: this balancer polls for itself alone
+}
+
+// New returns a Watcher that knows the list up to version and does not watch yet.
+// Events are handed to emit on the loop's owning goroutine; now is the clock of
+// the core, and address is the discovery service's. See Parse for zones.
+func New(loop *eventloop.Loop, emit func(core.Event), now func() time.Duration, address string, zones []string, version uint64) *Watcher {
+	return &Watcher{loop: loop, emit: emit, now: now, address: address, zones: zones, version: version}
+}
+
+// Version returns the last generation of the list that is known.
+func (w *Watcher) Version() uint64 { return w.version }
+
+// Resume continues from the version that another watcher knew. sameService
+// reports whether it was a version of this discovery service; one of another
+// service means nothing here.
+func (w *Watcher) Resume(version uint64, sameService bool) {
+	w.version = version
+	w.needsReset = !sameService
+}
+
+// SetPush starts the watch, and has it restart by itself from now on when it
+// fails.
+func (w *Watcher) SetPush() {
+	w.restarts = true
+	w.Watch()
+}
+
+// Watch starts the watch, unless it is active.
+func (w *Watcher) Watch() {
+	if w.active {
+		return
+	}
+	w.active = true
+	due := w.lastPollAt + minPollInterval
+	if w.now() < due {
+		w.schedulePoll(due)
+		return
+	}
+	w.poll()
+}
+
+// Move ends the watch and starts one at another address. Its versions are its
+// own, so the complete list is requested. Late responses from the old address are
+// ignored.
+func (w *Watcher) Move(address string) {
+	w.disconnect()
+	w.epoch++
+	w.address = address
+	w.needsReset = true
+	w.active = false
+	w.redialled = false
+	w.lastPollAt = 0
+	w.Watch()
+}
+
+// Tick must be called once per core.TickInterval. It makes scheduled polls and
+// handles polls that time out: a service that vanished sends nothing, and its
+// connection stays open. Only the connection may have been lost, and what the
+// watch misses counts as delivered soon, so a poll that times out is repeated at once
+// on a new connection. The watch fails if that times out, too.
+func (w *Watcher) Tick() {
+	if w.nextPollAt > 0 && w.now() >= w.nextPollAt {
+		w.poll()
+	}
+	if !w.active || w.now() <= w.pollDeadline {
+		return
+	}
+	if w.connection == nil || w.redialled {
+		w.fail(errWatchTimeout)
+		return
+	}
+	slog.Warn("watch timeout", "address", w.address, "generation", w.version)
+	w.disconnect()
+	w.redialled = true
+	w.poll()
+}
+
+// schedulePoll has Tick make the next poll at a time.
+func (w *Watcher) schedulePoll(at time.Duration) {
+	w.active = true
+	w.nextPollAt = at
+	w.pollDeadline = at + dialTimeout + watchWait + silenceGrace
+}
+
+// poll makes a poll on the open connection or on a new one. If another balancer
+// polls for this one, that is checked again a little later instead.
+func (w *Watcher) poll() {
+	if w.shared != nil {
+		pollHere, complete := w.shared.ShouldPoll(w.address)
+		if !pollHere {
+			w.schedulePoll(w.now() + sharedRecheckInterval)
+			return
+		}
+		w.needsReset = w.needsReset || complete
+	}
+	w.nextPollAt = 0
+	w.lastPollAt = w.now()
+	w.pollDeadline = w.lastPollAt + dialTimeout + watchWait + silenceGrace
+	if w.connection != nil {
+		w.writePoll()
+		return
+	}
+	w.dial()
+}
+
+// dial opens a connection and makes the poll on it.
+func (w *Watcher) dial() {
+	c := &connection{watcher: w, parser: http1.NewResponseParser(maxListSize)}
+	epoch := w.epoch
+	opened := func(socket *eventloop.Conn) eventloop.Handler {
+		c.socket = socket
+		socket.Prioritize()
+		return c
+	}
+	done := func(socket *eventloop.Conn, err error) {
+		switch {
+		case w.epoch != epoch: // the watch has moved meanwhile
+			if err == nil {
+				socket.Close()
+			}
+		case err != nil:
+			w.fail(err)
+		default:
+			w.connection = c
+			w.writePoll()
+		}
+	}
+	w.loop.Dial(w.address, dialTimeout, opened, done)
+}
+
+// writePoll writes the poll's request on the open connection.
+func (w *Watcher) writePoll() {
+	w.pollDeadline = w.now() + watchWait + silenceGrace
+	w.connection.writePoll(w.address, w.version, w.needsReset)
+}
+
+// fail ends the watch. The balancer decides when to start it again, unless it
+// restarts by itself.
+func (w *Watcher) fail(err error) {
+	slog.Warn("discovery failed", "address", w.address, "generation", w.version, "err", err)
+	w.active = false
+	w.nextPollAt = 0
+	w.redialled = false
+	if w.shared != nil {
+		w.shared.PollFailed()
+	}
+	w.disconnect()
+	w.emit(core.EndpointUpdate{Kind: piernotch.UpdateFailed})
+	if w.restarts && !w.active {
+		w.schedulePoll(w.now() + restartDelay)
+	}
+}
+
+// disconnect closes the connection, if there is one.
+func (w *Watcher) disconnect() {
+	if w.connection != nil {
+		w.connection.socket.Close()
+		w.connection = nil
+	}
+}
+
+// responseDue reports whether a poll is in flight.
+func (w *Watcher) responseDue() bool { return w.active && w.nextPollAt == 0 }
+
+// responseReceived takes the response to the poll in flight, and makes the next
+// poll.
+func (w *Watcher) responseReceived(response *http1.Message) {
+	if response.Status != http1.StatusOK {
+		w.fail(fmt.Errorf("status %d", response.Status))
+		return
+	}
+	list, err := Parse(response.Body, w.zones)
+	if err != nil {
+		w.fail(err)
+		return
+	}
+	if w.shared != nil {
+		w.publish(list, response.Body)
+	}
+	// A poll that was in flight while another balancer's list arrived may bring an
+	// older one.
+	outdated := w.shared != nil && !list.Reset && list.Generation < w.version
+	if !outdated {
+		w.apply(list)
+	}
+	w.active = false
+	w.redialled = false
+	if response.Close {
+		w.disconnect()
+	}
+	w.Watch()
+}
+
+// apply passes a list to the core.
+func (w *Watcher) apply(list EndpointList) {
+	w.version = list.Generation
+	w.needsReset = w.needsReset && !list.Reset
+	kind := piernotch.UpdateDelta
+	if list.Reset {
+		kind = piernotch.UpdateFull
+	}
+	for _, endpoint := range list.Endpoints {
+		slog.Info("endpoint update", "server", endpoint.Name, "address", endpoint.Address,
+			"state", endpoint.Endpoint.State, "generation", w.version)
+	}
+	w.emit(core.EndpointUpdate{Kind: kind, Endpoints: list.Endpoints})
+}
--- /dev/null
+++ b/internal/serve/downstream/downstream.go
@@ -0,0 +1,90 @@
+package downstream
+
+import (
+	"time"
+
+	"piernotch"
+	"piernotch/internal/http1"
+	"piernotch/internal/serve/core"
+	"piernotch/internal/serve/eventloop"
+)
+
+// Downstream holds all client connections. It must be used on the event loop's
+// owning goroutine only.
+type Downstream struct {
+	emit  func(core.Event)
+	now   func() time.Duration
+	ready func() bool
+
+	routes   map[string][]core.Route // by class name
+	maxWaits []time.Duration         // by class: the longest that a client may wait
+	tenants  []piernotch.Tenant
+
+	connections  map[*connection]struct{}
+	pending      map[core.ExchangeID]*connection // requests without a response
+	lastExchange core.ExchangeID
+
+	shuttingDown  bool
+	drainingSince time.Duration // 0: not draining
+	stall         stallWindow
+	crowdedAbove  int // more connections than this shorten the idle timeout
+}
+
+// New returns a Downstream without connections. Events are handed to emit on the
+// loop's owning goroutine; now is the clock of the core, and ready reports
+// whether requests can be served, for health checks of this process.
+// maxDescriptors is the process's limit of descriptors.
+func New(emit func(core.Event), now func() time.Duration, ready func() bool, maxDescriptors int) *Downstream {
+	return &Downstream{
+		emit:         emit,
+		now:          now,
+		ready:        ready,
+		connections:  map[*connection]struct{}{},
+		pending:      map[core.ExchangeID]*connection{},
+		crowdedAbove: maxDescriptors / 4,
+	}
+}
+
+// SetRoutes replaces the classes and tenants that requests may name. maxWaits is
+// the longest time that a client may wait, by class; tenants are in the order of
+// the settings, whose index the core uses.
+func (d *Downstream) SetRoutes(routes []core.Route, maxWaits []time.Duration, tenants []piernotch.Tenant) {
+	d.routes = map[string][]core.Route{}
+	d.maxWaits = maxWaits
+	d.tenants = tenants
+	for _, route := range routes {
+		d.routes[route.Name] = append(d.routes[route.Name], route)
+	}
+}
+
+// SetDraining starts or stops draining. While draining, each response closes its
+// connection, and connections that stay idle are closed after drainIdleGrace.
+func (d *Downstream) SetDraining(on bool) {
+	d.drainingSince = 0
+	if on {
+		d.drainingSince = d.now()
+	}
+}
+
+// Shutdown has every further response close its connection. It cannot be undone.
+func (d *Downstream) Shutdown() { d.shuttingDown = true }
+
+// Accepted registers a new connection and returns its handler.
+func (d *Downstream) Accepted(socket *eventloop.Conn) eventloop.Handler {
+	c := &connection{
+		downstream: d,
+		socket:     socket,
+		parser:     http1.NewRequestParser(),
+		phaseStart: d.now(),
+	}
+	d.connections[c] = struct{}{}
+	return c
+}
+
+// ConnectionCount returns how many client connections are open.
+func (d *Downstream) ConnectionCount() int { return len(d.connections) }
+
+// closesAfterResponse reports whether all responses close their connection.
+func (d *Downstream) closesAfterResponse() bool {
+	return d.shuttingDown || d.drainingSince > 0
+}
--- /dev/null
+++ b/internal/serve/upstream/load_report.go
@@ -0,0 +1,63 @@
+package upstream
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"piernotch"
+	"piernotch/internal/serve/core"
+	"piernotch/internal/wire"
+)
+
+// reportWarningInterval is the least time between two log lines about invalid
+// load reports.
+const reportWarningInterval = 10 * time.Second
+
+var (
+	errNoInflight       = errors.New("no inflight")
+	errInvalidLoadValue = errors.New("not a load value")
+)
+
+// parseLoadReport parses a load report: name=value pairs between commas. Names
+// may be any, each at most once, and inflight must be one of them. Values are
+// finite and not negative.
+func parseLoadReport(text string) (piernotch.LoadReport, error) {
+	var load piernotch.LoadReport
+	seen := make([]string, 0, 4) // stays on the stack: every response may carry a report
+	for pair := range strings.SplitSeq(text, ",") {
+		name, value, found := strings.Cut(strings.TrimSpace(pair), "=")
+		number, err := strconv.ParseFloat(value, 64)
+		wellFormed := found && err == nil && !slices.Contains(seen, name)
+		if !wellFormed || !wire.SetLoad(&load, name, number) {
+			return piernotch.LoadReport{}, fmt.Errorf("%w: %q", errInvalidLoadValue, pair)
+		}
+		seen = append(seen, name)
+	}
+	if !slices.Contains(seen, wire.Inflight) {
+		return piernotch.LoadReport{}, fmt.Errorf("%w in %q", errNoInflight, text)
+	}
+	return load, nil
+}
+
+// loadReportReceived passes a response's load report to the core; "" is none.
+// An invalid one changes nothing: the response is as good as without it.
+func (u *Upstream) loadReportReceived(from core.Endpoint, text string) {
+	if text == "" {
+		return
+	}
+	load, err := parseLoadReport(text)
+	if err == nil {
+		u.emit(core.LoadReported{Backend: from.Backend, Load: load})
+		return
+	}
+	now := u.now()
+	if u.lastReportWarning == 0 || now-u.lastReportWarning > reportWarningInterval {
+		u.lastReportWarning = now
+		slog.Warn("load report rejected", "server", from.Address, "err", err)
+	}
+}
