--- a/admission.go
+++ b/admission.go
@@ -5,68 +5,68 @@
 	"time"
 )
 
-// hold lets a request wait for the next sweep, unless that would come too late.
-func (b *Balancer) hold(now time.Duration, r *request) {
-	needs := min(time.Duration(r.work*b.pace*float64(time.Millisecond)), r.class.LatencyObjective/2)
-	if now+2*b.sweep >= min(b.lastMoment(r)-needs, r.patience) || b.crowdedOut(now, r) {
-		b.finish(r)
+// waitOrReject lets a request wait for the next sweep, unless that would come too late.
+func (b *Balancer) waitOrReject(now time.Duration, r *request) {
+	needs := min(time.Duration(r.work*b.latencyPerWork*float64(time.Millisecond)), r.class.LatencyObjective/2)
+	if now+2*b.tickInterval >= min(b.attemptDeadline(r)-needs, r.queueDeadline) || b.queueTooLong(now, r) {
+		b.rejectOrFail(r)
 	}
 }
 
 func (b *Balancer) newRequest(now time.Duration, in Request) *request {
 	var r *request
-	if n := len(b.spare); n > 0 {
-		r, b.spare = b.spare[n-1], b.spare[:n-1]
+	if n := len(b.freeRequests); n > 0 {
+		r, b.freeRequests = b.freeRequests[n-1], b.freeRequests[:n-1]
 	} else {
 		r = &request{}
 	}
-	c := &b.set.Classes[in.Class]
-	*r = request{Request: in, class: c, at: len(b.open), tries: r.tries[:0]}
-	r.aim = min(now+c.LatencyObjective, r.Deadline)
-	r.patience = now + (r.Deadline-now)/2
+	c := &b.settings.Classes[in.Class]
+	*r = request{Request: in, class: c, openIndex: len(b.openRequests), attempts: r.attempts[:0]}
+	r.objective = min(now+c.LatencyObjective, r.Deadline)
+	r.queueDeadline = now + (r.Deadline-now)/2
 	r.lane, r.work = 0, in.CostHint
-	if !r.hinted() {
-		r.work = b.unhinted(in.Class)
-	} else if b.hints > 0 && in.CostHint > b.median {
+	if !r.hasCostHint() {
+		r.work = b.workWithoutHint(in.Class)
+	} else if b.hintCount > 0 && in.CostHint > b.medianHint {
 		r.lane = 1
 	}
-	r.band = 2 * in.Class
-	if b.beyondQuota(now, in.Tenant) {
-		r.band++
+	r.priority = 2 * in.Class
+	if b.overQuota(now, in.Tenant) {
+		r.priority++
 	}
-	b.open = append(b.open, r)
-	b.byID[in.ID] = r
+	b.openRequests = append(b.openRequests, r)
+	b.requests[in.ID] = r
 	return r
 }
 
-// beyondQuota takes one request from the tenant's share of this proxy.
-func (b *Balancer) beyondQuota(now time.Duration, tenant int) bool {
-	if tenant < 0 || tenant >= len(b.quota) || b.set.Tenants[tenant].QuotaPerSec == 0 {
+// overQuota takes one request from the tenant's share of this proxy.
+func (b *Balancer) overQuota(now time.Duration, tenant int) bool {
+	if tenant < 0 || tenant >= len(b.quotas) || b.settings.Tenants[tenant].QuotaPerSec == 0 {
 		return false
 	}
-	return !b.quota[tenant].take(now, b.set.Tenants[tenant].QuotaPerSec/float64(b.set.BalancerCount))
+	return !b.quotas[tenant].take(now, b.settings.Tenants[tenant].QuotaPerSec/float64(b.settings.BalancerCount))
 }
 
-// goesBefore orders what waits: the most worth for its work first, and what came first among
+// precedes orders what waits: the most worth for its work first, and what came first among
 // equals. But a band that gets much less than its part of what is sent goes before the
 // others: where there is never room enough, it would get nothing at all.
-func (b *Balancer) goesBefore(r, other *request) bool {
-	x, y := &b.bands[r.band], &b.bands[other.band]
-	if x.starves != y.starves {
-		return x.starves
+func (b *Balancer) precedes(r, other *request) bool {
+	x, y := &b.priorities[r.priority], &b.priorities[other.priority]
+	if x.starved != y.starved {
+		return x.starved
 	}
-	return x.value > y.value || x.value == y.value && r.ID < other.ID
+	return x.precedence > y.precedence || x.precedence == y.precedence && r.ID < other.ID
 }
 
-// admit gives the room that has come free to what waits.
-func (b *Balancer) admit(now time.Duration) {
+// dispatchWaiting gives the room that has come free to what waits.
+func (b *Balancer) dispatchWaiting(now time.Duration) {
 	for {
 		var best *request
-		for _, r := range b.open {
-			if r.final || r.out > 0 || r.stream {
+		for _, r := range b.openRequests {
+			if r.done || r.inflight > 0 || r.streaming {
 				continue
 			}
-			if best == nil || b.goesBefore(r, best) {
+			if best == nil || b.precedes(r, best) {
 				best = r
 			}
 		}
@@ -76,78 +76,78 @@
 	}
 }
 
-// makeBands makes two bands of each class: within its tenants' shares and beyond them.
-func (b *Balancer) makeBands() {
-	b.bands = nil
-	for _, c := range b.set.Classes {
-		b.bands = append(b.bands, band{worth: c.PriorityWeight}, band{worth: c.PriorityWeight * b.set.OverQuotaWeight})
+// buildPriorities makes two bands of each class: within its tenants' shares and beyond them.
+func (b *Balancer) buildPriorities() {
+	b.priorities = nil
+	for _, c := range b.settings.Classes {
+		b.priorities = append(b.priorities, priorityBand{weight: c.PriorityWeight}, priorityBand{weight: c.PriorityWeight * b.settings.OverQuotaWeight})
 	}
-	b.value()
+	b.updatePrecedence()
 }
 
-// value is what each band is worth for its work. Where worth counts by request, light ones go first.
-func (b *Balancer) value() {
-	for i := range b.bands {
-		b.bands[i].value = b.bands[i].worth
-		if work := b.unhinted(i / 2); b.set.WeightPerRequest && work > 0 {
-			b.bands[i].value /= work
+// updatePrecedence is what each band is worth for its work. Where worth counts by request, light ones go first.
+func (b *Balancer) updatePrecedence() {
+	for i := range b.priorities {
+		b.priorities[i].precedence = b.priorities[i].weight
+		if work := b.workWithoutHint(i / 2); b.settings.WeightPerRequest && work > 0 {
+			b.priorities[i].precedence /= work
 		}
 	}
 }
 
-// controlPace is how far control may move on one answer. It goes by time, in aims, not
+// shedStep is how far control may move on one answer. It goes by time, in aims, not
 // by answers: what it changes is seen a wait later, and a busy proxy would swing from end
 // to end before that. A quiet one still needs some answers to tell chance from trouble.
-func (b *Balancer) controlPace(now time.Duration) float64 {
-	pace := min((now-b.controlled).Seconds()/b.shortAim.Seconds()*controlGain, smoothing)
-	b.controlled = now
+func (b *Balancer) shedStep(now time.Duration) float64 {
+	pace := min((now-b.shedAdjustedAt).Seconds()/b.shortestObjective.Seconds()*shedGain, groupSmoothing)
+	b.shedAdjustedAt = now
 	return pace
 }
 
-// control moves shedding by the answers that come late: after half their aim, so
+// adjustShedding moves shedding by the answers that come late: after half their aim, so
 // that there is time to act.
-func (b *Balancer) control(pace float64, away int, late float64) {
+func (b *Balancer) adjustShedding(pace float64, away int, late float64) {
 	g, other := &b.groups[away], &b.groups[1-away]
-	g.late += smoothing * (late - g.late)
-	g.heard = b.controlled
+	g.lateShare += groupSmoothing * (late - g.lateShare)
+	g.lateUpdatedAt = b.shedAdjustedAt
 	// Work is shed only when it comes late wherever it goes: spilling is cheaper.
 	step := -pace / 2
-	if late > 0 && (len(other.members) == 0 || other.late > 2*smoothing) {
+	if late > 0 && (len(other.members) == 0 || other.lateShare > 2*groupSmoothing) {
 		step = pace
 	}
-	b.shed = min(max(b.shed+step, 0), 1)
+	b.shedShare = min(max(b.shedShare+step, 0), 1)
 }
 
-// reweigh follows what changes slowly: the bands and, in survey, the backends.
-func (b *Balancer) reweigh(now time.Duration) {
+// updatePriorities follows what changes slowly: the bands and, in survey, the backends.
+func (b *Balancer) updatePriorities(now time.Duration) {
 	// A pass over a large fleet takes its time: it is made every few sweeps there.
-	if b.sweeps++; b.sweeps%(1+len(b.sorted)/passSize) == 0 {
-		b.survey(now)
+	if b.ticks++; b.ticks%(1+len(b.sorted)/backendsPerTick) == 0 {
+		b.reviewBackends(now)
 	}
 	// A proxy that refuses everything sees nothing get better: shedding wanes.
-	b.shed -= b.shed / (sweepsPerAim * sweepsPerAim)
-	keep := math.Exp(-b.sweep.Seconds())
+	b.shedShare -= b.shedShare / (ticksPerObjective * ticksPerObjective)
+	keep := math.Exp(-b.tickInterval.Seconds())
 	var total, got float64
-	for i := range b.bands {
-		b.bands[i].work *= keep
-		b.bands[i].got *= keep
-		total += b.bands[i].work
-		got += b.bands[i].got
+	for i := range b.priorities {
+		b.priorities[i].arrived *= keep
+		b.priorities[i].forwarded *= keep
+		total += b.priorities[i].arrived
+		got += b.priorities[i].forwarded
 	}
-	b.value()
-	for i := range b.bands {
-		band, less, equal := &b.bands[i], 0.0, 0.0 // what is refused before it, and beside it
-		for _, other := range b.bands {
+	b.updatePrecedence()
+	for i := range b.priorities {
+		band, less, equal := &b.priorities[i], 0.0, 0.0 // what is refused before it, and beside it
+		for _, other := range b.priorities {
 			switch {
-			case other.value < band.value:
-				less += other.work
-			case other.value == band.value:
-				equal += other.work
+			case other.precedence < band.precedence:
+				less += other.arrived
+			case other.precedence == band.precedence:
+				equal += other.arrived
 			}
 		}
-		band.starves = b.many() && band.got*total < fairPart*band.work*got
-		if band.refused = 0; equal > 0 {
-			band.refused = min(max(b.shed*total-less, 0)/equal, 1)
+		band.starved = b.manyBalancers() && band.forwarded*total < starvedBelow*band.arrived*got
+		if band.rejectShare = 0; equal > 0 {
+			band.rejectShare = min(max(b.shedShare*total-less, 0)/equal, 1)
 		}
 	}
 }
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -7,17 +7,17 @@
 )
 
 func TestEqualEventsGiveEqualActions(t *testing.T) {
-	run := func() []sent {
-		b, h := start(t, settings(), fleet(5, 2))
+	run := func() []startedAttempt {
+		b, h := newTestBalancer(t, testSettings(), testEndpoints(5, 2))
 		for i := range 300 {
 			now := time.Second + time.Duration(i)*3*ms
 			b.HandleRequest(now, Request{ID: RequestID(i), Class: i % 5, CostHint: float64(i%17 + 1), Deadline: now + time.Second})
 			if i%3 == 0 {
-				end(b, now, RequestID(i), 0, h.last().to, OK)
+				completeAttempt(b, now, RequestID(i), 0, h.last().to, OK)
 			}
-			b.Timer(now, sweepToken)
+			b.Timer(now, tickToken)
 		}
-		return h.sent
+		return h.attempts
 	}
 	if !slices.Equal(run(), run()) {
 		t.Error("the same events led to different actions")
--- a/benchmark_test.go
+++ b/benchmark_test.go
@@ -10,12 +10,12 @@
 func BenchmarkRequest(bench *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
-			h := &nothing{}
-			b, err := New(settings(), 1, h)
+			h := &discardHost{}
+			b, err := New(testSettings(), 1, h)
 			if err != nil {
 				bench.Fatal(err)
 			}
-			b.UpdateEndpoints(time.Second, UpdateFull, fleet(n, 2))
+			b.UpdateEndpoints(time.Second, UpdateFull, testEndpoints(n, 2))
 			bench.ReportAllocs()
 			now := time.Second
 			for i := range bench.N {
@@ -27,18 +27,18 @@
 	}
 }
 
-type nothing struct{ to BackendID }
+type discardHost struct{ to BackendID }
 
-func (h *nothing) StartAttempt(_ RequestID, to BackendID, _ time.Duration) { h.to = to }
+func (h *discardHost) StartAttempt(_ RequestID, to BackendID, _ time.Duration) { h.to = to }
 
-func (h *nothing) CancelAttempt(RequestID, int) {}
+func (h *discardHost) CancelAttempt(RequestID, int) {}
 
-func (h *nothing) Reject(RequestID, time.Duration) {}
+func (h *discardHost) Reject(RequestID, time.Duration) {}
 
-func (h *nothing) Fail(RequestID) {}
+func (h *discardHost) Fail(RequestID) {}
 
-func (h *nothing) HealthCheck(BackendID) {}
+func (h *discardHost) HealthCheck(BackendID) {}
 
-func (h *nothing) WatchEndpoints() {}
+func (h *discardHost) WatchEndpoints() {}
 
-func (h *nothing) SetTimer(time.Duration, uint32) {}
+func (h *discardHost) SetTimer(time.Duration, uint32) {}
--- a/endpoints.go
+++ b/endpoints.go
@@ -9,17 +9,17 @@
 
 // UpdateEndpoints takes word of the backends.
 func (b *Balancer) UpdateEndpoints(now time.Duration, kind UpdateKind, entries []Endpoint) {
-	b.begin(now)
+	b.ensureStarted(now)
 	if kind == UpdateFailed {
 		b.watching = false
-		b.watchAt = now + b.watchGap/2 + jitter(b.rng, b.watchGap)
-		b.watchGap = min(2*b.watchGap, max(b.set.Rules.PollInterval, b.watchGap))
+		b.nextWatchAt = now + b.watchBackoff/2 + jitter(b.rng, b.watchBackoff)
+		b.watchBackoff = min(2*b.watchBackoff, max(b.settings.Rules.PollInterval, b.watchBackoff))
 		return
 	}
 	named := make(map[BackendID]bool, len(entries))
 	for _, e := range entries {
 		named[e.ID] = true
-		b.apply(now, e)
+		b.applyEndpoint(now, e)
 	}
 	if kind != UpdateDelta {
 		for _, to := range b.sorted {
@@ -29,7 +29,7 @@
 		}
 	}
 	if kind != UpdateCached {
-		b.watchGap = b.set.Rules.PollInterval / 8
+		b.watchBackoff = b.settings.Rules.PollInterval / 8
 	}
 	b.sorted = slices.DeleteFunc(b.sorted, func(to *backend) bool {
 		if to.State != Gone {
@@ -38,12 +38,12 @@
 		delete(b.backends, to.ID)
 		return true
 	})
-	b.measureFleet()
+	b.updateFullSizes()
 	slices.SortFunc(b.sorted, func(x, y *backend) int { return cmp.Compare(x.ID, y.ID) })
-	b.regroup(now)
+	b.rebuildGroups(now)
 }
 
-func (b *Balancer) apply(now time.Duration, e Endpoint) {
+func (b *Balancer) applyEndpoint(now time.Duration, e Endpoint) {
 	if !(e.Size > 0) || math.IsInf(e.Size, 0) {
 		e.Size = 1
 	}
@@ -52,32 +52,32 @@
 		if e.State == Gone {
 			return
 		}
-		to = &backend{Endpoint: e, salt: mix(uint64(e.ID)), coldSince: -1, rank: b.rng.Float64()}
+		to = &backend{Endpoint: e, idHash: mixBits(uint64(e.ID)), slowStartSince: -1, spillRank: b.rng.Float64()}
 		to.excluded = b.excluded[e.ID]
-		to.failing, to.sent = make([]float64, len(b.set.Classes)), make([]time.Duration, len(b.set.Classes))
-		if e.Zone != b.set.Zone {
-			to.away = 1
+		to.failureShare, to.lastSentAt = make([]float64, len(b.settings.Classes)), make([]time.Duration, len(b.settings.Classes))
+		if e.Zone != b.settings.Zone {
+			to.locality = 1
 		}
-		if b.paths[e.Zone] == nil {
-			b.paths[e.Zone] = &path{}
+		if b.zonePaths[e.Zone] == nil {
+			b.zonePaths[e.Zone] = &zonePath{}
 		}
-		to.path = b.paths[e.Zone]
+		to.path = b.zonePaths[e.Zone]
 		b.backends[e.ID] = to
 		b.sorted = append(b.sorted, to)
-		b.birth(now, to)
+		b.slowStartIfYoung(now, to)
 		return
 	}
 	reborn := e.StartedAt != to.StartedAt
 	to.Endpoint = e
 	if reborn {
-		to.ejected, to.strikes, to.trial, to.probed = 0, 0, false, false
-		b.birth(now, to)
+		to.ejections, to.consecutiveFailures, to.trialInflight, to.healthCheckPassed = 0, 0, false, false
+		b.slowStartIfYoung(now, to)
 	}
 }
 
-// followList keeps the subscription where the list comes only on request.
-func (b *Balancer) followList(now time.Duration) {
-	if !b.set.PollDiscovery || b.watching || now < b.watchAt {
+// watchIfDue keeps the subscription where the list comes only on request.
+func (b *Balancer) watchIfDue(now time.Duration) {
+	if !b.settings.PollDiscovery || b.watching || now < b.nextWatchAt {
 		return
 	}
 	b.watching = true
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-func TestRestartUnderTheSameID(t *testing.T) {
-	b, _ := start(t, settings(), fleet(2, 1))
+func TestRestartUnderSameIDStartsSlowStart(t *testing.T) {
+	b, _ := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
 	b.eject(time.Second, b.sorted[0])
-	e := fleet(2, 1)[0]
+	e := testEndpoints(2, 1)[0]
 	e.StartedAt = 1500 * ms
 	b.UpdateEndpoints(2*time.Second, UpdateDelta, []Endpoint{e})
-	if to := b.backends[1]; to.ejected != 0 || to.coldSince != e.StartedAt {
-		t.Fatalf("ejected %d, cold since %v", to.ejected, to.coldSince)
+	if to := b.backends[1]; to.ejections != 0 || to.slowStartSince != e.StartedAt {
+		t.Fatalf("ejected %d, cold since %v", to.ejections, to.slowStartSince)
 	}
 }
 
-func TestDiscoveryOnRequest(t *testing.T) {
-	s := settings()
+func TestPollDiscoveryBacksOffAfterFailure(t *testing.T) {
+	s := testSettings()
 	s.PollDiscovery = true
-	b, h := start(t, s, fleet(2, 1))
+	b, h := newTestBalancer(t, s, testEndpoints(2, 1))
 	now := time.Second
 	run := func(d time.Duration) {
-		for until := now + d; now < until; now += b.sweep {
-			b.Timer(now, sweepToken)
+		for until := now + d; now < until; now += b.tickInterval {
+			b.Timer(now, tickToken)
 		}
 	}
 	run(s.Rules.PollInterval)
@@ -31,11 +31,11 @@
 		t.Fatalf("%d subscriptions within the time to ask", h.watches)
 	}
 	b.UpdateEndpoints(now, UpdateFailed, nil)
-	gap := b.watchGap
+	gap := b.watchBackoff
 	if len(b.sorted) != 2 {
 		t.Fatal("a failed call emptied the list")
 	}
-	b.Timer(now, sweepToken)
+	b.Timer(now, tickToken)
 	if h.watches != 1 {
 		t.Fatal("asked again without a pause")
 	}
@@ -44,7 +44,7 @@
 		t.Fatal("did not ask again")
 	}
 	b.UpdateEndpoints(now, UpdateFailed, nil)
-	if b.watchGap <= gap {
+	if b.watchBackoff <= gap {
 		t.Fatal("no back-off")
 	}
 }
--- a/exclusion_test.go
+++ b/exclusion_test.go
@@ -9,18 +9,18 @@
 
 // Nothing goes to a backend that is left out, whatever the list says of it meanwhile; back in,
 // it is as cold as one that has just started, and is used again at once.
-func TestWhatIsLeftOutGetsNothingAndComesBackCold(t *testing.T) {
-	s := settings()
-	list := fleet(2, 1)
-	b, h := start(t, s, list)
+func TestExcludedBackendReceivesNoRequests(t *testing.T) {
+	s := testSettings()
+	list := testEndpoints(2, 1)
+	b, h := newTestBalancer(t, s, list)
 	b.Exclude(0, list[0].ID)
 	b.Exclude(0, list[0].ID) // a call may arrive twice
 	id := RequestID(1)
 	serve := func(now time.Duration) BackendID {
-		b.HandleRequest(now, ask(id, safeClass, 1))
+		b.HandleRequest(now, newTestRequest(id, idempotentClass, 1))
 		to := h.last()
 		require.Equal(t, id, to.id)
-		end(b, now+ms, id, 0, to.to, OK)
+		completeAttempt(b, now+ms, id, 0, to.to, OK)
 		id++
 		return to.to
 	}
@@ -36,10 +36,10 @@
 	require.Equal(t, list[1].ID, serve(ms))
 
 	b.Include(time.Second, list[0].ID, time.Second)
-	require.GreaterOrEqual(t, b.backends[list[0].ID].coldSince, time.Duration(0))
+	require.GreaterOrEqual(t, b.backends[list[0].ID].slowStartSince, time.Duration(0))
 	used := false
 	for now := time.Second; now < 6*time.Second; now += 100 * ms {
-		b.Timer(now, sweepToken)
+		b.Timer(now, tickToken)
 		used = used || serve(now) == list[0].ID
 	}
 	require.True(t, used)
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -9,55 +9,55 @@
 
 // recorder is a Host that keeps what it was asked to do.
 type recorder struct {
-	sent     []sent
-	canceled []int
-	refused  []RequestID
-	failed   []RequestID
-	probed   []BackendID
-	watches  int
-	timers   []timer
+	attempts     []startedAttempt
+	canceled     []int
+	rejected     []RequestID
+	failed       []RequestID
+	healthChecks []BackendID
+	watches      int
+	timers       []timerCall
 }
 
 func (h *recorder) StartAttempt(id RequestID, to BackendID, timeout time.Duration) {
-	h.sent = append(h.sent, sent{id, to, timeout})
+	h.attempts = append(h.attempts, startedAttempt{id, to, timeout})
 }
 
 func (h *recorder) CancelAttempt(_ RequestID, attempt int) { h.canceled = append(h.canceled, attempt) }
 
-func (h *recorder) Reject(id RequestID, _ time.Duration) { h.refused = append(h.refused, id) }
+func (h *recorder) Reject(id RequestID, _ time.Duration) { h.rejected = append(h.rejected, id) }
 
 func (h *recorder) Fail(id RequestID) { h.failed = append(h.failed, id) }
 
-func (h *recorder) HealthCheck(b BackendID) { h.probed = append(h.probed, b) }
+func (h *recorder) HealthCheck(b BackendID) { h.healthChecks = append(h.healthChecks, b) }
 
 func (h *recorder) WatchEndpoints() { h.watches++ }
 
 func (h *recorder) SetTimer(d time.Duration, token uint32) {
-	h.timers = append(h.timers, timer{d, token})
+	h.timers = append(h.timers, timerCall{d, token})
 }
 
-type sent struct {
+type startedAttempt struct {
 	id      RequestID
 	to      BackendID
 	timeout time.Duration
 }
 
-type timer struct {
+type timerCall struct {
 	after time.Duration
 	token uint32
 }
 
-func (h *recorder) last() sent { return h.sent[len(h.sent)-1] }
+func (h *recorder) last() startedAttempt { return h.attempts[len(h.attempts)-1] }
 
 const (
-	safeClass = iota
-	keyedAll
-	keyedZone
-	keyedCell
-	unsafeClass
+	idempotentClass = iota
+	dedupEverywhereClass
+	dedupInZoneClass
+	dedupInCellClass
+	nonIdempotentClass
 )
 
-func settings() Settings {
+func testSettings() Settings {
 	class := func(e RetrySafety, s DedupScope) Class {
 		return Class{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, RetrySafety: e, DedupScope: s, DedupWindow: time.Second}
 	}
@@ -70,15 +70,15 @@
 	}
 }
 
-// manyProxies is a settings of which each proxy has seen nothing but what it sent itself.
-func manyProxies() Settings {
-	s := settings()
+// manyBalancersSettings is a settings of which each proxy has seen nothing but what it sent itself.
+func manyBalancersSettings() Settings {
+	s := testSettings()
 	s.BalancerCount = 80
 	return s
 }
 
-// fleet is n ready, warm backends in each of the zones; ids count from 1.
-func fleet(n, zones int) []Endpoint {
+// testEndpoints is n ready, warm backends in each of the zones; ids count from 1.
+func testEndpoints(n, zones int) []Endpoint {
 	var all []Endpoint
 	for z := range zones {
 		for i := range n {
@@ -88,7 +88,7 @@
 	return all
 }
 
-func start(t *testing.T, s Settings, list []Endpoint) (*Balancer, *recorder) {
+func newTestBalancer(t *testing.T, s Settings, list []Endpoint) (*Balancer, *recorder) {
 	t.Helper()
 	h := &recorder{}
 	b, err := New(s, 1, h)
@@ -99,29 +99,29 @@
 	return b, h
 }
 
-func ask(id RequestID, class int, hint float64) Request {
+func newTestRequest(id RequestID, class int, hint float64) Request {
 	return Request{ID: id, Class: class, Deadline: 3 * time.Second, CostHint: hint}
 }
 
-func end(b *Balancer, now time.Duration, id RequestID, try int, to BackendID, s Status) {
+func completeAttempt(b *Balancer, now time.Duration, id RequestID, try int, to BackendID, s Status) {
 	b.HandleOutcome(now, Outcome{ID: id, Attempt: try, Backend: to, Status: s, Latency: 20 * ms, Closed: s == OK})
 }
 
-// sweepWith lets the sweep run for a while, with some requests out in the own zone and each
+// runTicks lets the sweep run for a while, with some requests out in the own zone and each
 // backend there saying now and then that it holds so many.
-func sweepWith(t *testing.T, s Settings, held float64) (*Balancer, *recorder) {
-	b, h := start(t, s, fleet(6, 2))
-	b.sweep = 10 * ms
+func runTicks(t *testing.T, s Settings, held float64) (*Balancer, *recorder) {
+	b, h := newTestBalancer(t, s, testEndpoints(6, 2))
+	b.tickInterval = 10 * ms
 	now := time.Second
 	for i := range 2 + int(2*held) {
-		b.HandleRequest(now, Request{ID: RequestID(1 + i), Class: safeClass, Deadline: time.Minute, CostHint: 10})
+		b.HandleRequest(now, Request{ID: RequestID(1 + i), Class: idempotentClass, Deadline: time.Minute, CostHint: 10})
 	}
 	for i := range 300 {
-		now += b.sweep
+		now += b.tickInterval
 		for id := BackendID(1); i%50 == 0 && id <= 6; id++ {
 			b.LoadReported(now, id, LoadReport{Inflight: held, CompletedPerSecond: 20})
 		}
-		b.survey(now)
+		b.reviewBackends(now)
 	}
 	return b, h
 }
--- a/policy_size_test.go
+++ b/policy_size_test.go
@@ -10,7 +10,7 @@
 
 // The users read the decision files whole and set their limits: 930 lines together that are not
 // blank, of 110 characters at most.
-func TestModuleStaysReadable(t *testing.T) {
+func TestPolicyFilesStayWithinSizeLimits(t *testing.T) {
 	deploy, err := os.ReadFile("deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/settings.go
+++ b/settings.go
@@ -48,49 +48,49 @@
 		return err
 	}
 	switch {
-	case len(s.Classes) < len(b.set.Classes):
-		return fmt.Errorf("settings: %d classes, the %d in use must keep their places", len(s.Classes), len(b.set.Classes))
-	case s.Zone != b.set.Zone || !slices.Equal(s.Zones, b.set.Zones):
+	case len(s.Classes) < len(b.settings.Classes):
+		return fmt.Errorf("settings: %d classes, the %d in use must keep their places", len(s.Classes), len(b.settings.Classes))
+	case s.Zone != b.settings.Zone || !slices.Equal(s.Zones, b.settings.Zones):
 		return fmt.Errorf("settings: zones cannot change while the program runs")
-	case len(s.Tenants) != len(b.set.Tenants):
+	case len(s.Tenants) != len(b.settings.Tenants):
 		return fmt.Errorf("settings: tenants cannot change while the program runs")
 	}
-	b.begin(now)
+	b.ensureStarted(now)
 	s.Classes = slices.Clone(s.Classes) // requests point to theirs
-	b.set = s
-	b.configure()
+	b.settings = s
+	b.deriveFromSettings()
 	for _, to := range b.sorted {
-		for len(to.failing) < len(s.Classes) {
-			to.failing, to.sent = append(to.failing, 0), append(to.sent, 0)
+		for len(to.failureShare) < len(s.Classes) {
+			to.failureShare, to.lastSentAt = append(to.failureShare, 0), append(to.lastSentAt, 0)
 		}
 	}
 	return nil
 }
 
-// configure derives from the settings what the decisions go by.
-func (b *Balancer) configure() {
-	s := &b.set
-	b.shortAim = s.Classes[0].LatencyObjective
+// deriveFromSettings derives from the settings what the decisions go by.
+func (b *Balancer) deriveFromSettings() {
+	s := &b.settings
+	b.shortestObjective = s.Classes[0].LatencyObjective
 	for _, c := range s.Classes {
-		b.shortAim = min(b.shortAim, c.LatencyObjective)
+		b.shortestObjective = min(b.shortestObjective, c.LatencyObjective)
 	}
-	b.spillers = max(spillers, spillShare*float64(s.BalancerCount))
-	b.window = 0
-	if b.many() {
-		b.window = s.Rules.OverloadWindow / coldWindows
+	b.maxSpillers = max(minSpillers, spillerShare*float64(s.BalancerCount))
+	b.slowStartWindow = 0
+	if b.manyBalancers() {
+		b.slowStartWindow = s.Rules.OverloadWindow / slowStartWindows
 	}
 	// A zone counts as empty when each of its backends holds its bound of this proxy's
 	// requests: what would queue there unseen waits here instead, where it can still go to
 	// whichever backend is free first. The bounds are small, for a backend is crowded by all
 	// proxies together: elsewhere, the fewer may spill there, the more each of them may.
 	b.levels = []level{{0, 1}, {0, 2}, {1, 1}}
-	for depth := 2.0; depth*float64(s.BalancerCount-1) <= spillers && depth < spillers; depth++ {
+	for depth := 2.0; depth*float64(s.BalancerCount-1) <= minSpillers && depth < minSpillers; depth++ {
 		b.levels = append(b.levels, level{1, depth})
 	}
-	b.sweep = max(s.Tick, time.Duration(float64(b.shortAim)/sweepsPerAim))
-	b.watchGap = s.Rules.PollInterval / 8
-	for len(b.quick) < len(s.Classes) {
-		b.quick = append(b.quick, 0)
+	b.tickInterval = max(s.Tick, time.Duration(float64(b.shortestObjective)/ticksPerObjective))
+	b.watchBackoff = s.Rules.PollInterval / 8
+	for len(b.fastAnswers) < len(s.Classes) {
+		b.fastAnswers = append(b.fastAnswers, 0)
 	}
-	b.makeBands()
+	b.buildPriorities()
 }
--- a/settings_test.go
+++ b/settings_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestUnusableSettings(t *testing.T) {
+func TestValidateRejectsUnusableSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"zone":       func(s *Settings) { s.Zone = 9 },
 		"classes":    func(s *Settings) { s.Classes = nil },
@@ -19,7 +19,7 @@
 		"tenants[0]": func(s *Settings) { s.Tenants = []Tenant{{QuotaPerSec: -1}} },
 		"proxies":    func(s *Settings) { s.BalancerCount = 0 },
 	} {
-		s := settings()
+		s := testSettings()
 		spoil(&s)
 		if _, err := New(s, 1, &recorder{}); err == nil {
 			t.Errorf("%s: accepted", name)
@@ -27,14 +27,14 @@
 	}
 }
 
-func TestOtherSettingsWhileRequestsAreUnderWay(t *testing.T) {
-	s := settings()
-	b, h := start(t, s, fleet(3, 1))
-	b.HandleRequest(0, ask(1, safeClass, 1))
+func TestUpdateSettingsWithRequestsInFlight(t *testing.T) {
+	s := testSettings()
+	b, h := newTestBalancer(t, s, testEndpoints(3, 1))
+	b.HandleRequest(0, newTestRequest(1, idempotentClass, 1))
 	first := h.last().to
 	next := s
 	next.Classes = append([]Class(nil), s.Classes...)
-	next.Classes[safeClass].RetrySafety = NonIdempotent
+	next.Classes[idempotentClass].RetrySafety = NonIdempotent
 	next.Classes = append(next.Classes, Class{Name: "new", LatencyObjective: 500 * ms, Deadline: time.Second, PriorityWeight: 9, RetrySafety: NonIdempotent})
 	next.Limits.MaxAttempts = 1
 
@@ -44,13 +44,13 @@
 	bad = next
 	bad.Limits.MaxAttempts = 0
 	require.Error(t, b.UpdateSettings(0, bad))
-	require.Equal(t, s.Limits.MaxAttempts, b.set.Limits.MaxAttempts, "nothing of it is taken")
+	require.Equal(t, s.Limits.MaxAttempts, b.settings.Limits.MaxAttempts, "nothing of it is taken")
 
 	require.NoError(t, b.UpdateSettings(0, next))
-	b.HandleRequest(ms, ask(2, len(next.Classes)-1, 1))
+	b.HandleRequest(ms, newTestRequest(2, len(next.Classes)-1, 1))
 	require.Equal(t, RequestID(2), h.last().id)
-	end(b, 2*ms, 1, 0, first, Reset) // it may have run: its class allows another, the settings do not
-	require.Len(t, h.sent, 2)
-	require.Equal(t, []RequestID{1}, h.refused, "it came as safe, and refusing it is true")
+	completeAttempt(b, 2*ms, 1, 0, first, Reset) // it may have run: its class allows another, the settings do not
+	require.Len(t, h.attempts, 2)
+	require.Equal(t, []RequestID{1}, h.rejected, "it came as safe, and refusing it is true")
 	require.Empty(t, h.failed)
 }
--- a/snapshot.go
+++ b/snapshot.go
@@ -9,7 +9,9 @@
 }
 
 // Snapshot tells what has been learnt so far.
-func (b *Balancer) Snapshot() Snapshot { return Snapshot{b.median, b.meanWork, b.largeShare, b.usual} }
+func (b *Balancer) Snapshot() Snapshot {
+	return Snapshot{b.medianHint, b.meanWork, b.largeWorkShare, b.peakCompletionRate}
+}
 
 // Restore starts a proxy from what another has learnt, unless it has learnt more by itself.
 // Figures that cannot be are passed over.
@@ -19,13 +21,13 @@
 			return
 		}
 	}
-	if b.hints > 0 || !(l.Median > 0 && l.MeanWork > 0 && l.LargeShare >= 0 && l.LargeShare <= 1) {
+	if b.hintCount > 0 || !(l.Median > 0 && l.MeanWork > 0 && l.LargeShare >= 0 && l.LargeShare <= 1) {
 		return
 	}
-	b.hints, b.works = resumedHints, resumedHints
-	b.median, b.meanWork, b.largeShare = l.Median, l.MeanWork, l.LargeShare
-	b.usual = max(b.usual, l.Usual)
+	b.hintCount, b.workSamples = restoredHintCount, restoredHintCount
+	b.medianHint, b.meanWork, b.largeWorkShare = l.Median, l.MeanWork, l.LargeShare
+	b.peakCompletionRate = max(b.peakCompletionRate, l.Usual)
 }
 
-// resumedHints is how many hints of its own what another has learnt counts for.
-const resumedHints = 16
+// restoredHintCount is how many hints of its own what another has learnt counts for.
+const restoredHintCount = 16
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -6,12 +6,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWhatAnotherProxyHasLearntIsTakenOnce(t *testing.T) {
-	b, _ := start(t, settings(), fleet(2, 1))
+func TestRestoreAppliesSnapshotOnce(t *testing.T) {
+	b, _ := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
 	b.Restore(Snapshot{Median: -1, MeanWork: 2, LargeShare: 0.5})
-	require.Zero(t, b.median)
+	require.Zero(t, b.medianHint)
 	b.Restore(Snapshot{Median: 50, MeanWork: 80, LargeShare: 0.7, Usual: 3})
 	require.Equal(t, Snapshot{50, 80, 0.7, 3}, b.Snapshot())
 	b.Restore(Snapshot{Median: 1, MeanWork: 1})
-	require.Equal(t, 50.0, b.median, "its own experience goes before")
+	require.Equal(t, 50.0, b.medianHint, "its own experience goes before")
 }
