--- a/admission.go
+++ b/admission.go
@@ -5,149 +5,155 @@
 	"time"
 )
 
-// waitOrReject lets a request wait for the next sweep, unless that would come too late.
-func (b *Balancer) waitOrReject(now time.Duration, r *request) {
-	needs := min(time.Duration(r.work*b.latencyPerWork*float64(time.Millisecond)), r.class.LatencyObjective/2)
-	if now+2*b.tickInterval >= min(b.attemptDeadline(r)-needs, r.queueDeadline) || b.queueTooLong(now, r) {
-		b.rejectOrFail(r)
-	}
-}
+const (
+	shedGain     = 1.0 / 4 // change of the shed share in one shortest objective while all is late
+	starvedBelow = 0.8     // of the mean share that is forwarded: a band below it goes first
+)
 
+// newRequest opens a request: its deadlines, its expected work with the lane for it, its priority.
 func (b *Balancer) newRequest(now time.Duration, in Request) *request {
-	var r *request
-	if n := len(b.freeRequests); n > 0 {
-		r, b.freeRequests = b.freeRequests[n-1], b.freeRequests[:n-1]
-	} else {
-		r = &request{}
-	}
-	c := &b.settings.Classes[in.Class]
-	*r = request{Request: in, class: c, openIndex: len(b.openRequests), attempts: r.attempts[:0]}
-	r.objective = min(now+c.LatencyObjective, r.Deadline)
+	r := b.openRequest(in)
+	r.objective = min(now+r.class.LatencyObjective, r.Deadline)
 	r.queueDeadline = now + (r.Deadline-now)/2
-	r.lane, r.work = 0, in.CostHint
+	r.lane, r.work = smallLane, in.CostHint
 	if !r.hasCostHint() {
 		r.work = b.workWithoutHint(in.Class)
 	} else if b.hintCount > 0 && in.CostHint > b.medianHint {
-		r.lane = 1
+		r.lane = largeLane
 	}
 	r.priority = 2 * in.Class
 	if b.overQuota(now, in.Tenant) {
 		r.priority++
 	}
-	b.openRequests = append(b.openRequests, r)
-	b.requests[in.ID] = r
 	return r
 }
 
-// overQuota takes one request from the tenant's share of this proxy.
+// overQuota takes a request from this balancer's part of a tenant's quota and reports if none was left.
 func (b *Balancer) overQuota(now time.Duration, tenant int) bool {
 	if tenant < 0 || tenant >= len(b.quotas) || b.settings.Tenants[tenant].QuotaPerSec == 0 {
 		return false
 	}
-	return !b.quotas[tenant].take(now, b.settings.Tenants[tenant].QuotaPerSec/float64(b.settings.BalancerCount))
+	part := b.settings.Tenants[tenant].QuotaPerSec / float64(b.settings.BalancerCount)
+	return !b.quotas[tenant].take(now, part)
 }
 
-// precedes orders what waits: the most worth for its work first, and what came first among
-// equals. But a band that gets much less than its part of what is sent goes before the
-// others: where there is never room enough, it would get nothing at all.
-func (b *Balancer) precedes(r, other *request) bool {
-	x, y := &b.priorities[r.priority], &b.priorities[other.priority]
-	if x.starved != y.starved {
-		return x.starved
+// dispatchOrQueue dispatches a request or lets it wait, unless the queue or the next tick is too late for it.
+func (b *Balancer) dispatchOrQueue(now time.Duration, r *request) {
+	if b.dispatch(now, r) {
+		return
+	}
+	needs := min(milliseconds(r.work*b.latencyPerWork), r.class.LatencyObjective/2)
+	latest := min(b.attemptDeadline(r)-needs, r.queueDeadline)
+	if now+2*b.tickInterval >= latest || b.queueTooLong(now, r) {
+		b.rejectOrFail(r)
 	}
-	return x.precedence > y.precedence || x.precedence == y.precedence && r.ID < other.ID
 }
 
-// dispatchWaiting gives the room that has come free to what waits.
+// dispatchWaiting gives the capacity that has become free to the waiting requests.
 func (b *Balancer) dispatchWaiting(now time.Duration) {
 	for {
-		var best *request
+		var first *request
 		for _, r := range b.openRequests {
-			if r.done || r.inflight > 0 || r.streaming {
-				continue
-			}
-			if best == nil || b.precedes(r, best) {
-				best = r
+			if r.waiting() && (first == nil || b.precedes(r, first)) {
+				first = r
 			}
 		}
-		if best == nil || !b.dispatch(now, best) {
+		if first == nil || !b.dispatch(now, first) {
 			return
 		}
 	}
 }
 
-// buildPriorities makes two bands of each class: within its tenants' shares and beyond them.
+// precedes orders waiting requests: starved bands first, lest they get nothing, then precedence and arrival.
+func (b *Balancer) precedes(r, other *request) bool {
+	x, y := &b.priorities[r.priority], &b.priorities[other.priority]
+	if x.starved != y.starved {
+		return x.starved
+	}
+	return x.precedence > y.precedence || x.precedence == y.precedence && r.ID < other.ID
+}
+
+// buildPriorities makes two bands of each class: within its tenants' quotas and over them.
 func (b *Balancer) buildPriorities() {
 	b.priorities = nil
 	for _, c := range b.settings.Classes {
-		b.priorities = append(b.priorities, priorityBand{weight: c.PriorityWeight}, priorityBand{weight: c.PriorityWeight * b.settings.OverQuotaWeight})
+		within := priorityBand{weight: c.PriorityWeight}
+		over := priorityBand{weight: c.PriorityWeight * b.settings.OverQuotaWeight}
+		b.priorities = append(b.priorities, within, over)
 	}
 	b.updatePrecedence()
 }
 
-// updatePrecedence is what each band is worth for its work. Where worth counts by request, light ones go first.
+// updatePrecedence sets each band's weight for its work: light requests first, if the weight is per request.
 func (b *Balancer) updatePrecedence() {
 	for i := range b.priorities {
-		b.priorities[i].precedence = b.priorities[i].weight
+		p := &b.priorities[i]
+		p.precedence = p.weight
 		if work := b.workWithoutHint(i / 2); b.settings.WeightPerRequest && work > 0 {
-			b.priorities[i].precedence /= work
+			p.precedence /= work
 		}
 	}
 }
 
-// shedStep is how far control may move on one answer. It goes by time, in aims, not
-// by answers: what it changes is seen a wait later, and a busy proxy would swing from end
-// to end before that. A quiet one still needs some answers to tell chance from trouble.
-func (b *Balancer) shedStep(now time.Duration) float64 {
-	pace := min((now-b.shedAdjustedAt).Seconds()/b.shortestObjective.Seconds()*shedGain, groupSmoothing)
-	b.shedAdjustedAt = now
-	return pace
-}
-
-// adjustShedding moves shedding by the answers that come late: after half their aim, so
-// that there is time to act.
-func (b *Balancer) adjustShedding(pace float64, away int, late float64) {
-	g, other := &b.groups[away], &b.groups[1-away]
-	g.lateShare += groupSmoothing * (late - g.lateShare)
-	g.lateUpdatedAt = b.shedAdjustedAt
-	// Work is shed only when it comes late wherever it goes: spilling is cheaper.
-	step := -pace / 2
-	if late > 0 && (len(other.members) == 0 || other.lateShare > 2*groupSmoothing) {
-		step = pace
-	}
-	b.shedShare = min(max(b.shedShare+step, 0), 1)
-}
-
-// updatePriorities follows what changes slowly: the bands and, in survey, the backends.
-func (b *Balancer) updatePriorities(now time.Duration) {
-	// A pass over a large fleet takes its time: it is made every few sweeps there.
-	if b.ticks++; b.ticks%(1+len(b.sorted)/backendsPerTick) == 0 {
-		b.reviewBackends(now)
-	}
-	// A proxy that refuses everything sees nothing get better: shedding wanes.
+// updatePriorities decays the sums of work at a tick, and sets which bands are starved and what is rejected.
+func (b *Balancer) updatePriorities() {
+	// A balancer that rejects everything sees nothing improve, so shedding decays.
 	b.shedShare -= b.shedShare / (ticksPerObjective * ticksPerObjective)
 	keep := math.Exp(-b.tickInterval.Seconds())
-	var total, got float64
+	var arrived, forwarded float64
 	for i := range b.priorities {
-		b.priorities[i].arrived *= keep
-		b.priorities[i].forwarded *= keep
-		total += b.priorities[i].arrived
-		got += b.priorities[i].forwarded
+		p := &b.priorities[i]
+		p.arrived *= keep
+		p.forwarded *= keep
+		arrived += p.arrived
+		forwarded += p.forwarded
 	}
 	b.updatePrecedence()
 	for i := range b.priorities {
-		band, less, equal := &b.priorities[i], 0.0, 0.0 // what is refused before it, and beside it
+		p := &b.priorities[i]
+		lower, equal := 0.0, 0.0 // work that is rejected before this band's, and along with it
 		for _, other := range b.priorities {
 			switch {
-			case other.precedence < band.precedence:
-				less += other.arrived
-			case other.precedence == band.precedence:
+			case other.precedence < p.precedence:
+				lower += other.arrived
+			case other.precedence == p.precedence:
 				equal += other.arrived
 			}
 		}
-		band.starved = b.manyBalancers() && band.forwarded*total < starvedBelow*band.arrived*got
-		if band.rejectShare = 0; equal > 0 {
-			band.rejectShare = min(max(b.shedShare*total-less, 0)/equal, 1)
+		p.starved = b.manyBalancers() && p.forwarded*arrived < starvedBelow*p.arrived*forwarded
+		p.rejectShare = 0
+		if equal > 0 {
+			p.rejectShare = min(max(b.shedShare*arrived-lower, 0)/equal, 1)
 		}
 	}
 }
+
+// shedStep is how far one answer may move the shed share: by the time since the last, not by their number,
+// for a change shows late and a busy balancer would oscillate. A quiet one needs some answers to be sure.
+func (b *Balancer) shedStep(now time.Duration) float64 {
+	elapsed := (now - b.shedAdjustedAt).Seconds()
+	b.shedAdjustedAt = now
+	return min(elapsed/b.shortestObjective.Seconds()*shedGain, groupSmoothing)
+}
+
+// adjustShedding moves the shed share by one answer: late is 1 if it took over half of its objective, so that
+// there is time to act. Work is shed only while the other group is late, too: spilling costs less.
+func (b *Balancer) adjustShedding(step float64, locality int, late float64) {
+	g, other := &b.groups[locality], &b.groups[1-locality]
+	g.lateShare += groupSmoothing * (late - g.lateShare)
+	g.lateUpdatedAt = b.shedAdjustedAt
+	lateElsewhere := len(other.members) == 0 || other.lateShare > 2*groupSmoothing
+	change := -step / 2
+	if late > 0 && lateElsewhere {
+		change = step
+	}
+	b.shedShare = min(max(b.shedShare+change, 0), 1)
+}
+
+// retryAfter is the delay that a rejection advises; 0 is no advice.
+func (b *Balancer) retryAfter() time.Duration {
+	if !b.settings.Limits.RetryAfter || b.shedShare == 0 {
+		return 0
+	}
+	return min(b.shortestObjective, b.settings.Limits.MaxRetryAfter)
+}
--- a/admission_test.go
+++ b/admission_test.go
@@ -73,7 +73,7 @@
 		t.Fatalf("bands %+v and %+v", x, y)
 	}
 	x.arrived, x.forwarded, y.arrived, y.forwarded, b.shedShare = 100, 20, 100, 80, 0.5
-	b.updatePriorities(time.Second)
+	b.updatePriorities()
 	if !x.starved || y.starved {
 		t.Errorf("starves: %v and %v, the first was sent a fifth of its work and the other four", x.starved, y.starved)
 	}
@@ -104,7 +104,7 @@
 		}
 		b.fastAnswers[nonIdempotentClass] = 80
 		b.priorities[2*idempotentClass].arrived, b.priorities[2*nonIdempotentClass].arrived, b.shedShare = 100, 100, 0.5
-		b.updatePriorities(time.Second)
+		b.updatePriorities()
 		light := &request{Request: Request{ID: 2}, priority: 2 * idempotentClass}
 		heavy := &request{Request: Request{ID: 1}, priority: 2 * nonIdempotentClass}
 		if got := b.precedes(light, heavy); got != byRequest {
--- a/attempts.go
+++ b/attempts.go
@@ -1,17 +1,16 @@
 package piernotch
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
-// mayStartAttempt is the guard: every send passes it, and it alone knows the rules.
+const retryBudgetShare = 0.15 // retries and hedged requests, as a share of requests
+
+// mayStartAttempt is the guard that every attempt passes. No other function knows these rules.
 func (b *Balancer) mayStartAttempt(now time.Duration, r *request, to *backend) bool {
 	if r.done || r.streaming || now >= r.Deadline || len(r.attempts) >= b.settings.Limits.MaxAttempts {
 		return false
 	}
-	// Draining and gone backends get nothing from the moment this proxy knows.
-	if !to.available() || r.inflight > 0 && (!b.settings.Limits.HedgedRequests || r.class.RetrySafety == NonIdempotent) {
+	mayHedge := b.settings.Limits.HedgedRequests && r.class.RetrySafety != NonIdempotent
+	if !to.available() || r.inflight > 0 && !mayHedge {
 		return false
 	}
 	if first := r.firstMaybeExecuted(); first != nil && !r.mayRepeatOn(now, first, to) {
@@ -20,52 +19,37 @@
 	if to.ejections > 0 && (to.trialInflight || !b.trialDue(now, to)) {
 		return false
 	}
-	if to.slowStartSince < 0 {
+	if to.warm() {
 		return !b.groups[to.locality].atInflightLimit()
 	}
-	// A cold backend is paced by itself, whatever the state of the others. Many
-	// proxies at once sending it one heavy request each would push it over, and so
-	// would those of other zones, which it does not need if it has proxies of its own.
-	if r.work > b.meanWork || to.locality == 1 && len(b.groups[0].members) > 0 && !b.zonesWithoutBalancer() {
-		return false
-	}
-	// One request at a time, so that it is never sent more than it gets done.
-	return now >= to.nextSlowStartSend && to.inflight == 0 && (b.slowStartWindow == 0 || b.winsSlowStartDraw(now, to))
+	return b.slowStartAllows(now, r, to)
 }
 
-// AttemptAllowed tells whether an attempt may still be written now that it has a connection: meanwhile
-// its request may have been answered, its backend told to leave, its window for repeats have closed.
+// AttemptAllowed reports whether an attempt may still be written now that it has a connection. Meanwhile its
+// request may have been answered, its backend be draining, or the class's deduplication window have closed.
 func (b *Balancer) AttemptAllowed(now time.Duration, id RequestID, try int) bool {
 	r := b.requests[id]
 	if r == nil || r.done || try < 0 || try >= len(r.attempts) || now >= r.Deadline {
 		return false
 	}
-	for i := range r.attempts { // the others, later ones too: what waited for long is the repeat
-		if t := &r.attempts[i]; i != try && t.mayHaveExecuted() && !r.mayRepeatOn(now, t, r.attempts[try].backend) {
+	to := r.attempts[try].backend
+	for i := range r.attempts { // later ones, too: the one that waited for a connection is then the repeat
+		other := &r.attempts[i]
+		if i != try && other.mayHaveExecuted() && !r.mayRepeatOn(now, other, to) {
 			return false
 		}
 	}
-	return r.attempts[try].backend.available()
-}
-
-// firstMaybeExecuted is the first attempt that may have run, or nil.
-func (r *request) firstMaybeExecuted() *attempt {
-	for i := range r.attempts {
-		if t := &r.attempts[i]; t.mayHaveExecuted() {
-			return t
-		}
-	}
-	return nil
+	return to.available()
 }
 
-// mayRepeatOn tells whether a request that may have run may also go to another. A repeat has to be
-// there within the window; half of the quickest answer from there is time enough for the way.
+// mayRepeatOn reports whether a request that may have executed in the attempt first may also go to the
+// backend. It has to arrive within the deduplication window, after half of the fastest answer's latency.
 func (r *request) mayRepeatOn(now time.Duration, first *attempt, to *backend) bool {
-	way := time.Duration(to.path.fastestAnswer / 2 * float64(time.Millisecond))
+	transit := milliseconds(to.path.fastestAnswer / 2)
 	switch {
 	case r.class.RetrySafety == Idempotent:
 		return true
-	case r.class.RetrySafety == NonIdempotent, now+way > first.sentAt+r.class.DedupWindow:
+	case r.class.RetrySafety == NonIdempotent, now+transit > first.sentAt+r.class.DedupWindow:
 		return false
 	case r.class.DedupScope == DedupInZone:
 		return to.Zone == first.backend.Zone
@@ -75,6 +59,7 @@
 	return true
 }
 
+// startAttempt sends the request to the backend. The guard has allowed it.
 func (b *Balancer) startAttempt(now time.Duration, r *request, to *backend) {
 	to.inflight++
 	to.backlog += r.work
@@ -83,7 +68,7 @@
 	if len(r.attempts) == 0 {
 		b.priorities[r.priority].forwarded += r.work
 	}
-	warm := to.slowStartSince < 0
+	warm := to.warm()
 	if warm {
 		b.groups[to.locality].inflight++
 		b.groups[to.locality].sendRate.add(now, r.work)
@@ -96,7 +81,7 @@
 	b.host.StartAttempt(r.ID, to.ID, b.attemptDeadline(r)-now)
 }
 
-// attemptDeadline is when an answer stops being worth the backend's work.
+// attemptDeadline is when an answer is no longer worth the backend's work.
 func (b *Balancer) attemptDeadline(r *request) time.Duration {
 	if r.class.LateWeightShare > 0 && b.shedShare == 0 {
 		return r.Deadline
@@ -104,24 +89,50 @@
 	return r.objective
 }
 
-// recordOutcome takes what an outcome says of the backend and of its group.
+func (b *Balancer) addRetryBudget() {
+	most := float64(b.settings.Limits.MaxAttempts) / retryBudgetShare
+	b.retryBudget = min(b.retryBudget+retryBudgetShare, most)
+}
+
+// mayRetry reports whether the budget has a retry left and the request can still be in time.
+func (b *Balancer) mayRetry(now time.Duration, r *request) bool {
+	return b.retryBudget >= 1 && now < r.objective
+}
+
+// retryOrAnswer retries a request after an attempt, or gives the final answer if none is in flight.
+func (b *Balancer) retryOrAnswer(now time.Duration, r *request, status Status) {
+	switch {
+	case r.done:
+		b.release(r)
+	case status != Timeout && b.mayRetry(now, r) && b.dispatch(now, r):
+		b.retryBudget--
+	case r.inflight == 0:
+		b.rejectOrFail(r)
+	}
+}
+
+// hedge starts a second attempt of a request whose first is overdue, once and not while shedding.
+func (b *Balancer) hedge(now time.Duration, r *request) {
+	if !r.hedged && b.shedShare == 0 && b.mayRetry(now, r) && b.dispatch(now, r) {
+		r.hedged = true
+		b.retryBudget--
+	}
+}
+
+// recordOutcome updates what the outcome shows of the backend and its group.
 func (b *Balancer) recordOutcome(now time.Duration, r *request, t *attempt, o Outcome) {
 	to := t.backend
 	to.trialInflight = false
 	if o.Status == OK || o.Status == Full || o.Status == Error {
 		to.lastAnswerAt = now
 	}
-	late := o.Status == Timeout || o.Status == Cancelled && o.Latency > r.class.LatencyObjective/2
-	if late && to.lastAnswerAt >= t.sentAt || o.Status == OK || o.Status == Error {
-		to.failureShare[r.Class] += backendSmoothing * (indicator(o.Status != OK) - to.failureShare[r.Class])
-	}
+	b.observeClassFailure(r, t, o)
 	switch {
 	case o.Status == Timeout && to.lastAnswerAt < t.sentAt:
-		// The attempt timed out before the sweep noticed the silence, which is the
-		// backend's own: it counts as late, but is no reason to shed.
+		// Its backend was silent, which no tick has noticed yet: late, but no reason to shed.
 		g := &b.groups[to.locality]
 		g.lateShare += groupSmoothing * (1 - g.lateShare)
-		b.recordFailure(now, to, 2)
+		b.recordFailure(now, to, maxSilentTimeouts)
 	case o.Status == Timeout:
 		b.recordLatency(now, r, to, o.Latency)
 	case o.Status == OK:
@@ -129,43 +140,22 @@
 		b.recordLatency(now, r, to, o.Latency)
 		b.endEjection(now, to)
 	case o.Status == Full:
-		// It says nothing of how long others take: one that turns all away at once must
-		// neither draw requests by being idle nor pass for a fleet that is late.
-		b.recordFailure(now, to, 3)
+		// A backend that rejects everything must neither attract requests nor make the group look late.
+		b.recordFailure(now, to, maxFailures)
 		b.adjustShedding(b.shedStep(now), to.locality, 1)
 	case o.Status == ConnectFailed, o.Status == Error, o.Status == Reset:
 		to.connectFailures += indicator(o.Status == ConnectFailed)
-		b.recordFailure(now, to, 3) // a backend that lives has one now and then
+		b.recordFailure(now, to, maxFailures)
 	}
 }
 
-// recordLatency keeps the latencies that round robin and shedding go by.
-// They are taken beyond the request's own work, so that lanes compare.
+// recordLatency updates the latency estimates, and moves the lanes and shedding by what is late.
 func (b *Balancer) recordLatency(now time.Duration, r *request, to *backend, took time.Duration) {
-	ms := took.Seconds() * 1000
-	aim := r.class.LatencyObjective.Seconds() * 1000
-	wait := min(max(ms-r.work, 0), aim)
-	typical := max(ms-r.work, -b.meanWork/2) + b.meanWork
-	g := &b.groups[to.locality]
-	if g.latency == 0 {
-		g.latency, g.queueingMean, g.queueingDeviation = typical, wait, wait/2
-	}
-	if to.latency == 0 {
-		to.latency = g.latency
-	}
-	if to.path.answerCount == 0 || ms < to.path.fastestAnswer {
-		to.path.fastestAnswer = ms
-	}
-	to.path.answerCount++
-	to.latency += backendSmoothing * (typical - to.latency)
-	b.latencyPerWork = followRatio(b.latencyPerWork, ms, r.work, groupSmoothing*r.work/b.meanWork)
-	to.latencyPerWork = followRatio(to.latencyPerWork, ms, r.work, backendSmoothing*r.work/b.meanWork)
-	g.latency += groupSmoothing * (typical - g.latency)
-	g.queueingDeviation += groupSmoothing * (math.Abs(wait-g.queueingMean) - g.queueingDeviation)
-	g.queueingMean += groupSmoothing * (wait - g.queueingMean)
-	pace := b.shedStep(now)
-	b.balanceLanes(pace, r.lane, indicator(wait > aim/2))
-	if r.work < aim/4 { // a heavy request is late on an idle server, too
-		b.adjustShedding(pace, to.locality, indicator(took > r.class.LatencyObjective/2))
+	objective := r.class.LatencyObjective.Seconds() * 1000
+	queueing := b.observeLatency(r, to, took)
+	step := b.shedStep(now)
+	b.balanceLanes(step, r.lane, indicator(queueing > objective/2))
+	if r.work < objective/4 { // a heavy request is late on an idle backend, too
+		b.adjustShedding(step, to.locality, indicator(took > r.class.LatencyObjective/2))
 	}
 }
--- a/concurrency_limits.go
+++ b/concurrency_limits.go
@@ -5,38 +5,45 @@
 	"time"
 )
 
-// LoadReported takes a backend's load report.
+const (
+	targetInflight      = 1.5  // all balancers' requests at a backend, on the mean of its group
+	limitAdjustTime     = 0.35 // seconds in which the limit on a group changes by a factor of e, at most
+	fewBalancersPerZone = 4.0  // up to so many, each one's own bounds suffice
+)
+
+// LoadReported takes a backend's load report. It ignores unknown backends, negative figures and NaN.
 func (b *Balancer) LoadReported(now time.Duration, id BackendID, load LoadReport) {
 	if to := b.backends[id]; to != nil && load.Inflight >= 0 && load.CompletedPerSecond >= 0 {
 		to.reports.record(now, load, to.inflight)
 	}
 }
 
-// totalInflightReaches tells whether all proxies together have so many requests at a backend. What one
-// proxy has there is no bound on that, once there are many: it takes the backend's word.
+// totalInflightReaches reports whether all balancers together have so many requests at a backend. Once
+// there are many balancers, a bound on one's own requests is no bound on that; load reports are.
 func (b *Balancer) totalInflightReaches(now time.Duration, to *backend, most float64) bool {
-	return to.reports.estimateOthers(now, min(to.reports.meanOthers, b.groups[to.locality].meanOthers))+float64(to.inflight) >= most
+	prior := min(to.reports.meanOthers, b.groups[to.locality].meanOthers)
+	return to.reports.estimateOthers(now, prior)+float64(to.inflight) >= most
 }
 
-// manyBalancers tells whether there are too many proxies for the bounds on their own to do.
+// manyBalancers reports whether there are too many balancers for each one's own bounds to suffice.
 func (b *Balancer) manyBalancers() bool {
 	return float64(b.settings.BalancerCount) > fewBalancersPerZone*float64(len(b.settings.Zones))
 }
 
-// adjustInflightLimit moves the limit on what this proxy has in a group towards what lets a backend
-// there hold the aim. If all proxies do so, all together reach it, however many they are:
-// none needs to know that. A mean over a group is worth more than a single old report.
+// adjustInflightLimit moves the limit on this balancer's requests in a group towards what keeps the mean of
+// its backends at the target. If all balancers do so, they reach it together, however many they are.
 func (b *Balancer) adjustInflightLimit(now time.Duration, g *group) {
 	dt := b.tickInterval.Seconds()
 	g.peakInflight = max(float64(g.inflight), g.peakInflight*math.Exp(-dt))
-	held, known := b.meanInflight(now, g)
+	inflight, known := b.meanInflight(now, g)
 	if !known || !b.manyBalancers() {
 		g.inflightLimit = math.Inf(1)
 		return
 	}
-	turn := min(max(math.Log(targetInflight/max(held, targetInflight/8)), -1), 1)
-	g.inflightLimit = max(min(g.inflightLimit, 2*g.peakInflight+targetInflight)*math.Exp(turn*dt/limitAdjustTime), 1)
+	turn := min(max(math.Log(targetInflight/max(inflight, targetInflight/8)), -1), 1)
+	reachable := min(g.inflightLimit, 2*g.peakInflight+targetInflight)
+	g.inflightLimit = max(reachable*math.Exp(turn*dt/limitAdjustTime), 1)
 }
 
-// atInflightLimit tells whether this proxy has as much at the group's warm backends as it may.
+// atInflightLimit reports whether the group's warm backends have all that this balancer may send there.
 func (g *group) atInflightLimit() bool { return float64(g.inflight) >= g.inflightLimit }
--- a/endpoints.go
+++ b/endpoints.go
@@ -1,19 +1,15 @@
 package piernotch
 
 import (
-	"cmp"
 	"math"
-	"slices"
 	"time"
 )
 
-// UpdateEndpoints takes word of the backends.
+// UpdateEndpoints takes an event of the endpoint list. A size that is not a positive number counts as 1.
 func (b *Balancer) UpdateEndpoints(now time.Duration, kind UpdateKind, entries []Endpoint) {
 	b.ensureStarted(now)
 	if kind == UpdateFailed {
-		b.watching = false
-		b.nextWatchAt = now + b.watchBackoff/2 + jitter(b.rng, b.watchBackoff)
-		b.watchBackoff = min(2*b.watchBackoff, max(b.settings.Rules.PollInterval, b.watchBackoff))
+		b.backOffWatch(now)
 		return
 	}
 	named := make(map[BackendID]bool, len(entries))
@@ -31,51 +27,31 @@
 	if kind != UpdateCached {
 		b.watchBackoff = b.settings.Rules.PollInterval / 8
 	}
-	b.sorted = slices.DeleteFunc(b.sorted, func(to *backend) bool {
-		if to.State != Gone {
-			return false
-		}
-		delete(b.backends, to.ID)
-		return true
-	})
-	b.updateFullSizes()
-	slices.SortFunc(b.sorted, func(x, y *backend) int { return cmp.Compare(x.ID, y.ID) })
+	b.reindexBackends()
 	b.rebuildGroups(now)
 }
 
+// applyEndpoint adds or updates one backend. A new start time is a new process, which has not failed yet.
 func (b *Balancer) applyEndpoint(now time.Duration, e Endpoint) {
 	if !(e.Size > 0) || math.IsInf(e.Size, 0) {
 		e.Size = 1
 	}
 	to := b.backends[e.ID]
 	if to == nil {
-		if e.State == Gone {
-			return
-		}
-		to = &backend{Endpoint: e, idHash: mixBits(uint64(e.ID)), slowStartSince: -1, spillRank: b.rng.Float64()}
-		to.excluded = b.excluded[e.ID]
-		to.failureShare, to.lastSentAt = make([]float64, len(b.settings.Classes)), make([]time.Duration, len(b.settings.Classes))
-		if e.Zone != b.settings.Zone {
-			to.locality = 1
-		}
-		if b.zonePaths[e.Zone] == nil {
-			b.zonePaths[e.Zone] = &zonePath{}
+		if e.State != Gone {
+			b.slowStartIfYoung(now, b.addBackend(e))
 		}
-		to.path = b.zonePaths[e.Zone]
-		b.backends[e.ID] = to
-		b.sorted = append(b.sorted, to)
-		b.slowStartIfYoung(now, to)
 		return
 	}
-	reborn := e.StartedAt != to.StartedAt
+	restarted := e.StartedAt != to.StartedAt
 	to.Endpoint = e
-	if reborn {
-		to.ejections, to.consecutiveFailures, to.trialInflight, to.healthCheckPassed = 0, 0, false, false
+	if restarted {
+		to.resetEjection()
 		b.slowStartIfYoung(now, to)
 	}
 }
 
-// watchIfDue keeps the subscription where the list comes only on request.
+// watchIfDue subscribes to the endpoint list, where it has to be asked for.
 func (b *Balancer) watchIfDue(now time.Duration) {
 	if !b.settings.PollDiscovery || b.watching || now < b.nextWatchAt {
 		return
@@ -83,3 +59,10 @@
 	b.watching = true
 	b.host.WatchEndpoints()
 }
+
+// backOffWatch puts off the next subscription after one that failed, for longer each time.
+func (b *Balancer) backOffWatch(now time.Duration) {
+	b.watching = false
+	b.nextWatchAt = now + b.watchBackoff/2 + jitter(b.rng, b.watchBackoff)
+	b.watchBackoff = min(2*b.watchBackoff, max(b.settings.Rules.PollInterval, b.watchBackoff))
+}
--- a/estimators.go
+++ b/estimators.go
@@ -6,11 +6,24 @@
 	"time"
 )
 
-// rate is a running rate a second over about the last second.
+const (
+	groupSmoothing   = 1.0 / 16 // weight of one outcome in a running mean over a group
+	backendSmoothing = 1.0 / 6  // the same for one backend, which has fewer outcomes
+	pathMinAnswers   = 64       // answers from which the latency of the path to a zone is known
+	pathMaxShare     = 0.75     // of the requests in flight that count as in transit, at most
+	fastQuantile     = 1.0 / 8  // quantile of a class's latencies that replaces missing cost hints
+	fastQuantileStep = 1.0 / 16 // relative change of that estimate by one answer
+)
+
+// minRateSpan is the least time a rate is taken over, in seconds: one heavy request
+// in the first moments must not pass for a heavy stream of them.
+const minRateSpan = 0.5
+
+// rate is a running rate per second over about the last second.
 type rate struct {
 	value float64
-	since time.Duration
-	at    time.Duration
+	since time.Duration // the first event's time
+	at    time.Duration // the last addition's time
 }
 
 func (r *rate) add(now time.Duration, amount float64) {
@@ -25,23 +38,19 @@
 	r.at = now
 }
 
-// minRateSpan is the least time a rate is taken over, in seconds: one heavy request
-// in the first moments must not pass for a heavy stream of them.
-const minRateSpan = 0.5
-
-// perSec corrects for the time before the first event.
+// perSec returns the rate, corrected for the time before the first event.
 func (r *rate) perSec(now time.Duration) float64 {
 	seen := 1 - math.Exp(-max((now-r.since).Seconds(), minRateSpan))
 	return r.value * math.Exp(-(now - r.at).Seconds()) / seen
 }
 
-// tokenBucket holds tokens that come at a steady rate, a second's worth at most.
+// tokenBucket holds tokens that are added at a steady rate, up to those of one second.
 type tokenBucket struct {
 	tokens float64
 	at     time.Duration
 }
 
-// take takes one token, if there is one.
+// take takes one token, and reports whether there was one.
 func (q *tokenBucket) take(now time.Duration, perSec float64) bool {
 	q.tokens = min(q.tokens+perSec*(now-q.at).Seconds(), max(1, perSec))
 	q.at = now
@@ -52,7 +61,7 @@
 	return true
 }
 
-// mixBits spreads the bits of x.
+// mixBits is a bijective hash of x.
 func mixBits(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -61,7 +70,20 @@
 	return x ^ x>>31
 }
 
-// indicator is the share that one sample adds to a running share.
+// rendezvousMember returns the member with the highest hash for the key. There must be one.
+func rendezvousMember(members []*backend, key uint64) *backend {
+	var best *backend
+	var highest uint64
+	for _, to := range members {
+		hash := mixBits(key ^ to.idHash)
+		if best == nil || hash > highest {
+			best, highest = to, hash
+		}
+	}
+	return best
+}
+
+// indicator returns 1 for true and 0 for false, as a sample of a running share.
 func indicator(yes bool) float64 {
 	if yes {
 		return 1
@@ -69,30 +91,30 @@
 	return 0
 }
 
-// jitter is a random time up to d.
+// jitter returns a random time below d.
 func jitter(rng *rand.Rand, d time.Duration) time.Duration {
 	return time.Duration(rng.Float64() * float64(d))
 }
 
-// followRatio moves a running quotient towards ms/work; 0 is a quotient not known yet.
-func followRatio(was, ms, work, gain float64) float64 {
+// milliseconds returns the time of ms milliseconds.
+func milliseconds(ms float64) time.Duration {
+	return time.Duration(ms * float64(time.Millisecond))
+}
+
+// followRatio moves the running ratio towards ms/work by the gain; a ratio of 0 is not known yet.
+func followRatio(ratio, ms, work, gain float64) float64 {
 	if !(work > 0) || !(ms > 0) || math.IsInf(gain, 0) || math.IsNaN(gain) {
-		return was
+		return ratio
 	}
-	if was == 0 {
+	if ratio == 0 {
 		return ms / work
 	}
-	return was + min(gain, 0.5)*(ms/work-was)
+	return ratio + min(gain, 0.5)*(ms/work-ratio)
 }
 
-const (
-	fastQuantile     = 1.0 / 8  // of a class's answers are quicker than what stands in for its hints
-	fastQuantileStep = 1.0 / 16 // by which that follows one answer
-)
-
-// workWithoutHint is what stands in for the hint of a request of a class: how long the quicker answers of
-// the class take, which waited for nothing, and the mean work until there was one. Without it a site
-// that gives no hints would have no measure of work at all.
+// workWithoutHint returns the work that replaces a missing cost hint of a class, in ms: a low quantile
+// of its latencies, which includes no queueing, or the mean work until there is an answer. Without it a
+// site that gives no hints would have no measure of work at all.
 func (b *Balancer) workWithoutHint(class int) float64 {
 	if b.fastAnswers[class] > 0 {
 		return b.fastAnswers[class]
@@ -100,55 +122,101 @@
 	return b.meanWork
 }
 
-// learnWorkWithoutHint follows a low quantile of what the answers of a class take.
+// learnWorkWithoutHint moves the low quantile of a class's latencies.
 func (b *Balancer) learnWorkWithoutHint(class int, took time.Duration) {
-	switch ms, q := took.Seconds()*1000, &b.fastAnswers[class]; {
-	case *q == 0:
-		*q = ms
-	case ms < *q:
-		*q *= 1 - fastQuantileStep*(1-fastQuantile)
+	ms := took.Seconds() * 1000
+	quantile := &b.fastAnswers[class]
+	switch {
+	case *quantile == 0:
+		*quantile = ms
+	case ms < *quantile:
+		*quantile *= 1 - fastQuantileStep*(1-fastQuantile)
 	default:
-		*q *= 1 + fastQuantileStep*fastQuantile
+		*quantile *= 1 + fastQuantileStep*fastQuantile
 	}
 }
 
-// observeArrival learns what arrives: the median hint, and the work on each side of it
-// and in each band.
+// observeArrival updates the estimates of what arrives: the median hint, the mean work, and the
+// work in each lane and priority.
 func (b *Balancer) observeArrival(r *request) {
 	if r.hasCostHint() {
-		b.hintCount++
-		step := 1 + max(1/b.hintCount, groupSmoothing/2)
-		switch {
-		case b.hintCount == 1:
-			b.medianHint = r.CostHint
-		case r.CostHint > b.medianHint:
-			b.medianHint *= step
-		default:
-			b.medianHint /= step
-		}
+		b.observeHint(r.CostHint)
 	}
 	if r.work > 0 {
 		b.workSamples++
 		gain := max(1/b.workSamples, groupSmoothing/8)
 		b.meanWork += gain * (r.work - b.meanWork)
-		b.largeWorkShare += gain * (r.work / b.meanWork) * (indicator(r.lane == 1) - b.largeWorkShare)
+		b.largeWorkShare += gain * (r.work / b.meanWork) * (indicator(r.lane == largeLane) - b.largeWorkShare)
 		b.largeWorkShare = min(max(b.largeWorkShare, 0), 1)
 	}
 	b.priorities[r.priority].arrived += r.work
 }
 
-// capacityShare is the share of its capacity that a backend can be counted on for.
+// observeHint moves the running median towards a cost hint.
+func (b *Balancer) observeHint(hint float64) {
+	b.hintCount++
+	step := 1 + max(1/b.hintCount, groupSmoothing/2)
+	switch {
+	case b.hintCount == 1:
+		b.medianHint = hint
+	case hint > b.medianHint:
+		b.medianHint *= step
+	default:
+		b.medianHint /= step
+	}
+}
+
+// observeLatency updates the latency estimates of all, of the group and of the backend by one answer, and
+// returns its latency beyond the request's work in ms, at most the objective. Estimates of latency are for
+// a request of mean work, so that the lanes compare.
+func (b *Balancer) observeLatency(r *request, to *backend, took time.Duration) (queueing float64) {
+	ms := took.Seconds() * 1000
+	queueing = min(max(ms-r.work, 0), r.class.LatencyObjective.Seconds()*1000)
+	typical := max(ms-r.work, -b.meanWork/2) + b.meanWork
+	g := &b.groups[to.locality]
+	if g.latency == 0 {
+		g.latency, g.queueingMean, g.queueingDeviation = typical, queueing, queueing/2
+	}
+	if to.latency == 0 {
+		to.latency = g.latency
+	}
+	if to.path.answerCount == 0 || ms < to.path.fastestAnswer {
+		to.path.fastestAnswer = ms
+	}
+	to.path.answerCount++
+	to.latency += backendSmoothing * (typical - to.latency)
+	b.latencyPerWork = followRatio(b.latencyPerWork, ms, r.work, groupSmoothing*r.work/b.meanWork)
+	to.latencyPerWork = followRatio(to.latencyPerWork, ms, r.work, backendSmoothing*r.work/b.meanWork)
+	g.latency += groupSmoothing * (typical - g.latency)
+	g.queueingDeviation += groupSmoothing * (math.Abs(queueing-g.queueingMean) - g.queueingDeviation)
+	g.queueingMean += groupSmoothing * (queueing - g.queueingMean)
+	return queueing
+}
+
+// observeClassFailure updates the share of a class's requests that fail on a backend which answers
+// others. A cancelled attempt counts as failed if it had taken half of the objective.
+func (b *Balancer) observeClassFailure(r *request, t *attempt, o Outcome) {
+	to := t.backend
+	tookLong := o.Status == Timeout || o.Status == Cancelled && o.Latency > r.class.LatencyObjective/2
+	answersOthers := to.lastAnswerAt >= t.sentAt
+	if tookLong && answersOthers || o.Status == OK || o.Status == Error {
+		failed := indicator(o.Status != OK)
+		to.failureShare[r.Class] += backendSmoothing * (failed - to.failureShare[r.Class])
+	}
+}
+
+// capacityShare returns the share of its capacity that the backend has now, in slow start.
 func (b *Balancer) capacityShare(now time.Duration, to *backend) float64 {
-	if to.slowStartSince < 0 || b.settings.Rules.SlowStartDuration <= 0 {
+	if to.warm() || b.settings.Rules.SlowStartDuration <= 0 {
 		return 1
 	}
 	age := float64(now-to.slowStartSince) / float64(b.settings.Rules.SlowStartDuration)
 	return b.settings.Rules.SlowStartCapacity + (1-b.settings.Rules.SlowStartCapacity)*min(max(age, 0), 1)
 }
 
-// warmSendRate is the work a second that this proxy sends a warm backend of size 1
-// (what arrives is a multiple of any capacity, by clients' retries). A few left warm
-// in a zone may be drowning: they count as half of it. If all is cold, the mean counts.
+// warmSendRate returns the work per second that this balancer sends to a warm backend of size 1. What
+// arrives is no measure of that: by clients' retries it is a multiple of any capacity. A few backends left
+// warm in a zone may be overloaded: they count as half of the zone. If none is warm, the mean counts.
 func (b *Balancer) warmSendRate(now time.Duration) float64 {
 	most := 0.0
 	for i := range b.groups {
@@ -157,42 +225,42 @@
 			most = max(most, g.sendRate.perSec(now)/max(g.warmSize, g.fullSize/2))
 		}
 	}
-	return max(most, b.sendRate.perSec(now)/max(b.groups[0].fullSize+b.groups[1].fullSize, 1))
+	return max(most, b.sendRate.perSec(now)/max(b.groups[localZone].fullSize+b.groups[remoteZones].fullSize, 1))
 }
 
-// expectedLatency is how long the backend will take for the request after what this
-// proxy has there already, ms. Where proxies are many that is next to nothing, and what all
-// have there, by its reports, tells more: requests held over answers a second (Little's law).
+// expectedLatency returns how long the backend will probably take for the request, in ms: by this balancer's
+// own requests there and, if there are many balancers, by its load reports (Little's law: requests held over
+// completions per second).
 func (b *Balancer) expectedLatency(now time.Duration, r *request, to *backend) float64 {
-	pace := to.latencyPerWork
-	if pace == 0 {
-		pace = b.latencyPerWork
+	perWork := to.latencyPerWork
+	if perWork == 0 {
+		perWork = b.latencyPerWork
 	}
-	ms := (to.backlog + r.work) * pace
-	if c := &to.reports; b.manyBalancers() && c.fresh(now) && c.meanCompletionRate > 0 {
+	ms := (to.backlog + r.work) * perWork
+	c := &to.reports
+	if b.manyBalancers() && c.fresh(now) && c.meanCompletionRate > 0 {
 		ms = max(ms, 1000*(c.meanOthers+float64(to.inflight))/c.meanCompletionRate)
 	}
 	return ms
 }
 
-// silenceTimeout is how long an answer may take before it counts as missing.
+// silenceTimeout returns how long an answer for that much work may take before it is overdue.
 func (b *Balancer) silenceTimeout(g *group, work float64) time.Duration {
 	ms := 2*work + g.queueingMean + silenceDeviations*g.queueingDeviation
 	if g.latency == 0 {
 		ms = 2*work + float64(b.shortestObjective)/float64(time.Millisecond)
 	}
-	return time.Duration(ms * float64(time.Millisecond))
+	return milliseconds(ms)
 }
 
-// effectiveLoad is how many of this proxy's requests the backend has in hand. The rest are
-// on their way there or back: where that takes long, a bound on all that are out
-// would leave it idle. The way to a zone is its quickest answer's time less a light
-// request, and never rises: a jam must not pass for a long way. Most of a request
-// on its way makes no room for another.
+// effectiveLoad returns how many of this balancer's requests the backend holds. The others in flight are
+// in transit: where that takes long, a bound on all of them would leave the backend idle. The transit time
+// of a zone is its fastest answer's latency less a light request's work. It never rises, so that a jam
+// does not look like a long path. A request that is mostly in transit makes no room for another.
 func (b *Balancer) effectiveLoad(to *backend) float64 {
-	way := to.path.fastestAnswer - b.meanWork/4
-	if to.path.answerCount < pathMinAnswers || way <= b.meanWork/4 || to.latency <= 0 {
+	transit := to.path.fastestAnswer - b.meanWork/4
+	if to.path.answerCount < pathMinAnswers || transit <= b.meanWork/4 || to.latency <= 0 {
 		return float64(to.inflight)
 	}
-	return float64(to.inflight)*(1-min(way/to.latency, pathMaxShare)) + 0.25
+	return float64(to.inflight)*(1-min(transit/to.latency, pathMaxShare)) + 0.25
 }
--- a/exclusion.go
+++ b/exclusion.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Exclude leaves a backend out until Include, whatever the list says of it meanwhile, and
-// whether or not it is listed. What it has in hand it may finish.
+// Exclude keeps new requests from a backend until Include, whatever the list says of it meanwhile and
+// whether or not it is listed. Attempts in flight there may end. To exclude it again changes nothing.
 func (b *Balancer) Exclude(now time.Duration, id BackendID) {
 	b.ensureStarted(now)
 	b.excluded[id] = true
@@ -13,9 +13,8 @@
 	}
 }
 
-// Include lets a backend that was left out until since serve again. It was out to be
-// restarted, and the list may not have said so yet: it counts as cold from then on, or from
-// a later start that the list tells of.
+// Include ends an exclusion at the clock time since. The backend was excluded to be restarted, which the
+// list may not show yet: its slow start counts from since, or from a later start in the list.
 func (b *Balancer) Include(now time.Duration, id BackendID, since time.Duration) {
 	b.ensureStarted(now)
 	delete(b.excluded, id)
@@ -24,12 +23,10 @@
 		return
 	}
 	to.excluded = false
-	to.ejections, to.consecutiveFailures, to.trialInflight, to.healthCheckPassed = 0, 0, false, false
-	if since = max(since, to.StartedAt); now < since+b.settings.Rules.SlowStartDuration {
+	to.resetEjection()
+	since = max(since, to.StartedAt)
+	if now < since+b.settings.Rules.SlowStartDuration {
 		b.startSlowStart(now, to, since)
 	}
 	b.rebuildGroups(now)
 }
-
-// available tells whether the list and the operators allow new requests to the backend.
-func (to *backend) available() bool { return to.State == Ready && !to.excluded }
--- a/selection.go
+++ b/selection.go
@@ -2,51 +2,70 @@
 
 import "time"
 
-// dispatch sends r to a backend, or leaves it waiting for room.
+const (
+	objectiveShare         = 0.9  // the expected latency is within this share of the time left
+	failsClassShare        = 0.3  // failure share from which a class avoids a backend that serves others
+	minSpillers            = 3.0  // balancers of other zones that may spill to one backend, at least
+	spillerShare           = 0.1  // the same as a share of all balancers
+	totalInflightBound     = 6.0  // all balancers' requests at a backend, for each unit of maxLoad
+	totalInflightBoundKey  = 8.0  // all balancers' requests, if the request's key may be cached there
+	totalInflightBoundLast = 10.0 // all balancers' requests, if no other backend has capacity
+)
+
+// search is the choice of a backend in one lane of a group.
+type search struct {
+	now     time.Duration
+	request *request
+	group   *group
+	lane    int
+	maxLoad float64 // the effective load on the backend is less
+}
+
+// dispatch starts an attempt of the request, or returns false if no backend can take it now.
 func (b *Balancer) dispatch(now time.Duration, r *request) bool {
 	if b.groupsStale {
 		b.rebuildGroups(now)
 	}
-	for _, level := range b.levels {
-		if to := b.pickInGroup(now, r, &b.groups[level.locality], level.maxLoad); to != nil {
-			b.startAttempt(now, r, to)
-			return true
-		}
+	to := b.selectBackend(now, r)
+	if to == nil {
+		return false
 	}
-	if to := b.leastExpectedLatency(now, r); to != nil {
-		b.startAttempt(now, r, to)
-		return true
-	}
-	return false
+	b.startAttempt(now, r, to)
+	return true
 }
 
-// pickInGroup takes the next backend of the request's lane, or else of the other lane.
-func (b *Balancer) pickInGroup(now time.Duration, r *request, g *group, depth float64) *backend {
-	if len(g.members) == 0 {
-		return nil
-	}
-	for _, lane := range [2]int{r.lane, 1 - r.lane} {
-		if to := b.rendezvousPick(now, r, g, lane, depth); to != nil {
-			return to
+// selectBackend tries the levels in turn, in each of them the request's own lane first.
+func (b *Balancer) selectBackend(now time.Duration, r *request) *backend {
+	for _, level := range b.levels {
+		g := &b.groups[level.locality]
+		if len(g.members) == 0 {
+			continue
 		}
-		if to := b.weightedRoundRobin(now, r, g, lane, depth); to != nil {
-			return to
+		for _, lane := range [2]int{r.lane, 1 - r.lane} {
+			s := search{now: now, request: r, group: g, lane: lane, maxLoad: level.maxLoad}
+			if to := b.rendezvousPick(s); to != nil {
+				return to
+			}
+			if to := b.weightedRoundRobin(s); to != nil {
+				return to
+			}
 		}
 	}
-	return nil
+	return b.leastExpectedLatency(now, r)
 }
 
-// weightedRoundRobin is round robin in one lane. A backend of less weight is passed over on some of its
-// turns, and one that holds its bound on all of them: nobody's on the first, nobody's later.
-func (b *Balancer) weightedRoundRobin(now time.Duration, r *request, g *group, lane int, depth float64) *backend {
-	members := g.laneMembers(lane)
-	var fallback *backend
+// weightedRoundRobin takes turns within the lane. A backend of less weight misses some of its turns. One
+// without capacity misses all of them, and they are neither given to its neighbour nor made up for later.
+func (b *Balancer) weightedRoundRobin(s search) *backend {
+	g, members := s.group, s.group.laneMembers(s.lane)
+	var fallback *backend // has capacity, but not yet the credit for a turn
 	for i := range 3 * len(members) {
-		g.nextTurn[lane] = (g.nextTurn[lane] + 1) % len(members)
-		to := members[g.nextTurn[lane]]
-		to.credit = min(to.credit+g.laneWeight(lane, g.nextTurn[lane])/g.maxLaneWeight[lane], 1)
-		if i >= len(members) && fallback == nil || b.effectiveLoad(to) >= depth || b.reservedForOtherZones(to) ||
-			b.totalInflightReaches(now, to, totalInflightBound*depth) || !b.meetsObjective(now, r, to) || !b.mayStartAttempt(now, r, to) || r.attemptedOn(to) {
+		turn := (g.nextTurn[s.lane] + 1) % len(members)
+		g.nextTurn[s.lane] = turn
+		to := members[turn]
+		to.credit = min(to.credit+g.laneWeight(s.lane, turn)/g.maxLaneWeight[s.lane], 1)
+		noneHasCapacity := i >= len(members) && fallback == nil
+		if noneHasCapacity || !b.canServeInTime(s, to, totalInflightBound*s.maxLoad) {
 			continue
 		}
 		if to.credit < 1 {
@@ -61,37 +80,27 @@
 	return fallback
 }
 
-// rendezvousPick is the turn of a request whose key makes it cheap where it was lately
-// met: each key has a backend of the lane that all proxies find alike, from the
-// ids alone, and takes its turn there unless that one is slow or holds its bound.
-func (b *Balancer) rendezvousPick(now time.Duration, r *request, g *group, lane int, depth float64) *backend {
-	if !b.settings.KeyAffinity || r.Key == 0 {
+// rendezvousPick returns the backend that probably has the request's key cached: from the ids alone, all
+// balancers agree on it. It returns nil if there is no key, or that backend is slow or has no capacity.
+func (b *Balancer) rendezvousPick(s search) *backend {
+	if !b.settings.KeyAffinity || s.request.Key == 0 {
 		return nil
 	}
-	var best *backend
-	var most uint64
-	for _, to := range g.laneMembers(lane) {
-		if h := mixBits(r.Key ^ to.idHash); best == nil || h > most {
-			best, most = to, h
-		}
-	}
-	if b.effectiveLoad(best) >= depth || b.reservedForOtherZones(best) || best.latency > 2*g.latency || r.attemptedOn(best) {
+	to := rendezvousMember(s.group.laneMembers(s.lane), s.request.Key)
+	if to.latency > 2*s.group.latency || !b.canServeInTime(s, to, totalInflightBoundKey) {
 		return nil
 	}
-	if b.totalInflightReaches(now, best, totalInflightBoundKey) || !b.meetsObjective(now, r, best) || !b.mayStartAttempt(now, r, best) {
-		return nil
-	}
-	return best
+	return to
 }
 
-// leastExpectedLatency is off the ordinary path: no backend with room is likely to answer in
-// time, so the request goes to the one that is expected to be done first.
+// leastExpectedLatency is the last resort, if no backend with capacity is likely to meet the objective.
 func (b *Balancer) leastExpectedLatency(now time.Duration, r *request) *backend {
 	var best *backend
 	for _, level := range b.levels[1:] {
 		for _, to := range b.groups[level.locality].members {
-			if b.effectiveLoad(to) >= level.maxLoad || b.totalInflightReaches(now, to, totalInflightBoundLast) || b.reservedForOtherZones(to) ||
-				b.failsClass(now, r, to) || b.manyBalancers() && !b.meetsObjective(now, r, to) || r.attemptedOn(to) || !b.mayStartAttempt(now, r, to) {
+			late := b.manyBalancers() && !b.meetsObjective(now, r, to)
+			if late || b.failsClass(now, r, to) || r.attemptedOn(to) || !b.mayStartAttempt(now, r, to) ||
+				!b.hasCapacity(now, to, level.maxLoad, totalInflightBoundLast) {
 				continue
 			}
 			if best == nil || b.expectedLatency(now, r, to) < b.expectedLatency(now, r, best) {
@@ -102,8 +111,19 @@
 	return best
 }
 
-// failsClass tells whether the backend answers other classes but leaves this one
-// without, but for a request now and then that tries it again.
+// canServeInTime reports whether the backend may get the request and is likely to meet its objective.
+func (b *Balancer) canServeInTime(s search, to *backend, maxTotal float64) bool {
+	return b.hasCapacity(s.now, to, s.maxLoad, maxTotal) && b.meetsObjective(s.now, s.request, to) &&
+		!s.request.attemptedOn(to) && b.mayStartAttempt(s.now, s.request, to)
+}
+
+// hasCapacity reports whether the backend is below the bounds on this balancer's load and on all requests.
+func (b *Balancer) hasCapacity(now time.Duration, to *backend, maxLoad, maxTotal float64) bool {
+	return b.effectiveLoad(to) < maxLoad && !b.reservedForOtherZones(to) &&
+		!b.totalInflightReaches(now, to, maxTotal)
+}
+
+// failsClass reports whether the backend lately failed this class, but serves others. It gets a try at times.
 func (b *Balancer) failsClass(now time.Duration, r *request, to *backend) bool {
 	own, least := to.failureShare[r.Class], 1.0
 	for class, share := range to.failureShare {
@@ -111,30 +131,35 @@
 			least = min(least, share)
 		}
 	}
-	return own > failsClassShare && own > 3*least && now < to.lastSentAt[r.Class]+4*r.class.LatencyObjective
+	sentLately := now < to.lastSentAt[r.Class]+4*r.class.LatencyObjective
+	return own > failsClassShare && own > 3*least && sentLately
 }
 
-// meetsObjective tells whether the backend is likely to answer in time. A heavy request on
-// a slow backend is late for certain, and so is a light one behind it.
+// meetsObjective reports whether the backend is likely to answer in time, with what is queued there.
 func (b *Balancer) meetsObjective(now time.Duration, r *request, to *backend) bool {
-	return !b.failsClass(now, r, to) && b.expectedLatency(now, r, to) <= objectiveShare*float64(r.objective-now)/float64(time.Millisecond)
+	left := objectiveShare * float64(r.objective-now) / float64(time.Millisecond)
+	return !b.failsClass(now, r, to) && b.expectedLatency(now, r, to) <= left
+}
+
+// spills reports whether a request to the backend leaves this zone though it has backends.
+func (b *Balancer) spills(to *backend) bool {
+	return to.locality == remoteZones && len(b.groups[localZone].members) > 0
 }
 
-// reservedForOtherZones tells whether a backend elsewhere is left to the spill of other proxies:
-// the bounds of all of them together must not crowd it.
+// reservedForOtherZones reports whether the backend is left to others' spill: that of all would overload it.
 func (b *Balancer) reservedForOtherZones(to *backend) bool {
-	return to.locality == 1 && len(b.groups[0].members) > 0 && to.spillRank*float64(b.settings.BalancerCount-1) > b.maxSpillers
+	return b.spills(to) && to.spillRank*float64(b.settings.BalancerCount-1) > b.maxSpillers
 }
 
-// balanceLanes moves the split point towards equal lateness in both lanes: hints are rough.
-func (b *Balancer) balanceLanes(pace float64, lane int, late float64) {
+// balanceLanes moves the split towards equal lateness in both lanes: to twice or half what the hints say.
+func (b *Balancer) balanceLanes(step float64, lane int, late float64) {
 	b.lateByLane[lane] += groupSmoothing * (late - b.lateByLane[lane])
-	b.laneOffset += pace * (b.lateByLane[1] - b.lateByLane[0])
+	b.laneOffset += step * (b.lateByLane[largeLane] - b.lateByLane[smallLane])
 	small := 1 - b.largeWorkShare
-	b.laneOffset = min(max(b.laneOffset, -small), small/2) // at most twice and at least half of what the hints say
+	b.laneOffset = min(max(b.laneOffset, -small), small/2)
 }
 
-// rebuildGroups sorts the ready backends into own zone and elsewhere.
+// rebuildGroups assigns the backends that may get requests to the local and the remote group.
 func (b *Balancer) rebuildGroups(now time.Duration) {
 	b.groupsStale = false
 	for i := range b.groups {
@@ -146,14 +171,14 @@
 			g.members = append(g.members, to)
 		}
 	}
-	b.groups[0].updateWeights(b, now)
-	b.groups[1].updateWeights(b, now)
+	for i := range b.groups {
+		b.updateWeights(now, &b.groups[i])
+		b.groups[i].splitLanes(b.largeWorkShare + b.laneOffset)
+	}
 }
 
-// updateWeights sets the weights of a group's backends and parts its lanes so that the
-// large lane's share of the weight matches its share of the work. The backend at
-// the split point serves both, each with a part of its weight.
-func (g *group) updateWeights(b *Balancer, now time.Duration) {
+// updateWeights weighs a group's members by size, slow start and latency, and sums them up.
+func (b *Balancer) updateWeights(now time.Duration, g *group) {
 	g.weight, g.warmSize, g.meanOthers = 0, 0, 0
 	for _, to := range g.members {
 		to.weight = to.Size * b.capacityShare(now, to)
@@ -162,16 +187,23 @@
 		}
 		g.weight += to.weight
 		g.meanOthers += to.reports.meanOthers / float64(len(g.members))
-		if to.slowStartSince < 0 {
+		if to.warm() {
 			g.warmSize += to.Size
 		}
 	}
+}
+
+// splitLanes gives the large lane the first members, up to its share of the weight. The member at the
+// split point serves both lanes, each with a part of its weight.
+func (g *group) splitLanes(largeShare float64) {
 	if len(g.members) == 0 {
 		return
 	}
-	left := (b.largeWorkShare + b.laneOffset) * g.weight
-	for g.laneSplit = 0; g.laneSplit < len(g.members)-1 && left > g.members[g.laneSplit].weight; g.laneSplit++ {
+	left := largeShare * g.weight
+	g.laneSplit = 0
+	for g.laneSplit < len(g.members)-1 && left > g.members[g.laneSplit].weight {
 		left -= g.members[g.laneSplit].weight
+		g.laneSplit++
 	}
 	g.largeLanePart = min(left/g.members[g.laneSplit].weight, 1)
 	for lane := range g.maxLaneWeight {
@@ -181,24 +213,3 @@
 		}
 	}
 }
-
-// laneMembers returns the backends of a lane. The one at the split point is in both.
-func (g *group) laneMembers(lane int) []*backend {
-	if lane == 1 {
-		return g.members[:g.laneSplit+1]
-	}
-	return g.members[g.laneSplit:]
-}
-
-// laneWeight is the weight of a lane's backend i for that lane.
-func (g *group) laneWeight(lane, i int) float64 {
-	switch {
-	case lane == 0 && i == 0:
-		return g.members[g.laneSplit].weight * (1 - g.largeLanePart)
-	case lane == 1 && i == g.laneSplit:
-		return g.members[i].weight * g.largeLanePart
-	case lane == 1:
-		return g.members[i].weight
-	}
-	return g.members[g.laneSplit+i].weight
-}
--- a/settings.go
+++ b/settings.go
@@ -1,6 +1,7 @@
 package piernotch
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 	"time"
@@ -40,57 +41,65 @@
 	return nil
 }
 
-// UpdateSettings takes other settings while requests are under way, or none of them and an error that
-// names the one it cannot take. A class keeps its index: those of s must be the present ones,
-// in their places, and new ones after them. Requests under way keep the class they came with.
+// UpdateSettings replaces the settings while requests are open, or returns an error that names the setting
+// it cannot take and changes nothing. A class keeps its index: those in use must stay in their places, and
+// new ones follow them. Zones and the number of tenants cannot change. Open requests keep the class that they
+// came with.
 func (b *Balancer) UpdateSettings(now time.Duration, s Settings) error {
 	if err := s.Validate(); err != nil {
 		return err
 	}
+	inUse := len(b.settings.Classes)
 	switch {
-	case len(s.Classes) < len(b.settings.Classes):
-		return fmt.Errorf("settings: %d classes, the %d in use must keep their places", len(s.Classes), len(b.settings.Classes))
+	case len(s.Classes) < inUse:
+		return fmt.Errorf("settings: %d classes, the %d in use must keep their places", len(s.Classes), inUse)
 	case s.Zone != b.settings.Zone || !slices.Equal(s.Zones, b.settings.Zones):
-		return fmt.Errorf("settings: zones cannot change while the program runs")
+		return errors.New("settings: zones cannot change while the program runs")
 	case len(s.Tenants) != len(b.settings.Tenants):
-		return fmt.Errorf("settings: tenants cannot change while the program runs")
+		return errors.New("settings: tenants cannot change while the program runs")
 	}
 	b.ensureStarted(now)
-	s.Classes = slices.Clone(s.Classes) // requests point to theirs
+	s.Classes = slices.Clone(s.Classes) // open requests point to theirs
 	b.settings = s
 	b.deriveFromSettings()
 	for _, to := range b.sorted {
 		for len(to.failureShare) < len(s.Classes) {
-			to.failureShare, to.lastSentAt = append(to.failureShare, 0), append(to.lastSentAt, 0)
+			to.failureShare = append(to.failureShare, 0)
+			to.lastSentAt = append(to.lastSentAt, 0)
 		}
 	}
 	return nil
 }
 
-// deriveFromSettings derives from the settings what the decisions go by.
+// deriveFromSettings sets what the balancer derives from its settings.
 func (b *Balancer) deriveFromSettings() {
 	s := &b.settings
 	b.shortestObjective = s.Classes[0].LatencyObjective
 	for _, c := range s.Classes {
 		b.shortestObjective = min(b.shortestObjective, c.LatencyObjective)
 	}
+	b.tickInterval = max(s.Tick, time.Duration(float64(b.shortestObjective)/ticksPerObjective))
+	b.watchBackoff = s.Rules.PollInterval / 8
 	b.maxSpillers = max(minSpillers, spillerShare*float64(s.BalancerCount))
 	b.slowStartWindow = 0
 	if b.manyBalancers() {
 		b.slowStartWindow = s.Rules.OverloadWindow / slowStartWindows
 	}
-	// A zone counts as empty when each of its backends holds its bound of this proxy's
-	// requests: what would queue there unseen waits here instead, where it can still go to
-	// whichever backend is free first. The bounds are small, for a backend is crowded by all
-	// proxies together: elsewhere, the fewer may spill there, the more each of them may.
-	b.levels = []level{{0, 1}, {0, 2}, {1, 1}}
-	for depth := 2.0; depth*float64(s.BalancerCount-1) <= minSpillers && depth < minSpillers; depth++ {
-		b.levels = append(b.levels, level{1, depth})
-	}
-	b.tickInterval = max(s.Tick, time.Duration(float64(b.shortestObjective)/ticksPerObjective))
-	b.watchBackoff = s.Rules.PollInterval / 8
+	b.levels = selectionLevels(s.BalancerCount)
 	for len(b.fastAnswers) < len(s.Classes) {
 		b.fastAnswers = append(b.fastAnswers, 0)
 	}
 	b.buildPriorities()
 }
+
+// selectionLevels returns the levels that are tried in turn: the own zone, up to a small load, and then the
+// others. Requests beyond that load wait here and not in a backend's queue, so that they can still go to
+// whichever backend is free first. The loads are small because all balancers' requests add up at a backend:
+// the fewer balancers may spill to one, the more requests each of them may.
+func selectionLevels(balancers int) []selectionLevel {
+	levels := []selectionLevel{{localZone, 1}, {localZone, 2}, {remoteZones, 1}}
+	for load := 2.0; load*float64(balancers-1) <= minSpillers && load < minSpillers; load++ {
+		levels = append(levels, selectionLevel{remoteZones, load})
+	}
+	return levels
+}
--- a/slow_start.go
+++ b/slow_start.go
@@ -5,74 +5,103 @@
 	"time"
 )
 
-// slowStartIfYoung starts the slow start of a backend that the list says is young.
+const (
+	slowStartMultiple = 3.0 // so many times its share may go to a backend: overload is further off
+	slowStartGrowth   = 2.0 // so many times the rate it last reported, if it is idle
+	slowStartWindows  = 8   // windows, within the rule's overload window, for which a send is drawn
+	idleInflight      = 1.5 // requests of others at a backend that is idle, at most
+)
+
+// slowStartIfYoung starts the slow start of a backend that the list says started lately.
 func (b *Balancer) slowStartIfYoung(now time.Duration, to *backend) {
 	if to.StartedAt > 0 && now < to.StartedAt+b.settings.Rules.SlowStartDuration {
 		b.startSlowStart(now, to, to.StartedAt)
 	}
 }
 
-// startSlowStart starts a slow start. The first send is put off by a share of the gap, so
-// that many proxies do not greet the backend in the same moment.
+// startSlowStart counts a slow start from since. The first send is put off, lest many balancers send at once.
 func (b *Balancer) startSlowStart(now time.Duration, to *backend, since time.Duration) {
 	to.slowStartSince, to.assumedRestartUntil, to.latency = since, 0, 0
 	to.nextSlowStartSend = now + jitter(b.rng, b.slowStartPause(now, to))
 }
 
-// zonesWithoutBalancer tells whether there are zones without a proxy: a cold backend there would not get
-// anything from anyone until it counts as warm.
+// endSlowStartIfDue ends a slow start after its time, or when the list has not confirmed a restart.
+func (b *Balancer) endSlowStartIfDue(now time.Duration, to *backend) {
+	timeIsUp := now >= to.slowStartSince+b.settings.Rules.SlowStartDuration
+	noRestart := to.assumedRestartUntil > 0 && now >= to.assumedRestartUntil
+	if !to.warm() && (timeIsUp || noRestart) {
+		to.slowStartSince, to.assumedRestartUntil = -1, 0
+	}
+}
+
+// slowStartAllows reports whether a backend in slow start may get the request: one at a time, none that is
+// heavy, for one from each balancer would be an overload, and none from other zones that it can do without.
+func (b *Balancer) slowStartAllows(now time.Duration, r *request, to *backend) bool {
+	if r.work > b.meanWork || b.spills(to) && !b.zonesWithoutBalancer() {
+		return false
+	}
+	due := now >= to.nextSlowStartSend && to.inflight == 0
+	return due && (b.slowStartWindow == 0 || b.winsSlowStartDraw(now, to))
+}
+
+// zonesWithoutBalancer reports whether some zone has no balancer of its own to warm its backends up.
 func (b *Balancer) zonesWithoutBalancer() bool {
 	return b.settings.BalancerCount < len(b.settings.Zones)
 }
 
-// winsSlowStartDraw tells whether a cold backend may have a request of this proxy now. A share of less
-// than one within the rule's span means that most proxies send none: each draws for every
-// window, and what it does not use is void. Had all the right to one and kept it until they
-// were busy, they would send it at once. Windows of proxies and backends are out of step.
+// winsSlowStartDraw reports whether this balancer may send to the backend in the present window. With many
+// balancers the share of each is less than a request, so each draws for every window. A right that is not
+// used lapses: if it lasted, all would use theirs at once when they get busy. Windows are not in step.
 func (b *Balancer) winsSlowStartDraw(now time.Duration, to *backend) bool {
-	at := uint64(float64(now)/float64(b.slowStartWindow) + to.spillRank)
-	chance := float64(mixBits(mixBits(at^b.windowSeed)^to.idHash)) / math.MaxUint64
-	return chance*float64(b.slowStartInterval(now, to)) <= float64(b.slowStartWindow)
+	window := uint64(float64(now)/float64(b.slowStartWindow) + to.spillRank)
+	draw := float64(mixBits(mixBits(window^b.windowSeed)^to.idHash)) / math.MaxUint64
+	return draw*float64(b.slowStartInterval(now, to)) <= float64(b.slowStartWindow)
 }
 
-// slowStartInterval is the time in which this proxy's share of a cold backend amounts to a mean
-// request. A warm one of its size tells the share, by what this proxy sends it or by what
-// it answers for all, times the cold one's warmth. Only light hints go there, and those
-// are too low as often as not: hence the mean. Many proxies together send it no more than
-// it can do; what pushes it over beyond that is room for uneven zones, weights and hints.
-func (b *Balancer) slowStartInterval(now time.Duration, to *backend) time.Duration {
-	mates, growth, longest := b.sendersTo(to), slowStartGrowth, b.settings.Rules.SlowStartDuration
-	perSec := b.peakCompletionRate * b.meanWork / mates
-	switch {
-	case b.slowStartWindow == 0:
-		perSec = slowStartMultiple * max(b.warmSendRate(now), perSec)
-		if to.locality == 1 && len(b.groups[0].members) > 0 {
-			perSec /= float64(b.settings.BalancerCount) // all of them may send there
-		}
-	case perSec == 0: // nothing was ever said
-		perSec = b.warmSendRate(now)
-	}
-	if b.slowStartWindow > 0 { // no least of one each: it alone can be more than they all may send
-		growth, longest = 1, time.Hour
+// slowStartPause is the least time between this balancer's requests: a window, if they are drawn.
+func (b *Balancer) slowStartPause(now time.Duration, to *backend) time.Duration {
+	if b.slowStartWindow > 0 {
+		return b.slowStartWindow
 	}
-	perSec *= b.capacityShare(now, to) * to.Size
-	if to.reports.reportedAt > 0 && to.reports.others < idleInflight {
-		perSec = max(perSec, growth*to.reports.completionRate*b.meanWork/mates)
+	return b.slowStartInterval(now, to)
+}
+
+// slowStartInterval is the time in which this balancer's share of the backend amounts to a request of
+// mean work. Only requests with light hints go there, but those are too low as often as not.
+func (b *Balancer) slowStartInterval(now time.Duration, to *backend) time.Duration {
+	longest := b.settings.Rules.SlowStartDuration
+	if b.slowStartWindow > 0 {
+		longest = time.Hour // one request of each balancer may be more than it can take
 	}
+	perSec := b.slowStartRate(now, to)
 	switch {
 	case perSec <= 0 && b.slowStartWindow == 0:
 		return 0
-	case perSec <= 0: // not known yet: many would all try at once
+	case perSec <= 0: // unknown yet: many balancers would all try at once
 		return longest
 	}
 	return time.Duration(min(b.meanWork/perSec, longest.Seconds()) * float64(time.Second))
 }
 
-// slowStartPause is how long a cold backend gets nothing after a request of this proxy: until
-// the next window, if sends are drawn.
-func (b *Balancer) slowStartPause(now time.Duration, to *backend) time.Duration {
-	if b.slowStartWindow > 0 {
-		return b.slowStartWindow
+// slowStartRate is the work per second that this balancer may send to the backend: its share of what a warm
+// one gets or completes, times the capacity share. Many balancers together send no more than that; the
+// overload limit beyond it leaves room for uneven zones, weights and hints.
+func (b *Balancer) slowStartRate(now time.Duration, to *backend) float64 {
+	senders, growth := b.sendersTo(to), 1.0
+	perSec := b.peakCompletionRate * b.meanWork / senders
+	switch {
+	case b.slowStartWindow == 0:
+		growth = slowStartGrowth
+		perSec = slowStartMultiple * max(b.warmSendRate(now), perSec)
+		if b.spills(to) {
+			perSec /= float64(b.settings.BalancerCount) // all of them may send there
+		}
+	case perSec == 0: // no backend has reported a completion rate
+		perSec = b.warmSendRate(now)
 	}
-	return b.slowStartInterval(now, to)
+	perSec *= b.capacityShare(now, to) * to.Size
+	if to.reports.reportedAt > 0 && to.reports.others < idleInflight {
+		perSec = max(perSec, growth*to.reports.completionRate*b.meanWork/senders)
+	}
+	return perSec
 }
--- a/snapshot.go
+++ b/snapshot.go
@@ -2,32 +2,39 @@
 
 import "math"
 
-// Snapshot is what a proxy has learnt of its traffic, for the one that takes over from it.
+// restoredHintCount is the weight of a restored snapshot, in cost hints of the balancer's own.
+const restoredHintCount = 16
+
+// Snapshot is what a balancer has learnt of its traffic, for the process that takes over from it.
 type Snapshot struct {
-	Median, MeanWork, LargeShare float64 // of the hints, ms, ms and a share
-	Usual                        float64 // answers a second of a warm backend of size 1
+	Median     float64 // of the cost hints, ms
+	MeanWork   float64 // of a request, ms
+	LargeShare float64 // of the work, in requests above the median
+	Usual      float64 // peak completions per second of a warm backend of size 1; 0: not known
+}
+
+// usable reports whether the figures are possible, and of at least one hint.
+func (l Snapshot) usable() bool {
+	for _, v := range []float64{l.Median, l.MeanWork, l.Usual} {
+		if !(v >= 0) || math.IsInf(v, 0) {
+			return false
+		}
+	}
+	return l.Median > 0 && l.MeanWork > 0 && l.LargeShare >= 0 && l.LargeShare <= 1
 }
 
-// Snapshot tells what has been learnt so far.
+// Snapshot returns what has been learnt so far.
 func (b *Balancer) Snapshot() Snapshot {
 	return Snapshot{b.medianHint, b.meanWork, b.largeWorkShare, b.peakCompletionRate}
 }
 
-// Restore starts a proxy from what another has learnt, unless it has learnt more by itself.
-// Figures that cannot be are passed over.
+// Restore starts a balancer from another's snapshot. It does nothing if the balancer has seen a cost hint
+// of its own already, or if a figure is impossible.
 func (b *Balancer) Restore(l Snapshot) {
-	for _, v := range []float64{l.Median, l.MeanWork, l.Usual} {
-		if !(v >= 0) || math.IsInf(v, 0) {
-			return
-		}
-	}
-	if b.hintCount > 0 || !(l.Median > 0 && l.MeanWork > 0 && l.LargeShare >= 0 && l.LargeShare <= 1) {
+	if b.hintCount > 0 || !l.usable() {
 		return
 	}
 	b.hintCount, b.workSamples = restoredHintCount, restoredHintCount
 	b.medianHint, b.meanWork, b.largeWorkShare = l.Median, l.MeanWork, l.LargeShare
 	b.peakCompletionRate = max(b.peakCompletionRate, l.Usual)
 }
-
-// restoredHintCount is how many hints of its own what another has learnt counts for.
-const restoredHintCount = 16
--- a/state.go
+++ b/state.go
@@ -1,165 +1,207 @@
 package piernotch
 
 import (
+	"cmp"
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"slices"
 	"time"
 )
 
-// Balancer decides for one proxy. Its methods must not be called concurrently.
+// The records that the decision files keep. Nothing here decides.
+
+// The localities of a backend are indices of Balancer.groups.
+const (
+	localZone   = 0 // the balancer's own zone
+	remoteZones = 1 // all other zones
+)
+
+// The lanes part a group's backends by the work of the requests that they get first.
+const (
+	smallLane = 0 // requests up to the median cost hint, or without one
+	largeLane = 1 // requests above it
+)
+
+// Balancer makes the decisions of one process. Its methods must not be called concurrently, nor
+// from within a call of its Host.
 type Balancer struct {
 	settings          Settings
 	host              Host
 	rng               *rand.Rand
-	started           bool
-	tickInterval      time.Duration // time between sweeps
+	started           bool          // the first event has come
+	tickInterval      time.Duration // time between ticks
 	ticks             int
-	shortestObjective time.Duration
+	shortestObjective time.Duration // the least LatencyObjective of all classes
 
 	backends    map[BackendID]*backend
-	excluded    map[BackendID]bool // left out by operators, listed or not
-	sorted      []*backend         // by id, all that are not gone
-	groups      [2]group           // own zone, other zones
+	excluded    map[BackendID]bool // excluded by operators, listed or not
+	sorted      []*backend         // all that are not gone, by id
+	groups      [2]group           // localZone, remoteZones
 	groupsStale bool               // the groups no longer match the list and the ejections
+	levels      []selectionLevel   // tried in turn
+	zonePaths   map[int]*zonePath  // by zone
+	maxSpillers float64            // balancers of other zones that may spill to one backend
+
+	openRequests []*request // that need a final answer or have attempts in flight
+	requests     map[RequestID]*request
+	freeRequests []*request // for reuse
 
-	openRequests    []*request // every request that is owed an answer or has attempts out
-	requests        map[RequestID]*request
-	freeRequests    []*request
-	retryBudget     float64
-	windowSeed      uint64        // what sets this proxy's draws apart
-	slowStartWindow time.Duration // for which a send to a cold backend is drawn; 0: too few to draw
-
-	medianHint     float64 // running median of the hints
-	hintCount      float64 // how many hints it has seen
-	meanWork       float64
-	workSamples    float64    // how much work that is a mean of, requests
-	fastAnswers    []float64  // what the quicker answers of each class take, ms; 0: not known
-	latencyPerWork float64    // time an answer takes for each unit of its work, waiting included
-	largeWorkShare float64    // share of the work that is above the median, by the hints
-	laneOffset     float64    // what lateness in the lanes adds to it
-	sendRate       rate       // work sent a second
-	lateByLane     [2]float64 // share of late answers in each lane
-	shedShare      float64    // share of the work, least worth first, that is refused
+	retryBudget    float64 // retries and hedged requests that may be sent now
+	shedShare      float64 // share of the work, lowest precedence first, that is rejected
 	shedAdjustedAt time.Duration
-	priorities     []priorityBand // two of each class: within its tenants' shares and beyond
-	quotas         []tokenBucket
+	priorities     []priorityBand // two of each class: within its tenants' quotas and over them
+	quotas         []tokenBucket  // by tenant
 
-	zonePaths          map[int]*zonePath // by zone
-	maxSpillers        float64           // proxies of other zones that may spill to one backend
-	peakCompletionRate float64           // most answers a second of a warm backend of size 1 of late; 0: not known
-	levels             []level           // where a request goes, tried in turn
+	windowSeed      uint64        // makes this balancer's slow start draws differ from others'
+	slowStartWindow time.Duration // for which a send in slow start is drawn; 0: sends are not drawn
 
-	watching     bool // a subscription is asked for or stands
+	medianHint         float64    // running median of the cost hints, ms
+	hintCount          float64    // hints that it is from
+	meanWork           float64    // mean work of a request, ms
+	workSamples        float64    // requests that it is from
+	fastAnswers        []float64  // low quantile of each class's latency, ms; 0: not known
+	latencyPerWork     float64    // latency for each ms of work, queueing included; 0: not known
+	largeWorkShare     float64    // share of the work that is above the median hint
+	laneOffset         float64    // added to that share, by the lateness in the lanes
+	lateByLane         [2]float64 // share of late answers in each lane
+	sendRate           rate       // work sent per second
+	peakCompletionRate float64    // most answers per second of a warm backend of size 1; 0: not known
+
+	watching     bool // a subscription to the list is asked for, or there is one
 	nextWatchAt  time.Duration
 	watchBackoff time.Duration
 }
 
-// priorityBand is requests of one class, within or beyond their tenants' shares.
+// priorityBand is the requests of one class, within or over their tenants' quotas.
 type priorityBand struct {
 	weight      float64
-	precedence  float64 // for its work
+	precedence  float64 // the weight, for its work if the weight is per request
 	arrived     float64 // recent work, decaying
-	rejectShare float64 // share of it to refuse
 	forwarded   float64 // what of it was sent, decaying
-	starved     bool    // much less than its part of what is sent
+	rejectShare float64 // share of its requests that is rejected on arrival
+	starved     bool    // much less than its part of what is forwarded
 }
 
-// group is the backends of one level: the own zone or everywhere else.
+// group is the backends of one locality that may get requests.
 type group struct {
-	members           []*backend // ready, by id
-	laneSplit         int        // the last backend of the large lane and the first of the small
-	largeLanePart     float64    // share of that backend's weight that is the large lane's
-	nextTurn          [2]int     // round robin position in each lane
-	weight            float64
-	maxLaneWeight     [2]float64    // greatest weight in each lane
-	fullSize          float64       // greatest size listed so far
-	warmSize          float64       // size of the members that are warm
-	sendRate          rate          // work sent to them a second
-	lateUpdatedAt     time.Duration // when an answer last counted for late
-	lateShare         float64       // share of answers after half their aim
-	queueingMean      float64       // mean time beyond the work itself, ms
-	queueingDeviation float64       // its mean deviation
-	latency           float64       // mean latency of an average request, ms
-	inflight          int           // this proxy's attempts at its warm members
-	inflightLimit     float64       // on that
-	peakInflight      float64       // the most there was of it lately, decaying
-	meanOthers        float64       // mean of what others have at its members
-}
-
-// level is tried after those before it: the backends of a group on which this proxy has less
-// than depth.
-type level struct {
+	members       []*backend // by id
+	weight        float64    // sum of the members'
+	fullSize      float64    // greatest sum of listed sizes so far
+	warmSize      float64    // sum of the sizes of its warm members
+	laneSplit     int        // the last member of the large lane and the first of the small one
+	largeLanePart float64    // share of that member's weight that is the large lane's
+	nextTurn      [2]int     // round robin position in each lane
+	maxLaneWeight [2]float64 // greatest weight in each lane
+
+	sendRate          rate          // work sent to its warm members per second
+	lateShare         float64       // share of answers that took over half of their objective
+	lateUpdatedAt     time.Duration // when an answer last counted in it
+	latency           float64       // mean latency of a request of mean work, ms
+	queueingMean      float64       // mean latency beyond the work itself, ms
+	queueingDeviation float64       // its mean deviation, ms
+
+	inflight      int     // this balancer's attempts at its warm members
+	inflightLimit float64 // bound on that
+	peakInflight  float64 // the recent maximum of it, decaying
+	meanOthers    float64 // mean over its members of other balancers' requests
+}
+
+// selectionLevel is a group whose members may get a request up to a load of this balancer's.
+type selectionLevel struct {
 	locality int
-	maxLoad  float64
+	maxLoad  float64 // exclusive
 }
 
-// zonePath is the way to a zone.
+// zonePath is the network path to a zone.
 type zonePath struct {
-	fastestAnswer float64 // the quickest answer from there, ms
-	answerCount   int     // how many that is from
+	fastestAnswer float64 // least latency of an answer from there, ms
+	answerCount   int     // answers that it is from
 }
 
+// backend is one listed backend.
 type backend struct {
 	Endpoint
-	excluded            bool    // left out by operators
-	idHash              uint64  // of its id, for keys
-	locality            int     // 0 own zone, 1 elsewhere: its index in groups
-	spillRank           float64 // of a draw, by which proxies share out the spill to it
-	weight              float64 // what round robin goes by: size, speed and warmth
-	credit              float64
-	inflight            int
-	backlog             float64         // work of this proxy's requests there, by the hints, ms
-	latencyPerWork      float64         // time its answers take for each unit of their work; 0: not known
-	latency             float64         // mean latency of an average request here, ms
+	excluded            bool            // by operators
+	idHash              uint64          // for rendezvous hashing and slow start draws
+	locality            int             // localZone or remoteZones
+	spillRank           float64         // random in [0, 1): shares out the spill of balancers
 	path                *zonePath       // to its zone
-	failureShare        []float64       // share of requests that fail though it lives, by class
-	lastSentAt          []time.Duration // when one was last sent, by class
+	weight              float64         // in round robin: from size, latency and slow start
+	credit              float64         // towards its next turn in round robin, 1 at most
+	inflight            int             // this balancer's attempts
+	backlog             float64         // work of these, ms
+	latency             float64         // mean latency of a request of mean work, ms; 0: not known
+	latencyPerWork      float64         // latency for each ms of work; 0: not known
+	reports             loadReports     // by which it holds requests of other balancers
 	lastAnswerAt        time.Duration   // when it last answered anything
-	slowStartSince      time.Duration   // start of its slow start; <0: warm
-	nextSlowStartSend   time.Duration   // no send before this while cold
-	assumedRestartUntil time.Duration   // a slow start without word of a restart ends here
-	consecutiveFailures int             // failures in a row
-	connectFailures     float64         // connects that failed since its last answer of use
-	ejections           int             // ejections in a row; 0: ready
-	trialAt             time.Duration   // an ejected backend may have one trial from here on
-	reports             loadReports     // what others have here
-	trialInflight       bool            // that trial is out
-	healthCheckInflight bool            // a probe is out
-	healthCheckPassed   bool            // it has answered one since its ejection
+	lastSentAt          []time.Duration // when a request was last sent, by class
+	failureShare        []float64       // share of failed requests while it answers others, by class
+	slowStartSince      time.Duration   // negative: warm
+	nextSlowStartSend   time.Duration   // nothing is sent before, in slow start
+	assumedRestartUntil time.Duration   // end of a slow start unless the list names a restart; 0: none
+	consecutiveFailures int
+	connectFailures     float64       // since its last good answer
+	ejections           int           // in a row; 0: not ejected
+	trialAt             time.Duration // an ejected backend gets one trial request from here on
+	trialInflight       bool
+	healthCheckInflight bool
+	healthCheckPassed   bool // since its ejection
 }
 
+// warm reports whether the backend is not in slow start.
+func (to *backend) warm() bool { return to.slowStartSince < 0 }
+
+// available reports whether the list and the operators allow new requests to the backend.
+func (to *backend) available() bool { return to.State == Ready && !to.excluded }
+
+// resetEjection forgets the failures of a process that has been replaced.
+func (to *backend) resetEjection() {
+	to.ejections, to.consecutiveFailures = 0, 0
+	to.trialInflight, to.healthCheckPassed = false, false
+}
+
+// attempt is one sending of a request to a backend.
 type attempt struct {
 	backend *backend
 	sentAt  time.Duration
-	warm    bool // its backend was, then
+	warm    bool // the backend was, at sentAt
 	ended   bool
-	status  Status
+	status  Status // once ended
 }
 
-// mayHaveExecuted tells whether nothing proves that the attempt did not.
+// mayHaveExecuted reports whether nothing proves that the backend did not execute the attempt.
 func (t *attempt) mayHaveExecuted() bool { return !t.ended || !t.status.NeverExecuted() }
 
+// request is a client's request until it has its final answer and no attempt is in flight.
 type request struct {
 	Request
 	class         *Class
-	priority      int
-	openIndex     int // index in open
-	work          float64
-	lane          int
-	objective     time.Duration
-	queueDeadline time.Duration // what has not been sent by then is refused: half its client's time is gone
-	attempts      []attempt
-	inflight      int
-	hedged        bool
-	done          bool // nothing is owed any more
-	streaming     bool
-}
-
-// hasCostHint tells whether the request's cost hint can be used.
+	priority      int           // index of its band in Balancer.priorities
+	openIndex     int           // in Balancer.openRequests
+	work          float64       // expected, ms
+	lane          int           // smallLane or largeLane
+	objective     time.Duration // clock time: the class's objective, or the deadline if that is sooner
+	queueDeadline time.Duration // clock time of the last dispatch: half of its client's patience
+	attempts      []attempt     // in sending order
+	inflight      int           // attempts that have not ended
+	hedged        bool          // a hedged attempt has been sent
+	done          bool          // needs no answer any more
+	streaming     bool          // a response is being forwarded
+}
+
+// hasCostHint reports whether the request's cost hint can be used.
 func (r *request) hasCostHint() bool { return r.CostHint > 0 && !math.IsInf(r.CostHint, 0) }
 
-// attemptedOn tells whether an attempt already went to the backend.
+// waiting reports whether the request waits to be dispatched.
+func (r *request) waiting() bool { return !r.done && !r.streaming && r.inflight == 0 }
+
+// attemptOpen reports whether there is an attempt of that number and it has not ended.
+func (r *request) attemptOpen(try int) bool {
+	return try >= 0 && try < len(r.attempts) && !r.attempts[try].ended
+}
+
+// attemptedOn reports whether an attempt has gone to the backend.
 func (r *request) attemptedOn(to *backend) bool {
 	for i := range r.attempts {
 		if r.attempts[i].backend == to {
@@ -169,7 +211,47 @@
 	return false
 }
 
-// release forgets a request once nothing is owed and nothing is out.
+// firstMaybeExecuted returns the first attempt that may have executed, or nil.
+func (r *request) firstMaybeExecuted() *attempt {
+	for i := range r.attempts {
+		if t := &r.attempts[i]; t.mayHaveExecuted() {
+			return t
+		}
+	}
+	return nil
+}
+
+// openRequest adds a record for a request.
+func (b *Balancer) openRequest(in Request) *request {
+	r := &request{}
+	if n := len(b.freeRequests); n > 0 {
+		r = b.freeRequests[n-1]
+		b.freeRequests = b.freeRequests[:n-1]
+	}
+	*r = request{
+		Request: in, class: &b.settings.Classes[in.Class],
+		openIndex: len(b.openRequests), attempts: r.attempts[:0],
+	}
+	b.openRequests = append(b.openRequests, r)
+	b.requests[in.ID] = r
+	return r
+}
+
+// endAttempt records the end of an attempt and takes it off the counts of what is in flight.
+func (b *Balancer) endAttempt(r *request, o Outcome) *attempt {
+	t := &r.attempts[o.Attempt]
+	to := t.backend
+	t.ended, t.status = true, o.Status
+	r.inflight--
+	to.inflight--
+	if t.warm {
+		b.groups[to.locality].inflight--
+	}
+	to.backlog = max(to.backlog-r.work, 0)
+	return t
+}
+
+// release drops a request's record once it is done and has no attempt in flight.
 func (b *Balancer) release(r *request) {
 	if !r.done || r.inflight > 0 {
 		return
@@ -181,8 +263,40 @@
 	b.freeRequests = append(b.freeRequests, r)
 }
 
-// updateFullSizes notes how large each group is when whole: a zone of which only a
-// cold backend is left must not be taken for a small zone.
+// addBackend adds a record for a backend that is new in the list.
+func (b *Balancer) addBackend(e Endpoint) *backend {
+	if b.zonePaths[e.Zone] == nil {
+		b.zonePaths[e.Zone] = &zonePath{}
+	}
+	to := &backend{
+		Endpoint: e, excluded: b.excluded[e.ID], idHash: mixBits(uint64(e.ID)),
+		spillRank: b.rng.Float64(), path: b.zonePaths[e.Zone], slowStartSince: -1,
+		lastSentAt:   make([]time.Duration, len(b.settings.Classes)),
+		failureShare: make([]float64, len(b.settings.Classes)),
+	}
+	if e.Zone != b.settings.Zone {
+		to.locality = remoteZones
+	}
+	b.backends[e.ID] = to
+	b.sorted = append(b.sorted, to)
+	return to
+}
+
+// reindexBackends drops the backends that are gone, updates the groups' full sizes and sorts.
+func (b *Balancer) reindexBackends() {
+	b.sorted = slices.DeleteFunc(b.sorted, func(to *backend) bool {
+		if to.State != Gone {
+			return false
+		}
+		delete(b.backends, to.ID)
+		return true
+	})
+	b.updateFullSizes()
+	slices.SortFunc(b.sorted, func(x, y *backend) int { return cmp.Compare(x.ID, y.ID) })
+}
+
+// updateFullSizes keeps the greatest size that each group had: a zone of which only one backend
+// in slow start is left must not be taken for a small zone.
 func (b *Balancer) updateFullSizes() {
 	var size [2]float64
 	for _, to := range b.sorted {
@@ -193,18 +307,41 @@
 	}
 }
 
-// String tells what the proxy believes, for a log.
+// laneMembers returns the members of a lane. The one at the split point is in both.
+func (g *group) laneMembers(lane int) []*backend {
+	if lane == largeLane {
+		return g.members[:g.laneSplit+1]
+	}
+	return g.members[g.laneSplit:]
+}
+
+// laneWeight returns the weight in a lane of the lane's member i.
+func (g *group) laneWeight(lane, i int) float64 {
+	switch {
+	case lane == smallLane && i == 0:
+		return g.members[g.laneSplit].weight * (1 - g.largeLanePart)
+	case lane == largeLane && i == g.laneSplit:
+		return g.members[i].weight * g.largeLanePart
+	case lane == largeLane:
+		return g.members[i].weight
+	}
+	return g.members[g.laneSplit+i].weight
+}
+
+// String describes the state in one line, for a log.
 func (b *Balancer) String() string {
 	text := fmt.Sprintf("open=%d shed=%.2f pace=%.2f budget=%.1f median=%.1f mean=%.1f usual=%.1f",
 		len(b.openRequests), b.shedShare, b.latencyPerWork, b.retryBudget, b.medianHint, b.meanWork, b.peakCompletionRate)
 	for i := range b.groups {
 		g := &b.groups[i]
-		cold := 0
+		inSlowStart := 0
 		for _, to := range g.members {
-			cold += int(indicator(to.slowStartSince >= 0))
+			if !to.warm() {
+				inSlowStart++
+			}
 		}
 		text += fmt.Sprintf(" | members=%d cold=%d out=%d limit=%.1f held=%.1f late=%.2f wait=%.0f latency=%.0f",
-			len(g.members), cold, g.inflight, g.inflightLimit, g.meanOthers, g.lateShare, g.queueingMean, g.latency)
+			len(g.members), inSlowStart, g.inflight, g.inflightLimit, g.meanOthers, g.lateShare, g.queueingMean, g.latency)
 	}
 	return text
 }
