--- /dev/null
+++ b/doc.go
@@ -0,0 +1,47 @@
+// Package piernotch makes the decisions of a reverse proxy that spreads requests over HTTP backends: which
+// backend gets a request, when to retry, hedge or reject it, and which backends to eject or warm up.
+//
+// # Contract
+//
+// A Balancer is single-threaded, does no I/O and reads no clock. The program that embeds it (the event loop
+// of cmd/piernotch, the simulator adapter, the tests) calls one method per event, with the present clock
+// time, and carries out what the Balancer asks of its Host before the next call. The clock only has to
+// advance; all times are durations since an origin that the caller chooses. Equal settings, seeds and events
+// give equal actions. The package must not know of connections, HTTP, configuration files or other processes:
+// they reach it as Settings and events.
+//
+// Each request that HandleRequest accepts gets one final answer: a response that the host forwards, Reject,
+// or Fail. A request whose client leaves gets none. Reject promises that trying again does no harm, so it is
+// used only where no attempt may have executed or repeats are harmless.
+//
+// # A request's life
+//
+// On arrival a request gets a priority (its class, within or over its tenant's quota) and a lane (its cost
+// hint, below or above the median). While answers come late everywhere, a share of the requests is rejected,
+// lowest precedence first (admission.go). The others go to a backend (selection.go): the own zone up to a
+// small load on each backend, then other zones; in each, the backend that rendezvous hashing picks for the
+// request's key, or else the next in weighted round robin that is expected to answer in time. If none has
+// capacity, the request waits for the next tick or the next answer.
+//
+// One guard, mayStartAttempt, allows or refuses every attempt (attempts.go): the class's retry safety, the
+// number of attempts, draining, ejection, slow start and the concurrency limit. Retries and hedged requests
+// spend a budget. A timer ticks a few times within the shortest latency objective, finds overdue attempts and
+// reviews the backends.
+//
+// # Files
+//
+// The decisions are in the files that `policy` in deploy/balancer.toml lists:
+//
+//   - balancer.go: construction, events and the tick
+//   - admission.go: quotas, priorities, shedding and the waiting requests
+//   - selection.go: which backend a request gets, weights and lanes
+//   - attempts.go: the guard, retries, hedging and what outcomes lead to
+//   - outlier_ejection.go: ejection, health checks and trials
+//   - slow_start.go: the pace of requests to a backend that has started lately
+//   - concurrency_limits.go: bounds by load reports on what all balancers send
+//   - endpoints.go: the list of backends
+//
+// Beside them stand the interface (piernotch.go, settings.go), the records (state.go), estimators.go,
+// load_reports.go, queue.go with the length of the queue, and what operators ask for while the program runs
+// (exclusion.go, snapshot.go).
+package piernotch
--- a/piernotch.go
+++ b/piernotch.go
@@ -1,159 +1,147 @@
-// Package piernotch makes the decisions of a reverse proxy that spreads
-// requests over HTTP servers: which backend gets a request, when to try again,
-// when to refuse, and what to believe of a backend's health.
-//
-// This file is the interface: the settings, what happens (events) and what can
-// be done about it (the Host). The decisions are all in balancer.go.
-//
-// A Balancer is single-threaded and does no I/O. Whoever embeds it calls one
-// method per event with the present clock, and carries out what the Balancer
-// asks of its Host before the next call. Equal events and seeds give equal
-// actions.
 package piernotch
 
 import "time"
 
-// RequestID names a request for as long as the proxy owes it an answer.
+// RequestID identifies a request until it has its final answer and no attempt is in flight.
 type RequestID uint64
 
-// BackendID names a backend. It survives a restart of the backend's process.
+// BackendID identifies a backend. It survives a restart of the backend's process.
 type BackendID uint32
 
-// RetrySafety says what a class permits once an attempt may have run.
+// RetrySafety is what a class permits once an attempt may have executed.
 type RetrySafety uint8
 
-// Effects.
+// The values of RetrySafety.
 const (
-	Idempotent     RetrySafety = iota // may run any number of times
-	IdempotencyKey                    // repeats are discarded within Scope and Window
-	NonIdempotent                     // must not run twice
+	Idempotent     RetrySafety = iota // may execute any number of times
+	IdempotencyKey                    // repeats are discarded within DedupScope and DedupWindow
+	NonIdempotent                     // must not execute twice
 )
 
 // DedupScope is the set of backends that discard each other's repeats.
 type DedupScope uint8
 
-// Scopes.
+// The values of DedupScope.
 const (
-	DedupEverywhere DedupScope = iota
-	DedupInZone
-	DedupInCell
+	DedupEverywhere DedupScope = iota // all backends
+	DedupInZone                       // the backends of one zone
+	DedupInCell                       // the backends of one cell
 )
 
 // Class describes one kind of request.
 type Class struct {
 	Name             string
-	LatencyObjective time.Duration // an answer within this earns its full worth
-	Deadline         time.Duration
-	PriorityWeight   float64
-	LateWeightShare  float64 // share of the worth earned after the aim
+	LatencyObjective time.Duration // an answer within it has its full weight; positive
+	Deadline         time.Duration // after which clients give up; not below LatencyObjective
+	PriorityWeight   float64       // of an answer; not negative
+	LateWeightShare  float64       // share of the weight that an answer after the objective has
 	RetrySafety      RetrySafety
-	DedupScope       DedupScope    // Keyed only
-	DedupWindow      time.Duration // Keyed only: how long repeats are discarded
+	DedupScope       DedupScope    // for IdempotencyKey only
+	DedupWindow      time.Duration // for IdempotencyKey only: how long repeats are discarded
 }
 
-// Tenant is a customer with a share of the service.
+// Tenant is a customer with a quota.
 type Tenant struct {
 	Name        string
-	QuotaPerSec float64 // over all proxies; 0 means unlimited
+	QuotaPerSec float64 // requests per second, over all balancers; 0: unlimited
 }
 
-// Limits says what this deployment permits.
+// Limits is what the deployment permits.
 type Limits struct {
-	MaxAttempts    int
-	HedgedRequests bool // two attempts of a request may be out at once
-	CancelAttempts bool
-	HealthChecks   bool
-	RetryAfter     bool // refusals may carry advice on when to come back
-	MaxRetryAfter  time.Duration
+	MaxAttempts    int           // attempts of a request, the first included; at least 1
+	HedgedRequests bool          // two attempts of a request may be in flight at once
+	CancelAttempts bool          // attempts may be cancelled
+	HealthChecks   bool          // ejected backends may be health checked
+	RetryAfter     bool          // rejections may advise when to come back
+	MaxRetryAfter  time.Duration // bound on that advice
 }
 
-// Rules holds the figures of the rules on drains and cold starts.
+// Rules holds the parameters of discovery and slow start.
 type Rules struct {
-	PollInterval      time.Duration // discovery on request: ask at least this often
-	SlowStartCapacity float64       // share of its capacity a backend starts with
-	SlowStartDuration time.Duration // and the time by which it has all of it
-	// Too much for so long, from all proxies together, pushes a cold backend over; 0: not told.
-	OverloadWindow time.Duration
+	PollInterval      time.Duration // where discovery has to be polled: at least this often
+	SlowStartCapacity float64       // share of its capacity that a backend starts with, in [0, 1]
+	SlowStartDuration time.Duration // time after its start at which it has all of it
+	OverloadWindow    time.Duration // overload that lasts so long fails a backend in slow start; 0: unknown
 }
 
-// Settings is what a Balancer is told once. The names in it are labels for
-// people: no decision reads one.
+// Settings configures a Balancer. Names in it are labels for people: no decision depends on one.
 type Settings struct {
-	BalancerCount    int // how many proxies there are, this one included
-	Zone             int // this proxy's zone, an index into Zones
-	Zones            []string
-	Classes          []Class
-	Tenants          []Tenant
-	Tick             time.Duration // least time between two clock readings
-	PollDiscovery    bool          // the list comes only when asked for
-	KeyAffinity      bool          // a backend that met a key lately serves it with less work
+	BalancerCount    int           // balancers of the deployment, this one included; at least 1
+	Zone             int           // this balancer's zone, an index of Zones
+	Zones            []string      // names of all zones
+	Classes          []Class       // at least one
+	Tenants          []Tenant      // none: no quotas
+	Tick             time.Duration // resolution of the clock
+	PollDiscovery    bool          // the endpoint list comes only after Host.WatchEndpoints
+	KeyAffinity      bool          // a backend serves a key that it served lately with less work
 	Limits           Limits
 	Rules            Rules
-	OverQuotaWeight  float64 // worth of a request beyond its tenant's share
-	WeightPerRequest bool    // a heavy request is worth no more than a light one of its class
+	OverQuotaWeight  float64 // factor on the weight of a request over its tenant's quota
+	WeightPerRequest bool    // the weight is for each request, whatever its work
 }
 
-// State is what the list says of a backend.
+// State is the state of a backend in the endpoint list.
 type State uint8
 
-// States.
+// The values of State.
 const (
-	Ready State = iota
-	Draining
-	Gone
+	Ready    State = iota // may get requests
+	Draining              // gets no new requests
+	Gone                  // is not listed any more
 )
 
-// Endpoint is one line of the list of backends.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID        BackendID
-	Zone      int
-	Cell      int
+	Zone      int // an index of Settings.Zones
+	Cell      int // failure domain within the zone
 	State     State
-	Size      float64       // unitless, to compare with other backends
-	StartedAt time.Duration // clock time of its last start; 0 means long ago
+	Size      float64       // capacity relative to other backends; positive
+	StartedAt time.Duration // clock time of its last start; 0: long ago
 }
 
-// UpdateKind says how a list event is to be read.
+// UpdateKind is how an event of the endpoint list is to be read.
 type UpdateKind uint8
 
-// List kinds.
+// The values of UpdateKind.
 const (
 	UpdateDelta  UpdateKind = iota // changed entries only
-	UpdateFull                     // everything; what is missing is gone
-	UpdateCached                   // everything this proxy last held, maybe stale
-	UpdateFailed                   // discovery did not answer, or hung up
+	UpdateFull                     // all entries; a backend that is missing is gone
+	UpdateCached                   // all entries that this process last had, maybe stale
+	UpdateFailed                   // no entries: discovery did not answer or closed the connection
 )
 
 // Request is a client's request on arrival.
 type Request struct {
 	ID       RequestID
-	Class    int
-	Tenant   int
-	Key      uint64        // what the request is about; 0 means nothing
+	Class    int           // an index of Settings.Classes
+	Tenant   int           // an index of Settings.Tenants; any other value: no tenant
+	Key      uint64        // of what the request is about; 0: none
 	Deadline time.Duration // clock time at which the client gives up
-	CostHint float64       // expected work in milliseconds; NaN or <= 0: none
+	CostHint float64       // expected work in ms; NaN, infinite or not positive: none
 }
 
-// Status tells how an attempt ended.
+// Status is how an attempt ended.
 type Status uint8
 
-// Statuses.
+// The values of Status.
 const (
-	OK Status = iota
-	Error
-	Full
-	Timeout
-	ConnectFailed
-	Reset
-	Cancelled
-	NotSent
+	OK            Status = iota // a good response
+	Error                       // any other response, malformed ones included
+	Full                        // rejected by the backend before execution
+	Timeout                     // no response within the attempt's timeout
+	ConnectFailed               // no connection
+	Reset                       // the connection broke before the response
+	Cancelled                   // cancelled by the balancer or its host
+	NotSent                     // given up before it was written
 )
 
 var statuses = [...]string{"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"}
 
+// String returns the status's name in logs and traces. The status must be one of the constants.
 func (s Status) String() string { return statuses[s] }
 
-// NeverExecuted tells whether the status proves that the backend did nothing.
+// NeverExecuted reports whether the status proves that the backend did not execute the request.
 func (s Status) NeverExecuted() bool {
 	return s == Full || s == ConnectFailed || s == NotSent
 }
@@ -161,35 +149,37 @@
 // Outcome is the end of one attempt.
 type Outcome struct {
 	ID      RequestID
-	Attempt int // attempts of a request are numbered from 0 in sending order
+	Attempt int // attempts of a request are numbered from 0, in sending order
 	Backend BackendID
 	Status  Status
-	Latency time.Duration
-	Closed  bool // the request has its final answer
+	Latency time.Duration // from the start of the attempt
+	Closed  bool          // the request has its final answer
 }
 
-// LoadReport is a backend's own account of its load. It is some time old when it comes, and
-// counts what all proxies sent.
+// LoadReport is a backend's report of its load, which counts what all balancers sent. It is some
+// time old when it arrives.
 type LoadReport struct {
-	Inflight           float64 // requests that it holds
-	CompletedPerSecond float64 // requests that it answers a second; 0: not said
+	Inflight           float64 // requests that the backend holds
+	CompletedPerSecond float64 // requests that it completes per second; 0: unknown
 }
 
-// Host carries out a Balancer's decisions, in the order of the calls.
+// Host carries out a Balancer's decisions, in the order of the calls. The Balancer calls it on the
+// goroutine of the event, before the event's method returns; a Host must not call the Balancer back.
 type Host interface {
-	// StartAttempt starts the next attempt of a request. The attempt ends with an
-	// outcome after timeout at the latest; 0 means the client's deadline.
+	// StartAttempt starts the next attempt of a request. The attempt ends with an Outcome, after
+	// timeout at the latest; 0 means the client's deadline.
 	StartAttempt(id RequestID, to BackendID, timeout time.Duration)
-	// CancelAttempt ends the wait for one attempt.
+	// CancelAttempt ends an attempt that is in flight.
 	CancelAttempt(id RequestID, attempt int)
-	// Reject is a final answer: not done, and trying again does no harm.
+	// Reject answers the request finally: not executed, or trying again does no harm. A retryAfter of
+	// 0 is no advice.
 	Reject(id RequestID, retryAfter time.Duration)
-	// Fail is a final answer that promises nothing.
+	// Fail answers the request finally, without a promise.
 	Fail(id RequestID)
-	// HealthCheck examines a backend.
+	// HealthCheck checks a backend and reports by HealthCheckCompleted.
 	HealthCheck(b BackendID)
-	// WatchEndpoints subscribes to changes of the list.
+	// WatchEndpoints subscribes to changes of the endpoint list.
 	WatchEndpoints()
-	// SetTimer asks for a call of Timer after d.
+	// SetTimer asks for a call of Timer with the token after d.
 	SetTimer(d time.Duration, token uint32)
 }
--- a/settings.go
+++ b/settings.go
@@ -1,48 +1,70 @@
 package piernotch
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 	"time"
 )
 
-// Validate returns an error that names the first setting that cannot be used.
+// SettingsError is a setting that cannot be used.
+type SettingsError struct {
+	Setting string // the field of Settings, as in "Limits.MaxAttempts" or "Classes[1]"
+	Problem string // with the offending value
+}
+
+// Error returns the problem. It names the setting in the operators' terms.
+func (e *SettingsError) Error() string { return "settings: " + e.Problem }
+
+func settingsError(setting, problem string, args ...any) error {
+	return &SettingsError{Setting: setting, Problem: fmt.Sprintf(problem, args...)}
+}
+
+// Validate returns a *SettingsError for the first setting that cannot be used, or nil.
 func (s Settings) Validate() error {
 	switch {
 	case s.BalancerCount < 1:
-		return fmt.Errorf("settings: proxies is %d", s.BalancerCount)
+		return settingsError("BalancerCount", "proxies is %d", s.BalancerCount)
 	case len(s.Classes) == 0:
-		return fmt.Errorf("settings: no classes")
+		return settingsError("Classes", "no classes")
 	case s.Zone < 0 || s.Zone >= max(1, len(s.Zones)):
-		return fmt.Errorf("settings: zone %d of %d", s.Zone, len(s.Zones))
+		return settingsError("Zone", "zone %d of %d", s.Zone, len(s.Zones))
 	case s.Tick < 0:
-		return fmt.Errorf("settings: tick is %v", s.Tick)
+		return settingsError("Tick", "tick is %v", s.Tick)
 	case s.Limits.MaxAttempts < 1:
-		return fmt.Errorf("settings: limits: max attempts is %d", s.Limits.MaxAttempts)
+		return settingsError("Limits.MaxAttempts", "limits: max attempts is %d", s.Limits.MaxAttempts)
 	case s.Rules.SlowStartDuration < 0 || s.Rules.PollInterval < 0 || s.Rules.OverloadWindow < 0:
-		return fmt.Errorf("settings: rules: negative time")
+		return settingsError("Rules", "rules: negative time")
 	case !(s.Rules.SlowStartCapacity >= 0 && s.Rules.SlowStartCapacity <= 1):
-		return fmt.Errorf("settings: rules: cold from is %v", s.Rules.SlowStartCapacity)
+		return settingsError("Rules.SlowStartCapacity", "rules: cold from is %v", s.Rules.SlowStartCapacity)
 	}
 	for i, c := range s.Classes {
-		if c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.DedupWindow < 0 {
-			return fmt.Errorf("settings: classes[%d]: aim %v, deadline %v, window %v", i, c.LatencyObjective, c.Deadline, c.DedupWindow)
-		}
-		if !(c.PriorityWeight >= 0) || !(c.LateWeightShare >= 0) {
-			return fmt.Errorf("settings: classes[%d]: worth %v, late worth %v", i, c.PriorityWeight, c.LateWeightShare)
+		if err := c.validate(i); err != nil {
+			return err
 		}
 	}
 	for i, t := range s.Tenants {
 		if !(t.QuotaPerSec >= 0) {
-			return fmt.Errorf("settings: tenants[%d]: quota is %v", i, t.QuotaPerSec)
+			return settingsError(fmt.Sprintf("Tenants[%d]", i), "tenants[%d]: quota is %v", i, t.QuotaPerSec)
 		}
 	}
 	return nil
 }
 
-// UpdateSettings replaces the settings while requests are open, or returns an error that names the setting
-// it cannot take and changes nothing. A class keeps its index: those in use must stay in their places, and
+// validate checks the class at index i of the settings.
+func (c Class) validate(i int) error {
+	setting := fmt.Sprintf("Classes[%d]", i)
+	if c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.DedupWindow < 0 {
+		return settingsError(setting, "classes[%d]: aim %v, deadline %v, window %v",
+			i, c.LatencyObjective, c.Deadline, c.DedupWindow)
+	}
+	if !(c.PriorityWeight >= 0) || !(c.LateWeightShare >= 0) {
+		return settingsError(setting, "classes[%d]: worth %v, late worth %v", i, c.PriorityWeight, c.LateWeightShare)
+	}
+	return nil
+}
+
+// UpdateSettings replaces the settings while requests are open, or returns a *SettingsError and changes
+// nothing. A class keeps its index: those in use must stay in their places, and
 // new ones follow them. Zones and the number of tenants cannot change. Open requests keep the class that they
 // came with.
 func (b *Balancer) UpdateSettings(now time.Duration, s Settings) error {
@@ -52,11 +74,11 @@
 	inUse := len(b.settings.Classes)
 	switch {
 	case len(s.Classes) < inUse:
-		return fmt.Errorf("settings: %d classes, the %d in use must keep their places", len(s.Classes), inUse)
+		return settingsError("Classes", "%d classes, the %d in use must keep their places", len(s.Classes), inUse)
 	case s.Zone != b.settings.Zone || !slices.Equal(s.Zones, b.settings.Zones):
-		return errors.New("settings: zones cannot change while the program runs")
+		return settingsError("Zones", "zones cannot change while the program runs")
 	case len(s.Tenants) != len(b.settings.Tenants):
-		return errors.New("settings: tenants cannot change while the program runs")
+		return settingsError("Tenants", "tenants cannot change while the program runs")
 	}
 	b.ensureStarted(now)
 	s.Classes = slices.Clone(s.Classes) // open requests point to theirs
