--- a/attempts_test.go
+++ b/attempts_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// What may go where after an attempt whose fate is given.
+// The second attempt, if there is one, depends on the class and on how the first one ended.
 func TestRetriesRespectClassRetrySafety(t *testing.T) {
 	for _, c := range []struct {
-		class  int
-		status Status
-		again  bool
-		reach  func(first, second BackendID) bool
+		class   int
+		status  Status
+		retried bool
+		allowed func(first, second BackendID) bool // nil: any
 	}{
 		{idempotentClass, Reset, true, nil},
 		{dedupEverywhereClass, Reset, true, nil},
@@ -33,16 +33,14 @@
 		b.HandleRequest(time.Second, newTestRequest(1, c.class, 10))
 		first := h.last().to
 		completeAttempt(b, time.Second+10*ms, 1, 0, first, c.status)
-		if again := len(h.attempts) == 2; again != c.again {
-			t.Errorf("%s: sent again: %v", name, again)
-		} else if again && c.reach != nil && !c.reach(first, h.last().to) {
+		retried := len(h.attempts) == 2
+		if retried != c.retried {
+			t.Errorf("%s: retried: %v", name, retried)
+		} else if retried && c.allowed != nil && !c.allowed(first, h.last().to) {
 			t.Errorf("%s: sent to %d, then to %d", name, first, h.last().to)
 		}
-		if c.again {
-			continue
-		}
-		if len(h.failed) != 1 || len(h.rejected) != 0 {
-			t.Errorf("%s: failed %v, refused %v", name, h.failed, h.rejected)
+		if !c.retried && (len(h.failed) != 1 || len(h.rejected) != 0) {
+			t.Errorf("%s: failed %v, rejected %v", name, h.failed, h.rejected)
 		}
 	}
 }
@@ -55,7 +53,7 @@
 	b.HandleRequest(time.Second, r)
 	completeAttempt(b, time.Second+60*ms, 1, 0, h.last().to, Reset)
 	if len(h.attempts) != 1 {
-		t.Fatal("sent again after the window")
+		t.Fatal("retried after the window")
 	}
 }
 
@@ -67,10 +65,10 @@
 		completeAttempt(b, time.Second+ms, 1, i, h.last().to, Full)
 	}
 	if len(h.attempts) != 3 || len(h.rejected) != 1 {
-		t.Fatalf("%d attempts, refused %v", len(h.attempts), h.rejected)
+		t.Fatalf("%d attempts, rejected %v", len(h.attempts), h.rejected)
 	}
 	if len(b.openRequests) != 0 || len(b.requests) != 0 {
-		t.Fatal("a finished request is still kept")
+		t.Fatal("the record of a finished request is kept")
 	}
 }
 
@@ -82,16 +80,16 @@
 		b.Timer(now, tickToken)
 	}
 	if len(h.rejected) != 1 {
-		t.Fatalf("refused %v", h.rejected)
+		t.Fatalf("rejected %v", h.rejected)
 	}
-	// Held, with less than a sweep left: the next sweep would come too late.
+	// With less than a tick left it must not wait.
 	r = newTestRequest(2, idempotentClass, 10)
 	r.Deadline = time.Second + b.tickInterval/2
 	b.HandleRequest(time.Second, r)
 	if len(h.rejected) != 2 {
-		t.Fatal("a request near its end waits for a sweep that comes too late")
+		t.Fatal("a request waits for a tick that comes after its deadline")
 	}
-	b.ClientGone(2*time.Second, 2) // already gone: ignored
+	b.ClientGone(2*time.Second, 2) // already answered: ignored
 	b.ClientGone(2*time.Second, 77)
 	if len(h.rejected)+len(h.failed) != 2 {
 		t.Fatal("answered twice")
@@ -106,7 +104,7 @@
 	}
 	completeAttempt(b, time.Second+h.last().timeout, 1, 0, h.last().to, Timeout)
 	if len(h.failed) != 1 {
-		t.Fatal("nothing answered")
+		t.Fatal("no final answer")
 	}
 }
 
@@ -115,11 +113,11 @@
 	b.HandleRequest(time.Second, newTestRequest(1, idempotentClass, 10))
 	b.ClientGone(time.Second+ms, 1)
 	if len(h.canceled) != 1 || len(h.failed)+len(h.rejected) != 0 {
-		t.Fatal("the attempt goes on, or a gone client was answered")
+		t.Fatal("the attempt was not cancelled, or a client that has left was answered")
 	}
 	completeAttempt(b, time.Second+2*ms, 1, 0, h.last().to, Cancelled)
 	if len(b.openRequests) != 0 {
-		t.Fatal("state kept for a request that owes nothing")
+		t.Fatal("the record of a closed request is kept")
 	}
 }
 
@@ -132,12 +130,12 @@
 	}
 	b.ClientGone(5*time.Second, 1)
 	if len(h.attempts) != 1 || len(h.canceled) != 0 {
-		t.Fatal("a started stream was repeated or cancelled")
+		t.Fatal("a started response was retried or cancelled")
 	}
 }
 
-// An attempt may wait for its connection for longer than the one that was sent after it: then it is the
-// repeat, and has to be written within the window of the other.
+// An attempt may wait for its connection for longer than one that was started later. It is then the
+// repeat, and has to be written within the deduplication window of the other.
 func TestAttemptDelayedBeforeWriteCountsAsRetry(t *testing.T) {
 	set := testSettings()
 	set.Limits.HedgedRequests = true
@@ -146,15 +144,22 @@
 	b.HandleRequest(now, Request{ID: 1, Class: dedupEverywhereClass, Deadline: now + 3*time.Second, CostHint: 10})
 	r := b.requests[1]
 	b.retryBudget = 1
-	if now += 100 * ms; !b.dispatch(now, r) || len(h.attempts) != 2 {
+	now += 100 * ms
+	if !b.dispatch(now, r) || len(h.attempts) != 2 {
 		t.Fatalf("sent %v", h.attempts)
 	}
 	for _, c := range []struct {
-		after         time.Duration // the first attempt was sent
-		first, second bool
-	}{{900 * ms, true, true}, {1050 * ms, true, false}, {1200 * ms, false, false}} { // the window is a second
-		if x, y := b.AttemptAllowed(time.Second+c.after, 1, 0), b.AttemptAllowed(time.Second+c.after, 1, 1); x != c.first || y != c.second {
-			t.Errorf("%v: the first stands: %v, the second: %v", c.after, x, y)
+		after         time.Duration // since the start of the first attempt; the window is a second
+		first, second bool          // whether it is allowed
+	}{
+		{900 * ms, true, true},
+		{1050 * ms, true, false},
+		{1200 * ms, false, false},
+	} {
+		first := b.AttemptAllowed(time.Second+c.after, 1, 0)
+		second := b.AttemptAllowed(time.Second+c.after, 1, 1)
+		if first != c.first || second != c.second {
+			t.Errorf("%v: the first is allowed: %v, the second: %v", c.after, first, second)
 		}
 	}
 }
--- a/benchmark_test.go
+++ b/benchmark_test.go
@@ -27,6 +27,7 @@
 	}
 }
 
+// discardHost is a Host that remembers only the backend of the last attempt.
 type discardHost struct{ to BackendID }
 
 func (h *discardHost) StartAttempt(_ RequestID, to BackendID, _ time.Duration) { h.to = to }
--- a/concurrency_limits_test.go
+++ b/concurrency_limits_test.go
@@ -8,40 +8,43 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestBackendReportingHighLoadIsSkipped: eighty proxies each hold a little at one backend, and it
-// says so. Without its word it gets its turn.
+// Each of eighty balancers has few requests at one backend, which reports all of them. Without a fresh
+// report, it gets its turn.
 func TestBackendReportingHighLoadIsSkipped(t *testing.T) {
 	b, h := newTestBalancer(t, manyBalancersSettings(), testEndpoints(4, 1))
 	b.LoadReported(time.Second, 2, LoadReport{Inflight: 15, CompletedPerSecond: 20})
 	for i := range 40 {
 		b.HandleRequest(time.Second, newTestRequest(RequestID(i), idempotentClass, 10))
-		require.NotEqual(t, BackendID(2), h.last().to, "request %d went into the crowd", i)
+		require.NotEqual(t, BackendID(2), h.last().to, "request %d went to the overloaded backend", i)
 		completeAttempt(b, time.Second, RequestID(i), 0, h.last().to, OK)
 	}
-	seen := map[BackendID]bool{}
-	for i := range 40 { // the report is old by now and is not believed for good
+	used := map[BackendID]bool{}
+	for i := range 40 { // the report is old by now
 		id, now := RequestID(100+i), 8*time.Second
 		b.HandleRequest(now, Request{ID: id, Class: idempotentClass, Deadline: now + time.Second, CostHint: 10})
-		seen[h.last().to] = true
+		used[h.last().to] = true
 		completeAttempt(b, now, id, 0, h.last().to, OK)
 	}
-	require.True(t, seen[2], "a report of seven seconds ago still keeps a backend out")
+	require.True(t, used[2], "a report of seven seconds ago still excludes the backend")
 }
 
-// TestInvalidLoadReportsAreIgnored: what lies or cannot be read leaves the last belief.
 func TestInvalidLoadReportsAreIgnored(t *testing.T) {
 	b, _ := newTestBalancer(t, manyBalancersSettings(), testEndpoints(2, 1))
 	b.LoadReported(time.Second, 1, LoadReport{Inflight: 3, CompletedPerSecond: 20})
-	was := b.backends[1].reports
-	for _, l := range []LoadReport{{Inflight: -1}, {Inflight: math.NaN()}, {Inflight: 1, CompletedPerSecond: -1}} {
-		b.LoadReported(2*time.Second, 1, l)
+	before := b.backends[1].reports
+	for _, invalid := range []LoadReport{
+		{Inflight: -1},
+		{Inflight: math.NaN()},
+		{Inflight: 1, CompletedPerSecond: -1},
+	} {
+		b.LoadReported(2*time.Second, 1, invalid)
 	}
 	b.LoadReported(2*time.Second, 77, LoadReport{Inflight: 3})
-	require.Equal(t, was, b.backends[1].reports)
+	require.Equal(t, before, b.backends[1].reports)
 }
 
-// TestInflightLimitHoldsGroupToTarget: each of eighty keeps its own bounds and a fleet chokes
-// all the same. What its servers hold on the mean tells each to give way by as much.
+// Each of eighty balancers keeps its own bounds, and all together overload the fleet. The mean of what its
+// backends report makes each of them reduce its limit.
 func TestInflightLimitHoldsGroupToTarget(t *testing.T) {
 	b, h := runTicks(t, manyBalancersSettings(), 5)
 	require.True(t, b.groups[0].atInflightLimit(), "limit %v", b.groups[0].inflightLimit)
@@ -49,7 +52,7 @@
 	require.Greater(t, h.last().to, BackendID(6), "a full zone counts as empty")
 
 	b, _ = runTicks(t, manyBalancersSettings(), 0.1)
-	require.False(t, b.groups[0].atInflightLimit(), "idle servers: limit %v", b.groups[0].inflightLimit)
+	require.False(t, b.groups[0].atInflightLimit(), "idle backends: limit %v", b.groups[0].inflightLimit)
 	b, _ = runTicks(t, testSettings(), 5)
-	require.False(t, b.groups[0].atInflightLimit(), "few proxies: their own bounds do")
+	require.False(t, b.groups[0].atInflightLimit(), "few balancers: their own bounds suffice")
 }
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -12,7 +12,7 @@
 	e.StartedAt = 1500 * ms
 	b.UpdateEndpoints(2*time.Second, UpdateDelta, []Endpoint{e})
 	if to := b.backends[1]; to.ejections != 0 || to.slowStartSince != e.StartedAt {
-		t.Fatalf("ejected %d, cold since %v", to.ejections, to.slowStartSince)
+		t.Fatalf("%d ejections, slow start since %v", to.ejections, to.slowStartSince)
 	}
 }
 
@@ -28,23 +28,23 @@
 	}
 	run(s.Rules.PollInterval)
 	if h.watches != 1 {
-		t.Fatalf("%d subscriptions within the time to ask", h.watches)
+		t.Fatalf("%d subscriptions within the poll interval", h.watches)
 	}
 	b.UpdateEndpoints(now, UpdateFailed, nil)
-	gap := b.watchBackoff
+	backoff := b.watchBackoff
 	if len(b.sorted) != 2 {
-		t.Fatal("a failed call emptied the list")
+		t.Fatal("a failed update emptied the list")
 	}
 	b.Timer(now, tickToken)
 	if h.watches != 1 {
-		t.Fatal("asked again without a pause")
+		t.Fatal("subscribed again without a backoff")
 	}
-	run(gap)
+	run(backoff)
 	if h.watches != 2 {
-		t.Fatal("did not ask again")
+		t.Fatal("did not subscribe again")
 	}
 	b.UpdateEndpoints(now, UpdateFailed, nil)
-	if b.watchBackoff <= gap {
-		t.Fatal("no back-off")
+	if b.watchBackoff <= backoff {
+		t.Fatal("the backoff did not grow")
 	}
 }
--- a/estimators_test.go
+++ b/estimators_test.go
@@ -6,34 +6,35 @@
 	"time"
 )
 
-// Where the way to a zone takes far longer than the work, a bound on all that is
-// out left the servers there idle, while clients were refused for want of room.
+// A regression: where the transit to a zone takes far longer than the work, a bound on all requests in flight
+// left the backends there idle while requests were rejected.
 func TestEffectiveLoadExcludesRequestsInTransit(t *testing.T) {
 	set := testSettings()
 	set.BalancerCount = 4
 	b, _ := newTestBalancer(t, set, testEndpoints(1, 2))
 	now := time.Second
-	far := b.backends[2]
+	remote := b.backends[2]
 	answer := func(took time.Duration) {
-		b.recordOutcome(now, &request{class: &set.Classes[idempotentClass], work: 10}, &attempt{backend: far}, Outcome{Status: OK, Latency: took})
+		r := &request{class: &set.Classes[idempotentClass], work: 10}
+		b.recordOutcome(now, r, &attempt{backend: remote}, Outcome{Status: OK, Latency: took})
 	}
 	b.medianHint, b.meanWork, b.hintCount = 10, 10, 1
 	for range pathMinAnswers {
 		answer(50 * ms)
 	}
-	far.inflight = 2
-	if got := b.effectiveLoad(far); got >= 1 {
-		t.Errorf("two requests of which most is the way count as %v", got)
+	remote.inflight = 2
+	if got := b.effectiveLoad(remote); got >= 1 {
+		t.Errorf("two requests that are mostly in transit count as %v", got)
 	}
-	for range 100 { // a jam is not a long way
+	for range 100 { // a queue is not a long transit
 		answer(400 * ms)
 	}
-	if got := b.effectiveLoad(far); got < 1.5 {
-		t.Errorf("two requests in a jam count as %v", got)
+	if got := b.effectiveLoad(remote); got < 1.5 {
+		t.Errorf("two requests in a queue count as %v", got)
 	}
 }
 
-// Without hints the quick answers of each class tell its work, and all of the group is the small lane's.
+// Without hints, the fast answers of each class show its work, and the small lane has the whole group.
 func TestWorkIsEstimatedPerClassWithoutHints(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), testEndpoints(4, 1))
 	now := time.Second
@@ -43,14 +44,15 @@
 			class, took = nonIdempotentClass, 80*ms
 		}
 		if i%3 == 0 {
-			took *= 5 // it waited
+			took *= 5 // queueing
 		}
 		b.HandleRequest(now, Request{ID: i, Class: class, Deadline: now + 2*time.Second, CostHint: math.NaN()})
 		now += took
 		b.HandleOutcome(now, Outcome{ID: i, Status: OK, Latency: took, Closed: true})
 	}
 	for class, want := range map[int]float64{idempotentClass: 20, nonIdempotentClass: 80} {
-		if got := b.newRequest(now, Request{ID: 1000 + RequestID(class), Class: class, CostHint: math.NaN()}).work; got < want/2 || got > 1.5*want {
+		r := b.newRequest(now, Request{ID: 1000 + RequestID(class), Class: class, CostHint: math.NaN()})
+		if got := r.work; got < want/2 || got > 1.5*want {
 			t.Errorf("class %d: work %.1f, want about %.0f", class, got, want)
 		}
 	}
@@ -58,6 +60,6 @@
 		t.Errorf("mean work %.1f", b.meanWork)
 	}
 	if b.largeWorkShare > 0.05 || b.latencyPerWork < 1 {
-		t.Errorf("large share %.2f, pace %.2f", b.largeWorkShare, b.latencyPerWork)
+		t.Errorf("share of large work %.2f, latency per work %.2f", b.largeWorkShare, b.latencyPerWork)
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -7,7 +7,7 @@
 	"piernotch"
 )
 
-// printer is a Host that prints what a proxy would do.
+// printer is a Host that prints what a balancer would do.
 type printer struct{}
 
 func (printer) StartAttempt(id piernotch.RequestID, to piernotch.BackendID, timeout time.Duration) {
@@ -17,11 +17,11 @@
 	fmt.Printf("cancel attempt %d of request %d\n", attempt, id)
 }
 func (printer) Reject(id piernotch.RequestID, _ time.Duration) {
-	fmt.Printf("refuse request %d\n", id)
+	fmt.Printf("reject request %d\n", id)
 }
 func (printer) Fail(id piernotch.RequestID)       { fmt.Printf("fail request %d\n", id) }
-func (printer) HealthCheck(b piernotch.BackendID) { fmt.Printf("probe backend %d\n", b) }
-func (printer) WatchEndpoints()                   { fmt.Println("subscribe to the list") }
+func (printer) HealthCheck(b piernotch.BackendID) { fmt.Printf("check backend %d\n", b) }
+func (printer) WatchEndpoints()                   { fmt.Println("subscribe to the endpoint list") }
 func (printer) SetTimer(time.Duration, uint32)    {} // call Timer with the token when it is due
 
 func Example() {
--- a/exclusion_test.go
+++ b/exclusion_test.go
@@ -7,22 +7,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Nothing goes to a backend that is left out, whatever the list says of it meanwhile; back in,
-// it is as cold as one that has just started, and is used again at once.
+// An excluded backend gets nothing, whatever the list says of it. Once included, it is in slow start like one
+// that has just started, and gets requests again at once.
 func TestExcludedBackendReceivesNoRequests(t *testing.T) {
 	s := testSettings()
 	list := testEndpoints(2, 1)
 	b, h := newTestBalancer(t, s, list)
 	b.Exclude(0, list[0].ID)
-	b.Exclude(0, list[0].ID) // a call may arrive twice
+	b.Exclude(0, list[0].ID) // a second call changes nothing
 	id := RequestID(1)
 	serve := func(now time.Duration) BackendID {
 		b.HandleRequest(now, newTestRequest(id, idempotentClass, 1))
-		to := h.last()
-		require.Equal(t, id, to.id)
-		completeAttempt(b, now+ms, id, 0, to.to, OK)
+		a := h.last()
+		require.Equal(t, id, a.id)
+		completeAttempt(b, now+ms, id, 0, a.to, OK)
 		id++
-		return to.to
+		return a.to
 	}
 	for _, kind := range []UpdateKind{UpdateDelta, UpdateFull, UpdateCached} {
 		b.UpdateEndpoints(ms, kind, list)
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-// recorder is a Host that keeps what it was asked to do.
+// recorder is a Host that records what it is asked to do.
 type recorder struct {
 	attempts     []startedAttempt
 	canceled     []int
@@ -36,19 +36,23 @@
 	h.timers = append(h.timers, timerCall{d, token})
 }
 
+// startedAttempt is a call of StartAttempt.
 type startedAttempt struct {
 	id      RequestID
 	to      BackendID
 	timeout time.Duration
 }
 
+// timerCall is a call of SetTimer.
 type timerCall struct {
 	after time.Duration
 	token uint32
 }
 
+// last returns the attempt that was started last.
 func (h *recorder) last() startedAttempt { return h.attempts[len(h.attempts)-1] }
 
+// The classes of testSettings.
 const (
 	idempotentClass = iota
 	dedupEverywhereClass
@@ -57,27 +61,36 @@
 	nonIdempotentClass
 )
 
+// testSettings returns settings of two zones with a balancer each, and a class of each retry safety.
 func testSettings() Settings {
-	class := func(e RetrySafety, s DedupScope) Class {
-		return Class{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, RetrySafety: e, DedupScope: s, DedupWindow: time.Second}
+	class := func(safety RetrySafety, scope DedupScope) Class {
+		return Class{
+			LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1,
+			RetrySafety: safety, DedupScope: scope, DedupWindow: time.Second,
+		}
 	}
 	return Settings{
 		BalancerCount: 2, Zones: []string{"a", "b"}, Tick: 5 * ms,
-		Classes: []Class{class(Idempotent, 0), class(IdempotencyKey, DedupEverywhere), class(IdempotencyKey, DedupInZone),
-			class(IdempotencyKey, DedupInCell), class(NonIdempotent, 0)},
+		Classes: []Class{
+			idempotentClass:      class(Idempotent, 0),
+			dedupEverywhereClass: class(IdempotencyKey, DedupEverywhere),
+			dedupInZoneClass:     class(IdempotencyKey, DedupInZone),
+			dedupInCellClass:     class(IdempotencyKey, DedupInCell),
+			nonIdempotentClass:   class(NonIdempotent, 0),
+		},
 		Limits: Limits{MaxAttempts: 3, HedgedRequests: true, CancelAttempts: true},
 		Rules:  Rules{PollInterval: 10 * time.Second, SlowStartCapacity: 0.2, SlowStartDuration: 20 * time.Second},
 	}
 }
 
-// manyBalancersSettings is a settings of which each proxy has seen nothing but what it sent itself.
+// manyBalancersSettings returns settings of so many balancers that each sees only a small part of the load.
 func manyBalancersSettings() Settings {
 	s := testSettings()
 	s.BalancerCount = 80
 	return s
 }
 
-// testEndpoints is n ready, warm backends in each of the zones; ids count from 1.
+// testEndpoints returns n ready, warm backends in each of the zones; ids count from 1.
 func testEndpoints(n, zones int) []Endpoint {
 	var all []Endpoint
 	for z := range zones {
@@ -88,6 +101,7 @@
 	return all
 }
 
+// newTestBalancer returns a Balancer that has the list since the first second, and its recorder.
 func newTestBalancer(t *testing.T, s Settings, list []Endpoint) (*Balancer, *recorder) {
 	t.Helper()
 	h := &recorder{}
@@ -99,17 +113,20 @@
 	return b, h
 }
 
+// newTestRequest returns a request with a deadline at the third second.
 func newTestRequest(id RequestID, class int, hint float64) Request {
 	return Request{ID: id, Class: class, Deadline: 3 * time.Second, CostHint: hint}
 }
 
+// completeAttempt ends an attempt after 20 ms; OK is the request's final answer.
 func completeAttempt(b *Balancer, now time.Duration, id RequestID, try int, to BackendID, s Status) {
 	b.HandleOutcome(now, Outcome{ID: id, Attempt: try, Backend: to, Status: s, Latency: 20 * ms, Closed: s == OK})
 }
 
-// runTicks lets the sweep run for a while, with some requests out in the own zone and each
-// backend there saying now and then that it holds so many.
+// runTicks reviews the backends for three seconds, with some requests in flight in the own zone, where each
+// backend reports a few times that it holds so many requests.
 func runTicks(t *testing.T, s Settings, held float64) (*Balancer, *recorder) {
+	t.Helper()
 	b, h := newTestBalancer(t, s, testEndpoints(6, 2))
 	b.tickInterval = 10 * ms
 	now := time.Second
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -8,24 +8,27 @@
 	"time"
 )
 
-// invariantChecker is a Host that holds every action against the four rules.
+// invariantChecker is a Host that checks every action: no request to a backend that is not ready, retries only
+// as the class permits, attempts within the limit, and one final answer in time.
 type invariantChecker struct {
 	t                *testing.T
 	set              Settings
 	now              time.Duration
 	requests         map[RequestID]*trackedRequest
-	unavailableSince map[BackendID]time.Duration // when it was told: not ready
+	unavailableSince map[BackendID]time.Duration // by the list
 	entries          map[BackendID]Endpoint
 	violations       []string
 	timers           []time.Duration
 }
 
+// trackedRequest is what the checker knows of a request.
 type trackedRequest struct {
 	Request
 	attempts []trackedAttempt
 	answers  int
 }
 
+// trackedAttempt is what the checker knows of an attempt.
 type trackedAttempt struct {
 	backend   BackendID
 	startedAt time.Duration
@@ -51,9 +54,11 @@
 			continue
 		}
 		first, second := c.entries[t.backend], c.entries[to]
-		same := class.DedupScope == DedupEverywhere || class.DedupScope == DedupInZone && first.Zone == second.Zone ||
+		sameScope := class.DedupScope == DedupEverywhere ||
+			class.DedupScope == DedupInZone && first.Zone == second.Zone ||
 			class.DedupScope == DedupInCell && first.Cell == second.Cell
-		if class.RetrySafety == NonIdempotent || class.RetrySafety == IdempotencyKey && (!same || c.now > t.startedAt+class.DedupWindow) {
+		deduplicated := sameScope && c.now <= t.startedAt+class.DedupWindow
+		if class.RetrySafety == NonIdempotent || class.RetrySafety == IdempotencyKey && !deduplicated {
 			c.violate("class %d sent again from %d to %d", r.Class, t.backend, to)
 		}
 		break
@@ -71,9 +76,10 @@
 func (c *invariantChecker) Reject(id RequestID, _ time.Duration) {
 	r := c.requests[id]
 	class := c.set.Classes[r.Class]
-	harmless := class.RetrySafety == Idempotent || class.RetrySafety == IdempotencyKey && class.DedupScope == DedupEverywhere
+	deduplicated := class.RetrySafety == IdempotencyKey && class.DedupScope == DedupEverywhere
+	harmless := class.RetrySafety == Idempotent || deduplicated
 	if c.mayHaveExecuted(r) && !harmless {
-		c.violate("refused %d, which may have run", id)
+		c.violate("rejected %d, which may have executed", id)
 	}
 	c.answer(id)
 }
@@ -96,7 +102,7 @@
 
 func (c *invariantChecker) SetTimer(d time.Duration, _ uint32) { c.timers = append(c.timers, c.now+d) }
 
-// completeRandomAttempt ends a random attempt; some answers never come before the timeout.
+// completeRandomAttempt ends a random attempt. Some backends never answer before the timeout.
 func (c *invariantChecker) completeRandomAttempt(b *Balancer, rng *rand.Rand, live []RequestID) {
 	if len(live) == 0 {
 		return
@@ -112,16 +118,20 @@
 	}
 }
 
+// complete ends attempt i of a request.
 func (c *invariantChecker) complete(b *Balancer, r *trackedRequest, i int, s Status) {
 	t := &r.attempts[i]
 	t.done, t.status = true, s
 	if s == OK {
 		r.answers = max(r.answers, 1)
 	}
-	b.HandleOutcome(c.now, Outcome{ID: r.ID, Attempt: i, Backend: t.backend, Status: s, Latency: c.now - t.startedAt, Closed: r.answers > 0})
+	b.HandleOutcome(c.now, Outcome{
+		ID: r.ID, Attempt: i, Backend: t.backend, Status: s, Latency: c.now - t.startedAt, Closed: r.answers > 0,
+	})
 }
 
-// timeOutOverdue times out what has reached its deadline and drops what is over.
+// timeOutOverdue times out the attempts of requests past their deadline, and returns the requests that are
+// still open.
 func (c *invariantChecker) timeOutOverdue(b *Balancer, live []RequestID) []RequestID {
 	return slices.DeleteFunc(live, func(id RequestID) bool {
 		r := c.requests[id]
@@ -144,8 +154,10 @@
 	})
 }
 
-// runRandomEvents plays a long random sequence of events and returns the broken rules.
-func runRandomEvents(t *testing.T, seed uint64, spoil func(*Balancer)) []string {
+// runRandomEvents plays a long random sequence of events and returns the violations. It calls sabotage, unless
+// that is nil, after each event.
+func runRandomEvents(t *testing.T, seed uint64, sabotage func(*Balancer)) []string {
+	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 7))
 	s := testSettings()
 	s.Limits.HealthChecks, s.KeyAffinity = seed%2 == 0, seed%3 == 0
@@ -203,8 +215,8 @@
 			c.completeRandomAttempt(b, rng, live)
 		}
 		live = c.timeOutOverdue(b, live)
-		if spoil != nil {
-			spoil(b)
+		if sabotage != nil {
+			sabotage(b)
 		}
 	}
 	return c.violations
@@ -212,31 +224,30 @@
 
 func TestInvariantsHoldOverRandomEvents(t *testing.T) {
 	for seed := range uint64(6) {
-		if broken := runRandomEvents(t, seed, nil); len(broken) > 0 {
-			t.Errorf("seed %d: %d broken, first: %s", seed, len(broken), broken[0])
+		if violations := runRandomEvents(t, seed, nil); len(violations) > 0 {
+			t.Errorf("seed %d: %d violations, first: %s", seed, len(violations), violations[0])
 		}
 	}
 }
 
-// The check itself must be able to fail.
+// The checker itself must be able to fail.
 func TestInvariantCheckDetectsBrokenGuard(t *testing.T) {
-	spoil := func(b *Balancer) {
+	retryAll := func(b *Balancer) {
+		b.settings.Classes = slices.Clone(b.settings.Classes)
 		for i := range b.settings.Classes {
 			b.settings.Classes[i].RetrySafety = Idempotent
 		}
 	}
-	if len(runRandomEvents(t, 1, func(b *Balancer) {
-		b.settings.Classes = slices.Clone(b.settings.Classes)
-		spoil(b)
-	})) == 0 {
-		t.Error("repeating unsafe requests went unnoticed")
+	if len(runRandomEvents(t, 1, retryAll)) == 0 {
+		t.Error("retries of requests that are not idempotent went unnoticed")
 	}
-	if len(runRandomEvents(t, 1, func(b *Balancer) {
+	sendToDraining := func(b *Balancer) {
 		for _, to := range b.sorted {
 			to.State = Ready
 		}
 		b.groupsStale = true
-	})) == 0 {
-		t.Error("sending to draining backends went unnoticed")
+	}
+	if len(runRandomEvents(t, 1, sendToDraining)) == 0 {
+		t.Error("requests to draining backends went unnoticed")
 	}
 }
--- a/outlier_ejection_test.go
+++ b/outlier_ejection_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A hung backend takes requests and says nothing; the list calls it ready.
+// A hung backend accepts requests and does not answer; the list says that it is ready.
 func TestSilentBackendIsEjectedAndReturnsAfterOneTrial(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
 	hung := b.sorted[0]
@@ -30,17 +30,17 @@
 		t.Fatal("never ejected")
 	}
 	before := len(h.attempts)
-	for _, s := range h.attempts {
-		if s.to == hung.ID {
-			completeAttempt(b, now, s.id, 0, s.to, Timeout)
+	for _, a := range h.attempts {
+		if a.to == hung.ID {
+			completeAttempt(b, now, a.id, 0, a.to, Timeout)
 		}
 	}
 	for now < hung.trialAt {
 		step()
 	}
-	for _, s := range h.attempts[before : len(h.attempts)-1] {
-		if s.to == hung.ID {
-			t.Fatal("an ejected backend got work before its trial")
+	for _, a := range h.attempts[before : len(h.attempts)-1] {
+		if a.to == hung.ID {
+			t.Fatal("an ejected backend got a request before its trial")
 		}
 	}
 	now = hung.trialAt + ms
@@ -73,63 +73,64 @@
 		b.Timer(now, tickToken)
 	}
 	if len(h.healthChecks) != 1 {
-		t.Fatalf("%d probes", len(h.healthChecks)) // one each sweep once cost more than it told
+		t.Fatalf("%d health checks", len(h.healthChecks)) // a regression: one at every tick
 	}
 	b.HealthCheckCompleted(to.trialAt+ms, to.ID, Timeout)
 	if to.ejections != 2 {
-		t.Fatal("a failed probe must prolong the ejection")
+		t.Fatal("a failed health check must prolong the ejection")
 	}
 	b.Timer(to.trialAt+ms, tickToken)
 	b.HealthCheckCompleted(to.trialAt+2*ms, to.ID, OK)
 	if !b.trialDue(to.trialAt+3*ms, to) {
-		t.Fatal("no trial after a good probe")
+		t.Fatal("no trial after a passed health check")
 	}
 }
 
-// Spoilt answers, resets and silence took servers out and brought them back as if cold:
-// half of the fleet was held to one request at a time, though none had restarted.
+// A regression: bad answers, resets and silence ejected backends, which came back in slow start. Half of the
+// fleet was limited to one request at a time, though no process had restarted.
 func TestOnlyConnectFailuresEndEjectionInSlowStart(t *testing.T) {
-	for status, cold := range map[Status]bool{Error: false, Reset: false, ConnectFailed: true} {
+	for status, slowStart := range map[Status]bool{Error: false, Reset: false, ConnectFailed: true} {
 		b, _ := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
 		to := b.backends[1]
-		hear := func(s Status) {
-			b.recordOutcome(time.Second, &request{class: &b.settings.Classes[idempotentClass], work: 10}, &attempt{backend: to}, Outcome{Status: s})
+		record := func(s Status) {
+			r := &request{class: &b.settings.Classes[idempotentClass], work: 10}
+			b.recordOutcome(time.Second, r, &attempt{backend: to}, Outcome{Status: s})
 		}
 		b.meanWork = 10
-		hear(status)
-		hear(status)
+		record(status)
+		record(status)
 		if to.ejections > 0 {
-			t.Errorf("status %d: ejected after two", status)
+			t.Errorf("status %v: ejected after two", status)
 		}
-		hear(status)
+		record(status)
 		if to.ejections == 0 {
-			t.Errorf("status %d: not ejected after three", status)
+			t.Errorf("status %v: not ejected after three", status)
 		}
-		hear(OK)
-		if (to.slowStartSince >= 0) != cold || to.ejections > 0 {
-			t.Errorf("status %d: cold since %v", status, to.slowStartSince)
+		record(OK)
+		if (to.slowStartSince >= 0) != slowStart || to.ejections > 0 {
+			t.Errorf("status %v: slow start since %v, %d ejections", status, to.slowStartSince, to.ejections)
 		}
 	}
 }
 
-// TestBackendRejectingAllRequestsIsEjected: it is idle by what is held there, answers at once, and
-// so drew turn after turn; its refusals also passed for a fleet that is late.
+// A regression: a backend that rejects everything is idle and answers at once, so it got turn after turn, and
+// its rejections counted as late answers of the whole fleet.
 func TestBackendRejectingAllRequestsIsEjected(t *testing.T) {
 	b, h := newTestBalancer(t, manyBalancersSettings(), testEndpoints(6, 1))
 	b.retryBudget = 100
-	drawn := 0
+	rejections := 0
 	for i := range 200 {
 		now := time.Second + time.Duration(i)*ms
 		b.HandleRequest(now, newTestRequest(RequestID(i), idempotentClass, 10))
 		try := 0
 		if h.last().to == 1 {
-			drawn++
+			rejections++
 			completeAttempt(b, now, RequestID(i), 0, 1, Full)
 			try++
 		}
 		completeAttempt(b, now, RequestID(i), try, h.last().to, OK)
 	}
-	require.LessOrEqual(t, drawn, 3)
-	require.Less(t, b.latencyPerWork, 3.0, "a refusal passed for a slow answer")
+	require.LessOrEqual(t, rejections, 3)
+	require.Less(t, b.latencyPerWork, 3.0, "a rejection counted as a slow answer")
 	require.Empty(t, h.rejected)
 }
--- a/policy_size_test.go
+++ b/policy_size_test.go
@@ -8,7 +8,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// The users read the decision files whole and set their limits: 930 lines together that are not
+// The operators read the decision files whole and set their limits: together 930 lines that are not
 // blank, of 110 characters at most.
 func TestPolicyFilesStayWithinSizeLimits(t *testing.T) {
 	deploy, err := os.ReadFile("deploy/balancer.toml")
--- a/selection_test.go
+++ b/selection_test.go
@@ -62,12 +62,12 @@
 	b.HandleRequest(time.Second, newTestRequest(1, idempotentClass, 5))
 	b.HandleRequest(time.Second, newTestRequest(2, idempotentClass, 50))
 	if len(h.attempts) != 2 {
-		t.Errorf("a lone backend got %d of 2", len(h.attempts))
+		t.Errorf("the only backend got %d of 2 requests", len(h.attempts))
 	}
 }
 
-// Queues at the backends had no bound: all of them were crowded until they choked,
-// and most requests were refused for the lateness that came of it.
+// A regression: queues at the backends had no bound, so all backends were overloaded and most
+// requests were rejected because answers came late.
 func TestFullZoneSpillsAndThenQueues(t *testing.T) {
 	set := testSettings()
 	set.Classes[nonIdempotentClass].PriorityWeight = 2
@@ -75,18 +75,18 @@
 	b, h := newTestBalancer(t, set, testEndpoints(3, 2))
 	for i := range 9 {
 		b.HandleRequest(time.Second, newTestRequest(RequestID(i), idempotentClass, 10))
-		if home := h.last().to <= 3; home != (i < 6) {
+		if local := h.last().to <= 3; local != (i < 6) {
 			t.Fatalf("request %d went to backend %d", i, h.last().to)
 		}
 	}
 	b.HandleRequest(time.Second, newTestRequest(10, idempotentClass, 10))
 	b.HandleRequest(time.Second, newTestRequest(11, nonIdempotentClass, 10))
 	if len(h.attempts) != 9 || len(h.rejected) > 0 {
-		t.Fatalf("%d sent, %d refused: no room is no reason to refuse", len(h.attempts), len(h.rejected))
+		t.Fatalf("%d sent, %d rejected: a lack of capacity is no reason to reject", len(h.attempts), len(h.rejected))
 	}
 	completeAttempt(b, time.Second, 0, 0, h.attempts[0].to, OK)
 	if h.last().id != 11 || h.last().to != h.attempts[0].to {
-		t.Fatalf("the room went to request %d at %d", h.last().id, h.last().to)
+		t.Fatalf("the free capacity went to request %d at %d", h.last().id, h.last().to)
 	}
 	completeAttempt(b, time.Second, 1, 0, h.attempts[1].to, OK)
 	if h.last().id != 10 {
@@ -94,8 +94,8 @@
 	}
 }
 
-// A zone's only backend came back as if cold; others stood idle next door, and
-// requests were refused because none of them was among this proxy's few.
+// A regression: a zone's only backend was in slow start while others were idle in the next zone, and
+// requests were rejected because none of those was among the few this balancer may spill to.
 func TestRequestsDoNotWaitWhileRemoteBackendsAreIdle(t *testing.T) {
 	list := append(testEndpoints(1, 1), Endpoint{ID: 8, Zone: 1, Size: 1}, Endpoint{ID: 9, Zone: 1, Size: 1})
 	list[0].StartedAt = 900 * ms
@@ -110,8 +110,7 @@
 	}
 }
 
-// Proxies that started together walked the sorted fleet in step, all upon the
-// same few backends.
+// A regression: balancers that started together took turns in step, all on the same few backends.
 func TestRoundRobinStartsDifferPerSeed(t *testing.T) {
 	first := map[BackendID]int{}
 	for seed := range uint64(100) {
@@ -126,12 +125,12 @@
 	}
 	for id, n := range first {
 		if n > 30 {
-			t.Errorf("%d of 100 proxies begin with backend %d", n, id)
+			t.Errorf("%d of 100 balancers begin with backend %d", n, id)
 		}
 	}
 }
 
-// A heavy request took its turn on a slow backend, where it was late for certain.
+// A regression: round robin sent a heavy request to a slow backend, where it was certainly late.
 func TestHeavyRequestsGoToFastEnoughBackend(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), testEndpoints(4, 1))
 	b.hintCount, b.medianHint, b.meanWork, b.latencyPerWork = 100, 10, 10, 1
@@ -143,29 +142,30 @@
 	if h.last().to != 3 {
 		t.Fatalf("300 ms of work within 500 ms went to backend %d", h.last().to)
 	}
-	b.HandleRequest(time.Second, newTestRequest(2, nonIdempotentClass, 300)) // fits nowhere: done first behind the other
+	// Late everywhere: it is completed first behind the other one.
+	b.HandleRequest(time.Second, newTestRequest(2, nonIdempotentClass, 300))
 	if h.last().to != 3 {
-		t.Fatalf("went to backend %d", h.last().to)
+		t.Fatalf("the second request went to backend %d", h.last().to)
 	}
 }
 
-// Two proxies may spill to a server what four may together.
+// Two balancers may together spill as much to a backend as four.
 func TestFewBalancersSpillMoreEach(t *testing.T) {
-	for proxies, want := range map[int]int{2: 4, 4: 3} {
+	for balancers, want := range map[int]int{2: 4, 4: 3} {
 		set := testSettings()
-		set.BalancerCount = proxies
+		set.BalancerCount = balancers
 		b, h := newTestBalancer(t, set, testEndpoints(1, 2))
 		for i := range 9 {
 			b.HandleRequest(time.Second, newTestRequest(RequestID(i), idempotentClass, 10))
 		}
 		if len(h.attempts) != want {
-			t.Errorf("%d proxies: %d sent, want %d", proxies, len(h.attempts), want)
+			t.Errorf("%d balancers: %d sent, want %d", balancers, len(h.attempts), want)
 		}
 	}
 }
 
-// One class hung at some servers that answered the others: its requests took up all
-// the room there for an aim each, and every one of them was lost.
+// A regression: one class hung on some backends that answered the others. Its requests used up the
+// capacity there for a latency objective each, and all of them failed.
 func TestClassFailingOnBackendIsSentElsewhere(t *testing.T) {
 	set := testSettings()
 	b, h := newTestBalancer(t, set, testEndpoints(2, 1))
@@ -175,18 +175,22 @@
 		b.HandleRequest(now, newTestRequest(id, class, 10))
 		return h.last().to
 	}
-	bad := b.backends[1]
+	failing := b.backends[1]
+	served := &request{class: &set.Classes[idempotentClass], work: 10}
+	hung := &request{
+		Request: Request{Class: nonIdempotentClass}, class: &set.Classes[nonIdempotentClass], work: 10,
+	}
 	for range 4 {
 		now += 100 * ms
-		hung := &attempt{backend: bad, sentAt: now - 50*ms}
-		b.recordOutcome(now, &request{class: &set.Classes[idempotentClass], work: 10}, &attempt{backend: bad, sentAt: now}, Outcome{Status: OK, Latency: ms})
-		b.recordOutcome(now, &request{Request: Request{Class: nonIdempotentClass}, class: &set.Classes[nonIdempotentClass], work: 10}, hung,
-			Outcome{Status: Timeout, Latency: 50 * ms})
+		answered := &attempt{backend: failing, sentAt: now}
+		b.recordOutcome(now, served, answered, Outcome{Status: OK, Latency: ms})
+		timedOut := &attempt{backend: failing, sentAt: now - 50*ms}
+		b.recordOutcome(now, hung, timedOut, Outcome{Status: Timeout, Latency: 50 * ms})
 	}
-	bad.lastSentAt[nonIdempotentClass] = now
+	failing.lastSentAt[nonIdempotentClass] = now
 	for range 2 {
 		if to := send(nonIdempotentClass); to == 1 {
-			t.Error("sent to where its class is left without answer")
+			t.Error("sent to the backend that fails its class")
 		}
 	}
 	if to := send(idempotentClass); to != 1 {
@@ -194,12 +198,12 @@
 	}
 	now += 4 * set.Classes[nonIdempotentClass].LatencyObjective
 	if to := send(nonIdempotentClass); to != 1 {
-		t.Errorf("no trial: sent to %d", to)
+		t.Errorf("not tried again: sent to %d", to)
 	}
 }
 
-// TestOverloadedBackendReceivesNoRequestsPastObjective: a backend that holds five and answers one a second is
-// late for certain, whatever this proxy has there. Its word is not believed for good.
+// A backend that holds five requests and completes one per second answers late, whatever this balancer has
+// there. Its report does not count for long.
 func TestOverloadedBackendReceivesNoRequestsPastObjective(t *testing.T) {
 	b, h := newTestBalancer(t, manyBalancersSettings(), testEndpoints(1, 1))
 	b.LoadReported(time.Second, 1, LoadReport{Inflight: 5, CompletedPerSecond: 1})
--- a/settings_test.go
+++ b/settings_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 	"testing"
 	"time"
 
@@ -9,21 +10,26 @@
 )
 
 func TestValidateRejectsUnusableSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
-		"zone":       func(s *Settings) { s.Zone = 9 },
-		"classes":    func(s *Settings) { s.Classes = nil },
-		"classes[1]": func(s *Settings) { s.Classes[1].LatencyObjective = -ms },
-		"tick":       func(s *Settings) { s.Tick = -1 },
-		"attempts":   func(s *Settings) { s.Limits.MaxAttempts = 0 },
-		"cold from":  func(s *Settings) { s.Rules.SlowStartCapacity = math.NaN() },
-		"tenants[0]": func(s *Settings) { s.Tenants = []Tenant{{QuotaPerSec: -1}} },
-		"proxies":    func(s *Settings) { s.BalancerCount = 0 },
+	for setting, change := range map[string]func(*Settings){
+		"Zone":                    func(s *Settings) { s.Zone = 9 },
+		"Classes":                 func(s *Settings) { s.Classes = nil },
+		"Classes[1]":              func(s *Settings) { s.Classes[1].LatencyObjective = -ms },
+		"Tick":                    func(s *Settings) { s.Tick = -1 },
+		"Limits.MaxAttempts":      func(s *Settings) { s.Limits.MaxAttempts = 0 },
+		"Rules":                   func(s *Settings) { s.Rules.PollInterval = -1 },
+		"Rules.SlowStartCapacity": func(s *Settings) { s.Rules.SlowStartCapacity = math.NaN() },
+		"Tenants[0]":              func(s *Settings) { s.Tenants = []Tenant{{QuotaPerSec: -1}} },
+		"BalancerCount":           func(s *Settings) { s.BalancerCount = 0 },
 	} {
-		s := testSettings()
-		spoil(&s)
-		if _, err := New(s, 1, &recorder{}); err == nil {
-			t.Errorf("%s: accepted", name)
-		}
+		t.Run(setting, func(t *testing.T) {
+			s := testSettings()
+			change(&s)
+			_, err := New(s, 1, &recorder{})
+			var invalid *SettingsError
+			require.ErrorAs(t, err, &invalid)
+			require.Equal(t, setting, invalid.Setting)
+			require.ErrorContains(t, err, "settings: ")
+		})
 	}
 }
 
@@ -33,9 +39,11 @@
 	b.HandleRequest(0, newTestRequest(1, idempotentClass, 1))
 	first := h.last().to
 	next := s
-	next.Classes = append([]Class(nil), s.Classes...)
+	next.Classes = slices.Clone(s.Classes)
 	next.Classes[idempotentClass].RetrySafety = NonIdempotent
-	next.Classes = append(next.Classes, Class{Name: "new", LatencyObjective: 500 * ms, Deadline: time.Second, PriorityWeight: 9, RetrySafety: NonIdempotent})
+	next.Classes = append(next.Classes, Class{
+		Name: "new", LatencyObjective: 500 * ms, Deadline: time.Second, PriorityWeight: 9, RetrySafety: NonIdempotent,
+	})
 	next.Limits.MaxAttempts = 1
 
 	bad := next
@@ -44,13 +52,14 @@
 	bad = next
 	bad.Limits.MaxAttempts = 0
 	require.Error(t, b.UpdateSettings(0, bad))
-	require.Equal(t, s.Limits.MaxAttempts, b.settings.Limits.MaxAttempts, "nothing of it is taken")
+	require.Equal(t, s.Limits.MaxAttempts, b.settings.Limits.MaxAttempts, "no setting was changed")
 
 	require.NoError(t, b.UpdateSettings(0, next))
 	b.HandleRequest(ms, newTestRequest(2, len(next.Classes)-1, 1))
 	require.Equal(t, RequestID(2), h.last().id)
-	completeAttempt(b, 2*ms, 1, 0, first, Reset) // it may have run: its class allows another, the settings do not
+	// The request may have executed. The class that it came with allows a retry, the new settings do not.
+	completeAttempt(b, 2*ms, 1, 0, first, Reset)
 	require.Len(t, h.attempts, 2)
-	require.Equal(t, []RequestID{1}, h.rejected, "it came as safe, and refusing it is true")
+	require.Equal(t, []RequestID{1}, h.rejected, "it came as idempotent, so that a rejection is true")
 	require.Empty(t, h.failed)
 }
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -10,7 +10,7 @@
 func TestSlowStartLimitsRequestRate(t *testing.T) {
 	list := testEndpoints(3, 2)
 	list[0].StartedAt = 900 * ms
-	list[4].StartedAt = 900 * ms // a cold one elsewhere
+	list[4].StartedAt = 900 * ms // in the other zone
 	b, h := newTestBalancer(t, testSettings(), list)
 	work := map[BackendID]float64{}
 	for i := range 1000 {
@@ -23,29 +23,29 @@
 	}
 	warm := (work[2] + work[3]) / 2
 	if work[1] == 0 || work[1] > 0.5*warm {
-		t.Errorf("a cold backend got %.0f, a warm one %.0f", work[1], warm)
+		t.Errorf("a backend in slow start got %.0f, a warm one %.0f", work[1], warm)
 	}
 	if work[5] > 0 {
-		t.Error("a cold backend of another zone got work that its zone does not need")
+		t.Error("a backend in slow start in another zone got work that its own zone can send")
 	}
-	// Heavy requests from many proxies at once pushed one over.
-	cold := b.backends[1]
+	// A regression: heavy requests of many balancers at once overloaded one.
+	starting := b.backends[1]
 	r := b.newRequest(7*time.Second, Request{ID: 5000, Deadline: 9 * time.Second, CostHint: 500})
-	cold.nextSlowStartSend = 0
-	if b.mayStartAttempt(7*time.Second, r, cold) {
-		t.Error("a cold backend may get a heavy request")
+	starting.nextSlowStartSend = 0
+	if b.mayStartAttempt(7*time.Second, r, starting) {
+		t.Error("a backend in slow start may get a heavy request")
 	}
 	r.work = 1
-	if !b.mayStartAttempt(7*time.Second, r, cold) {
-		t.Error("a cold backend may get nothing at all")
+	if !b.mayStartAttempt(7*time.Second, r, starting) {
+		t.Error("a backend in slow start may get nothing at all")
 	}
-	cold.inflight = 1
-	if b.mayStartAttempt(7*time.Second, r, cold) {
-		t.Error("a cold backend may hold two requests of one proxy")
+	starting.inflight = 1
+	if b.mayStartAttempt(7*time.Second, r, starting) {
+		t.Error("a backend in slow start may hold two requests of one balancer")
 	}
 }
 
-// A zone of which only the cold backend is left is not a small zone.
+// A zone of which only the backend in slow start is left is not a small zone.
 func TestSlowStartRateDoesNotGrowWhenEndpointsLeave(t *testing.T) {
 	list := testEndpoints(4, 2)
 	list[0].StartedAt = 900 * ms
@@ -60,14 +60,14 @@
 	}
 	b.UpdateEndpoints(now, UpdateDelta, list[1:4])
 	if after := b.warmSendRate(now); after > 2*before {
-		t.Errorf("what a cold backend may get rose from %.1f to %.1f as the others went", before, after)
+		t.Errorf("the rate of a warm backend rose from %.1f to %.1f as the others left", before, after)
 	}
 }
 
-// TestSlowStartRateFollowsReportedCompletionRate: a zone is lost and comes back cold. What
-// this proxy sends a second fell with the fleet; what warm ones answered for all did not.
+// When a zone is lost and comes back in slow start, the rate that this balancer sends fell with the fleet.
+// What warm backends reported to complete for all balancers did not.
 func TestSlowStartRateFollowsReportedCompletionRate(t *testing.T) {
-	gap := func(report bool) time.Duration {
+	interval := func(report bool) time.Duration {
 		b, _ := newTestBalancer(t, manyBalancersSettings(), testEndpoints(4, 2))
 		if report {
 			for id := range BackendID(8) {
@@ -81,47 +81,55 @@
 		b.startSlowStart(2*time.Second, to, 2*time.Second)
 		return b.slowStartInterval(2*time.Second, to)
 	}
-	// 30 a second, three times a fifth of them, for 40 proxies of the zone.
-	require.InDelta(t, 40/(30*0.2*3), gap(true).Seconds(), 0.1)
-	require.Greater(t, gap(false), gap(true))
+	// 30 per second, three times a fifth of them, for 40 balancers of the zone.
+	require.InDelta(t, 40/(30*0.2*3), interval(true).Seconds(), 0.1)
+	require.Greater(t, interval(false), interval(true))
 }
 
-// TestIdleBackendInSlowStartGetsMore: it warms with work, sooner than is promised.
+// A backend warms up by its work, sooner than the rule promises.
 func TestIdleBackendInSlowStartGetsMore(t *testing.T) {
 	b, _ := newTestBalancer(t, manyBalancersSettings(), testEndpoints(2, 1))
 	b.meanWork = 25
 	b.sendRate.add(time.Second, 50)
 	to := b.backends[1]
 	b.startSlowStart(time.Second, to, time.Second)
-	slow := b.slowStartInterval(time.Second, to)
+	interval := b.slowStartInterval(time.Second, to)
 	b.LoadReported(time.Second, 1, LoadReport{Inflight: 9, CompletedPerSecond: 200})
-	require.Equal(t, slow, b.slowStartInterval(time.Second, to), "it holds a queue: no more")
+	require.Equal(t, interval, b.slowStartInterval(time.Second, to), "with a queue it gets no more")
 	b.LoadReported(time.Second, 1, LoadReport{Inflight: 0, CompletedPerSecond: 200})
-	require.Less(t, b.slowStartInterval(time.Second, to), slow)
+	require.Less(t, b.slowStartInterval(time.Second, to), interval)
 }
 
-// TestSlowStartDrawPreventsOverloadByManyBalancers: what many proxies may send it each, and did not
-// while they were idle, must not come from all of them in the moment in which all are busy.
+// What each of many balancers was allowed to send, and did not while it was idle, must not come from all of
+// them at the moment at which they get busy.
 func TestSlowStartDrawPreventsOverloadByManyBalancers(t *testing.T) {
 	s := manyBalancersSettings()
 	s.Rules.OverloadWindow = 2 * time.Second
-	const warm, work, multiple = 10.0, 50.0, 2.5 // answers a second, ms each, and the rule's multiple
-	born, most, all := 2*time.Second, 0.0, 0.0
-	for round := range uint64(10) {
+	const (
+		completions = 10.0 // of a warm backend, per second
+		work        = 50.0 // of a request, ms
+		overload    = 2.5  // multiple of its capacity that overloads a backend
+		rounds      = 10
+		startedAt   = 2 * time.Second
+	)
+	most, mean := 0.0, 0.0
+	for round := range uint64(rounds) {
 		sends := 0.0
 		for i := range uint64(s.BalancerCount / len(s.Zones)) {
 			b, err := New(s, round<<32+i, &recorder{})
 			require.NoError(t, err)
 			b.UpdateEndpoints(time.Second, UpdateFull, testEndpoints(4, 2))
 			for id := range BackendID(8) {
-				b.LoadReported(time.Second, id+1, LoadReport{Inflight: 2, CompletedPerSecond: warm})
+				b.LoadReported(time.Second, id+1, LoadReport{Inflight: 2, CompletedPerSecond: completions})
 			}
 			b.reviewBackends(time.Second)
 			b.meanWork = work
 			to := b.backends[1]
-			b.startSlowStart(born, to, born)
-			for now := born + 3*time.Second; now < born+5*time.Second; now += 20 * ms {
-				r := b.newRequest(now, Request{ID: RequestID(now), Class: idempotentClass, Deadline: now + time.Second, CostHint: work})
+			b.startSlowStart(startedAt, to, startedAt)
+			for now := startedAt + 3*time.Second; now < startedAt+5*time.Second; now += 20 * ms {
+				r := b.newRequest(now, Request{
+					ID: RequestID(now), Class: idempotentClass, Deadline: now + time.Second, CostHint: work,
+				})
 				if b.mayStartAttempt(now, r, to) {
 					b.startAttempt(now, r, to)
 					to.inflight-- // answered at once
@@ -129,20 +137,24 @@
 				}
 			}
 		}
-		most, all = max(most, sends*work), all+sends*work/10
+		most = max(most, sends*work)
+		mean += sends * work / rounds
 	}
-	can := warm * work * (0.2 + 0.8*4/20) * 2
-	require.InDelta(t, can, all, can/4, "as much as it can do, on the mean")
-	require.Less(t, most, multiple*can)
+	capacity := completions * work * (0.2 + 0.8*4/20) * 2
+	require.InDelta(t, capacity, mean, capacity/4, "on the mean it gets what it can do")
+	require.Less(t, most, overload*capacity)
 }
 
-// Where there are fewer proxies than zones, a cold backend of a zone that has none is everybody's:
-// left alone, it would get nothing until it counts as warm.
+// Where there are fewer balancers than zones, all balancers send to a backend in slow start in a zone that
+// has none: it would get nothing until it is warm.
 func TestSlowStartBackendInZoneWithoutBalancerIsUsed(t *testing.T) {
 	for _, c := range []struct {
 		zones []string
 		used  bool
-	}{{[]string{"a", "b"}, false}, {[]string{"a", "b", "c", "d"}, true}} {
+	}{
+		{[]string{"a", "b"}, false},
+		{[]string{"a", "b", "c", "d"}, true},
+	} {
 		s := testSettings()
 		s.Zones = c.zones
 		list := testEndpoints(1, len(c.zones))
@@ -150,7 +162,7 @@
 			list[i].StartedAt = 900 * ms
 		}
 		b, h := newTestBalancer(t, s, list)
-		away := 0
+		remote := 0
 		for i := range 400 {
 			now := time.Second + time.Duration(i)*10*ms
 			first := len(h.attempts)
@@ -159,15 +171,15 @@
 				r.Deadline = now + time.Second
 				b.HandleRequest(now, r)
 			}
-			for _, at := range h.attempts[first:] {
-				if at.to != list[0].ID {
-					away++
+			for _, a := range h.attempts[first:] {
+				if a.to != list[0].ID {
+					remote++
 				}
-				completeAttempt(b, now+5*ms, at.id, 0, at.to, OK)
+				completeAttempt(b, now+5*ms, a.id, 0, a.to, OK)
 			}
 			b.Timer(now+6*ms, tickToken)
 		}
-		require.Equal(t, c.used, away > 0, c.zones)
-		require.Less(t, away, 300, "and still sent little")
+		require.Equal(t, c.used, remote > 0, c.zones)
+		require.Less(t, remote, 300, "in slow start it gets little")
 	}
 }
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -13,5 +13,5 @@
 	b.Restore(Snapshot{Median: 50, MeanWork: 80, LargeShare: 0.7, Usual: 3})
 	require.Equal(t, Snapshot{50, 80, 0.7, 3}, b.Snapshot())
 	b.Restore(Snapshot{Median: 1, MeanWork: 1})
-	require.Equal(t, 50.0, b.medianHint, "its own experience goes before")
+	require.Equal(t, 50.0, b.medianHint, "a balancer with cost hints of its own does not restore")
 }
