--- a/estimators.go
+++ b/estimators.go
@@ -26,11 +26,13 @@
 	at    time.Duration // the last addition's time
 }
 
+// add counts an amount at the present time.
 func (r *rate) add(now time.Duration, amount float64) {
 	r.decay(now)
 	r.value += amount
 }
 
+// decay reduces the rate by a factor of e for each second since the last addition.
 func (r *rate) decay(now time.Duration) {
 	if r.at > 0 {
 		r.value *= math.Exp(-(now - r.at).Seconds())
--- a/selection.go
+++ b/selection.go
@@ -98,12 +98,12 @@
 	var best *backend
 	for _, level := range b.levels[1:] {
 		for _, to := range b.groups[level.locality].members {
-			late := b.manyBalancers() && !b.meetsObjective(now, r, to)
-			if late || b.failsClass(now, r, to) || r.attemptedOn(to) || !b.mayStartAttempt(now, r, to) ||
-				!b.hasCapacity(now, to, level.maxLoad, totalInflightBoundLast) {
+			if !b.hasCapacity(now, to, level.maxLoad, totalInflightBoundLast) || b.failsClass(now, r, to) ||
+				r.attemptedOn(to) || !b.mayStartAttempt(now, r, to) {
 				continue
 			}
-			if best == nil || b.expectedLatency(now, r, to) < b.expectedLatency(now, r, best) {
+			late := b.manyBalancers() && !b.meetsObjective(now, r, to)
+			if !late && (best == nil || b.expectedLatency(now, r, to) < b.expectedLatency(now, r, best)) {
 				best = to
 			}
 		}
--- a/state.go
+++ b/state.go
@@ -223,10 +223,12 @@
 
 // openRequest adds a record for a request.
 func (b *Balancer) openRequest(in Request) *request {
-	r := &request{}
+	var r *request
 	if n := len(b.freeRequests); n > 0 {
 		r = b.freeRequests[n-1]
 		b.freeRequests = b.freeRequests[:n-1]
+	} else {
+		r = &request{}
 	}
 	*r = request{
 		Request: in, class: &b.settings.Classes[in.Class],
