--- a/admission.go
+++ b/admission.go
@@ -7,7 +7,7 @@
 
 const (
 	shedGain     = 1.0 / 4 // change of the shed share in one shortest objective while all is late
-	starvedBelow = 0.8     // of the mean share that is forwarded: a band below it goes first
+	starvedBelow = 0.8     // of the mean share that is forwarded: a band below it is starved
 )
 
 // newRequest opens a request: its deadlines, its expected work with the lane for it, its priority.
@@ -37,7 +37,7 @@
 	return !b.quotas[tenant].take(now, part)
 }
 
-// dispatchOrQueue dispatches a request or lets it wait, unless the queue or the next tick is too late for it.
+// dispatchOrQueue dispatches a request, lets it wait, or rejects it if it would have to wait too long.
 func (b *Balancer) dispatchOrQueue(now time.Duration, r *request) {
 	if b.dispatch(now, r) {
 		return
@@ -64,7 +64,7 @@
 	}
 }
 
-// precedes orders waiting requests: starved bands first, lest they get nothing, then precedence and arrival.
+// precedes orders waiting requests: starved bands first, then by precedence, then by arrival.
 func (b *Balancer) precedes(r, other *request) bool {
 	x, y := &b.priorities[r.priority], &b.priorities[other.priority]
 	if x.starved != y.starved {
@@ -128,8 +128,8 @@
 	}
 }
 
-// shedStep is how far one answer may move the shed share: by the time since the last, not by their number,
-// for a change shows late and a busy balancer would oscillate. A quiet one needs some answers to be sure.
+// shedStep is how far one answer may move the shed share. It grows with the time since the last answer: a
+// change shows late, and a busy balancer would oscillate. The bound makes a quiet one wait for more answers.
 func (b *Balancer) shedStep(now time.Duration) float64 {
 	elapsed := (now - b.shedAdjustedAt).Seconds()
 	b.shedAdjustedAt = now
--- a/attempts.go
+++ b/attempts.go
@@ -5,24 +5,24 @@
 const retryBudgetShare = 0.15 // retries and hedged requests, as a share of requests
 
 // mayStartAttempt is the guard that every attempt passes. No other function knows these rules.
-func (b *Balancer) mayStartAttempt(now time.Duration, r *request, to *backend) bool {
+func (b *Balancer) mayStartAttempt(now time.Duration, r *request, target *backend) bool {
 	if r.done || r.streaming || now >= r.Deadline || len(r.attempts) >= b.settings.Limits.MaxAttempts {
 		return false
 	}
 	mayHedge := b.settings.Limits.HedgedRequests && r.class.RetrySafety != NonIdempotent
-	if !to.available() || r.inflight > 0 && !mayHedge {
+	if !target.available() || r.inflight > 0 && !mayHedge {
 		return false
 	}
-	if first := r.firstMaybeExecuted(); first != nil && !r.mayRepeatOn(now, first, to) {
+	if first := r.firstMaybeExecuted(); first != nil && !r.mayRepeatOn(now, first, target) {
 		return false
 	}
-	if to.ejections > 0 && (to.trialInflight || !b.trialDue(now, to)) {
+	if target.ejections > 0 && (target.trialInflight || !b.trialDue(now, target)) {
 		return false
 	}
-	if to.warm() {
-		return !b.groups[to.locality].atInflightLimit()
+	if target.warm() {
+		return !b.groups[target.locality].atInflightLimit()
 	}
-	return b.slowStartAllows(now, r, to)
+	return b.slowStartAllows(now, r, target)
 }
 
 // AttemptAllowed reports whether an attempt may still be written now that it has a connection. Meanwhile its
@@ -32,53 +32,53 @@
 	if r == nil || r.done || try < 0 || try >= len(r.attempts) || now >= r.Deadline {
 		return false
 	}
-	to := r.attempts[try].backend
+	target := r.attempts[try].backend
 	for i := range r.attempts { // later ones, too: the one that waited for a connection is then the repeat
 		other := &r.attempts[i]
-		if i != try && other.mayHaveExecuted() && !r.mayRepeatOn(now, other, to) {
+		if i != try && other.mayHaveExecuted() && !r.mayRepeatOn(now, other, target) {
 			return false
 		}
 	}
-	return to.available()
+	return target.available()
 }
 
 // mayRepeatOn reports whether a request that may have executed in the attempt first may also go to the
-// backend. It has to arrive within the deduplication window, after half of the fastest answer's latency.
-func (r *request) mayRepeatOn(now time.Duration, first *attempt, to *backend) bool {
-	transit := milliseconds(to.path.fastestAnswer / 2)
+// backend. The transit there, half of the fastest answer's latency, must end within the deduplication window.
+func (r *request) mayRepeatOn(now time.Duration, first *attempt, target *backend) bool {
+	transit := milliseconds(target.path.fastestAnswer / 2)
 	switch {
 	case r.class.RetrySafety == Idempotent:
 		return true
 	case r.class.RetrySafety == NonIdempotent, now+transit > first.sentAt+r.class.DedupWindow:
 		return false
 	case r.class.DedupScope == DedupInZone:
-		return to.Zone == first.backend.Zone
+		return target.Zone == first.backend.Zone
 	case r.class.DedupScope == DedupInCell:
-		return to.Cell == first.backend.Cell
+		return target.Cell == first.backend.Cell
 	}
 	return true
 }
 
 // startAttempt sends the request to the backend. The guard has allowed it.
-func (b *Balancer) startAttempt(now time.Duration, r *request, to *backend) {
-	to.inflight++
-	to.backlog += r.work
-	to.lastSentAt[r.Class] = now
+func (b *Balancer) startAttempt(now time.Duration, r *request, target *backend) {
+	target.inflight++
+	target.backlog += r.work
+	target.lastSentAt[r.Class] = now
 	b.sendRate.add(now, r.work)
 	if len(r.attempts) == 0 {
 		b.priorities[r.priority].forwarded += r.work
 	}
-	warm := to.warm()
+	warm := target.warm()
 	if warm {
-		b.groups[to.locality].inflight++
-		b.groups[to.locality].sendRate.add(now, r.work)
+		b.groups[target.locality].inflight++
+		b.groups[target.locality].sendRate.add(now, r.work)
 	} else {
-		to.nextSlowStartSend = max(to.nextSlowStartSend, now) + b.slowStartPause(now, to)
+		target.nextSlowStartSend = max(target.nextSlowStartSend, now) + b.slowStartPause(now, target)
 	}
-	to.trialInflight = to.trialInflight || to.ejections > 0
-	r.attempts = append(r.attempts, attempt{backend: to, sentAt: now, warm: warm})
+	target.trialInflight = target.trialInflight || target.ejections > 0
+	r.attempts = append(r.attempts, attempt{backend: target, sentAt: now, warm: warm})
 	r.inflight++
-	b.host.StartAttempt(r.ID, to.ID, b.attemptDeadline(r)-now)
+	b.host.StartAttempt(r.ID, target.ID, b.attemptDeadline(r)-now)
 }
 
 // attemptDeadline is when an answer is no longer worth the backend's work.
@@ -121,41 +121,41 @@
 
 // recordOutcome updates what the outcome shows of the backend and its group.
 func (b *Balancer) recordOutcome(now time.Duration, r *request, t *attempt, o Outcome) {
-	to := t.backend
-	to.trialInflight = false
+	target := t.backend
+	target.trialInflight = false
 	if o.Status == OK || o.Status == Full || o.Status == Error {
-		to.lastAnswerAt = now
+		target.lastAnswerAt = now
 	}
 	b.observeClassFailure(r, t, o)
 	switch {
-	case o.Status == Timeout && to.lastAnswerAt < t.sentAt:
+	case o.Status == Timeout && target.lastAnswerAt < t.sentAt:
 		// Its backend was silent, which no tick has noticed yet: late, but no reason to shed.
-		g := &b.groups[to.locality]
+		g := &b.groups[target.locality]
 		g.lateShare += groupSmoothing * (1 - g.lateShare)
-		b.recordFailure(now, to, maxSilentTimeouts)
+		b.recordFailure(now, target, maxSilentTimeouts)
 	case o.Status == Timeout:
-		b.recordLatency(now, r, to, o.Latency)
+		b.recordLatency(now, r, target, o.Latency)
 	case o.Status == OK:
 		b.learnWorkWithoutHint(r.Class, o.Latency)
-		b.recordLatency(now, r, to, o.Latency)
-		b.endEjection(now, to)
+		b.recordLatency(now, r, target, o.Latency)
+		b.endEjection(now, target)
 	case o.Status == Full:
 		// A backend that rejects everything must neither attract requests nor make the group look late.
-		b.recordFailure(now, to, maxFailures)
-		b.adjustShedding(b.shedStep(now), to.locality, 1)
+		b.recordFailure(now, target, maxFailures)
+		b.adjustShedding(b.shedStep(now), target.locality, 1)
 	case o.Status == ConnectFailed, o.Status == Error, o.Status == Reset:
-		to.connectFailures += indicator(o.Status == ConnectFailed)
-		b.recordFailure(now, to, maxFailures)
+		target.connectFailures += indicator(o.Status == ConnectFailed)
+		b.recordFailure(now, target, maxFailures)
 	}
 }
 
 // recordLatency updates the latency estimates, and moves the lanes and shedding by what is late.
-func (b *Balancer) recordLatency(now time.Duration, r *request, to *backend, took time.Duration) {
+func (b *Balancer) recordLatency(now time.Duration, r *request, target *backend, took time.Duration) {
 	objective := r.class.LatencyObjective.Seconds() * 1000
-	queueing := b.observeLatency(r, to, took)
+	queueing := b.observeLatency(r, target, took)
 	step := b.shedStep(now)
 	b.balanceLanes(step, r.lane, indicator(queueing > objective/2))
 	if r.work < objective/4 { // a heavy request is late on an idle backend, too
-		b.adjustShedding(step, to.locality, indicator(took > r.class.LatencyObjective/2))
+		b.adjustShedding(step, target.locality, indicator(took > r.class.LatencyObjective/2))
 	}
 }
--- a/balancer.go
+++ b/balancer.go
@@ -118,9 +118,9 @@
 
 // reviewBackends ends slow starts, starts health checks and updates weights and limits.
 func (b *Balancer) reviewBackends(now time.Duration) {
-	for _, to := range b.sorted {
-		b.endSlowStartIfDue(now, to)
-		b.startHealthCheckIfDue(now, to)
+	for _, target := range b.sorted {
+		b.endSlowStartIfDue(now, target)
+		b.startHealthCheckIfDue(now, target)
 	}
 	b.rebuildGroups(now)
 	b.updatePeakCompletionRate()
--- a/concurrency_limits.go
+++ b/concurrency_limits.go
@@ -13,16 +13,16 @@
 
 // LoadReported takes a backend's load report. It ignores unknown backends, negative figures and NaN.
 func (b *Balancer) LoadReported(now time.Duration, id BackendID, load LoadReport) {
-	if to := b.backends[id]; to != nil && load.Inflight >= 0 && load.CompletedPerSecond >= 0 {
-		to.reports.record(now, load, to.inflight)
+	if target := b.backends[id]; target != nil && load.Inflight >= 0 && load.CompletedPerSecond >= 0 {
+		target.reports.record(now, load, target.inflight)
 	}
 }
 
-// totalInflightReaches reports whether all balancers together have so many requests at a backend. Once
-// there are many balancers, a bound on one's own requests is no bound on that; load reports are.
-func (b *Balancer) totalInflightReaches(now time.Duration, to *backend, most float64) bool {
-	prior := min(to.reports.meanOthers, b.groups[to.locality].meanOthers)
-	return to.reports.estimateOthers(now, prior)+float64(to.inflight) >= most
+// totalInflightReaches reports whether all balancers together have so many requests at a backend, by its load
+// reports: with many balancers, a bound on each one's own requests would not bound the sum.
+func (b *Balancer) totalInflightReaches(now time.Duration, target *backend, most float64) bool {
+	prior := min(target.reports.meanOthers, b.groups[target.locality].meanOthers)
+	return target.reports.estimateOthers(now, prior)+float64(target.inflight) >= most
 }
 
 // manyBalancers reports whether there are too many balancers for each one's own bounds to suffice.
@@ -40,9 +40,9 @@
 		g.inflightLimit = math.Inf(1)
 		return
 	}
-	turn := min(max(math.Log(targetInflight/max(inflight, targetInflight/8)), -1), 1)
+	adjustment := min(max(math.Log(targetInflight/max(inflight, targetInflight/8)), -1), 1)
 	reachable := min(g.inflightLimit, 2*g.peakInflight+targetInflight)
-	g.inflightLimit = max(reachable*math.Exp(turn*dt/limitAdjustTime), 1)
+	g.inflightLimit = max(reachable*math.Exp(adjustment*dt/limitAdjustTime), 1)
 }
 
 // atInflightLimit reports whether the group's warm backends have all that this balancer may send there.
--- a/doc.go
+++ b/doc.go
@@ -23,7 +23,7 @@
 // request's key, or else the next in weighted round robin that is expected to answer in time. If none has
 // capacity, the request waits for the next tick or the next answer.
 //
-// One guard, mayStartAttempt, allows or refuses every attempt (attempts.go): the class's retry safety, the
+// One guard, mayStartAttempt, allows or denies every attempt (attempts.go): the class's retry safety, the
 // number of attempts, draining, ejection, slow start and the concurrency limit. Retries and hedged requests
 // spend a budget. A timer ticks a few times within the shortest latency objective, finds overdue attempts and
 // reviews the backends.
--- a/endpoints.go
+++ b/endpoints.go
@@ -18,9 +18,9 @@
 		b.applyEndpoint(now, e)
 	}
 	if kind != UpdateDelta {
-		for _, to := range b.sorted {
-			if !named[to.ID] {
-				to.State = Gone
+		for _, target := range b.sorted {
+			if !named[target.ID] {
+				target.State = Gone
 			}
 		}
 	}
@@ -36,18 +36,18 @@
 	if !(e.Size > 0) || math.IsInf(e.Size, 0) {
 		e.Size = 1
 	}
-	to := b.backends[e.ID]
-	if to == nil {
+	target := b.backends[e.ID]
+	if target == nil {
 		if e.State != Gone {
 			b.slowStartIfYoung(now, b.addBackend(e))
 		}
 		return
 	}
-	restarted := e.StartedAt != to.StartedAt
-	to.Endpoint = e
+	restarted := e.StartedAt != target.StartedAt
+	target.Endpoint = e
 	if restarted {
-		to.resetEjection()
-		b.slowStartIfYoung(now, to)
+		target.resetEjection()
+		b.slowStartIfYoung(now, target)
 	}
 }
 
--- a/estimators.go
+++ b/estimators.go
@@ -76,10 +76,10 @@
 func rendezvousMember(members []*backend, key uint64) *backend {
 	var best *backend
 	var highest uint64
-	for _, to := range members {
-		hash := mixBits(key ^ to.idHash)
+	for _, target := range members {
+		hash := mixBits(key ^ target.idHash)
 		if best == nil || hash > highest {
-			best, highest = to, hash
+			best, highest = target, hash
 		}
 	}
 	return best
@@ -171,24 +171,24 @@
 // observeLatency updates the latency estimates of all, of the group and of the backend by one answer, and
 // returns its latency beyond the request's work in ms, at most the objective. Estimates of latency are for
 // a request of mean work, so that the lanes compare.
-func (b *Balancer) observeLatency(r *request, to *backend, took time.Duration) (queueing float64) {
+func (b *Balancer) observeLatency(r *request, target *backend, took time.Duration) (queueing float64) {
 	ms := took.Seconds() * 1000
 	queueing = min(max(ms-r.work, 0), r.class.LatencyObjective.Seconds()*1000)
 	typical := max(ms-r.work, -b.meanWork/2) + b.meanWork
-	g := &b.groups[to.locality]
+	g := &b.groups[target.locality]
 	if g.latency == 0 {
 		g.latency, g.queueingMean, g.queueingDeviation = typical, queueing, queueing/2
 	}
-	if to.latency == 0 {
-		to.latency = g.latency
+	if target.latency == 0 {
+		target.latency = g.latency
 	}
-	if to.path.answerCount == 0 || ms < to.path.fastestAnswer {
-		to.path.fastestAnswer = ms
+	if target.path.answerCount == 0 || ms < target.path.fastestAnswer {
+		target.path.fastestAnswer = ms
 	}
-	to.path.answerCount++
-	to.latency += backendSmoothing * (typical - to.latency)
+	target.path.answerCount++
+	target.latency += backendSmoothing * (typical - target.latency)
 	b.latencyPerWork = followRatio(b.latencyPerWork, ms, r.work, groupSmoothing*r.work/b.meanWork)
-	to.latencyPerWork = followRatio(to.latencyPerWork, ms, r.work, backendSmoothing*r.work/b.meanWork)
+	target.latencyPerWork = followRatio(target.latencyPerWork, ms, r.work, backendSmoothing*r.work/b.meanWork)
 	g.latency += groupSmoothing * (typical - g.latency)
 	g.queueingDeviation += groupSmoothing * (math.Abs(queueing-g.queueingMean) - g.queueingDeviation)
 	g.queueingMean += groupSmoothing * (queueing - g.queueingMean)
@@ -198,21 +198,21 @@
 // observeClassFailure updates the share of a class's requests that fail on a backend which answers
 // others. A cancelled attempt counts as failed if it had taken half of the objective.
 func (b *Balancer) observeClassFailure(r *request, t *attempt, o Outcome) {
-	to := t.backend
+	target := t.backend
 	tookLong := o.Status == Timeout || o.Status == Cancelled && o.Latency > r.class.LatencyObjective/2
-	answersOthers := to.lastAnswerAt >= t.sentAt
+	answersOthers := target.lastAnswerAt >= t.sentAt
 	if tookLong && answersOthers || o.Status == OK || o.Status == Error {
 		failed := indicator(o.Status != OK)
-		to.failureShare[r.Class] += backendSmoothing * (failed - to.failureShare[r.Class])
+		target.failureShare[r.Class] += backendSmoothing * (failed - target.failureShare[r.Class])
 	}
 }
 
 // capacityShare returns the share of its capacity that the backend has now, in slow start.
-func (b *Balancer) capacityShare(now time.Duration, to *backend) float64 {
-	if to.warm() || b.settings.Rules.SlowStartDuration <= 0 {
+func (b *Balancer) capacityShare(now time.Duration, target *backend) float64 {
+	if target.warm() || b.settings.Rules.SlowStartDuration <= 0 {
 		return 1
 	}
-	age := float64(now-to.slowStartSince) / float64(b.settings.Rules.SlowStartDuration)
+	age := float64(now-target.slowStartSince) / float64(b.settings.Rules.SlowStartDuration)
 	return b.settings.Rules.SlowStartCapacity + (1-b.settings.Rules.SlowStartCapacity)*min(max(age, 0), 1)
 }
 
@@ -233,15 +233,15 @@
 // expectedLatency returns how long the backend will probably take for the request, in ms: by this balancer's
 // own requests there and, if there are many balancers, by its load reports (Little's law: requests held over
 // completions per second).
-func (b *Balancer) expectedLatency(now time.Duration, r *request, to *backend) float64 {
-	perWork := to.latencyPerWork
+func (b *Balancer) expectedLatency(now time.Duration, r *request, target *backend) float64 {
+	perWork := target.latencyPerWork
 	if perWork == 0 {
 		perWork = b.latencyPerWork
 	}
-	ms := (to.backlog + r.work) * perWork
-	c := &to.reports
+	ms := (target.backlog + r.work) * perWork
+	c := &target.reports
 	if b.manyBalancers() && c.fresh(now) && c.meanCompletionRate > 0 {
-		ms = max(ms, 1000*(c.meanOthers+float64(to.inflight))/c.meanCompletionRate)
+		ms = max(ms, 1000*(c.meanOthers+float64(target.inflight))/c.meanCompletionRate)
 	}
 	return ms
 }
@@ -259,10 +259,10 @@
 // in transit: where that takes long, a bound on all of them would leave the backend idle. The transit time
 // of a zone is its fastest answer's latency less a light request's work. It never rises, so that a jam
 // does not look like a long path. A request that is mostly in transit makes no room for another.
-func (b *Balancer) effectiveLoad(to *backend) float64 {
-	transit := to.path.fastestAnswer - b.meanWork/4
-	if to.path.answerCount < pathMinAnswers || transit <= b.meanWork/4 || to.latency <= 0 {
-		return float64(to.inflight)
+func (b *Balancer) effectiveLoad(target *backend) float64 {
+	transit := target.path.fastestAnswer - b.meanWork/4
+	if target.path.answerCount < pathMinAnswers || transit <= b.meanWork/4 || target.latency <= 0 {
+		return float64(target.inflight)
 	}
-	return float64(to.inflight)*(1-min(transit/to.latency, pathMaxShare)) + 0.25
+	return float64(target.inflight)*(1-min(transit/target.latency, pathMaxShare)) + 0.25
 }
--- a/exclusion.go
+++ b/exclusion.go
@@ -7,8 +7,8 @@
 func (b *Balancer) Exclude(now time.Duration, id BackendID) {
 	b.ensureStarted(now)
 	b.excluded[id] = true
-	if to := b.backends[id]; to != nil {
-		to.excluded = true
+	if target := b.backends[id]; target != nil {
+		target.excluded = true
 		b.rebuildGroups(now)
 	}
 }
@@ -18,15 +18,15 @@
 func (b *Balancer) Include(now time.Duration, id BackendID, since time.Duration) {
 	b.ensureStarted(now)
 	delete(b.excluded, id)
-	to := b.backends[id]
-	if to == nil {
+	target := b.backends[id]
+	if target == nil {
 		return
 	}
-	to.excluded = false
-	to.resetEjection()
-	since = max(since, to.StartedAt)
+	target.excluded = false
+	target.resetEjection()
+	since = max(since, target.StartedAt)
 	if now < since+b.settings.Rules.SlowStartDuration {
-		b.startSlowStart(now, to, since)
+		b.startSlowStart(now, target, since)
 	}
 	b.rebuildGroups(now)
 }
--- a/load_reports.go
+++ b/load_reports.go
@@ -48,8 +48,8 @@
 }
 
 // sendersTo returns how many balancers send to the backend, if they are spread evenly over the zones.
-func (b *Balancer) sendersTo(to *backend) float64 {
-	if to.locality == remoteZones {
+func (b *Balancer) sendersTo(target *backend) float64 {
+	if target.locality == remoteZones {
 		return float64(b.settings.BalancerCount)
 	}
 	return max(float64(b.settings.BalancerCount)/float64(max(len(b.settings.Zones), 1)), 1)
@@ -59,10 +59,10 @@
 // balancers. It decays slowly, because an overloaded fleet completes less than it can.
 func (b *Balancer) updatePeakCompletionRate() {
 	var rate, size float64
-	for _, to := range b.sorted {
-		if to.warm() && to.reports.reportedAt > 0 && to.State == Ready {
-			rate += to.reports.meanCompletionRate
-			size += to.Size
+	for _, target := range b.sorted {
+		if target.warm() && target.reports.reportedAt > 0 && target.State == Ready {
+			rate += target.reports.meanCompletionRate
+			size += target.Size
 		}
 	}
 	b.peakCompletionRate *= peakRateRetention
@@ -76,9 +76,9 @@
 // answer that takes twice as long as its work found as much work before it.
 func (b *Balancer) meanInflight(now time.Duration, g *group) (inflight float64, known bool) {
 	reporting := 0.0
-	for _, to := range g.members {
-		if to.warm() && to.reports.fresh(now) {
-			inflight += to.reports.estimateOthers(now, to.reports.meanOthers) + float64(to.inflight)
+	for _, target := range g.members {
+		if target.warm() && target.reports.fresh(now) {
+			inflight += target.reports.estimateOthers(now, target.reports.meanOthers) + float64(target.inflight)
 			reporting++
 		}
 	}
--- a/outlier_ejection.go
+++ b/outlier_ejection.go
@@ -9,10 +9,10 @@
 )
 
 // recordFailure counts a failure; so many in a row eject. A failed trial ejects again at once.
-func (b *Balancer) recordFailure(now time.Duration, to *backend, most int) {
-	to.consecutiveFailures++
-	if to.ejections > 0 || to.consecutiveFailures >= most {
-		b.eject(now, to)
+func (b *Balancer) recordFailure(now time.Duration, target *backend, most int) {
+	target.consecutiveFailures++
+	if target.ejections > 0 || target.consecutiveFailures >= most {
+		b.eject(now, target)
 	}
 }
 
@@ -21,70 +21,70 @@
 func (b *Balancer) ejectSilent(now time.Duration, r *request) (overdue bool) {
 	for i := range r.attempts {
 		t := &r.attempts[i]
-		to := t.backend
-		if t.ended || now-t.sentAt < b.silenceTimeout(&b.groups[to.locality], r.work) {
+		target := t.backend
+		if t.ended || now-t.sentAt < b.silenceTimeout(&b.groups[target.locality], r.work) {
 			continue
 		}
 		overdue = true
-		if to.lastAnswerAt < t.sentAt && to.ejections == 0 {
-			b.eject(now, to)
+		if target.lastAnswerAt < t.sentAt && target.ejections == 0 {
+			b.eject(now, target)
 		}
 	}
 	return overdue
 }
 
 // eject takes a backend out of its group, for longer each time in a row; a single trial brings it back.
-func (b *Balancer) eject(now time.Duration, to *backend) {
-	to.ejections++
-	to.consecutiveFailures, to.healthCheckPassed = 0, false
-	base := max(b.silenceTimeout(&b.groups[to.locality], b.meanWork), b.shortestObjective)
-	pause := base << min(to.ejections, 4)
-	to.trialAt = now + pause/2 + jitter(b.rng, pause)
+func (b *Balancer) eject(now time.Duration, target *backend) {
+	target.ejections++
+	target.consecutiveFailures, target.healthCheckPassed = 0, false
+	base := max(b.silenceTimeout(&b.groups[target.locality], b.meanWork), b.shortestObjective)
+	pause := base << min(target.ejections, 4)
+	target.trialAt = now + pause/2 + jitter(b.rng, pause)
 	b.groupsStale = true
 }
 
 // trialDue reports whether an ejected backend may get its trial: after the pause and any health check.
-func (b *Balancer) trialDue(now time.Duration, to *backend) bool {
-	return now >= to.trialAt && (to.healthCheckPassed || !b.settings.Limits.HealthChecks)
+func (b *Balancer) trialDue(now time.Duration, target *backend) bool {
+	return now >= target.trialAt && (target.healthCheckPassed || !b.settings.Limits.HealthChecks)
 }
 
 // startHealthCheckIfDue starts the health check that precedes the trial of an ejected backend.
-func (b *Balancer) startHealthCheckIfDue(now time.Duration, to *backend) {
-	due := to.ejections > 0 && now >= to.trialAt && to.available()
-	if due && b.settings.Limits.HealthChecks && !to.healthCheckPassed && !to.healthCheckInflight {
-		to.healthCheckInflight = true
-		b.host.HealthCheck(to.ID)
+func (b *Balancer) startHealthCheckIfDue(now time.Duration, target *backend) {
+	due := target.ejections > 0 && now >= target.trialAt && target.available()
+	if due && b.settings.Limits.HealthChecks && !target.healthCheckPassed && !target.healthCheckInflight {
+		target.healthCheckInflight = true
+		b.host.HealthCheck(target.ID)
 	}
 }
 
 // HealthCheckCompleted takes a health check's result: OK allows the trial, any other status ejects again.
 func (b *Balancer) HealthCheckCompleted(now time.Duration, id BackendID, status Status) {
 	b.ensureStarted(now)
-	to := b.backends[id]
-	if to == nil || !to.healthCheckInflight {
+	target := b.backends[id]
+	if target == nil || !target.healthCheckInflight {
 		return
 	}
-	to.healthCheckInflight = false
-	to.connectFailures += indicator(status == ConnectFailed)
+	target.healthCheckInflight = false
+	target.connectFailures += indicator(status == ConnectFailed)
 	if status == OK {
-		to.healthCheckPassed, b.groupsStale = true, true
+		target.healthCheckPassed, b.groupsStale = true, true
 		return
 	}
-	b.eject(now, to)
+	b.eject(now, target)
 }
 
 // endEjection follows a good answer. If connects kept failing, the process may be a new one: the backend
 // is in slow start until the list has had time to name a restart. Otherwise it is as warm as before.
-func (b *Balancer) endEjection(now time.Duration, to *backend) {
-	mayHaveRestarted := to.connectFailures >= 2
-	to.consecutiveFailures, to.connectFailures = 0, 0
-	if to.ejections == 0 {
+func (b *Balancer) endEjection(now time.Duration, target *backend) {
+	mayHaveRestarted := target.connectFailures >= 2
+	target.consecutiveFailures, target.connectFailures = 0, 0
+	if target.ejections == 0 {
 		return
 	}
-	to.ejections = 0
-	if to.warm() && mayHaveRestarted {
-		b.startSlowStart(now, to, now)
-		to.assumedRestartUntil = now + b.settings.Rules.SlowStartDuration/4
+	target.ejections = 0
+	if target.warm() && mayHaveRestarted {
+		b.startSlowStart(now, target, now)
+		target.assumedRestartUntil = now + b.settings.Rules.SlowStartDuration/4
 	}
 	b.groupsStale = true
 }
--- a/selection.go
+++ b/selection.go
@@ -18,7 +18,7 @@
 	request *request
 	group   *group
 	lane    int
-	maxLoad float64 // the effective load on the backend is less
+	maxLoad float64 // exclusive bound on the effective load
 }
 
 // dispatch starts an attempt of the request, or returns false if no backend can take it now.
@@ -26,11 +26,11 @@
 	if b.groupsStale {
 		b.rebuildGroups(now)
 	}
-	to := b.selectBackend(now, r)
-	if to == nil {
+	target := b.selectBackend(now, r)
+	if target == nil {
 		return false
 	}
-	b.startAttempt(now, r, to)
+	b.startAttempt(now, r, target)
 	return true
 }
 
@@ -43,11 +43,11 @@
 		}
 		for _, lane := range [2]int{r.lane, 1 - r.lane} {
 			s := search{now: now, request: r, group: g, lane: lane, maxLoad: level.maxLoad}
-			if to := b.rendezvousPick(s); to != nil {
-				return to
+			if target := b.rendezvousPick(s); target != nil {
+				return target
 			}
-			if to := b.weightedRoundRobin(s); to != nil {
-				return to
+			if target := b.weightedRoundRobin(s); target != nil {
+				return target
 			}
 		}
 	}
@@ -62,20 +62,20 @@
 	for i := range 3 * len(members) {
 		turn := (g.nextTurn[s.lane] + 1) % len(members)
 		g.nextTurn[s.lane] = turn
-		to := members[turn]
-		to.credit = min(to.credit+g.laneWeight(s.lane, turn)/g.maxLaneWeight[s.lane], 1)
+		target := members[turn]
+		target.credit = min(target.credit+g.laneWeight(s.lane, turn)/g.maxLaneWeight[s.lane], 1)
 		noneHasCapacity := i >= len(members) && fallback == nil
-		if noneHasCapacity || !b.canServeInTime(s, to, totalInflightBound*s.maxLoad) {
+		if noneHasCapacity || !b.canServeInTime(s, target, totalInflightBound*s.maxLoad) {
 			continue
 		}
-		if to.credit < 1 {
+		if target.credit < 1 {
 			if fallback == nil {
-				fallback = to
+				fallback = target
 			}
 			continue
 		}
-		to.credit--
-		return to
+		target.credit--
+		return target
 	}
 	return fallback
 }
@@ -86,25 +86,25 @@
 	if !b.settings.KeyAffinity || s.request.Key == 0 {
 		return nil
 	}
-	to := rendezvousMember(s.group.laneMembers(s.lane), s.request.Key)
-	if to.latency > 2*s.group.latency || !b.canServeInTime(s, to, totalInflightBoundKey) {
+	target := rendezvousMember(s.group.laneMembers(s.lane), s.request.Key)
+	if target.latency > 2*s.group.latency || !b.canServeInTime(s, target, totalInflightBoundKey) {
 		return nil
 	}
-	return to
+	return target
 }
 
 // leastExpectedLatency is the last resort, if no backend with capacity is likely to meet the objective.
 func (b *Balancer) leastExpectedLatency(now time.Duration, r *request) *backend {
 	var best *backend
 	for _, level := range b.levels[1:] {
-		for _, to := range b.groups[level.locality].members {
-			if !b.hasCapacity(now, to, level.maxLoad, totalInflightBoundLast) || b.failsClass(now, r, to) ||
-				r.attemptedOn(to) || !b.mayStartAttempt(now, r, to) {
+		for _, target := range b.groups[level.locality].members {
+			if !b.hasCapacity(now, target, level.maxLoad, totalInflightBoundLast) ||
+				b.failsClass(now, r, target) || r.attemptedOn(target) || !b.mayStartAttempt(now, r, target) {
 				continue
 			}
-			late := b.manyBalancers() && !b.meetsObjective(now, r, to)
-			if !late && (best == nil || b.expectedLatency(now, r, to) < b.expectedLatency(now, r, best)) {
-				best = to
+			late := b.manyBalancers() && !b.meetsObjective(now, r, target)
+			if !late && (best == nil || b.expectedLatency(now, r, target) < b.expectedLatency(now, r, best)) {
+				best = target
 			}
 		}
 	}
@@ -112,46 +112,46 @@
 }
 
 // canServeInTime reports whether the backend may get the request and is likely to meet its objective.
-func (b *Balancer) canServeInTime(s search, to *backend, maxTotal float64) bool {
-	return b.hasCapacity(s.now, to, s.maxLoad, maxTotal) && b.meetsObjective(s.now, s.request, to) &&
-		!s.request.attemptedOn(to) && b.mayStartAttempt(s.now, s.request, to)
+func (b *Balancer) canServeInTime(s search, target *backend, maxTotal float64) bool {
+	return b.hasCapacity(s.now, target, s.maxLoad, maxTotal) && b.meetsObjective(s.now, s.request, target) &&
+		!s.request.attemptedOn(target) && b.mayStartAttempt(s.now, s.request, target)
 }
 
 // hasCapacity reports whether the backend is below the bounds on this balancer's load and on all requests.
-func (b *Balancer) hasCapacity(now time.Duration, to *backend, maxLoad, maxTotal float64) bool {
-	return b.effectiveLoad(to) < maxLoad && !b.reservedForOtherZones(to) &&
-		!b.totalInflightReaches(now, to, maxTotal)
+func (b *Balancer) hasCapacity(now time.Duration, target *backend, maxLoad, maxTotal float64) bool {
+	return b.effectiveLoad(target) < maxLoad && !b.reservedForOtherZones(target) &&
+		!b.totalInflightReaches(now, target, maxTotal)
 }
 
-// failsClass reports whether the backend lately failed this class, but serves others. It gets a try at times.
-func (b *Balancer) failsClass(now time.Duration, r *request, to *backend) bool {
-	own, least := to.failureShare[r.Class], 1.0
-	for class, share := range to.failureShare {
+// failsClass reports whether the backend fails this class but serves others. It lapses if nothing is sent.
+func (b *Balancer) failsClass(now time.Duration, r *request, target *backend) bool {
+	own, least := target.failureShare[r.Class], 1.0
+	for class, share := range target.failureShare {
 		if class != r.Class {
 			least = min(least, share)
 		}
 	}
-	sentLately := now < to.lastSentAt[r.Class]+4*r.class.LatencyObjective
+	sentLately := now < target.lastSentAt[r.Class]+4*r.class.LatencyObjective
 	return own > failsClassShare && own > 3*least && sentLately
 }
 
 // meetsObjective reports whether the backend is likely to answer in time, with what is queued there.
-func (b *Balancer) meetsObjective(now time.Duration, r *request, to *backend) bool {
+func (b *Balancer) meetsObjective(now time.Duration, r *request, target *backend) bool {
 	left := objectiveShare * float64(r.objective-now) / float64(time.Millisecond)
-	return !b.failsClass(now, r, to) && b.expectedLatency(now, r, to) <= left
+	return !b.failsClass(now, r, target) && b.expectedLatency(now, r, target) <= left
 }
 
 // spills reports whether a request to the backend leaves this zone though it has backends.
-func (b *Balancer) spills(to *backend) bool {
-	return to.locality == remoteZones && len(b.groups[localZone].members) > 0
+func (b *Balancer) spills(target *backend) bool {
+	return target.locality == remoteZones && len(b.groups[localZone].members) > 0
 }
 
-// reservedForOtherZones reports whether the backend is left to others' spill: that of all would overload it.
-func (b *Balancer) reservedForOtherZones(to *backend) bool {
-	return b.spills(to) && to.spillRank*float64(b.settings.BalancerCount-1) > b.maxSpillers
+// reservedForOtherZones reports whether only others may spill to the backend: all together would overload it.
+func (b *Balancer) reservedForOtherZones(target *backend) bool {
+	return b.spills(target) && target.spillRank*float64(b.settings.BalancerCount-1) > b.maxSpillers
 }
 
-// balanceLanes moves the split towards equal lateness in both lanes: to twice or half what the hints say.
+// balanceLanes moves the split towards equal lateness: the small lane gets half to twice its share by hints.
 func (b *Balancer) balanceLanes(step float64, lane int, late float64) {
 	b.lateByLane[lane] += groupSmoothing * (late - b.lateByLane[lane])
 	b.laneOffset += step * (b.lateByLane[largeLane] - b.lateByLane[smallLane])
@@ -165,10 +165,10 @@
 	for i := range b.groups {
 		b.groups[i].members = b.groups[i].members[:0]
 	}
-	for _, to := range b.sorted {
-		if to.available() && (to.ejections == 0 || b.trialDue(now, to)) {
-			g := &b.groups[to.locality]
-			g.members = append(g.members, to)
+	for _, target := range b.sorted {
+		if target.available() && (target.ejections == 0 || b.trialDue(now, target)) {
+			g := &b.groups[target.locality]
+			g.members = append(g.members, target)
 		}
 	}
 	for i := range b.groups {
@@ -180,15 +180,15 @@
 // updateWeights weighs a group's members by size, slow start and latency, and sums them up.
 func (b *Balancer) updateWeights(now time.Duration, g *group) {
 	g.weight, g.warmSize, g.meanOthers = 0, 0, 0
-	for _, to := range g.members {
-		to.weight = to.Size * b.capacityShare(now, to)
-		if to.latency > 0 && g.latency > 0 {
-			to.weight *= min(max(g.latency/to.latency, 1.0/8), 2)
+	for _, target := range g.members {
+		target.weight = target.Size * b.capacityShare(now, target)
+		if target.latency > 0 && g.latency > 0 {
+			target.weight *= min(max(g.latency/target.latency, 1.0/8), 2)
 		}
-		g.weight += to.weight
-		g.meanOthers += to.reports.meanOthers / float64(len(g.members))
-		if to.warm() {
-			g.warmSize += to.Size
+		g.weight += target.weight
+		g.meanOthers += target.reports.meanOthers / float64(len(g.members))
+		if target.warm() {
+			g.warmSize += target.Size
 		}
 	}
 }
--- a/settings.go
+++ b/settings.go
@@ -84,10 +84,10 @@
 	s.Classes = slices.Clone(s.Classes) // open requests point to theirs
 	b.settings = s
 	b.deriveFromSettings()
-	for _, to := range b.sorted {
-		for len(to.failureShare) < len(s.Classes) {
-			to.failureShare = append(to.failureShare, 0)
-			to.lastSentAt = append(to.lastSentAt, 0)
+	for _, target := range b.sorted {
+		for len(target.failureShare) < len(s.Classes) {
+			target.failureShare = append(target.failureShare, 0)
+			target.lastSentAt = append(target.lastSentAt, 0)
 		}
 	}
 	return nil
--- a/state.go
+++ b/state.go
@@ -150,15 +150,15 @@
 }
 
 // warm reports whether the backend is not in slow start.
-func (to *backend) warm() bool { return to.slowStartSince < 0 }
+func (target *backend) warm() bool { return target.slowStartSince < 0 }
 
 // available reports whether the list and the operators allow new requests to the backend.
-func (to *backend) available() bool { return to.State == Ready && !to.excluded }
+func (target *backend) available() bool { return target.State == Ready && !target.excluded }
 
 // resetEjection forgets the failures of a process that has been replaced.
-func (to *backend) resetEjection() {
-	to.ejections, to.consecutiveFailures = 0, 0
-	to.trialInflight, to.healthCheckPassed = false, false
+func (target *backend) resetEjection() {
+	target.ejections, target.consecutiveFailures = 0, 0
+	target.trialInflight, target.healthCheckPassed = false, false
 }
 
 // attempt is one sending of a request to a backend.
@@ -202,9 +202,9 @@
 }
 
 // attemptedOn reports whether an attempt has gone to the backend.
-func (r *request) attemptedOn(to *backend) bool {
+func (r *request) attemptedOn(target *backend) bool {
 	for i := range r.attempts {
-		if r.attempts[i].backend == to {
+		if r.attempts[i].backend == target {
 			return true
 		}
 	}
@@ -242,14 +242,14 @@
 // endAttempt records the end of an attempt and takes it off the counts of what is in flight.
 func (b *Balancer) endAttempt(r *request, o Outcome) *attempt {
 	t := &r.attempts[o.Attempt]
-	to := t.backend
+	target := t.backend
 	t.ended, t.status = true, o.Status
 	r.inflight--
-	to.inflight--
+	target.inflight--
 	if t.warm {
-		b.groups[to.locality].inflight--
+		b.groups[target.locality].inflight--
 	}
-	to.backlog = max(to.backlog-r.work, 0)
+	target.backlog = max(target.backlog-r.work, 0)
 	return t
 }
 
@@ -270,27 +270,27 @@
 	if b.zonePaths[e.Zone] == nil {
 		b.zonePaths[e.Zone] = &zonePath{}
 	}
-	to := &backend{
+	target := &backend{
 		Endpoint: e, excluded: b.excluded[e.ID], idHash: mixBits(uint64(e.ID)),
 		spillRank: b.rng.Float64(), path: b.zonePaths[e.Zone], slowStartSince: -1,
 		lastSentAt:   make([]time.Duration, len(b.settings.Classes)),
 		failureShare: make([]float64, len(b.settings.Classes)),
 	}
 	if e.Zone != b.settings.Zone {
-		to.locality = remoteZones
+		target.locality = remoteZones
 	}
-	b.backends[e.ID] = to
-	b.sorted = append(b.sorted, to)
-	return to
+	b.backends[e.ID] = target
+	b.sorted = append(b.sorted, target)
+	return target
 }
 
 // reindexBackends drops the backends that are gone, updates the groups' full sizes and sorts.
 func (b *Balancer) reindexBackends() {
-	b.sorted = slices.DeleteFunc(b.sorted, func(to *backend) bool {
-		if to.State != Gone {
+	b.sorted = slices.DeleteFunc(b.sorted, func(target *backend) bool {
+		if target.State != Gone {
 			return false
 		}
-		delete(b.backends, to.ID)
+		delete(b.backends, target.ID)
 		return true
 	})
 	b.updateFullSizes()
@@ -301,8 +301,8 @@
 // in slow start is left must not be taken for a small zone.
 func (b *Balancer) updateFullSizes() {
 	var size [2]float64
-	for _, to := range b.sorted {
-		size[to.locality] += to.Size
+	for _, target := range b.sorted {
+		size[target.locality] += target.Size
 	}
 	for i := range b.groups {
 		b.groups[i].fullSize = max(b.groups[i].fullSize, size[i])
@@ -337,8 +337,8 @@
 	for i := range b.groups {
 		g := &b.groups[i]
 		inSlowStart := 0
-		for _, to := range g.members {
-			if !to.warm() {
+		for _, target := range g.members {
+			if !target.warm() {
 				inSlowStart++
 			}
 		}
