--- a/snapshot.go
+++ b/snapshot.go
@@ -5,12 +5,13 @@
 // restoredHintCount is the weight of a restored snapshot, in cost hints of the balancer's own.
 const restoredHintCount = 16
 
-// Snapshot is what a balancer has learnt of its traffic, for the process that takes over from it.
+// Snapshot is what a balancer has learnt of its traffic, for the process that takes over from it. The tags
+// are the keys in handover records, which other versions of the program read.
 type Snapshot struct {
-	Median     float64 // of the cost hints, ms
-	MeanWork   float64 // of a request, ms
-	LargeShare float64 // of the work, in requests above the median
-	Usual      float64 // peak completions per second of a warm backend of size 1; 0: not known
+	Median     float64 `json:"Median"`     // of the cost hints, ms
+	MeanWork   float64 `json:"MeanWork"`   // of a request, ms
+	LargeShare float64 `json:"LargeShare"` // of the work, in requests above the median
+	Usual      float64 `json:"Usual"`      // peak completions per second of a warm backend of size 1; 0: not known
 }
 
 // usable reports whether the figures are possible, and of at least one hint.
