--- /dev/null
+++ b/admission_test.go
@@ -0,0 +1,209 @@
+package piernotch
+
+import (
+	"math"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// Overload rejects the lowest priority first, and shedding decays when everything is rejected.
+func TestSheddingFollowsPriorityAndRecovers(t *testing.T) {
+	s := testSettings()
+	s.Classes[dedupEverywhereClass].PriorityWeight = 10
+	b, h := newTestBalancer(t, s, testEndpoints(2, 1))
+	now := time.Second
+	for i := range 2000 {
+		now += 5 * ms
+		r := newTestRequest(RequestID(i), i%2, 10)
+		r.Deadline = now + 2*time.Second
+		before := len(h.attempts)
+		b.HandleRequest(now, r)
+		if len(h.attempts) > before {
+			b.HandleOutcome(now, Outcome{ID: r.ID, Backend: h.last().to, Latency: 450 * ms, Closed: true})
+		}
+		b.Timer(now, tickToken)
+	}
+	low, high := 0, 0
+	for _, id := range h.rejected {
+		if id%2 == 1 {
+			high++
+		} else {
+			low++
+		}
+	}
+	if low < 100 || high > low {
+		t.Fatalf("rejected %d of low weight and %d of high weight", low, high)
+	}
+	b.shedShare = 1 // nothing is sent, so there are no answers
+	for range int(20 * time.Second / b.tickInterval) {
+		now += b.tickInterval
+		b.Timer(now, tickToken)
+	}
+	if b.shedShare > 0.5 {
+		t.Fatalf("shedding stays at %.2f without late answers", b.shedShare)
+	}
+}
+
+func TestOverQuotaRequestsHaveLowerPriority(t *testing.T) {
+	s := testSettings()
+	s.OverQuotaWeight = 0.1
+	s.Tenants = []Tenant{{QuotaPerSec: 20}, {}}
+	b, _ := newTestBalancer(t, s, testEndpoints(2, 1))
+	over := 0
+	for i := range 40 {
+		now := time.Second + time.Duration(i)*25*ms
+		r := b.newRequest(now, Request{ID: RequestID(i), CostHint: 5, Deadline: 9 * time.Second})
+		if b.priorities[r.priority].weight < 1 {
+			over++
+		}
+	}
+	if over < 15 || over > 30 { // 40 per second against this balancer's half of 20
+		t.Errorf("%d of 40 were over the quota", over)
+	}
+	r := b.newRequest(time.Second, Request{ID: 99, Tenant: 1, CostHint: 5})
+	if b.priorities[r.priority].weight < 1 {
+		t.Error("a tenant without a quota was over it")
+	}
+}
+
+// Of two classes of equal weight, the one whose clients wait for longer must not take the other's part of the
+// capacity, and both have the same share rejected.
+func TestClassesOfEqualWeightShareCapacityEqually(t *testing.T) {
+	set := testSettings()
+	set.BalancerCount = 100
+	b, _ := newTestBalancer(t, set, testEndpoints(2, 1))
+	x, y := &b.priorities[2*idempotentClass], &b.priorities[2*nonIdempotentClass]
+	if x.precedence != y.precedence {
+		t.Fatalf("bands %+v and %+v", x, y)
+	}
+	x.arrived, x.forwarded = 100, 20
+	y.arrived, y.forwarded = 100, 80
+	b.shedShare = 0.5
+	b.updatePriorities()
+	if !x.starved || y.starved {
+		t.Errorf("starved: %v and %v, though a fifth of the first's work was forwarded and four of the other's", x.starved, y.starved)
+	}
+	if math.Abs(x.rejectShare-y.rejectShare) > 1e-9 || x.rejectShare < 0.4 || x.rejectShare > 0.6 {
+		t.Errorf("rejected shares %.2f and %.2f", x.rejectShare, y.rejectShare)
+	}
+	first := &request{Request: Request{ID: 1}, priority: 2 * nonIdempotentClass}
+	second := &request{Request: Request{ID: 2}, priority: 2 * idempotentClass}
+	if b.precedes(first, second) || !b.precedes(second, first) {
+		t.Error("a starved band does not go first")
+	}
+	x.starved = false
+	if !b.precedes(first, second) || b.precedes(second, first) {
+		t.Error("the first arrival does not go first")
+	}
+}
+
+// If the weight is per request, two light requests precede a heavy one of somewhat more weight; if it is per
+// work, they do not.
+func TestWeightPerRequestAndPerWork(t *testing.T) {
+	for _, perRequest := range []bool{false, true} {
+		set := testSettings()
+		set.BalancerCount, set.WeightPerRequest = 100, perRequest
+		set.Classes[idempotentClass].PriorityWeight = 2
+		set.Classes[nonIdempotentClass].PriorityWeight = 3
+		b, _ := newTestBalancer(t, set, testEndpoints(2, 1))
+		for i := range b.fastAnswers {
+			b.fastAnswers[i] = 20
+		}
+		b.fastAnswers[nonIdempotentClass] = 80
+		b.priorities[2*idempotentClass].arrived = 100
+		b.priorities[2*nonIdempotentClass].arrived = 100
+		b.shedShare = 0.5
+		b.updatePriorities()
+		light := &request{Request: Request{ID: 2}, priority: 2 * idempotentClass}
+		heavy := &request{Request: Request{ID: 1}, priority: 2 * nonIdempotentClass}
+		if got := b.precedes(light, heavy); got != perRequest {
+			t.Errorf("per request %v: the light one goes first: %v", perRequest, got)
+		}
+		got := b.priorities[heavy.priority].rejectShare > b.priorities[light.priority].rejectShare
+		if got != perRequest {
+			t.Errorf("per request %v: more of the heavy ones is rejected: %v", perRequest, got)
+		}
+	}
+}
+
+// Twice as much arrives as one backend completes, in two classes. By weight alone, the lower one would get
+// nothing for as long as that lasts.
+func TestNoClassStarvesUnderSustainedOverload(t *testing.T) {
+	s := manyBalancersSettings()
+	s.Classes[nonIdempotentClass].PriorityWeight = 3
+	b, h := newTestBalancer(t, s, testEndpoints(1, 1))
+	served, sends := map[int]int{}, 0
+	class := func(id RequestID) int { return int(id) % 2 * nonIdempotentClass }
+	for now, id := time.Second, RequestID(2); now < 9*time.Second; now += 20 * ms {
+		for range 2 {
+			b.HandleRequest(now, Request{ID: id, Class: class(id), Deadline: now + 2*time.Second, CostHint: 10})
+			id++
+		}
+		if sends < len(h.attempts) {
+			a := h.attempts[sends]
+			sends++
+			served[class(a.id)]++
+			completeAttempt(b, now, a.id, 0, a.to, OK)
+		}
+		if (now-time.Second)%b.tickInterval < 20*ms {
+			b.Timer(now, tickToken)
+		}
+	}
+	low, high := served[idempotentClass], served[nonIdempotentClass]
+	require.Greater(t, low+high, 300)
+	require.Greater(t, low, high/3, "%d of %d", low, low+high)
+}
+
+// Under steady overload the queue stays short: a request that would wait for long is rejected at once, so
+// that client connections are free for more important ones. A longer queue would send no more.
+func TestTooLongQueueIsRejectedAtOnce(t *testing.T) {
+	s := testSettings()
+	s.Classes[nonIdempotentClass].PriorityWeight = 5
+	b, h := newTestBalancer(t, s, testEndpoints(4, 1))
+	type inflightAttempt struct {
+		startedAttempt
+		endsAt time.Duration
+	}
+	var inflight []inflightAttempt
+	mostWaiting, arrived, important := 0, 0, 0
+	class := map[RequestID]int{}
+	for now := time.Second; now < 6*time.Second; now += 5 * ms {
+		for len(inflight) > 0 && inflight[0].endsAt <= now {
+			a := inflight[0]
+			inflight = inflight[1:]
+			completeAttempt(b, now, a.id, 0, a.to, OK)
+		}
+		for range 2 { // 400 per second
+			arrived++
+			r := newTestRequest(RequestID(arrived), idempotentClass, 10)
+			if arrived%5 == 0 {
+				r.Class = nonIdempotentClass
+				important++
+			}
+			class[r.ID] = r.Class
+			r.Deadline = now + 2*time.Second
+			b.HandleRequest(now, r)
+		}
+		b.Timer(now, tickToken)
+		for _, a := range h.attempts {
+			inflight = append(inflight, inflightAttempt{a, now + 200*ms})
+		}
+		h.attempts = h.attempts[:0]
+		waiting := 0
+		for _, r := range b.openRequests {
+			waiting += int(indicator(r.inflight == 0))
+		}
+		mostWaiting = max(mostWaiting, waiting)
+	}
+	rejectedImportant := 0
+	for _, id := range h.rejected {
+		rejectedImportant += int(indicator(class[id] == nonIdempotentClass))
+	}
+	require.Less(t, mostWaiting, 40, "160 per second for a quarter of 500 ms")
+	importantShare := float64(rejectedImportant) / float64(important)
+	require.Less(t, importantShare, 0.3*float64(len(h.rejected)-rejectedImportant)/float64(arrived-important),
+		"the higher weight goes first")
+	require.Greater(t, len(h.rejected), arrived/4)
+}
--- /dev/null
+++ b/attempts.go
@@ -0,0 +1,161 @@
+package piernotch
+
+import "time"
+
+const retryBudgetShare = 0.15 // retries and hedged requests, as a share of requests
+
+// mayStartAttempt is the guard that every attempt passes. No other function knows these rules.
+func (b *Balancer) mayStartAttempt(now time.Duration, r *request, target *backend) bool {
+	if r.done || r.streaming || now >= r.Deadline || len(r.attempts) >= b.settings.Limits.MaxAttempts {
+		return false
+	}
+	mayHedge := b.settings.Limits.HedgedRequests && r.class.RetrySafety != NonIdempotent
+	if !target.available() || r.inflight > 0 && !mayHedge {
+		return false
+	}
+	if first := r.firstMaybeExecuted(); first != nil && !r.mayRepeatOn(now, first, target) {
+		return false
+	}
+	if target.ejections > 0 && (target.trialInflight || !b.trialDue(now, target)) {
+		return false
+	}
+	if target.warm() {
+		return !b.groups[target.locality].atInflightLimit()
+	}
+	return b.slowStartAllows(now, r, target)
+}
+
+// AttemptAllowed reports whether an attempt may still be written now that it has a connection. Meanwhile its
+// request may have been answered, its backend be draining, or the class's deduplication window have closed.
+func (b *Balancer) AttemptAllowed(now time.Duration, id RequestID, try int) bool {
+	r := b.requests[id]
+	if r == nil || r.done || try < 0 || try >= len(r.attempts) || now >= r.Deadline {
+		return false
+	}
+	target := r.attempts[try].backend
+	for i := range r.attempts { // later ones, too: the one that waited for a connection is then the repeat
+		other := &r.attempts[i]
+		if i != try && other.mayHaveExecuted() && !r.mayRepeatOn(now, other, target) {
+			return false
+		}
+	}
+	return target.available()
+}
+
+// mayRepeatOn reports whether a request that may have executed in the attempt first may also go to the
+// backend. The transit there, half of the fastest answer's latency, must end within the deduplication window.
+func (r *request) mayRepeatOn(now time.Duration, first *attempt, target *backend) bool {
+	transit := milliseconds(target.path.fastestAnswer / 2)
+	switch {
+	case r.class.RetrySafety == Idempotent:
+		return true
+	case r.class.RetrySafety == NonIdempotent, now+transit > first.sentAt+r.class.DedupWindow:
+		return false
+	case r.class.DedupScope == DedupInZone:
+		return target.Zone == first.backend.Zone
+	case r.class.DedupScope == DedupInCell:
+		return target.Cell == first.backend.Cell
+	}
+	return true
+}
+
+// startAttempt sends the request to the backend. The guard has allowed it.
+func (b *Balancer) startAttempt(now time.Duration, r *request, target *backend) {
+	target.inflight++
+	target.backlog += r.work
+	target.lastSentAt[r.Class] = now
+	b.sendRate.add(now, r.work)
+	if len(r.attempts) == 0 {
+		b.priorities[r.priority].forwarded += r.work
+	}
+	warm := target.warm()
+	if warm {
+		b.groups[target.locality].inflight++
+		b.groups[target.locality].sendRate.add(now, r.work)
+	} else {
+		target.nextSlowStartSend = max(target.nextSlowStartSend, now) + b.slowStartPause(now, target)
+	}
+	target.trialInflight = target.trialInflight || target.ejections > 0
+	r.attempts = append(r.attempts, attempt{backend: target, sentAt: now, warm: warm})
+	r.inflight++
+	b.host.StartAttempt(r.ID, target.ID, b.attemptDeadline(r)-now)
+}
+
+// attemptDeadline is when an answer is no longer worth the backend's work.
+func (b *Balancer) attemptDeadline(r *request) time.Duration {
+	if r.class.LateWeightShare > 0 && b.shedShare == 0 {
+		return r.Deadline
+	}
+	return r.objective
+}
+
+func (b *Balancer) addRetryBudget() {
+	most := float64(b.settings.Limits.MaxAttempts) / retryBudgetShare
+	b.retryBudget = min(b.retryBudget+retryBudgetShare, most)
+}
+
+// mayRetry reports whether the budget has a retry left and the request can still be in time.
+func (b *Balancer) mayRetry(now time.Duration, r *request) bool {
+	return b.retryBudget >= 1 && now < r.objective
+}
+
+// retryOrAnswer retries a request after an attempt, or gives the final answer if none is in flight.
+func (b *Balancer) retryOrAnswer(now time.Duration, r *request, status Status) {
+	switch {
+	case r.done:
+		b.release(r)
+	case status != Timeout && b.mayRetry(now, r) && b.dispatch(now, r):
+		b.retryBudget--
+	case r.inflight == 0:
+		b.rejectOrFail(r)
+	}
+}
+
+// hedge starts a second attempt of a request whose first is overdue, once and not while shedding.
+func (b *Balancer) hedge(now time.Duration, r *request) {
+	if !r.hedged && b.shedShare == 0 && b.mayRetry(now, r) && b.dispatch(now, r) {
+		r.hedged = true
+		b.retryBudget--
+	}
+}
+
+// recordOutcome updates what the outcome shows of the backend and its group.
+func (b *Balancer) recordOutcome(now time.Duration, r *request, t *attempt, o Outcome) {
+	target := t.backend
+	target.trialInflight = false
+	if o.Status == OK || o.Status == Full || o.Status == Error {
+		target.lastAnswerAt = now
+	}
+	b.observeClassFailure(r, t, o)
+	switch {
+	case o.Status == Timeout && target.lastAnswerAt < t.sentAt:
+		// Its backend was silent, which no tick has noticed yet: late, but no reason to shed.
+		g := &b.groups[target.locality]
+		g.lateShare += groupSmoothing * (1 - g.lateShare)
+		b.recordFailure(now, target, maxSilentTimeouts)
+	case o.Status == Timeout:
+		b.recordLatency(now, r, target, o.Latency)
+	case o.Status == OK:
+		b.learnWorkWithoutHint(r.Class, o.Latency)
+		b.recordLatency(now, r, target, o.Latency)
+		b.endEjection(now, target)
+	case o.Status == Full:
+		// A backend that rejects everything must neither attract requests nor make the group look late.
+		b.recordFailure(now, target, maxFailures)
+		b.adjustShedding(b.shedStep(now), target.locality, 1)
+	case o.Status == ConnectFailed, o.Status == Error, o.Status == Reset:
+		target.connectFailures += indicator(o.Status == ConnectFailed)
+		b.recordFailure(now, target, maxFailures)
+	}
+}
+
+// recordLatency updates the latency estimates, and moves the lanes and shedding by what is late.
+func (b *Balancer) recordLatency(now time.Duration, r *request, target *backend, took time.Duration) {
+	objective := r.class.LatencyObjective.Seconds() * 1000
+	queueing := b.observeLatency(r, target, took)
+	step := b.shedStep(now)
+	b.balanceLanes(step, r.lane, indicator(queueing > objective/2))
+	if r.work < objective/4 { // a heavy request is late on an idle backend, too
+		b.adjustShedding(step, target.locality, indicator(took > r.class.LatencyObjective/2))
+	}
+}
--- /dev/null
+++ b/endpoints_test.go
@@ -0,0 +1,50 @@
+package piernotch
+
+import (
+	"testing"
+	"time"
+)
+
+func TestRestartUnderSameIDStartsSlowStart(t *testing.T) {
+	b, _ := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
+	b.eject(time.Second, b.sorted[0])
+	e := testEndpoints(2, 1)[0]
+	e.StartedAt = 1500 * ms
+	b.UpdateEndpoints(2*time.Second, UpdateDelta, []Endpoint{e})
+	if to := b.backends[1]; to.ejections != 0 || to.slowStartSince != e.StartedAt {
+		t.Fatalf("%d ejections, slow start since %v", to.ejections, to.slowStartSince)
+	}
+}
+
+func TestPollDiscoveryBacksOffAfterFailure(t *testing.T) {
+	s := testSettings()
+	s.PollDiscovery = true
+	b, h := newTestBalancer(t, s, testEndpoints(2, 1))
+	now := time.Second
+	run := func(d time.Duration) {
+		for until := now + d; now < until; now += b.tickInterval {
+			b.Timer(now, tickToken)
+		}
+	}
+	run(s.Rules.PollInterval)
+	if h.watches != 1 {
+		t.Fatalf("%d subscriptions within the poll interval", h.watches)
+	}
+	b.UpdateEndpoints(now, UpdateFailed, nil)
+	backoff := b.watchBackoff
+	if len(b.sorted) != 2 {
+		t.Fatal("a failed update emptied the list")
+	}
+	b.Timer(now, tickToken)
+	if h.watches != 1 {
+		t.Fatal("subscribed again without a backoff")
+	}
+	run(backoff)
+	if h.watches != 2 {
+		t.Fatal("did not subscribe again")
+	}
+	b.UpdateEndpoints(now, UpdateFailed, nil)
+	if b.watchBackoff <= backoff {
+		t.Fatal("the backoff did not grow")
+	}
+}
--- /dev/null
+++ b/estimators.go
@@ -0,0 +1,268 @@
+package piernotch
+
+import (
+	"math"
+	"math/rand/v2"
+	"time"
+)
+
+const (
+	groupSmoothing   = 1.0 / 16 // weight of one outcome in a running mean over a group
+	backendSmoothing = 1.0 / 6  // the same for one backend, which has fewer outcomes
+	pathMinAnswers   = 64       // answers from which the latency of the path to a zone is known
+	pathMaxShare     = 0.75     // of the requests in flight that count as in transit, at most
+	fastQuantile     = 1.0 / 8  // quantile of a class's latencies that replaces missing cost hints
+	fastQuantileStep = 1.0 / 16 // relative change of that estimate by one answer
+)
+
+// minRateSpan is the least time a rate is taken over, in seconds: one heavy request
+// in the first moments must not pass for a heavy stream of them.
+const minRateSpan = 0.5
+
+// rate is a running rate per second over about the last second.
+type rate struct {
+	value float64
+	since time.Duration // the first event's time
+	at    time.Duration // the last addition's time
+}
+
+// add counts an amount at the present time.
+func (r *rate) add(now time.Duration, amount float64) {
+	r.decay(now)
+	r.value += amount
+}
+
+// decay reduces the rate by a factor of e for each second since the last addition.
+func (r *rate) decay(now time.Duration) {
+	if r.at > 0 {
+		r.value *= math.Exp(-(now - r.at).Seconds())
+	}
+	r.at = now
+}
+
+// perSec returns the rate, corrected for the time before the first event.
+func (r *rate) perSec(now time.Duration) float64 {
+	seen := 1 - math.Exp(-max((now-r.since).Seconds(), minRateSpan))
+	return r.value * math.Exp(-(now - r.at).Seconds()) / seen
+}
+
+// tokenBucket holds tokens that are added at a steady rate, up to those of one second.
+type tokenBucket struct {
+	tokens float64
+	at     time.Duration
+}
+
+// take takes one token, and reports whether there was one.
+func (q *tokenBucket) take(now time.Duration, perSec float64) bool {
+	q.tokens = min(q.tokens+perSec*(now-q.at).Seconds(), max(1, perSec))
+	q.at = now
+	if q.tokens < 1 {
+		return false
+	}
+	q.tokens--
+	return true
+}
+
+// mixBits is a bijective hash of x.
+func mixBits(x uint64) uint64 {
+	x ^= x >> 30
+	x *= 0xbf58476d1ce4e5b9
+	x ^= x >> 27
+	x *= 0x94d049bb133111eb
+	return x ^ x>>31
+}
+
+// rendezvousMember returns the member with the highest hash for the key. There must be one.
+func rendezvousMember(members []*backend, key uint64) *backend {
+	var best *backend
+	var highest uint64
+	for _, target := range members {
+		hash := mixBits(key ^ target.idHash)
+		if best == nil || hash > highest {
+			best, highest = target, hash
+		}
+	}
+	return best
+}
+
+// indicator returns 1 for true and 0 for false, as a sample of a running share.
+func indicator(yes bool) float64 {
+	if yes {
+		return 1
+	}
+	return 0
+}
+
+// jitter returns a random time below d.
+func jitter(rng *rand.Rand, d time.Duration) time.Duration {
+	return time.Duration(rng.Float64() * float64(d))
+}
+
+// milliseconds returns the time of ms milliseconds.
+func milliseconds(ms float64) time.Duration {
+	return time.Duration(ms * float64(time.Millisecond))
+}
+
+// followRatio moves the running ratio towards ms/work by the gain; a ratio of 0 is not known yet.
+func followRatio(ratio, ms, work, gain float64) float64 {
+	if !(work > 0) || !(ms > 0) || math.IsInf(gain, 0) || math.IsNaN(gain) {
+		return ratio
+	}
+	if ratio == 0 {
+		return ms / work
+	}
+	return ratio + min(gain, 0.5)*(ms/work-ratio)
+}
+
+// workWithoutHint returns the work that replaces a missing cost hint of a class, in ms: a low quantile
+// of its latencies, which includes no queueing, or the mean work until there is an answer. Without it a
+// site that gives no hints would have no measure of work at all.
+func (b *Balancer) workWithoutHint(class int) float64 {
+	if b.fastAnswers[class] > 0 {
+		return b.fastAnswers[class]
+	}
+	return b.meanWork
+}
+
+// learnWorkWithoutHint moves the low quantile of a class's latencies.
+func (b *Balancer) learnWorkWithoutHint(class int, took time.Duration) {
+	ms := took.Seconds() * 1000
+	quantile := &b.fastAnswers[class]
+	switch {
+	case *quantile == 0:
+		*quantile = ms
+	case ms < *quantile:
+		*quantile *= 1 - fastQuantileStep*(1-fastQuantile)
+	default:
+		*quantile *= 1 + fastQuantileStep*fastQuantile
+	}
+}
+
+// observeArrival updates the estimates of what arrives: the median hint, the mean work, and the
+// work in each lane and priority.
+func (b *Balancer) observeArrival(r *request) {
+	if r.hasCostHint() {
+		b.observeHint(r.CostHint)
+	}
+	if r.work > 0 {
+		b.workSamples++
+		gain := max(1/b.workSamples, groupSmoothing/8)
+		b.meanWork += gain * (r.work - b.meanWork)
+		b.largeWorkShare += gain * (r.work / b.meanWork) * (indicator(r.lane == largeLane) - b.largeWorkShare)
+		b.largeWorkShare = min(max(b.largeWorkShare, 0), 1)
+	}
+	b.priorities[r.priority].arrived += r.work
+}
+
+// observeHint moves the running median towards a cost hint.
+func (b *Balancer) observeHint(hint float64) {
+	b.hintCount++
+	step := 1 + max(1/b.hintCount, groupSmoothing/2)
+	switch {
+	case b.hintCount == 1:
+		b.medianHint = hint
+	case hint > b.medianHint:
+		b.medianHint *= step
+	default:
+		b.medianHint /= step
+	}
+}
+
+// observeLatency updates the latency estimates of all, of the group and of the backend by one answer, and
+// returns its latency beyond the request's work in ms, at most the objective. Estimates of latency are for
+// a request of mean work, so that the lanes compare.
+func (b *Balancer) observeLatency(r *request, target *backend, took time.Duration) (queueing float64) {
+	ms := took.Seconds() * 1000
+	queueing = min(max(ms-r.work, 0), r.class.LatencyObjective.Seconds()*1000)
+	typical := max(ms-r.work, -b.meanWork/2) + b.meanWork
+	g := &b.groups[target.locality]
+	if g.latency == 0 {
+		g.latency, g.queueingMean, g.queueingDeviation = typical, queueing, queueing/2
+	}
+	if target.latency == 0 {
+		target.latency = g.latency
+	}
+	if target.path.answerCount == 0 || ms < target.path.fastestAnswer {
+		target.path.fastestAnswer = ms
+	}
+	target.path.answerCount++
+	target.latency += backendSmoothing * (typical - target.latency)
+	b.latencyPerWork = followRatio(b.latencyPerWork, ms, r.work, groupSmoothing*r.work/b.meanWork)
+	target.latencyPerWork = followRatio(target.latencyPerWork, ms, r.work, backendSmoothing*r.work/b.meanWork)
+	g.latency += groupSmoothing * (typical - g.latency)
+	g.queueingDeviation += groupSmoothing * (math.Abs(queueing-g.queueingMean) - g.queueingDeviation)
+	g.queueingMean += groupSmoothing * (queueing - g.queueingMean)
+	return queueing
+}
+
+// observeClassFailure updates the share of a class's requests that fail on a backend which answers
+// others. A cancelled attempt counts as failed if it had taken half of the objective.
+func (b *Balancer) observeClassFailure(r *request, t *attempt, o Outcome) {
+	target := t.backend
+	tookLong := o.Status == Timeout || o.Status == Cancelled && o.Latency > r.class.LatencyObjective/2
+	answersOthers := target.lastAnswerAt >= t.sentAt
+	if tookLong && answersOthers || o.Status == OK || o.Status == Error {
+		failed := indicator(o.Status != OK)
+		target.failureShare[r.Class] += backendSmoothing * (failed - target.failureShare[r.Class])
+	}
+}
+
+// capacityShare returns the share of its capacity that the backend has now, in slow start.
+func (b *Balancer) capacityShare(now time.Duration, target *backend) float64 {
+	if target.warm() || b.settings.Rules.SlowStartDuration <= 0 {
+		return 1
+	}
+	age := float64(now-target.slowStartSince) / float64(b.settings.Rules.SlowStartDuration)
+	return b.settings.Rules.SlowStartCapacity + (1-b.settings.Rules.SlowStartCapacity)*min(max(age, 0), 1)
+}
+
+// warmSendRate returns the work per second that this balancer sends to a warm backend of size 1. What
+// arrives is no measure of that: by clients' retries it is a multiple of any capacity. A few backends left
+// warm in a zone may be overloaded: they count as half of the zone. If none is warm, the mean counts.
+func (b *Balancer) warmSendRate(now time.Duration) float64 {
+	most := 0.0
+	for i := range b.groups {
+		g := &b.groups[i]
+		if g.fullSize > 0 {
+			most = max(most, g.sendRate.perSec(now)/max(g.warmSize, g.fullSize/2))
+		}
+	}
+	return max(most, b.sendRate.perSec(now)/max(b.groups[localZone].fullSize+b.groups[remoteZones].fullSize, 1))
+}
+
+// expectedLatency returns how long the backend will probably take for the request, in ms: by this balancer's
+// own requests there and, if there are many balancers, by its load reports (Little's law: requests held over
+// completions per second).
+func (b *Balancer) expectedLatency(now time.Duration, r *request, target *backend) float64 {
+	perWork := target.latencyPerWork
+	if perWork == 0 {
+		perWork = b.latencyPerWork
+	}
+	ms := (target.backlog + r.work) * perWork
+	c := &target.reports
+	if b.manyBalancers() && c.fresh(now) && c.meanCompletionRate > 0 {
+		ms = max(ms, 1000*(c.meanOthers+float64(target.inflight))/c.meanCompletionRate)
+	}
+	return ms
+}
+
+// silenceTimeout returns how long an answer for that much work may take before it is overdue.
+func (b *Balancer) silenceTimeout(g *group, work float64) time.Duration {
+	ms := 2*work + g.queueingMean + silenceDeviations*g.queueingDeviation
+	if g.latency == 0 {
+		ms = 2*work + float64(b.shortestObjective)/float64(time.Millisecond)
+	}
+	return milliseconds(ms)
+}
+
+// effectiveLoad returns how many of this balancer's requests the backend holds. The others in flight are
+// in transit: where that takes long, a bound on all of them would leave the backend idle. The transit time
+// of a zone is its fastest answer's latency less a light request's work. It never rises, so that a jam
+// does not look like a long path. A request that is mostly in transit makes no room for another.
+func (b *Balancer) effectiveLoad(target *backend) float64 {
+	transit := target.path.fastestAnswer - b.meanWork/4
+	if target.path.answerCount < pathMinAnswers || transit <= b.meanWork/4 || target.latency <= 0 {
+		return float64(target.inflight)
+	}
+	return float64(target.inflight)*(1-min(transit/target.latency, pathMaxShare)) + 0.25
+}
--- /dev/null
+++ b/helpers_test.go
@@ -0,0 +1,144 @@
+package piernotch
+
+import (
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+// recorder is a Host that records what it is asked to do.
+type recorder struct {
+	attempts     []startedAttempt
+	canceled     []int
+	rejected     []RequestID
+	failed       []RequestID
+	healthChecks []BackendID
+	watches      int
+	timers       []timerCall
+}
+
+func (h *recorder) StartAttempt(id RequestID, to BackendID, timeout time.Duration) {
+	h.attempts = append(h.attempts, startedAttempt{id, to, timeout})
+}
+
+func (h *recorder) CancelAttempt(_ RequestID, attempt int) { h.canceled = append(h.canceled, attempt) }
+
+func (h *recorder) Reject(id RequestID, _ time.Duration) { h.rejected = append(h.rejected, id) }
+
+func (h *recorder) Fail(id RequestID) { h.failed = append(h.failed, id) }
+
+func (h *recorder) HealthCheck(b BackendID) { h.healthChecks = append(h.healthChecks, b) }
+
+func (h *recorder) WatchEndpoints() { h.watches++ }
+
+func (h *recorder) SetTimer(d time.Duration, token uint32) {
+	h.timers = append(h.timers, timerCall{d, token})
+}
+
+// startedAttempt is a call of StartAttempt.
+type startedAttempt struct {
+	id      RequestID
+	to      BackendID
+	timeout time.Duration
+}
+
+// timerCall is a call of SetTimer.
+type timerCall struct {
+	after time.Duration
+	token uint32
+}
+
+// last returns the attempt that was started last.
+func (h *recorder) last() startedAttempt { return h.attempts[len(h.attempts)-1] }
+
+// The classes of testSettings.
+const (
+	idempotentClass = iota
+	dedupEverywhereClass
+	dedupInZoneClass
+	dedupInCellClass
+	nonIdempotentClass
+)
+
+// testSettings returns settings of two zones with a balancer each, and a class of each retry safety.
+func testSettings() Settings {
+	class := func(safety RetrySafety, scope DedupScope) Class {
+		return Class{
+			LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1,
+			RetrySafety: safety, DedupScope: scope, DedupWindow: time.Second,
+		}
+	}
+	return Settings{
+		BalancerCount: 2, Zones: []string{"a", "b"}, Tick: 5 * ms,
+		Classes: []Class{
+			idempotentClass:      class(Idempotent, 0),
+			dedupEverywhereClass: class(IdempotencyKey, DedupEverywhere),
+			dedupInZoneClass:     class(IdempotencyKey, DedupInZone),
+			dedupInCellClass:     class(IdempotencyKey, DedupInCell),
+			nonIdempotentClass:   class(NonIdempotent, 0),
+		},
+		Limits: Limits{MaxAttempts: 3, HedgedRequests: true, CancelAttempts: true},
+		Rules:  Rules{PollInterval: 10 * time.Second, SlowStartCapacity: 0.2, SlowStartDuration: 20 * time.Second},
+	}
+}
+
+// manyBalancersSettings returns settings of so many balancers that each sees only a small part of the load.
+func manyBalancersSettings() Settings {
+	s := testSettings()
+	s.BalancerCount = 80
+	return s
+}
+
+// testEndpoints returns n ready, warm backends in each of the zones; ids count from 1.
+func testEndpoints(n, zones int) []Endpoint {
+	var all []Endpoint
+	for z := range zones {
+		for i := range n {
+			all = append(all, Endpoint{ID: BackendID(z*n + i + 1), Zone: z, Cell: i % 2, Size: 1})
+		}
+	}
+	return all
+}
+
+// newTestBalancer returns a Balancer that has the list since the first second, and its recorder.
+func newTestBalancer(t *testing.T, s Settings, list []Endpoint) (*Balancer, *recorder) {
+	t.Helper()
+	h := &recorder{}
+	b, err := New(s, 1, h)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b.UpdateEndpoints(time.Second, UpdateFull, list)
+	return b, h
+}
+
+// newTestRequest returns a request with a deadline at the third second.
+func newTestRequest(id RequestID, class int, hint float64) Request {
+	return Request{ID: id, Class: class, Deadline: 3 * time.Second, CostHint: hint}
+}
+
+// completeAttempt ends an attempt after 20 ms; OK is the request's final answer.
+func completeAttempt(b *Balancer, now time.Duration, id RequestID, try int, to BackendID, s Status) {
+	b.HandleOutcome(now, Outcome{ID: id, Attempt: try, Backend: to, Status: s, Latency: 20 * ms, Closed: s == OK})
+}
+
+// runTicks reviews the backends for three seconds, with some requests in flight in the own zone, where each
+// backend reports a few times that it holds so many requests.
+func runTicks(t *testing.T, s Settings, held float64) (*Balancer, *recorder) {
+	t.Helper()
+	b, h := newTestBalancer(t, s, testEndpoints(6, 2))
+	b.tickInterval = 10 * ms
+	now := time.Second
+	for i := range 2 + int(2*held) {
+		b.HandleRequest(now, Request{ID: RequestID(1 + i), Class: idempotentClass, Deadline: time.Minute, CostHint: 10})
+	}
+	for i := range 300 {
+		now += b.tickInterval
+		for id := BackendID(1); i%50 == 0 && id <= 6; id++ {
+			b.LoadReported(now, id, LoadReport{Inflight: held, CompletedPerSecond: 20})
+		}
+		b.reviewBackends(now)
+	}
+	return b, h
+}
--- /dev/null
+++ b/invariants_test.go
@@ -0,0 +1,253 @@
+package piernotch
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+)
+
+// invariantChecker is a Host that checks every action: no request to a backend that is not ready, retries only
+// as the class permits, attempts within the limit, and one final answer in time.
+type invariantChecker struct {
+	t                *testing.T
+	set              Settings
+	now              time.Duration
+	requests         map[RequestID]*trackedRequest
+	unavailableSince map[BackendID]time.Duration // by the list
+	entries          map[BackendID]Endpoint
+	violations       []string
+	timers           []time.Duration
+}
+
+// trackedRequest is what the checker knows of a request.
+type trackedRequest struct {
+	Request
+	attempts []trackedAttempt
+	answers  int
+}
+
+// trackedAttempt is what the checker knows of an attempt.
+type trackedAttempt struct {
+	backend   BackendID
+	startedAt time.Duration
+	done      bool
+	status    Status
+}
+
+func (c *invariantChecker) violate(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
+}
+
+func (c *invariantChecker) StartAttempt(id RequestID, to BackendID, _ time.Duration) {
+	r := c.requests[id]
+	if r.answers > 0 {
+		c.violate("attempt for %d after its answer", id)
+	}
+	if at, ok := c.unavailableSince[to]; ok && c.now > at {
+		c.violate("sent to %d, which is not ready", to)
+	}
+	class := c.set.Classes[r.Class]
+	for _, t := range r.attempts {
+		if t.done && t.status.NeverExecuted() {
+			continue
+		}
+		first, second := c.entries[t.backend], c.entries[to]
+		sameScope := class.DedupScope == DedupEverywhere ||
+			class.DedupScope == DedupInZone && first.Zone == second.Zone ||
+			class.DedupScope == DedupInCell && first.Cell == second.Cell
+		deduplicated := sameScope && c.now <= t.startedAt+class.DedupWindow
+		if class.RetrySafety == NonIdempotent || class.RetrySafety == IdempotencyKey && !deduplicated {
+			c.violate("class %d sent again from %d to %d", r.Class, t.backend, to)
+		}
+		break
+	}
+	if len(r.attempts) >= c.set.Limits.MaxAttempts {
+		c.violate("attempt %d of %d", len(r.attempts), id)
+	}
+	r.attempts = append(r.attempts, trackedAttempt{backend: to, startedAt: c.now})
+}
+
+func (c *invariantChecker) mayHaveExecuted(r *trackedRequest) bool {
+	return slices.ContainsFunc(r.attempts, func(t trackedAttempt) bool { return !t.done || !t.status.NeverExecuted() })
+}
+
+func (c *invariantChecker) Reject(id RequestID, _ time.Duration) {
+	r := c.requests[id]
+	class := c.set.Classes[r.Class]
+	deduplicated := class.RetrySafety == IdempotencyKey && class.DedupScope == DedupEverywhere
+	harmless := class.RetrySafety == Idempotent || deduplicated
+	if c.mayHaveExecuted(r) && !harmless {
+		c.violate("rejected %d, which may have executed", id)
+	}
+	c.answer(id)
+}
+
+func (c *invariantChecker) Fail(id RequestID) { c.answer(id) }
+
+func (c *invariantChecker) answer(id RequestID) {
+	r := c.requests[id]
+	r.answers++
+	if r.answers > 1 || c.now > r.Deadline+20*ms {
+		c.violate("answer %d for %d, %v after its deadline", r.answers, id, c.now-r.Deadline)
+	}
+}
+
+func (c *invariantChecker) CancelAttempt(RequestID, int) {}
+
+func (c *invariantChecker) HealthCheck(BackendID) {}
+
+func (c *invariantChecker) WatchEndpoints() {}
+
+func (c *invariantChecker) SetTimer(d time.Duration, _ uint32) { c.timers = append(c.timers, c.now+d) }
+
+// completeRandomAttempt ends a random attempt. Some backends never answer before the timeout.
+func (c *invariantChecker) completeRandomAttempt(b *Balancer, rng *rand.Rand, live []RequestID) {
+	if len(live) == 0 {
+		return
+	}
+	id := live[rng.IntN(len(live))]
+	r := c.requests[id]
+	for i := range r.attempts {
+		if t := &r.attempts[i]; !t.done && t.backend%5 != 0 {
+			statuses := []Status{OK, OK, OK, OK, Error, Full, ConnectFailed, Reset}
+			c.complete(b, r, i, statuses[rng.IntN(len(statuses))])
+			return
+		}
+	}
+}
+
+// complete ends attempt i of a request.
+func (c *invariantChecker) complete(b *Balancer, r *trackedRequest, i int, s Status) {
+	t := &r.attempts[i]
+	t.done, t.status = true, s
+	if s == OK {
+		r.answers = max(r.answers, 1)
+	}
+	b.HandleOutcome(c.now, Outcome{
+		ID: r.ID, Attempt: i, Backend: t.backend, Status: s, Latency: c.now - t.startedAt, Closed: r.answers > 0,
+	})
+}
+
+// timeOutOverdue times out the attempts of requests past their deadline, and returns the requests that are
+// still open.
+func (c *invariantChecker) timeOutOverdue(b *Balancer, live []RequestID) []RequestID {
+	return slices.DeleteFunc(live, func(id RequestID) bool {
+		r := c.requests[id]
+		open := false
+		for i := range r.attempts {
+			if r.attempts[i].done {
+				continue
+			}
+			if c.now < r.Deadline {
+				open = true
+				continue
+			}
+			c.complete(b, r, i, Timeout)
+		}
+		if c.now > r.Deadline+20*ms && r.answers == 0 {
+			c.violate("request %d got no answer", id)
+			return true
+		}
+		return r.answers > 0 && !open
+	})
+}
+
+// runRandomEvents plays a long random sequence of events and returns the violations. It calls sabotage, unless
+// that is nil, after each event.
+func runRandomEvents(t *testing.T, seed uint64, sabotage func(*Balancer)) []string {
+	t.Helper()
+	rng := rand.New(rand.NewPCG(seed, 7))
+	s := testSettings()
+	s.Limits.HealthChecks, s.KeyAffinity = seed%2 == 0, seed%3 == 0
+	c := &invariantChecker{t: t, set: s, now: time.Second, requests: map[RequestID]*trackedRequest{},
+		unavailableSince: map[BackendID]time.Duration{}, entries: map[BackendID]Endpoint{}}
+	b, err := New(s, seed, c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	list := testEndpoints(6, 2)
+	for _, e := range list {
+		c.entries[e.ID] = e
+	}
+	b.UpdateEndpoints(c.now, UpdateCached, list)
+	next := RequestID(1)
+	var live []RequestID
+	for range 20000 {
+		c.now += time.Duration(rng.IntN(4)) * ms
+		for i := 0; i < len(c.timers); i++ {
+			if c.timers[i] <= c.now {
+				c.timers = slices.Delete(c.timers, i, i+1)
+				b.Timer(c.now, tickToken)
+				break
+			}
+		}
+		switch k := rng.IntN(20); {
+		case k < 9:
+			r := Request{ID: next, Class: rng.IntN(len(s.Classes)), Key: uint64(rng.IntN(5)),
+				Deadline: c.now + time.Duration(5+rng.IntN(1500))*ms, CostHint: rng.ExpFloat64() * 20}
+			c.requests[next] = &trackedRequest{Request: r}
+			live = append(live, next)
+			next++
+			b.HandleRequest(c.now, r)
+		case k < 10:
+			e := &list[rng.IntN(len(list))]
+			e.State = State(rng.IntN(3))
+			if rng.IntN(3) > 0 {
+				e.State = Ready
+			}
+			if rng.IntN(4) == 0 {
+				e.StartedAt = c.now
+			}
+			delete(c.unavailableSince, e.ID)
+			if e.State != Ready {
+				c.unavailableSince[e.ID] = c.now - 1
+			}
+			b.UpdateEndpoints(c.now, UpdateDelta, []Endpoint{*e})
+		case k < 11 && len(live) > 0:
+			id := live[rng.IntN(len(live))]
+			if c.requests[id].answers == 0 {
+				c.requests[id].answers++
+				b.ClientGone(c.now, id)
+			}
+		default:
+			c.completeRandomAttempt(b, rng, live)
+		}
+		live = c.timeOutOverdue(b, live)
+		if sabotage != nil {
+			sabotage(b)
+		}
+	}
+	return c.violations
+}
+
+func TestInvariantsHoldOverRandomEvents(t *testing.T) {
+	for seed := range uint64(6) {
+		if violations := runRandomEvents(t, seed, nil); len(violations) > 0 {
+			t.Errorf("seed %d: %d violations, first: %s", seed, len(violations), violations[0])
+		}
+	}
+}
+
+// The checker itself must be able to fail.
+func TestInvariantCheckDetectsBrokenGuard(t *testing.T) {
+	retryAll := func(b *Balancer) {
+		b.settings.Classes = slices.Clone(b.settings.Classes)
+		for i := range b.settings.Classes {
+			b.settings.Classes[i].RetrySafety = Idempotent
+		}
+	}
+	if len(runRandomEvents(t, 1, retryAll)) == 0 {
+		t.Error("retries of requests that are not idempotent went unnoticed")
+	}
+	sendToDraining := func(b *Balancer) {
+		for _, to := range b.sorted {
+			to.State = Ready
+		}
+		b.groupsStale = true
+	}
+	if len(runRandomEvents(t, 1, sendToDraining)) == 0 {
+		t.Error("requests to draining backends went unnoticed")
+	}
+}
--- /dev/null
+++ b/outlier_ejection_test.go
@@ -0,0 +1,136 @@
+package piernotch
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// A hung backend accepts requests and does not answer; the list says that it is ready.
+func TestSilentBackendIsEjectedAndReturnsAfterOneTrial(t *testing.T) {
+	b, h := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
+	hung := b.sorted[0]
+	now, id := time.Second, RequestID(0)
+	step := func() {
+		id++
+		r := newTestRequest(id, nonIdempotentClass, 10)
+		r.Deadline = now + 2*time.Second
+		b.HandleRequest(now, r)
+		if to := h.last().to; to != hung.ID {
+			completeAttempt(b, now+20*ms, id, 0, to, OK)
+		}
+		now += 25 * ms
+		b.Timer(now, tickToken)
+	}
+	for hung.ejections == 0 && id < 100 {
+		step()
+	}
+	if hung.ejections == 0 {
+		t.Fatal("never ejected")
+	}
+	before := len(h.attempts)
+	for _, a := range h.attempts {
+		if a.to == hung.ID {
+			completeAttempt(b, now, a.id, 0, a.to, Timeout)
+		}
+	}
+	for now < hung.trialAt {
+		step()
+	}
+	for _, a := range h.attempts[before : len(h.attempts)-1] {
+		if a.to == hung.ID {
+			t.Fatal("an ejected backend got a request before its trial")
+		}
+	}
+	now = hung.trialAt + ms
+	b.Timer(now, tickToken)
+	trials := 0
+	for range 20 {
+		step()
+		if h.last().to == hung.ID {
+			trials++
+		}
+	}
+	if trials != 1 {
+		t.Fatalf("%d trials at once", trials)
+	}
+	for i := range h.attempts {
+		completeAttempt(b, now, h.attempts[i].id, 0, h.attempts[i].to, OK)
+	}
+	if hung.ejections != 0 {
+		t.Fatal("an answered trial did not end the ejection")
+	}
+}
+
+func TestHealthCheckPrecedesTrial(t *testing.T) {
+	s := testSettings()
+	s.Limits.HealthChecks = true
+	b, h := newTestBalancer(t, s, testEndpoints(2, 1))
+	to := b.sorted[0]
+	b.eject(time.Second, to)
+	for now := to.trialAt; now < to.trialAt+time.Second; now += b.tickInterval {
+		b.Timer(now, tickToken)
+	}
+	if len(h.healthChecks) != 1 {
+		t.Fatalf("%d health checks", len(h.healthChecks)) // a regression: one at every tick
+	}
+	b.HealthCheckCompleted(to.trialAt+ms, to.ID, Timeout)
+	if to.ejections != 2 {
+		t.Fatal("a failed health check must prolong the ejection")
+	}
+	b.Timer(to.trialAt+ms, tickToken)
+	b.HealthCheckCompleted(to.trialAt+2*ms, to.ID, OK)
+	if !b.trialDue(to.trialAt+3*ms, to) {
+		t.Fatal("no trial after a passed health check")
+	}
+}
+
+// A regression: bad answers, resets and silence ejected backends, which came back in slow start. Half of the
+// fleet was limited to one request at a time, though no process had restarted.
+func TestOnlyConnectFailuresEndEjectionInSlowStart(t *testing.T) {
+	for status, slowStart := range map[Status]bool{Error: false, Reset: false, ConnectFailed: true} {
+		b, _ := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
+		to := b.backends[1]
+		record := func(s Status) {
+			r := &request{class: &b.settings.Classes[idempotentClass], work: 10}
+			b.recordOutcome(time.Second, r, &attempt{backend: to}, Outcome{Status: s})
+		}
+		b.meanWork = 10
+		record(status)
+		record(status)
+		if to.ejections > 0 {
+			t.Errorf("status %v: ejected after two", status)
+		}
+		record(status)
+		if to.ejections == 0 {
+			t.Errorf("status %v: not ejected after three", status)
+		}
+		record(OK)
+		if (to.slowStartSince >= 0) != slowStart || to.ejections > 0 {
+			t.Errorf("status %v: slow start since %v, %d ejections", status, to.slowStartSince, to.ejections)
+		}
+	}
+}
+
+// A regression: a backend that rejects everything is idle and answers at once, so it got turn after turn, and
+// its rejections counted as late answers of the whole fleet.
+func TestBackendRejectingAllRequestsIsEjected(t *testing.T) {
+	b, h := newTestBalancer(t, manyBalancersSettings(), testEndpoints(6, 1))
+	b.retryBudget = 100
+	rejections := 0
+	for i := range 200 {
+		now := time.Second + time.Duration(i)*ms
+		b.HandleRequest(now, newTestRequest(RequestID(i), idempotentClass, 10))
+		try := 0
+		if h.last().to == 1 {
+			rejections++
+			completeAttempt(b, now, RequestID(i), 0, 1, Full)
+			try++
+		}
+		completeAttempt(b, now, RequestID(i), try, h.last().to, OK)
+	}
+	require.LessOrEqual(t, rejections, 3)
+	require.Less(t, b.latencyPerWork, 3.0, "a rejection counted as a slow answer")
+	require.Empty(t, h.rejected)
+}
--- /dev/null
+++ b/selection.go
@@ -0,0 +1,215 @@
+package piernotch
+
+import "time"
+
+const (
+	objectiveShare         = 0.9  // the expected latency is within this share of the time left
+	failsClassShare        = 0.3  // failure share from which a class avoids a backend that serves others
+	minSpillers            = 3.0  // balancers of other zones that may spill to one backend, at least
+	spillerShare           = 0.1  // the same as a share of all balancers
+	totalInflightBound     = 6.0  // all balancers' requests at a backend, for each unit of maxLoad
+	totalInflightBoundKey  = 8.0  // all balancers' requests, if the request's key may be cached there
+	totalInflightBoundLast = 10.0 // all balancers' requests, if no other backend has capacity
+)
+
+// search is the choice of a backend in one lane of a group.
+type search struct {
+	now     time.Duration
+	request *request
+	group   *group
+	lane    int
+	maxLoad float64 // exclusive bound on the effective load
+}
+
+// dispatch starts an attempt of the request, or returns false if no backend can take it now.
+func (b *Balancer) dispatch(now time.Duration, r *request) bool {
+	if b.groupsStale {
+		b.rebuildGroups(now)
+	}
+	target := b.selectBackend(now, r)
+	if target == nil {
+		return false
+	}
+	b.startAttempt(now, r, target)
+	return true
+}
+
+// selectBackend tries the levels in turn, in each of them the request's own lane first.
+func (b *Balancer) selectBackend(now time.Duration, r *request) *backend {
+	for _, level := range b.levels {
+		g := &b.groups[level.locality]
+		if len(g.members) == 0 {
+			continue
+		}
+		for _, lane := range [2]int{r.lane, 1 - r.lane} {
+			s := search{now: now, request: r, group: g, lane: lane, maxLoad: level.maxLoad}
+			if target := b.rendezvousPick(s); target != nil {
+				return target
+			}
+			if target := b.weightedRoundRobin(s); target != nil {
+				return target
+			}
+		}
+	}
+	return b.leastExpectedLatency(now, r)
+}
+
+// weightedRoundRobin takes turns within the lane. A backend of less weight misses some of its turns. One
+// without capacity misses all of them, and they are neither given to its neighbour nor made up for later.
+func (b *Balancer) weightedRoundRobin(s search) *backend {
+	g, members := s.group, s.group.laneMembers(s.lane)
+	var fallback *backend // has capacity, but not yet the credit for a turn
+	for i := range 3 * len(members) {
+		turn := (g.nextTurn[s.lane] + 1) % len(members)
+		g.nextTurn[s.lane] = turn
+		target := members[turn]
+		target.credit = min(target.credit+g.laneWeight(s.lane, turn)/g.maxLaneWeight[s.lane], 1)
+		noneHasCapacity := i >= len(members) && fallback == nil
+		if noneHasCapacity || !b.canServeInTime(s, target, totalInflightBound*s.maxLoad) {
+			continue
+		}
+		if target.credit < 1 {
+			if fallback == nil {
+				fallback = target
+			}
+			continue
+		}
+		target.credit--
+		return target
+	}
+	return fallback
+}
+
+// rendezvousPick returns the backend that probably has the request's key cached: from the ids alone, all
+// balancers agree on it. It returns nil if there is no key, or that backend is slow or has no capacity.
+func (b *Balancer) rendezvousPick(s search) *backend {
+	if !b.settings.KeyAffinity || s.request.Key == 0 {
+		return nil
+	}
+	target := rendezvousMember(s.group.laneMembers(s.lane), s.request.Key)
+	if target.latency > 2*s.group.latency || !b.canServeInTime(s, target, totalInflightBoundKey) {
+		return nil
+	}
+	return target
+}
+
+// leastExpectedLatency is the last resort, if no backend with capacity is likely to meet the objective.
+func (b *Balancer) leastExpectedLatency(now time.Duration, r *request) *backend {
+	var best *backend
+	for _, level := range b.levels[1:] {
+		for _, target := range b.groups[level.locality].members {
+			if !b.hasCapacity(now, target, level.maxLoad, totalInflightBoundLast) ||
+				b.failsClass(now, r, target) || r.attemptedOn(target) || !b.mayStartAttempt(now, r, target) {
+				continue
+			}
+			late := b.manyBalancers() && !b.meetsObjective(now, r, target)
+			if !late && (best == nil || b.expectedLatency(now, r, target) < b.expectedLatency(now, r, best)) {
+				best = target
+			}
+		}
+	}
+	return best
+}
+
+// canServeInTime reports whether the backend may get the request and is likely to meet its objective.
+func (b *Balancer) canServeInTime(s search, target *backend, maxTotal float64) bool {
+	return b.hasCapacity(s.now, target, s.maxLoad, maxTotal) && b.meetsObjective(s.now, s.request, target) &&
+		!s.request.attemptedOn(target) && b.mayStartAttempt(s.now, s.request, target)
+}
+
+// hasCapacity reports whether the backend is below the bounds on this balancer's load and on all requests.
+func (b *Balancer) hasCapacity(now time.Duration, target *backend, maxLoad, maxTotal float64) bool {
+	return b.effectiveLoad(target) < maxLoad && !b.reservedForOtherZones(target) &&
+		!b.totalInflightReaches(now, target, maxTotal)
+}
+
+// failsClass reports whether the backend fails this class but serves others. It lapses if nothing is sent.
+func (b *Balancer) failsClass(now time.Duration, r *request, target *backend) bool {
+	own, least := target.failureShare[r.Class], 1.0
+	for class, share := range target.failureShare {
+		if class != r.Class {
+			least = min(least, share)
+		}
+	}
+	sentLately := now < target.lastSentAt[r.Class]+4*r.class.LatencyObjective
+	return own > failsClassShare && own > 3*least && sentLately
+}
+
+// meetsObjective reports whether the backend is likely to answer in time, with what is queued there.
+func (b *Balancer) meetsObjective(now time.Duration, r *request, target *backend) bool {
+	left := objectiveShare * float64(r.objective-now) / float64(time.Millisecond)
+	return !b.failsClass(now, r, target) && b.expectedLatency(now, r, target) <= left
+}
+
+// spills reports whether a request to the backend leaves this zone though it has backends.
+func (b *Balancer) spills(target *backend) bool {
+	return target.locality == remoteZones && len(b.groups[localZone].members) > 0
+}
+
+// reservedForOtherZones reports whether only others may spill to the backend: all together would overload it.
+func (b *Balancer) reservedForOtherZones(target *backend) bool {
+	return b.spills(target) && target.spillRank*float64(b.settings.BalancerCount-1) > b.maxSpillers
+}
+
+// balanceLanes moves the split towards equal lateness: the small lane gets half to twice its share by hints.
+func (b *Balancer) balanceLanes(step float64, lane int, late float64) {
+	b.lateByLane[lane] += groupSmoothing * (late - b.lateByLane[lane])
+	b.laneOffset += step * (b.lateByLane[largeLane] - b.lateByLane[smallLane])
+	small := 1 - b.largeWorkShare
+	b.laneOffset = min(max(b.laneOffset, -small), small/2)
+}
+
+// rebuildGroups assigns the backends that may get requests to the local and the remote group.
+func (b *Balancer) rebuildGroups(now time.Duration) {
+	b.groupsStale = false
+	for i := range b.groups {
+		b.groups[i].members = b.groups[i].members[:0]
+	}
+	for _, target := range b.sorted {
+		if target.available() && (target.ejections == 0 || b.trialDue(now, target)) {
+			g := &b.groups[target.locality]
+			g.members = append(g.members, target)
+		}
+	}
+	for i := range b.groups {
+		b.updateWeights(now, &b.groups[i])
+		b.groups[i].splitLanes(b.largeWorkShare + b.laneOffset)
+	}
+}
+
+// updateWeights weighs a group's members by size, slow start and latency, and sums them up.
+func (b *Balancer) updateWeights(now time.Duration, g *group) {
+	g.weight, g.warmSize, g.meanOthers = 0, 0, 0
+	for _, target := range g.members {
+		target.weight = target.Size * b.capacityShare(now, target)
+		if target.latency > 0 && g.latency > 0 {
+			target.weight *= min(max(g.latency/target.latency, 1.0/8), 2)
+		}
+		g.weight += target.weight
+		g.meanOthers += target.reports.meanOthers / float64(len(g.members))
+		if target.warm() {
+			g.warmSize += target.Size
+		}
+	}
+}
+
+// splitLanes gives the large lane the first members, up to its share of the weight. The member at the
+// split point serves both lanes, each with a part of its weight.
+func (g *group) splitLanes(largeShare float64) {
+	if len(g.members) == 0 {
+		return
+	}
+	left := largeShare * g.weight
+	g.laneSplit = 0
+	for g.laneSplit < len(g.members)-1 && left > g.members[g.laneSplit].weight {
+		left -= g.members[g.laneSplit].weight
+		g.laneSplit++
+	}
+	g.largeLanePart = min(left/g.members[g.laneSplit].weight, 1)
+	for lane := range g.maxLaneWeight {
+		g.maxLaneWeight[lane] = 0
+		for i := range g.laneMembers(lane) {
+			g.maxLaneWeight[lane] = max(g.maxLaneWeight[lane], g.laneWeight(lane, i))
+		}
+	}
+}
--- /dev/null
+++ b/selection_test.go
@@ -0,0 +1,214 @@
+package piernotch
+
+import (
+	"math"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestSelectionStaysInZoneWhileItHasBackends(t *testing.T) {
+	b, h := newTestBalancer(t, testSettings(), testEndpoints(3, 2))
+	for i := range 20 {
+		b.HandleRequest(time.Second, newTestRequest(RequestID(i), idempotentClass, 10))
+		if to := h.last().to; to > 3 {
+			t.Fatalf("request %d left its zone for backend %d", i, to)
+		}
+		completeAttempt(b, time.Second, RequestID(i), 0, h.last().to, OK)
+	}
+	list := testEndpoints(3, 2)
+	list[0].State, list[1].State, list[2].State = Draining, Gone, Draining
+	b.UpdateEndpoints(time.Second, UpdateDelta, list[:3])
+	b.HandleRequest(time.Second, newTestRequest(100, idempotentClass, 10))
+	if to := h.last().to; to < 4 {
+		t.Fatalf("sent to %d, which is not ready", to)
+	}
+}
+
+func TestSelectionSeparatesLanesByCostHint(t *testing.T) {
+	b, h := newTestBalancer(t, testSettings(), testEndpoints(8, 1))
+	heavy, light := map[BackendID]int{}, map[BackendID]int{}
+	for i := range 400 {
+		hint, seen := 9.0, light
+		if i%2 == 1 {
+			hint, seen = 11, heavy
+		}
+		b.HandleRequest(time.Second, newTestRequest(RequestID(i), idempotentClass, hint))
+		if i >= 100 {
+			seen[h.last().to]++
+		}
+		completeAttempt(b, time.Second, RequestID(i), 0, h.last().to, OK)
+	}
+	for id := BackendID(1); id <= 8; id++ {
+		if id <= 3 && light[id] > 0 || id >= 6 && heavy[id] > 0 {
+			t.Errorf("backend %d got %d light and %d heavy requests", id, light[id], heavy[id])
+		}
+	}
+	if len(light) < 3 || len(heavy) < 3 {
+		t.Errorf("no round robin: light %v, heavy %v", light, heavy)
+	}
+}
+
+func TestRequestsWithoutHintUseSmallLaneAndSingleBackendServesBoth(t *testing.T) {
+	b, h := newTestBalancer(t, testSettings(), testEndpoints(8, 1))
+	for i, hint := range []float64{math.NaN(), math.Inf(1), 0, -3} {
+		b.HandleRequest(time.Second, newTestRequest(RequestID(i), idempotentClass, hint))
+		if to := h.last().to; to < 4 {
+			t.Errorf("hint %v went to %d", hint, to)
+		}
+	}
+	b, h = newTestBalancer(t, testSettings(), testEndpoints(1, 1))
+	b.HandleRequest(time.Second, newTestRequest(1, idempotentClass, 5))
+	b.HandleRequest(time.Second, newTestRequest(2, idempotentClass, 50))
+	if len(h.attempts) != 2 {
+		t.Errorf("the only backend got %d of 2 requests", len(h.attempts))
+	}
+}
+
+// A regression: queues at the backends had no bound, so all backends were overloaded and most
+// requests were rejected because answers came late.
+func TestFullZoneSpillsAndThenQueues(t *testing.T) {
+	set := testSettings()
+	set.Classes[nonIdempotentClass].PriorityWeight = 2
+	set.BalancerCount = 4
+	b, h := newTestBalancer(t, set, testEndpoints(3, 2))
+	for i := range 9 {
+		b.HandleRequest(time.Second, newTestRequest(RequestID(i), idempotentClass, 10))
+		if local := h.last().to <= 3; local != (i < 6) {
+			t.Fatalf("request %d went to backend %d", i, h.last().to)
+		}
+	}
+	b.HandleRequest(time.Second, newTestRequest(10, idempotentClass, 10))
+	b.HandleRequest(time.Second, newTestRequest(11, nonIdempotentClass, 10))
+	if len(h.attempts) != 9 || len(h.rejected) > 0 {
+		t.Fatalf("%d sent, %d rejected: a lack of capacity is no reason to reject", len(h.attempts), len(h.rejected))
+	}
+	completeAttempt(b, time.Second, 0, 0, h.attempts[0].to, OK)
+	if h.last().id != 11 || h.last().to != h.attempts[0].to {
+		t.Fatalf("the free capacity went to request %d at %d", h.last().id, h.last().to)
+	}
+	completeAttempt(b, time.Second, 1, 0, h.attempts[1].to, OK)
+	if h.last().id != 10 {
+		t.Fatalf("request 10 still waits, %d was sent", h.last().id)
+	}
+}
+
+// A regression: a zone's only backend was in slow start while others were idle in the next zone, and
+// requests were rejected because none of those was among the few this balancer may spill to.
+func TestRequestsDoNotWaitWhileRemoteBackendsAreIdle(t *testing.T) {
+	list := append(testEndpoints(1, 1), Endpoint{ID: 8, Zone: 1, Size: 1}, Endpoint{ID: 9, Zone: 1, Size: 1})
+	list[0].StartedAt = 900 * ms
+	b, h := newTestBalancer(t, testSettings(), list)
+	for _, to := range b.sorted {
+		to.spillRank = 0.9
+	}
+	b.hintCount, b.workSamples, b.medianHint, b.meanWork = 100, 100, 10, 10
+	b.HandleRequest(time.Second, newTestRequest(1, idempotentClass, 100))
+	if len(h.attempts) != 1 || h.last().to == 1 {
+		t.Fatalf("sent %v", h.attempts)
+	}
+}
+
+// A regression: balancers that started together took turns in step, all on the same few backends.
+func TestRoundRobinStartsDifferPerSeed(t *testing.T) {
+	first := map[BackendID]int{}
+	for seed := range uint64(100) {
+		h := &recorder{}
+		b, err := New(testSettings(), seed, h)
+		if err != nil {
+			t.Fatal(err)
+		}
+		b.UpdateEndpoints(time.Second, UpdateFull, testEndpoints(20, 1))
+		b.HandleRequest(time.Second, newTestRequest(1, idempotentClass, 10))
+		first[h.last().to]++
+	}
+	for id, n := range first {
+		if n > 30 {
+			t.Errorf("%d of 100 balancers begin with backend %d", n, id)
+		}
+	}
+}
+
+// A regression: round robin sent a heavy request to a slow backend, where it was certainly late.
+func TestHeavyRequestsGoToFastEnoughBackend(t *testing.T) {
+	b, h := newTestBalancer(t, testSettings(), testEndpoints(4, 1))
+	b.hintCount, b.medianHint, b.meanWork, b.latencyPerWork = 100, 10, 10, 1
+	for _, to := range b.sorted {
+		to.latencyPerWork = 3
+	}
+	b.sorted[2].latencyPerWork = 0.5
+	b.HandleRequest(time.Second, newTestRequest(1, nonIdempotentClass, 300))
+	if h.last().to != 3 {
+		t.Fatalf("300 ms of work within 500 ms went to backend %d", h.last().to)
+	}
+	// Late everywhere: it is completed first behind the other one.
+	b.HandleRequest(time.Second, newTestRequest(2, nonIdempotentClass, 300))
+	if h.last().to != 3 {
+		t.Fatalf("the second request went to backend %d", h.last().to)
+	}
+}
+
+// Two balancers may together spill as much to a backend as four.
+func TestFewBalancersSpillMoreEach(t *testing.T) {
+	for balancers, want := range map[int]int{2: 4, 4: 3} {
+		set := testSettings()
+		set.BalancerCount = balancers
+		b, h := newTestBalancer(t, set, testEndpoints(1, 2))
+		for i := range 9 {
+			b.HandleRequest(time.Second, newTestRequest(RequestID(i), idempotentClass, 10))
+		}
+		if len(h.attempts) != want {
+			t.Errorf("%d balancers: %d sent, want %d", balancers, len(h.attempts), want)
+		}
+	}
+}
+
+// A regression: one class hung on some backends that answered the others. Its requests used up the
+// capacity there for a latency objective each, and all of them failed.
+func TestClassFailingOnBackendIsSentElsewhere(t *testing.T) {
+	set := testSettings()
+	b, h := newTestBalancer(t, set, testEndpoints(2, 1))
+	now := time.Second
+	send := func(class int) BackendID {
+		id := RequestID(len(b.requests)) + RequestID(now)
+		b.HandleRequest(now, newTestRequest(id, class, 10))
+		return h.last().to
+	}
+	failing := b.backends[1]
+	served := &request{class: &set.Classes[idempotentClass], work: 10}
+	hung := &request{
+		Request: Request{Class: nonIdempotentClass}, class: &set.Classes[nonIdempotentClass], work: 10,
+	}
+	for range 4 {
+		now += 100 * ms
+		answered := &attempt{backend: failing, sentAt: now}
+		b.recordOutcome(now, served, answered, Outcome{Status: OK, Latency: ms})
+		timedOut := &attempt{backend: failing, sentAt: now - 50*ms}
+		b.recordOutcome(now, hung, timedOut, Outcome{Status: Timeout, Latency: 50 * ms})
+	}
+	failing.lastSentAt[nonIdempotentClass] = now
+	for range 2 {
+		if to := send(nonIdempotentClass); to == 1 {
+			t.Error("sent to the backend that fails its class")
+		}
+	}
+	if to := send(idempotentClass); to != 1 {
+		t.Errorf("the other class went to %d", to)
+	}
+	now += 4 * set.Classes[nonIdempotentClass].LatencyObjective
+	if to := send(nonIdempotentClass); to != 1 {
+		t.Errorf("not tried again: sent to %d", to)
+	}
+}
+
+// A backend that holds five requests and completes one per second answers late, whatever this balancer has
+// there. Its report does not count for long.
+func TestOverloadedBackendReceivesNoRequestsPastObjective(t *testing.T) {
+	b, h := newTestBalancer(t, manyBalancersSettings(), testEndpoints(1, 1))
+	b.LoadReported(time.Second, 1, LoadReport{Inflight: 5, CompletedPerSecond: 1})
+	b.HandleRequest(time.Second, newTestRequest(1, idempotentClass, 10))
+	require.Empty(t, h.attempts)
+	b.HandleRequest(5*time.Second, Request{ID: 2, Class: idempotentClass, Deadline: 6 * time.Second, CostHint: 10})
+	require.Len(t, h.attempts, 1)
+}
--- a/settings.go
+++ b/settings.go
@@ -1,37 +1,127 @@
 package piernotch
 
-import "fmt"
+import (
+	"fmt"
+	"slices"
+	"time"
+)
 
-// Validate returns an error that names the first setting that cannot be used.
+// SettingsError is a setting that cannot be used.
+type SettingsError struct {
+	Setting string // the field of Settings, as in "Limits.MaxAttempts" or "Classes[1]"
+	Problem string // with the offending value
+}
+
+// Error returns the problem. It names the setting in the operators' terms.
+func (e *SettingsError) Error() string { return "settings: " + e.Problem }
+
+func settingsError(setting, problem string, args ...any) error {
+	return &SettingsError{Setting: setting, Problem: fmt.Sprintf(problem, args...)}
+}
+
+// Validate returns a *SettingsError for the first setting that cannot be used, or nil.
 func (s Settings) Validate() error {
 	switch {
 	case s.BalancerCount < 1:
-		return fmt.Errorf("settings: proxies is %d", s.BalancerCount)
+		return settingsError("BalancerCount", "proxies is %d", s.BalancerCount)
 	case len(s.Classes) == 0:
-		return fmt.Errorf("settings: no classes")
+		return settingsError("Classes", "no classes")
 	case s.Zone < 0 || s.Zone >= max(1, len(s.Zones)):
-		return fmt.Errorf("settings: zone %d of %d", s.Zone, len(s.Zones))
+		return settingsError("Zone", "zone %d of %d", s.Zone, len(s.Zones))
 	case s.Tick < 0:
-		return fmt.Errorf("settings: tick is %v", s.Tick)
+		return settingsError("Tick", "tick is %v", s.Tick)
 	case s.Limits.MaxAttempts < 1:
-		return fmt.Errorf("settings: limits: max attempts is %d", s.Limits.MaxAttempts)
+		return settingsError("Limits.MaxAttempts", "limits: max attempts is %d", s.Limits.MaxAttempts)
 	case s.Rules.SlowStartDuration < 0 || s.Rules.PollInterval < 0 || s.Rules.OverloadWindow < 0:
-		return fmt.Errorf("settings: rules: negative time")
+		return settingsError("Rules", "rules: negative time")
 	case !(s.Rules.SlowStartCapacity >= 0 && s.Rules.SlowStartCapacity <= 1):
-		return fmt.Errorf("settings: rules: cold from is %v", s.Rules.SlowStartCapacity)
+		return settingsError("Rules.SlowStartCapacity", "rules: cold from is %v", s.Rules.SlowStartCapacity)
 	}
 	for i, c := range s.Classes {
-		if c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.DedupWindow < 0 {
-			return fmt.Errorf("settings: classes[%d]: aim %v, deadline %v, window %v", i, c.LatencyObjective, c.Deadline, c.DedupWindow)
-		}
-		if !(c.PriorityWeight >= 0) || !(c.LateWeightShare >= 0) {
-			return fmt.Errorf("settings: classes[%d]: worth %v, late worth %v", i, c.PriorityWeight, c.LateWeightShare)
+		if err := c.validate(i); err != nil {
+			return err
 		}
 	}
 	for i, t := range s.Tenants {
 		if !(t.QuotaPerSec >= 0) {
-			return fmt.Errorf("settings: tenants[%d]: quota is %v", i, t.QuotaPerSec)
+			return settingsError(fmt.Sprintf("Tenants[%d]", i), "tenants[%d]: quota is %v", i, t.QuotaPerSec)
 		}
 	}
 	return nil
 }
+
+// validate checks the class at index i of the settings.
+func (c Class) validate(i int) error {
+	setting := fmt.Sprintf("Classes[%d]", i)
+	if c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.DedupWindow < 0 {
+		return settingsError(setting, "classes[%d]: aim %v, deadline %v, window %v",
+			i, c.LatencyObjective, c.Deadline, c.DedupWindow)
+	}
+	if !(c.PriorityWeight >= 0) || !(c.LateWeightShare >= 0) {
+		return settingsError(setting, "classes[%d]: worth %v, late worth %v", i, c.PriorityWeight, c.LateWeightShare)
+	}
+	return nil
+}
+
+// UpdateSettings replaces the settings while requests are open, or returns a *SettingsError and changes
+// nothing. A class keeps its index: those in use must stay in their places, and
+// new ones follow them. Zones and the number of tenants cannot change. Open requests keep the class that they
+// came with.
+func (b *Balancer) UpdateSettings(now time.Duration, s Settings) error {
+	if err := s.Validate(); err != nil {
+		return err
+	}
+	inUse := len(b.settings.Classes)
+	switch {
+	case len(s.Classes) < inUse:
+		return settingsError("Classes", "%d classes, the %d in use must keep their places", len(s.Classes), inUse)
+	case s.Zone != b.settings.Zone || !slices.Equal(s.Zones, b.settings.Zones):
+		return settingsError("Zones", "zones cannot change while the program runs")
+	case len(s.Tenants) != len(b.settings.Tenants):
+		return settingsError("Tenants", "tenants cannot change while the program runs")
+	}
+	b.ensureStarted(now)
+	s.Classes = slices.Clone(s.Classes) // open requests point to theirs
+	b.settings = s
+	b.deriveFromSettings()
+	for _, target := range b.sorted {
+		for len(target.failureShare) < len(s.Classes) {
+			target.failureShare = append(target.failureShare, 0)
+			target.lastSentAt = append(target.lastSentAt, 0)
+		}
+	}
+	return nil
+}
+
+// deriveFromSettings sets what the balancer derives from its settings.
+func (b *Balancer) deriveFromSettings() {
+	s := &b.settings
+	b.shortestObjective = s.Classes[0].LatencyObjective
+	for _, c := range s.Classes {
+		b.shortestObjective = min(b.shortestObjective, c.LatencyObjective)
+	}
+	b.tickInterval = max(s.Tick, time.Duration(float64(b.shortestObjective)/ticksPerObjective))
+	b.watchBackoff = s.Rules.PollInterval / 8
+	b.maxSpillers = max(minSpillers, spillerShare*float64(s.BalancerCount))
+	b.slowStartWindow = 0
+	if b.manyBalancers() {
+		b.slowStartWindow = s.Rules.OverloadWindow / slowStartWindows
+	}
+	b.levels = selectionLevels(s.BalancerCount)
+	for len(b.fastAnswers) < len(s.Classes) {
+		b.fastAnswers = append(b.fastAnswers, 0)
+	}
+	b.buildPriorities()
+}
+
+// selectionLevels returns the levels that are tried in turn: the own zone, up to a small load, and then the
+// others. Requests beyond that load wait here and not in a backend's queue, so that they can still go to
+// whichever backend is free first. The loads are small because all balancers' requests add up at a backend:
+// the fewer balancers may spill to one, the more requests each of them may.
+func selectionLevels(balancers int) []selectionLevel {
+	levels := []selectionLevel{{localZone, 1}, {localZone, 2}, {remoteZones, 1}}
+	for load := 2.0; load*float64(balancers-1) <= minSpillers && load < minSpillers; load++ {
+		levels = append(levels, selectionLevel{remoteZones, load})
+	}
+	return levels
+}
