--- a/internal/serve/runtime/crossings_test.go
+++ b/internal/serve/runtime/crossings_test.go
@@ -131,7 +131,7 @@
 // standStill keeps the node from looking at anything until the function that it returns is called.
 func standStill(n *Balancer) (goOn func()) {
 	stopped, on := make(chan struct{}), make(chan struct{})
-	n.engine.Post(func() { close(stopped); <-on })
+	n.loop.Post(func() { close(stopped); <-on })
 	<-stopped
 	return func() { close(on) }
 }
@@ -373,7 +373,7 @@
 		_, body := connect(t, n).ask("POST", "/append", fmt.Sprint("good-", i), "mine")
 		require.Equal(t, "mine", body)
 	}
-	require.Eventually(t, func() bool { return n.engine.OpenConnections() < 40 }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return n.loop.OpenConnections() < 40 }, patience, 10*time.Millisecond)
 }
 
 // A server stops in the middle of its answer, in every way. The request may have run: it is repeated
@@ -505,7 +505,7 @@
 	c := connect(t, n)
 	time.Sleep(100 * time.Millisecond) // it could give way by now
 	goOn := standStill(n)
-	n.engine.Post(n.front.Shed)
+	n.loop.Post(n.downstream.Shed)
 	c.send("POST /append HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\nContent-Length: 4\r\n\r\nmine")
 	time.Sleep(20 * time.Millisecond)
 	goOn()
--- a/internal/serve/runtime/daily_test.go
+++ b/internal/serve/runtime/daily_test.go
@@ -265,7 +265,7 @@
 	require.Equal(t, "served", body)
 	<-asked
 	stopped := make(chan struct{})
-	n.engine.Post(func() {
+	n.loop.Post(func() {
 		close(stopped)
 		time.Sleep(700 * time.Millisecond)
 	})
@@ -303,7 +303,7 @@
 	<-asked
 	<-watching
 	stopped, goOn := make(chan struct{}), make(chan struct{})
-	n.engine.Post(func() {
+	n.loop.Post(func() {
 		close(stopped)
 		<-goOn
 	})
--- a/internal/serve/runtime/sibling_processes.go
+++ b/internal/serve/runtime/sibling_processes.go
@@ -7,211 +7,209 @@
 	"time"
 
 	"piernotch"
-	"piernotch/internal/serve/admin"
 	"piernotch/internal/serve/core"
 	"piernotch/internal/serve/discovery"
-	"piernotch/internal/serve/eventloop"
 	"piernotch/internal/serve/handover"
 )
 
 const (
-	// lookEvery is how often the records of other processes are looked at, and keepEvery how
-	// old one's own may grow: what has been learnt and the list change all the time.
-	lookEvery = 25 * time.Millisecond
-	keepEvery = time.Second
+	// siblingPollInterval is the time between two reads of the sibling processes' records.
+	siblingPollInterval = 25 * time.Millisecond
+	// recordInterval is how old this process's own record may grow: the module's estimates and the
+	// endpoint list, which it holds, change all the time.
+	recordInterval = time.Second
 )
 
-// beside is this process among others of its balancer. Without a directory it is alone.
-type beside struct {
-	n         *Balancer
-	dir       *handover.Directory
-	self      handover.ProcessState
-	others    []handover.ProcessState // that are alive and could be read
-	alone     bool
-	looked    time.Duration
-	kept      time.Duration
-	succeeded bool // another can serve in this one's place
+// siblingProcesses is this process among others of the same balancer, which share a listening socket
+// during a handover and exchange records in a directory. Without a directory there are no others.
+type siblingProcesses struct {
+	balancer      *Balancer
+	dir           *handover.Directory // nil: there is none
+	self          handover.ProcessState
+	others        []handover.ProcessState // that are alive and whose records could be read
+	alone         bool                    // no other process is alive
+	polled        time.Duration           // when the others' records were last read
+	recordWritten time.Duration           // when the own record was last written
+	hasSuccessor  bool                    // another process can serve in this one's place
 }
 
-// enter makes this process known, takes over the list of another, and returns the others.
-func (n *Balancer) enter() ([]handover.Peer, error) {
-	b := &n.beside
-	b.n, b.alone = n, true
-	b.self = handover.ProcessState{Epoch: 1, PID: os.Getpid(), Phase: handover.Starting}
-	if n.cfg.StateDir == "" {
+// joinSiblings makes this process known to its siblings, takes over the endpoint list of one, and
+// returns all of them.
+func (b *Balancer) joinSiblings() ([]handover.Peer, error) {
+	s := &b.siblings
+	s.balancer = b
+	s.alone = true
+	s.self = handover.ProcessState{Epoch: 1, PID: os.Getpid(), Phase: handover.Starting}
+	if b.cfg.StateDir == "" {
 		return nil, nil
 	}
-	dir, err := handover.Enter(n.cfg.StateDir, n.cfg.Name)
+	dir, err := handover.Enter(b.cfg.StateDir, b.cfg.Name)
 	if err != nil {
 		return nil, err
 	}
-	b.dir = dir
-	peers := b.read()
-	var from *handover.Record
+	s.dir = dir
+	peers := s.read()
+	var predecessor *handover.Record
 	for i := range peers {
-		p := &peers[i]
-		b.self.Epoch = max(b.self.Epoch, p.Epoch+1)
-		usable := p.Err == nil && p.Endpoints != nil && (p.Alive || p.Discovery == n.cfg.Discovery && p.Generation >= n.cfg.KnownEndpoints.Generation)
-		if usable && (from == nil || p.Epoch > from.Epoch) {
-			from = &p.Record
+		peer := &peers[i]
+		s.self.Epoch = max(s.self.Epoch, peer.Epoch+1)
+		if b.canTakeOver(peer) && (predecessor == nil || peer.Epoch > predecessor.Epoch) {
+			predecessor = &peer.Record
 		}
 	}
-	if from != nil {
-		n.takeOver(from)
+	if predecessor != nil {
+		b.takeOver(predecessor)
 	}
 	return peers, nil
 }
 
-// takeOver starts from the list and the experience of another process.
-func (n *Balancer) takeOver(from *handover.Record) {
+// canTakeOver reports whether a process's record holds a list that is better than what this
+// process was configured with. That of a process which has ended may be old.
+func (b *Balancer) canTakeOver(peer *handover.Peer) bool {
+	if peer.Err != nil || peer.Endpoints == nil {
+		return false
+	}
+	if peer.Alive {
+		return true
+	}
+	return peer.Discovery == b.cfg.Discovery && peer.Generation >= b.cfg.KnownEndpoints.Generation
+}
+
+// takeOver starts from the endpoint list and the estimates of another process.
+func (b *Balancer) takeOver(from *handover.Record) {
 	known := discovery.EndpointList{Generation: from.Generation, Reset: true}
-	for _, m := range from.Endpoints {
-		known.Endpoints = append(known.Endpoints, core.DiscoveredEndpoint{Name: m.Name, Address: m.Address, Endpoint: piernotch.Endpoint{
-			Zone: slices.Index(n.cfg.Settings.Zones, m.Zone), Cell: m.Cell, State: m.State, Size: m.Size, StartedAt: m.StartedAt,
+	for _, e := range from.Endpoints {
+		known.Endpoints = append(known.Endpoints, core.DiscoveredEndpoint{Name: e.Name, Address: e.Address, Endpoint: piernotch.Endpoint{
+			Zone: slices.Index(b.cfg.Settings.Zones, e.Zone), Cell: e.Cell, State: e.State, Size: e.Size, StartedAt: e.StartedAt,
 		}})
 	}
-	n.cfg.KnownEndpoints, n.cfg.HasKnownEndpoints = known, true
-	n.watcher.Resume(from.Generation, from.Discovery == n.cfg.Discovery)
-	n.emit(core.PeerSnapshot{Snapshot: from.Snapshot})
+	b.cfg.KnownEndpoints = known
+	b.cfg.HasKnownEndpoints = true
+	b.watcher.Resume(from.Generation, from.Discovery == b.cfg.Discovery)
+	b.emit(core.PeerSnapshot{Snapshot: from.Snapshot})
 	slog.Info("handover started", "from_pid", from.PID, "epoch", from.Epoch, "generation", from.Generation, "servers", len(known.Endpoints))
 }
 
-// look follows the other processes.
-func (b *beside) look(now time.Duration) {
-	if b.dir == nil {
+// tick reads the others' records and writes the own one, each at its interval.
+func (s *siblingProcesses) tick(now time.Duration) {
+	if s.dir == nil {
 		return
 	}
-	if now-b.looked >= lookEvery {
-		b.looked = now
-		b.merge(b.read())
-		b.stand()
-		b.n.limits()
+	if now-s.polled >= siblingPollInterval {
+		s.polled = now
+		s.merge(s.read())
+		s.updateAccepting()
+		s.balancer.applyResourceLimits()
 	}
-	if now-b.kept >= keepEvery {
-		b.keep()
+	if now-s.recordWritten >= recordInterval {
+		s.writeRecord()
 	}
 }
 
-func (b *beside) read() []handover.Peer {
-	peers, err := b.dir.Peers()
+func (s *siblingProcesses) read() []handover.Peer {
+	peers, err := s.dir.Peers()
 	if err != nil {
 		slog.Warn("sibling processes unreadable", "err", err)
 	}
 	return peers
 }
 
-// merge takes what others were told, and notes who there is.
-func (b *beside) merge(peers []handover.Peer) {
-	b.others = b.others[:0]
+// merge applies the operator overrides that others were given, and notes which processes are alive.
+func (s *siblingProcesses) merge(peers []handover.Peer) {
+	s.others = s.others[:0]
 	alone := true
 	for i := range peers {
-		p := &peers[i]
-		if p.Err == nil {
-			b.n.emit(core.PeerOverrides{Overrides: &p.Overrides})
+		peer := &peers[i]
+		if peer.Err == nil {
+			s.balancer.emit(core.PeerOverrides{Overrides: &peer.Overrides})
+		}
+		if !peer.Alive {
+			continue
 		}
-		if p.Alive {
-			alone = false
-			if p.Err == nil {
-				b.others = append(b.others, p.ProcessState)
-			}
+		alone = false
+		if peer.Err == nil {
+			s.others = append(s.others, peer.ProcessState)
 		}
 	}
-	if alone != b.alone {
-		b.alone = alone
-		slog.Info("sibling processes changed", "others", len(b.others), "pid", b.self.PID, "epoch", b.self.Epoch)
+	if alone != s.alone {
+		s.alone = alone
+		slog.Info("sibling processes changed", "others", len(s.others), "pid", s.self.PID, "epoch", s.self.Epoch)
 	}
 	if alone {
-		b.n.core.PruneOverrides()
+		s.balancer.core.PruneOverrides()
 	}
 }
 
-// advance notes how far this process is.
-func (b *beside) advance(to handover.Phase) {
-	if b.self.Phase == to || b.self.Phase == handover.ShuttingDown {
+// advance notes a new phase of this process. None follows a shutdown.
+func (s *siblingProcesses) advance(to handover.Phase) {
+	if s.self.Phase == to || s.self.Phase == handover.ShuttingDown {
 		return
 	}
-	b.self.Phase = to
-	slog.Info("process phase changed", "phase", to, "pid", b.self.PID, "epoch", b.self.Epoch)
-	b.keep()
-	b.stand()
+	s.self.Phase = to
+	slog.Info("process phase changed", "phase", to, "pid", s.self.PID, "epoch", s.self.Epoch)
+	s.writeRecord()
+	s.updateAccepting()
 }
 
-// stand accepts clients, or leaves them to another process.
-func (b *beside) stand() {
-	n := b.n
-	b.succeeded = b.self.HasSuccessor(b.others)
-	if n.cfg.ListenFD == 0 || n.stopped {
+// updateAccepting accepts clients on an inherited socket, or leaves them to another process.
+func (s *siblingProcesses) updateAccepting() {
+	b := s.balancer
+	s.hasSuccessor = s.self.HasSuccessor(s.others)
+	if b.cfg.ListenFD == 0 || b.stopped {
 		return
 	}
-	on := b.self.Accepts(b.others)
-	if on == n.listener.Accepting() {
+	accept := s.self.Accepts(s.others)
+	if accept == b.listener.Accepting() {
 		return
 	}
 	event := "listener stopped"
-	if on {
+	if accept {
 		event = "listener started"
 	}
-	slog.Info(event, "pid", b.self.PID, "others", len(b.others))
-	if err := n.listener.SetAccepting(on); err != nil {
+	slog.Info(event, "pid", s.self.PID, "others", len(s.others))
+	if err := b.listener.SetAccepting(accept); err != nil {
 		slog.Error("inherited listener failed", "err", err)
 	}
 }
 
-// keep writes this process's record.
-func (b *beside) keep() {
-	if b.dir == nil {
+// leave writes the last record and lets the others know that this process has ended.
+func (s *siblingProcesses) leave() {
+	if s.dir == nil {
 		return
 	}
-	n := b.n
-	b.kept = n.now()
+	s.writeRecord()
+	s.dir.Leave()
+}
+
+// writeRecord writes this process's record for its siblings and successors.
+func (s *siblingProcesses) writeRecord() {
+	if s.dir == nil {
+		return
+	}
+	s.recordWritten = s.balancer.now()
+	if err := s.dir.Write(s.balancer.record(s.self, s.recordWritten)); err != nil {
+		slog.Error("handover record write failed", "err", err)
+	}
+}
+
+// record returns what a successor needs to know. Endpoints is nil as long as no list is known.
+func (b *Balancer) record(self handover.ProcessState, now time.Duration) handover.Record {
 	r := handover.Record{
-		ProcessState: b.self, WrittenAt: b.kept, Discovery: n.cfg.Discovery, Generation: n.watcher.Version(),
-		Overrides: n.core.Overrides(), Snapshot: n.core.Snapshot(),
+		ProcessState: self, WrittenAt: now, Discovery: b.cfg.Discovery, Generation: b.watcher.Version(),
+		Overrides: b.core.Overrides(), Snapshot: b.core.Snapshot(),
 	}
-	if n.core.EndpointsKnown() {
+	if b.core.EndpointsKnown() {
 		r.Endpoints = []handover.Endpoint{}
 	}
-	for _, m := range n.core.Endpoints() {
+	for _, known := range b.core.Endpoints() {
+		e := &known.Endpoint
 		zone := ""
-		if z := m.Endpoint.Zone; z >= 0 && z < len(n.cfg.Settings.Zones) {
-			zone = n.cfg.Settings.Zones[z]
+		if e.Zone >= 0 && e.Zone < len(b.cfg.Settings.Zones) {
+			zone = b.cfg.Settings.Zones[e.Zone]
 		}
 		r.Endpoints = append(r.Endpoints, handover.Endpoint{
-			Name: m.Name, Address: m.Address, Zone: zone, Cell: m.Endpoint.Cell, State: m.Endpoint.State, Size: m.Endpoint.Size, StartedAt: m.Endpoint.StartedAt,
+			Name: known.Name, Address: known.Address, Zone: zone, Cell: e.Cell, State: e.State, Size: e.Size, StartedAt: e.StartedAt,
 		})
 	}
-	if err := b.dir.Write(r); err != nil {
-		slog.Error("handover record write failed", "err", err)
-	}
+	return r
 }
-
-// limits keeps all processes of the balancer within its limits.
-func (n *Balancer) limits() {
-	b := &n.beside
-	sockets, memory := n.cfg.MaxDescriptors, int64(n.cfg.MemoryMB)<<20*6/10 // stacks, the runtime and the kernel's share come on top
-	if n.cfg.AdminAddress != "" {
-		sockets -= admin.ReservedDescriptors
-	}
-	switch {
-	case b.alone:
-	case len(b.others) == 0: // nothing is known of whoever is there
-		sockets, memory = sockets/2, memory/2
-	default:
-		sockets, memory = b.self.DescriptorShare(b.others, sockets, n.engine.OpenConnections()+eventloop.ReservedDescriptors), memory/2
-	}
-	if sockets != n.sockets {
-		n.sockets = sockets
-		n.engine.SetDescriptorLimit(max(sockets, leastSockets))
-	}
-	if memory != n.memory && n.LimitMemory != nil {
-		n.memory = memory
-		n.LimitMemory(memory)
-	}
-	if d := sockets - b.self.DescriptorClaim; d < 0 || d > 8 { // a record for each descriptor would be many
-		b.self.DescriptorClaim = sockets
-		b.keep()
-	}
-}
-
-// leastSockets leaves room to serve, whatever the others hold.
-const leastSockets = eventloop.ReservedDescriptors + 16
--- a/internal/serve/runtime/stories_test.go
+++ b/internal/serve/runtime/stories_test.go
@@ -342,7 +342,7 @@
 	for range 400 {
 		_, body := connect(t, n).ask("GET", "/read", "i", "")
 		require.Equal(t, "served", body)
-		require.Less(t, n.engine.OpenConnections(), n.cfg.MaxDescriptors)
+		require.Less(t, n.loop.OpenConnections(), n.cfg.MaxDescriptors)
 	}
 }
 
--- a/internal/serve/runtime/trace_recorder.go
+++ b/internal/serve/runtime/trace_recorder.go
@@ -10,75 +10,79 @@
 	"piernotch/internal/trace"
 )
 
-// recorder writes clients' requests and how they ended to a recording. It holds a
-// record for each request that is owed an answer, and never waits for the disk.
-type recorder struct {
-	out  *trace.Writer
-	from time.Duration
-	open map[core.ExchangeID]trace.Record
+// traceRecorder writes clients' requests and their outcomes to a trace. It holds a record for each
+// pending request, and never waits for the disk.
+type traceRecorder struct {
+	out       *trace.Writer
+	startedAt time.Duration // on the balancer's clock
+	pending   map[core.ExchangeID]trace.Record
 }
 
-func newRecorder(cfg *config.Config, now time.Duration) (*recorder, error) {
+// newTraceRecorder creates the trace file. It returns nil if the configuration names none.
+func newTraceRecorder(cfg *config.Config, now time.Duration) (*traceRecorder, error) {
 	if cfg.Trace.File == "" {
 		return nil, nil
 	}
-	h := trace.Header{Name: cfg.Name, StartedAt: int64(now)}
-	for _, c := range cfg.Settings.Classes {
-		h.Classes = append(h.Classes, c.Name)
+	header := trace.Header{Name: cfg.Name, StartedAt: int64(now)}
+	for _, class := range cfg.Settings.Classes {
+		header.Classes = append(header.Classes, class.Name)
 	}
-	if z := cfg.Settings.Zone; z < len(cfg.Settings.Zones) {
-		h.Zone = cfg.Settings.Zones[z]
+	if zone := cfg.Settings.Zone; zone < len(cfg.Settings.Zones) {
+		header.Zone = cfg.Settings.Zones[zone]
 	}
-	out, err := trace.Create(cfg.Trace.File, h, trace.Limits{Bytes: cfg.Trace.MaxBytes})
+	out, err := trace.Create(cfg.Trace.File, header, trace.Limits{Bytes: cfg.Trace.MaxBytes})
 	if err != nil {
 		return nil, err
 	}
-	return &recorder{out: out, from: now, open: map[core.ExchangeID]trace.Record{}}, nil
+	return &traceRecorder{out: out, startedAt: now, pending: map[core.ExchangeID]trace.Record{}}, nil
 }
 
-// hear notes what a client asked, or that it left.
-func (r *recorder) hear(now time.Duration, ev core.Event) {
-	switch ev := ev.(type) {
+// eventReceived notes a request, or that its client has gone. Other events are ignored.
+func (r *traceRecorder) eventReceived(now time.Duration, event core.Event) {
+	switch e := event.(type) {
 	case core.RequestReceived:
-		rec := trace.Record{At: now - r.from, Class: uint16(ev.Class), Key: ev.Key, Deadline: ev.Deadline - now}
-		if ev.Hint > 0 && !math.IsInf(ev.Hint, 0) {
-			rec.CostHint = ev.Hint
+		record := trace.Record{At: now - r.startedAt, Class: uint16(e.Class), Key: e.Key, Deadline: e.Deadline - now}
+		if e.Hint > 0 && !math.IsInf(e.Hint, 0) {
+			record.CostHint = e.Hint
 		}
-		r.open[ev.Client] = rec
+		r.pending[e.Client] = record
 	case core.ClientGone:
-		r.end(now, ev.Client, trace.ClientGone)
+		r.complete(now, e.Client, trace.ClientGone)
 	}
 }
 
-// answer notes a final answer.
-func (r *recorder) answer(now time.Duration, reply core.Respond) {
-	switch reply.Result {
+// responseSent notes a final response.
+func (r *traceRecorder) responseSent(now time.Duration, response core.Respond) {
+	switch response.Result {
 	case core.Served:
-		r.end(now, reply.Client, trace.Served)
+		r.complete(now, response.Client, trace.Served)
 	case core.Rejected:
-		r.end(now, reply.Client, trace.Rejected)
+		r.complete(now, response.Client, trace.Rejected)
 	case core.Failed:
-		r.end(now, reply.Client, trace.Failed)
-	default: // it was never taken
-		delete(r.open, reply.Client)
+		r.complete(now, response.Client, trace.Failed)
+	default: // the request was not valid and never accepted
+		delete(r.pending, response.Client)
 	}
 }
 
-func (r *recorder) end(now time.Duration, c core.ExchangeID, how trace.Outcome) {
-	rec, ok := r.open[c]
+// complete writes the record of a request, if it is pending.
+func (r *traceRecorder) complete(now time.Duration, client core.ExchangeID, outcome trace.Outcome) {
+	record, ok := r.pending[client]
 	if !ok {
 		return
 	}
-	delete(r.open, c)
-	rec.Outcome, rec.Latency = how, now-r.from-rec.At
-	r.out.Add(rec)
+	delete(r.pending, client)
+	record.Outcome = outcome
+	record.Latency = now - r.startedAt - record.At
+	r.out.Add(record)
 }
 
-func (r *recorder) close() {
+// close completes the file. Requests that are pending are not written.
+func (r *traceRecorder) close() {
 	if err := r.out.Close(); err != nil {
 		slog.Error("trace recording failed", "err", err)
 	}
-	if n := r.out.Dropped(); n > 0 {
-		slog.Warn("trace records dropped", "records", n)
+	if dropped := r.out.Dropped(); dropped > 0 {
+		slog.Warn("trace records dropped", "records", dropped)
 	}
 }
--- a/internal/serve/runtime/trace_recorder_test.go
+++ b/internal/serve/runtime/trace_recorder_test.go
@@ -26,9 +26,9 @@
 	cfg := n.cfg
 	cfg.Trace.File = name
 	ready := make(chan error)
-	n.engine.Post(func() {
+	n.loop.Post(func() {
 		var err error
-		n.recorder, err = newRecorder(&cfg, n.now())
+		n.recorder, err = newTraceRecorder(&cfg, n.now())
 		ready <- err
 	})
 	require.NoError(t, <-ready)
