--- a/internal/serve/runtime/watch_test.go
+++ b/internal/serve/runtime/watch_test.go
@@ -5,6 +5,7 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
+	"io"
 	"net"
 	"strings"
 	"sync"
@@ -17,8 +18,6 @@
 	"piernotch/internal/serve/config"
 )
 
-// A watch that dies, falls silent or is not there while servers begin to drain.
-
 // refuses tells whether the node has no server to send a request to.
 func refuses(t *testing.T, n *Balancer) func() bool {
 	return func() bool {
@@ -156,3 +155,76 @@
 		})
 	}
 }
+
+// The watch goes on from the last version, survives a failure, and what a whole
+// list leaves out is gone.
+func TestTheWatchFollowsTheList(t *testing.T) {
+	first := peer(t, func(c net.Conn, r *bufio.Reader) { message(r); answer(c, "first") })
+	second := peer(t, func(c net.Conn, r *bufio.Reader) { message(r); answer(c, "second") })
+	calls, told := make(chan string, 64), make(chan string, 1)
+	disco := peer(t, func(c net.Conn, r *bufio.Reader) {
+		for i := 0; ; i++ {
+			head, _ := message(r)
+			if head == "" {
+				return
+			}
+			line, _, _ := strings.Cut(head, " HTTP")
+			calls <- line
+			if i > 0 && strings.Contains(line, "index=1&") {
+				_, _ = io.WriteString(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
+				continue
+			}
+			if !strings.Contains(line, "index=1&") {
+				message(r) // holds the watch
+				return
+			}
+			answer(c, <-told)
+		}
+	})
+	n, _ := start(t, disco, first)
+	require.Contains(t, <-calls, "GET /catalog/members?index=1&wait=")
+	told <- "nonsense"
+	require.Contains(t, <-calls, "index=1&", "a failure does not end the watch")
+	told <- list(2, true, "in_service", second)
+	require.Contains(t, <-calls, "index=2&")
+	_, body := connect(t, n).ask("GET", "/read", "i", "")
+	require.Equal(t, "second", body)
+}
+
+// SIGHUP moves the watch: the new address is asked for the whole list, what is
+// known serves meanwhile, and what the old one still says is not heard.
+func TestTheWatchMoves(t *testing.T) {
+	served := func(name string) string {
+		return peer(t, func(c net.Conn, r *bufio.Reader) { message(r); answer(c, name) })
+	}
+	asked, late, told := make(chan string, 8), make(chan struct{}), make(chan struct{})
+	old := peer(t, func(c net.Conn, r *bufio.Reader) {
+		message(r)
+		asked <- "old"
+		<-late
+		answer(c, list(9, true, "in_service", served("late")))
+	})
+	known, moved := served("known"), served("moved")
+	next := peer(t, func(c net.Conn, r *bufio.Reader) {
+		head, _ := message(r)
+		asked <- strings.Fields(head)[1]
+		<-told
+		answer(c, list(3, true, "in_service", moved))
+		head, _ = message(r)
+		asked <- strings.Fields(head)[1]
+		message(r)
+	})
+	n, _ := start(t, old, known)
+	require.Equal(t, "old", <-asked)
+	cfg := n.cfg
+	cfg.Discovery = next
+	n.Reload(cfg)
+	require.Equal(t, "/catalog/members", <-asked)
+	close(late)
+	_, body := connect(t, n).ask("GET", "/read", "1", "")
+	require.Equal(t, "known", body)
+	close(told)
+	require.Contains(t, <-asked, "index=3&")
+	_, body = connect(t, n).ask("GET", "/read", "2", "")
+	require.Equal(t, "moved", body)
+}
