--- a/internal/serve/runtime/admin_test.go
+++ b/internal/serve/runtime/admin_test.go
@@ -14,9 +14,9 @@
 	"piernotch/internal/serve/config"
 )
 
-// call makes one call at the operators' address and returns the status line's number.
-func call(t *testing.T, n *Balancer, method, path, body string) int {
-	head, _ := raw(t, n.AdminAddr(), fmt.Sprintf("%s %s HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body))
+// adminCall makes one call at the admin address and returns the status code.
+func adminCall(t *testing.T, balancer *Balancer, method, path, body string) int {
+	head, _ := exchange(t, balancer.AdminAddr(), fmt.Sprintf("%s %s HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body))
 	var status int
 	_, err := fmt.Sscanf(head, "HTTP/1.1 %d", &status)
 	require.NoError(t, err, head)
@@ -24,21 +24,24 @@
 	return status
 }
 
-func raw(t *testing.T, address, text string) (head, body string) {
+// exchange sends raw bytes on a connection of their own and reads one response.
+func exchange(t *testing.T, address, text string) (head, body string) {
 	c, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	_, _ = io.WriteString(c, text)
-	return message(bufio.NewReader(c))
+	return readMessage(bufio.NewReader(c))
 }
 
-func managed(cfg *config.Config) { cfg.AdminAddress = "127.0.0.1:0" }
+// withAdminAddress gives a balancer an admin address.
+func withAdminAddress(cfg *config.Config) { cfg.AdminAddress = "127.0.0.1:0" }
 
-func TestOperatorsAreAnswered(t *testing.T) {
-	a, b := echo(t, "a"), echo(t, "b")
-	n, _ := startWith(t, managed, quiet(t), a, b)
-	out := fmt.Sprintf(`{"name":"s-%s"}`, a)
+// Valid calls take effect, calls that are not valid get a status that says why, and repeats do no harm.
+func TestAdminCallsReturnStatusAndTakeEffect(t *testing.T) {
+	a, b := startNamedServer(t, "a"), startNamedServer(t, "b")
+	balancer, _ := startBalancerWith(t, withAdminAddress, startIdleDiscovery(t), a, b)
+	excluded := fmt.Sprintf(`{"name":"s-%s"}`, a)
 	for _, c := range []struct {
 		method, path, body string
 		status             int
@@ -47,7 +50,7 @@
 		{"POST", "/api/ready", "", 405},
 		{"GET", "/api/exclude", "", 405},
 		{"GET", "/_health", "", 404},
-		{"POST", "/api/nothing", out, 404},
+		{"POST", "/api/nothing", excluded, 404},
 		{"POST", "/api/exclude", "", 400},
 		{"POST", "/api/exclude", "{", 400},
 		{"POST", "/api/exclude", `{"name":3}`, 400},
@@ -56,61 +59,62 @@
 		{"POST", "/api/exclude", strings.Repeat("x", 70000), 413},
 		{"POST", "/api/exclude", `{"name":"s-unknown"}`, 404},
 		{"POST", "/api/include", `{"name":"s-unknown"}`, 404},
-		{"POST", "/api/exclude", out, 200},
-		{"POST", "/api/exclude", out, 200},
+		{"POST", "/api/exclude", excluded, 200},
+		{"POST", "/api/exclude", excluded, 200},
 	} {
-		require.Equal(t, c.status, call(t, n, c.method, c.path, c.body), "%s %s %.20s", c.method, c.path, c.body)
+		require.Equal(t, c.status, adminCall(t, balancer, c.method, c.path, c.body), "%s %s %.20s", c.method, c.path, c.body)
 	}
-	c := connect(t, n)
+	c := connect(t, balancer)
 	for i := range 20 {
-		_, body := c.ask("GET", "/read", fmt.Sprint(i), "")
+		_, body := c.request("GET", "/read", fmt.Sprint(i), "")
 		require.Equal(t, "b", body)
 	}
-	require.Equal(t, 200, call(t, n, "POST", "/api/include", out))
+	require.Equal(t, 200, adminCall(t, balancer, "POST", "/api/include", excluded))
 	require.Eventually(t, func() bool {
-		_, body := c.ask("GET", "/read", "again", "")
+		_, body := c.request("GET", "/read", "again", "")
 		return body == "a"
-	}, patience, 10*time.Millisecond)
+	}, testTimeout, 10*time.Millisecond)
 }
 
-// Callers that hold their connections without a whole call keep nobody from being answered.
-func TestSilentCallersGiveWay(t *testing.T) {
-	n, _ := startWith(t, managed, quiet(t), echo(t, "a"))
+// Callers that hold their connections without a complete call keep no other call from being served.
+func TestIncompleteAdminCallsDoNotBlockOthers(t *testing.T) {
+	balancer, _ := startBalancerWith(t, withAdminAddress, startIdleDiscovery(t), startNamedServer(t, "a"))
 	for range 3 * 16 {
-		c, err := net.Dial("tcp", n.AdminAddr())
+		c, err := net.Dial("tcp", balancer.AdminAddr())
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = c.Close() })
 		_, _ = io.WriteString(c, "POST /api/excl")
 	}
-	require.Equal(t, 200, call(t, n, "GET", "/api/ready", ""))
-	c := connect(t, n)
-	_, body := c.ask("GET", "/read", "1", "")
+	require.Equal(t, 200, adminCall(t, balancer, "GET", "/api/ready", ""))
+	c := connect(t, balancer)
+	_, body := c.request("GET", "/read", "1", "")
 	require.Equal(t, "a", body)
 }
 
-func TestClientsAreSentAwayAndTakenAgain(t *testing.T) {
-	n, _ := startWith(t, managed, quiet(t), echo(t, "a"))
-	busy, idle := connect(t, n), connect(t, n)
+// Clients are drained, while the process stays ready, and accepted again.
+func TestEvacuateDrainsClientsUntilRejoin(t *testing.T) {
+	balancer, _ := startBalancerWith(t, withAdminAddress, startIdleDiscovery(t), startNamedServer(t, "a"))
+	busy, idle := connect(t, balancer), connect(t, balancer)
 	for _, c := range []*client{busy, idle} {
-		head, _ := c.ask("GET", "/_health", "1", "")
+		head, _ := c.request("GET", "/_health", "1", "")
 		require.Contains(t, head, " 200 ")
 	}
-	require.Equal(t, 200, call(t, n, "POST", "/api/evacuate", ""))
+	require.Equal(t, 200, adminCall(t, balancer, "POST", "/api/evacuate", ""))
 	began := time.Now()
-	head, body := busy.ask("GET", "/read", "2", "")
-	require.Equal(t, "a", body, "connections that stand still serve")
+	head, body := busy.request("GET", "/read", "2", "")
+	require.Equal(t, "a", body, "open connections still serve")
 	require.Contains(t, head, "Connection: close")
-	_, err := idle.r.ReadByte()
+	_, err := idle.reader.ReadByte()
 	require.ErrorIs(t, err, io.EOF, "an idle connection is closed")
 	require.Less(t, time.Since(began), 4*time.Second)
-	head, _ = connect(t, n).ask("GET", "/_health", "1", "")
+	head, _ = connect(t, balancer).request("GET", "/_health", "1", "")
 	require.Contains(t, head, " 503 ")
-	require.Equal(t, 200, call(t, n, "GET", "/api/ready", ""), "the process can serve all the same")
+	require.Equal(t, 200, adminCall(t, balancer, "GET", "/api/ready", ""), "the process can serve all the same")
 
-	require.Equal(t, 200, call(t, n, "POST", "/api/rejoin", ""))
-	c := connect(t, n)
+	require.Equal(t, 200, adminCall(t, balancer, "POST", "/api/rejoin", ""))
+	c := connect(t, balancer)
 	for range 2 {
-		head, _ = c.ask("GET", "/_health", "1", "")
+		head, _ = c.request("GET", "/_health", "1", "")
 		require.Contains(t, head, " 200 ")
 		require.NotContains(t, head, "Connection: close")
 	}
--- a/internal/serve/runtime/blocked_peer_test.go
+++ b/internal/serve/runtime/blocked_peer_test.go
@@ -12,8 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// late is a server to which no connection comes up until open is called: its queue is full before.
-func late(t *testing.T, script func(net.Conn, *bufio.Reader)) (address string, open func()) {
+// startBlockedPeer starts a server to which no connection comes up until unblock is called: its accept
+// queue is full before.
+func startBlockedPeer(t *testing.T, script func(net.Conn, *bufio.Reader)) (address string, unblock func()) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	require.NoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
@@ -23,18 +24,21 @@
 	address = fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 	filler, err := net.Dial("tcp", address)
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = filler.Close(); _ = syscall.Close(fd) })
+	t.Cleanup(func() {
+		_ = filler.Close()
+		_ = syscall.Close(fd)
+	})
 	var once sync.Once
-	open = func() {
+	unblock = func() {
 		once.Do(func() {
 			go func() {
 				for {
-					nfd, _, err := syscall.Accept(fd)
+					accepted, _, err := syscall.Accept(fd)
 					if err != nil {
 						return
 					}
 					go func() {
-						c := &fdConn{fd: nfd}
+						c := &descriptorConn{fd: accepted}
 						defer c.close()
 						script(c, bufio.NewReader(c))
 					}()
@@ -42,17 +46,20 @@
 			}()
 		})
 	}
-	t.Cleanup(func() { open(); _ = syscall.Shutdown(fd, syscall.SHUT_RDWR) })
-	return address, open
+	t.Cleanup(func() {
+		unblock()
+		_ = syscall.Shutdown(fd, syscall.SHUT_RDWR)
+	})
+	return address, unblock
 }
 
-// fdConn is as much of a connection as a script needs, on a bare descriptor.
-type fdConn struct {
+// descriptorConn is as much of a connection as a script needs, on a bare descriptor.
+type descriptorConn struct {
 	net.Conn
 	fd int
 }
 
-func (c *fdConn) Read(p []byte) (int, error) {
+func (c *descriptorConn) Read(p []byte) (int, error) {
 	n, err := syscall.Read(c.fd, p)
 	if err == nil && n == 0 {
 		err = io.EOF
@@ -60,5 +67,5 @@
 	return max(n, 0), err
 }
 
-func (c *fdConn) Write(p []byte) (int, error) { return syscall.Write(c.fd, p) }
-func (c *fdConn) close()                      { _ = syscall.Close(c.fd) }
+func (c *descriptorConn) Write(p []byte) (int, error) { return syscall.Write(c.fd, p) }
+func (c *descriptorConn) close()                      { _ = syscall.Close(c.fd) }
--- a/internal/serve/runtime/handover_test.go
+++ b/internal/serve/runtime/handover_test.go
@@ -13,78 +13,83 @@
 	"piernotch/internal/serve/config"
 )
 
-// pair starts a process beside another on a socket that both hold.
-type pair struct {
-	t    *testing.T
-	file int
-	dir  string
-	set  func(*config.Config)
+// siblingPair starts processes of one balancer on a listening socket that all of them hold.
+type siblingPair struct {
+	t          *testing.T
+	listenerFD int
+	stateDir   string
+	configure  func(*config.Config)
 }
 
-func newPair(t *testing.T) *pair {
+// newSiblingPair opens the socket.
+func newSiblingPair(t *testing.T) *siblingPair {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	f, err := l.(*net.TCPListener).File()
 	require.NoError(t, err)
 	require.NoError(t, l.Close())
 	t.Cleanup(func() { _ = f.Close() })
-	p := &pair{t: t, dir: t.TempDir(), file: int(f.Fd())}
-	p.set = func(cfg *config.Config) {
-		managed(cfg)
-		fd, err := syscall.Dup(p.file) // each process has its own
+	p := &siblingPair{t: t, stateDir: t.TempDir(), listenerFD: int(f.Fd())}
+	p.configure = func(cfg *config.Config) {
+		withAdminAddress(cfg)
+		fd, err := syscall.Dup(p.listenerFD) // each process has its own
 		require.NoError(t, err)
-		cfg.ListenFD, cfg.StateDir = fd, p.dir
+		cfg.ListenFD = fd
+		cfg.StateDir = p.stateDir
 	}
 	return p
 }
 
-func TestAProcessTakesOverFromTheOneBesideIt(t *testing.T) {
-	p := newPair(t)
-	a, b := echo(t, "a"), echo(t, "b")
-	old, oldDone := startWith(t, p.set, quiet(t), a, b)
-	held := connect(t, old)
-	require.Equal(t, 200, call(t, old, "POST", "/api/exclude", fmt.Sprintf(`{"name":"s-%s"}`, a)))
+// A new process takes over the endpoint list and the operator overrides of the one that runs, accepts in its
+// place, and both serve as one balancer until the old one has shut down.
+func TestSuccessorTakesOverEndpointsAndOverrides(t *testing.T) {
+	p := newSiblingPair(t)
+	a, b := startNamedServer(t, "a"), startNamedServer(t, "b")
+	old, oldDone := startBalancerWith(t, p.configure, startIdleDiscovery(t), a, b)
+	existing := connect(t, old)
+	require.Equal(t, 200, adminCall(t, old, "POST", "/api/exclude", fmt.Sprintf(`{"name":"s-%s"}`, a)))
 
-	next, _ := startWith(t, p.set, quiet(t)) // its own list is empty: it has the other's
-	require.Equal(t, 200, call(t, next, "GET", "/api/ready", ""))
-	require.Eventually(t, func() bool { return accepting(old, false) && accepting(next, true) }, patience, time.Millisecond)
+	next, _ := startBalancerWith(t, p.configure, startIdleDiscovery(t)) // its own list is empty: it takes over the other's
+	require.Equal(t, 200, adminCall(t, next, "GET", "/api/ready", ""))
+	require.Eventually(t, func() bool { return accepting(old, false) && accepting(next, true) }, testTimeout, time.Millisecond)
 	for i := range 10 {
-		_, body := held.ask("GET", "/read", fmt.Sprint("h", i), "")
+		_, body := existing.request("GET", "/read", fmt.Sprint("h", i), "")
 		require.Equal(t, "b", body, "the old process serves on its connections")
-		_, body = connect(t, next).ask("GET", "/read", fmt.Sprint("n", i), "")
-		require.Equal(t, "b", body, "what is left out stays so")
+		_, body = connect(t, next).request("GET", "/read", fmt.Sprint("n", i), "")
+		require.Equal(t, "b", body, "the exclusion was taken over")
 	}
-	// A word at either process reaches the other.
-	require.Equal(t, 200, call(t, next, "POST", "/api/include", fmt.Sprintf(`{"name":"s-%s"}`, a)))
-	require.Equal(t, 200, call(t, next, "POST", "/api/exclude", fmt.Sprintf(`{"name":"s-%s"}`, b)))
+	// An override at either process reaches the other.
+	require.Equal(t, 200, adminCall(t, next, "POST", "/api/include", fmt.Sprintf(`{"name":"s-%s"}`, a)))
+	require.Equal(t, 200, adminCall(t, next, "POST", "/api/exclude", fmt.Sprintf(`{"name":"s-%s"}`, b)))
 	require.Eventually(t, func() bool {
-		_, body := held.ask("GET", "/read", "x", "")
+		_, body := existing.request("GET", "/read", "x", "")
 		return body == "a"
-	}, patience, 10*time.Millisecond)
+	}, testTimeout, 10*time.Millisecond)
 
 	old.Shutdown()
-	head, _ := held.ask("GET", "/_health", "1", "")
+	head, _ := existing.request("GET", "/_health", "1", "")
 	require.Contains(t, head, " 200 ", "the two are one balancer")
 	require.Contains(t, head, "Connection: close")
 	<-oldDone
-	_, body := connect(t, next).ask("GET", "/read", "1", "")
+	_, body := connect(t, next).request("GET", "/read", "1", "")
 	require.Equal(t, "a", body)
 }
 
-// The new process dies after its yes: the old one takes clients again.
-func TestTheOldProcessTakesOverAgain(t *testing.T) {
-	p := newPair(t)
-	old, _ := startWith(t, p.set, quiet(t), echo(t, "a"))
+// The new process dies after it was ready: the old one accepts clients again.
+func TestPredecessorAcceptsAgainAfterSuccessorDies(t *testing.T) {
+	p := newSiblingPair(t)
+	old, _ := startBalancerWith(t, p.configure, startIdleDiscovery(t), startNamedServer(t, "a"))
 	ctx, kill := context.WithCancel(context.Background())
-	next, nextDone := startIn(t, ctx, p.set, quiet(t))
-	require.Eventually(t, func() bool { return accepting(old, false) }, patience, time.Millisecond)
+	next, nextDone := startBalancerContext(t, ctx, p.configure, startIdleDiscovery(t))
+	require.Eventually(t, func() bool { return accepting(old, false) }, testTimeout, time.Millisecond)
 	require.True(t, accepting(next, true))
-	require.Equal(t, 200, call(t, next, "POST", "/api/evacuate", ""))
+	require.Equal(t, 200, adminCall(t, next, "POST", "/api/evacuate", ""))
 	kill()
 	<-nextDone
-	require.Eventually(t, func() bool { return accepting(old, true) }, patience, time.Millisecond)
-	head, _ := connect(t, old).ask("GET", "/_health", "1", "")
-	require.Contains(t, head, " 503 ", "it has heard of the drain")
+	require.Eventually(t, func() bool { return accepting(old, true) }, testTimeout, time.Millisecond)
+	head, _ := connect(t, old).request("GET", "/_health", "1", "")
+	require.Contains(t, head, " 503 ", "it has taken over the drain")
 }
 
-func accepting(n *Balancer, want bool) bool { return n.listener.Accepting() == want }
+// accepting reports whether a balancer accepts clients as wanted.
+func accepting(balancer *Balancer, want bool) bool { return balancer.listener.Accepting() == want }
--- a/internal/serve/runtime/health_check_test.go
+++ b/internal/serve/runtime/health_check_test.go
@@ -10,27 +10,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A feed server that falls silent is taken out, and a probe that it does not
-// answer gives its connection back.
-func TestASilentProbeKeepsNoConnection(t *testing.T) {
-	hungUp := make(chan string, 64)
-	n, _ := start(t, quiet(t), peer(t, func(c net.Conn, r *bufio.Reader) {
-		head, _ := message(r)
+// A server that does not respond is ejected, and a health check that it does not answer gives its connection
+// back.
+func TestUnansweredHealthCheckClosesItsConnection(t *testing.T) {
+	closed := make(chan string, 64)
+	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
+		head, _ := readMessage(r)
 		if strings.HasPrefix(head, "POST") {
-			return // resets, which strike the server
+			return // a failure, which counts against the server
 		}
-		message(r) // returns when the balancer hangs up
-		hungUp <- head
+		readMessage(r) // returns when the balancer closes the connection
+		closed <- head
 	}))
-	c := connect(t, n)
-	for range 3 { // so many strike it out
-		head, _ := c.ask("POST", "/append", "i", "x")
+	c := connect(t, balancer)
+	for range 3 { // so many failures eject it
+		head, _ := c.request("POST", "/append", "i", "x")
 		require.Contains(t, head, "502")
 	}
 	select {
-	case head := <-hungUp:
+	case head := <-closed:
 		require.True(t, strings.HasPrefix(head, "GET /ping "), head)
-	case <-time.After(patience):
-		t.Fatal("the probe's connection is still open")
+	case <-time.After(testTimeout):
+		t.Fatal("the health check's connection is still open")
 	}
 }
--- a/internal/serve/runtime/helpers_test.go
+++ b/internal/serve/runtime/helpers_test.go
@@ -18,15 +18,17 @@
 	"piernotch/internal/serve/discovery"
 )
 
-// patience bounds every wait; none of the stories depends on how long one takes.
-const patience = 20 * time.Second
+// testTimeout bounds every wait; no test depends on how long one takes.
+const testTimeout = 20 * time.Second
 
-// peer is a scripted server: it hands each connection to its script.
-func peer(t *testing.T, script func(c net.Conn, r *bufio.Reader)) string {
-	return peerAt(t, "127.0.0.1:0", script)
+// startPeer starts a scripted server, which passes each connection to its script, and returns its
+// address.
+func startPeer(t *testing.T, script func(c net.Conn, r *bufio.Reader)) string {
+	return startPeerAt(t, "127.0.0.1:0", script)
 }
 
-func peerAt(t *testing.T, address string, script func(c net.Conn, r *bufio.Reader)) string {
+// startPeerAt is startPeer at an address.
+func startPeerAt(t *testing.T, address string, script func(c net.Conn, r *bufio.Reader)) string {
 	l, err := net.Listen("tcp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -36,7 +38,7 @@
 			if err != nil {
 				return
 			}
-			_ = c.SetDeadline(time.Now().Add(patience))
+			_ = c.SetDeadline(time.Now().Add(testTimeout))
 			go func() {
 				defer func() { _ = c.Close() }()
 				script(c, bufio.NewReader(c))
@@ -46,8 +48,8 @@
 	return l.Addr().String()
 }
 
-// message reads one message with a sized body: its head and body as they came.
-func message(r *bufio.Reader) (head, body string) {
+// readMessage reads one message with a sized body: its head and body as they came, "" at the end.
+func readMessage(r *bufio.Reader) (head, body string) {
 	length := 0
 	for {
 		line, err := r.ReadString('\n')
@@ -64,12 +66,13 @@
 	}
 }
 
-// quiet is a discovery that holds every watch.
-func quiet(t *testing.T) string {
-	return peer(t, func(_ net.Conn, r *bufio.Reader) { message(r); message(r) })
+// startIdleDiscovery starts a discovery that answers no watch.
+func startIdleDiscovery(t *testing.T) string {
+	return startPeer(t, func(_ net.Conn, r *bufio.Reader) { readMessage(r); readMessage(r) })
 }
 
-func list(generation int, reset bool, lifecycle string, servers ...string) string {
+// endpointList returns discovery's JSON for servers in one lifecycle.
+func endpointList(generation int, reset bool, lifecycle string, servers ...string) string {
 	var lines []string
 	for _, s := range servers {
 		lines = append(lines, fmt.Sprintf(`{"instanceId":"s-%s","hostPort":%q,"zone":"a","lifecycle":%q,"weight":1}`, s, s, lifecycle))
@@ -77,117 +80,134 @@
 	return fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`, generation, reset, strings.Join(lines, ","))
 }
 
-// start runs a balancer in front of the servers until the test ends.
-func start(t *testing.T, disco string, servers ...string) (*Balancer, chan struct{}) {
-	return startWith(t, func(*config.Config) {}, disco, servers...)
+// startBalancer runs a balancer in front of the servers until the test ends.
+func startBalancer(t *testing.T, discoveryAddress string, servers ...string) (*Balancer, chan struct{}) {
+	return startBalancerWith(t, func(*config.Config) {}, discoveryAddress, servers...)
 }
 
-func startWith(t *testing.T, set func(*config.Config), disco string, servers ...string) (*Balancer, chan struct{}) {
-	return startIn(t, context.Background(), set, disco, servers...)
+// startBalancerWith is startBalancer with a configuration that configure may change.
+func startBalancerWith(t *testing.T, configure func(*config.Config), discoveryAddress string, servers ...string) (*Balancer, chan struct{}) {
+	return startBalancerContext(t, context.Background(), configure, discoveryAddress, servers...)
 }
 
-func startIn(t *testing.T, ctx context.Context, set func(*config.Config), disco string, servers ...string) (*Balancer, chan struct{}) {
-	aim, deadline := 2*time.Second, 5*time.Second
+// startBalancerContext is startBalancerWith for a balancer that also ends with the context.
+func startBalancerContext(t *testing.T, ctx context.Context, configure func(*config.Config), discoveryAddress string, servers ...string) (*Balancer, chan struct{}) {
+	objective := 2 * time.Second
+	deadline := 5 * time.Second
 	cfg := config.Config{
-		Name: "n", Listen: "127.0.0.1:0", Discovery: disco, Seed: 1, MemoryMB: 64, MaxDescriptors: 256,
+		Name: "n", Listen: "127.0.0.1:0", Discovery: discoveryAddress, Seed: 1, MemoryMB: 64, MaxDescriptors: 256,
 		KeepAlive: time.Minute, DialTimeout: time.Second, HasKnownEndpoints: true,
 		Settings: piernotch.Settings{
 			BalancerCount: 1, Zones: []string{"a"}, Tick: 5 * time.Millisecond, PollDiscovery: true,
 			Classes: []piernotch.Class{
-				{Name: "read", LatencyObjective: aim, Deadline: deadline, PriorityWeight: 1, RetrySafety: piernotch.Idempotent},
-				{Name: "append", LatencyObjective: aim, Deadline: deadline, PriorityWeight: 1, RetrySafety: piernotch.NonIdempotent},
+				{Name: "read", LatencyObjective: objective, Deadline: deadline, PriorityWeight: 1, RetrySafety: piernotch.Idempotent},
+				{Name: "append", LatencyObjective: objective, Deadline: deadline, PriorityWeight: 1, RetrySafety: piernotch.NonIdempotent},
 			},
 			Limits: piernotch.Limits{MaxAttempts: 3, CancelAttempts: true, HealthChecks: true},
 			Rules:  piernotch.Rules{PollInterval: 400 * time.Millisecond, SlowStartCapacity: 0.2, SlowStartDuration: time.Second},
 		},
 	}
 	var err error
-	cfg.KnownEndpoints, err = discovery.Parse([]byte(list(1, true, "in_service", servers...)), cfg.Settings.Zones)
+	cfg.KnownEndpoints, err = discovery.Parse([]byte(endpointList(1, true, "in_service", servers...)), cfg.Settings.Zones)
 	require.NoError(t, err)
-	set(&cfg)
-	n, err := New(cfg)
+	configure(&cfg)
+	balancer, err := New(cfg)
 	require.NoError(t, err)
-	require.NoError(t, n.Start())
+	require.NoError(t, balancer.Start())
 	ctx, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
-	go func() { n.Run(ctx); close(done) }()
+	go func() { balancer.Run(ctx); close(done) }()
 	t.Cleanup(func() { stop(); <-done })
-	return n, done
+	return balancer, done
 }
 
 // client is a connection to the balancer.
 type client struct {
 	t *testing.T
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
-func connect(t *testing.T, n *Balancer) *client {
-	c, err := net.Dial("tcp", n.Addr())
+// connect opens a connection to the balancer.
+func connect(t *testing.T, balancer *Balancer) *client {
+	c, err := net.Dial("tcp", balancer.Addr())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	return &client{t, c, bufio.NewReader(c)}
 }
 
+// send sends raw bytes.
 func (c *client) send(text string) {
 	_, err := io.WriteString(c, text)
 	require.NoError(c.t, err)
 }
 
-func (c *client) ask(method, target, id, body string) (head, answer string) {
+// request sends a request and returns the response.
+func (c *client) request(method, target, id, body string) (head, responseBody string) {
 	c.send(fmt.Sprintf("%s %s HTTP/1.1\r\nHost: b\r\nX-Request-Id: %s\r\nContent-Length: %d\r\n\r\n%s", method, target, id, len(body), body))
-	return message(c.r)
+	return readMessage(c.reader)
 }
 
-func answer(c net.Conn, body string) {
+// respond writes a response 200 with a sized body.
+func respond(c net.Conn, body string) {
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// ran notes which requests servers were given.
-type ran struct {
-	mu  sync.Mutex
-	ids map[string]int
+// requestLog counts the requests that servers received, by their IDs.
+type requestLog struct {
+	mu     sync.Mutex
+	counts map[string]int
 }
 
-func (r *ran) add(head string) {
+// record counts a request.
+func (r *requestLog) record(head string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.ids == nil {
-		r.ids = map[string]int{}
+	if r.counts == nil {
+		r.counts = map[string]int{}
 	}
+	r.counts[requestID(head)]++
+}
+
+// requestID returns the ID in the head of a request.
+func requestID(head string) string {
 	_, rest, _ := strings.Cut(head, "X-Request-Id: ")
 	id, _, _ := strings.Cut(rest, "\r\n")
-	r.ids[id]++
+	return id
 }
 
-func (r *ran) times(id string) int {
+// count returns how often the request with this ID was received.
+func (r *requestLog) count(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ids[id]
+	return r.counts[id]
 }
 
-// serves answers each request with its body, and notes it.
-func (r *ran) serves(c net.Conn, in *bufio.Reader) {
-	for head, body := message(in); head != ""; head, body = message(in) {
-		r.add(head)
-		answer(c, body)
+// serveEcho responds to each request with its body, and counts it.
+func (r *requestLog) serveEcho(c net.Conn, in *bufio.Reader) {
+	for head, body := readMessage(in); head != ""; head, body = readMessage(in) {
+		r.record(head)
+		respond(c, body)
 	}
 }
 
-// echo is a feed server that answers with its own name.
-func echo(t *testing.T, name string) string {
-	return peer(t, func(c net.Conn, r *bufio.Reader) {
-		for head, _ := message(r); head != ""; head, _ = message(r) {
-			answer(c, name)
+// startNamedServer starts a server that responds with its name.
+func startNamedServer(t *testing.T, name string) string {
+	return startPeer(t, func(c net.Conn, r *bufio.Reader) {
+		for head, _ := readMessage(r); head != ""; head, _ = readMessage(r) {
+			respond(c, name)
 		}
 	})
 }
 
-// standStill keeps the node from looking at anything until the function that it returns is called.
-func standStill(n *Balancer) (goOn func()) {
-	stopped, on := make(chan struct{}), make(chan struct{})
-	n.loop.Post(func() { close(stopped); <-on })
-	<-stopped
-	return func() { close(on) }
+// pauseLoop keeps the balancer from handling anything until the returned function is called.
+func pauseLoop(balancer *Balancer) (resume func()) {
+	paused, resumed := make(chan struct{}), make(chan struct{})
+	balancer.loop.Post(func() {
+		close(paused)
+		<-resumed
+	})
+	<-paused
+	return func() { close(resumed) }
 }
--- a/internal/serve/runtime/load_shedding_test.go
+++ b/internal/serve/runtime/load_shedding_test.go
@@ -13,65 +13,56 @@
 	"piernotch/internal/serve/config"
 )
 
-// More clients come than there are descriptors: those that are idle give way, and
-// all are served.
-func TestIdleClientsGiveWay(t *testing.T) {
-	n, _ := start(t, quiet(t), peer(t, func(c net.Conn, r *bufio.Reader) {
-		for head, _ := message(r); head != ""; head, _ = message(r) {
-			answer(c, "served")
-		}
-	}))
+// More clients come than there are descriptors: connections that are idle are closed, and all clients are
+// served.
+func TestIdleClientConnectionsAreShed(t *testing.T) {
+	balancer, _ := startBalancer(t, startIdleDiscovery(t), startNamedServer(t, "served"))
 	for range 400 {
-		_, body := connect(t, n).ask("GET", "/read", "i", "")
+		_, body := connect(t, balancer).request("GET", "/read", "i", "")
 		require.Equal(t, "served", body)
-		require.Less(t, n.loop.OpenConnections(), n.cfg.MaxDescriptors)
+		require.Less(t, balancer.loop.OpenConnections(), balancer.cfg.MaxDescriptors)
 	}
 }
 
-// Where descriptors are short, connections give way, but none that is owed an answer which its client
-// is slow to read.
-func TestAnAnswerThatIsReadSlowlyDoesNotGiveWay(t *testing.T) {
+// Where descriptors are short, connections are closed, but none with a response that its client is slow
+// to read.
+func TestSlowlyReadResponseIsNotShed(t *testing.T) {
 	body := strings.Repeat("a", 60<<10)
-	n, _ := startWith(t, func(cfg *config.Config) { cfg.MaxDescriptors = 64 }, quiet(t),
-		peer(t, func(c net.Conn, r *bufio.Reader) { message(r); answer(c, body) }))
-	c := narrow(t, n)
+	balancer, _ := startBalancerWith(t, func(cfg *config.Config) { cfg.MaxDescriptors = 64 }, startIdleDiscovery(t),
+		startPeer(t, func(c net.Conn, r *bufio.Reader) { readMessage(r); respond(c, body) }))
+	c := connectWithSmallBuffer(t, balancer)
 	c.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 1\r\nConnection: close\r\n\r\n")
 	time.Sleep(50 * time.Millisecond)
 	for range 40 { // more than there is room for
-		connect(t, n)
+		connect(t, balancer)
 	}
 	time.Sleep(100 * time.Millisecond)
-	all, err := io.ReadAll(c.r)
+	all, err := io.ReadAll(c.reader)
 	require.NoError(t, err)
 	require.True(t, strings.HasSuffix(string(all), "\r\n\r\n"+body), "%d bytes", len(all))
 }
 
-// A connection that would give way has just got its request, which was not read yet.
-func TestARequestThatHasComeDoesNotGiveWay(t *testing.T) {
-	var got ran
-	n, _ := start(t, quiet(t), peer(t, got.serves))
-	c := connect(t, n)
-	time.Sleep(100 * time.Millisecond) // it could give way by now
-	goOn := standStill(n)
-	n.loop.Post(n.downstream.Shed)
+// A connection that could be closed for its descriptor has just received a request, which was not read yet.
+func TestConnectionWithUnreadRequestIsNotShed(t *testing.T) {
+	var forwarded requestLog
+	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
+	c := connect(t, balancer)
+	time.Sleep(100 * time.Millisecond) // it could be closed by now
+	resume := pauseLoop(balancer)
+	balancer.loop.Post(balancer.downstream.Shed)
 	c.send("POST /append HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\nContent-Length: 4\r\n\r\nmine")
 	time.Sleep(20 * time.Millisecond)
-	goOn()
-	_, body := message(c.r)
+	resume()
+	_, body := readMessage(c.reader)
 	require.Equal(t, "mine", body)
 }
 
-// Some clients ask once and keep their connection: those must not hold for good
-// what others need.
-func TestAskingOnceKeepsNoConnectionForGood(t *testing.T) {
-	n, _ := start(t, quiet(t), peer(t, func(c net.Conn, r *bufio.Reader) {
-		for head, _ := message(r); head != ""; head, _ = message(r) {
-			answer(c, "served")
-		}
-	}))
-	c := connect(t, n)
-	_, body := c.ask("GET", "/read", "1", "")
+// Some clients send one request and keep their connection: those must not hold for good what others need.
+func TestIdleClientConnectionIsClosed(t *testing.T) {
+	balancer, _ := startBalancer(t, startIdleDiscovery(t), startNamedServer(t, "served"))
+	c := connect(t, balancer)
+	_, body := c.request("GET", "/read", "1", "")
 	require.Equal(t, "served", body)
-	_, err := c.r.ReadByte()
+	_, err := c.reader.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
 }
--- a/internal/serve/runtime/shutdown_race_test.go
+++ b/internal/serve/runtime/shutdown_race_test.go
@@ -15,98 +15,98 @@
 	"piernotch/internal/serve/core"
 )
 
-// After SIGTERM clients come for some time yet: they are served, told to leave,
-// and nothing that was taken is dropped.
-func TestTerminateAnswersWhatIsOwed(t *testing.T) {
+// During a shutdown clients come for some time yet: they are served with "Connection: close", and no request
+// that was accepted is dropped.
+func TestShutdownCompletesPendingRequests(t *testing.T) {
 	arrived, release := make(chan struct{}, 8), make(chan struct{})
-	n, done := start(t, quiet(t), peer(t, func(c net.Conn, r *bufio.Reader) {
+	balancer, done := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
 		arrived <- struct{}{}
-		for head, _ := message(r); head != ""; head, _ = message(r) {
+		for head, _ := readMessage(r); head != ""; head, _ = readMessage(r) {
 			<-release
-			answer(c, "served")
+			respond(c, "served")
 		}
 	}))
-	early := connect(t, n)
+	early := connect(t, balancer)
 	early.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 1\r\n\r\n")
 	<-arrived
-	late := connect(t, n)
-	late.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\n") // the rest comes after the SIGTERM
-	n.Shutdown()
-	head, _ := connect(t, n).ask("GET", "/_health", "", "")
+	late := connect(t, balancer)
+	late.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\n") // the rest comes after the shutdown began
+	balancer.Shutdown()
+	head, _ := connect(t, balancer).request("GET", "/_health", "", "")
 	require.Contains(t, head, "503")
 	require.Contains(t, head, "Connection: close")
 	require.Eventually(t, func() bool {
-		c, err := net.Dial("tcp", n.Addr())
+		c, err := net.Dial("tcp", balancer.Addr())
 		if err == nil {
 			_ = c.Close()
 		}
 		return err != nil
-	}, patience, 10*time.Millisecond, "still listening")
+	}, testTimeout, 10*time.Millisecond, "still listening")
 	close(release)
 	for _, c := range []*client{early, late} {
-		head, body := message(c.r)
+		head, body := readMessage(c.reader)
 		require.Contains(t, head, "Connection: close")
 		require.Equal(t, "served", body)
 		if c == early {
-			time.Sleep(200 * time.Millisecond) // nothing is owed by now, but half a request is here
+			time.Sleep(200 * time.Millisecond) // no request is pending by now, but half of one is here
 			late.send("\r\n")
 		}
 	}
 	select {
 	case <-done:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("still running")
 	}
 }
 
-// A request that comes as its resting connection is shut is not read: no server gets it, and its client
-// is told by an end, not a reset. Both ends shut: the idle one in its time, and SIGTERM.
-func TestARequestCrossesTheShutdownOfARestingConnection(t *testing.T) {
-	for _, term := range []bool{false, true} {
-		t.Run(fmt.Sprint("term ", term), func(t *testing.T) {
+// A request that comes as its idle connection is closed is not read: no server receives it, and its client
+// sees an orderly end, not a reset. Two things close it: the idle time-out and a shutdown.
+func TestRequestOnClosingIdleConnectionIsNotForwarded(t *testing.T) {
+	for _, shutdown := range []bool{false, true} {
+		t.Run(fmt.Sprint("shutdown ", shutdown), func(t *testing.T) {
 			t.Parallel()
-			var got ran
-			n, done := start(t, quiet(t), peer(t, got.serves))
-			c := connect(t, n)
-			_, body := c.ask("POST", "/append", "1", "first")
+			var forwarded requestLog
+			balancer, done := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
+			c := connect(t, balancer)
+			_, body := c.request("POST", "/append", "1", "first")
 			require.Equal(t, "first", body)
-			if term {
-				n.Shutdown()
+			if shutdown {
+				balancer.Shutdown()
 			}
-			_, err := c.r.Peek(1)
+			_, err := c.reader.Peek(1)
 			require.ErrorIs(t, err, io.EOF)
 			c.send("POST /append HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\nContent-Length: 0\r\n\r\n")
 			time.Sleep(50 * time.Millisecond)
-			_, err = c.r.Peek(1)
+			_, err = c.reader.Peek(1)
 			require.ErrorIs(t, err, io.EOF, "no reset")
 			_ = c.Close()
-			require.Zero(t, got.times("2"))
-			if term {
+			require.Zero(t, forwarded.count("2"))
+			if shutdown {
 				<-done
 			}
 		})
 	}
 }
 
-// Clients go on with every connection that is open through SIGTERM and to the end. Each request is
-// answered whole, or its connection ends and no server ever had it.
-func TestTerminateWithRequestsOnKeptConnections(t *testing.T) {
-	var got ran
-	n, done := start(t, quiet(t), peer(t, got.serves), peer(t, got.serves))
+// Clients go on with every open connection through a shutdown and to its end. Each request gets a complete
+// response, or its connection ends and no server ever received it.
+func TestShutdownUnderLoadLosesNoForwardedRequest(t *testing.T) {
+	var forwarded requestLog
+	balancer, done := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho), startPeer(t, forwarded.serveEcho))
 	var clients sync.WaitGroup
 	for i := range 12 {
-		c := connect(t, n)
+		c := connect(t, balancer)
 		clients.Go(func() {
 			for k := 0; ; k++ {
 				id := fmt.Sprintf("%d-%d", i, k)
 				_, err := fmt.Fprintf(c, "POST /append HTTP/1.1\r\nHost: b\r\nX-Request-Id: %s\r\nContent-Length: 4\r\n\r\nmine", id)
 				head, body := "", ""
 				if err == nil {
-					head, body = message(c.r)
+					head, body = readMessage(c.reader)
 				}
 				if head == "" {
-					if got.times(id) != 0 {
-						t.Errorf("%s was sent on and not answered", id)
+					if forwarded.count(id) != 0 {
+						t.Errorf("%s was forwarded and got no response", id)
 					}
 					return
 				}
@@ -118,24 +118,24 @@
 		})
 	}
 	time.Sleep(100 * time.Millisecond)
-	n.Shutdown()
+	balancer.Shutdown()
 	clients.Wait()
 	select {
 	case <-done:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("still running")
 	}
 }
 
-// A connection that came just before the end of listening has its request on the way.
-func TestAConnectionThatComesAsListeningEnds(t *testing.T) {
-	var got ran
-	n, done := start(t, quiet(t), peer(t, got.serves))
-	n.Shutdown()
+// A connection that came just before listening ends has its request on the way.
+func TestConnectionAcceptedBeforeListenerStopsIsServed(t *testing.T) {
+	var forwarded requestLog
+	balancer, done := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
+	balancer.Shutdown()
 	time.Sleep(core.ShutdownGrace - 50*time.Millisecond)
-	c := connect(t, n)
+	c := connect(t, balancer)
 	time.Sleep(150 * time.Millisecond)
-	head, body := c.ask("POST", "/append", "1", "mine")
+	head, body := c.request("POST", "/append", "1", "mine")
 	require.Contains(t, head, "Connection: close")
 	require.Equal(t, "mine", body)
 	_ = c.Close()
--- a/internal/serve/runtime/stall_test.go
+++ b/internal/serve/runtime/stall_test.go
@@ -11,70 +11,67 @@
 	"piernotch/internal/serve/eventloop"
 )
 
-// A process that stood still must not take what waited in its sockets for new: it would be served
-// after its client's time.
-func TestWhatCameDuringAStallIsThatOld(t *testing.T) {
-	asked := make(chan string, 8)
-	n, _ := start(t, quiet(t), peer(t, func(c net.Conn, r *bufio.Reader) {
-		for head, _ := message(r); head != ""; head, _ = message(r) {
-			asked <- head
-			answer(c, "served")
+// After a stall, a request that waited in a socket is as old as the stall: it would be served after its
+// deadline otherwise.
+func TestStallCountsAgainstDeadline(t *testing.T) {
+	forwarded := make(chan string, 8)
+	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
+		for head, _ := readMessage(r); head != ""; head, _ = readMessage(r) {
+			forwarded <- head
+			respond(c, "served")
 		}
 	}))
-	c := connect(t, n)
-	_, body := c.ask("GET", "/read", "1", "")
+	c := connect(t, balancer)
+	_, body := c.request("GET", "/read", "1", "")
 	require.Equal(t, "served", body)
-	<-asked
-	stopped := make(chan struct{})
-	n.loop.Post(func() {
-		close(stopped)
+	<-forwarded
+	paused := make(chan struct{})
+	balancer.loop.Post(func() {
+		close(paused)
 		time.Sleep(700 * time.Millisecond)
 	})
-	<-stopped
+	<-paused
 	c.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\nX-Deadline-Ms: 400\r\n\r\n")
-	head, _ := message(c.r)
-	require.Contains(t, head, " 503 ", "refused, which is true: it went to nobody")
-	require.Empty(t, asked)
+	head, _ := readMessage(c.reader)
+	require.Contains(t, head, " 503 ", "rejected: no server received it")
+	require.Empty(t, forwarded)
 	require.Eventually(t, func() bool {
-		_, body = c.ask("GET", "/read", "3", "")
+		_, body = c.request("GET", "/read", "3", "")
 		return body == "served"
-	}, patience, 10*time.Millisecond)
+	}, testTimeout, 10*time.Millisecond)
 }
 
-// Word that a server leaves may come while the process stands still, behind a request: after the
-// stall it is heard first, or the request would go there long after it was told.
-func TestWhatTheListSaysIsHeardFirstAfterAStall(t *testing.T) {
-	asked, tell, watching := make(chan string, 8), make(chan string, 1), make(chan struct{}, 8)
-	server := peer(t, func(c net.Conn, r *bufio.Reader) {
-		for head, _ := message(r); head != ""; head, _ = message(r) {
-			asked <- head
-			answer(c, "served")
+// The update that a server drains may come during a stall, behind a request: after the stall it is handled
+// first, or the request would go there long after the update.
+func TestEndpointUpdateIsHandledFirstAfterStall(t *testing.T) {
+	forwarded := make(chan string, 8)
+	update := make(chan string, 1)
+	watching := make(chan struct{}, 8)
+	server := startPeer(t, func(c net.Conn, r *bufio.Reader) {
+		for head, _ := readMessage(r); head != ""; head, _ = readMessage(r) {
+			forwarded <- head
+			respond(c, "served")
 		}
 	})
-	n, _ := start(t, peer(t, func(c net.Conn, r *bufio.Reader) {
-		message(r)
+	balancer, _ := startBalancer(t, startPeer(t, func(c net.Conn, r *bufio.Reader) {
+		readMessage(r)
 		watching <- struct{}{}
-		answer(c, <-tell)
-		message(r)
-		message(r)
+		respond(c, <-update)
+		readMessage(r)
+		readMessage(r)
 	}), server)
-	c := connect(t, n)
-	_, body := c.ask("GET", "/read", "1", "")
+	c := connect(t, balancer)
+	_, body := c.request("GET", "/read", "1", "")
 	require.Equal(t, "served", body)
-	<-asked
+	<-forwarded
 	<-watching
-	stopped, goOn := make(chan struct{}), make(chan struct{})
-	n.loop.Post(func() {
-		close(stopped)
-		<-goOn
-	})
-	<-stopped
+	resume := pauseLoop(balancer)
 	c.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\n\r\n")
 	time.Sleep(eventloop.LongStallThreshold) // and the request is in the mailbox
-	tell <- list(2, false, "terminating", server)
+	update <- endpointList(2, false, "terminating", server)
 	time.Sleep(100 * time.Millisecond)
-	close(goOn)
-	head, _ := message(c.r)
+	resume()
+	head, _ := readMessage(c.reader)
 	require.Contains(t, head, " 503 ")
-	require.Empty(t, asked)
+	require.Empty(t, forwarded)
 }
--- a/internal/serve/runtime/tenant_quota_test.go
+++ b/internal/serve/runtime/tenant_quota_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"net"
-	"strings"
 	"testing"
 	"time"
 
@@ -13,34 +12,33 @@
 	"piernotch/internal/serve/config"
 )
 
-// What a tenant sends beyond its share waits behind what others send within theirs, whoever came first.
-func TestEachTenantHasItsOwnShare(t *testing.T) {
-	asked, release := make(chan string, 8), make(chan struct{})
-	n, _ := startWith(t, func(cfg *config.Config) {
+// What a tenant sends beyond its quota waits behind what others send within theirs, in whatever order they
+// came.
+func TestRequestsOverTenantQuotaWaitBehindOthers(t *testing.T) {
+	forwarded, release := make(chan string, 8), make(chan struct{})
+	balancer, _ := startBalancerWith(t, func(cfg *config.Config) {
 		cfg.Settings.OverQuotaWeight = 0.1
 		cfg.Settings.Tenants = []piernotch.Tenant{{Name: "north", QuotaPerSec: 0.5}, {Name: "south", QuotaPerSec: 1000}}
-	}, quiet(t), peer(t, func(c net.Conn, r *bufio.Reader) {
-		for head, body := message(r); head != ""; head, body = message(r) {
-			_, id, _ := strings.Cut(head, "X-Request-Id: ")
-			id, _, _ = strings.Cut(id, "\r\n")
-			asked <- id
+	}, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
+		for head, body := readMessage(r); head != ""; head, body = readMessage(r) {
+			forwarded <- requestID(head)
 			<-release
-			answer(c, body)
+			respond(c, body)
 		}
 	}))
-	ask := func(id, tenant string) {
-		connect(t, n).send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: " + id + "\r\nX-Tenant: " + tenant + "\r\n\r\n")
+	send := func(id, tenant string) {
+		connect(t, balancer).send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: " + id + "\r\nX-Tenant: " + tenant + "\r\n\r\n")
 	}
-	ask("north-1", "north") // its share for two seconds
-	require.Equal(t, "north-1", <-asked)
-	ask("south-1", "south")
-	require.Equal(t, "south-1", <-asked) // as many as a server gets of this balancer
-	ask("north-2", "north")
+	send("north-1", "north") // its quota for two seconds
+	require.Equal(t, "north-1", <-forwarded)
+	send("south-1", "south")
+	require.Equal(t, "south-1", <-forwarded) // as many as a server gets of this balancer
+	send("north-2", "north")
 	time.Sleep(20 * time.Millisecond)
-	ask("south-2", "south")
+	send("south-2", "south")
 	time.Sleep(20 * time.Millisecond)
 	release <- struct{}{}
-	require.Equal(t, "south-2", <-asked)
+	require.Equal(t, "south-2", <-forwarded)
 	close(release)
-	require.Equal(t, "north-2", <-asked)
+	require.Equal(t, "north-2", <-forwarded)
 }
--- a/internal/serve/runtime/trace_recorder_test.go
+++ b/internal/serve/runtime/trace_recorder_test.go
@@ -12,50 +12,50 @@
 	"piernotch/internal/trace"
 )
 
-// What clients ask is recorded with how it ended, and reads back.
-func TestTrafficIsRecorded(t *testing.T) {
-	n, done := start(t, quiet(t), peer(t, func(c net.Conn, r *bufio.Reader) {
+// Requests are recorded with their outcomes, and the trace reads back.
+func TestTraceHoldsRequestsAndOutcomes(t *testing.T) {
+	balancer, done := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
 		for {
-			if head, _ := message(r); head == "" {
+			if head, _ := readMessage(r); head == "" {
 				return
 			}
-			answer(c, "x")
+			respond(c, "x")
 		}
 	}))
 	name := filepath.Join(t.TempDir(), "traffic.pnt")
-	cfg := n.cfg
+	cfg := balancer.cfg
 	cfg.Trace.File = name
 	ready := make(chan error)
-	n.loop.Post(func() {
+	balancer.loop.Post(func() {
 		var err error
-		n.recorder, err = newTraceRecorder(&cfg, n.now())
+		balancer.recorder, err = newTraceRecorder(&cfg, balancer.now())
 		ready <- err
 	})
 	require.NoError(t, <-ready)
-	c := connect(t, n)
+	c := connect(t, balancer)
 	for _, id := range []string{"1", "2", "3"} {
-		_, body := c.ask("GET", "/read?k=7f", id, "")
+		_, body := c.request("GET", "/read?k=7f", id, "")
 		require.Equal(t, "x", body)
 	}
-	_, body := c.ask("POST", "/append", "4", "body")
+	_, body := c.request("POST", "/append", "4", "body")
 	require.Equal(t, "x", body)
-	n.Shutdown()
+	balancer.Shutdown()
 	select {
 	case <-done:
-	case <-time.After(patience):
-		t.Fatal("it does not end")
+	case <-time.After(testTimeout):
+		t.Fatal("still running")
 	}
 	r, err := trace.Open(name)
 	require.NoError(t, err)
-	defer r.Close()
+	defer func() { require.NoError(t, r.Close()) }()
 	require.Equal(t, []string{"read", "append"}, r.Header().Classes)
 	require.Equal(t, "a", r.Header().Zone)
-	var rec trace.Record
+	var record trace.Record
 	for i := range 4 {
-		require.NoError(t, r.Next(&rec))
-		require.Equal(t, trace.Served, rec.Outcome)
-		require.Positive(t, rec.Latency)
-		require.Equal(t, i == 3, rec.Class == 1)
-		require.Equal(t, i < 3, rec.Key != 0)
+		require.NoError(t, r.Next(&record))
+		require.Equal(t, trace.Served, record.Outcome)
+		require.Positive(t, record.Latency)
+		require.Equal(t, i == 3, record.Class == 1)
+		require.Equal(t, i < 3, record.Key != 0)
 	}
 }
