--- /dev/null
+++ b/internal/serve/eventloop/doc.go
@@ -0,0 +1,20 @@
+// Package eventloop holds the program's TCP sockets: it runs nbio's engine and hands whatever
+// happens on a socket to one goroutine, which owns all state.
+//
+// # Goroutines
+//
+// The owning goroutine is the one that calls Loop.Run. Handlers, functions passed to Loop.Post and
+// all other callbacks run there, one at a time; methods of Conn may be called there alone. Beside it
+// run nbio's poller, which reads sockets and flushes writes, one goroutine for each Listener that
+// accepts, and one for each dial. These share no state with the owner but the mailbox and the
+// counters that are atomic.
+//
+// # Order
+//
+// What happens on one connection is handled in its order. After a stall, that is when the owner did
+// not run for some time, messages of connections that were prioritized, and closes by clients, are
+// handled before the rest, and the rest before the clock goes on.
+//
+// The package knows nothing of HTTP, requests or servers. Packages downstream, upstream, discovery
+// and admin are its users; package runtime owns the Loop.
+package eventloop
--- a/internal/serve/eventloop/loop_test.go
+++ b/internal/serve/eventloop/loop_test.go
@@ -12,40 +12,62 @@
 	"github.com/stretchr/testify/require"
 )
 
-// heard is a handler that counts what it is told.
-type heard struct {
+// recordingHandler counts the bytes that it receives and passes the end on.
+type recordingHandler struct {
 	bytes int
 	end   chan error
 }
 
-func (h *heard) Data(data []byte) { h.bytes += len(data) }
-func (h *heard) Closed(err error) { h.end <- err }
+func newRecordingHandler() *recordingHandler { return &recordingHandler{end: make(chan error, 1)} }
 
-// What a server sent before its end is heard whole, and its end is told as it was, also where all of
-// it waits when the poller first looks.
-func TestTheEndComesBehindAllThatWasSent(t *testing.T) {
+func (h *recordingHandler) Data(data []byte) { h.bytes += len(data) }
+func (h *recordingHandler) Closed(err error) { h.end <- err }
+
+// startLoop runs a loop with a tick until the returned function is called.
+func startLoop(t *testing.T, l *Loop, tick func()) (stop func()) {
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() {
+		l.Run(ctx, 5*time.Millisecond, tick)
+		close(done)
+	}()
+	return func() {
+		cancel()
+		<-done
+	}
+}
+
+func (m *mailbox) empty() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return len(m.messages) == 0
+}
+
+// What a server sent before it closed the connection is received completely, and the end is reported as
+// it was, also where all of it waits when the poller first reads.
+func TestCloseIsReportedAfterAllData(t *testing.T) {
 	for name, c := range map[string]struct {
 		bytes int
 		reset bool
 		want  error
 	}{
-		"in order":         {60 << 10, false, io.EOF},
-		"much, in order":   {1 << 20, false, io.EOF},
-		"broken off":       {10, true, syscall.ECONNRESET},
-		"more, broken off": {60 << 10, true, syscall.ECONNRESET},
+		"orderly":       {60 << 10, false, io.EOF},
+		"orderly, long": {1 << 20, false, io.EOF},
+		"reset":         {10, true, syscall.ECONNRESET},
+		"reset, longer": {60 << 10, true, syscall.ECONNRESET},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, err := net.Listen("tcp", "127.0.0.1:0")
+			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
-			defer func() { _ = l.Close() }()
-			sent, up := make(chan error, 1), make(chan struct{})
+			defer func() { _ = listener.Close() }()
+			sent, connected := make(chan error, 1), make(chan struct{})
 			go func() {
-				peer, err := l.Accept()
+				peer, err := listener.Accept()
 				if err == nil {
 					_ = peer.(*net.TCPConn).SetWriteBuffer(4 << 20)
 					_, err = peer.Write(make([]byte, c.bytes))
 				}
-				<-up
+				<-connected
 				if err == nil && c.reset {
 					err = peer.(*net.TCPConn).SetLinger(0)
 				}
@@ -54,111 +76,120 @@
 				}
 				sent <- err
 			}()
-			e, err := New(64)
+			l, err := New(64)
 			require.NoError(t, err)
-			h := &heard{end: make(chan error, 1)}
-			e.Dial(l.Addr().String(), time.Second, func(*Conn) Handler { return h }, func(_ *Conn, err error) {
+			h := newRecordingHandler()
+			l.Dial(listener.Addr().String(), time.Second, func(*Conn) Handler { return h }, func(_ *Conn, err error) {
 				if err != nil {
 					h.end <- err
 				}
 			})
-			require.Eventually(t, func() bool { e.mu.Lock(); defer e.mu.Unlock(); return len(e.mail) > 0 },
-				10*time.Second, time.Millisecond) // connected, and not taken over yet
-			close(up)
+			// The connection is up, and not registered with the poller yet.
+			require.Eventually(t, func() bool { return !l.mailbox.empty() }, 10*time.Second, time.Millisecond)
+			close(connected)
 			require.NoError(t, <-sent) // all of it, before a byte is read
 
-			ctx, stop := context.WithCancel(t.Context())
-			done := make(chan struct{})
-			go func() { e.Run(ctx, 5*time.Millisecond, func() {}); close(done) }()
+			stop := startLoop(t, l, func() {})
 			require.ErrorIs(t, <-h.end, c.want)
 			stop()
-			<-done
 			require.Equal(t, c.bytes, h.bytes)
 		})
 	}
 }
 
-// told is a handler that notes what it hears among what others hear.
-type told struct {
-	mu   *sync.Mutex
-	log  *[]string
+// eventLog is a list of events, of several connections and the clock.
+type eventLog struct {
+	mu     sync.Mutex
+	events []string
+}
+
+func (e *eventLog) add(event string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.events = append(e.events, event)
+}
+
+func (e *eventLog) all() []string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.events
+}
+
+// loggingHandler adds what it receives to a log under a name.
+type loggingHandler struct {
+	log  *eventLog
 	name string
 }
 
-func (h told) note(what string) { h.mu.Lock(); *h.log = append(*h.log, h.name+what); h.mu.Unlock() }
-func (h told) Data(data []byte) { h.note(" " + string(data)) }
-func (h told) Closed(error)     { h.note(" left") }
+func (h loggingHandler) Data(data []byte) { h.log.add(h.name + " " + string(data)) }
+func (h loggingHandler) Closed(error)     { h.log.add(h.name + " closed") }
 
-// After a stall, that a client has left is heard before what came in front of it, and before time goes on:
-// both may have what waits for room sent on.
-func TestWhoHasLeftIsHeardFirstAfterAStall(t *testing.T) {
-	e, err := New(64)
+// After a stall, that a client has left is handled before what came in front of it, and before time goes
+// on: both may forward requests that are queued.
+func TestClientCloseIsHandledFirstAfterStall(t *testing.T) {
+	l, err := New(64)
 	require.NoError(t, err)
-	var mu sync.Mutex
-	var log []string
+	var log eventLog
 	names := []string{"stays", "leaves"}
-	l := e.ClientListener(func(*Conn) Handler {
-		h := told{&mu, &log, names[0]}
+	listener := l.ClientListener(func(*Conn) Handler {
+		h := loggingHandler{&log, names[0]}
 		names = names[1:]
 		return h
 	})
-	require.NoError(t, l.Listen("127.0.0.1:0"))
-	ctx, stop := context.WithCancel(t.Context())
-	done := make(chan struct{})
-	still, goOn := make(chan struct{}), make(chan struct{})
-	go func() {
-		e.Run(ctx, 5*time.Millisecond, func() {
-			mu.Lock()
-			if len(log) > 0 {
-				log = append(log, "tick")
-			}
-			mu.Unlock()
-		})
-		close(done)
-	}()
+	require.NoError(t, listener.Listen("127.0.0.1:0"))
+	stop := startLoop(t, l, func() {
+		if len(log.all()) > 0 {
+			log.add("tick")
+		}
+	})
 	var peers []net.Conn
 	for range 2 {
-		c, err := net.Dial("tcp", l.Addr())
+		c, err := net.Dial("tcp", listener.Addr())
 		require.NoError(t, err)
 		peers = append(peers, c)
-		time.Sleep(20 * time.Millisecond) // taken in, in this order
+		time.Sleep(20 * time.Millisecond) // accepted, in this order
 	}
-	e.Post(func() { close(still); <-goOn })
-	<-still
+	paused, resume := make(chan struct{}), make(chan struct{})
+	l.Post(func() {
+		close(paused)
+		<-resume
+	})
+	<-paused
 	for _, c := range peers {
-		_, err = c.Write([]byte("asks"))
+		_, err = c.Write([]byte("request"))
 		require.NoError(t, err)
 		time.Sleep(20 * time.Millisecond)
 	}
 	require.NoError(t, peers[1].Close())
 	time.Sleep(20 * time.Millisecond)
-	close(goOn)
-	require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return len(log) > 2 }, 10*time.Second, time.Millisecond)
+	close(resume)
+	require.Eventually(t, func() bool { return len(log.all()) > 2 }, 10*time.Second, time.Millisecond)
 	stop()
-	<-done
-	l.Stop()
+	listener.Stop()
 	_ = peers[0].Close()
-	require.Equal(t, []string{"leaves left", "stays asks", "tick"}, log[:3])
+	require.Equal(t, []string{"leaves closed", "stays request", "tick"}, log.all()[:3])
 }
 
-// What the system holds back for a fuller packet goes with a reset: nothing is held back, either way.
-func TestSmallWritesAreNotHeldBack(t *testing.T) {
-	e, err := New(64)
+// What the kernel holds back for a fuller packet is lost with a reset: nothing is held back, in either
+// direction.
+func TestConnectionsSetNoDelay(t *testing.T) {
+	l, err := New(64)
 	require.NoError(t, err)
-	taken := make(chan *Conn, 2)
-	l := e.ClientListener(func(c *Conn) Handler { taken <- c; return &heard{end: make(chan error, 1)} })
-	require.NoError(t, l.Listen("127.0.0.1:0"))
-	ctx, stop := context.WithCancel(t.Context())
-	done := make(chan struct{})
-	go func() { e.Run(ctx, 5*time.Millisecond, func() {}); close(done) }()
-	up := make(chan error, 1)
-	e.Dial(l.Addr(), time.Second, func(c *Conn) Handler { taken <- c; return &heard{end: make(chan error, 1)} },
-		func(_ *Conn, err error) { up <- err })
-	require.NoError(t, <-up)
+	opened := make(chan *Conn, 2)
+	newHandler := func(c *Conn) Handler {
+		opened <- c
+		return newRecordingHandler()
+	}
+	listener := l.ClientListener(newHandler)
+	require.NoError(t, listener.Listen("127.0.0.1:0"))
+	stop := startLoop(t, l, func() {})
+	dialed := make(chan error, 1)
+	l.Dial(listener.Addr(), time.Second, newHandler, func(_ *Conn, err error) { dialed <- err })
+	require.NoError(t, <-dialed)
 	for range 2 {
-		c, noDelay := <-taken, make(chan int, 1)
-		e.Post(func() {
-			raw, err := c.nb.SyscallConn()
+		c, noDelay := <-opened, make(chan int, 1)
+		l.Post(func() {
+			raw, err := c.socket.SyscallConn()
 			if err == nil {
 				_ = raw.Control(func(fd uintptr) {
 					on, _ := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
@@ -169,6 +200,5 @@
 		require.NotZero(t, <-noDelay)
 	}
 	stop()
-	<-done
-	l.Stop()
+	listener.Stop()
 }
