--- /dev/null
+++ b/internal/serve/config/platform.go
@@ -0,0 +1,200 @@
+package config
+
+import (
+	"encoding/json"
+	"fmt"
+	"net"
+	"os"
+	"strconv"
+
+	"piernotch/internal/logs"
+	"piernotch/internal/serve/discovery"
+	"piernotch/internal/wire"
+)
+
+// Environment variables of the platform's form. Where one is set, it overrides the file.
+const (
+	configVariable    = "ROUTER_CONFIG" // the file's name
+	nameVariable      = "ROUTER_NAME"
+	listenVariable    = "ROUTER_LISTEN"
+	discoveryVariable = "ROUTER_DISCOVERY"
+	adminVariable     = "ROUTER_MANAGEMENT"
+	listenFDVariable  = "ROUTER_LISTEN_FD"
+	stateDirVariable  = "TMPDIR"        // used with ROUTER_LISTEN_FD alone
+	logLevelVariable  = "PIERNOTCH_LOG" // the platform's file has no key for it
+)
+
+// fileJSON is the platform's file. Its type name is part of encoding/json's errors, which operators
+// may search for: a new one would change them.
+type fileJSON struct {
+	Name         string `json:"name"`
+	Listen       string `json:"listen"`
+	Discovery    string `json:"discovery"`
+	AdminAddress string `json:"management"`
+	Seed         string `json:"seed"`
+	Limits       struct {
+		MemoryMB       int `json:"memory_mb"`
+		MaxDescriptors int `json:"sockets"`
+	} `json:"limits"`
+	KnownEndpoints json.RawMessage `json:"known"`
+	Settings       json.RawMessage `json:"settings"`
+}
+
+// Load reads the file that ROUTER_CONFIG names, and the other environment variables. An error is
+// ErrNoConfiguration or a *FieldError, the first that is found.
+func Load(getenv func(string) string) (Config, error) {
+	name := getenv(configVariable)
+	if name == "" {
+		return Config{}, ErrNoConfiguration
+	}
+	data, err := os.ReadFile(name)
+	if err != nil {
+		return Config{}, &FieldError{Key: configVariable, Err: err}
+	}
+	return parsePlatform(data, getenv)
+}
+
+// Reload reads the file again for a process that was started with c. ROUTER_DISCOVERY was for the
+// start: a file that names another address now must win over it. The file has to be complete: it
+// holds each key that the one of the start holds. Errors are as for Load.
+func (c Config) Reload(getenv func(string) string) (Config, error) {
+	next, err := Load(func(name string) string {
+		if name == discoveryVariable {
+			return ""
+		}
+		return getenv(name)
+	})
+	if err != nil {
+		return next, err
+	}
+	if err := checkRequiredKeys(c.raw, next.raw); err != nil {
+		return next, &FieldError{Key: configVariable, Err: err}
+	}
+	return next, nil
+}
+
+// parsePlatform reads the platform's file and the environment. The order of the checks decides which
+// error is reported.
+func parsePlatform(data []byte, getenv func(string) string) (Config, error) {
+	var in fileJSON
+	if err := json.Unmarshal(data, &in); err != nil {
+		return Config{}, &FieldError{Key: configVariable, Err: err}
+	}
+	override := func(variable, value string) string {
+		if v := getenv(variable); v != "" {
+			return v
+		}
+		return value
+	}
+	c := Config{
+		Name:           override(nameVariable, in.Name),
+		Listen:         override(listenVariable, in.Listen),
+		Discovery:      override(discoveryVariable, in.Discovery),
+		AdminAddress:   override(adminVariable, in.AdminAddress),
+		MemoryMB:       in.Limits.MemoryMB,
+		MaxDescriptors: in.Limits.MaxDescriptors,
+		Log:            logs.Options{Level: getenv(logLevelVariable)},
+		raw:            data,
+	}
+	if err := c.Log.Check(); err != nil {
+		return c, &FieldError{Key: logLevelVariable, Err: err}
+	}
+	if err := c.inheritListener(getenv); err != nil {
+		return c, err
+	}
+	if err := c.checkAddresses(); err != nil {
+		return c, err
+	}
+	var err error
+	if c.Seed, err = parseSeed(in.Seed); err != nil {
+		return c, &FieldError{Key: "seed", Err: err}
+	}
+	if err := c.checkLimits(); err != nil {
+		return c, err
+	}
+	if err := c.readSettings(in.Settings); err != nil {
+		return c, &FieldError{Err: err}
+	}
+	if err := c.readKnownEndpoints(in.KnownEndpoints); err != nil {
+		return c, err
+	}
+	return c, nil
+}
+
+// inheritListener reads the descriptor of a socket that was handed down, and where the processes that
+// share it exchange records.
+func (c *Config) inheritListener(getenv func(string) string) error {
+	text := getenv(listenFDVariable)
+	if text == "" {
+		return nil
+	}
+	fd, err := strconv.Atoi(text)
+	if err != nil || fd < 3 {
+		return &FieldError{Key: listenFDVariable, Err: fmt.Errorf("%q is not a descriptor of 3 or more", text)}
+	}
+	c.ListenFD = fd
+	c.StateDir = getenv(stateDirVariable)
+	return nil
+}
+
+func (c *Config) checkAddresses() error {
+	if err := checkIPAddress("listen", c.Listen); err != nil {
+		return err
+	}
+	if err := checkIPAddress("discovery", c.Discovery); err != nil {
+		return err
+	}
+	if c.AdminAddress == "" {
+		return nil
+	}
+	return checkIPAddress("management", c.AdminAddress)
+}
+
+// checkIPAddress checks that an address has an IP address and a port: there is no DNS.
+func checkIPAddress(key, address string) error {
+	host, _, err := net.SplitHostPort(address)
+	if err != nil {
+		return &FieldError{Key: key, Err: err}
+	}
+	if net.ParseIP(host) == nil {
+		return &FieldError{Key: key, Err: fmt.Errorf("%q is not an IP address", host)}
+	}
+	return nil
+}
+
+func (c *Config) checkLimits() error {
+	if c.MaxDescriptors < minDescriptors {
+		return &FieldError{Key: "limits.sockets", Err: fmt.Errorf("%d, at least %d are needed", c.MaxDescriptors, minDescriptors)}
+	}
+	if c.MemoryMB < minMemoryMB {
+		return &FieldError{Key: "limits.memory_mb", Err: fmt.Errorf("%d, at least %d are needed", c.MemoryMB, minMemoryMB)}
+	}
+	return nil
+}
+
+// readSettings reads the settings, of which those of connections are no part of the module's. Its
+// errors name their keys.
+func (c *Config) readSettings(data []byte) error {
+	var err error
+	if c.Settings, err = wire.Settings(data); err != nil {
+		return err
+	}
+	if err := c.Settings.Validate(); err != nil {
+		return err
+	}
+	c.KeepAlive, c.DialTimeout, err = wire.Connections(data)
+	return err
+}
+
+func (c *Config) readKnownEndpoints(data []byte) error {
+	if len(data) == 0 || string(data) == "null" {
+		return nil
+	}
+	known, err := discovery.Parse(data, c.Settings.Zones)
+	if err != nil {
+		return &FieldError{Key: "known", Err: err}
+	}
+	c.KnownEndpoints = known
+	c.HasKnownEndpoints = true
+	return nil
+}
--- a/internal/serve/config/platform_test.go
+++ b/internal/serve/config/platform_test.go
@@ -8,12 +8,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Whoever starts the program must be told which field is wrong.
-func TestBadConfigurationNamesTheField(t *testing.T) {
+// An error names the field that is not valid, and is a *FieldError.
+func TestInvalidValueNamesItsField(t *testing.T) {
 	data, err := os.ReadFile("../../../deploy/example.json")
 	require.NoError(t, err)
-	none := func(string) string { return "" }
-	good, err := parse(data, none)
+	noEnvironment := func(string) string { return "" }
+	good, err := parsePlatform(data, noEnvironment)
 	require.NoError(t, err)
 	require.Len(t, good.KnownEndpoints.Endpoints, 1)
 	require.Equal(t, "segment-read", good.Settings.Classes[0].Name)
@@ -29,14 +29,16 @@
 		{`"my_zone": 0`, `"my_zone": 9`, "settings: zone 9 of 1"},
 		{`{"name"`, `"name"`, "ROUTER_CONFIG: "},
 	} {
-		_, err := parse([]byte(strings.Replace(string(data), c.old, c.new, 1)), none)
+		_, err := parsePlatform([]byte(strings.Replace(string(data), c.old, c.new, 1)), noEnvironment)
 		require.Error(t, err, c.new)
 		require.True(t, strings.HasPrefix(err.Error(), c.field), err)
 		require.NotContains(t, err.Error(), "\n")
+		var field *FieldError
+		require.ErrorAs(t, err, &field)
 	}
-	over, err := parse(data, func(name string) string {
+	overridden, err := parsePlatform(data, func(name string) string {
 		return map[string]string{"ROUTER_NAME": "n7", "ROUTER_LISTEN": "127.0.0.1:9"}[name]
 	})
 	require.NoError(t, err)
-	require.Equal(t, "n7 127.0.0.1:9", over.Name+" "+over.Listen)
+	require.Equal(t, "n7 127.0.0.1:9", overridden.Name+" "+overridden.Listen)
 }
--- a/internal/serve/config/reload_test.go
+++ b/internal/serve/config/reload_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Nothing is taken from a file that is broken: a key that is missing would read as zero.
-func TestAFileReadAgainHasToBeWhole(t *testing.T) {
+// A file that is not complete is rejected at a reload: a key that is missing would read as zero.
+func TestReloadedFileMustBeComplete(t *testing.T) {
 	data, err := os.ReadFile("../../../deploy/example.json")
 	require.NoError(t, err)
 	name := filepath.Join(t.TempDir(), "config.json")
@@ -36,7 +36,7 @@
 		_, err := cfg.Reload(env)
 		require.ErrorContains(t, err, c.message, c.new)
 	}
-	// Classes may come and go, and more may be said than before.
+	// Classes may come and go, and keys may be added.
 	write(strings.Replace(string(data), `{"name": "segment-read",`, `{"name": "other", "x": 1,`, 1))
 	next, err := cfg.Reload(env)
 	require.NoError(t, err)
--- a/internal/serve/config/required_keys.go
+++ b/internal/serve/config/required_keys.go
@@ -2,89 +2,102 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"maps"
 	"slices"
 )
 
-// complete returns an error that names the first key which the file in force holds and the new
-// one lacks, or holds as something else. A key that is missing would otherwise read as zero,
-// which for many settings is a value like any other. What a list holds may change: each of its
-// objects needs the keys that all the old ones have.
-func complete(old, next []byte) error {
-	var a, b any
-	if err := json.Unmarshal(old, &a); err != nil {
+// checkRequiredKeys returns a *FieldError that names the first key which the file in force holds and
+// the new one lacks, or holds with another type. A key that is missing would otherwise read as zero,
+// which for many settings is a value like any other. The elements of a list may change: each object
+// in it needs the keys that all the old ones have.
+func checkRequiredKeys(current, next []byte) error {
+	var currentValue, nextValue any
+	if err := json.Unmarshal(current, &currentValue); err != nil {
 		return err
 	}
-	if err := json.Unmarshal(next, &b); err != nil {
+	if err := json.Unmarshal(next, &nextValue); err != nil {
 		return err
 	}
-	if o, ok := a.(map[string]any); ok {
-		delete(o, "known") // what was known at the start need not be told again
-		delete(o, "seed")
+	if object, ok := currentValue.(map[string]any); ok { // these are for the start alone
+		delete(object, "known")
+		delete(object, "seed")
 	}
-	return lacks(a, b, "")
+	return checkValue(currentValue, nextValue, "")
 }
 
-func lacks(old, next any, at string) error {
-	switch o := old.(type) {
+// checkValue compares two values at a key.
+func checkValue(current, next any, key string) error {
+	switch current := current.(type) {
 	case map[string]any:
-		n, ok := next.(map[string]any)
-		if !ok {
-			return fmt.Errorf("%s: an object is expected", at)
+		return checkObject(current, next, key)
+	case []any:
+		return checkList(current, next, key)
+	case float64, string, bool:
+		if fmt.Sprintf("%T", current) != fmt.Sprintf("%T", next) {
+			return &FieldError{Key: key, Err: fmt.Errorf("%v is not a %T", next, current)}
 		}
-		for _, key := range slices.Sorted(maps.Keys(o)) { // the same key is named each time
-			where := key
-			if at != "" {
-				where = at + "." + key
-			}
-			v, ok := n[key]
-			if !ok {
-				return fmt.Errorf("%s: missing", where)
-			}
-			if err := lacks(o[key], v, where); err != nil {
-				return err
-			}
+	}
+	return nil // null fits all
+}
+
+func checkObject(current map[string]any, next any, key string) error {
+	nextObject, ok := next.(map[string]any)
+	if !ok {
+		return &FieldError{Key: key, Err: errors.New("an object is expected")}
+	}
+	for _, name := range slices.Sorted(maps.Keys(current)) { // the same key is named each time
+		memberKey := name
+		if key != "" {
+			memberKey = key + "." + name
 		}
-	case []any:
-		n, ok := next.([]any)
+		value, ok := nextObject[name]
 		if !ok {
-			return fmt.Errorf("%s: a list is expected", at)
+			return &FieldError{Key: memberKey, Err: errMissing}
 		}
-		common := commonKeys(o)
-		for i, v := range n {
-			if err := lacks(common, v, fmt.Sprintf("%s[%d]", at, i)); err != nil {
-				return err
-			}
+		if err := checkValue(current[name], value, memberKey); err != nil {
+			return err
 		}
-	case float64, string, bool:
-		if fmt.Sprintf("%T", old) != fmt.Sprintf("%T", next) {
-			return fmt.Errorf("%s: %v is not a %T", at, next, old)
+	}
+	return nil
+}
+
+func checkList(current []any, next any, key string) error {
+	nextList, ok := next.([]any)
+	if !ok {
+		return &FieldError{Key: key, Err: errors.New("a list is expected")}
+	}
+	common := commonMembers(current)
+	for i, value := range nextList {
+		if err := checkValue(common, value, fmt.Sprintf("%s[%d]", key, i)); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// commonKeys is an object of the keys that all of a list's objects hold, nil if it holds others.
-func commonKeys(list []any) any {
+// commonMembers returns an object of the members that all of a list's objects have, nil if the list
+// is empty or holds anything else.
+func commonMembers(list []any) any {
 	var common map[string]any
-	for i, v := range list {
-		o, ok := v.(map[string]any)
+	for i, value := range list {
+		object, ok := value.(map[string]any)
 		if !ok {
 			return nil
 		}
 		if i == 0 {
-			common = o
+			common = object
 			continue
 		}
-		for key := range common {
-			if _, ok := o[key]; !ok {
-				delete(common, key)
+		for name := range common {
+			if _, ok := object[name]; !ok {
+				delete(common, name)
 			}
 		}
 	}
 	if common == nil {
-		return nil
+		return nil // and not a nil map, which would be an object
 	}
 	return common
 }
--- a/internal/serve/config/toml_test.go
+++ b/internal/serve/config/toml_test.go
@@ -6,16 +6,15 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
-
-	"piernotch/internal/tomlfile"
 )
 
-func TestTheExampleFileIsGoodAndSaysWhatTheJSONSays(t *testing.T) {
+// The two example files mean the same.
+func TestExampleFilesAgree(t *testing.T) {
 	got, err := LoadFile("../../../deploy/example.toml")
 	require.NoError(t, err)
 	data, err := os.ReadFile("../../../deploy/example.json")
 	require.NoError(t, err)
-	want, err := parse(data, func(string) string { return "" })
+	want, err := parsePlatform(data, func(string) string { return "" })
 	require.NoError(t, err)
 	require.Equal(t, want.Settings, got.Settings)
 	require.Equal(t, want.KeepAlive, got.KeepAlive)
@@ -23,8 +22,9 @@
 	require.Equal(t, want.Seed, got.Seed)
 }
 
-func TestAllProblemsOfAFileAreToldAtOnceWithTheirLines(t *testing.T) {
-	_, err := parseFile("x.toml", []byte(`listen = "nowhere"
+// All errors of a file are reported at once, each with its line.
+func TestAllErrorsOfAFileAreReportedWithTheirLines(t *testing.T) {
+	_, err := parseTOML("x.toml", []byte(`listen = "nowhere"
 discovery = "127.0.0.1:18500"
 colour = "red"
 seed = "xyz"
@@ -42,20 +42,23 @@
 deadline_ms = 50
 effect = "odd"
 `))
-	var problems tomlfile.Problems
-	require.ErrorAs(t, err, &problems)
-	at := map[string]int{}
-	for _, p := range problems {
-		at[p.Key] = p.Line
+	var fields FieldErrors
+	require.ErrorAs(t, err, &fields)
+	var first *FieldError
+	require.ErrorAs(t, err, &first)
+	require.Same(t, fields[0], first)
+	lines := map[string]int{}
+	for _, field := range fields {
+		lines[field.Key] = field.Line
 	}
 	require.Equal(t, map[string]int{
 		"listen": 1, "colour": 3, "seed": 4, "limits.memory_mb": 6, "limits.sockets": 7, "log": 8, "balancers.zone": 11,
 		"class[0].deadline_ms": 16, "class[0].effect": 17,
-	}, at, err)
+	}, lines, err)
 }
 
-func TestWhatIsLeftOutHasADefault(t *testing.T) {
-	c, err := parseFile("x.toml", []byte("discovery = \"127.0.0.1:1\"\n[[class]]\nname = \"read\"\naim_ms = 100\ndeadline_ms = 500\neffect = \"safe\"\n"))
+func TestMissingKeysHaveDefaults(t *testing.T) {
+	c, err := parseTOML("x.toml", []byte("discovery = \"127.0.0.1:1\"\n[[class]]\nname = \"read\"\naim_ms = 100\ndeadline_ms = 500\neffect = \"safe\"\n"))
 	require.NoError(t, err)
 	require.Equal(t, 192, c.MemoryMB)
 	require.Equal(t, 250*time.Millisecond, c.DialTimeout)
