--- /dev/null
+++ b/cmd/piernotch/check.go
@@ -0,0 +1,17 @@
+package main
+
+import "fmt"
+
+// checkCmd checks a configuration without starting anything.
+type checkCmd struct{ configSource }
+
+// Run prints a summary of a valid configuration, or returns all errors.
+func (c *checkCmd) Run() error {
+	cfg, err := c.load()
+	if err != nil {
+		return err
+	}
+	fmt.Printf("good: %s listens on %s, asks %s, %d classes, %d servers known\n",
+		cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.Settings.Classes), len(cfg.KnownEndpoints.Endpoints))
+	return nil
+}
--- /dev/null
+++ b/cmd/piernotch/serve.go
@@ -0,0 +1,96 @@
+package main
+
+import (
+	"context"
+	"log/slog"
+	"os"
+	"os/signal"
+	goruntime "runtime"
+	"runtime/debug"
+	"sync"
+	"syscall"
+	"time"
+
+	"piernotch/internal/group"
+	"piernotch/internal/group/client"
+	"piernotch/internal/logs"
+	"piernotch/internal/serve/config"
+	"piernotch/internal/serve/runtime"
+)
+
+// leaveTimeout is how long a shutdown waits for the group to take note of it.
+const leaveTimeout = 500 * time.Millisecond
+
+// serveCmd runs the balancer.
+type serveCmd struct {
+	configSource
+	Group string `placeholder:"FILE" help:"Take part in the group that the file tells of; without it, in none."`
+}
+
+// Run serves until SIGTERM or SIGINT and the graceful shutdown that follows. SIGHUP reloads the
+// configuration.
+func (c *serveCmd) Run() error {
+	// Before anything else: by default a SIGHUP or SIGTERM ends the program.
+	signals := make(chan os.Signal, 16)
+	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, os.Interrupt)
+	signal.Ignore(syscall.SIGPIPE) // the process that reads the log may end; the service stays
+	cfg, err := c.load()
+	if err != nil {
+		return err
+	}
+	if err := logs.Start(cfg.Log); err != nil {
+		return err
+	}
+	goruntime.GOMAXPROCS(1) // the machine has one core, and others may share it
+	balancer, err := runtime.New(cfg)
+	if err != nil {
+		return err
+	}
+	balancer.LimitMemory = debug.SetMemoryLimit
+	leaveGroup, err := joinGroup(c.Group, balancer)
+	if err != nil {
+		return err
+	}
+	defer leaveGroup()
+	if err := balancer.Start(); err != nil {
+		return err
+	}
+	// Owned by Run; it ends with the process, which Run's return ends.
+	go c.handleSignals(signals, cfg, balancer, leaveGroup)
+	balancer.Run(context.Background())
+	return nil
+}
+
+// handleSignals reloads the configuration or shuts the balancer down, as signals ask.
+func (c *serveCmd) handleSignals(signals <-chan os.Signal, cfg config.Config, balancer *runtime.Balancer, leaveGroup func()) {
+	for s := range signals {
+		if s != syscall.SIGHUP {
+			balancer.Shutdown()
+			go leaveGroup() // within leaveTimeout: a duty passes on while clients are still served
+			continue
+		}
+		next, err := c.reload(cfg)
+		if err != nil {
+			slog.Error("configuration rejected", "err", err)
+			continue
+		}
+		balancer.Reload(next)
+	}
+}
+
+// joinGroup makes the balancer a member of the group in a file, and returns the function that leaves
+// it, which may be called more than once and from any goroutine. Without a file there is no group,
+// and nothing is opened.
+func joinGroup(file string, balancer *runtime.Balancer) (leave func(), err error) {
+	if file == "" {
+		return func() {}, nil
+	}
+	cfg, err := group.LoadFile(file)
+	if err != nil {
+		return nil, err
+	}
+	cfg.Disk = ""
+	member := client.Start(cfg, nil)
+	balancer.ShareWatch(member.SharedWatch)
+	return sync.OnceFunc(func() { member.Close(leaveTimeout) }), nil
+}
