--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,9 @@
-// Package logs makes the program's log: log/slog in front, zap behind it, as lines of
-// key=value or of JSON, with a bound on lines a second.
+// Package logs sets up the program's log: log/slog in front, zap behind it, as lines of key=value or
+// of JSON on standard error, with a limit on lines a second.
+//
+// The package owns the form of a line and the limit. It knows no events: their names and keys belong
+// to the packages that log, which use log/slog alone. The commands call Start once; package config
+// calls Options.Check.
 package logs
 
 import (
@@ -13,69 +17,109 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// DefaultLines is how many lines are written a second at the most; at level debug
-// DebugLines, for a request followed by its id must not end half-way.
+// Lines a second that are written at the most.
 const (
+	// DefaultLines is the limit at levels info, warn and error.
 	DefaultLines = 200
-	DebugLines   = 20000
+	// DebugLines is the limit at level debug: following a request by its ID must not end half-way.
+	DebugLines = 20000
 )
 
-// Options says how the log looks. Zero values are the defaults.
+// timeFormat is RFC 3339 with milliseconds.
+const timeFormat = "2006-01-02T15:04:05.000Z07:00"
+
+// Options says how the log looks. Zero values are the defaults. The fields' names are those of flags
+// and of configuration keys.
 type Options struct {
-	Format string `toml:"format"`      // text (key=value) or json; text
-	Level  string `toml:"level"`       // debug, info, warn or error; info
-	Lines  int    `toml:"lines_per_s"` // lines a second, errors apart; DefaultLines, or DebugLines
+	// Format is "text" (key=value), the default, or "json".
+	Format string `toml:"format"`
+	// Level is "debug", "info", the default, "warn" or "error".
+	Level string `toml:"level"`
+	// Lines is the limit of lines a second; 0: DefaultLines or, at level debug, DebugLines. Errors are
+	// written even beyond it.
+	Lines int `toml:"lines_per_s"`
+}
+
+// OptionError is an option whose value is not valid.
+type OptionError struct {
+	Option string // its configuration key, as "log.level"
+	Value  string // as it is printed
+	Want   string // what is expected
+}
+
+func (e *OptionError) Error() string {
+	return fmt.Sprintf("%s: %s, %s is expected", e.Option, e.Value, e.Want)
 }
 
 var levels = map[string]zapcore.Level{
-	"": zapcore.InfoLevel, "debug": zapcore.DebugLevel, "info": zapcore.InfoLevel, "warn": zapcore.WarnLevel, "error": zapcore.ErrorLevel,
+	"":      zapcore.InfoLevel,
+	"debug": zapcore.DebugLevel,
+	"info":  zapcore.InfoLevel,
+	"warn":  zapcore.WarnLevel,
+	"error": zapcore.ErrorLevel,
 }
 
-// Check returns an error that names the option that cannot be.
+// Check returns an *OptionError for the first option that is not valid.
 func (o Options) Check() error {
 	if _, ok := levels[o.Level]; !ok {
-		return fmt.Errorf("log.level: %q, one of debug, info, warn, error is expected", o.Level)
+		return &OptionError{Option: "log.level", Value: fmt.Sprintf("%q", o.Level), Want: "one of debug, info, warn, error"}
 	}
-	if o.Format != "" && o.Format != "text" && o.Format != "json" {
-		return fmt.Errorf("log.format: %q, text or json is expected", o.Format)
+	switch o.Format {
+	case "", "text", "json":
+	default:
+		return &OptionError{Option: "log.format", Value: fmt.Sprintf("%q", o.Format), Want: "text or json"}
 	}
 	if o.Lines < 0 {
-		return fmt.Errorf("log.lines_per_s: %d, 0 (for %d) or more is expected", o.Lines, DefaultLines)
+		return &OptionError{Option: "log.lines_per_s", Value: fmt.Sprint(o.Lines), Want: fmt.Sprintf("0 (for %d) or more", DefaultLines)}
 	}
 	return nil
 }
 
-// Start makes the log on standard error the program's own.
+// maxLines returns the limit of lines a second.
+func (o Options) maxLines() int {
+	switch {
+	case o.Lines > 0:
+		return o.Lines
+	case o.Level == "debug":
+		return DebugLines
+	default:
+		return DefaultLines
+	}
+}
+
+// Start makes a log on standard error the default of log/slog. An error is an *OptionError.
 func Start(o Options) error {
-	h, err := handler(zapcore.Lock(os.Stderr), o)
-	if err == nil {
-		slog.SetDefault(slog.New(h))
+	h, err := newHandler(zapcore.Lock(os.Stderr), o)
+	if err != nil {
+		return err
 	}
-	return err
+	slog.SetDefault(slog.New(h))
+	return nil
 }
 
-func handler(out zapcore.WriteSyncer, o Options) (slog.Handler, error) {
+// newHandler returns a handler that writes to out.
+func newHandler(out zapcore.WriteSyncer, o Options) (slog.Handler, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
 	}
-	enc := zapcore.EncoderConfig{
+	core := zapcore.NewCore(newEncoder(o.Format), out, levels[o.Level])
+	never := slog.Level(100) // stack traces are attributes of their own here
+	return &limiter{
+		Handler:  zapslog.NewHandler(core, zapslog.AddStacktraceAt(never)),
+		maxLines: o.maxLines(),
+		counter:  &counter{},
+	}, nil
+}
+
+func newEncoder(format string) zapcore.Encoder {
+	config := zapcore.EncoderConfig{
 		TimeKey: "time", LevelKey: "level", MessageKey: "msg", LineEnding: "\n",
-		EncodeLevel: zapcore.CapitalLevelEncoder, EncodeDuration: zapcore.StringDurationEncoder,
-		EncodeTime: func(t time.Time, e zapcore.PrimitiveArrayEncoder) {
-			e.AppendString(t.Format("2006-01-02T15:04:05.000Z07:00"))
-		},
-	}
-	encoder := zaplogfmt.NewEncoder(enc)
-	if o.Format == "json" {
-		encoder = zapcore.NewJSONEncoder(enc)
+		EncodeLevel:    zapcore.CapitalLevelEncoder,
+		EncodeDuration: zapcore.StringDurationEncoder,
+		EncodeTime:     func(t time.Time, e zapcore.PrimitiveArrayEncoder) { e.AppendString(t.Format(timeFormat)) },
 	}
-	if o.Lines == 0 {
-		o.Lines = DefaultLines
-		if o.Level == "debug" {
-			o.Lines = DebugLines
-		}
+	if format == "json" {
+		return zapcore.NewJSONEncoder(config)
 	}
-	core := zapcore.NewCore(encoder, out, levels[o.Level])
-	quiet := slog.Level(100) // stacks are attributes of their own here
-	return &limiter{zapslog.NewHandler(core, zapslog.AddStacktraceAt(quiet)), o.Lines, &count{}}, nil
+	return zaplogfmt.NewEncoder(config)
 }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -13,13 +13,14 @@
 	"go.uber.org/zap/zapcore"
 )
 
-func TestAFloodOfLinesIsBoundedAndCounted(t *testing.T) {
+// A flood of lines is cut at the limit, errors pass, and the next second reports what was dropped.
+func TestLinesBeyondLimitAreDroppedAndCounted(t *testing.T) {
 	var out bytes.Buffer
-	l, err := handler(zapcore.AddSync(&out), Options{})
+	h, err := newHandler(zapcore.AddSync(&out), Options{})
 	require.NoError(t, err)
 	at := time.Unix(1000, 0)
 	log := func(level slog.Level, text string) {
-		require.NoError(t, l.Handle(context.Background(), slog.NewRecord(at, level, text, 0)))
+		require.NoError(t, h.Handle(context.Background(), slog.NewRecord(at, level, text, 0)))
 	}
 	for range DefaultLines + 30 {
 		log(slog.LevelInfo, "flood")
@@ -33,13 +34,14 @@
 	require.Equal(t, 1, strings.Count(out.String(), "msg=after"))
 }
 
-func TestBothFormatsSayTheSame(t *testing.T) {
+// Both formats hold the same, and options that are not valid are named.
+func TestFormatsAndOptions(t *testing.T) {
 	for format, want := range map[string]string{
 		"text": "time=1970-01-01T00:16:40.000Z level=WARN msg=\"a thing\" n=3 err=broken\n",
 		"json": `{"level":"WARN","time":"1970-01-01T00:16:40.000Z","msg":"a thing","n":3,"err":"broken"}` + "\n",
 	} {
 		var out bytes.Buffer
-		h, err := handler(zapcore.AddSync(&out), Options{Format: format, Level: "warn"})
+		h, err := newHandler(zapcore.AddSync(&out), Options{Format: format, Level: "warn"})
 		require.NoError(t, err)
 		require.False(t, h.Enabled(context.Background(), slog.LevelInfo))
 		r := slog.NewRecord(time.Unix(1000, 0).UTC(), slog.LevelWarn, "a thing", 0)
@@ -47,7 +49,15 @@
 		require.NoError(t, h.Handle(context.Background(), r))
 		require.Equal(t, want, out.String())
 	}
-	require.ErrorContains(t, Options{Format: "xml"}.Check(), "log.format")
-	require.ErrorContains(t, Options{Level: "loud"}.Check(), "log.level")
-	require.ErrorContains(t, Options{Lines: -1}.Check(), "log.lines_per_s")
+	for option, o := range map[string]Options{
+		"log.format":      {Format: "xml"},
+		"log.level":       {Level: "loud"},
+		"log.lines_per_s": {Lines: -1},
+	} {
+		err := o.Check()
+		require.ErrorContains(t, err, option)
+		var optionErr *OptionError
+		require.ErrorAs(t, err, &optionErr)
+		require.Equal(t, option, optionErr.Option)
+	}
 }
