--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -34,10 +34,10 @@
 	t.Helper()
 	end := len(magic) + 4 + int(binary.LittleEndian.Uint32(data[len(magic):]))
 	block := data[end:]
-	require.Len(t, block, blockHead+int(binary.LittleEndian.Uint32(block)), "one block")
+	require.Len(t, block, blockHeaderSize+int(binary.LittleEndian.Uint32(block)), "one block")
 	require.EqualValues(t, len(goldenRecords), binary.LittleEndian.Uint32(block[4:]))
 	require.EqualValues(t, goldenRecords[0].At, binary.LittleEndian.Uint64(block[8:]))
-	records, err := io.ReadAll(flate.NewReader(bytes.NewReader(block[blockHead:])))
+	records, err := io.ReadAll(flate.NewReader(bytes.NewReader(block[blockHeaderSize:])))
 	require.NoError(t, err)
 	return data[:end], records
 }
--- /dev/null
+++ b/internal/trace/reader.go
@@ -0,0 +1,168 @@
+package trace
+
+import (
+	"bufio"
+	"bytes"
+	"compress/flate"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"hash/crc32"
+	"io"
+	"os"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// readBufferSize is how many bytes are read from the file at once.
+const readBufferSize = 1 << 16
+
+// Reader reads a recording. Open makes it. It is for one goroutine at a time.
+type Reader struct {
+	name        string
+	file        *os.File
+	in          *bufio.Reader
+	header      Header
+	firstBlock  int64         // offset in the file
+	records     *cbor.Decoder // of the current block
+	recordsLeft uint32        // in the current block
+	block       int           // number of the current block, counted from 1 since Open or Seek; 0: none yet
+}
+
+// Open opens a recording. An error is a *FileError.
+func Open(name string) (*Reader, error) {
+	f, err := os.Open(name)
+	if err != nil {
+		return nil, &FileError{Err: err}
+	}
+	r := &Reader{name: name, file: f, in: bufio.NewReaderSize(f, readBufferSize)}
+	if err := r.readHeader(); err != nil {
+		_ = f.Close() // it was only read
+		return nil, &FileError{Name: name, Err: err}
+	}
+	return r, nil
+}
+
+func (r *Reader) readHeader() error {
+	var fixed [len(magic) + 4]byte
+	if _, err := io.ReadFull(r.in, fixed[:]); err != nil || string(fixed[:len(magic)]) != magic {
+		return ErrNotRecording
+	}
+	size := binary.LittleEndian.Uint32(fixed[len(magic):])
+	if size > maxHeaderSize {
+		return fmt.Errorf("a header of %d bytes", size)
+	}
+	header := make([]byte, size)
+	if _, err := io.ReadFull(r.in, header); err != nil {
+		return ErrTruncated
+	}
+	if err := cbor.Unmarshal(header, &r.header); err != nil {
+		return fmt.Errorf("header: %w", err)
+	}
+	if r.header.Version != formatVersion {
+		return fmt.Errorf("version %d, version %d is expected", r.header.Version, formatVersion)
+	}
+	r.firstBlock = int64(len(fixed)) + int64(size)
+	return nil
+}
+
+// Header returns the recording's header, which the caller must not change.
+func (r *Reader) Header() *Header { return &r.header }
+
+// Close closes the file.
+func (r *Reader) Close() error { return r.file.Close() }
+
+// Next reads the next record. It returns io.EOF at the end, and else a *FileError, which wraps
+// ErrTruncated where the writer died.
+func (r *Reader) Next(record *Record) error {
+	for r.recordsLeft == 0 {
+		err := r.readBlock()
+		if errors.Is(err, io.EOF) {
+			return io.EOF
+		}
+		if err != nil {
+			return r.blockError(err)
+		}
+	}
+	r.recordsLeft--
+	if err := r.records.Decode(record); err != nil {
+		return r.blockError(err)
+	}
+	if int(record.Class) >= len(r.header.Classes) {
+		return r.blockError(fmt.Errorf("class %d of %d", record.Class, len(r.header.Classes)))
+	}
+	return nil
+}
+
+func (r *Reader) blockError(err error) error {
+	return &FileError{Name: r.name, Err: &BlockError{Block: r.block, Err: err}}
+}
+
+// readBlock reads the next block and checks its data. It returns io.EOF at the end of the file.
+func (r *Reader) readBlock() error {
+	header, err := r.readBlockHeader()
+	if err != nil {
+		return err
+	}
+	r.block++
+	data := make([]byte, header.size)
+	if _, err := io.ReadFull(r.in, data); err != nil {
+		return ErrTruncated
+	}
+	if crc32.Checksum(data, castagnoli) != header.checksum {
+		return ErrChecksum
+	}
+	r.records = cbor.NewDecoder(flate.NewReader(bytes.NewReader(data)))
+	r.recordsLeft = header.records
+	return nil
+}
+
+func (r *Reader) readBlockHeader() (blockHeader, error) {
+	var encoded [blockHeaderSize]byte
+	n, err := io.ReadFull(r.in, encoded[:])
+	if n == 0 && errors.Is(err, io.EOF) {
+		return blockHeader{}, io.EOF
+	}
+	if err != nil {
+		return blockHeader{}, ErrTruncated
+	}
+	return decodeBlockHeader(&encoded)
+}
+
+// Seek goes to the last block that begins at or before a time, which is since the start of the
+// recording; its first record is the next one. Block numbers in errors count from there.
+func (r *Reader) Seek(at time.Duration) error {
+	if err := r.moveTo(r.firstBlock); err != nil {
+		return err
+	}
+	r.recordsLeft = 0
+	r.block = 0
+	return r.moveTo(r.findBlock(at))
+}
+
+// findBlock reads along the blocks' headers, and returns the offset of the last block that begins at
+// or before a time, that of the first if there is none. It stops where the file is damaged.
+func (r *Reader) findBlock(at time.Duration) int64 {
+	found, offset := r.firstBlock, r.firstBlock
+	for {
+		header, err := r.readBlockHeader()
+		if err != nil || header.first > at {
+			return found
+		}
+		found = offset
+		offset += blockHeaderSize + int64(header.size)
+		if _, err := r.in.Discard(int(header.size)); err != nil {
+			return found
+		}
+	}
+}
+
+// moveTo continues to read at an offset in the file.
+func (r *Reader) moveTo(offset int64) error {
+	if _, err := r.file.Seek(offset, io.SeekStart); err != nil {
+		return err
+	}
+	r.in.Reset(r.file)
+	return nil
+}
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -1,6 +1,7 @@
 package trace
 
 import (
+	"bytes"
 	"errors"
 	"io"
 	"os"
@@ -11,47 +12,52 @@
 	"github.com/stretchr/testify/require"
 )
 
-func record(i int) Record {
+// testRecord returns the record number i of a test.
+func testRecord(i int) Record {
 	return Record{At: time.Duration(i) * time.Millisecond, Class: uint16(i % 2), Key: uint64(i * 7), CostHint: float64(i), Deadline: time.Second, Outcome: Outcome(i % 4), Latency: time.Duration(i)}
 }
 
-func write(t *testing.T, n int, limits Limits) (string, *Writer) {
+// writeTrace writes a recording of n records and returns its name and the closed Writer.
+func writeTrace(t *testing.T, n int, limits Limits) (string, *Writer) {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "t.pnt")
 	w, err := Create(name, Header{Name: "n0", Zone: "z", Classes: []string{"a", "b"}}, limits)
 	require.NoError(t, err)
 	for i := range n {
-		w.Add(record(i))
+		w.Add(testRecord(i))
 	}
 	require.NoError(t, w.Close())
-	w.Add(record(0)) // after the end: dropped, no panic
+	w.Add(testRecord(0)) // after the end: dropped, no panic
 	return name, w
 }
 
-func TestARecordingReadsBack(t *testing.T) {
+func closeReader(t *testing.T, r *Reader) { require.NoError(t, r.Close()) }
+
+func TestRecordingReadsBack(t *testing.T) {
 	const n = 3*blockRecords + 17
-	name, _ := write(t, n, Limits{Pending: n})
+	name, _ := writeTrace(t, n, Limits{Pending: n})
 	r, err := Open(name)
 	require.NoError(t, err)
-	defer r.Close()
+	defer closeReader(t, r)
 	require.Equal(t, []string{"a", "b"}, r.Header().Classes)
-	var rec Record
+	var record Record
 	for i := range n {
-		require.NoError(t, r.Next(&rec))
-		require.Equal(t, record(i), rec)
+		require.NoError(t, r.Next(&record))
+		require.Equal(t, testRecord(i), record)
 	}
-	require.ErrorIs(t, r.Next(&rec), io.EOF)
+	require.ErrorIs(t, r.Next(&record), io.EOF)
 
 	require.NoError(t, r.Seek(time.Duration(blockRecords+5)*time.Millisecond))
-	require.NoError(t, r.Next(&rec))
-	require.Equal(t, record(blockRecords), rec, "the block in which the time lies")
+	require.NoError(t, r.Next(&record))
+	require.Equal(t, testRecord(blockRecords), record, "the block in which the time lies")
 	require.NoError(t, r.Seek(0))
-	require.NoError(t, r.Next(&rec))
-	require.Equal(t, record(0), rec)
+	require.NoError(t, r.Next(&record))
+	require.Equal(t, testRecord(0), record)
 }
 
-func TestWhatIsCutShortOrSpoiltIsToldAndTheRestIsGood(t *testing.T) {
-	name, _ := write(t, 2*blockRecords, Limits{})
+// Of a recording that is truncated or damaged, the blocks before are read, and the error says what is wrong.
+func TestDamagedRecordingIsReadUpToTheDamage(t *testing.T) {
+	name, _ := writeTrace(t, 2*blockRecords, Limits{})
 	data, err := os.ReadFile(name)
 	require.NoError(t, err)
 	count := func(data []byte) (int, error) {
@@ -60,10 +66,10 @@
 		if err != nil {
 			return 0, err
 		}
-		defer r.Close()
-		var rec Record
+		defer closeReader(t, r)
+		var record Record
 		for n := 0; ; n++ {
-			if err := r.Next(&rec); err != nil {
+			if err := r.Next(&record); err != nil {
 				return n, err
 			}
 		}
@@ -71,26 +77,30 @@
 	n, err := count(data[:len(data)-10])
 	require.ErrorIs(t, err, ErrTruncated)
 	require.Equal(t, blockRecords, n)
-	spoilt := append([]byte(nil), data...)
-	spoilt[len(spoilt)-10] ^= 1
-	n, err = count(spoilt)
+	damaged := bytes.Clone(data)
+	damaged[len(damaged)-10] ^= 1
+	n, err = count(damaged)
 	require.ErrorContains(t, err, "block 2: its checksum is wrong")
+	require.ErrorIs(t, err, ErrChecksum)
+	require.Equal(t, &FileError{Name: name, Err: &BlockError{Block: 2, Err: ErrChecksum}}, err)
 	require.Equal(t, blockRecords, n)
 	_, err = count([]byte("PNTRACE9 and more"))
 	require.ErrorContains(t, err, "no recording")
+	require.ErrorIs(t, err, ErrNotRecording)
 	_, err = count(data[:20])
 	require.ErrorIs(t, err, ErrTruncated)
 }
 
-func TestARecordingIsBoundedAndNeverWaits(t *testing.T) {
-	name, w := write(t, 10*blockRecords, Limits{Bytes: 1, Pending: 4 * blockRecords})
+// A recording ends at its limit of bytes, and what was not written is counted.
+func TestRecordingIsBoundedAndCountsDropped(t *testing.T) {
+	name, w := writeTrace(t, 10*blockRecords, Limits{Bytes: 1, Pending: 4 * blockRecords})
 	require.Greater(t, w.Dropped(), 0)
 	r, err := Open(name)
 	require.NoError(t, err)
-	defer r.Close()
-	var rec Record
+	defer closeReader(t, r)
+	var record Record
 	n := 0
-	for err = r.Next(&rec); err == nil; err = r.Next(&rec) {
+	for err = r.Next(&record); err == nil; err = r.Next(&record) {
 		n++
 	}
 	require.True(t, errors.Is(err, io.EOF))
@@ -100,13 +110,14 @@
 	require.Error(t, err)
 }
 
+// A file with any content is read without a panic.
 func FuzzRead(f *testing.F) {
-	b, err := encode([]Record{record(1), record(2)})
+	b, err := encodeBlock([]Record{testRecord(1), testRecord(2)})
 	if err != nil {
 		f.Fatal(err)
 	}
-	head := []byte(magic + "\x0f\x00\x00\x00\xa2gversion\x01gclasses\x81aa")
-	f.Add(append(head, b...))
+	header := []byte(magic + "\x0f\x00\x00\x00\xa2gversion\x01gclasses\x81aa")
+	f.Add(append(header, b...))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		name := filepath.Join(t.TempDir(), "f")
 		if os.WriteFile(name, data, 0o600) != nil {
@@ -116,10 +127,10 @@
 		if err != nil {
 			return
 		}
-		defer r.Close()
-		var rec Record
+		defer closeReader(t, r)
+		var record Record
 		for range 10000 {
-			if r.Next(&rec) != nil {
+			if r.Next(&record) != nil {
 				return
 			}
 		}
