--- a/internal/serve/eventloop/connection.go
+++ b/internal/serve/eventloop/connection.go
@@ -24,16 +24,16 @@
 type Conn struct {
 	socket      *nbio.Conn
 	handler     Handler
-	openCount   *atomic.Int64 // where it is counted as open; nil: no more
+	openCount   *atomic.Int64 // where it is counted as open; nil once released
 	queuedBytes int64         // passed to Write
 	closed      bool          // by Close, or Closed was called
-	dialed      bool          // to a server: where its sending ends may say where a response does
+	dialed      bool          // to a server, whose close may be the end of a response
 
 	writtenBytes atomic.Int64 // that the kernel has taken
 	unhandled    atomic.Int32 // pieces of data on their way to the handler
 	discardInput atomic.Bool  // what still comes is thrown away
 	prioritized  atomic.Bool  // handled before others after a stall
-	peerClosed   atomic.Bool  // or broke it, which the handler may not have been told yet
+	peerClosed   atomic.Bool  // or broke it; Handler.Closed may be still to come
 }
 
 // Write sends data; what the kernel does not take at once follows later. An error means that the
--- a/internal/serve/eventloop/doc.go
+++ b/internal/serve/eventloop/doc.go
@@ -4,10 +4,10 @@
 // # Goroutines
 //
 // The owning goroutine is the one that calls Loop.Run. Handlers, functions passed to Loop.Post and
-// all other callbacks run there, one at a time; methods of Conn may be called there alone. Beside it
-// run nbio's poller, which reads sockets and flushes writes, one goroutine for each Listener that
-// accepts, and one for each dial. These share no state with the owner but the mailbox and the
-// counters that are atomic.
+// all other callbacks run there, one at a time; methods of Conn may be called there alone. The other
+// goroutines are nbio's poller, which reads sockets and flushes writes, one for each Listener that
+// accepts, and one for each dial. They share no state with the owner but the mailbox and atomic
+// counters.
 //
 // # Order
 //
--- a/internal/serve/eventloop/loop.go
+++ b/internal/serve/eventloop/loop.go
@@ -22,10 +22,10 @@
 	// stallThreshold is how long the loop may take over one batch without that being a stall:
 	// responses may be as late as this.
 	stallThreshold = 40 * time.Millisecond
-	// LongStallThreshold is the length of a stall after which the loop reads all that waits in the
-	// sockets, for longStallReadTime, before it handles anything. The notice that a server drains must
-	// not be behind a request that would be sent to it: the time given for that may be over. The
-	// protocol has a slack of half as much on every time limit.
+	// LongStallThreshold is the length of a stall after which the loop lets the poller read what waits
+	// in the sockets, for longStallReadTime, before it handles anything. The update that a server
+	// drains must not be behind a request that would be sent to it: the time given for that may be
+	// over. The protocol has a slack of half as much on every time limit.
 	LongStallThreshold = 100 * time.Millisecond
 	longStallReadTime  = 20 * time.Millisecond
 
--- a/internal/serve/runtime/balancer.go
+++ b/internal/serve/runtime/balancer.go
@@ -166,8 +166,8 @@
 // ready reports whether this process can serve.
 func (b *Balancer) ready() bool { return b.core.EndpointsKnown() && !b.core.ShuttingDown() }
 
-// healthy reports what the health check of the clients' side answers. Where a successor has taken
-// over, this process answers for both: a health check may reach either.
+// healthy reports whether the health check of the clients' side succeeds. Where a successor has
+// taken over, the result is that of both processes: a health check may reach either.
 func (b *Balancer) healthy() bool {
 	if !b.core.EndpointsKnown() || b.core.ClientsDrained() {
 		return false
@@ -193,7 +193,7 @@
 	b.logPeriodically(now)
 }
 
-// advanceWhenReady tells sibling processes once this process can serve.
+// advanceWhenReady lets sibling processes know once this process can serve.
 func (b *Balancer) advanceWhenReady() {
 	if b.ready() {
 		b.siblings.advance(handover.Ready)
--- a/internal/serve/runtime/helpers_test.go
+++ b/internal/serve/runtime/helpers_test.go
@@ -91,7 +91,9 @@
 }
 
 // startBalancerContext is startBalancerWith for a balancer that also ends with the context.
-func startBalancerContext(t *testing.T, ctx context.Context, configure func(*config.Config), discoveryAddress string, servers ...string) (*Balancer, chan struct{}) {
+func startBalancerContext(
+	t *testing.T, ctx context.Context, configure func(*config.Config), discoveryAddress string, servers ...string,
+) (*Balancer, chan struct{}) {
 	objective := 2 * time.Second
 	deadline := 5 * time.Second
 	cfg := config.Config{
--- a/internal/serve/runtime/retry_test.go
+++ b/internal/serve/runtime/retry_test.go
@@ -161,7 +161,8 @@
 			for _, test := range []struct{ method, target, status string }{{"GET", "/read", " 503 "}, {"POST", "/append", " 50"}} {
 				c := connect(t, balancer)
 				began := time.Now()
-				c.send(fmt.Sprintf("%s %s HTTP/1.1\r\nHost: b\r\nX-Request-Id: %s\r\nX-Deadline-Ms: 700\r\nContent-Length: 0\r\n\r\n", test.method, test.target, test.method))
+				c.send(fmt.Sprintf("%s %s HTTP/1.1\r\nHost: b\r\nX-Request-Id: %s\r\nX-Deadline-Ms: 700\r\nContent-Length: 0\r\n\r\n",
+					test.method, test.target, test.method))
 				head, _ := readMessage(c.reader)
 				require.Contains(t, head, test.status)
 				if test.method == "POST" && forwarded.count("POST") > 0 {
--- a/internal/serve/runtime/shared_watch_test.go
+++ b/internal/serve/runtime/shared_watch_test.go
@@ -64,11 +64,15 @@
 		}
 	})
 	cfg := config.Config{
-		Name: "n", Listen: "127.0.0.1:0", Discovery: discoveryAddress, Seed: 1, MemoryMB: 64, MaxDescriptors: 256, KeepAlive: testTimeout, DialTimeout: testTimeout, HasKnownEndpoints: true,
+		Name: "n", Listen: "127.0.0.1:0", Discovery: discoveryAddress, Seed: 1, MemoryMB: 64, MaxDescriptors: 256,
+		KeepAlive: testTimeout, DialTimeout: testTimeout, HasKnownEndpoints: true,
 		Settings: piernotch.Settings{
 			BalancerCount: 1, Zones: []string{"a"}, Tick: 5 * time.Millisecond, PollDiscovery: true,
-			Classes: []piernotch.Class{{Name: "read", LatencyObjective: 2 * time.Second, Deadline: 5 * time.Second, PriorityWeight: 1, RetrySafety: piernotch.Idempotent}},
-			Limits:  piernotch.Limits{MaxAttempts: 3, CancelAttempts: true}, Rules: piernotch.Rules{PollInterval: 400 * time.Millisecond, SlowStartCapacity: 0.2, SlowStartDuration: time.Second},
+			Classes: []piernotch.Class{
+				{Name: "read", LatencyObjective: 2 * time.Second, Deadline: 5 * time.Second, PriorityWeight: 1, RetrySafety: piernotch.Idempotent},
+			},
+			Limits: piernotch.Limits{MaxAttempts: 3, CancelAttempts: true},
+			Rules:  piernotch.Rules{PollInterval: 400 * time.Millisecond, SlowStartCapacity: 0.2, SlowStartDuration: time.Second},
 		},
 	}
 	var err error
@@ -98,7 +102,10 @@
 	serves("b")
 	publish(0, 1, endpointList(1, true, "in_service", a)) // from a lease holder that was stalled
 	publish(4, 5, endpointList(5, false, "in_service", a))
-	require.Eventually(t, func() bool { _, requested := w.calls(); return len(requested) == 1 && requested[0] == 2 }, testTimeout, 5*time.Millisecond)
+	require.Eventually(t, func() bool {
+		_, requested := w.calls()
+		return len(requested) == 1 && requested[0] == 2
+	}, testTimeout, 5*time.Millisecond)
 	serves("b")
 	publish(2, 3, endpointList(3, false, "terminating", b))
 	require.Empty(t, polled, "discovery was polled")
@@ -108,5 +115,6 @@
 	require.Contains(t, <-polled, "index=3")
 	serves("a")
 	published, _ := w.calls()
-	require.Equal(t, group.WatchEvent{Source: discoveryAddress, ToVersion: 4, Whole: true, Body: []byte(endpointList(4, true, "in_service", a))}, published[0])
+	body := []byte(endpointList(4, true, "in_service", a))
+	require.Equal(t, group.WatchEvent{Source: discoveryAddress, ToVersion: 4, Whole: true, Body: body}, published[0])
 }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -20,13 +20,19 @@
 		text string
 		want []Problem // without File and, where it is the decoder's, without What
 	}{
-		"valid":        {"name = \"n\"\n[[entry]]\nsize = 3\n", nil},
-		"unknown keys": {"name = \"n\"\ncolour = 1\n[size]\nx = 2\n", []Problem{{Line: 2, Key: "colour", What: "no such key"}, {Line: 3, Key: "size", What: "no such key"}}},
+		"valid": {"name = \"n\"\n[[entry]]\nsize = 3\n", nil},
+		"unknown keys": {
+			"name = \"n\"\ncolour = 1\n[size]\nx = 2\n",
+			[]Problem{{Line: 2, Key: "colour", What: "no such key"}, {Line: 3, Key: "size", What: "no such key"}},
+		},
 		"wrong types": {
 			"name = \"n\"\ncount = \"many\"\n[[entry]]\nsize = \"\"\"\na\nb\n\"\"\"\n",
 			[]Problem{{Line: 2, Key: "count"}, {Line: 4, Key: "entry.size"}},
 		},
-		"wrong type and unknown key": {"count = true\ncolour = 1\nname = \"n\"\n", []Problem{{Line: 1, Key: "count"}, {Line: 2, Key: "colour", What: "no such key"}}},
+		"wrong type and unknown key": {
+			"count = true\ncolour = 1\nname = \"n\"\n",
+			[]Problem{{Line: 1, Key: "count"}, {Line: 2, Key: "colour", What: "no such key"}},
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var d document
--- a/internal/trace/doc.go
+++ b/internal/trace/doc.go
@@ -1,5 +1,5 @@
 // Package trace reads and writes recorded traffic: which requests clients sent, and how they ended.
-// A balancer writes a recording beside its service without ever waiting for the disk, and the lab's
+// A balancer writes a recording while it serves, without ever waiting for the disk, and the lab's
 // simulation replays it.
 //
 // The package owns the file format. It does not know where records come from or what a class
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -14,7 +14,10 @@
 
 // testRecord returns the record number i of a test.
 func testRecord(i int) Record {
-	return Record{At: time.Duration(i) * time.Millisecond, Class: uint16(i % 2), Key: uint64(i * 7), CostHint: float64(i), Deadline: time.Second, Outcome: Outcome(i % 4), Latency: time.Duration(i)}
+	return Record{
+		At: time.Duration(i) * time.Millisecond, Class: uint16(i % 2), Key: uint64(i * 7), CostHint: float64(i),
+		Deadline: time.Second, Outcome: Outcome(i % 4), Latency: time.Duration(i),
+	}
 }
 
 // writeTrace writes a recording of n records and returns its name and the closed Writer.
