--- /dev/null
+++ b/internal/serve/config/toml.go
@@ -0,0 +1,234 @@
+package config
+
+import (
+	"os"
+	"path/filepath"
+	"time"
+
+	"piernotch"
+	"piernotch/internal/logs"
+	"piernotch/internal/serve/discovery"
+	"piernotch/internal/tomlfile"
+)
+
+// file is the product's own configuration; docs/CONFIG.md is its reference. The names of this type
+// and of its fields are part of the TOML decoder's errors for a value of the wrong type, which
+// operators may search for: new ones would change them.
+type file struct {
+	Name       string `toml:"name"`
+	Listen     string `toml:"listen"`
+	Discovery  string `toml:"discovery"`
+	Management string `toml:"management"` // the admin address
+	Seed       string `toml:"seed"`
+	Known      string `toml:"known_file"`
+	Limits     struct {
+		MemoryMB int `toml:"memory_mb"`
+		Sockets  int `toml:"sockets"` // descriptors
+	} `toml:"limits"`
+	Log   logs.Options `toml:"log"`
+	Trace struct {
+		File  string `toml:"file"`
+		MaxMB int    `toml:"max_mb"`
+	} `toml:"trace"`
+	Balancers struct {
+		Count int      `toml:"count"`
+		Zone  string   `toml:"zone"`
+		Zones []string `toml:"zones"`
+	} `toml:"balancers"`
+	Requests struct {
+		MaxAttempts  int  `toml:"max_attempts"`
+		SecondCopies bool `toml:"second_copies"` // hedged requests
+		Cancel       bool `toml:"cancel"`
+		Probes       bool `toml:"probes"` // health checks
+		RetryAfter   bool `toml:"retry_after"`
+		RetryMostMS  int  `toml:"max_retry_after_ms"`
+	} `toml:"requests"`
+	Servers struct {
+		KeepAliveMS int  `toml:"keepalive_ms"`
+		DialMS      int  `toml:"dial_timeout_ms"`
+		WarmKeys    bool `toml:"warm_keys"` // key affinity
+	} `toml:"servers"`
+	Rules struct {
+		AskWithinMS int     `toml:"ask_within_ms"`   // poll interval
+		ColdFrom    float64 `toml:"cold_from"`       // share of capacity at which slow start begins
+		ColdMS      int     `toml:"cold_ms"`         // duration of slow start
+		OverloadMS  int     `toml:"overload_for_ms"` // overload window
+	} `toml:"rules"`
+	Classes []struct {
+		Name       string  `toml:"name"`
+		AimMS      int     `toml:"aim_ms"` // latency objective
+		DeadlineMS int     `toml:"deadline_ms"`
+		Worth      float64 `toml:"worth"`      // priority weight
+		LateWorth  float64 `toml:"late_worth"` // share of the weight after the objective
+		Effect     string  `toml:"effect"`     // retry safety
+	} `toml:"class"`
+}
+
+// retrySafeties are the values of a class's effect.
+var retrySafeties = map[string]piernotch.RetrySafety{"safe": piernotch.Idempotent, "unsafe": piernotch.NonIdempotent}
+
+// defaults returns the values of keys that a file leaves out.
+func defaults() *file {
+	f := &file{Name: "piernotch", Listen: "127.0.0.1:18000"}
+	f.Limits.MemoryMB = 192
+	f.Limits.Sockets = 1024
+	f.Trace.MaxMB = 64
+	f.Balancers.Count = 1
+	f.Requests.MaxAttempts = 4
+	f.Requests.SecondCopies = true
+	f.Requests.Cancel = true
+	f.Requests.Probes = true
+	f.Requests.RetryMostMS = 2000
+	f.Servers.KeepAliveMS = 60000
+	f.Servers.DialMS = 250
+	f.Rules.AskWithinMS = 10000
+	f.Rules.ColdFrom = 0.12
+	f.Rules.ColdMS = 24000
+	f.Rules.OverloadMS = 2000
+	return f
+}
+
+// LoadFile reads the product's own configuration, in TOML. An error is of type FieldErrors and holds
+// all that is wrong, with file and line.
+func LoadFile(name string) (Config, error) {
+	data, err := os.ReadFile(name)
+	if err != nil {
+		return Config{}, FieldErrors{{File: name, Err: err}}
+	}
+	return parseTOML(name, data)
+}
+
+func parseTOML(name string, data []byte) (Config, error) {
+	f := defaults()
+	check := newChecker(name, tomlfile.Lines(data))
+	check.addProblems(tomlfile.Decode(name, data, f))
+	c := f.config(check)
+	if len(check.errs) > 0 {
+		return c, check.errs
+	}
+	if err := c.Settings.Validate(); err != nil { // what the checks here do not know
+		return c, FieldErrors{{File: name, Err: err}}
+	}
+	return c, nil
+}
+
+// config checks the values and returns them as a Config. The order of the checks is that of the
+// errors.
+func (f *file) config(check *checker) Config {
+	c := Config{
+		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, AdminAddress: f.Management,
+		MemoryMB: f.Limits.MemoryMB, MaxDescriptors: f.Limits.Sockets,
+		KeepAlive:   milliseconds(f.Servers.KeepAliveMS),
+		DialTimeout: milliseconds(f.Servers.DialMS),
+		Log:         f.Log,
+		Trace:       Trace{File: f.Trace.File, MaxBytes: int64(f.Trace.MaxMB) << 20},
+	}
+	check.address("listen", f.Listen)
+	check.address("discovery", f.Discovery)
+	if f.Management != "" {
+		check.address("management", f.Management)
+	}
+	var err error
+	if c.Seed, err = parseSeed(f.Seed); err != nil {
+		check.addf("seed", "%q, up to 16 hexadecimal digits are expected", f.Seed)
+	}
+	f.checkProcess(check)
+	zones, zone := f.zones(check)
+	f.checkRequests(check)
+	c.Settings = f.settings(zones, zone)
+	c.Settings.Classes = f.classes(check)
+	f.readKnownEndpoints(&c, check)
+	return c
+}
+
+// checkProcess checks what concerns the process and its log.
+func (f *file) checkProcess(check *checker) {
+	check.inRange("limits.memory_mb", f.Limits.MemoryMB, minMemoryMB, 1<<20)
+	check.inRange("limits.sockets", f.Limits.Sockets, minDescriptors, 1<<20)
+	check.inRange("trace.max_mb", f.Trace.MaxMB, 1, 1<<20)
+	if err := f.Log.Check(); err != nil {
+		check.add("log", err)
+	}
+	check.inRange("balancers.count", f.Balancers.Count, 1, 100000)
+}
+
+// zones returns all zones and the index of the balancer's own among them.
+func (f *file) zones(check *checker) (zones []string, own int) {
+	zones = f.Balancers.Zones
+	if len(zones) == 0 {
+		zones = []string{f.Balancers.Zone}
+	}
+	own = -1
+	for i, zone := range zones {
+		if zone == f.Balancers.Zone {
+			own = i // the last one, if a zone is listed twice
+		}
+	}
+	if own < 0 {
+		check.addf("balancers.zone", "%q, one of balancers.zones is expected", f.Balancers.Zone)
+		own = 0
+	}
+	return zones, own
+}
+
+// checkRequests checks the limits of requests and connections, and the rules.
+func (f *file) checkRequests(check *checker) {
+	check.inRange("requests.max_attempts", f.Requests.MaxAttempts, 1, 100)
+	check.inRange("requests.max_retry_after_ms", f.Requests.RetryMostMS, 0, maxMS)
+	check.inRange("servers.keepalive_ms", f.Servers.KeepAliveMS, 1, maxMS)
+	check.inRange("servers.dial_timeout_ms", f.Servers.DialMS, 1, maxMS)
+	check.inRange("rules.ask_within_ms", f.Rules.AskWithinMS, 1, maxMS)
+	check.inRange("rules.cold_ms", f.Rules.ColdMS, 0, maxMS)
+	check.inRange("rules.overload_for_ms", f.Rules.OverloadMS, 0, maxMS)
+	check.share("rules.cold_from", f.Rules.ColdFrom)
+}
+
+// settings returns the module's settings, but for the classes.
+func (f *file) settings(zones []string, zone int) piernotch.Settings {
+	return piernotch.Settings{
+		BalancerCount: f.Balancers.Count,
+		Zone:          zone,
+		Zones:         zones,
+		Tick:          5 * time.Millisecond,
+		PollDiscovery: true,
+		KeyAffinity:   f.Servers.WarmKeys,
+		Limits: piernotch.Limits{
+			MaxAttempts:    f.Requests.MaxAttempts,
+			HedgedRequests: f.Requests.SecondCopies,
+			CancelAttempts: f.Requests.Cancel,
+			HealthChecks:   f.Requests.Probes,
+			RetryAfter:     f.Requests.RetryAfter,
+			MaxRetryAfter:  milliseconds(f.Requests.RetryMostMS),
+		},
+		Rules: piernotch.Rules{
+			PollInterval:      milliseconds(f.Rules.AskWithinMS),
+			SlowStartCapacity: f.Rules.ColdFrom,
+			SlowStartDuration: milliseconds(f.Rules.ColdMS),
+			OverloadWindow:    milliseconds(f.Rules.OverloadMS),
+		},
+		OverQuotaWeight: 0.1,
+	}
+}
+
+// readKnownEndpoints reads the endpoint list to start with, if a file is named. Its name is relative
+// to the configuration file.
+func (f *file) readKnownEndpoints(c *Config, check *checker) {
+	if f.Known == "" {
+		return
+	}
+	path := f.Known
+	if !filepath.IsAbs(path) {
+		path = filepath.Join(filepath.Dir(check.file), path)
+	}
+	data, err := os.ReadFile(path)
+	if err == nil {
+		c.KnownEndpoints, err = discovery.Parse(data, c.Settings.Zones)
+	}
+	if err != nil {
+		check.add("known_file", err)
+		return
+	}
+	c.HasKnownEndpoints = true
+}
+
+func milliseconds(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
--- /dev/null
+++ b/internal/serve/runtime/health_check_test.go
@@ -0,0 +1,36 @@
+package runtime
+
+import (
+	"bufio"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// A server that does not respond is ejected, and a health check that it does not answer gives its connection
+// back.
+func TestUnansweredHealthCheckClosesItsConnection(t *testing.T) {
+	closed := make(chan string, 64)
+	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
+		head, _ := readMessage(r)
+		if strings.HasPrefix(head, "POST") {
+			return // a failure, which counts against the server
+		}
+		readMessage(r) // returns when the balancer closes the connection
+		closed <- head
+	}))
+	c := connect(t, balancer)
+	for range 3 { // so many failures eject it
+		head, _ := c.request("POST", "/append", "i", "x")
+		require.Contains(t, head, "502")
+	}
+	select {
+	case head := <-closed:
+		require.True(t, strings.HasPrefix(head, "GET /ping "), head)
+	case <-time.After(testTimeout):
+		t.Fatal("the health check's connection is still open")
+	}
+}
--- /dev/null
+++ b/internal/serve/runtime/stall_test.go
@@ -0,0 +1,77 @@
+package runtime
+
+import (
+	"bufio"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"piernotch/internal/serve/eventloop"
+)
+
+// After a stall, a request that waited in a socket is as old as the stall: it would be served after its
+// deadline otherwise.
+func TestStallCountsAgainstDeadline(t *testing.T) {
+	forwarded := make(chan string, 8)
+	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
+		for head, _ := readMessage(r); head != ""; head, _ = readMessage(r) {
+			forwarded <- head
+			respond(c, "served")
+		}
+	}))
+	c := connect(t, balancer)
+	_, body := c.request("GET", "/read", "1", "")
+	require.Equal(t, "served", body)
+	<-forwarded
+	paused := make(chan struct{})
+	balancer.loop.Post(func() {
+		close(paused)
+		time.Sleep(700 * time.Millisecond)
+	})
+	<-paused
+	c.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\nX-Deadline-Ms: 400\r\n\r\n")
+	head, _ := readMessage(c.reader)
+	require.Contains(t, head, " 503 ", "rejected: no server received it")
+	require.Empty(t, forwarded)
+	require.Eventually(t, func() bool {
+		_, body = c.request("GET", "/read", "3", "")
+		return body == "served"
+	}, testTimeout, 10*time.Millisecond)
+}
+
+// The update that a server drains may come during a stall, behind a request: after the stall it is handled
+// first, or the request would go there long after the update.
+func TestEndpointUpdateIsHandledFirstAfterStall(t *testing.T) {
+	forwarded := make(chan string, 8)
+	update := make(chan string, 1)
+	watching := make(chan struct{}, 8)
+	server := startPeer(t, func(c net.Conn, r *bufio.Reader) {
+		for head, _ := readMessage(r); head != ""; head, _ = readMessage(r) {
+			forwarded <- head
+			respond(c, "served")
+		}
+	})
+	balancer, _ := startBalancer(t, startPeer(t, func(c net.Conn, r *bufio.Reader) {
+		readMessage(r)
+		watching <- struct{}{}
+		respond(c, <-update)
+		readMessage(r)
+		readMessage(r)
+	}), server)
+	c := connect(t, balancer)
+	_, body := c.request("GET", "/read", "1", "")
+	require.Equal(t, "served", body)
+	<-forwarded
+	<-watching
+	resume := pauseLoop(balancer)
+	c.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\n\r\n")
+	time.Sleep(eventloop.LongStallThreshold) // and the request is in the mailbox
+	update <- endpointList(2, false, "terminating", server)
+	time.Sleep(100 * time.Millisecond)
+	resume()
+	head, _ := readMessage(c.reader)
+	require.Contains(t, head, " 503 ")
+	require.Empty(t, forwarded)
+}
--- /dev/null
+++ b/internal/serve/runtime/trace_recorder.go
@@ -0,0 +1,88 @@
+package runtime
+
+import (
+	"log/slog"
+	"math"
+	"time"
+
+	"piernotch/internal/serve/config"
+	"piernotch/internal/serve/core"
+	"piernotch/internal/trace"
+)
+
+// traceRecorder writes clients' requests and their outcomes to a trace. It holds a record for each
+// pending request, and never waits for the disk.
+type traceRecorder struct {
+	out       *trace.Writer
+	startedAt time.Duration // on the balancer's clock
+	pending   map[core.ExchangeID]trace.Record
+}
+
+// newTraceRecorder creates the trace file. It returns nil if the configuration names none.
+func newTraceRecorder(cfg *config.Config, now time.Duration) (*traceRecorder, error) {
+	if cfg.Trace.File == "" {
+		return nil, nil
+	}
+	header := trace.Header{Name: cfg.Name, StartedAt: int64(now)}
+	for _, class := range cfg.Settings.Classes {
+		header.Classes = append(header.Classes, class.Name)
+	}
+	if zone := cfg.Settings.Zone; zone < len(cfg.Settings.Zones) {
+		header.Zone = cfg.Settings.Zones[zone]
+	}
+	out, err := trace.Create(cfg.Trace.File, header, trace.Limits{Bytes: cfg.Trace.MaxBytes})
+	if err != nil {
+		return nil, err
+	}
+	return &traceRecorder{out: out, startedAt: now, pending: map[core.ExchangeID]trace.Record{}}, nil
+}
+
+// eventReceived notes a request, or that its client has gone. Other events are ignored.
+func (r *traceRecorder) eventReceived(now time.Duration, event core.Event) {
+	switch e := event.(type) {
+	case core.RequestReceived:
+		record := trace.Record{At: now - r.startedAt, Class: uint16(e.Class), Key: e.Key, Deadline: e.Deadline - now}
+		if e.Hint > 0 && !math.IsInf(e.Hint, 0) {
+			record.CostHint = e.Hint
+		}
+		r.pending[e.Client] = record
+	case core.ClientGone:
+		r.complete(now, e.Client, trace.ClientGone)
+	}
+}
+
+// responseSent notes a final response.
+func (r *traceRecorder) responseSent(now time.Duration, response core.Respond) {
+	switch response.Result {
+	case core.Served:
+		r.complete(now, response.Client, trace.Served)
+	case core.Rejected:
+		r.complete(now, response.Client, trace.Rejected)
+	case core.Failed:
+		r.complete(now, response.Client, trace.Failed)
+	default: // the request was not valid and never accepted
+		delete(r.pending, response.Client)
+	}
+}
+
+// complete writes the record of a request, if it is pending.
+func (r *traceRecorder) complete(now time.Duration, client core.ExchangeID, outcome trace.Outcome) {
+	record, ok := r.pending[client]
+	if !ok {
+		return
+	}
+	delete(r.pending, client)
+	record.Outcome = outcome
+	record.Latency = now - r.startedAt - record.At
+	r.out.Add(record)
+}
+
+// close completes the file. Requests that are pending are not written.
+func (r *traceRecorder) close() {
+	if err := r.out.Close(); err != nil {
+		slog.Error("trace recording failed", "err", err)
+	}
+	if dropped := r.out.Dropped(); dropped > 0 {
+		slog.Warn("trace records dropped", "records", dropped)
+	}
+}
