--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -68,7 +68,7 @@
 
 	r, err := Open(path)
 	require.NoError(t, err)
-	defer r.Close()
+	defer func() { require.NoError(t, r.Close()) }()
 	require.Equal(t, &goldenHeader, r.Header())
 	for i := range goldenRecords {
 		var record Record
