--- a/internal/serve/core/core.go
+++ b/internal/serve/core/core.go
@@ -47,27 +47,32 @@
 	Counts Counts
 }
 
-// New returns a reducer that starts at now without endpoints. seed determines the module's random
-// choices, discovery is the address of the discovery service, and processID distinguishes this
-// process from others of the same balancer. An error means that the settings cannot be used.
-func New(
-	settings piernotch.Settings, seed uint64, now time.Duration, discovery string, processID uint64,
-) (*Core, error) {
+// Options is what a reducer starts from.
+type Options struct {
+	Settings  piernotch.Settings
+	Seed      uint64        // of the module's random choices
+	Now       time.Duration // the first reading of the clock
+	Discovery string        // address of the discovery service
+	ProcessID uint64        // distinguishes this process from others of the same balancer
+}
+
+// New returns a reducer without endpoints. An error means that the settings cannot be used.
+func New(options Options) (*Core, error) {
 	c := &Core{
-		settings:       settings,
-		now:            now,
-		timers:         wheel.New(TickInterval, now),
+		settings:       options.Settings,
+		now:            options.Now,
+		timers:         wheel.New(TickInterval, options.Now),
 		requests:       map[piernotch.RequestID]*request{},
 		exchanges:      map[ExchangeID]*request{},
 		openClientIDs:  map[string]struct{}{},
 		backends:       map[piernotch.BackendID]*backend{},
 		backendsByName: map[string]*backend{},
-		discovery:      discovery,
+		discovery:      options.Discovery,
 		healthChecks:   map[piernotch.BackendID]*wheel.Timer{},
-		processID:      processID,
-		routes:         routesOf(settings.Classes),
+		processID:      options.ProcessID,
+		routes:         routesOf(options.Settings.Classes),
 	}
-	balancer, err := piernotch.New(settings, seed, host{c})
+	balancer, err := piernotch.New(options.Settings, options.Seed, host{c})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/serve/core/core_test.go
+++ b/internal/serve/core/core_test.go
@@ -31,10 +31,11 @@
 // newCoreWith returns a core with one class that knows the given endpoints.
 func newCoreWith(t *testing.T, class piernotch.Class, limits piernotch.Limits, endpoints ...DiscoveredEndpoint) *Core {
 	t.Helper()
-	c, err := New(piernotch.Settings{
+	settings := piernotch.Settings{
 		BalancerCount: 1, Zones: []string{"a"}, Tick: TickInterval, Classes: []piernotch.Class{class}, Limits: limits,
 		Rules: piernotch.Rules{SlowStartDuration: time.Second},
-	}, 1, start, discoveryAddr, 1)
+	}
+	c, err := New(Options{Settings: settings, Seed: 1, Now: start, Discovery: discoveryAddr, ProcessID: 1})
 	require.NoError(t, err)
 	c.Handle(start, EndpointUpdate{Kind: piernotch.UpdateFull, Endpoints: endpoints})
 	return c
--- a/internal/serve/discovery/shared_watch_test.go
+++ b/internal/serve/discovery/shared_watch_test.go
@@ -37,7 +37,12 @@
 	shared := &fakeSharedWatch{}
 	events := &[]core.Event{}
 	emit := func(event core.Event) { *events = append(*events, event) }
-	w := New(nil, emit, func() time.Duration { return time.Minute }, testAddress, nil, 5)
+	w := New(Options{
+		Emit:    emit,
+		Now:     func() time.Duration { return time.Minute },
+		Address: testAddress,
+		Version: 5,
+	})
 	w.UseSharedWatch(shared)
 	return w, shared, events
 }
--- a/internal/serve/discovery/watcher.go
+++ b/internal/serve/discovery/watcher.go
@@ -69,11 +69,26 @@
 	shared group.SharedWatch // nil: this balancer polls for itself alone
 }
 
-// New returns a Watcher that knows the list up to version and does not watch yet.
-// Events are handed to emit on the loop's owning goroutine; now is the clock of
-// the core, and address is the discovery service's. See Parse for zones.
-func New(loop *eventloop.Loop, emit func(core.Event), now func() time.Duration, address string, zones []string, version uint64) *Watcher {
-	return &Watcher{loop: loop, emit: emit, now: now, address: address, zones: zones, version: version}
+// Options is what a Watcher works with. Only Version may be zero.
+type Options struct {
+	Loop    *eventloop.Loop
+	Emit    func(core.Event)     // is handed events on the loop's owning goroutine
+	Now     func() time.Duration // the clock of the core
+	Address string               // of the discovery service
+	Zones   []string             // see Parse
+	Version uint64               // the generation of the list that is known; 0: none
+}
+
+// New returns a Watcher that does not watch yet.
+func New(options Options) *Watcher {
+	return &Watcher{
+		loop:    options.Loop,
+		emit:    options.Emit,
+		now:     options.Now,
+		address: options.Address,
+		zones:   options.Zones,
+		version: options.Version,
+	}
 }
 
 // Version returns the last generation of the list that is known.
--- a/internal/serve/runtime/balancer.go
+++ b/internal/serve/runtime/balancer.go
@@ -73,7 +73,14 @@
 	b := &Balancer{cfg: cfg, clockStart: time.Now()}
 	b.unixAtStart = time.Duration(b.clockStart.UnixNano())
 	var err error
-	if b.core, err = core.New(cfg.Settings, cfg.Seed, b.now(), cfg.Discovery, uint64(b.unixAtStart)); err != nil {
+	b.core, err = core.New(core.Options{
+		Settings:  cfg.Settings,
+		Seed:      cfg.Seed,
+		Now:       b.now(),
+		Discovery: cfg.Discovery,
+		ProcessID: uint64(b.unixAtStart),
+	})
+	if err != nil {
 		return nil, err
 	}
 	if b.loop, err = eventloop.New(cfg.MaxDescriptors); err != nil {
@@ -82,12 +89,25 @@
 	if b.recorder, err = newTraceRecorder(&cfg, b.now()); err != nil {
 		return nil, err
 	}
-	b.upstream = upstream.New(b.loop, b.emit, b.now, cfg.KeepAlive, cfg.DialTimeout)
+	b.upstream = upstream.New(upstream.Options{
+		Loop:        b.loop,
+		Emit:        b.emit,
+		Now:         b.now,
+		KeepAlive:   cfg.KeepAlive,
+		DialTimeout: cfg.DialTimeout,
+	})
 	b.downstream = downstream.New(b.emit, b.now, b.healthy, cfg.MaxDescriptors)
 	b.setRoutes(b.core.Routes())
 	b.listener = b.loop.ClientListener(b.downstream.Accepted)
 	b.admin = admin.Server{Now: b.now, Ready: b.ready, Execute: b.executeAdminCommand}
-	b.watcher = discovery.New(b.loop, b.emit, b.now, cfg.Discovery, cfg.Settings.Zones, cfg.KnownEndpoints.Generation)
+	b.watcher = discovery.New(discovery.Options{
+		Loop:    b.loop,
+		Emit:    b.emit,
+		Now:     b.now,
+		Address: cfg.Discovery,
+		Zones:   cfg.Settings.Zones,
+		Version: cfg.KnownEndpoints.Generation,
+	})
 	b.loop.Stalled = b.stalled
 	b.loop.Shed = b.shed
 	return b, nil
--- a/internal/serve/upstream/pool_test.go
+++ b/internal/serve/upstream/pool_test.go
@@ -51,7 +51,13 @@
 		}
 		loop.Post(func() { onConnected(u, c.Ref) })
 	}
-	u = New(loop, emit, func() time.Duration { return time.Since(started) }, time.Minute, time.Second)
+	u = New(Options{
+		Loop:        loop,
+		Emit:        emit,
+		Now:         func() time.Duration { return time.Since(started) },
+		KeepAlive:   time.Minute,
+		DialTimeout: time.Second,
+	})
 	loop.Post(func() {
 		for i := range attempts {
 			u.StartAttempt(core.StartAttempt{
--- a/internal/serve/upstream/upstream.go
+++ b/internal/serve/upstream/upstream.go
@@ -43,19 +43,26 @@
 	lastReportWarning time.Duration // when an invalid load report was last logged; 0: never
 }
 
-// New returns an Upstream without connections. Events are handed to emit on the
-// loop's owning goroutine; now is the clock of the core. See SetTimeouts for
-// keepAlive and dialTimeout.
-func New(loop *eventloop.Loop, emit func(core.Event), now func() time.Duration, keepAlive, dialTimeout time.Duration) *Upstream {
+// Options is what an Upstream works with. All fields are required.
+type Options struct {
+	Loop        *eventloop.Loop
+	Emit        func(core.Event)     // is handed events on the loop's owning goroutine
+	Now         func() time.Duration // the clock of the core
+	KeepAlive   time.Duration        // see SetTimeouts
+	DialTimeout time.Duration        // see SetTimeouts
+}
+
+// New returns an Upstream without connections.
+func New(options Options) *Upstream {
 	u := &Upstream{
-		loop:         loop,
-		emit:         emit,
-		now:          now,
+		loop:         options.Loop,
+		emit:         options.Emit,
+		now:          options.Now,
 		pools:        map[core.Endpoint]*pool{},
 		attempts:     map[core.AttemptRef]*attempt{},
 		healthChecks: map[*attempt]struct{}{},
 	}
-	u.SetTimeouts(keepAlive, dialTimeout)
+	u.SetTimeouts(options.KeepAlive, options.DialTimeout)
 	return u
 }
 
