--- a/cmd/piernotch-lab/chaos.go
+++ b/cmd/piernotch-lab/chaos.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"fmt"
 	"os"
+	"time"
 
 	"piernotch/internal/lab/chaos"
 	"piernotch/internal/lab/loadtest"
@@ -12,7 +13,7 @@
 )
 
 type chaosCmd struct {
-	Name      string   `arg:"" optional:"" default:"mixed" help:"A kind of schedule; --list tells them."`
+	Name      string   `arg:"" optional:"" default:"mixed" help:"A kind of schedule; --list prints them."`
 	List      bool     `help:"Only list the kinds."`
 	Seed      uint64   `default:"1" help:"Of the first run: the day and its faults."`
 	Runs      int      `default:"1" help:"Seeds to play, one after the other, in real time."`
@@ -30,74 +31,78 @@
 	voter     string
 }
 
-// chaosRun is what came of one schedule.
+// chaosRun is one schedule and what came of it, as it is kept in files.
 type chaosRun struct {
-	Kind   string           `json:"kind"`
-	Seed   uint64           `json:"seed"`
-	Steps  []chaos.Step     `json:"steps"`
-	Words  []string         `json:"words"`
-	Failed string           `json:"failed,omitempty"`
-	Report *loadtest.Report `json:"report,omitempty"`
+	Kind         string           `json:"kind"`
+	Seed         uint64           `json:"seed"`
+	Steps        []chaos.Step     `json:"steps"`
+	Descriptions []string         `json:"words"` // of the steps
+	Failed       string           `json:"failed,omitempty"`
+	Report       *loadtest.Report `json:"report,omitempty"`
 }
 
 func (c *chaosCmd) Run(ctx context.Context, o *output) error {
 	if c.List {
-		for _, k := range chaos.Kinds {
-			fmt.Fprintf(o.out, "%-10s %s\n", k.Name, k.What)
+		for _, kind := range chaos.Kinds {
+			o.out.Printf("%-10s %s\n", kind.Name, kind.What)
 		}
 		return nil
 	}
-	if err := beside(&c.Program, "piernotch"); err != nil {
+	if err := resolveProgram(&c.Program, "piernotch"); err != nil {
 		return err
 	}
 	if c.Group {
-		if err := beside(&c.voter, "piernotch-voter"); err != nil {
+		if err := resolveProgram(&c.voter, "piernotch-voter"); err != nil {
 			return err
 		}
 	}
-	var all []*chaosRun
-	bad := 0
+	runs, err := c.playAll(ctx, o)
+	if err != nil {
+		return err
+	}
+	if c.JSON != "" {
+		if err := writeJSON(c.JSON, runs); err != nil {
+			return err
+		}
+	}
+	failed := 0
+	for _, run := range runs {
+		if run.Failed != "" {
+			failed++
+		}
+	}
+	o.out.Printf("%d of %d runs kept everything\n", len(runs)-failed, len(runs))
+	if failed > 0 {
+		return errFailed
+	}
+	return nil
+}
+
+// playAll plays the seeds one after the other until the context ends.
+func (c *chaosCmd) playAll(ctx context.Context, o *output) ([]*chaosRun, error) {
+	var runs []*chaosRun
 	for i := range c.Runs {
-		run, err := c.draw(c.Seed + uint64(i))
+		run, err := c.schedule(c.Seed + uint64(i))
 		if err != nil {
-			return err
+			return nil, err
 		}
 		if err := c.play(ctx, run); err != nil {
-			return err
+			return nil, err
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		c.tell(o, run)
-		if all = append(all, run); run.Failed == "" {
-			continue
-		}
-		bad++
-		if c.Shrink > 0 {
+		c.print(o, run)
+		runs = append(runs, run)
+		if run.Failed != "" && c.Shrink > 0 {
 			c.shrink(ctx, o, run)
 		}
 	}
-	if c.JSON != "" {
-		if err := write(c.JSON, all); err != nil {
-			return err
-		}
-	}
-	fmt.Fprintf(o.out, "%d of %d runs kept everything\n", len(all)-bad, len(all))
-	if bad > 0 {
-		return errFails
-	}
-	return nil
-}
-
-func write(name string, what any) error {
-	data, err := json.MarshalIndent(what, "", " ")
-	if err != nil {
-		return err
-	}
-	return os.WriteFile(name, data, 0o644)
+	return runs, nil
 }
 
-func (c *chaosCmd) draw(seed uint64) (*chaosRun, error) {
+// schedule reads the schedule to replay, or draws that of a seed.
+func (c *chaosCmd) schedule(seed uint64) (*chaosRun, error) {
 	run := &chaosRun{Kind: c.Name, Seed: seed}
 	if c.Replay != "" {
 		data, err := os.ReadFile(c.Replay)
@@ -109,88 +114,103 @@
 		}
 		return run, nil
 	}
-	_, d, err := day(c.Scenario, c.Set, c.Balancers, seed)
+	_, d, err := drawDay(c.Scenario, c.Set, c.Balancers, seed)
 	if err != nil {
 		return nil, err
 	}
-	run.Steps, err = chaos.Draw(c.Name, seed, chaos.Size{Balancers: len(d.Balancers), Servers: len(d.Servers), Length: d.Length, Steps: c.Steps})
+	size := chaos.Size{Balancers: len(d.Balancers), Servers: len(d.Servers), Length: d.Length, Steps: c.Steps}
+	run.Steps, err = chaos.Draw(c.Name, seed, size)
 	return run, err
 }
 
-// play plays a run's schedule on its day, and says what was not kept.
+// play plays a run's schedule on its day and fills in how it went. The error is of a run that says
+// nothing: it could not be played, or is void.
 func (c *chaosCmd) play(ctx context.Context, run *chaosRun) error {
-	_, d, err := day(c.Scenario, c.Set, c.Balancers, run.Seed)
+	_, d, err := drawDay(c.Scenario, c.Set, c.Balancers, run.Seed)
 	if err != nil {
 		return err
 	}
-	run.Words, run.Failed = nil, ""
-	for _, s := range run.Steps {
-		run.Words = append(run.Words, s.String())
-	}
-	r, err := loadtest.Run(ctx, d, loadtest.Options{Program: c.Program, Logs: c.Logs, Faults: run.Steps, Voter: c.voter})
-	run.Report = r
+	run.Failed = ""
+	run.describe()
+	report, err := loadtest.Run(ctx, d, loadtest.Options{Program: c.Program, Logs: c.Logs, Faults: run.Steps, Voter: c.voter})
+	run.Report = report
 	switch {
-	case r == nil || r.Void != "":
+	case report == nil:
+		return err
+	case report.Void != "":
 		if err == nil {
-			err = fmt.Errorf("void: %s", r.Void)
+			err = fmt.Errorf("void: %s", report.Void)
 		}
 		return err
 	case err != nil:
 		run.Failed = err.Error()
-	case r.Broken() > 0:
-		b := r.Breaks[0]
-		run.Failed = fmt.Sprintf("%d breaks of a rule, first %s at %.2f s: %s", r.Broken(), b.Rule, b.At.Seconds(), b.Message)
+	case report.Broken() > 0:
+		first := report.Breaks[0]
+		run.Failed = fmt.Sprintf("%d breaks of a rule, first %s at %.2f s: %s", report.Broken(), first.Rule, first.At.Seconds(), first.Message)
 	default:
-		from := int((d.Length - chaos.Rest/2).Seconds())
-		asked, served := 0.0, 0.0
-		for _, s := range r.Seconds[min(from, len(r.Seconds)):] {
-			asked, served = asked+s.Asked, served+s.Served
-		}
-		if asked > 0 && served/asked < c.Back {
-			run.Failed = fmt.Sprintf("%.3f served in time from %d s on, with all faults over; %.3f is wanted", served/asked, from, c.Back)
-		}
+		run.Failed = c.checkRecovery(report, d.Length)
 	}
 	return nil
 }
 
-func (c *chaosCmd) tell(o *output, run *chaosRun) {
-	k := run.Report.Counts
-	fmt.Fprintf(o.out, "%s, seed %d: %d tries, %d served, %d refused, %d failed, %d without an answer, %d broken, %d met no balancer, %d calls for the list\n",
-		run.Kind, run.Seed, k.Tries, k.Served, k.Refused, k.Failed, k.Unanswered, k.Broken, k.Unreached, run.Report.ListCalls)
+// checkRecovery says what was wrong with the service once all faults were over; "" is nothing.
+func (c *chaosCmd) checkRecovery(report *loadtest.Report, length time.Duration) string {
+	from := int((length - chaos.Rest/2).Seconds())
+	asked, served := 0.0, 0.0
+	for _, s := range report.Seconds[min(from, len(report.Seconds)):] {
+		asked += s.Asked
+		served += s.Served
+	}
+	if asked > 0 && served/asked < c.Back {
+		return fmt.Sprintf("%.3f served in time from %d s on, with all faults over; %.3f is wanted", served/asked, from, c.Back)
+	}
+	return ""
+}
+
+// describe fills in the descriptions of the steps.
+func (r *chaosRun) describe() {
+	r.Descriptions = nil
+	for _, step := range r.Steps {
+		r.Descriptions = append(r.Descriptions, step.String())
+	}
+}
+
+func (c *chaosCmd) print(o *output, run *chaosRun) {
+	counts := run.Report.Counts
+	o.out.Printf("%s, seed %d: %d tries, %d served, %d refused, %d failed, %d without an answer, %d broken, %d met no balancer, %d calls for the list\n",
+		run.Kind, run.Seed, counts.Tries, counts.Served, counts.Refused, counts.Failed, counts.Unanswered, counts.Broken, counts.Unreached, run.Report.ListCalls)
 	if run.Failed == "" {
 		return
 	}
-	fmt.Fprintln(o.out, "FAILED:", run.Failed)
-	for _, w := range run.Words {
-		fmt.Fprintln(o.out, " ", w)
+	o.out.Println("FAILED:", run.Failed)
+	for _, description := range run.Descriptions {
+		o.out.Println(" ", description)
 	}
-	tellBreaks(o, []*simulation.Result{&run.Report.Result})
-	fmt.Fprintf(o.out, "again: piernotch-lab chaos %s --seed %d --steps %d\n", run.Kind, run.Seed, c.Steps)
+	printRunViolations(o, []*simulation.Result{&run.Report.Result})
+	o.out.Printf("again: piernotch-lab chaos %s --seed %d --steps %d\n", run.Kind, run.Seed, c.Steps)
 }
 
 // shrink looks for fewer faults that still fail, and keeps them in a file.
 func (c *chaosCmd) shrink(ctx context.Context, o *output, run *chaosRun) {
 	short := *run
 	short.Steps = chaos.Shrink(run.Steps, c.Shrink, func(steps []chaos.Step) bool {
-		try := *run
-		try.Steps = steps
-		if ctx.Err() != nil || c.play(ctx, &try) != nil || try.Failed == "" {
+		attempt := *run
+		attempt.Steps = steps
+		if ctx.Err() != nil || c.play(ctx, &attempt) != nil || attempt.Failed == "" {
 			return false
 		}
-		short.Failed = try.Failed
+		short.Failed = attempt.Failed
 		return true
 	})
-	short.Report, short.Words = nil, nil
-	for _, s := range short.Steps {
-		short.Words = append(short.Words, s.String())
-	}
+	short.Report = nil
+	short.describe()
 	name := fmt.Sprintf("chaos-%s-%d.json", run.Kind, run.Seed)
-	if err := write(name, short); err != nil {
-		fmt.Fprintln(o.err, err)
+	if err := writeJSON(name, short); err != nil {
+		o.err.Println(err)
 		return
 	}
-	fmt.Fprintf(o.out, "%d faults still fail: piernotch-lab chaos --replay %s\n", len(short.Steps), name)
-	for _, w := range short.Words {
-		fmt.Fprintln(o.out, " ", w)
+	o.out.Printf("%d faults still fail: piernotch-lab chaos --replay %s\n", len(short.Steps), name)
+	for _, description := range short.Descriptions {
+		o.out.Println(" ", description)
 	}
 }
--- /dev/null
+++ b/cmd/piernotch-lab/emulate.go
@@ -0,0 +1,59 @@
+package main
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"piernotch/internal/lab/emulator"
+)
+
+type emulateCmd struct {
+	Scenario  string   `arg:"" help:"A scenario file, or the name of a shipped one."`
+	Seed      uint64   `default:"1" help:"The day."`
+	Set       []string `sep:"none" placeholder:"KEY=VALUE" help:"Replace a value of the scenario; may be repeated."`
+	Balancers int      `default:"1" help:"Addresses of the roster, one for each balancer."`
+}
+
+// anyRequestObserver accepts every request, whoever sent it: there are no clients to compare with.
+type anyRequestObserver struct {
+	mu       sync.Mutex
+	attempts map[string]int // by request id
+}
+
+func (a *anyRequestObserver) Sent(id string, _ int) int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if len(a.attempts) > 1<<20 { // the counts only number the attempts of a request
+		clear(a.attempts)
+	}
+	a.attempts[id]++
+	return a.attempts[id] - 1
+}
+func (*anyRequestObserver) Began(string, int)                           {}
+func (*anyRequestObserver) Ran(string, int)                             {}
+func (*anyRequestObserver) Over(string, int, bool)                      {}
+func (*anyRequestObserver) Reached(string, int, time.Duration, float64) {}
+func (*anyRequestObserver) Fell(int)                                    {}
+
+func (c *emulateCmd) Run(ctx context.Context, o *output) error {
+	_, d, err := drawDay(c.Scenario, c.Set, 0, c.Seed)
+	if err != nil {
+		return err
+	}
+	started := time.Now()
+	fleet, err := emulator.New(d, c.Balancers, func() time.Duration { return time.Since(started) }, &anyRequestObserver{attempts: map[string]int{}}, nil)
+	if err != nil {
+		return err
+	}
+	defer fleet.Close()
+	for i := range c.Balancers {
+		o.out.Printf("roster %s\n", fleet.Roster().Address(i))
+	}
+	fleet.Play(ctx)
+	select {
+	case <-ctx.Done():
+	case <-time.After(d.Length):
+	}
+	return fleet.Err()
+}
--- a/cmd/piernotch-lab/faulttest.go
+++ b/cmd/piernotch-lab/faulttest.go
@@ -16,84 +16,111 @@
 	"piernotch/internal/lab/simulation"
 )
 
-type drillCmd struct {
-	Names   []string `arg:"" optional:"" help:"Drills; none: all."`
-	Runs    int      `default:"3" help:"Seeds of each."`
-	Seed    uint64   `default:"1" help:"The first seed."`
-	Model   bool     `help:"In simulated time, instead of on sockets."`
-	Program string   `placeholder:"FILE" help:"The balancer; piernotch beside this program is the default."`
-	List    bool     `help:"Only list the drills."`
-	JSON    string   `name:"json" placeholder:"DIR" help:"Keep the results there, a file a drill; piernotch-lab plot draws them."`
+type faulttestCmd struct {
+	Names    []string `arg:"" optional:"" help:"Fault tests; none: all."`
+	Runs     int      `default:"3" help:"Seeds of each."`
+	Seed     uint64   `default:"1" help:"The first seed."`
+	Simulate bool     `name:"model" help:"In simulated time, instead of on sockets."`
+	Program  string   `placeholder:"FILE" help:"The balancer; piernotch beside this program is the default."`
+	List     bool     `help:"Only list the fault tests."`
+	JSON     string   `name:"json" placeholder:"DIR" help:"Keep the results there, a file a fault test; piernotch-lab plot draws them."`
 }
 
-func (c *drillCmd) Run(ctx context.Context, o *output) error {
-	drills := loadtest.Drills()
+func (c *faulttestCmd) Run(ctx context.Context, o *output) error {
+	tests := loadtest.Drills()
 	if c.List {
-		for _, d := range drills {
-			fmt.Fprintf(o.out, "%-24s %s\n", d.Name, d.What)
+		for _, test := range tests {
+			o.out.Printf("%-24s %s\n", test.Name, test.What)
 		}
 		return nil
 	}
 	for _, name := range c.Names {
-		if !slices.ContainsFunc(drills, func(d loadtest.Drill) bool { return d.Name == name }) {
-			return fmt.Errorf("no drill %q; --list tells them", name)
+		if !slices.ContainsFunc(tests, func(test loadtest.Drill) bool { return test.Name == name }) {
+			return fmt.Errorf("no fault test %q; --list prints them", name)
 		}
 	}
-	if err := beside(&c.Program, "piernotch"); err != nil {
+	if err := resolveProgram(&c.Program, "piernotch"); err != nil {
 		return err
 	}
 	t := table.NewWriter()
 	t.AppendHeader(table.Row{"drill", "served, of the control", "worst 3 s", "back after, s", "refused", "failed", "rules broken"})
-	var broken []*simulation.Result
-	controls := map[string][]*simulation.Result{}
-	for _, d := range drills {
-		if len(c.Names) > 0 && !slices.Contains(c.Names, d.Name) {
+	var valid []*simulation.Result // of all tests
+	controls := faulttestControls{}
+	for _, test := range tests {
+		if len(c.Names) > 0 && !slices.Contains(c.Names, test.Name) {
 			continue
 		}
-		s, err := d.Scenario()
+		s, err := test.Scenario()
 		if err != nil {
 			return err
 		}
-		calm, key, err := d.Control()
+		control, err := c.control(ctx, o, controls, test)
 		if err != nil {
 			return err
 		}
-		if controls[key] == nil {
-			if controls[key], err = c.play(ctx, o, calm); err != nil {
-				return fmt.Errorf("control of %s: %w", d.Name, err)
-			}
-		}
 		runs, err := c.play(ctx, o, s)
 		if err != nil {
-			return fmt.Errorf("%s: %w", d.Name, err)
+			return fmt.Errorf("%s: %w", test.Name, err)
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		broken = append(broken, slices.DeleteFunc(slices.Clone(runs), func(r *simulation.Result) bool { return r == nil })...)
-		t.AppendRow(drillRow(d, runs, controls[key]))
-		if c.JSON != "" {
-			if err := os.MkdirAll(c.JSON, 0o755); err != nil {
-				return err
-			}
-			kept := slices.DeleteFunc(slices.Clone(runs), func(r *simulation.Result) bool { return r == nil })
-			f := &experiment.File{Kind: "run", Scenario: s.Name, About: s.About, Seed: c.Seed, Runs: kept, Summary: experiment.Summary(kept)}
-			if err := f.Write(filepath.Join(c.JSON, d.Name+".json")); err != nil {
-				return err
-			}
+		valid = append(valid, withoutVoid(runs)...)
+		t.AppendRow(faulttestRow(test, runs, control))
+		if err := c.save(test, s, withoutVoid(runs)); err != nil {
+			return err
 		}
 	}
-	fmt.Fprintln(o.out, t.RenderMarkdown())
-	tellBreaks(o, broken)
-	if experiment.Broken(broken) > 0 {
-		return errFails
+	o.out.Println(t.RenderMarkdown())
+	printRunViolations(o, valid)
+	if experiment.Broken(valid) > 0 {
+		return errFailed
 	}
 	return nil
 }
 
-// play plays all seeds of a drill.
-func (c *drillCmd) play(ctx context.Context, o *output, s *scenario.Scenario) ([]*simulation.Result, error) {
-	if c.Model {
+// faulttestControls are the runs without a fault, by their scenarios' texts: several tests share one.
+type faulttestControls map[string][]*simulation.Result
+
+// control plays the control of a fault test, unless it has been played for another test.
+func (c *faulttestCmd) control(ctx context.Context, o *output, controls faulttestControls, test loadtest.Drill) ([]*simulation.Result, error) {
+	s, key, err := test.Control()
+	if err != nil {
+		return nil, err
+	}
+	if controls[key] == nil {
+		runs, err := c.play(ctx, o, s)
+		if err != nil {
+			return nil, fmt.Errorf("control of %s: %w", test.Name, err)
+		}
+		controls[key] = runs
+	}
+	return controls[key], nil
+}
+
+// save writes the file of one fault test, if files are asked for.
+func (c *faulttestCmd) save(test loadtest.Drill, s *scenario.Scenario, runs []*simulation.Result) error {
+	if c.JSON == "" {
+		return nil
+	}
+	if err := os.MkdirAll(c.JSON, 0o755); err != nil {
+		return err
+	}
+	f := &experiment.File{
+		Kind: "run", Scenario: s.Name, About: s.About, Seed: c.Seed,
+		Runs: runs, Summary: experiment.Summary(runs),
+	}
+	return f.Write(filepath.Join(c.JSON, test.Name+".json"))
+}
+
+// withoutVoid leaves out the runs that are void.
+func withoutVoid(runs []*simulation.Result) []*simulation.Result {
+	return slices.DeleteFunc(slices.Clone(runs), func(r *simulation.Result) bool { return r == nil })
+}
+
+// play plays all seeds of a scenario, in the order of the seeds; a void run is nil.
+func (c *faulttestCmd) play(ctx context.Context, o *output, s *scenario.Scenario) ([]*simulation.Result, error) {
+	if c.Simulate {
 		return experiment.Run(ctx, experiment.Plan{Scenario: s, Seed: c.Seed, Runs: c.Runs}, experiment.Variant{}, nil)
 	}
 	var runs []*simulation.Result
@@ -107,7 +134,7 @@
 			return nil, err
 		}
 		if r.Void != "" {
-			fmt.Fprintf(o.err, "%s, seed %d: void: %s\n", s.Name, d.Seed, r.Void)
+			o.err.Printf("%s, seed %d: void: %s\n", s.Name, d.Seed, r.Void)
 			runs = append(runs, nil)
 			continue
 		}
@@ -116,24 +143,26 @@
 	return runs, nil
 }
 
-// drillRow sums up a drill; runs that are void on either side are left out.
-func drillRow(d loadtest.Drill, runs, controls []*simulation.Result) table.Row {
-	var whole, worst, refused, failed []float64
-	var back []string
-	broken := 0
+// faulttestRow sums up a fault test; seeds that are void on either side are left out.
+func faulttestRow(test loadtest.Drill, runs, controls []*simulation.Result) table.Row {
+	var served, worst, refused, failed []float64
+	var recovered []string
+	violations := 0
 	for i, r := range runs {
 		if r == nil || controls[i] == nil {
 			continue
 		}
-		v := loadtest.Recover(r, controls[i], loadtest.DrillAt)
-		whole, worst = append(whole, v.Whole), append(worst, v.Lowest)
-		refused, failed = append(refused, v.Refused), append(failed, v.Failed)
-		back = append(back, fmt.Sprintf("%.0f", v.Back))
-		broken += r.Broken()
+		recovery := loadtest.Recover(r, controls[i], loadtest.DrillAt)
+		served = append(served, recovery.Whole)
+		worst = append(worst, recovery.Lowest)
+		refused = append(refused, recovery.Refused)
+		failed = append(failed, recovery.Failed)
+		recovered = append(recovered, fmt.Sprintf("%.0f", recovery.Back))
+		violations += r.Broken()
 	}
-	if len(whole) == 0 {
-		return table.Row{d.Name, "void"}
+	if len(served) == 0 {
+		return table.Row{test.Name, "void"}
 	}
 	mean := func(v []float64) string { return fmt.Sprintf("%.3f", experiment.Summarize(v).Mean) }
-	return table.Row{d.Name, mean(whole), mean(worst), strings.Join(back, ", "), mean(refused), mean(failed), broken}
+	return table.Row{test.Name, mean(served), mean(worst), strings.Join(recovered, ", "), mean(refused), mean(failed), violations}
 }
--- a/cmd/piernotch-lab/golden_test.go
+++ b/cmd/piernotch-lab/golden_test.go
@@ -19,15 +19,15 @@
 
 var update = flag.Bool("update", false, "write the golden files again; only where the form changes on purpose")
 
-// checkGolden compares what write keeps of a value with a file under testdata, and reads the file.
+// checkGolden compares what writeJSON keeps of a value with a file under testdata, and reads the file.
 func checkGolden[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	path, fresh := filepath.Join("testdata", name), filepath.Join(t.TempDir(), name)
 	if *update {
 		require.NoError(t, os.MkdirAll("testdata", 0o755))
-		require.NoError(t, write(path, value))
+		require.NoError(t, writeJSON(path, value))
 	}
-	require.NoError(t, write(fresh, value))
+	require.NoError(t, writeJSON(fresh, value))
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
 	got, err := os.ReadFile(fresh)
@@ -40,14 +40,14 @@
 
 // TestSchedulesGoldenFile guards the schedules of faults that are kept in files and played again.
 func TestSchedulesGoldenFile(t *testing.T) {
-	checkGolden(t, "group-schedule.json", schedule{
+	checkGolden(t, "group-schedule.json", clusterSchedule{
 		Seed:   7,
 		Size:   clustersim.Size{Voters: 3, Members: 4, Receivers: 2, Duties: 5, Length: 90 * time.Second, Faults: 6},
 		Faults: []clustersim.Fault{{At: time.Second, For: 2 * time.Second, Kind: clustersim.Cut, Node: 1, Other: 2, OneWay: true}},
 		Broken: "two holders at once",
 	})
 	checkGolden(t, "chaos-schedule.json", chaosRun{
-		Kind: "links", Seed: 8, Words: []string{"a word"}, Failed: "a rule was broken",
+		Kind: "links", Seed: 8, Descriptions: []string{"a word"}, Failed: "a rule was broken",
 		Steps: []chaos.Step{{
 			At: time.Second, For: 2 * time.Second, Act: chaos.Flap, Balancer: 1, To: chaos.Servers, Way: chaos.OnlyBack,
 			Fault: faultproxy.Fault{Cut: faultproxy.Reset, Delay: 3 * time.Millisecond, Jitter: 4 * time.Millisecond, Rate: 5000},
--- a/cmd/piernotch-lab/handover.go
+++ b/cmd/piernotch-lab/handover.go
@@ -20,42 +20,51 @@
 }
 
 func (c *handoverCmd) Run(ctx context.Context, o *output) error {
-	if err := beside(&c.Program, "piernotch"); err != nil {
+	if err := resolveProgram(&c.Program, "piernotch"); err != nil {
 		return err
 	}
 	rounds := (c.Times + c.Balancers - 1) / c.Balancers
 	length := loadtest.HandOverLead + time.Duration(rounds)*loadtest.HandOverEvery
 	set := append([]string{fmt.Sprintf("length_s=%.0f", length.Seconds())}, c.Set...)
-	_, d, err := day(c.Scenario, set, c.Balancers, c.Seed)
+	_, d, err := drawDay(c.Scenario, set, c.Balancers, c.Seed)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(o.out, "%d hand-overs of %d balancers in %v, seed %d\n", c.Times, c.Balancers, length, c.Seed)
+	o.out.Printf("%d hand-overs of %d balancers in %v, seed %d\n", c.Times, c.Balancers, length, c.Seed)
 	r, err := loadtest.Run(ctx, d, loadtest.Options{Program: c.Program, Logs: c.Logs, HandOvers: loadtest.DrawHandOvers(d, c.Times)})
 	if err != nil {
 		return err
 	}
-	h, n := r.Handed, 0
-	for _, way := range loadtest.Ways {
-		fmt.Fprintf(o.out, "  %-12s %d\n", way, h.Done[way])
-		n += h.Done[way]
-	}
-	fmt.Fprintf(o.out, "%d done, the slowest yes after %v; %d processes ended in order, %d had to be killed\n",
-		n, h.Slow.Round(time.Millisecond), h.Ended, h.Killed)
-	k := r.Counts
-	fmt.Fprintf(o.out, "%d tries: %d served, %d refused, %d failed, %d without an answer, %d broken, %d met no balancer, %d turned back and sent again\n",
-		k.Tries, k.Served, k.Refused, k.Failed, k.Unanswered, k.Broken, k.Unreached, k.Crossed)
-	fmt.Fprintf(o.out, "%d turned back unheard by processes that were not killed\n", h.Back)
-	for _, text := range h.Wrong {
-		fmt.Fprintln(o.out, "wrong:", text)
-	}
-	tellBreaks(o, []*simulation.Result{&r.Result})
+	done := printHandOvers(o, r)
+	handed := r.Handed
 	switch {
 	case r.Void != "":
-		fmt.Fprintln(o.out, "VOID:", r.Void)
-		return errFails
-	case r.Broken() > 0, len(h.Wrong) > 0, h.Killed > 0, k.Unreached > 0, n < c.Times && ctx.Err() == nil:
-		return errFails
+		o.out.Println("VOID:", r.Void)
+		return errFailed
+	case r.Broken() > 0, len(handed.Wrong) > 0, handed.Killed > 0, r.Counts.Unreached > 0:
+		return errFailed
+	case done < c.Times && ctx.Err() == nil:
+		return errFailed
 	}
 	return nil
 }
+
+// printHandOvers prints what came of the hand-overs and returns how many were done.
+func printHandOvers(o *output, r *loadtest.Report) (done int) {
+	handed := r.Handed
+	for _, way := range loadtest.Ways {
+		o.out.Printf("  %-12s %d\n", way, handed.Done[way])
+		done += handed.Done[way]
+	}
+	o.out.Printf("%d done, the slowest yes after %v; %d processes ended in order, %d had to be killed\n",
+		done, handed.Slow.Round(time.Millisecond), handed.Ended, handed.Killed)
+	counts := r.Counts
+	o.out.Printf("%d tries: %d served, %d refused, %d failed, %d without an answer, %d broken, %d met no balancer, %d turned back and sent again\n",
+		counts.Tries, counts.Served, counts.Refused, counts.Failed, counts.Unanswered, counts.Broken, counts.Unreached, counts.Crossed)
+	o.out.Printf("%d turned back unheard by processes that were not killed\n", handed.Back)
+	for _, text := range handed.Wrong {
+		o.out.Println("wrong:", text)
+	}
+	printRunViolations(o, []*simulation.Result{&r.Result})
+	return done
+}
--- a/cmd/piernotch-lab/logs.go
+++ b/cmd/piernotch-lab/logs.go
@@ -13,43 +13,56 @@
 	Dir  string  `arg:"" help:"Folder with one NAME.log for each balancer."`
 	ID   string  `help:"Follow the request of this id instead."`
 	Span float64 `default:"2" help:"Seconds over which the most that a server was sent is taken."`
-	Top  int     `default:"10" help:"So many servers are told."`
+	Top  int     `default:"10" help:"So many servers are printed."`
 	JSON bool    `help:"All of it as JSON."`
 }
 
 func (c *logsCmd) Run(o *output) error {
 	if c.ID != "" {
-		lines, err := loganalysis.Follow(c.Dir, c.ID)
-		for _, l := range lines {
-			fmt.Fprintln(o.out, l.Balancer, l.Text)
-		}
-		if err == nil && len(lines) == 0 {
-			err = fmt.Errorf("%s: nothing is said of request %s", c.Dir, c.ID)
-		}
-		return err
+		return c.follow(o)
 	}
-	r, err := loganalysis.Sum(c.Dir, c.Span)
+	report, err := loganalysis.Sum(c.Dir, c.Span)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
 		enc := json.NewEncoder(o.out)
 		enc.SetIndent("", " ")
-		return enc.Encode(r)
+		return enc.Encode(report)
+	}
+	c.print(o, report)
+	return nil
+}
+
+// follow prints the lines of one request.
+func (c *logsCmd) follow(o *output) error {
+	lines, err := loganalysis.Follow(c.Dir, c.ID)
+	for _, line := range lines {
+		o.out.Println(line.Balancer, line.Text)
 	}
+	if err == nil && len(lines) == 0 {
+		err = fmt.Errorf("%s: nothing is said of request %s", c.Dir, c.ID)
+	}
+	return err
+}
+
+func (c *logsCmd) print(o *output, report *loganalysis.Report) {
 	t := table.NewWriter()
 	t.SetOutputMirror(o.out)
-	t.AppendHeader(table.Row{"second", "requests", "served", "refused", "never sent", "failed", "given up", "sends",
-		"timeout", "full", "connect failed", "reset", "list failures"})
-	for _, s := range r.Seconds {
-		t.AppendRow(table.Row{s.Second, s.Requests, s.Served, s.Refused, s.NeverSent, s.Failed, s.GivenUp, s.Sends,
-			s.Ends["timeout"], s.Ends["full"], s.Ends["connect_failed"], s.Ends["reset"], s.ListFailures})
+	t.AppendHeader(table.Row{
+		"second", "requests", "served", "refused", "never sent", "failed", "given up", "sends",
+		"timeout", "full", "connect failed", "reset", "list failures",
+	})
+	for _, s := range report.Seconds {
+		t.AppendRow(table.Row{
+			s.Second, s.Requests, s.Served, s.Refused, s.NeverSent, s.Failed, s.GivenUp, s.Sends,
+			s.Ends["timeout"], s.Ends["full"], s.Ends["connect_failed"], s.Ends["reset"], s.ListFailures,
+		})
 	}
 	t.Render()
-	for _, s := range r.Servers[:min(c.Top, len(r.Servers))] {
-		fmt.Fprintf(o.out, "%s: %d sends in %gs until %.1f from %d balancers; first in a change at %.1f; ends %v\n",
+	for _, s := range report.Servers[:min(c.Top, len(report.Servers))] {
+		o.out.Printf("%s: %d sends in %gs until %.1f from %d balancers; first in a change at %.1f; ends %v\n",
 			s.Name, s.Most, c.Span, s.MostAt, s.Balancers, s.Listed, s.Ends)
 	}
-	fmt.Fprintf(o.out, "%d balancers, %d lines that could not be read\n", r.Balancers, r.Skipped)
-	return nil
+	o.out.Printf("%d balancers, %d lines that could not be read\n", report.Balancers, report.Skipped)
 }
--- a/cmd/piernotch-lab/main_test.go
+++ b/cmd/piernotch-lab/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"os"
 	"path/filepath"
 	"testing"
@@ -9,6 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// call runs the program and returns its exit code and what it printed.
 func call(args ...string) (code int, out, err string) {
 	var o, e bytes.Buffer
 	code = run(args, &o, &e)
@@ -16,6 +18,13 @@
 }
 
 func TestExitCodesAndHelp(t *testing.T) {
+	for _, simulate := range []string{"simulate", "model"} { // the name and its alias
+		t.Run(simulate, func(t *testing.T) { testExitCodesAndHelp(t, simulate) })
+	}
+}
+
+func testExitCodesAndHelp(t *testing.T, simulate string) {
+	t.Helper()
 	dir := t.TempDir()
 	json, svg := filepath.Join(dir, "r.json"), filepath.Join(dir, "r.svg")
 	short := []string{"--set", "length_s=5", "--runs", "2"}
@@ -26,20 +35,20 @@
 		code int
 		says string
 	}{
-		{nil, 0, "piernotch-lab model run felt-quake"},
-		{[]string{"model", "run", "--help"}, 0, "--runs"},
+		{nil, 0, "piernotch-lab simulate run felt-quake"},
+		{[]string{simulate, "run", "--help"}, 0, "--runs"},
 		{[]string{"scenario", "list"}, 0, "felt-quake"},
 		{[]string{"scenario", "check", "wide", bad}, 1, "bad.toml:2: tick_ms"},
-		{append([]string{"model", "run", "quiet", "--json", json}, short...), 0, "service"},
+		{append([]string{simulate, "run", "quiet", "--json", json}, short...), 0, "service"},
 		{[]string{"plot", json, "-o", svg}, 0, ""},
 		{[]string{"plot", json, "-o", filepath.Join(dir, "r.doc")}, 2, ".svg, .png or .html"},
-		{append([]string{"model", "run", "quiet", "--aim", "service>=1.5"}, short...), 1, "missed: service>=1.5"},
-		{append([]string{"model", "compare", "quiet", "--b", "balancers.max_attempts=1"}, short...), 0, "can't tell"},
-		{append([]string{"model", "sweep", "quiet", "--vary", "traffic.load=0.2,0.3"}, short...), 0, "0.3"},
-		{[]string{"model", "run", "quiet", "--set", "traffic.lod=1"}, 2, "no such key"},
-		{[]string{"model", "run", "nosuch"}, 2, "no such file"},
-		{[]string{"model", "run", "quiet", "--runs", "0"}, 2, "at least 1"},
-		{[]string{"model", "dance"}, 2, "unexpected argument dance"},
+		{append([]string{simulate, "run", "quiet", "--aim", "service>=1.5"}, short...), 1, "missed: service>=1.5"},
+		{append([]string{simulate, "compare", "quiet", "--b", "balancers.max_attempts=1"}, short...), 0, "can't tell"},
+		{append([]string{simulate, "sweep", "quiet", "--vary", "traffic.load=0.2,0.3"}, short...), 0, "0.3"},
+		{[]string{simulate, "run", "quiet", "--set", "traffic.lod=1"}, 2, "no such key"},
+		{[]string{simulate, "run", "nosuch"}, 2, "no such file"},
+		{[]string{simulate, "run", "quiet", "--runs", "0"}, 2, "at least 1"},
+		{[]string{simulate, "dance"}, 2, "unexpected argument dance"},
 	} {
 		code, out, err := call(c.args...)
 		require.Equal(t, c.code, code, "%v: %s%s", c.args, out, err)
@@ -49,3 +58,44 @@
 	require.NoError(t, err)
 	require.Contains(t, string(data), "<svg")
 }
+
+// Scripts and pages from before the renames use the former names of subcommands.
+func TestFormerSubcommandNamesAreAliases(t *testing.T) {
+	for _, c := range []struct{ former, now []string }{
+		{[]string{"model", "run"}, []string{"simulate", "run"}},
+		{[]string{"model", "compare"}, []string{"simulate", "compare"}},
+		{[]string{"model", "sweep"}, []string{"simulate", "sweep"}},
+		{[]string{"rehearse"}, []string{"loadtest"}},
+		{[]string{"drill"}, []string{"faulttest"}},
+		{[]string{"group", "model"}, []string{"cluster", "simulate"}},
+		{[]string{"group", "rig"}, []string{"cluster", "processes"}},
+		{[]string{"group", "times"}, []string{"cluster", "times"}},
+	} {
+		wantCode, want, _ := call(append(c.now, "--help")...)
+		gotCode, got, _ := call(append(c.former, "--help")...)
+		require.Equal(t, []int{0, 0}, []int{wantCode, gotCode}, "%v", c)
+		require.Contains(t, want, "Usage: piernotch-lab "+c.now[0]+" ("+c.former[0]+") ")
+		require.Equal(t, want, got, "%v", c)
+	}
+	_, want, _ := call("faulttest", "--list")
+	code, got, _ := call("drill", "--list")
+	require.Zero(t, code)
+	require.Contains(t, got, "kill-1-of-2")
+	require.Equal(t, want, got)
+}
+
+// failingWriter fails every write after the first ones.
+type failingWriter struct{ writes int }
+
+func (w *failingWriter) Write(data []byte) (int, error) {
+	if w.writes--; w.writes < 0 {
+		return 0, errors.New("disk full")
+	}
+	return len(data), nil
+}
+
+func TestFailedWriteOfOutputIsReported(t *testing.T) {
+	var stderr bytes.Buffer
+	require.Equal(t, exitUsage, run([]string{"scenario", "list"}, &failingWriter{writes: 1}, &stderr))
+	require.Contains(t, stderr.String(), "output: disk full")
+}
--- /dev/null
+++ b/cmd/piernotch-lab/plot.go
@@ -0,0 +1,25 @@
+package main
+
+import (
+	"os"
+
+	"piernotch/internal/lab/experiment"
+)
+
+type plotCmd struct {
+	Result string `arg:"" type:"existingfile" help:"A result that --json kept."`
+	Out    string `short:"o" required:"" placeholder:"FILE" help:"Where to; .svg, .png or .html (a report with all charts)."`
+	Chart  string `placeholder:"NAME" help:"Which chart: service, latency, servers; of a sweep: the figure. The first is the default."`
+}
+
+func (c *plotCmd) Run(o *output) error {
+	f, err := experiment.ReadFile(c.Result)
+	if err != nil {
+		return err
+	}
+	data, err := experiment.Render(f, c.Out, c.Chart)
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(c.Out, data, 0o644)
+}
--- a/cmd/piernotch-lab/reverse_proxy.go
+++ b/cmd/piernotch-lab/reverse_proxy.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"log"
@@ -17,51 +18,71 @@
 	"time"
 )
 
-// proxyVariable makes this program a plain reverse proxy, for rehearsals to measure a
+// reverseProxyVariable makes this program a plain reverse proxy, for load tests to measure a
 // balancer's CPU and memory against.
-const proxyVariable = "NOTCHLAB_REVERSE_PROXY"
+const reverseProxyVariable = "NOTCHLAB_REVERSE_PROXY"
 
-// proxy is net/http/httputil's ReverseProxy before the servers that the platform's
-// configuration lists, in turn. It decides nothing and heeds no list.
-func proxy() error {
-	var cfg struct {
-		Listen string `json:"listen"`
-		Known  struct {
-			Instances []struct {
-				HostPort string `json:"hostPort"`
-			} `json:"instances"`
-		} `json:"known"`
-	}
+// platformConfig is what the reverse proxy reads of the platform's configuration.
+type platformConfig struct {
+	Listen string `json:"listen"`
+	Known  struct {
+		Instances []struct {
+			HostPort string `json:"hostPort"`
+		} `json:"instances"`
+	} `json:"known"`
+}
+
+// errNoServers is a configuration that names no server.
+var errNoServers = errors.New("no servers are known")
+
+func readPlatformConfig() (platformConfig, error) {
+	var cfg platformConfig
 	data, err := os.ReadFile(os.Getenv("ROUTER_CONFIG"))
 	if err == nil {
 		err = json.Unmarshal(data, &cfg)
 	}
-	if err != nil || len(cfg.Known.Instances) == 0 {
-		return fmt.Errorf("ROUTER_CONFIG: no servers are known (%v)", err)
+	if err == nil && len(cfg.Known.Instances) == 0 {
+		err = errNoServers
+	}
+	if err != nil {
+		return cfg, fmt.Errorf("ROUTER_CONFIG: %w", err)
+	}
+	return cfg, nil
+}
+
+// reverseProxy is net/http/httputil's ReverseProxy before the servers that the platform's
+// configuration lists, in turn. It takes no decisions and ignores later endpoint updates. It returns
+// after a SIGTERM.
+func reverseProxy() error {
+	cfg, err := readPlatformConfig()
+	if err != nil {
+		return err
 	}
 	runtime.GOMAXPROCS(1) // as the balancer has it
+	servers := cfg.Known.Instances
 	var next atomic.Uint64
-	p := &httputil.ReverseProxy{
+	proxy := &httputil.ReverseProxy{
 		Rewrite: func(r *httputil.ProxyRequest) {
 			r.Out.URL.Scheme = "http"
-			r.Out.URL.Host = cfg.Known.Instances[next.Add(1)%uint64(len(cfg.Known.Instances))].HostPort
+			r.Out.URL.Host = servers[next.Add(1)%uint64(len(servers))].HostPort
 		},
 		Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: time.Minute, DisableCompression: true},
 		ErrorLog:  log.New(io.Discard, "", 0),
 	}
-	s := &http.Server{Addr: cfg.Listen, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	handler := func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/_health") {
 			return
 		}
-		p.ServeHTTP(w, r)
-	})}
+		proxy.ServeHTTP(w, r)
+	}
+	server := &http.Server{Addr: cfg.Listen, Handler: http.HandlerFunc(handler)}
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer cancel()
-	go func() {
+	go func() { // ends with the signal, or when this function returns
 		<-stop.Done()
-		_ = s.Close()
+		_ = server.Close()
 	}()
-	if err := s.ListenAndServe(); err != http.ErrServerClosed {
+	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
--- /dev/null
+++ b/cmd/piernotch-lab/simulate_sweep.go
@@ -0,0 +1,89 @@
+package main
+
+import (
+	"context"
+
+	"github.com/jedib0t/go-pretty/v6/table"
+
+	"piernotch/internal/lab/experiment"
+)
+
+type simulateSweepCmd struct {
+	simulateOptions
+	Vary    []string `required:"" sep:"none" placeholder:"KEY=V1,V2,…" help:"A key and its values; twice for two dimensions. Keys that change together are joined by +, as their values are."`
+	Adapter string   `placeholder:"PROGRAM" help:"Let another program decide."`
+}
+
+func (c *simulateSweepCmd) Run(ctx context.Context, o *output) error {
+	p, aims, err := c.plan()
+	if err != nil {
+		return err
+	}
+	var dims []experiment.Vary
+	n := c.Runs
+	for _, text := range c.Vary {
+		v, err := experiment.ParseVary(text)
+		if err != nil {
+			return err
+		}
+		n *= len(v.Values)
+		dims = append(dims, v)
+	}
+	done, finish := progress(o, n, "sweeping")
+	variant := experiment.Variant{Name: "builtin", Adapter: c.Adapter}
+	points, err := experiment.Sweep(ctx, p, variant, dims, done)
+	finish()
+	if err != nil {
+		return err
+	}
+	w, t := c.newTable(o, p)
+	fillSweepTable(t, dims, points)
+	t.Render()
+	broken := 0
+	var missed error
+	for _, point := range points {
+		var set []string
+		for i, value := range point.Values {
+			set = append(set, dims[i].Settings(value)...)
+		}
+		broken += experiment.Broken(point.Runs)
+		c.printViolations(w, set, c.Adapter, point.Runs)
+		if err := checkAims(w, c.Aim, aims, point.Summary, 0); err != nil {
+			missed = err
+		}
+	}
+	f := &experiment.File{
+		Kind: "sweep", Scenario: p.Scenario.Name, About: p.Scenario.About, Seed: c.Seed,
+		Variant: &variant, Vary: dims, Points: points,
+	}
+	if err := c.save(f); err != nil {
+		return err
+	}
+	if broken > 0 {
+		return errFailed
+	}
+	return missed
+}
+
+// fillSweepTable adds a row for each point: its values, then some of its figures.
+func fillSweepTable(t table.Writer, dims []experiment.Vary, points []experiment.Point) {
+	figures := []string{"service", "worst_window", "refused_rate", "choked_share", "p99_ms", "cold_peak", "falls"}
+	head := table.Row{}
+	for _, d := range dims {
+		head = append(head, d.Key)
+	}
+	for _, name := range figures {
+		head = append(head, name)
+	}
+	t.AppendHeader(head)
+	for _, point := range points {
+		row := table.Row{}
+		for _, value := range point.Values {
+			row = append(row, value)
+		}
+		for _, name := range figures {
+			row = append(row, point.Summary[name])
+		}
+		t.AppendRow(row)
+	}
+}
