--- a/cmd/piernotch-lab/logs.go
+++ b/cmd/piernotch-lab/logs.go
@@ -21,7 +21,7 @@
 	if c.ID != "" {
 		return c.follow(o)
 	}
-	report, err := loganalysis.Sum(c.Dir, c.Span)
+	report, err := loganalysis.Summarize(c.Dir, c.Span)
 	if err != nil {
 		return err
 	}
@@ -55,14 +55,14 @@
 	})
 	for _, s := range report.Seconds {
 		t.AppendRow(table.Row{
-			s.Second, s.Requests, s.Served, s.Refused, s.NeverSent, s.Failed, s.GivenUp, s.Sends,
-			s.Ends["timeout"], s.Ends["full"], s.Ends["connect_failed"], s.Ends["reset"], s.ListFailures,
+			s.Second, s.Requests, s.Served, s.Rejected, s.RejectedUnsent, s.Failed, s.ClientDisconnects, s.Attempts,
+			s.AttemptStatuses["timeout"], s.AttemptStatuses["full"], s.AttemptStatuses["connect_failed"], s.AttemptStatuses["reset"], s.DiscoveryFailures,
 		})
 	}
 	t.Render()
 	for _, s := range report.Servers[:min(c.Top, len(report.Servers))] {
 		o.out.Printf("%s: %d sends in %gs until %.1f from %d balancers; first in a change at %.1f; ends %v\n",
-			s.Name, s.Most, c.Span, s.MostAt, s.Balancers, s.Listed, s.Ends)
+			s.Name, s.PeakAttempts, c.Span, s.PeakTime, s.PeakBalancers, s.FirstUpdate, s.AttemptStatuses)
 	}
 	o.out.Printf("%d balancers, %d lines that could not be read\n", report.Balancers, report.Skipped)
 }
--- /dev/null
+++ b/internal/lab/loganalysis/events.go
@@ -0,0 +1,31 @@
+package loganalysis
+
+// The log events that are counted. What balancers log under these names is listed in docs/ONCALL.md.
+const (
+	eventRequestReceived    = "request received"
+	eventRequestCompleted   = "request completed"
+	eventClientDisconnected = "client disconnected"
+	eventAttemptStarted     = "attempt started"
+	eventAttemptCompleted   = "attempt completed"
+	eventEndpointUpdate     = "endpoint update"
+	eventDiscoveryFailed    = "discovery failed"
+)
+
+// The keys that are read of them.
+const (
+	keyEvent    = "msg"
+	keyTime     = "time"
+	keyRequest  = "id"
+	keyServer   = "server"
+	keyResult   = "result"   // of a completed request
+	keyAttempts = "attempts" // of a completed request: how many were started
+	keyStatus   = "status"   // of a completed attempt
+	keyWritten  = "written"  // of a completed attempt: whether it got a connection
+)
+
+// The results of a completed request.
+const (
+	resultServed   = "served"
+	resultRejected = "rejected"
+	resultFailed   = "failed"
+)
--- a/internal/lab/loganalysis/loganalysis_test.go
+++ b/internal/lab/loganalysis/loganalysis_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func write(t *testing.T, logs map[string]string) string {
+// writeLogs makes a folder of logs by balancer.
+func writeLogs(t *testing.T, logs map[string]string) string {
 	dir := t.TempDir()
 	for name, text := range logs {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name+".log"), []byte(text), 0o600))
@@ -16,8 +17,8 @@
 	return dir
 }
 
-func TestARequestIsFollowedAndAllAreCounted(t *testing.T) {
-	dir := write(t, map[string]string{
+func TestFollowAndSummarizeReadAllBalancers(t *testing.T) {
+	dir := writeLogs(t, map[string]string{
 		"n1": `0.5 time=2026-12-01T20:00:00.500Z level=INFO msg="endpoint update" server=s-1 address=127.0.0.1:1 state=0
 1.0 time=2026-12-01T20:00:01.000Z level=DEBUG msg="request received" id=aa class=0 hint=5 wait_ms=900
 1.1 time=2026-12-01T20:00:01.100Z level=DEBUG msg="attempt started" id=aa attempt=0 server=s-1 wait_ms=900
@@ -36,27 +37,28 @@
 	require.Equal(t, "n1", found[0].Balancer)
 	require.Equal(t, "rejected", found[3].Fields["result"])
 
-	r, err := Sum(dir, 2)
+	r, err := Summarize(dir, 2)
 	require.NoError(t, err)
 	require.Equal(t, 2, r.Balancers)
 	require.Equal(t, 1, r.Skipped)
 	last := r.Seconds[len(r.Seconds)-1]
-	require.Equal(t, []int{3, 2, 1, 1, 1}, []int{last.Second, last.Refused, last.NeverSent, last.Sends, last.Dropped})
+	require.Equal(t, []int{3, 2, 1, 1, 1}, []int{last.Second, last.Rejected, last.RejectedUnsent, last.Attempts, last.UnwrittenAttempts})
 	s := r.Servers[0]
-	require.Equal(t, []int{3, 3, 2}, []int{s.Sends, s.Most, s.Balancers}, "1.1 to 3.0 lie within 2 s")
-	require.InDelta(t, 0.5, s.Listed, 1e-9)
-	require.Equal(t, 1, s.Ends["connect_failed"])
+	require.Equal(t, []int{3, 3, 2}, []int{s.Attempts, s.PeakAttempts, s.PeakBalancers}, "1.1 to 3.0 lie within 2 s")
+	require.InDelta(t, 0.5, s.FirstUpdate, 1e-9)
+	require.Equal(t, 1, s.AttemptStatuses["connect_failed"])
 }
 
-func TestALineWithoutACommonStartGoesByItsOwnTime(t *testing.T) {
+func TestParseUsesOwnTimeWithoutCommonStart(t *testing.T) {
 	l, ok := Parse("n1", `time=1970-01-01T00:00:02.500Z level=WARN msg="discovery failed" err="a \"b\" c"`)
 	require.True(t, ok)
-	require.InDelta(t, 2.5, l.At, 1e-9)
+	require.InDelta(t, 2.5, l.Time, 1e-9)
 	require.Equal(t, `a "b" c`, l.Fields["err"])
 	for _, bad := range []string{"", "time", `time=x msg=y`, `1.0 msg="open`, "goroutine 1 [running]:"} {
 		_, ok := Parse("n1", bad)
 		require.False(t, ok, bad)
 	}
-	_, err := Sum(t.TempDir(), 2)
+	_, err := Summarize(t.TempDir(), 2)
+	require.ErrorIs(t, err, ErrNoLogs)
 	require.ErrorContains(t, err, "no *.log files")
 }
