--- a/cmd/piernotch-lab/golden_test.go
+++ b/cmd/piernotch-lab/golden_test.go
@@ -50,7 +50,7 @@
 		Kind: "links", Seed: 8, Descriptions: []string{"a word"}, Failed: "a rule was broken",
 		Steps: []chaos.Step{{
 			At: time.Second, For: 2 * time.Second, Act: chaos.Flap, Balancer: 1, To: chaos.Servers, Way: chaos.OnlyBack,
-			Fault: faultproxy.Fault{Cut: faultproxy.Reset, Delay: 3 * time.Millisecond, Jitter: 4 * time.Millisecond, Rate: 5000},
+			Fault: faultproxy.Fault{Cut: faultproxy.Reset, Delay: 3 * time.Millisecond, Jitter: 4 * time.Millisecond, BytesPerSecond: 5000},
 		}},
 		Report: &loadtest.Report{
 			Counts:    load.Counts{Tries: 1, Served: 2, Refused: 3, Failed: 4, Unanswered: 5, Broken: 6, Unreached: 7, Crossed: 8},
--- a/internal/lab/chaos/chaos.go
+++ b/internal/lab/chaos/chaos.go
@@ -88,8 +88,8 @@
 		if f.Delay+f.Jitter > 0 {
 			what = append(what, fmt.Sprintf("later by %v to %v", f.Delay, f.Delay+f.Jitter))
 		}
-		if f.Rate > 0 {
-			what = append(what, fmt.Sprintf("%d bytes a second", f.Rate))
+		if f.BytesPerSecond > 0 {
+			what = append(what, fmt.Sprintf("%d bytes a second", f.BytesPerSecond))
 		}
 	}
 	if s.Act == Flap {
@@ -178,7 +178,7 @@
 	case n == 3:
 		s.Fault.Delay, s.Fault.Jitter = between(10*time.Millisecond, 800*time.Millisecond), between(time.Millisecond, 300*time.Millisecond)
 	default:
-		s.Fault.Rate = 200 + rng.IntN(20000)
+		s.Fault.BytesPerSecond = 200 + rng.IntN(20000)
 	}
 	return s
 }
--- a/internal/lab/faultproxy/address.go
+++ b/internal/lab/faultproxy/address.go
@@ -8,19 +8,26 @@
 	"sync/atomic"
 )
 
-// port is the last that was given out. They lie below those that the system gives to connections, which
-// would take one between its being found free and its use.
-var port atomic.Int32
+// ErrNoFreeAddress is returned by Free when every port of its range is in use.
+var ErrNoFreeAddress = errors.New("no address is free")
 
-// Free returns an address on loopback that nobody listens on, and that this process gives out once.
+// The ports that Free returns: from firstPort up to, but not including, lastPort. They lie below those
+// that the system gives to outgoing connections, which could take one between its being found free and
+// its use.
+const firstPort, lastPort = 20000, 32000
+
+// lastGivenPort is the port that Free tried last; 0 before its first call.
+var lastGivenPort atomic.Int32
+
+// Free returns a host:port on loopback that nobody listens on. This process does not get it again until
+// the whole range has been used. It may be called from any goroutine.
 func Free() (string, error) {
-	const first, last = 20000, 32000
-	port.CompareAndSwap(0, int32(first+rand.IntN(last-first)))
-	for range last - first {
-		a := fmt.Sprintf("127.0.0.1:%d", first+(port.Add(1)-first)%(last-first))
-		if l, err := net.Listen("tcp", a); err == nil {
-			return a, l.Close()
+	lastGivenPort.CompareAndSwap(0, int32(firstPort+rand.IntN(lastPort-firstPort)))
+	for range lastPort - firstPort {
+		address := fmt.Sprintf("127.0.0.1:%d", firstPort+(lastGivenPort.Add(1)-firstPort)%(lastPort-firstPort))
+		if l, err := net.Listen("tcp", address); err == nil {
+			return address, l.Close()
 		}
 	}
-	return "", errors.New("no address is free")
+	return "", ErrNoFreeAddress
 }
--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -11,8 +11,8 @@
 	"go.uber.org/goleak"
 )
 
-// echo answers line by line.
-func echo(t *testing.T) string {
+// startEchoServer starts a server that answers line by line, and returns its address.
+func startEchoServer(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -49,15 +49,15 @@
 	return &peer{c, bufio.NewReader(c)}
 }
 
-// says sends a line and returns the answer, or how none came within the time.
-func (p *peer) says(line string, within time.Duration) (string, error) {
+// exchange sends a line and returns the answer, or how none came within the time.
+func (p *peer) exchange(line string, within time.Duration) (string, error) {
 	if _, err := fmt.Fprintln(p, line); err != nil {
 		return "", err
 	}
-	return p.hears(within)
+	return p.receive(within)
 }
 
-func (p *peer) hears(within time.Duration) (string, error) {
+func (p *peer) receive(within time.Duration) (string, error) {
 	_ = p.SetReadDeadline(time.Now().Add(within))
 	return p.r.ReadString('\n')
 }
@@ -67,74 +67,74 @@
 	short = 150 * time.Millisecond
 )
 
-func TestFaultsOfALink(t *testing.T) {
+func TestLinkFaultsHoldBackDelayThrottleAndReset(t *testing.T) {
 	current := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, current) })
 	n := New(1)
 	defer n.Close()
-	l, err := n.Link("a>b", echo(t))
+	l, err := n.Link("a>b", startEchoServer(t))
 	require.NoError(t, err)
 	c := dial(t, l)
-	got, err := c.says("one", long)
+	got, err := c.exchange("one", long)
 	require.NoError(t, err)
 	require.Equal(t, "one\n", got)
 
 	for _, d := range []Direction{There, Back} { // each way alone keeps the answer away, and loses nothing
 		l.Set(d, Fault{Cut: Silent})
-		_, err = c.says("held", short)
+		_, err = c.exchange("held", short)
 		require.ErrorContains(t, err, "timeout")
 		half := dial(t, l)
-		_, err = half.says("half-open", short)
+		_, err = half.exchange("half-open", short)
 		require.ErrorContains(t, err, "timeout")
 		l.Heal()
-		got, err = c.hears(long)
+		got, err = c.receive(long)
 		require.NoError(t, err)
 		require.Equal(t, "held\n", got)
-		got, err = half.hears(long)
+		got, err = half.receive(long)
 		require.NoError(t, err)
 		require.Equal(t, "half-open\n", got)
 	}
 
 	l.Set(Back, Fault{Delay: 2 * short, Jitter: short})
-	began := time.Now()
-	_, err = c.says("late", long)
+	started := time.Now()
+	_, err = c.exchange("late", long)
 	require.NoError(t, err)
-	require.GreaterOrEqual(t, time.Since(began), 2*short)
-	l.Set(Back, Fault{Rate: 100})
-	began = time.Now()
-	_, err = c.says("0123456789012345678", long)
+	require.GreaterOrEqual(t, time.Since(started), 2*short)
+	l.Set(Back, Fault{BytesPerSecond: 100})
+	started = time.Now()
+	_, err = c.exchange("0123456789012345678", long)
 	require.NoError(t, err)
-	require.GreaterOrEqual(t, time.Since(began), 200*time.Millisecond)
+	require.GreaterOrEqual(t, time.Since(started), 200*time.Millisecond)
 
 	l.Set(There, Fault{Cut: Reset})
-	_, err = c.hears(long)
+	_, err = c.receive(long)
 	require.ErrorContains(t, err, "reset")
 	require.False(t, l.Delivered(There))
 	if c, err := net.Dial("tcp", l.Address()); err == nil { // it may be reset at once
-		_, err = (&peer{c, bufio.NewReader(c)}).says("new", long)
+		_, err = (&peer{c, bufio.NewReader(c)}).exchange("new", long)
 		require.Error(t, err)
 	}
 	l.Heal()
-	_, err = dial(t, l).says("well again", long)
+	_, err = dial(t, l).exchange("well again", long)
 	require.NoError(t, err)
 	require.True(t, l.Delivered(There))
 }
 
 // A machine that was cut off for long is back with its connections reset.
-func TestALongCutBreaksConnections(t *testing.T) {
+func TestLongSilentCutResetsConnections(t *testing.T) {
 	n := New(1)
 	defer n.Close()
-	l, err := n.Link("a>b", echo(t))
+	l, err := n.Link("a>b", startEchoServer(t))
 	require.NoError(t, err)
 	c := dial(t, l)
-	_, err = c.says("one", long)
+	_, err = c.exchange("one", long)
 	require.NoError(t, err)
 	l.Set(There, Fault{Cut: Silent})
-	_, _ = c.says("lost", short)
+	_, _ = c.exchange("lost", short)
 	l.mu.Lock()
-	l.cut[There] = l.cut[There].Add(-retransmits)
+	l.silentSince[There] = l.silentSince[There].Add(-retransmitLimit)
 	l.mu.Unlock()
 	l.Heal()
-	_, err = c.hears(long)
+	_, err = c.receive(long)
 	require.ErrorContains(t, err, "reset")
 }
