--- a/cmd/piernotch-lab/chaos.go
+++ b/cmd/piernotch-lab/chaos.go
@@ -44,7 +44,7 @@
 func (c *chaosCmd) Run(ctx context.Context, o *output) error {
 	if c.List {
 		for _, kind := range chaos.Kinds {
-			o.out.Printf("%-10s %s\n", kind.Name, kind.What)
+			o.out.Printf("%-10s %s\n", kind.Name, kind.Description)
 		}
 		return nil
 	}
@@ -155,7 +155,7 @@
 
 // checkRecovery says what was wrong with the service once all faults were over; "" is nothing.
 func (c *chaosCmd) checkRecovery(report *loadtest.Report, length time.Duration) string {
-	from := int((length - chaos.Rest/2).Seconds())
+	from := int((length - chaos.RecoveryTime/2).Seconds())
 	asked, served := 0.0, 0.0
 	for _, s := range report.Seconds[min(from, len(report.Seconds)):] {
 		asked += s.Asked
--- a/cmd/piernotch-lab/golden_test.go
+++ b/cmd/piernotch-lab/golden_test.go
@@ -49,7 +49,7 @@
 	checkGolden(t, "chaos-schedule.json", chaosRun{
 		Kind: "links", Seed: 8, Descriptions: []string{"a word"}, Failed: "a rule was broken",
 		Steps: []chaos.Step{{
-			At: time.Second, For: 2 * time.Second, Act: chaos.Flap, Balancer: 1, To: chaos.Servers, Way: chaos.OnlyBack,
+			At: time.Second, Duration: 2 * time.Second, Action: chaos.FlapLink, Balancer: 1, Target: chaos.AllServers, Directions: chaos.OnlyFromTarget,
 			Fault: faultproxy.Fault{Cut: faultproxy.Reset, Delay: 3 * time.Millisecond, Jitter: 4 * time.Millisecond, BytesPerSecond: 5000},
 		}},
 		Report: &loadtest.Report{
--- a/internal/lab/chaos/chaos_test.go
+++ b/internal/lab/chaos/chaos_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestASeedIsOneScheduleAndLeavesTheEndInPeace(t *testing.T) {
+func TestDrawIsDeterministicAndLeavesRecoveryTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kind := Kinds[rapid.IntRange(0, len(Kinds)-1).Draw(t, "kind")].Name
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -22,31 +22,32 @@
 		require.NoError(t, err)
 		require.Equal(t, steps, again)
 		for i, s := range steps {
-			require.LessOrEqual(t, s.End(), size.Length-Rest, s)
+			require.LessOrEqual(t, s.End(), size.Length-RecoveryTime, s)
 			require.Less(t, s.Balancer, size.Balancers)
 			for _, o := range steps[:i] {
-				require.False(t, s.meets(o), "%v, %v", o, s)
+				require.False(t, s.conflictsWith(o), "%v, %v", o, s)
 			}
 		}
 	})
 	_, err := Draw("nothing", 1, Size{1, 1, time.Minute, 1})
+	require.ErrorIs(t, err, ErrUnknownKind)
 	require.ErrorContains(t, err, "nothing")
 	_, err = Draw("links", 1, Size{1, 1, time.Second, 1})
-	require.Error(t, err)
+	require.ErrorIs(t, err, ErrTooSmall)
 }
 
-func TestShrinkKeepsWhatFails(t *testing.T) {
+func TestShrinkReturnsFailingSteps(t *testing.T) {
 	steps, err := Draw("mixed", 7, Size{3, 6, time.Minute, 12})
 	require.NoError(t, err)
-	guilty := []Step{steps[2], steps[9]}
-	asked := 0
+	failing := []Step{steps[2], steps[9]}
+	calls := 0
 	got := Shrink(steps, 200, func(s []Step) bool {
-		asked++
-		return slices.Contains(s, guilty[0]) && slices.Contains(s, guilty[1])
+		calls++
+		return slices.Contains(s, failing[0]) && slices.Contains(s, failing[1])
 	})
-	require.Equal(t, guilty, got)
-	require.Less(t, asked, 60)
-	asked = 0
-	Shrink(steps, 5, func([]Step) bool { asked++; return true })
-	require.LessOrEqual(t, asked, 5)
+	require.Equal(t, failing, got)
+	require.Less(t, calls, 60)
+	calls = 0
+	Shrink(steps, 5, func([]Step) bool { calls++; return true })
+	require.LessOrEqual(t, calls, 5)
 }
--- a/internal/lab/loadtest/faults.go
+++ b/internal/lab/loadtest/faults.go
@@ -14,7 +14,7 @@
 
 // link is the name of the link from a balancer to a server or to the roster.
 func link(balancer, to int) string {
-	if to == chaos.Roster {
+	if to == chaos.Discovery {
 		return fmt.Sprintf("n%d>roster", balancer)
 	}
 	return fmt.Sprintf("n%d>s%d", balancer, to)
@@ -45,7 +45,7 @@
 		r.judge.Told(balancer, server, state, born)
 		return
 	}
-	l, err := r.net.Link(link(balancer, chaos.Roster), r.fleet.Roster().Address(balancer))
+	l, err := r.net.Link(link(balancer, chaos.Discovery), r.fleet.Roster().Address(balancer))
 	if err != nil {
 		return
 	}
@@ -70,8 +70,8 @@
 func (r *rig) fault(ctx context.Context, s chaos.Step) {
 	p := r.procs[s.Balancer]
 	rest := func() { sleep(ctx, s.End()-r.clock()) }
-	switch s.Act {
-	case chaos.Stop:
+	switch s.Action {
+	case chaos.PauseBalancer:
 		u := p.current()
 		r.judge.Paused(s.Balancer)
 		_ = u.cmd.Process.Signal(syscall.SIGSTOP)
@@ -79,17 +79,17 @@
 		_ = u.cmd.Process.Signal(syscall.SIGCONT)
 		sleep(ctx, time.Second) // what waited has been answered late
 		r.judge.Revived(s.Balancer)
-	case chaos.Kill:
+	case chaos.KillBalancer:
 		r.judge.Killed(s.Balancer)
 		<-p.signal(syscall.SIGKILL)
 		rest()
 		if err := r.launch(ctx, p); err != nil && ctx.Err() == nil {
 			r.failed(err)
 		}
-	case chaos.Flap:
+	case chaos.FlapLink:
 		for on := true; r.clock() < s.End() && ctx.Err() == nil; on = !on {
 			r.set(s, on)
-			sleep(ctx, min(chaos.FlapEvery, s.End()-r.clock()))
+			sleep(ctx, min(chaos.FlapInterval, s.End()-r.clock()))
 		}
 		r.set(s, false)
 	default:
@@ -101,14 +101,14 @@
 
 // set has the links of a step fail, or be whole again.
 func (r *rig) set(s chaos.Step, fails bool) {
-	which := func(name string) bool { return name == link(s.Balancer, s.To) }
-	if s.To == chaos.Servers {
+	which := func(name string) bool { return name == link(s.Balancer, s.Target) }
+	if s.Target == chaos.AllServers {
 		which = func(name string) bool { return strings.HasPrefix(name, fmt.Sprintf("n%d>s", s.Balancer)) }
 	}
 	r.net.Each(which, func(l *faultproxy.Link) {
 		for _, d := range []faultproxy.Direction{faultproxy.There, faultproxy.Back} {
 			f := faultproxy.Fault{}
-			if fails && s.Way.Has(d) {
+			if fails && s.Directions.Includes(d) {
 				f = s.Fault
 			}
 			l.Set(d, f)
--- a/internal/lab/loadtest/loadtest.go
+++ b/internal/lab/loadtest/loadtest.go
@@ -127,7 +127,7 @@
 		}
 		defer r.shared.end()
 	}
-	if slices.ContainsFunc(opts.Faults, func(s chaos.Step) bool { return s.Act == chaos.Link || s.Act == chaos.Flap }) {
+	if slices.ContainsFunc(opts.Faults, func(s chaos.Step) bool { return s.Action == chaos.FaultLink || s.Action == chaos.FlapLink }) {
 		if r.shared != nil {
 			return nil, errors.New("balancers that share a list reach servers at the same addresses: no faults of links can be played")
 		}
@@ -191,7 +191,7 @@
 // launch configures and starts a balancer, and has the front use it.
 func (r *rig) launch(ctx context.Context, p *process) error {
 	roster := r.fleet.Roster()
-	if err := p.configure(r.day, r.through(p.number, chaos.Roster, roster.Address(p.number)), roster.Known(p.number), r.limits); err != nil {
+	if err := p.configure(r.day, r.through(p.number, chaos.Discovery, roster.Address(p.number)), roster.Known(p.number), r.limits); err != nil {
 		return err
 	}
 	r.judge.Restarted(p.number)
@@ -308,7 +308,7 @@
 	roster := r.fleet.Roster()
 	err := roster.Move(p.number)
 	if err == nil {
-		err = p.configure(r.day, r.through(p.number, chaos.Roster, roster.Address(p.number)), roster.Known(p.number), r.limits)
+		err = p.configure(r.day, r.through(p.number, chaos.Discovery, roster.Address(p.number)), roster.Known(p.number), r.limits)
 	}
 	if err != nil {
 		r.failed(err)
