--- a/cmd/piernotch-lab/chaos.go
+++ b/cmd/piernotch-lab/chaos.go
@@ -132,7 +132,7 @@
 	}
 	run.Failed = ""
 	run.describe()
-	report, err := loadtest.Run(ctx, d, loadtest.Options{Program: c.Program, Logs: c.Logs, Faults: run.Steps, Voter: c.voter})
+	report, err := loadtest.Run(ctx, d, loadtest.Options{Program: c.Program, LogDir: c.Logs, Faults: run.Steps, VoterProgram: c.voter})
 	run.Report = report
 	switch {
 	case report == nil:
@@ -178,7 +178,7 @@
 func (c *chaosCmd) print(o *output, run *chaosRun) {
 	counts := run.Report.Counts
 	o.out.Printf("%s, seed %d: %d tries, %d served, %d refused, %d failed, %d without an answer, %d broken, %d met no balancer, %d calls for the list\n",
-		run.Kind, run.Seed, counts.Tries, counts.Served, counts.Refused, counts.Failed, counts.Unanswered, counts.Broken, counts.Unreached, run.Report.ListCalls)
+		run.Kind, run.Seed, counts.Attempts, counts.Served, counts.Rejected, counts.Failed, counts.TimedOut, counts.Disconnected, counts.Unreachable, run.Report.DiscoveryCalls)
 	if run.Failed == "" {
 		return
 	}
--- a/cmd/piernotch-lab/emulate.go
+++ b/cmd/piernotch-lab/emulate.go
@@ -21,7 +21,7 @@
 	attempts map[string]int // by request id
 }
 
-func (a *anyRequestObserver) Sent(id string, _ int) int {
+func (a *anyRequestObserver) AttemptReceived(id string, _ int) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.attempts) > 1<<20 { // the counts only number the attempts of a request
@@ -30,11 +30,11 @@
 	a.attempts[id]++
 	return a.attempts[id] - 1
 }
-func (*anyRequestObserver) Began(string, int)                           {}
-func (*anyRequestObserver) Ran(string, int)                             {}
-func (*anyRequestObserver) Over(string, int, bool)                      {}
-func (*anyRequestObserver) Reached(string, int, time.Duration, float64) {}
-func (*anyRequestObserver) Fell(int)                                    {}
+func (*anyRequestObserver) AttemptAccepted(string, int)                       {}
+func (*anyRequestObserver) AttemptExecuted(string, int)                       {}
+func (*anyRequestObserver) AttemptCompleted(string, int, bool)                {}
+func (*anyRequestObserver) SlowStartWork(string, int, time.Duration, float64) {}
+func (*anyRequestObserver) ServerCollapsed(int)                               {}
 
 func (c *emulateCmd) Run(ctx context.Context, o *output) error {
 	_, d, err := drawDay(c.Scenario, c.Set, 0, c.Seed)
@@ -48,7 +48,7 @@
 	}
 	defer fleet.Close()
 	for i := range c.Balancers {
-		o.out.Printf("roster %s\n", fleet.Roster().Address(i))
+		o.out.Printf("roster %s\n", fleet.Discovery().Address(i))
 	}
 	fleet.Play(ctx)
 	select {
--- a/cmd/piernotch-lab/faulttest.go
+++ b/cmd/piernotch-lab/faulttest.go
@@ -27,15 +27,15 @@
 }
 
 func (c *faulttestCmd) Run(ctx context.Context, o *output) error {
-	tests := loadtest.Drills()
+	tests := loadtest.FaultTests()
 	if c.List {
 		for _, test := range tests {
-			o.out.Printf("%-24s %s\n", test.Name, test.What)
+			o.out.Printf("%-24s %s\n", test.Name, test.Description)
 		}
 		return nil
 	}
 	for _, name := range c.Names {
-		if !slices.ContainsFunc(tests, func(test loadtest.Drill) bool { return test.Name == name }) {
+		if !slices.ContainsFunc(tests, func(test loadtest.FaultTest) bool { return test.Name == name }) {
 			return fmt.Errorf("no fault test %q; --list prints them", name)
 		}
 	}
@@ -83,7 +83,7 @@
 type faulttestControls map[string][]*simulation.Result
 
 // control plays the control of a fault test, unless it has been played for another test.
-func (c *faulttestCmd) control(ctx context.Context, o *output, controls faulttestControls, test loadtest.Drill) ([]*simulation.Result, error) {
+func (c *faulttestCmd) control(ctx context.Context, o *output, controls faulttestControls, test loadtest.FaultTest) ([]*simulation.Result, error) {
 	s, key, err := test.Control()
 	if err != nil {
 		return nil, err
@@ -99,7 +99,7 @@
 }
 
 // save writes the file of one fault test, if files are asked for.
-func (c *faulttestCmd) save(test loadtest.Drill, s *scenario.Scenario, runs []*simulation.Result) error {
+func (c *faulttestCmd) save(test loadtest.FaultTest, s *scenario.Scenario, runs []*simulation.Result) error {
 	if c.JSON == "" {
 		return nil
 	}
@@ -144,7 +144,7 @@
 }
 
 // faulttestRow sums up a fault test; seeds that are void on either side are left out.
-func faulttestRow(test loadtest.Drill, runs, controls []*simulation.Result) table.Row {
+func faulttestRow(test loadtest.FaultTest, runs, controls []*simulation.Result) table.Row {
 	var served, worst, refused, failed []float64
 	var recovered []string
 	violations := 0
@@ -152,12 +152,12 @@
 		if r == nil || controls[i] == nil {
 			continue
 		}
-		recovery := loadtest.Recover(r, controls[i], loadtest.DrillAt)
-		served = append(served, recovery.Whole)
-		worst = append(worst, recovery.Lowest)
-		refused = append(refused, recovery.Refused)
+		recovery := loadtest.MeasureRecovery(r, controls[i], loadtest.FaultTime)
+		served = append(served, recovery.Served)
+		worst = append(worst, recovery.Worst)
+		refused = append(refused, recovery.Rejected)
 		failed = append(failed, recovery.Failed)
-		recovered = append(recovered, fmt.Sprintf("%.0f", recovery.Back))
+		recovered = append(recovered, fmt.Sprintf("%.0f", recovery.RecoveredAfter))
 		violations += r.Broken()
 	}
 	if len(served) == 0 {
--- a/cmd/piernotch-lab/golden_test.go
+++ b/cmd/piernotch-lab/golden_test.go
@@ -53,8 +53,8 @@
 			Fault: faultproxy.Fault{Cut: faultproxy.Reset, Delay: 3 * time.Millisecond, Jitter: 4 * time.Millisecond, BytesPerSecond: 5000},
 		}},
 		Report: &loadtest.Report{
-			Counts:    load.Counts{Tries: 1, Served: 2, Refused: 3, Failed: 4, Unanswered: 5, Broken: 6, Unreached: 7, Crossed: 8},
-			Balancers: [][]loadtest.Quarter{{{CPUSeconds: 1, ResidentMB: 2, Descriptors: 3}}}, Rude: map[string]load.RudeCount{"nothing": {Sent: 1, Answered: 2, Served: 3}},
+			Counts:    load.Counts{Attempts: 1, Served: 2, Rejected: 3, Failed: 4, TimedOut: 5, Disconnected: 6, Unreachable: 7, RetriedOnClose: 8},
+			Balancers: [][]loadtest.Quarter{{{CPUSeconds: 1, ResidentMB: 2, Descriptors: 3}}}, Malformed: map[string]load.MalformedCount{"nothing": {Sent: 1, Answered: 2, Served: 3}},
 		},
 	})
 }
--- a/cmd/piernotch-lab/handover.go
+++ b/cmd/piernotch-lab/handover.go
@@ -24,24 +24,24 @@
 		return err
 	}
 	rounds := (c.Times + c.Balancers - 1) / c.Balancers
-	length := loadtest.HandOverLead + time.Duration(rounds)*loadtest.HandOverEvery
+	length := loadtest.HandoverLeadTime + time.Duration(rounds)*loadtest.HandoverInterval
 	set := append([]string{fmt.Sprintf("length_s=%.0f", length.Seconds())}, c.Set...)
 	_, d, err := drawDay(c.Scenario, set, c.Balancers, c.Seed)
 	if err != nil {
 		return err
 	}
 	o.out.Printf("%d hand-overs of %d balancers in %v, seed %d\n", c.Times, c.Balancers, length, c.Seed)
-	r, err := loadtest.Run(ctx, d, loadtest.Options{Program: c.Program, Logs: c.Logs, HandOvers: loadtest.DrawHandOvers(d, c.Times)})
+	r, err := loadtest.Run(ctx, d, loadtest.Options{Program: c.Program, LogDir: c.Logs, Handovers: loadtest.DrawHandovers(d, c.Times)})
 	if err != nil {
 		return err
 	}
 	done := printHandOvers(o, r)
-	handed := r.Handed
+	handed := r.Handovers
 	switch {
 	case r.Void != "":
 		o.out.Println("VOID:", r.Void)
 		return errFailed
-	case r.Broken() > 0, len(handed.Wrong) > 0, handed.Killed > 0, r.Counts.Unreached > 0:
+	case r.Broken() > 0, len(handed.Problems) > 0, handed.Killed > 0, r.Counts.Unreachable > 0:
 		return errFailed
 	case done < c.Times && ctx.Err() == nil:
 		return errFailed
@@ -51,18 +51,18 @@
 
 // printHandOvers prints what came of the hand-overs and returns how many were done.
 func printHandOvers(o *output, r *loadtest.Report) (done int) {
-	handed := r.Handed
-	for _, way := range loadtest.Ways {
+	handed := r.Handovers
+	for _, way := range loadtest.HandoverKinds {
 		o.out.Printf("  %-12s %d\n", way, handed.Done[way])
 		done += handed.Done[way]
 	}
 	o.out.Printf("%d done, the slowest yes after %v; %d processes ended in order, %d had to be killed\n",
-		done, handed.Slow.Round(time.Millisecond), handed.Ended, handed.Killed)
+		done, handed.SlowestReady.Round(time.Millisecond), handed.Exited, handed.Killed)
 	counts := r.Counts
 	o.out.Printf("%d tries: %d served, %d refused, %d failed, %d without an answer, %d broken, %d met no balancer, %d turned back and sent again\n",
-		counts.Tries, counts.Served, counts.Refused, counts.Failed, counts.Unanswered, counts.Broken, counts.Unreached, counts.Crossed)
-	o.out.Printf("%d turned back unheard by processes that were not killed\n", handed.Back)
-	for _, text := range handed.Wrong {
+		counts.Attempts, counts.Served, counts.Rejected, counts.Failed, counts.TimedOut, counts.Disconnected, counts.Unreachable, counts.RetriedOnClose)
+	o.out.Printf("%d turned back unheard by processes that were not killed\n", handed.ClosedUnderRequest)
+	for _, text := range handed.Problems {
 		o.out.Println("wrong:", text)
 	}
 	printRunViolations(o, []*simulation.Result{&r.Result})
--- a/cmd/piernotch-lab/load.go
+++ b/cmd/piernotch-lab/load.go
@@ -19,8 +19,8 @@
 // ignoreRequests is an observer that takes no notes.
 type ignoreRequests struct{}
 
-func (ignoreRequests) Taken(string, int, int, time.Duration) {}
-func (ignoreRequests) Ended(string, load.Answer)             {}
+func (ignoreRequests) RequestSent(string, int, int, time.Duration) {}
+func (ignoreRequests) RequestEnded(string, load.Outcome)           {}
 
 func (c *loadCmd) Run(ctx context.Context, o *output) error {
 	_, d, err := drawDay(c.Scenario, c.Set, 0, c.Seed)
@@ -33,18 +33,18 @@
 	}
 	started := time.Now()
 	clients := &load.Clients{
-		Day: d, Arrivals: arrivals, Watch: ignoreRequests{}, Clock: func() time.Duration { return time.Since(started) },
-		Front: func(_ int, rng *rand.Rand) (int, string, bool) {
+		Day: d, Arrivals: arrivals, Observer: ignoreRequests{}, Clock: func() time.Duration { return time.Since(started) },
+		Pick: func(_ int, rng *rand.Rand) (int, string, bool) {
 			i := rng.IntN(len(c.To))
 			return i, c.To[i], true
 		},
 	}
 	clients.Run(ctx)
-	parts := clients.Tally().Parts()
+	parts := clients.Goodput().Parts()
 	counts := clients.Counts()
 	o.out.Printf("%d requests in %d tries: served %d, refused %d, failed %d, unanswered %d, broken off %d, unreached %d\n",
-		len(arrivals), counts.Tries, counts.Served, counts.Refused, counts.Failed, counts.Unanswered, counts.Broken, counts.Unreached)
+		len(arrivals), counts.Attempts, counts.Served, counts.Rejected, counts.Failed, counts.TimedOut, counts.Disconnected, counts.Unreachable)
 	o.out.Printf("in time: whole %.3f, worst 10 s %.3f, worst class %.3f; p50 %.1f ms, p99 %.1f ms from the due time; sent %v late at the 99th percentile\n",
-		parts.Whole, parts.WorstWindow, parts.WorstClass, clients.Tally().Percentile(50), clients.Tally().Percentile(99), clients.Lateness(99))
+		parts.Whole, parts.WorstWindow, parts.WorstClass, clients.Goodput().Percentile(50), clients.Goodput().Percentile(99), clients.Lateness(99))
 	return nil
 }
--- a/cmd/piernotch-lab/loadtest.go
+++ b/cmd/piernotch-lab/loadtest.go
@@ -50,7 +50,7 @@
 	if err := resolveProgram(&c.Program, "piernotch"); err != nil {
 		return err
 	}
-	options := loadtest.Options{Program: c.Program, MemoryMB: c.MemoryMB, Sockets: c.Sockets, Logs: c.Logs}
+	options := loadtest.Options{Program: c.Program, MemoryMB: c.MemoryMB, Sockets: c.Sockets, LogDir: c.Logs}
 	if c.Proxy {
 		self, err := os.Executable()
 		if err != nil {
--- a/cmd/piernotch-lab/loadtest_report.go
+++ b/cmd/piernotch-lab/loadtest_report.go
@@ -52,14 +52,14 @@
 		r.Service, r.Whole, r.WorstWindow, r.WorstClass, r.P50, r.P99)
 	counts := r.Counts
 	o.out.Printf("  %d requests in %d tries: served %d, refused %d, failed %d, unanswered %d, broken off %d, unreached %d\n",
-		r.Requests, counts.Tries, counts.Served, counts.Refused, counts.Failed, counts.Unanswered, counts.Broken, counts.Unreached)
+		r.Requests, counts.Attempts, counts.Served, counts.Rejected, counts.Failed, counts.TimedOut, counts.Disconnected, counts.Unreachable)
 	for _, class := range r.Classes {
 		o.out.Printf("  %s: %d asked, %.3f of their worth served in time\n", class.Name, class.Asked, class.Service)
 	}
 	o.out.Printf("  rules broken: lost %d, repeated %d, drain %d, cold %d; %.0f us of CPU a request; the rig was %.1f ms late (p99)\n",
 		r.Lost, r.Repeated, r.DrainBreaks, r.ColdFalls, r.CPUPerAnswer, r.LatenessMS)
-	for _, kind := range slices.Sorted(maps.Keys(r.Rude)) {
-		count := r.Rude[kind]
+	for _, kind := range slices.Sorted(maps.Keys(r.Malformed)) {
+		count := r.Malformed[kind]
 		o.out.Printf("  rude clients, %s: %d, %d got an error or a close in time, %d were served\n", kind, count.Sent, count.Answered, count.Served)
 	}
 	printBalancerTable(o, r.Balancers)
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -45,7 +45,7 @@
 	return false
 }
 
-func (n *notes) Sent(id string, server int) int {
+func (n *notes) AttemptReceived(id string, server int) int {
 	if id == "stranger" {
 		return -1
 	}
@@ -54,16 +54,16 @@
 	n.sent[id]++
 	return n.sent[id] - 1
 }
-func (n *notes) Began(id string, a int)            { n.add("began %s %d", id, a) }
-func (n *notes) Ran(id string, a int)              { n.add("ran %s %d", id, a) }
-func (n *notes) Over(id string, a int, unrun bool) { n.add("over %s %d %t", id, a, unrun) }
-func (n *notes) Reached(id string, s int, _ time.Duration, w float64) {
+func (n *notes) AttemptAccepted(id string, a int)              { n.add("began %s %d", id, a) }
+func (n *notes) AttemptExecuted(id string, a int)              { n.add("ran %s %d", id, a) }
+func (n *notes) AttemptCompleted(id string, a int, unrun bool) { n.add("over %s %d %t", id, a, unrun) }
+func (n *notes) SlowStartWork(id string, s int, _ time.Duration, w float64) {
 	n.add("reached %s %d %.0f", id, s, w)
 }
-func (n *notes) Fell(s int) { n.add("fell %d", s) }
+func (n *notes) ServerCollapsed(s int) { n.add("fell %d", s) }
 
 // open makes a fleet of one server whose day has begun.
-func open(t *testing.T, text string, told Told) (*Fleet, *notes) {
+func open(t *testing.T, text string, told EndpointNotified) (*Fleet, *notes) {
 	t.Helper()
 	s, err := scenario.Parse("test", []byte(`
 length_s = 60
@@ -176,7 +176,7 @@
 	require.Eventually(t, func() bool {
 		f.servers[1].mu.Lock()
 		defer f.servers[1].mu.Unlock()
-		return f.servers[1].listen != nil
+		return f.servers[1].listener != nil
 	}, patience, time.Millisecond)
 	require.Equal(t, old, f.servers[1].address)
 	c := dial(t, f)
@@ -191,7 +191,7 @@
 	a := dial(t, f)
 	a.ask("1", 30)
 	require.Eventually(t, func() bool { return n.has("began 1 0") }, patience, time.Millisecond)
-	f.servers[0].vanish()
+	f.servers[0].silence()
 	_ = a.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 	_, err := a.r.ReadByte()
 	var timeout net.Error
@@ -208,7 +208,7 @@
 	f, _ := open(t, "", func(balancer, server int, state piernotch.State, _ time.Duration) { heard <- word{server, state} })
 	client := &http.Client{Timeout: patience}
 	get := func(query string) (discovery.EndpointList, int) {
-		r, err := client.Get("http://" + f.Roster().Address(0) + "/catalog/members" + query)
+		r, err := client.Get("http://" + f.Discovery().Address(0) + "/catalog/members" + query)
 		require.NoError(t, err)
 		defer r.Body.Close()
 		data, err := io.ReadAll(r.Body)
@@ -237,10 +237,10 @@
 	require.Positive(t, born)
 	again, _ := get("")
 	require.Equal(t, born, again.Endpoints[0].Endpoint.StartedAt, "one start is told as one")
-	f.roster.outage(true)
+	f.discovery.setOutage(true)
 	_, status := get("")
 	require.Equal(t, 503, status)
-	f.roster.outage(false)
+	f.discovery.setOutage(false)
 	_, status = get("")
 	require.Equal(t, 200, status)
 	f.Play(context.Background())
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -15,34 +15,34 @@
 
 // Fleet is the stand-in feed servers of a day and their roster.
 type Fleet struct {
-	day     *scenario.Day
-	clock   Clock
-	watch   Observer
-	servers []*server
-	roster  *Roster
-	late    atomic.Int64 // of load reports, ns
-	spoils  atomic.Int64 // share of answers that come spoilt, in millionths
-	script  []step
-	timers  []*time.Timer
-	mu      sync.Mutex
-	err     error
+	day             *scenario.Day
+	clock           Clock
+	observer        Observer
+	servers         []*server
+	discovery       *Discovery
+	loadReportDelay atomic.Int64 // of load reports, ns
+	malformedShare  atomic.Int64 // share of answers that come spoilt, in millionths
+	steps           []scheduledStep
+	timers          []*time.Timer
+	mu              sync.Mutex
+	err             error
 }
 
-type step struct {
+type scheduledStep struct {
 	at time.Duration
 	do func()
 }
 
 // New makes the servers of a day and opens them; the roster has an address for each of
 // so many balancers. Nothing goes wrong until Play.
-func New(day *scenario.Day, balancers int, clock Clock, watch Observer, told Told) (*Fleet, error) {
-	f := &Fleet{day: day, clock: clock, watch: watch}
+func New(day *scenario.Day, balancers int, clock Clock, watch Observer, told EndpointNotified) (*Fleet, error) {
+	f := &Fleet{day: day, clock: clock, observer: watch}
 	for i := range day.Servers {
 		if _, err := f.add(day.Servers[i]); err != nil {
 			return nil, err
 		}
 	}
-	f.plays()
+	f.scheduleSteps()
 	for _, s := range f.servers[:len(day.Servers)] {
 		if err := s.open(); err != nil {
 			f.Close()
@@ -50,12 +50,12 @@
 		}
 	}
 	var err error
-	if f.roster, err = newRoster(f, balancers, told); err != nil {
+	if f.discovery, err = newDiscovery(f, balancers, told); err != nil {
 		f.Close()
 		return nil, err
 	}
 	for i := range day.Servers {
-		f.roster.publish(i, piernotch.Ready, 0)
+		f.discovery.publish(i, piernotch.Ready, 0)
 	}
 	return f, nil
 }
@@ -69,9 +69,9 @@
 	return s, err
 }
 
-func (f *Fleet) spoilt() float64 { return float64(f.spoils.Load()) / 1e6 }
+func (f *Fleet) malformedProbability() float64 { return float64(f.malformedShare.Load()) / 1e6 }
 
-func (f *Fleet) reportsLate() time.Duration { return time.Duration(f.late.Load()) }
+func (f *Fleet) reportDelay() time.Duration { return time.Duration(f.loadReportDelay.Load()) }
 
 // meanWork is what a request of a class takes on the mean, ms.
 func (f *Fleet) meanWork(class string) float64 {
@@ -84,8 +84,8 @@
 	return f.day.MeanWork()
 }
 
-// Roster is the list of the servers.
-func (f *Fleet) Roster() *Roster { return f.roster }
+// Discovery is the list of the servers.
+func (f *Fleet) Discovery() *Discovery { return f.discovery }
 
 // Servers is how many there are, those that join later included.
 func (f *Fleet) Servers() int { return len(f.servers) }
@@ -93,12 +93,12 @@
 // Spec tells what a server was made of.
 func (f *Fleet) Spec(i int) scenario.Server { return f.servers[i].spec }
 
-// Choked is how many servers choked at some time.
-func (f *Fleet) Choked() int {
+// Overloaded is how many servers choked at some time.
+func (f *Fleet) Overloaded() int {
 	n := 0
 	for _, s := range f.servers {
 		s.mu.Lock()
-		if s.choked {
+		if s.overloaded {
 			n++
 		}
 		s.mu.Unlock()
@@ -113,7 +113,7 @@
 	return f.err
 }
 
-func (f *Fleet) failed(err error) {
+func (f *Fleet) recordError(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.err == nil {
@@ -123,7 +123,7 @@
 
 // Play has the day's troubles happen at their times, until the context ends.
 func (f *Fleet) Play(ctx context.Context) {
-	for _, s := range f.script {
+	for _, s := range f.steps {
 		f.timers = append(f.timers, time.AfterFunc(max(s.at-f.clock(), 0), func() {
 			if ctx.Err() == nil {
 				s.do()
@@ -141,26 +141,26 @@
 		s.crash()
 		s.timer.Stop()
 	}
-	if f.roster != nil {
-		f.roster.close()
+	if f.discovery != nil {
+		f.discovery.close()
 	}
 }
 
-func (f *Fleet) at(t time.Duration, do func()) { f.script = append(f.script, step{t, do}) }
+func (f *Fleet) schedule(t time.Duration, do func()) { f.steps = append(f.steps, scheduledStep{t, do}) }
 
-// plays writes the script: what the model does to its servers, done to these.
-func (f *Fleet) plays() {
+// scheduleSteps writes the script: what the model does to its servers, done to these.
+func (f *Fleet) scheduleSteps() {
 	for _, s := range f.day.Steps() {
 		if s.Do == scenario.Join || s.Do == scenario.Takeover {
-			f.joins(s.Server, s.Number, s.At, s.Do == scenario.Takeover)
+			f.scheduleJoin(s.Server, s.Number, s.At, s.Do == scenario.Takeover)
 			continue
 		}
-		f.at(s.At, func() { f.step(&s) })
+		f.schedule(s.At, func() { f.playStep(&s) })
 	}
 }
 
-// step does one thing to servers or roster.
-func (f *Fleet) step(s *scenario.Step) {
+// playStep does one thing to servers or roster.
+func (f *Fleet) playStep(s *scenario.Step) {
 	var at *server
 	if s.Server < len(f.servers) { // what is done to discovery alone names none
 		at = f.servers[s.Server]
@@ -169,11 +169,11 @@
 	case scenario.Slow:
 		f.slow(at, s.Size)
 	case scenario.Pauses:
-		at.do(func(p *servermodel.Server, now time.Duration) { p.SetPauses(now, s.Every, s.Length) })
+		at.withModel(func(p *servermodel.Server, now time.Duration) { p.SetPauses(now, s.Every, s.Length) })
 	case scenario.Choke:
-		at.do(func(p *servermodel.Server, now time.Duration) {
+		at.withModel(func(p *servermodel.Server, now time.Duration) {
 			p.SetChoked(now)
-			at.choked = true
+			at.overloaded = true
 		})
 	case scenario.Drain:
 		f.drain(at)
@@ -182,25 +182,25 @@
 	case scenario.Start:
 		f.start(at)
 	case scenario.Vanish:
-		at.vanish()
-		f.roster.later(at.number, piernotch.Gone, f.day.Discovery.Silent)
+		at.silence()
+		f.discovery.publishAfter(at.number, piernotch.Gone, f.day.Discovery.Silent)
 	case scenario.Lose:
-		f.mistake(s.Servers, piernotch.Gone)
+		f.misreport(s.Servers, piernotch.Gone)
 	case scenario.Regain:
-		f.mistake(s.Servers, piernotch.Ready)
+		f.misreport(s.Servers, piernotch.Ready)
 	case scenario.ReportsLater:
-		f.late.Add(int64(s.Length))
+		f.loadReportDelay.Add(int64(s.Length))
 	case scenario.ListLater:
-		f.roster.late.Add(int64(s.Length))
+		f.discovery.extraDelay.Add(int64(s.Length))
 	case scenario.Spoil:
-		f.spoils.Add(int64(s.Size * 1e6))
+		f.malformedShare.Add(int64(s.Size * 1e6))
 	case scenario.OutageBegins, scenario.OutageEnds:
-		f.roster.outage(s.Do == scenario.OutageBegins)
+		f.discovery.setOutage(s.Do == scenario.OutageBegins)
 	}
 }
 
 func (f *Fleet) slow(s *server, times float64) {
-	s.do(func(p *servermodel.Server, now time.Duration) {
+	s.withModel(func(p *servermodel.Server, now time.Duration) {
 		s.slow *= times
 		p.SetSlow(now, s.slow)
 	})
@@ -208,50 +208,50 @@
 
 func (f *Fleet) drain(s *server) {
 	up := false
-	s.do(func(p *servermodel.Server, now time.Duration) {
+	s.withModel(func(p *servermodel.Server, now time.Duration) {
 		up = p.State() == servermodel.Up
 		p.Drain(now)
 	})
 	if up {
-		f.roster.later(s.number, piernotch.Draining, f.day.Discovery.Notice)
+		f.discovery.publishAfter(s.number, piernotch.Draining, f.day.Discovery.Notice)
 	}
 }
 
-// mistake lists servers as gone that are not, or as ready again.
-func (f *Fleet) mistake(servers []int, state piernotch.State) {
+// misreport lists servers as gone that are not, or as ready again.
+func (f *Fleet) misreport(servers []int, state piernotch.State) {
 	for _, n := range servers {
 		s := f.servers[n]
 		s.mu.Lock()
-		up, born := s.phys.State() == servermodel.Up, s.phys.Started()
+		up, born := s.model.State() == servermodel.Up, s.model.Started()
 		s.mu.Unlock()
 		if up {
-			f.roster.publish(n, state, born)
+			f.discovery.publish(n, state, born)
 		}
 	}
 }
 
 func (f *Fleet) end(s *server) {
 	s.crash()
-	f.roster.later(s.number, piernotch.Gone, f.day.Discovery.Notice)
+	f.discovery.publishAfter(s.number, piernotch.Gone, f.day.Discovery.Notice)
 }
 
 func (f *Fleet) start(s *server) {
 	if err := s.start(); err != nil {
-		f.failed(err)
+		f.recordError(err)
 		return
 	}
-	f.roster.later(s.number, piernotch.Ready, f.day.Discovery.Add)
+	f.discovery.publishAfter(s.number, piernotch.Ready, f.day.Discovery.Add)
 }
 
-// joins plans a new machine like another one; with takeover at that one's address.
-func (f *Fleet) joins(like, number int, at time.Duration, takeover bool) {
+// scheduleJoin plans a new machine like another one; with takeover at that one's address.
+func (f *Fleet) scheduleJoin(like, number int, at time.Duration, takeover bool) {
 	s, err := f.add(f.day.Like(like, number))
 	if err != nil {
-		f.failed(fmt.Errorf("a server that joins: %w", err))
+		f.recordError(fmt.Errorf("a server that joins: %w", err))
 		return
 	}
-	s.phys.Crash(0)
-	f.at(at, func() {
+	s.model.Crash(0)
+	f.schedule(at, func() {
 		if takeover {
 			old := f.servers[like]
 			old.mu.Lock()
--- a/internal/lab/emulator/malformed.go
+++ b/internal/lab/emulator/malformed.go
@@ -13,23 +13,23 @@
 // How answers come spoilt: the request has run, and the connection is of no more use.
 // Odd ones are good, but bring more than belongs to them.
 const (
-	spoilNoise = iota
-	spoilEndlessHead
-	spoilShort    // fewer bytes than it said
-	spoilLength   // a length that cannot be
-	spoilHuge     // said to hold 3 GB
-	oddTwice      // a second copy right behind
-	oddNoise      // noise right behind
-	oddInterim    // 1xx answers in front
-	oddLoadReport // a load report that cannot be read
-	spoilKinds
+	malformedNoise = iota
+	malformedEndlessHead
+	malformedShortBody // fewer bytes than it said
+	malformedLength    // a length that cannot be
+	malformedHugeBody  // said to hold 3 GB
+	oddDuplicate       // a second copy right behind
+	oddNoise           // noise right behind
+	oddInterim         // 1xx answers in front
+	oddLoadReport      // a load report that cannot be read
+	malformedKinds
 )
 
-// hugeFor bounds how long an endless answer goes on.
-const hugeFor = 5 * time.Second
+// malformedDuration bounds how long an endless answer goes on.
+const malformedDuration = 5 * time.Second
 
-// spoil writes an answer in an odd or spoilt way; false ends the connection.
-func spoil(kind int, c net.Conn, fields http1.Fields, body []byte, gone <-chan struct{}) bool {
+// writeMalformed writes an answer in an odd or spoilt way; false ends the connection.
+func writeMalformed(kind int, c net.Conn, fields http1.Fields, body []byte, gone <-chan struct{}) bool {
 	good := string(http1.AppendResponse(nil, 200, fields, body))
 	say := func(text string) bool {
 		_, err := io.WriteString(c, text)
@@ -39,37 +39,37 @@
 	linger := func() bool {
 		select {
 		case <-gone:
-		case <-time.After(hugeFor):
+		case <-time.After(malformedDuration):
 		}
 		return false
 	}
 	switch kind {
-	case spoilNoise:
+	case malformedNoise:
 		say("\x00\x01 noise \xff\r\n\r\n")
 		return linger()
-	case spoilEndlessHead:
+	case malformedEndlessHead:
 		say("HTTP/1.1 200 OK\r\n")
-		for from := time.Now(); time.Since(from) < hugeFor; time.Sleep(time.Millisecond) {
+		for from := time.Now(); time.Since(from) < malformedDuration; time.Sleep(time.Millisecond) {
 			if !say(strings.Repeat("X-Filler: aaaaaaaa\r\n", 20)) {
 				return false
 			}
 		}
 		return false
-	case spoilShort:
+	case malformedShortBody:
 		say(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body)+100, body))
 		return linger()
-	case spoilLength:
+	case malformedLength:
 		say("HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n" + string(body))
 		return linger()
-	case spoilHuge:
+	case malformedHugeBody:
 		say("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
-		for from := time.Now(); time.Since(from) < hugeFor; time.Sleep(time.Millisecond) {
+		for from := time.Now(); time.Since(from) < malformedDuration; time.Sleep(time.Millisecond) {
 			if !say(strings.Repeat("x", 4096)) {
 				return false
 			}
 		}
 		return false
-	case oddTwice:
+	case oddDuplicate:
 		return say(good + good)
 	case oddNoise:
 		return say(good + "\x00\xff noise")
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -21,20 +21,20 @@
 // Observer is told what servers and roster see. Its methods may be called from any
 // goroutine, and must not call back.
 type Observer interface {
-	// Sent says that an attempt of a request has arrived whole, and gives it a number
+	// AttemptReceived says that an attempt of a request has arrived whole, and gives it a number
 	// among the request's; -1 for a request that nobody sent.
-	Sent(id string, server int) int
-	// Began says that the server took it in.
-	Began(id string, attempt int)
-	// Ran says that it has run, at least in part.
-	Ran(id string, attempt int)
-	// Over says that its connection is done with it; unrun: the answer proved that it
+	AttemptReceived(id string, server int) int
+	// AttemptAccepted says that the server took it in.
+	AttemptAccepted(id string, attempt int)
+	// AttemptExecuted says that it has run, at least in part.
+	AttemptExecuted(id string, attempt int)
+	// AttemptCompleted says that its connection is done with it; unrun: the answer proved that it
 	// never ran.
-	Over(id string, attempt int, unrun bool)
-	// Reached says that work (ms) of a request arrived at a cold server.
-	Reached(id string, server int, started time.Duration, work float64)
-	// Fell says that a cold server was pushed over.
-	Fell(server int)
+	AttemptCompleted(id string, attempt int, unrun bool)
+	// SlowStartWork says that work (ms) of a request arrived at a cold server.
+	SlowStartWork(id string, server int, started time.Duration, work float64)
+	// ServerCollapsed says that a cold server was pushed over.
+	ServerCollapsed(server int)
 }
 
 // Clock is the time of the day that is played.
@@ -47,19 +47,19 @@
 	name   string
 	spec   scenario.Server
 
-	mu      sync.Mutex
-	phys    *servermodel.Server
-	timer   *time.Timer
-	calls   map[uint64]*call
-	last    uint64
-	slow    float64
-	choked  bool
-	address string
-	listen  net.Listener
-	conns   map[net.Conn]struct{}
-	epoch   int // counts processes
-	silent  bool
-	luck    *rand.Rand
+	mu          sync.Mutex
+	model       *servermodel.Server
+	timer       *time.Timer
+	calls       map[uint64]*call
+	lastJob     uint64
+	slow        float64
+	overloaded  bool
+	address     string
+	listener    net.Listener
+	connections map[net.Conn]struct{}
+	incarnation int // counts processes
+	silent      bool
+	rng         *rand.Rand
 }
 
 // call is one request that the server holds.
@@ -74,10 +74,10 @@
 		return nil, err
 	}
 	s := &server{
-		fleet: f, number: number, name: fmt.Sprintf("s-%d", number), spec: spec, phys: phys, calls: map[uint64]*call{},
-		slow: 1, conns: map[net.Conn]struct{}{}, luck: rand.New(rand.NewPCG(seed, 7)),
+		fleet: f, number: number, name: fmt.Sprintf("s-%d", number), spec: spec, model: phys, calls: map[uint64]*call{},
+		slow: 1, connections: map[net.Conn]struct{}{}, rng: rand.New(rand.NewPCG(seed, 7)),
 	}
-	s.timer = time.AfterFunc(time.Hour, s.due)
+	s.timer = time.AfterFunc(time.Hour, s.advance)
 	s.timer.Stop()
 	return s, nil
 }
@@ -93,9 +93,9 @@
 		return fmt.Errorf("server %s: %w", s.name, err)
 	}
 	s.mu.Lock()
-	s.listen, s.address, s.silent = l, l.Addr().String(), false
-	s.epoch++
-	epoch := s.epoch
+	s.listener, s.address, s.silent = l, l.Addr().String(), false
+	s.incarnation++
+	epoch := s.incarnation
 	s.mu.Unlock()
 	go s.accept(l, epoch)
 	return nil
@@ -112,16 +112,16 @@
 			continue
 		}
 		s.mu.Lock()
-		full := s.spec.Kind.Conn.Most > 0 && len(s.conns) >= s.spec.Kind.Conn.Most
-		if full || s.epoch != epoch {
+		full := s.spec.Kind.Conn.Most > 0 && len(s.connections) >= s.spec.Kind.Conn.Most
+		if full || s.incarnation != epoch {
 			s.mu.Unlock()
 			reset(c)
 			continue
 		}
-		s.conns[c] = struct{}{}
-		s.phys.Charge(s.fleet.clock(), s.spec.Kind.Conn.Handshake)
-		s.phys.SetTable(s.fleet.clock(), len(s.conns))
-		s.arm()
+		s.connections[c] = struct{}{}
+		s.model.Charge(s.fleet.clock(), s.spec.Kind.Conn.Handshake)
+		s.model.SetTable(s.fleet.clock(), len(s.connections))
+		s.resetTimer()
 		s.mu.Unlock()
 		go s.serve(c)
 	}
@@ -135,11 +135,11 @@
 	_ = c.Close()
 }
 
-func (s *server) forget(c net.Conn) {
+func (s *server) closeConnection(c net.Conn) {
 	s.mu.Lock()
-	if _, ok := s.conns[c]; ok {
-		delete(s.conns, c)
-		s.phys.SetTable(s.fleet.clock(), len(s.conns))
+	if _, ok := s.connections[c]; ok {
+		delete(s.connections, c)
+		s.model.SetTable(s.fleet.clock(), len(s.connections))
 	}
 	s.mu.Unlock()
 	_ = c.Close()
@@ -147,7 +147,7 @@
 
 // serve answers one connection. A reader beside it notices when the other side is gone.
 func (s *server) serve(c net.Conn) {
-	defer s.forget(c)
+	defer s.closeConnection(c)
 	messages := make(chan *http1.Message)
 	gone := make(chan struct{})
 	stop := make(chan struct{})
@@ -195,9 +195,9 @@
 	}
 }
 
-// load is the X-Load header of an answer.
-func (s *server) load(now time.Duration) http1.Fields {
-	r, ok := s.phys.Report(now, s.fleet.reportsLate())
+// loadHeader is the X-Load header of an answer.
+func (s *server) loadHeader(now time.Duration) http1.Fields {
+	r, ok := s.model.Report(now, s.fleet.reportDelay())
 	if !ok {
 		return nil
 	}
@@ -214,9 +214,9 @@
 	now := s.fleet.clock()
 	if m.Path() == "/ping" || m.Path() == "/_load" {
 		s.mu.Lock()
-		s.phys.Charge(now, s.spec.Kind.ProbeWork)
-		life, fields := s.phys.State(), s.load(now)
-		s.arm()
+		s.model.Charge(now, s.spec.Kind.ProbeWork)
+		life, fields := s.model.State(), s.loadHeader(now)
+		s.resetTimer()
 		s.mu.Unlock()
 		if life == servermodel.Silent {
 			<-gone
@@ -236,48 +236,48 @@
 	if id == "" {
 		return write(c, 404, nil, nil)
 	}
-	n := s.fleet.watch.Sent(id, s.number)
+	n := s.fleet.observer.AttemptReceived(id, s.number)
 	if n < 0 {
 		return write(c, 400, nil, nil)
 	}
-	entry, cl := s.take(m, id, n, now)
+	entry, cl := s.admit(m, id, n, now)
 	switch entry {
 	case servermodel.Rejected:
 		s.mu.Lock()
-		fields := append(s.load(now), http1.Field{Name: "X-Not-Run", Value: "1"})
+		fields := append(s.loadHeader(now), http1.Field{Name: "X-Not-Run", Value: "1"})
 		s.mu.Unlock()
-		s.fleet.watch.Over(id, n, true)
+		s.fleet.observer.AttemptCompleted(id, n, true)
 		return write(c, 503, fields, nil) && !m.Close
 	case servermodel.Refused:
-		s.fleet.watch.Over(id, n, false)
+		s.fleet.observer.AttemptCompleted(id, n, false)
 		reset(c)
 		return false
 	case servermodel.Unheard:
 		<-gone
-		s.fleet.watch.Over(id, n, false)
+		s.fleet.observer.AttemptCompleted(id, n, false)
 		return false
 	}
 	select {
 	case d := <-cl.done:
-		return s.finish(c, m, id, n, d, gone)
+		return s.respond(c, m, id, n, d, gone)
 	case <-gone: // the balancer waits no longer
 		s.mu.Lock()
-		cancelled, begun, _ := s.phys.Cancel(s.fleet.clock(), cl.job)
+		cancelled, begun, _ := s.model.Cancel(s.fleet.clock(), cl.job)
 		if cancelled {
 			delete(s.calls, cl.job)
 		}
-		s.arm()
+		s.resetTimer()
 		s.mu.Unlock()
 		if begun {
-			s.fleet.watch.Ran(id, n)
+			s.fleet.observer.AttemptExecuted(id, n)
 		}
-		s.fleet.watch.Over(id, n, false)
+		s.fleet.observer.AttemptCompleted(id, n, false)
 		return false
 	}
 }
 
-// take brings a request to the physics.
-func (s *server) take(m *http1.Message, id string, n int, now time.Duration) (servermodel.Admission, *call) {
+// admit brings a request to the physics.
+func (s *server) admit(m *http1.Message, id string, n int, now time.Duration) (servermodel.Admission, *call) {
 	work, _ := strconv.ParseFloat(m.Query("w"), 64)
 	if !(work > 0 && work < 1e9) { // whoever sent it did not say: what its class takes
 		work = s.fleet.meanWork(strings.TrimPrefix(m.Path(), "/"))
@@ -289,38 +289,38 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	cold := s.phys.Cold(now)
+	cold := s.model.Cold(now)
 	if cold {
-		s.fleet.watch.Reached(id, s.number, s.phys.Started(), work)
+		s.fleet.observer.SlowStartWork(id, s.number, s.model.Started(), work)
 	}
-	s.last++
-	entry, lost := s.phys.Arrive(now, servermodel.Job{ID: s.last, Work: work, Key: key, Expires: expires, Luck: s.luck.Float64()})
-	if cold && s.phys.State() == servermodel.Collapsed {
-		s.fleet.watch.Fell(s.number)
-		s.ended(lost)
+	s.lastJob++
+	entry, lost := s.model.Arrive(now, servermodel.Job{ID: s.lastJob, Work: work, Key: key, Expires: expires, Luck: s.rng.Float64()})
+	if cold && s.model.State() == servermodel.Collapsed {
+		s.fleet.observer.ServerCollapsed(s.number)
+		s.deliver(lost)
 		s.closeAll()
 		return servermodel.Refused, nil
 	}
 	if entry != servermodel.Accepted {
 		return entry, nil
 	}
-	cl := &call{job: s.last, done: make(chan servermodel.Completion, 1)}
-	s.calls[s.last] = cl
-	s.fleet.watch.Began(id, n)
-	s.arm()
+	cl := &call{job: s.lastJob, done: make(chan servermodel.Completion, 1)}
+	s.calls[s.lastJob] = cl
+	s.fleet.observer.AttemptAccepted(id, n)
+	s.resetTimer()
 	return entry, cl
 }
 
-// finish sends the answer of a job that has ended.
-func (s *server) finish(c net.Conn, m *http1.Message, id string, n int, d servermodel.Completion, gone <-chan struct{}) bool {
+// respond sends the answer of a job that has ended.
+func (s *server) respond(c net.Conn, m *http1.Message, id string, n int, d servermodel.Completion, gone <-chan struct{}) bool {
 	if d.Started {
-		s.fleet.watch.Ran(id, n)
+		s.fleet.observer.AttemptExecuted(id, n)
 	}
 	s.mu.Lock()
-	fields := s.load(s.fleet.clock())
+	fields := s.loadHeader(s.fleet.clock())
 	s.mu.Unlock()
 	unrun := d.Ending == servermodel.Expired
-	s.fleet.watch.Over(id, n, unrun)
+	s.fleet.observer.AttemptCompleted(id, n, unrun)
 	switch d.Ending {
 	case servermodel.Reset:
 		reset(c)
@@ -333,19 +333,19 @@
 	body := []byte(s.name + " " + id)
 	s.mu.Lock()
 	kind := -1
-	if s.luck.Float64() < s.fleet.spoilt() {
-		kind = s.luck.IntN(spoilKinds)
+	if s.rng.Float64() < s.fleet.malformedProbability() {
+		kind = s.rng.IntN(malformedKinds)
 	}
 	s.mu.Unlock()
 	if kind >= 0 {
-		return spoil(kind, c, fields, body, gone) && !m.Close
+		return writeMalformed(kind, c, fields, body, gone) && !m.Close
 	}
 	return write(c, 200, fields, body) && !m.Close
 }
 
-// arm sets the timer to when the physics must be looked at. The lock is held.
-func (s *server) arm() {
-	next := s.phys.Next()
+// resetTimer sets the timer to when the physics must be looked at. The lock is held.
+func (s *server) resetTimer() {
+	next := s.model.Next()
 	if next == servermodel.Never {
 		s.timer.Stop()
 		return
@@ -353,16 +353,16 @@
 	s.timer.Reset(max(next-s.fleet.clock(), 0))
 }
 
-func (s *server) due() {
+func (s *server) advance() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended(s.phys.Advance(s.fleet.clock()))
-	s.choked = s.choked || s.phys.Choked()
-	s.arm()
+	s.deliver(s.model.Advance(s.fleet.clock()))
+	s.overloaded = s.overloaded || s.model.Choked()
+	s.resetTimer()
 }
 
-// ended hands out what the physics has ended. The lock is held.
-func (s *server) ended(dones []servermodel.Completion) {
+// deliver hands out what the physics has ended. The lock is held.
+func (s *server) deliver(dones []servermodel.Completion) {
 	for _, d := range dones {
 		if cl := s.calls[d.ID]; cl != nil {
 			delete(s.calls, d.ID)
@@ -373,13 +373,13 @@
 
 // closeAll ends the process's sockets. The lock is held.
 func (s *server) closeAll() {
-	if s.listen != nil {
-		_ = s.listen.Close()
-		s.listen = nil
+	if s.listener != nil {
+		_ = s.listener.Close()
+		s.listener = nil
 	}
-	s.epoch++
-	for c := range s.conns {
-		delete(s.conns, c)
+	s.incarnation++
+	for c := range s.connections {
+		delete(s.connections, c)
 		reset(c)
 	}
 }
@@ -388,38 +388,38 @@
 func (s *server) crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended(s.phys.Crash(s.fleet.clock()))
+	s.deliver(s.model.Crash(s.fleet.clock()))
 	s.closeAll()
-	s.arm()
+	s.resetTimer()
 }
 
-// vanish stops all answers; connections stay open and say nothing.
-func (s *server) vanish() {
+// silence stops all answers; connections stay open and say nothing.
+func (s *server) silence() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, d := range s.phys.Vanish(s.fleet.clock()) {
+	for _, d := range s.model.Vanish(s.fleet.clock()) {
 		delete(s.calls, d.ID)
 	}
 	s.silent = true
-	s.arm()
+	s.resetTimer()
 }
 
 // start begins a new process, which is cold.
 func (s *server) start() error {
 	s.mu.Lock()
-	if s.phys.State() == servermodel.Collapsed {
+	if s.model.State() == servermodel.Collapsed {
 		s.mu.Unlock()
 		return nil // it stays down
 	}
 	s.closeAll()
-	s.ended(s.phys.Start(s.fleet.clock()))
+	s.deliver(s.model.Start(s.fleet.clock()))
 	s.mu.Unlock()
 	return s.open()
 }
 
-func (s *server) do(f func(p *servermodel.Server, now time.Duration)) {
+func (s *server) withModel(f func(p *servermodel.Server, now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f(s.phys, s.fleet.clock())
-	s.arm()
+	f(s.model, s.fleet.clock())
+	s.resetTimer()
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -20,11 +20,11 @@
 
 type ends struct {
 	mu  sync.Mutex
-	how []Answer
+	how []Outcome
 }
 
-func (e *ends) Taken(string, int, int, time.Duration) {}
-func (e *ends) Ended(_ string, a Answer) {
+func (e *ends) RequestSent(string, int, int, time.Duration) {}
+func (e *ends) RequestEnded(_ string, a Outcome) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.how = append(e.how, a)
@@ -87,8 +87,8 @@
 	begun := time.Now()
 	e := &ends{}
 	clients := &Clients{
-		Day: d, Arrivals: arrivals, Watch: e, Clock: func() time.Duration { return time.Since(begun) },
-		Front: func(int, *rand.Rand) (int, string, bool) { return 0, l.Addr().String(), true },
+		Day: d, Arrivals: arrivals, Observer: e, Clock: func() time.Duration { return time.Since(begun) },
+		Pick: func(int, *rand.Rand) (int, string, bool) { return 0, l.Addr().String(), true },
 	}
 	clients.Run(context.Background())
 	return clients, e
@@ -109,7 +109,7 @@
 			require.NotEmpty(t, req.Header.Get("X-Deadline-Ms"))
 			return say(conn, req, c.status)
 		})
-		require.Equal(t, c.tries, clients.Counts().Tries, "class %d, status %d", c.class, c.status)
+		require.Equal(t, c.tries, clients.Counts().Attempts, "class %d, status %d", c.class, c.status)
 		require.Len(t, e.how, c.tries)
 	}
 }
@@ -121,14 +121,14 @@
 	})
 	require.Equal(t, 1, clients.Counts().Failed)
 	clients, _ = play(t, []simulation.Arrival{{Class: 1, Work: 1, Tries: 1, Seed: 1}}, func(net.Conn, *http.Request, int) bool { return false })
-	require.Equal(t, 1, clients.Counts().Broken)
+	require.Equal(t, 1, clients.Counts().Disconnected)
 }
 
 func TestAKeptConnectionThatIsClosedIsCrossedOnce(t *testing.T) {
 	clients, e := play(t, []simulation.Arrival{{Class: 1, Work: 1, Tries: 1, Seed: 1}, {At: 200 * time.Millisecond, Class: 1, Work: 1, Tries: 1, Seed: 2}},
 		func(c net.Conn, req *http.Request, n int) bool { return n != 2 && say(c, req, 200) })
 	require.Equal(t, 2, clients.Counts().Served)
-	require.Equal(t, []Answer{Served, Unreached, Served}, e.how)
+	require.Equal(t, []Outcome{Served, Unreachable, Served}, e.how)
 }
 
 func TestLatencyCountsFromTheDueTimeAndLoadIsOpen(t *testing.T) {
@@ -141,5 +141,5 @@
 		return say(c, req, 200)
 	})
 	require.Equal(t, 20, clients.Counts().Served, "none waits for another")
-	require.GreaterOrEqual(t, clients.Tally().Percentile(50), 300.0)
+	require.GreaterOrEqual(t, clients.Goodput().Percentile(50), 300.0)
 }
--- a/internal/lab/load/malformed.go
+++ b/internal/lab/load/malformed.go
@@ -12,18 +12,18 @@
 	"time"
 )
 
-// Rude is clients that send what is no request: each is owed an error or a close within
+// MalformedClients is clients that send what is no request: each is owed an error or a close within
 // RudePatience (LargePatience where it has a large body to send), and none may be served
 // as if its request had run.
-type Rude struct {
-	Front    Front
-	Patience time.Duration // instead of both; 0: as they are
+type MalformedClients struct {
+	Pick     PickBalancer
+	Timeout  time.Duration // instead of both; 0: as they are
 	mu       sync.Mutex
-	outcomes map[string]*RudeCount
+	outcomes map[string]*MalformedCount
 }
 
-// RudeCount is how clients of one kind fared.
-type RudeCount struct {
+// MalformedCount is how clients of one kind fared.
+type MalformedCount struct {
 	Sent     int `json:"sent"`
 	Answered int `json:"answered"` // with a 4xx or 5xx, or a close, in time
 	Served   int `json:"served"`   // with a 2xx: a broken rule
@@ -31,15 +31,15 @@
 
 // How long a rude client is owed its error in.
 const (
-	RudePatience  = 3 * time.Second
-	LargePatience = 6 * time.Second
+	MalformedTimeout = 3 * time.Second
+	LargeBodyTimeout = 6 * time.Second
 )
 
-// largeBody is what the largest of them would send.
-const largeBody = 60 << 20
+// largeBodySize is what the largest of them would send.
+const largeBodySize = 60 << 20
 
-// request is a head with an id of its own and more lines.
-func request(start string, lines ...string) []byte {
+// rawRequest is a head with an id of its own and more lines.
+func rawRequest(start string, lines ...string) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s HTTP/1.1\r\nHost: b\r\n", start)
 	for _, l := range lines {
@@ -49,9 +49,9 @@
 	return b.Bytes()
 }
 
-// rudeKinds are what they send; large ones go on sending zeros behind it. A half closes
+// malformedKinds are what they send; large ones go on sending zeros behind it. A half closes
 // its side after it; an endless head goes on with header lines.
-var rudeKinds = []struct {
+var malformedKinds = []struct {
 	name  string
 	send  func(id string) []byte
 	more  string // what goes on: body, head, or nothing
@@ -62,32 +62,34 @@
 		return []byte("GET /segment-read HTTP/1.1\r\nHost: b\r\nX-Request-Id: " + id + "\r\n")
 	}, "head", false},
 	{"length that is no number", func(id string) []byte {
-		return request("POST /pick-submit", "X-Request-Id: "+id, "Content-Length: many")
+		return rawRequest("POST /pick-submit", "X-Request-Id: "+id, "Content-Length: many")
+	}, "", false},
+	{"negative length", func(id string) []byte {
+		return rawRequest("POST /pick-submit", "X-Request-Id: "+id, "Content-Length: -5")
 	}, "", false},
-	{"negative length", func(id string) []byte { return request("POST /pick-submit", "X-Request-Id: "+id, "Content-Length: -5") }, "", false},
 	{"huge length", func(id string) []byte {
-		return request("POST /pick-submit", "X-Request-Id: "+id, "Content-Length: 99999999999999999999")
+		return rawRequest("POST /pick-submit", "X-Request-Id: "+id, "Content-Length: 99999999999999999999")
 	}, "", false},
 	{"60 MB", func(id string) []byte {
-		return request("POST /pick-submit", "X-Request-Id: "+id, "Content-Length: "+strconv.Itoa(largeBody))
+		return rawRequest("POST /pick-submit", "X-Request-Id: "+id, "Content-Length: "+strconv.Itoa(largeBodySize))
 	}, "body", false},
-	{"no such class", func(id string) []byte { return request("GET /no-such-class", "X-Request-Id: "+id) }, "", false},
+	{"no such class", func(id string) []byte { return rawRequest("GET /no-such-class", "X-Request-Id: "+id) }, "", false},
 	{"deadline that is no number", func(id string) []byte {
-		return request("GET /segment-read", "X-Request-Id: "+id, "X-Deadline-Ms: soon")
+		return rawRequest("GET /segment-read", "X-Request-Id: "+id, "X-Deadline-Ms: soon")
 	}, "", false},
-	{"no id", func(string) []byte { return request("GET /segment-read") }, "", false},
+	{"no id", func(string) []byte { return rawRequest("GET /segment-read") }, "", false},
 	{"half a request", func(id string) []byte {
 		return []byte("POST /pick-submit HTTP/1.1\r\nHost: b\r\nX-Request-Id: " + id + "\r\nContent-Length: 100\r\n\r\nhalf")
 	}, "", true},
 	{"silence", func(string) []byte { return nil }, "", false},
 	{"a request hidden in a body", func(id string) []byte {
-		hidden := string(request("POST /pick-submit", "X-Request-Id: "+id+"h", "Content-Length: 0"))
-		return append(request("POST /pick-submit", "X-Request-Id: "+id, "Content-Length: "+strconv.Itoa(len(hidden)+5), "Transfer-Encoding: chunked"), "0\r\n\r\n"+hidden...)
+		hidden := string(rawRequest("POST /pick-submit", "X-Request-Id: "+id+"h", "Content-Length: 0"))
+		return append(rawRequest("POST /pick-submit", "X-Request-Id: "+id, "Content-Length: "+strconv.Itoa(len(hidden)+5), "Transfer-Encoding: chunked"), "0\r\n\r\n"+hidden...)
 	}, "", false},
 }
 
 // Run has so many of them come a second until the context ends, and waits for the last.
-func (r *Rude) Run(ctx context.Context, perSec float64, seed uint64) {
+func (r *MalformedClients) Run(ctx context.Context, perSec float64, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -97,31 +99,31 @@
 			return
 		case <-time.After(time.Duration(rng.ExpFloat64() / perSec * float64(time.Second))):
 		}
-		_, address, ok := r.Front(0, rng)
+		_, address, ok := r.Pick(0, rng)
 		if !ok {
 			continue
 		}
-		kind := rng.IntN(len(rudeKinds))
+		kind := rng.IntN(len(malformedKinds))
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			answered, served := r.one(ctx, kind, address, fmt.Sprintf("rude-%x-%d", seed, n))
+			answered, served := r.play(ctx, kind, address, fmt.Sprintf("rude-%x-%d", seed, n))
 			if ctx.Err() == nil || answered { // one that was ended early says nothing
-				r.count(rudeKinds[kind].name, answered, served)
+				r.count(malformedKinds[kind].name, answered, served)
 			}
 		}()
 	}
 }
 
-func (r *Rude) count(kind string, answered, served bool) {
+func (r *MalformedClients) count(kind string, answered, served bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.outcomes == nil {
-		r.outcomes = map[string]*RudeCount{}
+		r.outcomes = map[string]*MalformedCount{}
 	}
 	c := r.outcomes[kind]
 	if c == nil {
-		c = &RudeCount{}
+		c = &MalformedCount{}
 		r.outcomes[kind] = c
 	}
 	c.Sent++
@@ -134,25 +136,25 @@
 }
 
 // Counts is how they fared, by kind.
-func (r *Rude) Counts() map[string]RudeCount {
+func (r *MalformedClients) Counts() map[string]MalformedCount {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := map[string]RudeCount{}
+	out := map[string]MalformedCount{}
 	for k, c := range r.outcomes {
 		out[k] = *c
 	}
 	return out
 }
 
-// one plays one rude client.
-func (r *Rude) one(ctx context.Context, kind int, address, id string) (answered, served bool) {
-	k := &rudeKinds[kind]
-	patience := RudePatience
+// play plays one rude client.
+func (r *MalformedClients) play(ctx context.Context, kind int, address, id string) (answered, served bool) {
+	k := &malformedKinds[kind]
+	patience := MalformedTimeout
 	if k.more == "body" {
-		patience = LargePatience
+		patience = LargeBodyTimeout
 	}
-	if r.Patience > 0 {
-		patience = r.Patience
+	if r.Timeout > 0 {
+		patience = r.Timeout
 	}
 	dialer := net.Dialer{Timeout: patience}
 	c, err := dialer.DialContext(ctx, "tcp", address)
@@ -172,7 +174,7 @@
 		}
 		more, left := bytes.Repeat([]byte("X-Filler: aaaaaaaaaaaaaaaa\r\n"), 64), 1<<20
 		if k.more == "body" {
-			more, left = make([]byte, 64<<10), largeBody
+			more, left = make([]byte, 64<<10), largeBodySize
 		}
 		for k.more != "" && left > 0 {
 			n, err := c.Write(more)
--- a/internal/lab/load/malformed_test.go
+++ b/internal/lab/load/malformed_test.go
@@ -39,14 +39,14 @@
 				}()
 			}
 		}()
-		r := &Rude{Patience: 200 * time.Millisecond, Front: func(int, *rand.Rand) (int, string, bool) { return 0, l.Addr().String(), true }}
-		for kind := range rudeKinds {
-			answered, served := r.one(t.Context(), kind, l.Addr().String(), "id")
-			require.Equal(t, c.served, served, "%s: %q", rudeKinds[kind].name, c.says)
-			require.Equal(t, c.answered, answered, "%s: %q", rudeKinds[kind].name, c.says)
-			r.count(rudeKinds[kind].name, answered, served)
+		r := &MalformedClients{Timeout: 200 * time.Millisecond, Pick: func(int, *rand.Rand) (int, string, bool) { return 0, l.Addr().String(), true }}
+		for kind := range malformedKinds {
+			answered, served := r.play(t.Context(), kind, l.Addr().String(), "id")
+			require.Equal(t, c.served, served, "%s: %q", malformedKinds[kind].name, c.says)
+			require.Equal(t, c.answered, answered, "%s: %q", malformedKinds[kind].name, c.says)
+			r.count(malformedKinds[kind].name, answered, served)
 		}
-		require.Len(t, r.Counts(), len(rudeKinds))
+		require.Len(t, r.Counts(), len(malformedKinds))
 		_ = l.Close()
 	}
 }
--- a/internal/lab/loadtest/faulttests.go
+++ b/internal/lab/loadtest/faulttests.go
@@ -8,79 +8,81 @@
 	"piernotch/internal/lab/simulation"
 )
 
-// Drill is one failure that matters, played alone on an ordinary day.
-type Drill struct {
-	Name string
-	What string
-	text string
+// FaultTest is one failure that matters, played alone on an ordinary day.
+type FaultTest struct {
+	Name         string
+	Description  string
+	scenarioText string
 }
 
 // DrillAt is when a drill's failure comes, s; the day is DrillLength long.
 const (
-	DrillAt     = 12
-	DrillLength = 45
+	FaultTime       = 12
+	FaultTestLength = 45
 )
 
-func balancers(n int, kind, more string) string {
-	return fmt.Sprintf("[balancers]\ncount = %d\n[[trouble]]\nkind = %q\nat_s = %d\n%s", n, kind, DrillAt, more)
+func balancerFault(n int, kind, more string) string {
+	return fmt.Sprintf("[balancers]\ncount = %d\n[[trouble]]\nkind = %q\nat_s = %d\n%s", n, kind, FaultTime, more)
 }
 
-func trouble(kind, more string) string {
-	return fmt.Sprintf("[[trouble]]\nkind = %q\nat_s = %d\n%s", kind, DrillAt, more)
+func fault(kind, more string) string {
+	return fmt.Sprintf("[[trouble]]\nkind = %q\nat_s = %d\n%s", kind, FaultTime, more)
 }
 
-// Drills are the failures that a service must get over by itself.
-func Drills() []Drill {
-	return []Drill{
+// FaultTests are the failures that a service must get over by itself.
+func FaultTests() []FaultTest {
+	return []FaultTest{
 		{"none", "nothing goes wrong", ""},
-		{"kill-1-of-2", "one of two balancers is killed, back after 3 s", balancers(2, "balancer_crash", "for_s = 3\npart = 0.5\n")},
-		{"kill-1-of-4", "one of four is killed, back after 3 s", balancers(4, "balancer_crash", "for_s = 3\npart = 0.25\n")},
-		{"kill-1-of-10", "one of ten is killed, back after 3 s", balancers(10, "balancer_crash", "for_s = 3\npart = 0.1\n")},
-		{"restart-1-of-2", "one of two is restarted, away for 2 s", balancers(2, "balancer_restart", "for_s = 2\npart = 0.5\n")},
-		{"restart-4-in-order", "four are restarted, 4 s apart", balancers(4, "balancer_restart", "for_s = 1\npart = 1\nevery_s = 4\n")},
-		{"restart-4-together", "four are restarted within one second", balancers(4, "balancer_restart", "for_s = 1\npart = 1\nevery_s = 0.3\n")},
-		{"server-crash", "an eighth of the servers crash, back cold after 3 s", trouble("crash", "for_s = 3\npart = 0.125\n")},
-		{"server-vanish", "an eighth of the servers fall silent for 12 s", trouble("vanish", "for_s = 12\npart = 0.125\n")},
-		{"server-replace", "a quarter of the servers are replaced over 8 s", trouble("replace", "for_s = 8\npart = 0.25\nramp_s = 3\n")},
+		{"kill-1-of-2", "one of two balancers is killed, back after 3 s", balancerFault(2, "balancer_crash", "for_s = 3\npart = 0.5\n")},
+		{"kill-1-of-4", "one of four is killed, back after 3 s", balancerFault(4, "balancer_crash", "for_s = 3\npart = 0.25\n")},
+		{"kill-1-of-10", "one of ten is killed, back after 3 s", balancerFault(10, "balancer_crash", "for_s = 3\npart = 0.1\n")},
+		{"restart-1-of-2", "one of two is restarted, away for 2 s", balancerFault(2, "balancer_restart", "for_s = 2\npart = 0.5\n")},
+		{"restart-4-in-order", "four are restarted, 4 s apart", balancerFault(4, "balancer_restart", "for_s = 1\npart = 1\nevery_s = 4\n")},
+		{"restart-4-together", "four are restarted within one second", balancerFault(4, "balancer_restart", "for_s = 1\npart = 1\nevery_s = 0.3\n")},
+		{"server-crash", "an eighth of the servers crash, back cold after 3 s", fault("crash", "for_s = 3\npart = 0.125\n")},
+		{"server-vanish", "an eighth of the servers fall silent for 12 s", fault("vanish", "for_s = 12\npart = 0.125\n")},
+		{"server-replace", "a quarter of the servers are replaced over 8 s", fault("replace", "for_s = 8\npart = 0.25\nramp_s = 3\n")},
 		{"server-takeover", "a quarter of the servers crash and new ones come up at their addresses",
-			trouble("takeover", "for_s = 4\npart = 0.25\nramp_s = 1\n")},
-		{"zone-crash", "all servers of a zone crash, back cold after 8 s", trouble("crash", "for_s = 8\npart = 1\nzone = \"adama\"\n")},
-		{"choke-half", "half of the servers are choked", trouble("choke", "part = 0.5\n")},
-		{"discovery-down", "discovery is down for 30 s", trouble("discovery_outage", "for_s = 30\n")},
+			fault("takeover", "for_s = 4\npart = 0.25\nramp_s = 1\n")},
+		{"zone-crash", "all servers of a zone crash, back cold after 8 s", fault("crash", "for_s = 8\npart = 1\nzone = \"adama\"\n")},
+		{"choke-half", "half of the servers are choked", fault("choke", "part = 0.5\n")},
+		{"discovery-down", "discovery is down for 30 s", fault("discovery_outage", "for_s = 30\n")},
 		{"discovery-down-in-drain", "discovery is down for 10 s while a quarter of the servers leave",
-			trouble("discovery_outage", "for_s = 10\n") + trouble("leave", "for_s = 3\npart = 0.25\nramp_s = 6\n")},
-		{"discovery-lies", "the list loses half of the fleet by mistake for 4 s", trouble("list_loss", "for_s = 4\npart = 0.5\n")},
-		{"discovery-moves", "discovery moves to another address, told by a reload", trouble("roster_move", "")},
+			fault("discovery_outage", "for_s = 10\n") + fault("leave", "for_s = 3\npart = 0.25\nramp_s = 6\n")},
+		{"discovery-lies", "the list loses half of the fleet by mistake for 4 s", fault("list_loss", "for_s = 4\npart = 0.5\n")},
+		{"discovery-moves", "discovery moves to another address, told by a reload", fault("roster_move", "")},
 	}
 }
 
 // Scenario is the drill as something that model and rehearsal play.
-func (d Drill) Scenario() (*scenario.Scenario, error) { return d.parse("drill "+d.Name, d.text) }
+func (d FaultTest) Scenario() (*scenario.Scenario, error) {
+	return d.parse("drill "+d.Name, d.scenarioText)
+}
 
 // Control is the same day without the failure: the same servers and traffic for a seed.
 // Drills with equal control texts have equal controls.
-func (d Drill) Control() (s *scenario.Scenario, text string, err error) {
-	text, _, _ = strings.Cut(d.text, "[[trouble]]")
+func (d FaultTest) Control() (s *scenario.Scenario, text string, err error) {
+	text, _, _ = strings.Cut(d.scenarioText, "[[trouble]]")
 	s, err = d.parse("control", text)
 	return s, text, err
 }
 
-func (d Drill) parse(name, text string) (*scenario.Scenario, error) {
-	head := fmt.Sprintf("name = %q\nabout = %q\ninclude = \"base\"\nlength_s = %d\n[traffic]\nload = 0.6\nshape = \"steady\"\n", name, d.What, DrillLength)
+func (d FaultTest) parse(name, text string) (*scenario.Scenario, error) {
+	head := fmt.Sprintf("name = %q\nabout = %q\ninclude = \"base\"\nlength_s = %d\n[traffic]\nload = 0.6\nshape = \"steady\"\n", name, d.Description, FaultTestLength)
 	return scenario.Parse(name, []byte(head+text))
 }
 
 // Recovery is how a day went from the moment of its failure on, against its control.
 type Recovery struct {
-	Whole   float64 // worth served in time, as a share of the control's
-	Lowest  float64 // the same over the worst 3 s
-	Back    float64 // s until the last 3 s with less than 95% of the control's were over; 0: there were none
-	Refused float64 // share of the tries that were refused
-	Failed  float64 // and that failed, or found no balancer
+	Served         float64 // worth served in time, as a share of the control's
+	Worst          float64 // the same over the worst 3 s
+	RecoveredAfter float64 // s until the last 3 s with less than 95% of the control's were over; 0: there were none
+	Rejected       float64 // share of the tries that were refused
+	Failed         float64 // and that failed, or found no balancer
 }
 
-// Recover measures a day whose failure came at a second. Both days are of one seed.
-func Recover(r, control *simulation.Result, at int) Recovery {
+// MeasureRecovery measures a day whose failure came at a second. Both days are of one seed.
+func MeasureRecovery(r, control *simulation.Result, at int) Recovery {
 	n := min(len(r.Seconds), len(control.Seconds))
 	ratio := func(from, to int) float64 {
 		got, want := 0.0, 0.0
@@ -93,12 +95,12 @@
 		return got / want
 	}
 	const span = 3 // s: a single one holds few requests
-	out := Recovery{Whole: ratio(at, n), Lowest: 1}
+	out := Recovery{Served: ratio(at, n), Worst: 1}
 	for s := at; s+span <= n; s++ {
 		share := ratio(s, s+span)
-		out.Lowest = min(out.Lowest, share)
+		out.Worst = min(out.Worst, share)
 		if share < 0.95 {
-			out.Back = float64(s + span - at)
+			out.RecoveredAfter = float64(s + span - at)
 		}
 	}
 	refused, failed, tries := 0, 0, 0
@@ -106,7 +108,7 @@
 		refused, failed, tries = refused+s.Refuse, failed+s.Fail, tries+s.Tries
 	}
 	if tries > 0 {
-		out.Refused, out.Failed = float64(refused)/float64(tries), float64(failed)/float64(tries)
+		out.Rejected, out.Failed = float64(refused)/float64(tries), float64(failed)/float64(tries)
 	}
 	return out
 }
--- a/internal/lab/loadtest/handover.go
+++ b/internal/lab/loadtest/handover.go
@@ -18,69 +18,69 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// Way is how a hand-over goes.
-type Way string
+// HandoverKind is how a hand-over goes.
+type HandoverKind string
 
 // The ways. Each ends with one process of the balancer.
 const (
-	WayPlain      Way = "plain"       // the old process is told to end once the new one says yes
-	WayLate       Way = "late"        // up to six seconds after that
-	WayDiesEarly  Way = "dies-early"  // the new one is killed before its yes
-	WayDiesLate   Way = "dies-late"   // and after it, before the old one is told to end
-	WayBothReload Way = "both-reload" // both get a SIGHUP meanwhile
-	WayTooSoon    Way = "too-soon"    // the old one is told to end while the new one starts
-	WayThird      Way = "third"       // a third is started beside the two
-	WayExclude    Way = "exclude"     // a server is left out at either process meanwhile, and put back
-	WayDrain      Way = "drain"       // clients are sent away and taken again meanwhile
+	HandoverPlain            HandoverKind = "plain"       // the old process is told to end once the new one says yes
+	HandoverLateStop         HandoverKind = "late"        // up to six seconds after that
+	HandoverCrashBeforeReady HandoverKind = "dies-early"  // the new one is killed before its yes
+	HandoverCrashAfterReady  HandoverKind = "dies-late"   // and after it, before the old one is told to end
+	HandoverBothReload       HandoverKind = "both-reload" // both get a SIGHUP meanwhile
+	HandoverStopBeforeReady  HandoverKind = "too-soon"    // the old one is told to end while the new one starts
+	HandoverThirdProcess     HandoverKind = "third"       // a third is started beside the two
+	HandoverExclude          HandoverKind = "exclude"     // a server is left out at either process meanwhile, and put back
+	HandoverDrain            HandoverKind = "drain"       // clients are sent away and taken again meanwhile
 )
 
-// Ways are all of them.
-var Ways = []Way{WayPlain, WayLate, WayDiesEarly, WayDiesLate, WayBothReload, WayTooSoon, WayThird, WayExclude, WayDrain}
+// HandoverKinds are all of them.
+var HandoverKinds = []HandoverKind{HandoverPlain, HandoverLateStop, HandoverCrashBeforeReady, HandoverCrashAfterReady, HandoverBothReload, HandoverStopBeforeReady, HandoverThirdProcess, HandoverExclude, HandoverDrain}
 
-// HandOver is one of a balancer's hand-overs in a day.
-type HandOver struct {
-	At       time.Duration
-	Balancer int
-	Way      Way
-	Wait     time.Duration // until the old process is told to end, where it is late
+// Handover is one of a balancer's hand-overs in a day.
+type Handover struct {
+	At        time.Duration
+	Balancer  int
+	Kind      HandoverKind
+	StopDelay time.Duration // until the old process is told to end, where it is late
 }
 
-// DrawHandOvers spreads n hand-overs over the balancers of a day, one after the other at each,
+// DrawHandovers spreads n hand-overs over the balancers of a day, one after the other at each,
 // every way as often as the others.
-func DrawHandOvers(day *scenario.Day, n int) []HandOver {
+func DrawHandovers(day *scenario.Day, n int) []Handover {
 	rng := rand.New(rand.NewPCG(day.Seed, 23))
-	all := make([]HandOver, n)
+	all := make([]Handover, n)
 	for i := range all {
-		all[i] = HandOver{Balancer: i % len(day.Balancers), Way: Ways[i%len(Ways)], Wait: time.Duration(rng.Int64N(int64(maxWait)))}
+		all[i] = Handover{Balancer: i % len(day.Balancers), Kind: HandoverKinds[i%len(HandoverKinds)], StopDelay: time.Duration(rng.Int64N(int64(maxStopDelay)))}
 	}
-	rng.Shuffle(n, func(i, j int) { all[i].Way, all[j].Way = all[j].Way, all[i].Way })
+	rng.Shuffle(n, func(i, j int) { all[i].Kind, all[j].Kind = all[j].Kind, all[i].Kind })
 	for i := range all {
-		all[i].At = HandOverLead + time.Duration(i)*HandOverEvery/time.Duration(len(day.Balancers))
+		all[i].At = HandoverLeadTime + time.Duration(i)*HandoverInterval/time.Duration(len(day.Balancers))
 	}
 	return all
 }
 
 const (
-	maxWait = 6 * time.Second
-	// HandOverEvery is the time from one hand-over of a balancer to its next, which covers the
+	maxStopDelay = 6 * time.Second
+	// HandoverInterval is the time from one hand-over of a balancer to its next, which covers the
 	// longest, and HandOverLead that before the first.
-	HandOverEvery = maxWait + 8*time.Second
-	HandOverLead  = 2 * time.Second
-	// yesWithin is how long a new process may take to say yes.
-	yesWithin = 5 * time.Second
-	// killOnTop is how long after the longest deadline of a class a process that was told to end
+	HandoverInterval = maxStopDelay + 8*time.Second
+	HandoverLeadTime = 2 * time.Second
+	// readyTimeout is how long a new process may take to say yes.
+	readyTimeout = 5 * time.Second
+	// killGrace is how long after the longest deadline of a class a process that was told to end
 	// is killed.
-	killOnTop = 700 * time.Millisecond
+	killGrace = 700 * time.Millisecond
 )
 
-// door is the listening socket that all processes of a balancer inherit, and the directory
+// listener is the listening socket that all processes of a balancer inherit, and the directory
 // that they share.
-type door struct {
-	file *os.File
-	temp string
+type listener struct {
+	file    *os.File
+	tempDir string
 }
 
-func (p *process) openDoor() error {
+func (p *process) openListener() error {
 	l, err := net.Listen("tcp", p.address)
 	if err != nil {
 		return err
@@ -90,41 +90,41 @@
 	if err != nil {
 		return err
 	}
-	p.door = &door{file: f, temp: fmt.Sprintf("%s/tmp-n%d", p.dir, p.number)}
-	return os.MkdirAll(p.door.temp, 0o700)
+	p.listener = &listener{file: f, tempDir: fmt.Sprintf("%s/tmp-n%d", p.dir, p.number)}
+	return os.MkdirAll(p.listener.tempDir, 0o700)
 }
 
-// environment is what a process of this balancer is told, the operators' address included.
-func (p *process) environment() (env []string, management string, err error) {
+// commandEnvironment is what a process of this balancer is told, the operators' address included.
+func (p *process) commandEnvironment() (env []string, management string, err error) {
 	env = append(append(os.Environ(), p.env...), "ROUTER_CONFIG="+p.config, "PIERNOTCH_CONFIG=", "ROUTER_LISTEN_FD=", "ROUTER_MANAGEMENT=")
-	if p.door == nil {
+	if p.listener == nil {
 		return env, "", nil
 	}
 	management, err = faultproxy.Free()
-	return append(env, "ROUTER_LISTEN_FD=3", "TMPDIR="+p.door.temp, "ROUTER_MANAGEMENT="+management), management, err
+	return append(env, "ROUTER_LISTEN_FD=3", "TMPDIR="+p.listener.tempDir, "ROUTER_MANAGEMENT="+management), management, err
 }
 
-// Handed counts what came of the hand-overs.
-type Handed struct {
-	mu     sync.Mutex
-	Done   map[Way]int   `json:"done"`
-	Slow   time.Duration `json:"slowest_yes_ns"`
-	Wrong  []string      `json:"wrong,omitempty"` // calls answered late or otherwise than they should be
-	Ended  int           `json:"ended"`           // processes that ended in order
-	Killed int           `json:"killed"`          // and that had to be killed after their time
-	Back   int           `json:"turned_back"`     // requests turned back unheard, but for those by killed processes
+// HandoverReport counts what came of the hand-overs.
+type HandoverReport struct {
+	mu                 sync.Mutex
+	Done               map[HandoverKind]int `json:"done"`
+	SlowestReady       time.Duration        `json:"slowest_yes_ns"`
+	Problems           []string             `json:"wrong,omitempty"` // calls answered late or otherwise than they should be
+	Exited             int                  `json:"ended"`           // processes that ended in order
+	Killed             int                  `json:"killed"`          // and that had to be killed after their time
+	ClosedUnderRequest int                  `json:"turned_back"`     // requests turned back unheard, but for those by killed processes
 }
 
-func (h *Handed) wrong(format string, args ...any) {
+func (h *HandoverReport) addProblem(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.Wrong = append(h.Wrong, fmt.Sprintf(format, args...))
+	h.Problems = append(h.Problems, fmt.Sprintf(format, args...))
 }
 
-// handOver plays one hand-over of a balancer.
-func (r *rig) handOver(ctx context.Context, p *process, h HandOver) error {
-	p.handing.Lock() // one after the other
-	defer p.handing.Unlock()
+// playHandover plays one hand-over of a balancer.
+func (r *environment) playHandover(ctx context.Context, p *process, h Handover) error {
+	p.handover.Lock() // one after the other
+	defer p.handover.Unlock()
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -133,128 +133,128 @@
 	if err != nil {
 		return err
 	}
-	switch h.Way {
-	case WayDiesEarly:
+	switch h.Kind {
+	case HandoverCrashBeforeReady:
 		_ = next.cmd.Process.Kill()
-		<-next.done
-		return r.handed(h, p, old)
-	case WayTooSoon:
-		p.retire(old, next)
+		<-next.exited
+		return r.finishHandover(h, p, old)
+	case HandoverStopBeforeReady:
+		p.handTo(old, next)
 	}
 	begun := time.Now()
-	if err := next.yes(ctx, yesWithin); err != nil {
-		return fmt.Errorf("balancer %d, hand-over %s at %v: %w%s", p.number, h.Way, h.At, err, p.lastLines())
+	if err := next.awaitReady(ctx, readyTimeout); err != nil {
+		return fmt.Errorf("balancer %d, hand-over %s at %v: %w%s", p.number, h.Kind, h.At, err, p.lastLines())
 	}
-	r.hand.mu.Lock()
-	r.hand.Slow = max(r.hand.Slow, time.Since(begun))
-	r.hand.mu.Unlock()
-	switch h.Way {
-	case WayLate:
-		sleep(ctx, h.Wait)
-	case WayDiesLate:
-		sleep(ctx, h.Wait/3)
-		r.judge.Killed(p.number) // what the new one holds is gone with it
+	r.handovers.mu.Lock()
+	r.handovers.SlowestReady = max(r.handovers.SlowestReady, time.Since(begun))
+	r.handovers.mu.Unlock()
+	switch h.Kind {
+	case HandoverLateStop:
+		sleep(ctx, h.StopDelay)
+	case HandoverCrashAfterReady:
+		sleep(ctx, h.StopDelay/3)
+		r.observer.BalancerKilled(p.number) // what the new one holds is gone with it
 		_ = next.cmd.Process.Kill()
-		<-next.done
+		<-next.exited
 		sleep(ctx, 1200*time.Millisecond) // clients have no connection of it any more
-		r.judge.Revived(p.number)
-		return r.handed(h, p, old)
-	case WayBothReload:
+		r.observer.BalancerRecovered(p.number)
+		return r.finishHandover(h, p, old)
+	case HandoverBothReload:
 		_ = old.cmd.Process.Signal(syscall.SIGHUP)
 		_ = next.cmd.Process.Signal(syscall.SIGHUP)
 		sleep(ctx, 100*time.Millisecond)
-	case WayThird:
+	case HandoverThirdProcess:
 		third, err := p.spawn()
 		if err != nil {
 			return err
 		}
-		if err := third.yes(ctx, yesWithin); err != nil {
+		if err := third.awaitReady(ctx, readyTimeout); err != nil {
 			return fmt.Errorf("balancer %d, third process: %w%s", p.number, err, p.lastLines())
 		}
-		p.retire(next, third)
-		r.finish(next)
+		p.handTo(next, third)
+		r.awaitExit(next)
 		next = third
-	case WayExclude:
-		r.exclude(ctx, p, old, next)
-	case WayDrain:
-		r.drain(ctx, p, old, next)
+	case HandoverExclude:
+		r.excludeServer(ctx, p, old, next)
+	case HandoverDrain:
+		r.drainBalancer(ctx, p, old, next)
 	}
-	p.retire(old, next)
-	r.finish(old)
-	return r.handed(h, p, next)
+	p.handTo(old, next)
+	r.awaitExit(old)
+	return r.finishHandover(h, p, next)
 }
 
-// handed notes that a hand-over has come to its end, with one process left.
-func (r *rig) handed(h HandOver, p *process, left *run) error {
+// finishHandover notes that a hand-over has come to its end, with one process left.
+func (r *environment) finishHandover(h Handover, p *process, left *instance) error {
 	p.mu.Lock()
-	p.run = left
+	p.instance = left
 	p.mu.Unlock()
-	r.hand.mu.Lock()
-	defer r.hand.mu.Unlock()
-	r.hand.Done[h.Way]++
+	r.handovers.mu.Lock()
+	defer r.handovers.mu.Unlock()
+	r.handovers.Done[h.Kind]++
 	return nil
 }
 
-// retire tells a process to end in another's favour.
-func (p *process) retire(old, next *run) {
+// handTo tells a process to end in another's favour.
+func (p *process) handTo(old, next *instance) {
 	p.mu.Lock()
-	p.run, old.told = next, true
+	p.instance, old.stopping = next, true
 	p.mu.Unlock()
 	_ = old.cmd.Process.Signal(syscall.SIGTERM)
 }
 
-// finish waits for a process that was told to end, as long as the platform does.
-func (r *rig) finish(old *run) {
+// awaitExit waits for a process that was told to end, as long as the platform does.
+func (r *environment) awaitExit(old *instance) {
 	longest := 3 * time.Second
 	for _, c := range r.day.Classes {
 		longest = max(longest, c.Deadline)
 	}
 	select {
-	case <-old.done:
-		r.hand.mu.Lock()
-		r.hand.Ended++
-		r.hand.mu.Unlock()
-	case <-time.After(longest + killOnTop):
-		r.hand.mu.Lock()
-		r.hand.Killed++
-		r.hand.mu.Unlock()
+	case <-old.exited:
+		r.handovers.mu.Lock()
+		r.handovers.Exited++
+		r.handovers.mu.Unlock()
+	case <-time.After(longest + killGrace):
+		r.handovers.mu.Lock()
+		r.handovers.Killed++
+		r.handovers.mu.Unlock()
 		_ = old.cmd.Process.Kill()
-		<-old.done
+		<-old.exited
 	}
 }
 
-// exclude has a server left out at one process and put back at the other. The judge holds the
+// excludeServer has a server left out at one process and put back at the other. The judge holds the
 // rule on drains against it meanwhile, and sees that neither takes a name that nobody has.
-func (r *rig) exclude(ctx context.Context, p *process, old, next *run) {
-	server, name, ok := r.fleet.Roster().Ready()
+func (r *environment) excludeServer(ctx context.Context, p *process, old, next *instance) {
+	server, name, ok := r.fleet.Discovery().ReadyServer()
 	if !ok {
 		return
 	}
-	r.expect(ctx, old, 200, "POST", "/api/exclude", name)
-	r.judge.Told(p.number, server, piernotch.Draining, 0)
-	r.expect(ctx, next, 200, "POST", "/api/exclude", name)
-	r.expect(ctx, next, 404, "POST", "/api/exclude", "s-nobody")
+	r.expectStatus(ctx, old, 200, "POST", "/api/exclude", name)
+	r.observer.EndpointNotified(p.number, server, piernotch.Draining, 0)
+	r.expectStatus(ctx, next, 200, "POST", "/api/exclude", name)
+	r.expectStatus(ctx, next, 404, "POST", "/api/exclude", "s-nobody")
 	sleep(ctx, r.day.Rules.Grace+time.Second)
-	r.judge.Told(p.number, server, piernotch.Ready, 0)
-	r.expect(ctx, next, 200, "POST", "/api/include", name)
+	r.observer.EndpointNotified(p.number, server, piernotch.Ready, 0)
+	r.expectStatus(ctx, next, 200, "POST", "/api/include", name)
 }
 
-// drain has clients sent away at one process and taken again at the other.
-func (r *rig) drain(ctx context.Context, p *process, old, next *run) {
-	r.expect(ctx, old, 200, "POST", "/api/evacuate", "")
+// drainBalancer has clients sent away at one process and taken again at the other.
+func (r *environment) drainBalancer(ctx context.Context, p *process, old, next *instance) {
+	r.expectStatus(ctx, old, 200, "POST", "/api/evacuate", "")
 	sleep(ctx, 150*time.Millisecond)
-	if status := health(p.address); status == 200 {
-		r.hand.wrong("/_health says yes 150 ms after a drain")
+	if status := healthStatus(p.address); status == 200 {
+		r.handovers.addProblem("/_health says yes 150 ms after a drain")
 	}
 	sleep(ctx, time.Second)
-	r.expect(ctx, next, 200, "POST", "/api/rejoin", "")
+	r.expectStatus(ctx, next, 200, "POST", "/api/rejoin", "")
 	sleep(ctx, 150*time.Millisecond)
-	if status := health(p.address); status != 200 {
-		r.hand.wrong("/_health says %d 150 ms after a drain ended", status)
+	if status := healthStatus(p.address); status != 200 {
+		r.handovers.addProblem("/_health says %d 150 ms after a drain ended", status)
 	}
 }
 
-func health(address string) int {
+func healthStatus(address string) int {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + address + "/_health")
 	if err != nil {
@@ -264,20 +264,20 @@
 	return resp.StatusCode
 }
 
-// expect makes a call that is owed an answer within a second.
-func (r *rig) expect(ctx context.Context, to *run, status int, method, path, name string) {
-	got, err := to.call(method, path, name)
+// expectStatus makes a call that is owed an answer within a second.
+func (r *environment) expectStatus(ctx context.Context, to *instance, status int, method, path, name string) {
+	got, err := to.callAdmin(method, path, name)
 	if (err != nil || got != status) && ctx.Err() == nil {
-		r.hand.wrong("%s %s %q: status %d, %v; %d is expected", method, path, name, got, err, status)
+		r.handovers.addProblem("%s %s %q: status %d, %v; %d is expected", method, path, name, got, err, status)
 	}
 }
 
-func (u *run) call(method, path, name string) (int, error) {
+func (u *instance) callAdmin(method, path, name string) (int, error) {
 	var body []byte
 	if name != "" {
 		body, _ = json.Marshal(map[string]string{"name": name})
 	}
-	req, err := http.NewRequest(method, "http://"+u.management+path, bytes.NewReader(body))
+	req, err := http.NewRequest(method, "http://"+u.adminAddress+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, err
 	}
@@ -288,14 +288,14 @@
 	return resp.StatusCode, resp.Body.Close()
 }
 
-// yes waits for a process to say that it can serve.
-func (u *run) yes(ctx context.Context, most time.Duration) error {
+// awaitReady waits for a process to say that it can serve.
+func (u *instance) awaitReady(ctx context.Context, most time.Duration) error {
 	for end := time.Now().Add(most); time.Now().Before(end); {
-		if status, err := u.call("GET", "/api/ready", ""); err == nil && status == 200 {
+		if status, err := u.callAdmin("GET", "/api/ready", ""); err == nil && status == 200 {
 			return nil
 		}
 		select {
-		case <-u.done:
+		case <-u.exited:
 			return fmt.Errorf("the new process has ended")
 		case <-ctx.Done():
 			return ctx.Err()
--- a/internal/lab/loadtest/loadtest.go
+++ b/internal/lab/loadtest/loadtest.go
@@ -27,13 +27,13 @@
 	MemoryMB int      // of each balancer; 0: 192
 	Sockets  int      // of each balancer; 0: 1024
 	Env      []string // of the balancers, on top of this program's own
-	// HandOvers are played, too: then each balancer's socket is held by the rig, and inherited.
-	HandOvers []HandOver
-	// Voter is the program of three voters, by which the balancers share one watch of discovery.
-	Voter string
+	// Handovers are played, too: then each balancer's socket is held by the rig, and inherited.
+	Handovers []Handover
+	// VoterProgram is the program of three voters, by which the balancers share one watch of discovery.
+	VoterProgram string
 	// Faults are played between the processes; then every link of a balancer goes through a relay.
 	Faults []chaos.Step
-	Logs   string // directory for configurations and logs; none: one that is removed
+	LogDir string // directory for configurations and logs; none: one that is removed
 }
 
 // Quarter is what a balancer used in a quarter of the day.
@@ -53,37 +53,37 @@
 	CPUPerAnswer float64     `json:"cpu_us_per_request"`
 	Balancers    [][]Quarter `json:"balancers"`
 
-	ListCalls int `json:"list_calls"` // to the roster
+	DiscoveryCalls int `json:"list_calls"` // to the roster
 
-	Handed *Handed `json:"handed,omitempty"` // what came of the hand-overs
+	Handovers *HandoverReport `json:"handed,omitempty"` // what came of the hand-overs
 
-	Rude map[string]load.RudeCount `json:"rude,omitempty"` // by what they sent
+	Malformed map[string]load.MalformedCount `json:"rude,omitempty"` // by what they sent
 }
 
-// mostLate is the rig's own lateness at the 99th percentile that voids a run.
-const mostLate = 50 * time.Millisecond
+// maxLateness is the rig's own lateness at the 99th percentile that voids a run.
+const maxLateness = 50 * time.Millisecond
 
-// rig is a rehearsal that runs.
-type rig struct {
-	day    *scenario.Day
-	begun  atomic.Pointer[time.Time] // when the day began; nil: not yet
-	judge  *Judge
-	fleet  *emulator.Fleet
-	procs  []*process
-	limits limits
-	rude   load.Rude
-	hand   *Handed
-	over   sync.WaitGroup  // hand-overs and faults that go on
-	net    *faultproxy.Net // nil: nothing stands between the processes
-	shared *shared         // nil: each balancer asks discovery itself
-	ended  atomic.Bool
-	mu     sync.Mutex
-	err    error
+// environment is a rehearsal that runs.
+type environment struct {
+	day         *scenario.Day
+	started     atomic.Pointer[time.Time] // when the day began; nil: not yet
+	observer    *Observer
+	fleet       *emulator.Fleet
+	balancers   []*process
+	limits      limits
+	malformed   load.MalformedClients
+	handovers   *HandoverReport
+	background  sync.WaitGroup  // hand-overs and faults that go on
+	proxies     *faultproxy.Net // nil: nothing stands between the processes
+	sharedWatch *sharedWatch    // nil: each balancer asks discovery itself
+	stopped     atomic.Bool
+	mu          sync.Mutex
+	err         error
 }
 
 // clock is the time of the day, which begins once all balancers are ready.
-func (r *rig) clock() time.Duration {
-	if t := r.begun.Load(); t != nil {
+func (r *environment) clock() time.Duration {
+	if t := r.started.Load(); t != nil {
 		return time.Since(*t)
 	}
 	return 0
@@ -98,89 +98,89 @@
 	if opts.Sockets == 0 {
 		opts.Sockets = 1024
 	}
-	if opts.Logs == "" {
+	if opts.LogDir == "" {
 		dir, err := os.MkdirTemp("", "rehearsal")
 		if err != nil {
 			return nil, err
 		}
 		defer os.RemoveAll(dir)
-		opts.Logs = dir
-	} else if err := os.MkdirAll(opts.Logs, 0o755); err != nil {
+		opts.LogDir = dir
+	} else if err := os.MkdirAll(opts.LogDir, 0o755); err != nil {
 		return nil, err
 	}
 	arrivals, err := simulation.Arrivals(day)
 	if err != nil {
 		return nil, err
 	}
-	r := &rig{day: day, limits: limits{1, opts.MemoryMB, opts.Sockets}, hand: &Handed{Done: map[Way]int{}}}
+	r := &environment{day: day, limits: limits{1, opts.MemoryMB, opts.Sockets}, handovers: &HandoverReport{Done: map[HandoverKind]int{}}}
 	where := func(of func(scenario.Server) int) func(int) int {
 		return func(i int) int { return of(r.fleet.Spec(i)) }
 	}
-	r.judge = NewJudge(day, r.clock, where(func(s scenario.Server) int { return s.Zone }), where(func(s scenario.Server) int { return s.Cell }))
-	if r.fleet, err = emulator.New(day, len(day.Balancers), r.clock, r.judge, r.told); err != nil {
+	r.observer = NewObserver(day, r.clock, where(func(s scenario.Server) int { return s.Zone }), where(func(s scenario.Server) int { return s.Cell }))
+	if r.fleet, err = emulator.New(day, len(day.Balancers), r.clock, r.observer, r.endpointNotified); err != nil {
 		return nil, err
 	}
 	defer r.fleet.Close()
-	if opts.Voter != "" {
-		if r.shared, err = share(opts, len(day.Balancers)); err != nil {
+	if opts.VoterProgram != "" {
+		if r.sharedWatch, err = startSharedWatch(opts, len(day.Balancers)); err != nil {
 			return nil, err
 		}
-		defer r.shared.end()
+		defer r.sharedWatch.stop()
 	}
 	if slices.ContainsFunc(opts.Faults, func(s chaos.Step) bool { return s.Action == chaos.FaultLink || s.Action == chaos.FlapLink }) {
-		if r.shared != nil {
+		if r.sharedWatch != nil {
 			return nil, errors.New("balancers that share a list reach servers at the same addresses: no faults of links can be played")
 		}
-		r.net = faultproxy.New(day.Seed)
-		r.judge.cross = crossingLinks
-		r.fleet.Roster().Through = r.through
-		defer r.net.Close()
+		r.proxies = faultproxy.New(day.Seed)
+		r.observer.crossingTime = crossingTimeWithProxies
+		r.fleet.Discovery().ServerAddress = r.routeThroughProxy
+		defer r.proxies.Close()
 	}
-	defer r.end()
-	defer r.ended.Store(true)
+	defer r.stopBalancers()
+	defer r.stopped.Store(true)
 	for i := range day.Balancers {
 		p, err := newProcess(opts, i, day)
 		if err != nil {
 			return nil, err
 		}
-		r.procs = append(r.procs, p)
-		if r.shared != nil {
-			p.args = []string{"serve", "--group", r.shared.files[i]}
+		r.balancers = append(r.balancers, p)
+		if r.sharedWatch != nil {
+			p.args = []string{"serve", "--group", r.sharedWatch.groupFiles[i]}
 		}
-		if len(opts.HandOvers) > 0 {
-			if err := p.openDoor(); err != nil {
+		if len(opts.Handovers) > 0 {
+			if err := p.openListener(); err != nil {
 				return nil, err
 			}
-			defer p.door.file.Close()
+			defer p.listener.file.Close()
 		}
 		if err := r.launch(ctx, p); err != nil {
 			return nil, err
 		}
 	}
 	now := time.Now()
-	r.begun.Store(&now)
-	clients := &load.Clients{Day: day, Arrivals: arrivals, Watch: r.judge, Front: r.front, Clock: r.clock}
+	r.started.Store(&now)
+	clients := &load.Clients{Day: day, Arrivals: arrivals, Observer: r.observer, Pick: r.pickBalancer, Clock: r.clock}
 	r.fleet.Play(ctx)
-	r.script(ctx)
-	r.faults(ctx, opts.Faults)
-	for _, h := range opts.HandOvers {
-		r.over.Go(func() {
+	r.scheduleIncidents(ctx)
+	r.scheduleFaults(ctx, opts.Faults)
+	for _, h := range opts.Handovers {
+		r.background.Go(func() {
 			sleep(ctx, h.At-r.clock())
-			if err := r.handOver(ctx, r.procs[h.Balancer], h); err != nil && ctx.Err() == nil {
-				r.failed(err)
+			if err := r.playHandover(ctx, r.balancers[h.Balancer], h); err != nil && ctx.Err() == nil {
+				r.recordError(err)
 			}
 		})
 	}
 	quarters := make(chan [][]Quarter)
 	stop := make(chan struct{})
-	go func() { quarters <- r.sample(stop) }()
+	go func() { quarters <- r.sampleUsage(stop) }()
 	clients.Run(ctx)
-	r.over.Wait()
+	r.background.Wait()
 	close(stop)
-	report := r.report(clients, <-quarters)
-	report.Rude, report.ListCalls = r.rude.Counts(), r.fleet.Roster().Calls()
-	if len(opts.HandOvers) > 0 {
-		report.Handed, r.hand.Back = r.hand, r.judge.TurnedBack()
+	report := r.buildReport(clients, <-quarters)
+	report.Malformed, report.DiscoveryCalls = r.malformed.Counts(), r.fleet.Discovery().Calls()
+	if len(opts.Handovers) > 0 {
+		report.Handovers, r.handovers.ClosedUnderRequest = r.handovers, r.observer.ClosedUnderRequest()
 	}
 	if r.err == nil {
 		r.err = r.fleet.Err()
@@ -189,27 +189,27 @@
 }
 
 // launch configures and starts a balancer, and has the front use it.
-func (r *rig) launch(ctx context.Context, p *process) error {
-	roster := r.fleet.Roster()
-	if err := p.configure(r.day, r.through(p.number, chaos.Discovery, roster.Address(p.number)), roster.Known(p.number), r.limits); err != nil {
+func (r *environment) launch(ctx context.Context, p *process) error {
+	roster := r.fleet.Discovery()
+	if err := p.configure(r.day, r.routeThroughProxy(p.number, chaos.Discovery, roster.Address(p.number)), roster.EndpointList(p.number), r.limits); err != nil {
 		return err
 	}
-	r.judge.Restarted(p.number)
+	r.observer.BalancerRestarted(p.number)
 	if err := p.start(ctx); err != nil {
 		return err
 	}
 	p.mu.Lock()
-	p.front = true
+	p.routed = true
 	p.mu.Unlock()
 	return nil
 }
 
-// front is one of the zone's balancers by chance, or of any zone where it has none.
-func (r *rig) front(zone int, rng *rand.Rand) (int, string, bool) {
+// pickBalancer is one of the zone's balancers by chance, or of any zone where it has none.
+func (r *environment) pickBalancer(zone int, rng *rand.Rand) (int, string, bool) {
 	var own, all []*process
-	for _, p := range r.procs {
+	for _, p := range r.balancers {
 		p.mu.Lock()
-		if p.front {
+		if p.routed {
 			all = append(all, p)
 			if p.zone == zone {
 				own = append(own, p)
@@ -227,7 +227,7 @@
 	return p.number, p.address, true
 }
 
-func (r *rig) failed(err error) {
+func (r *environment) recordError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.err == nil {
@@ -235,8 +235,8 @@
 	}
 }
 
-// script plays what goes wrong with balancers.
-func (r *rig) script(ctx context.Context) {
+// scheduleIncidents plays what goes wrong with balancers.
+func (r *environment) scheduleIncidents(ctx context.Context) {
 	at := func(t time.Duration, do func()) {
 		time.AfterFunc(max(t-r.clock(), 0), func() {
 			if ctx.Err() == nil && r.clock() < r.day.Length {
@@ -244,15 +244,15 @@
 			}
 		})
 	}
-	r.rude.Front = r.front
+	r.malformed.Pick = r.pickBalancer
 	again := func(p *process) {
 		if err := r.launch(ctx, p); err != nil && ctx.Err() == nil {
-			r.failed(err)
+			r.recordError(err)
 		}
 	}
 	out := func(p *process) {
 		p.mu.Lock()
-		p.front = false
+		p.routed = false
 		p.mu.Unlock()
 	}
 	for i := range r.day.Troubles {
@@ -261,24 +261,24 @@
 			at(in.At, func() {
 				ctx, stop := context.WithTimeout(ctx, in.For)
 				defer stop()
-				r.rude.Run(ctx, in.Size, r.day.Seed+uint64(i))
+				r.malformed.Run(ctx, in.Size, r.day.Seed+uint64(i))
 			})
 		}
 		if in.Kind == "roster_move" {
-			for _, p := range r.procs {
-				at(in.At, func() { r.move(p) })
+			for _, p := range r.balancers {
+				at(in.At, func() { r.moveDiscovery(p) })
 			}
 		}
 		for n, b := range in.Balancers {
-			p := r.procs[b]
+			p := r.balancers[b]
 			switch in.Kind {
 			case "balancer_crash":
 				at(in.At, func() {
-					r.judge.Killed(p.number)
+					r.observer.BalancerKilled(p.number)
 					<-p.signal(syscall.SIGKILL)
 				})
 				at(in.At+r.day.Front, func() { // if it is not back by then
-					if p.signalled() {
+					if p.isStopping() {
 						out(p)
 					}
 				})
@@ -290,7 +290,7 @@
 					select {
 					case <-gone:
 					case <-time.After(10 * time.Second):
-						r.judge.Killed(p.number)
+						r.observer.BalancerKilled(p.number)
 						<-p.signal(syscall.SIGKILL)
 					}
 					time.Sleep(in.For)
@@ -303,34 +303,34 @@
 	}
 }
 
-// move has a balancer's discovery go to another address, and tells it by a reload.
-func (r *rig) move(p *process) {
-	roster := r.fleet.Roster()
+// moveDiscovery has a balancer's discovery go to another address, and tells it by a reload.
+func (r *environment) moveDiscovery(p *process) {
+	roster := r.fleet.Discovery()
 	err := roster.Move(p.number)
 	if err == nil {
-		err = p.configure(r.day, r.through(p.number, chaos.Discovery, roster.Address(p.number)), roster.Known(p.number), r.limits)
+		err = p.configure(r.day, r.routeThroughProxy(p.number, chaos.Discovery, roster.Address(p.number)), roster.EndpointList(p.number), r.limits)
 	}
 	if err != nil {
-		r.failed(err)
+		r.recordError(err)
 		return
 	}
-	if !p.signalled() {
+	if !p.isStopping() {
 		p.signal(syscall.SIGHUP)
 	}
 }
 
-// signalled tells whether the rig has ended the present process.
-func (p *process) signalled() bool {
+// isStopping tells whether the rig has ended the present process.
+func (p *process) isStopping() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.run.told
+	return p.instance.stopping
 }
 
-// sample looks at the balancers twice a second and sums up by quarters.
-func (r *rig) sample(stop <-chan struct{}) [][]Quarter {
-	out := make([][]Quarter, len(r.procs))
-	before := make([]time.Duration, len(r.procs))
-	for i, p := range r.procs {
+// sampleUsage looks at the balancers twice a second and sums up by quarters.
+func (r *environment) sampleUsage(stop <-chan struct{}) [][]Quarter {
+	out := make([][]Quarter, len(r.balancers))
+	before := make([]time.Duration, len(r.balancers))
+	for i, p := range r.balancers {
 		out[i] = make([]Quarter, 4)
 		before[i] = p.usage().CPU
 	}
@@ -343,7 +343,7 @@
 		case <-tick.C:
 		}
 		q := min(int(4*r.clock()/r.day.Length), 3) // the end, too, belongs to the last
-		for i, p := range r.procs {
+		for i, p := range r.balancers {
 			u := p.usage()
 			out[i][q].CPUSeconds += max(u.CPU-before[i], 0).Seconds()
 			before[i] = max(u.CPU, before[i])
@@ -353,12 +353,12 @@
 	}
 }
 
-// end ends all balancers that run.
-func (r *rig) end() {
-	for _, p := range r.procs {
-		r.judge.Killed(p.number)
+// stopBalancers ends all balancers that run.
+func (r *environment) stopBalancers() {
+	for _, p := range r.balancers {
+		r.observer.BalancerKilled(p.number)
 	}
-	for _, p := range r.procs {
+	for _, p := range r.balancers {
 		gone := p.signal(syscall.SIGTERM)
 		select {
 		case <-gone:
@@ -368,14 +368,14 @@
 	}
 }
 
-func (r *rig) report(clients *load.Clients, quarters [][]Quarter) *Report {
-	t, d := clients.Tally(), r.day
+func (r *environment) buildReport(clients *load.Clients, quarters [][]Quarter) *Report {
+	t, d := clients.Goodput(), r.day
 	p := t.Parts()
-	a := r.judge.Verdict()
+	a := r.observer.Finish()
 	counts := clients.Counts()
 	out := &Report{Counts: counts, Balancers: quarters, LatenessMS: clients.Lateness(99).Seconds() * 1000}
 	out.Result = simulation.Result{
-		Seed: d.Seed, Requests: t.Asked, Tries: counts.Tries, Whole: p.Whole, WorstWindow: p.WorstWindow, WorstClass: p.WorstClass,
+		Seed: d.Seed, Requests: t.Asked, Tries: counts.Attempts, Whole: p.Whole, WorstWindow: p.WorstWindow, WorstClass: p.WorstClass,
 		Classes: p.Classes, Seconds: t.Seconds, Latency: t.Latency(), WallS: r.clock().Seconds(),
 		Lost: a.Count(invariants.Lost), Repeated: a.Count(invariants.Repeated), DrainBreaks: a.Count(invariants.Drain), ColdFalls: a.Count(invariants.Cold),
 		Breaks: a.Violations(), DrainLatest: a.DrainLatest().Seconds() * 1000,
@@ -386,7 +386,7 @@
 	if n := float64(t.Asked); n > 0 {
 		out.ServedShare, out.RefusedRate, out.FailedRate = float64(t.InAim)/n, float64(t.Refused)/n, float64(t.Failed)/n
 	}
-	out.ChokedShare = float64(r.fleet.Choked()) / float64(max(r.fleet.Servers(), 1))
+	out.ChokedShare = float64(r.fleet.Overloaded()) / float64(max(r.fleet.Servers(), 1))
 	// What only the model knows exactly (wasted work, crossings) is not deducted here.
 	out.Deducted = d.Score.LateFail*p.LateFail + d.Score.Choke*out.ChokedShare
 	out.Service = p.Service(d.Score, out.Deducted)
@@ -396,16 +396,16 @@
 			cpu += q.CPUSeconds
 		}
 	}
-	if counts.Tries > 0 {
-		out.CPUPerAnswer = cpu / float64(counts.Tries) * 1e6
+	if counts.Attempts > 0 {
+		out.CPUPerAnswer = cpu / float64(counts.Attempts) * 1e6
 	}
-	if late := clients.Lateness(99); late > mostLate {
-		out.Void = fmt.Sprintf("the rig sent requests %v late at the 99th percentile, more than %v", late.Round(time.Millisecond), mostLate)
+	if late := clients.Lateness(99); late > maxLateness {
+		out.Void = fmt.Sprintf("the rig sent requests %v late at the 99th percentile, more than %v", late.Round(time.Millisecond), maxLateness)
 	}
-	for _, proc := range r.procs {
+	for _, proc := range r.balancers {
 		proc.mu.Lock()
-		if proc.crash != "" {
-			r.failed(fmt.Errorf("%s", proc.crash))
+		if proc.crashReport != "" {
+			r.recordError(fmt.Errorf("%s", proc.crashReport))
 		}
 		proc.mu.Unlock()
 	}
--- a/internal/lab/loadtest/loadtest_test.go
+++ b/internal/lab/loadtest/loadtest_test.go
@@ -134,9 +134,9 @@
 func conserved(t *testing.T, r *Report) {
 	t.Helper()
 	c := r.Counts
-	require.Equal(t, c.Tries, c.Served+c.Refused+c.Failed+c.Unanswered+c.Broken+c.Unreached)
+	require.Equal(t, c.Attempts, c.Served+c.Rejected+c.Failed+c.TimedOut+c.Disconnected+c.Unreachable)
 	require.Positive(t, r.Requests)
-	require.GreaterOrEqual(t, c.Tries, r.Requests)
+	require.GreaterOrEqual(t, c.Attempts, r.Requests)
 }
 
 func TestPlantedFaultsAreCaughtOnSockets(t *testing.T) {
@@ -219,8 +219,8 @@
 	conserved(t, r)
 	require.Zero(t, r.Broken(), "%v", r.Breaks)
 	require.Greater(t, r.Counts.Served, r.Requests/2)
-	require.NotEmpty(t, r.Rude)
-	for kind, c := range r.Rude {
+	require.NotEmpty(t, r.Malformed)
+	for kind, c := range r.Malformed {
 		require.Zero(t, c.Served, kind)
 	}
 	for _, quarters := range r.Balancers {
@@ -252,12 +252,12 @@
 			r.Seconds[i].Served, r.Seconds[i].Refuse = 2, 2
 		}
 	}
-	require.Equal(t, Recovery{Lowest: 1, Whole: 1}, Recover(control, control, DrillAt))
-	got := Recover(r, control, DrillAt)
-	require.InDelta(t, 0.25, got.Lowest, 1e-9)
-	require.Equal(t, 6.0, got.Back, "the last 3 s that hold a bad second end 6 s after it began")
-	require.InDelta(t, 8.0/72, got.Refused, 1e-9)
-	for _, d := range Drills() {
+	require.Equal(t, Recovery{Worst: 1, Served: 1}, MeasureRecovery(control, control, FaultTime))
+	got := MeasureRecovery(r, control, FaultTime)
+	require.InDelta(t, 0.25, got.Worst, 1e-9)
+	require.Equal(t, 6.0, got.RecoveredAfter, "the last 3 s that hold a bad second end 6 s after it began")
+	require.InDelta(t, 8.0/72, got.Rejected, 1e-9)
+	for _, d := range FaultTests() {
 		s, err := d.Scenario()
 		require.NoError(t, err, d.Name)
 		c, _, err := d.Control()
--- a/internal/lab/loadtest/observer.go
+++ b/internal/lab/loadtest/observer.go
@@ -13,245 +13,245 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// onSockets is how much longer every time limit is than in simulated time.
-const onSockets = 50 * time.Millisecond
+// socketTolerance is how much longer every time limit is than in simulated time.
+const socketTolerance = 50 * time.Millisecond
 
 // crossing is how long after its answer a request may still arrive at a server: it was
 // sent before. Relays hold it back for longer: by what a link delays, and for as long as a silent
 // cut does not break its connection.
 const (
-	crossing      = 100 * time.Millisecond
-	crossingLinks = crossing + 2500*time.Millisecond
+	crossingTime            = 100 * time.Millisecond
+	crossingTimeWithProxies = crossingTime + 2500*time.Millisecond
 )
 
-// Judge feeds the auditor with what clients, servers and the roster see. All methods
+// Observer feeds the auditor with what clients, servers and the roster see. All methods
 // may be called from any goroutine.
-type Judge struct {
-	clock func() time.Duration
-	cross time.Duration // crossing, or crossingLinks
-	mu    sync.Mutex
-	audit *invariants.Checker
-	last  uint64
-	ids   map[string]*seen
-	ended []ending    // to be forgotten in time
-	dying map[int]int // by balancer: reasons why it need not answer
-	back  int         // requests turned back unheard by balancers that had none
+type Observer struct {
+	clock              func() time.Duration
+	crossingTime       time.Duration // crossing, or crossingLinks
+	mu                 sync.Mutex
+	checker            *invariants.Checker
+	lastSequence       uint64
+	requests           map[string]*request
+	ended              []endedRequest // to be forgotten in time
+	excused            map[int]int    // by balancer: reasons why it need not answer
+	closedUnderRequest int            // requests turned back unheard by balancers that had none
 }
 
-type seen struct {
-	seq      uint64
+type request struct {
+	sequence uint64
 	balancer int
 	attempts int
-	done     time.Duration // 0: open
+	endedAt  time.Duration // 0: open
 	paused   bool          // its balancer stood still while it was open
-	skip     map[int]bool  // attempts that crossed the answer
+	ignored  map[int]bool  // attempts that crossed the answer
 }
 
-type ending struct {
+type endedRequest struct {
 	id string
 	at time.Duration
 }
 
-// NewJudge returns a judge of a day. Zone and cell tell where a server is.
-func NewJudge(day *scenario.Day, clock func() time.Duration, zone, cell func(int) int) *Judge {
+// NewObserver returns a judge of a day. Zone and cell tell where a server is.
+func NewObserver(day *scenario.Day, clock func() time.Duration, zone, cell func(int) int) *Observer {
 	fig := invariants.Limits{
-		Slack: day.Rules.Slack + onSockets, Grace: day.Rules.Grace + onSockets, FallFor: day.Rules.Fall.For,
+		Slack: day.Rules.Slack + socketTolerance, Grace: day.Rules.Grace + socketTolerance, FallFor: day.Rules.Fall.For,
 		MaxAttempts: day.Settings.Limits.MaxAttempts, HedgedRequests: day.Settings.Limits.HedgedRequests, Zone: zone, Cell: cell,
 	}
 	for _, c := range day.Classes {
 		fig.Classes = append(fig.Classes, c.Class)
 	}
-	return &Judge{clock: clock, cross: crossing, audit: invariants.New(fig), ids: map[string]*seen{}, dying: map[int]int{}}
+	return &Observer{clock: clock, crossingTime: crossingTime, checker: invariants.New(fig), requests: map[string]*request{}, excused: map[int]int{}}
 }
 
-// Taken implements load.Observer.
-func (j *Judge) Taken(id string, balancer, class int, deadline time.Duration) {
+// RequestSent implements load.Observer.
+func (j *Observer) RequestSent(id string, balancer, class int, deadline time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	now := j.clock()
-	j.last++
-	j.ids[id] = &seen{seq: j.last, balancer: balancer}
-	j.audit.RequestReceived(now, balancer, j.last, class, deadline)
+	j.lastSequence++
+	j.requests[id] = &request{sequence: j.lastSequence, balancer: balancer}
+	j.checker.RequestReceived(now, balancer, j.lastSequence, class, deadline)
 	for len(j.ended) > 0 && now-j.ended[0].at > 10*time.Second {
-		delete(j.ids, j.ended[0].id)
+		delete(j.requests, j.ended[0].id)
 		j.ended = j.ended[1:]
 	}
 }
 
-// Ended implements load.Observer. A request without an answer when its time is up has
+// RequestEnded implements load.Observer. A request without an answer when its time is up has
 // failed and is not lost; one whose balancer ended the connection is, unless the
 // balancer was killed, which Killed says beforehand.
-func (j *Judge) Ended(id string, answer load.Answer) {
+func (j *Observer) RequestEnded(id string, answer load.Outcome) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	now := j.clock()
-	s := j.ids[id]
-	if s == nil || s.done != 0 {
+	s := j.requests[id]
+	if s == nil || s.endedAt != 0 {
 		return
 	}
-	s.done = now
-	j.ended = append(j.ended, ending{id, now})
-	if answer == load.Unreached && j.dying[s.balancer] == 0 {
-		j.back++
+	s.endedAt = now
+	j.ended = append(j.ended, endedRequest{id, now})
+	if answer == load.Unreachable && j.excused[s.balancer] == 0 {
+		j.closedUnderRequest++
 	}
 	// Who stands still cannot be in time. But what came meanwhile must not be served late.
-	if s.paused || j.dying[s.balancer] > 0 && (answer == load.Refused || answer == load.Failed) {
-		j.audit.RequestExcused(now, s.seq)
+	if s.paused || j.excused[s.balancer] > 0 && (answer == load.Rejected || answer == load.Failed) {
+		j.checker.RequestExcused(now, s.sequence)
 		return
 	}
 	switch answer {
 	case load.Served:
-		j.audit.RequestAnswered(now, s.seq, invariants.Served)
-	case load.Refused:
-		j.audit.RequestAnswered(now, s.seq, invariants.Rejected)
+		j.checker.RequestAnswered(now, s.sequence, invariants.Served)
+	case load.Rejected:
+		j.checker.RequestAnswered(now, s.sequence, invariants.Rejected)
 	case load.Failed:
-		j.audit.RequestAnswered(now, s.seq, invariants.Failed)
-	case load.Broken:
-		if j.dying[s.balancer] > 0 {
-			j.audit.RequestExcused(now, s.seq)
+		j.checker.RequestAnswered(now, s.sequence, invariants.Failed)
+	case load.Disconnected:
+		if j.excused[s.balancer] > 0 {
+			j.checker.RequestExcused(now, s.sequence)
 			return
 		}
-		j.audit.RequestDropped(now, s.seq)
+		j.checker.RequestDropped(now, s.sequence)
 	default:
-		j.audit.RequestExcused(now, s.seq)
+		j.checker.RequestExcused(now, s.sequence)
 	}
 }
 
-// Killed excuses all that a balancer holds, and what it is given until it is Restarted:
+// BalancerKilled excuses all that a balancer holds, and what it is given until it is Restarted:
 // its process is about to be killed.
-func (j *Judge) Killed(balancer int) {
+func (j *Observer) BalancerKilled(balancer int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	now := j.clock()
-	j.dying[balancer]++
-	for id, s := range j.ids {
-		if s.balancer == balancer && s.done == 0 {
-			s.done = now
-			j.ended = append(j.ended, ending{id, now})
-			j.audit.RequestExcused(now, s.seq)
+	j.excused[balancer]++
+	for id, s := range j.requests {
+		if s.balancer == balancer && s.endedAt == 0 {
+			s.endedAt = now
+			j.ended = append(j.ended, endedRequest{id, now})
+			j.checker.RequestExcused(now, s.sequence)
 		}
 	}
 }
 
-// Restarted says that a balancer begins anew.
-func (j *Judge) Restarted(balancer int) {
+// BalancerRestarted says that a balancer begins anew.
+func (j *Observer) BalancerRestarted(balancer int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	delete(j.dying, balancer)
-	j.audit.BalancerRestarted(balancer)
+	delete(j.excused, balancer)
+	j.checker.BalancerRestarted(balancer)
 }
 
-// TurnedBack is how many requests met a connection that was closed under them, by a balancer that
+// ClosedUnderRequest is how many requests met a connection that was closed under them, by a balancer that
 // was neither killed nor stopped.
-func (j *Judge) TurnedBack() int {
+func (j *Observer) ClosedUnderRequest() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.back
+	return j.closedUnderRequest
 }
 
-// Paused excuses a balancer from answering in time, until it is Revived: it stands still. What it
+// BalancerPaused excuses a balancer from answering in time, until it is Revived: it stands still. What it
 // has may go on afterwards.
-func (j *Judge) Paused(balancer int) {
+func (j *Observer) BalancerPaused(balancer int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.dying[balancer]++
-	for _, s := range j.ids {
-		s.paused = s.paused || s.balancer == balancer && s.done == 0
+	j.excused[balancer]++
+	for _, s := range j.requests {
+		s.paused = s.paused || s.balancer == balancer && s.endedAt == 0
 	}
 }
 
-// Revived says that what was Killed of a balancer is gone, and another process of it serves on.
-func (j *Judge) Revived(balancer int) {
+// BalancerRecovered says that what was Killed of a balancer is gone, and another process of it serves on.
+func (j *Observer) BalancerRecovered(balancer int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.dying[balancer] = max(j.dying[balancer]-1, 0)
+	j.excused[balancer] = max(j.excused[balancer]-1, 0)
 }
 
-// Sent implements emulator.Observer.
-func (j *Judge) Sent(id string, server int) int {
+// AttemptReceived implements emulator.Observer.
+func (j *Observer) AttemptReceived(id string, server int) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	s := j.ids[id]
+	s := j.requests[id]
 	if s == nil {
 		return -1
 	}
 	now := j.clock()
 	n := s.attempts
 	s.attempts++
-	if s.done != 0 && now-s.done < j.cross {
-		if s.skip == nil {
-			s.skip = map[int]bool{}
+	if s.endedAt != 0 && now-s.endedAt < j.crossingTime {
+		if s.ignored == nil {
+			s.ignored = map[int]bool{}
 		}
-		s.skip[n] = true
+		s.ignored[n] = true
 		return n
 	}
-	j.audit.AttemptSent(now, s.balancer, s.seq, server)
+	j.checker.AttemptSent(now, s.balancer, s.sequence, server)
 	return n
 }
 
-// of finds an attempt that is judged. The lock is held.
-func (j *Judge) of(id string, n int) *seen {
-	s := j.ids[id]
-	if s == nil || s.skip[n] {
+// attempt finds an attempt that is judged. The lock is held.
+func (j *Observer) attempt(id string, n int) *request {
+	s := j.requests[id]
+	if s == nil || s.ignored[n] {
 		return nil
 	}
 	return s
 }
 
-// Began implements emulator.Observer.
-func (j *Judge) Began(id string, n int) {
+// AttemptAccepted implements emulator.Observer.
+func (j *Observer) AttemptAccepted(id string, n int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if s := j.of(id, n); s != nil {
-		j.audit.AttemptAccepted(s.seq, n)
+	if s := j.attempt(id, n); s != nil {
+		j.checker.AttemptAccepted(s.sequence, n)
 	}
 }
 
-// Ran implements emulator.Observer.
-func (j *Judge) Ran(id string, n int) {
+// AttemptExecuted implements emulator.Observer.
+func (j *Observer) AttemptExecuted(id string, n int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if s := j.of(id, n); s != nil {
-		j.audit.AttemptExecuted(j.clock(), s.seq, n)
+	if s := j.attempt(id, n); s != nil {
+		j.checker.AttemptExecuted(j.clock(), s.sequence, n)
 	}
 }
 
-// Over implements emulator.Observer.
-func (j *Judge) Over(id string, n int, unrun bool) {
+// AttemptCompleted implements emulator.Observer.
+func (j *Observer) AttemptCompleted(id string, n int, unrun bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if s := j.of(id, n); s != nil {
-		j.audit.AttemptCompleted(s.seq, n, unrun)
+	if s := j.attempt(id, n); s != nil {
+		j.checker.AttemptCompleted(s.sequence, n, unrun)
 	}
 }
 
-// Reached implements emulator.Observer.
-func (j *Judge) Reached(id string, server int, started time.Duration, work float64) {
+// SlowStartWork implements emulator.Observer.
+func (j *Observer) SlowStartWork(id string, server int, started time.Duration, work float64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if s := j.ids[id]; s != nil {
-		j.audit.SlowStartWork(j.clock(), s.balancer, server, started, work)
+	if s := j.requests[id]; s != nil {
+		j.checker.SlowStartWork(j.clock(), s.balancer, server, started, work)
 	}
 }
 
-// Fell implements emulator.Observer.
-func (j *Judge) Fell(server int) {
+// ServerCollapsed implements emulator.Observer.
+func (j *Observer) ServerCollapsed(server int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.audit.ServerCollapsed(j.clock(), server)
+	j.checker.ServerCollapsed(j.clock(), server)
 }
 
-// Told is called when the roster has told a balancer of a server.
-func (j *Judge) Told(balancer, server int, state piernotch.State, born time.Duration) {
+// EndpointNotified is called when the roster has told a balancer of a server.
+func (j *Observer) EndpointNotified(balancer, server int, state piernotch.State, born time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.audit.EndpointNotified(j.clock(), balancer, server, state, born)
+	j.checker.EndpointNotified(j.clock(), balancer, server, state, born)
 }
 
-// Verdict ends the judging.
-func (j *Judge) Verdict() *invariants.Checker {
+// Finish ends the judging.
+func (j *Observer) Finish() *invariants.Checker {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.audit.CheckOverdue(j.clock() + time.Minute)
-	return j.audit
+	j.checker.CheckOverdue(j.clock() + time.Minute)
+	return j.checker
 }
--- a/internal/lab/loadtest/process.go
+++ b/internal/lab/loadtest/process.go
@@ -21,30 +21,30 @@
 
 // process is one balancer as a program of its own.
 type process struct {
-	number  int
-	zone    int
-	program string
-	args    []string
-	env     []string
-	dir     string
-	address string
-	config  string
-	door    *door // nil: it binds its address itself
-
-	handing sync.Mutex // held while a hand-over goes on
-	mu      sync.Mutex
-	run     *run // the process that clients meet, or the last one
-	front   bool // clients are sent here
-	crash   string
-	cpu     time.Duration // of ended processes
+	number   int
+	zone     int
+	program  string
+	args     []string
+	env      []string
+	dir      string
+	address  string
+	config   string
+	listener *listener // nil: it binds its address itself
+
+	handover    sync.Mutex // held while a hand-over goes on
+	mu          sync.Mutex
+	instance    *instance // the process that clients meet, or the last one
+	routed      bool      // clients are sent here
+	crashReport string
+	exitedCPU   time.Duration // of ended processes
 }
 
-// run is one start of the program.
-type run struct {
-	cmd        *exec.Cmd
-	done       chan struct{} // closed at its end
-	management string        // the operators' address; "": none
-	told       bool          // to end, by the rig
+// instance is one start of the program.
+type instance struct {
+	cmd          *exec.Cmd
+	exited       chan struct{} // closed at its end
+	adminAddress string        // the operators' address; "": none
+	stopping     bool          // to end, by the rig
 }
 
 // limits is what a balancer may use.
@@ -60,8 +60,8 @@
 		return nil, err
 	}
 	return &process{
-		number: number, zone: day.Balancers[number].Zone, program: opts.Program, env: opts.Env, dir: opts.Logs, address: address,
-		config: filepath.Join(opts.Logs, fmt.Sprintf("n%d.json", number)),
+		number: number, zone: day.Balancers[number].Zone, program: opts.Program, env: opts.Env, dir: opts.LogDir, address: address,
+		config: filepath.Join(opts.LogDir, fmt.Sprintf("n%d.json", number)),
 	}, nil
 }
 
@@ -89,25 +89,25 @@
 }
 
 // current is the process that clients meet.
-func (p *process) current() *run {
+func (p *process) current() *instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.run
+	return p.instance
 }
 
 // spawn starts the program.
-func (p *process) spawn() (*run, error) {
+func (p *process) spawn() (*instance, error) {
 	log, err := os.OpenFile(filepath.Join(p.dir, fmt.Sprintf("n%d.log", p.number)), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	defer log.Close()
-	u := &run{cmd: exec.Command(p.program, p.args...), done: make(chan struct{})}
-	if u.cmd.Env, u.management, err = p.environment(); err != nil {
+	u := &instance{cmd: exec.Command(p.program, p.args...), exited: make(chan struct{})}
+	if u.cmd.Env, u.adminAddress, err = p.commandEnvironment(); err != nil {
 		return nil, err
 	}
-	if p.door != nil {
-		u.cmd.ExtraFiles = []*os.File{p.door.file}
+	if p.listener != nil {
+		u.cmd.ExtraFiles = []*os.File{p.listener.file}
 	}
 	u.cmd.Stdout, u.cmd.Stderr = log, log
 	if err := u.cmd.Start(); err != nil {
@@ -116,12 +116,12 @@
 	go func() {
 		err := u.cmd.Wait()
 		p.mu.Lock()
-		p.cpu += u.cmd.ProcessState.UserTime() + u.cmd.ProcessState.SystemTime()
-		if p.run == u && !u.told { // the front notices neither end by itself
-			p.crash = fmt.Sprintf("balancer %d ended by itself: %v%s", p.number, err, p.lastLines())
+		p.exitedCPU += u.cmd.ProcessState.UserTime() + u.cmd.ProcessState.SystemTime()
+		if p.instance == u && !u.stopping { // the front notices neither end by itself
+			p.crashReport = fmt.Sprintf("balancer %d ended by itself: %v%s", p.number, err, p.lastLines())
 		}
 		p.mu.Unlock()
-		close(u.done)
+		close(u.exited)
 	}()
 	return u, nil
 }
@@ -133,14 +133,14 @@
 		return err
 	}
 	p.mu.Lock()
-	p.run = u
+	p.instance = u
 	p.mu.Unlock()
 	for range 200 {
-		if health(p.address) == http.StatusOK {
+		if healthStatus(p.address) == http.StatusOK {
 			return nil
 		}
 		select {
-		case <-u.done:
+		case <-u.exited:
 			return fmt.Errorf("balancer %d did not start%s", p.number, p.lastLines())
 		case <-ctx.Done():
 			return ctx.Err()
@@ -164,16 +164,16 @@
 func (p *process) signal(s syscall.Signal) <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.run == nil {
+	if p.instance == nil {
 		closed := make(chan struct{})
 		close(closed)
 		return closed
 	}
 	if s != syscall.SIGHUP {
-		p.run.told = true
+		p.instance.stopping = true
 	}
-	_ = p.run.cmd.Process.Signal(s)
-	return p.run.done
+	_ = p.instance.cmd.Process.Signal(s)
+	return p.instance.exited
 }
 
 // usage is what the process uses now.
@@ -188,14 +188,14 @@
 
 func (p *process) usage() usage {
 	p.mu.Lock()
-	now, total := p.run, p.cpu
+	now, total := p.instance, p.exitedCPU
 	p.mu.Unlock()
 	u := usage{CPU: total}
 	if now == nil {
 		return u
 	}
 	select {
-	case <-now.done:
+	case <-now.exited:
 		return u
 	default:
 	}
--- a/internal/lab/loadtest/sharedwatch.go
+++ b/internal/lab/loadtest/sharedwatch.go
@@ -15,26 +15,26 @@
 	"piernotch/internal/lab/faultproxy"
 )
 
-// shared is one watch of discovery for all balancers, by a group of three voters.
-type shared struct {
-	files     []string // of the balancers
-	voters    []*exec.Cmd
-	balancers int
+// sharedWatch is one watch of discovery for all balancers, by a group of three voters.
+type sharedWatch struct {
+	groupFiles []string // of the balancers
+	voters     []*exec.Cmd
+	balancers  int
 
-	mu   sync.Mutex
-	last map[[2]int]int // how often a balancer was told of a server
+	mu            sync.Mutex
+	notifications map[[2]int]int // how often a balancer was told of a server
 }
 
-// sharedLength is how long the duty stands without a renewal.
-const sharedLength = 2 * time.Second
+// sharedLeaseDuration is how long the duty stands without a renewal.
+const sharedLeaseDuration = 2 * time.Second
 
-// sharedLate is by when what one balancer was told counts as told to all: by then each has heard it or
+// sharedNotifyTimeout is by when what one balancer was told counts as told to all: by then each has heard it or
 // asks itself.
-var sharedLate = watch.DefaultTiming.HeartbeatTimeout + watch.DefaultTiming.TimeoutJitter + 500*time.Millisecond
+var sharedNotifyTimeout = watch.DefaultTiming.HeartbeatTimeout + watch.DefaultTiming.TimeoutJitter + 500*time.Millisecond
 
-func share(opts Options, balancers int) (*shared, error) {
-	s := &shared{balancers: balancers, last: map[[2]int]int{}}
-	c := group.Config{Name: "rehearsal", LeaseDuration: sharedLength, MaxClockDrift: 0.01}
+func startSharedWatch(opts Options, balancers int) (*sharedWatch, error) {
+	s := &sharedWatch{balancers: balancers, notifications: map[[2]int]int{}}
+	c := group.Config{Name: "rehearsal", LeaseDuration: sharedLeaseDuration, MaxClockDrift: 0.01}
 	for i := range 3 {
 		address, err := faultproxy.Free()
 		if err != nil {
@@ -43,27 +43,27 @@
 		c.Voters = append(c.Voters, group.Voter{Name: fmt.Sprintf("v%d", i), Address: address})
 	}
 	write := func(c group.Config) (string, error) {
-		name := filepath.Join(opts.Logs, c.Self+"-group.toml")
+		name := filepath.Join(opts.LogDir, c.Self+"-group.toml")
 		return name, os.WriteFile(name, []byte(c.Text()), 0o600)
 	}
 	for _, v := range c.Voters {
 		own := c
-		own.Self, own.Disk = v.Name, filepath.Join(opts.Logs, v.Name+".voter")
+		own.Self, own.Disk = v.Name, filepath.Join(opts.LogDir, v.Name+".voter")
 		_ = os.Remove(own.Disk) // of an earlier rehearsal
 		file, err := write(own)
 		if err != nil {
 			return nil, err
 		}
-		log, err := os.Create(filepath.Join(opts.Logs, v.Name+".log"))
+		log, err := os.Create(filepath.Join(opts.LogDir, v.Name+".log"))
 		if err != nil {
 			return nil, err
 		}
-		cmd := exec.Command(opts.Voter, "--group", file)
+		cmd := exec.Command(opts.VoterProgram, "--group", file)
 		cmd.Stdout, cmd.Stderr = log, log
 		err = cmd.Start()
 		_ = log.Close()
 		if err != nil {
-			s.end()
+			s.stop()
 			return nil, err
 		}
 		s.voters = append(s.voters, cmd)
@@ -73,27 +73,27 @@
 		own.Self, own.Watch, own.Source = fmt.Sprintf("n%d", i), "watch", "roster"
 		file, err := write(own)
 		if err != nil {
-			s.end()
+			s.stop()
 			return nil, err
 		}
-		s.files = append(s.files, file)
+		s.groupFiles = append(s.groupFiles, file)
 	}
 	return s, nil
 }
 
-func (s *shared) end() {
+func (s *sharedWatch) stop() {
 	for _, v := range s.voters {
 		_ = v.Process.Signal(syscall.SIGKILL)
 		_ = v.Wait()
 	}
 }
 
-// told has the judge hear what a balancer was told, for all that share its watch. That a server is ready
+// endpointNotified has the judge hear what a balancer was told, for all that share its watch. That a server is ready
 // counts at once, for whoever hears of it may use it; that it leaves, when all must have heard.
-func (s *shared) told(r *rig, balancer, server int, state piernotch.State, born time.Duration) {
+func (s *sharedWatch) endpointNotified(r *environment, balancer, server int, state piernotch.State, born time.Duration) {
 	tell := func(b int) {
-		s.last[[2]int{b, server}]++
-		r.judge.Told(b, server, state, born)
+		s.notifications[[2]int{b, server}]++
+		r.observer.EndpointNotified(b, server, state, born)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,11 +106,11 @@
 			tell(b)
 			continue
 		}
-		before := s.last[[2]int{b, server}]
-		time.AfterFunc(sharedLate, func() {
+		before := s.notifications[[2]int{b, server}]
+		time.AfterFunc(sharedNotifyTimeout, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if s.last[[2]int{b, server}] == before && !r.ended.Load() { // it has not heard of a later state itself
+			if s.notifications[[2]int{b, server}] == before && !r.stopped.Load() { // it has not heard of a later state itself
 				tell(b)
 			}
 		})
