--- /dev/null
+++ b/internal/lab/loadtest/environment.go
@@ -0,0 +1,199 @@
+package loadtest
+
+import (
+	"context"
+	"math/rand/v2"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"piernotch/internal/lab/chaos"
+	"piernotch/internal/lab/emulator"
+	"piernotch/internal/lab/faultproxy"
+	"piernotch/internal/lab/load"
+	"piernotch/internal/lab/scenario"
+)
+
+// stopTimeout is how long a balancer may take to end at the end of the day.
+const stopTimeout = 3 * time.Second
+
+// environment is all that runs while a day is played.
+type environment struct {
+	day         *scenario.Day
+	opts        Options
+	started     atomic.Pointer[time.Time] // when the day began; nil: not yet
+	observer    *observer
+	fleet       *emulator.Fleet
+	balancers   []*process
+	malformed   load.MalformedClients
+	handovers   *HandoverReport
+	background  sync.WaitGroup  // hand-overs and faults that are being played
+	proxies     *faultproxy.Net // nil: nothing stands between the processes
+	sharedWatch *sharedWatch    // nil: each balancer watches discovery itself
+	stopped     atomic.Bool     // the day is over
+	mu          sync.Mutex
+	err         error // the first one; guarded by mu
+}
+
+func newEnvironment(day *scenario.Day, opts Options) *environment {
+	e := &environment{day: day, opts: opts, handovers: &HandoverReport{Done: map[HandoverKind]int{}}}
+	zone := func(server int) int { return e.fleet.Spec(server).Zone }
+	cell := func(server int) int { return e.fleet.Spec(server).Cell }
+	e.observer = newObserver(day, e.clock, zone, cell)
+	return e
+}
+
+// open starts all but the balancers. close is to be called also when it fails.
+func (e *environment) open() error {
+	var err error
+	balancers := len(e.day.Balancers)
+	e.fleet, err = emulator.New(e.day, balancers, e.clock, e.observer, e.endpointNotified)
+	if err != nil {
+		return err
+	}
+	if e.opts.VoterProgram != "" {
+		e.sharedWatch, err = startSharedWatch(e.opts, balancers)
+		if err != nil {
+			return err
+		}
+	}
+	if e.opts.needsProxies() {
+		if e.sharedWatch != nil {
+			return ErrLinkFaultsWithSharedWatch
+		}
+		e.proxies = faultproxy.New(e.day.Seed)
+		e.observer.crossingTime = crossingTimeWithProxies
+		e.fleet.Discovery().ServerAddress = e.routeThroughProxy
+	}
+	return nil
+}
+
+// close ends all that runs, in the reverse order of its start.
+func (e *environment) close() {
+	for _, p := range e.balancers {
+		if p.listener != nil {
+			_ = p.listener.file.Close()
+		}
+	}
+	e.stopped.Store(true)
+	e.stopBalancers()
+	if e.proxies != nil {
+		e.proxies.Close()
+	}
+	if e.sharedWatch != nil {
+		e.sharedWatch.stop()
+	}
+	if e.fleet != nil {
+		e.fleet.Close()
+	}
+}
+
+// clock is the time of the day, which begins once all balancers are ready.
+func (e *environment) clock() time.Duration {
+	if started := e.started.Load(); started != nil {
+		return time.Since(*started)
+	}
+	return 0
+}
+
+// recordError keeps the first error of what goes on in the background.
+func (e *environment) recordError(err error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.err == nil {
+		e.err = err
+	}
+}
+
+func (e *environment) firstError() error {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.err
+}
+
+// addBalancer starts a balancer of the day for the first time.
+func (e *environment) addBalancer(ctx context.Context, number int) error {
+	p, err := newProcess(e.opts, number, e.day)
+	if err != nil {
+		return err
+	}
+	e.balancers = append(e.balancers, p)
+	if e.sharedWatch != nil {
+		p.args = []string{"serve", "--group", e.sharedWatch.groupFiles[number]}
+	}
+	if len(e.opts.Handovers) > 0 {
+		if err := p.openListener(); err != nil {
+			return err
+		}
+	}
+	return e.launch(ctx, p)
+}
+
+// launch configures and starts a balancer, and has clients use it.
+func (e *environment) launch(ctx context.Context, p *process) error {
+	if err := e.configure(p); err != nil {
+		return err
+	}
+	e.observer.BalancerRestarted(p.number)
+	if err := p.start(ctx); err != nil {
+		return err
+	}
+	p.setRouted(true)
+	return nil
+}
+
+// configure writes a balancer's configuration with the present address of its discovery.
+func (e *environment) configure(p *process) error {
+	discovery := e.fleet.Discovery()
+	address := e.routeThroughProxy(p.number, chaos.Discovery, discovery.Address(p.number))
+	limits := limits{Cores: 1, MemoryMB: e.opts.MemoryMB, Sockets: e.opts.Sockets}
+	return p.configure(e.day, address, discovery.EndpointList(p.number), limits)
+}
+
+// pickBalancer picks one of the zone's balancers at random, or of any zone where it has none. It reports
+// false if no balancer is in use. It implements load.PickBalancer.
+func (e *environment) pickBalancer(zone int, rng *rand.Rand) (balancer int, address string, ok bool) {
+	var sameZone, all []*process
+	for _, p := range e.balancers {
+		if !p.isRouted() {
+			continue
+		}
+		all = append(all, p)
+		if p.zone == zone {
+			sameZone = append(sameZone, p)
+		}
+	}
+	candidates := sameZone
+	if len(candidates) == 0 {
+		candidates = all
+	}
+	if len(candidates) == 0 {
+		return 0, "", false
+	}
+	p := candidates[rng.IntN(len(candidates))]
+	return p.number, p.address, true
+}
+
+// stopBalancers ends all balancers that run.
+func (e *environment) stopBalancers() {
+	for _, p := range e.balancers {
+		e.observer.BalancerKilled(p.number)
+	}
+	for _, p := range e.balancers {
+		exited := p.signal(syscall.SIGTERM)
+		select {
+		case <-exited:
+		case <-time.After(stopTimeout):
+			<-p.signal(syscall.SIGKILL)
+		}
+	}
+}
+
+// sleep waits for a time, or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-time.After(d):
+	case <-ctx.Done():
+	}
+}
--- a/internal/lab/loadtest/faults.go
+++ b/internal/lab/loadtest/faults.go
@@ -12,106 +12,115 @@
 	"piernotch/internal/lab/faultproxy"
 )
 
-// linkName is the name of the link from a balancer to a server or to the roster.
-func linkName(balancer, to int) string {
-	if to == chaos.Discovery {
+// resumePause is how long after a pause a balancer may still answer late: what waited is answered first.
+const resumePause = time.Second
+
+// linkName is the name of the link from a balancer to a server or to discovery.
+func linkName(balancer, target int) string {
+	if target == chaos.Discovery {
 		return fmt.Sprintf("n%d>roster", balancer)
 	}
-	return fmt.Sprintf("n%d>s%d", balancer, to)
+	return fmt.Sprintf("n%d>s%d", balancer, target)
 }
 
-// routeThroughProxy is where a balancer reaches an address: at the address itself, or at the relay before it.
-func (r *environment) routeThroughProxy(balancer, to int, address string) string {
-	if r.proxies == nil {
+// serverLinkPrefix is how the names of a balancer's links to servers begin.
+func serverLinkPrefix(balancer int) string { return fmt.Sprintf("n%d>s", balancer) }
+
+// routeThroughProxy returns where a balancer reaches an address: the address itself, or that of the proxy
+// before it.
+func (e *environment) routeThroughProxy(balancer, target int, address string) string {
+	if e.proxies == nil {
 		return address
 	}
-	l, err := r.proxies.Link(linkName(balancer, to), address)
+	l, err := e.proxies.Link(linkName(balancer, target), address)
 	if err != nil {
-		if !r.stopped.Load() {
-			r.recordError(fmt.Errorf("link %s: %w", linkName(balancer, to), err))
+		if !e.stopped.Load() {
+			e.recordError(fmt.Errorf("link %s: %w", linkName(balancer, target), err))
 		}
 		return address
 	}
 	return l.Address()
 }
 
-// endpointNotified passes on what the roster told a balancer, once it has arrived: a cut link holds it back.
-func (r *environment) endpointNotified(balancer, server int, state piernotch.State, born time.Duration) {
-	if r.sharedWatch != nil {
-		r.sharedWatch.endpointNotified(r, balancer, server, state, born)
+// endpointNotified passes on that discovery has written a server's state to a balancer, once it has
+// arrived: a link that is cut holds it back.
+func (e *environment) endpointNotified(balancer, server int, state piernotch.State, startedAt time.Duration) {
+	if e.sharedWatch != nil {
+		e.sharedWatch.endpointNotified(e, notification{balancer, server, state, startedAt})
 		return
 	}
-	if r.proxies == nil {
-		r.observer.EndpointNotified(balancer, server, state, born)
+	if e.proxies == nil {
+		e.observer.EndpointNotified(balancer, server, state, startedAt)
 		return
 	}
-	l, err := r.proxies.Link(linkName(balancer, chaos.Discovery), r.fleet.Discovery().Address(balancer))
+	l, err := e.proxies.Link(linkName(balancer, chaos.Discovery), e.fleet.Discovery().Address(balancer))
 	if err != nil {
 		return
 	}
-	go func() {
+	go func() { // ends when the link heals, is reset or is closed
 		if l.Delivered(faultproxy.Back) {
-			r.observer.EndpointNotified(balancer, server, state, born)
+			e.observer.EndpointNotified(balancer, server, state, startedAt)
 		}
 	}()
 }
 
-// scheduleFaults plays a schedule of faults between processes.
-func (r *environment) scheduleFaults(ctx context.Context, steps []chaos.Step) {
-	for _, s := range steps {
-		r.background.Go(func() {
-			if sleep(ctx, s.At-r.clock()); ctx.Err() == nil {
-				r.playFault(ctx, s)
+// scheduleFaults plays the schedule of faults between processes. Its goroutines end with the faults, and
+// are waited for as background.
+func (e *environment) scheduleFaults(ctx context.Context) {
+	for _, s := range e.opts.Faults {
+		e.background.Go(func() {
+			sleep(ctx, s.At-e.clock())
+			if ctx.Err() == nil {
+				e.playFault(ctx, s)
 			}
 		})
 	}
 }
 
-func (r *environment) playFault(ctx context.Context, s chaos.Step) {
-	p := r.balancers[s.Balancer]
-	rest := func() { sleep(ctx, s.End()-r.clock()) }
+// playFault plays one step of a schedule, from now until its end.
+func (e *environment) playFault(ctx context.Context, s chaos.Step) {
+	p := e.balancers[s.Balancer]
+	awaitEnd := func() { sleep(ctx, s.End()-e.clock()) }
 	switch s.Action {
 	case chaos.PauseBalancer:
-		u := p.current()
-		r.observer.BalancerPaused(s.Balancer)
-		_ = u.cmd.Process.Signal(syscall.SIGSTOP)
-		rest()
-		_ = u.cmd.Process.Signal(syscall.SIGCONT)
-		sleep(ctx, time.Second) // what waited has been answered late
-		r.observer.BalancerRecovered(s.Balancer)
+		paused := p.current()
+		e.observer.BalancerPaused(s.Balancer)
+		_ = paused.cmd.Process.Signal(syscall.SIGSTOP)
+		awaitEnd()
+		_ = paused.cmd.Process.Signal(syscall.SIGCONT)
+		sleep(ctx, resumePause)
+		e.observer.BalancerRecovered(s.Balancer)
 	case chaos.KillBalancer:
-		r.observer.BalancerKilled(s.Balancer)
+		e.observer.BalancerKilled(s.Balancer)
 		<-p.signal(syscall.SIGKILL)
-		rest()
-		if err := r.launch(ctx, p); err != nil && ctx.Err() == nil {
-			r.recordError(err)
-		}
+		awaitEnd()
+		e.relaunch(ctx, p)
 	case chaos.FlapLink:
-		for on := true; r.clock() < s.End() && ctx.Err() == nil; on = !on {
-			r.setLinkFault(s, on)
-			sleep(ctx, min(chaos.FlapInterval, s.End()-r.clock()))
+		for faulty := true; e.clock() < s.End() && ctx.Err() == nil; faulty = !faulty {
+			e.setLinkFault(s, faulty)
+			sleep(ctx, min(chaos.FlapInterval, s.End()-e.clock()))
 		}
-		r.setLinkFault(s, false)
+		e.setLinkFault(s, false)
 	default:
-		r.setLinkFault(s, true)
-		rest()
-		r.setLinkFault(s, false)
+		e.setLinkFault(s, true)
+		awaitEnd()
+		e.setLinkFault(s, false)
 	}
 }
 
-// setLinkFault has the links of a step fail, or be whole again.
-func (r *environment) setLinkFault(s chaos.Step, fails bool) {
-	which := func(name string) bool { return name == linkName(s.Balancer, s.Target) }
+// setLinkFault puts a step's fault on its links, or heals them.
+func (e *environment) setLinkFault(s chaos.Step, faulty bool) {
+	selects := func(name string) bool { return name == linkName(s.Balancer, s.Target) }
 	if s.Target == chaos.AllServers {
-		which = func(name string) bool { return strings.HasPrefix(name, fmt.Sprintf("n%d>s", s.Balancer)) }
+		selects = func(name string) bool { return strings.HasPrefix(name, serverLinkPrefix(s.Balancer)) }
 	}
-	r.proxies.Each(which, func(l *faultproxy.Link) {
+	e.proxies.Each(selects, func(l *faultproxy.Link) {
 		for _, d := range []faultproxy.Direction{faultproxy.There, faultproxy.Back} {
-			f := faultproxy.Fault{}
-			if fails && s.Directions.Includes(d) {
-				f = s.Fault
+			fault := faultproxy.Fault{}
+			if faulty && s.Directions.Includes(d) {
+				fault = s.Fault
 			}
-			l.Set(d, f)
+			l.Set(d, fault)
 		}
 	})
 }
--- a/internal/lab/loadtest/faulttests.go
+++ b/internal/lab/loadtest/faulttests.go
@@ -5,31 +5,32 @@
 	"strings"
 
 	"piernotch/internal/lab/scenario"
-	"piernotch/internal/lab/simulation"
 )
 
-// FaultTest is one failure that matters, played alone on an ordinary day.
+// FaultTest is a short scenario with one fault, on an otherwise ordinary day.
 type FaultTest struct {
 	Name         string
 	Description  string
-	scenarioText string
+	scenarioText string // TOML, on top of the base scenario
 }
 
-// DrillAt is when a drill's failure comes, s; the day is DrillLength long.
+// Times of a fault test, seconds.
 const (
-	FaultTime       = 12
-	FaultTestLength = 45
+	FaultTime       = 12 // when the fault begins
+	FaultTestLength = 45 // of the day
 )
 
-func balancerFault(n int, kind, more string) string {
-	return fmt.Sprintf("[balancers]\ncount = %d\n[[trouble]]\nkind = %q\nat_s = %d\n%s", n, kind, FaultTime, more)
+// balancerFault is the text of a scenario with so many balancers and one fault of them.
+func balancerFault(balancers int, kind, settings string) string {
+	return fmt.Sprintf("[balancers]\ncount = %d\n%s", balancers, fault(kind, settings))
 }
 
-func fault(kind, more string) string {
-	return fmt.Sprintf("[[trouble]]\nkind = %q\nat_s = %d\n%s", kind, FaultTime, more)
+// fault is the text of a fault of a kind.
+func fault(kind, settings string) string {
+	return fmt.Sprintf("[[trouble]]\nkind = %q\nat_s = %d\n%s", kind, FaultTime, settings)
 }
 
-// FaultTests are the failures that a service must get over by itself.
+// FaultTests returns the faults that a service must recover from by itself.
 func FaultTests() []FaultTest {
 	return []FaultTest{
 		{"none", "nothing goes wrong", ""},
@@ -54,61 +55,21 @@
 	}
 }
 
-// Scenario is the drill as something that model and rehearsal play.
-func (d FaultTest) Scenario() (*scenario.Scenario, error) {
-	return d.parse("drill "+d.Name, d.scenarioText)
+// Scenario returns the fault test as a scenario.
+func (t FaultTest) Scenario() (*scenario.Scenario, error) {
+	return t.parse("drill "+t.Name, t.scenarioText)
 }
 
-// Control is the same day without the failure: the same servers and traffic for a seed.
-// Drills with equal control texts have equal controls.
-func (d FaultTest) Control() (s *scenario.Scenario, text string, err error) {
-	text, _, _ = strings.Cut(d.scenarioText, "[[trouble]]")
-	s, err = d.parse("control", text)
+// Control returns the same day without the fault: the same servers and traffic for a seed. Fault tests
+// with equal control texts have equal controls.
+func (t FaultTest) Control() (s *scenario.Scenario, text string, err error) {
+	text, _, _ = strings.Cut(t.scenarioText, "[[trouble]]")
+	s, err = t.parse("control", text)
 	return s, text, err
 }
 
-func (d FaultTest) parse(name, text string) (*scenario.Scenario, error) {
-	head := fmt.Sprintf("name = %q\nabout = %q\ninclude = \"base\"\nlength_s = %d\n[traffic]\nload = 0.6\nshape = \"steady\"\n", name, d.Description, FaultTestLength)
+func (t FaultTest) parse(name, text string) (*scenario.Scenario, error) {
+	head := fmt.Sprintf("name = %q\nabout = %q\ninclude = \"base\"\nlength_s = %d\n[traffic]\nload = 0.6\nshape = \"steady\"\n",
+		name, t.Description, FaultTestLength)
 	return scenario.Parse(name, []byte(head+text))
 }
-
-// Recovery is how a day went from the moment of its failure on, against its control.
-type Recovery struct {
-	Served         float64 // worth served in time, as a share of the control's
-	Worst          float64 // the same over the worst 3 s
-	RecoveredAfter float64 // s until the last 3 s with less than 95% of the control's were over; 0: there were none
-	Rejected       float64 // share of the tries that were refused
-	Failed         float64 // and that failed, or found no balancer
-}
-
-// MeasureRecovery measures a day whose failure came at a second. Both days are of one seed.
-func MeasureRecovery(r, control *simulation.Result, at int) Recovery {
-	n := min(len(r.Seconds), len(control.Seconds))
-	ratio := func(from, to int) float64 {
-		got, want := 0.0, 0.0
-		for i := from; i < to; i++ {
-			got, want = got+r.Seconds[i].Served, want+control.Seconds[i].Served
-		}
-		if want == 0 {
-			return 1
-		}
-		return got / want
-	}
-	const span = 3 // s: a single one holds few requests
-	out := Recovery{Served: ratio(at, n), Worst: 1}
-	for s := at; s+span <= n; s++ {
-		share := ratio(s, s+span)
-		out.Worst = min(out.Worst, share)
-		if share < 0.95 {
-			out.RecoveredAfter = float64(s + span - at)
-		}
-	}
-	refused, failed, tries := 0, 0, 0
-	for _, s := range r.Seconds[at:] {
-		refused, failed, tries = refused+s.Refuse, failed+s.Fail, tries+s.Tries
-	}
-	if tries > 0 {
-		out.Rejected, out.Failed = float64(refused)/float64(tries), float64(failed)/float64(tries)
-	}
-	return out
-}
--- a/internal/lab/loadtest/loadtest_test.go
+++ b/internal/lab/loadtest/loadtest_test.go
@@ -29,15 +29,15 @@
 // TestMain lets the test's own program stand in for a balancer with a fault.
 func TestMain(m *testing.M) {
 	if fault := os.Getenv("FAKE_BALANCER"); fault != "" {
-		fake(fault)
+		runFakeBalancer(fault)
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// fake is a balancer that knows little and does one thing wrong: it sends each request
-// to the next server of the list that it was started with.
-func fake(fault string) {
+// runFakeBalancer is a simple balancer with one fault: it sends each request to the next server of the list
+// that it was started with, and ignores endpoint updates.
+func runFakeBalancer(fault string) {
 	var cfg struct {
 		Listen, Discovery string
 		Known             struct {
@@ -52,7 +52,7 @@
 		fmt.Fprintln(os.Stderr, "out of cheese")
 		os.Exit(4)
 	}
-	go func() { // it asks for the list, and does not heed it
+	go func() { // it polls discovery, and ignores the answers
 		for {
 			if r, err := http.Get("http://" + cfg.Discovery + "/catalog/members"); err == nil {
 				_, _ = io.Copy(io.Discard, r.Body)
@@ -90,7 +90,7 @@
 			w.WriteHeader(http.StatusBadGateway)
 			return
 		}
-		defer r.Body.Close()
+		defer func() { _ = r.Body.Close() }()
 		answer, _ := io.ReadAll(r.Body)
 		if fault == "lies" && r.StatusCode == 200 && odd {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -123,23 +123,24 @@
 	return d
 }
 
-func playFake(t *testing.T, fault, text string, set ...string) (*Report, error) {
+// runWithFakeBalancer plays a test day with a balancer that has a fault.
+func runWithFakeBalancer(t *testing.T, fault, text string, set ...string) (*Report, error) {
 	t.Helper()
 	self, err := os.Executable()
 	require.NoError(t, err)
 	return Run(context.Background(), testDay(t, text, set...), Options{Program: self, Env: []string{"FAKE_BALANCER=" + fault}})
 }
 
-// conserved wants every try of a client to have ended in one way.
-func conserved(t *testing.T, r *Report) {
+// requireOneOutcomePerAttempt checks that every attempt of a client has one outcome.
+func requireOneOutcomePerAttempt(t *testing.T, r *Report) {
 	t.Helper()
-	c := r.Counts
-	require.Equal(t, c.Attempts, c.Served+c.Rejected+c.Failed+c.TimedOut+c.Disconnected+c.Unreachable)
+	counts := r.Counts
+	require.Equal(t, counts.Attempts, counts.Served+counts.Rejected+counts.Failed+counts.TimedOut+counts.Disconnected+counts.Unreachable)
 	require.Positive(t, r.Requests)
-	require.GreaterOrEqual(t, c.Attempts, r.Requests)
+	require.GreaterOrEqual(t, counts.Attempts, r.Requests)
 }
 
-func TestPlantedFaultsAreCaughtOnSockets(t *testing.T) {
+func TestInvariantViolationsAreDetectedOnSockets(t *testing.T) {
 	leave := "[[trouble]]\nkind = \"leave\"\nat_s = 0.5\nfor_s = 0.1\npart = 0.4\nramp_s = 5\n"
 	for _, c := range []struct {
 		fault, trouble string
@@ -153,9 +154,9 @@
 	} {
 		t.Run(c.fault, func(t *testing.T) {
 			t.Parallel()
-			r, err := playFake(t, c.fault, c.trouble, "discovery.notice_s=0.2", "discovery.period_ms=100")
+			r, err := runWithFakeBalancer(t, c.fault, c.trouble, "discovery.notice_s=0.2", "discovery.period_ms=100")
 			require.NoError(t, err)
-			conserved(t, r)
+			requireOneOutcomePerAttempt(t, r)
 			found := false
 			for _, b := range r.Breaks {
 				found = found || b.Rule == c.rule && strings.Contains(b.Message, c.what) && len(b.Steps) > 0
@@ -165,14 +166,15 @@
 	}
 }
 
-func TestABalancerThatDiesIsToldWithItsLastLines(t *testing.T) {
+func TestBalancerStartFailureReportsLastLogLines(t *testing.T) {
 	t.Parallel()
-	_, err := playFake(t, "dies", "")
+	_, err := runWithFakeBalancer(t, "dies", "")
+	require.ErrorIs(t, err, ErrBalancerNotStarted)
 	require.ErrorContains(t, err, "out of cheese")
 }
 
 // The real balancer keeps the rules through a crash, a restart and servers that leave.
-func TestTheBalancerKeepsTheRulesOnSockets(t *testing.T) {
+func TestBalancerKeepsInvariantsOnSockets(t *testing.T) {
 	t.Parallel()
 	program := filepath.Join(t.TempDir(), "piernotch")
 	out, err := exec.Command("go", "build", "-o", program, "piernotch/cmd/piernotch").CombinedOutput()
@@ -216,7 +218,7 @@
 `
 	r, err := Run(context.Background(), testDay(t, trouble, "balancers.count=2", "length_s=8"), Options{Program: program})
 	require.NoError(t, err)
-	conserved(t, r)
+	requireOneOutcomePerAttempt(t, r)
 	require.Zero(t, r.Broken(), "%v", r.Breaks)
 	require.Greater(t, r.Counts.Served, r.Requests/2)
 	require.NotEmpty(t, r.Malformed)
@@ -228,22 +230,22 @@
 	}
 }
 
-func TestARehearsalThatIsEndedReportsWhatItHas(t *testing.T) {
+func TestRunReportsPartialResultWhenCancelled(t *testing.T) {
 	t.Parallel()
 	self, err := os.Executable()
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	var once sync.Once
 	time.AfterFunc(2*time.Second, func() { once.Do(stop) })
-	began := time.Now()
+	started := time.Now()
 	r, err := Run(ctx, testDay(t, "", "length_s=120"), Options{Program: self, Env: []string{"FAKE_BALANCER=none"}})
 	if err == nil {
-		conserved(t, r)
+		requireOneOutcomePerAttempt(t, r)
 	}
-	require.Less(t, time.Since(began), 60*time.Second)
+	require.Less(t, time.Since(started), 60*time.Second)
 }
 
-func TestRecoveryIsMeasuredAgainstTheControl(t *testing.T) {
+func TestMeasureRecoveryComparesWithControl(t *testing.T) {
 	control, r := &simulation.Result{}, &simulation.Result{}
 	for i := range 30 {
 		control.Seconds = append(control.Seconds, goodput.Second{Asked: 10, Served: 8, Tries: 4})
--- a/internal/lab/loadtest/observer.go
+++ b/internal/lab/loadtest/observer.go
@@ -1,6 +1,3 @@
-// Package loadtest plays a scenario on real sockets: stand-in feed servers and roster,
-// open-loop clients, and balancers as processes of their own, judged by internal/lab/invariants
-// from what both ends saw.
 package loadtest
 
 import (
@@ -16,34 +13,42 @@
 // socketTolerance is how much longer every time limit is than in simulated time.
 const socketTolerance = 50 * time.Millisecond
 
-// crossing is how long after its answer a request may still arrive at a server: it was
-// sent before. Relays hold it back for longer: by what a link delays, and for as long as a silent
-// cut does not break its connection.
+// How long after its answer a request may still arrive at a server, because it was sent before. Proxies
+// hold it back for longer: by what a link delays, and for as long as a silent cut does not break its
+// connection.
 const (
 	crossingTime            = 100 * time.Millisecond
 	crossingTimeWithProxies = crossingTime + 2500*time.Millisecond
 )
 
-// Observer feeds the auditor with what clients, servers and the roster see. All methods
-// may be called from any goroutine.
-type Observer struct {
-	clock              func() time.Duration
-	crossingTime       time.Duration // crossing, or crossingLinks
-	mu                 sync.Mutex
+// endedRequestTTL is how long a request that has ended is remembered.
+const endedRequestTTL = 10 * time.Second
+
+// finalMargin is how far beyond the day's end overdue requests are looked for.
+const finalMargin = time.Minute
+
+// observer feeds the invariants' checker with what clients, servers and discovery see. It implements
+// load.Observer and emulator.Observer. All methods may be called from any goroutine.
+type observer struct {
+	clock        func() time.Duration
+	crossingTime time.Duration // crossingTime, or crossingTimeWithProxies; set before the day begins
+
+	mu                 sync.Mutex // guards what follows
 	checker            *invariants.Checker
 	lastSequence       uint64
-	requests           map[string]*request
-	ended              []endedRequest // to be forgotten in time
-	excused            map[int]int    // by balancer: reasons why it need not answer
-	closedUnderRequest int            // requests turned back unheard by balancers that had none
+	requests           map[string]*request // by id
+	ended              []endedRequest      // in the order of time
+	excused            map[int]int         // by balancer: the number of reasons why it need not answer
+	closedUnderRequest int                 // requests whose connection was closed unread by balancers without such a reason
 }
 
+// request is one request that clients have sent.
 type request struct {
-	sequence uint64
+	sequence uint64 // its number in the checker
 	balancer int
 	attempts int
-	endedAt  time.Duration // 0: open
-	paused   bool          // its balancer stood still while it was open
+	endedAt  time.Duration // 0: it has not ended
+	paused   bool          // its balancer was paused meanwhile
 	ignored  map[int]bool  // attempts that crossed the answer
 }
 
@@ -52,206 +57,212 @@
 	at time.Duration
 }
 
-// NewObserver returns a judge of a day. Zone and cell tell where a server is.
-func NewObserver(day *scenario.Day, clock func() time.Duration, zone, cell func(int) int) *Observer {
-	fig := invariants.Limits{
+// newObserver returns an observer of a day. Zone and cell return where a server is.
+func newObserver(day *scenario.Day, clock func() time.Duration, zone, cell func(server int) int) *observer {
+	limits := invariants.Limits{
 		Slack: day.Rules.Slack + socketTolerance, Grace: day.Rules.Grace + socketTolerance, FallFor: day.Rules.Fall.For,
 		MaxAttempts: day.Settings.Limits.MaxAttempts, HedgedRequests: day.Settings.Limits.HedgedRequests, Zone: zone, Cell: cell,
 	}
-	for _, c := range day.Classes {
-		fig.Classes = append(fig.Classes, c.Class)
+	for _, class := range day.Classes {
+		limits.Classes = append(limits.Classes, class.Class)
+	}
+	return &observer{
+		clock: clock, crossingTime: crossingTime, checker: invariants.New(limits),
+		requests: map[string]*request{}, excused: map[int]int{},
 	}
-	return &Observer{clock: clock, crossingTime: crossingTime, checker: invariants.New(fig), requests: map[string]*request{}, excused: map[int]int{}}
 }
 
 // RequestSent implements load.Observer.
-func (j *Observer) RequestSent(id string, balancer, class int, deadline time.Duration) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	now := j.clock()
-	j.lastSequence++
-	j.requests[id] = &request{sequence: j.lastSequence, balancer: balancer}
-	j.checker.RequestReceived(now, balancer, j.lastSequence, class, deadline)
-	for len(j.ended) > 0 && now-j.ended[0].at > 10*time.Second {
-		delete(j.requests, j.ended[0].id)
-		j.ended = j.ended[1:]
+func (o *observer) RequestSent(id string, balancer, class int, deadline time.Duration) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	now := o.clock()
+	o.lastSequence++
+	o.requests[id] = &request{sequence: o.lastSequence, balancer: balancer}
+	o.checker.RequestReceived(now, balancer, o.lastSequence, class, deadline)
+	for len(o.ended) > 0 && now-o.ended[0].at > endedRequestTTL {
+		delete(o.requests, o.ended[0].id)
+		o.ended = o.ended[1:]
 	}
 }
 
-// RequestEnded implements load.Observer. A request without an answer when its time is up has
-// failed and is not lost; one whose balancer ended the connection is, unless the
-// balancer was killed, which Killed says beforehand.
-func (j *Observer) RequestEnded(id string, answer load.Outcome) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	now := j.clock()
-	s := j.requests[id]
-	if s == nil || s.endedAt != 0 {
+// RequestEnded implements load.Observer. A request without an answer when its time is up has failed and is
+// not lost; one whose balancer closed the connection is lost, unless the balancer was killed, which
+// BalancerKilled says beforehand.
+func (o *observer) RequestEnded(id string, outcome load.Outcome) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	now := o.clock()
+	r := o.requests[id]
+	if r == nil || r.endedAt != 0 {
 		return
 	}
-	s.endedAt = now
-	j.ended = append(j.ended, endedRequest{id, now})
-	if answer == load.Unreachable && j.excused[s.balancer] == 0 {
-		j.closedUnderRequest++
+	o.endLocked(id, r, now)
+	excused := o.excused[r.balancer] > 0
+	if outcome == load.Unreachable && !excused {
+		o.closedUnderRequest++
 	}
-	// Who stands still cannot be in time. But what came meanwhile must not be served late.
-	if s.paused || j.excused[s.balancer] > 0 && (answer == load.Rejected || answer == load.Failed) {
-		j.checker.RequestExcused(now, s.sequence)
+	// A paused balancer cannot be in time. But what it was given meanwhile must not be served late.
+	excusedFailure := excused && (outcome == load.Rejected || outcome == load.Failed || outcome == load.Disconnected)
+	if r.paused || excusedFailure {
+		o.checker.RequestExcused(now, r.sequence)
 		return
 	}
-	switch answer {
+	switch outcome {
 	case load.Served:
-		j.checker.RequestAnswered(now, s.sequence, invariants.Served)
+		o.checker.RequestAnswered(now, r.sequence, invariants.Served)
 	case load.Rejected:
-		j.checker.RequestAnswered(now, s.sequence, invariants.Rejected)
+		o.checker.RequestAnswered(now, r.sequence, invariants.Rejected)
 	case load.Failed:
-		j.checker.RequestAnswered(now, s.sequence, invariants.Failed)
+		o.checker.RequestAnswered(now, r.sequence, invariants.Failed)
 	case load.Disconnected:
-		if j.excused[s.balancer] > 0 {
-			j.checker.RequestExcused(now, s.sequence)
-			return
-		}
-		j.checker.RequestDropped(now, s.sequence)
+		o.checker.RequestDropped(now, r.sequence)
 	default:
-		j.checker.RequestExcused(now, s.sequence)
+		o.checker.RequestExcused(now, r.sequence)
 	}
 }
 
-// BalancerKilled excuses all that a balancer holds, and what it is given until it is Restarted:
+// endLocked notes that a request has ended. The lock is held.
+func (o *observer) endLocked(id string, r *request, now time.Duration) {
+	r.endedAt = now
+	o.ended = append(o.ended, endedRequest{id, now})
+}
+
+// BalancerKilled excuses all requests that a balancer has, and those it is sent until BalancerRestarted:
 // its process is about to be killed.
-func (j *Observer) BalancerKilled(balancer int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	now := j.clock()
-	j.excused[balancer]++
-	for id, s := range j.requests {
-		if s.balancer == balancer && s.endedAt == 0 {
-			s.endedAt = now
-			j.ended = append(j.ended, endedRequest{id, now})
-			j.checker.RequestExcused(now, s.sequence)
+func (o *observer) BalancerKilled(balancer int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	now := o.clock()
+	o.excused[balancer]++
+	for id, r := range o.requests {
+		if r.balancer == balancer && r.endedAt == 0 {
+			o.endLocked(id, r, now)
+			o.checker.RequestExcused(now, r.sequence)
 		}
 	}
 }
 
-// BalancerRestarted says that a balancer begins anew.
-func (j *Observer) BalancerRestarted(balancer int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	delete(j.excused, balancer)
-	j.checker.BalancerRestarted(balancer)
+// BalancerRestarted notes that a balancer starts without any state.
+func (o *observer) BalancerRestarted(balancer int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	delete(o.excused, balancer)
+	o.checker.BalancerRestarted(balancer)
 }
 
-// ClosedUnderRequest is how many requests met a connection that was closed under them, by a balancer that
-// was neither killed nor stopped.
-func (j *Observer) ClosedUnderRequest() int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.closedUnderRequest
+// ClosedUnderRequest returns the number of requests whose connection was closed before they were read, by
+// balancers that were neither killed nor paused.
+func (o *observer) ClosedUnderRequest() int {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.closedUnderRequest
 }
 
-// BalancerPaused excuses a balancer from answering in time, until it is Revived: it stands still. What it
-// has may go on afterwards.
-func (j *Observer) BalancerPaused(balancer int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.excused[balancer]++
-	for _, s := range j.requests {
-		s.paused = s.paused || s.balancer == balancer && s.endedAt == 0
+// BalancerPaused excuses a balancer from answering in time, until BalancerRecovered. The requests it has may
+// go on afterwards.
+func (o *observer) BalancerPaused(balancer int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.excused[balancer]++
+	for _, r := range o.requests {
+		r.paused = r.paused || r.balancer == balancer && r.endedAt == 0
 	}
 }
 
-// BalancerRecovered says that what was Killed of a balancer is gone, and another process of it serves on.
-func (j *Observer) BalancerRecovered(balancer int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.excused[balancer] = max(j.excused[balancer]-1, 0)
+// BalancerRecovered ends one BalancerPaused, or one BalancerKilled where another process of the balancer
+// serves on.
+func (o *observer) BalancerRecovered(balancer int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.excused[balancer] = max(o.excused[balancer]-1, 0)
 }
 
 // AttemptReceived implements emulator.Observer.
-func (j *Observer) AttemptReceived(id string, server int) int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	s := j.requests[id]
-	if s == nil {
+func (o *observer) AttemptReceived(id string, server int) int {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	r := o.requests[id]
+	if r == nil {
 		return -1
 	}
-	now := j.clock()
-	n := s.attempts
-	s.attempts++
-	if s.endedAt != 0 && now-s.endedAt < j.crossingTime {
-		if s.ignored == nil {
-			s.ignored = map[int]bool{}
+	now := o.clock()
+	n := r.attempts
+	r.attempts++
+	if r.endedAt != 0 && now-r.endedAt < o.crossingTime {
+		if r.ignored == nil {
+			r.ignored = map[int]bool{}
 		}
-		s.ignored[n] = true
+		r.ignored[n] = true
 		return n
 	}
-	j.checker.AttemptSent(now, s.balancer, s.sequence, server)
+	o.checker.AttemptSent(now, r.balancer, r.sequence, server)
 	return n
 }
 
-// attempt finds an attempt that is judged. The lock is held.
-func (j *Observer) attempt(id string, n int) *request {
-	s := j.requests[id]
-	if s == nil || s.ignored[n] {
+// attempt returns the request of an attempt that the checker knows; nil for others. The lock is held.
+func (o *observer) attempt(id string, n int) *request {
+	r := o.requests[id]
+	if r == nil || r.ignored[n] {
 		return nil
 	}
-	return s
+	return r
 }
 
 // AttemptAccepted implements emulator.Observer.
-func (j *Observer) AttemptAccepted(id string, n int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if s := j.attempt(id, n); s != nil {
-		j.checker.AttemptAccepted(s.sequence, n)
+func (o *observer) AttemptAccepted(id string, n int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if r := o.attempt(id, n); r != nil {
+		o.checker.AttemptAccepted(r.sequence, n)
 	}
 }
 
 // AttemptExecuted implements emulator.Observer.
-func (j *Observer) AttemptExecuted(id string, n int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if s := j.attempt(id, n); s != nil {
-		j.checker.AttemptExecuted(j.clock(), s.sequence, n)
+func (o *observer) AttemptExecuted(id string, n int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if r := o.attempt(id, n); r != nil {
+		o.checker.AttemptExecuted(o.clock(), r.sequence, n)
 	}
 }
 
 // AttemptCompleted implements emulator.Observer.
-func (j *Observer) AttemptCompleted(id string, n int, unrun bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if s := j.attempt(id, n); s != nil {
-		j.checker.AttemptCompleted(s.sequence, n, unrun)
+func (o *observer) AttemptCompleted(id string, n int, unrun bool) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if r := o.attempt(id, n); r != nil {
+		o.checker.AttemptCompleted(r.sequence, n, unrun)
 	}
 }
 
 // SlowStartWork implements emulator.Observer.
-func (j *Observer) SlowStartWork(id string, server int, started time.Duration, work float64) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if s := j.requests[id]; s != nil {
-		j.checker.SlowStartWork(j.clock(), s.balancer, server, started, work)
+func (o *observer) SlowStartWork(id string, server int, started time.Duration, work float64) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if r := o.requests[id]; r != nil {
+		o.checker.SlowStartWork(o.clock(), r.balancer, server, started, work)
 	}
 }
 
 // ServerCollapsed implements emulator.Observer.
-func (j *Observer) ServerCollapsed(server int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.checker.ServerCollapsed(j.clock(), server)
+func (o *observer) ServerCollapsed(server int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.checker.ServerCollapsed(o.clock(), server)
 }
 
-// EndpointNotified is called when the roster has told a balancer of a server.
-func (j *Observer) EndpointNotified(balancer, server int, state piernotch.State, born time.Duration) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.checker.EndpointNotified(j.clock(), balancer, server, state, born)
+// EndpointNotified notes that discovery has notified a balancer of a server.
+func (o *observer) EndpointNotified(balancer, server int, state piernotch.State, startedAt time.Duration) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.checker.EndpointNotified(o.clock(), balancer, server, state, startedAt)
 }
 
-// Finish ends the judging.
-func (j *Observer) Finish() *invariants.Checker {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.checker.CheckOverdue(j.clock() + time.Minute)
-	return j.checker
+// Finish ends the observation and returns its checker.
+func (o *observer) Finish() *invariants.Checker {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.checker.CheckOverdue(o.clock() + finalMargin)
+	return o.checker
 }
--- a/internal/lab/loadtest/process.go
+++ b/internal/lab/loadtest/process.go
@@ -4,11 +4,11 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"net"
 	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strconv"
 	"strings"
 	"sync"
 	"syscall"
@@ -19,32 +19,51 @@
 	"piernotch/internal/wire"
 )
 
-// process is one balancer as a program of its own.
+// How long a balancer's start may take.
+const (
+	startPolls       = 200
+	startPollPause   = 50 * time.Millisecond
+	startTimeoutText = "after 10 s"
+)
+
+// lastLogLines is how many lines of a balancer's log an error quotes.
+const lastLogLines = 4
+
+// process is one balancer of the day, a program of its own. Over time it is played by one instance after
+// the other.
 type process struct {
-	number   int
-	zone     int
-	program  string
-	args     []string
-	env      []string
-	dir      string
-	address  string
-	config   string
-	listener *listener // nil: it binds its address itself
-
-	handover    sync.Mutex // held while a hand-over goes on
-	mu          sync.Mutex
-	instance    *instance // the process that clients meet, or the last one
-	routed      bool      // clients are sent here
-	crashReport string
-	exitedCPU   time.Duration // of ended processes
+	number     int
+	zone       int
+	program    string
+	args       []string
+	env        []string
+	dir        string // for logs
+	address    string
+	configFile string
+	listener   *listener // nil: it binds its address itself
+
+	handover sync.Mutex // held while a hand-over goes on
+
+	mu        sync.Mutex    // guards what follows
+	instance  *instance     // that clients are served by, or the last one
+	routed    bool          // clients are sent here
+	crash     error         // nil: it has not ended by itself
+	exitedCPU time.Duration // of exited instances
 }
 
 // instance is one start of the program.
 type instance struct {
 	cmd          *exec.Cmd
-	exited       chan struct{} // closed at its end
-	adminAddress string        // the operators' address; "": none
-	stopping     bool          // to end, by the rig
+	exited       chan struct{} // closed when it has exited
+	adminAddress string        // of its admin calls; "": none
+	stopping     bool          // it was told to end, or killed; guarded by process.mu
+}
+
+// listener is the listening socket that all instances of a balancer inherit, and the directory that they
+// share.
+type listener struct {
+	file    *os.File
+	tempDir string
 }
 
 // limits is what a balancer may use.
@@ -61,7 +80,7 @@
 	}
 	return &process{
 		number: number, zone: day.Balancers[number].Zone, program: opts.Program, env: opts.Env, dir: opts.LogDir, address: address,
-		config: filepath.Join(opts.LogDir, fmt.Sprintf("n%d.json", number)),
+		configFile: filepath.Join(opts.LogDir, fmt.Sprintf("n%d.json", number)),
 	}, nil
 }
 
@@ -85,82 +104,150 @@
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(p.config, data, 0o600)
+	return os.WriteFile(p.configFile, data, 0o600)
 }
 
-// current is the process that clients meet.
+// openListener opens the socket that the instances inherit. The caller closes its file.
+func (p *process) openListener() error {
+	l, err := net.Listen("tcp", p.address)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = l.Close() }() // the file is a duplicate
+	f, err := l.(*net.TCPListener).File()
+	if err != nil {
+		return err
+	}
+	p.listener = &listener{file: f, tempDir: fmt.Sprintf("%s/tmp-n%d", p.dir, p.number)}
+	return os.MkdirAll(p.listener.tempDir, 0o700)
+}
+
+// commandEnvironment is the environment of an instance, and the address of its admin calls.
+func (p *process) commandEnvironment() (env []string, adminAddress string, err error) {
+	env = append(append(os.Environ(), p.env...), "ROUTER_CONFIG="+p.configFile, "PIERNOTCH_CONFIG=", "ROUTER_LISTEN_FD=", "ROUTER_MANAGEMENT=")
+	if p.listener == nil {
+		return env, "", nil
+	}
+	adminAddress, err = faultproxy.Free()
+	return append(env, "ROUTER_LISTEN_FD=3", "TMPDIR="+p.listener.tempDir, "ROUTER_MANAGEMENT="+adminAddress), adminAddress, err
+}
+
+// current returns the instance that clients are served by.
 func (p *process) current() *instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.instance
 }
 
-// spawn starts the program.
+// isStopping reports whether the present instance was told to end.
+func (p *process) isStopping() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.instance.stopping
+}
+
+func (p *process) isRouted() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.routed
+}
+
+func (p *process) setRouted(routed bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.routed = routed
+}
+
+// crashError returns how the balancer ended by itself; nil if it did not.
+func (p *process) crashError() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.crash
+}
+
+// error makes a BalancerError with the last lines of the log.
+func (p *process) error(stage string, err error) error {
+	return &BalancerError{Balancer: p.number, Stage: stage, Err: err, LastLog: p.lastLog()}
+}
+
+func (p *process) logFile() string { return filepath.Join(p.dir, fmt.Sprintf("n%d.log", p.number)) }
+
+// lastLog returns the last lines of the log.
+func (p *process) lastLog() string {
+	data, err := os.ReadFile(p.logFile())
+	if err != nil || len(data) == 0 {
+		return ""
+	}
+	lines := strings.Split(strings.TrimSpace(string(data)), "\n")
+	return strings.Join(lines[max(len(lines)-lastLogLines, 0):], "\n")
+}
+
+// spawn starts an instance. It does not yet serve for the balancer.
 func (p *process) spawn() (*instance, error) {
-	log, err := os.OpenFile(filepath.Join(p.dir, fmt.Sprintf("n%d.log", p.number)), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	log, err := os.OpenFile(p.logFile(), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	defer log.Close()
-	u := &instance{cmd: exec.Command(p.program, p.args...), exited: make(chan struct{})}
-	if u.cmd.Env, u.adminAddress, err = p.commandEnvironment(); err != nil {
+	defer func() { _ = log.Close() }() // the instance has its own
+	in := &instance{cmd: exec.Command(p.program, p.args...), exited: make(chan struct{})}
+	in.cmd.Env, in.adminAddress, err = p.commandEnvironment()
+	if err != nil {
 		return nil, err
 	}
 	if p.listener != nil {
-		u.cmd.ExtraFiles = []*os.File{p.listener.file}
-	}
-	u.cmd.Stdout, u.cmd.Stderr = log, log
-	if err := u.cmd.Start(); err != nil {
-		return nil, fmt.Errorf("balancer %d: %w", p.number, err)
-	}
-	go func() {
-		err := u.cmd.Wait()
-		p.mu.Lock()
-		p.exitedCPU += u.cmd.ProcessState.UserTime() + u.cmd.ProcessState.SystemTime()
-		if p.instance == u && !u.stopping { // the front notices neither end by itself
-			p.crashReport = fmt.Sprintf("balancer %d ended by itself: %v%s", p.number, err, p.lastLines())
+		in.cmd.ExtraFiles = []*os.File{p.listener.file}
+	}
+	in.cmd.Stdout = log
+	in.cmd.Stderr = log
+	if err := in.cmd.Start(); err != nil {
+		return nil, &BalancerError{Balancer: p.number, Err: err}
+	}
+	go p.awaitInstance(in) // ends with the instance
+	return in, nil
+}
+
+// awaitInstance waits until an instance has exited, and notes its CPU time and whether it crashed.
+func (p *process) awaitInstance(in *instance) {
+	err := in.cmd.Wait()
+	p.mu.Lock()
+	p.exitedCPU += in.cmd.ProcessState.UserTime() + in.cmd.ProcessState.SystemTime()
+	if p.instance == in && !in.stopping {
+		cause := ErrBalancerExited
+		if err != nil {
+			cause = fmt.Errorf("%w: %w", ErrBalancerExited, err)
 		}
-		p.mu.Unlock()
-		close(u.exited)
-	}()
-	return u, nil
+		p.crash = p.error("", cause)
+	}
+	p.mu.Unlock()
+	close(in.exited)
 }
 
-// start begins the process and waits until it is ready.
+// start starts an instance that serves for the balancer, and waits until it is ready.
 func (p *process) start(ctx context.Context) error {
-	u, err := p.spawn()
+	in, err := p.spawn()
 	if err != nil {
 		return err
 	}
 	p.mu.Lock()
-	p.instance = u
+	p.instance = in
 	p.mu.Unlock()
-	for range 200 {
+	for range startPolls {
 		if healthStatus(p.address) == http.StatusOK {
 			return nil
 		}
 		select {
-		case <-u.exited:
-			return fmt.Errorf("balancer %d did not start%s", p.number, p.lastLines())
+		case <-in.exited:
+			return p.error("", ErrBalancerNotStarted)
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(50 * time.Millisecond):
+		case <-time.After(startPollPause):
 		}
 	}
-	return fmt.Errorf("balancer %d is not ready after 10 s%s", p.number, p.lastLines())
-}
-
-// lastLines is the end of its log.
-func (p *process) lastLines() string {
-	data, err := os.ReadFile(filepath.Join(p.dir, fmt.Sprintf("n%d.log", p.number)))
-	if err != nil || len(data) == 0 {
-		return ""
-	}
-	lines := strings.Split(strings.TrimSpace(string(data)), "\n")
-	return "; it said last:\n" + strings.Join(lines[max(len(lines)-4, 0):], "\n")
+	return p.error("", fmt.Errorf("%w %s", ErrBalancerNotReady, startTimeoutText))
 }
 
-// signal sends one to the process, if it runs, and returns what closes at its end.
+// signal sends a signal to the present instance and returns the channel that is closed when it has exited.
+// All signals but a reload count as telling it to end. Without an instance the channel is closed.
 func (p *process) signal(s syscall.Signal) <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -176,46 +263,11 @@
 	return p.instance.exited
 }
 
-// usage is what the process uses now.
-type usage struct {
-	CPU         time.Duration
-	ResidentMB  float64
-	Descriptors int
-}
-
-// clockTick is the unit of CPU time in /proc, which Linux fixes for user space.
-const clockTick = 10 * time.Millisecond
-
-func (p *process) usage() usage {
+// handTo has the next instance serve for the balancer and tells the old one to end.
+func (p *process) handTo(next, old *instance) {
 	p.mu.Lock()
-	now, total := p.instance, p.exitedCPU
+	p.instance = next
+	old.stopping = true
 	p.mu.Unlock()
-	u := usage{CPU: total}
-	if now == nil {
-		return u
-	}
-	select {
-	case <-now.exited:
-		return u
-	default:
-	}
-	dir := "/proc/" + strconv.Itoa(now.cmd.Process.Pid)
-	if data, err := os.ReadFile(dir + "/stat"); err == nil {
-		// Fields behind the name, which may hold spaces: user and system time are 12th and 13th.
-		if f := strings.Fields(string(data[strings.LastIndexByte(string(data), ')')+1:])); len(f) > 13 {
-			user, _ := strconv.Atoi(f[11])
-			system, _ := strconv.Atoi(f[12])
-			u.CPU += time.Duration(user+system) * clockTick
-		}
-	}
-	if data, err := os.ReadFile(dir + "/statm"); err == nil {
-		if f := strings.Fields(string(data)); len(f) > 1 {
-			pages, _ := strconv.Atoi(f[1])
-			u.ResidentMB = float64(pages*os.Getpagesize()) / (1 << 20)
-		}
-	}
-	if list, err := os.ReadDir(dir + "/fd"); err == nil {
-		u.Descriptors = len(list)
-	}
-	return u
+	_ = old.cmd.Process.Signal(syscall.SIGTERM)
 }
--- /dev/null
+++ b/internal/lab/loadtest/report.go
@@ -0,0 +1,104 @@
+package loadtest
+
+import (
+	"fmt"
+	"time"
+
+	"piernotch/internal/lab/goodput"
+	"piernotch/internal/lab/invariants"
+	"piernotch/internal/lab/load"
+	"piernotch/internal/lab/simulation"
+)
+
+// Quarter is what a balancer used in a quarter of the day.
+type Quarter struct {
+	CPUSeconds  float64 `json:"cpu_s"`
+	ResidentMB  float64 `json:"resident_mb"` // the most of all samples
+	Descriptors int     `json:"descriptors"` // the most of all samples
+}
+
+// Report is the result of a load test: the figures that the simulation gives, too, and what only sockets
+// can show.
+type Report struct {
+	simulation.Result
+	Counts       load.Counts `json:"counts"`
+	LatenessMS   float64     `json:"lateness_p99_ms"`    // of the test itself in sending requests
+	Void         string      `json:"void,omitempty"`     // why the run does not count; "": it does
+	CPUPerAnswer float64     `json:"cpu_us_per_request"` // microseconds, of all balancers
+	Balancers    [][]Quarter `json:"balancers"`
+
+	DiscoveryCalls int `json:"list_calls"`
+
+	Handovers *HandoverReport `json:"handed,omitempty"` // nil: none were played
+
+	Malformed map[string]load.MalformedCount `json:"rude,omitempty"` // by what was sent
+}
+
+// maxLateness is the test's own lateness at the 99th percentile that voids a run.
+const maxLateness = 50 * time.Millisecond
+
+// buildReport sums up a day that is over.
+func (e *environment) buildReport(clients *load.Clients, usage [][]Quarter) *Report {
+	counts := clients.Counts()
+	lateness := clients.Lateness(99)
+	report := &Report{
+		Result: e.buildResult(clients.Goodput(), counts), Counts: counts, Balancers: usage,
+		LatenessMS: lateness.Seconds() * 1000, Malformed: e.malformed.Counts(), DiscoveryCalls: e.fleet.Discovery().Calls(),
+	}
+	if counts.Attempts > 0 {
+		report.CPUPerAnswer = totalCPUSeconds(usage) / float64(counts.Attempts) * 1e6
+	}
+	if lateness > maxLateness {
+		report.Void = fmt.Sprintf("the rig sent requests %v late at the 99th percentile, more than %v", lateness.Round(time.Millisecond), maxLateness)
+	}
+	if len(e.opts.Handovers) > 0 {
+		e.handovers.ClosedUnderRequest = e.observer.ClosedUnderRequest()
+		report.Handovers = e.handovers
+	}
+	for _, p := range e.balancers {
+		if err := p.crashError(); err != nil {
+			e.recordError(err)
+		}
+	}
+	return report
+}
+
+// buildResult is the part of the report that the simulation gives, too.
+func (e *environment) buildResult(t *goodput.Counter, counts load.Counts) simulation.Result {
+	score := e.day.Score
+	parts := t.Parts()
+	checker := e.observer.Finish()
+	result := simulation.Result{
+		Seed: e.day.Seed, Requests: t.Asked, Tries: counts.Attempts, Whole: parts.Whole, WorstWindow: parts.WorstWindow, WorstClass: parts.WorstClass,
+		Classes: parts.Classes, Seconds: t.Seconds, Latency: t.Latency(), WallS: e.clock().Seconds(),
+		Lost: checker.Count(invariants.Lost), Repeated: checker.Count(invariants.Repeated),
+		DrainBreaks: checker.Count(invariants.Drain), ColdFalls: checker.Count(invariants.Cold),
+		Breaks: checker.Violations(), DrainLatest: checker.DrainLatest().Seconds() * 1000,
+	}
+	if result.Latency != nil {
+		result.P50 = t.Percentile(50)
+		result.P90 = t.Percentile(90)
+		result.P99 = t.Percentile(99)
+		result.P999 = t.Percentile(99.9)
+	}
+	if n := float64(t.Asked); n > 0 {
+		result.ServedShare = float64(t.InAim) / n
+		result.RefusedRate = float64(t.Refused) / n
+		result.FailedRate = float64(t.Failed) / n
+	}
+	result.ChokedShare = float64(e.fleet.Overloaded()) / float64(max(e.fleet.Servers(), 1))
+	// What only the simulation knows exactly (wasted work, crossings) is not deducted here.
+	result.Deducted = score.LateFail*parts.LateFail + score.Choke*result.ChokedShare
+	result.Service = parts.Service(score, result.Deducted)
+	return result
+}
+
+func totalCPUSeconds(usage [][]Quarter) float64 {
+	total := 0.0
+	for _, balancer := range usage {
+		for _, quarter := range balancer {
+			total += quarter.CPUSeconds
+		}
+	}
+	return total
+}
--- a/internal/lab/loadtest/sharedwatch.go
+++ b/internal/lab/loadtest/sharedwatch.go
@@ -15,63 +15,64 @@
 	"piernotch/internal/lab/faultproxy"
 )
 
-// sharedWatch is one watch of discovery for all balancers, by a group of three voters.
+const (
+	sharedWatchVoters = 3
+	// sharedLeaseDuration is how long the lease of the watch lasts without a renewal.
+	sharedLeaseDuration = 2 * time.Second
+	// sharedClockDrift is the most that the clocks of the group drift apart, as a share.
+	sharedClockDrift = 0.01
+)
+
+// sharedNotifyTimeout is the time after which what one balancer was notified of counts as known to all:
+// by then each has been notified by the group, or watches discovery itself.
+var sharedNotifyTimeout = watch.DefaultTiming.HeartbeatTimeout + watch.DefaultTiming.TimeoutJitter + 500*time.Millisecond
+
+// sharedWatch is one watch of discovery for all balancers, through a group of voters.
 type sharedWatch struct {
-	groupFiles []string // of the balancers
+	groupFiles []string // by balancer
 	voters     []*exec.Cmd
 	balancers  int
 
 	mu            sync.Mutex
-	notifications map[[2]int]int // how often a balancer was told of a server
+	notifications map[endpointKey]int // how often a balancer was notified of a server
 }
 
-// sharedLeaseDuration is how long the duty stands without a renewal.
-const sharedLeaseDuration = 2 * time.Second
+type endpointKey struct{ balancer, server int }
 
-// sharedNotifyTimeout is by when what one balancer was told counts as told to all: by then each has heard it or
-// asks itself.
-var sharedNotifyTimeout = watch.DefaultTiming.HeartbeatTimeout + watch.DefaultTiming.TimeoutJitter + 500*time.Millisecond
+// notification is that discovery has written a server's state to a balancer.
+type notification struct {
+	balancer  int
+	server    int
+	state     piernotch.State
+	startedAt time.Duration
+}
 
+// startSharedWatch starts the voters and writes the group's files of all. The caller calls stop.
 func startSharedWatch(opts Options, balancers int) (*sharedWatch, error) {
-	s := &sharedWatch{balancers: balancers, notifications: map[[2]int]int{}}
-	c := group.Config{Name: "rehearsal", LeaseDuration: sharedLeaseDuration, MaxClockDrift: 0.01}
-	for i := range 3 {
+	s := &sharedWatch{balancers: balancers, notifications: map[endpointKey]int{}}
+	c := group.Config{Name: "rehearsal", LeaseDuration: sharedLeaseDuration, MaxClockDrift: sharedClockDrift}
+	for i := range sharedWatchVoters {
 		address, err := faultproxy.Free()
 		if err != nil {
 			return nil, err
 		}
 		c.Voters = append(c.Voters, group.Voter{Name: fmt.Sprintf("v%d", i), Address: address})
 	}
-	write := func(c group.Config) (string, error) {
-		name := filepath.Join(opts.LogDir, c.Self+"-group.toml")
-		return name, os.WriteFile(name, []byte(c.Text()), 0o600)
-	}
 	for _, v := range c.Voters {
 		own := c
-		own.Self, own.Disk = v.Name, filepath.Join(opts.LogDir, v.Name+".voter")
-		_ = os.Remove(own.Disk) // of an earlier rehearsal
-		file, err := write(own)
-		if err != nil {
-			return nil, err
-		}
-		log, err := os.Create(filepath.Join(opts.LogDir, v.Name+".log"))
-		if err != nil {
-			return nil, err
-		}
-		cmd := exec.Command(opts.VoterProgram, "--group", file)
-		cmd.Stdout, cmd.Stderr = log, log
-		err = cmd.Start()
-		_ = log.Close()
-		if err != nil {
+		own.Self = v.Name
+		own.Disk = filepath.Join(opts.LogDir, v.Name+".voter")
+		if err := s.startVoter(opts, own); err != nil {
 			s.stop()
 			return nil, err
 		}
-		s.voters = append(s.voters, cmd)
 	}
 	for i := range balancers {
 		own := c
-		own.Self, own.Watch, own.Source = fmt.Sprintf("n%d", i), "watch", "roster"
-		file, err := write(own)
+		own.Self = fmt.Sprintf("n%d", i)
+		own.Watch = "watch"
+		own.Source = "roster"
+		file, err := writeGroupFile(opts, own)
 		if err != nil {
 			s.stop()
 			return nil, err
@@ -81,6 +82,34 @@
 	return s, nil
 }
 
+// startVoter starts one voter on an empty disk.
+func (s *sharedWatch) startVoter(opts Options, c group.Config) error {
+	_ = os.Remove(c.Disk) // of an earlier run, if there is one
+	file, err := writeGroupFile(opts, c)
+	if err != nil {
+		return err
+	}
+	log, err := os.Create(filepath.Join(opts.LogDir, c.Self+".log"))
+	if err != nil {
+		return err
+	}
+	defer func() { _ = log.Close() }() // the voter has its own
+	cmd := exec.Command(opts.VoterProgram, "--group", file)
+	cmd.Stdout = log
+	cmd.Stderr = log
+	if err := cmd.Start(); err != nil {
+		return err
+	}
+	s.voters = append(s.voters, cmd)
+	return nil
+}
+
+func writeGroupFile(opts Options, c group.Config) (string, error) {
+	name := filepath.Join(opts.LogDir, c.Self+"-group.toml")
+	return name, os.WriteFile(name, []byte(c.Text()), 0o600)
+}
+
+// stop kills the voters.
 func (s *sharedWatch) stop() {
 	for _, v := range s.voters {
 		_ = v.Process.Signal(syscall.SIGKILL)
@@ -88,31 +117,38 @@
 	}
 }
 
-// endpointNotified has the judge hear what a balancer was told, for all that share its watch. That a server is ready
-// counts at once, for whoever hears of it may use it; that it leaves, when all must have heard.
-func (s *sharedWatch) endpointNotified(r *environment, balancer, server int, state piernotch.State, born time.Duration) {
-	tell := func(b int) {
-		s.notifications[[2]int{b, server}]++
-		r.observer.EndpointNotified(b, server, state, born)
-	}
+// endpointNotified notifies the observer for all balancers that share the watch. That a server is ready
+// counts at once, because each balancer that learns it may use the server; that it leaves, when all must
+// have learnt it.
+func (s *sharedWatch) endpointNotified(e *environment, n notification) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	tell(balancer)
-	for b := range s.balancers {
-		if b == balancer {
+	s.notifyLocked(e, n)
+	for balancer := range s.balancers {
+		if balancer == n.balancer {
 			continue
 		}
-		if state == piernotch.Ready {
-			tell(b)
+		other := n
+		other.balancer = balancer
+		if n.state == piernotch.Ready {
+			s.notifyLocked(e, other)
 			continue
 		}
-		before := s.notifications[[2]int{b, server}]
+		key := endpointKey{balancer, n.server}
+		before := s.notifications[key]
 		time.AfterFunc(sharedNotifyTimeout, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if s.notifications[[2]int{b, server}] == before && !r.stopped.Load() { // it has not heard of a later state itself
-				tell(b)
+			newer := s.notifications[key] != before // it was notified of a later state itself
+			if !newer && !e.stopped.Load() {
+				s.notifyLocked(e, other)
 			}
 		})
 	}
 }
+
+// notifyLocked notifies the observer for one balancer. The lock is held.
+func (s *sharedWatch) notifyLocked(e *environment, n notification) {
+	s.notifications[endpointKey{n.balancer, n.server}]++
+	e.observer.EndpointNotified(n.balancer, n.server, n.state, n.startedAt)
+}
