--- /dev/null
+++ b/internal/lab/load/clients.go
@@ -0,0 +1,184 @@
+package load
+
+import (
+	"context"
+	"math"
+	"math/rand/v2"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"piernotch"
+	"piernotch/internal/lab/goodput"
+	"piernotch/internal/lab/scenario"
+	"piernotch/internal/lab/simulation"
+)
+
+// Outcome is how an attempt ended for its client.
+type Outcome uint8
+
+// Outcomes.
+const (
+	Served       Outcome = iota
+	Rejected             // by a 429 or 503
+	Failed               // by another status, or an answer that is not this request's
+	TimedOut             // without an answer
+	Disconnected         // the balancer closed the connection without an answer
+	Unreachable          // no balancer accepted it
+)
+
+// retryable reports whether an attempt with this outcome has certainly not been executed, or may be sent
+// again by a client that cannot know.
+func (o Outcome) retryable() bool { return o == Rejected || o == Unreachable || o == Disconnected }
+
+// Observer is notified of what clients see. Its methods may be called from any goroutine.
+type Observer interface {
+	// RequestSent says that a request is about to be written to a balancer's socket. The deadline is a
+	// time of the day.
+	RequestSent(id string, balancer, class int, deadline time.Duration)
+	// RequestEnded says how it ended. Each id is sent and ended once.
+	RequestEnded(id string, outcome Outcome)
+}
+
+// PickBalancer returns the balancer that a client of a zone sends its next attempt to, and its address; it
+// reports false if there is none. It may be called from any goroutine, with an rng of the caller's.
+type PickBalancer func(zone int, rng *rand.Rand) (balancer int, address string, ok bool)
+
+// Clients are the clients of a day. All exported fields are required, and read only.
+type Clients struct {
+	Day      *scenario.Day
+	Arrivals []simulation.Arrival // in the order of time
+	Clock    func() time.Duration // the time of the day
+	Pick     PickBalancer
+	Observer Observer
+
+	nextID atomic.Uint64
+
+	mu              sync.Mutex // guards what follows
+	goodput         *goodput.Counter
+	lateness        *hdrhistogram.Histogram // of sending after the due time, microseconds
+	outcomes        [Unreachable + 1]int
+	retriedOnClose  int
+	attempts        int
+	idleConnections map[string][]*connection // by address, the last used one last
+}
+
+// Counts are the clients' totals. All but RetriedOnClose are of attempts; each attempt has one outcome. The
+// JSON keys are those of stored results.
+type Counts struct {
+	Attempts       int `json:"Tries"`
+	Served         int `json:"Served"`
+	Rejected       int `json:"Refused"`
+	Failed         int `json:"Failed"`
+	TimedOut       int `json:"Unanswered"`
+	Disconnected   int `json:"Broken"`
+	Unreachable    int `json:"Unreached"`
+	RetriedOnClose int `json:"Crossed"` // requests that were sent again: a reused connection was closed under them
+}
+
+// Run sends all arrivals at their times and returns when the last has ended, or soon after the context has.
+// It is called once.
+func (c *Clients) Run(ctx context.Context) {
+	c.goodput = goodput.New(c.Day)
+	c.lateness = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
+	c.idleConnections = map[string][]*connection{}
+	var requests sync.WaitGroup
+	for i := range c.Arrivals {
+		arrival := &c.Arrivals[i]
+		if wait := arrival.At - c.Clock(); wait > 0 {
+			sleep(ctx, wait)
+		}
+		if ctx.Err() != nil {
+			break
+		}
+		requests.Go(func() { c.send(ctx, arrival) }) // ends with the request, or soon after the context
+	}
+	requests.Wait()
+	c.closeIdle()
+}
+
+// Goodput returns what was counted by class and time; it is complete once Run has returned.
+func (c *Clients) Goodput() *goodput.Counter { return c.goodput }
+
+// Lateness returns how late requests were sent, at a percentile from 0 to 100. It is a fault of the test
+// and not of a balancer.
+func (c *Clients) Lateness(percentile float64) time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return time.Duration(c.lateness.ValueAtPercentile(percentile)) * time.Microsecond
+}
+
+// Counts returns the totals.
+func (c *Clients) Counts() Counts {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return Counts{
+		Attempts: c.attempts, Served: c.outcomes[Served], Rejected: c.outcomes[Rejected], Failed: c.outcomes[Failed],
+		TimedOut: c.outcomes[TimedOut], Disconnected: c.outcomes[Disconnected], Unreachable: c.outcomes[Unreachable],
+		RetriedOnClose: c.retriedOnClose,
+	}
+}
+
+// send is one client with one request and its attempts.
+func (c *Clients) send(ctx context.Context, a *simulation.Arrival) {
+	clients := &c.Day.Clients
+	class := &c.Day.Classes[a.Class]
+	expires := a.At + class.Deadline
+	c.countRequest(a)
+	rng := rand.New(rand.NewPCG(a.Seed, 11))
+	for attempt := 1; ; attempt++ {
+		timeout := min(time.Duration(float64(class.Deadline)*clients.TryShare), expires-c.Clock())
+		outcome, retryAfter := c.attempt(ctx, a, timeout, rng)
+		c.countAttempt(a, outcome)
+		if outcome == Served {
+			c.countEnd(a, attempt, true)
+			return
+		}
+		backoff := time.Duration(float64(clients.Backoff) * math.Exp2(float64(attempt-1)) * (0.5 + rng.Float64()))
+		if rng.Float64() < clients.Honour {
+			backoff = max(backoff, min(retryAfter, c.Day.Settings.Limits.MaxRetryAfter))
+		}
+		mayRetry := class.RetrySafety == piernotch.Idempotent || outcome.retryable()
+		if !mayRetry || attempt >= a.Tries || ctx.Err() != nil || c.Clock()+backoff >= expires {
+			c.countEnd(a, attempt, false)
+			return
+		}
+		sleep(ctx, backoff)
+	}
+}
+
+// countRequest counts a request that is about to be sent.
+func (c *Clients) countRequest(a *simulation.Arrival) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.goodput.Ask(a.At, a.Class, a.Work)
+	_ = c.lateness.RecordValue(max(int64((c.Clock()-a.At)/time.Microsecond), 1)) // a minute late is out of range, and void anyway
+}
+
+// countAttempt counts an attempt that has ended.
+func (c *Clients) countAttempt(a *simulation.Arrival, outcome Outcome) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.attempts++
+	c.outcomes[outcome]++
+	if outcome != Served {
+		c.goodput.Ended(a.At, outcome == Rejected)
+	}
+}
+
+// countEnd counts a request that has ended after so many attempts.
+func (c *Clients) countEnd(a *simulation.Arrival, attempts int, served bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.goodput.Finish(a.At, c.Clock()-a.At, a.Class, a.Work, attempts, served)
+}
+
+// sleep waits for a time, or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-time.After(d):
+	case <-ctx.Done():
+	}
+}
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/clients_test.go
@@ -18,20 +18,21 @@
 	"piernotch/internal/lab/simulation"
 )
 
-type ends struct {
-	mu  sync.Mutex
-	how []Outcome
+// outcomeRecorder is an observer that keeps the outcomes in order.
+type outcomeRecorder struct {
+	mu       sync.Mutex
+	outcomes []Outcome
 }
 
-func (e *ends) RequestSent(string, int, int, time.Duration) {}
-func (e *ends) RequestEnded(_ string, a Outcome) {
+func (e *outcomeRecorder) RequestSent(string, int, int, time.Duration) {}
+func (e *outcomeRecorder) RequestEnded(_ string, a Outcome) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.how = append(e.how, a)
+	e.outcomes = append(e.outcomes, a)
 }
 
 // play sends requests to a scripted balancer.
-func play(t *testing.T, arrivals []simulation.Arrival, script func(c net.Conn, req *http.Request, n int) (keep bool)) (*Clients, *ends) {
+func play(t *testing.T, arrivals []simulation.Arrival, script func(c net.Conn, req *http.Request, n int) (keep bool)) (*Clients, *outcomeRecorder) {
 	t.Helper()
 	s, err := scenario.Parse("test", []byte(`
 length_s = 5
@@ -55,7 +56,7 @@
 	require.NoError(t, err)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	var mu sync.Mutex
 	n := 0
 	go func() {
@@ -65,7 +66,7 @@
 				return
 			}
 			go func() {
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				r := bufio.NewReader(c)
 				for {
 					req, err := http.ReadRequest(r)
@@ -84,37 +85,38 @@
 			}()
 		}
 	}()
-	begun := time.Now()
-	e := &ends{}
+	started := time.Now()
+	e := &outcomeRecorder{}
 	clients := &Clients{
-		Day: d, Arrivals: arrivals, Observer: e, Clock: func() time.Duration { return time.Since(begun) },
+		Day: d, Arrivals: arrivals, Observer: e, Clock: func() time.Duration { return time.Since(started) },
 		Pick: func(int, *rand.Rand) (int, string, bool) { return 0, l.Addr().String(), true },
 	}
 	clients.Run(context.Background())
 	return clients, e
 }
 
-func say(c net.Conn, req *http.Request, status int) bool {
+// respond answers a request as a server would.
+func respond(c net.Conn, req *http.Request, status int) bool {
 	body := "s-1 " + req.Header.Get("X-Request-Id")
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 	return true
 }
 
-func TestClientsTryAgainOnlyWhatTheyMay(t *testing.T) {
+func TestClientsRetryByClassAndStatus(t *testing.T) {
 	for _, c := range []struct {
 		class, status, tries int
 	}{{0, 502, 3}, {1, 502, 1}, {0, 503, 3}, {1, 503, 3}, {0, 200, 1}} {
 		clients, e := play(t, []simulation.Arrival{{Class: c.class, Work: 1, Tries: 3, Seed: 1}}, func(conn net.Conn, req *http.Request, _ int) bool {
 			require.Equal(t, []string{"GET", "POST"}[c.class], req.Method)
 			require.NotEmpty(t, req.Header.Get("X-Deadline-Ms"))
-			return say(conn, req, c.status)
+			return respond(conn, req, c.status)
 		})
 		require.Equal(t, c.tries, clients.Counts().Attempts, "class %d, status %d", c.class, c.status)
-		require.Len(t, e.how, c.tries)
+		require.Len(t, e.outcomes, c.tries)
 	}
 }
 
-func TestWhatIsWrongIsNotServed(t *testing.T) {
+func TestWrongOrMissingAnswerIsNotServed(t *testing.T) {
 	clients, _ := play(t, []simulation.Arrival{{Class: 1, Work: 1, Tries: 1, Seed: 1}}, func(c net.Conn, _ *http.Request, _ int) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nsomeone's")
 		return true
@@ -124,21 +126,21 @@
 	require.Equal(t, 1, clients.Counts().Disconnected)
 }
 
-func TestAKeptConnectionThatIsClosedIsCrossedOnce(t *testing.T) {
+func TestClosedIdleConnectionIsRetriedOnce(t *testing.T) {
 	clients, e := play(t, []simulation.Arrival{{Class: 1, Work: 1, Tries: 1, Seed: 1}, {At: 200 * time.Millisecond, Class: 1, Work: 1, Tries: 1, Seed: 2}},
-		func(c net.Conn, req *http.Request, n int) bool { return n != 2 && say(c, req, 200) })
+		func(c net.Conn, req *http.Request, n int) bool { return n != 2 && respond(c, req, 200) })
 	require.Equal(t, 2, clients.Counts().Served)
-	require.Equal(t, []Outcome{Served, Unreachable, Served}, e.how)
+	require.Equal(t, []Outcome{Served, Unreachable, Served}, e.outcomes)
 }
 
-func TestLatencyCountsFromTheDueTimeAndLoadIsOpen(t *testing.T) {
+func TestLoadIsOpenAndLatencyCountsFromDueTime(t *testing.T) {
 	var arrivals []simulation.Arrival
 	for i := range 20 {
 		arrivals = append(arrivals, simulation.Arrival{At: time.Duration(i) * 10 * time.Millisecond, Work: 1, Tries: 1, Seed: uint64(i)})
 	}
 	clients, _ := play(t, arrivals, func(c net.Conn, req *http.Request, _ int) bool {
 		time.Sleep(300 * time.Millisecond)
-		return say(c, req, 200)
+		return respond(c, req, 200)
 	})
 	require.Equal(t, 20, clients.Counts().Served, "none waits for another")
 	require.GreaterOrEqual(t, clients.Goodput().Percentile(50), 300.0)
--- /dev/null
+++ b/internal/lab/load/malformed_kinds.go
@@ -0,0 +1,72 @@
+package load
+
+import (
+	"bytes"
+	"fmt"
+	"strconv"
+)
+
+// largeBodySize is the body that the largest malformed request would send, bytes.
+const largeBodySize = 60 << 20
+
+// continuation is what a malformed client goes on sending after its request.
+type continuation uint8
+
+const (
+	nothingMore continuation = iota
+	moreHeaders
+	moreBody
+)
+
+// malformedKind is one kind of malformed request.
+type malformedKind struct {
+	name        string
+	encode      func(id string) []byte
+	then        continuation
+	closesWrite bool // it closes its side after that
+}
+
+// malformedKinds are the kinds that MalformedClients send. Their names are keys of stored results, and a seed
+// picks them by their order.
+var malformedKinds = []malformedKind{
+	{"noise", func(string) []byte { return []byte("\x00\xff\x01 no request at all\r\n\r\n") }, nothingMore, false},
+	{"endless head", func(id string) []byte {
+		return []byte("GET /segment-read HTTP/1.1\r\nHost: b\r\nX-Request-Id: " + id + "\r\n")
+	}, moreHeaders, false},
+	{"length that is no number", func(id string) []byte {
+		return rawRequest("POST /pick-submit", "X-Request-Id: "+id, "Content-Length: many")
+	}, nothingMore, false},
+	{"negative length", func(id string) []byte {
+		return rawRequest("POST /pick-submit", "X-Request-Id: "+id, "Content-Length: -5")
+	}, nothingMore, false},
+	{"huge length", func(id string) []byte {
+		return rawRequest("POST /pick-submit", "X-Request-Id: "+id, "Content-Length: 99999999999999999999")
+	}, nothingMore, false},
+	{"60 MB", func(id string) []byte {
+		return rawRequest("POST /pick-submit", "X-Request-Id: "+id, "Content-Length: "+strconv.Itoa(largeBodySize))
+	}, moreBody, false},
+	{"no such class", func(id string) []byte { return rawRequest("GET /no-such-class", "X-Request-Id: "+id) }, nothingMore, false},
+	{"deadline that is no number", func(id string) []byte {
+		return rawRequest("GET /segment-read", "X-Request-Id: "+id, "X-Deadline-Ms: soon")
+	}, nothingMore, false},
+	{"no id", func(string) []byte { return rawRequest("GET /segment-read") }, nothingMore, false},
+	{"half a request", func(id string) []byte {
+		return []byte("POST /pick-submit HTTP/1.1\r\nHost: b\r\nX-Request-Id: " + id + "\r\nContent-Length: 100\r\n\r\nhalf")
+	}, nothingMore, true},
+	{"silence", func(string) []byte { return nil }, nothingMore, false},
+	{"a request hidden in a body", func(id string) []byte {
+		hidden := string(rawRequest("POST /pick-submit", "X-Request-Id: "+id+"h", "Content-Length: 0"))
+		return append(rawRequest("POST /pick-submit", "X-Request-Id: "+id, "Content-Length: "+strconv.Itoa(len(hidden)+5), "Transfer-Encoding: chunked"), "0\r\n\r\n"+hidden...)
+	}, nothingMore, false},
+}
+
+// rawRequest is a request's head with more header lines, as it is sent.
+func rawRequest(start string, lines ...string) []byte {
+	var b bytes.Buffer
+	fmt.Fprintf(&b, "%s HTTP/1.1\r\nHost: b\r\n", start)
+	for _, line := range lines {
+		b.WriteString(line + "\r\n")
+	}
+	b.WriteString("\r\n")
+	return b.Bytes()
+}
--- a/internal/lab/load/malformed_test.go
+++ b/internal/lab/load/malformed_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRudeClientsTellAnErrorFromSilenceAndFromService(t *testing.T) {
+func TestMalformedClientsDistinguishErrorTimeoutAndService(t *testing.T) {
 	for _, c := range []struct {
 		says             string // what the balancer answers, "" nothing
 		closes           bool
@@ -39,14 +39,14 @@
 				}()
 			}
 		}()
-		r := &MalformedClients{Timeout: 200 * time.Millisecond, Pick: func(int, *rand.Rand) (int, string, bool) { return 0, l.Addr().String(), true }}
+		clients := &MalformedClients{Timeout: 200 * time.Millisecond, Pick: func(int, *rand.Rand) (int, string, bool) { return 0, l.Addr().String(), true }}
 		for kind := range malformedKinds {
-			answered, served := r.play(t.Context(), kind, l.Addr().String(), "id")
+			answered, served := clients.play(t.Context(), &malformedKinds[kind], l.Addr().String(), "id")
 			require.Equal(t, c.served, served, "%s: %q", malformedKinds[kind].name, c.says)
 			require.Equal(t, c.answered, answered, "%s: %q", malformedKinds[kind].name, c.says)
-			r.count(malformedKinds[kind].name, answered, served)
+			clients.count(malformedKinds[kind].name, answered, served)
 		}
-		require.Len(t, r.Counts(), len(malformedKinds))
+		require.Len(t, clients.Counts(), len(malformedKinds))
 		_ = l.Close()
 	}
 }
