--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -2,11 +2,9 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"net"
 	"net/http"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -14,87 +12,87 @@
 	"piernotch"
 )
 
-// EndpointNotified is called when the roster has written a server's state to a balancer.
-type EndpointNotified func(balancer, server int, state piernotch.State, born time.Duration)
+// moveGrace is how long open connections to a former address still work.
+const moveGrace = 1500 * time.Millisecond
 
-// Discovery is a stand-in for discovery: the whole list, and a watch on its changes. Each
-// balancer asks at an address of its own, so that it is known who was told what.
+// Discovery is a stand-in for the discovery service: the complete list of servers, and a watch on its
+// changes. Each balancer has an address of its own, so that it is known which one was notified of what. Its
+// methods may be called from any goroutine.
 type Discovery struct {
-	// ServerAddress, if set before the first call, tells where a balancer reaches a server that listens
-	// at an address: relays may stand between.
+	// ServerAddress, if set before the first call, returns where a balancer reaches a server that listens
+	// at an address: a proxy may stand between. It is called with the list locked.
 	ServerAddress func(balancer, server int, address string) string
 
 	fleet      *Fleet
-	notified   EndpointNotified
-	calls      int
-	extraDelay atomic.Int64 // a trouble's further lateness, ns
-	servers    []*http.Server
-	addresses  []string
-	timers     []*time.Timer
-
-	mu          sync.Mutex
-	version     uint64
-	endpoints   map[int]*endpoint
-	changes     map[int]int
-	changed     chan struct{} // closed at the next change
-	outages     int
-	outage      context.Context // ends with an outage
+	notified   EndpointNotified // may be nil
+	extraDelay atomic.Int64     // ns, of what is not Ready
+
+	mu          sync.Mutex // guards what follows
+	listeners   []*http.Server
+	addresses   []string // by balancer
+	timers      []*time.Timer
+	calls       int
+	generation  uint64
+	endpoints   map[int]*endpoint // by server; those that were never listed are missing
+	changes     map[int]int       // by server: the number of the last one that was scheduled
+	changed     chan struct{}     // closed and replaced at each change
+	outages     int               // that go on
+	outage      context.Context   // done while there is an outage
 	beginOutage context.CancelFunc
 }
 
+// endpoint is a server as it is listed.
 type endpoint struct {
 	state         piernotch.State
-	startedAt     time.Duration
+	startedAt     time.Duration // time of the day
 	address       string
-	version       uint64
-	startedUnixMS int64 // born as Unix ms; 0: long ago
+	generation    uint64 // of its last change
+	startedUnixMS int64  // 0: before the day
 }
 
-func newDiscovery(f *Fleet, balancers int, told EndpointNotified) (*Discovery, error) {
-	r := &Discovery{
-		fleet: f, notified: told, endpoints: map[int]*endpoint{}, changes: map[int]int{}, changed: make(chan struct{}),
+func newDiscovery(f *Fleet, balancers int, notified EndpointNotified) (*Discovery, error) {
+	d := &Discovery{
+		fleet: f, notified: notified, endpoints: map[int]*endpoint{}, changes: map[int]int{}, changed: make(chan struct{}),
+		listeners: make([]*http.Server, balancers), addresses: make([]string, balancers),
 	}
-	r.outage, r.beginOutage = context.WithCancel(context.Background())
-	for i := range balancers {
-		r.servers, r.addresses = append(r.servers, nil), append(r.addresses, "")
-		if err := r.open(i); err != nil {
-			r.close()
+	d.outage, d.beginOutage = context.WithCancel(context.Background())
+	for balancer := range balancers {
+		if err := d.open(balancer); err != nil {
+			d.close()
 			return nil, err
 		}
 	}
-	return r, nil
+	return d, nil
 }
 
-// open has a balancer's roster listen at a new address.
-func (r *Discovery) open(balancer int) error {
+// open has a balancer's discovery listen at a new address.
+func (d *Discovery) open(balancer int) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return fmt.Errorf("roster: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /catalog/members", func(w http.ResponseWriter, req *http.Request) { r.serveWatch(w, req, balancer) })
+	mux.HandleFunc("GET /catalog/members", func(w http.ResponseWriter, req *http.Request) { d.serveWatch(w, req, balancer) })
 	s := &http.Server{Handler: mux}
-	r.mu.Lock()
-	r.servers[balancer], r.addresses[balancer] = s, l.Addr().String()
-	r.mu.Unlock()
-	go func() { _ = s.Serve(l) }()
+	d.mu.Lock()
+	d.listeners[balancer] = s
+	d.addresses[balancer] = l.Addr().String()
+	d.mu.Unlock()
+	go func() { _ = s.Serve(l) }() // ends with Move or close
 	return nil
 }
 
-// moveGrace is how long open connections to an address that was left still work.
-const moveGrace = 1500 * time.Millisecond
-
-// Move has a balancer's roster go to another address, which Address tells from then on.
-// The old one takes no new connections, and closes the open ones after a while.
-func (r *Discovery) Move(balancer int) error {
-	r.mu.Lock()
-	old := r.servers[balancer]
-	r.mu.Unlock()
-	if err := r.open(balancer); err != nil {
+// Move has a balancer's discovery listen at another address, which Address returns from then on. The former
+// one accepts no new connections, and closes the open ones after moveGrace.
+func (d *Discovery) Move(balancer int) error {
+	d.mu.Lock()
+	old := d.listeners[balancer]
+	d.mu.Unlock()
+	if err := d.open(balancer); err != nil {
 		return err
 	}
 	ctx, stop := context.WithTimeout(context.Background(), moveGrace)
-	go func() {
+	go func() { // ends after moveGrace at the latest
 		defer stop()
 		if old.Shutdown(ctx) != nil {
 			_ = old.Close()
@@ -103,204 +101,111 @@
 	return nil
 }
 
-// Address is where a balancer asks.
-func (r *Discovery) Address(balancer int) string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.addresses[balancer]
+// Address returns the host:port at which a balancer finds discovery.
+func (d *Discovery) Address(balancer int) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.addresses[balancer]
+}
+
+// Calls returns the number of calls so far.
+func (d *Discovery) Calls() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.calls
 }
 
-func (r *Discovery) close() {
-	r.mu.Lock()
-	for _, t := range r.timers {
+// ReadyServer returns a server that is listed as ready, and its name; false if there is none.
+func (d *Discovery) ReadyServer() (server int, name string, ok bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for i, s := range d.fleet.servers {
+		if e := d.endpoints[i]; e != nil && e.state == piernotch.Ready {
+			return i, s.name, true
+		}
+	}
+	return 0, "", false
+}
+
+// close ends all watches and closes all addresses.
+func (d *Discovery) close() {
+	d.mu.Lock()
+	for _, t := range d.timers {
 		t.Stop()
 	}
-	r.mu.Unlock()
-	r.beginOutage()
-	for _, s := range r.servers {
+	listeners := d.listeners
+	beginOutage := d.beginOutage
+	d.mu.Unlock()
+	beginOutage()
+	for _, s := range listeners {
 		if s != nil {
 			_ = s.Close()
 		}
 	}
 }
 
-// publishAfter lists a change after a while. What is known of a later start goes before it.
-func (r *Discovery) publishAfter(server int, state piernotch.State, after time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// publishAfter lists a server's state after a delay, unless a later start has been listed by then.
+func (d *Discovery) publishAfter(server int, state piernotch.State, delay time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	if state != piernotch.Ready {
-		after += time.Duration(r.extraDelay.Load())
+		delay += time.Duration(d.extraDelay.Load())
 	}
-	r.changes[server]++
-	seq := r.changes[server]
-	s := r.fleet.servers[server]
-	s.mu.Lock()
-	born := s.model.Started()
-	s.mu.Unlock()
-	// Changes are published in steps.
-	if p := r.fleet.day.Discovery.Period; p > 0 {
-		now := r.fleet.clock()
-		after = (now+after+p-1)/p*p - now
+	d.changes[server]++
+	change := d.changes[server]
+	startedAt := d.fleet.servers[server].startedAt()
+	if period := d.fleet.day.Discovery.Period; period > 0 { // changes are published at its multiples
+		now := d.fleet.clock()
+		delay = (now+delay+period-1)/period*period - now
 	}
-	r.timers = append(r.timers, time.AfterFunc(after, func() {
-		r.mu.Lock()
-		e := r.endpoints[server]
-		stale := e != nil && seq < r.changes[server] && state != piernotch.Ready && e.state == piernotch.Ready && e.startedAt > born
-		r.mu.Unlock()
-		if !stale {
-			r.publish(server, state, born)
+	d.timers = append(d.timers, time.AfterFunc(delay, func() {
+		if !d.isStale(server, state, change, startedAt) {
+			d.publish(server, state, startedAt)
 		}
 	}))
 }
 
-// publish lists a server's state at once.
-func (r *Discovery) publish(server int, state piernotch.State, born time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.version++
-	s := r.fleet.servers[server]
-	s.mu.Lock()
-	address := s.address
-	s.mu.Unlock()
-	e := &endpoint{state: state, startedAt: born, address: address, version: r.version}
-	if was := r.endpoints[server]; was != nil && was.startedAt == born {
-		e.startedUnixMS = was.startedUnixMS // the same start is told as the same to the millisecond
-	} else if born > 0 {
-		e.startedUnixMS = time.Now().Add(born - r.fleet.clock()).UnixMilli()
-	}
-	r.endpoints[server] = e
-	close(r.changed)
-	r.changed = make(chan struct{})
-}
-
-// setOutage ends all watches, and has calls fail until it is over.
-func (r *Discovery) setOutage(begins bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if !begins {
-		r.outages--
-		if r.outages == 0 {
-			r.outage, r.beginOutage = context.WithCancel(context.Background())
-		}
-		return
+// isStale reports whether a change that was scheduled is not to be listed, because a later start of the
+// server is listed as ready.
+func (d *Discovery) isStale(server int, state piernotch.State, change int, startedAt time.Duration) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	listed := d.endpoints[server]
+	if listed == nil || state == piernotch.Ready || change >= d.changes[server] {
+		return false
 	}
-	r.outages++
-	r.beginOutage()
-}
-
-type instanceJSON struct {
-	InstanceID  string  `json:"instanceId"`
-	HostPort    string  `json:"hostPort"`
-	Zone        string  `json:"zone"`
-	MachineType string  `json:"machineType"`
-	Cell        int     `json:"cell"`
-	Lifecycle   string  `json:"lifecycle"`
-	Weight      float64 `json:"weight"`
-	StartedAtMs int64   `json:"startedAtMs"`
-}
-
-type listJSON struct {
-	Generation uint64         `json:"generation"`
-	Reset      bool           `json:"reset"`
-	Instances  []instanceJSON `json:"instances"`
-}
-
-var lifecycles = map[piernotch.State]string{
-	piernotch.Ready: "in_service", piernotch.Draining: "terminating", piernotch.Gone: "terminated",
+	return listed.state == piernotch.Ready && listed.startedAt > startedAt
 }
 
-// endpointList is what has changed since a version, or with whole everything that is there. The
-// lock is held.
-func (r *Discovery) endpointList(balancer int, since uint64, whole bool) (listJSON, []int) {
-	out := listJSON{Generation: r.version, Reset: whole, Instances: []instanceJSON{}}
-	var servers []int
-	for i := range r.fleet.servers {
-		e := r.endpoints[i]
-		if e == nil || !whole && e.version <= since || whole && e.state == piernotch.Gone {
-			continue
-		}
-		s, address := r.fleet.servers[i], e.address
-		if r.ServerAddress != nil {
-			address = r.ServerAddress(balancer, i, address)
-		}
-		out.Instances = append(out.Instances, instanceJSON{
-			s.name, address, r.fleet.day.Zones[s.spec.Zone], s.spec.Kind.Name, s.spec.Cell, lifecycles[e.state], s.spec.Size, e.startedUnixMS,
-		})
-		servers = append(servers, i)
+// publish lists a server's state at once.
+func (d *Discovery) publish(server int, state piernotch.State, startedAt time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.generation++
+	e := &endpoint{state: state, startedAt: startedAt, address: d.fleet.servers[server].currentAddress(), generation: d.generation}
+	previous := d.endpoints[server]
+	switch {
+	case previous != nil && previous.startedAt == startedAt:
+		e.startedUnixMS = previous.startedUnixMS // one start has one time, to the millisecond
+	case startedAt > 0:
+		e.startedUnixMS = time.Now().Add(startedAt - d.fleet.clock()).UnixMilli()
 	}
-	return out, servers
-}
-
-// ReadyServer returns a server that is listed as ready, and its name; false: none is.
-func (r *Discovery) ReadyServer() (server int, name string, ok bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for i, s := range r.fleet.servers {
-		if e := r.endpoints[i]; e != nil && e.state == piernotch.Ready {
-			return i, s.name, true
-		}
+	d.endpoints[server] = e
+	close(d.changed)
+	d.changed = make(chan struct{})
+}
+
+// setOutage begins an outage, which ends all watches and has calls fail, or ends one. Outages may overlap.
+func (d *Discovery) setOutage(begins bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if begins {
+		d.outages++
+		d.beginOutage()
+		return
 	}
-	return 0, "", false
-}
-
-// EndpointList is the whole list as JSON, as a balancer's configuration holds it.
-func (r *Discovery) EndpointList(balancer int) json.RawMessage {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	l, _ := r.endpointList(balancer, 0, true)
-	data, _ := json.Marshal(l)
-	return data
-}
-
-// Calls returns how many calls have come.
-func (r *Discovery) Calls() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.calls
-}
-
-func (r *Discovery) serveWatch(w http.ResponseWriter, req *http.Request, balancer int) {
-	r.mu.Lock()
-	r.calls++
-	r.mu.Unlock()
-	index, ierr := strconv.ParseUint(req.URL.Query().Get("index"), 10, 64)
-	wait, _ := strconv.Atoi(req.URL.Query().Get("wait"))
-	deadline := time.NewTimer(time.Duration(min(max(wait, 0), 60000)) * time.Millisecond)
-	defer deadline.Stop()
-	for {
-		r.mu.Lock()
-		cut, changed := r.outage, r.changed
-		if r.outages > 0 {
-			r.mu.Unlock()
-			w.WriteHeader(http.StatusServiceUnavailable)
-			return
-		}
-		whole := ierr != nil || index > r.version
-		if whole || r.version > index || wait <= 0 {
-			l, servers := r.endpointList(balancer, index, whole)
-			states := make([]endpoint, len(servers))
-			for i, s := range servers {
-				states[i] = *r.endpoints[s]
-			}
-			r.mu.Unlock()
-			data, _ := json.Marshal(l)
-			w.Header().Set("Content-Type", "application/json")
-			if _, err := w.Write(data); err == nil && r.notified != nil {
-				for i, s := range servers {
-					r.notified(balancer, s, states[i].state, states[i].startedAt)
-				}
-			}
-			return
-		}
-		r.mu.Unlock()
-		select {
-		case <-changed:
-		case <-deadline.C:
-			wait = 0
-		case <-cut.Done():
-			panic(http.ErrAbortHandler) // the connection breaks
-		case <-req.Context().Done():
-			return
-		}
+	d.outages--
+	if d.outages == 0 {
+		d.outage, d.beginOutage = context.WithCancel(context.Background())
 	}
 }
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -21,20 +21,20 @@
 
 const patience = 20 * time.Second
 
-// notes is an observer that keeps what it is told.
-type notes struct {
+// recorder is an observer that keeps its notifications as lines.
+type recorder struct {
 	mu    sync.Mutex
 	lines []string
 	sent  map[string]int
 }
 
-func (n *notes) add(format string, args ...any) {
+func (n *recorder) add(format string, args ...any) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lines = append(n.lines, fmt.Sprintf(format, args...))
 }
 
-func (n *notes) has(line string) bool {
+func (n *recorder) has(line string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.lines {
@@ -45,7 +45,7 @@
 	return false
 }
 
-func (n *notes) AttemptReceived(id string, server int) int {
+func (n *recorder) AttemptReceived(id string, server int) int {
 	if id == "stranger" {
 		return -1
 	}
@@ -54,16 +54,18 @@
 	n.sent[id]++
 	return n.sent[id] - 1
 }
-func (n *notes) AttemptAccepted(id string, a int)              { n.add("began %s %d", id, a) }
-func (n *notes) AttemptExecuted(id string, a int)              { n.add("ran %s %d", id, a) }
-func (n *notes) AttemptCompleted(id string, a int, unrun bool) { n.add("over %s %d %t", id, a, unrun) }
-func (n *notes) SlowStartWork(id string, s int, _ time.Duration, w float64) {
+func (n *recorder) AttemptAccepted(id string, a int) { n.add("began %s %d", id, a) }
+func (n *recorder) AttemptExecuted(id string, a int) { n.add("ran %s %d", id, a) }
+func (n *recorder) AttemptCompleted(id string, a int, unrun bool) {
+	n.add("over %s %d %t", id, a, unrun)
+}
+func (n *recorder) SlowStartWork(id string, s int, _ time.Duration, w float64) {
 	n.add("reached %s %d %.0f", id, s, w)
 }
-func (n *notes) ServerCollapsed(s int) { n.add("fell %d", s) }
+func (n *recorder) ServerCollapsed(s int) { n.add("fell %d", s) }
 
-// open makes a fleet of one server whose day has begun.
-func open(t *testing.T, text string, told EndpointNotified) (*Fleet, *notes) {
+// openFleet makes a fleet of one server whose day has begun.
+func openFleet(t *testing.T, text string, notified EndpointNotified) (*Fleet, *recorder) {
 	t.Helper()
 	s, err := scenario.Parse("test", []byte(`
 length_s = 60
@@ -83,9 +85,9 @@
 	require.NoError(t, err)
 	d, err := s.Draw(1)
 	require.NoError(t, err)
-	n := &notes{sent: map[string]int{}}
-	begun := time.Now()
-	f, err := New(d, 1, func() time.Duration { return time.Since(begun) }, n, told)
+	n := &recorder{sent: map[string]int{}}
+	started := time.Now()
+	f, err := New(d, 1, func() time.Duration { return time.Since(started) }, n, notified)
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
 	return f, n
@@ -105,6 +107,7 @@
 	return &peer{c, bufio.NewReader(c)}
 }
 
+// ask sends a request with work in ms.
 func (p *peer) ask(id string, work int) {
 	_, _ = fmt.Fprintf(p, "GET /read?w=%d HTTP/1.1\r\nHost: b\r\nX-Request-Id: %s\r\n\r\n", work, id)
 }
@@ -118,8 +121,8 @@
 	return r.StatusCode, r.Header, string(data)
 }
 
-func TestAServerAnswersTurnsAwayAndKnowsItsCallers(t *testing.T) {
-	f, n := open(t, "report_every_ms = 1\n", nil)
+func TestServerServesRejectsAndIdentifiesRequests(t *testing.T) {
+	f, n := openFleet(t, "report_every_ms = 1\n", nil)
 	a, b := dial(t, f), dial(t, f)
 	a.ask("1", 300)
 	require.Eventually(t, func() bool { return n.has("began 1 0") }, patience, time.Millisecond)
@@ -143,8 +146,8 @@
 	require.Equal(t, 404, status, "no id")
 }
 
-func TestACloseIsACancelAndACrashIsAReset(t *testing.T) {
-	f, n := open(t, "cancel = \"all\"\n", nil)
+func TestCloseCancelsJobAndCrashResetsConnections(t *testing.T) {
+	f, n := openFleet(t, "cancel = \"all\"\n", nil)
 	a := dial(t, f)
 	a.ask("1", 60000)
 	require.Eventually(t, func() bool { return n.has("began 1 0") }, patience, time.Millisecond)
@@ -168,8 +171,8 @@
 	require.Equal(t, 200, status)
 }
 
-func TestANewServerTakesOverTheAddressOfOneThatIsGone(t *testing.T) {
-	f, _ := open(t, "[[trouble]]\nkind = \"takeover\"\nat_s = 0\npart = 1\nramp_s = 0.1\n", nil)
+func TestTakeoverServerListensAtFormerAddress(t *testing.T) {
+	f, _ := openFleet(t, "[[trouble]]\nkind = \"takeover\"\nat_s = 0\npart = 1\nramp_s = 0.1\n", nil)
 	old := f.servers[0].address
 	require.Len(t, f.servers, 2)
 	f.Play(context.Background())
@@ -186,8 +189,8 @@
 	require.Equal(t, "s-1 1", body, "it answers under its own name")
 }
 
-func TestAServerThatVanishedSaysNothing(t *testing.T) {
-	f, n := open(t, "", nil)
+func TestSilentServerDoesNotAnswer(t *testing.T) {
+	f, n := openFleet(t, "", nil)
 	a := dial(t, f)
 	a.ask("1", 30)
 	require.Eventually(t, func() bool { return n.has("began 1 0") }, patience, time.Millisecond)
@@ -199,18 +202,20 @@
 	require.True(t, timeout.Timeout())
 }
 
-func TestTheRosterTellsTheListItsChangesAndItsOutage(t *testing.T) {
-	type word struct {
+func TestDiscoveryServesListChangesAndOutage(t *testing.T) {
+	type notification struct {
 		server int
 		state  piernotch.State
 	}
-	heard := make(chan word, 10)
-	f, _ := open(t, "", func(balancer, server int, state piernotch.State, _ time.Duration) { heard <- word{server, state} })
+	notifications := make(chan notification, 10)
+	f, _ := openFleet(t, "", func(balancer, server int, state piernotch.State, _ time.Duration) {
+		notifications <- notification{server, state}
+	})
 	client := &http.Client{Timeout: patience}
 	get := func(query string) (discovery.EndpointList, int) {
 		r, err := client.Get("http://" + f.Discovery().Address(0) + "/catalog/members" + query)
 		require.NoError(t, err)
-		defer r.Body.Close()
+		defer func() { _ = r.Body.Close() }()
 		data, err := io.ReadAll(r.Body)
 		require.NoError(t, err)
 		if r.StatusCode != 200 {
@@ -220,23 +225,23 @@
 		require.NoError(t, err)
 		return l, r.StatusCode
 	}
-	whole, _ := get("")
-	require.True(t, whole.Reset)
-	require.Len(t, whole.Endpoints, 1)
-	require.Equal(t, word{0, piernotch.Ready}, <-heard)
-	nothing, _ := get(fmt.Sprintf("?index=%d&wait=50", whole.Generation))
+	complete, _ := get("")
+	require.True(t, complete.Reset)
+	require.Len(t, complete.Endpoints, 1)
+	require.Equal(t, notification{0, piernotch.Ready}, <-notifications)
+	nothing, _ := get(fmt.Sprintf("?index=%d&wait=50", complete.Generation))
 	require.Empty(t, nothing.Endpoints)
 	f.drain(f.servers[0])
-	change, _ := get(fmt.Sprintf("?index=%d&wait=20000", whole.Generation))
+	change, _ := get(fmt.Sprintf("?index=%d&wait=20000", complete.Generation))
 	require.Equal(t, piernotch.Draining, change.Endpoints[0].Endpoint.State)
-	require.Equal(t, word{0, piernotch.Draining}, <-heard)
+	require.Equal(t, notification{0, piernotch.Draining}, <-notifications)
 	f.start(f.servers[0])
 	change, _ = get(fmt.Sprintf("?index=%d&wait=20000", change.Generation))
 	require.Equal(t, piernotch.Ready, change.Endpoints[0].Endpoint.State)
-	born := change.Endpoints[0].Endpoint.StartedAt
-	require.Positive(t, born)
+	startedAt := change.Endpoints[0].Endpoint.StartedAt
+	require.Positive(t, startedAt)
 	again, _ := get("")
-	require.Equal(t, born, again.Endpoints[0].Endpoint.StartedAt, "one start is told as one")
+	require.Equal(t, startedAt, again.Endpoints[0].Endpoint.StartedAt, "one start is told as one")
 	f.discovery.setOutage(true)
 	_, status := get("")
 	require.Equal(t, 503, status)
--- /dev/null
+++ b/internal/lab/emulator/exchange.go
@@ -0,0 +1,210 @@
+package emulator
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"piernotch/internal/http1"
+	"piernotch/internal/lab/servermodel"
+)
+
+// maxWork bounds the work that a request may ask for, ms.
+const maxWork = 1e9
+
+// notRun is the header of an answer that proves that the request has not run.
+var notRun = http1.Field{Name: "X-Not-Run", Value: "1"}
+
+// exchange is a request on a connection and what belongs to its answer.
+type exchange struct {
+	conn    net.Conn
+	request *http1.Message
+	gone    <-chan struct{} // closed when the other side is gone
+	id      string          // of the request
+	attempt int             // its number among those of the request
+}
+
+// write writes an answer. It reports whether the connection goes on.
+func (x *exchange) write(status int, fields http1.Fields, body []byte) bool {
+	_, err := x.conn.Write(http1.AppendResponse(nil, status, fields, body))
+	return err == nil && !x.request.Close
+}
+
+// answer serves one request. It reports whether the connection goes on.
+func (s *server) answer(x exchange) bool {
+	now := s.fleet.clock()
+	path := x.request.Path()
+	if path == "/ping" || path == "/_load" {
+		return s.answerProbe(x, now)
+	}
+	x.id = x.request.Fields.Get("x-request-id")
+	if x.id == "" {
+		return x.writeError(http.StatusNotFound)
+	}
+	x.attempt = s.fleet.observer.AttemptReceived(x.id, s.number)
+	if x.attempt < 0 {
+		return x.writeError(http.StatusBadRequest)
+	}
+	admission, job := s.admit(x, now)
+	switch admission {
+	case servermodel.Rejected:
+		fields := append(s.loadHeader(now), notRun)
+		s.fleet.observer.AttemptCompleted(x.id, x.attempt, true)
+		return x.write(http.StatusServiceUnavailable, fields, nil)
+	case servermodel.Refused:
+		s.fleet.observer.AttemptCompleted(x.id, x.attempt, false)
+		reset(x.conn)
+		return false
+	case servermodel.Unheard:
+		<-x.gone
+		s.fleet.observer.AttemptCompleted(x.id, x.attempt, false)
+		return false
+	}
+	select {
+	case completion := <-job.completed:
+		return s.respond(x, completion)
+	case <-x.gone: // the balancer waits no longer
+		s.cancel(x, job)
+		return false
+	}
+}
+
+// writeError answers a request that is not served. The connection goes on whatever the request says.
+func (x *exchange) writeError(status int) bool {
+	_, err := x.conn.Write(http1.AppendResponse(nil, status, nil, nil))
+	return err == nil
+}
+
+// answerProbe answers a health check or a call for the load report.
+func (s *server) answerProbe(x exchange, now time.Duration) bool {
+	s.mu.Lock()
+	s.model.Charge(now, s.spec.Kind.ProbeWork)
+	state := s.model.State()
+	fields := s.loadHeaderLocked(now)
+	s.resetTimer()
+	s.mu.Unlock()
+	if state == servermodel.Silent {
+		<-x.gone
+		return false
+	}
+	status := http.StatusOK
+	if state != servermodel.Up {
+		status = http.StatusServiceUnavailable
+	}
+	var body []byte
+	if len(fields) > 0 && x.request.Path() == "/_load" {
+		body = []byte(fields[0].Value)
+	}
+	return x.write(status, fields, body)
+}
+
+// loadHeader returns the X-Load header of an answer; nothing if the server does not report its load.
+func (s *server) loadHeader(now time.Duration) http1.Fields {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.loadHeaderLocked(now)
+}
+
+func (s *server) loadHeaderLocked(now time.Duration) http1.Fields {
+	r, ok := s.model.Report(now, s.fleet.reportDelay())
+	if !ok {
+		return nil
+	}
+	return http1.Fields{{Name: "X-Load", Value: fmt.Sprintf("eps=%.2f,qps=%.2f,inflight=%.1f", r.ErrorsPerSec, r.PerSec, r.Inflight)}}
+}
+
+// admit brings a request to the model. The job is nil unless it was accepted.
+func (s *server) admit(x exchange, now time.Duration) (servermodel.Admission, *pendingJob) {
+	job := s.parseJob(x.request, now)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	cold := s.model.Cold(now)
+	if cold {
+		s.fleet.observer.SlowStartWork(x.id, s.number, s.model.Started(), job.Work)
+	}
+	s.lastJob++
+	job.ID = s.lastJob
+	job.Luck = s.rng.Float64()
+	admission, lost := s.model.Arrive(now, job)
+	if cold && s.model.State() == servermodel.Collapsed {
+		s.fleet.observer.ServerCollapsed(s.number)
+		s.deliver(lost)
+		s.closeAll()
+		return servermodel.Refused, nil
+	}
+	if admission != servermodel.Accepted {
+		return admission, nil
+	}
+	pending := &pendingJob{id: job.ID, completed: make(chan servermodel.Completion, 1)}
+	s.jobs[job.ID] = pending
+	s.fleet.observer.AttemptAccepted(x.id, x.attempt)
+	s.resetTimer()
+	return admission, pending
+}
+
+// parseJob reads what a request asks for.
+func (s *server) parseJob(m *http1.Message, now time.Duration) servermodel.Job {
+	work, err := strconv.ParseFloat(m.Query("w"), 64)
+	valid := err == nil && work > 0 && work < maxWork
+	if !valid { // its sender did not say: what its class takes
+		work = s.fleet.meanWork(strings.TrimPrefix(m.Path(), "/"))
+	}
+	key, _ := strconv.ParseUint(m.Query("k"), 16, 64) // none is 0
+	job := servermodel.Job{Work: work, Key: key}
+	if ms, err := strconv.Atoi(m.Fields.Get("x-deadline-ms")); err == nil {
+		job.Expires = now + time.Duration(ms)*time.Millisecond
+	}
+	return job
+}
+
+// cancel takes back the job of a request whose connection is gone.
+func (s *server) cancel(x exchange, job *pendingJob) {
+	s.mu.Lock()
+	cancelled, started, _ := s.model.Cancel(s.fleet.clock(), job.id)
+	if cancelled {
+		delete(s.jobs, job.id)
+	}
+	s.resetTimer()
+	s.mu.Unlock()
+	if started {
+		s.fleet.observer.AttemptExecuted(x.id, x.attempt)
+	}
+	s.fleet.observer.AttemptCompleted(x.id, x.attempt, false)
+}
+
+// respond answers a request whose job has been completed. It reports whether the connection goes on.
+func (s *server) respond(x exchange, completion servermodel.Completion) bool {
+	if completion.Started {
+		s.fleet.observer.AttemptExecuted(x.id, x.attempt)
+	}
+	fields := s.loadHeader(s.fleet.clock())
+	unrun := completion.Ending == servermodel.Expired
+	s.fleet.observer.AttemptCompleted(x.id, x.attempt, unrun)
+	switch completion.Ending {
+	case servermodel.Reset:
+		reset(x.conn)
+		return false
+	case servermodel.Expired:
+		return x.write(http.StatusGatewayTimeout, append(fields, notRun), nil)
+	case servermodel.Erred:
+		return x.write(http.StatusInternalServerError, fields, nil)
+	}
+	body := []byte(s.name + " " + x.id)
+	if kind, malformed := s.drawMalformed(); malformed {
+		return writeMalformed(x, kind, fields, body) && !x.request.Close
+	}
+	return x.write(http.StatusOK, fields, body)
+}
+
+// drawMalformed draws whether an answer is malformed, and how.
+func (s *server) drawMalformed() (malformedAnswer, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.rng.Float64() >= s.fleet.malformedProbability() {
+		return 0, false
+	}
+	return malformedAnswer(s.rng.IntN(int(malformedAnswers))), true
+}
--- a/internal/lab/emulator/malformed.go
+++ b/internal/lab/emulator/malformed.go
@@ -10,10 +10,13 @@
 	"piernotch/internal/http1"
 )
 
-// How answers come spoilt: the request has run, and the connection is of no more use.
-// Odd ones are good, but bring more than belongs to them.
+// malformedAnswer is how an answer is malformed: the request has run, and the connection is of no more use.
+// Those whose names begin with odd are valid, but come with more than belongs to them.
+type malformedAnswer int
+
+// Malformed answers. A seed picks them by their order.
 const (
-	malformedNoise = iota
+	malformedNoise malformedAnswer = iota
 	malformedEndlessHead
 	malformedShortBody // fewer bytes than it said
 	malformedLength    // a length that cannot be
@@ -22,61 +25,68 @@
 	oddNoise           // noise right behind
 	oddInterim         // 1xx answers in front
 	oddLoadReport      // a load report that cannot be read
-	malformedKinds
+	malformedAnswers   // their number
 )
 
-// malformedDuration bounds how long an endless answer goes on.
-const malformedDuration = 5 * time.Second
+const (
+	// malformedDuration bounds how long an endless answer goes on, and how long a malformed one stays open.
+	malformedDuration = 5 * time.Second
+	endlessPause      = time.Millisecond // between the pieces of an endless answer
+)
 
-// writeMalformed writes an answer in an odd or spoilt way; false ends the connection.
-func writeMalformed(kind int, c net.Conn, fields http1.Fields, body []byte, gone <-chan struct{}) bool {
-	good := string(http1.AppendResponse(nil, 200, fields, body))
-	say := func(text string) bool {
-		_, err := io.WriteString(c, text)
-		return err == nil
-	}
-	// What is spoilt stays open until the other side goes, or a while.
-	linger := func() bool {
-		select {
-		case <-gone:
-		case <-time.After(malformedDuration):
-		}
-		return false
-	}
+// writeMalformed writes an answer in a malformed or odd way. It reports whether the connection goes on.
+func writeMalformed(x exchange, kind malformedAnswer, fields http1.Fields, body []byte) bool {
+	valid := string(http1.AppendResponse(nil, 200, fields, body))
+	c := x.conn
 	switch kind {
 	case malformedNoise:
-		say("\x00\x01 noise \xff\r\n\r\n")
-		return linger()
+		writeText(c, "\x00\x01 noise \xff\r\n\r\n")
+		awaitGone(x)
 	case malformedEndlessHead:
-		say("HTTP/1.1 200 OK\r\n")
-		for from := time.Now(); time.Since(from) < malformedDuration; time.Sleep(time.Millisecond) {
-			if !say(strings.Repeat("X-Filler: aaaaaaaa\r\n", 20)) {
-				return false
-			}
-		}
-		return false
+		writeEndless(c, "HTTP/1.1 200 OK\r\n", strings.Repeat("X-Filler: aaaaaaaa\r\n", 20))
 	case malformedShortBody:
-		say(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body)+100, body))
-		return linger()
+		writeText(c, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body)+100, body))
+		awaitGone(x)
 	case malformedLength:
-		say("HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n" + string(body))
-		return linger()
+		writeText(c, "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n"+string(body))
+		awaitGone(x)
 	case malformedHugeBody:
-		say("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
-		for from := time.Now(); time.Since(from) < malformedDuration; time.Sleep(time.Millisecond) {
-			if !say(strings.Repeat("x", 4096)) {
-				return false
-			}
-		}
-		return false
+		writeEndless(c, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", strings.Repeat("x", 4096))
 	case oddDuplicate:
-		return say(good + good)
+		return writeText(c, valid+valid)
 	case oddNoise:
-		return say(good + "\x00\xff noise")
+		return writeText(c, valid+"\x00\xff noise")
 	case oddInterim:
-		return say("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-A: b\r\n\r\n" + good)
+		return writeText(c, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-A: b\r\n\r\n"+valid)
 	case oddLoadReport:
-		return say(fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Load: \x7f=,inflight=many,=\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
+		return writeText(c, fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Load: \x7f=,inflight=many,=\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
+	default:
+		return writeText(c, valid)
+	}
+	return false
+}
+
+// writeText reports whether the text was written.
+func writeText(c net.Conn, text string) bool {
+	_, err := io.WriteString(c, text)
+	return err == nil
+}
+
+// writeEndless writes a text, and then a piece again and again until malformedDuration or the connection is
+// over.
+func writeEndless(c net.Conn, start, piece string) {
+	writeText(c, start)
+	for started := time.Now(); time.Since(started) < malformedDuration; time.Sleep(endlessPause) {
+		if !writeText(c, piece) {
+			return
+		}
+	}
+}
+
+// awaitGone keeps the connection open until the other side is gone, or malformedDuration is over.
+func awaitGone(x exchange) {
+	select {
+	case <-x.gone:
+	case <-time.After(malformedDuration):
 	}
-	return say(good)
 }
--- /dev/null
+++ b/internal/lab/emulator/watch.go
@@ -0,0 +1,160 @@
+package emulator
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"strconv"
+	"time"
+
+	"piernotch"
+)
+
+// maxWatch bounds how long a call may wait for a change.
+const maxWatch = time.Minute
+
+// The list as discovery answers it.
+type (
+	listJSON struct {
+		Generation uint64         `json:"generation"`
+		Reset      bool           `json:"reset"`
+		Instances  []instanceJSON `json:"instances"`
+	}
+
+	instanceJSON struct {
+		InstanceID  string  `json:"instanceId"`
+		HostPort    string  `json:"hostPort"`
+		Zone        string  `json:"zone"`
+		MachineType string  `json:"machineType"`
+		Cell        int     `json:"cell"`
+		Lifecycle   string  `json:"lifecycle"`
+		Weight      float64 `json:"weight"`
+		StartedAtMs int64   `json:"startedAtMs"`
+	}
+)
+
+var lifecycles = map[piernotch.State]string{
+	piernotch.Ready: "in_service", piernotch.Draining: "terminating", piernotch.Gone: "terminated",
+}
+
+// EndpointList returns the complete list as JSON, as a balancer's configuration holds it.
+func (d *Discovery) EndpointList(balancer int) json.RawMessage {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	list, _ := d.list(balancer, 0, true)
+	return encodeList(list)
+}
+
+func encodeList(list listJSON) []byte {
+	data, _ := json.Marshal(list) // plain fields: it cannot fail
+	return data
+}
+
+// list returns what has changed since a generation, or with complete all servers that are not gone, and
+// their numbers. The lock is held.
+func (d *Discovery) list(balancer int, since uint64, complete bool) (listJSON, []int) {
+	list := listJSON{Generation: d.generation, Reset: complete, Instances: []instanceJSON{}}
+	var servers []int
+	for i, s := range d.fleet.servers {
+		e := d.endpoints[i]
+		if e == nil || complete && e.state == piernotch.Gone || !complete && e.generation <= since {
+			continue
+		}
+		address := e.address
+		if d.ServerAddress != nil {
+			address = d.ServerAddress(balancer, i, address)
+		}
+		list.Instances = append(list.Instances, instanceJSON{
+			InstanceID: s.name, HostPort: address, Zone: d.fleet.day.Zones[s.spec.Zone], MachineType: s.spec.Kind.Name,
+			Cell: s.spec.Cell, Lifecycle: lifecycles[e.state], Weight: s.spec.Size, StartedAtMs: e.startedUnixMS,
+		})
+		servers = append(servers, i)
+	}
+	return list, servers
+}
+
+// watchCall is one call for the list or its changes.
+type watchCall struct {
+	balancer int
+	since    uint64
+	complete bool // no generation was given: the complete list is asked for
+	noWait   bool // it is to be answered at once, also without changes
+}
+
+// watchAnswer is what a call is answered with now.
+type watchAnswer struct {
+	unavailable bool // there is an outage
+	ready       bool // list is the answer; else it waits
+	list        listJSON
+	servers     []int
+	endpoints   []endpoint // of the servers
+	changed     <-chan struct{}
+	outage      context.Context
+}
+
+// serveWatch answers a balancer's call: at once with what has changed, or when something changes or its time
+// is up.
+func (d *Discovery) serveWatch(w http.ResponseWriter, req *http.Request, balancer int) {
+	d.mu.Lock()
+	d.calls++
+	d.mu.Unlock()
+	query := req.URL.Query()
+	since, err := strconv.ParseUint(query.Get("index"), 10, 64)
+	wait, _ := strconv.Atoi(query.Get("wait")) // ms; none is 0
+	call := watchCall{balancer: balancer, since: since, complete: err != nil, noWait: wait <= 0}
+	limit := min(max(wait, 0), int(maxWatch/time.Millisecond))
+	deadline := time.NewTimer(time.Duration(limit) * time.Millisecond)
+	defer deadline.Stop()
+	for {
+		answer := d.answerNow(call)
+		if answer.unavailable {
+			w.WriteHeader(http.StatusServiceUnavailable)
+			return
+		}
+		if answer.ready {
+			d.writeAnswer(w, balancer, answer)
+			return
+		}
+		select {
+		case <-answer.changed:
+		case <-deadline.C:
+			call.noWait = true
+		case <-answer.outage.Done():
+			panic(http.ErrAbortHandler) // the connection breaks
+		case <-req.Context().Done():
+			return
+		}
+	}
+}
+
+// answerNow returns the answer to a call, or what it has to wait for.
+func (d *Discovery) answerNow(call watchCall) watchAnswer {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	answer := watchAnswer{unavailable: d.outages > 0, changed: d.changed, outage: d.outage}
+	if answer.unavailable {
+		return answer
+	}
+	complete := call.complete || call.since > d.generation // of another life of discovery
+	if !complete && d.generation == call.since && !call.noWait {
+		return answer
+	}
+	answer.ready = true
+	answer.list, answer.servers = d.list(call.balancer, call.since, complete)
+	for _, server := range answer.servers {
+		answer.endpoints = append(answer.endpoints, *d.endpoints[server])
+	}
+	return answer
+}
+
+// writeAnswer writes an answer and says what the balancer was notified of.
+func (d *Discovery) writeAnswer(w http.ResponseWriter, balancer int, answer watchAnswer) {
+	w.Header().Set("Content-Type", "application/json")
+	_, err := w.Write(encodeList(answer.list))
+	if err != nil || d.notified == nil {
+		return
+	}
+	for i, server := range answer.servers {
+		d.notified(balancer, server, answer.endpoints[i].state, answer.endpoints[i].startedAt)
+	}
+}
