--- a/cmd/piernotch-lab/aims.go
+++ b/cmd/piernotch-lab/aims.go
@@ -3,10 +3,10 @@
 import "piernotch/internal/lab/experiment"
 
 // parseAims reads the bounds of a command line.
-func parseAims(texts []string) ([]experiment.Aim, error) {
-	var aims []experiment.Aim
+func parseAims(texts []string) ([]experiment.Bound, error) {
+	var aims []experiment.Bound
 	for _, text := range texts {
-		aim, err := experiment.ParseAim(text)
+		aim, err := experiment.ParseBound(text)
 		if err != nil {
 			return nil, err
 		}
@@ -17,7 +17,7 @@
 
 // checkAims prints the missed bounds, in the texts they were given as, and returns errFailed for
 // these and for violations.
-func checkAims(w *printer, texts []string, aims []experiment.Aim, summary map[string]experiment.Interval, violations int) error {
+func checkAims(w *printer, texts []string, aims []experiment.Bound, summary map[string]experiment.Interval, violations int) error {
 	failed := violations > 0
 	for i, aim := range aims {
 		if aim.Missed(summary) {
--- a/cmd/piernotch-lab/faulttest.go
+++ b/cmd/piernotch-lab/faulttest.go
@@ -73,7 +73,7 @@
 	}
 	o.out.Println(t.RenderMarkdown())
 	printRunViolations(o, valid)
-	if experiment.Broken(valid) > 0 {
+	if experiment.Violations(valid) > 0 {
 		return errFailed
 	}
 	return nil
@@ -106,9 +106,9 @@
 	if err := os.MkdirAll(c.JSON, 0o755); err != nil {
 		return err
 	}
-	f := &experiment.File{
-		Kind: "run", Scenario: s.Name, About: s.About, Seed: c.Seed,
-		Runs: runs, Summary: experiment.Summary(runs),
+	f := &experiment.ResultFile{
+		Kind: "run", Scenario: s.Name, Description: s.About, Seed: c.Seed,
+		Runs: runs, Summary: experiment.SummarizeRuns(runs),
 	}
 	return f.Write(filepath.Join(c.JSON, test.Name+".json"))
 }
--- a/cmd/piernotch-lab/loadtest.go
+++ b/cmd/piernotch-lab/loadtest.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	summary := experiment.Summary(played.runs)
+	summary := experiment.SummarizeRuns(played.runs)
 	if len(played.runs) > 1 {
 		for _, name := range []string{"service", "whole", "worst_window", "worst_class", "refused_rate", "failed_rate", "p50_ms", "p99_ms"} {
 			o.out.Printf("%s %s\n", name, summary[name])
@@ -76,8 +76,8 @@
 	printRunViolations(o, played.runs)
 	if c.JSON != "" {
 		s := played.scenario
-		f := &experiment.File{
-			Kind: "run", Scenario: s.Name, About: s.About + " (rehearsed on sockets)", Seed: c.Seed,
+		f := &experiment.ResultFile{
+			Kind: "run", Scenario: s.Name, Description: s.About + " (rehearsed on sockets)", Seed: c.Seed,
 			Runs: played.runs, Summary: summary,
 		}
 		if err := f.Write(c.JSON); err != nil {
@@ -87,7 +87,7 @@
 	if played.void {
 		return errFailed
 	}
-	return checkAims(o.out, c.Aim, aims, summary, experiment.Broken(played.runs))
+	return checkAims(o.out, c.Aim, aims, summary, experiment.Violations(played.runs))
 }
 
 // loadtestRuns are the runs of one command.
--- a/cmd/piernotch-lab/simulate.go
+++ b/cmd/piernotch-lab/simulate.go
@@ -35,7 +35,7 @@
 }
 
 // plan reads the scenario and the bounds of the command line.
-func (c *simulateOptions) plan() (experiment.Plan, []experiment.Aim, error) {
+func (c *simulateOptions) plan() (experiment.Plan, []experiment.Bound, error) {
 	if c.Runs < 1 {
 		return experiment.Plan{}, nil, fmt.Errorf("--runs %d: at least 1 is expected", c.Runs)
 	}
@@ -68,12 +68,12 @@
 }
 
 // save writes the result's file, if one is asked for.
-func (c *simulateOptions) save(f *experiment.File) error {
+func (c *simulateOptions) save(f *experiment.ResultFile) error {
 	if c.JSON == "" {
 		return nil
 	}
 	if c.Reproducible {
-		f.Reproducible()
+		f.RemoveTimings()
 	}
 	return f.Write(c.JSON)
 }
@@ -145,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	summary := experiment.Summary(runs)
+	summary := experiment.SummarizeRuns(runs)
 	w, t := c.newTable(o, p)
 	t.AppendHeader(table.Row{"figure", "mean and 95% interval"})
 	for _, name := range printedFigures {
@@ -154,14 +154,14 @@
 	t.Render()
 	printSpeed(w, runs)
 	c.printViolations(w, nil, c.Adapter, runs)
-	f := &experiment.File{
-		Kind: "run", Scenario: p.Scenario.Name, About: p.Scenario.About, Seed: c.Seed,
+	f := &experiment.ResultFile{
+		Kind: "run", Scenario: p.Scenario.Name, Description: p.Scenario.About, Seed: c.Seed,
 		Variant: &variant, Runs: runs, Summary: summary,
 	}
 	if err := c.save(f); err != nil {
 		return err
 	}
-	return checkAims(w, c.Aim, aims, summary, experiment.Broken(runs))
+	return checkAims(w, c.Aim, aims, summary, experiment.Violations(runs))
 }
 
 // printSpeed prints how fast the simulation was.
--- a/cmd/piernotch-lab/simulate_compare.go
+++ b/cmd/piernotch-lab/simulate_compare.go
@@ -41,13 +41,13 @@
 	}
 	t.Render()
 	w.Printf("b is %s\n", map[experiment.Verdict]string{
-		experiment.Better: "better", experiment.Worse: "worse", experiment.CantTell: "neither: these seeds can't tell",
+		experiment.Better: "better", experiment.Worse: "worse", experiment.Inconclusive: "neither: these seeds can't tell",
 	}[comparison.Verdict])
 	c.printViolations(w, a.Set, a.Adapter, comparison.RunsA)
 	c.printViolations(w, b.Set, b.Adapter, comparison.RunsB)
-	f := &experiment.File{Kind: "compare", Scenario: p.Scenario.Name, About: p.Scenario.About, Seed: c.Seed, Compare: comparison}
+	f := &experiment.ResultFile{Kind: "compare", Scenario: p.Scenario.Name, Description: p.Scenario.About, Seed: c.Seed, Compare: comparison}
 	if err := c.save(f); err != nil {
 		return err
 	}
-	return checkAims(w, c.Aim, aims, comparison.SummaryB, experiment.Broken(comparison.RunsA)+experiment.Broken(comparison.RunsB))
+	return checkAims(w, c.Aim, aims, comparison.SummaryB, experiment.Violations(comparison.RunsA)+experiment.Violations(comparison.RunsB))
 }
--- a/cmd/piernotch-lab/simulate_sweep.go
+++ b/cmd/piernotch-lab/simulate_sweep.go
@@ -19,10 +19,10 @@
 	if err != nil {
 		return err
 	}
-	var dims []experiment.Vary
+	var dims []experiment.Dimension
 	n := c.Runs
 	for _, text := range c.Vary {
-		v, err := experiment.ParseVary(text)
+		v, err := experiment.ParseDimension(text)
 		if err != nil {
 			return err
 		}
@@ -46,15 +46,15 @@
 		for i, value := range point.Values {
 			set = append(set, dims[i].Settings(value)...)
 		}
-		broken += experiment.Broken(point.Runs)
+		broken += experiment.Violations(point.Runs)
 		c.printViolations(w, set, c.Adapter, point.Runs)
 		if err := checkAims(w, c.Aim, aims, point.Summary, 0); err != nil {
 			missed = err
 		}
 	}
-	f := &experiment.File{
-		Kind: "sweep", Scenario: p.Scenario.Name, About: p.Scenario.About, Seed: c.Seed,
-		Variant: &variant, Vary: dims, Points: points,
+	f := &experiment.ResultFile{
+		Kind: "sweep", Scenario: p.Scenario.Name, Description: p.Scenario.About, Seed: c.Seed,
+		Variant: &variant, Dimensions: dims, Points: points,
 	}
 	if err := c.save(f); err != nil {
 		return err
@@ -66,7 +66,7 @@
 }
 
 // fillSweepTable adds a row for each point: its values, then some of its figures.
-func fillSweepTable(t table.Writer, dims []experiment.Vary, points []experiment.Point) {
+func fillSweepTable(t table.Writer, dims []experiment.Dimension, points []experiment.Point) {
 	figures := []string{"service", "worst_window", "refused_rate", "choked_share", "p99_ms", "cold_peak", "falls"}
 	head := table.Row{}
 	for _, d := range dims {
--- /dev/null
+++ b/internal/lab/experiment/compare.go
@@ -0,0 +1,69 @@
+package experiment
+
+import (
+	"context"
+	"fmt"
+
+	"piernotch/internal/lab/simulation"
+)
+
+// Verdict is what a comparison says of its second variant. The values are those of result files.
+type Verdict string
+
+// Verdicts.
+const (
+	Better       Verdict = "better"
+	Worse        Verdict = "worse"
+	Inconclusive Verdict = "can't tell"
+)
+
+// Comparison is B against A on the same seeds.
+type Comparison struct {
+	A          Variant              `json:"a"`
+	B          Variant              `json:"b"`
+	SummaryA   map[string]Interval  `json:"summary_a"`
+	SummaryB   map[string]Interval  `json:"summary_b"`
+	Difference map[string]Interval  `json:"difference"` // B less A, paired by seed
+	Verdict    Verdict              `json:"verdict"`    // on service, for B
+	RunsA      []*simulation.Result `json:"runs_a"`
+	RunsB      []*simulation.Result `json:"runs_b"`
+}
+
+// Compare plays both variants on the same seeds.
+func Compare(ctx context.Context, p Plan, a, b Variant, done Progress) (*Comparison, error) {
+	runsA, err := Run(ctx, p, a, done)
+	if err != nil {
+		return nil, fmt.Errorf("a: %w", err)
+	}
+	runsB, err := Run(ctx, p, b, done)
+	if err != nil {
+		return nil, fmt.Errorf("b: %w", err)
+	}
+	c := &Comparison{
+		A: a, B: b, RunsA: runsA, RunsB: runsB,
+		SummaryA: SummarizeRuns(runsA), SummaryB: SummarizeRuns(runsB), Difference: map[string]Interval{},
+	}
+	for _, f := range figures {
+		valuesA := column(runsA, f.Value)
+		differences := column(runsB, f.Value)
+		for i := range differences {
+			differences[i] -= valuesA[i]
+		}
+		c.Difference[f.Name] = Summarize(differences)
+	}
+	c.Verdict = judge(c.Difference["service"])
+	return c, nil
+}
+
+// judge is inconclusive unless the whole interval lies on one side.
+func judge(difference Interval) Verdict {
+	switch {
+	case difference.Low == nil:
+		return Inconclusive
+	case *difference.Low > 0:
+		return Better
+	case *difference.High < 0:
+		return Worse
+	}
+	return Inconclusive
+}
--- /dev/null
+++ b/internal/lab/experiment/figures.go
@@ -0,0 +1,71 @@
+package experiment
+
+import "piernotch/internal/lab/simulation"
+
+// figures are what is summed up of each run. Their names are keys of result files.
+var figures = []struct {
+	Name  string
+	Value func(r *simulation.Result) float64
+}{
+	{"service", func(r *simulation.Result) float64 { return r.Service }},
+	{"whole", func(r *simulation.Result) float64 { return r.Whole }},
+	{"worst_window", func(r *simulation.Result) float64 { return r.WorstWindow }},
+	{"worst_class", func(r *simulation.Result) float64 { return r.WorstClass }},
+	{"deducted", func(r *simulation.Result) float64 { return r.Deducted }},
+	{"lost", func(r *simulation.Result) float64 { return float64(r.Lost) }},
+	{"repeated", func(r *simulation.Result) float64 { return float64(r.Repeated) }},
+	{"drain_breaks", func(r *simulation.Result) float64 { return float64(r.DrainBreaks) }},
+	{"cold_falls", func(r *simulation.Result) float64 { return float64(r.ColdFalls) }},
+	{"cold_peak", func(r *simulation.Result) float64 { return r.ColdPeak }},
+	{"drain_latest_ms", func(r *simulation.Result) float64 { return r.DrainLatest }},
+	{"falls", func(r *simulation.Result) float64 { return float64(r.Falls) }},
+	{"requests", func(r *simulation.Result) float64 { return float64(r.Requests) }},
+	{"refused_rate", func(r *simulation.Result) float64 { return r.RefusedRate }},
+	{"failed_rate", func(r *simulation.Result) float64 { return r.FailedRate }},
+	{"retry_rate", func(r *simulation.Result) float64 { return r.RetryRate }},
+	{"waste_rate", func(r *simulation.Result) float64 { return r.WasteRate }},
+	{"cross_rate", func(r *simulation.Result) float64 { return r.CrossRate }},
+	{"probe_rate", func(r *simulation.Result) float64 { return r.ProbeRate }},
+	{"choked_share", func(r *simulation.Result) float64 { return r.ChokedShare }},
+	{"p50_ms", func(r *simulation.Result) float64 { return r.P50 }},
+	{"p99_ms", func(r *simulation.Result) float64 { return r.P99 }},
+	{"events", func(r *simulation.Result) float64 { return float64(r.Events) }},
+	{"wall_s", func(r *simulation.Result) float64 { return r.WallS }},
+	{"module_s", func(r *simulation.Result) float64 { return r.ModuleS }},
+}
+
+// FigureNames returns the names of all figures.
+func FigureNames() []string {
+	var names []string
+	for _, f := range figures {
+		names = append(names, f.Name)
+	}
+	return names
+}
+
+// SummarizeRuns returns the interval of each figure, by its name.
+func SummarizeRuns(runs []*simulation.Result) map[string]Interval {
+	summary := map[string]Interval{}
+	for _, f := range figures {
+		summary[f.Name] = Summarize(column(runs, f.Value))
+	}
+	return summary
+}
+
+// column returns one figure of each run.
+func column(runs []*simulation.Result, value func(*simulation.Result) float64) []float64 {
+	values := make([]float64, len(runs))
+	for i, r := range runs {
+		values[i] = value(r)
+	}
+	return values
+}
+
+// Violations returns how often rules were broken over all runs.
+func Violations(runs []*simulation.Result) int {
+	n := 0
+	for _, r := range runs {
+		n += r.Broken()
+	}
+	return n
+}
