--- a/cmd/piernotch-lab/faulttest.go
+++ b/cmd/piernotch-lab/faulttest.go
@@ -27,17 +27,15 @@
 }
 
 func (c *faulttestCmd) Run(ctx context.Context, o *output) error {
-	tests := loadtest.FaultTests()
 	if c.List {
-		for _, test := range tests {
+		for _, test := range loadtest.FaultTests() {
 			o.out.Printf("%-24s %s\n", test.Name, test.Description)
 		}
 		return nil
 	}
-	for _, name := range c.Names {
-		if !slices.ContainsFunc(tests, func(test loadtest.FaultTest) bool { return test.Name == name }) {
-			return fmt.Errorf("no fault test %q; --list prints them", name)
-		}
+	tests, err := c.selected()
+	if err != nil {
+		return err
 	}
 	if err := resolveProgram(&c.Program, "piernotch"); err != nil {
 		return err
@@ -47,27 +45,16 @@
 	var valid []*simulation.Result // of all tests
 	controls := faulttestControls{}
 	for _, test := range tests {
-		if len(c.Names) > 0 && !slices.Contains(c.Names, test.Name) {
-			continue
-		}
-		s, err := test.Scenario()
+		runs, control, err := c.playTest(ctx, o, controls, test)
 		if err != nil {
 			return err
 		}
-		control, err := c.control(ctx, o, controls, test)
-		if err != nil {
-			return err
-		}
-		runs, err := c.play(ctx, o, s)
-		if err != nil {
-			return fmt.Errorf("%s: %w", test.Name, err)
-		}
 		if ctx.Err() != nil {
 			break
 		}
 		valid = append(valid, withoutVoid(runs)...)
 		t.AppendRow(faulttestRow(test, runs, control))
-		if err := c.save(test, s, withoutVoid(runs)); err != nil {
+		if err := c.save(test, withoutVoid(runs)); err != nil {
 			return err
 		}
 	}
@@ -79,6 +66,37 @@
 	return nil
 }
 
+// selected returns the fault tests that are named, in their own order; all if none is.
+func (c *faulttestCmd) selected() ([]loadtest.FaultTest, error) {
+	tests := loadtest.FaultTests()
+	for _, name := range c.Names {
+		if !slices.ContainsFunc(tests, func(test loadtest.FaultTest) bool { return test.Name == name }) {
+			return nil, fmt.Errorf("no fault test %q; --list prints them", name)
+		}
+	}
+	if len(c.Names) == 0 {
+		return tests, nil
+	}
+	return slices.DeleteFunc(tests, func(test loadtest.FaultTest) bool { return !slices.Contains(c.Names, test.Name) }), nil
+}
+
+// playTest plays a fault test and its control.
+func (c *faulttestCmd) playTest(ctx context.Context, o *output, controls faulttestControls, test loadtest.FaultTest) (runs, control []*simulation.Result, err error) {
+	s, err := test.Scenario()
+	if err != nil {
+		return nil, nil, err
+	}
+	control, err = c.control(ctx, o, controls, test)
+	if err != nil {
+		return nil, nil, err
+	}
+	runs, err = c.play(ctx, o, s)
+	if err != nil {
+		return nil, nil, fmt.Errorf("%s: %w", test.Name, err)
+	}
+	return runs, control, nil
+}
+
 // faulttestControls are the runs without a fault, by their scenarios' texts: several tests share one.
 type faulttestControls map[string][]*simulation.Result
 
@@ -99,10 +117,14 @@
 }
 
 // save writes the file of one fault test, if files are asked for.
-func (c *faulttestCmd) save(test loadtest.FaultTest, s *scenario.Scenario, runs []*simulation.Result) error {
+func (c *faulttestCmd) save(test loadtest.FaultTest, runs []*simulation.Result) error {
 	if c.JSON == "" {
 		return nil
 	}
+	s, err := test.Scenario()
+	if err != nil {
+		return err
+	}
 	if err := os.MkdirAll(c.JSON, 0o755); err != nil {
 		return err
 	}
--- a/cmd/piernotch-lab/loadtest.go
+++ b/cmd/piernotch-lab/loadtest.go
@@ -59,7 +59,7 @@
 		options.Program = self
 		options.Env = []string{reverseProxyVariable + "=1"}
 	}
-	aims, err := parseAims(c.Aim)
+	aims, err := parseBounds(c.Aim)
 	if err != nil {
 		return err
 	}
@@ -74,20 +74,26 @@
 		}
 	}
 	printRunViolations(o, played.runs)
-	if c.JSON != "" {
-		s := played.scenario
-		f := &experiment.ResultFile{
-			Kind: "run", Scenario: s.Name, Description: s.About + " (rehearsed on sockets)", Seed: c.Seed,
-			Runs: played.runs, Summary: summary,
-		}
-		if err := f.Write(c.JSON); err != nil {
-			return err
-		}
+	if err := c.save(played, summary); err != nil {
+		return err
 	}
 	if played.void {
 		return errFailed
 	}
-	return checkAims(o.out, c.Aim, aims, summary, experiment.Violations(played.runs))
+	return aims.check(o.out, summary, experiment.Violations(played.runs))
+}
+
+// save writes the result's file, if one is asked for.
+func (c *loadtestCmd) save(played loadtestRuns, summary map[string]experiment.Interval) error {
+	if c.JSON == "" {
+		return nil
+	}
+	s := played.scenario
+	f := &experiment.ResultFile{
+		Kind: "run", Scenario: s.Name, Description: s.About + " (rehearsed on sockets)", Seed: c.Seed,
+		Runs: played.runs, Summary: summary,
+	}
+	return f.Write(c.JSON)
 }
 
 // loadtestRuns are the runs of one command.
--- a/cmd/piernotch-lab/simulate.go
+++ b/cmd/piernotch-lab/simulate.go
@@ -35,13 +35,13 @@
 }
 
 // plan reads the scenario and the bounds of the command line.
-func (c *simulateOptions) plan() (experiment.Plan, []experiment.Bound, error) {
+func (c *simulateOptions) plan() (experiment.Plan, bounds, error) {
 	if c.Runs < 1 {
-		return experiment.Plan{}, nil, fmt.Errorf("--runs %d: at least 1 is expected", c.Runs)
+		return experiment.Plan{}, bounds{}, fmt.Errorf("--runs %d: at least 1 is expected", c.Runs)
 	}
-	aims, err := parseAims(c.Aim)
+	aims, err := parseBounds(c.Aim)
 	if err != nil {
-		return experiment.Plan{}, nil, err
+		return experiment.Plan{}, bounds{}, err
 	}
 	s, err := scenario.Load(c.Scenario)
 	if err == nil && len(c.Set) > 0 {
@@ -161,7 +161,7 @@
 	if err := c.save(f); err != nil {
 		return err
 	}
-	return checkAims(w, c.Aim, aims, summary, experiment.Violations(runs))
+	return aims.check(w, summary, experiment.Violations(runs))
 }
 
 // printSpeed prints how fast the simulation was.
--- a/cmd/piernotch-lab/simulate_compare.go
+++ b/cmd/piernotch-lab/simulate_compare.go
@@ -49,5 +49,5 @@
 	if err := c.save(f); err != nil {
 		return err
 	}
-	return checkAims(w, c.Aim, aims, comparison.SummaryB, experiment.Violations(comparison.RunsA)+experiment.Violations(comparison.RunsB))
+	return aims.check(w, comparison.SummaryB, experiment.Violations(comparison.RunsA)+experiment.Violations(comparison.RunsB))
 }
--- a/cmd/piernotch-lab/simulate_sweep.go
+++ b/cmd/piernotch-lab/simulate_sweep.go
@@ -19,17 +19,15 @@
 	if err != nil {
 		return err
 	}
-	var dims []experiment.Dimension
-	n := c.Runs
-	for _, text := range c.Vary {
-		v, err := experiment.ParseDimension(text)
-		if err != nil {
-			return err
-		}
-		n *= len(v.Values)
-		dims = append(dims, v)
+	dims, err := c.dimensions()
+	if err != nil {
+		return err
+	}
+	days := c.Runs
+	for _, d := range dims {
+		days *= len(d.Values)
 	}
-	done, finish := progress(o, n, "sweeping")
+	done, finish := progress(o, days, "sweeping")
 	variant := experiment.Variant{Name: "builtin", Adapter: c.Adapter}
 	points, err := experiment.Sweep(ctx, p, variant, dims, done)
 	finish()
@@ -39,19 +37,7 @@
 	w, t := c.newTable(o, p)
 	fillSweepTable(t, dims, points)
 	t.Render()
-	broken := 0
-	var missed error
-	for _, point := range points {
-		var set []string
-		for i, value := range point.Values {
-			set = append(set, dims[i].Settings(value)...)
-		}
-		broken += experiment.Violations(point.Runs)
-		c.printViolations(w, set, c.Adapter, point.Runs)
-		if err := checkAims(w, c.Aim, aims, point.Summary, 0); err != nil {
-			missed = err
-		}
-	}
+	missed := c.checkPoints(w, aims, dims, points)
 	f := &experiment.ResultFile{
 		Kind: "sweep", Scenario: p.Scenario.Name, Description: p.Scenario.About, Seed: c.Seed,
 		Variant: &variant, Dimensions: dims, Points: points,
@@ -59,12 +45,38 @@
 	if err := c.save(f); err != nil {
 		return err
 	}
-	if broken > 0 {
-		return errFailed
-	}
 	return missed
 }
 
+// dimensions reads the dimensions of the command line.
+func (c *simulateSweepCmd) dimensions() ([]experiment.Dimension, error) {
+	var dims []experiment.Dimension
+	for _, text := range c.Vary {
+		d, err := experiment.ParseDimension(text)
+		if err != nil {
+			return nil, err
+		}
+		dims = append(dims, d)
+	}
+	return dims, nil
+}
+
+// checkPoints prints the violations and missed bounds of all points, and returns errFailed for these.
+func (c *simulateSweepCmd) checkPoints(w *printer, aims bounds, dims []experiment.Dimension, points []experiment.Point) error {
+	var failed error
+	for _, point := range points {
+		var set []string
+		for i, value := range point.Values {
+			set = append(set, dims[i].Settings(value)...)
+		}
+		c.printViolations(w, set, c.Adapter, point.Runs)
+		if err := aims.check(w, point.Summary, experiment.Violations(point.Runs)); err != nil {
+			failed = err
+		}
+	}
+	return failed
+}
+
 // fillSweepTable adds a row for each point: its values, then some of its figures.
 func fillSweepTable(t table.Writer, dims []experiment.Dimension, points []experiment.Point) {
 	figures := []string{"service", "worst_window", "refused_rate", "choked_share", "p99_ms", "cold_peak", "falls"}
