--- a/cmd/piernotch-lab/emulate.go
+++ b/cmd/piernotch-lab/emulate.go
@@ -42,7 +42,10 @@
 		return err
 	}
 	started := time.Now()
-	fleet, err := emulator.New(d, c.Balancers, func() time.Duration { return time.Since(started) }, &anyRequestObserver{attempts: map[string]int{}}, nil)
+	fleet, err := emulator.New(d, emulator.Options{
+		Balancers: c.Balancers, Clock: func() time.Duration { return time.Since(started) },
+		Observer: &anyRequestObserver{attempts: map[string]int{}},
+	})
 	if err != nil {
 		return err
 	}
--- a/cmd/piernotch-lab/faulttest.go
+++ b/cmd/piernotch-lab/faulttest.go
@@ -143,7 +143,7 @@
 // play plays all seeds of a scenario, in the order of the seeds; a void run is nil.
 func (c *faulttestCmd) play(ctx context.Context, o *output, s *scenario.Scenario) ([]*simulation.Result, error) {
 	if c.Simulate {
-		return experiment.Run(ctx, experiment.Plan{Scenario: s, Seed: c.Seed, Runs: c.Runs}, experiment.Variant{}, nil)
+		return experiment.Run(ctx, experiment.Plan{Scenario: s, Seed: c.Seed, Runs: c.Runs}, experiment.Variant{})
 	}
 	var runs []*simulation.Result
 	for i := range c.Runs {
--- a/cmd/piernotch-lab/simulate.go
+++ b/cmd/piernotch-lab/simulate.go
@@ -78,8 +78,8 @@
 	return f.Write(c.JSON)
 }
 
-// progress shows how far a long run is, on a terminal only. The second result ends the display.
-func progress(o *output, n int, what string) (experiment.Progress, func()) {
+// progress shows how far a long run is, on a terminal only. Done counts one, finish ends the display.
+func progress(o *output, n int, what string) (done, finish func()) {
 	f, ok := o.err.writer.(*os.File)
 	if ok {
 		info, err := f.Stat()
@@ -138,9 +138,10 @@
 	if err != nil {
 		return err
 	}
-	done, finish := progress(o, c.Runs, "playing")
+	var finish func()
+	p.Progress, finish = progress(o, c.Runs, "playing")
 	variant := experiment.Variant{Name: "builtin", Adapter: c.Adapter}
-	runs, err := experiment.Run(ctx, p, variant, done)
+	runs, err := experiment.Run(ctx, p, variant)
 	finish()
 	if err != nil {
 		return err
--- a/cmd/piernotch-lab/simulate_compare.go
+++ b/cmd/piernotch-lab/simulate_compare.go
@@ -28,8 +28,9 @@
 	if err != nil {
 		return fmt.Errorf("--b: %w", err)
 	}
-	done, finish := progress(o, 2*c.Runs, "comparing")
-	comparison, err := experiment.Compare(ctx, p, a, b, done)
+	var finish func()
+	p.Progress, finish = progress(o, 2*c.Runs, "comparing")
+	comparison, err := experiment.Compare(ctx, p, a, b)
 	finish()
 	if err != nil {
 		return err
--- a/cmd/piernotch-lab/simulate_sweep.go
+++ b/cmd/piernotch-lab/simulate_sweep.go
@@ -27,9 +27,10 @@
 	for _, d := range dims {
 		days *= len(d.Values)
 	}
-	done, finish := progress(o, days, "sweeping")
+	var finish func()
+	p.Progress, finish = progress(o, days, "sweeping")
 	variant := experiment.Variant{Name: "builtin", Adapter: c.Adapter}
-	points, err := experiment.Sweep(ctx, p, variant, dims, done)
+	points, err := experiment.Sweep(ctx, p, variant, dims)
 	finish()
 	if err != nil {
 		return err
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -50,13 +50,13 @@
 	startedUnixMS int64  // 0: before the day
 }
 
-func newDiscovery(f *Fleet, balancers int, notified EndpointNotified) (*Discovery, error) {
+func newDiscovery(f *Fleet, opts Options) (*Discovery, error) {
 	d := &Discovery{
-		fleet: f, notified: notified, endpoints: map[int]*endpoint{}, changes: map[int]int{}, changed: make(chan struct{}),
-		listeners: make([]*http.Server, balancers), addresses: make([]string, balancers),
+		fleet: f, notified: opts.Notified, endpoints: map[int]*endpoint{}, changes: map[int]int{}, changed: make(chan struct{}),
+		listeners: make([]*http.Server, opts.Balancers), addresses: make([]string, opts.Balancers),
 	}
 	d.outage, d.beginOutage = context.WithCancel(context.Background())
-	for balancer := range balancers {
+	for balancer := range opts.Balancers {
 		if err := d.open(balancer); err != nil {
 			d.close()
 			return nil, err
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -87,7 +87,8 @@
 	require.NoError(t, err)
 	n := &recorder{sent: map[string]int{}}
 	started := time.Now()
-	f, err := New(d, 1, func() time.Duration { return time.Since(started) }, n, notified)
+	clock := func() time.Duration { return time.Since(started) }
+	f, err := New(d, Options{Balancers: 1, Clock: clock, Observer: n, Notified: notified})
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
 	return f, n
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -28,17 +28,25 @@
 	err error // the first one
 }
 
-// New creates the servers of a day and opens them, and discovery with an address for each balancer.
-// Nothing goes wrong until Play. Notified may be nil. The caller calls Close.
-func New(day *scenario.Day, balancers int, clock Clock, observer Observer, notified EndpointNotified) (*Fleet, error) {
-	f := &Fleet{day: day, clock: clock, observer: observer}
+// Options say for whom a fleet is. All but Notified are required.
+type Options struct {
+	Balancers int // discovery has an address for each
+	Clock     Clock
+	Observer  Observer
+	Notified  EndpointNotified // may be nil
+}
+
+// New creates the servers of a day and opens them and discovery. Nothing goes wrong until Play. The caller
+// calls Close.
+func New(day *scenario.Day, opts Options) (*Fleet, error) {
+	f := &Fleet{day: day, clock: opts.Clock, observer: opts.Observer}
 	for _, spec := range day.Servers {
 		if _, err := f.add(spec); err != nil {
 			return nil, err
 		}
 	}
 	f.scheduleSteps()
-	if err := f.open(balancers, notified); err != nil {
+	if err := f.open(opts); err != nil {
 		f.Close()
 		return nil, err
 	}
@@ -49,14 +57,14 @@
 }
 
 // open opens the servers that are there from the beginning, and discovery.
-func (f *Fleet) open(balancers int, notified EndpointNotified) error {
+func (f *Fleet) open(opts Options) error {
 	for _, s := range f.servers[:len(f.day.Servers)] {
 		if err := s.open(); err != nil {
 			return err
 		}
 	}
 	var err error
-	f.discovery, err = newDiscovery(f, balancers, notified)
+	f.discovery, err = newDiscovery(f, opts)
 	return err
 }
 
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -30,12 +30,12 @@
 }
 
 // Compare plays both variants on the same seeds.
-func Compare(ctx context.Context, p Plan, a, b Variant, done Progress) (*Comparison, error) {
-	runsA, err := Run(ctx, p, a, done)
+func Compare(ctx context.Context, p Plan, a, b Variant) (*Comparison, error) {
+	runsA, err := Run(ctx, p, a)
 	if err != nil {
 		return nil, fmt.Errorf("a: %w", err)
 	}
-	runsB, err := Run(ctx, p, b, done)
+	runsB, err := Run(ctx, p, b)
 	if err != nil {
 		return nil, fmt.Errorf("b: %w", err)
 	}
--- a/internal/lab/experiment/render_test.go
+++ b/internal/lab/experiment/render_test.go
@@ -16,15 +16,15 @@
 func TestSweepsAndCharts(t *testing.T) {
 	p := testPlan(t, 2, 0)
 	dims := []Dimension{{"traffic.load", []string{"0.4", "0.8"}}, {"fleet.servers", []string{"8", "12"}}}
-	points, err := Sweep(context.Background(), p, Variant{}, dims, nil)
+	points, err := Sweep(context.Background(), p, Variant{}, dims)
 	require.NoError(t, err)
 	require.Len(t, points, 4)
 	require.Equal(t, []string{"0.4", "12"}, points[1].Values)
-	_, err = Sweep(context.Background(), p, Variant{}, nil, nil)
+	_, err = Sweep(context.Background(), p, Variant{}, nil)
 	require.ErrorIs(t, err, ErrDimensions)
-	runs, err := Run(context.Background(), p, Variant{}, nil)
+	runs, err := Run(context.Background(), p, Variant{})
 	require.NoError(t, err)
-	cmp, err := Compare(context.Background(), p, Variant{Name: "x"}, Variant{Name: "y"}, nil)
+	cmp, err := Compare(context.Background(), p, Variant{Name: "x"}, Variant{Name: "y"})
 	require.NoError(t, err)
 	broken := points[0].Runs[0]
 	broken.ColdFalls, broken.Breaks = 1, []invariants.Violation{{Rule: invariants.Cold, Server: 3, Message: "pushed over", Steps: []string{"a step"}}}
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -18,16 +18,14 @@
 	Seed     uint64 // the first; the others follow it
 	Runs     int    // how many seeds
 	Workers  int    // days played at once; 0: as many as there are cores
+	Progress func() // called for each run that has ended, from any goroutine; may be nil
 }
 
-// Progress is called for each run that has ended, from any goroutine. It may be nil.
-type Progress func()
-
 // Counter counts runs, for callers that print their number now and then. Its methods may be called from any
 // goroutine.
 type Counter struct{ n atomic.Int64 }
 
-// Done counts one run. It is a Progress.
+// Done counts one run. It can be a Plan's Progress.
 func (c *Counter) Done() { c.n.Add(1) }
 
 // Count returns how many have ended.
@@ -35,7 +33,7 @@
 
 // Run plays all seeds for one variant. The results are in the order of the seeds, whatever the number of
 // workers. It ends with the first error, or with the context's.
-func Run(ctx context.Context, p Plan, v Variant, done Progress) ([]*simulation.Result, error) {
+func Run(ctx context.Context, p Plan, v Variant) ([]*simulation.Result, error) {
 	s, err := p.Scenario.With(v.Set...)
 	if err != nil {
 		return nil, err
@@ -53,8 +51,8 @@
 				return err
 			}
 			results[i] = r
-			if done != nil {
-				done()
+			if p.Progress != nil {
+				p.Progress()
 			}
 			return nil
 		})
--- a/internal/lab/experiment/run_test.go
+++ b/internal/lab/experiment/run_test.go
@@ -24,7 +24,9 @@
 	var encoded [2][]byte
 	for i, workers := range []int{1, 4} {
 		var c Counter
-		runs, err := Run(context.Background(), testPlan(t, 6, workers), Variant{}, c.Done)
+		p := testPlan(t, 6, workers)
+		p.Progress = c.Done
+		runs, err := Run(context.Background(), p, Variant{})
 		require.NoError(t, err)
 		require.Equal(t, 6, c.Count())
 		f := &ResultFile{Kind: "run", Runs: runs, Summary: SummarizeRuns(runs)}
--- a/internal/lab/experiment/sweep.go
+++ b/internal/lab/experiment/sweep.go
@@ -80,7 +80,7 @@
 
 // Sweep plays every combination of one or two dimensions on the same seeds. Other numbers of dimensions are
 // ErrDimensions.
-func Sweep(ctx context.Context, p Plan, v Variant, dimensions []Dimension, done Progress) ([]Point, error) {
+func Sweep(ctx context.Context, p Plan, v Variant, dimensions []Dimension) ([]Point, error) {
 	if len(dimensions) < 1 || len(dimensions) > 2 {
 		return nil, fmt.Errorf("%w, not %d", ErrDimensions, len(dimensions))
 	}
@@ -91,7 +91,7 @@
 		for i, value := range values {
 			at.Set = append(at.Set, dimensions[i].Settings(value)...)
 		}
-		runs, err := Run(ctx, p, at, done)
+		runs, err := Run(ctx, p, at)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", strings.Join(at.Set, " "), err)
 		}
--- a/internal/lab/loadtest/environment.go
+++ b/internal/lab/loadtest/environment.go
@@ -48,7 +48,9 @@
 func (e *environment) open() error {
 	var err error
 	balancers := len(e.day.Balancers)
-	e.fleet, err = emulator.New(e.day, balancers, e.clock, e.observer, e.endpointNotified)
+	e.fleet, err = emulator.New(e.day, emulator.Options{
+		Balancers: balancers, Clock: e.clock, Observer: e.observer, Notified: e.endpointNotified,
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/loadtest/handover_play.go
+++ b/internal/lab/loadtest/handover_play.go
@@ -63,7 +63,8 @@
 		e.finishHandover(h, p, old)
 		return nil
 	}
-	next, err = e.disturbHandover(ctx, p, h, old, next)
+	both := instances{balancer: p, old: old, next: next}
+	next, err = e.disturbHandover(ctx, h, both)
 	if err != nil {
 		return err
 	}
@@ -73,24 +74,31 @@
 	return nil
 }
 
+// instances are the two instances of a balancer during a hand-over.
+type instances struct {
+	balancer *process
+	old      *instance
+	next     *instance
+}
+
 // disturbHandover does what makes a hand-over special while both instances run. It returns the instance
 // that takes over.
-func (e *environment) disturbHandover(ctx context.Context, p *process, h Handover, old, next *instance) (*instance, error) {
+func (e *environment) disturbHandover(ctx context.Context, h Handover, both instances) (*instance, error) {
 	switch h.Kind {
 	case HandoverLateStop:
 		sleep(ctx, h.StopDelay)
 	case HandoverBothReload:
-		_ = old.cmd.Process.Signal(syscall.SIGHUP)
-		_ = next.cmd.Process.Signal(syscall.SIGHUP)
+		_ = both.old.cmd.Process.Signal(syscall.SIGHUP)
+		_ = both.next.cmd.Process.Signal(syscall.SIGHUP)
 		sleep(ctx, reloadPause)
 	case HandoverThirdProcess:
-		return e.handToThird(ctx, p, next)
+		return e.handToThird(ctx, both.balancer, both.next)
 	case HandoverExclude:
-		e.excludeServer(ctx, p, old, next)
+		e.excludeServer(ctx, both)
 	case HandoverDrain:
-		e.drainBalancer(ctx, p, old, next)
+		e.drainBalancer(ctx, both)
 	}
-	return next, nil
+	return both.next, nil
 }
 
 // crashNext kills the new instance, and what it holds with it.
@@ -143,32 +151,32 @@
 
 // excludeServer excludes a server at one instance and includes it again at the other. The balancer is
 // held to the rule on drains meanwhile, and has to reject the name of no server.
-func (e *environment) excludeServer(ctx context.Context, p *process, old, next *instance) {
+func (e *environment) excludeServer(ctx context.Context, both instances) {
 	server, name, ok := e.fleet.Discovery().ReadyServer()
 	if !ok {
 		return
 	}
 	exclude := adminCall{http.MethodPost, "/api/exclude", name}
-	e.expectStatus(ctx, old, exclude, http.StatusOK)
-	e.observer.EndpointNotified(p.number, server, piernotch.Draining, 0)
-	e.expectStatus(ctx, next, exclude, http.StatusOK)
-	e.expectStatus(ctx, next, adminCall{http.MethodPost, "/api/exclude", "s-nobody"}, http.StatusNotFound)
+	e.expectStatus(ctx, both.old, exclude, http.StatusOK)
+	e.observer.EndpointNotified(both.balancer.number, server, piernotch.Draining, 0)
+	e.expectStatus(ctx, both.next, exclude, http.StatusOK)
+	e.expectStatus(ctx, both.next, adminCall{http.MethodPost, "/api/exclude", "s-nobody"}, http.StatusNotFound)
 	sleep(ctx, e.day.Rules.Grace+time.Second)
-	e.observer.EndpointNotified(p.number, server, piernotch.Ready, 0)
-	e.expectStatus(ctx, next, adminCall{http.MethodPost, "/api/include", name}, http.StatusOK)
+	e.observer.EndpointNotified(both.balancer.number, server, piernotch.Ready, 0)
+	e.expectStatus(ctx, both.next, adminCall{http.MethodPost, "/api/include", name}, http.StatusOK)
 }
 
 // drainBalancer drains the balancer at one instance and has it rejoin at the other.
-func (e *environment) drainBalancer(ctx context.Context, p *process, old, next *instance) {
-	e.expectStatus(ctx, old, adminCall{method: http.MethodPost, path: "/api/evacuate"}, http.StatusOK)
+func (e *environment) drainBalancer(ctx context.Context, both instances) {
+	e.expectStatus(ctx, both.old, adminCall{method: http.MethodPost, path: "/api/evacuate"}, http.StatusOK)
 	sleep(ctx, healthPause)
-	if status := healthStatus(p.address); status == http.StatusOK {
+	if status := healthStatus(both.balancer.address); status == http.StatusOK {
 		e.handovers.addProblem("/_health says yes 150 ms after a drain")
 	}
 	sleep(ctx, drainPause)
-	e.expectStatus(ctx, next, adminCall{method: http.MethodPost, path: "/api/rejoin"}, http.StatusOK)
+	e.expectStatus(ctx, both.next, adminCall{method: http.MethodPost, path: "/api/rejoin"}, http.StatusOK)
 	sleep(ctx, healthPause)
-	if status := healthStatus(p.address); status != http.StatusOK {
+	if status := healthStatus(both.balancer.address); status != http.StatusOK {
 		e.handovers.addProblem("/_health says %d 150 ms after a drain ended", status)
 	}
 }
