--- a/internal/lab/faultproxy/address.go
+++ b/internal/lab/faultproxy/address.go
@@ -8,15 +8,15 @@
 	"sync/atomic"
 )
 
-// ErrNoFreeAddress is returned by Free when every port of its range is in use.
+// ErrNoFreeAddress is that every port of the range is in use.
 var ErrNoFreeAddress = errors.New("no address is free")
 
-// The ports that Free returns: from firstPort up to, but not including, lastPort. They lie below those
+// The range of the ports that are given out: from firstPort up to, but not including, lastPort. They lie below those
 // that the system gives to outgoing connections, which could take one between its being found free and
 // its use.
 const firstPort, lastPort = 20000, 32000
 
-// lastGivenPort is the port that Free tried last; 0 before its first call.
+// lastGivenPort is the port that was tried last; 0 before the first.
 var lastGivenPort atomic.Int32
 
 // Free returns a host:port on loopback that nobody listens on. This process does not get it again until
--- a/internal/lab/faultproxy/link.go
+++ b/internal/lab/faultproxy/link.go
@@ -19,7 +19,7 @@
 	mu          sync.Mutex
 	target      string
 	faults      [2]Fault      // by direction
-	silentSince [2]time.Time  // by direction, while its cut is Silent
+	silentSince [2]time.Time  // by direction, while its cut is a silent one
 	changed     chan struct{} // closed and replaced when the faults change or the link is closed
 	connections map[*connection]struct{}
 	rng         *rand.Rand
