--- /dev/null
+++ b/cmd/piernotch-lab/cluster.go
@@ -0,0 +1,88 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"time"
+
+	"piernotch/internal/lab/clustersim"
+	"piernotch/internal/lab/clustertest"
+)
+
+type clusterCmd struct {
+	Simulate  clusterSimulateCmd  `cmd:"" aliases:"model" help:"Play schedules of faults on the control group in simulated time, thousands of seeds."`
+	Processes clusterProcessesCmd `cmd:"" aliases:"rig" help:"Play the same schedules on real processes with relays between them."`
+	Times     clusterTimesCmd     `cmd:"" help:"Measure how long a duty is without a holder when its holder ends, planned and unplanned."`
+}
+
+// clusterOptions are the arguments that say what a schedule is played on.
+type clusterOptions struct {
+	Seed    uint64 `default:"1" help:"The first seed."`
+	Runs    int    `default:"100" help:"How many seeds."`
+	Voters  int    `default:"3" help:"Processes that vote."`
+	Members int    `default:"4" help:"Processes that want duties."`
+	Duties  int    `default:"2" help:"Duties that all of them want."`
+	Faults  int    `default:"12" help:"Faults of each seed."`
+	Length  int    `default:"60" help:"Seconds of each seed; the last 25 are without faults."`
+	JSON    string `name:"json" placeholder:"FILE" help:"Keep the results there."`
+	SVG     string `name:"svg" placeholder:"FILE" help:"With one seed: draw who held what, and what went wrong."`
+}
+
+// draw writes the picture of a seed, if one is asked for.
+func (c *clusterOptions) draw(seed uint64, faults []clustersim.Fault, spans []clustersim.Span) error {
+	if c.SVG == "" || c.Runs != 1 {
+		return nil
+	}
+	f, err := os.Create(c.SVG)
+	if err != nil {
+		return err
+	}
+	clustersim.Timeline(f, fmt.Sprintf("seed %d", seed), c.size().Length, faults, spans)
+	return f.Close()
+}
+
+func (c *clusterOptions) size() clustersim.Size {
+	return clustersim.Size{
+		Voters: c.Voters, Members: c.Members, Receivers: 2, Duties: c.Duties,
+		Length: time.Duration(c.Length) * time.Second, Faults: c.Faults,
+	}
+}
+
+// clusterFailure is a seed on which an invariant was violated.
+type clusterFailure struct {
+	seed       uint64
+	violations []string
+	faults     []clustersim.Fault
+}
+
+// finish prints the violations, writes the results' file, and returns errFailed for violations. The
+// subcommand is named in the commands that replay them.
+func (c *clusterOptions) finish(o *output, subcommand string, results any, failures []clusterFailure) error {
+	for _, failure := range failures {
+		o.out.Printf("seed %d BROKEN: %s\n", failure.seed, failure.violations[0])
+		for _, fault := range failure.faults {
+			o.out.Println(" ", fault)
+		}
+		o.out.Printf("again: piernotch-lab cluster %s --seed %d --runs 1 --voters %d --members %d --duties %d --faults %d --length %d\n",
+			subcommand, failure.seed, c.Voters, c.Members, c.Duties, c.Faults, c.Length)
+	}
+	if c.JSON != "" {
+		if err := writeJSON(c.JSON, results); err != nil {
+			return err
+		}
+	}
+	o.out.Printf("%d seeds broke something\n", len(failures))
+	if len(failures) > 0 {
+		return errFailed
+	}
+	return nil
+}
+
+// holdCmd is a process that clustertest starts.
+type holdCmd struct {
+	File string `arg:"" help:"The group's file."`
+	Rig  string `arg:"" help:"Where the test listens."`
+}
+
+func (c *holdCmd) Run(ctx context.Context) error { return clustertest.Act(ctx, c.File, c.Rig) }
--- /dev/null
+++ b/internal/lab/emulator/discovery.go
@@ -0,0 +1,211 @@
+package emulator
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"piernotch"
+)
+
+// moveGrace is how long open connections to a former address still work.
+const moveGrace = 1500 * time.Millisecond
+
+// Discovery is a stand-in for the discovery service: the complete list of servers, and a watch on its
+// changes. Each balancer has an address of its own, so that it is known which one was notified of what. Its
+// methods may be called from any goroutine.
+type Discovery struct {
+	// ServerAddress, if set before the first call, returns where a balancer reaches a server that listens
+	// at an address: a proxy may stand between. It is called with the list locked.
+	ServerAddress func(balancer, server int, address string) string
+
+	fleet      *Fleet
+	notified   EndpointNotified // may be nil
+	extraDelay atomic.Int64     // ns, of what is not Ready
+
+	mu          sync.Mutex // guards what follows
+	listeners   []*http.Server
+	addresses   []string // by balancer
+	timers      []*time.Timer
+	calls       int
+	generation  uint64
+	endpoints   map[int]*endpoint // by server; those that were never listed are missing
+	changes     map[int]int       // by server: the number of the last one that was scheduled
+	changed     chan struct{}     // closed and replaced at each change
+	outages     int               // that go on
+	outage      context.Context   // done while there is an outage
+	beginOutage context.CancelFunc
+}
+
+// endpoint is a server as it is listed.
+type endpoint struct {
+	state         piernotch.State
+	startedAt     time.Duration // time of the day
+	address       string
+	generation    uint64 // of its last change
+	startedUnixMS int64  // 0: before the day
+}
+
+func newDiscovery(f *Fleet, opts Options) (*Discovery, error) {
+	d := &Discovery{
+		fleet: f, notified: opts.Notified, endpoints: map[int]*endpoint{}, changes: map[int]int{}, changed: make(chan struct{}),
+		listeners: make([]*http.Server, opts.Balancers), addresses: make([]string, opts.Balancers),
+	}
+	d.outage, d.beginOutage = context.WithCancel(context.Background())
+	for balancer := range opts.Balancers {
+		if err := d.open(balancer); err != nil {
+			d.close()
+			return nil, err
+		}
+	}
+	return d, nil
+}
+
+// open has a balancer's discovery listen at a new address.
+func (d *Discovery) open(balancer int) error {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return fmt.Errorf("roster: %w", err)
+	}
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /catalog/members", func(w http.ResponseWriter, req *http.Request) { d.serveWatch(w, req, balancer) })
+	s := &http.Server{Handler: mux}
+	d.mu.Lock()
+	d.listeners[balancer] = s
+	d.addresses[balancer] = l.Addr().String()
+	d.mu.Unlock()
+	go func() { _ = s.Serve(l) }() // ends with Move or close
+	return nil
+}
+
+// Move has a balancer's discovery listen at another address, which Address returns from then on. The former
+// one accepts no new connections, and closes the open ones after moveGrace.
+func (d *Discovery) Move(balancer int) error {
+	d.mu.Lock()
+	old := d.listeners[balancer]
+	d.mu.Unlock()
+	if err := d.open(balancer); err != nil {
+		return err
+	}
+	ctx, stop := context.WithTimeout(context.Background(), moveGrace)
+	go func() { // ends after moveGrace at the latest
+		defer stop()
+		if old.Shutdown(ctx) != nil {
+			_ = old.Close()
+		}
+	}()
+	return nil
+}
+
+// Address returns the host:port at which a balancer finds discovery.
+func (d *Discovery) Address(balancer int) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.addresses[balancer]
+}
+
+// Calls returns the number of calls so far.
+func (d *Discovery) Calls() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.calls
+}
+
+// ReadyServer returns a server that is listed as ready, and its name; false if there is none.
+func (d *Discovery) ReadyServer() (server int, name string, ok bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for i, s := range d.fleet.servers {
+		if e := d.endpoints[i]; e != nil && e.state == piernotch.Ready {
+			return i, s.name, true
+		}
+	}
+	return 0, "", false
+}
+
+// close ends all watches and closes all addresses.
+func (d *Discovery) close() {
+	d.mu.Lock()
+	for _, t := range d.timers {
+		t.Stop()
+	}
+	listeners := d.listeners
+	beginOutage := d.beginOutage
+	d.mu.Unlock()
+	beginOutage()
+	for _, s := range listeners {
+		if s != nil {
+			_ = s.Close()
+		}
+	}
+}
+
+// publishAfter lists a server's state after a delay, unless a later start has been listed by then.
+func (d *Discovery) publishAfter(server int, state piernotch.State, delay time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if state != piernotch.Ready {
+		delay += time.Duration(d.extraDelay.Load())
+	}
+	d.changes[server]++
+	change := d.changes[server]
+	startedAt := d.fleet.servers[server].startedAt()
+	if period := d.fleet.day.Discovery.Period; period > 0 { // changes are published at its multiples
+		now := d.fleet.clock()
+		delay = (now+delay+period-1)/period*period - now
+	}
+	d.timers = append(d.timers, time.AfterFunc(delay, func() {
+		if !d.isStale(server, state, change, startedAt) {
+			d.publish(server, state, startedAt)
+		}
+	}))
+}
+
+// isStale reports whether a change that was scheduled is not to be listed, because a later start of the
+// server is listed as ready.
+func (d *Discovery) isStale(server int, state piernotch.State, change int, startedAt time.Duration) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	listed := d.endpoints[server]
+	if listed == nil || state == piernotch.Ready || change >= d.changes[server] {
+		return false
+	}
+	return listed.state == piernotch.Ready && listed.startedAt > startedAt
+}
+
+// publish lists a server's state at once.
+func (d *Discovery) publish(server int, state piernotch.State, startedAt time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.generation++
+	e := &endpoint{state: state, startedAt: startedAt, address: d.fleet.servers[server].currentAddress(), generation: d.generation}
+	previous := d.endpoints[server]
+	switch {
+	case previous != nil && previous.startedAt == startedAt:
+		e.startedUnixMS = previous.startedUnixMS // one start has one time, to the millisecond
+	case startedAt > 0:
+		e.startedUnixMS = time.Now().Add(startedAt - d.fleet.clock()).UnixMilli()
+	}
+	d.endpoints[server] = e
+	close(d.changed)
+	d.changed = make(chan struct{})
+}
+
+// setOutage begins an outage, which ends all watches and has calls fail, or ends one. Outages may overlap.
+func (d *Discovery) setOutage(begins bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if begins {
+		d.outages++
+		d.beginOutage()
+		return
+	}
+	d.outages--
+	if d.outages == 0 {
+		d.outage, d.beginOutage = context.WithCancel(context.Background())
+	}
+}
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -1,8 +1,6 @@
 package emulator
 
 import (
-	"context"
-	"fmt"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -10,56 +8,67 @@
 
 	"piernotch"
 	"piernotch/internal/lab/scenario"
-	"piernotch/internal/lab/servermodel"
 )
 
-// Fleet is the stand-in feed servers of a day and their roster.
+// Fleet is the stand-in feed servers of a day and their discovery. Its methods may be called from any
+// goroutine, but Play and Close.
 type Fleet struct {
-	day     *scenario.Day
-	clock   Clock
-	watch   Observer
-	servers []*server
-	roster  *Roster
-	late    atomic.Int64 // of load reports, ns
-	spoils  atomic.Int64 // share of answers that come spoilt, in millionths
-	script  []step
-	timers  []*time.Timer
-	mu      sync.Mutex
-	err     error
-}
-
-type step struct {
-	at time.Duration
-	do func()
-}
-
-// New makes the servers of a day and opens them; the roster has an address for each of
-// so many balancers. Nothing goes wrong until Play.
-func New(day *scenario.Day, balancers int, clock Clock, watch Observer, told Told) (*Fleet, error) {
-	f := &Fleet{day: day, clock: clock, watch: watch}
-	for i := range day.Servers {
-		if _, err := f.add(day.Servers[i]); err != nil {
-			return nil, err
-		}
-	}
-	f.plays()
-	for _, s := range f.servers[:len(day.Servers)] {
-		if err := s.open(); err != nil {
-			f.Close()
+	day       *scenario.Day
+	clock     Clock
+	observer  Observer
+	servers   []*server // those that join later included
+	discovery *Discovery
+	steps     []scheduledStep
+	timers    []*time.Timer // of the steps, once they are played
+
+	loadReportDelay atomic.Int64 // ns
+	malformedShare  atomic.Int64 // of answers, in millionths
+
+	mu  sync.Mutex
+	err error // the first one
+}
+
+// Options say for whom a fleet is. All but Notified are required.
+type Options struct {
+	Balancers int // discovery has an address for each
+	Clock     Clock
+	Observer  Observer
+	Notified  EndpointNotified // may be nil
+}
+
+// New creates the servers of a day and opens them and discovery. Nothing goes wrong until Play. The caller
+// calls Close.
+func New(day *scenario.Day, opts Options) (*Fleet, error) {
+	f := &Fleet{day: day, clock: opts.Clock, observer: opts.Observer}
+	for _, spec := range day.Servers {
+		if _, err := f.add(spec); err != nil {
 			return nil, err
 		}
 	}
-	var err error
-	if f.roster, err = newRoster(f, balancers, told); err != nil {
+	f.scheduleSteps()
+	if err := f.open(opts); err != nil {
 		f.Close()
 		return nil, err
 	}
 	for i := range day.Servers {
-		f.roster.publish(i, piernotch.Ready, 0)
+		f.discovery.publish(i, piernotch.Ready, 0)
 	}
 	return f, nil
 }
 
+// open opens the servers that are there from the beginning, and discovery.
+func (f *Fleet) open(opts Options) error {
+	for _, s := range f.servers[:len(f.day.Servers)] {
+		if err := s.open(); err != nil {
+			return err
+		}
+	}
+	var err error
+	f.discovery, err = newDiscovery(f, opts)
+	return err
+}
+
+// add creates a server that is not open.
 func (f *Fleet) add(spec scenario.Server) (*server, error) {
 	n := len(f.servers)
 	s, err := newServer(f, n, spec, f.day.Seed<<16^uint64(n)+1)
@@ -69,11 +78,11 @@
 	return s, err
 }
 
-func (f *Fleet) spoilt() float64 { return float64(f.spoils.Load()) / 1e6 }
+func (f *Fleet) malformedProbability() float64 { return float64(f.malformedShare.Load()) / 1e6 }
 
-func (f *Fleet) reportsLate() time.Duration { return time.Duration(f.late.Load()) }
+func (f *Fleet) reportDelay() time.Duration { return time.Duration(f.loadReportDelay.Load()) }
 
-// meanWork is what a request of a class takes on the mean, ms.
+// meanWork returns the mean work of a request of a class, ms. The class may be followed by a path.
 func (f *Fleet) meanWork(class string) float64 {
 	class, _, _ = strings.Cut(class, "/")
 	for i := range f.day.Classes {
@@ -84,21 +93,21 @@
 	return f.day.MeanWork()
 }
 
-// Roster is the list of the servers.
-func (f *Fleet) Roster() *Roster { return f.roster }
+// Discovery returns the stand-in for discovery.
+func (f *Fleet) Discovery() *Discovery { return f.discovery }
 
-// Servers is how many there are, those that join later included.
+// Servers returns the number of servers, those that join later included.
 func (f *Fleet) Servers() int { return len(f.servers) }
 
-// Spec tells what a server was made of.
+// Spec returns what a server was made of.
 func (f *Fleet) Spec(i int) scenario.Server { return f.servers[i].spec }
 
-// Choked is how many servers choked at some time.
-func (f *Fleet) Choked() int {
+// Overloaded returns the number of servers that were overloaded at some time.
+func (f *Fleet) Overloaded() int {
 	n := 0
 	for _, s := range f.servers {
 		s.mu.Lock()
-		if s.choked {
+		if s.overloaded {
 			n++
 		}
 		s.mu.Unlock()
@@ -106,14 +115,14 @@
 	return n
 }
 
-// Err is the first thing that the stand-ins could not do.
+// Err returns the first error of the servers since New: one could not be opened again.
 func (f *Fleet) Err() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.err
 }
 
-func (f *Fleet) failed(err error) {
+func (f *Fleet) recordError(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.err == nil {
@@ -121,18 +130,7 @@
 	}
 }
 
-// Play has the day's troubles happen at their times, until the context ends.
-func (f *Fleet) Play(ctx context.Context) {
-	for _, s := range f.script {
-		f.timers = append(f.timers, time.AfterFunc(max(s.at-f.clock(), 0), func() {
-			if ctx.Err() == nil {
-				s.do()
-			}
-		}))
-	}
-}
-
-// Close ends all servers and the roster.
+// Close ends all servers and discovery.
 func (f *Fleet) Close() {
 	for _, t := range f.timers {
 		t.Stop()
@@ -141,126 +139,7 @@
 		s.crash()
 		s.timer.Stop()
 	}
-	if f.roster != nil {
-		f.roster.close()
-	}
-}
-
-func (f *Fleet) at(t time.Duration, do func()) { f.script = append(f.script, step{t, do}) }
-
-// plays writes the script: what the model does to its servers, done to these.
-func (f *Fleet) plays() {
-	for _, s := range f.day.Steps() {
-		if s.Do == scenario.Join || s.Do == scenario.Takeover {
-			f.joins(s.Server, s.Number, s.At, s.Do == scenario.Takeover)
-			continue
-		}
-		f.at(s.At, func() { f.step(&s) })
-	}
-}
-
-// step does one thing to servers or roster.
-func (f *Fleet) step(s *scenario.Step) {
-	var at *server
-	if s.Server < len(f.servers) { // what is done to discovery alone names none
-		at = f.servers[s.Server]
-	}
-	switch s.Do {
-	case scenario.Slow:
-		f.slow(at, s.Size)
-	case scenario.Pauses:
-		at.do(func(p *servermodel.Server, now time.Duration) { p.SetPauses(now, s.Every, s.Length) })
-	case scenario.Choke:
-		at.do(func(p *servermodel.Server, now time.Duration) {
-			p.SetChoked(now)
-			at.choked = true
-		})
-	case scenario.Drain:
-		f.drain(at)
-	case scenario.End:
-		f.end(at)
-	case scenario.Start:
-		f.start(at)
-	case scenario.Vanish:
-		at.vanish()
-		f.roster.later(at.number, piernotch.Gone, f.day.Discovery.Silent)
-	case scenario.Lose:
-		f.mistake(s.Servers, piernotch.Gone)
-	case scenario.Regain:
-		f.mistake(s.Servers, piernotch.Ready)
-	case scenario.ReportsLater:
-		f.late.Add(int64(s.Length))
-	case scenario.ListLater:
-		f.roster.late.Add(int64(s.Length))
-	case scenario.Spoil:
-		f.spoils.Add(int64(s.Size * 1e6))
-	case scenario.OutageBegins, scenario.OutageEnds:
-		f.roster.outage(s.Do == scenario.OutageBegins)
-	}
-}
-
-func (f *Fleet) slow(s *server, times float64) {
-	s.do(func(p *servermodel.Server, now time.Duration) {
-		s.slow *= times
-		p.SetSlow(now, s.slow)
-	})
-}
-
-func (f *Fleet) drain(s *server) {
-	up := false
-	s.do(func(p *servermodel.Server, now time.Duration) {
-		up = p.State() == servermodel.Up
-		p.Drain(now)
-	})
-	if up {
-		f.roster.later(s.number, piernotch.Draining, f.day.Discovery.Notice)
-	}
-}
-
-// mistake lists servers as gone that are not, or as ready again.
-func (f *Fleet) mistake(servers []int, state piernotch.State) {
-	for _, n := range servers {
-		s := f.servers[n]
-		s.mu.Lock()
-		up, born := s.phys.State() == servermodel.Up, s.phys.Started()
-		s.mu.Unlock()
-		if up {
-			f.roster.publish(n, state, born)
-		}
-	}
-}
-
-func (f *Fleet) end(s *server) {
-	s.crash()
-	f.roster.later(s.number, piernotch.Gone, f.day.Discovery.Notice)
-}
-
-func (f *Fleet) start(s *server) {
-	if err := s.start(); err != nil {
-		f.failed(err)
-		return
-	}
-	f.roster.later(s.number, piernotch.Ready, f.day.Discovery.Add)
-}
-
-// joins plans a new machine like another one; with takeover at that one's address.
-func (f *Fleet) joins(like, number int, at time.Duration, takeover bool) {
-	s, err := f.add(f.day.Like(like, number))
-	if err != nil {
-		f.failed(fmt.Errorf("a server that joins: %w", err))
-		return
+	if f.discovery != nil {
+		f.discovery.close()
 	}
-	s.phys.Crash(0)
-	f.at(at, func() {
-		if takeover {
-			old := f.servers[like]
-			old.mu.Lock()
-			address := old.address
-			old.mu.Unlock()
-			s.mu.Lock()
-			s.address = address
-			s.mu.Unlock()
-		}
-		f.start(s)
-	})
 }
--- /dev/null
+++ b/internal/lab/load/malformed.go
@@ -0,0 +1,161 @@
+package load
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"sync"
+	"time"
+)
+
+// How long a malformed client waits for an error or a close.
+const (
+	MalformedTimeout = 3 * time.Second
+	LargeBodyTimeout = 6 * time.Second // where it has a large body to send
+)
+
+// MalformedClients send what is not a valid request. Each must get an error or a close within its timeout,
+// and none may be served as if its request had run. Pick is required.
+type MalformedClients struct {
+	Pick     PickBalancer
+	Timeout  time.Duration // instead of MalformedTimeout and LargeBodyTimeout; 0: these
+	mu       sync.Mutex
+	outcomes map[string]*MalformedCount // by kind
+}
+
+// MalformedCount is how the clients of one kind were answered.
+type MalformedCount struct {
+	Sent     int `json:"sent"`
+	Answered int `json:"answered"` // with a 4xx or 5xx, or a close, in time
+	Served   int `json:"served"`   // with a 2xx: a violation
+}
+
+// Run sends perSec malformed requests a second, on average, until the context ends, and waits for the last.
+// It may be called more than once, also at the same time.
+func (m *MalformedClients) Run(ctx context.Context, perSec float64, seed uint64) {
+	rng := rand.New(rand.NewPCG(seed, 5))
+	var clients sync.WaitGroup
+	defer clients.Wait()
+	for n := 0; ; n++ {
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(time.Duration(rng.ExpFloat64() / perSec * float64(time.Second))):
+		}
+		_, address, ok := m.Pick(0, rng)
+		if !ok {
+			continue
+		}
+		kind := &malformedKinds[rng.IntN(len(malformedKinds))]
+		clients.Go(func() { // ends with its timeout at the latest
+			answered, served := m.play(ctx, kind, address, fmt.Sprintf("rude-%x-%d", seed, n))
+			if ctx.Err() == nil || answered { // one that was ended early says nothing
+				m.count(kind.name, answered, served)
+			}
+		})
+	}
+}
+
+func (m *MalformedClients) count(kind string, answered, served bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.outcomes == nil {
+		m.outcomes = map[string]*MalformedCount{}
+	}
+	c := m.outcomes[kind]
+	if c == nil {
+		c = &MalformedCount{}
+		m.outcomes[kind] = c
+	}
+	c.Sent++
+	if answered {
+		c.Answered++
+	}
+	if served {
+		c.Served++
+	}
+}
+
+// Counts returns how the clients were answered, by kind.
+func (m *MalformedClients) Counts() map[string]MalformedCount {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	counts := map[string]MalformedCount{}
+	for kind, c := range m.outcomes {
+		counts[kind] = *c
+	}
+	return counts
+}
+
+// timeout is how long a client of a kind waits.
+func (m *MalformedClients) timeout(kind *malformedKind) time.Duration {
+	switch {
+	case m.Timeout > 0:
+		return m.Timeout
+	case kind.then == moreBody:
+		return LargeBodyTimeout
+	}
+	return MalformedTimeout
+}
+
+// play plays one client. It reports whether the client got an error or a close in time, and whether it was
+// served.
+func (m *MalformedClients) play(ctx context.Context, kind *malformedKind, address, id string) (answered, served bool) {
+	timeout := m.timeout(kind)
+	dialer := net.Dialer{Timeout: timeout}
+	conn, err := dialer.DialContext(ctx, "tcp", address)
+	if err != nil {
+		return true, false // it was not accepted, and knows it
+	}
+	defer func() { _ = conn.Close() }()
+	_ = conn.SetDeadline(time.Now().Add(timeout))
+	stop := make(chan struct{})
+	defer close(stop)
+	go kind.send(conn, id, stop) // ends with stop, or when the connection is closed
+	buf := make([]byte, 512)
+	n, err := io.ReadAtLeast(conn, buf, len("HTTP/1.1 200"))
+	if err != nil {
+		return !isTimeout(err), false
+	}
+	status := buf[:n]
+	answered = bytes.HasPrefix(status, []byte("HTTP/1.1 4")) || bytes.HasPrefix(status, []byte("HTTP/1.1 5"))
+	return answered, bytes.HasPrefix(status, []byte("HTTP/1.1 2"))
+}
+
+// maxHeaderSize bounds the headers that a client goes on sending, bytes.
+const maxHeaderSize = 1 << 20
+
+// send writes the request and what comes after it. The answer is read meanwhile, as by a real client.
+func (k *malformedKind) send(conn net.Conn, id string, stop <-chan struct{}) {
+	if _, err := conn.Write(k.encode(id)); err != nil {
+		return
+	}
+	if tcp, ok := conn.(*net.TCPConn); ok && k.closesWrite {
+		_ = tcp.CloseWrite()
+	}
+	var more []byte
+	remaining := 0
+	switch k.then {
+	case moreHeaders:
+		more = bytes.Repeat([]byte("X-Filler: aaaaaaaaaaaaaaaa\r\n"), 64)
+		remaining = maxHeaderSize
+	case moreBody:
+		more = make([]byte, 64<<10)
+		remaining = largeBodySize
+	}
+	for remaining > 0 {
+		n, err := conn.Write(more)
+		remaining -= n
+		if err != nil {
+			return
+		}
+		select {
+		case <-stop:
+			return
+		default:
+		}
+	}
+}
--- /dev/null
+++ b/internal/lab/loadtest/loadtest_test.go
@@ -0,0 +1,153 @@
+package loadtest
+
+import (
+	"context"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"piernotch/internal/lab/invariants"
+	"piernotch/internal/lab/scenario"
+)
+
+func testDay(t *testing.T, text string, set ...string) *scenario.Day {
+	t.Helper()
+	s, err := scenario.Parse("test", []byte("include = \"base\"\n"+text))
+	require.NoError(t, err)
+	s, err = s.With(append([]string{
+		"length_s=6", "balancers.count=1", "fleet.servers=6", "traffic.rate_per_s=40", "class.*.work_ms=20", "clients.retries=1",
+		"kind.*.error_rate=0", "kind.*.cold_s=0",
+	}, set...)...)
+	require.NoError(t, err)
+	d, err := s.Draw(2)
+	require.NoError(t, err)
+	return d
+}
+
+// runWithFakeBalancer plays a test day with a balancer that has a fault.
+func runWithFakeBalancer(t *testing.T, fault, text string, set ...string) (*Report, error) {
+	t.Helper()
+	self, err := os.Executable()
+	require.NoError(t, err)
+	return Run(context.Background(), testDay(t, text, set...), Options{Program: self, Env: []string{"FAKE_BALANCER=" + fault}})
+}
+
+// requireOneOutcomePerAttempt checks that every attempt of a client has one outcome.
+func requireOneOutcomePerAttempt(t *testing.T, r *Report) {
+	t.Helper()
+	counts := r.Counts
+	require.Equal(t, counts.Attempts, counts.Served+counts.Rejected+counts.Failed+counts.TimedOut+counts.Disconnected+counts.Unreachable)
+	require.Positive(t, r.Requests)
+	require.GreaterOrEqual(t, counts.Attempts, r.Requests)
+}
+
+func TestInvariantViolationsAreDetectedOnSockets(t *testing.T) {
+	leave := "[[trouble]]\nkind = \"leave\"\nat_s = 0.5\nfor_s = 0.1\npart = 0.4\nramp_s = 5\n"
+	for _, c := range []struct {
+		fault, trouble string
+		rule           invariants.Rule
+		what           string
+	}{
+		{"repeats", "", invariants.Repeated, "though an earlier attempt may have run"},
+		{"drops", "", invariants.Lost, "its connection was ended without an answer"},
+		{"lies", "", invariants.Repeated, "refused what may have run"},
+		{"ignores drains", leave, invariants.Drain, "after it was told that the server leaves"},
+	} {
+		t.Run(c.fault, func(t *testing.T) {
+			t.Parallel()
+			r, err := runWithFakeBalancer(t, c.fault, c.trouble, "discovery.notice_s=0.2", "discovery.period_ms=100")
+			require.NoError(t, err)
+			requireOneOutcomePerAttempt(t, r)
+			found := false
+			for _, b := range r.Breaks {
+				found = found || b.Rule == c.rule && strings.Contains(b.Message, c.what) && len(b.Steps) > 0
+			}
+			require.True(t, found, "%v", r.Breaks)
+		})
+	}
+}
+
+func TestBalancerStartFailureReportsLastLogLines(t *testing.T) {
+	t.Parallel()
+	_, err := runWithFakeBalancer(t, "dies", "")
+	require.ErrorIs(t, err, ErrBalancerNotStarted)
+	require.ErrorContains(t, err, "out of cheese")
+}
+
+// The real balancer keeps the rules through a crash, a restart and servers that leave.
+func TestBalancerKeepsInvariantsOnSockets(t *testing.T) {
+	t.Parallel()
+	program := filepath.Join(t.TempDir(), "piernotch")
+	out, err := exec.Command("go", "build", "-o", program, "piernotch/cmd/piernotch").CombinedOutput()
+	require.NoError(t, err, "%s", out)
+	trouble := `
+[[trouble]]
+kind = "balancer_crash"
+at_s = 2
+for_s = 0.5
+part = 0.5
+[[trouble]]
+kind = "balancer_restart"
+at_s = 4
+for_s = 0.3
+part = 0.5
+[[trouble]]
+kind = "leave"
+at_s = 1
+for_s = 2
+part = 0.3
+ramp_s = 3
+[[trouble]]
+kind = "vanish"
+at_s = 3
+for_s = 2
+part = 0.2
+[[trouble]]
+kind = "discovery_outage"
+at_s = 2.5
+for_s = 1
+[[trouble]]
+kind = "spoil"
+at_s = 0.5
+for_s = 5
+part = 0.05
+[[trouble]]
+kind = "rude"
+at_s = 0.1
+for_s = 4
+size = 30
+`
+	r, err := Run(context.Background(), testDay(t, trouble, "balancers.count=2", "length_s=8"), Options{Program: program})
+	require.NoError(t, err)
+	requireOneOutcomePerAttempt(t, r)
+	require.Zero(t, r.Broken(), "%v", r.Breaks)
+	require.Greater(t, r.Counts.Served, r.Requests/2)
+	require.NotEmpty(t, r.Malformed)
+	for kind, c := range r.Malformed {
+		require.Zero(t, c.Served, kind)
+	}
+	for _, quarters := range r.Balancers {
+		require.Len(t, quarters, 4)
+	}
+}
+
+func TestRunReportsPartialResultWhenCancelled(t *testing.T) {
+	t.Parallel()
+	self, err := os.Executable()
+	require.NoError(t, err)
+	ctx, stop := context.WithCancel(context.Background())
+	var once sync.Once
+	time.AfterFunc(2*time.Second, func() { once.Do(stop) })
+	started := time.Now()
+	r, err := Run(ctx, testDay(t, "", "length_s=120"), Options{Program: self, Env: []string{"FAKE_BALANCER=none"}})
+	if err == nil {
+		requireOneOutcomePerAttempt(t, r)
+	}
+	require.Less(t, time.Since(started), 60*time.Second)
+}
--- /dev/null
+++ b/internal/lab/loadtest/observer.go
@@ -0,0 +1,268 @@
+package loadtest
+
+import (
+	"sync"
+	"time"
+
+	"piernotch"
+	"piernotch/internal/lab/invariants"
+	"piernotch/internal/lab/load"
+	"piernotch/internal/lab/scenario"
+)
+
+// socketTolerance is how much longer every time limit is than in simulated time.
+const socketTolerance = 50 * time.Millisecond
+
+// How long after its answer a request may still arrive at a server, because it was sent before. Proxies
+// hold it back for longer: by what a link delays, and for as long as a silent cut does not break its
+// connection.
+const (
+	crossingTime            = 100 * time.Millisecond
+	crossingTimeWithProxies = crossingTime + 2500*time.Millisecond
+)
+
+// endedRequestTTL is how long a request that has ended is remembered.
+const endedRequestTTL = 10 * time.Second
+
+// finalMargin is how far beyond the day's end overdue requests are looked for.
+const finalMargin = time.Minute
+
+// observer feeds the invariants' checker with what clients, servers and discovery see. It implements
+// load.Observer and emulator.Observer. All methods may be called from any goroutine.
+type observer struct {
+	clock        func() time.Duration
+	crossingTime time.Duration // crossingTime, or crossingTimeWithProxies; set before the day begins
+
+	mu                 sync.Mutex // guards what follows
+	checker            *invariants.Checker
+	lastSequence       uint64
+	requests           map[string]*request // by id
+	ended              []endedRequest      // in the order of time
+	excused            map[int]int         // by balancer: the number of reasons why it need not answer
+	closedUnderRequest int                 // requests whose connection was closed unread by balancers without such a reason
+}
+
+// request is one request that clients have sent.
+type request struct {
+	sequence uint64 // its number in the checker
+	balancer int
+	attempts int
+	endedAt  time.Duration // 0: it has not ended
+	paused   bool          // its balancer was paused meanwhile
+	ignored  map[int]bool  // attempts that crossed the answer
+}
+
+type endedRequest struct {
+	id string
+	at time.Duration
+}
+
+// newObserver returns an observer of a day. Zone and cell return where a server is.
+func newObserver(day *scenario.Day, clock func() time.Duration, zone, cell func(server int) int) *observer {
+	limits := invariants.Limits{
+		Slack: day.Rules.Slack + socketTolerance, Grace: day.Rules.Grace + socketTolerance, FallFor: day.Rules.Fall.For,
+		MaxAttempts: day.Settings.Limits.MaxAttempts, HedgedRequests: day.Settings.Limits.HedgedRequests, Zone: zone, Cell: cell,
+	}
+	for _, class := range day.Classes {
+		limits.Classes = append(limits.Classes, class.Class)
+	}
+	return &observer{
+		clock: clock, crossingTime: crossingTime, checker: invariants.New(limits),
+		requests: map[string]*request{}, excused: map[int]int{},
+	}
+}
+
+// RequestSent implements load.Observer.
+func (o *observer) RequestSent(id string, balancer, class int, deadline time.Duration) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	now := o.clock()
+	o.lastSequence++
+	o.requests[id] = &request{sequence: o.lastSequence, balancer: balancer}
+	o.checker.RequestReceived(now, balancer, o.lastSequence, class, deadline)
+	for len(o.ended) > 0 && now-o.ended[0].at > endedRequestTTL {
+		delete(o.requests, o.ended[0].id)
+		o.ended = o.ended[1:]
+	}
+}
+
+// RequestEnded implements load.Observer. A request without an answer when its time is up has failed and is
+// not lost; one whose balancer closed the connection is lost, unless the balancer was killed, which
+// BalancerKilled says beforehand.
+func (o *observer) RequestEnded(id string, outcome load.Outcome) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	now := o.clock()
+	r := o.requests[id]
+	if r == nil || r.endedAt != 0 {
+		return
+	}
+	o.endLocked(id, r, now)
+	excused := o.excused[r.balancer] > 0
+	if outcome == load.Unreachable && !excused {
+		o.closedUnderRequest++
+	}
+	// A paused balancer cannot be in time. But what it was given meanwhile must not be served late.
+	excusedFailure := excused && (outcome == load.Rejected || outcome == load.Failed || outcome == load.Disconnected)
+	if r.paused || excusedFailure {
+		o.checker.RequestExcused(now, r.sequence)
+		return
+	}
+	switch outcome {
+	case load.Served:
+		o.checker.RequestAnswered(now, r.sequence, invariants.Served)
+	case load.Rejected:
+		o.checker.RequestAnswered(now, r.sequence, invariants.Rejected)
+	case load.Failed:
+		o.checker.RequestAnswered(now, r.sequence, invariants.Failed)
+	case load.Disconnected:
+		o.checker.RequestDropped(now, r.sequence)
+	default:
+		o.checker.RequestExcused(now, r.sequence)
+	}
+}
+
+// endLocked notes that a request has ended. The lock is held.
+func (o *observer) endLocked(id string, r *request, now time.Duration) {
+	r.endedAt = now
+	o.ended = append(o.ended, endedRequest{id, now})
+}
+
+// BalancerKilled excuses all requests that a balancer has, and those it is sent until BalancerRestarted:
+// its process is about to be killed.
+func (o *observer) BalancerKilled(balancer int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	now := o.clock()
+	o.excused[balancer]++
+	for id, r := range o.requests {
+		if r.balancer == balancer && r.endedAt == 0 {
+			o.endLocked(id, r, now)
+			o.checker.RequestExcused(now, r.sequence)
+		}
+	}
+}
+
+// BalancerRestarted notes that a balancer starts without any state.
+func (o *observer) BalancerRestarted(balancer int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	delete(o.excused, balancer)
+	o.checker.BalancerRestarted(balancer)
+}
+
+// ClosedUnderRequest returns the number of requests whose connection was closed before they were read, by
+// balancers that were neither killed nor paused.
+func (o *observer) ClosedUnderRequest() int {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.closedUnderRequest
+}
+
+// BalancerPaused excuses a balancer from answering in time, until BalancerRecovered. The requests it has may
+// go on afterwards.
+func (o *observer) BalancerPaused(balancer int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.excused[balancer]++
+	for _, r := range o.requests {
+		r.paused = r.paused || r.balancer == balancer && r.endedAt == 0
+	}
+}
+
+// BalancerRecovered ends one BalancerPaused, or one BalancerKilled where another process of the balancer
+// serves on.
+func (o *observer) BalancerRecovered(balancer int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.excused[balancer] = max(o.excused[balancer]-1, 0)
+}
+
+// AttemptReceived implements emulator.Observer.
+func (o *observer) AttemptReceived(id string, server int) int {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	r := o.requests[id]
+	if r == nil {
+		return -1
+	}
+	now := o.clock()
+	n := r.attempts
+	r.attempts++
+	if r.endedAt != 0 && now-r.endedAt < o.crossingTime {
+		if r.ignored == nil {
+			r.ignored = map[int]bool{}
+		}
+		r.ignored[n] = true
+		return n
+	}
+	o.checker.AttemptSent(now, r.balancer, r.sequence, server)
+	return n
+}
+
+// attempt returns the request of an attempt that the checker knows; nil for others. The lock is held.
+func (o *observer) attempt(id string, n int) *request {
+	r := o.requests[id]
+	if r == nil || r.ignored[n] {
+		return nil
+	}
+	return r
+}
+
+// AttemptAccepted implements emulator.Observer.
+func (o *observer) AttemptAccepted(id string, n int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if r := o.attempt(id, n); r != nil {
+		o.checker.AttemptAccepted(r.sequence, n)
+	}
+}
+
+// AttemptExecuted implements emulator.Observer.
+func (o *observer) AttemptExecuted(id string, n int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if r := o.attempt(id, n); r != nil {
+		o.checker.AttemptExecuted(o.clock(), r.sequence, n)
+	}
+}
+
+// AttemptCompleted implements emulator.Observer.
+func (o *observer) AttemptCompleted(id string, n int, unrun bool) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if r := o.attempt(id, n); r != nil {
+		o.checker.AttemptCompleted(r.sequence, n, unrun)
+	}
+}
+
+// SlowStartWork implements emulator.Observer.
+func (o *observer) SlowStartWork(id string, server int, started time.Duration, work float64) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if r := o.requests[id]; r != nil {
+		o.checker.SlowStartWork(o.clock(), r.balancer, server, started, work)
+	}
+}
+
+// ServerCollapsed implements emulator.Observer.
+func (o *observer) ServerCollapsed(server int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.checker.ServerCollapsed(o.clock(), server)
+}
+
+// EndpointNotified notes that discovery has notified a balancer of a server.
+func (o *observer) EndpointNotified(balancer, server int, state piernotch.State, startedAt time.Duration) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.checker.EndpointNotified(o.clock(), balancer, server, state, startedAt)
+}
+
+// Finish ends the observation and returns its checker.
+func (o *observer) Finish() *invariants.Checker {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.checker.CheckOverdue(o.clock() + finalMargin)
+	return o.checker
+}
