--- a/internal/group/config_test.go
+++ b/internal/group/config_test.go
@@ -1,14 +1,17 @@
 package group
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"piernotch/internal/tomlfile"
 )
 
-func TestAFileIsReadAsItWasWritten(t *testing.T) {
+func TestConfigTextIsReadBackUnchanged(t *testing.T) {
 	c, err := LoadFile("../../deploy/group.toml")
 	require.NoError(t, err)
 	v, votes := c.Voter()
@@ -21,10 +24,10 @@
 	require.Equal(t, c, again)
 }
 
-func TestEveryMistakeIsNamed(t *testing.T) {
+func TestValidateNamesEachInvalidField(t *testing.T) {
 	c, err := LoadFile("../../deploy/group.toml")
 	require.NoError(t, err)
-	for key, spoil := range map[string]func(*Config){
+	for key, invalidate := range map[string]func(*Config){
 		"name":      func(c *Config) { c.Name = "" },
 		"self":      func(c *Config) { c.Self = "" },
 		"disk":      func(c *Config) { c.Disk = "" },
@@ -34,9 +37,52 @@
 		"voter":     func(c *Config) { c.Voters = c.Voters[:2] },
 	} {
 		bad := c
-		spoil(&bad)
-		problems := bad.Check()
-		require.Len(t, problems, 1, key)
-		require.Equal(t, key, problems[0].Key)
+		invalidate(&bad)
+		errs := bad.Validate()
+		require.Len(t, errs, 1, key)
+		require.Equal(t, key, errs[0].Key)
+	}
+}
+
+// TestLoadFileErrorNamesFileAndLine covers each way in which a file can be unusable, with the text that
+// operators see and the typed error that callers find.
+func TestLoadFileErrorNamesFileAndLine(t *testing.T) {
+	dir := t.TempDir()
+	for _, c := range []struct {
+		name, content string
+		want          FieldError // Err is compared by its text
+		text          string     // of the whole error, after the folder's name
+	}{
+		{
+			name: "invalid.toml", content: "name = \"g\"\nself = \"a\"\nlength_ms = 5\n[[voter]]\nname = \"b\"\naddress = \"127.0.0.1:1\"\n",
+			want: FieldError{Line: 3, Key: "length_ms", Err: errors.New("5ms, from 1s to 10m0s is expected")},
+			text: "invalid.toml:3: length_ms: 5ms, from 1s to 10m0s is expected",
+		},
+		{
+			name: "unknown.toml", content: "name = \"g\"\ncolour = \"red\"\n",
+			want: FieldError{Line: 2, Key: "colour", Err: errors.New("no such key")},
+			text: "unknown.toml:2: colour: no such key",
+		},
+		{
+			name: "unset.toml", content: "name = \"g\"\nself = \"a\"\n",
+			want: FieldError{Key: "voter", Err: errors.New("0 voters: three or five are expected, an even number bears no more losses than one less")},
+			text: "unset.toml: voter: 0 voters: three or five are expected, an even number bears no more losses than one less",
+		},
+	} {
+		path := filepath.Join(dir, c.name)
+		require.NoError(t, os.WriteFile(path, []byte(c.content), 0o600))
+		_, err := LoadFile(path)
+		require.EqualError(t, err, filepath.Join(dir, c.text))
+		var field *FieldError
+		require.ErrorAs(t, err, &field)
+		require.Equal(t, path, field.File)
+		require.Equal(t, c.want.Line, field.Line, c.name)
+		require.Equal(t, c.want.Key, field.Key, c.name)
+		require.EqualError(t, field.Err, c.want.Err.Error())
+		var problems tomlfile.Problems
+		require.ErrorAs(t, err, &problems)
+		require.EqualError(t, problems, err.Error())
 	}
+	_, err := LoadFile(filepath.Join(dir, "missing.toml"))
+	require.ErrorIs(t, err, os.ErrNotExist)
 }
--- a/internal/group/file.go
+++ b/internal/group/file.go
@@ -3,67 +3,91 @@
 import (
 	"fmt"
 	"os"
+	"strings"
 	"time"
 
 	"piernotch/internal/tomlfile"
 )
 
-// file is the form of a group's file; docs/DUTIES.md is its reference.
-type file struct {
-	Name     string   `toml:"name"`
-	Self     string   `toml:"self"`
-	Disk     string   `toml:"disk"`
-	LengthMS int      `toml:"length_ms"`
-	Drift    float64  `toml:"drift"`
-	Duties   []string `toml:"duties"`
-	Watch    string   `toml:"watch"`
-	Source   string   `toml:"source"`
-	Voters   []struct {
-		Name    string `toml:"name"`
-		Address string `toml:"address"`
-	} `toml:"voter"`
+// Defaults of settings that a file leaves out.
+const (
+	defaultLeaseDurationMS = 5000
+	defaultMaxClockDrift   = 0.01
+)
+
+// fileConfig is the form of a group's file; docs/DUTIES.md is its reference.
+type fileConfig struct {
+	Name            string      `toml:"name"`
+	Self            string      `toml:"self"`
+	StorePath       string      `toml:"disk"`
+	LeaseDurationMS int         `toml:"length_ms"`
+	MaxClockDrift   float64     `toml:"drift"`
+	Duties          []string    `toml:"duties"`
+	Watch           string      `toml:"watch"`
+	Source          string      `toml:"source"`
+	Voters          []fileVoter `toml:"voter"`
+}
+
+type fileVoter struct {
+	Name    string `toml:"name"`
+	Address string `toml:"address"`
 }
 
-// LoadFile reads a group's file. The error is of type tomlfile.Problems and tells all that is wrong,
-// with file and line.
+// LoadFile reads a group's file and validates it. The error is of type FieldErrors and names all that is
+// wrong, with file and line where known; errors.As also finds a single *FieldError in it. With an error the
+// returned configuration must not be used.
 func LoadFile(name string) (Config, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
-		return Config{}, tomlfile.Problems{{File: name, What: err.Error()}}
-	}
-	f := &file{LengthMS: 5000, Drift: 0.01}
-	problems := tomlfile.Decode(name, data, f)
-	c := Config{
-		Name: f.Name, Self: f.Self, Disk: f.Disk, LeaseDuration: time.Duration(f.LengthMS) * time.Millisecond,
-		MaxClockDrift: f.Drift, Duties: f.Duties, Watch: f.Watch, Source: f.Source,
-	}
-	for _, v := range f.Voters {
-		c.Voters = append(c.Voters, Voter{v.Name, v.Address})
+		return Config{}, FieldErrors{{File: name, Err: err}}
 	}
-	if len(problems) == 0 { // what cannot be read is not checked
+	f := &fileConfig{LeaseDurationMS: defaultLeaseDurationMS, MaxClockDrift: defaultMaxClockDrift}
+	errs := fieldErrorsOf(tomlfile.Decode(name, data, f))
+	c := f.config()
+	if len(errs) == 0 { // values of a file that could not be decoded would be reported twice
 		lines := tomlfile.Lines(data)
-		for _, p := range c.Check() {
-			problems = append(problems, tomlfile.Problem{File: name, Line: lines[p.Key], Key: p.Key, What: p.Message})
+		errs = c.Validate()
+		for _, e := range errs {
+			e.File = name
+			e.Line = lines[e.Key]
 		}
 	}
-	if len(problems) > 0 {
-		return c, problems
+	if len(errs) > 0 {
+		return c, errs
 	}
 	return c, nil
 }
 
-// Text is a configuration as a file.
+func (f *fileConfig) config() Config {
+	c := Config{
+		Name:          f.Name,
+		Self:          f.Self,
+		Disk:          f.StorePath,
+		LeaseDuration: time.Duration(f.LeaseDurationMS) * time.Millisecond,
+		MaxClockDrift: f.MaxClockDrift,
+		Duties:        f.Duties,
+		Watch:         f.Watch,
+		Source:        f.Source,
+	}
+	for _, v := range f.Voters {
+		c.Voters = append(c.Voters, Voter(v))
+	}
+	return c
+}
+
+// Text returns the configuration in the form of a file, which LoadFile reads.
 func (c Config) Text() string {
-	s := fmt.Sprintf("name = %q\nself = %q\ndisk = %q\nlength_ms = %d\ndrift = %v\nduties = [", c.Name, c.Self, c.Disk, c.LeaseDuration.Milliseconds(), c.MaxClockDrift)
+	var s strings.Builder
+	fmt.Fprintf(&s, "name = %q\nself = %q\ndisk = %q\n", c.Name, c.Self, c.Disk)
+	fmt.Fprintf(&s, "length_ms = %d\ndrift = %v\n", c.LeaseDuration.Milliseconds(), c.MaxClockDrift)
+	quoted := make([]string, len(c.Duties))
 	for i, d := range c.Duties {
-		if i > 0 {
-			s += ", "
-		}
-		s += fmt.Sprintf("%q", d)
+		quoted[i] = fmt.Sprintf("%q", d)
 	}
-	s += fmt.Sprintf("]\nwatch = %q\nsource = %q\n", c.Watch, c.Source)
+	fmt.Fprintf(&s, "duties = [%s]\n", strings.Join(quoted, ", "))
+	fmt.Fprintf(&s, "watch = %q\nsource = %q\n", c.Watch, c.Source)
 	for _, v := range c.Voters {
-		s += fmt.Sprintf("\n[[voter]]\nname = %q\naddress = %q\n", v.Name, v.Address)
+		fmt.Fprintf(&s, "\n[[voter]]\nname = %q\naddress = %q\n", v.Name, v.Address)
 	}
-	return s
+	return s.String()
 }
