--- a/internal/group/client/client.go
+++ b/internal/group/client/client.go
@@ -1,11 +1,7 @@
-// Package client is a balancer's side of the control group: it wants duties, holds them as long as its
-// own clock allows, and asks the voters for them one after the other until it finds the one that leads.
-// Without the group it holds nothing, and whoever asks it for leave to act is told no.
 package client
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
@@ -19,82 +15,91 @@
 )
 
 const (
-	each   = 50 * time.Millisecond
-	redial = 200 * time.Millisecond
-	silent = time.Second // a voter that owes an answer for so long is left for another
+	tickInterval    = 50 * time.Millisecond
+	maxDialPause    = 200 * time.Millisecond // between two connections; the pause is drawn up to this
+	responseTimeout = time.Second            // a voter that has not answered for so long is left for another
+	listRetry       = responseTimeout / 2
+	releasePoll     = tickInterval / 5
 )
 
-// RequestObserver is told of every question and its answer, for a judge; err is set where none came.
-type RequestObserver func(ask protocol.Request, asked, answered time.Time, answer protocol.Response, err error)
-
-// Client is a running member.
+// Client is a running member of a group. Its methods may be called from any goroutine.
 type Client struct {
-	cfg   group.Config
-	me    lease.Process
-	terms lease.Timing
-	begun time.Time
-	seen  RequestObserver
-	stop  context.CancelFunc
-	done  chan struct{}
-
-	mu      sync.Mutex
-	holders map[lease.Duty]*lease.Holder
-	was     map[lease.Duty]uint64 // the token last told in the log; 0: none
-	out     map[uint64]question
-	key     uint64
-	conn    *transport.Conn
-	leader  string
-	lists   *lists // nil: this balancer asks discovery itself
-}
-
-type question struct {
-	q     protocol.Request
-	asked time.Time
-	then  func(protocol.Response)
-}
-
-// Start has a member want the duties of its configuration. seen may be nil.
-func Start(cfg group.Config, seen RequestObserver) *Client {
-	m := &Client{
-		cfg: cfg, me: lease.Process{Name: cfg.Self, Incarnation: rand.Uint64()}, terms: lease.Timing{Duration: cfg.LeaseDuration, MaxClockDrift: cfg.MaxClockDrift},
-		begun: time.Now(), seen: seen, done: make(chan struct{}),
-		holders: map[lease.Duty]*lease.Holder{}, was: map[lease.Duty]uint64{}, out: map[uint64]question{},
+	cfg       group.Config
+	process   lease.Process
+	timing    lease.Timing
+	startedAt time.Time
+	observer  RequestObserver // may be nil
+	stop      context.CancelFunc
+	done      chan struct{} // closed when all goroutines of the client have ended
+
+	mu           sync.Mutex
+	holders      map[lease.Duty]*lease.Holder
+	loggedTokens map[lease.Duty]uint64 // the token that was logged last; 0: none
+	pending      map[uint64]pendingRequest
+	lastKey      uint64          // of requests
+	conn         *transport.Conn // nil: not connected
+	leader       string          // the voter that was named as the leader last; "": not known
+	sharedWatch  *sharedWatch    // nil: this balancer polls discovery for itself
+}
+
+// Start begins a member that acquires the duties of its configuration. The configuration has to be
+// valid. observer may be nil. The caller has to call Close.
+func Start(cfg group.Config, observer RequestObserver) *Client {
+	c := &Client{
+		cfg:          cfg,
+		process:      lease.Process{Name: cfg.Self, Incarnation: rand.Uint64()},
+		timing:       lease.Timing{Duration: cfg.LeaseDuration, MaxClockDrift: cfg.MaxClockDrift},
+		startedAt:    time.Now(),
+		observer:     observer,
+		done:         make(chan struct{}),
+		holders:      map[lease.Duty]*lease.Holder{},
+		loggedTokens: map[lease.Duty]uint64{},
+		pending:      map[uint64]pendingRequest{},
 	}
 	for _, d := range cfg.Duties {
-		m.holders[lease.Duty(d)] = lease.NewHolder(m.terms, m.me, lease.Duty(d))
+		c.acquire(lease.Duty(d))
 	}
 	if cfg.Watch != "" {
-		m.lists = newLists(m, lease.Duty(cfg.Watch))
-		m.holders[m.lists.duty] = lease.NewHolder(m.terms, m.me, m.lists.duty)
+		c.sharedWatch = newSharedWatch(c, lease.Duty(cfg.Watch))
+		c.acquire(c.sharedWatch.duty)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	m.stop = stop
-	go func() {
-		defer close(m.done)
-		var all sync.WaitGroup
-		all.Go(func() { m.connect(ctx) })
-		m.turns(ctx)
-		all.Wait()
-	}()
-	return m
+	c.stop = stop
+	go c.run(ctx) // until Close, which waits for done
+	return c
 }
 
-// now is the clock that holders go by. It is monotonic; it stands while a machine is suspended as a
-// whole, which is why receivers check tokens.
-func (m *Client) now() time.Duration { return time.Since(m.begun) }
+// run owns both of the client's goroutines: it ticks itself and waits for the other.
+func (c *Client) run(ctx context.Context) {
+	defer close(c.done)
+	var connections sync.WaitGroup
+	connections.Go(func() { c.keepConnected(ctx) })
+	c.tickUntilDone(ctx)
+	connections.Wait()
+}
+
+// acquire begins to want a duty.
+func (c *Client) acquire(d lease.Duty) {
+	c.holders[d] = lease.NewHolder(c.timing, c.process, d)
+}
 
-// Token is the look at the clock before an act: the token to act under, if the duty is held.
-func (m *Client) Token(d lease.Duty) (token uint64, ok bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if h := m.holders[d]; h != nil {
-		return h.Token(m.now())
+// now is the clock of leases. It is monotonic, but does not advance while a whole machine is suspended,
+// which is why receivers of acts check tokens.
+func (c *Client) now() time.Duration { return time.Since(c.startedAt) }
+
+// Token returns the token to act under, and whether the duty is held now. Call it before each act: its
+// answer is valid only at this moment.
+func (c *Client) Token(d lease.Duty) (token uint64, held bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if h := c.holders[d]; h != nil {
+		return h.Token(c.now())
 	}
 	return 0, false
 }
 
-func (m *Client) turns(ctx context.Context) {
-	ticker := time.NewTicker(each)
+func (c *Client) tickUntilDone(ctx context.Context) {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -102,205 +107,88 @@
 			return
 		case <-ticker.C:
 		}
-		m.mu.Lock()
-		m.turn()
-		m.mu.Unlock()
+		c.mu.Lock()
+		c.tickLocked()
+		c.mu.Unlock()
 	}
 }
 
-// turn does what is due; m.mu is held.
-func (m *Client) turn() {
-	now := m.now()
-	for d, h := range m.holders {
-		m.tell(d, h, now)
-		// Who waits is told when the duty comes free; looking now and then is for when that is lost.
-		pause := m.terms.Duration/2 + rand.N(m.terms.Duration/2)
-		if a, is := h.NextRequest(now, pause); is {
-			m.hold(h, a)
+// tickLocked sends the requests that are due, and leaves a voter that does not answer.
+func (c *Client) tickLocked() {
+	now := c.now()
+	for d, h := range c.holders {
+		c.logChangeLocked(d, h, now)
+		// The group announces when a duty comes free. The pause is for an announcement that was lost.
+		pause := c.timing.Duration/2 + rand.N(c.timing.Duration/2)
+		if request, due := h.NextRequest(now, pause); due {
+			c.sendLeaseRequestLocked(h, request)
 		}
 	}
-	if m.lists != nil {
-		m.lists.turn(now)
+	if c.sharedWatch != nil {
+		c.sharedWatch.tickLocked(now)
 	}
-	m.silence()
+	c.leaveUnresponsiveVoterLocked()
 }
 
-// tell logs when a duty comes or goes.
-func (m *Client) tell(d lease.Duty, h *lease.Holder, now time.Duration) {
+// logChangeLocked logs when a duty was acquired or lost.
+func (c *Client) logChangeLocked(d lease.Duty, h *lease.Holder, now time.Duration) {
 	token, _ := h.Token(now)
-	switch was := m.was[d]; {
-	case token == was:
+	last := c.loggedTokens[d]
+	if token == last {
 		return
-	case token == 0:
-		slog.Info("group: duty lost", "duty", d, "token", was)
-	default:
-		slog.Info("group: duty acquired", "duty", d, "token", token)
-	}
-	m.was[d] = token
-}
-
-// hold asks for a holder.
-func (m *Client) hold(h *lease.Holder, a lease.Request) {
-	sent := m.ask(protocol.RequestFor(a), func(b protocol.Response) {
-		if protocol.IsFinal(b.Err) {
-			h.HandleResponse(m.now(), a.Seq, b.Grant, b.Err)
-		} else {
-			h.RequestLost(a.Seq)
-		}
-	})
-	if !sent {
-		h.RequestLost(a.Seq)
-	}
-}
-
-// ask sends a question, if there is a connection, and tells whether; m.mu is held, then is called
-// under it, with ErrUnknown if no answer comes.
-func (m *Client) ask(q protocol.Request, then func(protocol.Response)) bool {
-	if m.conn == nil {
-		return false
-	}
-	m.key++
-	q.Key = m.key
-	m.out[q.Key] = question{q, time.Now(), then}
-	m.conn.Send(transport.Frame{Request: &transport.Request{Key: q.Key, Kind: q.Kind, Command: q.Command, Voter: q.Voter, Event: q.Event}})
-	return true
-}
-
-// silence leaves a voter that does not answer.
-func (m *Client) silence() {
-	for _, q := range m.out {
-		if time.Since(q.asked) > silent && m.conn != nil {
-			m.conn.Close()
-			m.leader = ""
-			return
-		}
-	}
-}
-
-// connect keeps a connection to the voter that leads, or to any until one tells.
-func (m *Client) connect(ctx context.Context) {
-	next := rand.IntN(len(m.cfg.Voters))
-	for ctx.Err() == nil {
-		m.mu.Lock()
-		to := m.cfg.Voters[next%len(m.cfg.Voters)]
-		for _, v := range m.cfg.Voters {
-			if v.Name == m.leader {
-				to = v
-			}
-		}
-		m.leader = ""
-		m.mu.Unlock()
-		next++
-		c, err := transport.Dial(to.Address, func() transport.Handshake { return transport.Handshake{Group: m.cfg.Name, Name: m.cfg.Self} })
-		if err == nil {
-			ended := context.AfterFunc(ctx, c.Close)
-			m.mu.Lock()
-			m.conn = c
-			if m.lists != nil {
-				m.lists.connected()
-			}
-			m.turn()
-			m.mu.Unlock()
-			m.read(c)
-			ended()
-		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(rand.N(redial)):
-		}
-	}
-}
-
-func (m *Client) read(c *transport.Conn) {
-	defer func() {
-		m.mu.Lock()
-		m.conn = nil
-		for k, q := range m.out {
-			m.saw(q, protocol.Response{}, transport.ErrClosed)
-			q.then(protocol.Response{Err: protocol.ErrOutcomeUnknown})
-			delete(m.out, k)
-		}
-		m.mu.Unlock()
-	}()
-	for {
-		f, err := c.Read()
-		if err != nil {
-			return
-		}
-		if f.Response == nil {
-			continue
-		}
-		t := f.Response
-		m.mu.Lock()
-		if h := m.holders[t.FreedDuty]; t.Key == 0 && h != nil {
-			h.RetryNow()
-			m.turn()
-		}
-		if t.Event != nil && m.lists != nil && t.Duty == m.lists.duty {
-			m.lists.heard(t.Token, *t.Event)
-		}
-		q, is := m.out[t.Key]
-		delete(m.out, t.Key)
-		if is {
-			a := protocol.Response{Key: t.Key, Grant: t.Grant, Snapshot: t.Snapshot, Err: t.Code.Err()}
-			m.saw(q, a, nil)
-			q.then(a)
-			if errors.Is(a.Err, protocol.ErrNotLeader) {
-				m.leader = t.Leader
-				c.Close()
-			}
-		}
-		m.mu.Unlock()
 	}
-}
-
-func (m *Client) saw(q question, a protocol.Response, err error) {
-	if m.seen != nil {
-		m.seen(q.q, q.asked, time.Now(), a, err)
+	if token == 0 {
+		slog.Info("group: duty lost", "duty", d, "token", last)
+	} else {
+		slog.Info("group: duty acquired", "duty", d, "token", token)
 	}
+	c.loggedTokens[d] = token
 }
 
-// List asks the group for all that is held, and who votes.
-func (m *Client) List(ctx context.Context) (protocol.Snapshot, error) {
+// List asks the leader for all leases and all voters. It waits for a leader until ctx is done, whose error it
+// then wraps.
+func (c *Client) List(ctx context.Context) (protocol.Snapshot, error) {
 	for {
-		got := make(chan protocol.Response, 1)
-		m.mu.Lock()
-		m.ask(protocol.Request{Kind: protocol.List}, func(a protocol.Response) { got <- a })
-		m.mu.Unlock()
+		responses := make(chan protocol.Response, 1)
+		c.mu.Lock()
+		c.sendLocked(protocol.Request{Kind: protocol.List}, func(r protocol.Response) { responses <- r })
+		c.mu.Unlock()
 		select {
-		case a := <-got:
-			if a.Err == nil {
-				return a.Snapshot, nil
+		case r := <-responses:
+			if r.Err == nil {
+				return r.Snapshot, nil
 			}
-		case <-time.After(silent / 2):
+		case <-time.After(listRetry):
 		case <-ctx.Done():
 			return protocol.Snapshot{}, fmt.Errorf("no voter that leads was found: %w", ctx.Err())
 		}
 	}
 }
 
-// Close gives up all duties: it stops at once, and tells the group for as long as patience lasts, so
-// that others need not wait for the end of the term.
-func (m *Client) Close(patience time.Duration) {
-	m.mu.Lock()
-	for _, h := range m.holders {
+// Close releases all duties and ends the client: no duty is held from its call on. It tries for up
+// to patience to tell the group, so that other members need not wait until the leases expire. It
+// returns when the client's goroutines have ended.
+func (c *Client) Close(patience time.Duration) {
+	c.mu.Lock()
+	for _, h := range c.holders {
 		h.Release()
 	}
-	m.turn()
-	m.mu.Unlock()
-	for end := time.Now().Add(patience); time.Now().Before(end) && m.holds(); {
-		time.Sleep(each / 5)
+	c.tickLocked()
+	c.mu.Unlock()
+	deadline := time.Now().Add(patience)
+	for time.Now().Before(deadline) && c.releasePending() {
+		time.Sleep(releasePoll)
 	}
-	m.stop()
-	<-m.done
+	c.stop()
+	<-c.done
 }
 
-// holds tells whether the group has not heard yet that a duty was given up.
-func (m *Client) holds() bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for _, h := range m.holders {
-		if h.ReleasePending(m.now()) {
+// releasePending reports whether the group has not confirmed the release of a duty yet.
+func (c *Client) releasePending() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, h := range c.holders {
+		if h.ReleasePending(c.now()) {
 			return true
 		}
 	}
--- /dev/null
+++ b/internal/group/client/connection.go
@@ -0,0 +1,106 @@
+package client
+
+import (
+	"context"
+	"errors"
+	"math/rand/v2"
+	"time"
+
+	"piernotch/internal/group"
+	"piernotch/internal/group/protocol"
+	"piernotch/internal/group/transport"
+)
+
+// keepConnected keeps a connection to the leader until ctx is done: to the voter that was named as the
+// leader, or else to one voter after the other until one names it.
+func (c *Client) keepConnected(ctx context.Context) {
+	next := rand.IntN(len(c.cfg.Voters))
+	for ctx.Err() == nil {
+		voter := c.takeTarget(next)
+		next++
+		conn, err := transport.Dial(voter.Address, c.handshake)
+		if err == nil {
+			c.serve(ctx, conn)
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(rand.N(maxDialPause)):
+		}
+	}
+}
+
+// takeTarget returns the voter to connect to: the leader once after it was named, otherwise the next in turn.
+func (c *Client) takeTarget(next int) group.Voter {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	target := c.cfg.Voters[next%len(c.cfg.Voters)]
+	for _, v := range c.cfg.Voters {
+		if v.Name == c.leader {
+			target = v
+		}
+	}
+	c.leader = ""
+	return target
+}
+
+func (c *Client) handshake() transport.Handshake {
+	return transport.Handshake{Group: c.cfg.Name, Name: c.cfg.Self}
+}
+
+// serve uses a new connection until it ends, or until ctx is done.
+func (c *Client) serve(ctx context.Context, conn *transport.Conn) {
+	release := context.AfterFunc(ctx, conn.Close)
+	defer release()
+	c.mu.Lock()
+	c.conn = conn
+	if c.sharedWatch != nil {
+		c.sharedWatch.connectedLocked()
+	}
+	c.tickLocked()
+	c.mu.Unlock()
+	c.readUntilClosed(conn)
+	c.mu.Lock()
+	c.conn = nil
+	c.failPendingLocked()
+	c.mu.Unlock()
+}
+
+func (c *Client) readUntilClosed(conn *transport.Conn) {
+	for {
+		frame, err := conn.Read()
+		if err != nil {
+			return
+		}
+		if frame.Response == nil {
+			continue
+		}
+		c.mu.Lock()
+		c.handleResponseLocked(conn, frame.Response)
+		c.mu.Unlock()
+	}
+}
+
+// handleResponseLocked handles the answer to a request, or what the voter sends without one: that a
+// duty may have come free, and events of the shared watch.
+func (c *Client) handleResponseLocked(conn *transport.Conn, r *transport.Response) {
+	unsolicited := r.Key == 0
+	if h := c.holders[r.FreedDuty]; unsolicited && h != nil {
+		h.RetryNow()
+		c.tickLocked()
+	}
+	if r.Event != nil && c.sharedWatch != nil && r.Duty == c.sharedWatch.duty {
+		c.sharedWatch.handleEventLocked(r.Token, *r.Event)
+	}
+	p, found := c.pending[r.Key]
+	if !found {
+		return
+	}
+	delete(c.pending, r.Key)
+	response := protocol.Response{Key: r.Key, Grant: r.Grant, Snapshot: r.Snapshot, Err: r.Code.Err()}
+	c.observeLocked(p, response, nil)
+	p.handle(response)
+	if errors.Is(response.Err, protocol.ErrNotLeader) {
+		c.leader = r.Leader
+		conn.Close()
+	}
+}
--- /dev/null
+++ b/internal/group/client/request.go
@@ -0,0 +1,95 @@
+package client
+
+import (
+	"time"
+
+	"piernotch/internal/group/lease"
+	"piernotch/internal/group/protocol"
+	"piernotch/internal/group/transport"
+)
+
+// RequestRecord is one request of a client, as the client saw it.
+type RequestRecord struct {
+	Request    protocol.Request
+	SentAt     time.Time
+	ReceivedAt time.Time         // of the response, or when the connection ended
+	Response   protocol.Response // the zero value if Err is set
+	Err        error             // transport.ErrClosed if there was no response
+}
+
+// RequestObserver is called with every request once it has ended. The laboratory checks the history of
+// requests by it. It is called with the client's lock held: it must neither block nor call the client.
+type RequestObserver func(RequestRecord)
+
+// responseHandler takes the response to a request. It is called with the client's lock held.
+type responseHandler func(protocol.Response)
+
+// pendingRequest is a request that was sent and not answered yet.
+type pendingRequest struct {
+	request protocol.Request
+	sentAt  time.Time
+	handle  responseHandler
+}
+
+// sendLeaseRequestLocked sends a request of a holder, which gets its outcome.
+func (c *Client) sendLeaseRequestLocked(h *lease.Holder, request lease.Request) {
+	sent := c.sendLocked(protocol.RequestFor(request), func(r protocol.Response) {
+		if protocol.IsFinal(r.Err) {
+			h.HandleResponse(c.now(), request.Seq, r.Grant, r.Err)
+		} else {
+			h.RequestLost(request.Seq)
+		}
+	})
+	if !sent {
+		h.RequestLost(request.Seq)
+	}
+}
+
+// sendLocked sends a request and reports whether there is a connection to send it on. If so, handle is
+// called once: with the response, or with ErrOutcomeUnknown when the connection ends without one.
+func (c *Client) sendLocked(request protocol.Request, handle responseHandler) bool {
+	if c.conn == nil {
+		return false
+	}
+	c.lastKey++
+	request.Key = c.lastKey
+	c.pending[request.Key] = pendingRequest{request, time.Now(), handle}
+	c.conn.Send(transport.Frame{Request: &transport.Request{
+		Key:     request.Key,
+		Kind:    request.Kind,
+		Command: request.Command,
+		Voter:   request.Voter,
+		Event:   request.Event,
+	}})
+	return true
+}
+
+// leaveUnresponsiveVoterLocked closes the connection to a voter that has not answered in time.
+func (c *Client) leaveUnresponsiveVoterLocked() {
+	if c.conn == nil {
+		return
+	}
+	for _, p := range c.pending {
+		if time.Since(p.sentAt) > responseTimeout {
+			c.conn.Close()
+			c.leader = ""
+			return
+		}
+	}
+}
+
+// failPendingLocked ends all requests whose connection has ended.
+func (c *Client) failPendingLocked() {
+	for key, p := range c.pending {
+		c.observeLocked(p, protocol.Response{}, transport.ErrClosed)
+		p.handle(protocol.Response{Err: protocol.ErrOutcomeUnknown})
+		delete(c.pending, key)
+	}
+}
+
+func (c *Client) observeLocked(p pendingRequest, response protocol.Response, err error) {
+	if c.observer == nil {
+		return
+	}
+	c.observer(RequestRecord{Request: p.request, SentAt: p.sentAt, ReceivedAt: time.Now(), Response: response, Err: err})
+}
--- a/internal/group/client/shared_watch.go
+++ b/internal/group/client/shared_watch.go
@@ -12,182 +12,223 @@
 	"piernotch/internal/group/watch"
 )
 
-// lists is the duty of asking discovery for all: who holds it publishes what it is told, the others
-// take that and ask themselves only where nothing comes. All of it is under the member's lock.
-type lists struct {
-	m        *Client
+// sharedWatch is the duty of polling discovery for all members. The holder of the duty publishes what its
+// polls return; the others apply that, and poll only when no events reach them. All state is
+// under the client's lock.
+type sharedWatch struct {
+	client   *Client
 	duty     lease.Duty
-	take     group.OnUpdate
+	onUpdate group.OnUpdate
 	address  string         // where this balancer reaches what the group calls cfg.Source
-	own      watch.EventLog // what this balancer's own calls brought
+	log      watch.EventLog // what this balancer's own polls returned
 	follower *watch.Follower
 	holder   *watch.Holder
-	token    uint64 // under which own was published last
-	sent     uint64 // up to this version
-	by       string // the discovery that this balancer goes by now
-	source   string // what is known here
-	version  uint64
-	alone    bool          // as last told in the log
-	rests    time.Duration // does not want the duty until then: its own watch failed
-	behind   time.Duration // when it last asked for what it lacks
-}
-
-func newLists(m *Client, d lease.Duty) *lists {
-	now := m.now()
-	return &lists{
-		m: m, duty: d, take: func(group.WatchEvent) {}, holder: watch.NewHolder(watch.DefaultTiming, now),
-		follower: watch.NewFollower(watch.DefaultTiming, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), now),
+
+	publishedToken   uint64        // the token under which log was published last; 0: it has to be published again
+	publishedVersion uint64        // how far log was published
+	currentSource    string        // the discovery that this balancer uses now
+	knownSource      string        // of knownVersion
+	knownVersion     uint64        // the last version that this balancer is known to have
+	independent      bool          // as logged last: polls although it does not hold the duty
+	reacquireAt      time.Duration // > 0: the duty was released because discovery did not answer, and is wanted again from then on
+	lastSubscribe    time.Duration // when missing events were asked for last
+}
+
+func newSharedWatch(c *Client, d lease.Duty) *sharedWatch {
+	now := c.now()
+	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+	return &sharedWatch{
+		client:   c,
+		duty:     d,
+		onUpdate: func(group.WatchEvent) {},
+		holder:   watch.NewHolder(watch.DefaultTiming, now),
+		follower: watch.NewFollower(watch.DefaultTiming, rng, now),
 	}
 }
 
-// SharedWatch is the member's side of the balancer's watch; it is a group.Join. take is called from the
-// member's goroutines.
-func (m *Client) SharedWatch(source string, take group.OnUpdate) group.SharedWatch {
-	if m.lists == nil {
+// SharedWatch begins the balancer's part in the shared watch; it is a group.JoinWatch. onUpdate is called
+// from the client's goroutines.
+func (c *Client) SharedWatch(source string, onUpdate group.OnUpdate) group.SharedWatch {
+	if c.sharedWatch == nil {
 		return nil
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.lists.take, m.lists.address = take, source
-	m.lists.by = m.lists.common(source)
-	return seam{m.lists}
-}
-
-// seam is lists as the balancer sees it.
-type seam struct{ l *lists }
-
-func (s seam) ShouldPoll(source string) (ask, whole bool) {
-	l := s.l
-	l.m.mu.Lock()
-	defer l.m.mu.Unlock()
-	l.by = l.common(source)
-	now := l.m.now()
-	_, holds := l.m.holders[l.duty].Token(now)
-	ask = l.follower.ShouldPoll(now, holds)
-	if alone := l.follower.Independent() && !holds; alone != l.alone {
-		l.alone = alone
-		slog.Info("group: polling discovery", "independent", alone, "duty", l.duty)
-	}
-	from, _, any := l.own.Version()
-	return ask, holds && (!any || from != l.by)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.sharedWatch.onUpdate = onUpdate
+	c.sharedWatch.address = source
+	c.sharedWatch.currentSource = c.sharedWatch.commonName(source)
+	return lockedSharedWatch{c.sharedWatch}
+}
+
+// lockedSharedWatch is the shared watch as the balancer sees it: each method takes the client's lock.
+type lockedSharedWatch struct{ w *sharedWatch }
+
+// ShouldPoll implements group.SharedWatch.
+func (l lockedSharedWatch) ShouldPoll(source string) (poll, complete bool) {
+	l.w.client.mu.Lock()
+	defer l.w.client.mu.Unlock()
+	return l.w.shouldPollLocked(source)
+}
+
+// Publish implements group.SharedWatch.
+func (l lockedSharedWatch) Publish(e group.WatchEvent) {
+	l.w.client.mu.Lock()
+	defer l.w.client.mu.Unlock()
+	l.w.appendLocked(e)
 }
 
-// common is the name that all balancers have for a discovery that this one reaches at an address.
-func (l *lists) common(address string) string {
-	if l.m.cfg.Source != "" && address == l.address {
-		return l.m.cfg.Source
+// PollFailed implements group.SharedWatch.
+func (l lockedSharedWatch) PollFailed() {
+	l.w.client.mu.Lock()
+	defer l.w.client.mu.Unlock()
+	l.w.holder.PollFailed()
+}
+
+// RequestUpdate implements group.SharedWatch.
+func (l lockedSharedWatch) RequestUpdate(source string, version uint64) {
+	l.w.client.mu.Lock()
+	defer l.w.client.mu.Unlock()
+	l.w.requestUpdateLocked(source, version)
+}
+
+// commonName returns the name that all members have for the discovery that this one reaches at an address.
+func (w *sharedWatch) commonName(address string) string {
+	if w.client.cfg.Source != "" && address == w.address {
+		return w.client.cfg.Source
 	}
 	return address
 }
 
-func (s seam) Publish(p group.WatchEvent) {
-	l := s.l
-	l.m.mu.Lock()
-	defer l.m.mu.Unlock()
-	p.Source = l.common(p.Source)
-	l.source, l.version = p.Source, p.ToVersion
-	l.holder.PollSucceeded(l.m.now())
-	if err := l.own.Append(0, p); errors.Is(err, watch.ErrVersionGap) {
-		l.own = watch.EventLog{} // a whole list comes next, if it is to be published
-		return
+// tokenLocked returns the token of the duty, and whether this balancer holds it.
+func (w *sharedWatch) tokenLocked(now time.Duration) (token uint64, held bool) {
+	return w.client.holders[w.duty].Token(now)
+}
+
+func (w *sharedWatch) shouldPollLocked(source string) (poll, complete bool) {
+	w.currentSource = w.commonName(source)
+	now := w.client.now()
+	_, held := w.tokenLocked(now)
+	poll = w.follower.ShouldPoll(now, held)
+	if independent := w.follower.Independent() && !held; independent != w.independent {
+		w.independent = independent
+		slog.Info("group: polling discovery", "independent", independent, "duty", w.duty)
 	}
-	l.publish()
+	logSource, _, hasEvents := w.log.Version()
+	// What is published begins with a complete list of the current discovery.
+	needsCompleteList := !hasEvents || logSource != w.currentSource
+	return poll, held && needsCompleteList
 }
 
-func (s seam) PollFailed() {
-	s.l.m.mu.Lock()
-	defer s.l.m.mu.Unlock()
-	s.l.holder.PollFailed()
+func (w *sharedWatch) appendLocked(e group.WatchEvent) {
+	e.Source = w.commonName(e.Source)
+	w.knownSource = e.Source
+	w.knownVersion = e.ToVersion
+	w.holder.PollSucceeded(w.client.now())
+	if err := w.log.Append(0, e); errors.Is(err, watch.ErrVersionGap) {
+		w.log = watch.EventLog{} // shouldPollLocked asks for a complete list next
+		return
+	}
+	w.publishLocked()
 }
 
-func (s seam) RequestUpdate(source string, version uint64) {
-	l := s.l
-	l.m.mu.Lock()
-	defer l.m.mu.Unlock()
-	l.source, l.version = l.common(source), version
-	if now := l.m.now(); now >= l.behind+watch.DefaultTiming.HeartbeatInterval { // posts that come meanwhile say the same
-		l.behind = now
-		l.follow()
+func (w *sharedWatch) requestUpdateLocked(source string, version uint64) {
+	w.knownSource = w.commonName(source)
+	w.knownVersion = version
+	now := w.client.now()
+	// Until the answer is here, each further event shows the same gap.
+	if now >= w.lastSubscribe+watch.DefaultTiming.HeartbeatInterval {
+		w.lastSubscribe = now
+		w.subscribeLocked()
 	}
 }
 
-// follow has the group tell what leads on from what is known here.
-func (l *lists) follow() {
-	l.m.ask(protocol.Request{
-		Kind: protocol.Subscribe, Command: lease.Command{Duty: l.duty}, Event: &group.WatchEvent{Source: l.source, ToVersion: l.version},
+// subscribeLocked asks the leader for all events after the known version, from now on.
+func (w *sharedWatch) subscribeLocked() {
+	w.client.sendLocked(protocol.Request{
+		Kind:    protocol.Subscribe,
+		Command: lease.Command{Duty: w.duty},
+		Event:   &group.WatchEvent{Source: w.knownSource, ToVersion: w.knownVersion},
 	}, func(protocol.Response) {})
 }
 
-// connected begins again with another voter: it may know nothing.
-func (l *lists) connected() {
-	l.token = 0
-	l.follow()
+// connectedLocked starts over with another voter, which may have none of the events.
+func (w *sharedWatch) connectedLocked() {
+	w.publishedToken = 0
+	w.subscribeLocked()
 }
 
-// turn says that the watch stands, and gives the duty up where it does not.
-func (l *lists) turn(now time.Duration) {
-	h := l.m.holders[l.duty]
-	token, holds := h.Token(now)
+// tickLocked publishes heartbeats while this balancer holds the duty, and releases the duty while discovery
+// does not answer it, so that another member may try.
+func (w *sharedWatch) tickLocked(now time.Duration) {
+	token, held := w.tokenLocked(now)
 	switch {
-	case !holds:
-		if l.rests > 0 && now >= l.rests {
-			l.rests = 0
-			l.m.holders[l.duty] = lease.NewHolder(l.m.terms, l.m.me, l.duty)
+	case !held:
+		if w.reacquireAt > 0 && now >= w.reacquireAt {
+			w.reacquireAt = 0
+			w.client.acquire(w.duty)
 		}
-	case token != l.token:
-		l.publish()
-	case !l.holder.Healthy(now) && l.rests == 0:
-		slog.Warn("group: duty released, discovery unreachable", "duty", l.duty)
-		l.rests = now + 2*l.m.terms.Duration + rand.N(2*l.m.terms.Duration)
-		h.Release()
-	case l.holder.HeartbeatDue(now):
-		if source, version, any := l.own.Version(); any {
-			l.post(token, group.WatchEvent{Source: source, FromVersion: version, ToVersion: version})
+	case token != w.publishedToken:
+		w.publishLocked()
+	case !w.holder.Healthy(now) && w.reacquireAt == 0:
+		slog.Warn("group: duty released, discovery unreachable", "duty", w.duty)
+		twoLeases := 2 * w.client.timing.Duration
+		w.reacquireAt = now + twoLeases + rand.N(twoLeases)
+		w.client.holders[w.duty].Release()
+	case w.holder.HeartbeatDue(now):
+		if source, version, hasEvents := w.log.Version(); hasEvents {
+			w.publishEventLocked(token, group.WatchEvent{Source: source, FromVersion: version, ToVersion: version})
 		}
 	}
 }
 
-// publish passes on what own calls brought. A new token begins with the whole list.
-func (l *lists) publish() {
-	now := l.m.now()
-	token, holds := l.m.holders[l.duty].Token(now)
-	source, version, any := l.own.Version()
-	if !holds || !any || l.m.conn == nil {
+// publishLocked publishes what own polls returned since the last call. Under a new token it begins with the
+// complete list.
+func (w *sharedWatch) publishLocked() {
+	now := w.client.now()
+	token, held := w.tokenLocked(now)
+	source, version, hasEvents := w.log.Version()
+	if !held || !hasEvents || w.client.conn == nil {
 		return
 	}
-	posts := l.own.Since(source, l.sent)
-	if l.token != token {
-		posts = l.own.Since("", 0)
-		l.holder.PollSucceeded(now) // it has a chance to show that its watch stands
+	events := w.log.Since(source, w.publishedVersion)
+	if w.publishedToken != token {
+		events = w.log.Since("", 0)
+		w.holder.PollSucceeded(now) // a new holder gets the whole timeout for its first poll
 	}
-	l.token, l.source, l.version = token, source, version
-	for _, p := range posts {
-		l.post(token, p)
+	w.publishedToken = token
+	w.knownSource = source
+	w.knownVersion = version
+	for _, e := range events {
+		w.publishEventLocked(token, e)
 	}
-	l.sent = version
+	w.publishedVersion = version
 }
 
-// post sends one. A voter that lacks what is before it has to hear all again.
-func (l *lists) post(token uint64, p group.WatchEvent) {
-	l.m.ask(protocol.Request{
-		Kind: protocol.Publish, Command: lease.Command{Duty: l.duty, Process: l.m.me, Token: token}, Event: &p,
-	}, func(a protocol.Response) {
-		if errors.Is(a.Err, watch.ErrVersionGap) || errors.Is(a.Err, watch.ErrStaleToken) {
-			l.token = 0
+// publishEventLocked publishes one event. If the leader lacks what precedes it, all is published again.
+func (w *sharedWatch) publishEventLocked(token uint64, e group.WatchEvent) {
+	w.client.sendLocked(protocol.Request{
+		Kind:    protocol.Publish,
+		Command: lease.Command{Duty: w.duty, Process: w.client.process, Token: token},
+		Event:   &e,
+	}, func(r protocol.Response) {
+		if errors.Is(r.Err, watch.ErrVersionGap) || errors.Is(r.Err, watch.ErrStaleToken) {
+			w.publishedToken = 0
 		}
 	})
 }
 
-// heard takes what a holder has published.
-func (l *lists) heard(token uint64, p group.WatchEvent) {
-	if p.Source != l.by { // a holder that asks another discovery is none of this balancer's
+// handleEventLocked passes an event of the holder on to the balancer. It ignores a holder that polls
+// another discovery, one that has been replaced, and this balancer's own events.
+func (w *sharedWatch) handleEventLocked(token uint64, e group.WatchEvent) {
+	if e.Source != w.currentSource {
 		return
 	}
-	if _, holds := l.m.holders[l.duty].Token(l.m.now()); holds || !l.follower.Heartbeat(l.m.now(), token) {
+	now := w.client.now()
+	if _, held := w.tokenLocked(now); held || !w.follower.Heartbeat(now, token) {
 		return
 	}
-	if p.Source == l.common(l.address) {
-		p.Source = l.address
+	if e.Source == w.commonName(w.address) {
+		e.Source = w.address
 	}
-	l.take(p)
+	w.onUpdate(e)
 }
--- a/internal/group/client/shared_watch_test.go
+++ b/internal/group/client/shared_watch_test.go
@@ -10,29 +10,31 @@
 	"piernotch/internal/group/watch"
 )
 
-// A balancer that was sent to another discovery does not rely on a holder that asks the old one.
-func TestAHolderAtAnotherDiscoveryIsNotReliedOn(t *testing.T) {
-	m := Start(group.Config{
+// A balancer whose settings name another discovery does not rely on a holder that polls the old one.
+func TestHolderPollingAnotherDiscoveryIsIgnored(t *testing.T) {
+	c := Start(group.Config{
 		Name: "g", Self: "a", LeaseDuration: time.Second, Watch: "watch", Voters: []group.Voter{{Name: "v", Address: "127.0.0.1:1"}},
 	}, nil)
-	defer m.Close(0)
-	took := 0
-	l := m.SharedWatch("old", func(group.WatchEvent) { took++ })
-	hear := func() (asks bool) {
-		m.mu.Lock()
-		m.lists.heard(1, group.WatchEvent{Source: "old", Whole: true, ToVersion: 1})
-		m.mu.Unlock()
-		asks, _ = l.ShouldPoll("old")
-		return asks
+	defer c.Close(0)
+	updates := 0
+	shared := c.SharedWatch("old", func(group.WatchEvent) { updates++ })
+	receive := func(version uint64) {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.sharedWatch.handleEventLocked(1, group.WatchEvent{Source: "old", Whole: true, ToVersion: version})
 	}
-	require.False(t, hear())
-	require.Equal(t, 1, took)
-	l.ShouldPoll("new")
-	m.mu.Lock()
-	m.lists.follower.Heartbeat(-watch.DefaultTiming.HeartbeatTimeout-watch.DefaultTiming.TimeoutJitter, 1) // long ago
-	m.lists.heard(1, group.WatchEvent{Source: "old", Whole: true, ToVersion: 2})
-	m.mu.Unlock()
-	asks, _ := l.ShouldPoll("new")
-	require.True(t, asks)
-	require.Equal(t, 1, took)
+	receive(1)
+	polls, _ := shared.ShouldPoll("old")
+	require.False(t, polls)
+	require.Equal(t, 1, updates)
+
+	shared.ShouldPoll("new")
+	c.mu.Lock()
+	longAgo := -watch.DefaultTiming.HeartbeatTimeout - watch.DefaultTiming.TimeoutJitter
+	c.sharedWatch.follower.Heartbeat(longAgo, 1)
+	c.mu.Unlock()
+	receive(2)
+	polls, _ = shared.ShouldPoll("new")
+	require.True(t, polls)
+	require.Equal(t, 1, updates)
 }
--- a/internal/lab/clustertest/holder.go
+++ b/internal/lab/clustertest/holder.go
@@ -64,13 +64,13 @@
 		l.Name = cfg.Self
 		_ = enc.Encode(l) // a rig that is gone has ended
 	}
-	m := client.Start(cfg, func(q protocol.Request, asked, answered time.Time, a protocol.Response, err error) {
-		if err != nil || !protocol.IsFinal(a.Err) {
+	m := client.Start(cfg, func(r client.RequestRecord) {
+		if r.Err != nil || !protocol.IsFinal(r.Response.Err) {
 			return
 		}
-		c := &call{Kind: q.Kind, Command: q.Command, Asked: asked.UnixNano(), Answered: answered.UnixNano(), Grant: a.Grant}
-		if a.Err != nil {
-			c.Err = a.Err.Error()
+		c := &call{Kind: r.Request.Kind, Command: r.Request.Command, Asked: r.SentAt.UnixNano(), Answered: r.ReceivedAt.UnixNano(), Grant: r.Response.Grant}
+		if r.Response.Err != nil {
+			c.Err = r.Response.Err.Error()
 		}
 		say(line{Call: c})
 	})
