--- a/internal/group/transport/transport_test.go
+++ b/internal/group/transport/transport_test.go
@@ -11,11 +11,11 @@
 	"piernotch/internal/group/protocol"
 )
 
-func TestFramesComeAsTheyWereSent(t *testing.T) {
-	yes := true
+func TestFrameIsDecodedAsEncodedAndDamageIsDetected(t *testing.T) {
+	accepted := true
 	for _, f := range []Frame{
 		{Handshake: &Handshake{Magic: magic, Version: 1, Group: "g", Name: "n", ID: 7, Bootstrapped: true}},
-		{VoterMessage: &VoterMessage{From: 1, To: 2, Announcement: &protocol.Announcement{Starts: 3}, Accepted: &yes, Raft: []byte{1, 2}}},
+		{VoterMessage: &VoterMessage{From: 1, To: 2, Announcement: &protocol.Announcement{Starts: 3}, Accepted: &accepted, Raft: []byte{1, 2}}},
 		{Request: &Request{Key: 9, Kind: protocol.Propose, Command: lease.Command{Op: lease.Transfer, Duty: "d", Token: 4, Successor: lease.Process{Name: "m", Incarnation: 5}}}},
 		{Response: &Response{Key: 9, Code: ErrorCodeOf(lease.ErrHeld), Grant: lease.Grant{Duty: "d", Token: 3}, Leader: "n1"}},
 	} {
@@ -25,29 +25,29 @@
 		require.NoError(t, err)
 		require.Equal(t, f, got)
 		for i := range data {
-			spoilt := bytes.Clone(data)
-			spoilt[i] ^= 0x40
-			_, err := Read(bytes.NewReader(spoilt))
+			damaged := bytes.Clone(data)
+			damaged[i] ^= 0x40
+			_, err := Read(bytes.NewReader(damaged))
 			require.Error(t, err, "byte %d", i)
 			_, err = Read(bytes.NewReader(data[:i]))
 			require.Error(t, err, "cut at %d", i)
 		}
 	}
-	for i, err := range codes {
+	for i, err := range errorsByCode {
 		require.Equal(t, err, ErrorCodeOf(err).Err(), "code %d", i)
 	}
 	require.Equal(t, protocol.ErrOutcomeUnknown, ErrorCode(200).Err())
 }
 
-// What does not belong to the group is refused with a word that names it.
-func TestStrangersAreRefused(t *testing.T) {
-	us := func() Handshake { return Handshake{Group: "g", Name: "us"} }
+// The error names what came from a peer that does not belong to the group.
+func TestIncompatiblePeerIsRejected(t *testing.T) {
+	local := func() Handshake { return Handshake{Group: "g", Name: "us"} }
 	frame := func(h Handshake) []byte {
 		data, err := Append(nil, Frame{Handshake: &h})
 		require.NoError(t, err)
 		return data
 	}
-	for want, says := range map[string][]byte{
+	for want, sent := range map[string][]byte{
 		`"they" is of group "other", this is "g"`:   frame(Handshake{Magic: magic, Version: Version, Group: "other", Name: "they"}),
 		`"they" speaks version 2, this program 1`:   frame(Handshake{Magic: magic, Version: 2, Group: "g", Name: "they"}),
 		"it does not begin with a hail":             frame(Handshake{Magic: "else"}),
@@ -58,10 +58,10 @@
 		here, there := net.Pipe()
 		go func() {
 			_, _ = Read(there)
-			_, _ = there.Write(says)
+			_, _ = there.Write(sent)
 			_ = there.Close()
 		}()
-		_, err := Accept(here, us)
+		_, err := Accept(here, local)
 		require.ErrorContains(t, err, want)
 	}
 }
