--- /dev/null
+++ b/internal/lab/clustersim/disk.go
@@ -0,0 +1,46 @@
+package clustersim
+
+import (
+	"slices"
+
+	"go.etcd.io/raft/v3/raftpb"
+
+	"piernotch/internal/group/consensus"
+)
+
+// disk is what survives the end of a voter's process.
+type disk struct {
+	id         uint64 // the voter's identity
+	startCount uint64
+	state      consensus.PersistentState
+}
+
+// write makes work durable.
+func (d *disk) write(work consensus.Ready) {
+	state := &d.state
+	if work.Snapshot != nil {
+		state.Snapshot = work.Snapshot
+		state.Entries = nil
+	}
+	if work.Compaction != nil {
+		state.Snapshot = work.Compaction
+		last := work.Compaction.GetMetadata().GetIndex()
+		state.Entries = entriesWithout(state.Entries, func(index uint64) bool { return index <= last })
+	}
+	if work.HardState != nil {
+		state.HardState = work.HardState
+	}
+	if len(work.Entries) > 0 {
+		first := work.Entries[0].GetIndex()
+		state.Entries = entriesWithout(state.Entries, func(index uint64) bool { return index >= first })
+		state.Entries = append(state.Entries, work.Entries...)
+	}
+	if work.Incarnations != nil {
+		state.Incarnations = work.Incarnations
+	}
+}
+
+// entriesWithout returns a copy: backups of the disk share the entries.
+func entriesWithout(entries []*raftpb.Entry, remove func(index uint64) bool) []*raftpb.Entry {
+	return slices.DeleteFunc(slices.Clone(entries), func(e *raftpb.Entry) bool { return remove(e.GetIndex()) })
+}
--- a/internal/lab/clustersim/planted_test.go
+++ b/internal/lab/clustersim/planted_test.go
@@ -10,32 +10,33 @@
 	"piernotch/internal/group/failpoint"
 )
 
-// Each planted fault is found, and the seed and time it took are told. Run it with -tags planted -v.
-func TestPlantedFaultsAreFound(t *testing.T) {
+// Each planted defect is found; the log says by which seed and after how long. Run it with -tags planted -v.
+func TestPlantedDefectsAreFound(t *testing.T) {
 	defer failpoint.Set("")
-	for _, name := range Plants {
+	for _, name := range Failpoints {
 		t.Run(name, func(t *testing.T) {
-			begun := time.Now()
+			startedAt := time.Now()
 			for seed := range uint64(4000) {
 				failpoint.Set(name)
-				if found := broken(seed); found != "" {
-					t.Logf("seed %d, %v: %s", seed, time.Since(begun).Round(time.Millisecond), found)
+				if violation := firstViolation(seed); violation != "" {
+					t.Logf("seed %d, %v: %s", seed, time.Since(startedAt).Round(time.Millisecond), violation)
 					return
 				}
 			}
-			t.Errorf("not found in 4000 seeds, %v", time.Since(begun))
+			t.Errorf("not found in 4000 seeds, %v", time.Since(startedAt))
 		})
 	}
 }
 
-// broken is what a seed breaks; a process that gives up over what it finds on its disk is one thing.
-func broken(seed uint64) (what string) {
+// firstViolation returns what a seed breaks, "" if nothing. A voter that panics over what is on its
+// disk counts as a violation.
+func firstViolation(seed uint64) (violation string) {
 	defer func() {
 		if p := recover(); p != nil {
-			what = fmt.Sprint("a voter gave up: ", p)
+			violation = fmt.Sprint("a voter panicked: ", p)
 		}
 	}()
-	if r := Play(seed, Small); len(r.Broken) > 0 {
+	if r := Play(seed, DefaultSize); len(r.Broken) > 0 {
 		return r.Broken[0]
 	}
 	return ""
--- /dev/null
+++ b/internal/lab/clustersim/schedule.go
@@ -0,0 +1,104 @@
+package clustersim
+
+import (
+	"math/rand/v2"
+	"slices"
+	"time"
+)
+
+// QuietPeriod is the time without faults at the end of a run, in which every duty has to be held again.
+const QuietPeriod = 25 * time.Second
+
+const (
+	minFaultDuration  = 200 * time.Millisecond
+	meanFaultDuration = 4 * time.Second // on top of the minimum; exponentially distributed
+	replacementTime   = 12 * time.Second
+)
+
+// drawnKinds are the kinds of faults in a schedule. A kind that is listed more often is drawn more often. The
+// order is part of what a seed means.
+var drawnKinds = []FaultKind{
+	Cut, Cut,
+	FaultIsolate, FaultIsolate,
+	FaultPartition, FaultPartition, FaultPartition,
+	FaultFlap,
+	FaultCrash, FaultCrash, FaultCrash,
+	FaultDiskLoss,
+	FaultDiskRollback,
+	FaultCrashAllVoters,
+	FaultPause, FaultPause, FaultPause,
+	FaultSlowDisk,
+	FaultDiskFull,
+	FaultLossyNetwork, FaultLossyNetwork,
+	FaultClockStep,
+	FaultReleaseDuties,
+	FaultTransferDuties, FaultTransferDuties,
+}
+
+// scheduler draws the faults of one schedule.
+type scheduler struct {
+	rng              *rand.Rand
+	size             Size
+	end              time.Duration // all faults are over by then
+	diskReplacedFrom time.Duration // from then on the group has replaced the disks that were lost so far
+}
+
+// Draw returns the schedule of a seed, ordered by time. All faults are over when QuietPeriod begins.
+// Disks are lost or rolled back one at a time, and only after the group has had the time to replace those
+// lost before.
+func Draw(seed uint64, size Size) []Fault {
+	s := &scheduler{rng: rand.New(rand.NewPCG(seed, 0xfa17)), size: size, end: size.Length - QuietPeriod}
+	var faults []Fault
+	for range size.Faults {
+		faults = append(faults, s.draw())
+	}
+	slices.SortStableFunc(faults, func(a, b Fault) int { return int(a.At - b.At) })
+	return faults
+}
+
+// draw draws one fault. The order of the draws is part of what a seed means.
+func (s *scheduler) draw() Fault {
+	var f Fault
+	f.Kind = drawnKinds[s.rng.IntN(len(drawnKinds))]
+	f.For = minFaultDuration + time.Duration(s.rng.ExpFloat64()*float64(meanFaultDuration))
+	f.For = min(f.For, s.end/2)
+	f.At = time.Duration(s.rng.Int64N(int64(s.end - f.For)))
+	f.OneWay = s.rng.IntN(3) == 0
+	voter := s.rng.IntN(s.size.Voters)
+	member := s.size.Voters + s.rng.IntN(s.size.Members)
+	f.Node = voter
+	f.Other = s.rng.IntN(s.size.Voters + s.size.Members + s.size.Receivers)
+	switch f.Kind {
+	case FaultPause, FaultCrash, FaultClockStep, FaultIsolate, FaultFlap:
+		f.Node = s.anyNode(voter, member)
+	case FaultReleaseDuties, FaultTransferDuties:
+		f.Node = member
+	case FaultDiskLoss, FaultDiskRollback:
+		s.delayDiskFault(&f)
+	}
+	return f
+}
+
+// anyNode chooses between a voter (two times in five), a member (two) and a receiver (one).
+func (s *scheduler) anyNode(voter, member int) int {
+	switch s.rng.IntN(5) {
+	case 0, 1:
+		return member
+	case 2:
+		return s.size.Voters + s.size.Members + s.rng.IntN(s.size.Receivers)
+	}
+	return voter
+}
+
+// delayDiskFault moves a disk fault behind the replacement of the disk before it, or makes it a crash if
+// there is no time left for that.
+func (s *scheduler) delayDiskFault(f *Fault) {
+	at := max(f.At, s.diskReplacedFrom)
+	replacedFrom := at + f.For + replacementTime
+	if replacedFrom > s.end {
+		f.Kind = FaultCrash
+		return
+	}
+	f.At = at
+	s.diskReplacedFrom = replacedFrom
+}
--- a/internal/lab/clustersim/schedule_test.go
+++ b/internal/lab/clustersim/schedule_test.go
@@ -6,14 +6,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSchedules(t *testing.T) {
+func TestSchedulesBreakNoPropertyAndAreReproducible(t *testing.T) {
 	acts := 0
 	for seed := range uint64(40) {
-		r := Play(seed, Small)
+		r := Play(seed, DefaultSize)
 		require.Empty(t, r.Broken, "seed %d: %v", seed, r.Faults)
 		acts += r.Acts
 	}
 	require.Greater(t, acts, 40*300)
-	again := Play(7, Small)
-	require.Equal(t, Play(7, Small), again, "a seed brings a run back")
+	again := Play(7, DefaultSize)
+	require.Equal(t, Play(7, DefaultSize), again, "a seed gives the same run again")
 }
--- a/internal/lab/clustersim/timeline.go
+++ b/internal/lab/clustersim/timeline.go
@@ -11,44 +11,92 @@
 	svg "github.com/ajstarks/svgo"
 )
 
-// Timeline draws what went wrong when, and who held which duty under which token.
+// Layout of a timeline, in pixels.
+const (
+	labelWidth  = 110
+	chartWidth  = 1000
+	rowHeight   = 16
+	headHeight  = 30
+	footHeight  = 30
+	rightMargin = 20
+	faultsGap   = 10 // between the faults and the spans
+	textStyle   = "font-family:sans-serif;font-size:11px"
+)
+
+// Timeline draws an SVG of what went wrong when, and of who held which duty under which token. It sorts spans
+// by their token.
 func Timeline(out io.Writer, title string, length time.Duration, faults []Fault, spans []Span) {
-	const (
-		left, width, row = 110, 1000, 16
-		text             = "font-family:sans-serif;font-size:11px"
-	)
-	rows := map[string]int{}
+	rows := spanRows(spans)
+	spansTop := headHeight + rowHeight*len(faults) + faultsGap
+	t := &timeline{canvas: svg.New(out), length: length, height: spansTop + rowHeight*len(rows) + footHeight}
+	t.drawAxis(title)
+	t.drawFaults(faults)
+	t.drawSpans(spans, rows, spansTop)
+	t.canvas.End()
+}
+
+// spanRow is the label of a row of spans.
+func spanRow(s Span) string { return s.Duty + " " + s.Member }
+
+// spanRows returns the labels of the rows, in order.
+func spanRows(spans []Span) []string {
+	labels := map[string]bool{}
 	for _, s := range spans {
-		rows[s.Duty+" "+s.Member] = 0
+		labels[spanRow(s)] = true
 	}
-	names := slices.Sorted(maps.Keys(rows))
-	for i, n := range names {
-		rows[n] = i
-	}
-	head := 30 + row*len(faults) + 10
-	height := head + row*len(names) + 30
-	x := func(t time.Duration) int { return left + int(float64(width)*t.Seconds()/length.Seconds()) }
-	c := svg.New(out)
-	c.Start(left+width+20, height)
-	c.Rect(0, 0, left+width+20, height, "fill:white")
-	c.Text(left, 18, title, text+";font-weight:bold")
-	for t := time.Duration(0); t <= length; t += 5 * time.Second {
-		c.Line(x(t), 26, x(t), height-20, "stroke:#ddd")
-		c.Text(x(t), height-6, fmt.Sprintf("%.0f s", t.Seconds()), text+";text-anchor:middle")
+	return slices.Sorted(maps.Keys(labels))
+}
+
+type timeline struct {
+	canvas *svg.SVG
+	length time.Duration
+	height int
+}
+
+func (t *timeline) x(at time.Duration) int {
+	return labelWidth + int(float64(chartWidth)*at.Seconds()/t.length.Seconds())
+}
+
+// bar draws a bar in the row that begins at y.
+func (t *timeline) bar(from, to time.Duration, y int, style string) {
+	width := max(t.x(to)-t.x(from), 2)
+	t.canvas.Rect(t.x(from), y, width, rowHeight-4, style)
+}
+
+// label draws the text to the left of the row that begins at y.
+func (t *timeline) label(y int, text string) {
+	t.canvas.Text(labelWidth-6, y+rowHeight-6, text, textStyle+";text-anchor:end")
+}
+
+func (t *timeline) drawAxis(title string) {
+	width := labelWidth + chartWidth + rightMargin
+	t.canvas.Start(width, t.height)
+	t.canvas.Rect(0, 0, width, t.height, "fill:white")
+	t.canvas.Text(labelWidth, 18, title, textStyle+";font-weight:bold")
+	for at := time.Duration(0); at <= t.length; at += 5 * time.Second {
+		t.canvas.Line(t.x(at), 26, t.x(at), t.height-20, "stroke:#ddd")
+		t.canvas.Text(t.x(at), t.height-6, fmt.Sprintf("%.0f s", at.Seconds()), textStyle+";text-anchor:middle")
 	}
+}
+
+func (t *timeline) drawFaults(faults []Fault) {
 	for i, f := range faults {
-		y := 30 + row*i
-		c.Rect(x(f.At), y, max(x(f.At+f.For)-x(f.At), 2), row-4, "fill:#d9534f;fill-opacity:0.6")
-		c.Text(left-6, y+row-6, fmt.Sprintf("%s of %d", f.Kind, f.Node), text+";text-anchor:end")
+		y := headHeight + rowHeight*i
+		t.bar(f.At, f.At+f.For, y, "fill:#d9534f;fill-opacity:0.6")
+		t.label(y, fmt.Sprintf("%s of %d", f.Kind, f.Node))
 	}
-	for _, n := range names {
-		c.Text(left-6, head+row*rows[n]+row-6, n, text+";text-anchor:end")
+}
+
+func (t *timeline) drawSpans(spans []Span, rows []string, top int) {
+	y := map[string]int{}
+	for i, row := range rows {
+		y[row] = top + rowHeight*i
+		t.label(y[row], row)
 	}
 	slices.SortFunc(spans, func(a, b Span) int { return cmp.Compare(a.Token, b.Token) })
+	fills := []string{"fill:#337ab7", "fill:#5cb85c"}
 	for i, s := range spans {
-		y := head + row*rows[s.Duty+" "+s.Member]
-		c.Rect(x(s.From), y, max(x(s.To)-x(s.From), 2), row-4, []string{"fill:#337ab7", "fill:#5cb85c"}[i%2])
-		c.Text(x(s.From)+2, y+row-6, fmt.Sprint(s.Token), text+";fill:white;font-size:9px")
+		t.bar(s.From, s.To, y[spanRow(s)], fills[i%2])
+		t.canvas.Text(t.x(s.From)+2, y[spanRow(s)]+rowHeight-6, fmt.Sprint(s.Token), textStyle+";fill:white;font-size:9px")
 	}
-	c.End()
 }
--- a/internal/lab/clustertest/harness.go
+++ b/internal/lab/clustertest/harness.go
@@ -312,8 +312,8 @@
 	}
 	p := r.procs[f.Node]
 	switch f.Kind {
-	case clustersim.Cut, clustersim.Isolate, clustersim.Split, clustersim.Flap, clustersim.Lossy:
-		if f.Kind != clustersim.Flap {
+	case clustersim.Cut, clustersim.FaultIsolate, clustersim.FaultPartition, clustersim.FaultFlap, clustersim.FaultLossyNetwork:
+		if f.Kind != clustersim.FaultFlap {
 			r.set(f, true)
 			rest()
 			r.set(f, false)
@@ -323,7 +323,7 @@
 			r.set(f, on)
 		}
 		r.set(f, false)
-	case clustersim.Stall:
+	case clustersim.FaultPause:
 		r.mu.Lock()
 		cmd := p.cmd
 		if cmd != nil && !p.stalled {
@@ -338,9 +338,9 @@
 		}
 		p.stalled = false
 		r.mu.Unlock()
-	case clustersim.Crash, clustersim.Forget, clustersim.Rewind, clustersim.Leave, clustersim.HandOn:
+	case clustersim.FaultCrash, clustersim.FaultDiskLoss, clustersim.FaultDiskRollback, clustersim.FaultReleaseDuties, clustersim.FaultTransferDuties:
 		r.again(f, p)
-	case clustersim.AllDown:
+	case clustersim.FaultCrashAllVoters:
 		var all sync.WaitGroup
 		for _, p := range r.procs[:size.Voters] {
 			all.Go(func() { r.again(f, p) })
@@ -358,10 +358,10 @@
 // again ends a process, has its disk be lost where that is the fault, and starts it again.
 func (r *rig) again(f clustersim.Fault, p *process) {
 	s := syscall.SIGKILL
-	if f.Kind == clustersim.Leave || f.Kind == clustersim.HandOn {
+	if f.Kind == clustersim.FaultReleaseDuties || f.Kind == clustersim.FaultTransferDuties {
 		s = syscall.SIGTERM
 	}
-	whole := (f.Kind == clustersim.Forget || f.Kind == clustersim.Rewind) && r.whole()
+	whole := (f.Kind == clustersim.FaultDiskLoss || f.Kind == clustersim.FaultDiskRollback) && r.whole()
 	done := r.kill(p, s)
 	if done == nil {
 		return
@@ -399,10 +399,10 @@
 	return true
 }
 
-func (r *rig) lose(k clustersim.Kind, p *process) {
+func (r *rig) lose(k clustersim.FaultKind, p *process) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if k == clustersim.Rewind {
+	if k == clustersim.FaultDiskRollback {
 		if len(p.copies) == 0 {
 			return
 		}
@@ -420,18 +420,18 @@
 	from, to := fmt.Sprintf("%d>", f.Node), fmt.Sprintf(">%d", f.Node)
 	fault := faultproxy.Fault{Cut: faultproxy.Silent}
 	which := func(name string) bool {
-		return f.Kind == clustersim.Lossy || strings.HasPrefix(name, from) || strings.HasSuffix(name, to)
+		return f.Kind == clustersim.FaultLossyNetwork || strings.HasPrefix(name, from) || strings.HasSuffix(name, to)
 	}
 	switch f.Kind {
-	case clustersim.Split:
+	case clustersim.FaultPartition:
 		which = func(name string) bool {
 			var a, b int
 			_, err := fmt.Sscanf(name, "%d>%d", &a, &b)
-			return err == nil && a >= 0 && f.Side(r.opts.Size, a) != f.Side(r.opts.Size, b)
+			return err == nil && a >= 0 && f.OnNodeSide(r.opts.Size, a) != f.OnNodeSide(r.opts.Size, b)
 		}
 	case clustersim.Cut:
 		which = func(name string) bool { return name == link(f.Node, f.Other) }
-	case clustersim.Lossy:
+	case clustersim.FaultLossyNetwork:
 		fault = faultproxy.Fault{Delay: 20 * time.Millisecond, Jitter: 400 * time.Millisecond}
 	}
 	if !fails {
@@ -443,7 +443,7 @@
 			out = faultproxy.Back
 		}
 		for _, d := range []faultproxy.Direction{faultproxy.There, faultproxy.Back} {
-			if !f.OneWay || f.Kind == clustersim.Lossy || f.Kind == clustersim.Split || d == out {
+			if !f.OneWay || f.Kind == clustersim.FaultLossyNetwork || f.Kind == clustersim.FaultPartition || d == out {
 				l.Set(d, fault)
 			}
 		}
@@ -477,8 +477,8 @@
 	defer r.mu.Unlock()
 	if c := l.Call; c != nil {
 		r.calls = append(r.calls, clustersim.Call{
-			Question: protocol.Request{Kind: c.Kind, Command: c.Command}, Grant: c.Grant, Err: refusal(c.Err),
-			From: time.Duration(c.Asked), To: time.Duration(c.Answered),
+			Request: protocol.Request{Kind: c.Kind, Command: c.Command}, Grant: c.Grant, Err: refusal(c.Err),
+			SentAt: time.Duration(c.Asked), ReceivedAt: time.Duration(c.Answered),
 		})
 	}
 	a := l.Act
@@ -518,7 +518,7 @@
 // finish judges the run as a whole.
 func (r *rig) finish() {
 	if err := r.settled(time.Second); err != nil {
-		r.broke("not every duty is held, %v after the last fault: %v", clustersim.Calm, err)
+		r.broke("not every duty is held, %v after the last fault: %v", clustersim.QuietPeriod, err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -545,7 +545,7 @@
 		r.result.Grants += len(tokens)
 	}
 	r.result.Calls = len(r.calls)
-	r.result.Broken = append(r.result.Broken, clustersim.Linear(r.calls)...)
+	r.result.Broken = append(r.result.Broken, clustersim.CheckLinearizability(r.calls)...)
 }
 
 func (r *rig) at(unix int64) float64 { return time.Unix(0, unix).Sub(r.begun).Seconds() }
