--- /dev/null
+++ b/internal/lab/clustersim/fault_test.go
@@ -0,0 +1,19 @@
+package clustersim
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// Schedules in files were written by the names that the fields had before they had tags.
+func TestScheduleJSONKeepsItsKeys(t *testing.T) {
+	fault, err := json.Marshal(Fault{At: time.Second, For: 2 * time.Second, Kind: FaultPartition, Node: 1, Other: 2, OneWay: true})
+	require.NoError(t, err)
+	require.Equal(t, `{"At":1000000000,"For":2000000000,"Kind":"split","Node":1,"Other":2,"OneWay":true}`, string(fault))
+	size, err := json.Marshal(DefaultSize)
+	require.NoError(t, err)
+	require.Equal(t, `{"Voters":3,"Members":4,"Receivers":2,"Duties":2,"Length":60000000000,"Faults":12}`, string(size))
+}
--- a/internal/lab/clustertest/failover.go
+++ b/internal/lab/clustertest/failover.go
@@ -3,77 +3,113 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"syscall"
 	"time"
 
 	"piernotch/internal/group/lease"
 )
 
-// Times are how long a duty was in nobody's hand, in seconds, from the signal to the first act under the
-// next token.
+const (
+	rejoinPause     = 500 * time.Millisecond // after a restart, until the process waits for the duty
+	failoverTimeout = time.Minute
+	failoverPoll    = time.Millisecond
+)
+
+var errNoFailover = errors.New("nobody holds the duty for a minute")
+
+// Times are how long a duty was held by nobody, in seconds, from the signal that ended its holder to the
+// first act under the next token.
 type Times struct {
 	Planned   []float64 `json:"planned_s"`   // SIGTERM
 	Unplanned []float64 `json:"unplanned_s"` // SIGKILL
 }
 
-// Measure ends the holder of one duty again and again, in turn by either signal, on a group of real
-// processes without other faults.
+// Measure ends the holder of one duty 2*times times, by SIGTERM and SIGKILL in turn, in a group of real
+// processes without other faults. With an error it returns what was measured before.
 func Measure(ctx context.Context, opts Options, times int) (Times, error) {
 	opts.Size.Duties = 1
-	r, err := begin(ctx, opts)
-	defer r.close()
-	if err != nil {
+	h := newHarness(opts)
+	defer h.close()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel() // runs before close, whose end of the processes is then no violation
+	if err := h.start(ctx); err != nil {
 		return Times{}, err
 	}
-	var out Times
+	var measured Times
 	for i := range 2 * times {
-		name, token, err := r.holder(0)
-		if err != nil {
-			return out, err
+		signal, results := syscall.SIGTERM, &measured.Planned
+		if i%2 == 1 {
+			signal, results = syscall.SIGKILL, &measured.Unplanned
 		}
-		for _, p := range r.procs {
-			if p.name != name {
-				continue
-			}
-			s, into := syscall.SIGTERM, &out.Planned
-			if i%2 == 1 {
-				s, into = syscall.SIGKILL, &out.Unplanned
-			}
-			at := time.Now()
-			done := r.kill(p, s)
-			if _, _, err = r.holder(token); err != nil {
-				return out, err
-			}
-			*into = append(*into, time.Since(at).Seconds())
-			<-done
-			if err := r.start(p); err != nil {
-				return out, err
-			}
+		took, err := h.failOver(ctx, signal)
+		if took > 0 {
+			*results = append(*results, took.Seconds())
 		}
-		r.sleep(500 * time.Millisecond) // whoever came back waits for the duty by then
+		if err != nil {
+			return measured, err
+		}
+		sleep(ctx, rejoinPause)
 	}
-	if len(r.result.Broken) > 0 {
-		return out, errors.New(r.result.Broken[0])
+	if violations := h.snapshot().Broken; len(violations) > 0 {
+		return measured, errors.New(violations[0])
 	}
-	return out, ctx.Err()
+	return measured, ctx.Err()
 }
 
-// holder waits until somebody acts under a token above one, and returns who.
-func (r *rig) holder(above uint64) (name string, token uint64, err error) {
-	for begun := time.Now(); time.Since(begun) < time.Minute; time.Sleep(time.Millisecond) {
-		r.mu.Lock()
-		for t, s := range r.acts[lease.Duty("d0")] {
-			if t > above && t > token {
-				name, token = s.name, t
-			}
+// failOver ends the duty's holder by a signal and starts it again after another took over. took is 0 if
+// none did.
+func (h *harness) failOver(ctx context.Context, signal syscall.Signal) (took time.Duration, err error) {
+	name, token, err := h.waitForHolder(ctx, 0)
+	if err != nil {
+		return 0, err
+	}
+	p, err := h.processNamed(name)
+	if err != nil {
+		return 0, err
+	}
+	signalledAt := time.Now()
+	done := h.signalEnd(p, signal)
+	if _, _, err := h.waitForHolder(ctx, token); err != nil {
+		return 0, err
+	}
+	took = time.Since(signalledAt)
+	<-done
+	return took, h.startProcess(ctx, p)
+}
+
+// processNamed returns the process of a name that a report has given.
+func (h *harness) processNamed(name string) (*process, error) {
+	for _, p := range h.processes {
+		if p.name == name {
+			return p, nil
 		}
-		r.mu.Unlock()
+	}
+	return nil, fmt.Errorf("a report of an unknown process: %q", name)
+}
+
+// waitForHolder waits until a holder acts under a token above one, and returns the highest such token.
+func (h *harness) waitForHolder(ctx context.Context, above uint64) (name string, token uint64, err error) {
+	for startedAt := time.Now(); time.Since(startedAt) < failoverTimeout; time.Sleep(failoverPoll) {
+		name, token = h.latestHolder("d0")
 		if token > above {
 			return name, token, nil
 		}
-		if r.ctx.Err() != nil {
-			return "", 0, r.ctx.Err()
+		if ctx.Err() != nil {
+			return "", 0, ctx.Err()
+		}
+	}
+	return "", 0, errNoFailover
+}
+
+// latestHolder returns who acted under the duty's highest token so far; 0 if nobody did.
+func (h *harness) latestHolder(d lease.Duty) (name string, token uint64) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for t, use := range h.uses[d] {
+		if t > token {
+			name, token = use.holder, t
 		}
 	}
-	return "", 0, errors.New("nobody holds the duty for a minute")
+	return name, token
 }
--- a/internal/lab/clustertest/holder.go
+++ b/internal/lab/clustertest/holder.go
@@ -1,6 +1,3 @@
-// Package clustertest plays the control group on real processes: voters with a disk of their
-// own, holders that act under their duties, and a relay in every link. The schedules are those of
-// groupmodel; the judge sits in the rig and knows acts and calls alone.
 package clustertest
 
 import (
@@ -16,78 +13,71 @@
 	"piernotch/internal/group/protocol"
 )
 
-// line is what a holder says to the rig: an act, or a call and its answer.
-type line struct {
-	Name  string `json:"name"`
-	Act   *act   `json:"act,omitempty"`
-	Call  *call  `json:"call,omitempty"`
-	Ready bool   `json:"ready,omitempty"`
-}
-
-// act is done under a token by who looked at the clock at Looked, in Unix nanoseconds.
-type act struct {
-	Duty   lease.Duty `json:"duty"`
-	Token  uint64     `json:"token"`
-	Looked int64      `json:"looked"`
-}
-
-// call is a question and the group's answer.
-type call struct {
-	Kind     protocol.Kind `json:"kind"`
-	Command  lease.Command `json:"command"`
-	Asked    int64         `json:"asked"`
-	Answered int64         `json:"answered"`
-	Grant    lease.Grant   `json:"grant"`
-	Err      string        `json:"err,omitempty"`
-}
-
-// each is how often a holder acts.
-const each = 20 * time.Millisecond
+const (
+	actInterval     = 20 * time.Millisecond
+	releasePatience = 500 * time.Millisecond // for releasing the duties at the end
+)
 
-// Act is the program of a holder: it wants the duties of its file, and acts under what it holds, until
-// the context ends.
-func Act(ctx context.Context, file, rig string) error {
+// Act is the program of a holder: it acquires the duties of a group's file and acts under those that it
+// holds, until ctx is done. harness is the TCP address that it reports to.
+func Act(ctx context.Context, file, harness string) error {
 	cfg, err := group.LoadFile(file)
 	if err != nil {
 		return err
 	}
-	nc, err := net.Dial("tcp", rig)
+	nc, err := net.Dial("tcp", harness)
 	if err != nil {
 		return err
 	}
-	defer nc.Close()
-	var mu sync.Mutex
-	enc := json.NewEncoder(nc)
-	say := func(l line) {
-		mu.Lock()
-		defer mu.Unlock()
-		l.Name = cfg.Self
-		_ = enc.Encode(l) // a rig that is gone has ended
-	}
-	m := client.Start(cfg, func(r client.RequestRecord) {
-		if r.Err != nil || !protocol.IsFinal(r.Response.Err) {
-			return
-		}
-		c := &call{Kind: r.Request.Kind, Command: r.Request.Command, Asked: r.SentAt.UnixNano(), Answered: r.ReceivedAt.UnixNano(), Grant: r.Response.Grant}
-		if r.Response.Err != nil {
-			c.Err = r.Response.Err.Error()
-		}
-		say(line{Call: c})
-	})
-	ticker := time.NewTicker(each)
+	defer func() { _ = nc.Close() }()
+	reports := &reporter{name: cfg.Self, encoder: json.NewEncoder(nc)}
+	member := client.Start(cfg, reports.observe)
+	ticker := time.NewTicker(actInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			m.Close(500 * time.Millisecond)
+			member.Close(releasePatience)
 			return nil
 		case <-ticker.C:
 		}
 		for _, d := range cfg.Duties {
-			looked := time.Now().UnixNano()
-			if token, may := m.Token(lease.Duty(d)); may {
-				say(line{Act: &act{lease.Duty(d), token, looked}})
+			checkedAt := time.Now().UnixNano()
+			if token, held := member.Token(lease.Duty(d)); held {
+				reports.send(report{Act: &act{Duty: lease.Duty(d), Token: token, CheckedAt: checkedAt}})
 			}
 		}
 	}
 }
+
+// reporter sends reports to the harness. Its methods may be called from any goroutine.
+type reporter struct {
+	name    string
+	mu      sync.Mutex
+	encoder *json.Encoder
+}
+
+func (r *reporter) send(line report) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	line.Name = r.name
+	_ = r.encoder.Encode(line) // fails when the harness has ended, which then needs no reports
+}
+
+// observe reports the requests that got a final response; it is a client.RequestObserver.
+func (r *reporter) observe(record client.RequestRecord) {
+	if record.Err != nil || !protocol.IsFinal(record.Response.Err) {
+		return
+	}
+	c := &call{
+		Kind:       record.Request.Kind,
+		Command:    record.Request.Command,
+		SentAt:     record.SentAt.UnixNano(),
+		ReceivedAt: record.ReceivedAt.UnixNano(),
+		Grant:      record.Response.Grant,
+	}
+	if record.Response.Err != nil {
+		c.Err = record.Response.Err.Error()
+	}
+	r.send(report{Call: c})
+}
--- /dev/null
+++ b/internal/lab/clustertest/process.go
@@ -0,0 +1,176 @@
+package clustertest
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"syscall"
+
+	"piernotch/internal/group"
+	"piernotch/internal/group/client"
+	"piernotch/internal/lab/faultproxy"
+)
+
+// process is a voter or a holder.
+type process struct {
+	name    string
+	voter   bool
+	command []string
+	store   string   // the path of a voter's store
+	backups []string // copies of the store as it was before each start
+
+	// Under harness.mu:
+	cmd    *exec.Cmd     // nil: down
+	done   chan struct{} // closed when cmd has ended
+	paused bool
+}
+
+func processName(i int) string { return fmt.Sprintf("n%d", i) }
+
+// linkName is the name of the link from a process to a voter.
+func linkName(from, to int) string { return fmt.Sprintf("%d>%d", from, to) }
+
+// prepare writes the configurations: each process reaches each other voter through a proxy of its own.
+func (h *harness) prepare() error {
+	var addresses []string
+	for range h.opts.Size.Voters {
+		a, err := faultproxy.Free()
+		if err != nil {
+			return err
+		}
+		addresses = append(addresses, a)
+	}
+	for i := range h.opts.Size.Voters + h.opts.Size.Members {
+		p, err := h.prepareProcess(i, addresses)
+		if err != nil {
+			return err
+		}
+		h.processes = append(h.processes, p)
+	}
+	cfg, err := h.groupConfig(harnessNumber, "rig", addresses)
+	if err != nil {
+		return err
+	}
+	h.observer = client.Start(cfg, nil)
+	return nil
+}
+
+func (h *harness) prepareProcess(i int, addresses []string) (*process, error) {
+	p := &process{name: processName(i), voter: i < h.opts.Size.Voters}
+	cfg, err := h.groupConfig(i, p.name, addresses)
+	if err != nil {
+		return nil, err
+	}
+	file := filepath.Join(h.opts.Dir, p.name+"-group.toml")
+	if p.voter {
+		p.store = filepath.Join(h.opts.Dir, p.name+".voter")
+		cfg.Disk = p.store
+		p.command = []string{h.opts.Voter, "--group", file}
+	} else {
+		for d := range h.opts.Size.Duties {
+			cfg.Duties = append(cfg.Duties, fmt.Sprintf("d%d", d))
+		}
+		p.command = []string{h.opts.Holder, "hold", file, h.listener.Addr().String()}
+	}
+	return p, os.WriteFile(file, []byte(cfg.Text()), 0o600)
+}
+
+// groupConfig returns the configuration of process i, and starts its proxies to the voters.
+func (h *harness) groupConfig(i int, name string, addresses []string) (group.Config, error) {
+	cfg := group.Config{Name: "rig", Self: name, LeaseDuration: LeaseDuration, MaxClockDrift: maxClockDrift}
+	for voter, address := range addresses {
+		if voter != i {
+			l, err := h.proxies.Link(linkName(i, voter), address)
+			if err != nil {
+				return cfg, err
+			}
+			address = l.Address()
+		}
+		cfg.Voters = append(cfg.Voters, group.Voter{Name: processName(voter), Address: address})
+	}
+	return cfg, nil
+}
+
+// startProcess starts a process that is down. An end that signalEnd did not cause is a violation, unless
+// ctx is done.
+func (h *harness) startProcess(ctx context.Context, p *process) error {
+	if p.voter {
+		h.backUpStore(p)
+	}
+	log, err := os.OpenFile(filepath.Join(h.opts.Dir, p.name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = log.Close() }() // the process has its own descriptor
+	cmd := exec.Command(p.command[0], p.command[1:]...)
+	cmd.Stdout = log
+	cmd.Stderr = log
+	if err := cmd.Start(); err != nil {
+		return err
+	}
+	done := make(chan struct{})
+	h.mu.Lock()
+	p.cmd = cmd
+	p.done = done
+	h.mu.Unlock()
+	go func() { // until the process ends
+		err := cmd.Wait()
+		h.mu.Lock()
+		unexpected := p.cmd == cmd
+		h.mu.Unlock()
+		if unexpected && ctx.Err() == nil {
+			h.violation("%s ended by itself: %v", p.name, err)
+		}
+		close(done)
+	}()
+	return nil
+}
+
+// backUpStore copies a voter's store as it is before a start.
+func (h *harness) backUpStore(p *process) {
+	data, err := os.ReadFile(p.store)
+	if err != nil { // there is none before the first start
+		return
+	}
+	name := fmt.Sprintf("%s.copy-%d", p.store, len(p.backups))
+	if os.WriteFile(name, data, 0o600) == nil {
+		p.backups = append(p.backups, name)
+	}
+}
+
+// signalEnd signals a process to end, and returns what is closed when it has; nil if it is down.
+func (h *harness) signalEnd(p *process, s syscall.Signal) <-chan struct{} {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if p.cmd == nil {
+		return nil
+	}
+	cmd := p.cmd
+	p.cmd = nil
+	_ = cmd.Process.Signal(syscall.SIGCONT)
+	_ = cmd.Process.Signal(s)
+	return p.done
+}
+
+// pause suspends a process, if it is up and not paused, and returns what was running.
+func (h *harness) pause(p *process) *exec.Cmd {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if p.cmd != nil && !p.paused {
+		p.paused = true
+		_ = p.cmd.Process.Signal(syscall.SIGSTOP)
+	}
+	return p.cmd
+}
+
+// resume resumes a process, unless it has ended since it was paused.
+func (h *harness) resume(p *process, paused *exec.Cmd) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if paused != nil && p.cmd == paused {
+		_ = paused.Process.Signal(syscall.SIGCONT)
+	}
+	p.paused = false
+}
--- /dev/null
+++ b/internal/lab/clustertest/report.go
@@ -0,0 +1,40 @@
+package clustertest
+
+import (
+	"piernotch/internal/group/lease"
+	"piernotch/internal/group/protocol"
+)
+
+// report is one line from a holder to the harness. One of Act and Call is set.
+type report struct {
+	Name string `json:"name"` // the holder's
+	Act  *act   `json:"act,omitempty"`
+	Call *call  `json:"call,omitempty"`
+}
+
+// act is something done under a token. CheckedAt is when the holder checked its lease, in Unix nanoseconds.
+type act struct {
+	Duty      lease.Duty `json:"duty"`
+	Token     uint64     `json:"token"`
+	CheckedAt int64      `json:"looked"`
+}
+
+// call is a request that got a final response. Times are in Unix nanoseconds.
+type call struct {
+	Kind       protocol.Kind `json:"kind"`
+	Command    lease.Command `json:"command"`
+	SentAt     int64         `json:"asked"`
+	ReceivedAt int64         `json:"answered"`
+	Grant      lease.Grant   `json:"grant"`
+	Err        string        `json:"err,omitempty"` // the error's text
+}
+
+// errorOf returns the error of a call's text that matters to the history; nil for any other.
+func errorOf(text string) error {
+	for _, err := range []error{lease.ErrHeld, lease.ErrNotHeld} {
+		if text == err.Error() {
+			return err
+		}
+	}
+	return nil
+}
