--- a/internal/group/client/client.go
+++ b/internal/group/client/client.go
@@ -166,7 +166,7 @@
 }
 
 // Close releases all duties and ends the client: no duty is held from its call on. It tries for up
-// to patience to tell the group, so that other members need not wait until the leases expire. It
+// to patience to notify the group, so that other members need not wait until the leases expire. It
 // returns when the client's goroutines have ended.
 func (c *Client) Close(patience time.Duration) {
 	c.mu.Lock()
--- a/internal/lab/clustersim/voter.go
+++ b/internal/lab/clustersim/voter.go
@@ -210,7 +210,7 @@
 	})
 }
 
-// sendResponses sends what the machine has answered, and tells one member of each duty that came free.
+// sendResponses sends what the machine has answered, and notifies one member of each duty that came free.
 func (v *voter) sendResponses() {
 	for _, d := range v.machine.Freed() {
 		to := v.sim.nodes[v.sim.size.Voters+v.sim.rng.IntN(v.sim.size.Members)]
