--- /dev/null
+++ b/internal/group/client/shared_watch.go
@@ -0,0 +1,234 @@
+package client
+
+import (
+	"errors"
+	"log/slog"
+	"math/rand/v2"
+	"time"
+
+	"piernotch/internal/group"
+	"piernotch/internal/group/lease"
+	"piernotch/internal/group/protocol"
+	"piernotch/internal/group/watch"
+)
+
+// sharedWatch is the duty of polling discovery for all members. The holder of the duty publishes what its
+// polls return; the others apply that, and poll only when no events reach them. All state is
+// under the client's lock.
+type sharedWatch struct {
+	client   *Client
+	duty     lease.Duty
+	onUpdate group.OnUpdate
+	address  string         // where this balancer reaches what the group calls cfg.Source
+	log      watch.EventLog // what this balancer's own polls returned
+	follower *watch.Follower
+	holder   *watch.Holder
+
+	publishedToken   uint64        // the token under which log was published last; 0: it has to be published again
+	publishedVersion uint64        // how far log was published
+	currentSource    string        // the discovery that this balancer uses now
+	knownSource      string        // of knownVersion
+	knownVersion     uint64        // the last version that this balancer is known to have
+	independent      bool          // as logged last: polls although it does not hold the duty
+	reacquireAt      time.Duration // > 0: the duty was released because discovery did not answer, and is wanted again from then on
+	lastSubscribe    time.Duration // when missing events were asked for last
+}
+
+func newSharedWatch(c *Client, d lease.Duty) *sharedWatch {
+	now := c.now()
+	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+	return &sharedWatch{
+		client:   c,
+		duty:     d,
+		onUpdate: func(group.WatchEvent) {},
+		holder:   watch.NewHolder(watch.DefaultTiming, now),
+		follower: watch.NewFollower(watch.DefaultTiming, rng, now),
+	}
+}
+
+// SharedWatch begins the balancer's part in the shared watch; it is a group.JoinWatch. onUpdate is called
+// from the client's goroutines.
+func (c *Client) SharedWatch(source string, onUpdate group.OnUpdate) group.SharedWatch {
+	if c.sharedWatch == nil {
+		return nil
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.sharedWatch.onUpdate = onUpdate
+	c.sharedWatch.address = source
+	c.sharedWatch.currentSource = c.sharedWatch.commonName(source)
+	return lockedSharedWatch{c.sharedWatch}
+}
+
+// lockedSharedWatch is the shared watch as the balancer sees it: each method takes the client's lock.
+type lockedSharedWatch struct{ w *sharedWatch }
+
+// ShouldPoll implements group.SharedWatch.
+func (l lockedSharedWatch) ShouldPoll(source string) (poll, complete bool) {
+	l.w.client.mu.Lock()
+	defer l.w.client.mu.Unlock()
+	return l.w.shouldPollLocked(source)
+}
+
+// Publish implements group.SharedWatch.
+func (l lockedSharedWatch) Publish(e group.WatchEvent) {
+	l.w.client.mu.Lock()
+	defer l.w.client.mu.Unlock()
+	l.w.appendLocked(e)
+}
+
+// PollFailed implements group.SharedWatch.
+func (l lockedSharedWatch) PollFailed() {
+	l.w.client.mu.Lock()
+	defer l.w.client.mu.Unlock()
+	l.w.holder.PollFailed()
+}
+
+// RequestUpdate implements group.SharedWatch.
+func (l lockedSharedWatch) RequestUpdate(source string, version uint64) {
+	l.w.client.mu.Lock()
+	defer l.w.client.mu.Unlock()
+	l.w.requestUpdateLocked(source, version)
+}
+
+// commonName returns the name that all members have for the discovery that this one reaches at an address.
+func (w *sharedWatch) commonName(address string) string {
+	if w.client.cfg.Source != "" && address == w.address {
+		return w.client.cfg.Source
+	}
+	return address
+}
+
+// tokenLocked returns the token of the duty, and whether this balancer holds it.
+func (w *sharedWatch) tokenLocked(now time.Duration) (token uint64, held bool) {
+	return w.client.holders[w.duty].Token(now)
+}
+
+func (w *sharedWatch) shouldPollLocked(source string) (poll, complete bool) {
+	w.currentSource = w.commonName(source)
+	now := w.client.now()
+	_, held := w.tokenLocked(now)
+	poll = w.follower.ShouldPoll(now, held)
+	if independent := w.follower.Independent() && !held; independent != w.independent {
+		w.independent = independent
+		slog.Info("group: polling discovery", "independent", independent, "duty", w.duty)
+	}
+	logSource, _, hasEvents := w.log.Version()
+	// What is published begins with a complete list of the current discovery.
+	needsCompleteList := !hasEvents || logSource != w.currentSource
+	return poll, held && needsCompleteList
+}
+
+func (w *sharedWatch) appendLocked(e group.WatchEvent) {
+	e.Source = w.commonName(e.Source)
+	w.knownSource = e.Source
+	w.knownVersion = e.ToVersion
+	w.holder.PollSucceeded(w.client.now())
+	if err := w.log.Append(0, e); errors.Is(err, watch.ErrVersionGap) {
+		w.log = watch.EventLog{} // shouldPollLocked asks for a complete list next
+		return
+	}
+	w.publishLocked()
+}
+
+func (w *sharedWatch) requestUpdateLocked(source string, version uint64) {
+	w.knownSource = w.commonName(source)
+	w.knownVersion = version
+	now := w.client.now()
+	// Until the answer is here, each further event shows the same gap.
+	if now >= w.lastSubscribe+watch.DefaultTiming.HeartbeatInterval {
+		w.lastSubscribe = now
+		w.subscribeLocked()
+	}
+}
+
+// subscribeLocked asks the leader for all events after the known version, from now on.
+func (w *sharedWatch) subscribeLocked() {
+	w.client.sendLocked(protocol.Request{
+		Kind:    protocol.Subscribe,
+		Command: lease.Command{Duty: w.duty},
+		Event:   &group.WatchEvent{Source: w.knownSource, ToVersion: w.knownVersion},
+	}, func(protocol.Response) {})
+}
+
+// connectedLocked starts over with another voter, which may have none of the events.
+func (w *sharedWatch) connectedLocked() {
+	w.publishedToken = 0
+	w.subscribeLocked()
+}
+
+// tickLocked publishes heartbeats while this balancer holds the duty, and releases the duty while discovery
+// does not answer it, so that another member may try.
+func (w *sharedWatch) tickLocked(now time.Duration) {
+	token, held := w.tokenLocked(now)
+	switch {
+	case !held:
+		if w.reacquireAt > 0 && now >= w.reacquireAt {
+			w.reacquireAt = 0
+			w.client.acquire(w.duty)
+		}
+	case token != w.publishedToken:
+		w.publishLocked()
+	case !w.holder.Healthy(now) && w.reacquireAt == 0:
+		slog.Warn("group: duty released, discovery unreachable", "duty", w.duty)
+		twoLeases := 2 * w.client.timing.Duration
+		w.reacquireAt = now + twoLeases + rand.N(twoLeases)
+		w.client.holders[w.duty].Release()
+	case w.holder.HeartbeatDue(now):
+		if source, version, hasEvents := w.log.Version(); hasEvents {
+			w.publishEventLocked(token, group.WatchEvent{Source: source, FromVersion: version, ToVersion: version})
+		}
+	}
+}
+
+// publishLocked publishes what own polls returned since the last call. Under a new token it begins with the
+// complete list.
+func (w *sharedWatch) publishLocked() {
+	now := w.client.now()
+	token, held := w.tokenLocked(now)
+	source, version, hasEvents := w.log.Version()
+	if !held || !hasEvents || w.client.conn == nil {
+		return
+	}
+	events := w.log.Since(source, w.publishedVersion)
+	if w.publishedToken != token {
+		events = w.log.Since("", 0)
+		w.holder.PollSucceeded(now) // a new holder gets the whole timeout for its first poll
+	}
+	w.publishedToken = token
+	w.knownSource = source
+	w.knownVersion = version
+	for _, e := range events {
+		w.publishEventLocked(token, e)
+	}
+	w.publishedVersion = version
+}
+
+// publishEventLocked publishes one event. If the leader lacks what precedes it, all is published again.
+func (w *sharedWatch) publishEventLocked(token uint64, e group.WatchEvent) {
+	w.client.sendLocked(protocol.Request{
+		Kind:    protocol.Publish,
+		Command: lease.Command{Duty: w.duty, Process: w.client.process, Token: token},
+		Event:   &e,
+	}, func(r protocol.Response) {
+		if errors.Is(r.Err, watch.ErrVersionGap) || errors.Is(r.Err, watch.ErrStaleToken) {
+			w.publishedToken = 0
+		}
+	})
+}
+
+// handleEventLocked passes an event of the holder on to the balancer. It ignores a holder that polls
+// another discovery, one that has been replaced, and this balancer's own events.
+func (w *sharedWatch) handleEventLocked(token uint64, e group.WatchEvent) {
+	if e.Source != w.currentSource {
+		return
+	}
+	now := w.client.now()
+	if _, held := w.tokenLocked(now); held || !w.follower.Heartbeat(now, token) {
+		return
+	}
+	if e.Source == w.commonName(w.address) {
+		e.Source = w.address
+	}
+	w.onUpdate(e)
+}
--- /dev/null
+++ b/internal/group/client/shared_watch_test.go
@@ -0,0 +1,40 @@
+package client
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"piernotch/internal/group"
+	"piernotch/internal/group/watch"
+)
+
+// A balancer whose settings name another discovery does not rely on a holder that polls the old one.
+func TestHolderPollingAnotherDiscoveryIsIgnored(t *testing.T) {
+	c := Start(group.Config{
+		Name: "g", Self: "a", LeaseDuration: time.Second, Watch: "watch", Voters: []group.Voter{{Name: "v", Address: "127.0.0.1:1"}},
+	}, nil)
+	defer c.Close(0)
+	updates := 0
+	shared := c.SharedWatch("old", func(group.WatchEvent) { updates++ })
+	receive := func(version uint64) {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.sharedWatch.handleEventLocked(1, group.WatchEvent{Source: "old", Whole: true, ToVersion: version})
+	}
+	receive(1)
+	polls, _ := shared.ShouldPoll("old")
+	require.False(t, polls)
+	require.Equal(t, 1, updates)
+
+	shared.ShouldPoll("new")
+	c.mu.Lock()
+	longAgo := -watch.DefaultTiming.HeartbeatTimeout - watch.DefaultTiming.TimeoutJitter
+	c.sharedWatch.follower.Heartbeat(longAgo, 1)
+	c.mu.Unlock()
+	receive(2)
+	polls, _ = shared.ShouldPoll("new")
+	require.True(t, polls)
+	require.Equal(t, 1, updates)
+}
--- /dev/null
+++ b/internal/group/watch/event_log.go
@@ -0,0 +1,89 @@
+package watch
+
+import (
+	"errors"
+
+	"piernotch/internal/group"
+)
+
+// Bounds of an EventLog.
+const (
+	MaxBodySize = 512 << 10 // bytes of one event
+	maxChanges  = 256       // events after the complete list
+)
+
+// Errors of EventLog.Append.
+var (
+	ErrStaleToken = errors.New("a later holder has spoken")
+	ErrVersionGap = errors.New("a whole list is needed first")
+	ErrTooLarge   = errors.New("a list of over 512 KiB is not passed on")
+)
+
+// EventLog is a complete list and the changes since, with the token of the holder that published them last. The
+// zero value is empty. The leader of a group keeps one for each duty, and each balancer that polls discovery
+// one of its own polls.
+type EventLog struct {
+	token   uint64
+	source  string
+	version uint64
+	events  []group.WatchEvent // the first is a complete list
+}
+
+// Append adds an event that was published under a token. A complete list replaces the log; a change has to
+// apply to the log's version. The error is ErrStaleToken for an event older than the log, ErrVersionGap if
+// a complete list has to come first, and ErrTooLarge over MaxBodySize; the log is then as before.
+func (l *EventLog) Append(token uint64, e group.WatchEvent) error {
+	if token < l.token {
+		return ErrStaleToken
+	}
+	if len(e.Body) > MaxBodySize {
+		return ErrTooLarge
+	}
+	if e.Whole {
+		return l.replace(token, e)
+	}
+	follows := len(l.events) > 0 && e.Source == l.source && e.FromVersion == l.version
+	full := len(l.events) > maxChanges
+	if !follows || full && !e.IsHeartbeat() {
+		return ErrVersionGap
+	}
+	l.token = token
+	l.version = e.ToVersion
+	if !e.IsHeartbeat() {
+		l.events = append(l.events, e)
+	}
+	return nil
+}
+
+// replace begins the log anew with a complete list, which a holder may not publish for an older version.
+func (l *EventLog) replace(token uint64, e group.WatchEvent) error {
+	if token == l.token && e.Source == l.source && e.ToVersion < l.version {
+		return ErrStaleToken
+	}
+	l.token = token
+	l.source = e.Source
+	l.version = e.ToVersion
+	l.events = []group.WatchEvent{e} // not the old array, of which Since has returned parts
+	return nil
+}
+
+// Since returns the events after a version of a source, or the whole log if it does not know that
+// version. The caller must not change them.
+func (l *EventLog) Since(source string, version uint64) []group.WatchEvent {
+	if source == l.source {
+		for i, e := range l.events {
+			if e.ToVersion == version {
+				return l.events[i+1:]
+			}
+		}
+	}
+	return l.events
+}
+
+// Token returns the token under which the last event was published.
+func (l *EventLog) Token() uint64 { return l.token }
+
+// Version returns the source and version that the log leads to, and whether it holds any event.
+func (l *EventLog) Version() (source string, version uint64, hasEvents bool) {
+	return l.source, l.version, len(l.events) > 0
+}
--- /dev/null
+++ b/internal/group/watch/event_log_test.go
@@ -0,0 +1,76 @@
+package watch
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+
+	"piernotch/internal/group"
+)
+
+func TestEventLogLeadsEveryFollowerToTheLastVersion(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var log EventLog
+		version, token := uint64(0), uint64(1)
+		followerVersions := map[int]uint64{}
+		for range rapid.IntRange(1, 80).Draw(t, "steps") {
+			e := group.WatchEvent{Source: "d", FromVersion: version, ToVersion: version + 1}
+			switch rapid.IntRange(0, 5).Draw(t, "what") {
+			case 0:
+				e.Whole, e.FromVersion = true, 0
+			case 1:
+				e.FromVersion, e.ToVersion = version+3, version+4 // a change between was lost
+			case 2:
+				token++ // a new holder begins with a complete list
+				e.Whole, e.FromVersion = true, 0
+			case 3: // the holder before publishes once more
+				err := log.Append(token-1, group.WatchEvent{Source: "d", Whole: true, ToVersion: version + 9})
+				if log.token == token {
+					require.ErrorIs(t, err, ErrStaleToken)
+				} else {
+					require.NoError(t, err)
+				}
+				if log.token < token {
+					version += 9
+				}
+				continue
+			}
+			if log.Append(token, e) == nil {
+				version = e.ToVersion
+			}
+			follower := rapid.IntRange(0, 3).Draw(t, "follower")
+			for _, e := range log.Since("d", followerVersions[follower]) {
+				apply, missing := e.Follows("d", followerVersions[follower])
+				require.False(t, missing)
+				if apply {
+					require.Greater(t, e.ToVersion, followerVersions[follower])
+					followerVersions[follower] = e.ToVersion
+				}
+			}
+			if _, last, hasEvents := log.Version(); hasEvents {
+				require.GreaterOrEqual(t, followerVersions[follower], last)
+			}
+		}
+	})
+}
+
+func TestFollowsAppliesOnlyNewerEventsOfTheSameSource(t *testing.T) {
+	for _, c := range []struct {
+		event          group.WatchEvent
+		apply, missing bool
+	}{
+		{group.WatchEvent{Source: "d", FromVersion: 5, ToVersion: 6}, true, false},
+		{group.WatchEvent{Source: "d", FromVersion: 6, ToVersion: 7}, false, true},
+		{group.WatchEvent{Source: "d", FromVersion: 4, ToVersion: 5}, false, false},
+		{group.WatchEvent{Source: "d", Whole: true, ToVersion: 4}, false, false},
+		{group.WatchEvent{Source: "d", Whole: true, ToVersion: 9}, true, false},
+		{group.WatchEvent{Source: "d", FromVersion: 9, ToVersion: 9}, false, true},
+		{group.WatchEvent{Source: "d", FromVersion: 5, ToVersion: 5}, false, false},
+		{group.WatchEvent{Source: "e", Whole: true, ToVersion: 9}, false, false},
+	} {
+		apply, missing := c.event.Follows("d", 5)
+		require.Equal(t, c.apply, apply, c.event)
+		require.Equal(t, c.missing, missing, c.event)
+	}
+}
--- /dev/null
+++ b/internal/lab/clustersim/simulation.go
@@ -0,0 +1,122 @@
+package clustersim
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"piernotch/internal/group/consensus"
+	"piernotch/internal/group/lease"
+	"piernotch/internal/group/protocol"
+)
+
+// LeaseTiming is that of the simulated group: short, so that a schedule holds many leases.
+var LeaseTiming = lease.Timing{Duration: 3 * time.Second, MaxClockDrift: 0.01}
+
+// The digest is that of FNV-1a, over whole numbers in place of bytes.
+const (
+	digestOffset = 14695981039346656037
+	digestPrime  = 1099511628211
+)
+
+// Result is what came of one seed.
+type Result struct {
+	Seed   uint64   `json:"seed"`
+	Broken []string `json:"broken,omitempty"` // the violations, with the time of each
+	Faults []Fault  `json:"faults,omitempty"` // of a run with violations
+	Spans  []Span   `json:"-"`
+	Acts   int      `json:"acts"`   // that receivers did
+	Fenced int      `json:"fenced"` // acts that receivers rejected by their token
+	Calls  int      `json:"calls"`
+	Grants int      `json:"grants"` // tokens under which something was done
+	Unheld float64  `json:"unheld"` // the share of the time that a duty was held by nobody
+	Digest uint64   `json:"digest"` // of all acts
+}
+
+// simulation is the state of one run. All of it is used from one goroutine.
+type simulation struct {
+	size         Size
+	rng          *rand.Rand
+	now          time.Duration // true time
+	events       eventQueue
+	nodes        []*node      // by nodeID
+	cuts         map[link]int // how many faults cut a link
+	lossyNetwork int          // how many faults make the network lossy
+	lastVoterID  uint64
+
+	result   Result
+	digest   uint64
+	actors   map[lease.Duty]map[uint64]nodeID // who acted under a token
+	lastHeld map[lease.Duty]time.Duration
+	calls    []Call
+}
+
+// simulate plays a seed with a schedule. The caller has made raft's random source that of the seed.
+func simulate(seed uint64, size Size, faults []Fault) Result {
+	s := newSimulation(seed, size)
+	for _, n := range s.nodes {
+		n.start()
+	}
+	for _, f := range faults {
+		s.at(f.At, func() { s.inject(f) })
+	}
+	s.runEvents()
+	if !s.violated() {
+		s.checkEnd()
+	}
+	if s.violated() {
+		s.result.Faults = faults
+	}
+	s.result.Digest = s.digest
+	s.result.Calls = len(s.calls)
+	return s.result
+}
+
+func newSimulation(seed uint64, size Size) *simulation {
+	s := &simulation{
+		size:     size,
+		rng:      rand.New(rand.NewPCG(seed, 0x90de)),
+		cuts:     map[link]int{},
+		digest:   digestOffset,
+		actors:   map[lease.Duty]map[uint64]nodeID{},
+		lastHeld: map[lease.Duty]time.Duration{},
+		result:   Result{Seed: seed},
+	}
+	var voters []protocol.Voter
+	for i := range size.Voters {
+		s.lastVoterID++
+		voters = append(voters, protocol.Voter{ID: s.lastVoterID, Name: voterName(i)})
+	}
+	for i := range size.Voters + size.Members + size.Receivers {
+		n := &node{sim: s, id: nodeID(i), up: true, clockRate: 1 + (s.rng.Float64()*2-1)*LeaseTiming.MaxClockDrift}
+		s.nodes = append(s.nodes, n)
+		switch {
+		case i < size.Voters:
+			n.voter = &voter{node: n, name: voters[i].Name, disk: disk{id: voters[i].ID, state: consensus.Bootstrap(voters)}}
+		case i < size.Voters+size.Members:
+			n.member = &member{node: n}
+		}
+	}
+	return s
+}
+
+// runEvents plays events until the run's length is reached or something is violated.
+func (s *simulation) runEvents() {
+	for !s.events.empty() && s.now < s.size.Length && !s.violated() {
+		e := s.events.next()
+		s.now = e.at
+		e.do()
+	}
+}
+
+func (s *simulation) violated() bool { return len(s.result.Broken) > 0 }
+
+// at schedules something for a moment of true time.
+func (s *simulation) at(t time.Duration, do func()) { s.events.schedule(t, do) }
+
+func (s *simulation) voters() []*node { return s.nodes[:s.size.Voters] }
+
+func (s *simulation) members() []*node {
+	return s.nodes[s.size.Voters : s.size.Voters+s.size.Members]
+}
+
+func (s *simulation) receivers() []*node { return s.nodes[s.size.Voters+s.size.Members:] }
--- /dev/null
+++ b/internal/lab/clustertest/harness.go
@@ -0,0 +1,199 @@
+package clustertest
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+
+	"piernotch/internal/group/client"
+	"piernotch/internal/group/lease"
+	"piernotch/internal/lab/clustersim"
+	"piernotch/internal/lab/faultproxy"
+)
+
+// LeaseDuration is that of the groups under test.
+const LeaseDuration = 2 * time.Second
+
+const (
+	maxClockDrift = 0.01
+	startTimeout  = 20 * time.Second // until every duty is held for the first time
+	endTimeout    = time.Second      // the same at the end of a run
+	listInterval  = 50 * time.Millisecond
+	maxViolations = 8
+	harnessNumber = -1 // of the harness' own client, among the numbers of processes
+)
+
+// Options say what is run.
+type Options struct {
+	Voter  string // the path of the voter's program
+	Holder string // the path of the holder's program: piernotch-lab, whose command "hold" is run
+	Seed   uint64
+	Size   clustersim.Size // Receivers is not used: the harness receives the acts
+	Dir    string          // an existing folder for configurations, stores and logs
+}
+
+// Result is what came of one seed.
+type Result struct {
+	Seed        uint64             `json:"seed"`
+	Broken      []string           `json:"broken,omitempty"` // the violations
+	Faults      []clustersim.Fault `json:"faults,omitempty"` // of a run with violations
+	Spans       []clustersim.Span  `json:"-"`
+	Unsupported []string           `json:"left,omitempty"` // kinds of faults in the schedule that cannot be injected into processes
+	Acts        int                `json:"acts"`
+	Fenced      int                `json:"fenced"` // acts whose token the harness rejected
+	Calls       int                `json:"calls"`
+	Grants      int                `json:"grants"` // tokens under which something was done
+	Gaps        []float64          `json:"gaps_s"` // seconds from the last act under one token to the first under the next
+}
+
+// harness is the state of one run. Its goroutines are the collector of reports, which close ends, one for
+// each process, which ends with the process, and one for each fault, which Run waits for.
+type harness struct {
+	opts      Options
+	proxies   *faultproxy.Net
+	rng       *rand.Rand // under mu
+	processes []*process // voters first, then holders: by the numbers of a schedule's nodes
+	listener  net.Listener
+	observer  *client.Client // without duties: shows leases and voters
+	startedAt time.Time      // of the schedule
+
+	mu         sync.Mutex
+	knownDisks map[string]uint64 // the identity of each voter's disk, by its name, when allDisksVote was called last
+	lostDisks  map[string]uint64 // the identity of the disk that each voter lost last
+	uses       map[lease.Duty]map[uint64]*tokenUse
+	fence      lease.Fence
+	calls      []clustersim.Call
+	result     Result
+}
+
+func newHarness(opts Options) *harness {
+	return &harness{
+		opts:       opts,
+		proxies:    faultproxy.New(opts.Seed),
+		rng:        rand.New(rand.NewPCG(opts.Seed, 0x916)),
+		knownDisks: map[string]uint64{},
+		lostDisks:  map[string]uint64{},
+		uses:       map[lease.Duty]map[uint64]*tokenUse{},
+		result:     Result{Seed: opts.Seed},
+	}
+}
+
+// Run plays the schedule of one seed. Violations are in the result; the error says why a run could not be
+// played or was ended by ctx.
+func Run(ctx context.Context, opts Options) (Result, error) {
+	h := newHarness(opts)
+	defer h.close()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel() // runs before close, whose end of the processes is then no violation
+	if err := h.start(ctx); err != nil {
+		return h.snapshot(), err
+	}
+	h.beginSchedule()
+	faults := clustersim.Draw(opts.Seed, opts.Size)
+	var injections sync.WaitGroup
+	for _, f := range faults {
+		injections.Go(func() {
+			if sleep(ctx, f.At-h.elapsed()) {
+				h.inject(ctx, f)
+			}
+		})
+	}
+	injections.Wait()
+	sleep(ctx, opts.Size.Length-h.elapsed())
+	if ctx.Err() == nil {
+		h.checkEnd(ctx)
+	}
+	result := h.snapshot()
+	if len(result.Broken) > 0 {
+		result.Faults = faults
+	}
+	return result, ctx.Err()
+}
+
+// start starts all processes and waits until every duty is held. close has to be called in any case.
+func (h *harness) start(ctx context.Context) error {
+	var err error
+	if h.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+		return err
+	}
+	go h.collectReports() // until close
+	if err := h.prepare(); err != nil {
+		return err
+	}
+	for _, p := range h.processes {
+		if err := h.startProcess(ctx, p); err != nil {
+			return err
+		}
+	}
+	return h.waitUntilHeld(ctx, startTimeout)
+}
+
+// close ends all that start began. The context of start must be done.
+func (h *harness) close() {
+	if h.observer != nil {
+		h.observer.Close(0)
+	}
+	for _, p := range h.processes {
+		if done := h.signalEnd(p, syscall.SIGKILL); done != nil {
+			<-done
+		}
+	}
+	if h.listener != nil {
+		_ = h.listener.Close()
+	}
+	h.proxies.Close()
+}
+
+// waitUntilHeld waits until every duty is held.
+func (h *harness) waitUntilHeld(ctx context.Context, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	for {
+		list, err := h.observer.List(ctx)
+		if err != nil {
+			return fmt.Errorf("the group does not begin: %w", err)
+		}
+		if len(list.Leases.Grants) == h.opts.Size.Duties {
+			return nil
+		}
+		sleep(ctx, listInterval)
+	}
+}
+
+// beginSchedule sets the zero of the schedule's times.
+func (h *harness) beginSchedule() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.startedAt = time.Now()
+}
+
+func (h *harness) elapsed() time.Duration { return time.Since(h.startedAt) }
+
+// violation records that the run broke a property.
+func (h *harness) violation(format string, args ...any) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(h.result.Broken) < maxViolations {
+		h.result.Broken = append(h.result.Broken, fmt.Sprintf("%.3f s: ", h.elapsed().Seconds())+fmt.Sprintf(format, args...))
+	}
+}
+
+func (h *harness) snapshot() Result {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.result
+}
+
+// sleep waits, and reports whether ctx was not done before.
+func sleep(ctx context.Context, d time.Duration) bool {
+	select {
+	case <-ctx.Done():
+		return false
+	case <-time.After(d):
+		return true
+	}
+}
--- /dev/null
+++ b/internal/lab/clustertest/holder.go
@@ -0,0 +1,83 @@
+package clustertest
+
+import (
+	"context"
+	"encoding/json"
+	"net"
+	"sync"
+	"time"
+
+	"piernotch/internal/group"
+	"piernotch/internal/group/client"
+	"piernotch/internal/group/lease"
+	"piernotch/internal/group/protocol"
+)
+
+const (
+	actInterval     = 20 * time.Millisecond
+	releasePatience = 500 * time.Millisecond // for releasing the duties at the end
+)
+
+// Act is the program of a holder: it acquires the duties of a group's file and acts under those that it
+// holds, until ctx is done. harness is the TCP address that it reports to.
+func Act(ctx context.Context, file, harness string) error {
+	cfg, err := group.LoadFile(file)
+	if err != nil {
+		return err
+	}
+	nc, err := net.Dial("tcp", harness)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = nc.Close() }()
+	reports := &reporter{name: cfg.Self, encoder: json.NewEncoder(nc)}
+	member := client.Start(cfg, reports.observe)
+	ticker := time.NewTicker(actInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			member.Close(releasePatience)
+			return nil
+		case <-ticker.C:
+		}
+		for _, d := range cfg.Duties {
+			checkedAt := time.Now().UnixNano()
+			if token, held := member.Token(lease.Duty(d)); held {
+				reports.send(report{Act: &act{Duty: lease.Duty(d), Token: token, CheckedAt: checkedAt}})
+			}
+		}
+	}
+}
+
+// reporter sends reports to the harness. Its methods may be called from any goroutine.
+type reporter struct {
+	name    string
+	mu      sync.Mutex
+	encoder *json.Encoder
+}
+
+func (r *reporter) send(line report) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	line.Name = r.name
+	_ = r.encoder.Encode(line) // fails when the harness has ended, which then needs no reports
+}
+
+// observe reports the requests that got a final response; it is a client.RequestObserver.
+func (r *reporter) observe(record client.RequestRecord) {
+	if record.Err != nil || !protocol.IsFinal(record.Response.Err) {
+		return
+	}
+	c := &call{
+		Kind:       record.Request.Kind,
+		Command:    record.Request.Command,
+		SentAt:     record.SentAt.UnixNano(),
+		ReceivedAt: record.ReceivedAt.UnixNano(),
+		Grant:      record.Response.Grant,
+	}
+	if record.Response.Err != nil {
+		c.Err = record.Response.Err.Error()
+	}
+	r.send(report{Call: c})
+}
