--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -65,7 +65,7 @@
 func (a *adapter) handle(now time.Duration) error {
 	e := &a.event
 	b, ok := a.instances[e.Instance]
-	if e.Code == wire.Start {
+	if e.Code == wire.EventStart {
 		if ok {
 			return errors.New("started twice without a stop")
 		}
@@ -75,7 +75,7 @@
 	if !ok {
 		return fmt.Errorf("event with code %d before its start", e.Code)
 	}
-	if e.Code == wire.Stop {
+	if e.Code == wire.EventStop {
 		delete(a.instances, e.Instance)
 		return nil
 	}
@@ -90,16 +90,16 @@
 	a.instances[e.Instance] = nil
 	settings, err := wire.Settings(e.Data)
 	if err != nil {
-		a.reply.Fault(e.Instance, err.Error())
+		a.reply.ReportFault(e.Instance, err.Error())
 		return
 	}
-	if a.columns, err = wire.Columns(e.Data); err != nil {
-		a.reply.Fault(e.Instance, err.Error())
+	if a.columns, err = wire.ParseReportColumns(e.Data); err != nil {
+		a.reply.ReportFault(e.Instance, err.Error())
 		return
 	}
 	b, err := piernotch.New(settings, e.Seed, &host{inst: e.Instance, reply: &a.reply})
 	if err != nil {
-		a.reply.Fault(e.Instance, err.Error())
+		a.reply.ReportFault(e.Instance, err.Error())
 		return
 	}
 	a.instances[e.Instance] = b
@@ -107,35 +107,35 @@
 
 func (a *adapter) dispatch(b *piernotch.Balancer, now time.Duration) error {
 	e := &a.event
-	if load, ok := wire.Report(e, a.columns); ok {
+	if load, ok := wire.ParseLoadReport(e, a.columns); ok {
 		b.LoadReported(now, piernotch.BackendID(e.Backend), load)
 	}
 	switch e.Code {
-	case wire.Demand:
+	case wire.EventRequest:
 		b.HandleRequest(now, demand(e))
-	case wire.Verdict:
-		status, err := wire.Status(e.Status)
+	case wire.EventAttemptCompleted:
+		status, err := wire.ParseStatus(e.Status)
 		if err != nil {
 			return err
 		}
 		b.HandleOutcome(now, piernotch.Outcome{
 			ID: piernotch.RequestID(e.ID), Attempt: int(e.Attempt), Backend: piernotch.BackendID(e.Backend),
-			Status: status, Latency: wire.Duration(e.TookMS), Closed: e.Closed,
+			Status: status, Latency: wire.Duration(e.LatencyMS), Closed: e.Closed,
 		})
-	case wire.TimeoutFired:
+	case wire.EventTimerFired:
 		b.Timer(now, e.Token)
-	case wire.ClientGone:
+	case wire.EventClientGone:
 		b.ClientGone(now, piernotch.RequestID(e.ID))
-	case wire.Streaming:
+	case wire.EventResponseStarted:
 		b.ResponseStarted(now, piernotch.RequestID(e.ID), int(e.Attempt))
-	case wire.PingResult:
-		status, err := wire.Status(e.Status)
+	case wire.EventHealthCheckCompleted:
+		status, err := wire.ParseStatus(e.Status)
 		if err != nil {
 			return err
 		}
 		b.HealthCheckCompleted(now, piernotch.BackendID(e.Backend), status)
-	case wire.View:
-		kind, entries, err := wire.List(e, a.entries[:0])
+	case wire.EventEndpointList:
+		kind, entries, err := wire.ParseEndpointList(e, a.entries[:0])
 		if err != nil {
 			return err
 		}
@@ -146,13 +146,13 @@
 }
 
 func demand(e *wire.Event) piernotch.Request {
-	hint := e.HintMS
-	if e.Flags&wire.FlagHint == 0 {
+	hint := e.CostHintMS
+	if e.Flags&wire.FlagCostHint == 0 {
 		hint = math.NaN()
 	}
 	return piernotch.Request{
 		ID: piernotch.RequestID(e.ID), Class: int(e.Class), Tenant: int(e.Tenant), Key: e.Key,
-		Deadline: wire.Duration(e.DeadlineM), CostHint: hint,
+		Deadline: wire.Duration(e.DeadlineMS), CostHint: hint,
 	}
 }
 
@@ -163,18 +163,18 @@
 }
 
 func (h *host) StartAttempt(id piernotch.RequestID, to piernotch.BackendID, timeout time.Duration) {
-	h.reply.Send(h.inst, uint64(id), uint32(to), wire.Milliseconds(timeout))
+	h.reply.StartAttempt(h.inst, uint64(id), uint32(to), wire.Milliseconds(timeout))
 }
 
 func (h *host) CancelAttempt(id piernotch.RequestID, attempt int) {
-	h.reply.Cancel(h.inst, uint64(id), uint8(attempt))
+	h.reply.CancelAttempt(h.inst, uint64(id), uint8(attempt))
 }
 
 func (h *host) Reject(id piernotch.RequestID, retryAfter time.Duration) {
-	h.reply.Refuse(h.inst, uint64(id), wire.Milliseconds(retryAfter))
+	h.reply.Reject(h.inst, uint64(id), wire.Milliseconds(retryAfter))
 }
 
 func (h *host) Fail(id piernotch.RequestID)        { h.reply.Fail(h.inst, uint64(id)) }
-func (h *host) HealthCheck(b piernotch.BackendID)  { h.reply.Probe(h.inst, uint32(b)) }
-func (h *host) WatchEndpoints()                    { h.reply.Watch(h.inst, true) }
-func (h *host) SetTimer(d time.Duration, t uint32) { h.reply.Timer(h.inst, wire.Milliseconds(d), t) }
+func (h *host) HealthCheck(b piernotch.BackendID)  { h.reply.HealthCheck(h.inst, uint32(b)) }
+func (h *host) WatchEndpoints()                    { h.reply.WatchEndpoints(h.inst, true) }
+func (h *host) SetTimer(d time.Duration, t uint32) { h.reply.SetTimer(h.inst, wire.Milliseconds(d), t) }
--- a/internal/lab/simulation/child.go
+++ b/internal/lab/simulation/child.go
@@ -27,7 +27,7 @@
 	waited  chan error
 	seq     uint32
 	batch   wire.BatchWriter
-	lines   []wire.Line
+	lines   []wire.EndpointEntry
 	actions []Action
 	day     *scenario.Day
 	// Patience is how long the program may take for one batch.
@@ -214,31 +214,31 @@
 	case Demand:
 		flags := uint8(0)
 		if e.Request.CostHint > 0 {
-			flags |= wire.FlagHint
+			flags |= wire.FlagCostHint
 		}
 		if e.Retry {
 			flags |= wire.FlagRetry
 		}
-		b.Demand(inst, uint64(e.Request.ID), uint8(e.Request.Class), uint16(e.Request.Tenant), e.Request.Key,
+		b.Request(inst, uint64(e.Request.ID), uint8(e.Request.Class), uint16(e.Request.Tenant), e.Request.Key,
 			wire.Milliseconds(e.Request.Deadline), e.Request.CostHint, flags)
 	case Gone:
-		b.Gone(inst, uint64(e.ID))
+		b.ClientGone(inst, uint64(e.ID))
 	case Verdict:
 		o := &e.Outcome
-		b.Verdict(inst, uint64(o.ID), uint8(o.Attempt), uint32(o.Backend), wire.StatusCode(o.Status), wire.Milliseconds(o.Latency), o.Closed, load()...)
+		b.AttemptCompleted(inst, uint64(o.ID), uint8(o.Attempt), uint32(o.Backend), wire.StatusCode(o.Status), wire.Milliseconds(o.Latency), o.Closed, load()...)
 	case Probed:
-		b.Ping(inst, uint32(e.Backend), wire.StatusCode(e.Status), wire.Milliseconds(e.Took), load()...)
+		b.HealthCheckCompleted(inst, uint32(e.Backend), wire.StatusCode(e.Status), wire.Milliseconds(e.Took), load()...)
 	case View:
 		c.lines = c.lines[:0]
 		for i, en := range e.Entries {
-			c.lines = append(c.lines, wire.Line{
+			c.lines = append(c.lines, wire.EndpointEntry{
 				Backend: uint32(en.ID), Zone: uint8(en.Zone), Kind: uint8(e.Machines[i]), Cell: uint16(en.Cell),
-				State: wire.StateCode(en.State), Size: en.Size, BornMS: wire.Milliseconds(en.StartedAt),
+				State: wire.StateCode(en.State), Size: en.Size, StartedAtMS: wire.Milliseconds(en.StartedAt),
 			})
 		}
-		b.View(inst, wire.ScopeCode(e.List), e.Version, c.lines)
+		b.EndpointList(inst, wire.ListKindCode(e.List), e.Version, c.lines)
 	case Timer:
-		b.Fired(inst, e.Token)
+		b.TimerFired(inst, e.Token)
 	}
 	return nil
 }
@@ -249,31 +249,31 @@
 		w := &in[i]
 		a := Action{
 			Instance: int(w.Instance), ID: piernotch.RequestID(w.ID), Backend: piernotch.BackendID(w.Backend),
-			Attempt: int(w.Attempt), Delay: wire.Duration(w.MS), Token: w.Token,
+			Attempt: int(w.Attempt), Delay: wire.Duration(w.DurationMS), Token: w.Token,
 		}
 		switch w.Code {
-		case wire.ActSend:
+		case wire.ActionStartAttempt:
 			a.Kind = Send
-		case wire.ActCancel:
+		case wire.ActionCancelAttempt:
 			a.Kind = Cancel
-		case wire.ActRefuse:
+		case wire.ActionReject:
 			a.Kind = Refuse
-		case wire.ActFail:
+		case wire.ActionFail:
 			a.Kind = Fail
-		case wire.ActProbe:
+		case wire.ActionHealthCheck:
 			a.Kind = Probe
-		case wire.ActTimer:
+		case wire.ActionSetTimer:
 			a.Kind = SetTimer
-		case wire.ActClose:
+		case wire.ActionCloseIdle:
 			a.Kind = CloseIdle
-		case wire.ActFetch:
+		case wire.ActionFetchEndpoints:
 			a.Kind = Fetch
-		case wire.ActWatch:
+		case wire.ActionWatchEndpoints:
 			a.Kind = Watch
 			if !w.On {
 				continue
 			}
-		case wire.ActFault:
+		case wire.ActionReportFault:
 			return nil, c.broken(fmt.Sprintf("balancer %d reports a fault: %s", w.Instance, w.Text), nil)
 		default: // a line for the log
 			continue
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -58,14 +58,14 @@
 		t.Fatalf("%+v, %v", b, err)
 	}
 	var e Event
-	if err := b.Event(0, &e); err != nil || e.Code != Demand || e.Instance != 3 || e.ID != 0xfbadb5d3a91c4 ||
-		e.HintMS != 12 || e.Flags != FlagHint || e.DeadlineM != 8652.25 || e.Key != 0x91f03b7c55d20a64 {
+	if err := b.Event(0, &e); err != nil || e.Code != EventRequest || e.Instance != 3 || e.ID != 0xfbadb5d3a91c4 ||
+		e.CostHintMS != 12 || e.Flags != FlagCostHint || e.DeadlineMS != 8652.25 || e.Key != 0x91f03b7c55d20a64 {
 		t.Errorf("%+v, %v", e, err)
 	}
-	if err := b.Event(1, &e); err != nil || e.Code != TimeoutFired || e.Token != 77 {
+	if err := b.Event(1, &e); err != nil || e.Code != EventTimerFired || e.Token != 77 {
 		t.Errorf("%+v, %v", e, err)
 	}
-	if err := b.Event(2, &e); err != nil || e.Code != ClientGone || e.Instance != 5 {
+	if err := b.Event(2, &e); err != nil || e.Code != EventClientGone || e.Instance != 5 {
 		t.Errorf("%+v, %v", e, err)
 	}
 	if _, err := r.Next(); err != io.EOF {
@@ -76,8 +76,8 @@
 func TestDocumentedReply(t *testing.T) {
 	var r Reply
 	var out bytes.Buffer
-	r.Send(3, 0xfbadb5d3a91c4, 0x03124a07, 80)
-	r.Timer(3, 500, 77)
+	r.StartAttempt(3, 0xfbadb5d3a91c4, 0x03124a07, 80)
+	r.SetTimer(3, 500, 77)
 	r.Log(5, "two servers known")
 	if err := r.WriteTo(&out, 12); err != nil {
 		t.Fatal(err)
@@ -100,7 +100,7 @@
 	if err := b.Event(0, &e); err != nil {
 		t.Fatal(err)
 	}
-	kind, list, err := List(&e, nil)
+	kind, list, err := ParseEndpointList(&e, nil)
 	if err != nil || kind != piernotch.UpdateCached || len(list) != 2 {
 		t.Fatalf("%v %v %v", kind, list, err)
 	}
@@ -115,15 +115,15 @@
 		do   func()
 		want string
 	}{
-		"cancel": {func() { r.Cancel(3, 0xfbadb5d3a91c4, 0) }, "00 03000000 c4913a5ddbba0f00 00"},
-		"close":  {func() { r.Close(3, 0x2c9011f2) }, "05 03000000 f211902c"},
+		"cancel": {func() { r.CancelAttempt(3, 0xfbadb5d3a91c4, 0) }, "00 03000000 c4913a5ddbba0f00 00"},
+		"close":  {func() { r.CloseIdle(3, 0x2c9011f2) }, "05 03000000 f211902c"},
 		"fail":   {func() { r.Fail(3, 0x85fb60e6f2b19) }, "03 03000000 192b6f0eb65f0800"},
-		"fetch":  {func() { r.Fetch(3) }, "08 03000000"},
-		"watch":  {func() { r.Watch(3, true) }, "09 03000000 01"},
-		"probe":  {func() { r.Probe(3, 0x2c9011f2) }, "01 03000000 f211902c"},
-		"refuse": {func() { r.Refuse(3, 0x85fb60e6f2b19, 250) }, "07 03000000 192b6f0eb65f0800 0000000000406f40"},
-		"fault":  {func() { r.Fault(3, "index out of range") }, "06 03000000 00000000 12000000"},
-		"tell":   {func() { r.Tell(3, 0xffff, []byte("hi 7")) }, "0b 03000000 ffff 00000000 04000000"},
+		"fetch":  {func() { r.FetchEndpoints(3) }, "08 03000000"},
+		"watch":  {func() { r.WatchEndpoints(3, true) }, "09 03000000 01"},
+		"probe":  {func() { r.HealthCheck(3, 0x2c9011f2) }, "01 03000000 f211902c"},
+		"refuse": {func() { r.Reject(3, 0x85fb60e6f2b19, 250) }, "07 03000000 192b6f0eb65f0800 0000000000406f40"},
+		"fault":  {func() { r.ReportFault(3, "index out of range") }, "06 03000000 00000000 12000000"},
+		"tell":   {func() { r.SendMessage(3, 0xffff, []byte("hi 7")) }, "0b 03000000 ffff 00000000 04000000"},
 	} {
 		c.do()
 		want := append(unhex(t, c.want), make([]byte, actionSize)...)[:actionSize]
@@ -143,7 +143,7 @@
 		t.Fatal(err)
 	}
 	var e Event
-	if err := b.Event(0, &e); err != nil || e.LoadN != 2 || e.Load[0] != 0.5 || e.Load[1] != 1 || !e.Closed || e.TookMS != 18.5 {
+	if err := b.Event(0, &e); err != nil || e.LoadCount != 2 || e.Load[0] != 0.5 || e.Load[1] != 1 || !e.Closed || e.LatencyMS != 18.5 {
 		t.Errorf("%+v, %v", e, err)
 	}
 }
@@ -154,7 +154,7 @@
 	binary.LittleEndian.PutUint32(buf, n)
 	binary.LittleEndian.PutUint32(buf[4:], uint32(len(buf)))
 	for i := range n {
-		buf[batchHeader+i*eventSize] = byte(TimeoutFired)
+		buf[batchHeader+i*eventSize] = byte(EventTimerFired)
 		binary.LittleEndian.PutUint32(buf[batchHeader+i*eventSize+5:], uint32(i))
 	}
 	b, err := NewReader(bytes.NewReader(buf)).Next()
@@ -213,8 +213,8 @@
 			if err := b.Event(i, &e); err != nil {
 				return err
 			}
-			if e.Code == View {
-				if _, _, err := List(&e, nil); err != nil {
+			if e.Code == EventEndpointList {
+				if _, _, err := ParseEndpointList(&e, nil); err != nil {
 					return err
 				}
 			}
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -34,27 +34,27 @@
 // TestBatchGoldenFile guards the frames of events: every event with every field set. There is no
 // writer of messages between instances: its record is in the second batch, put together by hand.
 func TestBatchGoldenFile(t *testing.T) {
-	lines := []Line{
-		{Backend: 0x03124a07, Zone: 1, Kind: 2, Cell: 0x0304, State: 2, Size: 1.5, BornMS: 6100.25},
-		{Backend: 0x2c9011f2, Zone: 5, Kind: 6, Cell: 0x0708, State: 0, Size: 0.25, BornMS: 7100.5},
+	lines := []EndpointEntry{
+		{Backend: 0x03124a07, Zone: 1, Kind: 2, Cell: 0x0304, State: 2, Size: 1.5, StartedAtMS: 6100.25},
+		{Backend: 0x2c9011f2, Zone: 5, Kind: 6, Cell: 0x0708, State: 0, Size: 0.25, StartedAtMS: 7100.5},
 	}
 	var b BatchWriter
 	var out bytes.Buffer
 	b.Start(1, 0x0102030405060708, []byte(`{"group_size":1}`))
-	b.Fired(2, 77)
-	b.Demand(3, 0x1112131415161718, 4, 0x0506, 0x2122232425262728, 8652.25, 12.5, FlagHint|FlagRetry|FlagWrite)
-	b.Gone(4, 0x3132333435363738)
-	b.Ping(5, 0x2c9011f2, 14, 3.5, 1, 2.5, 3, 4)
-	b.View(6, 3, 41, lines)
-	b.Verdict(7, 0x4142434445464748, 2, 0x03124a07, 13, 18.5, true, 5, 6.5)
+	b.TimerFired(2, 77)
+	b.Request(3, 0x1112131415161718, 4, 0x0506, 0x2122232425262728, 8652.25, 12.5, FlagCostHint|FlagRetry|FlagWrite)
+	b.ClientGone(4, 0x3132333435363738)
+	b.HealthCheckCompleted(5, 0x2c9011f2, 14, 3.5, 1, 2.5, 3, 4)
+	b.EndpointList(6, 3, 41, lines)
+	b.AttemptCompleted(7, 0x4142434445464748, 2, 0x03124a07, 13, 18.5, true, 5, 6.5)
 	b.Stop(8)
 	require.NoError(t, b.WriteTo(&out, 8412.25, 0x0a0b0c0d))
-	streaming := b.record(Streaming, 9)
+	streaming := b.record(EventResponseStarted, 9)
 	put64(streaming[5:], 0x5152535455565758)
 	putF64(streaming[13:], 9.75)
 	put32(streaming[21:], 0x03124a07)
 	streaming[25] = 3
-	message := b.record(Message, 10)
+	message := b.record(EventMessage, 10)
 	put32(message[5:], 11)
 	put32(message[13:], 4)
 	b.tail = append(b.tail, "hi 7"...)
@@ -63,14 +63,14 @@
 	want := [][]Event{{
 		{Code: 1, Instance: 1, Seed: 0x0102030405060708, Data: []byte(`{"group_size":1}`)},
 		{Code: 2, Instance: 2, Token: 77},
-		{Code: 3, Instance: 3, ID: 0x1112131415161718, Class: 4, Tenant: 0x0506, Key: 0x2122232425262728, DeadlineM: 8652.25, HintMS: 12.5, Flags: 7},
+		{Code: 3, Instance: 3, ID: 0x1112131415161718, Class: 4, Tenant: 0x0506, Key: 0x2122232425262728, DeadlineMS: 8652.25, CostHintMS: 12.5, Flags: 7},
 		{Code: 4, Instance: 4, ID: 0x3132333435363738},
-		{Code: 5, Instance: 5, Backend: 0x2c9011f2, Status: 14, TookMS: 3.5, Load: [4]float64{1, 2.5, 3, 4}, LoadN: 4},
-		{Code: 6, Instance: 6, Scope: 3},
-		{Code: 9, Instance: 7, ID: 0x4142434445464748, Attempt: 2, Backend: 0x03124a07, Status: 13, TookMS: 18.5, Closed: true, Load: [4]float64{5, 6.5}, LoadN: 2},
+		{Code: 5, Instance: 5, Backend: 0x2c9011f2, Status: 14, LatencyMS: 3.5, Load: [4]float64{1, 2.5, 3, 4}, LoadCount: 4},
+		{Code: 6, Instance: 6, ListKind: 3},
+		{Code: 9, Instance: 7, ID: 0x4142434445464748, Attempt: 2, Backend: 0x03124a07, Status: 13, LatencyMS: 18.5, Closed: true, Load: [4]float64{5, 6.5}, LoadCount: 2},
 		{Code: 8, Instance: 8},
 	}, {
-		{Code: 7, Instance: 9, ID: 0x5152535455565758, TookMS: 9.75, Backend: 0x03124a07, Attempt: 3},
+		{Code: 7, Instance: 9, ID: 0x5152535455565758, LatencyMS: 9.75, Backend: 0x03124a07, Attempt: 3},
 		{Code: 0, Instance: 10, From: 11, Data: []byte("hi 7")},
 	}}
 	r := NewReader(bytes.NewReader(checkGolden(t, "batches.bin", out.Bytes())))
@@ -83,10 +83,10 @@
 		for j, event := range events {
 			var got Event
 			require.NoError(t, batch.Event(j, &got))
-			if got.Code == View {
-				require.Equal(t, lines, []Line{got.Line(0), got.Line(1)})
-				require.Equal(t, 2, got.LineCount())
-				got.Lines = nil
+			if got.Code == EventEndpointList {
+				require.Equal(t, lines, []EndpointEntry{got.Entry(0), got.Entry(1)})
+				require.Equal(t, 2, got.EntryCount())
+				got.Entries = nil
 			}
 			require.Equal(t, event, got, "batch %d, event %d", i, j)
 		}
@@ -100,19 +100,19 @@
 func TestReplyGoldenFile(t *testing.T) {
 	var r Reply
 	var out bytes.Buffer
-	r.Cancel(1, 0x0102030405060708, 2)
-	r.Probe(2, 0x2c9011f2)
-	r.Send(3, 0x1112131415161718, 0x03124a07, 80.5)
+	r.CancelAttempt(1, 0x0102030405060708, 2)
+	r.HealthCheck(2, 0x2c9011f2)
+	r.StartAttempt(3, 0x1112131415161718, 0x03124a07, 80.5)
 	r.Fail(4, 0x2122232425262728)
-	r.Timer(5, 500.25, 77)
-	r.Close(6, 0x2c9011f2)
-	r.Fault(7, "index out of range")
-	r.Refuse(8, 0x3132333435363738, 250.75)
-	r.Fetch(9)
-	r.Watch(10, true)
+	r.SetTimer(5, 500.25, 77)
+	r.CloseIdle(6, 0x2c9011f2)
+	r.ReportFault(7, "index out of range")
+	r.Reject(8, 0x3132333435363738, 250.75)
+	r.FetchEndpoints(9)
+	r.WatchEndpoints(10, true)
 	r.Log(11, "two servers known")
 	require.NoError(t, r.WriteTo(&out, 12))
-	r.Tell(12, 0xffff, []byte("hi 7"))
+	r.SendMessage(12, 0xffff, []byte("hi 7"))
 	require.NoError(t, r.WriteTo(&out, 13))
 	golden := bytes.NewReader(checkGolden(t, "replies.bin", out.Bytes()))
 	got, err := ReadReply(golden, 12, nil)
@@ -120,12 +120,12 @@
 	require.Equal(t, []Action{
 		{Code: 0, Instance: 1, ID: 0x0102030405060708, Attempt: 2},
 		{Code: 1, Instance: 2, Backend: 0x2c9011f2},
-		{Code: 2, Instance: 3, ID: 0x1112131415161718, Backend: 0x03124a07, MS: 80.5},
+		{Code: 2, Instance: 3, ID: 0x1112131415161718, Backend: 0x03124a07, DurationMS: 80.5},
 		{Code: 3, Instance: 4, ID: 0x2122232425262728},
-		{Code: 4, Instance: 5, MS: 500.25, Token: 77},
+		{Code: 4, Instance: 5, DurationMS: 500.25, Token: 77},
 		{Code: 5, Instance: 6, Backend: 0x2c9011f2},
 		{Code: 6, Instance: 7, Text: "index out of range"},
-		{Code: 7, Instance: 8, ID: 0x3132333435363738, MS: 250.75},
+		{Code: 7, Instance: 8, ID: 0x3132333435363738, DurationMS: 250.75},
 		{Code: 8, Instance: 9},
 		{Code: 9, Instance: 10, On: true},
 		{Code: 10, Instance: 11, Text: "two servers known"},
@@ -163,7 +163,7 @@
 	got, err := Settings(data)
 	require.NoError(t, err)
 	require.Equal(t, want, got)
-	columns, err := Columns(data)
+	columns, err := ParseReportColumns(data)
 	require.NoError(t, err)
 	require.Equal(t, []string{"inflight", "qps"}, columns)
 	keepAlive, dialTimeout, err := Connections(data)
@@ -178,12 +178,12 @@
 		piernotch.Error: 13, piernotch.ConnectFailed: 14,
 	} {
 		require.Equal(t, code, StatusCode(status))
-		got, err := Status(code)
+		got, err := ParseStatus(code)
 		require.NoError(t, err)
 		require.Equal(t, status, got)
 	}
 	require.Equal(t, []uint8{0, 1, 2}, []uint8{StateCode(piernotch.Draining), StateCode(piernotch.Gone), StateCode(piernotch.Ready)})
 	require.Equal(t, []uint8{0, 1, 2, 3}, []uint8{
-		ScopeCode(piernotch.UpdateFailed), ScopeCode(piernotch.UpdateCached), ScopeCode(piernotch.UpdateFull), ScopeCode(piernotch.UpdateDelta),
+		ListKindCode(piernotch.UpdateFailed), ListKindCode(piernotch.UpdateCached), ListKindCode(piernotch.UpdateFull), ListKindCode(piernotch.UpdateDelta),
 	})
 }
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -21,7 +21,7 @@
 	head    [batchHeader]byte
 }
 
-func (b *BatchWriter) record(code Code, inst uint32) []byte {
+func (b *BatchWriter) record(code EventCode, inst uint32) []byte {
 	n := len(b.records)
 	b.records = append(b.records, make([]byte, eventSize)...)
 	rec := b.records[n:]
@@ -33,7 +33,7 @@
 
 // Start begins an instance with settings as JSON.
 func (b *BatchWriter) Start(inst uint32, seed uint64, settings []byte) {
-	rec := b.record(Start, inst)
+	rec := b.record(EventStart, inst)
 	put64(rec[5:], seed)
 	put32(rec[13:], uint32(len(b.tail)))
 	put32(rec[17:], uint32(len(settings)))
@@ -41,31 +41,35 @@
 }
 
 // Stop ends an instance.
-func (b *BatchWriter) Stop(inst uint32) { b.record(Stop, inst) }
+func (b *BatchWriter) Stop(inst uint32) { b.record(EventStop, inst) }
 
-// Fired is a timer that is due.
-func (b *BatchWriter) Fired(inst, token uint32) { put32(b.record(TimeoutFired, inst)[5:], token) }
+// TimerFired is a timer that is due.
+func (b *BatchWriter) TimerFired(inst, token uint32) {
+	put32(b.record(EventTimerFired, inst)[5:], token)
+}
 
-// Gone says that a client left.
-func (b *BatchWriter) Gone(inst uint32, id uint64) { put64(b.record(ClientGone, inst)[5:], id) }
+// ClientGone says that a client left.
+func (b *BatchWriter) ClientGone(inst uint32, id uint64) {
+	put64(b.record(EventClientGone, inst)[5:], id)
+}
 
-// Demand is a client's request.
-func (b *BatchWriter) Demand(inst uint32, id uint64, class uint8, tenant uint16, key uint64, deadlineMS, hintMS float64, flags uint8) {
-	rec := b.record(Demand, inst)
+// Request is a client's request.
+func (b *BatchWriter) Request(inst uint32, id uint64, class uint8, tenant uint16, key uint64, deadlineMS, hintMS float64, flags uint8) {
+	rec := b.record(EventRequest, inst)
 	put64(rec[5:], id)
 	rec[13] = class
 	binary.LittleEndian.PutUint16(rec[14:], tenant)
 	put64(rec[16:], key)
 	putF64(rec[24:], deadlineMS)
-	if flags&FlagHint != 0 {
+	if flags&FlagCostHint != 0 {
 		putF64(rec[32:], hintMS)
 	}
 	rec[40] = flags
 }
 
-// Verdict is the end of an attempt; load is its report, or empty.
-func (b *BatchWriter) Verdict(inst uint32, id uint64, attempt uint8, backend uint32, status uint8, tookMS float64, closed bool, load ...float32) {
-	rec := b.record(Verdict, inst)
+// AttemptCompleted is the end of an attempt; load is its report, or empty.
+func (b *BatchWriter) AttemptCompleted(inst uint32, id uint64, attempt uint8, backend uint32, status uint8, tookMS float64, closed bool, load ...float32) {
+	rec := b.record(EventAttemptCompleted, inst)
 	put64(rec[5:], id)
 	rec[13] = attempt
 	put32(rec[14:], backend)
@@ -77,9 +81,9 @@
 	putLoad(rec[28:], load)
 }
 
-// Ping is the result of a probe.
-func (b *BatchWriter) Ping(inst, backend uint32, status uint8, tookMS float64, load ...float32) {
-	rec := b.record(PingResult, inst)
+// HealthCheckCompleted is the result of a probe.
+func (b *BatchWriter) HealthCheckCompleted(inst, backend uint32, status uint8, tookMS float64, load ...float32) {
+	rec := b.record(EventHealthCheckCompleted, inst)
 	put32(rec[5:], backend)
 	rec[9] = status
 	putF64(rec[10:], tookMS)
@@ -93,9 +97,9 @@
 	}
 }
 
-// View is a list; scope is 0 failed, 1 cached, 2 full, 3 changes.
-func (b *BatchWriter) View(inst uint32, scope uint8, version uint64, lines []Line) {
-	rec := b.record(View, inst)
+// EndpointList is a list; scope is 0 failed, 1 cached, 2 full, 3 changes.
+func (b *BatchWriter) EndpointList(inst uint32, scope uint8, version uint64, lines []EndpointEntry) {
+	rec := b.record(EventEndpointList, inst)
 	rec[5] = scope
 	put64(rec[6:], version)
 	put32(rec[14:], uint32(len(b.tail)))
@@ -106,7 +110,7 @@
 		p[4], p[5], p[8] = l.Zone, l.Kind, l.State
 		binary.LittleEndian.PutUint16(p[6:], l.Cell)
 		put32(p[9:], math.Float32bits(float32(l.Size)))
-		putF64(p[13:], l.BornMS)
+		putF64(p[13:], l.StartedAtMS)
 		b.tail = append(b.tail, p[:]...)
 	}
 }
@@ -128,35 +132,35 @@
 
 // Action is one decoded action of a reply; which fields count depends on Code.
 type Action struct {
-	Code     uint8
-	Instance uint32
-	ID       uint64
-	Backend  uint32
-	Attempt  uint8
-	MS       float64 // Send: time-out, Refuse: advice, Timer: delay
-	Token    uint32
-	On       bool
-	Text     string
+	Code       uint8
+	Instance   uint32
+	ID         uint64
+	Backend    uint32
+	Attempt    uint8
+	DurationMS float64 // Send: time-out, Refuse: advice, Timer: delay
+	Token      uint32
+	On         bool
+	Text       string
 }
 
 // Action codes, for those who read replies.
 const (
-	ActCancel = actCancel
-	ActProbe  = actProbe
-	ActSend   = actSend
-	ActFail   = actFail
-	ActTimer  = actTimer
-	ActClose  = actClose
-	ActFault  = actFault
-	ActRefuse = actRefuse
-	ActFetch  = actFetch
-	ActWatch  = actWatch
-	ActLog    = actLog
-	ActTell   = actTell
+	ActionCancelAttempt  = actCancel
+	ActionHealthCheck    = actProbe
+	ActionStartAttempt   = actSend
+	ActionFail           = actFail
+	ActionSetTimer       = actTimer
+	ActionCloseIdle      = actClose
+	ActionReportFault    = actFault
+	ActionReject         = actRefuse
+	ActionFetchEndpoints = actFetch
+	ActionWatchEndpoints = actWatch
+	ActionLog            = actLog
+	ActionSendMessage    = actTell
 )
 
-// mostReply bounds a reply's size: an adapter gone wrong must not eat the memory.
-const mostReply = 1 << 30
+// maxReplySize bounds a reply's size: an adapter gone wrong must not eat the memory.
+const maxReplySize = 1 << 30
 
 // ReadReply reads the reply to batch seq, appending its actions.
 func ReadReply(r io.Reader, seq uint32, into []Action) ([]Action, error) {
@@ -168,7 +172,7 @@
 	if got := u32(head[8:]); got != seq {
 		return into, fmt.Errorf("a reply to batch %d where one to %d is due", got, seq)
 	}
-	if length < replyHeader+count*actionSize || length > mostReply {
+	if length < replyHeader+count*actionSize || length > maxReplySize {
 		return into, fmt.Errorf("a reply of %d actions says it is %d bytes long", count, length)
 	}
 	body := make([]byte, length-replyHeader)
@@ -181,15 +185,15 @@
 		a := Action{Code: rec[0], Instance: u32(rec[1:])}
 		switch a.Code {
 		case actSend:
-			a.ID, a.Backend, a.MS = u64(rec[5:]), u32(rec[13:]), f64(rec[17:])
+			a.ID, a.Backend, a.DurationMS = u64(rec[5:]), u32(rec[13:]), f64(rec[17:])
 		case actCancel:
 			a.ID, a.Attempt = u64(rec[5:]), rec[13]
 		case actFail:
 			a.ID = u64(rec[5:])
 		case actRefuse:
-			a.ID, a.MS = u64(rec[5:]), f64(rec[13:])
+			a.ID, a.DurationMS = u64(rec[5:]), f64(rec[13:])
 		case actTimer:
-			a.MS, a.Token = f64(rec[5:]), u32(rec[13:])
+			a.DurationMS, a.Token = f64(rec[5:]), u32(rec[13:])
 		case actProbe, actClose:
 			a.Backend = u32(rec[5:])
 		case actWatch:
@@ -206,8 +210,8 @@
 		default:
 			return into, fmt.Errorf("reply to batch %d, action %d: unknown code %d", seq, i, a.Code)
 		}
-		if math.IsNaN(a.MS) || math.IsInf(a.MS, 0) {
-			return into, fmt.Errorf("reply to batch %d, action %d: a time of %v ms", seq, i, a.MS)
+		if math.IsNaN(a.DurationMS) || math.IsInf(a.DurationMS, 0) {
+			return into, fmt.Errorf("reply to batch %d, action %d: a time of %v ms", seq, i, a.DurationMS)
 		}
 		into = append(into, a)
 	}
@@ -216,7 +220,7 @@
 
 // StatusCode is the wire's number of a status.
 func StatusCode(s piernotch.Status) uint8 {
-	for code, status := range statuses {
+	for code, status := range statusByCode {
 		if status == s {
 			return code
 		}
@@ -226,7 +230,7 @@
 
 // StateCode is the wire's number of a server's state.
 func StateCode(s piernotch.State) uint8 {
-	for code, state := range states {
+	for code, state := range stateByCode {
 		if state == s {
 			return uint8(code)
 		}
@@ -234,9 +238,9 @@
 	return 0
 }
 
-// ScopeCode is the wire's number of a kind of list.
-func ScopeCode(k piernotch.UpdateKind) uint8 {
-	for code, kind := range listKinds {
+// ListKindCode is the wire's number of a kind of list.
+func ListKindCode(k piernotch.UpdateKind) uint8 {
+	for code, kind := range listKindByCode {
 		if kind == k {
 			return uint8(code)
 		}
@@ -315,12 +319,12 @@
 		j := &out.Classes[i]
 		j.Name, j.GoalTimeMS, j.DeadlineMS, j.Points, j.LateWorth = c.Name, Milliseconds(c.LatencyObjective), Milliseconds(c.Deadline), c.PriorityWeight, c.LateWeightShare
 		j.DedupWindowMS = Milliseconds(c.DedupWindow)
-		for name, e := range effects {
+		for name, e := range retrySafetyByName {
 			if e == c.RetrySafety {
 				j.Effect = name
 			}
 		}
-		for name, sc := range scopes {
+		for name, sc := range dedupScopeByName {
 			if sc == c.DedupScope && name != "" {
 				j.DedupScope = name
 			}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -58,11 +58,11 @@
 	WorthBy        string  `json:"worth_by"`
 }
 
-var effects = map[string]piernotch.RetrySafety{
+var retrySafetyByName = map[string]piernotch.RetrySafety{
 	"safe": piernotch.Idempotent, "keyed": piernotch.IdempotencyKey, "unsafe": piernotch.NonIdempotent,
 }
 
-var scopes = map[string]piernotch.DedupScope{
+var dedupScopeByName = map[string]piernotch.DedupScope{
 	"": piernotch.DedupEverywhere, "all": piernotch.DedupEverywhere,
 	"zone": piernotch.DedupInZone, "cell": piernotch.DedupInCell,
 }
@@ -93,11 +93,11 @@
 		WeightPerRequest: in.WorthBy == "request",
 	}
 	for i, c := range in.Classes {
-		effect, ok := effects[c.Effect]
+		effect, ok := retrySafetyByName[c.Effect]
 		if !ok {
 			return s, fmt.Errorf("settings: classes[%d].effect is %q", i, c.Effect)
 		}
-		scope, ok := scopes[c.DedupScope]
+		scope, ok := dedupScopeByName[c.DedupScope]
 		if !ok {
 			return s, fmt.Errorf("settings: classes[%d].dedup_scope is %q", i, c.DedupScope)
 		}
@@ -113,8 +113,8 @@
 	return s, nil
 }
 
-// Columns reads the names of the values that a load report holds, in their order.
-func Columns(data []byte) ([]string, error) {
+// ParseReportColumns reads the names of the values that a load report holds, in their order.
+func ParseReportColumns(data []byte) ([]string, error) {
 	var in settingsJSON
 	if err := json.Unmarshal(data, &in); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -122,10 +122,10 @@
 	return in.Report.Columns, nil
 }
 
-// Report translates the load report of a Verdict or a PingResult; ok is false if there is
+// ParseLoadReport translates the load report of a Verdict or a PingResult; ok is false if there is
 // none, or if it makes no sense.
-func Report(e *Event, columns []string) (load piernotch.LoadReport, ok bool) {
-	for i, name := range columns[:min(len(columns), e.LoadN)] {
+func ParseLoadReport(e *Event, columns []string) (load piernotch.LoadReport, ok bool) {
+	for i, name := range columns[:min(len(columns), e.LoadCount)] {
 		if !SetLoad(&load, name, e.Load[i]) {
 			return piernotch.LoadReport{}, false
 		}
@@ -163,42 +163,42 @@
 // Milliseconds is the reverse of Duration.
 func Milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-var statuses = map[uint8]piernotch.Status{
+var statusByCode = map[uint8]piernotch.Status{
 	0: piernotch.OK, 13: piernotch.Error, 8: piernotch.Full, 4: piernotch.Timeout,
 	14: piernotch.ConnectFailed, 10: piernotch.Reset, 1: piernotch.Cancelled, 9: piernotch.NotSent,
 }
 
-// Status translates the wire's disposition.
-func Status(code uint8) (piernotch.Status, error) {
-	s, ok := statuses[code]
+// ParseStatus translates the wire's disposition.
+func ParseStatus(code uint8) (piernotch.Status, error) {
+	s, ok := statusByCode[code]
 	if !ok {
 		return 0, fmt.Errorf("unknown disposition %d", code)
 	}
 	return s, nil
 }
 
-var states = [...]piernotch.State{0: piernotch.Draining, 1: piernotch.Gone, 2: piernotch.Ready}
+var stateByCode = [...]piernotch.State{0: piernotch.Draining, 1: piernotch.Gone, 2: piernotch.Ready}
 
-var listKinds = [...]piernotch.UpdateKind{
+var listKindByCode = [...]piernotch.UpdateKind{
 	0: piernotch.UpdateFailed, 1: piernotch.UpdateCached, 2: piernotch.UpdateFull, 3: piernotch.UpdateDelta,
 }
 
-// List translates the kind and the entries of a View, appending to into.
-func List(e *Event, into []piernotch.Endpoint) (piernotch.UpdateKind, []piernotch.Endpoint, error) {
-	if int(e.Scope) >= len(listKinds) {
-		return 0, into, fmt.Errorf("unknown list kind %d", e.Scope)
+// ParseEndpointList translates the kind and the entries of a View, appending to into.
+func ParseEndpointList(e *Event, into []piernotch.Endpoint) (piernotch.UpdateKind, []piernotch.Endpoint, error) {
+	if int(e.ListKind) >= len(listKindByCode) {
+		return 0, into, fmt.Errorf("unknown list kind %d", e.ListKind)
 	}
-	for i := range e.LineCount() {
-		l := e.Line(i)
-		if int(l.State) >= len(states) {
+	for i := range e.EntryCount() {
+		l := e.Entry(i)
+		if int(l.State) >= len(stateByCode) {
 			return 0, into, fmt.Errorf("entry %d: unknown state %d", i, l.State)
 		}
 		into = append(into, piernotch.Endpoint{
 			ID: piernotch.BackendID(l.Backend), Zone: int(l.Zone), Cell: int(l.Cell),
-			State: states[l.State], Size: l.Size, StartedAt: Duration(l.BornMS),
+			State: stateByCode[l.State], Size: l.Size, StartedAt: Duration(l.StartedAtMS),
 		})
 	}
-	return listKinds[e.Scope], into, nil
+	return listKindByCode[e.ListKind], into, nil
 }
 
 // Connections reads what the settings say of connections, which concerns sockets
