--- /dev/null
+++ b/internal/wire/batch_reader.go
@@ -0,0 +1,213 @@
+package wire
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+)
+
+// Batch is one frame of events. It is valid until the next call of Reader.Next.
+type Batch struct {
+	ClockMS float64 // the simulator's clock, milliseconds; finite
+	Seq     uint32  // number of the batch, which its reply repeats
+	Count   int     // events in it
+	records []byte
+	tail    []byte
+}
+
+// Reader reads batches from a stream. It is for one goroutine.
+type Reader struct {
+	input  io.Reader
+	buffer []byte
+	batch  Batch
+}
+
+// NewReader returns a Reader on input, which should be buffered.
+func NewReader(input io.Reader) *Reader { return &Reader{input: input} }
+
+// Next reads one batch. It returns io.EOF at a clean end of input and a *FrameError for anything
+// that is cut short or malformed.
+func (r *Reader) Next() (*Batch, error) {
+	r.buffer = r.buffer[:0]
+	if err := r.fill(batchHeaderSize); err != nil {
+		if errors.Is(err, io.EOF) && len(r.buffer) == 0 {
+			return nil, io.EOF
+		}
+		return nil, frameError(0, "batch header cut short after %d of %d bytes", len(r.buffer), batchHeaderSize)
+	}
+	count := uint64(binary.LittleEndian.Uint32(r.buffer))
+	length := uint64(binary.LittleEndian.Uint32(r.buffer[4:]))
+	if length < batchHeaderSize+count*eventSize {
+		return nil, frameError(0, "batch of %d events says it is %d bytes long", count, length)
+	}
+	if err := r.fill(int(length)); err != nil {
+		return nil, frameError(0, "batch cut short after %d of %d bytes", len(r.buffer), length)
+	}
+	end := batchHeaderSize + int(count)*eventSize
+	r.batch = Batch{
+		ClockMS: f64(r.buffer[8:]),
+		Seq:     binary.LittleEndian.Uint32(r.buffer[16:]),
+		Count:   int(count),
+		records: r.buffer[batchHeaderSize:end],
+		tail:    r.buffer[end:],
+	}
+	if math.IsNaN(r.batch.ClockMS) || math.IsInf(r.batch.ClockMS, 0) {
+		return nil, frameError(r.batch.Seq, "batch %d: the clock is %v", r.batch.Seq, r.batch.ClockMS)
+	}
+	return &r.batch, nil
+}
+
+// frameError returns an error of a frame as a whole.
+func frameError(seq uint32, format string, args ...any) error {
+	return &FrameError{Seq: seq, Record: -1, Err: fmt.Errorf(format, args...)}
+}
+
+// fill reads until the buffer holds n bytes. It grows only as bytes arrive, so that a wrong length
+// costs no memory.
+func (r *Reader) fill(n int) error {
+	const step = 1 << 20
+	for len(r.buffer) < n {
+		have := len(r.buffer)
+		want := min(n, max(have+step, cap(r.buffer)))
+		if cap(r.buffer) < want {
+			grown := make([]byte, have, max(want, min(2*cap(r.buffer), n)))
+			copy(grown, r.buffer)
+			r.buffer = grown
+		}
+		got, err := io.ReadFull(r.input, r.buffer[have:want])
+		r.buffer = r.buffer[:have+got]
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// Event is one decoded event. Which fields are set depends on Code; the comment of a field names
+// the codes, without their prefix, that set it.
+type Event struct {
+	Code       EventCode
+	Instance   uint32
+	Seed       uint64     // Start
+	Data       []byte     // Start: settings; Message: body
+	Token      uint32     // TimerFired
+	ID         uint64     // Request, ClientGone, ResponseStarted, AttemptCompleted
+	Class      uint8      // Request
+	Tenant     uint16     // Request
+	Key        uint64     // Request
+	DeadlineMS float64    // Request: milliseconds of the simulator's clock
+	CostHintMS float64    // Request: valid with FlagCostHint
+	Flags      uint8      // Request
+	Backend    uint32     // HealthCheckCompleted, ResponseStarted, AttemptCompleted
+	Status     uint8      // HealthCheckCompleted, AttemptCompleted
+	LatencyMS  float64    // HealthCheckCompleted, ResponseStarted, AttemptCompleted
+	Attempt    uint8      // ResponseStarted, AttemptCompleted
+	Closed     bool       // AttemptCompleted: the request has its final answer
+	ListKind   uint8      // EndpointList
+	Entries    []byte     // EndpointList: undecoded entries, see Entry
+	From       uint32     // Message
+	Load       [4]float64 // HealthCheckCompleted, AttemptCompleted: values of the load report
+	LoadCount  int        // values in Load; 0: no report
+}
+
+// Event decodes record i into e without allocating. What it decodes refers to the batch's buffer
+// and is valid as long as the batch is. An error is a *FrameError.
+func (b *Batch) Event(i int, e *Event) error {
+	rec := b.records[i*eventSize : (i+1)*eventSize]
+	*e = Event{Code: EventCode(rec[0]), Instance: u32(rec[1:])}
+	if err := b.decode(rec, e); err != nil {
+		return &FrameError{Seq: b.Seq, Record: i, Err: fmt.Errorf("batch %d, event %d (code %d): %w", b.Seq, i, rec[0], err)}
+	}
+	return nil
+}
+
+// decode fills in the fields that follow code and instance.
+func (b *Batch) decode(rec []byte, e *Event) error {
+	var err error
+	switch e.Code {
+	case EventStart:
+		e.Seed = u64(rec[5:])
+		e.Data, err = b.tailSlice(u32(rec[13:]), u32(rec[17:]), 1)
+	case EventEndpointList:
+		e.ListKind = rec[5]
+		e.Entries, err = b.tailSlice(u32(rec[14:]), u32(rec[18:]), entrySize)
+	case EventMessage:
+		e.From = u32(rec[5:])
+		e.Data, err = b.tailSlice(u32(rec[9:]), u32(rec[13:]), 1)
+	case EventRequest:
+		e.decodeRequest(rec)
+	case EventAttemptCompleted:
+		e.ID, e.Attempt, e.Backend, e.Status = u64(rec[5:]), rec[13], u32(rec[14:]), rec[18]
+		e.LatencyMS, e.Closed = f64(rec[19:]), rec[27] != 0
+		err = e.decodeLoad(rec[28:])
+	case EventHealthCheckCompleted:
+		e.Backend, e.Status, e.LatencyMS = u32(rec[5:]), rec[9], f64(rec[10:])
+		err = e.decodeLoad(rec[18:])
+	case EventResponseStarted:
+		e.ID, e.LatencyMS, e.Backend, e.Attempt = u64(rec[5:]), f64(rec[13:]), u32(rec[21:]), rec[25]
+	case EventClientGone:
+		e.ID = u64(rec[5:])
+	case EventTimerFired:
+		e.Token = u32(rec[5:])
+	case EventStop:
+	default:
+		err = errors.New("unknown code")
+	}
+	return err
+}
+
+func (e *Event) decodeRequest(rec []byte) {
+	e.ID = u64(rec[5:])
+	e.Class = rec[13]
+	e.Tenant = u16(rec[14:])
+	e.Key = u64(rec[16:])
+	e.DeadlineMS = f64(rec[24:])
+	e.CostHintMS = f64(rec[32:])
+	e.Flags = rec[40]
+}
+
+// decodeLoad reads a load report: the number of values, then the values as 32-bit floats.
+func (e *Event) decodeLoad(p []byte) error {
+	e.LoadCount = int(p[0])
+	if e.LoadCount > len(e.Load) {
+		return fmt.Errorf("load report of %d values", e.LoadCount)
+	}
+	for i := range e.LoadCount {
+		e.Load[i] = float64(math.Float32frombits(u32(p[1+4*i:])))
+	}
+	return nil
+}
+
+// tailSlice returns n items of the given size in bytes, from an offset of the tail on.
+func (b *Batch) tailSlice(at, n uint32, size uint64) ([]byte, error) {
+	end := uint64(at) + uint64(n)*size
+	if end > uint64(len(b.tail)) {
+		return nil, fmt.Errorf("tail offset %d, count %d: the tail has %d bytes", at, n, len(b.tail))
+	}
+	return b.tail[at:end], nil
+}
+
+// EndpointEntry is one server in an endpoint list.
+type EndpointEntry struct {
+	Backend     uint32
+	Zone        uint8
+	Kind        uint8 // kind of machine
+	Cell        uint16
+	State       uint8
+	Size        float64
+	StartedAtMS float64 // when its process started; 0: unknown or long ago
+}
+
+// EntryCount is how many entries an endpoint list holds.
+func (e *Event) EntryCount() int { return len(e.Entries) / entrySize }
+
+// Entry decodes entry i of an endpoint list.
+func (e *Event) Entry(i int) EndpointEntry {
+	p := e.Entries[i*entrySize:]
+	return EndpointEntry{
+		Backend: u32(p), Zone: p[4], Kind: p[5], Cell: u16(p[6:]), State: p[8],
+		Size: float64(math.Float32frombits(u32(p[9:]))), StartedAtMS: f64(p[13:]),
+	}
+}
--- /dev/null
+++ b/internal/wire/codes.go
@@ -0,0 +1,90 @@
+package wire
+
+import (
+	"encoding/binary"
+	"math"
+)
+
+// Sizes of the fixed parts of frames, in bytes.
+const (
+	batchHeaderSize = 20
+	replyHeaderSize = 12
+	eventSize       = 48
+	actionSize      = 32
+	entrySize       = 21
+)
+
+// EventCode is the kind of an event, as the first byte of its record.
+type EventCode uint8
+
+// Event codes.
+const (
+	EventMessage EventCode = iota
+	EventStart
+	EventTimerFired
+	EventRequest
+	EventClientGone
+	EventHealthCheckCompleted
+	EventEndpointList
+	EventResponseStarted
+	EventStop
+	EventAttemptCompleted
+)
+
+// Flags of a request event.
+const (
+	FlagCostHint = 1 // the event carries a cost hint
+	FlagRetry    = 2 // the client has sent the request before
+	FlagWrite    = 4 // the request changes state
+)
+
+// ActionCode is the kind of an action, as the first byte of its record.
+type ActionCode = uint8
+
+// Action codes.
+const (
+	ActionCancelAttempt  ActionCode = 0
+	ActionHealthCheck    ActionCode = 1
+	ActionStartAttempt   ActionCode = 2
+	ActionFail           ActionCode = 3
+	ActionSetTimer       ActionCode = 4
+	ActionCloseIdle      ActionCode = 5
+	ActionReportFault    ActionCode = 6
+	ActionReject         ActionCode = 7
+	ActionFetchEndpoints ActionCode = 8
+	ActionWatchEndpoints ActionCode = 9
+	ActionLog            ActionCode = 10
+	ActionSendMessage    ActionCode = 11
+)
+
+// FrameError is a frame that cannot be decoded. The stream is of no more use after it.
+type FrameError struct {
+	Seq    uint32 // number of the batch; 0 where the header could not be read
+	Record int    // place of the record in the frame; -1: the frame as a whole
+	Err    error
+}
+
+// Error returns the text of the cause, which names the batch and the record.
+func (e *FrameError) Error() string { return e.Err.Error() }
+
+// Unwrap returns the cause.
+func (e *FrameError) Unwrap() error { return e.Err }
+
+// SettingsError is an error in the settings of a start event.
+type SettingsError struct{ Err error }
+
+// Error returns the cause under the heading of settings.
+func (e *SettingsError) Error() string { return "settings: " + e.Err.Error() }
+
+// Unwrap returns the cause.
+func (e *SettingsError) Unwrap() error { return e.Err }
+
+func u16(p []byte) uint16  { return binary.LittleEndian.Uint16(p) }
+func u32(p []byte) uint32  { return binary.LittleEndian.Uint32(p) }
+func u64(p []byte) uint64  { return binary.LittleEndian.Uint64(p) }
+func f64(p []byte) float64 { return math.Float64frombits(u64(p)) }
+
+func put16(p []byte, v uint16)   { binary.LittleEndian.PutUint16(p, v) }
+func put32(p []byte, v uint32)   { binary.LittleEndian.PutUint32(p, v) }
+func put64(p []byte, v uint64)   { binary.LittleEndian.PutUint64(p, v) }
+func putF64(p []byte, v float64) { put64(p, math.Float64bits(v)) }
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -4,7 +4,9 @@
 	"bytes"
 	"encoding/binary"
 	"encoding/hex"
+	"errors"
 	"io"
+	"reflect"
 	"strings"
 	"testing"
 
@@ -20,7 +22,7 @@
 	return b
 }
 
-// The frames that the wire's document shows.
+// The frames that the simulator's description of the protocol shows.
 const (
 	emptyBatch = "00000000 14000000 00000000206ec040 01000000"
 	twoBatch   = "03000000 a4000000 00000000206ec040 0c000000" +
@@ -34,21 +36,21 @@
 		"04 03000000 0000000000407f40 4d000000 000000000000000000000000000000" +
 		"0a 05000000 00000000 11000000 00000000000000000000000000000000000000" +
 		"74776f2073657276657273206b6e6f776e"
-	viewRecord = "06 03000000 01 2900000000000000 00000000 02000000" +
+	endpointListRecord = "06 03000000 01 2900000000000000 00000000 02000000" +
 		"0000000000000000000000000000000000000000000000000000"
-	viewTail = "074a1203 00 00 0000 02 0000803f 0000000000000000" +
+	endpointListTail = "074a1203 00 00 0000 02 0000803f 0000000000000000" +
 		"f211902c 01 00 0000 02 0000c03f 0000000000d4b740"
 )
 
 func frame(t testing.TB, record, tail string) []byte {
 	body := append(unhex(t, record), unhex(t, tail)...)
-	head := make([]byte, batchHeader)
+	head := make([]byte, batchHeaderSize)
 	binary.LittleEndian.PutUint32(head, 1)
-	binary.LittleEndian.PutUint32(head[4:], uint32(batchHeader+len(body)))
+	binary.LittleEndian.PutUint32(head[4:], uint32(batchHeaderSize+len(body)))
 	return append(head, body...)
 }
 
-func TestDocumentedBatches(t *testing.T) {
+func TestReaderDecodesDocumentedBatches(t *testing.T) {
 	r := NewReader(bytes.NewReader(append(unhex(t, emptyBatch), unhex(t, twoBatch)...)))
 	b, err := r.Next()
 	if err != nil || b.Count != 0 || b.Seq != 1 || b.ClockMS != 8412.25 {
@@ -58,8 +60,10 @@
 		t.Fatalf("%+v, %v", b, err)
 	}
 	var e Event
-	if err := b.Event(0, &e); err != nil || e.Code != EventRequest || e.Instance != 3 || e.ID != 0xfbadb5d3a91c4 ||
-		e.CostHintMS != 12 || e.Flags != FlagCostHint || e.DeadlineMS != 8652.25 || e.Key != 0x91f03b7c55d20a64 {
+	want := Event{
+		Code: EventRequest, Instance: 3, ID: 0xfbadb5d3a91c4, CostHintMS: 12, Flags: FlagCostHint, DeadlineMS: 8652.25, Key: 0x91f03b7c55d20a64,
+	}
+	if err := b.Event(0, &e); err != nil || !reflect.DeepEqual(e, want) {
 		t.Errorf("%+v, %v", e, err)
 	}
 	if err := b.Event(1, &e); err != nil || e.Code != EventTimerFired || e.Token != 77 {
@@ -68,12 +72,12 @@
 	if err := b.Event(2, &e); err != nil || e.Code != EventClientGone || e.Instance != 5 {
 		t.Errorf("%+v, %v", e, err)
 	}
-	if _, err := r.Next(); err != io.EOF {
+	if _, err := r.Next(); !errors.Is(err, io.EOF) {
 		t.Errorf("at the end: %v", err)
 	}
 }
 
-func TestDocumentedReply(t *testing.T) {
+func TestReplyEncodesDocumentedFrame(t *testing.T) {
 	var r Reply
 	var out bytes.Buffer
 	r.StartAttempt(3, 0xfbadb5d3a91c4, 0x03124a07, 80)
@@ -86,13 +90,13 @@
 		t.Errorf("got  %x\nwant %x", out.Bytes(), want)
 	}
 	out.Reset()
-	if err := r.WriteTo(&out, 1); err != nil || out.Len() != replyHeader {
+	if err := r.WriteTo(&out, 1); err != nil || out.Len() != replyHeaderSize {
 		t.Errorf("the reply was not emptied: %x, %v", out.Bytes(), err)
 	}
 }
 
-func TestView(t *testing.T) {
-	b, err := NewReader(bytes.NewReader(frame(t, viewRecord, viewTail))).Next()
+func TestEndpointListDecodes(t *testing.T) {
+	b, err := NewReader(bytes.NewReader(frame(t, endpointListRecord, endpointListTail))).Next()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +113,7 @@
 	}
 }
 
-func TestActionRecords(t *testing.T) {
+func TestReplyEncodesEachAction(t *testing.T) {
 	var r Reply
 	for name, c := range map[string]struct {
 		do   func()
@@ -136,26 +140,29 @@
 	}
 }
 
-func TestLoadReport(t *testing.T) {
+func TestAttemptCompletedCarriesLoadReport(t *testing.T) {
 	rec := "09 03000000 c4913a5ddbba0f00 00 074a1203 00 0000000000803240 01 02 0000003f 0000803f 00000000 00000000 000000"
 	b, err := NewReader(bytes.NewReader(frame(t, rec, ""))).Next()
 	if err != nil {
 		t.Fatal(err)
 	}
 	var e Event
-	if err := b.Event(0, &e); err != nil || e.LoadCount != 2 || e.Load[0] != 0.5 || e.Load[1] != 1 || !e.Closed || e.LatencyMS != 18.5 {
+	if err := b.Event(0, &e); err != nil || !e.Closed || e.LatencyMS != 18.5 {
 		t.Errorf("%+v, %v", e, err)
 	}
+	if e.LoadCount != 2 || e.Load[0] != 0.5 || e.Load[1] != 1 {
+		t.Errorf("load report of %d values: %v", e.LoadCount, e.Load)
+	}
 }
 
-func TestLargeBatch(t *testing.T) {
+func TestLargeBatchDecodesWithoutAllocations(t *testing.T) {
 	const n = 60000
-	buf := make([]byte, batchHeader+n*eventSize)
+	buf := make([]byte, batchHeaderSize+n*eventSize)
 	binary.LittleEndian.PutUint32(buf, n)
 	binary.LittleEndian.PutUint32(buf[4:], uint32(len(buf)))
 	for i := range n {
-		buf[batchHeader+i*eventSize] = byte(EventTimerFired)
-		binary.LittleEndian.PutUint32(buf[batchHeader+i*eventSize+5:], uint32(i))
+		buf[batchHeaderSize+i*eventSize] = byte(EventTimerFired)
+		binary.LittleEndian.PutUint32(buf[batchHeaderSize+i*eventSize+5:], uint32(i))
 	}
 	b, err := NewReader(bytes.NewReader(buf)).Next()
 	if err != nil || b.Count != n {
@@ -171,16 +178,16 @@
 }
 
 func malformed(t testing.TB) map[string][]byte {
-	view := frame(t, viewRecord, viewTail)
-	far := bytes.Clone(view)
-	binary.LittleEndian.PutUint32(far[batchHeader+14:], 1<<31)
-	many := bytes.Clone(view)
-	binary.LittleEndian.PutUint32(many[batchHeader+18:], 1<<31)
-	unknown := bytes.Clone(view)
-	unknown[batchHeader] = 99
+	list := frame(t, endpointListRecord, endpointListTail)
+	far := bytes.Clone(list)
+	binary.LittleEndian.PutUint32(far[batchHeaderSize+14:], 1<<31)
+	many := bytes.Clone(list)
+	binary.LittleEndian.PutUint32(many[batchHeaderSize+18:], 1<<31)
+	unknown := bytes.Clone(list)
+	unknown[batchHeaderSize] = 99
 	return map[string][]byte{
 		"cut header":   unhex(t, emptyBatch)[:7],
-		"cut body":     view[:60],
+		"cut body":     list[:60],
 		"short length": unhex(t, "05000000 14000000 00000000206ec040 01000000"),
 		"huge length":  unhex(t, "00000000 ffffffff 00000000206ec040 01000000"),
 		"nan clock":    unhex(t, "00000000 14000000 000000000000f87f 01000000"),
@@ -190,10 +197,12 @@
 	}
 }
 
-func TestMalformedFrames(t *testing.T) {
+func TestReaderRejectsMalformedFrames(t *testing.T) {
 	for name, data := range malformed(t) {
-		if err := readAll(data); err == nil {
-			t.Errorf("%s: accepted", name)
+		err := readAll(data)
+		var frameErr *FrameError
+		if !errors.As(err, &frameErr) {
+			t.Errorf("%s: %v is no *FrameError", name, err)
 		}
 	}
 }
@@ -202,7 +211,7 @@
 	r := NewReader(bytes.NewReader(data))
 	for {
 		b, err := r.Next()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
@@ -227,7 +236,7 @@
 		f.Add(data)
 	}
 	f.Add(unhex(f, twoBatch))
-	f.Add(frame(f, viewRecord, viewTail))
+	f.Add(frame(f, endpointListRecord, endpointListTail))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		_ = readAll(data) // must neither panic nor take memory for what is not there
 	})
@@ -244,7 +253,7 @@
 	})
 }
 
-func TestSettings(t *testing.T) {
+func TestSettingsParse(t *testing.T) {
 	s, err := Settings([]byte(`{"group_size": 4, "my_zone": 1, "zones": ["x", "y"], "quantum_ms": 5,
 		"discovery": "on_request", "unheard_of": {"a": [1]}, "specifics": {"warm_keys": true},
 		"classes": [{"name": "c", "goal_time_ms": 750, "deadline_ms": 2500, "points": 3, "effect": "keyed",
@@ -263,8 +272,10 @@
 		t.Errorf("%+v", s)
 	}
 	for _, bad := range []string{"", "nonsense", `{"classes":[{"effect":"odd"}]}`, `{"classes":[{"effect":"safe","dedup_scope":"moon"}]}`} {
-		if _, err := Settings([]byte(bad)); err == nil {
-			t.Errorf("%q: accepted", bad)
+		_, err := Settings([]byte(bad))
+		var settingsErr *SettingsError
+		if !errors.As(err, &settingsErr) {
+			t.Errorf("%q: %v is no *SettingsError", bad, err)
 		}
 	}
 }
--- /dev/null
+++ b/internal/wire/reply_reader.go
@@ -0,0 +1,105 @@
+package wire
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"math"
+)
+
+// Action is one decoded action of a reply. Which fields are set depends on Code.
+type Action struct {
+	Code       ActionCode
+	Instance   uint32
+	ID         uint64
+	Backend    uint32
+	Attempt    uint8
+	DurationMS float64 // StartAttempt: timeout; Reject: Retry-After; SetTimer: delay. Finite.
+	Token      uint32
+	On         bool   // WatchEndpoints: the watch begins, or ends
+	Text       string // ReportFault, Log
+}
+
+// maxReplySize bounds a reply, in bytes: a broken adapter must not exhaust the memory.
+const maxReplySize = 1 << 30
+
+// ReadReply reads the reply to batch seq and appends its actions to into. After an error the
+// stream is of no more use; actions decoded before it are returned with it.
+func ReadReply(r io.Reader, seq uint32, into []Action) ([]Action, error) {
+	var head [replyHeaderSize]byte
+	if _, err := io.ReadFull(r, head[:]); err != nil {
+		return into, replyError(seq, "reply to batch %d: %w", seq, err)
+	}
+	count, length := uint64(u32(head[:])), uint64(u32(head[4:]))
+	if got := u32(head[8:]); got != seq {
+		return into, replyError(seq, "a reply to batch %d where one to %d is due", got, seq)
+	}
+	if length < replyHeaderSize+count*actionSize || length > maxReplySize {
+		return into, replyError(seq, "a reply of %d actions says it is %d bytes long", count, length)
+	}
+	body := make([]byte, length-replyHeaderSize)
+	if _, err := io.ReadFull(r, body); err != nil {
+		return into, replyError(seq, "reply to batch %d: %w", seq, err)
+	}
+	tail := body[count*actionSize:]
+	for i := range count {
+		action, err := decodeAction(body[i*actionSize:(i+1)*actionSize], tail)
+		if err != nil {
+			return into, &FrameError{Seq: seq, Record: int(i), Err: wrapActionError(seq, i, err)}
+		}
+		into = append(into, action)
+	}
+	return into, nil
+}
+
+var (
+	errMessagesUnsupported = errors.New("balancers share nothing here: no messages between them")
+	errTextOutside         = errors.New("its text lies outside of the reply")
+)
+
+func replyError(seq uint32, format string, args ...any) error {
+	return &FrameError{Seq: seq, Record: -1, Err: fmt.Errorf(format, args...)}
+}
+
+func wrapActionError(seq uint32, i uint64, err error) error {
+	if errors.Is(err, errMessagesUnsupported) {
+		return err
+	}
+	return fmt.Errorf("reply to batch %d, action %d: %w", seq, i, err)
+}
+
+// decodeAction decodes one record of a reply; tail holds the texts.
+func decodeAction(rec, tail []byte) (Action, error) {
+	a := Action{Code: rec[0], Instance: u32(rec[1:])}
+	switch a.Code {
+	case ActionStartAttempt:
+		a.ID, a.Backend, a.DurationMS = u64(rec[5:]), u32(rec[13:]), f64(rec[17:])
+	case ActionCancelAttempt:
+		a.ID, a.Attempt = u64(rec[5:]), rec[13]
+	case ActionFail:
+		a.ID = u64(rec[5:])
+	case ActionReject:
+		a.ID, a.DurationMS = u64(rec[5:]), f64(rec[13:])
+	case ActionSetTimer:
+		a.DurationMS, a.Token = f64(rec[5:]), u32(rec[13:])
+	case ActionHealthCheck, ActionCloseIdle:
+		a.Backend = u32(rec[5:])
+	case ActionWatchEndpoints:
+		a.On = rec[5] != 0
+	case ActionFetchEndpoints:
+	case ActionReportFault, ActionLog:
+		at, n := uint64(u32(rec[5:])), uint64(u32(rec[9:]))
+		if at+n > uint64(len(tail)) {
+			return a, errTextOutside
+		}
+		a.Text = string(tail[at : at+n])
+	case ActionSendMessage:
+		return a, errMessagesUnsupported
+	default:
+		return a, fmt.Errorf("unknown code %d", a.Code)
+	}
+	if math.IsNaN(a.DurationMS) || math.IsInf(a.DurationMS, 0) {
+		return a, fmt.Errorf("a time of %v ms", a.DurationMS)
+	}
+	return a, nil
+}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -2,60 +2,70 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
-	"math"
 	"time"
 
 	"piernotch"
 )
 
+// settingsJSON is the part of a start event's settings that decisions need. The keys are those of
+// the simulator; the names of fields are those of the module.
+type settingsJSON struct {
+	Classes         []classJSON    `json:"classes"`
+	Tenants         []tenantJSON   `json:"tenants"`
+	Discovery       string         `json:"discovery"`
+	BalancerCount   int            `json:"group_size"`
+	Zone            int            `json:"my_zone"`
+	Zones           []string       `json:"zones"`
+	TickMS          float64        `json:"quantum_ms"`
+	Limits          limitsJSON     `json:"limits"`
+	Rules           rulesJSON      `json:"rules"`
+	Features        featuresJSON   `json:"specifics"`
+	Report          loadReportJSON `json:"report"`
+	OverQuotaWeight float64        `json:"over_share_worth"`
+	WeightBy        string         `json:"worth_by"`
+}
+
 type classJSON struct {
-	Name          string  `json:"name"`
-	GoalTimeMS    float64 `json:"goal_time_ms"`
-	DeadlineMS    float64 `json:"deadline_ms"`
-	Points        float64 `json:"points"`
-	LateWorth     float64 `json:"late_worth"`
-	Effect        string  `json:"effect"`
-	DedupScope    string  `json:"dedup_scope"`
-	DedupWindowMS float64 `json:"dedup_window_ms"`
+	Name               string  `json:"name"`
+	LatencyObjectiveMS float64 `json:"goal_time_ms"`
+	DeadlineMS         float64 `json:"deadline_ms"`
+	PriorityWeight     float64 `json:"points"`
+	LateWeightShare    float64 `json:"late_worth"`
+	RetrySafety        string  `json:"effect"`
+	DedupScope         string  `json:"dedup_scope"`
+	DedupWindowMS      float64 `json:"dedup_window_ms"`
 }
 
 type tenantJSON struct {
-	Name      string  `json:"name"`
-	QuotaPerS float64 `json:"quota_per_s"`
+	Name        string  `json:"name"`
+	QuotaPerSec float64 `json:"quota_per_s"`
 }
 
-type settingsJSON struct {
-	Classes   []classJSON  `json:"classes"`
-	Tenants   []tenantJSON `json:"tenants"`
-	Discovery string       `json:"discovery"`
-	GroupSize int          `json:"group_size"`
-	MyZone    int          `json:"my_zone"`
-	Zones     []string     `json:"zones"`
-	QuantumMS float64      `json:"quantum_ms"`
-	Limits    struct {
-		MostTries       int     `json:"most_tries"`
-		SecondCopies    bool    `json:"second_copies"`
-		Cancelling      bool    `json:"cancelling"`
-		MayProbe        bool    `json:"may_probe"`
-		RetryAfter      bool    `json:"retry_after"`
-		MaxRetryAfterMS float64 `json:"max_retry_after_ms"`
-	} `json:"limits"`
-	Rules struct {
-		AskWithinMS float64 `json:"ask_within_ms"`
-		ColdFrom    float64 `json:"cold_from"`
-		ColdMS      float64 `json:"cold_ms"`
-		OverloadMS  float64 `json:"overload_for_ms"`
-	} `json:"rules"`
-	Specifics struct {
-		WarmKeys bool `json:"warm_keys"`
-	} `json:"specifics"`
-	Report struct {
-		Columns []string `json:"columns"`
-		How     string   `json:"how"`
-	} `json:"report"`
-	OverShareWorth float64 `json:"over_share_worth"`
-	WorthBy        string  `json:"worth_by"`
+type limitsJSON struct {
+	MaxAttempts     int     `json:"most_tries"`
+	HedgedRequests  bool    `json:"second_copies"`
+	CancelAttempts  bool    `json:"cancelling"`
+	HealthChecks    bool    `json:"may_probe"`
+	RetryAfter      bool    `json:"retry_after"`
+	MaxRetryAfterMS float64 `json:"max_retry_after_ms"`
+}
+
+type rulesJSON struct {
+	PollIntervalMS      float64 `json:"ask_within_ms"`
+	SlowStartCapacity   float64 `json:"cold_from"`
+	SlowStartDurationMS float64 `json:"cold_ms"`
+	OverloadWindowMS    float64 `json:"overload_for_ms"`
+}
+
+type featuresJSON struct {
+	KeyAffinity bool `json:"warm_keys"`
+}
+
+type loadReportJSON struct {
+	Columns []string `json:"columns"`
+	Source  string   `json:"how"`
 }
 
 var retrySafetyByName = map[string]piernotch.RetrySafety{
@@ -67,143 +77,93 @@
 	"zone": piernotch.DedupInZone, "cell": piernotch.DedupInCell,
 }
 
-// Settings reads the settings of a Start event. Keys it does not know are
-// skipped. Whether the values make sense is for piernotch.New to say.
+// Settings reads the settings of a start event. Keys it does not know are skipped, and whether the
+// values make sense is for piernotch.New to say. An error is a *SettingsError.
 func Settings(data []byte) (piernotch.Settings, error) {
 	var in settingsJSON
 	if err := json.Unmarshal(data, &in); err != nil {
-		return piernotch.Settings{}, fmt.Errorf("settings: %w", err)
+		return piernotch.Settings{}, &SettingsError{err}
 	}
 	s := piernotch.Settings{
-		BalancerCount: in.GroupSize, Zone: in.MyZone, Zones: in.Zones,
-		Tick:          Duration(in.QuantumMS),
-		PollDiscovery: in.Discovery == "on_request",
-		KeyAffinity:   in.Specifics.WarmKeys,
-		Limits: piernotch.Limits{
-			MaxAttempts: in.Limits.MostTries, HedgedRequests: in.Limits.SecondCopies,
-			CancelAttempts: in.Limits.Cancelling, HealthChecks: in.Limits.MayProbe,
-			RetryAfter: in.Limits.RetryAfter, MaxRetryAfter: Duration(in.Limits.MaxRetryAfterMS),
-		},
-		Rules: piernotch.Rules{
-			PollInterval:      Duration(in.Rules.AskWithinMS),
-			SlowStartCapacity: in.Rules.ColdFrom, SlowStartDuration: Duration(in.Rules.ColdMS),
-			OverloadWindow: Duration(in.Rules.OverloadMS),
-		},
-		OverQuotaWeight:  in.OverShareWorth,
-		WeightPerRequest: in.WorthBy == "request",
+		BalancerCount:    in.BalancerCount,
+		Zone:             in.Zone,
+		Zones:            in.Zones,
+		Tick:             Duration(in.TickMS),
+		PollDiscovery:    in.Discovery == "on_request",
+		KeyAffinity:      in.Features.KeyAffinity,
+		Limits:           in.Limits.parse(),
+		Rules:            in.Rules.parse(),
+		OverQuotaWeight:  in.OverQuotaWeight,
+		WeightPerRequest: in.WeightBy == "request",
 	}
-	for i, c := range in.Classes {
-		effect, ok := retrySafetyByName[c.Effect]
-		if !ok {
-			return s, fmt.Errorf("settings: classes[%d].effect is %q", i, c.Effect)
+	for i := range in.Classes {
+		class, err := in.Classes[i].parse(i)
+		if err != nil {
+			return s, err
 		}
-		scope, ok := dedupScopeByName[c.DedupScope]
-		if !ok {
-			return s, fmt.Errorf("settings: classes[%d].dedup_scope is %q", i, c.DedupScope)
-		}
-		s.Classes = append(s.Classes, piernotch.Class{
-			Name: c.Name, LatencyObjective: Duration(c.GoalTimeMS), Deadline: Duration(c.DeadlineMS),
-			PriorityWeight: c.Points, LateWeightShare: c.LateWorth, RetrySafety: effect, DedupScope: scope,
-			DedupWindow: Duration(c.DedupWindowMS),
-		})
+		s.Classes = append(s.Classes, class)
 	}
 	for _, t := range in.Tenants {
-		s.Tenants = append(s.Tenants, piernotch.Tenant{Name: t.Name, QuotaPerSec: t.QuotaPerS})
+		s.Tenants = append(s.Tenants, piernotch.Tenant{Name: t.Name, QuotaPerSec: t.QuotaPerSec})
 	}
 	return s, nil
 }
 
-// ParseReportColumns reads the names of the values that a load report holds, in their order.
-func ParseReportColumns(data []byte) ([]string, error) {
-	var in settingsJSON
-	if err := json.Unmarshal(data, &in); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	return in.Report.Columns, nil
-}
-
-// ParseLoadReport translates the load report of a Verdict or a PingResult; ok is false if there is
-// none, or if it makes no sense.
-func ParseLoadReport(e *Event, columns []string) (load piernotch.LoadReport, ok bool) {
-	for i, name := range columns[:min(len(columns), e.LoadCount)] {
-		if !SetLoad(&load, name, e.Load[i]) {
-			return piernotch.LoadReport{}, false
-		}
-		ok = ok || name == Inflight
+func (l *limitsJSON) parse() piernotch.Limits {
+	return piernotch.Limits{
+		MaxAttempts:    l.MaxAttempts,
+		HedgedRequests: l.HedgedRequests,
+		CancelAttempts: l.CancelAttempts,
+		HealthChecks:   l.HealthChecks,
+		RetryAfter:     l.RetryAfter,
+		MaxRetryAfter:  Duration(l.MaxRetryAfterMS),
 	}
-	return load, ok
 }
 
-// Inflight is the value that no load report is of use without.
-const Inflight = "inflight"
-
-// SetLoad takes one named value of a load report; names that nobody needs are passed over.
-// It returns false for a value that cannot be: negative, infinite or no number.
-func SetLoad(load *piernotch.LoadReport, name string, v float64) bool {
-	switch name {
-	case Inflight:
-		load.Inflight = v
-	case "qps":
-		load.CompletedPerSecond = v
+func (r *rulesJSON) parse() piernotch.Rules {
+	return piernotch.Rules{
+		PollInterval:      Duration(r.PollIntervalMS),
+		SlowStartCapacity: r.SlowStartCapacity,
+		SlowStartDuration: Duration(r.SlowStartDurationMS),
+		OverloadWindow:    Duration(r.OverloadWindowMS),
 	}
-	return v >= 0 && !math.IsInf(v, 0)
 }
 
-// Duration turns the wire's milliseconds into a Duration, to the microsecond
-// that the wire counts in.
-func Duration(ms float64) time.Duration {
-	const most = float64(math.MaxInt64 / int64(time.Millisecond) / 2)
-	if math.IsNaN(ms) {
-		return 0
+// parse reads class i.
+func (c *classJSON) parse(i int) (piernotch.Class, error) {
+	safety, ok := retrySafetyByName[c.RetrySafety]
+	if !ok {
+		return piernotch.Class{}, &SettingsError{fmt.Errorf("classes[%d].effect is %q", i, c.RetrySafety)}
 	}
-	ms = min(max(ms, -most), most)
-	return time.Duration(math.Round(ms*1000)) * time.Microsecond
-}
-
-// Milliseconds is the reverse of Duration.
-func Milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-
-var statusByCode = map[uint8]piernotch.Status{
-	0: piernotch.OK, 13: piernotch.Error, 8: piernotch.Full, 4: piernotch.Timeout,
-	14: piernotch.ConnectFailed, 10: piernotch.Reset, 1: piernotch.Cancelled, 9: piernotch.NotSent,
-}
-
-// ParseStatus translates the wire's disposition.
-func ParseStatus(code uint8) (piernotch.Status, error) {
-	s, ok := statusByCode[code]
+	scope, ok := dedupScopeByName[c.DedupScope]
 	if !ok {
-		return 0, fmt.Errorf("unknown disposition %d", code)
+		return piernotch.Class{}, &SettingsError{fmt.Errorf("classes[%d].dedup_scope is %q", i, c.DedupScope)}
 	}
-	return s, nil
+	return piernotch.Class{
+		Name:             c.Name,
+		LatencyObjective: Duration(c.LatencyObjectiveMS),
+		Deadline:         Duration(c.DeadlineMS),
+		PriorityWeight:   c.PriorityWeight,
+		LateWeightShare:  c.LateWeightShare,
+		RetrySafety:      safety,
+		DedupScope:       scope,
+		DedupWindow:      Duration(c.DedupWindowMS),
+	}, nil
 }
 
-var stateByCode = [...]piernotch.State{0: piernotch.Draining, 1: piernotch.Gone, 2: piernotch.Ready}
-
-var listKindByCode = [...]piernotch.UpdateKind{
-	0: piernotch.UpdateFailed, 1: piernotch.UpdateCached, 2: piernotch.UpdateFull, 3: piernotch.UpdateDelta,
-}
-
-// ParseEndpointList translates the kind and the entries of a View, appending to into.
-func ParseEndpointList(e *Event, into []piernotch.Endpoint) (piernotch.UpdateKind, []piernotch.Endpoint, error) {
-	if int(e.ListKind) >= len(listKindByCode) {
-		return 0, into, fmt.Errorf("unknown list kind %d", e.ListKind)
-	}
-	for i := range e.EntryCount() {
-		l := e.Entry(i)
-		if int(l.State) >= len(stateByCode) {
-			return 0, into, fmt.Errorf("entry %d: unknown state %d", i, l.State)
-		}
-		into = append(into, piernotch.Endpoint{
-			ID: piernotch.BackendID(l.Backend), Zone: int(l.Zone), Cell: int(l.Cell),
-			State: stateByCode[l.State], Size: l.Size, StartedAt: Duration(l.StartedAtMS),
-		})
+// ParseReportColumns reads the names of the values that a load report holds, in their order. An
+// error is a *SettingsError.
+func ParseReportColumns(data []byte) ([]string, error) {
+	var in settingsJSON
+	if err := json.Unmarshal(data, &in); err != nil {
+		return nil, &SettingsError{err}
 	}
-	return listKindByCode[e.ListKind], into, nil
+	return in.Report.Columns, nil
 }
 
-// Connections reads what the settings say of connections, which concerns sockets
-// and not decisions: how long a server keeps an idle one, and how long one may
-// take to come up.
+// Connections reads what the settings say of connections, which concerns sockets and not decisions:
+// how long a server keeps an idle one, and how long one may take to come up. Both are above 0. An
+// error is a *SettingsError.
 func Connections(data []byte) (keepAlive, dialTimeout time.Duration, err error) {
 	var in struct {
 		Limits struct {
@@ -212,13 +172,17 @@
 		} `json:"limits"`
 	}
 	if err := json.Unmarshal(data, &in); err != nil {
-		return 0, 0, fmt.Errorf("settings: %w", err)
+		return 0, 0, &SettingsError{err}
 	}
 	if !(in.Limits.KeepAliveMS > 0) {
-		return 0, 0, fmt.Errorf("settings: limits.keepalive_ms is %v", in.Limits.KeepAliveMS)
+		return 0, 0, notPositive("limits.keepalive_ms", in.Limits.KeepAliveMS)
 	}
 	if !(in.Limits.DialTimeoutMS > 0) {
-		return 0, 0, fmt.Errorf("settings: limits.dial_timeout_ms is %v", in.Limits.DialTimeoutMS)
+		return 0, 0, notPositive("limits.dial_timeout_ms", in.Limits.DialTimeoutMS)
 	}
 	return Duration(in.Limits.KeepAliveMS), Duration(in.Limits.DialTimeoutMS), nil
 }
+
+func notPositive(key string, v float64) error {
+	return &SettingsError{errors.New(key + " is " + fmt.Sprint(v))}
+}
