--- /dev/null
+++ b/cmd/simulator-adapter/adapter.go
@@ -0,0 +1,169 @@
+package main
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"time"
+
+	"piernotch"
+	"piernotch/internal/wire"
+)
+
+// streamBuffer is the size of the buffers on standard input and output, in bytes.
+const streamBuffer = 1 << 16
+
+var errStartedTwice = errors.New("started twice without a stop")
+
+// adapter hosts instances. What it decodes into is reused from event to event, so that a running
+// instance's events allocate nothing here.
+type adapter struct {
+	instances map[uint32]*piernotch.Balancer // nil for one whose settings could not be used
+	columns   []string                       // of load reports; the same for all instances
+	reply     wire.Reply
+	event     wire.Event
+	entries   []piernotch.Endpoint
+}
+
+// serve answers batches until the input ends.
+func serve(in io.Reader, out io.Writer) error {
+	a := adapter{instances: map[uint32]*piernotch.Balancer{}}
+	reader := wire.NewReader(bufio.NewReaderSize(in, streamBuffer))
+	writer := bufio.NewWriterSize(out, streamBuffer)
+	for {
+		batch, err := reader.Next()
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+		if err := a.handleBatch(batch); err != nil {
+			return err
+		}
+		if err := a.reply.WriteTo(writer, batch.Seq); err != nil {
+			return err
+		}
+		if err := writer.Flush(); err != nil {
+			return err
+		}
+	}
+}
+
+func (a *adapter) handleBatch(batch *wire.Batch) error {
+	for i := range batch.Count {
+		if err := batch.Event(i, &a.event); err != nil {
+			return err
+		}
+		if err := a.handle(wire.Duration(batch.ClockMS)); err != nil {
+			return fmt.Errorf("batch %d, event %d: instance %d: %w", batch.Seq, i, a.event.Instance, err)
+		}
+	}
+	return nil
+}
+
+// handle passes the current event to its instance.
+func (a *adapter) handle(now time.Duration) error {
+	e := &a.event
+	balancer, started := a.instances[e.Instance]
+	if e.Code == wire.EventStart {
+		if started {
+			return errStartedTwice
+		}
+		a.start()
+		return nil
+	}
+	if !started {
+		return fmt.Errorf("event with code %d before its start", e.Code)
+	}
+	if e.Code == wire.EventStop {
+		delete(a.instances, e.Instance)
+		return nil
+	}
+	if balancer == nil { // its settings could not be used, which has been reported
+		return nil
+	}
+	return a.dispatch(balancer, now)
+}
+
+// start begins an instance. Settings that cannot be used are reported as a fault of the instance.
+func (a *adapter) start() {
+	e := &a.event
+	a.instances[e.Instance] = nil
+	balancer, err := a.newBalancer()
+	if err != nil {
+		a.reply.ReportFault(e.Instance, err.Error())
+		return
+	}
+	a.instances[e.Instance] = balancer
+}
+
+func (a *adapter) newBalancer() (*piernotch.Balancer, error) {
+	e := &a.event
+	settings, err := wire.Settings(e.Data)
+	if err != nil {
+		return nil, err
+	}
+	if a.columns, err = wire.ParseReportColumns(e.Data); err != nil {
+		return nil, err
+	}
+	return piernotch.New(settings, e.Seed, &host{instance: e.Instance, reply: &a.reply})
+}
+
+// dispatch calls the method of a running balancer that the current event stands for.
+func (a *adapter) dispatch(b *piernotch.Balancer, now time.Duration) error {
+	e := &a.event
+	if load, ok := wire.ParseLoadReport(e, a.columns); ok {
+		b.LoadReported(now, piernotch.BackendID(e.Backend), load)
+	}
+	switch e.Code {
+	case wire.EventRequest:
+		b.HandleRequest(now, request(e))
+	case wire.EventAttemptCompleted:
+		status, err := wire.ParseStatus(e.Status)
+		if err != nil {
+			return err
+		}
+		b.HandleOutcome(now, outcome(e, status))
+	case wire.EventTimerFired:
+		b.Timer(now, e.Token)
+	case wire.EventClientGone:
+		b.ClientGone(now, piernotch.RequestID(e.ID))
+	case wire.EventResponseStarted:
+		b.ResponseStarted(now, piernotch.RequestID(e.ID), int(e.Attempt))
+	case wire.EventHealthCheckCompleted:
+		status, err := wire.ParseStatus(e.Status)
+		if err != nil {
+			return err
+		}
+		b.HealthCheckCompleted(now, piernotch.BackendID(e.Backend), status)
+	case wire.EventEndpointList:
+		kind, entries, err := wire.ParseEndpointList(e, a.entries[:0])
+		if err != nil {
+			return err
+		}
+		a.entries = entries
+		b.UpdateEndpoints(now, kind, entries)
+	}
+	return nil
+}
+
+func request(e *wire.Event) piernotch.Request {
+	hint := e.CostHintMS
+	if e.Flags&wire.FlagCostHint == 0 {
+		hint = math.NaN()
+	}
+	return piernotch.Request{
+		ID: piernotch.RequestID(e.ID), Class: int(e.Class), Tenant: int(e.Tenant), Key: e.Key,
+		Deadline: wire.Duration(e.DeadlineMS), CostHint: hint,
+	}
+}
+
+func outcome(e *wire.Event, status piernotch.Status) piernotch.Outcome {
+	return piernotch.Outcome{
+		ID: piernotch.RequestID(e.ID), Attempt: int(e.Attempt), Backend: piernotch.BackendID(e.Backend),
+		Status: status, Latency: wire.Duration(e.LatencyMS), Closed: e.Closed,
+	}
+}
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/adapter_test.go
@@ -32,13 +32,13 @@
 	return r
 }
 
-func TestServe(t *testing.T) {
-	demand := make([]byte, 41)
-	demand[0], demand[1], demand[5] = 3, 7, 9
-	binary.LittleEndian.PutUint64(demand[24:], math.Float64bits(1001)) // gives up at once
+func TestRequestWithoutBackendIsRejected(t *testing.T) {
+	request := make([]byte, 41)
+	request[0], request[1], request[5] = 3, 7, 9
+	binary.LittleEndian.PutUint64(request[24:], math.Float64bits(1001)) // it cannot be met
 	var out bytes.Buffer
 	in := append(batch(1, "", nil...), batch(2, settingsText, startRecord(7, settingsText))...)
-	in = append(in, batch(3, "", demand)...)
+	in = append(in, batch(3, "", request)...)
 	if err := serve(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
@@ -46,13 +46,13 @@
 	if seq := binary.LittleEndian.Uint32(got[8:]); seq != 1 {
 		t.Errorf("first reply is to batch %d", seq)
 	}
-	refuse := got[len(got)-32:]
-	if refuse[0] != 7 || refuse[1] != 7 || refuse[5] != 9 {
-		t.Errorf("without a backend, request 9 of instance 7 is refused; got %x", refuse)
+	reject := got[len(got)-32:]
+	if reject[0] != 7 || reject[1] != 7 || reject[5] != 9 {
+		t.Errorf("without a backend, request 9 of instance 7 is rejected; got %x", reject)
 	}
 }
 
-func TestServeReportsWhatIsMalformed(t *testing.T) {
+func TestServeRejectsMalformedEvents(t *testing.T) {
 	start := startRecord(7, settingsText)
 	for name, c := range map[string]struct {
 		in   []byte
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestUnusableSettingsAreAFault(t *testing.T) {
+func TestUnusableSettingsAreReportedAsFault(t *testing.T) {
 	for _, text := range []string{"nonsense", `{"group_size":1,"classes":[{"goal_time_ms":-1,"effect":"safe"}]}`} {
 		var out bytes.Buffer
 		in := append(batch(1, text, startRecord(7, text)), batch(2, "", []byte{2, 7})...)
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestARestartForgets(t *testing.T) {
+func TestInstanceMayStartAgainAfterStop(t *testing.T) {
 	start := startRecord(7, settingsText)
 	in := batch(1, settingsText, start, []byte{8, 7}, start)
 	if err := serve(bytes.NewReader(in), &bytes.Buffer{}); err != nil {
