--- /dev/null
+++ b/internal/lab/simulation/counters.go
@@ -0,0 +1,127 @@
+package simulation
+
+import (
+	"math"
+	"time"
+
+	"piernotch"
+	"piernotch/internal/lab/goodput"
+	"piernotch/internal/lab/scenario"
+	"piernotch/internal/lab/servermodel"
+)
+
+// maxTracks bounds the servers that are sampled; they are spread evenly over all.
+const maxTracks = 48
+
+// States of a sample beyond those of servermodel.State; Result documents all of them.
+const (
+	sampleSlowStart  uint8 = 5
+	sampleOverloaded uint8 = 6
+)
+
+// counters counts what a World does.
+type counters struct {
+	Events           int
+	Requests         int // sendings by clients
+	Attempts         int
+	FirstAttempts    int
+	CrossZone        int // attempts to another zone
+	HealthChecks     int
+	RejectedByServer int
+	TableFull        int // connections that a server refused for having too many
+	Opened           int // connections
+	Collapses        int
+	Unreachable      int // requests that reached no balancer
+	TimedOut         int // requests whose client waited no longer
+	Left             int // requests whose client left early
+	ListFailed       int // calls to discovery that timed out
+	Outcomes         [piernotch.NotSent + 1]int
+	ServedWork       float64       // ms
+	ModuleTime       time.Duration // of the wall clock, in balancers' decisions
+
+	goodput *goodput.Counter
+	digest  uint64 // of what clients got, and when
+
+	// For Little's law.
+	held           int           // attempts that servers hold
+	since          time.Duration // until when heldSeconds is counted
+	heldSeconds    float64       // integral of held over time, s
+	sojournSeconds float64       // sum over attempts of the time at their server, s
+	accepted       int
+
+	tracks []ServerTrack
+}
+
+func (c *counters) init(d *scenario.Day) { c.goodput = goodput.New(d) }
+
+// finish counts a client's request that is over.
+func (c *counters) finish(w *World, client *clientRequest, served bool) {
+	took := w.now - client.firstSent
+	earned := c.goodput.Finish(client.firstSent, took, client.class, client.work, client.sends, served)
+	c.digest = mix(c.digest^mix(client.randomKey^uint64(took)<<1)) + math.Float64bits(earned)
+}
+
+// attemptStarted counts attempt n of a request.
+func (c *counters) attemptStarted(n int, crossZone bool) {
+	c.Attempts++
+	if n == 0 {
+		c.FirstAttempts++
+	}
+	if crossZone {
+		c.CrossZone++
+	}
+}
+
+// enter counts an attempt that a server accepted.
+func (c *counters) enter(w *World) {
+	c.advance(w.now)
+	c.held++
+	c.accepted++
+}
+
+// exit counts an attempt that a server is done with.
+func (c *counters) exit(w *World, a *attempt) {
+	c.advance(w.now)
+	c.held--
+	c.sojournSeconds += (w.now - a.arrivesAt).Seconds()
+}
+
+// advance integrates the number of held attempts up to now.
+func (c *counters) advance(now time.Duration) {
+	c.heldSeconds += float64(c.held) * (now - c.since).Seconds()
+	c.since = now
+}
+
+// sample records the state of some servers; it is called once a second.
+func (c *counters) sample(w *World) {
+	if c.tracks == nil {
+		c.chooseTracks(w)
+	}
+	if w.now > w.day.Length {
+		return
+	}
+	for i := range c.tracks {
+		track := &c.tracks[i]
+		server := &w.servers[track.Server]
+		state := uint8(server.State())
+		switch {
+		case server.State() == servermodel.Up && server.Choked():
+			state = sampleOverloaded
+		case server.State() == servermodel.Up && server.Cold(w.now):
+			state = sampleSlowStart
+		}
+		track.Busy = append(track.Busy, float32(math.Round(1000*server.Busy())/1000))
+		track.Holds = append(track.Holds, int16(min(server.Holds(), math.MaxInt16)))
+		track.State = append(track.State, state)
+	}
+}
+
+// chooseTracks picks the servers to sample.
+func (c *counters) chooseTracks(w *World) {
+	n := len(w.servers)
+	step := max((n+maxTracks-1)/maxTracks, 1)
+	for i := 0; i < n; i += step {
+		spec := &w.servers[i].spec
+		c.tracks = append(c.tracks, ServerTrack{Server: i, Kind: spec.Kind.Name, Zone: spec.Zone})
+	}
+}
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -9,37 +9,38 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// discovery is the list of servers as a service: it learns of changes late, publishes
-// them in steps, and answers calls one after the other.
+// discovery is the service that knows the endpoint list: it learns of changes late, publishes them
+// periodically, and answers calls one after the other.
 type discovery struct {
-	listed    []listed
-	notices   []notice
-	waiting   []int // notices that are learnt of and not published yet
-	publishAt time.Duration
-	version   uint64
-	busyUntil time.Duration
-	outages   int
-	late      time.Duration // a trouble's further lateness
-	phase     time.Duration
+	entries     []listEntry
+	notices     []notice
+	unpublished []int         // notices that are learned of and not published yet
+	version     uint64        // of the list
+	busyUntil   time.Duration // with the calls taken so far
+	outages     int           // in force
+	noticeDelay time.Duration // by which faults delay notices further
+	phase       time.Duration // of the period of publishing
 }
 
-type listed struct {
-	present bool
-	state   piernotch.State
-	born    time.Duration
-	changed uint64 // version of its last change
-	at      time.Duration
+// listEntry is one server as listed.
+type listEntry struct {
+	present   bool
+	state     piernotch.State
+	startedAt time.Duration
+	changedIn uint64 // version of the list that changed it last
+	changedAt time.Duration
 }
 
+// notice is a change of a server that discovery learns of after a while.
 type notice struct {
-	server int
-	seq    int
-	state  piernotch.State
-	born   time.Duration
+	server    int
+	seq       int
+	state     piernotch.State
+	startedAt time.Duration
 }
 
-// Kinds of list deliveries: answers to calls and pushes of changes. The instance's
-// epoch stands above them.
+// Kinds of deliveries to an instance: answers to calls and pushes of changes. In the ID of a
+// planned event, the instance's epoch stands above the kind, from bit 8 on.
 const (
 	pushChanges uint64 = iota
 	answerWatch
@@ -47,125 +48,123 @@
 	answerFailed
 )
 
-func (d *discovery) begin(w *World) {
-	d.listed = make([]listed, len(w.servers))
-	for i := range d.listed {
-		d.listed[i] = listed{present: true, state: piernotch.Ready}
+func (d *discovery) init(w *World) {
+	d.entries = make([]listEntry, len(w.servers))
+	for i := range d.entries {
+		d.entries[i] = listEntry{present: true, state: piernotch.Ready}
 	}
 	d.version = 1
 	d.phase = time.Duration(scenario.Stream(w.day.Seed, "discovery").Float64() * float64(w.day.Discovery.Period))
 }
 
-// truth notes what became of a server; discovery learns of it after a while.
-func (d *discovery) truth(w *World, server int, state piernotch.State, after time.Duration) {
-	m := &w.servers[server]
-	m.truth++
-	n := notice{server: server, seq: m.truth, state: state, born: m.Started()}
+// serverChanged notes a server's new state; discovery learns of it after a while.
+func (d *discovery) serverChanged(w *World, s int, state piernotch.State, after time.Duration) {
+	server := &w.servers[s]
+	server.noticeCount++
+	n := notice{server: s, seq: server.noticeCount, state: state, startedAt: server.Started()}
 	if state == piernotch.Ready {
-		after += d.late / 2
+		after += d.noticeDelay / 2
 	} else {
-		after += d.late
+		after += d.noticeDelay
 	}
 	d.notices = append(d.notices, n)
-	w.cal.plan(w.now+after, atTrouble, evNotice, uint64(len(d.notices)-1), 0)
+	w.events.plan(w.now+after, priorityFault, eventDiscoveryNotice, uint64(len(d.notices)-1), 0)
 }
 
-// notice has discovery learn of a change; it is published at the next step.
-func (d *discovery) notice(w *World, i int) {
-	d.waiting = append(d.waiting, i)
-	if len(d.waiting) > 1 {
+// learn has discovery learn of a change; it is published at the next period.
+func (d *discovery) learn(w *World, i int) {
+	d.unpublished = append(d.unpublished, i)
+	if len(d.unpublished) > 1 {
 		return
 	}
 	at := w.now
 	if p := w.day.Discovery.Period; p > 0 {
 		at = (w.now-d.phase+p-1)/p*p + d.phase
 	}
-	w.cal.plan(max(at, w.now), atTrouble, evPublish, 0, 0)
+	w.events.plan(max(at, w.now), priorityFault, eventDiscoveryPublish, 0, 0)
 }
 
-// publish makes a new version of the list and tells those who watch.
+// publish makes a new version of the list and pushes it to the watchers.
 func (d *discovery) publish(w *World) {
 	d.version++
 	changed := false
-	for _, i := range d.waiting {
+	for _, i := range d.unpublished {
 		n := d.notices[i]
-		if n.seq < w.servers[n.server].truth && n.state != piernotch.Ready && d.newer(w, n) {
-			continue // something later is known already
+		outdated := n.seq < w.servers[n.server].noticeCount && n.state != piernotch.Ready
+		if outdated && d.supersededByStart(n) {
+			continue
 		}
-		l := &d.listed[n.server]
-		was := *l
-		l.present, l.state, l.born = n.state != piernotch.Gone, n.state, n.born
-		if was.present == l.present && was.state == l.state && was.born == l.born {
+		entry := &d.entries[n.server]
+		was := *entry
+		entry.present, entry.state, entry.startedAt = n.state != piernotch.Gone, n.state, n.startedAt
+		if was.present == entry.present && was.state == entry.state && was.startedAt == entry.startedAt {
 			continue
 		}
-		l.changed, l.at, changed = d.version, w.now, true
+		entry.changedIn, entry.changedAt = d.version, w.now
+		changed = true
 	}
-	d.waiting = d.waiting[:0]
+	d.unpublished = d.unpublished[:0]
 	if !changed || d.outages > 0 {
 		return
 	}
 	d.push(w)
 }
 
-// push tells those who watch.
+// push plans the delivery of changes to all watchers.
 func (d *discovery) push(w *World) {
-	for i := range w.insts {
-		if in := &w.insts[i]; in.up && in.watch && d.outages == 0 {
-			d.plan(w, i, w.now+d.spread(w, i), pushChanges)
+	for i := range w.instances {
+		if instance := &w.instances[i]; instance.up && instance.watching && d.outages == 0 {
+			d.planDelivery(w, i, w.now+d.pushDelay(w, i), pushChanges)
 		}
 	}
 }
 
-// mistake lists servers as gone that are not, or as ready again; those that have ended
-// or drain meanwhile stay as they are listed.
-func (d *discovery) mistake(w *World, servers []int, state piernotch.State) {
+// listWrongly lists servers as gone that are not, or as ready again. Servers that have ended or
+// drain stay as they are listed.
+func (d *discovery) listWrongly(w *World, servers []int, state piernotch.State) {
 	d.version++
 	for _, s := range servers {
-		if m := &w.servers[s]; m.State() != servermodel.Up {
+		if server := &w.servers[s]; server.State() != servermodel.Up {
 			continue
 		}
-		l := &d.listed[s]
-		l.present, l.state, l.changed, l.at = state != piernotch.Gone, state, d.version, w.now
+		entry := &d.entries[s]
+		entry.present, entry.state, entry.changedIn, entry.changedAt = state != piernotch.Gone, state, d.version, w.now
 	}
 	d.push(w)
 }
 
-// newer tells whether a later start of the server is listed than the notice is about.
-func (d *discovery) newer(w *World, n notice) bool {
-	l := &d.listed[n.server]
-	return l.state == piernotch.Ready && l.born > n.born
+// supersededByStart reports whether a later start of the server is listed than the notice is of.
+func (d *discovery) supersededByStart(n notice) bool {
+	entry := &d.entries[n.server]
+	return entry.state == piernotch.Ready && entry.startedAt > n.startedAt
 }
 
-func (d *discovery) spread(w *World, i int) time.Duration {
-	u := w.dice(mix(d.version<<20^uint64(i)), ofSpread).Float64()
+// pushDelay is when an instance gets a push, after the list changed.
+func (d *discovery) pushDelay(w *World, i int) time.Duration {
+	u := w.randFor(mix(d.version<<20^uint64(i)), concernPush).Float64()
 	return time.Duration(u*float64(w.day.Discovery.Spread)) / time.Microsecond * time.Microsecond
 }
 
-func (d *discovery) plan(w *World, i int, at time.Duration, kind uint64) {
-	w.cal.plan(at, atList, evList, uint64(w.insts[i].epoch)<<8|kind, int32(i))
+// planDelivery plans a delivery to an instance; one to a process that has ended is dropped.
+func (d *discovery) planDelivery(w *World, i int, at time.Duration, kind uint64) {
+	w.events.plan(at, priorityEndpointList, eventListArrives, uint64(w.instances[i].epoch)<<8|kind, int32(i))
 }
 
-// call takes an instance's call: for changes from now on, or for the whole list once.
+// call takes an instance's call: a watch of changes, or a fetch of the full list.
 func (d *discovery) call(w *World, i int, watch bool) {
-	in := &w.insts[i]
-	in.asked = w.now
-	way := 2 * w.day.Delay[in.zone][0]
+	instance := &w.instances[i]
+	instance.lastPoll = w.now
+	roundTrip := 2 * w.day.Delay[instance.zone][0]
 	if d.outages > 0 {
-		d.plan(w, i, w.now+way+time.Millisecond, answerFailed)
+		d.planDelivery(w, i, w.now+roundTrip+time.Millisecond, answerFailed)
 		return
 	}
-	lines := 0
-	for s := range d.listed {
-		if l := &d.listed[s]; l.present && !watch || l.changed > in.version {
-			lines++
-		}
-	}
-	v := &w.day.Discovery
-	cost := time.Duration((1 + float64(lines)/v.CallLines) / v.CallsPerSec * float64(time.Second))
+	settings := &w.day.Discovery
+	cost := time.Duration((1 + float64(d.answerSize(instance, watch))/settings.CallLines) / settings.CallsPerSec * float64(time.Second))
 	done := max(d.busyUntil, w.now) + cost
-	if done-w.now > v.Patience {
-		d.plan(w, i, w.now+v.Patience, answerFailed)
-		w.meter.ListFailed++
+	if done-w.now > settings.Patience {
+		d.planDelivery(w, i, w.now+settings.Patience, answerFailed)
+		w.counters.ListFailed++
 		return
 	}
 	d.busyUntil = done
@@ -173,160 +172,182 @@
 	if watch {
 		kind = answerWatch
 	}
-	d.plan(w, i, done+way, kind)
+	d.planDelivery(w, i, done+roundTrip, kind)
+}
+
+// answerSize is how many entries the answer to a call holds.
+func (d *discovery) answerSize(instance *balancerInstance, watch bool) int {
+	n := 0
+	for s := range d.entries {
+		entry := &d.entries[s]
+		inFullList := entry.present && !watch
+		if inFullList || entry.changedIn > instance.listVersion {
+			n++
+		}
+	}
+	return n
 }
 
 // deliver brings a list to an instance.
-func (d *discovery) deliver(w *World, i int, what uint64) {
-	in := &w.insts[i]
-	if !in.up || uint32(what>>8) != in.epoch {
+func (d *discovery) deliver(w *World, i int, id uint64) {
+	instance := &w.instances[i]
+	if !instance.up || uint32(id>>8) != instance.epoch {
 		return
 	}
-	switch what & 0xff {
+	kind := id & 0xff
+	switch kind {
 	case answerFailed:
-		in.watch, in.failed = w.day.Discovery.Push, true
-		w.tell(i, Event{Kind: View, List: piernotch.UpdateFailed, Version: in.version})
+		instance.watching, instance.pollFailed = w.day.Discovery.Push, true
+		w.notify(i, Event{Kind: EventEndpointList, ListKind: piernotch.UpdateFailed, Version: instance.listVersion})
 		return
 	case answerFetch:
-		in.failed = false
-		d.whole(w, i)
-		d.send(w, i, piernotch.UpdateFull, d.all(w))
+		instance.pollFailed = false
+		d.setFullList(w, i)
+		d.send(w, i, piernotch.UpdateFull, d.presentServers())
 		return
 	case answerWatch:
-		in.watch, in.failed = true, false
+		instance.watching, instance.pollFailed = true, false
 	}
 	if d.outages > 0 {
 		return
 	}
-	var servers []int
-	for s := range d.listed {
-		if d.listed[s].changed > in.version {
-			servers = append(servers, s)
-		}
-	}
-	if len(servers) == 0 && what&0xff == pushChanges {
+	servers := d.changedSince(instance.listVersion)
+	if len(servers) == 0 && kind == pushChanges {
 		return
 	}
-	in.version = d.version
+	instance.listVersion = d.version
 	for _, s := range servers {
-		d.remember(in, s, w)
+		d.remember(w, instance, s)
 	}
 	d.send(w, i, piernotch.UpdateDelta, servers)
 }
 
-// all is every server on the list.
-func (d *discovery) all(w *World) []int {
+// changedSince lists the servers that changed after a version of the list.
+func (d *discovery) changedSince(version uint64) []int {
+	var servers []int
+	for s := range d.entries {
+		if d.entries[s].changedIn > version {
+			servers = append(servers, s)
+		}
+	}
+	return servers
+}
+
+// presentServers lists every server that is on the list.
+func (d *discovery) presentServers() []int {
 	var servers []int
-	for s := range d.listed {
-		if d.listed[s].present {
+	for s := range d.entries {
+		if d.entries[s].present {
 			servers = append(servers, s)
 		}
 	}
 	return servers
 }
 
-func (d *discovery) entry(w *World, s int) piernotch.Endpoint {
-	l, m := &d.listed[s], &w.servers[s]
-	return piernotch.Endpoint{ID: m.id, Zone: m.spec.Zone, Cell: m.spec.Cell, State: l.state, Size: m.spec.Size, StartedAt: l.born}
+// endpoint is a server as it is listed.
+func (d *discovery) endpoint(w *World, s int) piernotch.Endpoint {
+	entry, server := &d.entries[s], &w.servers[s]
+	return piernotch.Endpoint{ID: server.id, Zone: server.spec.Zone, Cell: server.spec.Cell, State: entry.state, Size: server.spec.Size, StartedAt: entry.startedAt}
 }
 
-// remember keeps what an instance was told, for its successor.
-func (d *discovery) remember(in *instance, s int, w *World) {
-	if in.entries == nil {
-		in.entries = map[int32]piernotch.Endpoint{}
+// remember caches an entry for the instance's next process.
+func (d *discovery) remember(w *World, instance *balancerInstance, s int) {
+	if instance.entries == nil {
+		instance.entries = map[int32]piernotch.Endpoint{}
 	}
-	if !d.listed[s].present {
-		delete(in.entries, int32(s))
+	if !d.entries[s].present {
+		delete(instance.entries, int32(s))
 		return
 	}
-	in.entries[int32(s)] = d.entry(w, s)
+	instance.entries[int32(s)] = d.endpoint(w, s)
 }
 
-// whole makes an instance's list the present one.
-func (d *discovery) whole(w *World, i int) {
-	in := &w.insts[i]
-	in.version = d.version
-	clear(in.entries)
-	for s := range d.listed {
-		if d.listed[s].present {
-			d.remember(in, s, w)
+// setFullList makes an instance's cached list the present one.
+func (d *discovery) setFullList(w *World, i int) {
+	instance := &w.instances[i]
+	instance.listVersion = d.version
+	clear(instance.entries)
+	for s := range d.entries {
+		if d.entries[s].present {
+			d.remember(w, instance, s)
 		}
 	}
 }
 
-// send tells an instance of servers as they are listed now.
+// send notifies an instance of servers as they are listed now.
 func (d *discovery) send(w *World, i int, kind piernotch.UpdateKind, servers []int) {
-	e := Event{Kind: View, List: kind, Version: d.version}
+	e := Event{Kind: EventEndpointList, ListKind: kind, Version: d.version}
 	for _, s := range servers {
-		entry := d.entry(w, s)
-		e.Entries = append(e.Entries, entry)
-		e.Machines = append(e.Machines, w.servers[s].spec.KindIndex)
-		w.audit.EndpointNotified(w.now, i, s, entry.State, entry.StartedAt)
+		w.addEntry(&e, i, s, d.endpoint(w, s))
 	}
 	if kind == piernotch.UpdateFull {
-		d.missing(w, i)
+		d.notifyAbsent(w, i)
 	}
-	w.tell(i, e)
+	w.notify(i, e)
+}
+
+// addEntry adds an entry of server s to an event for instance i.
+func (w *World) addEntry(e *Event, i, s int, entry piernotch.Endpoint) {
+	e.Entries = append(e.Entries, entry)
+	e.MachineKinds = append(e.MachineKinds, w.servers[s].spec.KindIndex)
+	w.checker.EndpointNotified(w.now, i, s, entry.State, entry.StartedAt)
 }
 
-// missing counts what a whole list leaves out as told to be gone.
-func (d *discovery) missing(w *World, i int) {
-	for s := range d.listed {
-		if !d.listed[s].present {
-			w.audit.EndpointNotified(w.now, i, s, piernotch.Gone, 0)
+// notifyAbsent counts the servers that a full list leaves out as notified to be gone.
+func (d *discovery) notifyAbsent(w *World, i int) {
+	for s := range d.entries {
+		if !d.entries[s].present {
+			w.checker.EndpointNotified(w.now, i, s, piernotch.Gone, 0)
 		}
 	}
 }
 
-// cached brings a starting instance the list that its forerunner had last.
-func (d *discovery) cached(w *World, i int) {
-	in := &w.insts[i]
-	e := Event{Kind: View, List: piernotch.UpdateCached, Version: in.version}
-	servers := make([]int, 0, len(in.entries))
-	for s := range in.entries {
+// sendCached notifies a starting instance of the list that its predecessor had last.
+func (d *discovery) sendCached(w *World, i int) {
+	instance := &w.instances[i]
+	e := Event{Kind: EventEndpointList, ListKind: piernotch.UpdateCached, Version: instance.listVersion}
+	servers := make([]int, 0, len(instance.entries))
+	for s := range instance.entries {
 		servers = append(servers, int(s))
 	}
 	slices.Sort(servers)
 	for _, s := range servers {
-		entry := in.entries[int32(s)]
-		e.Entries = append(e.Entries, entry)
-		e.Machines = append(e.Machines, w.servers[s].spec.KindIndex)
-		w.audit.EndpointNotified(w.now, i, s, entry.State, entry.StartedAt)
+		w.addEntry(&e, i, s, instance.entries[int32(s)])
 	}
-	w.tell(i, e)
+	w.notify(i, e)
 }
 
-// implied counts as told, to instances that neither watch nor ask, what was listed as
-// long ago as they may go without.
-func (d *discovery) implied(w *World) {
-	for i := range w.insts {
-		in := &w.insts[i]
+// notifyImplied counts instances that neither watch nor poll as notified of what has been listed for
+// longer than they may go without polling.
+func (d *discovery) notifyImplied(w *World) {
+	for i := range w.instances {
+		instance := &w.instances[i]
 		limit := w.day.Rules.AskWithin
-		if in.failed {
+		if instance.pollFailed {
 			limit *= 4
 		}
-		if !in.up || in.watch || w.now-in.asked <= limit {
+		if !instance.up || instance.watching || w.now-instance.lastPoll <= limit {
 			continue
 		}
-		for s := range d.listed {
-			if l := &d.listed[s]; l.state != piernotch.Ready && l.changed > in.version && l.at <= w.now-limit {
-				w.audit.EndpointNotified(w.now, i, s, l.state, 0)
+		for s := range d.entries {
+			if entry := &d.entries[s]; entry.state != piernotch.Ready && entry.changedIn > instance.listVersion && entry.changedAt <= w.now-limit {
+				w.checker.EndpointNotified(w.now, i, s, entry.state, 0)
 			}
 		}
 	}
 }
 
-// outage ends all watches and has calls fail.
+// outage begins or ends an outage; several may overlap. It ends all watches, and calls fail.
 func (d *discovery) outage(w *World, begins bool) {
 	if !begins {
 		d.outages--
 		return
 	}
 	d.outages++
-	for i := range w.insts {
-		if in := &w.insts[i]; in.up && in.watch && !w.day.Discovery.Push {
-			in.watch = false
-			d.plan(w, i, w.now+time.Millisecond, answerFailed)
+	for i := range w.instances {
+		if instance := &w.instances[i]; instance.up && instance.watching && !w.day.Discovery.Push {
+			instance.watching = false
+			d.planDelivery(w, i, w.now+time.Millisecond, answerFailed)
 		}
 	}
 }
--- a/internal/lab/simulation/ties_test.go
+++ b/internal/lab/simulation/event_order_test.go
@@ -14,46 +14,46 @@
 
 // What is taken is always the first of what is there, also while more is planned.
 func TestTheCalendarNeverGoesBack(t *testing.T) {
-	var c calendar
+	var c eventQueue
 	rng := rand.New(rand.NewPCG(2, 2))
 	now := time.Duration(0)
 	for range 3000 {
-		c.plan(time.Duration(rng.IntN(1000000)), atMessage, evScript, 0, 0)
+		c.plan(time.Duration(rng.IntN(1000000)), priorityMessage, eventScript, 0, 0)
 	}
 	for range 100000 {
-		e, ok := c.take()
+		e, ok := c.pop()
 		require.True(t, ok)
 		require.GreaterOrEqual(t, e.at, now)
 		now = e.at
-		c.plan(now+time.Duration(rng.IntN(1000000)), atMessage, evScript, 0, 0)
+		c.plan(now+time.Duration(rng.IntN(1000000)), priorityMessage, eventScript, 0, 0)
 	}
 }
 
 func TestTheCalendarKeepsTheOrderOfTimeThenKindThenPlanning(t *testing.T) {
-	var c calendar
+	var c eventQueue
 	rng := rand.New(rand.NewPCG(1, 1))
-	var want []event
+	var want []plannedEvent
 	for i := range 5000 {
 		at, prio := time.Duration(rng.IntN(50)), uint8(rng.IntN(9))
-		c.plan(at, prio, evScript, uint64(i), 0)
-		want = append(want, event{at: at, ord: uint64(prio)<<56 | uint64(i+1), a: uint64(i)})
+		c.plan(at, prio, eventScript, uint64(i), 0)
+		want = append(want, plannedEvent{at: at, order: uint64(prio)<<56 | uint64(i+1), id: uint64(i)})
 		if rng.IntN(3) == 0 {
-			e, _ := c.take()
-			want = slices.DeleteFunc(want, func(w event) bool { return w.a == e.a })
+			e, _ := c.pop()
+			want = slices.DeleteFunc(want, func(w plannedEvent) bool { return w.id == e.id })
 		}
 	}
-	slices.SortFunc(want, func(x, y event) int {
+	slices.SortFunc(want, func(x, y plannedEvent) int {
 		if x.before(&y) {
 			return -1
 		}
 		return 1
 	})
 	for _, w := range want {
-		e, ok := c.take()
+		e, ok := c.pop()
 		require.True(t, ok)
-		require.Equal(t, w.a, e.a)
+		require.Equal(t, w.id, e.id)
 	}
-	_, ok := c.take()
+	_, ok := c.pop()
 	require.False(t, ok)
 }
 
@@ -90,18 +90,18 @@
 		require.NoError(t, err)
 		w, err := New(d, faulty{NewInProcess(), func(_ time.Duration, _ []Event, a []Action) []Action {
 			for i := range a {
-				if a[i].Kind == Send { // 1 ms there, 10 ms of work, 1 ms back
+				if a[i].Kind == ActionStartAttempt { // 1 ms there, 10 ms of work, 1 ms back
 					a[i].Delay = timeout
 				}
 			}
 			return a
 		}})
 		require.NoError(t, err)
-		w.at(100*time.Millisecond, func() { w.traffic.arrive(w) })
+		w.schedule(100*time.Millisecond, func() { w.traffic.clientArrives(w) })
 		r, err := w.Run()
 		require.NoError(t, err)
-		require.Positive(t, w.meter.Outcomes[want], "time-out after %v: %v", timeout, r.Ended)
-		require.Zero(t, w.meter.Outcomes[piernotch.OK]*w.meter.Outcomes[piernotch.Timeout])
+		require.Positive(t, w.counters.Outcomes[want], "time-out after %v: %v", timeout, r.Ended)
+		require.Zero(t, w.counters.Outcomes[piernotch.OK]*w.counters.Outcomes[piernotch.Timeout])
 	}
 }
 
--- a/internal/lab/simulation/faults_test.go
+++ b/internal/lab/simulation/invariants_test.go
@@ -56,13 +56,13 @@
 	unsafe := map[piernotch.RequestID]bool{}
 	r := playFaulty(t, 1, func(_ time.Duration, events []Event, actions []Action) []Action {
 		for _, e := range events {
-			if e.Kind == Demand && e.Request.Class == 1 {
+			if e.Kind == EventRequest && e.Request.Class == 1 {
 				unsafe[e.Request.ID] = true
 			}
 		}
 		out := append([]Action(nil), actions...)
 		for _, a := range actions {
-			if a.Kind == Send && unsafe[a.ID] && a.ID%50 == 0 {
+			if a.Kind == ActionStartAttempt && unsafe[a.ID] && a.ID%50 == 0 {
 				out = append(out, a)
 			}
 		}
@@ -78,8 +78,8 @@
 	r := playFaulty(t, 1, func(_ time.Duration, _ []Event, actions []Action) []Action {
 		out := append([]Action(nil), actions...)
 		for _, a := range actions {
-			if a.Kind == Send && a.ID%40 == 0 {
-				out = append(out, Action{Kind: Refuse, Instance: a.Instance, ID: a.ID})
+			if a.Kind == ActionStartAttempt && a.ID%40 == 0 {
+				out = append(out, Action{Kind: ActionReject, Instance: a.Instance, ID: a.ID})
 			}
 		}
 		return out
@@ -92,7 +92,7 @@
 	first := map[int]piernotch.BackendID{}
 	r := playFaulty(t, 1, func(_ time.Duration, events []Event, actions []Action) []Action {
 		for _, e := range events {
-			if e.Kind == View && e.List == piernotch.UpdateDelta {
+			if e.Kind == EventEndpointList && e.ListKind == piernotch.UpdateDelta {
 				for _, en := range e.Entries {
 					if _, ok := first[e.Instance]; !ok && en.State == piernotch.Draining {
 						first[e.Instance] = en.ID
@@ -101,7 +101,7 @@
 			}
 		}
 		for i := range actions {
-			if to, ok := first[actions[i].Instance]; ok && actions[i].Kind == Send && actions[i].ID%10 == 0 {
+			if to, ok := first[actions[i].Instance]; ok && actions[i].Kind == ActionStartAttempt && actions[i].ID%10 == 0 {
 				actions[i].Backend = to
 			}
 		}
@@ -116,10 +116,10 @@
 	r := playFaulty(t, 1, func(_ time.Duration, _ []Event, actions []Action) []Action {
 		var out []Action
 		for _, a := range actions {
-			if a.Kind == Send && a.ID%100 == 0 {
+			if a.Kind == ActionStartAttempt && a.ID%100 == 0 {
 				lost[a.ID] = true
 			}
-			if !lost[a.ID] || a.Kind == SetTimer {
+			if !lost[a.ID] || a.Kind == ActionSetTimer {
 				out = append(out, a)
 			}
 		}
@@ -139,13 +139,13 @@
 		}
 		late = late[:0]
 		for _, a := range actions {
-			if a.Kind == Send && done[a.ID] == 0 && a.ID%60 == 0 && now < 10*time.Second {
+			if a.Kind == ActionStartAttempt && done[a.ID] == 0 && a.ID%60 == 0 && now < 10*time.Second {
 				done[a.ID]++
 				// Refused at once, unsent; and sent all the same one turn later.
 				late = append(late, a)
-				out = append(out[:0:0], Action{Kind: Refuse, Instance: a.Instance, ID: a.ID})
+				out = append(out[:0:0], Action{Kind: ActionReject, Instance: a.Instance, ID: a.ID})
 				for _, b := range actions {
-					if b.ID != a.ID || b.Kind == SetTimer {
+					if b.ID != a.ID || b.Kind == ActionSetTimer {
 						out = append(out, b)
 					}
 				}
@@ -163,13 +163,13 @@
 	r := playFaulty(t, 2, func(_ time.Duration, events []Event, actions []Action) []Action {
 		for _, e := range events {
 			for _, en := range e.Entries {
-				if e.Kind == View && en.State == piernotch.Ready && en.StartedAt > born[e.Instance] {
+				if e.Kind == EventEndpointList && en.State == piernotch.Ready && en.StartedAt > born[e.Instance] {
 					cold[e.Instance], born[e.Instance] = en.ID, en.StartedAt
 				}
 			}
 		}
 		for i := range actions {
-			if to, ok := cold[actions[i].Instance]; ok && actions[i].Kind == Send {
+			if to, ok := cold[actions[i].Instance]; ok && actions[i].Kind == ActionStartAttempt {
 				actions[i].Backend = to
 			}
 		}
--- /dev/null
+++ b/internal/lab/simulation/random.go
@@ -0,0 +1,41 @@
+package simulation
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// mix spreads the bits of x (the finalizer of MurmurHash3).
+func mix(x uint64) uint64 {
+	x ^= x >> 33
+	x *= 0xff51afd7ed558ccd
+	x ^= x >> 33
+	x *= 0xc4ceb9fe1a85ec53
+	return x ^ x>>33
+}
+
+// Concerns of hashed random numbers. Two concerns of one key share no numbers.
+const (
+	concernDelay       uint64 = iota + 1 // network delay of an attempt or health check
+	concernWork                          // variation of an attempt's work
+	concernError                         // whether a server answers with an error
+	concernBackoff                       // a client's backoff
+	concernBalancer                      // which balancer a client reaches
+	concernStart                         // seed of a balancer's process
+	concernPush                          // delay of a pushed endpoint list
+	concernClientDelay                   // network delay between client and balancer
+	concernCorrupt                       // whether an answer comes back corrupt
+	concernLeave       = concernBalancer + 100
+)
+
+// randFor returns the random numbers of one concern of a key. They are valid until the next call.
+func (w *World) randFor(key, concern uint64) *rand.Rand {
+	w.pcg.Seed(key, concern^w.day.Seed)
+	return w.hashedRand
+}
+
+// networkDelay is a message's time on the way, in whole microseconds.
+func (w *World) networkDelay(base time.Duration, key, concern uint64) time.Duration {
+	d := float64(base) * (1 + w.day.Jitter*w.randFor(key, concern).Float64())
+	return time.Duration(d) / time.Microsecond * time.Microsecond
+}
--- /dev/null
+++ b/internal/lab/simulation/records.go
@@ -0,0 +1,129 @@
+package simulation
+
+import (
+	"math"
+	"time"
+
+	"piernotch"
+	"piernotch/internal/lab/invariants"
+	"piernotch/internal/lab/scenario"
+	"piernotch/internal/lab/servermodel"
+)
+
+// maxAttempts bounds the attempts of a request, whatever the settings allow.
+const maxAttempts = 8
+
+// clientRequest is what a client wants. The client sends it once, and again after some failures;
+// each sending is a request of its own to the balancers.
+type clientRequest struct {
+	randomKey    uint64 // seeds its hashed random numbers
+	firstSent    time.Duration
+	deadline     time.Duration // the client waits no longer, over all sendings
+	class        int
+	zone         int
+	work         float64 // ms on a core of speed 1
+	costHint     float64 // ms; NaN: none
+	key          uint64  // for key affinity; 0: none
+	sends        int     // so far
+	maxSends     int     // retries that the client would make
+	patienceDraw float64 // from [0, 1): below a share, the client leaves early
+}
+
+// departedClient stands for a client that has gone while its balancer still works for it.
+var departedClient = clientRequest{costHint: math.NaN()}
+
+// request is one sending of a client's request, as a balancer sees it.
+type request struct {
+	client             uint64 // ID of the clientRequest
+	instance           int32  // of the balancer; -1: none could be reached
+	retry              int8   // number of the sending, from 0
+	attempts           int8   // started so far
+	inflight           int8   // of them, not completed yet
+	received           bool   // by the balancer
+	answered           bool   // it has its final answer, or needs none
+	clientDone         bool   // the client knows how it ended
+	expired            bool   // its deadline has passed
+	answeredByBalancer bool   // the balancer itself rejected or failed it
+	answeredAt         time.Duration
+	answer             invariants.Result
+	balancerKilled     bool          // while it had the request
+	retryAfter         time.Duration // advice of a rejection
+	deadline           time.Duration
+	attemptIDs         [maxAttempts]uint64
+}
+
+// attempt is one sending of a request by a balancer to a server.
+type attempt struct {
+	request       uint64
+	randomKey     uint64
+	instance      int32
+	server        int32
+	epoch         uint32 // of the instance
+	number        int8   // from 0, for each request
+	status        piernotch.Status
+	newConnection bool
+	inTransit     bool // on its way to the server
+	completed     bool // for its balancer
+	held          bool // by the server, running or queued
+	outcomeSent   bool // its outcome is on the way to the balancer
+	hasLoad       bool
+	delay         time.Duration // of the network, one way
+	sentAt        time.Duration
+	arrivesAt     time.Duration // when it reaches, and later when it reached, the server
+	work          float64       // ms
+	workDone      float64       // ms
+	load          servermodel.LoadReport
+}
+
+// healthCheck is one health check on its way to a server and back.
+type healthCheck struct {
+	instance, server int32
+	epoch            uint32 // of the instance
+	status           piernotch.Status
+	sentAt           time.Duration
+	delay            time.Duration // of the network, one way
+	load             servermodel.LoadReport
+	hasLoad          bool
+}
+
+// connectionPool is one balancer's connections to one server.
+type connectionPool struct {
+	idle, open int32 // open includes idle
+	lastUsed   time.Duration
+}
+
+// closeIdle forgets the idle connections and returns how many there were.
+func (p *connectionPool) closeIdle() int {
+	idle := p.idle
+	p.open -= idle
+	p.idle = 0
+	return int(idle)
+}
+
+// balancerInstance is one balancer and the process that it runs in.
+type balancerInstance struct {
+	zone        int
+	up          bool
+	admitted    bool   // clients are sent here
+	epoch       uint32 // counts starts and kills, to tell what is late
+	inbox       []Event
+	queued      bool             // for the next turn
+	pools       []connectionPool // by server; nil: none used yet
+	listVersion uint64
+	entries     map[int32]piernotch.Endpoint // last endpoint list, cached for the next process
+	watching    bool
+	lastPoll    time.Duration
+	pollFailed  bool
+}
+
+// serverInstance is one server and what the world knows of it beyond its model.
+type serverInstance struct {
+	*servermodel.Server
+	spec           scenario.Server
+	id             piernotch.BackendID
+	nextAdvance    time.Duration // when its next Advance is planned
+	connections    int           // open, from all balancers
+	slowFactor     float64       // product of the slow faults in force
+	everOverloaded bool
+	noticeCount    int // changes that service discovery was notified of
+}
--- a/internal/lab/simulation/model_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -22,7 +22,7 @@
 	require.NoError(t, err)
 	r, err := w.Run()
 	require.NoError(t, err)
-	require.Zero(t, w.asks.Len(), "a client waits for ever")
+	require.Zero(t, w.clientRequests.Len(), "a client waits for ever")
 	require.Zero(t, w.attempts.Len(), "an attempt is never forgotten")
 	return r
 }
--- a/internal/lab/simulation/quake_test.go
+++ b/internal/lab/simulation/trace_overload_test.go
@@ -31,9 +31,9 @@
 		}
 		list := &h.ready[e.Instance]
 		switch e.Kind {
-		case Start:
-			do(Action{Kind: Watch, Instance: e.Instance})
-		case View:
+		case EventStart:
+			do(Action{Kind: ActionWatchEndpoints, Instance: e.Instance})
+		case EventEndpointList:
 			for _, en := range e.Entries {
 				kept := (*list)[:0]
 				for _, id := range *list {
@@ -45,12 +45,12 @@
 					*list = append(*list, en.ID)
 				}
 			}
-		case Demand:
+		case EventRequest:
 			h.next[e.Instance]++
-			do(Action{Kind: Send, Instance: e.Instance, ID: e.Request.ID, Backend: (*list)[h.next[e.Instance]%len(*list)]})
-		case Verdict:
+			do(Action{Kind: ActionStartAttempt, Instance: e.Instance, ID: e.Request.ID, Backend: (*list)[h.next[e.Instance]%len(*list)]})
+		case EventAttemptCompleted:
 			if !e.Outcome.Closed {
-				do(Action{Kind: Fail, Instance: e.Instance, ID: e.Outcome.ID})
+				do(Action{Kind: ActionFail, Instance: e.Instance, ID: e.Outcome.ID})
 			}
 		}
 	}
@@ -108,21 +108,21 @@
 	sent := 0
 	w, err := New(d, faulty{NewInProcess(), func(_ time.Duration, _ []Event, a []Action) []Action {
 		for i := range a {
-			if a[i].Kind == Send {
+			if a[i].Kind == ActionStartAttempt {
 				sent++
 			}
 		}
 		return a
 	}})
 	require.NoError(t, err)
-	w.at(time.Second+3*time.Millisecond, func() {
-		w.traffic.arrive(w) // arrives now; the list speaks 1 ms later, in the same tick
+	w.schedule(time.Second+3*time.Millisecond, func() {
+		w.traffic.clientArrives(w) // arrives now; the list speaks 1 ms later, in the same tick
 	})
-	w.at(time.Second+4*time.Millisecond, func() {
+	w.schedule(time.Second+4*time.Millisecond, func() {
 		for s := range w.servers {
-			w.disc.listed[s].state = piernotch.Draining
+			w.discovery.entries[s].state = piernotch.Draining
 		}
-		w.disc.send(w, 0, piernotch.UpdateDelta, []int{0, 1})
+		w.discovery.send(w, 0, piernotch.UpdateDelta, []int{0, 1})
 	})
 	r, err := w.Run()
 	require.NoError(t, err)
--- a/internal/lab/simulation/traffic.go
+++ b/internal/lab/simulation/traffic.go
@@ -18,10 +18,10 @@
 // traffic brings clients: drawn ones, or those of a recording. Nothing in it depends
 // on what balancers decide.
 type traffic struct {
-	arrivals, keys, hints, heavy *rand.Rand
+	arrivals, keys, hints, tails *rand.Rand
 	levels                       []float64 // bursty: factor by segment
 	zipf                         []float64 // cumulative
-	most                         float64   // greatest rate, a second
+	maxRate                      float64   // greatest rate, a second
 	replay                       bool
 	head                         trace.Header
 	records                      []trace.Record // of a recording, by arrival; those to come
@@ -31,12 +31,12 @@
 // segment is the length over which bursty traffic keeps a level.
 func segment(d *scenario.Day) time.Duration { return max(d.Traffic.Period/4, 10*time.Millisecond) }
 
-func (t *traffic) begin(w *World) error {
+func (t *traffic) init(w *World) error {
 	d := w.day
 	t.arrivals, t.keys = scenario.Stream(d.Seed, "arrivals"), scenario.Stream(d.Seed, "keys")
-	t.hints, t.heavy = scenario.Stream(d.Seed, "hints"), scenario.Stream(d.Seed, "heavy")
+	t.hints, t.tails = scenario.Stream(d.Seed, "hints"), scenario.Stream(d.Seed, "heavy")
 	if d.Traffic.Trace != "" {
-		return t.load(d)
+		return t.loadTrace(d)
 	}
 	shape := scenario.Stream(d.Seed, "shape")
 	for at := time.Duration(0); at <= d.Length; at += segment(d) {
@@ -47,17 +47,17 @@
 		sum += math.Pow(float64(i+1), -d.Traffic.KeyZipf)
 		t.zipf = append(t.zipf, sum)
 	}
-	t.most = d.Traffic.PerSec * (1 + d.Traffic.Swing)
+	t.maxRate = d.Traffic.PerSec * (1 + d.Traffic.Swing)
 	for i := range d.Troubles {
 		if in := &d.Troubles[i]; in.Kind == "burst" {
-			t.most *= max(in.Size, 1)
+			t.maxRate *= max(in.Size, 1)
 		}
 	}
 	return nil
 }
 
-// load reads a recording. Its records stand in the order in which they ended.
-func (t *traffic) load(d *scenario.Day) error {
+// loadTrace reads a recording. Its records stand in the order in which they ended.
+func (t *traffic) loadTrace(d *scenario.Day) error {
 	r, err := trace.Open(d.Traffic.Trace)
 	if err != nil {
 		return err
@@ -120,57 +120,57 @@
 	return min(up, down, 1)
 }
 
-// next plans the next client.
-func (t *traffic) next(w *World) {
+// planNext plans the next client.
+func (t *traffic) planNext(w *World) {
 	if t.replay {
 		if len(t.records) > 0 {
 			if at := t.records[0].At / time.Microsecond * time.Microsecond; at < w.day.Length {
-				w.cal.plan(max(at, w.now), atArrival, evAsk, 0, 0)
+				w.events.plan(max(at, w.now), priorityArrival, eventNextClient, 0, 0)
 			}
 		}
 		return
 	}
-	if !(t.most > 0) {
+	if !(t.maxRate > 0) {
 		return
 	}
 	// Thinning: candidates come at the greatest rate, and each is taken with the
 	// share that the present rate is of it (Lewis and Shedler 1979).
 	for at := w.now; ; {
-		at += time.Duration(t.arrivals.ExpFloat64() / t.most * float64(time.Second))
+		at += time.Duration(t.arrivals.ExpFloat64() / t.maxRate * float64(time.Second))
 		if at >= w.day.Length {
 			return
 		}
-		if t.arrivals.Float64()*t.most < t.rate(w, at) {
-			w.cal.plan(at/time.Microsecond*time.Microsecond, atArrival, evAsk, 0, 0)
+		if t.arrivals.Float64()*t.maxRate < t.rate(w, at) {
+			w.events.plan(at/time.Microsecond*time.Microsecond, priorityArrival, eventNextClient, 0, 0)
 			return
 		}
 	}
 }
 
-// arrive is a client that wants something.
-func (t *traffic) arrive(w *World) {
-	w.lastAsk++
-	a := w.asks.Put(w.lastAsk)
-	t.make(w, a)
-	w.meter.tally.Ask(a.first, a.class, a.work)
-	w.newTry(w.lastAsk)
-	t.next(w)
+// clientArrives is a client that wants something.
+func (t *traffic) clientArrives(w *World) {
+	w.lastClientRequest++
+	a := w.clientRequests.Put(w.lastClientRequest)
+	t.drawRequest(w, a)
+	w.counters.goodput.Ask(a.firstSent, a.class, a.work)
+	w.sendRequest(w.lastClientRequest)
+	t.planNext(w)
 }
 
-// make draws what the client wants.
-func (t *traffic) make(w *World, a *ask) {
+// drawRequest draws what the client wants.
+func (t *traffic) drawRequest(w *World, a *clientRequest) {
 	d := w.day
-	*a = ask{key: mix(d.Seed ^ w.lastAsk*0x9e3779b97f4a7c15), first: w.now, hint: math.NaN()}
+	*a = clientRequest{randomKey: mix(d.Seed ^ w.lastClientRequest*0x9e3779b97f4a7c15), firstSent: w.now, costHint: math.NaN()}
 	if t.replay {
-		t.recorded(w, a)
+		t.takeRecorded(w, a)
 	} else {
-		t.drawn(w, a)
+		t.drawFromScenario(w, a)
 	}
-	a.until = w.now + d.Classes[a.class].Deadline
-	a.impatient = t.heavy.Float64()
-	a.most = int(d.Clients.Retries)
-	if t.heavy.Float64() < d.Clients.Retries-float64(a.most) {
-		a.most++
+	a.deadline = w.now + d.Classes[a.class].Deadline
+	a.patienceDraw = t.tails.Float64()
+	a.maxSends = int(d.Clients.Retries)
+	if t.tails.Float64() < d.Clients.Retries-float64(a.maxSends) {
+		a.maxSends++
 	}
 }
 
@@ -189,24 +189,24 @@
 // Arrivals draws all of a day's requests ahead: the same that a World of it plays.
 func Arrivals(day *scenario.Day) ([]Arrival, error) {
 	w := &World{day: day}
-	if err := w.traffic.begin(w); err != nil {
+	if err := w.traffic.init(w); err != nil {
 		return nil, err
 	}
 	var out []Arrival
-	for w.traffic.next(w); ; w.traffic.next(w) {
-		e, ok := w.cal.take()
+	for w.traffic.planNext(w); ; w.traffic.planNext(w) {
+		e, ok := w.events.pop()
 		if !ok {
 			return out, nil
 		}
 		w.now = e.at
-		w.lastAsk++
-		var a ask
-		w.traffic.make(w, &a)
-		out = append(out, Arrival{At: a.first, Class: a.class, Zone: a.zone, Work: a.work, Hint: a.hint, Key: a.path, Tries: a.most + 1, Seed: a.key})
+		w.lastClientRequest++
+		var a clientRequest
+		w.traffic.drawRequest(w, &a)
+		out = append(out, Arrival{At: a.firstSent, Class: a.class, Zone: a.zone, Work: a.work, Hint: a.costHint, Key: a.key, Tries: a.maxSends + 1, Seed: a.randomKey})
 	}
 }
 
-func (t *traffic) drawn(w *World, a *ask) {
+func (t *traffic) drawFromScenario(w *World, a *clientRequest) {
 	d := w.day
 	u := t.arrivals.Float64()
 	for a.class = 0; a.class < len(d.Classes)-1 && u >= d.Classes[a.class].Share; a.class++ {
@@ -215,7 +215,7 @@
 	a.zone = sort.SearchFloat64s(d.Traffic.Zones, t.arrivals.Float64())
 	a.zone = min(a.zone, len(d.Zones)-1)
 	a.work = d.Classes[a.class].Work.Rand()
-	heavy := t.heavy.Float64()
+	heavy := t.tails.Float64()
 	for i := range d.Troubles {
 		in := &d.Troubles[i]
 		if in.Kind == "heavy_tail" && w.now >= in.At && w.now < in.End() && (in.Class < 0 || in.Class == a.class) && heavy < in.Part {
@@ -224,13 +224,13 @@
 	}
 	if n := len(t.zipf); n > 0 {
 		i := sort.SearchFloat64s(t.zipf, t.keys.Float64()*t.zipf[n-1])
-		a.path = mix(d.Seed^uint64(i+1)) | 1
+		a.key = mix(d.Seed^uint64(i+1)) | 1
 	}
-	a.hint = t.hint(d, a.work)
+	a.costHint = t.drawHint(d, a.work)
 }
 
-// hint is what a client says of its request's work, ms.
-func (t *traffic) hint(d *scenario.Day, work float64) float64 {
+// drawHint is what a client says of its request's work, ms.
+func (t *traffic) drawHint(d *scenario.Day, work float64) float64 {
 	sigma := math.Sqrt(math.Log1p(d.Traffic.HintCV * d.Traffic.HintCV))
 	noise := math.Exp(sigma*t.hints.NormFloat64() - sigma*sigma/2)
 	switch d.Traffic.Hints {
@@ -242,13 +242,13 @@
 	return math.NaN()
 }
 
-// recorded takes a request of a recording. A recording knows no work: the hint stands
+// takeRecorded takes a request of a recording. A recording knows no work: the hint stands
 // for it, or else the class's mean with its spread.
-func (t *traffic) recorded(w *World, a *ask) {
+func (t *traffic) takeRecorded(w *World, a *clientRequest) {
 	r := t.records[0]
 	t.records = t.records[1:]
 	a.class = t.classOf[t.head.Classes[r.Class]]
-	a.zone = int(a.key>>8) % len(w.day.Zones)
+	a.zone = int(a.randomKey>>8) % len(w.day.Zones)
 	if z := t.head.Zone; z != "" {
 		for i, name := range w.day.Zones {
 			if name == z {
@@ -256,9 +256,9 @@
 			}
 		}
 	}
-	a.path = r.Key
+	a.key = r.Key
 	a.work = w.day.Classes[a.class].Work.Rand()
 	if r.CostHint > 0 {
-		a.work, a.hint = r.CostHint, r.CostHint
+		a.work, a.costHint = r.CostHint, r.CostHint
 	}
 }
