--- a/internal/lab/simulation/balancers.go
+++ b/internal/lab/simulation/balancers.go
@@ -98,7 +98,7 @@
 }
 
 func (w *World) setTimer(a *Action) {
-	if !(a.Delay >= 0) {
+	if a.Delay < 0 {
 		w.err = fmt.Errorf("balancer %d: a timer of %v", a.Instance, a.Delay)
 		return
 	}
--- a/internal/lab/simulation/bench_test.go
+++ b/internal/lab/simulation/bench_test.go
@@ -9,7 +9,7 @@
 
 // BenchmarkDay plays days of several sizes at the same load for each server. It reports
 // what a client's request costs, in the world and in the balancers' decisions.
-func BenchmarkDay(b *testing.B) {
+func BenchmarkWorld(b *testing.B) {
 	for _, size := range [][2]int{{4, 20}, {50, 200}, {500, 2000}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
 			s, err := scenario.Load("growth")
--- a/internal/lab/simulation/child.go
+++ b/internal/lab/simulation/child.go
@@ -11,40 +11,81 @@
 	"piernotch/internal/wire"
 )
 
-// Child hosts the instances in another program, over its standard input and output,
-// as the simulator's wire words it: another version of the module, built elsewhere.
+// DefaultPatience is how long a child may take for one batch.
+const DefaultPatience = 30 * time.Second
+
+const (
+	// endPatience is how long a child may take to end after its input was closed.
+	endPatience = 5 * time.Second
+	// stderrGrace is how long the last lines of a failed child are waited for.
+	stderrGrace = 20 * time.Millisecond
+	pipeBuffer  = 1 << 16 // bytes
+)
+
+// ChildError is a child process that is of no more use: it ended, hung or wrote what cannot be read.
+type ChildError struct {
+	Path   string // of the program
+	Reason string
+	Stderr string // the last lines of its standard error; may be empty
+	Err    error  // the cause; may be nil
+}
+
+// Error returns the reason, the cause and the child's last lines.
+func (e *ChildError) Error() string {
+	text := e.Path + ": " + e.Reason
+	if e.Err != nil {
+		text += ": " + e.Err.Error()
+	}
+	if e.Stderr != "" {
+		text += "; it said last:\n" + e.Stderr
+	}
+	return text
+}
+
+// Unwrap returns the cause.
+func (e *ChildError) Unwrap() error { return e.Err }
+
+// Child hosts the instances in another program, over its standard input and output in the
+// simulator's protocol (package wire): another version of the module, built elsewhere. It is a Tier
+// for one goroutine.
 type Child struct {
+	// Patience is how long the program may take for one batch.
+	Patience time.Duration
+
+	day      *scenario.Day
+	path     string
 	cmd      *exec.Cmd
-	name     string
-	writer   *bufio.Writer
 	stdin    io.Closer
-	replies  chan childReply
-	requests chan uint32
+	writer   *bufio.Writer // on stdin
 	stderr   *stderrTail
-	waited   chan error
+	requests chan uint32     // sequence numbers of the replies to read; nil once closed
+	replies  chan childReply // one for each of them
+	waited   chan error      // how the process ended
+	failed   bool
 	seq      uint32
 	batch    wire.BatchWriter
 	entries  []wire.EndpointEntry
 	actions  []Action
-	scenario *scenario.Day
-	// Patience is how long the program may take for one batch.
-	Patience time.Duration
-	failed   bool
 }
 
+// childReply is what was read as the reply to one batch.
 type childReply struct {
 	actions []wire.Action
 	err     error
 }
 
-// DefaultPatience is how long a child may take for one batch.
-const DefaultPatience = 30 * time.Second
-
-// StartChild starts a program for a day.
+// StartChild starts a program for a drawn scenario. The caller must call Close, which ends the
+// process and the goroutine that reads from it.
 func StartChild(day *scenario.Day, path string, args ...string) (*Child, error) {
 	c := &Child{
-		cmd: exec.Command(path, args...), name: path, stderr: &stderrTail{}, replies: make(chan childReply), requests: make(chan uint32),
-		waited: make(chan error, 1), scenario: day, Patience: DefaultPatience,
+		Patience: DefaultPatience,
+		day:      day,
+		path:     path,
+		cmd:      exec.Command(path, args...),
+		stderr:   &stderrTail{},
+		requests: make(chan uint32),
+		replies:  make(chan childReply),
+		waited:   make(chan error, 1),
 	}
 	stdin, err := c.cmd.StdinPipe()
 	if err != nil {
@@ -58,24 +99,29 @@
 	if err := c.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	c.stdin, c.writer = stdin, bufio.NewWriterSize(stdin, 1<<16)
-	out := bufio.NewReaderSize(stdout, 1<<16)
-	ask := c.requests
-	go func() { // reads one reply for each batch that is asked for
-		for seq := range ask {
-			actions, err := wire.ReadReply(out, seq, nil)
-			c.replies <- childReply{actions, err}
-			if err != nil {
-				break
-			}
-		}
-		_, _ = io.Copy(io.Discard, out)
-		c.waited <- c.cmd.Wait()
-	}()
+	c.stdin = stdin
+	c.writer = bufio.NewWriterSize(stdin, pipeBuffer)
+	// The reader ends when Close closes requests, or with the first reply that cannot be read; then
+	// it waits for the process.
+	go c.readReplies(bufio.NewReaderSize(stdout, pipeBuffer), c.requests)
 	return c, nil
 }
 
-// Close ends the program; one that does not end with its input is killed.
+// readReplies reads one reply for each sequence number that it is sent.
+func (c *Child) readReplies(stdout io.Reader, requests <-chan uint32) {
+	for seq := range requests {
+		actions, err := wire.ReadReply(stdout, seq, nil)
+		c.replies <- childReply{actions, err}
+		if err != nil {
+			break
+		}
+	}
+	_, _ = io.Copy(io.Discard, stdout)
+	c.waited <- c.cmd.Wait()
+}
+
+// Close implements Tier. It ends the program; one that does not end with its input is killed, which
+// is an error.
 func (c *Child) Close() error {
 	if c.requests == nil {
 		return nil
@@ -89,32 +135,25 @@
 	select {
 	case err := <-c.waited:
 		if c.failed {
-			return nil
+			return nil // it was killed, and the failure was returned
 		}
 		return err
-	case <-time.After(5 * time.Second):
+	case <-time.After(endPatience):
 		_ = c.cmd.Process.Kill()
-		<-c.waited
-		return fmt.Errorf("%s did not end with its input", c.name)
+		_ = <-c.waited // killed: how it ended says nothing
+		return fmt.Errorf("%s did not end with its input", c.path)
 	}
 }
 
-// fail is the error of a child that is of no more use, with its last lines.
-func (c *Child) fail(what string, err error) error {
+// fail kills a child that is of no more use and returns its *ChildError.
+func (c *Child) fail(reason string, cause error) error {
 	c.failed = true
 	_ = c.cmd.Process.Kill()
-	text := fmt.Sprintf("%s: %s", c.name, what)
-	if err != nil {
-		text += ": " + err.Error()
-	}
-	time.Sleep(20 * time.Millisecond) // its last lines may be on their way
-	if said := c.stderr.String(); said != "" {
-		text += "; it said last:\n" + said
-	}
-	return fmt.Errorf("%s", text)
+	time.Sleep(stderrGrace)
+	return &ChildError{Path: c.path, Reason: reason, Stderr: c.stderr.String(), Err: cause}
 }
 
-// Turn implements Tier.
+// Turn implements Tier. An error is a *ChildError, or of settings that cannot be encoded.
 func (c *Child) Turn(now time.Duration, events []Event) ([]Action, error) {
 	for i := range events {
 		if err := c.encode(&events[i]); err != nil {
@@ -124,21 +163,8 @@
 	c.seq++
 	deadline := time.NewTimer(c.Patience)
 	defer deadline.Stop()
-	wrote := make(chan error, 1)
-	go func() { // a child that does not read must not hold us up for ever
-		err := c.batch.WriteTo(c.writer, wire.Milliseconds(now), c.seq)
-		if err == nil {
-			err = c.writer.Flush()
-		}
-		wrote <- err
-	}()
-	select {
-	case err := <-wrote:
-		if err != nil {
-			return nil, c.fail("it takes no more input", err)
-		}
-	case <-deadline.C:
-		return nil, c.fail(fmt.Sprintf("it did not read a batch within %v", c.Patience), nil)
+	if err := c.writeBatch(now, deadline.C); err != nil {
+		return nil, err
 	}
 	c.requests <- c.seq
 	select {
@@ -153,3 +179,26 @@
 		return nil, err
 	}
 }
+
+// writeBatch writes the batch, and fails the child if it does not read in time.
+func (c *Child) writeBatch(now time.Duration, deadline <-chan time.Time) error {
+	written := make(chan error, 1)
+	// A child that does not read must not block Turn. The goroutine ends with the write, at the
+	// latest when fail kills the process and so breaks the pipe.
+	go func() {
+		err := c.batch.WriteTo(c.writer, wire.Milliseconds(now), c.seq)
+		if err == nil {
+			err = c.writer.Flush()
+		}
+		written <- err
+	}()
+	select {
+	case err := <-written:
+		if err != nil {
+			return c.fail("it takes no more input", err)
+		}
+		return nil
+	case <-deadline:
+		return c.fail(fmt.Sprintf("it did not read a batch within %v", c.Patience), nil)
+	}
+}
--- a/internal/lab/simulation/child_frames.go
+++ b/internal/lab/simulation/child_frames.go
@@ -7,100 +7,126 @@
 	"piernotch/internal/wire"
 )
 
-func (c *Child) encode(e *Event) error {
-	inst, b := uint32(e.Instance), &c.batch
-	load := func() []float32 {
-		if !e.HasLoad {
-			return nil
-		}
-		return []float32{float32(e.Load.ErrorsPerSec), float32(e.Load.PerSec), float32(e.Load.Inflight)}
+// loadColumns names the values of a load report, in the order of loadValues.
+var loadColumns = []string{"eps", "qps", "inflight"}
+
+// loadValues returns the values of an event's load report, or none.
+func loadValues(e *Event) []float32 {
+	if !e.HasLoad {
+		return nil
 	}
+	return []float32{float32(e.Load.ErrorsPerSec), float32(e.Load.PerSec), float32(e.Load.Inflight)}
+}
+
+// encode adds an event to the batch.
+func (c *Child) encode(e *Event) error {
+	instance := uint32(e.Instance)
 	switch e.Kind {
 	case EventStart:
-		r := &c.scenario.Rules
-		x := wire.Extra{
-			Number: e.Instance, KeepAliveMS: wire.Milliseconds(r.KeepAlive), DialMS: wire.Milliseconds(r.Dial), SlackMS: wire.Milliseconds(r.Slack),
-			GraceMS: wire.Milliseconds(r.Grace), FallMultiple: r.Fall.Multiple, FallMS: wire.Milliseconds(r.Fall.For), WorthBy: "request",
-			Columns: []string{"eps", "qps", "inflight"}, MachineTypes: c.scenario.KindNames(),
-		}
-		if c.scenario.Score.ByWork {
-			x.WorthBy = "work"
-		}
-		settings, err := wire.Marshal(e.Settings, x)
+		settings, err := wire.Marshal(e.Settings, c.extraSettings(e.Instance))
 		if err != nil {
 			return err
 		}
-		b.Start(inst, e.Seed, settings)
+		c.batch.Start(instance, e.Seed, settings)
 	case EventStop:
-		b.Stop(inst)
+		c.batch.Stop(instance)
 	case EventRequest:
-		flags := uint8(0)
-		if e.Request.CostHint > 0 {
-			flags |= wire.FlagCostHint
-		}
-		if e.Retry {
-			flags |= wire.FlagRetry
-		}
-		b.Request(inst, uint64(e.Request.ID), uint8(e.Request.Class), uint16(e.Request.Tenant), e.Request.Key,
-			wire.Milliseconds(e.Request.Deadline), e.Request.CostHint, flags)
+		r := &e.Request
+		c.batch.Request(instance, uint64(r.ID), uint8(r.Class), uint16(r.Tenant), r.Key, wire.Milliseconds(r.Deadline), r.CostHint, requestFlags(e))
 	case EventClientGone:
-		b.ClientGone(inst, uint64(e.ID))
+		c.batch.ClientGone(instance, uint64(e.ID))
 	case EventAttemptCompleted:
 		o := &e.Outcome
-		b.AttemptCompleted(inst, uint64(o.ID), uint8(o.Attempt), uint32(o.Backend), wire.StatusCode(o.Status), wire.Milliseconds(o.Latency), o.Closed, load()...)
+		c.batch.AttemptCompleted(instance, uint64(o.ID), uint8(o.Attempt), uint32(o.Backend), wire.StatusCode(o.Status),
+			wire.Milliseconds(o.Latency), o.Closed, loadValues(e)...)
 	case EventHealthCheckCompleted:
-		b.HealthCheckCompleted(inst, uint32(e.Backend), wire.StatusCode(e.Status), wire.Milliseconds(e.Latency), load()...)
+		c.batch.HealthCheckCompleted(instance, uint32(e.Backend), wire.StatusCode(e.Status), wire.Milliseconds(e.Latency), loadValues(e)...)
 	case EventEndpointList:
-		c.entries = c.entries[:0]
-		for i, en := range e.Entries {
-			c.entries = append(c.entries, wire.EndpointEntry{
-				Backend: uint32(en.ID), Zone: uint8(en.Zone), Kind: uint8(e.MachineKinds[i]), Cell: uint16(en.Cell),
-				State: wire.StateCode(en.State), Size: en.Size, StartedAtMS: wire.Milliseconds(en.StartedAt),
-			})
-		}
-		b.EndpointList(inst, wire.ListKindCode(e.ListKind), e.Version, c.entries)
+		c.encodeEndpoints(e)
 	case EventTimer:
-		b.TimerFired(inst, e.Token)
+		c.batch.TimerFired(instance, e.Token)
 	}
 	return nil
 }
 
-func (c *Child) translate(in []wire.Action) ([]Action, error) {
+// extraSettings is what a start event holds beyond the module's settings.
+func (c *Child) extraSettings(instance int) wire.Extra {
+	rules := &c.day.Rules
+	extra := wire.Extra{
+		Number:       instance,
+		KeepAliveMS:  wire.Milliseconds(rules.KeepAlive),
+		DialMS:       wire.Milliseconds(rules.Dial),
+		SlackMS:      wire.Milliseconds(rules.Slack),
+		GraceMS:      wire.Milliseconds(rules.Grace),
+		FallMultiple: rules.Fall.Multiple,
+		FallMS:       wire.Milliseconds(rules.Fall.For),
+		WorthBy:      "request",
+		Columns:      loadColumns,
+		MachineTypes: c.day.KindNames(),
+	}
+	if c.day.Score.ByWork {
+		extra.WorthBy = "work"
+	}
+	return extra
+}
+
+func requestFlags(e *Event) uint8 {
+	flags := uint8(0)
+	if e.Request.CostHint > 0 {
+		flags |= wire.FlagCostHint
+	}
+	if e.Retry {
+		flags |= wire.FlagRetry
+	}
+	return flags
+}
+
+func (c *Child) encodeEndpoints(e *Event) {
+	c.entries = c.entries[:0]
+	for i, entry := range e.Entries {
+		c.entries = append(c.entries, wire.EndpointEntry{
+			Backend:     uint32(entry.ID),
+			Zone:        uint8(entry.Zone),
+			Kind:        uint8(e.MachineKinds[i]),
+			Cell:        uint16(entry.Cell),
+			State:       wire.StateCode(entry.State),
+			Size:        entry.Size,
+			StartedAtMS: wire.Milliseconds(entry.StartedAt),
+		})
+	}
+	c.batch.EndpointList(uint32(e.Instance), wire.ListKindCode(e.ListKind), e.Version, c.entries)
+}
+
+// actionKinds maps the wire's actions to those of a Tier. Others are not performed.
+var actionKinds = map[wire.ActionCode]ActionKind{
+	wire.ActionStartAttempt:   ActionStartAttempt,
+	wire.ActionCancelAttempt:  ActionCancelAttempt,
+	wire.ActionReject:         ActionReject,
+	wire.ActionFail:           ActionFail,
+	wire.ActionHealthCheck:    ActionHealthCheck,
+	wire.ActionSetTimer:       ActionSetTimer,
+	wire.ActionCloseIdle:      ActionCloseIdle,
+	wire.ActionFetchEndpoints: ActionFetchEndpoints,
+	wire.ActionWatchEndpoints: ActionWatchEndpoints,
+}
+
+// translate turns a reply into actions. A fault that a balancer reports fails the child.
+func (c *Child) translate(reply []wire.Action) ([]Action, error) {
 	c.actions = c.actions[:0]
-	for i := range in {
-		w := &in[i]
-		a := Action{
-			Instance: int(w.Instance), ID: piernotch.RequestID(w.ID), Backend: piernotch.BackendID(w.Backend),
-			Attempt: int(w.Attempt), Delay: wire.Duration(w.DurationMS), Token: w.Token,
+	for i := range reply {
+		in := &reply[i]
+		if in.Code == wire.ActionReportFault {
+			return nil, c.fail(fmt.Sprintf("balancer %d reports a fault: %s", in.Instance, in.Text), nil)
 		}
-		switch w.Code {
-		case wire.ActionStartAttempt:
-			a.Kind = ActionStartAttempt
-		case wire.ActionCancelAttempt:
-			a.Kind = ActionCancelAttempt
-		case wire.ActionReject:
-			a.Kind = ActionReject
-		case wire.ActionFail:
-			a.Kind = ActionFail
-		case wire.ActionHealthCheck:
-			a.Kind = ActionHealthCheck
-		case wire.ActionSetTimer:
-			a.Kind = ActionSetTimer
-		case wire.ActionCloseIdle:
-			a.Kind = ActionCloseIdle
-		case wire.ActionFetchEndpoints:
-			a.Kind = ActionFetchEndpoints
-		case wire.ActionWatchEndpoints:
-			a.Kind = ActionWatchEndpoints
-			if !w.On {
-				continue
-			}
-		case wire.ActionReportFault:
-			return nil, c.fail(fmt.Sprintf("balancer %d reports a fault: %s", w.Instance, w.Text), nil)
-		default: // a line for the log
+		kind, known := actionKinds[in.Code]
+		endsWatch := in.Code == wire.ActionWatchEndpoints && !in.On
+		if !known || endsWatch {
 			continue
 		}
-		c.actions = append(c.actions, a)
+		c.actions = append(c.actions, Action{
+			Kind: kind, Instance: int(in.Instance), ID: piernotch.RequestID(in.ID), Backend: piernotch.BackendID(in.Backend),
+			Attempt: int(in.Attempt), Delay: wire.Duration(in.DurationMS), Token: in.Token,
+		})
 	}
 	return c.actions, nil
 }
--- a/internal/lab/simulation/child_test.go
+++ b/internal/lab/simulation/child_test.go
@@ -12,8 +12,8 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// adapter builds the project's own adapter.
-func adapter(t *testing.T) string {
+// buildAdapter builds the project's own adapter.
+func buildAdapter(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "adapter")
 	out, err := exec.Command("go", "build", "-o", path, "piernotch/cmd/simulator-adapter").CombinedOutput()
@@ -21,7 +21,7 @@
 	return path
 }
 
-func playChild(t *testing.T, path string, patience time.Duration, args ...string) (*Result, error) {
+func runChild(t *testing.T, path string, patience time.Duration, args ...string) (*Result, error) {
 	t.Helper()
 	s, err := scenario.Load("felt-quake")
 	require.NoError(t, err)
@@ -30,29 +30,35 @@
 	c, err := StartChild(d, path, args...)
 	require.NoError(t, err)
 	c.Patience = patience
-	defer c.Close()
 	w, err := New(d, c)
 	require.NoError(t, err)
-	return w.Run()
+	r, err := w.Run()
+	closeErr := c.Close()
+	if err == nil {
+		require.NoError(t, closeErr)
+	}
+	return r, err
 }
 
-func TestAChildPlaysTheSameDayAsTheModuleInProcess(t *testing.T) {
-	got, err := playChild(t, adapter(t), DefaultPatience)
+func TestChildGivesSameResultAsInProcess(t *testing.T) {
+	got, err := runChild(t, buildAdapter(t), DefaultPatience)
 	require.NoError(t, err)
-	want := play(t, NewInProcess(), "felt-quake", 2)
+	want := run(t, NewInProcess(), "felt-quake", 2)
 	require.Equal(t, want.Digest, got.Digest)
 	require.Equal(t, want.Service, got.Service)
 }
 
-func TestAChildThatFailsIsAClearError(t *testing.T) {
+func TestChildFailuresAreChildErrors(t *testing.T) {
 	for _, c := range []struct{ name, script, want string }{
 		{"dies", "echo out of cheese >&2; exit 3", "out of cheese"},
 		{"hangs", "exec sleep 60", "no reply within"},
 		{"babbles", "exec head -c 100000 /dev/zero", "a reply to batch 0 where one to 1 is due"},
 	} {
 		began := time.Now()
-		_, err := playChild(t, "/bin/sh", 300*time.Millisecond, "-c", c.script)
+		_, err := runChild(t, "/bin/sh", 300*time.Millisecond, "-c", c.script)
 		require.ErrorContains(t, err, c.want, c.name)
+		var childErr *ChildError
+		require.ErrorAs(t, err, &childErr, c.name)
 		require.Less(t, time.Since(began), 20*time.Second, c.name)
 	}
 	_, err := StartChild(&scenario.Day{}, filepath.Join(os.TempDir(), "no such adapter"))
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -202,7 +202,7 @@
 	w.counters.goodput.Ended(client.firstSent, answer == invariants.Rejected)
 	neverExecuted := answer == invariants.Rejected || unreached
 	retryable := neverExecuted || w.mayRepeat(client, &w.day.Classes[client.class])
-	if !retryable || client.sends > client.maxSends {
+	if !retryable || client.sends > client.maxRetries {
 		w.finishClientRequest(clientID, false)
 		return
 	}
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -8,141 +8,148 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// scheduleFaults writes the day's troubles into the script.
+// scheduleFaults writes the scenario's faults into the script.
 func (w *World) scheduleFaults() {
-	for _, s := range w.day.Steps() {
-		if s.Do == scenario.Join || s.Do == scenario.Takeover { // the machine is there from the beginning
-			w.scheduleJoin(s.Server, s.Number, s.At)
+	for _, step := range w.day.Steps() {
+		if step.Do == scenario.Join || step.Do == scenario.Takeover { // the machine exists from the beginning
+			w.scheduleJoin(step.Server, step.Number, step.At)
 			continue
 		}
-		w.schedule(s.At, func() { w.applyStep(&s) })
+		w.schedule(step.At, func() { w.applyStep(&step) })
 	}
 	for i := range w.day.Troubles {
-		in := &w.day.Troubles[i]
-		if in.Kind == "roster_move" { // to the balancers it is an outage that is over at once
-			w.schedule(in.At, func() { w.discovery.outage(w, true) })
-			w.schedule(in.At+time.Millisecond, func() { w.discovery.outage(w, false) })
+		fault := &w.day.Troubles[i]
+		if fault.Kind == "roster_move" { // to the balancers it is an outage that is over at once
+			w.schedule(fault.At, func() { w.discovery.outage(w, true) })
+			w.schedule(fault.At+time.Millisecond, func() { w.discovery.outage(w, false) })
 		}
-		for n, b := range in.Balancers {
-			switch in.Kind {
-			case "balancer_crash":
-				w.schedule(in.At, func() { w.killInstance(b) })
-				w.schedule(in.At+w.day.Front, func() { w.admit(b, w.instances[b].up) })
-				w.schedule(in.End(), func() { w.startInstance(b, false) })
-			case "balancer_restart":
-				// The front knows of it, and what is held is answered first.
-				at := in.At + in.Every*time.Duration(n)
-				w.schedule(at, func() { w.admit(b, false) })
-				w.schedule(at+w.longestRequest(), func() { w.killInstance(b) })
-				w.schedule(at+w.longestRequest()+in.For, func() { w.startInstance(b, false) })
-			}
+		for n, balancer := range fault.Balancers {
+			w.scheduleBalancerFault(fault, n, balancer)
 		}
 	}
 }
 
+// scheduleBalancerFault schedules what a fault does to the n-th of its balancers.
+func (w *World) scheduleBalancerFault(fault *scenario.Incident, n, balancer int) {
+	switch fault.Kind {
+	case "balancer_crash":
+		w.schedule(fault.At, func() { w.killInstance(balancer) })
+		w.schedule(fault.At+w.day.Front, func() { w.admit(balancer, w.instances[balancer].up) })
+		w.schedule(fault.End(), func() { w.startInstance(balancer, false) })
+	case "balancer_restart":
+		// No more clients are sent to it, and what it has is answered first.
+		at := fault.At + fault.Every*time.Duration(n)
+		killedAt := at + w.longestRequest()
+		w.schedule(at, func() { w.admit(balancer, false) })
+		w.schedule(killedAt, func() { w.killInstance(balancer) })
+		w.schedule(killedAt+fault.For, func() { w.startInstance(balancer, false) })
+	}
+}
+
 // applyStep does one thing to servers or discovery.
-func (w *World) applyStep(s *scenario.Step) {
-	switch s.Do {
+func (w *World) applyStep(step *scenario.Step) {
+	switch step.Do {
 	case scenario.Slow:
-		w.slowServer(s.Server, s.Size)
+		w.slowServer(step.Server, step.Size)
 	case scenario.Pauses:
-		w.servers[s.Server].SetPauses(w.now, s.Every, s.Length)
-		w.scheduleServer(s.Server)
+		w.servers[step.Server].SetPauses(w.now, step.Every, step.Length)
+		w.scheduleServer(step.Server)
 	case scenario.Choke:
-		w.servers[s.Server].SetChoked(w.now)
-		w.servers[s.Server].everOverloaded = true
-		w.scheduleServer(s.Server)
+		w.servers[step.Server].SetChoked(w.now)
+		w.servers[step.Server].everOverloaded = true
+		w.scheduleServer(step.Server)
 	case scenario.Drain:
-		w.drainServer(s.Server)
+		w.drainServer(step.Server)
 	case scenario.End:
-		w.endServer(s.Server)
+		w.endServer(step.Server)
 	case scenario.Start:
-		w.startServer(s.Server)
+		w.startServer(step.Server)
 	case scenario.Vanish:
-		w.vanishServer(s.Server)
+		w.vanishServer(step.Server)
 	case scenario.Lose:
-		w.discovery.listWrongly(w, s.Servers, piernotch.Gone)
+		w.discovery.listWrongly(w, step.Servers, piernotch.Gone)
 	case scenario.Regain:
-		w.discovery.listWrongly(w, s.Servers, piernotch.Ready)
+		w.discovery.listWrongly(w, step.Servers, piernotch.Ready)
 	case scenario.ReportsLater:
-		w.reportDelay += s.Length
+		w.reportDelay += step.Length
 	case scenario.ListLater:
-		w.discovery.noticeDelay += s.Length
-	case scenario.Spoil: // the request has run; what comes back is of no use
-		w.corruptShare += s.Size
+		w.discovery.noticeDelay += step.Length
+	case scenario.Spoil: // the request was executed; its response is of no use
+		w.corruptShare += step.Size
 	case scenario.OutageBegins, scenario.OutageEnds:
-		w.discovery.outage(w, s.Do == scenario.OutageBegins)
+		w.discovery.outage(w, step.Do == scenario.OutageBegins)
 	}
 }
 
 // longestRequest is how long a balancer may hold a request.
 func (w *World) longestRequest() time.Duration {
-	most := time.Duration(0)
+	longest := time.Duration(0)
 	for _, c := range w.day.Classes {
-		most = max(most, time.Duration(float64(c.Deadline)*w.day.Clients.TryShare))
+		longest = max(longest, time.Duration(float64(c.Deadline)*w.day.Clients.TryShare))
 	}
-	return most + w.day.Rules.Slack
+	return longest + w.day.Rules.Slack
 }
 
-// slowServer multiplies a server's slow spells, which may overlap.
-func (w *World) slowServer(s int, times float64) {
-	m := &w.servers[s]
-	m.slowFactor *= times
-	m.SetSlow(w.now, m.slowFactor)
+// slowServer multiplies a server's slowness; faults of this kind may overlap.
+func (w *World) slowServer(s int, factor float64) {
+	server := &w.servers[s]
+	server.slowFactor *= factor
+	server.SetSlow(w.now, server.slowFactor)
 	w.scheduleServer(s)
 }
 
+// drainServer begins a server's graceful shutdown.
 func (w *World) drainServer(s int) {
-	m := &w.servers[s]
-	if m.State() != servermodel.Up {
+	server := &w.servers[s]
+	if server.State() != servermodel.Up {
 		return
 	}
-	m.Drain(w.now)
+	server.Drain(w.now)
 	w.discovery.serverChanged(w, s, piernotch.Draining, w.day.Discovery.Notice)
 }
 
-// endServer ends a server's process: by plan after a drain, else as a crash.
+// endServer ends a server's process: as planned after a drain, else as a crash.
 func (w *World) endServer(s int) {
-	m := &w.servers[s]
-	if m.State() == servermodel.Silent || m.State() == servermodel.Down {
+	server := &w.servers[s]
+	if server.State() == servermodel.Silent || server.State() == servermodel.Down {
 		return
 	}
-	w.serverCompleted(int32(s), m.Crash(w.now))
+	w.serverCompleted(int32(s), server.Crash(w.now))
 	w.dropConnections(s)
 	w.discovery.serverChanged(w, s, piernotch.Gone, w.day.Discovery.Notice)
 }
 
+// vanishServer cuts a server off: nobody is notified of what becomes of its requests.
 func (w *World) vanishServer(s int) {
-	m := &w.servers[s]
-	for _, d := range m.Vanish(w.now) {
-		if a := w.attempts.Get(d.ID); a != nil {
+	for _, c := range w.servers[s].Vanish(w.now) {
+		if a := w.attempts.Get(c.ID); a != nil {
 			w.counters.exit(w, a)
 			a.held = false
-			w.releaseAttempt(d.ID, a)
+			w.releaseAttempt(c.ID, a)
 		}
 	}
 	w.discovery.serverChanged(w, s, piernotch.Gone, w.day.Discovery.Silent)
 }
 
+// startServer starts a server's process, in slow start. A collapsed one stays down.
 func (w *World) startServer(s int) {
-	m := &w.servers[s]
-	if m.State() == servermodel.Collapsed { // it stays down
+	server := &w.servers[s]
+	if server.State() == servermodel.Collapsed {
 		return
 	}
-	w.serverCompleted(int32(s), m.Start(w.now))
+	w.serverCompleted(int32(s), server.Start(w.now))
 	w.dropConnections(s)
 	w.discovery.serverChanged(w, s, piernotch.Ready, w.day.Discovery.Add)
 }
 
-// scheduleJoin plans a new machine, like another one of the day's first.
+// scheduleJoin adds a new machine, like another one of the scenario's first, that starts later.
 func (w *World) scheduleJoin(like, number int, at time.Duration) {
 	s, err := w.addServer(w.day.Like(like, number))
 	if err != nil {
 		w.err = err
 		return
 	}
-	m := &w.servers[s]
-	m.Crash(0)
+	w.servers[s].Crash(0)
 	w.discovery.entries = append(w.discovery.entries, listEntry{state: piernotch.Gone})
 	w.schedule(at, func() { w.startServer(s) })
 }
--- a/internal/lab/simulation/in_process.go
+++ b/internal/lab/simulation/in_process.go
@@ -10,16 +10,16 @@
 
 // InProcess hosts instances of the decision module that this program was built with.
 type InProcess struct {
-	instances []*piernotch.Balancer
+	instances []*piernotch.Balancer // nil: not running
 	actions   []Action
 	now       time.Duration
-	current   int
+	current   int // instance whose event is being handled
 }
 
 // NewInProcess returns a tier without instances.
 func NewInProcess() *InProcess { return &InProcess{} }
 
-// Close ends the tier.
+// Close implements Tier. There is nothing to free.
 func (p *InProcess) Close() error { return nil }
 
 // Turn implements Tier. A panic of the module is an error with its stack.
@@ -34,55 +34,63 @@
 		e := &events[i]
 		p.current = e.Instance
 		if e.Kind == EventStart {
-			for len(p.instances) <= e.Instance {
-				p.instances = append(p.instances, nil)
+			if err := p.start(e); err != nil {
+				return nil, err
 			}
-			b, err := piernotch.New(*e.Settings, e.Seed, inProcessHost{p, e.Instance})
-			if err != nil {
-				return nil, fmt.Errorf("balancer %d: %w", e.Instance, err)
-			}
-			p.instances[e.Instance] = b
-			continue
-		}
-		b := p.instances[e.Instance]
-		if b == nil {
 			continue
 		}
-		if e.HasLoad {
-			id := e.Backend
-			if e.Kind == EventAttemptCompleted {
-				id = e.Outcome.Backend
-			}
-			b.LoadReported(now, id, piernotch.LoadReport{Inflight: e.Load.Inflight, CompletedPerSecond: e.Load.PerSec})
-		}
-		switch e.Kind {
-		case EventStop:
-			p.instances[e.Instance] = nil
-		case EventRequest:
-			b.HandleRequest(now, e.Request)
-		case EventClientGone:
-			b.ClientGone(now, e.ID)
-		case EventAttemptCompleted:
-			b.HandleOutcome(now, e.Outcome)
-		case EventHealthCheckCompleted:
-			b.HealthCheckCompleted(now, e.Backend, e.Status)
-		case EventEndpointList:
-			b.UpdateEndpoints(now, e.ListKind, e.Entries)
-		case EventTimer:
-			b.Timer(now, e.Token)
+		if balancer := p.instances[e.Instance]; balancer != nil {
+			p.dispatch(balancer, e)
 		}
 	}
 	return p.actions, nil
 }
 
+func (p *InProcess) start(e *Event) error {
+	for len(p.instances) <= e.Instance {
+		p.instances = append(p.instances, nil)
+	}
+	balancer, err := piernotch.New(*e.Settings, e.Seed, inProcessHost{p, e.Instance})
+	if err != nil {
+		return fmt.Errorf("balancer %d: %w", e.Instance, err)
+	}
+	p.instances[e.Instance] = balancer
+	return nil
+}
+
+// dispatch calls the method of a running balancer that an event stands for.
+func (p *InProcess) dispatch(b *piernotch.Balancer, e *Event) {
+	if e.HasLoad {
+		load := piernotch.LoadReport{Inflight: e.Load.Inflight, CompletedPerSecond: e.Load.PerSec}
+		b.LoadReported(p.now, e.loadBackend(), load)
+	}
+	switch e.Kind {
+	case EventStop:
+		p.instances[e.Instance] = nil
+	case EventRequest:
+		b.HandleRequest(p.now, e.Request)
+	case EventClientGone:
+		b.ClientGone(p.now, e.ID)
+	case EventAttemptCompleted:
+		b.HandleOutcome(p.now, e.Outcome)
+	case EventHealthCheckCompleted:
+		b.HealthCheckCompleted(p.now, e.Backend, e.Status)
+	case EventEndpointList:
+		b.UpdateEndpoints(p.now, e.ListKind, e.Entries)
+	case EventTimer:
+		b.Timer(p.now, e.Token)
+	}
+}
+
+// inProcessHost is the piernotch.Host of one instance: it collects the instance's actions.
 type inProcessHost struct {
-	p    *InProcess
-	inst int
+	tier     *InProcess
+	instance int
 }
 
 func (h inProcessHost) add(a Action) {
-	a.Instance = h.inst
-	h.p.actions = append(h.p.actions, a)
+	a.Instance = h.instance
+	h.tier.actions = append(h.tier.actions, a)
 }
 
 func (h inProcessHost) StartAttempt(id piernotch.RequestID, to piernotch.BackendID, timeout time.Duration) {
@@ -97,13 +105,17 @@
 	h.add(Action{Kind: ActionReject, ID: id, Delay: retryAfter})
 }
 
-func (h inProcessHost) Fail(id piernotch.RequestID) { h.add(Action{Kind: ActionFail, ID: id}) }
+func (h inProcessHost) Fail(id piernotch.RequestID) {
+	h.add(Action{Kind: ActionFail, ID: id})
+}
 
 func (h inProcessHost) HealthCheck(b piernotch.BackendID) {
 	h.add(Action{Kind: ActionHealthCheck, Backend: b})
 }
 
-func (h inProcessHost) WatchEndpoints() { h.add(Action{Kind: ActionWatchEndpoints}) }
+func (h inProcessHost) WatchEndpoints() {
+	h.add(Action{Kind: ActionWatchEndpoints})
+}
 
 func (h inProcessHost) SetTimer(d time.Duration, token uint32) {
 	h.add(Action{Kind: ActionSetTimer, Delay: d, Token: token})
--- a/internal/lab/simulation/records.go
+++ b/internal/lab/simulation/records.go
@@ -25,7 +25,7 @@
 	costHint     float64 // ms; NaN: none
 	key          uint64  // for key affinity; 0: none
 	sends        int     // so far
-	maxSends     int     // retries that the client would make
+	maxRetries   int     // retries that the client would make
 	patienceDraw float64 // from [0, 1): below a share, the client leaves early
 }
 
--- a/internal/lab/simulation/result.go
+++ b/internal/lab/simulation/result.go
@@ -61,8 +61,11 @@
 
 // Parts of a result that are counted alike in simulated time and on real sockets.
 type (
-	Share       = goodput.Share
-	Second      = goodput.Second
+	// Share is the service of one class.
+	Share = goodput.Share
+	// Second is one second of the run.
+	Second = goodput.Second
+	// LatencyStep is one point of the distribution of latency.
 	LatencyStep = goodput.LatencyStep
 )
 
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -9,8 +9,8 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// play runs one day of a scenario, with overrides.
-func play(t *testing.T, tier Tier, name string, seed uint64, set ...string) *Result {
+// run plays one day of a scenario, with overrides.
+func run(t *testing.T, tier Tier, name string, seed uint64, set ...string) *Result {
 	t.Helper()
 	s, err := scenario.Load(name)
 	require.NoError(t, err)
@@ -23,16 +23,16 @@
 	r, err := w.Run()
 	require.NoError(t, err)
 	require.Zero(t, w.clientRequests.Len(), "a client waits for ever")
-	require.Zero(t, w.attempts.Len(), "an attempt is never forgotten")
+	require.Zero(t, w.attempts.Len(), "an attempt is never released")
 	return r
 }
 
-func TestEveryShippedScenarioPlaysAndKeepsTheRules(t *testing.T) {
+func TestShippedScenariosKeepAllRules(t *testing.T) {
 	for _, name := range scenario.Shipped() {
 		if name == "wide" || name == "long-churn" || name == "mass" {
 			continue // the same mechanisms, for minutes
 		}
-		r := play(t, NewInProcess(), name, 7)
+		r := run(t, NewInProcess(), name, 7)
 		require.Zero(t, r.Broken(), "%s: %v", name, r.Breaks)
 		require.Greater(t, r.Requests, 1000, name)
 		require.Greater(t, r.Service, 0.3, name)
@@ -40,16 +40,16 @@
 	}
 }
 
-func TestTheSameSeedPlaysTheSameDay(t *testing.T) {
-	a, b := play(t, NewInProcess(), "felt-quake", 3), play(t, NewInProcess(), "felt-quake", 3)
+func TestSameSeedGivesSameResult(t *testing.T) {
+	a, b := run(t, NewInProcess(), "felt-quake", 3), run(t, NewInProcess(), "felt-quake", 3)
 	a.WallS, b.WallS, a.ModuleS, b.ModuleS = 0, 0, 0, 0
 	require.Equal(t, a, b)
-	require.NotEqual(t, a.Digest, play(t, NewInProcess(), "felt-quake", 4).Digest)
+	require.NotEqual(t, a.Digest, run(t, NewInProcess(), "felt-quake", 4).Digest)
 }
 
-func TestTrafficIsTheSameWhateverIsDecided(t *testing.T) {
-	a := play(t, NewInProcess(), "addis", 5)
-	b := play(t, NewInProcess(), "addis", 5, "balancers.max_attempts=1", "balancers.second_copies=false")
+func TestTrafficDoesNotDependOnDecisions(t *testing.T) {
+	a := run(t, NewInProcess(), "addis", 5)
+	b := run(t, NewInProcess(), "addis", 5, "balancers.max_attempts=1", "balancers.second_copies=false")
 	require.NotEqual(t, a.Digest, b.Digest, "the decisions differ")
 	require.Equal(t, a.Requests, b.Requests)
 	for i := range a.Seconds {
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestOddFleets(t *testing.T) {
+func TestUnusualServerAndTrafficCounts(t *testing.T) {
 	for _, c := range []struct {
 		what string
 		set  []string
@@ -68,7 +68,7 @@
 		{"a class nobody sends", []string{"class.pick-submit.share=0", "length_s=5"}},
 		{"no traffic", []string{"traffic.load=0", "length_s=5"}},
 	} {
-		r := play(t, NewInProcess(), "quiet", 1, c.set...)
+		r := run(t, NewInProcess(), "quiet", 1, c.set...)
 		require.Zero(t, r.Broken(), "%s: %v", c.what, r.Breaks)
 		switch c.what {
 		case "no servers":
@@ -82,14 +82,14 @@
 	}
 }
 
-func TestArrivalsDrawnAheadAreThoseThatAWorldPlays(t *testing.T) {
+func TestArrivalsMatchThoseOfWorld(t *testing.T) {
 	s, err := scenario.Load("felt-quake")
 	require.NoError(t, err)
 	d, err := s.Draw(3)
 	require.NoError(t, err)
 	list, err := Arrivals(d)
 	require.NoError(t, err)
-	r := play(t, NewInProcess(), "felt-quake", 3)
+	r := run(t, NewInProcess(), "felt-quake", 3)
 	require.Len(t, list, r.Requests)
 	d, err = s.Draw(3)
 	require.NoError(t, err)
--- a/internal/lab/simulation/stderr_tail.go
+++ b/internal/lab/simulation/stderr_tail.go
@@ -5,30 +5,37 @@
 	"sync"
 )
 
-// stderrTail keeps the end of what a program writes to standard error.
+// Limits of what stderrTail keeps and shows.
+const (
+	maxStderrTail  = 4096 // bytes
+	maxStderrLines = 8
+)
+
+// stderrTail keeps the end of what a program writes to standard error. It may be written and read
+// from several goroutines.
 type stderrTail struct {
 	mu   sync.Mutex
 	text []byte
 }
 
-const maxStderrTail = 4096
-
-func (l *stderrTail) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.text = append(l.text, p...)
-	if n := len(l.text) - maxStderrTail; n > 0 {
-		l.text = append(l.text[:0], l.text[n:]...)
+// Write implements io.Writer.
+func (s *stderrTail) Write(p []byte) (int, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.text = append(s.text, p...)
+	if excess := len(s.text) - maxStderrTail; excess > 0 {
+		s.text = append(s.text[:0], s.text[excess:]...)
 	}
 	return len(p), nil
 }
 
-func (l *stderrTail) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	text := strings.TrimSpace(string(l.text))
-	if lines := strings.Split(text, "\n"); len(lines) > 8 {
-		text = strings.Join(lines[len(lines)-8:], "\n")
+// String returns the last lines.
+func (s *stderrTail) String() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	text := strings.TrimSpace(string(s.text))
+	if lines := strings.Split(text, "\n"); len(lines) > maxStderrLines {
+		text = strings.Join(lines[len(lines)-maxStderrLines:], "\n")
 	}
 	return text
 }
--- a/internal/lab/simulation/tier.go
+++ b/internal/lab/simulation/tier.go
@@ -7,7 +7,7 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// EventKind is what a balancer hears of.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 // Event kinds.
@@ -22,29 +22,38 @@
 	EventTimer
 )
 
-// Event is one thing that a balancer hears; which fields count depends on the kind.
+// Event is one input of a balancer. Which fields are set depends on the kind; the comment of a field
+// names the kinds, without their prefix, that set it.
 type Event struct {
 	Kind         EventKind
 	Instance     int
 	Seed         uint64                 // Start
 	Settings     *piernotch.Settings    // Start
-	Request      piernotch.Request      // Demand
-	Retry        bool                   // Demand, where clients mark repeats
-	ID           piernotch.RequestID    // Gone
-	Outcome      piernotch.Outcome      // Verdict
-	Backend      piernotch.BackendID    // Probed
-	Status       piernotch.Status       // Probed
-	Latency      time.Duration          // Probed
-	Load         servermodel.LoadReport // Verdict, Probed
+	Request      piernotch.Request      // Request
+	Retry        bool                   // Request: where clients mark retries
+	ID           piernotch.RequestID    // ClientGone
+	Outcome      piernotch.Outcome      // AttemptCompleted
+	Backend      piernotch.BackendID    // HealthCheckCompleted
+	Status       piernotch.Status       // HealthCheckCompleted
+	Latency      time.Duration          // HealthCheckCompleted
+	Load         servermodel.LoadReport // AttemptCompleted, HealthCheckCompleted: with HasLoad
 	HasLoad      bool
-	ListKind     piernotch.UpdateKind // View
-	Version      uint64               // View
-	Entries      []piernotch.Endpoint // View
-	MachineKinds []int                // View: the kind of each entry's machine
+	ListKind     piernotch.UpdateKind // EndpointList
+	Version      uint64               // EndpointList
+	Entries      []piernotch.Endpoint // EndpointList
+	MachineKinds []int                // EndpointList: the kind of each entry's machine
 	Token        uint32               // Timer
 }
 
-// ActionKind is what a balancer asks for.
+// loadBackend is the backend that a load report is of.
+func (e *Event) loadBackend() piernotch.BackendID {
+	if e.Kind == EventAttemptCompleted {
+		return e.Outcome.Backend
+	}
+	return e.Backend
+}
+
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // Action kinds.
@@ -60,22 +69,22 @@
 	ActionCloseIdle
 )
 
-// Action is one thing that a balancer asks for.
+// Action is one output of a balancer. Which fields are set depends on the kind.
 type Action struct {
 	Kind     ActionKind
 	Instance int
 	ID       piernotch.RequestID
 	Backend  piernotch.BackendID
 	Attempt  int
-	Delay    time.Duration // Send: the time-out, Refuse: the advice, SetTimer
+	Delay    time.Duration // StartAttempt: timeout, Reject: Retry-After, SetTimer: delay
 	Token    uint32
 }
 
-// Tier hosts the balancers' decisions.
+// Tier hosts the decisions of all balancers. A World calls it from its own goroutine.
 type Tier interface {
-	// Turn takes all that the balancers have heard up to now, in order of instances,
-	// and returns what they ask for, in order. The slice is used again by the next
-	// call. An error ends the run.
+	// Turn passes all events of the balancers up to now, in order of instances, and returns their
+	// actions, in order. The returned slice is valid until the next call. An error ends the run.
 	Turn(now time.Duration, events []Event) ([]Action, error)
+	// Close frees what the tier holds. It is called once, after the last Turn.
 	Close() error
 }
--- a/internal/lab/simulation/trace_overload_test.go
+++ b/internal/lab/simulation/trace_overload_test.go
@@ -12,17 +12,17 @@
 	"piernotch/internal/trace"
 )
 
-// heedless sends each request at once to the next ready server of the list, however
-// much that one holds, and waits for it until the deadline.
-type heedless struct {
+// roundRobinTier sends each request at once to the next ready server of the list, whatever its load,
+// and waits for it until the deadline.
+type roundRobinTier struct {
 	ready   [][]piernotch.BackendID
 	next    []int
 	actions []Action
 }
 
-func (h *heedless) Close() error { return nil }
+func (h *roundRobinTier) Close() error { return nil }
 
-func (h *heedless) Turn(now time.Duration, events []Event) ([]Action, error) {
+func (h *roundRobinTier) Turn(now time.Duration, events []Event) ([]Action, error) {
 	h.actions = h.actions[:0]
 	do := func(a Action) { h.actions = append(h.actions, a) }
 	for _, e := range events {
@@ -35,13 +35,13 @@
 			do(Action{Kind: ActionWatchEndpoints, Instance: e.Instance})
 		case EventEndpointList:
 			for _, en := range e.Entries {
-				kept := (*list)[:0]
+				others := (*list)[:0]
 				for _, id := range *list {
 					if id != en.ID {
-						kept = append(kept, id)
+						others = append(others, id)
 					}
 				}
-				if *list = kept; en.State == piernotch.Ready {
+				if *list = others; en.State == piernotch.Ready {
 					*list = append(*list, en.ID)
 				}
 			}
@@ -57,10 +57,10 @@
 	return h.actions, nil
 }
 
-// A recorded burst meets a fleet that shrinks to half. Heedless routing chokes the
-// servers, and they stay slow long after the burst; the module's does not.
-func TestAQuakeReplayedOverAShrinkingFleetChokesHeedlessRoutingForLong(t *testing.T) {
-	name := filepath.Join(t.TempDir(), "quake.pnt")
+// A recorded burst meets a site that shrinks to half of its servers. Round robin overloads them, and
+// they stay slow long after the burst; the module does not.
+func TestRoundRobinStaysOverloadedAfterRecordedBurst(t *testing.T) {
+	name := filepath.Join(t.TempDir(), "burst.pnt")
 	out, err := trace.Create(name, trace.Header{Classes: []string{"segment-read"}}, trace.Limits{Pending: 1 << 16})
 	require.NoError(t, err)
 	gap := func(at time.Duration) time.Duration {
@@ -86,19 +86,19 @@
 		}
 		return got / asked
 	}
-	bad, good := play(t, &heedless{}, "felt-quake", 4, set...), play(t, NewInProcess(), "felt-quake", 4, set...)
+	bad, good := run(t, &roundRobinTier{}, "felt-quake", 4, set...), run(t, NewInProcess(), "felt-quake", 4, set...)
 	require.Equal(t, n, bad.Requests)
 	require.Equal(t, n, good.Requests)
-	require.Greater(t, served(bad, 0, 9), 0.9, "before the quake")
+	require.Greater(t, served(bad, 0, 9), 0.9, "before the burst")
 	require.Greater(t, bad.ChokedShare, 0.3)
-	require.Less(t, served(bad, 24, 34), 0.6, "the burst is over, the choke is not")
+	require.Less(t, served(bad, 24, 34), 0.6, "the burst is over, the overload is not")
 	require.Less(t, good.ChokedShare, bad.ChokedShare)
 	require.Greater(t, served(good, 24, 34), served(bad, 24, 34)+0.2)
 	require.Zero(t, good.Broken(), good.Breaks)
 }
 
-// A drain that is told in the tick of a send comes first: balancers decide last.
-func TestADrainToldInTheTickOfARequestIsKnownToIt(t *testing.T) {
+// A drain that is notified in the tick of a request precedes it: balancers decide last.
+func TestDrainNotifiedInSameTickPrecedesRequest(t *testing.T) {
 	s, err := scenario.Load("quiet")
 	require.NoError(t, err)
 	s, err = s.With("traffic.load=0", "length_s=3", "zones.client_ms=0", "zones.jitter=0", "fleet.servers=2", "balancers.count=1", "zones.servers=[1,0,0,0]")
@@ -106,7 +106,7 @@
 	d, err := s.Draw(1)
 	require.NoError(t, err)
 	sent := 0
-	w, err := New(d, faulty{NewInProcess(), func(_ time.Duration, _ []Event, a []Action) []Action {
+	w, err := New(d, faultyTier{NewInProcess(), func(_ time.Duration, _ []Event, a []Action) []Action {
 		for i := range a {
 			if a[i].Kind == ActionStartAttempt {
 				sent++
--- a/internal/lab/simulation/trace_replay_test.go
+++ b/internal/lab/simulation/trace_replay_test.go
@@ -11,7 +11,7 @@
 	"piernotch/internal/trace"
 )
 
-func TestARecordingIsPlayedInTheOrderOfArrival(t *testing.T) {
+func TestTraceIsReplayedInOrderOfArrival(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "t.pnt")
 	out, err := trace.Create(name, trace.Header{Zone: "hawassa", Classes: []string{"pick-submit", "segment-read"}}, trace.Limits{})
 	require.NoError(t, err)
@@ -20,7 +20,7 @@
 		out.Add(trace.Record{At: at, Class: uint16(i % 2), Key: uint64(i%7 + 1), CostHint: 30, Deadline: time.Second})
 	}
 	require.NoError(t, out.Close())
-	r := play(t, NewInProcess(), "quiet", 1, "traffic.trace="+name, "length_s=10", "clients.retries=0")
+	r := run(t, NewInProcess(), "quiet", 1, "traffic.trace="+name, "length_s=10", "clients.retries=0")
 	require.Equal(t, 400, r.Requests)
 	require.Greater(t, r.Service, 0.9)
 	require.Zero(t, r.Broken())
--- a/internal/lab/simulation/traffic.go
+++ b/internal/lab/simulation/traffic.go
@@ -1,13 +1,8 @@
 package simulation
 
 import (
-	"cmp"
-	"errors"
-	"fmt"
-	"io"
 	"math"
 	"math/rand/v2"
-	"slices"
 	"sort"
 	"time"
 
@@ -15,22 +10,25 @@
 	"piernotch/internal/trace"
 )
 
-// traffic brings clients: drawn ones, or those of a recording. Nothing in it depends
-// on what balancers decide.
+// traffic brings clients: drawn from the scenario, or those of a recording. Nothing in it depends on
+// what balancers decide.
 type traffic struct {
 	arrivals, keys, hints, tails *rand.Rand
-	levels                       []float64 // bursty: factor by segment
-	zipf                         []float64 // cumulative
-	maxRate                      float64   // greatest rate, a second
-	replay                       bool
-	head                         trace.Header
-	records                      []trace.Record // of a recording, by arrival; those to come
-	classOf                      map[string]int
+
+	levels  []float64 // of bursty traffic: factor of the rate, by segment
+	zipf    []float64 // cumulative weights of keys
+	maxRate float64   // greatest rate, per second
+
+	replay  bool // the requests are recorded
+	head    trace.Header
+	records []trace.Record // by arrival; those to come
+	classOf map[string]int // index by name
 }
 
 // segment is the length over which bursty traffic keeps a level.
 func segment(d *scenario.Day) time.Duration { return max(d.Traffic.Period/4, 10*time.Millisecond) }
 
+// init draws the shape of the traffic, or reads the recording.
 func (t *traffic) init(w *World) error {
 	d := w.day
 	t.arrivals, t.keys = scenario.Stream(d.Seed, "arrivals"), scenario.Stream(d.Seed, "keys")
@@ -42,50 +40,28 @@
 	for at := time.Duration(0); at <= d.Length; at += segment(d) {
 		t.levels = append(t.levels, 1+d.Traffic.Swing*(2*shape.Float64()-1))
 	}
-	sum := 0.0
-	for i := range d.Traffic.Keys {
-		sum += math.Pow(float64(i+1), -d.Traffic.KeyZipf)
-		t.zipf = append(t.zipf, sum)
-	}
+	t.zipf = cumulativeZipf(d.Traffic.Keys, d.Traffic.KeyZipf)
 	t.maxRate = d.Traffic.PerSec * (1 + d.Traffic.Swing)
 	for i := range d.Troubles {
-		if in := &d.Troubles[i]; in.Kind == "burst" {
-			t.maxRate *= max(in.Size, 1)
+		if fault := &d.Troubles[i]; fault.Kind == "burst" {
+			t.maxRate *= max(fault.Size, 1)
 		}
 	}
 	return nil
 }
 
-// loadTrace reads a recording. Its records stand in the order in which they ended.
-func (t *traffic) loadTrace(d *scenario.Day) error {
-	r, err := trace.Open(d.Traffic.Trace)
-	if err != nil {
-		return err
-	}
-	defer r.Close()
-	t.replay, t.head, t.classOf = true, *r.Header(), map[string]int{}
-	for i, c := range d.Classes {
-		t.classOf[c.Name] = i
-	}
-	for _, name := range t.head.Classes {
-		if _, ok := t.classOf[name]; !ok {
-			return fmt.Errorf("%s: its class %q is none of the scenario's", d.Traffic.Trace, name)
-		}
-	}
-	for {
-		var rec trace.Record
-		switch err := r.Next(&rec); {
-		case errors.Is(err, io.EOF):
-			slices.SortStableFunc(t.records, func(a, b trace.Record) int { return cmp.Compare(a.At, b.At) })
-			return nil
-		case err != nil:
-			return err
-		}
-		t.records = append(t.records, rec)
+// cumulativeZipf returns the cumulative weights of n keys by Zipf's law.
+func cumulativeZipf(n int, exponent float64) []float64 {
+	var out []float64
+	sum := 0.0
+	for i := range n {
+		sum += math.Pow(float64(i+1), -exponent)
+		out = append(out, sum)
 	}
+	return out
 }
 
-// rate is how many requests come a second at a time.
+// rate is the rate of requests at a time, per second.
 func (t *traffic) rate(w *World, at time.Duration) float64 {
 	d := w.day
 	r := d.Traffic.PerSec
@@ -96,12 +72,12 @@
 		r *= t.levels[min(int(at/segment(d)), len(t.levels)-1)]
 	}
 	for i := range d.Troubles {
-		in := &d.Troubles[i]
-		switch in.Kind {
+		fault := &d.Troubles[i]
+		switch fault.Kind {
 		case "burst":
-			r *= 1 + (in.Size-1)*ramp(at, in.At, in.End(), in.Ramp)
-		case "shrink": // traffic falls with the fleet, and stays low
-			r *= 1 - (1-1/in.Size)*ramp(at, in.At, never, in.For)
+			r *= 1 + (fault.Size-1)*ramp(at, fault.At, fault.End(), fault.Ramp)
+		case "shrink": // traffic falls with the number of servers, and stays low
+			r *= 1 - (1-1/fault.Size)*ramp(at, fault.At, never, fault.For)
 		}
 	}
 	return r
@@ -120,7 +96,7 @@
 	return min(up, down, 1)
 }
 
-// planNext plans the next client.
+// planNext plans the next client, unless none comes before the end.
 func (t *traffic) planNext(w *World) {
 	if t.replay {
 		if len(t.records) > 0 {
@@ -147,46 +123,46 @@
 	}
 }
 
-// clientArrives is a client that wants something.
+// clientArrives adds the client that was planned, and plans the next one.
 func (t *traffic) clientArrives(w *World) {
 	w.lastClientRequest++
-	a := w.clientRequests.Put(w.lastClientRequest)
-	t.drawRequest(w, a)
-	w.counters.goodput.Ask(a.firstSent, a.class, a.work)
+	client := w.clientRequests.Put(w.lastClientRequest)
+	t.drawRequest(w, client)
+	w.counters.goodput.Ask(client.firstSent, client.class, client.work)
 	w.sendRequest(w.lastClientRequest)
 	t.planNext(w)
 }
 
-// drawRequest draws what the client wants.
-func (t *traffic) drawRequest(w *World, a *clientRequest) {
+// drawRequest draws what a client wants.
+func (t *traffic) drawRequest(w *World, client *clientRequest) {
 	d := w.day
-	*a = clientRequest{randomKey: mix(d.Seed ^ w.lastClientRequest*0x9e3779b97f4a7c15), firstSent: w.now, costHint: math.NaN()}
+	*client = clientRequest{randomKey: mix(d.Seed ^ w.lastClientRequest*0x9e3779b97f4a7c15), firstSent: w.now, costHint: math.NaN()}
 	if t.replay {
-		t.takeRecorded(w, a)
+		t.takeRecorded(w, client)
 	} else {
-		t.drawFromScenario(w, a)
+		t.drawFromScenario(w, client)
 	}
-	a.deadline = w.now + d.Classes[a.class].Deadline
-	a.patienceDraw = t.tails.Float64()
-	a.maxSends = int(d.Clients.Retries)
-	if t.tails.Float64() < d.Clients.Retries-float64(a.maxSends) {
-		a.maxSends++
+	client.deadline = w.now + d.Classes[client.class].Deadline
+	client.patienceDraw = t.tails.Float64()
+	client.maxRetries = int(d.Clients.Retries)
+	if t.tails.Float64() < d.Clients.Retries-float64(client.maxRetries) {
+		client.maxRetries++
 	}
 }
 
-// Arrival is a client's request as it is due.
+// Arrival is one request of a client, before any decision.
 type Arrival struct {
-	At    time.Duration
+	At    time.Duration // since the start
 	Class int
 	Zone  int
 	Work  float64 // ms
 	Hint  float64 // ms; NaN: none
 	Key   uint64  // 0: none
-	Tries int     // that the client makes at the most
-	Seed  uint64  // of what else it draws
+	Tries int     // sendings that the client makes at most
+	Seed  uint64  // of the client's other random numbers
 }
 
-// Arrivals draws all of a day's requests ahead: the same that a World of it plays.
+// Arrivals draws all requests of a scenario ahead: the same that a World plays.
 func Arrivals(day *scenario.Day) ([]Arrival, error) {
 	w := &World{day: day}
 	if err := w.traffic.init(w); err != nil {
@@ -200,36 +176,42 @@
 		}
 		w.now = e.at
 		w.lastClientRequest++
-		var a clientRequest
-		w.traffic.drawRequest(w, &a)
-		out = append(out, Arrival{At: a.firstSent, Class: a.class, Zone: a.zone, Work: a.work, Hint: a.costHint, Key: a.key, Tries: a.maxSends + 1, Seed: a.randomKey})
+		var client clientRequest
+		w.traffic.drawRequest(w, &client)
+		out = append(out, Arrival{
+			At: client.firstSent, Class: client.class, Zone: client.zone, Work: client.work, Hint: client.costHint, Key: client.key,
+			Tries: client.maxRetries + 1, Seed: client.randomKey,
+		})
 	}
 }
 
-func (t *traffic) drawFromScenario(w *World, a *clientRequest) {
+// drawFromScenario draws class, zone, work, key and cost hint.
+func (t *traffic) drawFromScenario(w *World, client *clientRequest) {
 	d := w.day
 	u := t.arrivals.Float64()
-	for a.class = 0; a.class < len(d.Classes)-1 && u >= d.Classes[a.class].Share; a.class++ {
-		u -= d.Classes[a.class].Share
+	for client.class = 0; client.class < len(d.Classes)-1 && u >= d.Classes[client.class].Share; client.class++ {
+		u -= d.Classes[client.class].Share
 	}
-	a.zone = sort.SearchFloat64s(d.Traffic.Zones, t.arrivals.Float64())
-	a.zone = min(a.zone, len(d.Zones)-1)
-	a.work = d.Classes[a.class].Work.Rand()
-	heavy := t.tails.Float64()
+	client.zone = sort.SearchFloat64s(d.Traffic.Zones, t.arrivals.Float64())
+	client.zone = min(client.zone, len(d.Zones)-1)
+	client.work = d.Classes[client.class].Work.Rand()
+	tail := t.tails.Float64()
 	for i := range d.Troubles {
-		in := &d.Troubles[i]
-		if in.Kind == "heavy_tail" && w.now >= in.At && w.now < in.End() && (in.Class < 0 || in.Class == a.class) && heavy < in.Part {
-			a.work *= in.Size
+		fault := &d.Troubles[i]
+		active := fault.Kind == "heavy_tail" && w.now >= fault.At && w.now < fault.End()
+		hit := fault.Class < 0 || fault.Class == client.class
+		if active && hit && tail < fault.Part {
+			client.work *= fault.Size
 		}
 	}
 	if n := len(t.zipf); n > 0 {
 		i := sort.SearchFloat64s(t.zipf, t.keys.Float64()*t.zipf[n-1])
-		a.key = mix(d.Seed^uint64(i+1)) | 1
+		client.key = mix(d.Seed^uint64(i+1)) | 1
 	}
-	a.costHint = t.drawHint(d, a.work)
+	client.costHint = t.drawHint(d, client.work)
 }
 
-// drawHint is what a client says of its request's work, ms.
+// drawHint is the cost hint of a request, ms; NaN: none.
 func (t *traffic) drawHint(d *scenario.Day, work float64) float64 {
 	sigma := math.Sqrt(math.Log1p(d.Traffic.HintCV * d.Traffic.HintCV))
 	noise := math.Exp(sigma*t.hints.NormFloat64() - sigma*sigma/2)
@@ -241,24 +223,3 @@
 	}
 	return math.NaN()
 }
-
-// takeRecorded takes a request of a recording. A recording knows no work: the hint stands
-// for it, or else the class's mean with its spread.
-func (t *traffic) takeRecorded(w *World, a *clientRequest) {
-	r := t.records[0]
-	t.records = t.records[1:]
-	a.class = t.classOf[t.head.Classes[r.Class]]
-	a.zone = int(a.randomKey>>8) % len(w.day.Zones)
-	if z := t.head.Zone; z != "" {
-		for i, name := range w.day.Zones {
-			if name == z {
-				a.zone = i
-			}
-		}
-	}
-	a.key = r.Key
-	a.work = w.day.Classes[a.class].Work.Rand()
-	if r.CostHint > 0 {
-		a.work, a.costHint = r.CostHint, r.CostHint
-	}
-}
--- /dev/null
+++ b/internal/lab/simulation/traffic_trace.go
@@ -0,0 +1,63 @@
+package simulation
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+
+	"piernotch/internal/lab/scenario"
+	"piernotch/internal/trace"
+)
+
+// loadTrace reads a recording, whose records stand in the order in which requests ended. The error is
+// of a file that cannot be read, or of a class that the scenario lacks.
+func (t *traffic) loadTrace(d *scenario.Day) error {
+	r, err := trace.Open(d.Traffic.Trace)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = r.Close() }() // it was only read
+	t.replay, t.head, t.classOf = true, *r.Header(), map[string]int{}
+	for i, c := range d.Classes {
+		t.classOf[c.Name] = i
+	}
+	for _, name := range t.head.Classes {
+		if _, ok := t.classOf[name]; !ok {
+			return fmt.Errorf("%s: its class %q is none of the scenario's", d.Traffic.Trace, name)
+		}
+	}
+	for {
+		var rec trace.Record
+		switch err := r.Next(&rec); {
+		case errors.Is(err, io.EOF):
+			slices.SortStableFunc(t.records, func(a, b trace.Record) int { return cmp.Compare(a.At, b.At) })
+			return nil
+		case err != nil:
+			return err
+		}
+		t.records = append(t.records, rec)
+	}
+}
+
+// takeRecorded takes the next request of the recording. A recording knows no work: the cost hint
+// stands for it, or else the class's distribution.
+func (t *traffic) takeRecorded(w *World, client *clientRequest) {
+	r := t.records[0]
+	t.records = t.records[1:]
+	client.class = t.classOf[t.head.Classes[r.Class]]
+	client.zone = int(client.randomKey>>8) % len(w.day.Zones)
+	if z := t.head.Zone; z != "" {
+		for i, name := range w.day.Zones {
+			if name == z {
+				client.zone = i
+			}
+		}
+	}
+	client.key = r.Key
+	client.work = w.day.Classes[client.class].Work.Rand()
+	if r.CostHint > 0 {
+		client.work, client.costHint = r.CostHint, r.CostHint
+	}
+}
