--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -75,23 +75,23 @@
 }
 
 const (
-	coldStep    = 200 * time.Millisecond // grain in which warmth moves while there is work
-	chokeStep   = 100 * time.Millisecond // grain in which a choked server is looked at
-	busyHorizon = float64(time.Second)   // horizon of the busy share, ns
-	snapshots   = 16                     // load reports kept, enough for the longest lateness
+	warmUpStep   = 200 * time.Millisecond // grain in which warmth moves while there is work
+	overloadStep = 100 * time.Millisecond // grain in which a choked server is looked at
+	busyHorizon  = float64(time.Second)   // horizon of the busy share, ns
+	maxReports   = 16                     // load reports kept, enough for the longest lateness
 )
 
-type running struct {
+type runningJob struct {
 	Job
 	left, spent float64 // ms
 }
 
-type snapshot struct {
+type timedReport struct {
 	at   time.Duration
 	load LoadReport
 }
 
-type pushed struct {
+type arrival struct {
 	at   time.Duration
 	work float64
 }
@@ -101,38 +101,38 @@
 	kind   Kind
 	pauses *rand.Rand // drawn from at scripted times only, whatever the load
 	noise  *rand.Rand
-	life   State
-
-	now     time.Duration
-	run     []running
-	queue   []Job
-	debt    float64 // work for connections and probes, done before anything else, ms
-	tax     float64 // share of the speed that connections take
-	slow    float64 // a slow spell: how many times slower, 1: none
-	started time.Duration
-	done    float64 // work done since the start, ms
-	warm    bool
-
-	pauseAt, pauseEnd time.Duration
-	spell             struct{ every, length time.Duration } // a trouble's pauses, instead of the kind's
-
-	crowded    time.Duration // since when too many wait; Never: they don't
-	choked     bool
-	chokedAt   time.Duration
-	idleSince  time.Duration
-	busy       float64 // running share of busy time
-	keys       *simplelru.LRU[uint64, time.Duration]
-	recent     []pushed // what reached it while cold
-	recentWork float64
-	coldPeak   float64
-
-	reportAt        time.Duration
-	answered, erred int
-	reports         [snapshots]snapshot
-	reported        int
-
-	spent float64 // all work done, ms
-	dones []Completion
+	state  State
+
+	now            time.Duration
+	running        []runningJob
+	queue          []Job
+	overheadWork   float64 // work for connections and probes, done before anything else, ms
+	connectionTax  float64 // share of the speed that connections take
+	slowFactor     float64 // a slow spell: how many times slower, 1: none
+	started        time.Duration
+	doneSinceStart float64 // work done since the start, ms
+	warm           bool
+
+	nextPause, pauseEnd time.Duration
+	pauseFault          struct{ every, length time.Duration } // a trouble's pauses, instead of the kind's
+
+	queueLongSince time.Duration // since when too many wait; Never: they don't
+	overloaded     bool
+	overloadedAt   time.Duration
+	idleSince      time.Duration
+	busy           float64 // running share of busy time
+	keys           *simplelru.LRU[uint64, time.Duration]
+	arrivals       []arrival // what reached it while cold
+	arrivedWork    float64
+	arrivalPeak    float64
+
+	nextReport                   time.Duration
+	reportAnswered, reportErrors int
+	reports                      [maxReports]timedReport
+	reportCount                  int
+
+	workDone    float64 // all work done, ms
+	completions []Completion
 }
 
 // New returns a server that runs and is warm. Its random numbers (pauses, report
@@ -141,23 +141,23 @@
 	if err := kind.Validate(); err != nil {
 		return nil, err
 	}
-	s := &Server{kind: kind, now: now, slow: 1, warm: true,
+	s := &Server{kind: kind, now: now, slowFactor: 1, warm: true,
 		pauses: rand.New(rand.NewPCG(seed, 1)), noise: rand.New(rand.NewPCG(seed, 2))}
 	if kind.Keys.Most > 0 && kind.Keys.Gain > 0 {
 		s.keys, _ = simplelru.NewLRU[uint64, time.Duration](kind.Keys.Most, nil)
 	}
-	s.reset(now)
-	s.reportAt = Never
+	s.resetProcess(now)
+	s.nextReport = Never
 	if kind.Report.Every > 0 {
-		s.reportAt = now + time.Duration(s.noise.Float64()*float64(kind.Report.Every))
+		s.nextReport = now + time.Duration(s.noise.Float64()*float64(kind.Report.Every))
 	}
 	return s, nil
 }
 
-func (s *Server) reset(now time.Duration) {
-	s.run, s.queue, s.debt = s.run[:0], s.queue[:0], 0
-	s.crowded, s.idleSince, s.choked, s.busy = Never, Never, false, 0
-	s.recent, s.recentWork, s.done = s.recent[:0], 0, 0
+func (s *Server) resetProcess(now time.Duration) {
+	s.running, s.queue, s.overheadWork = s.running[:0], s.queue[:0], 0
+	s.queueLongSince, s.idleSince, s.overloaded, s.busy = Never, Never, false, 0
+	s.arrivals, s.arrivedWork, s.doneSinceStart = s.arrivals[:0], 0, 0
 	s.pauseEnd = 0
 	s.planPause(now)
 	if s.keys != nil {
@@ -169,113 +169,113 @@
 func (s *Server) Kind() *Kind { return &s.kind }
 
 // State tells whether the process runs.
-func (s *Server) State() State { return s.life }
+func (s *Server) State() State { return s.state }
 
 // Holds is how many requests it has in work and waiting.
-func (s *Server) Holds() int { return len(s.run) + len(s.queue) }
+func (s *Server) Holds() int { return len(s.running) + len(s.queue) }
 
 // Waiting is how many of them wait.
 func (s *Server) Waiting() int { return len(s.queue) }
 
 // Choked tells whether it is in the slow state that overload leaves behind.
-func (s *Server) Choked() bool { return s.choked }
+func (s *Server) Choked() bool { return s.overloaded }
 
 // Busy is the share of about the last second that it worked.
 func (s *Server) Busy() float64 { return s.busy }
 
 // Spent is all the work that it has done, ms.
-func (s *Server) Spent() float64 { return s.spent }
+func (s *Server) Spent() float64 { return s.workDone }
 
 // ColdPeak is the most that reached it within a span while it was cold, as a share of
 // what pushes it over.
-func (s *Server) ColdPeak() float64 { return s.coldPeak }
+func (s *Server) ColdPeak() float64 { return s.arrivalPeak }
 
 // Started is when its process last started; 0: long ago.
 func (s *Server) Started() time.Duration { return s.started }
 
 // Start begins a new process, which is cold.
 func (s *Server) Start(now time.Duration) []Completion {
-	s.move(now)
-	ended := s.drop()
-	s.reset(now)
-	s.life, s.started, s.warm, s.now = Up, now, s.kind.Cold == 0, now
+	s.advanceClock(now)
+	ended := s.resetJobs()
+	s.resetProcess(now)
+	s.state, s.started, s.warm, s.now = Up, now, s.kind.Cold == 0, now
 	return ended
 }
 
 // Drain has it turn new work away; what it holds is finished.
 func (s *Server) Drain(now time.Duration) {
-	s.move(now)
-	if s.life == Up {
-		s.life = Draining
+	s.advanceClock(now)
+	if s.state == Up {
+		s.state = Draining
 	}
 }
 
 // Crash ends the process: what it held is reset.
 func (s *Server) Crash(now time.Duration) []Completion {
-	s.move(now)
-	s.life = Down
-	return s.drop()
+	s.advanceClock(now)
+	s.state = Down
+	return s.resetJobs()
 }
 
 // Vanish cuts it off: what it held is never answered, and nothing new is. The jobs
 // are returned, but nobody is told.
 func (s *Server) Vanish(now time.Duration) []Completion {
-	s.move(now)
-	s.life = Silent
-	return s.drop()
+	s.advanceClock(now)
+	s.state = Silent
+	return s.resetJobs()
 }
 
-// drop takes all work out and returns it as reset.
-func (s *Server) drop() []Completion {
-	s.dones = s.dones[:0]
-	for _, r := range s.run {
-		s.dones = append(s.dones, Completion{ID: r.ID, Ending: Reset, Started: true, Spent: r.spent})
+// resetJobs takes all work out and returns it as reset.
+func (s *Server) resetJobs() []Completion {
+	s.completions = s.completions[:0]
+	for _, r := range s.running {
+		s.completions = append(s.completions, Completion{ID: r.ID, Ending: Reset, Started: true, Spent: r.spent})
 	}
 	for _, j := range s.queue {
-		s.dones = append(s.dones, Completion{ID: j.ID, Ending: Reset})
+		s.completions = append(s.completions, Completion{ID: j.ID, Ending: Reset})
 	}
-	s.run, s.queue, s.debt = s.run[:0], s.queue[:0], 0
-	return s.dones
+	s.running, s.queue, s.overheadWork = s.running[:0], s.queue[:0], 0
+	return s.completions
 }
 
 // SetSlow begins a slow spell of so many times, or with 1 ends it.
 func (s *Server) SetSlow(now time.Duration, times float64) {
-	s.move(now)
-	s.slow = max(times, 1)
+	s.advanceClock(now)
+	s.slowFactor = max(times, 1)
 }
 
 // SetChoked puts it into the slow state that overload leaves behind, as if it had been
 // overrun. It ends as it always does.
 func (s *Server) SetChoked(now time.Duration) {
-	s.move(now)
-	if s.kind.Choke.At > 0 && s.life <= Draining {
-		s.choked, s.chokedAt, s.idleSince = true, now, Never
+	s.advanceClock(now)
+	if s.kind.Choke.At > 0 && s.state <= Draining {
+		s.overloaded, s.overloadedAt, s.idleSince = true, now, Never
 	}
 }
 
 // SetPauses has it stand still for length every so often instead of as its kind
 // does; zeros end that.
 func (s *Server) SetPauses(now, every, length time.Duration) {
-	s.move(now)
-	s.spell.every, s.spell.length = every, length
+	s.advanceClock(now)
+	s.pauseFault.every, s.pauseFault.length = every, length
 	s.planPause(now)
 }
 
 // SetTable tells how many connections are open.
 func (s *Server) SetTable(now time.Duration, open int) {
 	if s.kind.Conn.Most > 0 && s.kind.Conn.Tax > 0 {
-		s.move(now)
-		s.tax = s.kind.Conn.Tax * min(float64(open)/float64(s.kind.Conn.Most), 1)
+		s.advanceClock(now)
+		s.connectionTax = s.kind.Conn.Tax * min(float64(open)/float64(s.kind.Conn.Most), 1)
 	}
 }
 
 // Charge adds work that serves no request: a handshake, a probe. It is done first,
 // and counts towards a fall, which only a request can set off.
 func (s *Server) Charge(now time.Duration, work float64) {
-	if s.life == Up || s.life == Draining {
-		s.move(now)
-		s.debt += work
-		s.push(now, work)
+	if s.state == Up || s.state == Draining {
+		s.advanceClock(now)
+		s.overheadWork += work
+		s.recordArrival(now, work)
 	}
 }
 
@@ -289,29 +289,29 @@
 	if s.kind.WarmBy == WarmByWork {
 		// As if it had been half busy all the time that it may take.
 		need := s.kind.Capacity() * s.kind.Cold.Seconds() / 2
-		part = max(part, s.done/need)
+		part = max(part, s.doneSinceStart/need)
 	}
 	if part >= 1 {
 		s.warm = true
-		s.recent, s.recentWork = nil, 0
+		s.arrivals, s.arrivedWork = nil, 0
 		return 1
 	}
 	return s.kind.ColdFrom + (1-s.kind.ColdFrom)*part
 }
 
 // Cold tells whether it still warms up.
-func (s *Server) Cold(now time.Duration) bool { return s.life <= Draining && s.Warmth(now) < 1 }
+func (s *Server) Cold(now time.Duration) bool { return s.state <= Draining && s.Warmth(now) < 1 }
 
-// rate is the work that each running job gets done in a millisecond, ms.
-func (s *Server) rate(now time.Duration) float64 {
-	if s.life > Draining || now < s.pauseEnd {
+// workRate is the work that each running job gets done in a millisecond, ms.
+func (s *Server) workRate(now time.Duration) float64 {
+	if s.state > Draining || now < s.pauseEnd {
 		return 0
 	}
-	r := s.kind.Speed * s.Warmth(now) * (1 - s.tax) / s.slow
-	if n := len(s.run); n > s.kind.Cores {
+	r := s.kind.Speed * s.Warmth(now) * (1 - s.connectionTax) / s.slowFactor
+	if n := len(s.running); n > s.kind.Cores {
 		r *= float64(s.kind.Cores) / float64(n)
 	}
-	if s.choked {
+	if s.overloaded {
 		r /= s.kind.Choke.Slower
 	}
 	if s.kind.Thrash > 0 && s.kind.ThrashAt > 0 {
@@ -324,51 +324,51 @@
 // Arrive brings a job. A fall that it causes shows in Life; the jobs lost by it are
 // returned.
 func (s *Server) Arrive(now time.Duration, j Job) (Admission, []Completion) {
-	s.move(now)
-	switch s.life {
+	s.advanceClock(now)
+	switch s.state {
 	case Silent:
 		return Unheard, nil
 	case Down, Collapsed:
 		return Refused, nil
 	}
-	if s.push(now, j.Work) {
-		s.life = Collapsed
-		return Refused, s.drop()
+	if s.recordArrival(now, j.Work) {
+		s.state = Collapsed
+		return Refused, s.resetJobs()
 	}
-	if s.life == Draining || len(s.run) >= s.kind.Slots && len(s.queue) >= s.kind.Queue {
+	if s.state == Draining || len(s.running) >= s.kind.Slots && len(s.queue) >= s.kind.Queue {
 		return Rejected, nil
 	}
-	if len(s.run) < s.kind.Slots {
-		s.begin(now, j)
+	if len(s.running) < s.kind.Slots {
+		s.startJob(now, j)
 	} else {
 		s.queue = append(s.queue, j)
-		s.crowd(now)
+		s.watchQueue(now)
 	}
 	return Accepted, nil
 }
 
-// push notes work that reached a cold server, and tells whether it falls.
-func (s *Server) push(now time.Duration, work float64) bool {
+// recordArrival notes work that reached a cold server, and tells whether it falls.
+func (s *Server) recordArrival(now time.Duration, work float64) bool {
 	f := &s.kind.Fall
 	if f.Multiple == 0 || s.warm || s.Warmth(now) >= 1 {
 		return false
 	}
-	s.recent = append(s.recent, pushed{now, work})
-	s.recentWork += work
-	for len(s.recent) > 0 && s.recent[0].at <= now-f.For {
-		s.recentWork -= s.recent[0].work
-		s.recent = s.recent[1:]
+	s.arrivals = append(s.arrivals, arrival{now, work})
+	s.arrivedWork += work
+	for len(s.arrivals) > 0 && s.arrivals[0].at <= now-f.For {
+		s.arrivedWork -= s.arrivals[0].work
+		s.arrivals = s.arrivals[1:]
 	}
 	budget := f.Multiple * s.kind.Capacity() * s.Warmth(now) * f.For.Seconds()
-	if len(s.recent) < 2 { // one request alone is nobody's flood
+	if len(s.arrivals) < 2 { // one request alone is nobody's flood
 		return false
 	}
-	s.coldPeak = max(s.coldPeak, s.recentWork/(budget*(1+FallSlack)))
-	return s.recentWork > budget*(1+FallSlack)
+	s.arrivalPeak = max(s.arrivalPeak, s.arrivedWork/(budget*(1+FallSlack)))
+	return s.arrivedWork > budget*(1+FallSlack)
 }
 
-// begin takes a job into work.
-func (s *Server) begin(now time.Duration, j Job) {
+// startJob takes a job into work.
+func (s *Server) startJob(now time.Duration, j Job) {
 	left := j.Work
 	if s.keys != nil && j.Key != 0 {
 		if met, ok := s.keys.Get(j.Key); ok && now-met <= s.kind.Keys.For {
@@ -376,54 +376,54 @@
 		}
 		s.keys.Add(j.Key, now)
 	}
-	s.run = append(s.run, running{Job: j, left: left})
+	s.running = append(s.running, runningJob{Job: j, left: left})
 }
 
-// refill takes waiting jobs into free slots.
-func (s *Server) refill(now time.Duration) {
-	for len(s.queue) > 0 && len(s.run) < s.kind.Slots {
+// startQueued takes waiting jobs into free slots.
+func (s *Server) startQueued(now time.Duration) {
+	for len(s.queue) > 0 && len(s.running) < s.kind.Slots {
 		j := s.queue[0]
 		s.queue = s.queue[:copy(s.queue, s.queue[1:])]
 		if s.kind.DropExpired && j.Expires > 0 && now >= j.Expires {
-			s.dones = append(s.dones, Completion{ID: j.ID, Ending: Expired})
+			s.completions = append(s.completions, Completion{ID: j.ID, Ending: Expired})
 			continue
 		}
-		s.begin(now, j)
+		s.startJob(now, j)
 	}
-	s.crowd(now)
+	s.watchQueue(now)
 }
 
-// crowd notes since when too many wait.
-func (s *Server) crowd(now time.Duration) {
+// watchQueue notes since when too many wait.
+func (s *Server) watchQueue(now time.Duration) {
 	if s.kind.Choke.At > 0 && float64(len(s.queue)) > s.kind.Choke.At*float64(s.kind.Cores) {
-		if s.crowded == Never {
-			s.crowded = now
+		if s.queueLongSince == Never {
+			s.queueLongSince = now
 		}
 		return
 	}
-	s.crowded = Never
+	s.queueLongSince = Never
 }
 
 // Cancel ends the wait for a job. It tells whether the job is gone, whether it had
 // begun, and the work spent on it; running work goes on where the kind says so.
 func (s *Server) Cancel(now time.Duration, id uint64) (gone, begun bool, spent float64) {
-	s.move(now)
+	s.advanceClock(now)
 	for i := range s.queue {
 		if s.queue[i].ID == id {
 			s.queue = append(s.queue[:i], s.queue[i+1:]...)
-			s.crowd(now)
+			s.watchQueue(now)
 			return true, false, 0
 		}
 	}
-	for i := range s.run {
-		if s.run[i].ID != id {
+	for i := range s.running {
+		if s.running[i].ID != id {
 			continue
 		}
 		if !s.kind.StopRunning {
 			return false, true, 0
 		}
-		spent = s.run[i].spent
-		s.run = append(s.run[:i], s.run[i+1:]...)
+		spent = s.running[i].spent
+		s.running = append(s.running[:i], s.running[i+1:]...)
 		// Whoever waited begins at the next Advance, which is due now.
 		return true, true, spent
 	}
@@ -432,33 +432,33 @@
 
 // Next is when Advance must be called at the latest.
 func (s *Server) Next() time.Duration {
-	if s.life > Draining {
+	if s.state > Draining {
 		return Never
 	}
-	if len(s.run) < s.kind.Slots && len(s.queue) > 0 {
+	if len(s.running) < s.kind.Slots && len(s.queue) > 0 {
 		return s.now
 	}
 	next := Never
 	if s.now < s.pauseEnd {
 		next = s.pauseEnd
-	} else if len(s.run) > 0 {
-		least := s.run[0].left
-		for i := range s.run {
-			least = min(least, s.run[i].left)
+	} else if len(s.running) > 0 {
+		least := s.running[0].left
+		for i := range s.running {
+			least = min(least, s.running[i].left)
 		}
-		if r := s.rate(s.now); r > 0 {
-			next = s.now + ceilMS((s.debt/float64(len(s.run))+least)/r)
+		if r := s.workRate(s.now); r > 0 {
+			next = s.now + ceilMS((s.overheadWork/float64(len(s.running))+least)/r)
 		}
 		if !s.warm {
-			next = min(next, s.now+coldStep)
+			next = min(next, s.now+warmUpStep)
 		}
-		next = min(next, s.pauseAt)
+		next = min(next, s.nextPause)
 	}
-	if s.crowded != Never && !s.choked {
-		next = min(next, max(s.crowded+s.kind.Choke.Over, s.now))
+	if s.queueLongSince != Never && !s.overloaded {
+		next = min(next, max(s.queueLongSince+s.kind.Choke.Over, s.now))
 	}
-	if s.choked {
-		next = min(next, s.now+chokeStep)
+	if s.overloaded {
+		next = min(next, s.now+overloadStep)
 	}
 	return next
 }
@@ -474,122 +474,122 @@
 // Advance brings the server to now and returns what has ended, in order. The slice
 // is used again by the next call of any method.
 func (s *Server) Advance(now time.Duration) []Completion {
-	s.dones = s.dones[:0]
-	s.move(now)
-	if s.life > Draining {
+	s.completions = s.completions[:0]
+	s.advanceClock(now)
+	if s.state > Draining {
 		return nil
 	}
-	for i := 0; i < len(s.run); {
-		r := &s.run[i]
+	for i := 0; i < len(s.running); {
+		r := &s.running[i]
 		if r.left > 1e-9 {
 			i++
 			continue
 		}
 		end := Answered
-		s.answered++
+		s.reportAnswered++
 		if r.Luck < s.kind.ErrorRate {
 			end = Erred
-			s.erred++
+			s.reportErrors++
 		}
-		s.dones = append(s.dones, Completion{ID: r.ID, Ending: end, Started: true, Spent: r.spent})
-		s.run = append(s.run[:i], s.run[i+1:]...)
+		s.completions = append(s.completions, Completion{ID: r.ID, Ending: end, Started: true, Spent: r.spent})
+		s.running = append(s.running[:i], s.running[i+1:]...)
 	}
-	s.refill(now)
-	s.choke(now)
-	return s.dones
+	s.startQueued(now)
+	s.updateOverload(now)
+	return s.completions
 }
 
-// move brings work, pauses, reports and the busy share up to now. No job ends in it.
-func (s *Server) move(now time.Duration) {
-	for s.now < now || s.pauseAt <= s.now && s.now >= s.pauseEnd {
+// advanceClock brings work, pauses, reports and the busy share up to now. No job ends in it.
+func (s *Server) advanceClock(now time.Duration) {
+	for s.now < now || s.nextPause <= s.now && s.now >= s.pauseEnd {
 		to := now
 		switch {
 		case s.now < s.pauseEnd:
 			to = min(to, s.pauseEnd)
-		case s.pauseAt <= s.now:
+		case s.nextPause <= s.now:
 			s.beginPause()
 			continue
 		default:
-			to = min(to, s.pauseAt)
+			to = min(to, s.nextPause)
 		}
-		if s.reportAt > s.now {
-			to = min(to, s.reportAt)
+		if s.nextReport > s.now {
+			to = min(to, s.nextReport)
 		}
-		s.work(to)
+		s.doWork(to)
 		s.now = to
-		if s.reportAt <= s.now {
-			s.snap()
+		if s.nextReport <= s.now {
+			s.makeReport()
 		}
 	}
 }
 
-// work lets the time up to `to` pass, in which nothing but work happens.
-func (s *Server) work(to time.Duration) {
+// doWork lets the time up to `to` pass, in which nothing but work happens.
+func (s *Server) doWork(to time.Duration) {
 	dt := float64(to - s.now)
 	busy := 0.0
-	if s.life <= Draining && (len(s.run) > 0 || s.debt > 0) {
-		busy = min(float64(max(len(s.run), 1))/float64(min(s.kind.Cores, s.kind.Slots)), 1)
+	if s.state <= Draining && (len(s.running) > 0 || s.overheadWork > 0) {
+		busy = min(float64(max(len(s.running), 1))/float64(min(s.kind.Cores, s.kind.Slots)), 1)
 	}
 	s.busy = busy + (s.busy-busy)*math.Exp(-dt/busyHorizon)
-	r := s.rate(s.now)
+	r := s.workRate(s.now)
 	if r == 0 {
 		return
 	}
 	can := r * dt / float64(time.Millisecond) // for each running job
-	n := float64(len(s.run))
-	if s.debt > 0 {
-		paid := min(s.debt, can*max(n, 1))
-		s.debt -= paid
-		s.spent += paid
-		s.done += paid
+	n := float64(len(s.running))
+	if s.overheadWork > 0 {
+		paid := min(s.overheadWork, can*max(n, 1))
+		s.overheadWork -= paid
+		s.workDone += paid
+		s.doneSinceStart += paid
 		if n == 0 {
 			return
 		}
 		can -= paid / n
 	}
-	for i := range s.run {
-		did := min(can, s.run[i].left)
-		s.run[i].left -= did
-		s.run[i].spent += did
-		s.spent += did
-		s.done += did
+	for i := range s.running {
+		did := min(can, s.running[i].left)
+		s.running[i].left -= did
+		s.running[i].spent += did
+		s.workDone += did
+		s.doneSinceStart += did
 	}
 }
 
 func (s *Server) planPause(now time.Duration) {
 	every, length := s.kind.PauseEvery, s.kind.PauseFor
-	if s.spell.length > 0 {
-		every, length = s.spell.every, s.spell.length
+	if s.pauseFault.length > 0 {
+		every, length = s.pauseFault.every, s.pauseFault.length
 	}
-	s.pauseAt = Never
+	s.nextPause = Never
 	if length > 0 && every > 0 {
-		s.pauseAt = now + time.Duration((0.5+s.pauses.Float64())*float64(every))
+		s.nextPause = now + time.Duration((0.5+s.pauses.Float64())*float64(every))
 	}
 }
 
 func (s *Server) beginPause() {
-	begin := s.pauseAt
+	begin := s.nextPause
 	length := s.kind.PauseFor
-	if s.spell.length > 0 {
-		length = s.spell.length
+	if s.pauseFault.length > 0 {
+		length = s.pauseFault.length
 	}
 	s.planPause(begin)
-	if length == 0 || s.life > Draining {
+	if length == 0 || s.state > Draining {
 		return
 	}
 	grown := float64(length) * (0.5 + s.pauses.Float64()) * (1 + s.kind.PauseGrow*s.busy)
 	s.pauseEnd = max(s.now, begin) + time.Duration(grown)
 }
 
-// choke begins and ends the slow state.
-func (s *Server) choke(now time.Duration) {
+// updateOverload begins and ends the slow state.
+func (s *Server) updateOverload(now time.Duration) {
 	c := &s.kind.Choke
 	if c.At == 0 {
 		return
 	}
-	if !s.choked {
-		if s.crowded != Never && now-s.crowded >= c.Over {
-			s.choked, s.chokedAt, s.idleSince = true, now, Never
+	if !s.overloaded {
+		if s.queueLongSince != Never && now-s.queueLongSince >= c.Over {
+			s.overloaded, s.overloadedAt, s.idleSince = true, now, Never
 		}
 		return
 	}
@@ -599,30 +599,30 @@
 	case s.idleSince == Never:
 		s.idleSince = now
 	}
-	if s.idleSince != Never && now-s.idleSince >= c.Rest || c.Most > 0 && now-s.chokedAt >= c.Most {
-		s.choked, s.crowded = false, Never
-		s.crowd(now)
+	if s.idleSince != Never && now-s.idleSince >= c.Rest || c.Most > 0 && now-s.overloadedAt >= c.Most {
+		s.overloaded, s.queueLongSince = false, Never
+		s.watchQueue(now)
 	}
 }
 
-// snap makes a load report.
-func (s *Server) snap() {
+// makeReport makes a load report.
+func (s *Server) makeReport() {
 	span := s.kind.Report.Every.Seconds()
 	noisy := func(v float64) float64 { return max(v*(1+s.kind.Report.Noise*s.noise.NormFloat64()), 0) }
-	s.reports[s.reported%snapshots] = snapshot{s.reportAt, LoadReport{
-		ErrorsPerSec: noisy(float64(s.erred) / span), PerSec: noisy(float64(s.answered) / span),
+	s.reports[s.reportCount%maxReports] = timedReport{s.nextReport, LoadReport{
+		ErrorsPerSec: noisy(float64(s.reportErrors) / span), PerSec: noisy(float64(s.reportAnswered) / span),
 		Inflight: noisy(float64(s.Holds())),
 	}}
-	s.reported++
-	s.answered, s.erred = 0, 0
-	s.reportAt += s.kind.Report.Every
+	s.reportCount++
+	s.reportAnswered, s.reportErrors = 0, 0
+	s.nextReport += s.kind.Report.Every
 }
 
 // Report is the load report that an answer at now carries, when reports come late by
 // a further `late`. It is false before the first one.
 func (s *Server) Report(now, late time.Duration) (LoadReport, bool) {
-	for i := s.reported - 1; i >= 0 && i >= s.reported-snapshots; i-- {
-		if r := &s.reports[i%snapshots]; r.at+s.kind.Report.Delay+late <= now {
+	for i := s.reportCount - 1; i >= 0 && i >= s.reportCount-maxReports; i-- {
+		if r := &s.reports[i%maxReports]; r.at+s.kind.Report.Delay+late <= now {
 			return r.load, true
 		}
 	}
--- a/internal/lab/simulation/child.go
+++ b/internal/lab/simulation/child.go
@@ -60,7 +60,7 @@
 	stderr   *stderrTail
 	requests chan uint32     // sequence numbers of the replies to read; nil once closed
 	replies  chan childReply // one for each of them
-	waited   chan error      // how the process ended
+	waited   chan childExit  // how the process ended
 	failed   bool
 	seq      uint32
 	batch    wire.BatchWriter
@@ -74,6 +74,9 @@
 	err     error
 }
 
+// childExit is how a process ended.
+type childExit struct{ err error }
+
 // StartChild starts a program for a drawn scenario. The caller must call Close, which ends the
 // process and the goroutine that reads from it.
 func StartChild(day *scenario.Day, path string, args ...string) (*Child, error) {
@@ -85,7 +88,7 @@
 		stderr:   &stderrTail{},
 		requests: make(chan uint32),
 		replies:  make(chan childReply),
-		waited:   make(chan error, 1),
+		waited:   make(chan childExit, 1),
 	}
 	stdin, err := c.cmd.StdinPipe()
 	if err != nil {
@@ -117,7 +120,7 @@
 		}
 	}
 	_, _ = io.Copy(io.Discard, stdout)
-	c.waited <- c.cmd.Wait()
+	c.waited <- childExit{c.cmd.Wait()}
 }
 
 // Close implements Tier. It ends the program; one that does not end with its input is killed, which
@@ -133,14 +136,14 @@
 		_ = c.cmd.Process.Kill()
 	}
 	select {
-	case err := <-c.waited:
+	case exit := <-c.waited:
 		if c.failed {
 			return nil // it was killed, and the failure was returned
 		}
-		return err
+		return exit.err
 	case <-time.After(endPatience):
 		_ = c.cmd.Process.Kill()
-		_ = <-c.waited // killed: how it ended says nothing
+		<-c.waited
 		return fmt.Errorf("%s did not end with its input", c.path)
 	}
 }
