--- a/internal/lab/scenario/day.go
+++ b/internal/lab/scenario/day.go
@@ -270,26 +270,26 @@
 			Name: k.Name, Cores: k.Cores, Speed: k.Speed.draw(rng),
 			Slots: max(int(math.Round(k.SlotsPerCore.draw(rng)*cores)), 1), Queue: int(math.Round(k.QueuePerCore.draw(rng) * cores)),
 			Thrash: k.Thrash.draw(rng), ThrashAt: k.ThrashAt.draw(rng),
-			ColdFrom: k.ColdFrom.draw(rng), Cold: seconds(k.ColdS.draw(rng)),
+			SlowStartCapacity: k.ColdFrom.draw(rng), SlowStartDuration: seconds(k.ColdS.draw(rng)),
 			PauseEvery: seconds(k.PauseEveryS.draw(rng)), PauseFor: millis(k.PauseMS.draw(rng)), PauseGrow: k.PauseGrow.draw(rng),
 			ErrorRate: k.ErrorRate.draw(rng),
-			Choke: servermodel.Overload{
-				At: k.ChokeAt.draw(rng), Over: seconds(k.ChokeOverS.draw(rng)), Slower: k.ChokeSlower.draw(rng),
-				Below: k.ChokeBelow.draw(rng), Rest: seconds(k.ChokeRestS.draw(rng)), Most: seconds(k.ChokeMostS.draw(rng)),
+			Overload: servermodel.Overload{
+				QueuePerCore: k.ChokeAt.draw(rng), After: seconds(k.ChokeOverS.draw(rng)), Slowdown: k.ChokeSlower.draw(rng),
+				IdleBelow: k.ChokeBelow.draw(rng), IdleFor: seconds(k.ChokeRestS.draw(rng)), MaxDuration: seconds(k.ChokeMostS.draw(rng)),
 			},
-			Keys: servermodel.Keys{Gain: k.KeyGain.draw(rng), For: seconds(k.KeyS.draw(rng)), Most: int(k.KeysPerCore.draw(rng) * cores)},
+			Keys: servermodel.Keys{WorkSaved: k.KeyGain.draw(rng), WarmFor: seconds(k.KeyS.draw(rng)), MaxKeys: int(k.KeysPerCore.draw(rng) * cores)},
 			Conn: servermodel.ConnectionCost{Handshake: k.HandshakeMS.draw(rng), Most: int(k.ConnPerCore.draw(rng) * cores), Tax: k.ConnTax.draw(rng)},
 			Report: servermodel.ReportTiming{
-				Every: millis(k.ReportEveryMS.draw(rng)), Delay: millis(k.ReportDelayMS.draw(rng)), Noise: k.ReportNoise.draw(rng),
+				Interval: millis(k.ReportEveryMS.draw(rng)), Delay: millis(k.ReportDelayMS.draw(rng)), Noise: k.ReportNoise.draw(rng),
 			},
-			Fall: fall, ProbeWork: k.ProbeMS.draw(rng),
+			Collapse: fall, ProbeWork: k.ProbeMS.draw(rng),
 		},
 		speedCV: k.SpeedCV.draw(rng), rtts: int(math.Round(k.HandshakeRTTs.draw(rng))),
 	}
 	out.kind.StopRunning = yes(k.Cancel, "all", "queued")
 	out.kind.DropExpired = yes(k.DropExpired, "yes", "no")
 	if k.WarmBy == "work" {
-		out.kind.WarmBy = servermodel.WarmByWork
+		out.kind.WarmUpBy = servermodel.WarmByWork
 	}
 	return out
 }
@@ -473,7 +473,7 @@
 		set.Classes = append(set.Classes, c.Class)
 	}
 	for _, k := range d.kinds {
-		set.KeyAffinity = set.KeyAffinity || k.kind.Keys.Gain > 0
+		set.KeyAffinity = set.KeyAffinity || k.kind.Keys.WorkSaved > 0
 	}
 	d.Settings = set
 }
--- a/internal/lab/servermodel/kind.go
+++ b/internal/lab/servermodel/kind.go
@@ -1,11 +1,3 @@
-// Package servermodel is the physics of a feed server: what it does with the work it is
-// sent. A Server is pure: it has no clock, no sockets and no random source but the
-// one it is given; every method takes the present time, and Next says when Advance
-// must be called at the latest. The model runs thousands of them in simulated time,
-// the emulator runs the same ones behind sockets.
-//
-// Work is counted in milliseconds on a yardstick core, as cost hints are: a core of
-// speed 2 does two milliseconds of work in one.
 package servermodel
 
 import (
@@ -13,66 +5,66 @@
 	"time"
 )
 
-// WarmUp says by what a cold server becomes warm.
+// WarmUp is what ends slow start.
 type WarmUp uint8
 
-// Warmings.
+// Kinds of warm-up.
 const (
-	WarmByTime WarmUp = iota // evenly over Cold
-	WarmByWork               // with the work done, and over Cold at the latest
+	WarmByTime WarmUp = iota // evenly over SlowStartDuration
+	WarmByWork               // with the work done, and over SlowStartDuration at the latest
 )
 
-// Kind is what is known of one machine. The zero value of a field turns its
-// mechanism off, except where a unit says otherwise.
+// Kind is the description of one machine. The zero value of a field turns its mechanism off, except
+// where the comment gives a minimum.
 type Kind struct {
 	Name  string
 	Cores int     // at least 1
 	Speed float64 // work a core does in a millisecond, ms; above 0
-	Slots int     // requests in work at once; at least 1
-	Queue int     // requests that may wait; what comes on top is turned away
+	Slots int     // requests executed at once; at least 1
+	Queue int     // requests that may be queued; further ones are rejected
 
 	// Holding more than ThrashAt requests a core costs up to Thrash of the speed:
 	// all of it at twice ThrashAt.
 	Thrash   float64 // share, 0 to 1
 	ThrashAt float64 // requests held for each core
 
-	ColdFrom float64       // share of its capacity that it starts with, 0 to 1
-	Cold     time.Duration // time to warm up in; 0: always warm
-	WarmBy   WarmUp
+	SlowStartCapacity float64       // share of its capacity that a started process has, 0 to 1
+	SlowStartDuration time.Duration // of slow start; 0: none
+	WarmUpBy          WarmUp
 
 	PauseEvery time.Duration // mean time from the start of one pause to the next
 	PauseFor   time.Duration // mean length of a pause
-	PauseGrow  float64       // a pause of a fully busy server is longer by this share
+	PauseGrow  float64       // share by which a pause of a fully busy server is longer
 
 	ErrorRate   float64 // share of answers that are errors
-	StopRunning bool    // a cancel ends running work too, not only waiting work
-	DropExpired bool    // waiting work whose time is up is turned away, not run
+	StopRunning bool    // cancelling ends running jobs too, not only queued ones
+	DropExpired bool    // queued jobs that have expired are rejected, not executed
 
-	Choke  Overload
-	Keys   Keys
-	Conn   ConnectionCost
-	Report ReportTiming
-	Fall   Collapse
+	Overload Overload
+	Keys     Keys
+	Conn     ConnectionCost
+	Report   ReportTiming
+	Collapse Collapse
 
-	ProbeWork float64 // ms
+	ProbeWork float64 // of a health check, ms
 }
 
-// Overload is what too many waiting requests do: the server turns slower and stays so
-// after the cause has gone.
+// Overload is what a long queue does: the server becomes slower and stays so after the cause has
+// gone.
 type Overload struct {
-	At     float64       // waiting requests for each core, more than which count; 0: never
-	Over   time.Duration // for how long they must
-	Slower float64       // how many times slower it turns
-	Below  float64       // share of busy time under which it counts as mostly idle
-	Rest   time.Duration // mostly idle for so long ends it
-	Most   time.Duration // and so does this, in any case; 0: nothing else does
+	QueuePerCore float64       // queued requests for each core above which the queue is too long; 0: never
+	After        time.Duration // for which the queue must be too long
+	Slowdown     float64       // how many times slower the server becomes; at least 1
+	IdleBelow    float64       // share of busy time under which the server counts as mostly idle
+	IdleFor      time.Duration // after which mostly idle ends it
+	MaxDuration  time.Duration // after which it ends in any case; 0: never
 }
 
-// Keys is what it saves to have met a request's key lately.
+// Keys is the work that is saved for a key that the server has seen lately.
 type Keys struct {
-	Gain float64       // share of the work saved
-	For  time.Duration // how long a key stays warm
-	Most int           // keys remembered; the one met longest ago goes first
+	WorkSaved float64       // share of the work, 0 to 1
+	WarmFor   time.Duration // since the key was last seen
+	MaxKeys   int           // remembered; the least recently seen one is forgotten first
 }
 
 // ConnectionCost is what connections cost.
@@ -82,56 +74,87 @@
 	Tax       float64 // share of the capacity that a full table takes, less in proportion
 }
 
-// ReportTiming is how load reports are made.
+// ReportTiming is when load reports are made and how exact they are.
 type ReportTiming struct {
-	Every time.Duration // time between two; 0: none
-	Delay time.Duration // from its making until answers carry it
-	Noise float64       // coefficient of variation of each value
+	Interval time.Duration // between two reports; 0: there are none
+	Delay    time.Duration // from a report's making until answers carry it
+	Noise    float64       // coefficient of variation of each value
 }
 
-// Collapse is when a cold server is pushed over. What arrives within any span of For may
-// not be more than Multiple times what the server could do in it at its present
-// capacity, else it falls and stays down. What it turns away counts.
+// Collapse is when a server in slow start collapses: when more work arrives within a window of For
+// than Multiple times what the server can do in it at its present capacity. It stays down then.
+// Rejected work counts.
 type Collapse struct {
 	Multiple float64 // 0: never
 	For      time.Duration
 }
 
-// FallSlack is what Fall leaves to chance, as a share of the budget.
-const FallSlack = 0.1
+// CollapseSlack is by how much work may exceed the budget of Collapse, as a share of it.
+const CollapseSlack = 0.1
 
-// Validate returns an error that names the first field that cannot be.
+// KindError is a Kind that no server can have.
+type KindError struct {
+	Kind   string // its name
+	Reason string // names the field and its value
+}
+
+// Error returns the name of the kind and the reason.
+func (e *KindError) Error() string { return "kind " + e.Kind + ": " + e.Reason }
+
+// Validate returns a *KindError that names the first impossible value, or nil.
 func (k *Kind) Validate() error {
+	reason := k.badShare()
+	if reason == "" {
+		reason = k.badValue()
+	}
+	if reason == "" {
+		return nil
+	}
+	return &KindError{Kind: k.Name, Reason: reason}
+}
+
+// badShare returns what is wrong with the first field that is no share from 0 to 1.
+func (k *Kind) badShare() string {
 	shares := []struct {
 		name  string
 		value float64
 	}{
-		{"thrash", k.Thrash}, {"cold_from", k.ColdFrom}, {"error_rate", k.ErrorRate},
-		{"choke below", k.Choke.Below}, {"keys gain", k.Keys.Gain}, {"connection tax", k.Conn.Tax},
+		{"thrash", k.Thrash},
+		{"cold_from", k.SlowStartCapacity},
+		{"error_rate", k.ErrorRate},
+		{"choke below", k.Overload.IdleBelow},
+		{"keys gain", k.Keys.WorkSaved},
+		{"connection tax", k.Conn.Tax},
 	}
 	for _, s := range shares {
-		if !(s.value >= 0 && s.value <= 1) {
-			return fmt.Errorf("kind %s: %s is %v, a share from 0 to 1 is needed", k.Name, s.name, s.value)
+		isShare := s.value >= 0 && s.value <= 1
+		if !isShare {
+			return fmt.Sprintf("%s is %v, a share from 0 to 1 is needed", s.name, s.value)
 		}
 	}
+	return ""
+}
+
+// badValue returns what is wrong with the first of the other fields.
+func (k *Kind) badValue() string {
 	switch {
 	case k.Cores < 1:
-		return fmt.Errorf("kind %s: %d cores", k.Name, k.Cores)
+		return fmt.Sprintf("%d cores", k.Cores)
 	case !(k.Speed > 0):
-		return fmt.Errorf("kind %s: speed is %v", k.Name, k.Speed)
+		return fmt.Sprintf("speed is %v", k.Speed)
 	case k.Slots < 1:
-		return fmt.Errorf("kind %s: %d slots", k.Name, k.Slots)
+		return fmt.Sprintf("%d slots", k.Slots)
 	case k.Queue < 0:
-		return fmt.Errorf("kind %s: queue of %d", k.Name, k.Queue)
-	case k.Choke.At > 0 && !(k.Choke.Slower >= 1):
-		return fmt.Errorf("kind %s: choke slower is %v, 1 or more is needed", k.Name, k.Choke.Slower)
-	case k.Cold > 0 && !(k.ColdFrom > 0):
-		return fmt.Errorf("kind %s: cold_from is 0, it would never do anything", k.Name)
+		return fmt.Sprintf("queue of %d", k.Queue)
+	case k.Overload.QueuePerCore > 0 && !(k.Overload.Slowdown >= 1):
+		return fmt.Sprintf("choke slower is %v, 1 or more is needed", k.Overload.Slowdown)
+	case k.SlowStartDuration > 0 && !(k.SlowStartCapacity > 0):
+		return "cold_from is 0, it would never do anything"
 	case k.PauseFor > 0 && k.PauseEvery <= k.PauseFor:
-		return fmt.Errorf("kind %s: pauses of %v every %v", k.Name, k.PauseFor, k.PauseEvery)
+		return fmt.Sprintf("pauses of %v every %v", k.PauseFor, k.PauseEvery)
 	}
-	return nil
+	return ""
 }
 
-// Capacity is the work that a warm, healthy server does in a second, ms.
+// Capacity is the work that a healthy server does in a second after slow start, ms.
 func (k *Kind) Capacity() float64 { return 1000 * float64(min(k.Cores, k.Slots)) * k.Speed }
--- /dev/null
+++ b/internal/lab/servermodel/queue.go
@@ -0,0 +1,144 @@
+package servermodel
+
+import "time"
+
+// Job is a request as the server sees it.
+type Job struct {
+	ID      uint64
+	Work    float64       // ms on a core of speed 1
+	Key     uint64        // for key affinity; 0: none
+	Expires time.Duration // nobody waits for it later than this; 0: unknown
+	Luck    float64       // a draw from [0, 1): below the error rate, the answer is an error
+}
+
+// Admission is what a server made of a job on arrival.
+type Admission uint8
+
+// Admissions.
+const (
+	Accepted Admission = iota
+	Rejected           // the queue is full, or the server drains; it was never executed
+	Refused            // no process is there
+	Unheard            // there is no response
+)
+
+// Outcome is how an accepted job ended.
+type Outcome uint8
+
+// Outcomes.
+const (
+	Answered Outcome = iota
+	Erred            // answered with an error after execution
+	Expired          // dropped from the queue, never executed
+	Reset            // the process ended; it may have been executed
+)
+
+// Completion is the end of one job.
+type Completion struct {
+	ID       uint64
+	Ending   Outcome
+	Started  bool    // its execution had begun
+	WorkDone float64 // ms
+}
+
+// runningJob is a job in a slot.
+type runningJob struct {
+	Job
+	left, workDone float64 // ms
+}
+
+// Arrive brings a job. If the server collapses under it, State shows that, and the jobs that it held
+// are returned as reset; the slice is valid until the next call of any method.
+func (s *Server) Arrive(now time.Duration, job Job) (Admission, []Completion) {
+	s.advanceClock(now)
+	switch s.state {
+	case Silent:
+		return Unheard, nil
+	case Down, Collapsed:
+		return Refused, nil
+	}
+	if s.recordArrival(now, job.Work) {
+		s.state = Collapsed
+		return Refused, s.resetJobs()
+	}
+	freeSlot := len(s.running) < s.kind.Slots
+	freePlace := freeSlot || len(s.queue) < s.kind.Queue
+	if s.state == Draining || !freePlace {
+		return Rejected, nil
+	}
+	if freeSlot {
+		s.startJob(now, job)
+	} else {
+		s.queue = append(s.queue, job)
+		s.watchQueue(now)
+	}
+	return Accepted, nil
+}
+
+// startJob begins the execution of a job. A key seen lately saves work.
+func (s *Server) startJob(now time.Duration, job Job) {
+	left := job.Work
+	if s.keys != nil && job.Key != 0 {
+		if seen, ok := s.keys.Get(job.Key); ok && now-seen <= s.kind.Keys.WarmFor {
+			left *= 1 - s.kind.Keys.WorkSaved
+		}
+		s.keys.Add(job.Key, now)
+	}
+	s.running = append(s.running, runningJob{Job: job, left: left})
+}
+
+// startQueued moves queued jobs into free slots.
+func (s *Server) startQueued(now time.Duration) {
+	for len(s.queue) > 0 && len(s.running) < s.kind.Slots {
+		job := s.queue[0]
+		s.queue = s.queue[:copy(s.queue, s.queue[1:])]
+		expired := job.Expires > 0 && now >= job.Expires
+		if s.kind.DropExpired && expired {
+			s.completions = append(s.completions, Completion{ID: job.ID, Ending: Expired})
+			continue
+		}
+		s.startJob(now, job)
+	}
+	s.watchQueue(now)
+}
+
+// Cancel ends the wait for a job. It reports whether the job was removed, whether its execution had
+// begun, and the work done for it, ms. A running job is removed only where the kind says so.
+func (s *Server) Cancel(now time.Duration, id uint64) (removed, begun bool, workDone float64) {
+	s.advanceClock(now)
+	for i := range s.queue {
+		if s.queue[i].ID == id {
+			s.queue = append(s.queue[:i], s.queue[i+1:]...)
+			s.watchQueue(now)
+			return true, false, 0
+		}
+	}
+	for i := range s.running {
+		if s.running[i].ID != id {
+			continue
+		}
+		if !s.kind.StopRunning {
+			return false, true, 0
+		}
+		workDone = s.running[i].workDone
+		s.running = append(s.running[:i], s.running[i+1:]...)
+		// A queued job starts at the next Advance, which is due now.
+		return true, true, workDone
+	}
+	return false, false, 0
+}
+
+// resetJobs removes all jobs and returns them as reset.
+func (s *Server) resetJobs() []Completion {
+	s.completions = s.completions[:0]
+	for _, job := range s.running {
+		s.completions = append(s.completions, Completion{ID: job.ID, Ending: Reset, Started: true, WorkDone: job.workDone})
+	}
+	for _, job := range s.queue {
+		s.completions = append(s.completions, Completion{ID: job.ID, Ending: Reset})
+	}
+	s.running = s.running[:0]
+	s.queue = s.queue[:0]
+	s.overheadWork = 0
+	return s.completions
+}
--- a/internal/lab/servermodel/queue_test.go
+++ b/internal/lab/servermodel/queue_test.go
@@ -11,9 +11,9 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// queue feeds a server Poisson arrivals and returns each job's time in it, s, and the
+// runQueue feeds a server Poisson arrivals and returns each job's time in it, s, and the
 // mean number held by time.
-func queue(t *testing.T, kind Kind, perSec float64, work func() float64, jobs int, seed uint64) (sojourn []float64, held float64) {
+func runQueue(t *testing.T, kind Kind, perSec float64, work func() float64, jobs int, seed uint64) (sojourn []float64, held float64) {
 	t.Helper()
 	s, err := New(kind, seed, 0)
 	require.NoError(t, err)
@@ -29,10 +29,10 @@
 	}
 	next := time.Duration(0)
 	pass := func(to time.Duration) {
-		area += float64(s.Holds()) * (to - last).Seconds()
+		area += float64(s.Held()) * (to - last).Seconds()
 		last, now = to, to
 	}
-	for i := 0; i < jobs || s.Holds() > 0; {
+	for i := 0; i < jobs || s.Held() > 0; {
 		if due := s.Next(); i >= jobs || due <= next {
 			pass(due)
 			take(s.Advance(now))
@@ -56,7 +56,7 @@
 	var values []float64
 	for seed := range uint64(runs) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		sojourn, held := queue(t, kind, perSec, func() float64 { return work(rng) }, jobs, seed)
+		sojourn, held := runQueue(t, kind, perSec, func() float64 { return work(rng) }, jobs, seed)
 		values = append(values, figure(sojourn[1000:]))
 		all := stat.Mean(sojourn, nil)
 		require.InEpsilon(t, held, perSec*all, 0.05, "Little's law, the rate being a sample")
@@ -80,7 +80,7 @@
 }
 
 // M/M/1: time in the system is exponential with rate mu-lambda.
-func TestOneServerIsAnMM1Queue(t *testing.T) {
+func TestOneSlotMatchesMM1Queue(t *testing.T) {
 	kind := Kind{Name: "mm1", Cores: 1, Slots: 1, Speed: 1, Queue: 1 << 20}
 	const lambda, mu = 70.0, 100.0
 	got, half := batches(t, kind, lambda, exponential(1000/mu), mean)
@@ -90,7 +90,7 @@
 }
 
 // M/M/c: mean wait by Erlang's C formula.
-func TestSlotsAreAnMMcQueue(t *testing.T) {
+func TestSlotsMatchMMcQueue(t *testing.T) {
 	const lambda, mu, c = 320.0, 100.0, 4
 	kind := Kind{Name: "mmc", Cores: c, Slots: c, Speed: 1, Queue: 1 << 20}
 	a := lambda / mu
@@ -108,7 +108,7 @@
 }
 
 // M/G/1: mean wait by Pollaczek and Khinchine, for work that varies little and much.
-func TestAnyWorkIsAnMG1Queue(t *testing.T) {
+func TestAnyWorkMatchesMG1Queue(t *testing.T) {
 	kind := Kind{Name: "mg1", Cores: 1, Slots: 1, Speed: 2, Queue: 1 << 20}
 	const lambda = 60.0
 	sigma := math.Sqrt(math.Log1p(1.5 * 1.5))
--- a/internal/lab/servermodel/server_test.go
+++ b/internal/lab/servermodel/server_test.go
@@ -9,16 +9,16 @@
 
 const ms = time.Millisecond
 
-// bench is one server with its work done in simulated time.
-type bench struct {
+// testServer is one server in simulated time.
+type testServer struct {
 	t   *testing.T
 	s   *Server
 	end map[uint64]time.Duration
 	how map[uint64]Outcome
-	n   uint64
+	n   uint64 // the last job's ID
 }
 
-func put(t *testing.T, kind Kind) *bench {
+func newTestServer(t *testing.T, kind Kind) *testServer {
 	t.Helper()
 	kind.Name, kind.Cores, kind.Slots = "k", max(kind.Cores, 1), max(kind.Slots, 1)
 	if kind.Speed == 0 {
@@ -26,12 +26,12 @@
 	}
 	s, err := New(kind, 1, 0)
 	require.NoError(t, err)
-	return &bench{t: t, s: s, end: map[uint64]time.Duration{}, how: map[uint64]Outcome{}}
+	return &testServer{t: t, s: s, end: map[uint64]time.Duration{}, how: map[uint64]Outcome{}}
 }
 
-func (b *bench) until(at time.Duration) {
+func (b *testServer) until(at time.Duration) {
 	for i := 0; b.s.Next() <= at; i++ {
-		require.Less(b.t, i, 100000, "the server never rests")
+		require.Less(b.t, i, 100000, "the server is never idle")
 		now := b.s.Next()
 		for _, d := range b.s.Advance(now) {
 			b.end[d.ID], b.how[d.ID] = now, d.Ending
@@ -42,7 +42,7 @@
 	}
 }
 
-func (b *bench) job(at time.Duration, j Job) Admission {
+func (b *testServer) job(at time.Duration, j Job) Admission {
 	b.until(at)
 	if j.Luck == 0 {
 		j.Luck = 1
@@ -56,24 +56,24 @@
 	return entry
 }
 
-func TestWorkTakesItsTimeBySpeedAndSlots(t *testing.T) {
-	b := put(t, Kind{Speed: 2, Queue: 2})
+func TestWorkDurationFollowsSpeedAndSlots(t *testing.T) {
+	b := newTestServer(t, Kind{Speed: 2, Queue: 2})
 	require.Equal(t, Accepted, b.job(0, Job{Work: 100}))
 	require.Equal(t, Accepted, b.job(0, Job{Work: 100}))
 	require.Equal(t, Accepted, b.job(0, Job{Work: 100}))
-	require.Equal(t, Rejected, b.job(0, Job{Work: 100}), "the waiting room is full")
+	require.Equal(t, Rejected, b.job(0, Job{Work: 100}), "the queue is full")
 	b.until(time.Second)
 	require.Equal(t, map[uint64]time.Duration{1: 50 * ms, 2: 100 * ms, 3: 150 * ms}, b.end)
-	require.InDelta(t, 300, b.s.Spent(), 1e-6)
+	require.InDelta(t, 300, b.s.WorkDone(), 1e-6)
 
-	b = put(t, Kind{Cores: 1, Slots: 2}) // two share a core
+	b = newTestServer(t, Kind{Cores: 1, Slots: 2}) // two share a core
 	b.job(0, Job{Work: 100})
 	b.job(0, Job{Work: 100})
 	b.until(time.Second)
 	require.Equal(t, 200*ms, b.end[2])
 }
 
-func TestAColdServerWarmsUpByTimeOrByWork(t *testing.T) {
+func TestSlowStartEndsByTimeOrByWork(t *testing.T) {
 	for _, c := range []struct {
 		by       WarmUp
 		busy     time.Duration
@@ -81,7 +81,7 @@
 	}{
 		{WarmByTime, 0, 5, 0.2 + 0.8*0.5}, {WarmByTime, 0, 10, 1}, {WarmByWork, 0, 5, 0.2 + 0.8*0.5}, {WarmByWork, 10, 5, 0.9},
 	} {
-		b := put(t, Kind{ColdFrom: 0.2, Cold: 10 * time.Second, WarmBy: c.by, Queue: 100})
+		b := newTestServer(t, Kind{SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, WarmUpBy: c.by, Queue: 100})
 		b.s.Start(0)
 		if c.busy > 0 {
 			for range 100 {
@@ -91,16 +91,16 @@
 		at := time.Duration(c.at * 1e9)
 		b.until(at)
 		if c.busy > 0 {
-			require.Greater(t, b.s.Warmth(at), c.want*0.65, "work warms it sooner than time")
+			require.Greater(t, b.s.CapacityShare(at), c.want*0.65, "work warms it sooner than time")
 			continue
 		}
-		require.InDelta(t, c.want, b.s.Warmth(at), 1e-9)
+		require.InDelta(t, c.want, b.s.CapacityShare(at), 1e-9)
 	}
 }
 
-func TestTooManyWaitingChokeAServerUntilItIsMostlyIdle(t *testing.T) {
-	choke := Overload{At: 4, Over: 2 * time.Second, Slower: 3, Below: 0.3, Rest: 3 * time.Second, Most: 30 * time.Second}
-	b := put(t, Kind{Queue: 100, Choke: choke})
+func TestLongQueueOverloadsServerUntilMostlyIdle(t *testing.T) {
+	overload := Overload{QueuePerCore: 4, After: 2 * time.Second, Slowdown: 3, IdleBelow: 0.3, IdleFor: 3 * time.Second, MaxDuration: 30 * time.Second}
+	b := newTestServer(t, Kind{Queue: 100, Overload: overload})
 	for range 12 {
 		b.job(0, Job{Work: 400})
 	}
@@ -108,14 +108,14 @@
 	require.False(t, b.s.Choked())
 	b.until(2100 * ms)
 	require.True(t, b.s.Choked(), "5 wait for 2 s")
-	left := b.s.Holds()
+	left := b.s.Held()
 	b.until(8 * time.Second)
-	require.Equal(t, left-5, b.s.Holds(), "three times slower: 1.2 s each")
+	require.Equal(t, left-5, b.s.Held(), "three times slower: 1.2 s each")
 	b.until(40 * time.Second)
-	require.Zero(t, b.s.Holds())
+	require.Zero(t, b.s.Held())
 	require.False(t, b.s.Choked())
 
-	b = put(t, Kind{Queue: 1000, Choke: choke}) // never idle: it ends all the same
+	b = newTestServer(t, Kind{Queue: 1000, Overload: overload}) // never idle: it ends all the same
 	for range 200 {
 		b.job(0, Job{Work: 400})
 	}
@@ -125,8 +125,8 @@
 	require.False(t, b.s.Choked())
 }
 
-func TestAShortCrowdDoesNotChoke(t *testing.T) {
-	b := put(t, Kind{Queue: 100, Choke: Overload{At: 4, Over: 2 * time.Second, Slower: 3, Below: 0.3, Rest: time.Second}})
+func TestShortBurstDoesNotOverload(t *testing.T) {
+	b := newTestServer(t, Kind{Queue: 100, Overload: Overload{QueuePerCore: 4, After: 2 * time.Second, Slowdown: 3, IdleBelow: 0.3, IdleFor: time.Second}})
 	for i := range 20 { // six wait for 1 s, then two
 		if i%2 == 0 {
 			for range 7 {
@@ -138,15 +138,15 @@
 	require.False(t, b.s.Choked())
 }
 
-func TestPausesStandStillAndDoNotDependOnLoad(t *testing.T) {
+func TestPausesStopWorkAndDoNotDependOnLoad(t *testing.T) {
 	kind := Kind{PauseEvery: time.Second, PauseFor: 100 * ms, Queue: 1000}
-	idle, busy := put(t, kind), put(t, kind)
+	idle, busy := newTestServer(t, kind), newTestServer(t, kind)
 	for range 200 {
 		busy.job(0, Job{Work: 100})
 	}
 	var starts [2][]time.Duration
 	for at := time.Duration(0); at < 10*time.Second; at += 5 * ms {
-		for i, b := range []*bench{idle, busy} {
+		for i, b := range []*testServer{idle, busy} {
 			b.until(at)
 			if n := len(starts[i]); at < b.s.pauseEnd && (n == 0 || starts[i][n-1] != b.s.pauseEnd) {
 				starts[i] = append(starts[i], b.s.pauseEnd)
@@ -156,12 +156,12 @@
 	require.Greater(t, len(starts[0]), 5)
 	require.Equal(t, starts[0], starts[1])
 	busy.until(11 * time.Second)
-	require.InDelta(t, 10000, busy.s.Spent(), 1000, "a tenth of the time is lost")
-	require.Less(t, busy.s.Spent(), 10700.0)
+	require.InDelta(t, 10000, busy.s.WorkDone(), 1000, "a tenth of the time is lost")
+	require.Less(t, busy.s.WorkDone(), 10700.0)
 }
 
-func TestAKeyMetLatelyCostsLess(t *testing.T) {
-	b := put(t, Kind{Queue: 10, Keys: Keys{Gain: 0.5, For: 2 * time.Second, Most: 2}})
+func TestRecentKeyCostsLess(t *testing.T) {
+	b := newTestServer(t, Kind{Queue: 10, Keys: Keys{WorkSaved: 0.5, WarmFor: 2 * time.Second, MaxKeys: 2}})
 	took := func(at time.Duration, key uint64) time.Duration {
 		b.job(at, Job{Work: 100, Key: key})
 		b.until(at + 500*ms)
@@ -176,8 +176,8 @@
 	require.Equal(t, 100*ms, took(7*time.Second, 0), "no key")
 }
 
-func TestACrowdedServerThrashesAndConnectionsTax(t *testing.T) {
-	b := put(t, Kind{Queue: 100, Thrash: 0.5, ThrashAt: 5})
+func TestManyRequestsAndConnectionsReduceSpeed(t *testing.T) {
+	b := newTestServer(t, Kind{Queue: 100, Thrash: 0.5, ThrashAt: 5})
 	for range 10 { // twice the limit: half the speed
 		b.job(0, Job{Work: 100})
 	}
@@ -186,7 +186,7 @@
 	b.until(201 * ms)
 	require.Len(t, b.end, 1)
 
-	b = put(t, Kind{Conn: ConnectionCost{Handshake: 30, Most: 10, Tax: 0.2}})
+	b = newTestServer(t, Kind{Conn: ConnectionCost{Handshake: 30, Most: 10, Tax: 0.2}})
 	b.s.SetTable(0, 5)
 	b.s.Charge(0, 30)
 	b.job(0, Job{Work: 60})
@@ -194,8 +194,8 @@
 	require.Equal(t, 100*ms, b.end[1], "90 ms of work at nine tenths of the speed")
 }
 
-func TestReportsAreLateAndOfAWhileAgo(t *testing.T) {
-	b := put(t, Kind{Queue: 100, Report: ReportTiming{Every: time.Second, Delay: 200 * ms}})
+func TestLoadReportsAreDelayed(t *testing.T) {
+	b := newTestServer(t, Kind{Queue: 100, Report: ReportTiming{Interval: time.Second, Delay: 200 * ms}})
 	_, ok := b.s.Report(0, 0)
 	require.False(t, ok)
 	for i := range 40 { // 10 a second are answered, then nothing
@@ -209,9 +209,9 @@
 	require.InDelta(t, 10, old.PerSec, 1.01)
 }
 
-func TestAColdServerIsPushedOverAndStaysDown(t *testing.T) {
-	kind := Kind{Queue: 1000, ColdFrom: 0.2, Cold: 20 * time.Second, Fall: Collapse{Multiple: 2.5, For: 2 * time.Second}}
-	b := put(t, kind)
+func TestServerCollapsesInSlowStartAndStaysDown(t *testing.T) {
+	kind := Kind{Queue: 1000, SlowStartCapacity: 0.2, SlowStartDuration: 20 * time.Second, Collapse: Collapse{Multiple: 2.5, For: 2 * time.Second}}
+	b := newTestServer(t, kind)
 	b.s.Start(0)
 	// 1,000 ms of work in 2 s is the budget at a fifth of one core, 1,100 with slack.
 	for i := range 10 {
@@ -225,18 +225,18 @@
 	require.Equal(t, Refused, b.job(2*time.Second, Job{Work: 1}))
 	require.Equal(t, Reset, b.how[10])
 
-	b = put(t, kind)
+	b = newTestServer(t, kind)
 	b.s.Start(0)
-	require.Equal(t, Accepted, b.job(0, Job{Work: 5000}), "one request alone is no flood")
-	b = put(t, kind) // a warm one takes anything
+	require.Equal(t, Accepted, b.job(0, Job{Work: 5000}), "one request alone collapses no server")
+	b = newTestServer(t, kind) // a warm one takes anything
 	for range 100 {
 		require.Equal(t, Accepted, b.job(0, Job{Work: 1000}))
 	}
 }
 
-func TestCancelStopsWaitingWorkAndRunningWorkWhereItMay(t *testing.T) {
+func TestCancelRemovesQueuedAndAllowedRunningJobs(t *testing.T) {
 	for _, stops := range []bool{false, true} {
-		b := put(t, Kind{Queue: 10, StopRunning: stops})
+		b := newTestServer(t, Kind{Queue: 10, StopRunning: stops})
 		b.job(0, Job{Work: 100})
 		b.job(0, Job{Work: 100})
 		b.until(50 * ms)
@@ -250,12 +250,12 @@
 		}
 		b.until(time.Second)
 		require.Equal(t, !stops, b.end[1] == 100*ms)
-		require.Zero(t, b.s.Holds())
+		require.Zero(t, b.s.Held())
 	}
 }
 
-func TestLifeAndDeath(t *testing.T) {
-	b := put(t, Kind{Queue: 10, DropExpired: true, ErrorRate: 0.5})
+func TestStatesOfServer(t *testing.T) {
+	b := newTestServer(t, Kind{Queue: 10, DropExpired: true, ErrorRate: 0.5})
 	b.job(0, Job{Work: 100, Luck: 0.2})
 	b.job(0, Job{Work: 100, Expires: 80 * ms})
 	b.until(time.Second)
@@ -280,8 +280,8 @@
 	require.Equal(t, Never, b.s.Next())
 }
 
-func TestASlowSpellSlows(t *testing.T) {
-	b := put(t, Kind{})
+func TestSlowFaultDelaysWork(t *testing.T) {
+	b := newTestServer(t, Kind{})
 	b.s.SetSlow(0, 4)
 	b.job(0, Job{Work: 100})
 	b.until(200 * ms)
@@ -290,29 +290,31 @@
 	require.Equal(t, 250*ms, b.end[1])
 }
 
-func TestAStallDuringWarmUp(t *testing.T) {
-	b := put(t, Kind{Queue: 100, ColdFrom: 0.2, Cold: 10 * time.Second, WarmBy: WarmByWork})
+func TestPausesDuringSlowStart(t *testing.T) {
+	b := newTestServer(t, Kind{Queue: 100, SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, WarmUpBy: WarmByWork})
 	b.s.Start(0)
 	b.s.SetPauses(0, 500*ms, 300*ms)
 	for i := range 50 {
 		b.job(time.Duration(i)*100*ms, Job{Work: 10})
 	}
 	b.until(20 * time.Second)
-	require.Zero(t, b.s.Holds())
-	require.Equal(t, 1.0, b.s.Warmth(20*time.Second))
+	require.Zero(t, b.s.Held())
+	require.Equal(t, 1.0, b.s.CapacityShare(20*time.Second))
 }
 
-func TestKindsThatCannotBeAreRefused(t *testing.T) {
+func TestValidateRejectsImpossibleKinds(t *testing.T) {
 	good := Kind{Name: "k", Cores: 1, Slots: 1, Speed: 1}
 	require.NoError(t, good.Validate())
-	for name, spoil := range map[string]func(*Kind){
+	for name, corrupt := range map[string]func(*Kind){
 		"cores": func(k *Kind) { k.Cores = 0 }, "speed": func(k *Kind) { k.Speed = 0 }, "slots": func(k *Kind) { k.Slots = 0 },
-		"cold_from": func(k *Kind) { k.Cold = time.Second }, "slower": func(k *Kind) { k.Choke.At = 1 },
+		"cold_from": func(k *Kind) { k.SlowStartDuration = time.Second }, "slower": func(k *Kind) { k.Overload.QueuePerCore = 1 },
 		"pauses": func(k *Kind) { k.PauseFor, k.PauseEvery = time.Second, ms }, "thrash": func(k *Kind) { k.Thrash = 2 },
 		"queue": func(k *Kind) { k.Queue = -1 },
 	} {
 		k := good
-		spoil(&k)
+		corrupt(&k)
 		require.ErrorContains(t, k.Validate(), name)
+		var kindErr *KindError
+		require.ErrorAs(t, k.Validate(), &kindErr)
 	}
 }
--- /dev/null
+++ b/internal/lab/servermodel/slow_start.go
@@ -0,0 +1,54 @@
+package servermodel
+
+import "time"
+
+// arrival is work that reached a server in slow start.
+type arrival struct {
+	at   time.Duration
+	work float64 // ms
+}
+
+// CapacityShare is the share of its capacity that slow start leaves the server at the moment.
+func (s *Server) CapacityShare(now time.Duration) float64 {
+	if s.warm || s.kind.SlowStartDuration == 0 {
+		return 1
+	}
+	progress := float64(now-s.started) / float64(s.kind.SlowStartDuration)
+	if s.kind.WarmUpBy == WarmByWork {
+		// As if it had been half busy for the whole duration.
+		need := s.kind.Capacity() * s.kind.SlowStartDuration.Seconds() / 2
+		progress = max(progress, s.doneSinceStart/need)
+	}
+	if progress >= 1 {
+		s.warm = true
+		s.arrivals, s.arrivedWork = nil, 0
+		return 1
+	}
+	return s.kind.SlowStartCapacity + (1-s.kind.SlowStartCapacity)*progress
+}
+
+// Cold reports whether the server is in slow start.
+func (s *Server) Cold(now time.Duration) bool {
+	return s.state.running() && s.CapacityShare(now) < 1
+}
+
+// recordArrival counts work that reached a server in slow start, and reports whether the server
+// collapses under it.
+func (s *Server) recordArrival(now time.Duration, work float64) (collapses bool) {
+	limit := &s.kind.Collapse
+	if limit.Multiple == 0 || s.warm || s.CapacityShare(now) >= 1 {
+		return false
+	}
+	s.arrivals = append(s.arrivals, arrival{now, work})
+	s.arrivedWork += work
+	for len(s.arrivals) > 0 && s.arrivals[0].at <= now-limit.For {
+		s.arrivedWork -= s.arrivals[0].work
+		s.arrivals = s.arrivals[1:]
+	}
+	budget := limit.Multiple * s.kind.Capacity() * s.CapacityShare(now) * limit.For.Seconds()
+	if len(s.arrivals) < 2 { // one request alone collapses no server
+		return false
+	}
+	s.arrivalPeak = max(s.arrivalPeak, s.arrivedWork/(budget*(1+CollapseSlack)))
+	return s.arrivedWork > budget*(1+CollapseSlack)
+}
--- a/internal/lab/simulation/counters.go
+++ b/internal/lab/simulation/counters.go
@@ -111,7 +111,7 @@
 			state = sampleSlowStart
 		}
 		track.Busy = append(track.Busy, float32(math.Round(1000*server.Busy())/1000))
-		track.Holds = append(track.Holds, int16(min(server.Holds(), math.MaxInt16)))
+		track.Holds = append(track.Holds, int16(min(server.Held(), math.MaxInt16)))
 		track.State = append(track.State, state)
 	}
 }
--- a/internal/lab/simulation/result.go
+++ b/internal/lab/simulation/result.go
@@ -140,7 +140,7 @@
 	r.Breaks = w.checker.Violations()
 	r.DrainLatest = float64(w.checker.DrainLatest()/time.Microsecond) / 1000
 	for i := range w.servers {
-		r.ColdPeak = max(r.ColdPeak, w.servers[i].ColdPeak())
+		r.ColdPeak = max(r.ColdPeak, w.servers[i].SlowStartPeak())
 	}
 }
 
@@ -149,7 +149,7 @@
 	c, goodput := &w.counters, w.counters.goodput
 	workDone, overloaded := 0.0, 0
 	for i := range w.servers {
-		workDone += w.servers[i].Spent()
+		workDone += w.servers[i].WorkDone()
 		if w.servers[i].everOverloaded {
 			overloaded++
 		}
--- a/internal/lab/simulation/servers.go
+++ b/internal/lab/simulation/servers.go
@@ -37,7 +37,7 @@
 		}
 		w.counters.exit(w, a)
 		a.held = false
-		a.workDone = c.Spent
+		a.workDone = c.WorkDone
 		if c.Started {
 			w.checker.AttemptExecuted(w.now, a.request, int(a.number))
 		}
