--- /dev/null
+++ b/internal/lab/invariants/checker_test.go
@@ -0,0 +1,171 @@
+package invariants
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"piernotch"
+)
+
+const ms = time.Millisecond
+
+// Indexes of the classes in newTestChecker.
+const (
+	classIdempotent = iota
+	classNonIdempotent
+	classZoneKey
+)
+
+// newTestChecker returns a Checker with one class of each kind and servers in zones of ten.
+func newTestChecker() *Checker {
+	return New(Limits{
+		Slack: 10 * ms, Grace: 100 * ms, FallFor: time.Second, MaxAttempts: 2,
+		Classes: []piernotch.Class{
+			{Name: "read", RetrySafety: piernotch.Idempotent},
+			{Name: "write", RetrySafety: piernotch.NonIdempotent},
+			{Name: "key", RetrySafety: piernotch.IdempotencyKey, DedupScope: piernotch.DedupInZone, DedupWindow: 200 * ms},
+		},
+		Zone: func(server int) int { return server / 10 },
+		Cell: func(server int) int { return server },
+	})
+}
+
+// failedAttempt records an attempt that was executed and ended without a response.
+func failedAttempt(c *Checker, at time.Duration, id uint64, n, server int) {
+	c.AttemptSent(at, 0, id, server)
+	c.AttemptAccepted(id, n)
+	c.AttemptCompleted(id, n, false)
+}
+
+func TestCheckerCountsViolationsByRule(t *testing.T) {
+	for name, c := range map[string]struct {
+		class   int
+		observe func(c *Checker)
+		want    map[Rule]string // the message of the only violation of each rule
+	}{
+		"served": {classNonIdempotent, func(c *Checker) {
+			c.AttemptSent(ms, 0, 1, 3)
+			c.AttemptExecuted(2*ms, 1, 0)
+			c.AttemptCompleted(1, 0, false)
+			c.RequestAnswered(3*ms, 1, Served)
+		}, nil},
+		"served by nobody": {classIdempotent, func(c *Checker) { c.RequestAnswered(ms, 1, Served) },
+			map[Rule]string{Lost: "served, but no server ran it"}},
+		"answered late": {classIdempotent, func(c *Checker) { c.RequestAnswered(150*ms, 1, Failed) },
+			map[Rule]string{Lost: "failed 50ms after its deadline"}},
+		"answered twice": {classIdempotent, func(c *Checker) {
+			c.RequestAnswered(ms, 1, Failed)
+			c.RequestAnswered(2*ms, 1, Failed)
+		}, map[Rule]string{Lost: "failed: a second final answer, or one to nobody"}},
+		"never answered": {classIdempotent, func(c *Checker) { c.CheckOverdue(time.Second) },
+			map[Rule]string{Lost: "no final answer 900ms after its deadline"}},
+		"excused": {classIdempotent, func(c *Checker) {
+			c.RequestExcused(ms, 1)
+			c.CheckOverdue(time.Second)
+		}, nil},
+		"dropped": {classIdempotent, func(c *Checker) { c.RequestDropped(ms, 1) },
+			map[Rule]string{Lost: "its connection was ended without an answer"}},
+		"idempotent retry": {classIdempotent, func(c *Checker) {
+			failedAttempt(c, ms, 1, 0, 3)
+			failedAttempt(c, 2*ms, 1, 1, 14)
+			c.RequestAnswered(3*ms, 1, Rejected)
+		}, nil},
+		"too many attempts": {classIdempotent, func(c *Checker) {
+			for n := range 3 {
+				failedAttempt(c, ms, 1, n, 3)
+			}
+			c.RequestAnswered(3*ms, 1, Failed)
+		}, map[Rule]string{Repeated: "attempt 3 of 2 allowed"}},
+		"hedged request": {classIdempotent, func(c *Checker) {
+			c.AttemptSent(ms, 0, 1, 3)
+			c.AttemptSent(ms, 0, 1, 4)
+			c.RequestAnswered(3*ms, 1, Failed)
+		}, map[Rule]string{Repeated: "a second copy, which is not allowed here"}},
+		"non-idempotent retry": {classNonIdempotent, func(c *Checker) {
+			failedAttempt(c, ms, 1, 0, 3)
+			failedAttempt(c, 2*ms, 1, 1, 4)
+			c.RequestAnswered(3*ms, 1, Failed)
+		}, map[Rule]string{Repeated: "sent again, though an earlier attempt may have run"}},
+		"retry of what was never executed": {classNonIdempotent, func(c *Checker) {
+			c.AttemptSent(ms, 0, 1, 3)
+			c.AttemptCompleted(1, 0, true)
+			failedAttempt(c, 2*ms, 1, 1, 4)
+			c.RequestAnswered(3*ms, 1, Failed)
+		}, nil},
+		"rejection after an attempt": {classNonIdempotent, func(c *Checker) {
+			failedAttempt(c, ms, 1, 0, 3)
+			c.RequestAnswered(3*ms, 1, Rejected)
+		}, map[Rule]string{Repeated: "refused what may have run"}},
+		"retry with key in its zone": {classZoneKey, func(c *Checker) {
+			failedAttempt(c, ms, 1, 0, 3)
+			failedAttempt(c, 2*ms, 1, 1, 4)
+			c.RequestAnswered(3*ms, 1, Failed)
+		}, nil},
+		"retry with key in another zone": {classZoneKey, func(c *Checker) {
+			failedAttempt(c, ms, 1, 0, 3)
+			failedAttempt(c, 2*ms, 1, 1, 14)
+			c.RequestAnswered(3*ms, 1, Failed)
+		}, map[Rule]string{Repeated: "sent again to another zone"}},
+		"attempt within the grace of a drain": {classIdempotent, func(c *Checker) {
+			c.EndpointNotified(0, 0, 3, piernotch.Draining, 0)
+			failedAttempt(c, 100*ms, 1, 0, 3)
+			c.RequestAnswered(101*ms, 1, Failed)
+		}, nil},
+		"attempt after a drain": {classIdempotent, func(c *Checker) {
+			c.EndpointNotified(0, 0, 3, piernotch.Draining, 0)
+			failedAttempt(c, 101*ms, 1, 0, 3)
+			c.RequestAnswered(102*ms, 1, Failed)
+		}, map[Rule]string{Drain: "sent 101ms after it was told that the server leaves"}},
+		"attempt after a drain and a restart": {classIdempotent, func(c *Checker) {
+			c.EndpointNotified(0, 0, 3, piernotch.Draining, 0)
+			c.BalancerRestarted(0)
+			failedAttempt(c, 101*ms, 1, 0, 3)
+			c.RequestAnswered(102*ms, 1, Failed)
+		}, nil},
+	} {
+		t.Run(name, func(t *testing.T) {
+			checker := newTestChecker()
+			checker.RequestReceived(0, 0, 1, c.class, 100*ms)
+			c.observe(checker)
+			got := map[Rule]string{}
+			for _, v := range checker.Violations() {
+				require.NotContains(t, got, v.Rule, v.Message)
+				require.Equal(t, 1, checker.Count(v.Rule))
+				got[v.Rule] = v.Message
+			}
+			require.Len(t, got, len(c.want))
+			for rule, message := range c.want {
+				require.Equal(t, message, got[rule])
+			}
+			require.Zero(t, checker.PendingRequests())
+		})
+	}
+}
+
+func TestCollapseCountsAgainstNotifiedBalancersOnly(t *testing.T) {
+	for _, notified := range []bool{false, true} {
+		c := newTestChecker()
+		if notified {
+			c.EndpointNotified(0, 0, 3, piernotch.Ready, 5*ms)
+		}
+		c.SlowStartWork(10*ms, 0, 3, 5*ms, 70)
+		c.SlowStartWork(20*ms, 1, 3, 5*ms, 30)
+		c.ServerCollapsed(20*ms, 3)
+		require.Equal(t, notified, c.Count(Cold) == 1)
+	}
+}
+
+func TestRuleIsReadBackFromItsName(t *testing.T) {
+	for rule := range ruleCount {
+		text, err := rule.MarshalText()
+		require.NoError(t, err)
+		var got Rule
+		require.NoError(t, got.UnmarshalText(text))
+		require.Equal(t, rule, got)
+	}
+	var got Rule
+	var unknown UnknownRuleError
+	require.ErrorAs(t, got.UnmarshalText([]byte("other")), &unknown)
+}
