--- /dev/null
+++ b/internal/lab/goodput/counter.go
@@ -0,0 +1,159 @@
+// Package goodput measures service as the operators do: the weight of what was answered in time over
+// the weight of what was asked for, by second and by class. A client's retries count for its first
+// sending.
+//
+// It owns the definition of service and of its parts. It must not know whether time is simulated or
+// how a request came to its end. internal/lab/simulation and internal/lab/load call a Counter for each
+// request of a client; it is for one goroutine at a time.
+package goodput
+
+import (
+	"math"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"piernotch/internal/lab/scenario"
+)
+
+// Latencies are recorded in microseconds, with three significant digits.
+const (
+	maxLatency        = time.Minute
+	significantDigits = 3
+)
+
+// latencyPercentiles are the points of the distribution of latency that reports show.
+var latencyPercentiles = []float64{1, 5, 10, 20, 30, 40, 50, 60, 70, 80, 90, 95, 98, 99, 99.5, 99.9, 99.95, 99.99, 100}
+
+// Second is one second of the run, by when requests were first sent.
+type Second struct {
+	Asked  float64 `json:"asked"`  // weight of the requests
+	Served float64 `json:"served"` // weight that was earned
+	Tries  int     `json:"tries"`  // sendings of the requests that have ended
+	Refuse int     `json:"refused"`
+	Fail   int     `json:"failed"`
+}
+
+// Share is one class's service.
+type Share struct {
+	Name    string  `json:"name"`
+	Service float64 `json:"service"` // share of the class's weight
+	Asked   int     `json:"asked"`   // requests
+}
+
+// LatencyStep is a point of the distribution of latency.
+type LatencyStep struct {
+	Percentile float64 `json:"percentile"`
+	MS         float64 `json:"ms"`
+}
+
+// Counter counts the requests of one run. It is for one goroutine at a time.
+type Counter struct {
+	Asked        int     // requests
+	Refused      int     // sendings that were rejected
+	Failed       int     // sendings that failed
+	InAim        int     // requests served within their latency objective
+	AskedWork    float64 // ms
+	LateUnserved float64 // weight that ended unserved after its latency objective
+	Seconds      []Second
+
+	day       *scenario.Day
+	classes   []classCounter
+	latencies *hdrhistogram.Histogram
+}
+
+// classCounter counts the requests of one class.
+type classCounter struct {
+	requests      int
+	asked, served float64 // weight
+}
+
+// New returns a Counter for a run of a drawn scenario.
+func New(d *scenario.Day) *Counter {
+	return &Counter{
+		Seconds:   make([]Second, int(math.Ceil(d.Length.Seconds()))),
+		day:       d,
+		classes:   make([]classCounter, len(d.Classes)),
+		latencies: hdrhistogram.New(1, int64(maxLatency/time.Microsecond), significantDigits),
+	}
+}
+
+// second returns the second of a time; times outside of the run count for its first or last second.
+func (c *Counter) second(at time.Duration) *Second {
+	return &c.Seconds[min(max(int(at/time.Second), 0), len(c.Seconds)-1)]
+}
+
+// Weight is the priority weight of a request of a class; work is in ms.
+func Weight(d *scenario.Day, class int, work float64) float64 {
+	if d.Score.ByWork {
+		return d.Classes[class].PriorityWeight * work
+	}
+	return d.Classes[class].PriorityWeight
+}
+
+// Ask counts a client's request when it is first sent; work is in ms.
+func (c *Counter) Ask(first time.Duration, class int, work float64) {
+	weight := Weight(c.day, class, work)
+	c.Asked++
+	c.AskedWork += work
+	c.classes[class].asked += weight
+	c.classes[class].requests++
+	c.second(first).Asked += weight
+}
+
+// Ended counts a sending that was rejected or failed, by when its request was first sent.
+func (c *Counter) Ended(first time.Duration, rejected bool) {
+	s := c.second(first)
+	if rejected {
+		c.Refused++
+		s.Refuse++
+		return
+	}
+	c.Failed++
+	s.Fail++
+}
+
+// Finish counts a request that is over, took after its first sending and with so many sendings, and
+// returns the weight that it earned.
+func (c *Counter) Finish(first, took time.Duration, class int, work float64, sends int, served bool) float64 {
+	settings := &c.day.Classes[class]
+	weight := Weight(c.day, class, work)
+	late := took > settings.LatencyObjective
+	earned := 0.0
+	switch {
+	case served:
+		// What exceeds the histogram's range is not in the distribution.
+		_ = c.latencies.RecordValue(max(int64(took/time.Microsecond), 1))
+		earned = weight
+		if late {
+			earned *= settings.LateWeightShare
+		} else {
+			c.InAim++
+		}
+	case late:
+		c.LateUnserved += weight
+	}
+	c.classes[class].served += earned
+	s := c.second(first)
+	s.Served += earned
+	s.Tries += sends
+	return earned
+}
+
+// Latency is the distribution of served requests' latency since their first sending; nil if none was
+// served.
+func (c *Counter) Latency() []LatencyStep {
+	if c.latencies.TotalCount() == 0 {
+		return nil
+	}
+	var out []LatencyStep
+	for _, p := range latencyPercentiles {
+		out = append(out, LatencyStep{p, c.Percentile(p)})
+	}
+	return out
+}
+
+// Percentile is a percentile of the latency of served requests, ms.
+func (c *Counter) Percentile(p float64) float64 {
+	return float64(c.latencies.ValueAtPercentile(p)) / 1000
+}
