--- /dev/null
+++ b/internal/lab/simulation/invariants_test.go
@@ -0,0 +1,202 @@
+package simulation
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"piernotch"
+	"piernotch/internal/lab/invariants"
+	"piernotch/internal/lab/scenario"
+)
+
+// faultyTier corrupts what the module decides, as a host with a bug would.
+type faultyTier struct {
+	Tier
+	corrupt func(now time.Duration, events []Event, actions []Action) []Action
+}
+
+func (f faultyTier) Turn(now time.Duration, events []Event) ([]Action, error) {
+	actions, err := f.Tier.Turn(now, events)
+	return f.corrupt(now, events, actions), err
+}
+
+// runFaultyTier runs restart-storm, in which all rules are at stake.
+func runFaultyTier(t *testing.T, seed uint64, corrupt func(time.Duration, []Event, []Action) []Action, set ...string) *Result {
+	t.Helper()
+	s, err := scenario.Load("restart-storm")
+	require.NoError(t, err)
+	s, err = s.With(set...)
+	require.NoError(t, err)
+	d, err := s.Draw(seed)
+	require.NoError(t, err)
+	w, err := New(d, faultyTier{NewInProcess(), corrupt})
+	require.NoError(t, err)
+	r, err := w.Run()
+	require.NoError(t, err)
+	return r
+}
+
+// requireViolation requires a violation of a rule, with its steps.
+func requireViolation(t *testing.T, r *Result, rule invariants.Rule, message string) {
+	t.Helper()
+	for _, b := range r.Breaks {
+		if b.Rule == rule && strings.Contains(b.Message, message) {
+			require.NotEmpty(t, b.Steps, b)
+			require.Positive(t, b.At)
+			return
+		}
+	}
+	t.Fatalf("no violation: %s", message)
+}
+
+func TestCheckerDetectsRepeatedNonIdempotentRequest(t *testing.T) {
+	nonIdempotent := map[piernotch.RequestID]bool{}
+	r := runFaultyTier(t, 1, func(_ time.Duration, events []Event, actions []Action) []Action {
+		for _, e := range events {
+			if e.Kind == EventRequest && e.Request.Class == 1 {
+				nonIdempotent[e.Request.ID] = true
+			}
+		}
+		out := append([]Action(nil), actions...)
+		for _, a := range actions {
+			if a.Kind == ActionStartAttempt && nonIdempotent[a.ID] && a.ID%50 == 0 {
+				out = append(out, a)
+			}
+		}
+		return out
+	})
+	require.Positive(t, r.Repeated)
+	requireViolation(t, r, invariants.Repeated, "sent again, though an earlier attempt may have run")
+	requireViolation(t, r, invariants.Repeated, "ran a second time")
+}
+
+func TestCheckerDetectsRejectionAfterExecution(t *testing.T) {
+	// It rejects every request for which it has just sent an attempt.
+	r := runFaultyTier(t, 1, func(_ time.Duration, _ []Event, actions []Action) []Action {
+		out := append([]Action(nil), actions...)
+		for _, a := range actions {
+			if a.Kind == ActionStartAttempt && a.ID%40 == 0 {
+				out = append(out, Action{Kind: ActionReject, Instance: a.Instance, ID: a.ID})
+			}
+		}
+		return out
+	})
+	requireViolation(t, r, invariants.Repeated, "refused what may have run")
+}
+
+func TestCheckerDetectsAttemptToDrainingServer(t *testing.T) {
+	// It goes on sending to the first server that it was notified to drain.
+	first := map[int]piernotch.BackendID{}
+	r := runFaultyTier(t, 1, func(_ time.Duration, events []Event, actions []Action) []Action {
+		for _, e := range events {
+			if e.Kind == EventEndpointList && e.ListKind == piernotch.UpdateDelta {
+				for _, en := range e.Entries {
+					if _, ok := first[e.Instance]; !ok && en.State == piernotch.Draining {
+						first[e.Instance] = en.ID
+					}
+				}
+			}
+		}
+		for i := range actions {
+			if to, ok := first[actions[i].Instance]; ok && actions[i].Kind == ActionStartAttempt && actions[i].ID%10 == 0 {
+				actions[i].Backend = to
+			}
+		}
+		return actions
+	})
+	require.Positive(t, r.DrainBreaks)
+	requireViolation(t, r, invariants.Drain, "after it was told that the server leaves")
+}
+
+func TestCheckerDetectsMissingAnswer(t *testing.T) {
+	lost := map[piernotch.RequestID]bool{}
+	r := runFaultyTier(t, 1, func(_ time.Duration, _ []Event, actions []Action) []Action {
+		var out []Action
+		for _, a := range actions {
+			if a.Kind == ActionStartAttempt && a.ID%100 == 0 {
+				lost[a.ID] = true
+			}
+			if !lost[a.ID] || a.Kind == ActionSetTimer {
+				out = append(out, a)
+			}
+		}
+		return out
+	})
+	require.Positive(t, r.Lost)
+	requireViolation(t, r, invariants.Lost, "no final answer")
+}
+
+func TestCheckerDetectsAttemptAfterFinalAnswer(t *testing.T) {
+	done := map[piernotch.RequestID]int{}
+	var late []Action
+	r := runFaultyTier(t, 1, func(now time.Duration, events []Event, actions []Action) []Action {
+		out := append([]Action(nil), actions...)
+		out = append(out, late...)
+		late = late[:0]
+		for _, a := range actions {
+			if a.Kind == ActionStartAttempt && done[a.ID] == 0 && a.ID%60 == 0 && now < 10*time.Second {
+				done[a.ID]++
+				// Rejected at once, unsent; and sent all the same one turn later.
+				late = append(late, a)
+				out = append(out[:0:0], Action{Kind: ActionReject, Instance: a.Instance, ID: a.ID})
+				for _, b := range actions {
+					if b.ID != a.ID || b.Kind == ActionSetTimer {
+						out = append(out, b)
+					}
+				}
+			}
+		}
+		return out
+	}, "balancers.count=1")
+	requireViolation(t, r, invariants.Lost, "sent after its final answer")
+}
+
+func TestCheckerDetectsCollapseInSlowStart(t *testing.T) {
+	// All attempts go to the server that started last.
+	newest := map[int]piernotch.BackendID{}
+	startedAt := map[int]time.Duration{}
+	r := runFaultyTier(t, 2, func(_ time.Duration, events []Event, actions []Action) []Action {
+		for _, e := range events {
+			for _, en := range e.Entries {
+				if e.Kind == EventEndpointList && en.State == piernotch.Ready && en.StartedAt > startedAt[e.Instance] {
+					newest[e.Instance], startedAt[e.Instance] = en.ID, en.StartedAt
+				}
+			}
+		}
+		for i := range actions {
+			if to, ok := newest[actions[i].Instance]; ok && actions[i].Kind == ActionStartAttempt {
+				actions[i].Backend = to
+			}
+		}
+		return actions
+	})
+	require.Positive(t, r.ColdFalls)
+	requireViolation(t, r, invariants.Cold, "pushed over by")
+}
+
+func TestModuleKeepsAllRulesInRestartStorm(t *testing.T) {
+	for seed := range uint64(4) {
+		r := runFaultyTier(t, seed, func(_ time.Duration, _ []Event, a []Action) []Action { return a })
+		require.Zero(t, r.Broken(), "seed %d: %v", seed, r.Breaks)
+	}
+}
+
+func TestAttemptToUnknownServerIsAnError(t *testing.T) {
+	s, err := scenario.Load("quiet")
+	require.NoError(t, err)
+	d, err := s.Draw(1)
+	require.NoError(t, err)
+	w, err := New(d, faultyTier{NewInProcess(), func(_ time.Duration, _ []Event, a []Action) []Action {
+		for i := range a {
+			a[i].Backend++
+		}
+		return a
+	}})
+	require.NoError(t, err)
+	_, err = w.Run()
+	require.ErrorContains(t, err, "names a server that was in none of its lists")
+	require.ErrorContains(t, err, "seed 1")
+}
