--- a/attempts_test.go
+++ b/attempts_test.go
@@ -89,8 +89,8 @@
 	if len(h.rejected) != 2 {
 		t.Fatal("a request waits for a tick that comes after its deadline")
 	}
-	b.ClientGone(2*time.Second, 2) // already answered: ignored
-	b.ClientGone(2*time.Second, 77)
+	b.ClientDisconnected(2*time.Second, 2) // already answered: ignored
+	b.ClientDisconnected(2*time.Second, 77)
 	if len(h.rejected)+len(h.failed) != 2 {
 		t.Fatal("answered twice")
 	}
@@ -111,7 +111,7 @@
 func TestClientGoneCancelsAttempts(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
 	b.HandleRequest(time.Second, newTestRequest(1, idempotentClass, 10))
-	b.ClientGone(time.Second+ms, 1)
+	b.ClientDisconnected(time.Second+ms, 1)
 	if len(h.canceled) != 1 || len(h.failed)+len(h.rejected) != 0 {
 		t.Fatal("the attempt was not cancelled, or a client that has left was answered")
 	}
@@ -128,7 +128,7 @@
 	for now := time.Second; now < 5*time.Second; now += b.tickInterval {
 		b.Timer(now, tickToken)
 	}
-	b.ClientGone(5*time.Second, 1)
+	b.ClientDisconnected(5*time.Second, 1)
 	if len(h.attempts) != 1 || len(h.canceled) != 0 {
 		t.Fatal("a started response was retried or cancelled")
 	}
--- a/balancer.go
+++ b/balancer.go
@@ -80,8 +80,8 @@
 	b.dispatchWaiting(now)
 }
 
-// ClientGone closes a request whose client has left.
-func (b *Balancer) ClientGone(now time.Duration, id RequestID) {
+// ClientDisconnected closes a request whose client has left.
+func (b *Balancer) ClientDisconnected(now time.Duration, id RequestID) {
 	b.ensureStarted(now)
 	if r := b.requests[id]; r != nil && !r.done {
 		b.closeRequest(r)
--- a/cmd/piernotch-lab/chaos.go
+++ b/cmd/piernotch-lab/chaos.go
@@ -158,8 +158,8 @@
 	from := int((length - chaos.RecoveryTime/2).Seconds())
 	asked, served := 0.0, 0.0
 	for _, s := range report.Seconds[min(from, len(report.Seconds)):] {
-		asked += s.Asked
-		served += s.Served
+		asked += s.AskedWeight
+		served += s.ServedWeight
 	}
 	if asked > 0 && served/asked < c.Back {
 		return fmt.Sprintf("%.3f served in time from %d s on, with all faults over; %.3f is wanted", served/asked, from, c.Back)
--- a/cmd/piernotch-lab/cluster.go
+++ b/cmd/piernotch-lab/cluster.go
@@ -38,14 +38,14 @@
 	if err != nil {
 		return err
 	}
-	clustersim.Timeline(f, fmt.Sprintf("seed %d", seed), c.size().Length, faults, spans)
+	clustersim.DrawTimeline(f, fmt.Sprintf("seed %d", seed), c.size().Duration, faults, spans)
 	return f.Close()
 }
 
 func (c *clusterOptions) size() clustersim.Size {
 	return clustersim.Size{
 		Voters: c.Voters, Members: c.Members, Receivers: 2, Duties: c.Duties,
-		Length: time.Duration(c.Length) * time.Second, Faults: c.Faults,
+		Duration: time.Duration(c.Length) * time.Second, Faults: c.Faults,
 	}
 }
 
@@ -85,4 +85,4 @@
 	Rig  string `arg:"" help:"Where the test listens."`
 }
 
-func (c *holdCmd) Run(ctx context.Context) error { return clustertest.Act(ctx, c.File, c.Rig) }
+func (c *holdCmd) Run(ctx context.Context) error { return clustertest.RunHolder(ctx, c.File, c.Rig) }
--- a/cmd/piernotch-lab/cluster_processes.go
+++ b/cmd/piernotch-lab/cluster_processes.go
@@ -53,7 +53,7 @@
 			if err := os.MkdirAll(own, 0o700); err != nil {
 				return err
 			}
-			if err := play(clustertest.Options{Voter: c.Program, Holder: self, Seed: seed, Size: c.size(), Dir: own}); err != nil {
+			if err := play(clustertest.Options{VoterProgram: c.Program, HolderProgram: self, Seed: seed, Size: c.size(), Dir: own}); err != nil {
 				return fmt.Errorf("seed %d: %w", seed, err)
 			}
 			return nil
@@ -75,7 +75,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		results = append(results, r)
-		return c.draw(r.Seed, clustersim.Draw(r.Seed, opts.Size), r.Spans)
+		return c.draw(r.Seed, clustersim.GenerateSchedule(r.Seed, opts.Size), r.Spans)
 	})
 	if err != nil {
 		return err
@@ -89,8 +89,8 @@
 		fenced += r.Fenced
 		grants += r.Grants
 		gaps = append(gaps, r.Gaps...)
-		if len(r.Broken) > 0 {
-			failures = append(failures, clusterFailure{r.Seed, r.Broken, r.Faults})
+		if len(r.Violations) > 0 {
+			failures = append(failures, clusterFailure{r.Seed, r.Violations, r.Faults})
 		}
 	}
 	slices.Sort(gaps)
@@ -110,10 +110,10 @@
 func (c *clusterTimesCmd) Run(ctx context.Context, o *output) error {
 	var (
 		mu  sync.Mutex
-		all clustertest.Times
+		all clustertest.FailoverTimes
 	)
 	err := c.playEach(ctx, o, func(opts clustertest.Options) error {
-		t, err := clustertest.Measure(ctx, opts, c.Times)
+		t, err := clustertest.MeasureFailover(ctx, opts, c.Times)
 		mu.Lock()
 		defer mu.Unlock()
 		all.Planned = append(all.Planned, t.Planned...)
--- a/cmd/piernotch-lab/cluster_simulate.go
+++ b/cmd/piernotch-lab/cluster_simulate.go
@@ -56,9 +56,9 @@
 		acts += r.Acts
 		fenced += r.Fenced
 		grants += r.Grants
-		unheld += r.Unheld
-		if len(r.Broken) > 0 {
-			failures = append(failures, clusterFailure{r.Seed, r.Broken, r.Faults})
+		unheld += r.UnheldShare
+		if len(r.Violations) > 0 {
+			failures = append(failures, clusterFailure{r.Seed, r.Violations, r.Faults})
 		}
 	}
 	o.out.Printf("%d seeds, %d grants, %d acts, %d refused by their token, a duty held by nobody %.1f%% of the time\n",
@@ -76,7 +76,7 @@
 // playOne plays one seed, or the schedule of a file, in this process.
 func (c *clusterSimulateCmd) playOne(o *output) error {
 	s := clusterSchedule{Seed: c.Seed, Size: c.size()}
-	s.Faults = clustersim.Draw(s.Seed, s.Size)
+	s.Faults = clustersim.GenerateSchedule(s.Seed, s.Size)
 	if c.Replay != "" {
 		data, err := os.ReadFile(c.Replay)
 		if err == nil {
@@ -86,14 +86,14 @@
 			return fmt.Errorf("%s: %w", c.Replay, err)
 		}
 	}
-	r := clustersim.PlayFaults(s.Seed, s.Size, s.Faults)
+	r := clustersim.RunSchedule(s.Seed, s.Size, s.Faults)
 	o.out.Printf("seed %d: %d grants, %d acts, %d refused by their token\n", r.Seed, r.Grants, r.Acts, r.Fenced)
 	if err := c.draw(s.Seed, s.Faults, r.Spans); err != nil {
 		return err
 	}
 	var failures []clusterFailure
-	if len(r.Broken) > 0 {
-		failures = append(failures, clusterFailure{r.Seed, r.Broken, r.Faults})
+	if len(r.Violations) > 0 {
+		failures = append(failures, clusterFailure{r.Seed, r.Violations, r.Faults})
 	}
 	return c.finish(o, "simulate", []clustersim.Result{r}, failures)
 }
@@ -102,11 +102,11 @@
 func (c *clusterSimulateCmd) shrink(o *output, failure clusterFailure) error {
 	s := clusterSchedule{Seed: failure.seed, Size: c.size(), Broken: failure.violations[0]}
 	s.Faults = chaos.Shrink(failure.faults, c.Shrink, func(faults []clustersim.Fault) bool {
-		r := clustersim.PlayFaults(s.Seed, s.Size, faults)
-		if len(r.Broken) > 0 {
-			s.Broken = r.Broken[0]
+		r := clustersim.RunSchedule(s.Seed, s.Size, faults)
+		if len(r.Violations) > 0 {
+			s.Broken = r.Violations[0]
 		}
-		return len(r.Broken) > 0
+		return len(r.Violations) > 0
 	})
 	name := fmt.Sprintf("group-%d.json", s.Seed)
 	o.out.Printf("%d faults still break something: piernotch-lab cluster simulate --replay %s\n", len(s.Faults), name)
@@ -120,7 +120,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		if err := enc.Encode(clustersim.Play(c.Seed+uint64(i), c.size())); err != nil {
+		if err := enc.Encode(clustersim.Run(c.Seed+uint64(i), c.size())); err != nil {
 			return err
 		}
 	}
--- a/cmd/piernotch-lab/loadtest_report.go
+++ b/cmd/piernotch-lab/loadtest_report.go
@@ -37,8 +37,8 @@
 	var out strings.Builder
 	for _, s := range r.Seconds {
 		share := 1.0
-		if s.Asked > 0 {
-			share = s.Served / s.Asked
+		if s.AskedWeight > 0 {
+			share = s.ServedWeight / s.AskedWeight
 		}
 		out.WriteRune(levels[int(min(max(share, 0), 1)*float64(len(levels)-1)+0.5)])
 	}
@@ -54,7 +54,7 @@
 	o.out.Printf("  %d requests in %d tries: served %d, refused %d, failed %d, unanswered %d, broken off %d, unreached %d\n",
 		r.Requests, counts.Attempts, counts.Served, counts.Rejected, counts.Failed, counts.TimedOut, counts.Disconnected, counts.Unreachable)
 	for _, class := range r.Classes {
-		o.out.Printf("  %s: %d asked, %.3f of their worth served in time\n", class.Name, class.Asked, class.Service)
+		o.out.Printf("  %s: %d asked, %.3f of their worth served in time\n", class.Name, class.Requests, class.Service)
 	}
 	o.out.Printf("  rules broken: lost %d, repeated %d, drain %d, cold %d; %.0f us of CPU a request; the rig was %.1f ms late (p99)\n",
 		r.Lost, r.Repeated, r.DrainBreaks, r.ColdFalls, r.CPUPerAnswer, r.LatenessMS)
--- a/cmd/piernotch/serve.go
+++ b/cmd/piernotch/serve.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, err
 	}
-	cfg.Disk = ""
+	cfg.StorePath = ""
 	member := client.Start(cfg, nil)
 	balancer.ShareWatch(member.SharedWatch)
 	return sync.OnceFunc(func() { member.Close(leaveTimeout) }), nil
--- a/cmd/simulator-adapter/adapter.go
+++ b/cmd/simulator-adapter/adapter.go
@@ -102,7 +102,7 @@
 
 func (a *adapter) newBalancer() (*piernotch.Balancer, error) {
 	e := &a.event
-	settings, err := wire.Settings(e.Data)
+	settings, err := wire.ParseSettings(e.Data)
 	if err != nil {
 		return nil, err
 	}
@@ -130,7 +130,7 @@
 	case wire.EventTimerFired:
 		b.Timer(now, e.Token)
 	case wire.EventClientGone:
-		b.ClientGone(now, piernotch.RequestID(e.ID))
+		b.ClientDisconnected(now, piernotch.RequestID(e.ID))
 	case wire.EventResponseStarted:
 		b.ResponseStarted(now, piernotch.RequestID(e.ID), int(e.Attempt))
 	case wire.EventHealthCheckCompleted:
--- a/internal/group/client/client.go
+++ b/internal/group/client/client.go
@@ -59,8 +59,8 @@
 	for _, d := range cfg.Duties {
 		c.acquire(lease.Duty(d))
 	}
-	if cfg.Watch != "" {
-		c.sharedWatch = newSharedWatch(c, lease.Duty(cfg.Watch))
+	if cfg.WatchDuty != "" {
+		c.sharedWatch = newSharedWatch(c, lease.Duty(cfg.WatchDuty))
 		c.acquire(c.sharedWatch.duty)
 	}
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/group/client/shared_watch.go
+++ b/internal/group/client/shared_watch.go
@@ -93,8 +93,8 @@
 
 // commonName returns the name that all members have for the discovery that this one reaches at an address.
 func (w *sharedWatch) commonName(address string) string {
-	if w.client.cfg.Source != "" && address == w.address {
-		return w.client.cfg.Source
+	if w.client.cfg.DiscoveryName != "" && address == w.address {
+		return w.client.cfg.DiscoveryName
 	}
 	return address
 }
--- a/internal/group/client/shared_watch_test.go
+++ b/internal/group/client/shared_watch_test.go
@@ -13,7 +13,7 @@
 // A balancer whose settings name another discovery does not rely on a holder that polls the old one.
 func TestHolderPollingAnotherDiscoveryIsIgnored(t *testing.T) {
 	c := Start(group.Config{
-		Name: "g", Self: "a", LeaseDuration: time.Second, Watch: "watch", Voters: []group.Voter{{Name: "v", Address: "127.0.0.1:1"}},
+		Name: "g", Self: "a", LeaseDuration: time.Second, WatchDuty: "watch", Voters: []group.Voter{{Name: "v", Address: "127.0.0.1:1"}},
 	}, nil)
 	defer c.Close(0)
 	updates := 0
@@ -21,7 +21,7 @@
 	receive := func(version uint64) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.sharedWatch.handleEventLocked(1, group.WatchEvent{Source: "old", Whole: true, ToVersion: version})
+		c.sharedWatch.handleEventLocked(1, group.WatchEvent{Source: "old", Complete: true, ToVersion: version})
 	}
 	receive(1)
 	polls, _ := shared.ShouldPoll("old")
--- a/internal/group/config.go
+++ b/internal/group/config.go
@@ -8,13 +8,13 @@
 type Config struct {
 	Name          string        // the group's name, the same at all members
 	Self          string        // this balancer's name in the group: that of one of Voters, or of a member without a vote
-	Disk          string        // the path of a voter's store; "" for a member without a vote
+	StorePath     string        // the path of a voter's store; "" for a member without a vote
 	LeaseDuration time.Duration // how long a duty is held without a renewal
 	MaxClockDrift float64       // the largest error of any machine's clock rate, as a share: 0.01 is 1 %
 	Voters        []Voter       // one, three, five or seven, the same at all members
 	Duties        []string      // the duties that this balancer acquires when they are free
-	Watch         string        // the duty of polling discovery for all balancers that name it; "": this one polls for itself
-	Source        string        // a common name for discovery, where balancers reach it at different addresses; "": the address
+	WatchDuty     string        // the duty of polling discovery for all balancers that name it; "": this one polls for itself
+	DiscoveryName string        // a common name for discovery, where balancers reach it at different addresses; "": the address
 }
 
 // Voter is a member with a vote, and the TCP address (IP and port) where it listens for the group.
--- a/internal/group/config_test.go
+++ b/internal/group/config_test.go
@@ -18,7 +18,7 @@
 	require.True(t, votes)
 	require.Equal(t, Voter{"n0", "127.0.0.1:18700"}, v)
 	name := filepath.Join(t.TempDir(), "again.toml")
-	require.NoError(t, os.WriteFile(name, []byte(c.Text()), 0o600))
+	require.NoError(t, os.WriteFile(name, []byte(c.TOML()), 0o600))
 	again, err := LoadFile(name)
 	require.NoError(t, err)
 	require.Equal(t, c, again)
@@ -30,7 +30,7 @@
 	for key, invalidate := range map[string]func(*Config){
 		"name":      func(c *Config) { c.Name = "" },
 		"self":      func(c *Config) { c.Self = "" },
-		"disk":      func(c *Config) { c.Disk = "" },
+		"disk":      func(c *Config) { c.StorePath = "" },
 		"length_ms": func(c *Config) { c.LeaseDuration = 1 },
 		"drift":     func(c *Config) { c.MaxClockDrift = 0.2 },
 		"duties":    func(c *Config) { c.Duties = []string{""} },
--- a/internal/group/consensus/announcement.go
+++ b/internal/group/consensus/announcement.go
@@ -47,7 +47,7 @@
 	hardState, _, _ := m.storage.InitialState()
 	lastIndex, _ := m.storage.LastIndex()
 	announcement := &protocol.Announcement{
-		Starts:      m.config.StartCount,
+		StartCount:  m.config.StartCount,
 		Incarnation: m.config.Incarnation,
 		Term:        hardState.GetTerm(),
 		Vote:        hardState.GetVote(),
@@ -62,7 +62,7 @@
 
 // handleAnnouncement answers whether another voter's store is as new as what has been seen of it.
 func (m *Machine) handleAnnouncement(from uint64, a *protocol.Announcement) {
-	incarnation := Incarnation{Count: a.Starts, ID: a.Incarnation}
+	incarnation := Incarnation{Count: a.StartCount, ID: a.Incarnation}
 	known := m.incarnations[from]
 	isNewStart := incarnation.Count > known.Count
 	isSameStart := incarnation == known
--- a/internal/group/consensus/doc.go
+++ b/internal/group/consensus/doc.go
@@ -9,14 +9,14 @@
 // no clock. Messages, client requests and ticks go in; what has to be done outside comes out:
 //
 //	for each event {
-//		machine.Receive(message) | machine.Propose(now, request) | machine.Tick(now)
+//		machine.Step(message) | machine.Propose(now, request) | machine.Tick(now)
 //		for ready, any := machine.Ready(); any; ready, any = machine.Ready() {
 //			store.Write(ready)          // durable before anything is sent
 //			send(ready.Messages)
 //			machine.Advance(now, ready) // applies what was committed
 //		}
 //		answer(machine.Responses())
-//		notify(machine.Freed())
+//		notify(machine.FreedDuties())
 //	}
 //
 // The caller owns the disk, the network, the clock and the one goroutine that may use a Machine, so the
--- a/internal/group/consensus/machine.go
+++ b/internal/group/consensus/machine.go
@@ -26,11 +26,11 @@
 	maxInflightMessages = 64
 )
 
-// ErrStaleStore is returned by Receive when the group has seen a newer state of this voter's store. The store
+// ErrStaleStore is returned by Step when the group has seen a newer state of this voter's store. The store
 // must not be used any more.
 var ErrStaleStore = errors.New("the disk is older than what the group has seen of it")
 
-// MessageError is returned by Receive for a message that cannot come from a correct voter of the group.
+// MessageError is returned by Step for a message that cannot come from a correct voter of the group.
 type MessageError struct {
 	From     uint64 // the sender, as the message names it
 	To       uint64 // the voter that it was meant for
@@ -53,13 +53,13 @@
 	Raft         *raftpb.Message
 }
 
-// Config is what a Machine starts from. All fields but Log are required.
+// Config is what a Machine starts from. All fields but State are required.
 type Config struct {
 	ID          uint64          // of the store
 	Incarnation uint64          // drawn at random for this start: tells its log entries from an earlier start's
 	StartCount  uint64          // how often the store was opened, this time included; already durable
 	Timing      lease.Timing    // equal at all voters and lease holders
-	Log         PersistentState // what the store holds; zero: a new store that has to join a group
+	State       PersistentState // what the store holds; zero: a new store that has to join a group
 }
 
 // Machine is one voter. It must be used from one goroutine.
@@ -117,13 +117,13 @@
 		pendingProposals: map[requestSeq]pendingRequest{},
 		pendingReads:     map[requestSeq]pendingRequest{},
 		acceptedBy:       map[uint64]bool{},
-		incarnations:     maps.Clone(cfg.Log.Incarnations),
+		incarnations:     maps.Clone(cfg.State.Incarnations),
 		peers:            map[uint64]peerProgress{},
 	}
 	if m.incarnations == nil {
 		m.incarnations = map[uint64]Incarnation{}
 	}
-	if err := m.load(cfg.Log); err != nil {
+	if err := m.load(cfg.State); err != nil {
 		return nil, err
 	}
 	node, err := raft.NewRawNode(&raft.Config{
@@ -211,10 +211,10 @@
 	}
 }
 
-// Receive takes a message from another voter. It returns a *MessageError for one that is misrouted or empty, and
+// Step takes a message from another voter. It returns a *MessageError for one that is misrouted or empty, and
 // ErrStaleStore for one that shows the store to be out of date: the machine is Outdated from then on. After any
 // other error it can be used as before.
-func (m *Machine) Receive(msg Message) error {
+func (m *Machine) Step(msg Message) error {
 	if msg.To != m.config.ID {
 		return &MessageError{From: msg.From, To: msg.To, Receiver: m.config.ID}
 	}
--- a/internal/group/consensus/machine_test.go
+++ b/internal/group/consensus/machine_test.go
@@ -19,7 +19,7 @@
 		Incarnation: 11,
 		StartCount:  1,
 		Timing:      lease.Timing{Duration: 3 * time.Second, MaxClockDrift: 0.01},
-		Log:         Bootstrap([]protocol.Voter{{ID: 1, Name: "n1"}}),
+		State:       Bootstrap([]protocol.Voter{{ID: 1, Name: "n1"}}),
 	})
 	require.NoError(t, err)
 	return m
@@ -44,7 +44,7 @@
 		{name: "empty", msg: Message{From: 2, To: 1}, text: "a message from voter 2 holds nothing of it"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			err := m.Receive(c.msg)
+			err := m.Step(c.msg)
 			var messageError *MessageError
 			require.ErrorAs(t, err, &messageError)
 			require.EqualError(t, err, c.text)
--- a/internal/group/consensus/requests.go
+++ b/internal/group/consensus/requests.go
@@ -88,9 +88,9 @@
 	return command.Op == lease.Acquire && held && grant.Holder != command.Process
 }
 
-// Freed returns the duties that were released, expired or transferred since the last call, so that the caller
+// FreedDuties returns the duties that were released, expired or transferred since the last call, so that the caller
 // can notify processes that wait for them. Only the leader knows any.
-func (m *Machine) Freed() []lease.Duty {
+func (m *Machine) FreedDuties() []lease.Duty {
 	freed := m.freedDuties
 	m.freedDuties = nil
 	return freed
--- a/internal/group/failpoint/doc.go
+++ b/internal/group/failpoint/doc.go
@@ -5,5 +5,5 @@
 // package clustersim (Plants). Only a build with the tag "planted" can enable a fault. In all others Enabled is
 // constant, and the compiler removes what depends on it.
 //
-// The packages of the control group call Enabled, tests call Set. The package must not know its callers.
+// The packages of the control group call Enabled, tests call Enable. The package must not know its callers.
 package failpoint
--- a/internal/group/failpoint/enabled.go
+++ b/internal/group/failpoint/enabled.go
@@ -8,6 +8,6 @@
 // Enabled reports whether the fault of that name is enabled.
 func Enabled(name string) bool { return name == enabledName }
 
-// Set enables one fault in place of the last, or none with "". It must not be called while anything that
+// Enable enables one fault in place of the last, or none with "". It must not be called while anything that
 // calls Enabled runs.
-func Set(name string) { enabledName = name }
+func Enable(name string) { enabledName = name }
--- a/internal/group/file.go
+++ b/internal/group/file.go
@@ -62,12 +62,12 @@
 	c := Config{
 		Name:          f.Name,
 		Self:          f.Self,
-		Disk:          f.StorePath,
+		StorePath:     f.StorePath,
 		LeaseDuration: time.Duration(f.LeaseDurationMS) * time.Millisecond,
 		MaxClockDrift: f.MaxClockDrift,
 		Duties:        f.Duties,
-		Watch:         f.Watch,
-		Source:        f.Source,
+		WatchDuty:     f.Watch,
+		DiscoveryName: f.Source,
 	}
 	for _, v := range f.Voters {
 		c.Voters = append(c.Voters, Voter(v))
@@ -75,17 +75,17 @@
 	return c
 }
 
-// Text returns the configuration in the form of a file, which LoadFile reads.
-func (c Config) Text() string {
+// TOML returns the configuration in the form of a file, which LoadFile reads.
+func (c Config) TOML() string {
 	var s strings.Builder
-	fmt.Fprintf(&s, "name = %q\nself = %q\ndisk = %q\n", c.Name, c.Self, c.Disk)
+	fmt.Fprintf(&s, "name = %q\nself = %q\ndisk = %q\n", c.Name, c.Self, c.StorePath)
 	fmt.Fprintf(&s, "length_ms = %d\ndrift = %v\n", c.LeaseDuration.Milliseconds(), c.MaxClockDrift)
 	quoted := make([]string, len(c.Duties))
 	for i, d := range c.Duties {
 		quoted[i] = fmt.Sprintf("%q", d)
 	}
 	fmt.Fprintf(&s, "duties = [%s]\n", strings.Join(quoted, ", "))
-	fmt.Fprintf(&s, "watch = %q\nsource = %q\n", c.Watch, c.Source)
+	fmt.Fprintf(&s, "watch = %q\nsource = %q\n", c.WatchDuty, c.DiscoveryName)
 	for _, v := range c.Voters {
 		fmt.Fprintf(&s, "\n[[voter]]\nname = %q\naddress = %q\n", v.Name, v.Address)
 	}
--- a/internal/group/golden_test.go
+++ b/internal/group/golden_test.go
@@ -12,16 +12,16 @@
 // testdata/group.toml is what Config.Text writes.
 func TestGroupFileGoldenFile(t *testing.T) {
 	want := Config{
-		Name: "lakes", Self: "n1", Disk: "/var/lib/piernotch/n1.voter", LeaseDuration: 7500 * time.Millisecond, MaxClockDrift: 0.02,
+		Name: "lakes", Self: "n1", StorePath: "/var/lib/piernotch/n1.voter", LeaseDuration: 7500 * time.Millisecond, MaxClockDrift: 0.02,
 		Voters: []Voter{{Name: "n0", Address: "127.0.0.1:18700"}, {Name: "n1", Address: "127.0.0.1:18701"}, {Name: "n2", Address: "[::1]:18702"}},
-		Duties: []string{"sweep", "count"}, Watch: "watch/lakes", Source: "discovery-lakes",
+		Duties: []string{"sweep", "count"}, WatchDuty: "watch/lakes", DiscoveryName: "discovery-lakes",
 	}
 	got, err := LoadFile("testdata/group.toml")
 	require.NoError(t, err)
 	require.Equal(t, want, got)
 	text, err := os.ReadFile("testdata/group.toml")
 	require.NoError(t, err)
-	require.Equal(t, string(text), want.Text())
+	require.Equal(t, string(text), want.TOML())
 }
 
 // TestShippedGroupFile guards what deploy/group.toml means.
@@ -29,8 +29,8 @@
 	got, err := LoadFile("../../deploy/group.toml")
 	require.NoError(t, err)
 	require.Equal(t, Config{
-		Name: "example", Self: "n0", Disk: "/var/lib/piernotch/n0.voter", LeaseDuration: 5 * time.Second, MaxClockDrift: 0.01,
+		Name: "example", Self: "n0", StorePath: "/var/lib/piernotch/n0.voter", LeaseDuration: 5 * time.Second, MaxClockDrift: 0.01,
 		Voters: []Voter{{Name: "n0", Address: "127.0.0.1:18700"}, {Name: "n1", Address: "127.0.0.1:18701"}, {Name: "n2", Address: "127.0.0.1:18702"}},
-		Duties: []string{}, Watch: "watch/addis",
+		Duties: []string{}, WatchDuty: "watch/addis",
 	}, got)
 }
--- a/internal/group/protocol/voter.go
+++ b/internal/group/protocol/voter.go
@@ -19,7 +19,7 @@
 // Announcement is what a voter tells the others of its store before it takes part. A store restored from an older
 // copy could vote twice in one term, or lack entries that it acknowledged; the others would notice here.
 type Announcement struct {
-	Starts      uint64 `cbor:"Starts"` // how often the store was opened, this time included
+	StartCount  uint64 `cbor:"Starts"` // how often the store was opened, this time included
 	Incarnation uint64 `cbor:"Run"`    // drawn at this start; tells two copies apart that were opened equally often
 	Term        uint64 `cbor:"Term"`   // as in raft's hard state
 	Vote        uint64 `cbor:"Vote"`   // the voter's vote in Term; 0: none
--- a/internal/group/shared_watch.go
+++ b/internal/group/shared_watch.go
@@ -28,12 +28,12 @@
 	Source      string `cbor:"1,keyasint"`           // discovery's address or common name: versions are comparable only within one
 	FromVersion uint64 `cbor:"2,keyasint,omitempty"` // the version that a change applies to; 0 for a complete list
 	ToVersion   uint64 `cbor:"3,keyasint"`           // the version after the event; equal to FromVersion in a heartbeat
-	Whole       bool   `cbor:"4,keyasint,omitempty"` // Body is a complete list
+	Complete    bool   `cbor:"4,keyasint,omitempty"` // Body is a complete list
 	Body        []byte `cbor:"5,keyasint,omitempty"` // the list or change in discovery's own form; nil in a heartbeat
 }
 
 // IsHeartbeat reports whether an event says only that the holder's watch is healthy.
-func (e *WatchEvent) IsHeartbeat() bool { return !e.Whole && e.FromVersion == e.ToVersion }
+func (e *WatchEvent) IsHeartbeat() bool { return !e.Complete && e.FromVersion == e.ToVersion }
 
 // Follows reports how an event relates to a known version of a source: whether it applies next
 // (apply), or shows that events before it were missed (missing). Both are false for an event of another
@@ -44,7 +44,7 @@
 	}
 	newer := e.ToVersion > version
 	switch {
-	case e.Whole:
+	case e.Complete:
 		return e.ToVersion >= version, false
 	case !newer:
 		return false, false
--- a/internal/group/transport/golden_test.go
+++ b/internal/group/transport/golden_test.go
@@ -23,7 +23,7 @@
 // program: every part with every field set, every kind of question, operation and error.
 func TestFramesGoldenFile(t *testing.T) {
 	accepted := true
-	event := &group.WatchEvent{Source: "127.0.0.1:18500", FromVersion: 6, ToVersion: 7, Whole: true, Body: []byte(`{"generation":7}`)}
+	event := &group.WatchEvent{Source: "127.0.0.1:18500", FromVersion: 6, ToVersion: 7, Complete: true, Body: []byte(`{"generation":7}`)}
 	voter := protocol.Voter{ID: 0x1122334455667701, Name: "n2", Address: "127.0.0.1:18702"}
 	command := lease.Command{
 		Op: lease.Transfer, Duty: "watch/addis", Process: lease.Process{Name: "n0", Incarnation: 21}, Token: 22, Successor: lease.Process{Name: "n1", Incarnation: 23},
@@ -32,7 +32,7 @@
 	frames := []Frame{
 		{Handshake: &Handshake{Magic: "piernotch-group", Version: 1, Group: "example", Name: "n0", ID: 0x1122334455667703, Bootstrapped: true}},
 		{Handshake: &Handshake{Magic: "piernotch-group", Version: 1, Group: "example", Name: "guest"}},
-		{VoterMessage: &VoterMessage{From: 1, To: 3, Announcement: &protocol.Announcement{Starts: 4, Incarnation: 5, Term: 6, Vote: 7, LastIndex: 8}, Accepted: &accepted, Raft: []byte{8, 9, 10}}},
+		{VoterMessage: &VoterMessage{From: 1, To: 3, Announcement: &protocol.Announcement{StartCount: 4, Incarnation: 5, Term: 6, Vote: 7, LastIndex: 8}, Accepted: &accepted, Raft: []byte{8, 9, 10}}},
 		{Request: &Request{Key: 31, Kind: protocol.Publish, Command: command, Voter: voter, Event: event}},
 		{Response: &Response{
 			Key: 32, Code: ErrorCodeOf(lease.ErrHeld), Grant: grant,
--- a/internal/group/transport/transport_test.go
+++ b/internal/group/transport/transport_test.go
@@ -15,7 +15,7 @@
 	accepted := true
 	for _, f := range []Frame{
 		{Handshake: &Handshake{Magic: magic, Version: 1, Group: "g", Name: "n", ID: 7, Bootstrapped: true}},
-		{VoterMessage: &VoterMessage{From: 1, To: 2, Announcement: &protocol.Announcement{Starts: 3}, Accepted: &accepted, Raft: []byte{1, 2}}},
+		{VoterMessage: &VoterMessage{From: 1, To: 2, Announcement: &protocol.Announcement{StartCount: 3}, Accepted: &accepted, Raft: []byte{1, 2}}},
 		{Request: &Request{Key: 9, Kind: protocol.Propose, Command: lease.Command{Op: lease.Transfer, Duty: "d", Token: 4, Successor: lease.Process{Name: "m", Incarnation: 5}}}},
 		{Response: &Response{Key: 9, Code: ErrorCodeOf(lease.ErrHeld), Grant: lease.Grant{Duty: "d", Token: 3}, Leader: "n1"}},
 	} {
--- a/internal/group/validate.go
+++ b/internal/group/validate.go
@@ -71,9 +71,9 @@
 
 func (c *Config) validateStore(v *validation) {
 	_, votes := c.Voter()
-	hasStore := c.Disk != ""
+	hasStore := c.StorePath != ""
 	if c.Self != "" && votes != hasStore {
-		v.addf("disk", "%q: a voter keeps a file, and only a voter does", c.Disk)
+		v.addf("disk", "%q: a voter keeps a file, and only a voter does", c.StorePath)
 	}
 }
 
@@ -87,11 +87,11 @@
 }
 
 func (c *Config) validateWatch(v *validation) {
-	if c.Watch != "" && !validName(c.Watch) {
-		v.addf("watch", "%q is no name", c.Watch)
+	if c.WatchDuty != "" && !validName(c.WatchDuty) {
+		v.addf("watch", "%q is no name", c.WatchDuty)
 	}
-	if c.Source != "" && (!validName(c.Source) || c.Watch == "") {
-		v.addf("source", "%q: a name is expected, and none without a watch", c.Source)
+	if c.DiscoveryName != "" && (!validName(c.DiscoveryName) || c.WatchDuty == "") {
+		v.addf("source", "%q: a name is expected, and none without a watch", c.DiscoveryName)
 	}
 }
 
--- a/internal/group/voter/connections.go
+++ b/internal/group/voter/connections.go
@@ -203,7 +203,7 @@
 			return
 		}
 	}
-	if err := v.machine.Receive(message); err != nil {
+	if err := v.machine.Step(message); err != nil {
 		slog.Warn("group: message rejected", "name", conn.Peer.Name, "err", err)
 	}
 }
--- a/internal/group/voter/loop.go
+++ b/internal/group/voter/loop.go
@@ -101,7 +101,7 @@
 	}
 	v.announceBootstrapped()
 	v.respondAll()
-	for _, duty := range v.machine.Freed() {
+	for _, duty := range v.machine.FreedDuties() {
 		v.notifyWaiters(duty)
 	}
 	return nil
--- a/internal/group/voter/store.go
+++ b/internal/group/voter/store.go
@@ -17,14 +17,14 @@
 // openStore opens the voter's file, in place of a corrupt one a new one, and starts the machine if the file is that
 // of a group's voter.
 func (v *Voter) openStore() error {
-	store, state, err := consensus.OpenStore(v.config.Disk, v.config.Name, v.config.Self)
+	store, state, err := consensus.OpenStore(v.config.StorePath, v.config.Name, v.config.Self)
 	if errors.Is(err, consensus.ErrCorrupt) {
-		quarantined, renameErr := consensus.Quarantine(v.config.Disk)
+		quarantined, renameErr := consensus.Quarantine(v.config.StorePath)
 		if renameErr != nil {
 			return errors.Join(err, renameErr)
 		}
 		slog.Error("group: voter file corrupt, quarantined", "err", err, "quarantined", quarantined)
-		store, state, err = consensus.OpenStore(v.config.Disk, v.config.Name, v.config.Self)
+		store, state, err = consensus.OpenStore(v.config.StorePath, v.config.Name, v.config.Self)
 	}
 	if err != nil {
 		return &StartError{Setting: "disk", Err: err}
@@ -58,7 +58,7 @@
 		ID:          identity.ID,
 		Incarnation: rand.Uint64(),
 		StartCount:  identity.StartCount,
-		Log:         state,
+		State:       state,
 		Timing:      lease.Timing{Duration: v.config.LeaseDuration, MaxClockDrift: v.config.MaxClockDrift},
 	})
 	return err
@@ -124,7 +124,7 @@
 // empty one.
 func (v *Voter) replaceStaleStore() {
 	_ = v.store.Close()
-	quarantined, err := consensus.Quarantine(v.config.Disk)
+	quarantined, err := consensus.Quarantine(v.config.StorePath)
 	slog.Error("group: voter file stale, quarantined", "quarantined", quarantined)
 	v.machine = nil
 	if err == nil {
--- a/internal/group/voter/voter_test.go
+++ b/internal/group/voter/voter_test.go
@@ -35,7 +35,7 @@
 		configs = append(configs, group.Config{
 			Name:          "g",
 			Self:          v.Name,
-			Disk:          filepath.Join(t.TempDir(), "voter"),
+			StorePath:     filepath.Join(t.TempDir(), "voter"),
 			LeaseDuration: 2 * time.Second,
 			MaxClockDrift: 0.01,
 			Voters:        voters,
@@ -54,7 +54,7 @@
 // startClient returns a client of the group that wants a duty.
 func startClient(c group.Config, name string, duty lease.Duty) *client.Client {
 	c.Self = name
-	c.Disk = ""
+	c.StorePath = ""
 	c.Duties = []string{string(duty)}
 	return client.Start(c, nil)
 }
@@ -96,10 +96,10 @@
 	require.Greater(t, second, first)
 
 	v2.Close()
-	require.NoError(t, os.WriteFile(configs[2].Disk, []byte("what is this"), 0o600))
+	require.NoError(t, os.WriteFile(configs[2].StorePath, []byte("what is this"), 0o600))
 	v2 = startVoter(t, configs[2])
 	defer v2.Close()
-	require.FileExists(t, configs[2].Disk+".aside-1")
+	require.FileExists(t, configs[2].StorePath+".aside-1")
 	require.Eventually(t, func() bool {
 		listed, err := b.List(ctx)
 		if err != nil || len(listed.Voters) != 3 {
--- a/internal/group/watch/event_log.go
+++ b/internal/group/watch/event_log.go
@@ -39,7 +39,7 @@
 	if len(e.Body) > MaxBodySize {
 		return ErrTooLarge
 	}
-	if e.Whole {
+	if e.Complete {
 		return l.replace(token, e)
 	}
 	follows := len(l.events) > 0 && e.Source == l.source && e.FromVersion == l.version
--- a/internal/group/watch/event_log_test.go
+++ b/internal/group/watch/event_log_test.go
@@ -18,14 +18,14 @@
 			e := group.WatchEvent{Source: "d", FromVersion: version, ToVersion: version + 1}
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				e.Whole, e.FromVersion = true, 0
+				e.Complete, e.FromVersion = true, 0
 			case 1:
 				e.FromVersion, e.ToVersion = version+3, version+4 // a change between was lost
 			case 2:
 				token++ // a new holder begins with a complete list
-				e.Whole, e.FromVersion = true, 0
+				e.Complete, e.FromVersion = true, 0
 			case 3: // the holder before publishes once more
-				err := log.Append(token-1, group.WatchEvent{Source: "d", Whole: true, ToVersion: version + 9})
+				err := log.Append(token-1, group.WatchEvent{Source: "d", Complete: true, ToVersion: version + 9})
 				if log.token == token {
 					require.ErrorIs(t, err, ErrStaleToken)
 				} else {
@@ -63,11 +63,11 @@
 		{group.WatchEvent{Source: "d", FromVersion: 5, ToVersion: 6}, true, false},
 		{group.WatchEvent{Source: "d", FromVersion: 6, ToVersion: 7}, false, true},
 		{group.WatchEvent{Source: "d", FromVersion: 4, ToVersion: 5}, false, false},
-		{group.WatchEvent{Source: "d", Whole: true, ToVersion: 4}, false, false},
-		{group.WatchEvent{Source: "d", Whole: true, ToVersion: 9}, true, false},
+		{group.WatchEvent{Source: "d", Complete: true, ToVersion: 4}, false, false},
+		{group.WatchEvent{Source: "d", Complete: true, ToVersion: 9}, true, false},
 		{group.WatchEvent{Source: "d", FromVersion: 9, ToVersion: 9}, false, true},
 		{group.WatchEvent{Source: "d", FromVersion: 5, ToVersion: 5}, false, false},
-		{group.WatchEvent{Source: "e", Whole: true, ToVersion: 9}, false, false},
+		{group.WatchEvent{Source: "e", Complete: true, ToVersion: 9}, false, false},
 	} {
 		apply, missing := c.event.Follows("d", 5)
 		require.Equal(t, c.apply, apply, c.event)
--- a/internal/lab/chaos/schedule.go
+++ b/internal/lab/chaos/schedule.go
@@ -114,7 +114,7 @@
 	flaps := s.Action == FlapLink
 	switch n := rng.IntN(5); {
 	case n < 2, flaps && n < 4:
-		s.Fault.Cut = faultproxy.Silent
+		s.Fault.Cut = faultproxy.Blackhole
 	case n == 2, flaps:
 		s.Fault.Cut = faultproxy.Reset
 		s.Directions = Both
--- a/internal/lab/chaos/step.go
+++ b/internal/lab/chaos/step.go
@@ -39,9 +39,9 @@
 func (ds Directions) Includes(d faultproxy.Direction) bool {
 	switch ds {
 	case OnlyToTarget:
-		return d == faultproxy.There
+		return d == faultproxy.ToTarget
 	case OnlyFromTarget:
-		return d == faultproxy.Back
+		return d == faultproxy.FromTarget
 	}
 	return ds == Both
 }
--- a/internal/lab/clustersim/checks.go
+++ b/internal/lab/clustersim/checks.go
@@ -14,8 +14,8 @@
 
 // violation records that the run broke a property.
 func (s *simulation) violation(format string, args ...any) {
-	if len(s.result.Broken) < maxViolations {
-		s.result.Broken = append(s.result.Broken, fmt.Sprintf("%.3f s: ", s.now.Seconds())+fmt.Sprintf(format, args...))
+	if len(s.result.Violations) < maxViolations {
+		s.result.Violations = append(s.result.Violations, fmt.Sprintf("%.3f s: ", s.now.Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
@@ -36,7 +36,7 @@
 // adds up how long nobody held the duty.
 func (s *simulation) checkExclusive(m *member, i int) {
 	if gap := s.now - s.lastHeld[duty(i)]; gap > 2*actInterval {
-		s.result.Unheld += gap.Seconds()
+		s.result.UnheldShare += gap.Seconds()
 	}
 	s.lastHeld[duty(i)] = s.now
 	for _, n := range s.members() {
@@ -82,9 +82,9 @@
 		}
 		s.result.Grants += len(s.actors[duty(i)])
 	}
-	s.result.Unheld /= s.size.Length.Seconds() * float64(s.size.Duties)
+	s.result.UnheldShare /= s.size.Duration.Seconds() * float64(s.size.Duties)
 	final := slices.DeleteFunc(slices.Clone(s.calls), func(c Call) bool { return !c.completed || !protocol.IsFinal(c.Err) })
-	s.result.Broken = append(s.result.Broken, CheckLinearizability(final)...)
+	s.result.Violations = append(s.result.Violations, CheckLinearizability(final)...)
 }
 
 // Span is how long a member held a duty under a token, as its acts or its checks of the lease show.
--- a/internal/lab/clustersim/fault.go
+++ b/internal/lab/clustersim/fault.go
@@ -10,7 +10,7 @@
 
 // Kinds of faults. Nodes are numbered: voters first, then members, then receivers.
 const (
-	Cut                 FaultKind = "cut"     // nothing gets from Node to Other
+	FaultCutLink        FaultKind = "cut"     // nothing gets from Node to Other
 	FaultIsolate        FaultKind = "isolate" // nothing gets from or to Node, or, with OneWay, only from it
 	FaultPartition      FaultKind = "split"   // Node, a voter, and every second member and receiver on one side, the rest on the other
 	FaultFlap           FaultKind = "flap"    // Node is isolated and connected again every 200 ms
@@ -29,18 +29,18 @@
 
 // Fault is one step of a schedule. Its JSON form is that of schedules in files.
 type Fault struct {
-	At     time.Duration `json:"At"`  // since the start, in true time
-	For    time.Duration `json:"For"` // how long it lasts
-	Kind   FaultKind     `json:"Kind"`
-	Node   int           `json:"Node"`
-	Other  int           `json:"Other"` // of a cut link; in a partition its parity chooses the members and receivers on Node's side
-	OneWay bool          `json:"OneWay"`
+	At       time.Duration `json:"At"`  // since the start, in true time
+	Duration time.Duration `json:"For"` // how long it lasts
+	Kind     FaultKind     `json:"Kind"`
+	Node     int           `json:"Node"`
+	Other    int           `json:"Other"` // of a cut link; in a partition its parity chooses the members and receivers on Node's side
+	OneWay   bool          `json:"OneWay"`
 }
 
 // String describes the fault for a person.
 func (f Fault) String() string {
-	s := fmt.Sprintf("%6.2f s for %.2f s: %s of node %d", f.At.Seconds(), f.For.Seconds(), f.Kind, f.Node)
-	if f.Kind == Cut {
+	s := fmt.Sprintf("%6.2f s for %.2f s: %s of node %d", f.At.Seconds(), f.Duration.Seconds(), f.Kind, f.Node)
+	if f.Kind == FaultCutLink {
 		s += fmt.Sprintf(" to node %d", f.Other)
 	}
 	if f.OneWay {
@@ -64,9 +64,9 @@
 	Members   int           `json:"Members"` // processes that acquire duties
 	Receivers int           `json:"Receivers"`
 	Duties    int           `json:"Duties"`
-	Length    time.Duration `json:"Length"` // of a run, QuietPeriod included
+	Duration  time.Duration `json:"Length"` // of a run, QuietPeriod included
 	Faults    int           `json:"Faults"`
 }
 
 // DefaultSize is the size of most campaigns.
-var DefaultSize = Size{Voters: 3, Members: 4, Receivers: 2, Duties: 2, Length: 60 * time.Second, Faults: 12}
+var DefaultSize = Size{Voters: 3, Members: 4, Receivers: 2, Duties: 2, Duration: 60 * time.Second, Faults: 12}
--- a/internal/lab/clustersim/injection.go
+++ b/internal/lab/clustersim/injection.go
@@ -12,9 +12,9 @@
 // inject begins a fault, and schedules its end.
 func (s *simulation) inject(f Fault) {
 	n := s.nodes[f.Node]
-	end := f.At + f.For
+	end := f.At + f.Duration
 	switch f.Kind {
-	case Cut, FaultIsolate, FaultPartition:
+	case FaultCutLink, FaultIsolate, FaultPartition:
 		links := s.linksOf(f)
 		s.cut(links)
 		s.at(end, func() { s.restore(links) })
@@ -51,7 +51,7 @@
 	switch {
 	case f.Kind == FaultPartition:
 		return s.linksAcross(f)
-	case f.Kind == Cut:
+	case f.Kind == FaultCutLink:
 		return []link{{node, nodeID(f.Other)}}
 	case f.OneWay:
 		return []link{{node, anyNode}}
--- a/internal/lab/clustersim/planted_test.go
+++ b/internal/lab/clustersim/planted_test.go
@@ -12,12 +12,12 @@
 
 // Each planted defect is found; the log says by which seed and after how long. Run it with -tags planted -v.
 func TestPlantedDefectsAreFound(t *testing.T) {
-	defer failpoint.Set("")
+	defer failpoint.Enable("")
 	for _, name := range Failpoints {
 		t.Run(name, func(t *testing.T) {
 			startedAt := time.Now()
 			for seed := range uint64(4000) {
-				failpoint.Set(name)
+				failpoint.Enable(name)
 				if violation := firstViolation(seed); violation != "" {
 					t.Logf("seed %d, %v: %s", seed, time.Since(startedAt).Round(time.Millisecond), violation)
 					return
@@ -36,8 +36,8 @@
 			violation = fmt.Sprint("a voter panicked: ", p)
 		}
 	}()
-	if r := Play(seed, DefaultSize); len(r.Broken) > 0 {
-		return r.Broken[0]
+	if r := Run(seed, DefaultSize); len(r.Violations) > 0 {
+		return r.Violations[0]
 	}
 	return ""
 }
--- a/internal/lab/clustersim/run.go
+++ b/internal/lab/clustersim/run.go
@@ -6,13 +6,13 @@
 	"math/rand/v2"
 )
 
-// Play plays the schedule that a seed draws. It must not be called from two goroutines at once.
-func Play(seed uint64, size Size) Result { return PlayFaults(seed, size, Draw(seed, size)) }
+// Run plays the schedule that a seed draws. It must not be called from two goroutines at once.
+func Run(seed uint64, size Size) Result { return RunSchedule(seed, size, GenerateSchedule(seed, size)) }
 
-// PlayFaults plays a seed with a schedule other than its own. It must not be called from two goroutines at
+// RunSchedule plays a seed with a schedule other than its own. It must not be called from two goroutines at
 // once either: raft draws its election timeouts from crypto/rand, whose reader is replaced for the whole
 // process during the run. Run seeds in parallel in separate processes.
-func PlayFaults(seed uint64, size Size, faults []Fault) Result {
+func RunSchedule(seed uint64, size Size, faults []Fault) Result {
 	var key [32]byte
 	binary.LittleEndian.PutUint64(key[:], seed)
 	original := crypto.Reader
--- a/internal/lab/clustersim/schedule.go
+++ b/internal/lab/clustersim/schedule.go
@@ -18,7 +18,7 @@
 // drawnKinds are the kinds of faults in a schedule. A kind that is listed more often is drawn more often. The
 // order is part of what a seed means.
 var drawnKinds = []FaultKind{
-	Cut, Cut,
+	FaultCutLink, FaultCutLink,
 	FaultIsolate, FaultIsolate,
 	FaultPartition, FaultPartition, FaultPartition,
 	FaultFlap,
@@ -43,11 +43,11 @@
 	diskReplacedFrom time.Duration // from then on the group has replaced the disks that were lost so far
 }
 
-// Draw returns the schedule of a seed, ordered by time. All faults are over when QuietPeriod begins.
+// GenerateSchedule returns the schedule of a seed, ordered by time. All faults are over when QuietPeriod begins.
 // Disks are lost or rolled back one at a time, and only after the group has had the time to replace those
 // lost before.
-func Draw(seed uint64, size Size) []Fault {
-	s := &scheduler{rng: rand.New(rand.NewPCG(seed, 0xfa17)), size: size, end: size.Length - QuietPeriod}
+func GenerateSchedule(seed uint64, size Size) []Fault {
+	s := &scheduler{rng: rand.New(rand.NewPCG(seed, 0xfa17)), size: size, end: size.Duration - QuietPeriod}
 	var faults []Fault
 	for range size.Faults {
 		faults = append(faults, s.draw())
@@ -60,9 +60,9 @@
 func (s *scheduler) draw() Fault {
 	var f Fault
 	f.Kind = drawnKinds[s.rng.IntN(len(drawnKinds))]
-	f.For = minFaultDuration + time.Duration(s.rng.ExpFloat64()*float64(meanFaultDuration))
-	f.For = min(f.For, s.end/2)
-	f.At = time.Duration(s.rng.Int64N(int64(s.end - f.For)))
+	f.Duration = minFaultDuration + time.Duration(s.rng.ExpFloat64()*float64(meanFaultDuration))
+	f.Duration = min(f.Duration, s.end/2)
+	f.At = time.Duration(s.rng.Int64N(int64(s.end - f.Duration)))
 	f.OneWay = s.rng.IntN(3) == 0
 	voter := s.rng.IntN(s.size.Voters)
 	member := s.size.Voters + s.rng.IntN(s.size.Members)
@@ -94,7 +94,7 @@
 // there is no time left for that.
 func (s *scheduler) delayDiskFault(f *Fault) {
 	at := max(f.At, s.diskReplacedFrom)
-	replacedFrom := at + f.For + replacementTime
+	replacedFrom := at + f.Duration + replacementTime
 	if replacedFrom > s.end {
 		f.Kind = FaultCrash
 		return
--- a/internal/lab/clustersim/simulation.go
+++ b/internal/lab/clustersim/simulation.go
@@ -20,16 +20,16 @@
 
 // Result is what came of one seed.
 type Result struct {
-	Seed   uint64   `json:"seed"`
-	Broken []string `json:"broken,omitempty"` // the violations, with the time of each
-	Faults []Fault  `json:"faults,omitempty"` // of a run with violations
-	Spans  []Span   `json:"-"`
-	Acts   int      `json:"acts"`   // that receivers did
-	Fenced int      `json:"fenced"` // acts that receivers rejected by their token
-	Calls  int      `json:"calls"`
-	Grants int      `json:"grants"` // tokens under which something was done
-	Unheld float64  `json:"unheld"` // the share of the time that a duty was held by nobody
-	Digest uint64   `json:"digest"` // of all acts
+	Seed        uint64   `json:"seed"`
+	Violations  []string `json:"broken,omitempty"` // the violations, with the time of each
+	Faults      []Fault  `json:"faults,omitempty"` // of a run with violations
+	Spans       []Span   `json:"-"`
+	Acts        int      `json:"acts"`   // that receivers did
+	Fenced      int      `json:"fenced"` // acts that receivers rejected by their token
+	Calls       int      `json:"calls"`
+	Grants      int      `json:"grants"` // tokens under which something was done
+	UnheldShare float64  `json:"unheld"` // the share of the time that a duty was held by nobody
+	Digest      uint64   `json:"digest"` // of all acts
 }
 
 // simulation is the state of one run. All of it is used from one goroutine.
@@ -101,14 +101,14 @@
 
 // runEvents plays events until the run's length is reached or something is violated.
 func (s *simulation) runEvents() {
-	for !s.events.empty() && s.now < s.size.Length && !s.violated() {
+	for !s.events.empty() && s.now < s.size.Duration && !s.violated() {
 		e := s.events.next()
 		s.now = e.at
 		e.do()
 	}
 }
 
-func (s *simulation) violated() bool { return len(s.result.Broken) > 0 }
+func (s *simulation) violated() bool { return len(s.result.Violations) > 0 }
 
 // at schedules something for a moment of true time.
 func (s *simulation) at(t time.Duration, do func()) { s.events.schedule(t, do) }
--- a/internal/lab/clustersim/timeline.go
+++ b/internal/lab/clustersim/timeline.go
@@ -23,9 +23,9 @@
 	textStyle   = "font-family:sans-serif;font-size:11px"
 )
 
-// Timeline draws an SVG of what went wrong when, and of who held which duty under which token. It sorts spans
+// DrawTimeline draws an SVG of what went wrong when, and of who held which duty under which token. It sorts spans
 // by their token.
-func Timeline(out io.Writer, title string, length time.Duration, faults []Fault, spans []Span) {
+func DrawTimeline(out io.Writer, title string, length time.Duration, faults []Fault, spans []Span) {
 	rows := spanRows(spans)
 	spansTop := headHeight + rowHeight*len(faults) + faultsGap
 	t := &timeline{canvas: svg.New(out), length: length, height: spansTop + rowHeight*len(rows) + footHeight}
@@ -82,7 +82,7 @@
 func (t *timeline) drawFaults(faults []Fault) {
 	for i, f := range faults {
 		y := headHeight + rowHeight*i
-		t.bar(f.At, f.At+f.For, y, "fill:#d9534f;fill-opacity:0.6")
+		t.bar(f.At, f.At+f.Duration, y, "fill:#d9534f;fill-opacity:0.6")
 		t.label(y, fmt.Sprintf("%s of %d", f.Kind, f.Node))
 	}
 }
--- a/internal/lab/clustersim/voter.go
+++ b/internal/lab/clustersim/voter.go
@@ -49,7 +49,7 @@
 		Incarnation: v.sim.rng.Uint64(),
 		StartCount:  v.disk.startCount,
 		Timing:      LeaseTiming,
-		Log:         v.disk.state,
+		State:       v.disk.state,
 	})
 	if err != nil {
 		v.sim.violation("%s does not start: %v", v.name, err)
@@ -194,7 +194,7 @@
 		if msg.To != v.disk.id { // this voter has got another identity meanwhile
 			return
 		}
-		if err := v.machine.Receive(msg); err != nil && !errors.Is(err, consensus.ErrStaleStore) {
+		if err := v.machine.Step(msg); err != nil && !errors.Is(err, consensus.ErrStaleStore) {
 			v.sim.violation("%s: %v", v.name, err)
 		}
 	})
@@ -212,7 +212,7 @@
 
 // sendResponses sends what the machine has answered, and notifies one member of each duty that came free.
 func (v *voter) sendResponses() {
-	for _, d := range v.machine.Freed() {
+	for _, d := range v.machine.FreedDuties() {
 		to := v.sim.nodes[v.sim.size.Voters+v.sim.rng.IntN(v.sim.size.Members)]
 		v.sim.send(v.id, to.id, func() { to.member.retryNow(d) })
 	}
--- a/internal/lab/clustertest/checks.go
+++ b/internal/lab/clustertest/checks.go
@@ -80,7 +80,7 @@
 		uses[a.Token] = use
 	}
 	if use.holder != holder {
-		h.result.Broken = append(h.result.Broken, fmt.Sprintf("token %d of %s was acted under by %s and %s", a.Token, a.Duty, use.holder, holder))
+		h.result.Violations = append(h.result.Violations, fmt.Sprintf("token %d of %s was acted under by %s and %s", a.Token, a.Duty, use.holder, holder))
 	}
 	use.first = min(use.first, a.CheckedAt)
 	use.last = max(use.last, a.CheckedAt)
@@ -97,7 +97,7 @@
 		h.checkUsesLocked(d, uses)
 	}
 	h.result.Calls = len(h.calls)
-	h.result.Broken = append(h.result.Broken, clustersim.CheckLinearizability(h.calls)...)
+	h.result.Violations = append(h.result.Violations, clustersim.CheckLinearizability(h.calls)...)
 }
 
 // checkUsesLocked checks that nobody acted under a token of the duty after someone acted under the next.
@@ -115,7 +115,7 @@
 		previousToken := tokens[i-1]
 		previous := uses[previousToken]
 		if previous.last >= use.first {
-			h.result.Broken = append(h.result.Broken, fmt.Sprintf("%s: %s looked under token %d up to %.3f s, and %s under %d from %.3f s",
+			h.result.Violations = append(h.result.Violations, fmt.Sprintf("%s: %s looked under token %d up to %.3f s, and %s under %d from %.3f s",
 				d, previous.holder, previousToken, h.sinceStart(previous.last).Seconds(), use.holder, token, h.sinceStart(use.first).Seconds()))
 		}
 		h.result.Gaps = append(h.result.Gaps, time.Duration(use.first-previous.last).Seconds())
--- a/internal/lab/clustertest/checks_test.go
+++ b/internal/lab/clustertest/checks_test.go
@@ -59,7 +59,7 @@
 		h.close()
 		require.Equal(t, c.acts, h.result.Acts, c.name)
 		require.Equal(t, c.rejected, h.result.Fenced, c.name)
-		require.Len(t, h.result.Broken, c.violations, "%s: %v", c.name, h.result.Broken)
+		require.Len(t, h.result.Violations, c.violations, "%s: %v", c.name, h.result.Violations)
 	}
 }
 
--- a/internal/lab/clustertest/failover.go
+++ b/internal/lab/clustertest/failover.go
@@ -18,25 +18,25 @@
 
 var errNoFailover = errors.New("nobody holds the duty for a minute")
 
-// Times are how long a duty was held by nobody, in seconds, from the signal that ended its holder to the
+// FailoverTimes are how long a duty was held by nobody, in seconds, from the signal that ended its holder to the
 // first act under the next token.
-type Times struct {
+type FailoverTimes struct {
 	Planned   []float64 `json:"planned_s"`   // SIGTERM
 	Unplanned []float64 `json:"unplanned_s"` // SIGKILL
 }
 
-// Measure ends the holder of one duty 2*times times, by SIGTERM and SIGKILL in turn, in a group of real
+// MeasureFailover ends the holder of one duty 2*times times, by SIGTERM and SIGKILL in turn, in a group of real
 // processes without other faults. With an error it returns what was measured before.
-func Measure(ctx context.Context, opts Options, times int) (Times, error) {
+func MeasureFailover(ctx context.Context, opts Options, times int) (FailoverTimes, error) {
 	opts.Size.Duties = 1
 	h := newHarness(opts)
 	defer h.close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // runs before close, whose end of the processes is then no violation
 	if err := h.start(ctx); err != nil {
-		return Times{}, err
+		return FailoverTimes{}, err
 	}
-	var measured Times
+	var measured FailoverTimes
 	for i := range 2 * times {
 		signal, results := syscall.SIGTERM, &measured.Planned
 		if i%2 == 1 {
@@ -51,7 +51,7 @@
 		}
 		sleep(ctx, rejoinPause)
 	}
-	if violations := h.snapshot().Broken; len(violations) > 0 {
+	if violations := h.snapshot().Violations; len(violations) > 0 {
 		return measured, errors.New(violations[0])
 	}
 	return measured, ctx.Err()
--- a/internal/lab/clustertest/harness.go
+++ b/internal/lab/clustertest/harness.go
@@ -29,17 +29,17 @@
 
 // Options say what is run.
 type Options struct {
-	Voter  string // the path of the voter's program
-	Holder string // the path of the holder's program: piernotch-lab, whose command "hold" is run
-	Seed   uint64
-	Size   clustersim.Size // Receivers is not used: the harness receives the acts
-	Dir    string          // an existing folder for configurations, stores and logs
+	VoterProgram  string // the path of the voter's program
+	HolderProgram string // the path of the holder's program: piernotch-lab, whose command "hold" is run
+	Seed          uint64
+	Size          clustersim.Size // Receivers is not used: the harness receives the acts
+	Dir           string          // an existing folder for configurations, stores and logs
 }
 
 // Result is what came of one seed.
 type Result struct {
 	Seed        uint64             `json:"seed"`
-	Broken      []string           `json:"broken,omitempty"` // the violations
+	Violations  []string           `json:"broken,omitempty"` // the violations
 	Faults      []clustersim.Fault `json:"faults,omitempty"` // of a run with violations
 	Spans       []clustersim.Span  `json:"-"`
 	Unsupported []string           `json:"left,omitempty"` // kinds of faults in the schedule that cannot be injected into processes
@@ -54,7 +54,7 @@
 // each process, which ends with the process, and one for each fault, which Run waits for.
 type harness struct {
 	opts      Options
-	proxies   *faultproxy.Net
+	proxies   *faultproxy.Network
 	rng       *rand.Rand // under mu
 	processes []*process // voters first, then holders: by the numbers of a schedule's nodes
 	listener  net.Listener
@@ -93,7 +93,7 @@
 		return h.snapshot(), err
 	}
 	h.beginSchedule()
-	faults := clustersim.Draw(opts.Seed, opts.Size)
+	faults := clustersim.GenerateSchedule(opts.Seed, opts.Size)
 	var injections sync.WaitGroup
 	for _, f := range faults {
 		injections.Go(func() {
@@ -103,12 +103,12 @@
 		})
 	}
 	injections.Wait()
-	sleep(ctx, opts.Size.Length-h.elapsed())
+	sleep(ctx, opts.Size.Duration-h.elapsed())
 	if ctx.Err() == nil {
 		h.checkEnd(ctx)
 	}
 	result := h.snapshot()
-	if len(result.Broken) > 0 {
+	if len(result.Violations) > 0 {
 		result.Faults = faults
 	}
 	return result, ctx.Err()
@@ -177,8 +177,8 @@
 func (h *harness) violation(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.result.Broken) < maxViolations {
-		h.result.Broken = append(h.result.Broken, fmt.Sprintf("%.3f s: ", h.elapsed().Seconds())+fmt.Sprintf(format, args...))
+	if len(h.result.Violations) < maxViolations {
+		h.result.Violations = append(h.result.Violations, fmt.Sprintf("%.3f s: ", h.elapsed().Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
--- a/internal/lab/clustertest/holder.go
+++ b/internal/lab/clustertest/holder.go
@@ -18,9 +18,9 @@
 	releasePatience = 500 * time.Millisecond // for releasing the duties at the end
 )
 
-// Act is the program of a holder: it acquires the duties of a group's file and acts under those that it
+// RunHolder is the program of a holder: it acquires the duties of a group's file and acts under those that it
 // holds, until ctx is done. harness is the TCP address that it reports to.
-func Act(ctx context.Context, file, harness string) error {
+func RunHolder(ctx context.Context, file, harness string) error {
 	cfg, err := group.LoadFile(file)
 	if err != nil {
 		return err
--- a/internal/lab/clustertest/injection.go
+++ b/internal/lab/clustertest/injection.go
@@ -23,7 +23,7 @@
 	}
 	p := h.processes[f.Node]
 	switch f.Kind {
-	case clustersim.Cut, clustersim.FaultIsolate, clustersim.FaultPartition, clustersim.FaultLossyNetwork:
+	case clustersim.FaultCutLink, clustersim.FaultIsolate, clustersim.FaultPartition, clustersim.FaultLossyNetwork:
 		h.breakLinks(f)
 		h.sleepUntilEnd(ctx, f)
 		h.restoreLinks(f)
@@ -51,18 +51,18 @@
 // are no such processes and links.
 func (h *harness) affectsReceiver(f clustersim.Fault) bool {
 	size := h.opts.Size
-	cutsOtherLink := f.Kind == clustersim.Cut && f.Other >= size.Voters
+	cutsOtherLink := f.Kind == clustersim.FaultCutLink && f.Other >= size.Voters
 	return f.Node >= size.Voters+size.Members || cutsOtherLink
 }
 
 func (h *harness) sleepUntilEnd(ctx context.Context, f clustersim.Fault) {
-	sleep(ctx, f.At+f.For-h.elapsed())
+	sleep(ctx, f.At+f.Duration-h.elapsed())
 }
 
 // flap breaks and restores the fault's links in turn until its end.
 func (h *harness) flap(ctx context.Context, f clustersim.Fault) {
 	broken := false
-	for h.elapsed() < f.At+f.For && sleep(ctx, flapInterval) {
+	for h.elapsed() < f.At+f.Duration && sleep(ctx, flapInterval) {
 		broken = !broken
 		if broken {
 			h.breakLinks(f)
--- a/internal/lab/clustertest/links.go
+++ b/internal/lab/clustertest/links.go
@@ -21,7 +21,7 @@
 		h.setLinks(f, faultproxy.Fault{Delay: lossyDelay, Jitter: lossyJitter})
 		return
 	}
-	h.setLinks(f, faultproxy.Fault{Cut: faultproxy.Silent})
+	h.setLinks(f, faultproxy.Fault{Cut: faultproxy.Blackhole})
 }
 
 // restoreLinks ends what breakLinks began.
@@ -32,13 +32,13 @@
 	bothWays := !f.OneWay || f.Kind == clustersim.FaultLossyNetwork || f.Kind == clustersim.FaultPartition
 	affected := func(name string) bool { return h.affectsLink(f, name) }
 	h.proxies.Each(affected, func(l *faultproxy.Link) {
-		fromNode := faultproxy.There // on a link that the node has opened
+		fromNode := faultproxy.ToTarget // on a link that the node has opened
 		if strings.HasSuffix(l.Name, linksTo(f.Node)) {
-			fromNode = faultproxy.Back
+			fromNode = faultproxy.FromTarget
 		}
-		for _, d := range []faultproxy.Direction{faultproxy.There, faultproxy.Back} {
+		for _, d := range []faultproxy.Direction{faultproxy.ToTarget, faultproxy.FromTarget} {
 			if bothWays || d == fromNode {
-				l.Set(d, state)
+				l.SetFault(d, state)
 			}
 		}
 	})
@@ -53,7 +53,7 @@
 	switch f.Kind {
 	case clustersim.FaultLossyNetwork:
 		return true
-	case clustersim.Cut:
+	case clustersim.FaultCutLink:
 		return name == linkName(f.Node, f.Other)
 	case clustersim.FaultPartition:
 		var from, to int
--- a/internal/lab/clustertest/links_test.go
+++ b/internal/lab/clustertest/links_test.go
@@ -22,7 +22,7 @@
 		fault clustersim.Fault
 		want  []string
 	}{
-		{clustersim.Fault{Kind: clustersim.Cut, Node: 3, Other: 1}, []string{"3>1"}},
+		{clustersim.Fault{Kind: clustersim.FaultCutLink, Node: 3, Other: 1}, []string{"3>1"}},
 		{clustersim.Fault{Kind: clustersim.FaultIsolate, Node: 1}, []string{"0>1", "1>0", "1>2", "2>1", "3>1", "4>1", "-1>1"}},
 		{clustersim.Fault{Kind: clustersim.FaultFlap, Node: 4}, []string{"4>0", "4>1", "4>2"}},
 		// Holder 3 is on the side of voter 0, holder 4 on the other.
--- a/internal/lab/clustertest/process.go
+++ b/internal/lab/clustertest/process.go
@@ -36,7 +36,7 @@
 func (h *harness) prepare() error {
 	var addresses []string
 	for range h.opts.Size.Voters {
-		a, err := faultproxy.Free()
+		a, err := faultproxy.FreeAddress()
 		if err != nil {
 			return err
 		}
@@ -66,15 +66,15 @@
 	file := filepath.Join(h.opts.Dir, p.name+"-group.toml")
 	if p.voter {
 		p.store = filepath.Join(h.opts.Dir, p.name+".voter")
-		cfg.Disk = p.store
-		p.command = []string{h.opts.Voter, "--group", file}
+		cfg.StorePath = p.store
+		p.command = []string{h.opts.VoterProgram, "--group", file}
 	} else {
 		for d := range h.opts.Size.Duties {
 			cfg.Duties = append(cfg.Duties, fmt.Sprintf("d%d", d))
 		}
-		p.command = []string{h.opts.Holder, "hold", file, h.listener.Addr().String()}
+		p.command = []string{h.opts.HolderProgram, "hold", file, h.listener.Addr().String()}
 	}
-	return p, os.WriteFile(file, []byte(cfg.Text()), 0o600)
+	return p, os.WriteFile(file, []byte(cfg.TOML()), 0o600)
 }
 
 // groupConfig returns the configuration of process i, and starts its proxies to the voters.
--- a/internal/lab/emulator/connection.go
+++ b/internal/lab/emulator/connection.go
@@ -36,13 +36,13 @@
 	cost := &s.spec.Kind.Conn
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	full := cost.Most > 0 && len(s.connections) >= cost.Most
+	full := cost.MaxConnections > 0 && len(s.connections) >= cost.MaxConnections
 	if full || s.incarnation != incarnation {
 		return false
 	}
 	s.connections[c] = struct{}{}
 	s.model.Charge(s.fleet.clock(), cost.Handshake)
-	s.model.SetTable(s.fleet.clock(), len(s.connections))
+	s.model.SetConnections(s.fleet.clock(), len(s.connections))
 	s.resetTimer()
 	return true
 }
@@ -52,7 +52,7 @@
 	s.mu.Lock()
 	if _, ok := s.connections[c]; ok {
 		delete(s.connections, c)
-		s.model.SetTable(s.fleet.clock(), len(s.connections))
+		s.model.SetConnections(s.fleet.clock(), len(s.connections))
 	}
 	s.mu.Unlock()
 	_ = c.Close()
--- a/internal/lab/emulator/exchange.go
+++ b/internal/lab/emulator/exchange.go
@@ -58,7 +58,7 @@
 		s.fleet.observer.AttemptCompleted(x.id, x.attempt, false)
 		reset(x.conn)
 		return false
-	case servermodel.Unheard:
+	case servermodel.NoResponse:
 		<-x.gone
 		s.fleet.observer.AttemptCompleted(x.id, x.attempt, false)
 		return false
@@ -81,7 +81,7 @@
 // answerProbe answers a health check or a call for the load report.
 func (s *server) answerProbe(x exchange, now time.Duration) bool {
 	s.mu.Lock()
-	s.model.Charge(now, s.spec.Kind.ProbeWork)
+	s.model.Charge(now, s.spec.Kind.HealthCheckWork)
 	state := s.model.State()
 	fields := s.loadHeaderLocked(now)
 	s.resetTimer()
@@ -121,13 +121,13 @@
 	job := s.parseJob(x.request, now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	cold := s.model.Cold(now)
+	cold := s.model.InSlowStart(now)
 	if cold {
 		s.fleet.observer.SlowStartWork(x.id, s.number, s.model.Started(), job.Work)
 	}
 	s.lastJob++
 	job.ID = s.lastJob
-	job.Luck = s.rng.Float64()
+	job.ErrorDraw = s.rng.Float64()
 	admission, lost := s.model.Arrive(now, job)
 	if cold && s.model.State() == servermodel.Collapsed {
 		s.fleet.observer.ServerCollapsed(s.number)
@@ -181,15 +181,15 @@
 		s.fleet.observer.AttemptExecuted(x.id, x.attempt)
 	}
 	fields := s.loadHeader(s.fleet.clock())
-	unrun := completion.Ending == servermodel.Expired
+	unrun := completion.Outcome == servermodel.Expired
 	s.fleet.observer.AttemptCompleted(x.id, x.attempt, unrun)
-	switch completion.Ending {
+	switch completion.Outcome {
 	case servermodel.Reset:
 		reset(x.conn)
 		return false
 	case servermodel.Expired:
 		return x.write(http.StatusGatewayTimeout, append(fields, notRun), nil)
-	case servermodel.Erred:
+	case servermodel.AnsweredError:
 		return x.write(http.StatusInternalServerError, fields, nil)
 	}
 	body := []byte(s.name + " " + x.id)
--- a/internal/lab/emulator/script.go
+++ b/internal/lab/emulator/script.go
@@ -72,7 +72,7 @@
 		s.withModel(func(m *servermodel.Server, now time.Duration) { m.SetPauses(now, step.Every, step.Length) })
 	case scenario.Choke:
 		s.withModel(func(m *servermodel.Server, now time.Duration) {
-			m.SetChoked(now)
+			m.SetOverloaded(now)
 			s.overloaded = true
 		})
 	case scenario.Drain:
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -110,7 +110,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.deliver(s.model.Advance(s.fleet.clock()))
-	s.overloaded = s.overloaded || s.model.Choked()
+	s.overloaded = s.overloaded || s.model.Overloaded()
 	s.resetTimer()
 }
 
--- a/internal/lab/experiment/chart_lines.go
+++ b/internal/lab/experiment/chart_lines.go
@@ -110,8 +110,8 @@
 	return band{s.name, xs, func(i int) []float64 {
 		var values []float64
 		for _, r := range s.runs {
-			if i < len(r.Seconds) && r.Seconds[i].Asked > 0 {
-				values = append(values, r.Seconds[i].Served/r.Seconds[i].Asked)
+			if i < len(r.Seconds) && r.Seconds[i].AskedWeight > 0 {
+				values = append(values, r.Seconds[i].ServedWeight/r.Seconds[i].AskedWeight)
 			}
 		}
 		return values
--- a/internal/lab/faultproxy/address.go
+++ b/internal/lab/faultproxy/address.go
@@ -19,9 +19,9 @@
 // lastGivenPort is the port that was tried last; 0 before the first.
 var lastGivenPort atomic.Int32
 
-// Free returns a host:port on loopback that nobody listens on. This process does not get it again until
+// FreeAddress returns a host:port on loopback that nobody listens on. This process does not get it again until
 // the whole range has been used. It may be called from any goroutine.
-func Free() (string, error) {
+func FreeAddress() (string, error) {
 	lastGivenPort.CompareAndSwap(0, int32(firstPort+rand.IntN(lastPort-firstPort)))
 	for range lastPort - firstPort {
 		address := fmt.Sprintf("127.0.0.1:%d", firstPort+(lastGivenPort.Add(1)-firstPort)%(lastPort-firstPort))
--- a/internal/lab/faultproxy/connection.go
+++ b/internal/lab/faultproxy/connection.go
@@ -25,13 +25,13 @@
 	closed := l.closed
 	target := l.target
 	l.connections[c] = struct{}{}
-	refuse := l.faults[There].Cut == Reset || l.faults[Back].Cut == Reset
+	refuse := l.faults[ToTarget].Cut == Reset || l.faults[FromTarget].Cut == Reset
 	l.mu.Unlock()
 	if closed || refuse {
 		l.reset(c)
 		return
 	}
-	if _, ok := l.waitUntilOpen(There); !ok {
+	if _, ok := l.waitUntilOpen(ToTarget); !ok {
 		l.end(c)
 		return
 	}
@@ -49,8 +49,8 @@
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { l.forward(c, There) })
-	both.Go(func() { l.forward(c, Back) })
+	both.Go(func() { l.forward(c, ToTarget) })
+	both.Go(func() { l.forward(c, FromTarget) })
 	both.Wait()
 	l.end(c)
 }
--- a/internal/lab/faultproxy/fault.go
+++ b/internal/lab/faultproxy/fault.go
@@ -7,9 +7,9 @@
 
 // Cuts.
 const (
-	Open   Cut = iota
-	Silent     // nothing arrives, and neither side is notified
-	Reset      // connections are reset, both the open ones and new ones
+	Open      Cut = iota
+	Blackhole     // nothing arrives, and neither side is notified
+	Reset         // connections are reset, both the open ones and new ones
 )
 
 // String returns the name of a cut.
@@ -29,8 +29,8 @@
 
 // Directions.
 const (
-	There Direction = iota // towards the target
-	Back                   // from it
+	ToTarget   Direction = iota // towards the target
+	FromTarget                  // from it
 )
 
 // retransmitLimit is how long a silent cut may last without breaking connections.
--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -79,8 +79,8 @@
 	require.NoError(t, err)
 	require.Equal(t, "one\n", got)
 
-	for _, d := range []Direction{There, Back} { // each way alone keeps the answer away, and loses nothing
-		l.Set(d, Fault{Cut: Silent})
+	for _, d := range []Direction{ToTarget, FromTarget} { // each way alone keeps the answer away, and loses nothing
+		l.SetFault(d, Fault{Cut: Blackhole})
 		_, err = c.exchange("held", short)
 		require.ErrorContains(t, err, "timeout")
 		half := dial(t, l)
@@ -95,21 +95,21 @@
 		require.Equal(t, "half-open\n", got)
 	}
 
-	l.Set(Back, Fault{Delay: 2 * short, Jitter: short})
+	l.SetFault(FromTarget, Fault{Delay: 2 * short, Jitter: short})
 	started := time.Now()
 	_, err = c.exchange("late", long)
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, time.Since(started), 2*short)
-	l.Set(Back, Fault{BytesPerSecond: 100})
+	l.SetFault(FromTarget, Fault{BytesPerSecond: 100})
 	started = time.Now()
 	_, err = c.exchange("0123456789012345678", long)
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, time.Since(started), 200*time.Millisecond)
 
-	l.Set(There, Fault{Cut: Reset})
+	l.SetFault(ToTarget, Fault{Cut: Reset})
 	_, err = c.receive(long)
 	require.ErrorContains(t, err, "reset")
-	require.False(t, l.Delivered(There))
+	require.False(t, l.Delivered(ToTarget))
 	if c, err := net.Dial("tcp", l.Address()); err == nil { // it may be reset at once
 		_, err = (&peer{c, bufio.NewReader(c)}).exchange("new", long)
 		require.Error(t, err)
@@ -117,7 +117,7 @@
 	l.Heal()
 	_, err = dial(t, l).exchange("well again", long)
 	require.NoError(t, err)
-	require.True(t, l.Delivered(There))
+	require.True(t, l.Delivered(ToTarget))
 }
 
 // A machine that was cut off for long is back with its connections reset.
@@ -129,10 +129,10 @@
 	c := dial(t, l)
 	_, err = c.exchange("one", long)
 	require.NoError(t, err)
-	l.Set(There, Fault{Cut: Silent})
+	l.SetFault(ToTarget, Fault{Cut: Blackhole})
 	_, _ = c.exchange("lost", short)
 	l.mu.Lock()
-	l.silentSince[There] = l.silentSince[There].Add(-retransmitLimit)
+	l.silentSince[ToTarget] = l.silentSince[ToTarget].Add(-retransmitLimit)
 	l.mu.Unlock()
 	l.Heal()
 	_, err = c.receive(long)
--- a/internal/lab/faultproxy/link.go
+++ b/internal/lab/faultproxy/link.go
@@ -29,12 +29,12 @@
 // Address returns the host:port at which the link accepts connections.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// Set replaces the fault of one direction. A reset, and the end of a silent cut that was longer than
+// SetFault replaces the fault of one direction. A reset, and the end of a silent cut that was longer than
 // retransmission goes on for, reset all open connections.
-func (l *Link) Set(d Direction, f Fault) {
+func (l *Link) SetFault(d Direction, f Fault) {
 	l.mu.Lock()
-	wasSilent := l.faults[d].Cut == Silent
-	silent := f.Cut == Silent
+	wasSilent := l.faults[d].Cut == Blackhole
+	silent := f.Cut == Blackhole
 	tooLong := wasSilent && !silent && time.Since(l.silentSince[d]) > retransmitLimit
 	if silent && !wasSilent {
 		l.silentSince[d] = time.Now()
@@ -56,8 +56,8 @@
 
 // Heal ends all faults of the link.
 func (l *Link) Heal() {
-	l.Set(There, Fault{})
-	l.Set(Back, Fault{})
+	l.SetFault(ToTarget, Fault{})
+	l.SetFault(FromTarget, Fault{})
 }
 
 // Delivered waits until what has been written to a direction by now has arrived, as far as the link's
@@ -85,7 +85,7 @@
 		switch {
 		case closed:
 			return f, false
-		case f.Cut != Silent:
+		case f.Cut != Blackhole:
 			return f, true
 		}
 		<-changed
--- a/internal/lab/faultproxy/network.go
+++ b/internal/lab/faultproxy/network.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Net holds links by name.
-type Net struct {
+// Network holds links by name.
+type Network struct {
 	seed   uint64
 	mu     sync.Mutex
 	links  map[string]*Link
@@ -17,12 +17,12 @@
 }
 
 // New returns a network without links. Each link draws its jitter from the seed and its own name.
-func New(seed uint64) *Net { return &Net{seed: seed, links: map[string]*Link{}} }
+func New(seed uint64) *Network { return &Network{seed: seed, links: map[string]*Link{}} }
 
 // Link returns the link of a name, and creates it if there is none. New connections go to the target, a
 // host:port address, from now on; open ones stay where they are. It fails with net.ErrClosed after
 // Close, or if no socket can be opened.
-func (n *Net) Link(name, target string) (*Link, error) {
+func (n *Network) Link(name, target string) (*Link, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if l := n.links[name]; l != nil {
@@ -49,7 +49,7 @@
 
 // Each calls f for every link whose name is selected, in no particular order. The network is not locked
 // meanwhile.
-func (n *Net) Each(selects func(name string) bool, f func(*Link)) {
+func (n *Network) Each(selects func(name string) bool, f func(*Link)) {
 	n.mu.Lock()
 	var selected []*Link
 	for name, l := range n.links {
@@ -64,7 +64,7 @@
 }
 
 // Close closes all links and their connections. No link can be created afterwards.
-func (n *Net) Close() {
+func (n *Network) Close() {
 	n.mu.Lock()
 	n.closed = true
 	n.mu.Unlock()
--- a/internal/lab/goodput/counter.go
+++ b/internal/lab/goodput/counter.go
@@ -27,18 +27,18 @@
 
 // Second is one second of the run, by when requests were first sent.
 type Second struct {
-	Asked  float64 `json:"asked"`  // weight of the requests
-	Served float64 `json:"served"` // weight that was earned
-	Tries  int     `json:"tries"`  // sendings of the requests that have ended
-	Refuse int     `json:"refused"`
-	Fail   int     `json:"failed"`
+	AskedWeight  float64 `json:"asked"`  // weight of the requests
+	ServedWeight float64 `json:"served"` // weight that was earned
+	Sends        int     `json:"tries"`  // sendings of the requests that have ended
+	Rejected     int     `json:"refused"`
+	Failed       int     `json:"failed"`
 }
 
-// Share is one class's service.
-type Share struct {
-	Name    string  `json:"name"`
-	Service float64 `json:"service"` // share of the class's weight
-	Asked   int     `json:"asked"`   // requests
+// ClassShare is one class's service.
+type ClassShare struct {
+	Name     string  `json:"name"`
+	Service  float64 `json:"service"` // share of the class's weight
+	Requests int     `json:"asked"`   // requests
 }
 
 // LatencyStep is a point of the distribution of latency.
@@ -49,10 +49,10 @@
 
 // Counter counts the requests of one run. It is for one goroutine at a time.
 type Counter struct {
-	Asked        int     // requests
-	Refused      int     // sendings that were rejected
+	Requests     int     // requests
+	Rejected     int     // sendings that were rejected
 	Failed       int     // sendings that failed
-	InAim        int     // requests served within their latency objective
+	InObjective  int     // requests served within their latency objective
 	AskedWork    float64 // ms
 	LateUnserved float64 // weight that ended unserved after its latency objective
 	Seconds      []Second
@@ -91,31 +91,31 @@
 	return d.Classes[class].PriorityWeight
 }
 
-// Ask counts a client's request when it is first sent; work is in ms.
-func (c *Counter) Ask(first time.Duration, class int, work float64) {
+// RequestSent counts a client's request when it is first sent; work is in ms.
+func (c *Counter) RequestSent(first time.Duration, class int, work float64) {
 	weight := Weight(c.day, class, work)
-	c.Asked++
+	c.Requests++
 	c.AskedWork += work
 	c.classes[class].asked += weight
 	c.classes[class].requests++
-	c.second(first).Asked += weight
+	c.second(first).AskedWeight += weight
 }
 
-// Ended counts a sending that was rejected or failed, by when its request was first sent.
-func (c *Counter) Ended(first time.Duration, rejected bool) {
+// SendingUnserved counts a sending that was rejected or failed, by when its request was first sent.
+func (c *Counter) SendingUnserved(first time.Duration, rejected bool) {
 	s := c.second(first)
 	if rejected {
-		c.Refused++
-		s.Refuse++
+		c.Rejected++
+		s.Rejected++
 		return
 	}
 	c.Failed++
-	s.Fail++
+	s.Failed++
 }
 
-// Finish counts a request that is over, took after its first sending and with so many sendings, and
+// RequestFinished counts a request that is over, took after its first sending and with so many sendings, and
 // returns the weight that it earned.
-func (c *Counter) Finish(first, took time.Duration, class int, work float64, sends int, served bool) float64 {
+func (c *Counter) RequestFinished(first, took time.Duration, class int, work float64, sends int, served bool) float64 {
 	settings := &c.day.Classes[class]
 	weight := Weight(c.day, class, work)
 	late := took > settings.LatencyObjective
@@ -128,15 +128,15 @@
 		if late {
 			earned *= settings.LateWeightShare
 		} else {
-			c.InAim++
+			c.InObjective++
 		}
 	case late:
 		c.LateUnserved += weight
 	}
 	c.classes[class].served += earned
 	s := c.second(first)
-	s.Served += earned
-	s.Tries += sends
+	s.ServedWeight += earned
+	s.Sends += sends
 	return earned
 }
 
--- a/internal/lab/goodput/counter_test.go
+++ b/internal/lab/goodput/counter_test.go
@@ -35,8 +35,8 @@
 		{time.Second + 1, false, 0, 1},
 	} {
 		counter := newTestCounter()
-		counter.Ask(0, 0, 10)
-		require.Equal(t, c.want, counter.Finish(0, c.took, 0, 10, 1, c.served))
+		counter.RequestSent(0, 0, 10)
+		require.Equal(t, c.want, counter.RequestFinished(0, c.took, 0, 10, 1, c.served))
 		require.Equal(t, c.late, counter.LateUnserved)
 	}
 }
@@ -44,8 +44,8 @@
 func TestPartsAreWholeWorstWindowAndWorstClass(t *testing.T) {
 	counter := newTestCounter()
 	finish := func(at time.Duration, class int, served bool) {
-		counter.Ask(at, class, 10)
-		counter.Finish(at, 500*time.Millisecond, class, 10, 1, served)
+		counter.RequestSent(at, class, 10)
+		counter.RequestFinished(at, 500*time.Millisecond, class, 10, 1, served)
 	}
 	finish(0, 0, true)
 	finish(time.Second, 0, true)
@@ -55,7 +55,7 @@
 	require.Equal(t, 5.0/8, parts.Whole)
 	require.Equal(t, 1.0/4, parts.WorstWindow)
 	require.Equal(t, 1.0/2, parts.WorstClass)
-	require.Equal(t, []Share{{"read", 1, 2}, {"write", 0.5, 2}, {"unused", 1, 0}}, parts.Classes)
+	require.Equal(t, []ClassShare{{"read", 1, 2}, {"write", 0.5, 2}, {"unused", 1, 0}}, parts.Classes)
 	require.InDelta(t, 0.5*5/8+0.25/4+0.25/2-0.01, parts.Service(counter.day.Score, 0.01), 1e-12)
 	require.Zero(t, parts.Service(counter.day.Score, 2))
 	require.InEpsilon(t, 500, counter.Percentile(50), 1e-3)
@@ -70,11 +70,11 @@
 
 func TestEndedSendingsCountForSecondOfFirst(t *testing.T) {
 	counter := newTestCounter()
-	counter.Ended(1500*time.Millisecond, true)
-	counter.Ended(1500*time.Millisecond, false)
-	counter.Ended(time.Minute, false)
-	require.Equal(t, Second{Refuse: 1, Fail: 1}, counter.Seconds[1])
-	require.Equal(t, Second{Fail: 1}, counter.Seconds[3])
-	require.Equal(t, 1, counter.Refused)
+	counter.SendingUnserved(1500*time.Millisecond, true)
+	counter.SendingUnserved(1500*time.Millisecond, false)
+	counter.SendingUnserved(time.Minute, false)
+	require.Equal(t, Second{Rejected: 1, Failed: 1}, counter.Seconds[1])
+	require.Equal(t, Second{Failed: 1}, counter.Seconds[3])
+	require.Equal(t, 1, counter.Rejected)
 	require.Equal(t, 2, counter.Failed)
 }
--- a/internal/lab/goodput/service.go
+++ b/internal/lab/goodput/service.go
@@ -15,7 +15,7 @@
 	WorstWindow float64 // least of any window
 	WorstClass  float64 // least of any class
 	LateFail    float64 // share of the weight that ended unserved after its latency objective
-	Classes     []Share
+	Classes     []ClassShare
 }
 
 // Parts returns the parts of what was counted so far. Where nothing was asked for, they are 1.
@@ -26,7 +26,7 @@
 		class := &c.classes[i]
 		asked += class.asked
 		served += class.served
-		share := Share{Name: c.day.Classes[i].Name, Asked: class.requests, Service: 1}
+		share := ClassShare{Name: c.day.Classes[i].Name, Requests: class.requests, Service: 1}
 		if class.asked > 0 { // a class without requests is not the worst one
 			share.Service = class.served / class.asked
 			p.WorstClass = min(p.WorstClass, share.Service)
@@ -53,11 +53,11 @@
 	worst := whole
 	asked, served := 0.0, 0.0
 	for i, s := range c.Seconds {
-		asked += s.Asked
-		served += s.Served
+		asked += s.AskedWeight
+		served += s.ServedWeight
 		if i >= n {
-			asked -= c.Seconds[i-n].Asked
-			served -= c.Seconds[i-n].Served
+			asked -= c.Seconds[i-n].AskedWeight
+			served -= c.Seconds[i-n].ServedWeight
 		}
 		if i >= n-1 && asked > epsilon {
 			worst = min(worst, max(served, 0)/asked)
--- a/internal/lab/invariants/checker_test.go
+++ b/internal/lab/invariants/checker_test.go
@@ -21,7 +21,7 @@
 // newTestChecker returns a Checker with one class of each kind and servers in zones of ten.
 func newTestChecker() *Checker {
 	return New(Limits{
-		Slack: 10 * ms, Grace: 100 * ms, FallFor: time.Second, MaxAttempts: 2,
+		Slack: 10 * ms, Grace: 100 * ms, CollapseWindow: time.Second, MaxAttempts: 2,
 		Classes: []piernotch.Class{
 			{Name: "read", RetrySafety: piernotch.Idempotent},
 			{Name: "write", RetrySafety: piernotch.NonIdempotent},
@@ -153,7 +153,7 @@
 		c.SlowStartWork(10*ms, 0, 3, 5*ms, 70)
 		c.SlowStartWork(20*ms, 1, 3, 5*ms, 30)
 		c.ServerCollapsed(20*ms, 3)
-		require.Equal(t, notified, c.Count(Cold) == 1)
+		require.Equal(t, notified, c.Count(SlowStart) == 1)
 	}
 }
 
--- a/internal/lab/invariants/rules.go
+++ b/internal/lab/invariants/rules.go
@@ -15,7 +15,7 @@
 	Lost Rule = iota
 	Repeated
 	Drain
-	Cold
+	SlowStart
 	ruleCount
 )
 
@@ -59,7 +59,7 @@
 type Limits struct {
 	Slack          time.Duration // a final answer may come so much later than the deadline
 	Grace          time.Duration // attempts may be sent for so long after a drain was notified
-	FallFor        time.Duration // window over which the work of a collapse is counted
+	CollapseWindow time.Duration // window over which the work of a collapse is counted
 	MaxAttempts    int
 	HedgedRequests bool // attempts of one request may overlap
 	Classes        []piernotch.Class
--- a/internal/lab/invariants/servers.go
+++ b/internal/lab/invariants/servers.go
@@ -50,7 +50,7 @@
 // process started at startedAt.
 func (c *Checker) SlowStartWork(at time.Duration, instance, server int, startedAt time.Duration, work float64) {
 	list := c.slowStartWork[int32(server)]
-	for len(list) > 0 && list[0].at <= at-c.limits.FallFor {
+	for len(list) > 0 && list[0].at <= at-c.limits.CollapseWindow {
 		list = list[1:]
 	}
 	notified := c.startedAt[instanceServer{int32(instance), int32(server)}] == startedAt
@@ -80,8 +80,8 @@
 		steps = append(steps, w.describe())
 	}
 	c.report(Violation{
-		Rule: Cold, At: at, Instance: last, Server: server, Steps: steps,
-		Message: fmt.Sprintf("pushed over by %.0f ms of work within %v, from %d balancers", total, c.limits.FallFor, len(instances)),
+		Rule: SlowStart, At: at, Instance: last, Server: server, Steps: steps,
+		Message: fmt.Sprintf("pushed over by %.0f ms of work within %v, from %d balancers", total, c.limits.CollapseWindow, len(instances)),
 	})
 }
 
--- a/internal/lab/load/clients.go
+++ b/internal/lab/load/clients.go
@@ -153,7 +153,7 @@
 func (c *Clients) countRequest(a *simulation.Arrival) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.goodput.Ask(a.At, a.Class, a.Work)
+	c.goodput.RequestSent(a.At, a.Class, a.Work)
 	_ = c.lateness.RecordValue(max(int64((c.Clock()-a.At)/time.Microsecond), 1)) // a minute late is out of range, and void anyway
 }
 
@@ -164,7 +164,7 @@
 	c.attempts++
 	c.outcomes[outcome]++
 	if outcome != Served {
-		c.goodput.Ended(a.At, outcome == Rejected)
+		c.goodput.SendingUnserved(a.At, outcome == Rejected)
 	}
 }
 
@@ -172,7 +172,7 @@
 func (c *Clients) countEnd(a *simulation.Arrival, attempts int, served bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.goodput.Finish(a.At, c.Clock()-a.At, a.Class, a.Work, attempts, served)
+	c.goodput.RequestFinished(a.At, c.Clock()-a.At, a.Class, a.Work, attempts, served)
 }
 
 // sleep waits for a time, or until the context ends.
--- a/internal/lab/loadtest/environment.go
+++ b/internal/lab/loadtest/environment.go
@@ -28,10 +28,10 @@
 	balancers   []*process
 	malformed   load.MalformedClients
 	handovers   *HandoverReport
-	background  sync.WaitGroup  // hand-overs and faults that are being played
-	proxies     *faultproxy.Net // nil: nothing stands between the processes
-	sharedWatch *sharedWatch    // nil: each balancer watches discovery itself
-	stopped     atomic.Bool     // the day is over
+	background  sync.WaitGroup      // hand-overs and faults that are being played
+	proxies     *faultproxy.Network // nil: nothing stands between the processes
+	sharedWatch *sharedWatch        // nil: each balancer watches discovery itself
+	stopped     atomic.Bool         // the day is over
 	mu          sync.Mutex
 	err         error // the first one; guarded by mu
 }
--- a/internal/lab/loadtest/faults.go
+++ b/internal/lab/loadtest/faults.go
@@ -58,7 +58,7 @@
 		return
 	}
 	go func() { // ends when the link heals, is reset or is closed
-		if l.Delivered(faultproxy.Back) {
+		if l.Delivered(faultproxy.FromTarget) {
 			e.observer.EndpointNotified(balancer, server, state, startedAt)
 		}
 	}()
@@ -115,12 +115,12 @@
 		selects = func(name string) bool { return strings.HasPrefix(name, serverLinkPrefix(s.Balancer)) }
 	}
 	e.proxies.Each(selects, func(l *faultproxy.Link) {
-		for _, d := range []faultproxy.Direction{faultproxy.There, faultproxy.Back} {
+		for _, d := range []faultproxy.Direction{faultproxy.ToTarget, faultproxy.FromTarget} {
 			fault := faultproxy.Fault{}
 			if faulty && s.Directions.Includes(d) {
 				fault = s.Fault
 			}
-			l.Set(d, fault)
+			l.SetFault(d, fault)
 		}
 	})
 }
--- a/internal/lab/loadtest/observer.go
+++ b/internal/lab/loadtest/observer.go
@@ -60,7 +60,7 @@
 // newObserver returns an observer of a day. Zone and cell return where a server is.
 func newObserver(day *scenario.Day, clock func() time.Duration, zone, cell func(server int) int) *observer {
 	limits := invariants.Limits{
-		Slack: day.Rules.Slack + socketTolerance, Grace: day.Rules.Grace + socketTolerance, FallFor: day.Rules.Fall.For,
+		Slack: day.Rules.Slack + socketTolerance, Grace: day.Rules.Grace + socketTolerance, CollapseWindow: day.Rules.Fall.For,
 		MaxAttempts: day.Settings.Limits.MaxAttempts, HedgedRequests: day.Settings.Limits.HedgedRequests, Zone: zone, Cell: cell,
 	}
 	for _, class := range day.Classes {
--- a/internal/lab/loadtest/process.go
+++ b/internal/lab/loadtest/process.go
@@ -74,7 +74,7 @@
 }
 
 func newProcess(opts Options, number int, day *scenario.Day) (*process, error) {
-	address, err := faultproxy.Free()
+	address, err := faultproxy.FreeAddress()
 	if err != nil {
 		return nil, err
 	}
@@ -89,10 +89,10 @@
 	set := day.Settings
 	set.Zone = p.zone
 	r := &day.Rules
-	settings, err := wire.Marshal(&set, wire.Extra{
-		Number: p.number, KeepAliveMS: wire.Milliseconds(r.KeepAlive), DialMS: wire.Milliseconds(r.Dial), SlackMS: wire.Milliseconds(r.Slack),
+	settings, err := wire.MarshalSettings(&set, wire.ExtraSettings{
+		Instance: p.number, KeepAliveMS: wire.Milliseconds(r.KeepAlive), DialMS: wire.Milliseconds(r.Dial), SlackMS: wire.Milliseconds(r.Slack),
 		GraceMS: wire.Milliseconds(r.Grace), FallMultiple: r.Fall.Multiple, FallMS: wire.Milliseconds(r.Fall.For),
-		MachineTypes: day.KindNames(), Columns: []string{"eps", "qps", "inflight"}, WorthBy: "work",
+		MachineTypes: day.KindNames(), Columns: []string{"eps", "qps", "inflight"}, WeightBy: "work",
 	})
 	if err != nil {
 		return err
@@ -128,7 +128,7 @@
 	if p.listener == nil {
 		return env, "", nil
 	}
-	adminAddress, err = faultproxy.Free()
+	adminAddress, err = faultproxy.FreeAddress()
 	return append(env, "ROUTER_LISTEN_FD=3", "TMPDIR="+p.listener.tempDir, "ROUTER_MANAGEMENT="+adminAddress), adminAddress, err
 }
 
--- a/internal/lab/loadtest/recovery.go
+++ b/internal/lab/loadtest/recovery.go
@@ -30,9 +30,9 @@
 	}
 	rejected, failed, attempts := 0, 0, 0
 	for _, second := range r.Seconds[at:] {
-		rejected += second.Refuse
-		failed += second.Fail
-		attempts += second.Tries
+		rejected += second.Rejected
+		failed += second.Failed
+		attempts += second.Sends
 	}
 	if attempts > 0 {
 		recovery.Rejected = float64(rejected) / float64(attempts)
@@ -46,8 +46,8 @@
 func servedShare(r, control *simulation.Result, from, to int) float64 {
 	got, want := 0.0, 0.0
 	for i := from; i < to; i++ {
-		got += r.Seconds[i].Served
-		want += control.Seconds[i].Served
+		got += r.Seconds[i].ServedWeight
+		want += control.Seconds[i].ServedWeight
 	}
 	if want == 0 {
 		return 1
--- a/internal/lab/loadtest/recovery_test.go
+++ b/internal/lab/loadtest/recovery_test.go
@@ -12,10 +12,10 @@
 func TestMeasureRecoveryComparesWithControl(t *testing.T) {
 	control, r := &simulation.Result{}, &simulation.Result{}
 	for i := range 30 {
-		control.Seconds = append(control.Seconds, goodput.Second{Asked: 10, Served: 8, Tries: 4})
-		r.Seconds = append(r.Seconds, goodput.Second{Asked: 10, Served: 8, Tries: 4})
+		control.Seconds = append(control.Seconds, goodput.Second{AskedWeight: 10, ServedWeight: 8, Sends: 4})
+		r.Seconds = append(r.Seconds, goodput.Second{AskedWeight: 10, ServedWeight: 8, Sends: 4})
 		if i >= 12 && i < 16 {
-			r.Seconds[i].Served, r.Seconds[i].Refuse = 2, 2
+			r.Seconds[i].ServedWeight, r.Seconds[i].Rejected = 2, 2
 		}
 	}
 	require.Equal(t, Recovery{Worst: 1, Served: 1}, MeasureRecovery(control, control, FaultTime))
--- a/internal/lab/loadtest/report.go
+++ b/internal/lab/loadtest/report.go
@@ -69,10 +69,10 @@
 	parts := t.Parts()
 	checker := e.observer.Finish()
 	result := simulation.Result{
-		Seed: e.day.Seed, Requests: t.Asked, Tries: counts.Attempts, Whole: parts.Whole, WorstWindow: parts.WorstWindow, WorstClass: parts.WorstClass,
+		Seed: e.day.Seed, Requests: t.Requests, Tries: counts.Attempts, Whole: parts.Whole, WorstWindow: parts.WorstWindow, WorstClass: parts.WorstClass,
 		Classes: parts.Classes, Seconds: t.Seconds, Latency: t.Latency(), WallS: e.clock().Seconds(),
 		Lost: checker.Count(invariants.Lost), Repeated: checker.Count(invariants.Repeated),
-		DrainBreaks: checker.Count(invariants.Drain), ColdFalls: checker.Count(invariants.Cold),
+		DrainBreaks: checker.Count(invariants.Drain), ColdFalls: checker.Count(invariants.SlowStart),
 		Breaks: checker.Violations(), DrainLatest: checker.DrainLatest().Seconds() * 1000,
 	}
 	if result.Latency != nil {
@@ -81,9 +81,9 @@
 		result.P99 = t.Percentile(99)
 		result.P999 = t.Percentile(99.9)
 	}
-	if n := float64(t.Asked); n > 0 {
-		result.ServedShare = float64(t.InAim) / n
-		result.RefusedRate = float64(t.Refused) / n
+	if n := float64(t.Requests); n > 0 {
+		result.ServedShare = float64(t.InObjective) / n
+		result.RefusedRate = float64(t.Rejected) / n
 		result.FailedRate = float64(t.Failed) / n
 	}
 	result.ChokedShare = float64(e.fleet.Overloaded()) / float64(max(e.fleet.Servers(), 1))
--- a/internal/lab/loadtest/sharedwatch.go
+++ b/internal/lab/loadtest/sharedwatch.go
@@ -52,7 +52,7 @@
 	s := &sharedWatch{balancers: balancers, notifications: map[endpointKey]int{}}
 	c := group.Config{Name: "rehearsal", LeaseDuration: sharedLeaseDuration, MaxClockDrift: sharedClockDrift}
 	for i := range sharedWatchVoters {
-		address, err := faultproxy.Free()
+		address, err := faultproxy.FreeAddress()
 		if err != nil {
 			return nil, err
 		}
@@ -61,7 +61,7 @@
 	for _, v := range c.Voters {
 		own := c
 		own.Self = v.Name
-		own.Disk = filepath.Join(opts.LogDir, v.Name+".voter")
+		own.StorePath = filepath.Join(opts.LogDir, v.Name+".voter")
 		if err := s.startVoter(opts, own); err != nil {
 			s.stop()
 			return nil, err
@@ -70,8 +70,8 @@
 	for i := range balancers {
 		own := c
 		own.Self = fmt.Sprintf("n%d", i)
-		own.Watch = "watch"
-		own.Source = "roster"
+		own.WatchDuty = "watch"
+		own.DiscoveryName = "roster"
 		file, err := writeGroupFile(opts, own)
 		if err != nil {
 			s.stop()
@@ -84,7 +84,7 @@
 
 // startVoter starts one voter on an empty disk.
 func (s *sharedWatch) startVoter(opts Options, c group.Config) error {
-	_ = os.Remove(c.Disk) // of an earlier run, if there is one
+	_ = os.Remove(c.StorePath) // of an earlier run, if there is one
 	file, err := writeGroupFile(opts, c)
 	if err != nil {
 		return err
@@ -106,7 +106,7 @@
 
 func writeGroupFile(opts Options, c group.Config) (string, error) {
 	name := filepath.Join(opts.LogDir, c.Self+"-group.toml")
-	return name, os.WriteFile(name, []byte(c.Text()), 0o600)
+	return name, os.WriteFile(name, []byte(c.TOML()), 0o600)
 }
 
 // stop kills the voters.
--- a/internal/lab/scenario/day.go
+++ b/internal/lab/scenario/day.go
@@ -278,11 +278,11 @@
 				IdleBelow: k.ChokeBelow.draw(rng), IdleFor: seconds(k.ChokeRestS.draw(rng)), MaxDuration: seconds(k.ChokeMostS.draw(rng)),
 			},
 			Keys: servermodel.Keys{WorkSaved: k.KeyGain.draw(rng), WarmFor: seconds(k.KeyS.draw(rng)), MaxKeys: int(k.KeysPerCore.draw(rng) * cores)},
-			Conn: servermodel.ConnectionCost{Handshake: k.HandshakeMS.draw(rng), Most: int(k.ConnPerCore.draw(rng) * cores), Tax: k.ConnTax.draw(rng)},
+			Conn: servermodel.ConnectionCost{Handshake: k.HandshakeMS.draw(rng), MaxConnections: int(k.ConnPerCore.draw(rng) * cores), Tax: k.ConnTax.draw(rng)},
 			Report: servermodel.ReportTiming{
 				Interval: millis(k.ReportEveryMS.draw(rng)), Delay: millis(k.ReportDelayMS.draw(rng)), Noise: k.ReportNoise.draw(rng),
 			},
-			Collapse: fall, ProbeWork: k.ProbeMS.draw(rng),
+			Collapse: fall, HealthCheckWork: k.ProbeMS.draw(rng),
 		},
 		speedCV: k.SpeedCV.draw(rng), rtts: int(math.Round(k.HandshakeRTTs.draw(rng))),
 	}
--- a/internal/lab/servermodel/kind.go
+++ b/internal/lab/servermodel/kind.go
@@ -46,7 +46,7 @@
 	Report   ReportTiming
 	Collapse Collapse
 
-	ProbeWork float64 // of a health check, ms
+	HealthCheckWork float64 // of a health check, ms
 }
 
 // Overload is what a long queue does: the server becomes slower and stays so after the cause has
@@ -69,9 +69,9 @@
 
 // ConnectionCost is what connections cost.
 type ConnectionCost struct {
-	Handshake float64 // work for a new one, ms
-	Most      int     // connections accepted; 0: unlimited
-	Tax       float64 // share of the capacity that a full table takes, less in proportion
+	Handshake      float64 // work for a new one, ms
+	MaxConnections int     // connections accepted; 0: unlimited
+	Tax            float64 // share of the capacity that a full table takes, less in proportion
 }
 
 // ReportTiming is when load reports are made and how exact they are.
--- a/internal/lab/servermodel/overload.go
+++ b/internal/lab/servermodel/overload.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// SetChoked puts the server into the slow state that overload leaves behind, as if its queue had been
+// SetOverloaded puts the server into the slow state that overload leaves behind, as if its queue had been
 // too long. It ends as it always does.
-func (s *Server) SetChoked(now time.Duration) {
+func (s *Server) SetOverloaded(now time.Duration) {
 	s.advanceClock(now)
 	if s.kind.Overload.QueuePerCore > 0 && s.state.running() {
 		s.beginOverload(now)
--- a/internal/lab/servermodel/queue.go
+++ b/internal/lab/servermodel/queue.go
@@ -4,11 +4,11 @@
 
 // Job is a request as the server sees it.
 type Job struct {
-	ID      uint64
-	Work    float64       // ms on a core of speed 1
-	Key     uint64        // for key affinity; 0: none
-	Expires time.Duration // nobody waits for it later than this; 0: unknown
-	Luck    float64       // a draw from [0, 1): below the error rate, the answer is an error
+	ID        uint64
+	Work      float64       // ms on a core of speed 1
+	Key       uint64        // for key affinity; 0: none
+	Expires   time.Duration // nobody waits for it later than this; 0: unknown
+	ErrorDraw float64       // a draw from [0, 1): below the error rate, the answer is an error
 }
 
 // Admission is what a server made of a job on arrival.
@@ -16,10 +16,10 @@
 
 // Admissions.
 const (
-	Accepted Admission = iota
-	Rejected           // the queue is full, or the server drains; it was never executed
-	Refused            // no process is there
-	Unheard            // there is no response
+	Accepted   Admission = iota
+	Rejected             // the queue is full, or the server drains; it was never executed
+	Refused              // no process is there
+	NoResponse           // there is no response
 )
 
 // Outcome is how an accepted job ended.
@@ -27,16 +27,16 @@
 
 // Outcomes.
 const (
-	Answered Outcome = iota
-	Erred            // answered with an error after execution
-	Expired          // dropped from the queue, never executed
-	Reset            // the process ended; it may have been executed
+	Answered      Outcome = iota
+	AnsweredError         // answered with an error after execution
+	Expired               // dropped from the queue, never executed
+	Reset                 // the process ended; it may have been executed
 )
 
 // Completion is the end of one job.
 type Completion struct {
 	ID       uint64
-	Ending   Outcome
+	Outcome  Outcome
 	Started  bool    // its execution had begun
 	WorkDone float64 // ms
 }
@@ -53,7 +53,7 @@
 	s.advanceClock(now)
 	switch s.state {
 	case Silent:
-		return Unheard, nil
+		return NoResponse, nil
 	case Down, Collapsed:
 		return Refused, nil
 	}
@@ -94,7 +94,7 @@
 		s.queue = s.queue[:copy(s.queue, s.queue[1:])]
 		expired := job.Expires > 0 && now >= job.Expires
 		if s.kind.DropExpired && expired {
-			s.completions = append(s.completions, Completion{ID: job.ID, Ending: Expired})
+			s.completions = append(s.completions, Completion{ID: job.ID, Outcome: Expired})
 			continue
 		}
 		s.startJob(now, job)
@@ -132,10 +132,10 @@
 func (s *Server) resetJobs() []Completion {
 	s.completions = s.completions[:0]
 	for _, job := range s.running {
-		s.completions = append(s.completions, Completion{ID: job.ID, Ending: Reset, Started: true, WorkDone: job.workDone})
+		s.completions = append(s.completions, Completion{ID: job.ID, Outcome: Reset, Started: true, WorkDone: job.workDone})
 	}
 	for _, job := range s.queue {
-		s.completions = append(s.completions, Completion{ID: job.ID, Ending: Reset})
+		s.completions = append(s.completions, Completion{ID: job.ID, Outcome: Reset})
 	}
 	s.running = s.running[:0]
 	s.queue = s.queue[:0]
--- a/internal/lab/servermodel/queue_test.go
+++ b/internal/lab/servermodel/queue_test.go
@@ -40,7 +40,7 @@
 		}
 		pass(next)
 		came[i] = now
-		entry, _ := s.Arrive(now, Job{ID: uint64(i), Work: work(), Luck: 1})
+		entry, _ := s.Arrive(now, Job{ID: uint64(i), Work: work(), ErrorDraw: 1})
 		require.Equal(t, Accepted, entry)
 		i++
 		next += time.Duration(rng.ExpFloat64() / perSec * 1e9)
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -129,8 +129,8 @@
 // Queued is how many requests are queued.
 func (s *Server) Queued() int { return len(s.queue) }
 
-// Choked reports whether the server is in the slow state that overload leaves behind.
-func (s *Server) Choked() bool { return s.overloaded }
+// Overloaded reports whether the server is in the slow state that overload leaves behind.
+func (s *Server) Overloaded() bool { return s.overloaded }
 
 // Busy is the share of about the last second in which the server worked.
 func (s *Server) Busy() float64 { return s.busy }
@@ -188,11 +188,11 @@
 	s.slowFactor = max(factor, 1)
 }
 
-// SetTable sets how many connections are open.
-func (s *Server) SetTable(now time.Duration, open int) {
-	if s.kind.Conn.Most > 0 && s.kind.Conn.Tax > 0 {
+// SetConnections sets how many connections are open.
+func (s *Server) SetConnections(now time.Duration, open int) {
+	if s.kind.Conn.MaxConnections > 0 && s.kind.Conn.Tax > 0 {
 		s.advanceClock(now)
-		s.connectionTax = s.kind.Conn.Tax * min(float64(open)/float64(s.kind.Conn.Most), 1)
+		s.connectionTax = s.kind.Conn.Tax * min(float64(open)/float64(s.kind.Conn.MaxConnections), 1)
 	}
 }
 
--- a/internal/lab/servermodel/server_test.go
+++ b/internal/lab/servermodel/server_test.go
@@ -34,24 +34,24 @@
 		require.Less(b.t, i, 100000, "the server is never idle")
 		now := b.s.Next()
 		for _, d := range b.s.Advance(now) {
-			b.end[d.ID], b.how[d.ID] = now, d.Ending
+			b.end[d.ID], b.how[d.ID] = now, d.Outcome
 		}
 	}
 	for _, d := range b.s.Advance(at) {
-		b.end[d.ID], b.how[d.ID] = at, d.Ending
+		b.end[d.ID], b.how[d.ID] = at, d.Outcome
 	}
 }
 
 func (b *testServer) job(at time.Duration, j Job) Admission {
 	b.until(at)
-	if j.Luck == 0 {
-		j.Luck = 1
+	if j.ErrorDraw == 0 {
+		j.ErrorDraw = 1
 	}
 	b.n++
 	j.ID = b.n
 	entry, lost := b.s.Arrive(at, j)
 	for _, d := range lost {
-		b.end[d.ID], b.how[d.ID] = at, d.Ending
+		b.end[d.ID], b.how[d.ID] = at, d.Outcome
 	}
 	return entry
 }
@@ -105,24 +105,24 @@
 		b.job(0, Job{Work: 400})
 	}
 	b.until(1900 * ms)
-	require.False(t, b.s.Choked())
+	require.False(t, b.s.Overloaded())
 	b.until(2100 * ms)
-	require.True(t, b.s.Choked(), "5 wait for 2 s")
+	require.True(t, b.s.Overloaded(), "5 wait for 2 s")
 	left := b.s.Held()
 	b.until(8 * time.Second)
 	require.Equal(t, left-5, b.s.Held(), "three times slower: 1.2 s each")
 	b.until(40 * time.Second)
 	require.Zero(t, b.s.Held())
-	require.False(t, b.s.Choked())
+	require.False(t, b.s.Overloaded())
 
 	b = newTestServer(t, Kind{Queue: 1000, Overload: overload}) // never idle: it ends all the same
 	for range 200 {
 		b.job(0, Job{Work: 400})
 	}
 	b.until(31 * time.Second)
-	require.True(t, b.s.Choked())
+	require.True(t, b.s.Overloaded())
 	b.until(33 * time.Second)
-	require.False(t, b.s.Choked())
+	require.False(t, b.s.Overloaded())
 }
 
 func TestShortBurstDoesNotOverload(t *testing.T) {
@@ -135,7 +135,7 @@
 		}
 	}
 	b.until(45 * time.Second)
-	require.False(t, b.s.Choked())
+	require.False(t, b.s.Overloaded())
 }
 
 func TestPausesStopWorkAndDoNotDependOnLoad(t *testing.T) {
@@ -186,8 +186,8 @@
 	b.until(201 * ms)
 	require.Len(t, b.end, 1)
 
-	b = newTestServer(t, Kind{Conn: ConnectionCost{Handshake: 30, Most: 10, Tax: 0.2}})
-	b.s.SetTable(0, 5)
+	b = newTestServer(t, Kind{Conn: ConnectionCost{Handshake: 30, MaxConnections: 10, Tax: 0.2}})
+	b.s.SetConnections(0, 5)
 	b.s.Charge(0, 30)
 	b.job(0, Job{Work: 60})
 	b.until(time.Second)
@@ -256,10 +256,10 @@
 
 func TestStatesOfServer(t *testing.T) {
 	b := newTestServer(t, Kind{Queue: 10, DropExpired: true, ErrorRate: 0.5})
-	b.job(0, Job{Work: 100, Luck: 0.2})
+	b.job(0, Job{Work: 100, ErrorDraw: 0.2})
 	b.job(0, Job{Work: 100, Expires: 80 * ms})
 	b.until(time.Second)
-	require.Equal(t, map[uint64]Outcome{1: Erred, 2: Expired}, b.how)
+	require.Equal(t, map[uint64]Outcome{1: AnsweredError, 2: Expired}, b.how)
 
 	b.job(time.Second, Job{Work: 1000})
 	b.s.Drain(1100 * ms)
@@ -276,7 +276,7 @@
 	b.s.Start(5 * time.Second)
 	b.job(5*time.Second, Job{Work: 1000})
 	require.Len(t, b.s.Vanish(5500*ms), 1)
-	require.Equal(t, Unheard, b.job(6*time.Second, Job{Work: 1}))
+	require.Equal(t, NoResponse, b.job(6*time.Second, Job{Work: 1}))
 	require.Equal(t, Never, b.s.Next())
 }
 
--- a/internal/lab/servermodel/slow_start.go
+++ b/internal/lab/servermodel/slow_start.go
@@ -27,8 +27,8 @@
 	return s.kind.SlowStartCapacity + (1-s.kind.SlowStartCapacity)*progress
 }
 
-// Cold reports whether the server is in slow start.
-func (s *Server) Cold(now time.Duration) bool {
+// InSlowStart reports whether the server is in slow start.
+func (s *Server) InSlowStart(now time.Duration) bool {
 	return s.state.running() && s.CapacityShare(now) < 1
 }
 
--- a/internal/lab/servermodel/work.go
+++ b/internal/lab/servermodel/work.go
@@ -88,11 +88,11 @@
 	job := &s.running[i]
 	outcome := Answered
 	s.reportAnswered++
-	if job.Luck < s.kind.ErrorRate {
-		outcome = Erred
+	if job.ErrorDraw < s.kind.ErrorRate {
+		outcome = AnsweredError
 		s.reportErrors++
 	}
-	s.completions = append(s.completions, Completion{ID: job.ID, Ending: outcome, Started: true, WorkDone: job.workDone})
+	s.completions = append(s.completions, Completion{ID: job.ID, Outcome: outcome, Started: true, WorkDone: job.workDone})
 	s.running = append(s.running[:i], s.running[i+1:]...)
 }
 
--- a/internal/lab/simulation/attempts.go
+++ b/internal/lab/simulation/attempts.go
@@ -119,12 +119,12 @@
 	if a.newConnection {
 		server.Charge(w.now, server.spec.Kind.Conn.Handshake)
 	}
-	slowStart := server.Cold(w.now)
+	slowStart := server.InSlowStart(w.now)
 	if slowStart {
 		w.checker.SlowStartWork(w.now, int(a.instance), int(a.server), server.Started(), a.work)
 	}
 	admission, lost := server.Arrive(w.now, servermodel.Job{
-		ID: attemptID, Work: a.work, Key: w.clientOf(r).key, Expires: r.deadline, Luck: w.randFor(a.randomKey, concernError).Float64(),
+		ID: attemptID, Work: a.work, Key: w.clientOf(r).key, Expires: r.deadline, ErrorDraw: w.randFor(a.randomKey, concernError).Float64(),
 	})
 	if server.State() == servermodel.Collapsed && slowStart {
 		w.checker.ServerCollapsed(w.now, int(a.server))
@@ -154,7 +154,7 @@
 			status = piernotch.Reset
 		}
 		w.planOutcome(attemptID, a, status, w.now+a.delay)
-	case servermodel.Unheard:
+	case servermodel.NoResponse:
 		if a.newConnection {
 			w.planOutcome(attemptID, a, piernotch.ConnectFailed, max(a.sentAt+w.day.Rules.Dial, w.now))
 		}
--- a/internal/lab/simulation/child_frames.go
+++ b/internal/lab/simulation/child_frames.go
@@ -23,7 +23,7 @@
 	instance := uint32(e.Instance)
 	switch e.Kind {
 	case EventStart:
-		settings, err := wire.Marshal(e.Settings, c.extraSettings(e.Instance))
+		settings, err := wire.MarshalSettings(e.Settings, c.extraSettings(e.Instance))
 		if err != nil {
 			return err
 		}
@@ -50,22 +50,22 @@
 }
 
 // extraSettings is what a start event holds beyond the module's settings.
-func (c *Child) extraSettings(instance int) wire.Extra {
+func (c *Child) extraSettings(instance int) wire.ExtraSettings {
 	rules := &c.day.Rules
-	extra := wire.Extra{
-		Number:       instance,
+	extra := wire.ExtraSettings{
+		Instance:     instance,
 		KeepAliveMS:  wire.Milliseconds(rules.KeepAlive),
 		DialMS:       wire.Milliseconds(rules.Dial),
 		SlackMS:      wire.Milliseconds(rules.Slack),
 		GraceMS:      wire.Milliseconds(rules.Grace),
 		FallMultiple: rules.Fall.Multiple,
 		FallMS:       wire.Milliseconds(rules.Fall.For),
-		WorthBy:      "request",
+		WeightBy:     "request",
 		Columns:      loadColumns,
 		MachineTypes: c.day.KindNames(),
 	}
 	if c.day.Score.ByWork {
-		extra.WorthBy = "work"
+		extra.WeightBy = "work"
 	}
 	return extra
 }
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -199,7 +199,7 @@
 		w.finishClientRequest(clientID, true)
 		return
 	}
-	w.counters.goodput.Ended(client.firstSent, answer == invariants.Rejected)
+	w.counters.goodput.SendingUnserved(client.firstSent, answer == invariants.Rejected)
 	neverExecuted := answer == invariants.Rejected || unreached
 	retryable := neverExecuted || w.mayRepeat(client, &w.day.Classes[client.class])
 	if !retryable || client.sends > client.maxRetries {
--- a/internal/lab/simulation/connections.go
+++ b/internal/lab/simulation/connections.go
@@ -24,7 +24,7 @@
 	}
 	a.newConnection = true
 	server := &w.servers[a.server]
-	if limit := server.spec.Kind.Conn.Most; limit > 0 && server.connections >= limit {
+	if limit := server.spec.Kind.Conn.MaxConnections; limit > 0 && server.connections >= limit {
 		w.counters.TableFull++
 		a.arrivesAt = never
 		w.planOutcome(attemptID, a, piernotch.ConnectFailed, w.now+w.day.Rules.Dial)
@@ -33,7 +33,7 @@
 	a.inTransit = true
 	pool.open++
 	server.connections++
-	server.SetTable(w.now, server.connections)
+	server.SetConnections(w.now, server.connections)
 	w.counters.Opened++
 	a.arrivesAt = w.now + a.delay + 2*time.Duration(server.spec.Handshake)*a.delay
 	w.events.plan(a.arrivesAt, priorityMessage, eventAttemptArrives, attemptID, 0)
@@ -77,7 +77,7 @@
 	if n != 0 {
 		m := &w.servers[server]
 		m.connections -= n
-		m.SetTable(w.now, m.connections)
+		m.SetConnections(w.now, m.connections)
 	}
 }
 
--- a/internal/lab/simulation/counters.go
+++ b/internal/lab/simulation/counters.go
@@ -57,7 +57,7 @@
 // finish counts a client's request that is over.
 func (c *counters) finish(w *World, client *clientRequest, served bool) {
 	took := w.now - client.firstSent
-	earned := c.goodput.Finish(client.firstSent, took, client.class, client.work, client.sends, served)
+	earned := c.goodput.RequestFinished(client.firstSent, took, client.class, client.work, client.sends, served)
 	c.digest = mix(c.digest^mix(client.randomKey^uint64(took)<<1)) + math.Float64bits(earned)
 }
 
@@ -105,9 +105,9 @@
 		server := &w.servers[track.Server]
 		state := uint8(server.State())
 		switch {
-		case server.State() == servermodel.Up && server.Choked():
+		case server.State() == servermodel.Up && server.Overloaded():
 			state = sampleOverloaded
-		case server.State() == servermodel.Up && server.Cold(w.now):
+		case server.State() == servermodel.Up && server.InSlowStart(w.now):
 			state = sampleSlowStart
 		}
 		track.Busy = append(track.Busy, float32(math.Round(1000*server.Busy())/1000))
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -55,7 +55,7 @@
 		w.servers[step.Server].SetPauses(w.now, step.Every, step.Length)
 		w.scheduleServer(step.Server)
 	case scenario.Choke:
-		w.servers[step.Server].SetChoked(w.now)
+		w.servers[step.Server].SetOverloaded(w.now)
 		w.servers[step.Server].everOverloaded = true
 		w.scheduleServer(step.Server)
 	case scenario.Drain:
--- a/internal/lab/simulation/health_checks.go
+++ b/internal/lab/simulation/health_checks.go
@@ -31,7 +31,7 @@
 	back := w.now + check.delay
 	switch server.State() {
 	case servermodel.Up:
-		server.Charge(w.now, server.spec.Kind.ProbeWork)
+		server.Charge(w.now, server.spec.Kind.HealthCheckWork)
 		check.load, check.hasLoad = server.Report(w.now, w.reportDelay)
 	case servermodel.Draining:
 		check.status = piernotch.Full
--- a/internal/lab/simulation/in_process.go
+++ b/internal/lab/simulation/in_process.go
@@ -70,7 +70,7 @@
 	case EventRequest:
 		b.HandleRequest(p.now, e.Request)
 	case EventClientGone:
-		b.ClientGone(p.now, e.ID)
+		b.ClientDisconnected(p.now, e.ID)
 	case EventAttemptCompleted:
 		b.HandleOutcome(p.now, e.Outcome)
 	case EventHealthCheckCompleted:
--- a/internal/lab/simulation/invariants_test.go
+++ b/internal/lab/simulation/invariants_test.go
@@ -174,7 +174,7 @@
 		return actions
 	})
 	require.Positive(t, r.ColdFalls)
-	requireViolation(t, r, invariants.Cold, "pushed over by")
+	requireViolation(t, r, invariants.SlowStart, "pushed over by")
 }
 
 func TestModuleKeepsAllRulesInRestartStorm(t *testing.T) {
--- a/internal/lab/simulation/result.go
+++ b/internal/lab/simulation/result.go
@@ -62,7 +62,7 @@
 // Parts of a result that are counted alike in simulated time and on real sockets.
 type (
 	// Share is the service of one class.
-	Share = goodput.Share
+	Share = goodput.ClassShare
 	// Second is one second of the run.
 	Second = goodput.Second
 	// LatencyStep is one point of the distribution of latency.
@@ -104,7 +104,7 @@
 	c.advance(w.now)
 	parts := goodput.Parts()
 	r := &Result{
-		Seed: w.day.Seed, Requests: goodput.Asked, Tries: c.Requests, Attempts: c.Attempts, Events: c.Events, Digest: c.digest,
+		Seed: w.day.Seed, Requests: goodput.Requests, Tries: c.Requests, Attempts: c.Attempts, Events: c.Events, Digest: c.digest,
 		Falls: c.Collapses, Whole: parts.Whole, WorstWindow: parts.WorstWindow, WorstClass: parts.WorstClass, Classes: parts.Classes,
 		WallS: wall.Seconds(), ModuleS: c.ModuleTime.Seconds(), Seconds: goodput.Seconds, Servers: c.tracks,
 		Handshakes: c.Opened, ListFailed: c.ListFailed, Ended: map[string]int{},
@@ -136,7 +136,7 @@
 	r.Lost = w.checker.Count(invariants.Lost)
 	r.Repeated = w.checker.Count(invariants.Repeated)
 	r.DrainBreaks = w.checker.Count(invariants.Drain)
-	r.ColdFalls = w.checker.Count(invariants.Cold)
+	r.ColdFalls = w.checker.Count(invariants.SlowStart)
 	r.Breaks = w.checker.Violations()
 	r.DrainLatest = float64(w.checker.DrainLatest()/time.Microsecond) / 1000
 	for i := range w.servers {
@@ -154,9 +154,9 @@
 			overloaded++
 		}
 	}
-	requests := float64(goodput.Asked)
-	r.ServedShare = quotient(float64(goodput.InAim), requests)
-	r.RefusedRate = quotient(float64(goodput.Refused), requests)
+	requests := float64(goodput.Requests)
+	r.ServedShare = quotient(float64(goodput.InObjective), requests)
+	r.RefusedRate = quotient(float64(goodput.Rejected), requests)
 	r.FailedRate = quotient(float64(goodput.Failed), requests)
 	r.WasteRate = quotient(max(workDone-c.ServedWork, 0), goodput.AskedWork)
 	r.CrossRate = quotient(float64(c.CrossZone), requests)
--- a/internal/lab/simulation/servers.go
+++ b/internal/lab/simulation/servers.go
@@ -24,7 +24,7 @@
 	}
 	server.nextAdvance = servermodel.Never
 	w.serverCompleted(int32(s), server.Advance(w.now))
-	server.everOverloaded = server.everOverloaded || server.Choked()
+	server.everOverloaded = server.everOverloaded || server.Overloaded()
 	w.scheduleServer(s)
 }
 
@@ -53,11 +53,11 @@
 func (w *World) respond(s int32, a *attempt, c servermodel.Completion) {
 	a.load, a.hasLoad = w.servers[s].Report(w.now, w.reportDelay)
 	status := piernotch.OK
-	if c.Ending == servermodel.Answered && w.randFor(a.randomKey, concernCorrupt).Float64() < w.corruptShare {
-		c.Ending = servermodel.Erred
+	if c.Outcome == servermodel.Answered && w.randFor(a.randomKey, concernCorrupt).Float64() < w.corruptShare {
+		c.Outcome = servermodel.AnsweredError
 	}
-	switch c.Ending {
-	case servermodel.Erred:
+	switch c.Outcome {
+	case servermodel.AnsweredError:
 		status = piernotch.Error
 	case servermodel.Expired:
 		status = piernotch.Full
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -53,7 +53,7 @@
 	require.NotEqual(t, a.Digest, b.Digest, "the decisions differ")
 	require.Equal(t, a.Requests, b.Requests)
 	for i := range a.Seconds {
-		require.Equal(t, a.Seconds[i].Asked, b.Seconds[i].Asked, "second %d", i)
+		require.Equal(t, a.Seconds[i].AskedWeight, b.Seconds[i].AskedWeight, "second %d", i)
 	}
 }
 
@@ -95,9 +95,9 @@
 	require.NoError(t, err)
 	tl := goodput.New(d)
 	for _, a := range list {
-		tl.Ask(a.At, a.Class, a.Work)
+		tl.RequestSent(a.At, a.Class, a.Work)
 	}
 	for i := range tl.Seconds {
-		require.InDelta(t, r.Seconds[i].Asked, tl.Seconds[i].Asked, 1e-6)
+		require.InDelta(t, r.Seconds[i].AskedWeight, tl.Seconds[i].AskedWeight, 1e-6)
 	}
 }
--- a/internal/lab/simulation/trace_overload_test.go
+++ b/internal/lab/simulation/trace_overload_test.go
@@ -82,7 +82,7 @@
 	served := func(r *Result, from, to int) float64 {
 		asked, got := 0.0, 0.0
 		for _, s := range r.Seconds[from:to] {
-			asked, got = asked+s.Asked, got+s.Served
+			asked, got = asked+s.AskedWeight, got+s.ServedWeight
 		}
 		return got / asked
 	}
--- a/internal/lab/simulation/trace_replay_test.go
+++ b/internal/lab/simulation/trace_replay_test.go
@@ -25,7 +25,7 @@
 	require.Greater(t, r.Service, 0.9)
 	require.Zero(t, r.Broken())
 	for i := range 8 {
-		require.InDelta(t, 50*30*6.5, r.Seconds[i].Asked, 1, "25 of each class a second")
+		require.InDelta(t, 50*30*6.5, r.Seconds[i].AskedWeight, 1, "25 of each class a second")
 	}
 	s, err := scenario.Load("quiet")
 	require.NoError(t, err)
--- a/internal/lab/simulation/traffic.go
+++ b/internal/lab/simulation/traffic.go
@@ -128,7 +128,7 @@
 	w.lastClientRequest++
 	client := w.clientRequests.Put(w.lastClientRequest)
 	t.drawRequest(w, client)
-	w.counters.goodput.Ask(client.firstSent, client.class, client.work)
+	w.counters.goodput.RequestSent(client.firstSent, client.class, client.work)
 	w.sendRequest(w.lastClientRequest)
 	t.planNext(w)
 }
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -97,7 +97,7 @@
 	out := invariants.Limits{
 		Slack:          rules.Slack + w.day.Tick,
 		Grace:          rules.Grace,
-		FallFor:        rules.Fall.For,
+		CollapseWindow: rules.Fall.For,
 		MaxAttempts:    limits.MaxAttempts,
 		HedgedRequests: limits.HedgedRequests,
 		Zone:           func(i int) int { return w.servers[i].spec.Zone },
--- a/internal/serve/config/platform.go
+++ b/internal/serve/config/platform.go
@@ -176,13 +176,13 @@
 // errors name their keys.
 func (c *Config) readSettings(data []byte) error {
 	var err error
-	if c.Settings, err = wire.Settings(data); err != nil {
+	if c.Settings, err = wire.ParseSettings(data); err != nil {
 		return err
 	}
 	if err := c.Settings.Validate(); err != nil {
 		return err
 	}
-	c.KeepAlive, c.DialTimeout, err = wire.Connections(data)
+	c.KeepAlive, c.DialTimeout, err = wire.ParseConnections(data)
 	return err
 }
 
--- a/internal/serve/core/attempts_test.go
+++ b/internal/serve/core/attempts_test.go
@@ -21,7 +21,7 @@
 	effects := c.Handle(start, AttemptConnected{attempt.Ref})
 	require.Contains(t, effects, CancelAttempt{attempt.Ref})
 	require.NotContains(t, effects, WriteAttempt{attempt.Ref})
-	require.Contains(t, effects, Respond{Client: 1, Result: Rejected}, "it is known that it never ran")
+	require.Contains(t, effects, Respond{Exchange: 1, Result: Rejected}, "it is known that it never ran")
 }
 
 // An attempt that waited for its connection while its backend was excluded must not be sent. The
@@ -64,7 +64,7 @@
 		limits := piernotch.Limits{MaxAttempts: 2, CancelAttempts: cancel}
 		c, now := newCoreWithHistory(t, newClass("c", piernotch.Idempotent), limits)
 		attempt := startRequest(c, now, 1)
-		require.Contains(t, c.Handle(now, ClientGone{1}), CancelAttempt{attempt.Ref})
+		require.Contains(t, c.Handle(now, ClientDisconnected{1}), CancelAttempt{attempt.Ref})
 		require.NotContains(t, c.Handle(now, AttemptConnected{attempt.Ref}), WriteAttempt{attempt.Ref})
 		require.Empty(t, c.requests)
 	}
--- a/internal/serve/core/core.go
+++ b/internal/serve/core/core.go
@@ -99,7 +99,7 @@
 	switch ev := ev.(type) {
 	case RequestReceived:
 		c.handleRequestReceived(ev)
-	case ClientGone:
+	case ClientDisconnected:
 		c.handleClientDisconnected(ev)
 	case AttemptConnected:
 		c.handleAttemptConnected(ev)
--- a/internal/serve/core/core_test.go
+++ b/internal/serve/core/core_test.go
@@ -68,13 +68,13 @@
 
 // receive has a request without an ID arrive at the start and returns the effects.
 func receive(c *Core, exchange ExchangeID) []Effect {
-	return slices.Clone(c.Handle(start, RequestReceived{Client: exchange, Deadline: start + 2*time.Second}))
+	return slices.Clone(c.Handle(start, RequestReceived{Exchange: exchange, Deadline: start + 2*time.Second}))
 }
 
 // startRequest has a request arrive at now and returns its first attempt.
 func startRequest(c *Core, now time.Duration, exchange ExchangeID) StartAttempt {
 	effects := c.Handle(now, RequestReceived{
-		Client: exchange, ID: fmt.Sprint(exchange), Hint: 1, Deadline: now + 2*time.Second,
+		Exchange: exchange, ID: fmt.Sprint(exchange), CostHint: 1, Deadline: now + 2*time.Second,
 	})
 	return effects[0].(StartAttempt)
 }
--- a/internal/serve/core/doc.go
+++ b/internal/serve/core/doc.go
@@ -19,7 +19,7 @@
 // # Life of a request
 //
 // A [RequestReceived] event opens an exchange, which is closed by exactly one [Respond] effect, or
-// by [ClientGone] without one. In between the module starts attempts. For each attempt there is a
+// by [ClientDisconnected] without one. In between the module starts attempts. For each attempt there is a
 // [StartAttempt] effect; once [AttemptConnected] reports a connection, the module is asked again
 // whether the attempt may still be sent, and only then [WriteAttempt] follows. An attempt ends with
 // [AttemptCompleted], by its timeout, or by [CancelAttempt]. A request is released when it has been
--- a/internal/serve/core/effects.go
+++ b/internal/serve/core/effects.go
@@ -25,7 +25,7 @@
 	CancelAttempt struct{ Ref AttemptRef }
 	// Respond is the final response of an exchange.
 	Respond struct {
-		Client     ExchangeID
+		Exchange   ExchangeID
 		Result     Result
 		Answer     any              // if Result is Served
 		LastStatus piernotch.Status // if Result is Failed: how the last attempt ended
--- a/internal/serve/core/endpoints.go
+++ b/internal/serve/core/endpoints.go
@@ -131,8 +131,8 @@
 	return gone
 }
 
-// ProbeTimeout is how long a backend may take to answer a health check.
-const ProbeTimeout = 500 * time.Millisecond
+// HealthCheckTimeout is how long a backend may take to answer a health check.
+const HealthCheckTimeout = 500 * time.Millisecond
 
 // startHealthCheck checks a backend, unless a check of it is running.
 func (c *Core) startHealthCheck(b *backend) {
@@ -140,7 +140,7 @@
 		return
 	}
 	id := b.id
-	c.healthChecks[id] = c.timers.At(c.now+ProbeTimeout+2*TickInterval, func() {
+	c.healthChecks[id] = c.timers.At(c.now+HealthCheckTimeout+2*TickInterval, func() {
 		delete(c.healthChecks, id)
 		c.balancer.HealthCheckCompleted(c.now, id, piernotch.Timeout)
 	})
--- a/internal/serve/core/events.go
+++ b/internal/serve/core/events.go
@@ -39,17 +39,17 @@
 	// RequestReceived reports a client's request. It obliges the core to send exactly one final
 	// response, unless the client leaves first.
 	RequestReceived struct {
-		Client   ExchangeID
+		Exchange ExchangeID
 		ID       string // the client's identifier of the request, unique while it is open; may be empty
 		Message  any
 		Class    int           // index into the settings' classes
 		Tenant   int           // index into the settings' tenants; -1: none of them
 		Key      uint64        // what the request is about, for key affinity; 0: nothing
-		Hint     float64       // expected work in milliseconds; NaN: unknown
+		CostHint float64       // expected work in milliseconds; NaN: unknown
 		Deadline time.Duration // the client waits until then
 	}
-	// ClientGone reports that the client of an exchange has disconnected.
-	ClientGone struct{ Client ExchangeID }
+	// ClientDisconnected reports that the client of an exchange has disconnected.
+	ClientDisconnected struct{ Exchange ExchangeID }
 	// AttemptConnected reports that an attempt has a connection and can be written.
 	AttemptConnected struct{ Ref AttemptRef }
 	// AttemptCompleted reports the end of an attempt. Answer is set if Status is OK.
@@ -96,7 +96,7 @@
 )
 
 func (RequestReceived) event()      {}
-func (ClientGone) event()           {}
+func (ClientDisconnected) event()   {}
 func (AttemptConnected) event()     {}
 func (AttemptCompleted) event()     {}
 func (HealthCheckCompleted) event() {}
--- a/internal/serve/core/requests.go
+++ b/internal/serve/core/requests.go
@@ -30,7 +30,7 @@
 	// Two open requests with one ID would be a single request to the backends: a hedged copy that
 	// nobody asked for, and an answer that could belong to either.
 	if _, open := c.openClientIDs[ev.ID]; open && ev.ID != "" {
-		c.emit(Respond{Client: ev.Client, Result: DuplicateID, Close: c.shuttingDown})
+		c.emit(Respond{Exchange: ev.Exchange, Result: DuplicateID, Close: c.shuttingDown})
 		return
 	}
 	if c.shuttingDown {
@@ -38,14 +38,14 @@
 	}
 	r := c.openRequest(ev)
 	if c.debug {
-		slog.Debug("request received", "id", r.clientID, "class", ev.Class, "cost_hint", ev.Hint,
+		slog.Debug("request received", "id", r.clientID, "class", ev.Class, "cost_hint", ev.CostHint,
 			"deadline_ms", (ev.Deadline - c.now).Milliseconds())
 	}
 	// The module's own timeouts end at the deadline. This timer fires after them, for a request that
 	// the module has left without a response even so.
 	r.deadlineTimer = c.timers.At(ev.Deadline+2*TickInterval, func() { c.failOverdue(r) })
 	c.balancer.HandleRequest(c.now, piernotch.Request{
-		ID: r.id, Class: ev.Class, Tenant: ev.Tenant, Key: ev.Key, Deadline: ev.Deadline, CostHint: ev.Hint,
+		ID: r.id, Class: ev.Class, Tenant: ev.Tenant, Key: ev.Key, Deadline: ev.Deadline, CostHint: ev.CostHint,
 	})
 }
 
@@ -57,7 +57,7 @@
 		id:         c.lastRequestID,
 		clientID:   ev.ID,
 		class:      ev.Class,
-		exchange:   ev.Client,
+		exchange:   ev.Exchange,
 		message:    ev.Message,
 		deadline:   ev.Deadline,
 		lastStatus: piernotch.NotSent,
@@ -68,8 +68,8 @@
 	return r
 }
 
-func (c *Core) handleClientDisconnected(ev ClientGone) {
-	r := c.exchanges[ev.Client]
+func (c *Core) handleClientDisconnected(ev ClientDisconnected) {
+	r := c.exchanges[ev.Exchange]
 	if r == nil {
 		return
 	}
@@ -79,7 +79,7 @@
 			"remaining_ms", (r.deadline - c.now).Milliseconds())
 	}
 	c.close(r)
-	c.balancer.ClientGone(c.now, r.id)
+	c.balancer.ClientDisconnected(c.now, r.id)
 	c.release(r)
 }
 
@@ -92,7 +92,7 @@
 	c.Counts.DeadlineExceeded++
 	slog.Warn("request deadline exceeded", "request", r.id, "attempts", len(r.attempts))
 	c.respond(r, Respond{Result: Failed, LastStatus: r.lastStatus})
-	c.balancer.ClientGone(c.now, r.id)
+	c.balancer.ClientDisconnected(c.now, r.id)
 	c.release(r)
 }
 
@@ -103,7 +103,7 @@
 		return
 	}
 	c.Counts.countResponse(response.Result)
-	response.Client = r.exchange
+	response.Exchange = r.exchange
 	response.Close = c.shuttingDown || c.overrides.Drain.Active
 	if c.debug {
 		slog.Debug("request completed", "id", r.clientID, "result", response.Result, "attempts", len(r.attempts),
--- a/internal/serve/core/requests_test.go
+++ b/internal/serve/core/requests_test.go
@@ -13,11 +13,11 @@
 // by its deadline, which promises nothing.
 func TestRequestLeftOpenByModuleFailsAtDeadline(t *testing.T) {
 	c := newCore(t)
-	require.Empty(t, c.Handle(start, RequestReceived{Client: 7, Class: 99, Deadline: start + time.Second}))
+	require.Empty(t, c.Handle(start, RequestReceived{Exchange: 7, Class: 99, Deadline: start + time.Second}))
 	require.NotContains(t, c.Handle(start+time.Second-TickInterval, Tick{}), Exit{})
 	require.Equal(t, 1, c.PendingRequests())
 	effects := c.Handle(start+time.Second+2*TickInterval, Tick{})
-	require.Contains(t, effects, Respond{Client: 7, Result: Failed, LastStatus: piernotch.NotSent})
+	require.Contains(t, effects, Respond{Exchange: 7, Result: Failed, LastStatus: piernotch.NotSent})
 	require.Zero(t, c.PendingRequests())
 	require.Empty(t, c.requests)
 }
@@ -27,7 +27,7 @@
 	c := newCore(t)
 	attempt := receive(c, 1)[0].(StartAttempt)
 	require.Contains(t, c.Handle(start, AttemptConnected{attempt.Ref}), WriteAttempt{attempt.Ref})
-	require.Contains(t, c.Handle(start, ClientGone{1}), CancelAttempt{attempt.Ref})
+	require.Contains(t, c.Handle(start, ClientDisconnected{1}), CancelAttempt{attempt.Ref})
 	require.Empty(t, c.Handle(start, AttemptCompleted{Ref: attempt.Ref, Status: piernotch.OK, Answer: "late"}))
 	require.Empty(t, c.requests)
 	require.Len(t, receive(c, 1), 1, "the client may use the ID again")
--- a/internal/serve/core/shutdown_test.go
+++ b/internal/serve/core/shutdown_test.go
@@ -22,7 +22,7 @@
 		c.Handle(now, Shutdown{})
 		kill := now + tc.killAfter
 		now += 1500 * time.Millisecond
-		request := RequestReceived{Client: 1, ID: "1", Hint: 1, Deadline: now + tc.deadline}
+		request := RequestReceived{Exchange: 1, ID: "1", CostHint: 1, Deadline: now + tc.deadline}
 		attempt := c.Handle(now, request)[0].(StartAttempt)
 		c.Handle(now, AttemptConnected{attempt.Ref})
 		answered := false
--- a/internal/serve/discovery/shared_watch.go
+++ b/internal/serve/discovery/shared_watch.go
@@ -18,8 +18,8 @@
 	take, missing := event.Follows(w.address, w.version)
 	if w.needsReset && event.Source == w.address {
 		// The known version means nothing here: only a complete list can be taken.
-		take = event.Whole
-		missing = !event.Whole
+		take = event.Complete
+		missing = !event.Complete
 	}
 	if missing {
 		w.requestUpdate()
@@ -51,7 +51,7 @@
 		Source:      w.address,
 		FromVersion: w.version,
 		ToVersion:   list.Generation,
-		Whole:       list.Reset,
+		Complete:    list.Reset,
 		Body:        body,
 	}
 	if list.Reset {
--- a/internal/serve/discovery/shared_watch_test.go
+++ b/internal/serve/discovery/shared_watch_test.go
@@ -67,7 +67,7 @@
 			version: 6, events: []core.Event{delta},
 		},
 		"a complete list is applied": {
-			event:   group.WatchEvent{Source: testAddress, ToVersion: 9, Whole: true, Body: emptyList(9, true)},
+			event:   group.WatchEvent{Source: testAddress, ToVersion: 9, Complete: true, Body: emptyList(9, true)},
 			version: 9, events: []core.Event{full},
 		},
 		"an older list is ignored": {
@@ -91,7 +91,7 @@
 			needsReset: true, version: 5, requested: []uint64{0},
 		},
 		"a complete list replaces a version of another service": {
-			event:      group.WatchEvent{Source: testAddress, ToVersion: 2, Whole: true, Body: emptyList(2, true)},
+			event:      group.WatchEvent{Source: testAddress, ToVersion: 2, Complete: true, Body: emptyList(2, true)},
 			needsReset: true, version: 2, events: []core.Event{full},
 		},
 	} {
@@ -121,7 +121,7 @@
 	require.Equal(t, []group.WatchEvent{
 		{Source: testAddress, FromVersion: 5, ToVersion: 6, Body: emptyList(6, false)},
 		{Source: testAddress, FromVersion: 6, ToVersion: 4, Body: emptyList(4, false)},
-		{Source: testAddress, ToVersion: 3, Whole: true, Body: emptyList(3, true)},
+		{Source: testAddress, ToVersion: 3, Complete: true, Body: emptyList(3, true)},
 	}, shared.published)
 	require.Equal(t, 1, shared.failures)
 	require.Equal(t, uint64(3), w.Version())
--- a/internal/serve/downstream/connection.go
+++ b/internal/serve/downstream/connection.go
@@ -111,7 +111,7 @@
 	d.lastExchange++
 	c.exchange = d.lastExchange
 	d.pending[c.exchange] = c
-	request.Client = c.exchange
+	request.Exchange = c.exchange
 	d.emit(request)
 }
 
@@ -121,7 +121,7 @@
 		return
 	}
 	delete(c.downstream.pending, c.exchange)
-	c.downstream.emit(core.ClientGone{Client: c.exchange})
+	c.downstream.emit(core.ClientDisconnected{Exchange: c.exchange})
 	c.exchange = 0
 }
 
--- a/internal/serve/downstream/doc.go
+++ b/internal/serve/downstream/doc.go
@@ -3,7 +3,7 @@
 //
 // A valid request becomes a core.RequestReceived event with an exchange ID of its
 // own, and the core answers by Respond. If the client goes first, the core is
-// sent core.ClientGone and must not respond any more; a response to an unknown
+// sent core.ClientDisconnected and must not respond any more; a response to an unknown
 // exchange is ignored. A connection serves one request at a time: pipelined
 // requests are rejected.
 //
--- a/internal/serve/downstream/request.go
+++ b/internal/serve/downstream/request.go
@@ -59,7 +59,7 @@
 		Class:    class,
 		Tenant:   d.tenantIndex(message.Fields.Get("x-tenant")),
 		Key:      parseKey(message.Query("k")),
-		Hint:     parseCostHint(message.Fields.Get("x-cost-hint")),
+		CostHint: parseCostHint(message.Fields.Get("x-cost-hint")),
 		Deadline: d.arrivalTime() + wait - deadlineMargin,
 		Message: &upstream.Request{
 			Method:         message.Method,
--- a/internal/serve/downstream/request_test.go
+++ b/internal/serve/downstream/request_test.go
@@ -40,7 +40,7 @@
 	})
 	require.Nil(t, invalid)
 	require.Equal(t, core.RequestReceived{
-		ID: "r-1", Class: 1, Tenant: 1, Key: 0x7f, Hint: 1.5,
+		ID: "r-1", Class: 1, Tenant: 1, Key: 0x7f, CostHint: 1.5,
 		Deadline: time.Minute + 300*time.Millisecond - deadlineMargin,
 		Message: &upstream.Request{
 			Method: http1.MethodPost, Target: "/write/any?k=7f", ID: "r-1", IdempotencyKey: "key",
--- a/internal/serve/downstream/response.go
+++ b/internal/serve/downstream/response.go
@@ -23,11 +23,11 @@
 // Respond writes the final response of an exchange. It does nothing if the
 // exchange is unknown, because its client has gone.
 func (d *Downstream) Respond(effect core.Respond) {
-	c := d.pending[effect.Client]
+	c := d.pending[effect.Exchange]
 	if c == nil {
 		return
 	}
-	delete(d.pending, effect.Client)
+	delete(d.pending, effect.Exchange)
 	c.exchange = 0
 	c.closeAfterResponse = c.closeAfterResponse || effect.Close
 	switch effect.Result {
--- a/internal/serve/handover/golden_test.go
+++ b/internal/serve/handover/golden_test.go
@@ -48,7 +48,7 @@
 			},
 			Drain: overrides.Override{Timestamp: overrides.Timestamp{Counter: 20, Process: 21}, Active: true, SetAt: 22 * time.Second},
 		},
-		Snapshot: piernotch.Snapshot{Median: 50.5, MeanWork: 80.25, LargeShare: 0.75, Usual: 3.125},
+		Snapshot: piernotch.Snapshot{MedianHint: 50.5, MeanWork: 80.25, LargeWorkShare: 0.75, PeakCompletionRate: 3.125},
 	}
 	none := Record{ProcessState: ProcessState{Epoch: 1, PID: 2, Phase: Starting, DescriptorClaim: 3}, Name: "n0"} // no list is known
 	ending := Record{ProcessState: ProcessState{Epoch: 1, PID: 2, Phase: ShuttingDown, DescriptorClaim: 3}, Name: "n0", Endpoints: []Endpoint{}}
--- a/internal/serve/runtime/shared_watch_test.go
+++ b/internal/serve/runtime/shared_watch_test.go
@@ -96,7 +96,7 @@
 	}
 	serves("a")
 	publish := func(from, to uint64, body string) {
-		onUpdate(group.WatchEvent{Source: discoveryAddress, FromVersion: from, ToVersion: to, Whole: from == 0, Body: []byte(body)})
+		onUpdate(group.WatchEvent{Source: discoveryAddress, FromVersion: from, ToVersion: to, Complete: from == 0, Body: []byte(body)})
 	}
 	publish(0, 2, endpointList(2, true, "in_service", b))
 	serves("b")
@@ -116,5 +116,5 @@
 	serves("a")
 	published, _ := w.calls()
 	body := []byte(endpointList(4, true, "in_service", a))
-	require.Equal(t, group.WatchEvent{Source: discoveryAddress, ToVersion: 4, Whole: true, Body: body}, published[0])
+	require.Equal(t, group.WatchEvent{Source: discoveryAddress, ToVersion: 4, Complete: true, Body: body}, published[0])
 }
--- a/internal/serve/runtime/trace_recorder.go
+++ b/internal/serve/runtime/trace_recorder.go
@@ -42,12 +42,12 @@
 	switch e := event.(type) {
 	case core.RequestReceived:
 		record := trace.Record{At: now - r.startedAt, Class: uint16(e.Class), Key: e.Key, Deadline: e.Deadline - now}
-		if e.Hint > 0 && !math.IsInf(e.Hint, 0) {
-			record.CostHint = e.Hint
+		if e.CostHint > 0 && !math.IsInf(e.CostHint, 0) {
+			record.CostHint = e.CostHint
 		}
-		r.pending[e.Client] = record
-	case core.ClientGone:
-		r.complete(now, e.Client, trace.ClientGone)
+		r.pending[e.Exchange] = record
+	case core.ClientDisconnected:
+		r.complete(now, e.Exchange, trace.ClientGone)
 	}
 }
 
@@ -55,13 +55,13 @@
 func (r *traceRecorder) responseSent(now time.Duration, response core.Respond) {
 	switch response.Result {
 	case core.Served:
-		r.complete(now, response.Client, trace.Served)
+		r.complete(now, response.Exchange, trace.Served)
 	case core.Rejected:
-		r.complete(now, response.Client, trace.Rejected)
+		r.complete(now, response.Exchange, trace.Rejected)
 	case core.Failed:
-		r.complete(now, response.Client, trace.Failed)
+		r.complete(now, response.Exchange, trace.Failed)
 	default: // the request was not valid and never accepted
-		delete(r.pending, response.Client)
+		delete(r.pending, response.Exchange)
 	}
 }
 
--- a/internal/serve/upstream/health_check.go
+++ b/internal/serve/upstream/health_check.go
@@ -11,13 +11,13 @@
 const healthCheckTarget = "/ping"
 
 // HealthCheck sends a health check to an endpoint. The core receives
-// HealthCheckCompleted, unless none comes within core.ProbeTimeout, which the
+// HealthCheckCompleted, unless none comes within core.HealthCheckTimeout, which the
 // core times itself.
 func (u *Upstream) HealthCheck(effect core.HealthCheck) {
 	a := &attempt{
 		healthCheck: true,
 		pool:        u.poolFor(effect.To),
-		deadline:    u.now() + core.ProbeTimeout,
+		deadline:    u.now() + core.HealthCheckTimeout,
 		request:     &Request{Method: http1.MethodGet, Target: healthCheckTarget},
 	}
 	u.healthChecks[a] = struct{}{}
--- a/internal/serve/upstream/load_report.go
+++ b/internal/serve/upstream/load_report.go
@@ -33,12 +33,12 @@
 		name, value, found := strings.Cut(strings.TrimSpace(pair), "=")
 		number, err := strconv.ParseFloat(value, 64)
 		wellFormed := found && err == nil && !slices.Contains(seen, name)
-		if !wellFormed || !wire.SetLoad(&load, name, number) {
+		if !wellFormed || !wire.SetLoadValue(&load, name, number) {
 			return piernotch.LoadReport{}, fmt.Errorf("%w: %q", errInvalidLoadValue, pair)
 		}
 		seen = append(seen, name)
 	}
-	if !slices.Contains(seen, wire.Inflight) {
+	if !slices.Contains(seen, wire.InflightColumn) {
 		return piernotch.LoadReport{}, fmt.Errorf("%w in %q", errNoInflight, text)
 	}
 	return load, nil
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -247,14 +247,14 @@
 	f.Add([]byte(`{"classes":[{"effect":"odd"}]}`))
 	f.Add([]byte(`[]`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if s, err := Settings(data); err == nil {
+		if s, err := ParseSettings(data); err == nil {
 			_ = s.Validate()
 		}
 	})
 }
 
 func TestSettingsParse(t *testing.T) {
-	s, err := Settings([]byte(`{"group_size": 4, "my_zone": 1, "zones": ["x", "y"], "quantum_ms": 5,
+	s, err := ParseSettings([]byte(`{"group_size": 4, "my_zone": 1, "zones": ["x", "y"], "quantum_ms": 5,
 		"discovery": "on_request", "unheard_of": {"a": [1]}, "specifics": {"warm_keys": true},
 		"classes": [{"name": "c", "goal_time_ms": 750, "deadline_ms": 2500, "points": 3, "effect": "keyed",
 			"dedup_scope": "cell", "dedup_window_ms": 1200}],
@@ -272,7 +272,7 @@
 		t.Errorf("%+v", s)
 	}
 	for _, bad := range []string{"", "nonsense", `{"classes":[{"effect":"odd"}]}`, `{"classes":[{"effect":"safe","dedup_scope":"moon"}]}`} {
-		_, err := Settings([]byte(bad))
+		_, err := ParseSettings([]byte(bad))
 		var settingsErr *SettingsError
 		if !errors.As(err, &settingsErr) {
 			t.Errorf("%q: %v is no *SettingsError", bad, err)
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -152,21 +152,21 @@
 		Rules:           piernotch.Rules{PollInterval: 10 * time.Second, SlowStartCapacity: 0.12, SlowStartDuration: 24 * time.Second, OverloadWindow: 2250 * time.Millisecond},
 		OverQuotaWeight: 0.1, WeightPerRequest: true,
 	}
-	data, err := Marshal(&want, Extra{
-		Number: 2, MachineTypes: []string{"fast", "mid"}, KeepAliveMS: 60000, DialMS: 250, SlackMS: 20, GraceMS: 2100,
-		FallMultiple: 2.5, FallMS: 2250, WorthBy: "request", Columns: []string{"inflight", "qps"},
+	data, err := MarshalSettings(&want, ExtraSettings{
+		Instance: 2, MachineTypes: []string{"fast", "mid"}, KeepAliveMS: 60000, DialMS: 250, SlackMS: 20, GraceMS: 2100,
+		FallMultiple: 2.5, FallMS: 2250, WeightBy: "request", Columns: []string{"inflight", "qps"},
 	})
 	require.NoError(t, err)
 	var indented bytes.Buffer
 	require.NoError(t, json.Indent(&indented, append(data, '\n'), "", " "))
 	data = checkGolden(t, "settings.json", indented.Bytes())
-	got, err := Settings(data)
+	got, err := ParseSettings(data)
 	require.NoError(t, err)
 	require.Equal(t, want, got)
 	columns, err := ParseReportColumns(data)
 	require.NoError(t, err)
 	require.Equal(t, []string{"inflight", "qps"}, columns)
-	keepAlive, dialTimeout, err := Connections(data)
+	keepAlive, dialTimeout, err := ParseConnections(data)
 	require.NoError(t, err)
 	require.Equal(t, []time.Duration{time.Minute, 250 * time.Millisecond}, []time.Duration{keepAlive, dialTimeout})
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -77,9 +77,9 @@
 	"zone": piernotch.DedupInZone, "cell": piernotch.DedupInCell,
 }
 
-// Settings reads the settings of a start event. Keys it does not know are skipped, and whether the
+// ParseSettings reads the settings of a start event. Keys it does not know are skipped, and whether the
 // values make sense is for piernotch.New to say. An error is a *SettingsError.
-func Settings(data []byte) (piernotch.Settings, error) {
+func ParseSettings(data []byte) (piernotch.Settings, error) {
 	var in settingsJSON
 	if err := json.Unmarshal(data, &in); err != nil {
 		return piernotch.Settings{}, &SettingsError{err}
@@ -161,10 +161,10 @@
 	return in.Report.Columns, nil
 }
 
-// Connections reads what the settings say of connections, which concerns sockets and not decisions:
+// ParseConnections reads what the settings say of connections, which concerns sockets and not decisions:
 // how long a server keeps an idle one, and how long one may take to come up. Both are above 0. An
 // error is a *SettingsError.
-func Connections(data []byte) (keepAlive, dialTimeout time.Duration, err error) {
+func ParseConnections(data []byte) (keepAlive, dialTimeout time.Duration, err error) {
 	var in struct {
 		Limits struct {
 			KeepAliveMS   float64 `json:"keepalive_ms"`
--- a/internal/wire/settings_writer.go
+++ b/internal/wire/settings_writer.go
@@ -6,9 +6,9 @@
 	"piernotch"
 )
 
-// Extra is what settings hold on the wire beyond those of the module. Times are in milliseconds.
-type Extra struct {
-	Number       int      // of the balancer, from 0
+// ExtraSettings is what settings hold on the wire beyond those of the module. Times are in milliseconds.
+type ExtraSettings struct {
+	Instance     int      // of the balancer, from 0
 	MachineTypes []string // names, by EndpointEntry.Kind
 	KeepAliveMS  float64  // a server keeps an idle connection for so long
 	DialMS       float64  // a connection may take so long to come up
@@ -16,7 +16,7 @@
 	GraceMS      float64  // requests may still be sent so long after a drain is notified
 	FallMultiple float64  // multiple of its capacity that collapses a server in slow start
 	FallMS       float64  // span over which that is counted
-	WorthBy      string   // what a request weighs by: "request" or "work"
+	WeightBy     string   // what a request weighs by: "request" or "work"
 	Columns      []string // names of the values in a load report, in order
 }
 
@@ -60,13 +60,13 @@
 	FallMS              float64 `json:"overload_for_ms"`
 }
 
-// Marshal writes settings as a start event holds them; Settings reads them back.
-func Marshal(s *piernotch.Settings, x Extra) ([]byte, error) {
+// MarshalSettings writes settings as a start event holds them; Settings reads them back.
+func MarshalSettings(s *piernotch.Settings, x ExtraSettings) ([]byte, error) {
 	out := settingsMessage{
 		Family:       "proxy",
-		Number:       x.Number,
+		Number:       x.Instance,
 		MachineTypes: x.MachineTypes,
-		WeightBy:     x.WorthBy,
+		WeightBy:     x.WeightBy,
 		SizeSource:   "rough",
 		Limits:       marshalLimits(&s.Limits, &x),
 		Rules:        marshalRules(&s.Rules, &x),
@@ -97,7 +97,7 @@
 	return json.Marshal(&out)
 }
 
-func marshalLimits(l *piernotch.Limits, x *Extra) limitsMessage {
+func marshalLimits(l *piernotch.Limits, x *ExtraSettings) limitsMessage {
 	return limitsMessage{
 		limitsJSON: limitsJSON{
 			MaxAttempts:     l.MaxAttempts,
@@ -115,7 +115,7 @@
 	}
 }
 
-func marshalRules(r *piernotch.Rules, x *Extra) rulesMessage {
+func marshalRules(r *piernotch.Rules, x *ExtraSettings) rulesMessage {
 	return rulesMessage{
 		PollIntervalMS:      Milliseconds(r.PollInterval),
 		SlowStartCapacity:   r.SlowStartCapacity,
--- a/internal/wire/translate.go
+++ b/internal/wire/translate.go
@@ -42,22 +42,22 @@
 // values in order; ok is false if there is no report, or if a value is impossible.
 func ParseLoadReport(e *Event, columns []string) (load piernotch.LoadReport, ok bool) {
 	for i, name := range columns[:min(len(columns), e.LoadCount)] {
-		if !SetLoad(&load, name, e.Load[i]) {
+		if !SetLoadValue(&load, name, e.Load[i]) {
 			return piernotch.LoadReport{}, false
 		}
-		ok = ok || name == Inflight
+		ok = ok || name == InflightColumn
 	}
 	return load, ok
 }
 
-// Inflight names the value without which a load report is of no use: requests held.
-const Inflight = "inflight"
+// InflightColumn names the value without which a load report is of no use: requests held.
+const InflightColumn = "inflight"
 
-// SetLoad sets one named value of a load report; unknown names are ignored. It reports whether the
+// SetLoadValue sets one named value of a load report; unknown names are ignored. It reports whether the
 // value is possible: neither negative nor infinite nor NaN.
-func SetLoad(load *piernotch.LoadReport, name string, v float64) bool {
+func SetLoadValue(load *piernotch.LoadReport, name string, v float64) bool {
 	switch name {
-	case Inflight:
+	case InflightColumn:
 		load.Inflight = v
 	case "qps":
 		load.CompletedPerSecond = v
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -209,7 +209,7 @@
 			id := live[rng.IntN(len(live))]
 			if c.requests[id].answers == 0 {
 				c.requests[id].answers++
-				b.ClientGone(c.now, id)
+				b.ClientDisconnected(c.now, id)
 			}
 		default:
 			c.completeRandomAttempt(b, rng, live)
--- a/snapshot.go
+++ b/snapshot.go
@@ -8,20 +8,20 @@
 // Snapshot is what a balancer has learnt of its traffic, for the process that takes over from it. The tags
 // are the keys in handover records, which other versions of the program read.
 type Snapshot struct {
-	Median     float64 `json:"Median"`     // of the cost hints, ms
-	MeanWork   float64 `json:"MeanWork"`   // of a request, ms
-	LargeShare float64 `json:"LargeShare"` // of the work, in requests above the median
-	Usual      float64 `json:"Usual"`      // peak completions per second of a warm backend of size 1; 0: not known
+	MedianHint         float64 `json:"Median"`     // of the cost hints, ms
+	MeanWork           float64 `json:"MeanWork"`   // of a request, ms
+	LargeWorkShare     float64 `json:"LargeShare"` // of the work, in requests above the median
+	PeakCompletionRate float64 `json:"Usual"`      // peak completions per second of a warm backend of size 1; 0: not known
 }
 
 // usable reports whether the figures are possible, and of at least one hint.
 func (l Snapshot) usable() bool {
-	for _, v := range []float64{l.Median, l.MeanWork, l.Usual} {
+	for _, v := range []float64{l.MedianHint, l.MeanWork, l.PeakCompletionRate} {
 		if !(v >= 0) || math.IsInf(v, 0) {
 			return false
 		}
 	}
-	return l.Median > 0 && l.MeanWork > 0 && l.LargeShare >= 0 && l.LargeShare <= 1
+	return l.MedianHint > 0 && l.MeanWork > 0 && l.LargeWorkShare >= 0 && l.LargeWorkShare <= 1
 }
 
 // Snapshot returns what has been learnt so far.
@@ -36,6 +36,6 @@
 		return
 	}
 	b.hintCount, b.workSamples = restoredHintCount, restoredHintCount
-	b.medianHint, b.meanWork, b.largeWorkShare = l.Median, l.MeanWork, l.LargeShare
-	b.peakCompletionRate = max(b.peakCompletionRate, l.Usual)
+	b.medianHint, b.meanWork, b.largeWorkShare = l.MedianHint, l.MeanWork, l.LargeWorkShare
+	b.peakCompletionRate = max(b.peakCompletionRate, l.PeakCompletionRate)
 }
--- a/snapshot_test.go
+++ b/snapshot_test.go
@@ -8,10 +8,10 @@
 
 func TestRestoreAppliesSnapshotOnce(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
-	b.Restore(Snapshot{Median: -1, MeanWork: 2, LargeShare: 0.5})
+	b.Restore(Snapshot{MedianHint: -1, MeanWork: 2, LargeWorkShare: 0.5})
 	require.Zero(t, b.medianHint)
-	b.Restore(Snapshot{Median: 50, MeanWork: 80, LargeShare: 0.7, Usual: 3})
+	b.Restore(Snapshot{MedianHint: 50, MeanWork: 80, LargeWorkShare: 0.7, PeakCompletionRate: 3})
 	require.Equal(t, Snapshot{50, 80, 0.7, 3}, b.Snapshot())
-	b.Restore(Snapshot{Median: 1, MeanWork: 1})
+	b.Restore(Snapshot{MedianHint: 1, MeanWork: 1})
 	require.Equal(t, 50.0, b.medianHint, "a balancer with cost hints of its own does not restore")
 }
