--- a/internal/lab/idtable/idtable_test.go
+++ b/internal/lab/idtable/idtable_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// The table does what a map does, for numbers given out in order.
-func TestItIsAMap(t *testing.T) {
+// The table does what a map does, for IDs given out in rising order.
+func TestTableBehavesAsMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table[int]
 		want := map[uint64]int{}
@@ -36,11 +36,11 @@
 		})
 		for id, v := range want {
 			if got := table.Get(id); got == nil || *got != v {
-				t.Fatalf("%d is lost", id)
+				t.Fatalf("%d is missing", id)
 			}
 		}
 		if seen != len(want) || table.Get(next+1) != nil {
-			t.Fatal("more than was put in")
+			t.Fatal("it holds more than was put in")
 		}
 	})
 }
