--- /dev/null
+++ b/internal/lab/scenario/draw.go
@@ -0,0 +1,115 @@
+package scenario
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"piernotch"
+	"piernotch/internal/lab/servermodel"
+)
+
+// Draw makes one day of the scenario. It fails only where a drawn machine cannot be.
+func (s *Scenario) Draw(seed uint64) (*Day, error) {
+	rng := Stream(seed, "site")
+	d := &Day{
+		Name: s.Name, Seed: seed, Length: seconds(s.LengthS.draw(rng)), Tick: millis(s.TickMS.draw(rng)),
+		Zones: s.Zones.Names, Client: millis(s.Zones.ClientMS.draw(rng)), Jitter: s.Zones.Jitter.draw(rng),
+		Front: seconds(s.Balancers.FrontNoticeS.draw(rng)),
+	}
+	d.network(s, rng)
+	d.figures(s, Stream(seed, "figures"))
+	if err := d.fleet(s, Stream(seed, "fleet")); err != nil {
+		return nil, err
+	}
+	d.classes(s, Stream(seed, "classes"))
+	d.settings(s)
+	spread := s.Balancers.StartSpreadMS.draw(rng)
+	starts := Stream(seed, "starts")
+	for i := range s.Balancers.Count {
+		d.Balancers = append(d.Balancers, Balancer{Zone: i % len(d.Zones), Start: millis(starts.Float64() * spread)})
+	}
+	d.traffic(s, Stream(seed, "traffic"))
+	d.troubles(s, seed)
+	return d, nil
+}
+
+func (d *Day) network(s *Scenario, rng *rand.Rand) {
+	n := len(d.Zones)
+	d.Delay = make([][]time.Duration, n)
+	same := millis(s.Zones.SameMS.draw(rng))
+	for i := range d.Delay {
+		d.Delay[i] = make([]time.Duration, n)
+		d.Delay[i][i] = same
+		for j := range i {
+			d.Delay[i][j] = millis(s.Zones.CrossMS.draw(rng))
+			d.Delay[j][i] = d.Delay[i][j]
+		}
+	}
+}
+
+func (d *Day) figures(s *Scenario, rng *rand.Rand) {
+	r, c, v, g := &s.Rules, &s.Clients, &s.Discovery, &s.Score
+	d.Rules = DayRules{
+		Slack: millis(r.AnswerSlackMS.draw(rng)), AskWithin: millis(r.AskWithinMS.draw(rng)),
+		Grace: millis(r.DrainGraceMS.draw(rng)), Dial: millis(r.DialTimeoutMS.draw(rng)),
+		Probe: millis(r.ProbeTimeoutMS.draw(rng)), KeepAlive: millis(r.KeepaliveMS.draw(rng)),
+		ColdFrom: r.ColdFrom.draw(rng), Cold: millis(r.ColdMS.draw(rng)),
+		Fall: servermodel.Collapse{Multiple: r.FallMultiple.draw(rng), For: millis(r.FallMS.draw(rng))},
+	}
+	d.Clients = DayClients{
+		Retries: c.Retries.draw(rng), Backoff: millis(c.BackoffMS.draw(rng)), TryShare: c.TryShare.draw(rng),
+		Honour: c.Honour.draw(rng), Impatient: c.Impatient.draw(rng), MarksRetry: c.MarksRetry,
+	}
+	d.Discovery = DayDiscovery{
+		Push: v.Push, Notice: seconds(v.NoticeS.draw(rng)), Silent: seconds(v.SilentS.draw(rng)), Add: seconds(v.AddS.draw(rng)),
+		Period: millis(v.PeriodMS.draw(rng)), Spread: millis(v.SpreadMS.draw(rng)), Patience: millis(v.TimeoutMS.draw(rng)),
+		CallsPerSec: v.CallsPerS.draw(rng), CallLines: v.CallLines.draw(rng),
+	}
+	d.Score = DayScore{
+		Whole: g.Whole.draw(rng), WorstWindow: g.WorstWindow.draw(rng), WorstClass: g.WorstClass.draw(rng),
+		Window: seconds(g.WindowS.draw(rng)), ByWork: g.WorthBy == "work", Waste: g.Waste.draw(rng),
+		LateFail: g.LateFail.draw(rng), CrossZone: g.CrossZone.draw(rng), Probe: g.Probe.draw(rng), Choke: g.Choke.draw(rng),
+	}
+}
+
+func (d *Day) settings(s *Scenario) {
+	b := &s.Balancers
+	set := piernotch.Settings{
+		BalancerCount: b.Count, Zones: d.Zones, Tick: d.Tick, PollDiscovery: !d.Discovery.Push,
+		Limits: piernotch.Limits{
+			MaxAttempts: b.MaxAttempts, HedgedRequests: b.SecondCopies, CancelAttempts: b.Cancel, HealthChecks: b.Probes,
+			RetryAfter: b.RetryAfter, MaxRetryAfter: millis(b.MaxRetryAfterMS.From),
+		},
+		Rules: piernotch.Rules{PollInterval: d.Rules.AskWithin, SlowStartCapacity: d.Rules.ColdFrom, SlowStartDuration: d.Rules.Cold,
+			OverloadWindow: d.Rules.Fall.For},
+		OverQuotaWeight: 0.1,
+	}
+	for _, c := range d.Classes {
+		set.Classes = append(set.Classes, c.Class)
+	}
+	for _, k := range d.kinds {
+		set.KeyAffinity = set.KeyAffinity || k.kind.Keys.WorkSaved > 0
+	}
+	d.Settings = set
+}
+
+func (d *Day) traffic(s *Scenario, rng *rand.Rand) {
+	t := &s.Traffic
+	d.Traffic = DayTraffic{
+		PerSec: t.RatePerS.draw(rng), Shape: t.Shape, Swing: t.Swing.draw(rng), Period: seconds(t.PeriodS.draw(rng)),
+		Phase: rng.Float64(), Keys: int(t.Keys.draw(rng)), KeyZipf: t.KeyZipf.draw(rng), Hints: t.Hints, HintCV: t.HintCV.draw(rng), Trace: t.Trace,
+	}
+	load := t.Load.draw(rng)
+	if d.Traffic.PerSec == 0 && d.MeanWork() > 0 {
+		d.Traffic.PerSec = load * d.Capacity() / d.MeanWork()
+	}
+	skew := t.ZoneSkew.draw(rng)
+	sum := 0.0
+	for range d.Zones {
+		sum += 1 + skew*(2*rng.Float64()-1)
+		d.Traffic.Zones = append(d.Traffic.Zones, sum)
+	}
+	for i := range d.Traffic.Zones {
+		d.Traffic.Zones[i] /= sum
+	}
+}
