--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -48,7 +48,7 @@
 	found Problems
 }
 
-func (c *checker) add(key, format string, args ...any) {
+func (c *checker) report(key, format string, args ...any) {
 	p := Problem{Key: key, What: fmt.Sprintf(format, args...)}
 	for k := key; k != ""; { // the key itself, or the table that lacks it
 		if at, ok := c.s.origin[k]; ok {
@@ -64,24 +64,24 @@
 // within wants a range's two ends between two bounds.
 func (c *checker) within(key string, r Range, lo, hi float64) {
 	if r.bad != "" {
-		c.add(key, "%s, a number or [from, to] is expected", r.bad)
+		c.report(key, "%s, a number or [from, to] is expected", r.bad)
 		return
 	}
 	for _, v := range []float64{r.From, r.To} {
 		if math.IsNaN(v) || v < lo || v > hi {
 			if math.IsInf(hi, 1) {
-				c.add(key, "%v, at least %v is expected", v, lo)
+				c.report(key, "%v, at least %v is expected", v, lo)
 			} else {
-				c.add(key, "%v, a value from %v to %v is expected", v, lo, hi)
+				c.report(key, "%v, a value from %v to %v is expected", v, lo, hi)
 			}
 			return
 		}
 	}
 }
 
-func (c *checker) one(key, value string, of ...string) {
+func (c *checker) oneOf(key, value string, of ...string) {
 	if !slices.Contains(of, value) {
-		c.add(key, "%q, one of %s is expected", value, strings.Join(of, ", "))
+		c.report(key, "%q, one of %s is expected", value, strings.Join(of, ", "))
 	}
 }
 
@@ -109,57 +109,57 @@
 
 func (s *Scenario) checkSite(c *checker, inf float64) {
 	if n := len(s.Zones.Names); n < 1 || n > 200 {
-		c.add("zones.names", "%d zones, 1 to 200 are expected", n)
+		c.report("zones.names", "%d zones, 1 to 200 are expected", n)
 	}
 	if n := len(s.Zones.Servers); n > 0 && n != len(s.Zones.Names) {
-		c.add("zones.servers", "%d shares for %d zones", n, len(s.Zones.Names))
+		c.report("zones.servers", "%d shares for %d zones", n, len(s.Zones.Names))
 	}
 	total := 0.0
 	for _, v := range s.Zones.Servers {
 		if !(v >= 0) {
-			c.add("zones.servers", "%v is no share", v)
+			c.report("zones.servers", "%v is no share", v)
 		}
 		total += v
 	}
 	if len(s.Zones.Servers) > 0 && total == 0 {
-		c.add("zones.servers", "one zone at least needs a share above 0")
+		c.report("zones.servers", "one zone at least needs a share above 0")
 	}
 	c.within("zones.same_ms", s.Zones.SameMS, 0, 10000)
 	c.within("zones.cross_ms", s.Zones.CrossMS, 0, 10000)
 	c.within("zones.client_ms", s.Zones.ClientMS, 0, 10000)
 	c.within("zones.jitter", s.Zones.Jitter, 0, 10)
 	if s.Balancers.Count < 1 || s.Balancers.Count > MostBalancers {
-		c.add("balancers.count", "%d, a number from 1 to %d is expected", s.Balancers.Count, MostBalancers)
+		c.report("balancers.count", "%d, a number from 1 to %d is expected", s.Balancers.Count, MostBalancers)
 	}
 	if s.Balancers.MaxAttempts < 1 || s.Balancers.MaxAttempts > 8 {
-		c.add("balancers.max_attempts", "%d, a number from 1 to 8 is expected", s.Balancers.MaxAttempts)
+		c.report("balancers.max_attempts", "%d, a number from 1 to 8 is expected", s.Balancers.MaxAttempts)
 	}
 	c.within("balancers.start_spread_ms", s.Balancers.StartSpreadMS, 0, 600000)
 	c.within("balancers.max_retry_after_ms", s.Balancers.MaxRetryAfterMS, 0, 600000)
 	c.within("balancers.front_notice_s", s.Balancers.FrontNoticeS, 0, 600)
 	if s.Fleet.Servers < 0 || s.Fleet.Servers > MostServers {
-		c.add("fleet.servers", "%d, a number from 0 to %d is expected", s.Fleet.Servers, MostServers)
+		c.report("fleet.servers", "%d, a number from 0 to %d is expected", s.Fleet.Servers, MostServers)
 	}
 	if s.Fleet.Cells < 1 {
-		c.add("fleet.cell_size", "%d, at least 1 is expected", s.Fleet.Cells)
+		c.report("fleet.cell_size", "%d, at least 1 is expected", s.Fleet.Cells)
 	}
-	c.one("fleet.weights", s.Fleet.Weights, "none", "nominal", "rough")
+	c.oneOf("fleet.weights", s.Fleet.Weights, "none", "nominal", "rough")
 	c.within("fleet.rough_cv", s.Fleet.RoughCV, 0, 3)
 	share := 0.0
 	for _, k := range s.Kinds {
-		share += k.Share.least()
+		share += k.Share.lower()
 	}
 	if s.Fleet.Servers > 0 && !(share > 0) {
-		c.add("kind", "servers are asked for, but no kind has a share above 0")
+		c.report("kind", "servers are asked for, but no kind has a share above 0")
 	}
 }
 
 func (k *Kind) check(c *checker, at string, inf float64) {
 	if k.Name == "" {
-		c.add(at+"name", "a name is expected")
+		c.report(at+"name", "a name is expected")
 	}
 	if k.Cores < 1 || k.Cores > 4096 {
-		c.add(at+"cores", "%d, a number from 1 to 4096 is expected", k.Cores)
+		c.report(at+"cores", "%d, a number from 1 to 4096 is expected", k.Cores)
 	}
 	for _, f := range []struct {
 		key    string
@@ -182,23 +182,23 @@
 	} {
 		c.within(at+f.key, f.r, f.lo, f.hi)
 	}
-	if k.ChokeAt.most() > 0 && k.ChokeSlower.least() < 1 {
-		c.add(at+"choke_slower", "%v, 1 or more is expected where choke_at is set", k.ChokeSlower.least())
+	if k.ChokeAt.upper() > 0 && k.ChokeSlower.lower() < 1 {
+		c.report(at+"choke_slower", "%v, 1 or more is expected where choke_at is set", k.ChokeSlower.lower())
 	}
-	if k.ColdS.most() > 0 && k.ColdFrom.least() <= 0 {
-		c.add(at+"cold_from", "above 0 is expected where cold_s is set")
+	if k.ColdS.upper() > 0 && k.ColdFrom.lower() <= 0 {
+		c.report(at+"cold_from", "above 0 is expected where cold_s is set")
 	}
-	if k.PauseMS.most() > 0 && k.PauseEveryS.least()*1000 <= k.PauseMS.most() {
-		c.add(at+"pause_every_s", "more than pause_ms is expected")
+	if k.PauseMS.upper() > 0 && k.PauseEveryS.lower()*1000 <= k.PauseMS.upper() {
+		c.report(at+"pause_every_s", "more than pause_ms is expected")
 	}
-	c.one(at+"warm_by", k.WarmBy, "time", "work")
-	c.one(at+"cancel", k.Cancel, "queued", "all", "any")
-	c.one(at+"drops_expired", k.DropExpired, "no", "yes", "any")
+	c.oneOf(at+"warm_by", k.WarmBy, "time", "work")
+	c.oneOf(at+"cancel", k.Cancel, "queued", "all", "any")
+	c.oneOf(at+"drops_expired", k.DropExpired, "no", "yes", "any")
 }
 
 func (k *Class) check(c *checker, at string, inf float64) {
 	if k.Name == "" {
-		c.add(at+"name", "a name is expected")
+		c.report(at+"name", "a name is expected")
 	}
 	c.within(at+"share", k.Share, 0, inf)
 	c.within(at+"work_ms", k.WorkMS, 1e-6, 1e9)
@@ -208,13 +208,13 @@
 	c.within(at+"deadline_ms", k.DeadlineMS, 0.001, 1e9)
 	c.within(at+"worth", k.Worth, 0, 1e9)
 	c.within(at+"late_worth", k.LateWorth, 0, 1)
-	if k.DeadlineMS.least() < k.AimMS.most() {
-		c.add(at+"deadline_ms", "%v, at least aim_ms (%v) is expected", k.DeadlineMS.least(), k.AimMS.most())
+	if k.DeadlineMS.lower() < k.AimMS.upper() {
+		c.report(at+"deadline_ms", "%v, at least aim_ms (%v) is expected", k.DeadlineMS.lower(), k.AimMS.upper())
 	}
-	c.one(at+"dist", k.Dist, "fixed", "exponential", "lognormal", "pareto")
-	c.one(at+"effect", k.Effect, "safe", "keyed", "unsafe")
+	c.oneOf(at+"dist", k.Dist, "fixed", "exponential", "lognormal", "pareto")
+	c.oneOf(at+"effect", k.Effect, "safe", "keyed", "unsafe")
 	if k.Effect == "keyed" {
-		c.one(at+"scope", k.Scope, "all", "zone", "cell")
+		c.oneOf(at+"scope", k.Scope, "all", "zone", "cell")
 		c.within(at+"window_ms", k.WindowMS, 0.001, 1e9)
 	}
 }
@@ -223,13 +223,13 @@
 	t := &s.Traffic
 	c.within("traffic.load", t.Load, 0, 100)
 	c.within("traffic.rate_per_s", t.RatePerS, 0, 1e7)
-	c.one("traffic.shape", t.Shape, "steady", "waves", "bursty")
+	c.oneOf("traffic.shape", t.Shape, "steady", "waves", "bursty")
 	c.within("traffic.swing", t.Swing, 0, 1)
 	c.within("traffic.period_s", t.PeriodS, 0.01, 3600)
 	c.within("traffic.zone_skew", t.ZoneSkew, 0, 1)
 	c.within("traffic.keys", t.Keys, 0, 1e7)
 	c.within("traffic.key_zipf", t.KeyZipf, 0, 10)
-	c.one("traffic.hints", t.Hints, "none", "rough", "exact")
+	c.oneOf("traffic.hints", t.Hints, "none", "rough", "exact")
 	c.within("traffic.hint_cv", t.HintCV, 0, 10)
 	c.within("clients.retries", s.Clients.Retries, 0, 20)
 	c.within("clients.backoff_ms", s.Clients.BackoffMS, 0, 600000)
@@ -237,7 +237,7 @@
 	c.within("clients.honour", s.Clients.Honour, 0, 1)
 	c.within("clients.impatient", s.Clients.Impatient, 0, 1)
 	if t.Trace == "" && len(s.Classes) == 0 {
-		c.add("class", "one class at least is expected")
+		c.report("class", "one class at least is expected")
 	}
 }
 
@@ -263,9 +263,9 @@
 	} {
 		c.within(f.key, f.r, f.lo, f.hi)
 	}
-	c.one("score.worth_by", g.WorthBy, "work", "request")
+	c.oneOf("score.worth_by", g.WorthBy, "work", "request")
 	if sum := g.Whole.From + g.WorstWindow.From + g.WorstClass.From; math.Abs(sum-1) > 1e-6 {
-		c.add("score", "whole, worst_window and worst_class add up to %v, 1 is expected", sum)
+		c.report("score", "whole, worst_window and worst_class add up to %v, 1 is expected", sum)
 	}
 	if n := s.Draws.Troubles; n.Set {
 		c.within("draw.troubles", n, 0, inf)
@@ -279,7 +279,7 @@
 			names = append(names, n)
 		}
 		slices.Sort(names)
-		c.one(at+"kind", t.Kind, names...)
+		c.oneOf(at+"kind", t.Kind, names...)
 		return
 	}
 	c.within(at+"at_s", t.AtS, 0, MostLength)
@@ -289,8 +289,8 @@
 	c.within(at+"every_s", t.EveryS, 0, 3600)
 	c.within(at+"ramp_s", t.RampS, 0, 3600)
 	need := func(key string, r Range) {
-		if !r.Set || r.most() == 0 {
-			c.add(at+key, "%s needs it: %s", t.Kind, TroubleKinds[t.Kind])
+		if !r.Set || r.upper() == 0 {
+			c.report(at+key, "%s needs it: %s", t.Kind, TroubleKinds[t.Kind])
 		}
 	}
 	switch t.Kind {
@@ -301,24 +301,24 @@
 		need("part", t.Part)
 		need("size", t.Size)
 		need("every_s", t.EveryS)
-		if t.EveryS.least()*1000 <= t.Size.most() {
-			c.add(at+"every_s", "more than size (%v ms) is expected", t.Size.most())
+		if t.EveryS.lower()*1000 <= t.Size.upper() {
+			c.report(at+"every_s", "more than size (%v ms) is expected", t.Size.upper())
 		}
 	case "report_late", "burst", "discovery_late", "rude":
 		need("size", t.Size)
 	case "shrink":
-		if t.Size.least() < 1 {
-			c.add(at+"size", "%v, 1 or more is expected", t.Size.least())
+		if t.Size.lower() < 1 {
+			c.report(at+"size", "%v, 1 or more is expected", t.Size.lower())
 		}
 	case "discovery_outage", "roster_move":
 	default:
 		need("part", t.Part)
 	}
 	if t.Class != "" && !slices.ContainsFunc(s.Classes, func(k Class) bool { return k.Name == t.Class }) {
-		c.add(at+"class", "%q is no class", t.Class)
+		c.report(at+"class", "%q is no class", t.Class)
 	}
 	if t.Zone != "" && !slices.Contains(s.Zones.Names, t.Zone) {
-		c.add(at+"zone", "%q is no zone", t.Zone)
+		c.report(at+"zone", "%q is no zone", t.Zone)
 	}
 }
 
--- a/internal/lab/scenario/draw.go
+++ b/internal/lab/scenario/draw.go
@@ -8,7 +8,7 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// Draw makes one day of the scenario. It fails only where a drawn machine cannot be.
+// Draw draws one instance of the scenario. It fails only for a machine that cannot be.
 func (s *Scenario) Draw(seed uint64) (*Day, error) {
 	rng := Stream(seed, "site")
 	d := &Day{
@@ -16,24 +16,24 @@
 		Zones: s.Zones.Names, Client: millis(s.Zones.ClientMS.draw(rng)), Jitter: s.Zones.Jitter.draw(rng),
 		Front: seconds(s.Balancers.FrontNoticeS.draw(rng)),
 	}
-	d.network(s, rng)
-	d.figures(s, Stream(seed, "figures"))
-	if err := d.fleet(s, Stream(seed, "fleet")); err != nil {
+	d.drawNetwork(s, rng)
+	d.drawFigures(s, Stream(seed, "figures"))
+	if err := d.drawServers(s, Stream(seed, "fleet")); err != nil {
 		return nil, err
 	}
-	d.classes(s, Stream(seed, "classes"))
-	d.settings(s)
+	d.drawClasses(s, Stream(seed, "classes"))
+	d.setSettings(s)
 	spread := s.Balancers.StartSpreadMS.draw(rng)
 	starts := Stream(seed, "starts")
 	for i := range s.Balancers.Count {
 		d.Balancers = append(d.Balancers, Balancer{Zone: i % len(d.Zones), Start: millis(starts.Float64() * spread)})
 	}
-	d.traffic(s, Stream(seed, "traffic"))
-	d.troubles(s, seed)
+	d.drawTraffic(s, Stream(seed, "traffic"))
+	d.drawFaults(s, seed)
 	return d, nil
 }
 
-func (d *Day) network(s *Scenario, rng *rand.Rand) {
+func (d *Day) drawNetwork(s *Scenario, rng *rand.Rand) {
 	n := len(d.Zones)
 	d.Delay = make([][]time.Duration, n)
 	same := millis(s.Zones.SameMS.draw(rng))
@@ -47,7 +47,7 @@
 	}
 }
 
-func (d *Day) figures(s *Scenario, rng *rand.Rand) {
+func (d *Day) drawFigures(s *Scenario, rng *rand.Rand) {
 	r, c, v, g := &s.Rules, &s.Clients, &s.Discovery, &s.Score
 	d.Rules = DayRules{
 		Slack: millis(r.AnswerSlackMS.draw(rng)), AskWithin: millis(r.AskWithinMS.draw(rng)),
@@ -72,7 +72,7 @@
 	}
 }
 
-func (d *Day) settings(s *Scenario) {
+func (d *Day) setSettings(s *Scenario) {
 	b := &s.Balancers
 	set := piernotch.Settings{
 		BalancerCount: b.Count, Zones: d.Zones, Tick: d.Tick, PollDiscovery: !d.Discovery.Push,
@@ -93,7 +93,7 @@
 	d.Settings = set
 }
 
-func (d *Day) traffic(s *Scenario, rng *rand.Rand) {
+func (d *Day) drawTraffic(s *Scenario, rng *rand.Rand) {
 	t := &s.Traffic
 	d.Traffic = DayTraffic{
 		PerSec: t.RatePerS.draw(rng), Shape: t.Shape, Swing: t.Swing.draw(rng), Period: seconds(t.PeriodS.draw(rng)),
--- a/internal/lab/scenario/draw_classes.go
+++ b/internal/lab/scenario/draw_classes.go
@@ -11,11 +11,11 @@
 
 // Effects and scopes as files name them.
 var (
-	effects = map[string]piernotch.RetrySafety{"safe": piernotch.Idempotent, "keyed": piernotch.IdempotencyKey, "unsafe": piernotch.NonIdempotent}
-	scopes  = map[string]piernotch.DedupScope{"": piernotch.DedupEverywhere, "all": piernotch.DedupEverywhere, "zone": piernotch.DedupInZone, "cell": piernotch.DedupInCell}
+	retrySafetyByName = map[string]piernotch.RetrySafety{"safe": piernotch.Idempotent, "keyed": piernotch.IdempotencyKey, "unsafe": piernotch.NonIdempotent}
+	dedupScopeByName  = map[string]piernotch.DedupScope{"": piernotch.DedupEverywhere, "all": piernotch.DedupEverywhere, "zone": piernotch.DedupInZone, "cell": piernotch.DedupInCell}
 )
 
-func (d *Day) classes(s *Scenario, rng *rand.Rand) {
+func (d *Day) drawClasses(s *Scenario, rng *rand.Rand) {
 	total := 0.0
 	works := Stream(d.Seed, "work")
 	for i := range s.Classes {
@@ -26,7 +26,7 @@
 		d.Classes = append(d.Classes, DayClass{
 			Class: piernotch.Class{
 				Name: k.Name, LatencyObjective: millis(k.AimMS.draw(rng)), Deadline: millis(k.DeadlineMS.draw(rng)), PriorityWeight: k.Worth.draw(rng),
-				LateWeightShare: k.LateWorth.draw(rng), RetrySafety: effects[k.Effect], DedupScope: scopes[k.Scope], DedupWindow: millis(k.WindowMS.draw(rng)),
+				LateWeightShare: k.LateWorth.draw(rng), RetrySafety: retrySafetyByName[k.Effect], DedupScope: dedupScopeByName[k.Scope], DedupWindow: millis(k.WindowMS.draw(rng)),
 			},
 			Share: share, MeanWork: mean, AttemptCV: k.AttemptCV.draw(rng), Work: workOf(k.Dist, mean, cv, works),
 		})
@@ -38,9 +38,9 @@
 	}
 }
 
-// mostWork bounds one request's work, in means: without it the mean of a Pareto
+// maxWorkFactor bounds one request's work, in means: without it the mean of a Pareto
 // sample depends on a few draws.
-const mostWork = 60
+const maxWorkFactor = 60
 
 type fixedWork float64
 
@@ -48,10 +48,10 @@
 
 type boundedWork struct {
 	distuv.Rander
-	most float64
+	limit float64
 }
 
-func (b boundedWork) Rand() float64 { return min(b.Rander.Rand(), b.most) }
+func (b boundedWork) Rand() float64 { return min(b.Rander.Rand(), b.limit) }
 
 // workOf returns a distribution with a mean and a coefficient of variation.
 func workOf(dist string, mean, cv float64, src *rand.Rand) distuv.Rander {
@@ -62,8 +62,8 @@
 		return distuv.Exponential{Rate: 1 / mean, Src: src}
 	case dist == "pareto":
 		alpha := 1 + math.Sqrt(1+1/(cv*cv))
-		return boundedWork{distuv.Pareto{Xm: mean * (alpha - 1) / alpha, Alpha: alpha, Src: src}, mostWork * mean}
+		return boundedWork{distuv.Pareto{Xm: mean * (alpha - 1) / alpha, Alpha: alpha, Src: src}, maxWorkFactor * mean}
 	}
 	sigma := math.Sqrt(math.Log1p(cv * cv))
-	return boundedWork{distuv.LogNormal{Mu: math.Log(mean) - sigma*sigma/2, Sigma: sigma, Src: src}, mostWork * mean}
+	return boundedWork{distuv.LogNormal{Mu: math.Log(mean) - sigma*sigma/2, Sigma: sigma, Src: src}, maxWorkFactor * mean}
 }
--- a/internal/lab/scenario/draw_faults.go
+++ b/internal/lab/scenario/draw_faults.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// troubles draws the incidents. Each trouble has a stream of its own, so that one
+// drawFaults draws the incidents. Each trouble has a stream of its own, so that one
 // more of them does not move the others.
-func (d *Day) troubles(s *Scenario, seed uint64) {
+func (d *Day) drawFaults(s *Scenario, seed uint64) {
 	chosen := make([]bool, len(s.Troubles))
 	if s.Draws.Troubles.Set {
 		rng := Stream(seed, "troubles")
@@ -39,12 +39,12 @@
 	}
 	for i := range s.Troubles {
 		if chosen[i] {
-			d.Troubles = append(d.Troubles, d.incident(s, i, Stream(seed, fmt.Sprintf("trouble %d", i))))
+			d.Troubles = append(d.Troubles, d.drawFault(s, i, Stream(seed, fmt.Sprintf("trouble %d", i))))
 		}
 	}
 }
 
-func (d *Day) incident(s *Scenario, n int, rng *rand.Rand) Incident {
+func (d *Day) drawFault(s *Scenario, n int, rng *rand.Rand) Incident {
 	t := &s.Troubles[n]
 	in := Incident{
 		Kind: t.Kind, At: seconds(t.AtS.draw(rng)), For: seconds(t.ForS.draw(rng)), Part: t.Part.draw(rng), Size: t.Size.draw(rng),
@@ -65,19 +65,19 @@
 	if t.Kind == "shrink" {
 		part = 1 - 1/in.Size
 	}
-	in.Servers = take(servers, part, rng)
+	in.Servers = pick(servers, part, rng)
 	var balancers []int
 	for i := range d.Balancers {
 		if t.Zone == "" || d.Zones[d.Balancers[i].Zone] == t.Zone {
 			balancers = append(balancers, i)
 		}
 	}
-	in.Balancers = take(balancers, in.Part, rng)
+	in.Balancers = pick(balancers, in.Part, rng)
 	return in
 }
 
-// take picks a part of a list by chance: at least one where the part is above 0.
-func take(from []int, part float64, rng *rand.Rand) []int {
+// pick picks a part of a list by chance: at least one where the part is above 0.
+func pick(from []int, part float64, rng *rand.Rand) []int {
 	from = slices.Clone(from)
 	rng.Shuffle(len(from), func(i, j int) { from[i], from[j] = from[j], from[i] })
 	n := int(math.Round(part * float64(len(from))))
--- a/internal/lab/scenario/draw_machines.go
+++ b/internal/lab/scenario/draw_machines.go
@@ -45,7 +45,7 @@
 	return out
 }
 
-func (d *Day) fleet(s *Scenario, rng *rand.Rand) error {
+func (d *Day) drawServers(s *Scenario, rng *rand.Rand) error {
 	shares := make([]float64, len(s.Kinds))
 	total := 0.0
 	for i := range s.Kinds {
@@ -55,7 +55,7 @@
 	}
 	// Kinds and zones are dealt out by largest remainder and then shuffled, so that
 	// small fleets keep the shares as well as they can.
-	kinds := deal(shares, total, s.Fleet.Servers)
+	kinds := largestRemainder(shares, total, s.Fleet.Servers)
 	rng.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
 	weights := s.Zones.Servers
 	if len(weights) == 0 {
@@ -68,11 +68,11 @@
 	for _, w := range weights {
 		sum += w
 	}
-	zones := deal(weights, sum, s.Fleet.Servers)
+	zones := largestRemainder(weights, sum, s.Fleet.Servers)
 	seen := make([]int, len(d.Zones))
 	rough := s.Fleet.RoughCV.draw(rng)
 	for i := range s.Fleet.Servers {
-		v := d.machine(s.Fleet.Weights, rough, kinds[i], zones[i], rng)
+		v := d.drawServer(s.Fleet.Weights, rough, kinds[i], zones[i], rng)
 		v.Cell = zones[i]*1000 + seen[v.Zone]/s.Fleet.Cells
 		seen[v.Zone]++
 		if err := v.Kind.Validate(); err != nil {
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// machine draws one machine of a kind.
-func (d *Day) machine(weights string, rough float64, kind, zone int, rng *rand.Rand) Server {
+// drawServer draws one machine of a kind.
+func (d *Day) drawServer(weights string, rough float64, kind, zone int, rng *rand.Rand) Server {
 	k := d.kinds[kind]
 	v := Server{Kind: k.kind, KindIndex: kind, Zone: zone, Size: 1, Handshake: k.rtts}
 	v.Kind.Speed *= lognormal(rng, k.speedCV)
@@ -116,8 +116,8 @@
 	return math.Exp(sigma*rng.NormFloat64() - sigma*sigma/2)
 }
 
-// deal gives n places to shares by largest remainder.
-func deal(shares []float64, total float64, n int) []int {
+// largestRemainder gives n places to shares by largest remainder.
+func largestRemainder(shares []float64, total float64, n int) []int {
 	if n == 0 || total <= 0 {
 		return nil
 	}
--- a/internal/lab/scenario/fill.go
+++ b/internal/lab/scenario/fill.go
@@ -1,7 +1,7 @@
 package scenario
 
-// fill gives what is left out of kinds and classes its default.
-func (s *Scenario) fill() {
+// fillDefaults gives what is left out of kinds and classes its default.
+func (s *Scenario) fillDefaults() {
 	text := func(v *string, def string) {
 		if *v == "" {
 			*v = def
--- a/internal/lab/scenario/instance.go
+++ b/internal/lab/scenario/instance.go
@@ -19,7 +19,7 @@
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(concern)))
 }
 
-// Day is one draw of a scenario: nothing in it is a range any more.
+// Day is one drawn instance of a scenario: nothing in it is a range any more.
 type Day struct {
 	Name         string
 	Seed         uint64
@@ -33,7 +33,7 @@
 	Servers   []Server
 	Balancers []Balancer
 	Settings  piernotch.Settings // but for Zone
-	Front     time.Duration      // time in which the front notices a dead balancer
+	Front     time.Duration      // time for which clients are still sent to a dead balancer
 
 	Classes   []DayClass
 	Traffic   DayTraffic
@@ -46,7 +46,7 @@
 	kinds []kindDraw
 }
 
-// Server is one machine of the day.
+// Server is one machine of the instance.
 type Server struct {
 	Kind      servermodel.Kind
 	KindIndex int
@@ -86,7 +86,7 @@
 	Trace   string
 }
 
-// DayClients is the clients' habits as drawn.
+// DayClients is the clients' behaviour as drawn.
 type DayClients struct {
 	Retries    float64 // the fraction is the chance of one more
 	Backoff    time.Duration
@@ -96,7 +96,7 @@
 	MarksRetry bool
 }
 
-// DayDiscovery is the list's service as drawn.
+// DayDiscovery is service discovery as drawn.
 type DayDiscovery struct {
 	Push                                          bool
 	Notice, Silent, Add, Period, Spread, Patience time.Duration
@@ -119,7 +119,7 @@
 	Waste, LateFail, CrossZone, Probe, Choke float64
 }
 
-// Incident is a trouble at its time, with those that it hits.
+// Incident is a fault at its time, with the servers and balancers that it hits.
 type Incident struct {
 	Kind      string
 	At, For   time.Duration
@@ -136,7 +136,7 @@
 // End is when an incident is over.
 func (i *Incident) End() time.Duration { return i.At + i.For }
 
-// kindDraw is what all machines of a kind have in common on the day.
+// kindDraw is what all machines of a kind have in common in an instance.
 type kindDraw struct {
 	kind    servermodel.Kind
 	speedCV float64
--- a/internal/lab/scenario/load.go
+++ b/internal/lab/scenario/load.go
@@ -26,7 +26,7 @@
 // Problems is all that is wrong, in the order of the files.
 type Problems = tomlfile.Problems
 
-type place struct {
+type sourceLine struct {
 	file string
 	line int
 }
@@ -48,7 +48,7 @@
 // it. The error is of type Problems and holds everything that is wrong.
 func Load(name string) (*Scenario, error) {
 	s := defaults()
-	l := loader{s: s}
+	l := loader{scenario: s}
 	l.file(name, "", 0)
 	return l.finish()
 }
@@ -56,26 +56,26 @@
 // Parse reads a scenario from memory. Includes are of shipped scenarios.
 func Parse(file string, data []byte) (*Scenario, error) {
 	s := defaults()
-	l := loader{s: s}
+	l := loader{scenario: s}
 	l.parse(file, data, "", 0)
 	return l.finish()
 }
 
 type loader struct {
-	s        *Scenario
+	scenario *Scenario
 	problems Problems
 }
 
 // finish checks what was read, unless it could not be read at all.
 func (l *loader) finish() (*Scenario, error) {
-	if l.s.origin != nil {
-		l.s.fill()
-		l.problems = append(l.problems, l.s.Check()...)
+	if l.scenario.origin != nil {
+		l.scenario.fillDefaults()
+		l.problems = append(l.problems, l.scenario.Check()...)
 	}
 	if len(l.problems) > 0 {
 		return nil, l.problems
 	}
-	return l.s, nil
+	return l.scenario, nil
 }
 
 // file reads one file, looked for beside its includer and then among the shipped.
@@ -114,12 +114,12 @@
 		l.file(head.Include, dir, depth+1)
 	}
 	// A file that lists kinds, classes or troubles replaces those of its base.
-	l.problems = append(l.problems, tomlfile.Decode(file, data, l.s)...)
-	if l.s.origin == nil {
-		l.s.origin = map[string]place{}
+	l.problems = append(l.problems, tomlfile.Decode(file, data, l.scenario)...)
+	if l.scenario.origin == nil {
+		l.scenario.origin = map[string]sourceLine{}
 	}
 	for key, line := range tomlfile.Lines(data) {
-		l.s.origin[key] = place{file, line}
+		l.scenario.origin[key] = sourceLine{file, line}
 	}
 }
 
@@ -130,7 +130,7 @@
 	c := *s
 	c.Kinds, c.Classes, c.Troubles = slices.Clone(s.Kinds), slices.Clone(s.Classes), slices.Clone(s.Troubles)
 	c.Zones.Names, c.Zones.Servers = slices.Clone(s.Zones.Names), slices.Clone(s.Zones.Servers)
-	c.origin = map[string]place{} // a value set here has no line
+	c.origin = map[string]sourceLine{} // a value set here has no line
 	for k, v := range s.origin {
 		c.origin[k] = v
 	}
@@ -148,7 +148,7 @@
 		}
 		delete(c.origin, key)
 	}
-	c.fill()
+	c.fillDefaults()
 	problems = append(problems, c.Check()...)
 	if len(problems) > 0 {
 		return nil, problems
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestShippedScenariosAreGoodAndDrawTheSameDayForASeed(t *testing.T) {
+func TestShippedScenariosDrawSameValuesForSeed(t *testing.T) {
 	require.Subset(t, Shipped(), []string{"quiet", "felt-quake", "report-late-stall", "restart-storm", "long-churn", "wide", "base", "addis"})
 	for _, name := range Shipped() {
 		s, err := Load(name)
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestAllProblemsAreToldWithFileAndLine(t *testing.T) {
+func TestAllProblemsAreReportedWithFileAndLine(t *testing.T) {
 	dir := t.TempDir()
 	base, name := filepath.Join(dir, "under.toml"), filepath.Join(dir, "top.toml")
 	require.NoError(t, os.WriteFile(base, []byte("include = \"base\"\ntick_ms = 0\nwat = 1\n"), 0o600))
@@ -67,15 +67,15 @@
 	require.ErrorContains(t, err, "deep")
 }
 
-func TestOverrides(t *testing.T) {
+func TestWithReplacesValuesAndRejectsBadOnes(t *testing.T) {
 	s, err := Load("addis")
 	require.NoError(t, err)
 	c, err := s.With("traffic.load=[0.1,0.2]", "kind.fast.speed=3", "kind.*.choke_at=0", "trouble.slow.size=4", "class[1].effect=safe", "zones.servers=[1,0,0,0]")
 	require.NoError(t, err)
 	require.Equal(t, 0.2, c.Traffic.Load.To)
 	require.Equal(t, Fixed(3), c.Kinds[0].Speed)
-	require.Zero(t, c.Kinds[2].ChokeAt.most())
-	require.NotZero(t, s.Kinds[2].ChokeAt.most(), "the original stays")
+	require.Zero(t, c.Kinds[2].ChokeAt.upper())
+	require.NotZero(t, s.Kinds[2].ChokeAt.upper(), "the original stays")
 	require.Equal(t, "safe", c.Classes[1].Effect)
 	for _, bad := range []string{"traffic.lod=1", "kind.steam.speed=1", "traffic.load", "traffic.load=-1", "class[9].worth=1", "fleet.servers=x", "tick_ms.x=1"} {
 		_, err := s.With(bad)
@@ -97,7 +97,7 @@
 		}
 		for _, in := range d.Troubles {
 			r := s.Troubles[in.Number]
-			if in.At.Seconds() < r.AtS.least()-1e-6 || in.At.Seconds() > r.AtS.most()+1e-6 {
+			if in.At.Seconds() < r.AtS.lower()-1e-6 || in.At.Seconds() > r.AtS.upper()+1e-6 {
 				t.Fatalf("%s at %v", in.Kind, in.At)
 			}
 		}
--- a/internal/lab/scenario/schema.go
+++ b/internal/lab/scenario/schema.go
@@ -54,8 +54,8 @@
 	return nil
 }
 
-func (r Range) least() float64 { return min(r.From, r.To) }
-func (r Range) most() float64  { return max(r.From, r.To) }
+func (r Range) lower() float64 { return min(r.From, r.To) }
+func (r Range) upper() float64 { return max(r.From, r.To) }
 
 func (r Range) draw(rng *rand.Rand) float64 { return r.From + rng.Float64()*(r.To-r.From) }
 
@@ -82,7 +82,7 @@
 	Draws     Draws     `toml:"draw"`
 	Troubles  []Trouble `toml:"trouble"`
 
-	origin map[string]place // where each key was set last
+	origin map[string]sourceLine // where each key was set last
 }
 
 // Zones are sites and the network between them. Times are one way.
--- a/internal/lab/scenario/steps.go
+++ b/internal/lab/scenario/steps.go
@@ -1,10 +1,8 @@
 package scenario
 
-import (
-	"time"
-)
+import "time"
 
-// Act is what a step does.
+// Act is the kind of a step.
 type Act uint8
 
 // Acts. They are done to one server, to several, or to what all have in common.
@@ -38,8 +36,8 @@
 	Number        int
 }
 
-// restartTakes is how long a server's process is away in a restart.
-const restartTakes = 500 * time.Millisecond
+// restartDuration is how long a server's process is away in a restart.
+const restartDuration = 500 * time.Millisecond
 
 // Steps is what the day's troubles do to servers and discovery, trouble by trouble: one
 // script for all that play the day. Those of balancers and of traffic are not in it.
@@ -89,7 +87,7 @@
 					add(Step{At: at, Do: Join, Server: s, Number: number})
 				}
 				if in.Kind == "restart" {
-					add(Step{At: at + in.Ramp + restartTakes, Do: Start, Server: s})
+					add(Step{At: at + in.Ramp + restartDuration, Do: Start, Server: s})
 				}
 			case "join":
 				add(Step{At: at, Do: Join, Server: s, Number: number})
