--- a/cmd/piernotch-lab/loadtest.go
+++ b/cmd/piernotch-lab/loadtest.go
@@ -13,7 +13,7 @@
 
 // drawDay loads a scenario and draws one of its days, for the commands that play on sockets. With
 // balancers above zero it replaces the scenario's number of balancers.
-func drawDay(name string, set []string, balancers int, seed uint64) (*scenario.Scenario, *scenario.Day, error) {
+func drawDay(name string, set []string, balancers int, seed uint64) (*scenario.Scenario, *scenario.Instance, error) {
 	s, err := scenario.Load(name)
 	if err != nil {
 		return nil, nil, err
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -13,7 +13,7 @@
 // Fleet is the stand-in feed servers of a day and their discovery. Its methods may be called from any
 // goroutine, but Play and Close.
 type Fleet struct {
-	day       *scenario.Day
+	day       *scenario.Instance
 	clock     Clock
 	observer  Observer
 	servers   []*server // those that join later included
@@ -38,7 +38,7 @@
 
 // New creates the servers of a day and opens them and discovery. Nothing goes wrong until Play. The caller
 // calls Close.
-func New(day *scenario.Day, opts Options) (*Fleet, error) {
+func New(day *scenario.Instance, opts Options) (*Fleet, error) {
 	f := &Fleet{day: day, clock: opts.Clock, observer: opts.Observer}
 	for _, spec := range day.Servers {
 		if _, err := f.add(spec); err != nil {
--- a/internal/lab/goodput/counter.go
+++ b/internal/lab/goodput/counter.go
@@ -57,7 +57,7 @@
 	LateUnserved float64 // weight that ended unserved after its latency objective
 	Seconds      []Second
 
-	day       *scenario.Day
+	day       *scenario.Instance
 	classes   []classCounter
 	latencies *hdrhistogram.Histogram
 }
@@ -69,7 +69,7 @@
 }
 
 // New returns a Counter for a run of a drawn scenario.
-func New(d *scenario.Day) *Counter {
+func New(d *scenario.Instance) *Counter {
 	return &Counter{
 		Seconds:   make([]Second, int(math.Ceil(d.Length.Seconds()))),
 		day:       d,
@@ -84,7 +84,7 @@
 }
 
 // Weight is the priority weight of a request of a class; work is in ms.
-func Weight(d *scenario.Day, class int, work float64) float64 {
+func Weight(d *scenario.Instance, class int, work float64) float64 {
 	if d.Score.ByWork {
 		return d.Classes[class].PriorityWeight * work
 	}
--- a/internal/lab/goodput/counter_test.go
+++ b/internal/lab/goodput/counter_test.go
@@ -11,14 +11,14 @@
 )
 
 func newTestCounter() *Counter {
-	return New(&scenario.Day{
+	return New(&scenario.Instance{
 		Length: 4 * time.Second,
-		Classes: []scenario.DayClass{
+		Classes: []scenario.InstanceClass{
 			{Class: piernotch.Class{Name: "read", PriorityWeight: 1, LatencyObjective: time.Second, LateWeightShare: 0.5}},
 			{Class: piernotch.Class{Name: "write", PriorityWeight: 3, LatencyObjective: time.Second}},
 			{Class: piernotch.Class{Name: "unused", PriorityWeight: 1}},
 		},
-		Score: scenario.DayScore{Whole: 0.5, WorstWindow: 0.25, WorstClass: 0.25, Window: time.Second},
+		Score: scenario.InstanceScore{Whole: 0.5, WorstWindow: 0.25, WorstClass: 0.25, Window: time.Second},
 	})
 }
 
--- a/internal/lab/goodput/service.go
+++ b/internal/lab/goodput/service.go
@@ -42,7 +42,7 @@
 }
 
 // Service weighs the parts and takes off a deduction; it is not below 0.
-func (p Parts) Service(score scenario.DayScore, deducted float64) float64 {
+func (p Parts) Service(score scenario.InstanceScore, deducted float64) float64 {
 	return max(score.Whole*p.Whole+score.WorstWindow*p.WorstWindow+score.WorstClass*p.WorstClass-deducted, 0)
 }
 
--- a/internal/lab/load/clients.go
+++ b/internal/lab/load/clients.go
@@ -48,7 +48,7 @@
 
 // Clients are the clients of a day. All exported fields are required, and read only.
 type Clients struct {
-	Day      *scenario.Day
+	Day      *scenario.Instance
 	Arrivals []simulation.Arrival // in the order of time
 	Clock    func() time.Duration // the time of the day
 	Pick     PickBalancer
--- a/internal/lab/loadtest/environment.go
+++ b/internal/lab/loadtest/environment.go
@@ -20,7 +20,7 @@
 
 // environment is all that runs while a day is played.
 type environment struct {
-	day         *scenario.Day
+	day         *scenario.Instance
 	opts        Options
 	started     atomic.Pointer[time.Time] // when the day began; nil: not yet
 	observer    *observer
@@ -36,7 +36,7 @@
 	err         error // the first one; guarded by mu
 }
 
-func newEnvironment(day *scenario.Day, opts Options) *environment {
+func newEnvironment(day *scenario.Instance, opts Options) *environment {
 	e := &environment{day: day, opts: opts, handovers: &HandoverReport{Done: map[HandoverKind]int{}}}
 	zone := func(server int) int { return e.fleet.Spec(server).Zone }
 	cell := func(server int) int { return e.fleet.Spec(server).Cell }
--- a/internal/lab/loadtest/handover.go
+++ b/internal/lab/loadtest/handover.go
@@ -57,7 +57,7 @@
 
 // DrawHandovers spreads n hand-overs over the balancers of a day, one after the other at each, and gives
 // every kind the same share. It follows from the day's seed.
-func DrawHandovers(day *scenario.Day, n int) []Handover {
+func DrawHandovers(day *scenario.Instance, n int) []Handover {
 	rng := rand.New(rand.NewPCG(day.Seed, 23))
 	handovers := make([]Handover, n)
 	for i := range handovers {
--- a/internal/lab/loadtest/incidents.go
+++ b/internal/lab/loadtest/incidents.go
@@ -20,8 +20,8 @@
 // and malformed requests. The emulator plays the others.
 func (e *environment) scheduleIncidents(ctx context.Context) {
 	e.malformed.Pick = e.pickBalancer
-	for i := range e.day.Troubles {
-		incident := &e.day.Troubles[i]
+	for i := range e.day.Faults {
+		incident := &e.day.Faults[i]
 		switch incident.Kind {
 		case "rude":
 			e.at(ctx, incident.At, func() {
@@ -57,7 +57,7 @@
 }
 
 // scheduleCrash kills a balancer, has clients avoid it when the front has noticed, and launches it again.
-func (e *environment) scheduleCrash(ctx context.Context, incident *scenario.Incident, p *process) {
+func (e *environment) scheduleCrash(ctx context.Context, incident *scenario.Fault, p *process) {
 	e.at(ctx, incident.At, func() {
 		e.observer.BalancerKilled(p.number)
 		<-p.signal(syscall.SIGKILL)
@@ -71,7 +71,7 @@
 }
 
 // restart shuts a balancer down gracefully and launches it again.
-func (e *environment) restart(ctx context.Context, incident *scenario.Incident, p *process) {
+func (e *environment) restart(ctx context.Context, incident *scenario.Fault, p *process) {
 	exited := p.signal(syscall.SIGTERM)
 	time.AfterFunc(unrouteDelay, func() { p.setRouted(false) })
 	select {
--- a/internal/lab/loadtest/loadtest.go
+++ b/internal/lab/loadtest/loadtest.go
@@ -65,7 +65,7 @@
 // Run plays a day. When the context ends, it ends all that it started and reports what it has. A report
 // may come with an error: then something went wrong while the day was played. The errors are those of
 // errors.go, and what the system or the scenario gives.
-func Run(ctx context.Context, day *scenario.Day, opts Options) (*Report, error) {
+func Run(ctx context.Context, day *scenario.Instance, opts Options) (*Report, error) {
 	opts, cleanup, err := opts.withDefaults()
 	if err != nil {
 		return nil, err
--- a/internal/lab/loadtest/loadtest_test.go
+++ b/internal/lab/loadtest/loadtest_test.go
@@ -16,7 +16,7 @@
 	"piernotch/internal/lab/scenario"
 )
 
-func testDay(t *testing.T, text string, set ...string) *scenario.Day {
+func testDay(t *testing.T, text string, set ...string) *scenario.Instance {
 	t.Helper()
 	s, err := scenario.Parse("test", []byte("include = \"base\"\n"+text))
 	require.NoError(t, err)
--- a/internal/lab/loadtest/process.go
+++ b/internal/lab/loadtest/process.go
@@ -73,7 +73,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-func newProcess(opts Options, number int, day *scenario.Day) (*process, error) {
+func newProcess(opts Options, number int, day *scenario.Instance) (*process, error) {
 	address, err := faultproxy.FreeAddress()
 	if err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 }
 
 // configure writes the platform's JSON.
-func (p *process) configure(day *scenario.Day, discovery string, known json.RawMessage, l limits) error {
+func (p *process) configure(day *scenario.Instance, discovery string, known json.RawMessage, l limits) error {
 	set := day.Settings
 	set.Zone = p.zone
 	r := &day.Rules
--- a/internal/lab/loadtest/recovery_test.go
+++ b/internal/lab/loadtest/recovery_test.go
@@ -33,6 +33,6 @@
 		b, err := c.Draw(1)
 		require.NoError(t, err)
 		require.Equal(t, a.Servers, b.Servers, d.Name)
-		require.Empty(t, b.Troubles)
+		require.Empty(t, b.Faults)
 	}
 }
--- a/internal/lab/scenario/draw.go
+++ b/internal/lab/scenario/draw.go
@@ -9,9 +9,9 @@
 )
 
 // Draw draws one instance of the scenario. It fails only for a machine that cannot be.
-func (s *Scenario) Draw(seed uint64) (*Day, error) {
+func (s *Scenario) Draw(seed uint64) (*Instance, error) {
 	rng := Stream(seed, "site")
-	d := &Day{
+	d := &Instance{
 		Name: s.Name, Seed: seed, Length: seconds(s.LengthS.draw(rng)), Tick: millis(s.TickMS.draw(rng)),
 		Zones: s.Zones.Names, Client: millis(s.Zones.ClientMS.draw(rng)), Jitter: s.Zones.Jitter.draw(rng),
 		Front: seconds(s.Balancers.FrontNoticeS.draw(rng)),
@@ -33,7 +33,7 @@
 	return d, nil
 }
 
-func (d *Day) drawNetwork(s *Scenario, rng *rand.Rand) {
+func (d *Instance) drawNetwork(s *Scenario, rng *rand.Rand) {
 	n := len(d.Zones)
 	d.Delay = make([][]time.Duration, n)
 	same := millis(s.Zones.SameMS.draw(rng))
@@ -47,32 +47,32 @@
 	}
 }
 
-func (d *Day) drawFigures(s *Scenario, rng *rand.Rand) {
+func (d *Instance) drawFigures(s *Scenario, rng *rand.Rand) {
 	r, c, v, g := &s.Rules, &s.Clients, &s.Discovery, &s.Score
-	d.Rules = DayRules{
+	d.Rules = InstanceRules{
 		Slack: millis(r.AnswerSlackMS.draw(rng)), AskWithin: millis(r.AskWithinMS.draw(rng)),
 		Grace: millis(r.DrainGraceMS.draw(rng)), Dial: millis(r.DialTimeoutMS.draw(rng)),
 		Probe: millis(r.ProbeTimeoutMS.draw(rng)), KeepAlive: millis(r.KeepaliveMS.draw(rng)),
 		ColdFrom: r.ColdFrom.draw(rng), Cold: millis(r.ColdMS.draw(rng)),
 		Fall: servermodel.Collapse{Multiple: r.FallMultiple.draw(rng), For: millis(r.FallMS.draw(rng))},
 	}
-	d.Clients = DayClients{
+	d.Clients = InstanceClients{
 		Retries: c.Retries.draw(rng), Backoff: millis(c.BackoffMS.draw(rng)), TryShare: c.TryShare.draw(rng),
 		Honour: c.Honour.draw(rng), Impatient: c.Impatient.draw(rng), MarksRetry: c.MarksRetry,
 	}
-	d.Discovery = DayDiscovery{
+	d.Discovery = InstanceDiscovery{
 		Push: v.Push, Notice: seconds(v.NoticeS.draw(rng)), Silent: seconds(v.SilentS.draw(rng)), Add: seconds(v.AddS.draw(rng)),
 		Period: millis(v.PeriodMS.draw(rng)), Spread: millis(v.SpreadMS.draw(rng)), Patience: millis(v.TimeoutMS.draw(rng)),
 		CallsPerSec: v.CallsPerS.draw(rng), CallLines: v.CallLines.draw(rng),
 	}
-	d.Score = DayScore{
+	d.Score = InstanceScore{
 		Whole: g.Whole.draw(rng), WorstWindow: g.WorstWindow.draw(rng), WorstClass: g.WorstClass.draw(rng),
 		Window: seconds(g.WindowS.draw(rng)), ByWork: g.WorthBy == "work", Waste: g.Waste.draw(rng),
 		LateFail: g.LateFail.draw(rng), CrossZone: g.CrossZone.draw(rng), Probe: g.Probe.draw(rng), Choke: g.Choke.draw(rng),
 	}
 }
 
-func (d *Day) setSettings(s *Scenario) {
+func (d *Instance) setSettings(s *Scenario) {
 	b := &s.Balancers
 	set := piernotch.Settings{
 		BalancerCount: b.Count, Zones: d.Zones, Tick: d.Tick, PollDiscovery: !d.Discovery.Push,
@@ -93,9 +93,9 @@
 	d.Settings = set
 }
 
-func (d *Day) drawTraffic(s *Scenario, rng *rand.Rand) {
+func (d *Instance) drawTraffic(s *Scenario, rng *rand.Rand) {
 	t := &s.Traffic
-	d.Traffic = DayTraffic{
+	d.Traffic = InstanceTraffic{
 		PerSec: t.RatePerS.draw(rng), Shape: t.Shape, Swing: t.Swing.draw(rng), Period: seconds(t.PeriodS.draw(rng)),
 		Phase: rng.Float64(), Keys: int(t.Keys.draw(rng)), KeyZipf: t.KeyZipf.draw(rng), Hints: t.Hints, HintCV: t.HintCV.draw(rng), Trace: t.Trace,
 	}
--- a/internal/lab/scenario/draw_classes.go
+++ b/internal/lab/scenario/draw_classes.go
@@ -15,7 +15,7 @@
 	dedupScopeByName  = map[string]piernotch.DedupScope{"": piernotch.DedupEverywhere, "all": piernotch.DedupEverywhere, "zone": piernotch.DedupInZone, "cell": piernotch.DedupInCell}
 )
 
-func (d *Day) drawClasses(s *Scenario, rng *rand.Rand) {
+func (d *Instance) drawClasses(s *Scenario, rng *rand.Rand) {
 	total := 0.0
 	works := Stream(d.Seed, "work")
 	for i := range s.Classes {
@@ -23,7 +23,7 @@
 		share := k.Share.draw(rng)
 		total += share
 		mean, cv := k.WorkMS.draw(rng), k.CV.draw(rng)
-		d.Classes = append(d.Classes, DayClass{
+		d.Classes = append(d.Classes, InstanceClass{
 			Class: piernotch.Class{
 				Name: k.Name, LatencyObjective: millis(k.AimMS.draw(rng)), Deadline: millis(k.DeadlineMS.draw(rng)), PriorityWeight: k.Worth.draw(rng),
 				LateWeightShare: k.LateWorth.draw(rng), RetrySafety: retrySafetyByName[k.Effect], DedupScope: dedupScopeByName[k.Scope], DedupWindow: millis(k.WindowMS.draw(rng)),
--- a/internal/lab/scenario/draw_faults.go
+++ b/internal/lab/scenario/draw_faults.go
@@ -9,7 +9,7 @@
 
 // drawFaults draws the incidents. Each trouble has a stream of its own, so that one
 // more of them does not move the others.
-func (d *Day) drawFaults(s *Scenario, seed uint64) {
+func (d *Instance) drawFaults(s *Scenario, seed uint64) {
 	chosen := make([]bool, len(s.Troubles))
 	if s.Draws.Troubles.Set {
 		rng := Stream(seed, "troubles")
@@ -39,14 +39,14 @@
 	}
 	for i := range s.Troubles {
 		if chosen[i] {
-			d.Troubles = append(d.Troubles, d.drawFault(s, i, Stream(seed, fmt.Sprintf("trouble %d", i))))
+			d.Faults = append(d.Faults, d.drawFault(s, i, Stream(seed, fmt.Sprintf("trouble %d", i))))
 		}
 	}
 }
 
-func (d *Day) drawFault(s *Scenario, n int, rng *rand.Rand) Incident {
+func (d *Instance) drawFault(s *Scenario, n int, rng *rand.Rand) Fault {
 	t := &s.Troubles[n]
-	in := Incident{
+	in := Fault{
 		Kind: t.Kind, At: seconds(t.AtS.draw(rng)), For: seconds(t.ForS.draw(rng)), Part: t.Part.draw(rng), Size: t.Size.draw(rng),
 		Every: seconds(t.EveryS.draw(rng)), Ramp: seconds(t.RampS.draw(rng)), Class: -1, Number: n,
 	}
--- a/internal/lab/scenario/draw_machines.go
+++ b/internal/lab/scenario/draw_machines.go
@@ -45,7 +45,7 @@
 	return out
 }
 
-func (d *Day) drawServers(s *Scenario, rng *rand.Rand) error {
+func (d *Instance) drawServers(s *Scenario, rng *rand.Rand) error {
 	shares := make([]float64, len(s.Kinds))
 	total := 0.0
 	for i := range s.Kinds {
@@ -84,7 +84,7 @@
 }
 
 // drawServer draws one machine of a kind.
-func (d *Day) drawServer(weights string, rough float64, kind, zone int, rng *rand.Rand) Server {
+func (d *Instance) drawServer(weights string, rough float64, kind, zone int, rng *rand.Rand) Server {
 	k := d.kinds[kind]
 	v := Server{Kind: k.kind, KindIndex: kind, Zone: zone, Size: 1, Handshake: k.rtts}
 	v.Kind.Speed *= lognormal(rng, k.speedCV)
@@ -100,7 +100,7 @@
 
 // Like makes another machine of a server's kind, for one that joins or replaces it.
 // The number tells machines apart; the same number is always the same machine.
-func (d *Day) Like(i, number int) Server {
+func (d *Instance) Like(i, number int) Server {
 	rng := Stream(d.Seed^uint64(number)*0x9e3779b97f4a7c15, "spare")
 	was := d.Servers[i]
 	v := was
--- a/internal/lab/scenario/golden_test.go
+++ b/internal/lab/scenario/golden_test.go
@@ -84,7 +84,7 @@
 }
 
 // describe writes a day's values in order, one concern a line: no name of a field or type is in it.
-func describe(d *Day) []byte {
+func describe(d *Instance) []byte {
 	var out bytes.Buffer
 	line := func(values ...any) { fmt.Fprintln(&out, values...) }
 	line(d.Name, d.Seed, d.Length, d.Tick, d.Zones, d.Delay, d.Client, d.Jitter, d.Front)
@@ -102,7 +102,7 @@
 	for _, class := range d.Classes {
 		line(class.Class, class.Share, class.MeanWork, class.AttemptCV, class.Work.Rand(), class.Work.Rand())
 	}
-	for _, incident := range d.Troubles {
+	for _, incident := range d.Faults {
 		line(incident)
 	}
 	for _, step := range d.Steps() {
--- a/internal/lab/scenario/instance.go
+++ b/internal/lab/scenario/instance.go
@@ -19,8 +19,8 @@
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(concern)))
 }
 
-// Day is one drawn instance of a scenario: nothing in it is a range any more.
-type Day struct {
+// Instance is one drawn instance of a scenario: nothing in it is a range any more.
+type Instance struct {
 	Name         string
 	Seed         uint64
 	Length, Tick time.Duration
@@ -35,13 +35,13 @@
 	Settings  piernotch.Settings // but for Zone
 	Front     time.Duration      // time for which clients are still sent to a dead balancer
 
-	Classes   []DayClass
-	Traffic   DayTraffic
-	Clients   DayClients
-	Discovery DayDiscovery
-	Rules     DayRules
-	Score     DayScore
-	Troubles  []Incident
+	Classes   []InstanceClass
+	Traffic   InstanceTraffic
+	Clients   InstanceClients
+	Discovery InstanceDiscovery
+	Rules     InstanceRules
+	Score     InstanceScore
+	Faults    []Fault
 
 	kinds []kindDraw
 }
@@ -62,8 +62,8 @@
 	Start time.Duration
 }
 
-// DayClass is a class as drawn. Times are durations, work is in ms.
-type DayClass struct {
+// InstanceClass is a class as drawn. Times are durations, work is in ms.
+type InstanceClass struct {
 	piernotch.Class
 	Share     float64
 	Work      distuv.Rander // work of a request, ms; draws from the traffic's stream
@@ -71,8 +71,8 @@
 	AttemptCV float64
 }
 
-// DayTraffic is the traffic as drawn.
-type DayTraffic struct {
+// InstanceTraffic is the traffic as drawn.
+type InstanceTraffic struct {
 	PerSec  float64 // mean
 	Shape   string
 	Swing   float64
@@ -86,8 +86,8 @@
 	Trace   string
 }
 
-// DayClients is the clients' behaviour as drawn.
-type DayClients struct {
+// InstanceClients is the clients' behaviour as drawn.
+type InstanceClients struct {
 	Retries    float64 // the fraction is the chance of one more
 	Backoff    time.Duration
 	TryShare   float64
@@ -96,31 +96,31 @@
 	MarksRetry bool
 }
 
-// DayDiscovery is service discovery as drawn.
-type DayDiscovery struct {
+// InstanceDiscovery is service discovery as drawn.
+type InstanceDiscovery struct {
 	Push                                          bool
 	Notice, Silent, Add, Period, Spread, Patience time.Duration
 	CallsPerSec, CallLines                        float64
 }
 
-// DayRules is the rules' figures.
-type DayRules struct {
+// InstanceRules is the rules' figures.
+type InstanceRules struct {
 	Slack, AskWithin, Grace, Dial, Probe, KeepAlive time.Duration
 	ColdFrom                                        float64
 	Cold                                            time.Duration
 	Fall                                            servermodel.Collapse
 }
 
-// DayScore is how service is counted.
-type DayScore struct {
+// InstanceScore is how service is counted.
+type InstanceScore struct {
 	Whole, WorstWindow, WorstClass           float64
 	Window                                   time.Duration
 	ByWork                                   bool
 	Waste, LateFail, CrossZone, Probe, Choke float64
 }
 
-// Incident is a fault at its time, with the servers and balancers that it hits.
-type Incident struct {
+// Fault is a fault at its time, with the servers and balancers that it hits.
+type Fault struct {
 	Kind      string
 	At, For   time.Duration
 	Part      float64
@@ -134,7 +134,7 @@
 }
 
 // End is when an incident is over.
-func (i *Incident) End() time.Duration { return i.At + i.For }
+func (i *Fault) End() time.Duration { return i.At + i.For }
 
 // kindDraw is what all machines of a kind have in common in an instance.
 type kindDraw struct {
@@ -148,7 +148,7 @@
 func millis(v float64) time.Duration { return time.Duration(math.Round(v*1e3)) * time.Microsecond }
 
 // Capacity is the work that the day's first servers do in a second when warm, ms.
-func (d *Day) Capacity() float64 {
+func (d *Instance) Capacity() float64 {
 	sum := 0.0
 	for i := range d.Servers {
 		sum += d.Servers[i].Kind.Capacity()
@@ -157,7 +157,7 @@
 }
 
 // MeanWork is the mean work of a request, ms.
-func (d *Day) MeanWork() float64 {
+func (d *Instance) MeanWork() float64 {
 	sum := 0.0
 	for _, c := range d.Classes {
 		sum += c.Share * c.MeanWork
@@ -166,7 +166,7 @@
 }
 
 // KindNames names the kinds of machine, by Server.KindIndex.
-func (d *Day) KindNames() []string {
+func (d *Instance) KindNames() []string {
 	names := make([]string, len(d.kinds))
 	for i := range d.kinds {
 		names[i] = d.kinds[i].kind.Name
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -20,7 +20,7 @@
 		b, err := s.Draw(5)
 		require.NoError(t, err, name)
 		require.Equal(t, a.Servers, b.Servers)
-		require.Equal(t, a.Troubles, b.Troubles)
+		require.Equal(t, a.Faults, b.Faults)
 		require.Equal(t, a.Settings, b.Settings)
 		require.NoError(t, a.Settings.Validate())
 		other, err := s.Draw(6)
@@ -92,10 +92,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n := len(d.Troubles); n < 2 || n > 3 {
+		if n := len(d.Faults); n < 2 || n > 3 {
 			t.Fatalf("%d troubles", n)
 		}
-		for _, in := range d.Troubles {
+		for _, in := range d.Faults {
 			r := s.Troubles[in.Number]
 			if in.At.Seconds() < r.AtS.lower()-1e-6 || in.At.Seconds() > r.AtS.upper()+1e-6 {
 				t.Fatalf("%s at %v", in.Kind, in.At)
--- a/internal/lab/scenario/steps.go
+++ b/internal/lab/scenario/steps.go
@@ -41,10 +41,10 @@
 
 // Steps is what the day's troubles do to servers and discovery, trouble by trouble: one
 // script for all that play the day. Those of balancers and of traffic are not in it.
-func (d *Day) Steps() []Step {
+func (d *Instance) Steps() []Step {
 	var out []Step
-	for i := range d.Troubles {
-		in := &d.Troubles[i]
+	for i := range d.Faults {
+		in := &d.Faults[i]
 		add := func(s Step) { out = append(out, s) }
 		both := func(begin, end Step) { // over the whole of the trouble
 			begin.At, end.At = in.At, in.End()
--- a/internal/lab/simulation/child.go
+++ b/internal/lab/simulation/child.go
@@ -52,7 +52,7 @@
 	// Patience is how long the program may take for one batch.
 	Patience time.Duration
 
-	day      *scenario.Day
+	day      *scenario.Instance
 	path     string
 	cmd      *exec.Cmd
 	stdin    io.Closer
@@ -79,7 +79,7 @@
 
 // StartChild starts a program for a drawn scenario. The caller must call Close, which ends the
 // process and the goroutine that reads from it.
-func StartChild(day *scenario.Day, path string, args ...string) (*Child, error) {
+func StartChild(day *scenario.Instance, path string, args ...string) (*Child, error) {
 	c := &Child{
 		Patience: DefaultPatience,
 		day:      day,
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -215,7 +215,7 @@
 }
 
 // mayRepeat reports whether a client may repeat what may have been executed.
-func (w *World) mayRepeat(client *clientRequest, class *scenario.DayClass) bool {
+func (w *World) mayRepeat(client *clientRequest, class *scenario.InstanceClass) bool {
 	switch class.RetrySafety {
 	case piernotch.Idempotent:
 		return true
--- a/internal/lab/simulation/counters.go
+++ b/internal/lab/simulation/counters.go
@@ -52,7 +52,7 @@
 	tracks []ServerTrack
 }
 
-func (c *counters) init(d *scenario.Day) { c.goodput = goodput.New(d) }
+func (c *counters) init(d *scenario.Instance) { c.goodput = goodput.New(d) }
 
 // finish counts a client's request that is over.
 func (c *counters) finish(w *World, client *clientRequest, served bool) {
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -17,8 +17,8 @@
 		}
 		w.schedule(step.At, func() { w.applyStep(&step) })
 	}
-	for i := range w.day.Troubles {
-		fault := &w.day.Troubles[i]
+	for i := range w.day.Faults {
+		fault := &w.day.Faults[i]
 		if fault.Kind == "roster_move" { // to the balancers it is an outage that is over at once
 			w.schedule(fault.At, func() { w.discovery.outage(w, true) })
 			w.schedule(fault.At+time.Millisecond, func() { w.discovery.outage(w, false) })
@@ -30,7 +30,7 @@
 }
 
 // scheduleBalancerFault schedules what a fault does to the n-th of its balancers.
-func (w *World) scheduleBalancerFault(fault *scenario.Incident, n, balancer int) {
+func (w *World) scheduleBalancerFault(fault *scenario.Fault, n, balancer int) {
 	switch fault.Kind {
 	case "balancer_crash":
 		w.schedule(fault.At, func() { w.killInstance(balancer) })
--- a/internal/lab/simulation/traffic.go
+++ b/internal/lab/simulation/traffic.go
@@ -26,7 +26,7 @@
 }
 
 // segment is the length over which bursty traffic keeps a level.
-func segment(d *scenario.Day) time.Duration { return max(d.Traffic.Period/4, 10*time.Millisecond) }
+func segment(d *scenario.Instance) time.Duration { return max(d.Traffic.Period/4, 10*time.Millisecond) }
 
 // init draws the shape of the traffic, or reads the recording.
 func (t *traffic) init(w *World) error {
@@ -42,8 +42,8 @@
 	}
 	t.zipf = cumulativeZipf(d.Traffic.Keys, d.Traffic.KeyZipf)
 	t.maxRate = d.Traffic.PerSec * (1 + d.Traffic.Swing)
-	for i := range d.Troubles {
-		if fault := &d.Troubles[i]; fault.Kind == "burst" {
+	for i := range d.Faults {
+		if fault := &d.Faults[i]; fault.Kind == "burst" {
 			t.maxRate *= max(fault.Size, 1)
 		}
 	}
@@ -71,8 +71,8 @@
 	case "bursty":
 		r *= t.levels[min(int(at/segment(d)), len(t.levels)-1)]
 	}
-	for i := range d.Troubles {
-		fault := &d.Troubles[i]
+	for i := range d.Faults {
+		fault := &d.Faults[i]
 		switch fault.Kind {
 		case "burst":
 			r *= 1 + (fault.Size-1)*ramp(at, fault.At, fault.End(), fault.Ramp)
@@ -163,7 +163,7 @@
 }
 
 // Arrivals draws all requests of a scenario ahead: the same that a World plays.
-func Arrivals(day *scenario.Day) ([]Arrival, error) {
+func Arrivals(day *scenario.Instance) ([]Arrival, error) {
 	w := &World{day: day}
 	if err := w.traffic.init(w); err != nil {
 		return nil, err
@@ -196,8 +196,8 @@
 	client.zone = min(client.zone, len(d.Zones)-1)
 	client.work = d.Classes[client.class].Work.Rand()
 	tail := t.tails.Float64()
-	for i := range d.Troubles {
-		fault := &d.Troubles[i]
+	for i := range d.Faults {
+		fault := &d.Faults[i]
 		active := fault.Kind == "heavy_tail" && w.now >= fault.At && w.now < fault.End()
 		hit := fault.Class < 0 || fault.Class == client.class
 		if active && hit && tail < fault.Part {
@@ -212,7 +212,7 @@
 }
 
 // drawHint is the cost hint of a request, ms; NaN: none.
-func (t *traffic) drawHint(d *scenario.Day, work float64) float64 {
+func (t *traffic) drawHint(d *scenario.Instance, work float64) float64 {
 	sigma := math.Sqrt(math.Log1p(d.Traffic.HintCV * d.Traffic.HintCV))
 	noise := math.Exp(sigma*t.hints.NormFloat64() - sigma*sigma/2)
 	switch d.Traffic.Hints {
--- a/internal/lab/simulation/traffic_trace.go
+++ b/internal/lab/simulation/traffic_trace.go
@@ -13,7 +13,7 @@
 
 // loadTrace reads a recording, whose records stand in the order in which requests ended. The error is
 // of a file that cannot be read, or of a class that the scenario lacks.
-func (t *traffic) loadTrace(d *scenario.Day) error {
+func (t *traffic) loadTrace(d *scenario.Instance) error {
 	r, err := trace.Open(d.Traffic.Trace)
 	if err != nil {
 		return err
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -21,7 +21,7 @@
 
 // World plays one drawn scenario. It is for one goroutine and one call of Run.
 type World struct {
-	day    *scenario.Day
+	day    *scenario.Instance
 	tier   Tier
 	events eventQueue
 	now    time.Duration
@@ -62,7 +62,7 @@
 
 // New returns the World of a drawn scenario, with all of its servers and faults. The caller closes
 // the tier. The error is of a kind of machine that cannot be, or of a trace that cannot be read.
-func New(day *scenario.Day, tier Tier) (*World, error) {
+func New(day *scenario.Instance, tier Tier) (*World, error) {
 	w := &World{day: day, tier: tier, serverByID: map[piernotch.BackendID]int32{}, nextTurn: never, lastTurn: -1}
 	w.hashedRand = rand.New(&w.pcg)
 	for i := range day.Servers {
