--- a/internal/lab/scenario/draw_machines.go
+++ b/internal/lab/scenario/draw_machines.go
@@ -10,13 +10,13 @@
 )
 
 // draw makes the day's machine of a kind.
-func (k *Kind) draw(rng *rand.Rand, fall servermodel.Collapse) kindDraw {
+func (k *Kind) draw(rng *rand.Rand, fall servermodel.Collapse) drawnKind {
 	cores := float64(k.Cores)
 	yes := func(v, yes, no string) bool { // drawn always, so that the stream stays in step
 		coin := rng.Float64() < 0.5
 		return v == yes || v != no && coin
 	}
-	out := kindDraw{
+	out := drawnKind{
 		kind: servermodel.Kind{
 			Name: k.Name, Cores: k.Cores, Speed: k.Speed.draw(rng),
 			Slots: max(int(math.Round(k.SlotsPerCore.draw(rng)*cores)), 1), Queue: int(math.Round(k.QueuePerCore.draw(rng) * cores)),
--- a/internal/lab/scenario/instance.go
+++ b/internal/lab/scenario/instance.go
@@ -12,14 +12,14 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// Stream returns the random numbers of one concern of one seed. Concerns do not
-// share numbers: what one of them draws does not depend on what happens elsewhere,
-// so that two runs of a seed meet the same traffic and the same troubles.
+// Stream returns the random stream of one concern for a seed. Concerns do not share a stream: what
+// one of them draws does not depend on what happens elsewhere, so that two runs of a seed get the
+// same traffic and the same faults. The result belongs to one goroutine.
 func Stream(seed uint64, concern string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(concern)))
 }
 
-// Instance is one drawn instance of a scenario: nothing in it is a range any more.
+// Instance is one drawn instance of a scenario: each range has become one value.
 type Instance struct {
 	Name         string
 	Seed         uint64
@@ -32,8 +32,8 @@
 
 	Servers   []Server
 	Balancers []Balancer
-	Settings  piernotch.Settings // but for Zone
-	Front     time.Duration      // time for which clients are still sent to a dead balancer
+	Settings  piernotch.Settings // without Zone, which differs between balancers
+	Front     time.Duration      // for how long clients are still sent to a balancer that is down
 
 	Classes   []InstanceClass
 	Traffic   InstanceTraffic
@@ -43,57 +43,57 @@
 	Score     InstanceScore
 	Faults    []Fault
 
-	kinds []kindDraw
+	kinds []drawnKind
 }
 
 // Server is one machine of the instance.
 type Server struct {
-	Kind      servermodel.Kind
-	KindIndex int
-	Zone      int
-	Cell      int
-	Size      float64 // as the list gives it
-	Handshake int     // round trips that a new connection takes
+	Kind      servermodel.Kind // with this machine's own speed
+	KindIndex int              // index into Scenario.Kinds
+	Zone      int              // index into Instance.Zones
+	Cell      int              // unique over all zones
+	Size      float64          // weight in the endpoint list
+	Handshake int              // round trips that a new connection takes
 }
 
-// Balancer is one instance.
+// Balancer is one instance of the load balancer.
 type Balancer struct {
-	Zone  int
-	Start time.Duration
+	Zone  int           // index into Instance.Zones
+	Start time.Duration // since the start of the run
 }
 
 // InstanceClass is a class as drawn. Times are durations, work is in ms.
 type InstanceClass struct {
 	piernotch.Class
-	Share     float64
-	Work      distuv.Rander // work of a request, ms; draws from the traffic's stream
-	MeanWork  float64
-	AttemptCV float64
+	Share     float64       // of the requests; the shares of all classes add up to 1
+	Work      distuv.Rander // work of a request, ms; all classes draw from one stream
+	MeanWork  float64       // ms
+	AttemptCV float64       // coefficient of variation of an attempt's work about its request's
 }
 
 // InstanceTraffic is the traffic as drawn.
 type InstanceTraffic struct {
-	PerSec  float64 // mean
-	Shape   string
-	Swing   float64
+	PerSec  float64 // mean number of requests per second
+	Shape   string  // steady, waves or bursty
+	Swing   float64 // amplitude of the shape as a share of the mean
 	Period  time.Duration
-	Phase   float64   // share of a period
-	Zones   []float64 // cumulative shares
-	Keys    int
+	Phase   float64   // share of a period at the start of the run
+	Zones   []float64 // cumulative shares of the clients by zone; the last is 1
+	Keys    int       // number of different keys; 0: requests have none
 	KeyZipf float64
-	Hints   string
+	Hints   string // none, rough or exact
 	HintCV  float64
-	Trace   string
+	Trace   string // file to be replayed; "": arrivals are drawn
 }
 
 // InstanceClients is the clients' behaviour as drawn.
 type InstanceClients struct {
-	Retries    float64 // the fraction is the chance of one more
+	Retries    float64 // the fraction is the probability of one more
 	Backoff    time.Duration
-	TryShare   float64
-	Honour     float64
-	Impatient  float64
-	MarksRetry bool
+	TryShare   float64 // an attempt times out after this share of the deadline
+	Honour     float64 // share of the clients that honour Retry-After
+	Impatient  float64 // share of the attempts whose client disconnects early
+	MarksRetry bool    // clients mark their retries as such
 }
 
 // InstanceDiscovery is service discovery as drawn.
@@ -103,7 +103,7 @@
 	CallsPerSec, CallLines                        float64
 }
 
-// InstanceRules is the rules' figures.
+// InstanceRules is the timeouts and the limits of the invariants, as drawn.
 type InstanceRules struct {
 	Slack, AskWithin, Grace, Dial, Probe, KeepAlive time.Duration
 	ColdFrom                                        float64
@@ -111,7 +111,7 @@
 	Fall                                            servermodel.Collapse
 }
 
-// InstanceScore is how service is counted.
+// InstanceScore is how service is scored: the weights of its parts and what is deducted.
 type InstanceScore struct {
 	Whole, WorstWindow, WorstClass           float64
 	Window                                   time.Duration
@@ -127,27 +127,30 @@
 	Size      float64
 	Every     time.Duration
 	Ramp      time.Duration
-	Class     int   // -1: all
-	Servers   []int // of the first servers of the day, in the order of their turn
-	Balancers []int
-	Number    int // its place in the scenario
+	Class     int   // index into Instance.Classes; -1: all
+	Servers   []int // indexes into Instance.Servers, in the order in which they are affected
+	Balancers []int // indexes into Instance.Balancers, in the order in which they are affected
+	Number    int   // index into Scenario.Troubles
 }
 
-// End is when an incident is over.
-func (i *Fault) End() time.Duration { return i.At + i.For }
+// End returns when the fault is over, since the start of the run.
+func (f *Fault) End() time.Duration { return f.At + f.For }
 
-// kindDraw is what all machines of a kind have in common in an instance.
-type kindDraw struct {
+// drawnKind is what all machines of a kind have in common in an instance.
+type drawnKind struct {
 	kind    servermodel.Kind
-	speedCV float64
-	rtts    int
+	speedCV float64 // coefficient of variation of the machines' speeds
+	rtts    int     // round trips of a handshake
 }
 
+// seconds converts seconds to a duration, rounded to microseconds.
 func seconds(v float64) time.Duration { return time.Duration(math.Round(v*1e6)) * time.Microsecond }
 
+// millis converts milliseconds to a duration, rounded to microseconds.
 func millis(v float64) time.Duration { return time.Duration(math.Round(v*1e3)) * time.Microsecond }
 
-// Capacity is the work that the day's first servers do in a second when warm, ms.
+// Capacity returns the work in ms that the instance's servers together do in one second after slow
+// start.
 func (d *Instance) Capacity() float64 {
 	sum := 0.0
 	for i := range d.Servers {
@@ -156,7 +159,7 @@
 	return sum
 }
 
-// MeanWork is the mean work of a request, ms.
+// MeanWork returns the mean work of a request in ms.
 func (d *Instance) MeanWork() float64 {
 	sum := 0.0
 	for _, c := range d.Classes {
@@ -165,7 +168,7 @@
 	return sum
 }
 
-// KindNames names the kinds of machine, by Server.KindIndex.
+// KindNames returns the names of the kinds of machine, by Server.KindIndex.
 func (d *Instance) KindNames() []string {
 	names := make([]string, len(d.kinds))
 	for i := range d.kinds {
--- a/internal/lab/scenario/steps.go
+++ b/internal/lab/scenario/steps.go
@@ -5,97 +5,122 @@
 // Act is the kind of a step.
 type Act uint8
 
-// Acts. They are done to one server, to several, or to what all have in common.
+// Acts. An act is applied to one server, to several, or to a property that all have in common.
 const (
-	Slow         Act = iota // Server runs Size times slower, on top of what it does already
-	Pauses                  // Server stands still for Length, every Every; zeros end it
-	Choke                   // Server is choked
-	Drain                   // Server drains
-	End                     // Server's process ends
-	Start                   // Server's process starts, cold
-	Vanish                  // Server falls silent
-	Join                    // a machine like Server starts; Number tells it from others
+	Slow         Act = iota // Server's speed is divided by Size, on top of earlier slowdowns
+	Pauses                  // Server pauses for Length every Every; zeros end the pauses
+	Choke                   // Server is put into overload collapse
+	Drain                   // Server starts to drain
+	End                     // Server's process exits
+	Start                   // Server's process starts, in slow start
+	Vanish                  // Server stops responding without closing its connections
+	Join                    // a server of Server's kind starts; Number identifies it
 	Takeover                // the same, at Server's address
-	Lose                    // the list says by mistake that Servers are gone
-	Regain                  // and has them again
-	ReportsLater            // load reports come later by Length, which may be negative
-	ListLater               // so does what the list learns
-	Spoil                   // the share of spoilt answers changes by Size
-	OutageBegins            // discovery goes down
-	OutageEnds              // and comes back
+	Lose                    // discovery omits Servers by mistake
+	Regain                  // discovery lists Servers again
+	ReportsLater            // the delay of load reports grows by Length, which may be negative
+	ListLater               // the delay of discovery grows by Length, which may be negative
+	Spoil                   // the share of corrupted responses grows by Size, which may be negative
+	OutageBegins            // discovery becomes unavailable
+	OutageEnds              // discovery is available again
 )
 
-// Step is one thing that is done to servers or discovery at a time.
+// Step is one change to servers or to discovery. Fields that its act does not name are zero.
 type Step struct {
-	At            time.Duration
+	At            time.Duration // since the start of the run
 	Do            Act
-	Server        int
-	Servers       []int
+	Server        int   // index into Instance.Servers
+	Servers       []int // indexes into Instance.Servers; not to be modified
 	Size          float64
 	Every, Length time.Duration
-	Number        int
+	Number        int // of a server that joins, as Instance.Like takes it
 }
 
-// restartDuration is how long a server's process is away in a restart.
+// restartDuration is the time from the exit of a server's process to its start in a restart.
 const restartDuration = 500 * time.Millisecond
 
-// Steps is what the day's troubles do to servers and discovery, trouble by trouble: one
-// script for all that play the day. Those of balancers and of traffic are not in it.
+// Steps returns what the instance's faults do to servers and to discovery, fault by fault; within
+// a fault the times need not ascend. Faults of balancers and of traffic have no steps.
 func (d *Instance) Steps() []Step {
-	var out []Step
+	var steps []Step
 	for i := range d.Faults {
-		in := &d.Faults[i]
-		add := func(s Step) { out = append(out, s) }
-		both := func(begin, end Step) { // over the whole of the trouble
-			begin.At, end.At = in.At, in.End()
-			add(begin)
-			add(end)
+		fault := &d.Faults[i]
+		steps = append(steps, fault.sharedSteps()...)
+		for position := range fault.Servers {
+			steps = append(steps, fault.serverSteps(position)...)
 		}
-		late := time.Duration(in.Size * float64(time.Second))
-		switch in.Kind {
-		case "report_late":
-			both(Step{Do: ReportsLater, Length: late}, Step{Do: ReportsLater, Length: -late})
-		case "discovery_late":
-			both(Step{Do: ListLater, Length: late}, Step{Do: ListLater, Length: -late})
-		case "discovery_outage":
-			both(Step{Do: OutageBegins}, Step{Do: OutageEnds})
-		case "spoil":
-			both(Step{Do: Spoil, Size: in.Part}, Step{Do: Spoil, Size: -in.Part})
-		case "list_loss":
-			both(Step{Do: Lose, Servers: in.Servers}, Step{Do: Regain, Servers: in.Servers})
-		}
-		for n, s := range in.Servers {
-			// The n-th of many goes when its share of the time is over.
-			at := in.At + in.For*time.Duration(n)/time.Duration(len(in.Servers))
-			number := n + 1000*(in.Number+1)
-			switch in.Kind {
-			case "slow":
-				both(Step{Do: Slow, Server: s, Size: in.Size}, Step{Do: Slow, Server: s, Size: 1 / in.Size})
-			case "pauses":
-				length := time.Duration(in.Size * float64(time.Millisecond))
-				both(Step{Do: Pauses, Server: s, Every: in.Every, Length: length}, Step{Do: Pauses, Server: s})
-			case "choke":
-				add(Step{At: in.At, Do: Choke, Server: s})
-			case "crash":
-				both(Step{Do: End, Server: s}, Step{Do: Start, Server: s})
-			case "vanish":
-				both(Step{Do: Vanish, Server: s}, Step{Do: Start, Server: s})
-			case "shrink", "leave", "replace", "restart":
-				add(Step{At: at, Do: Drain, Server: s})
-				add(Step{At: at + in.Ramp, Do: End, Server: s})
-				if in.Kind == "replace" {
-					add(Step{At: at, Do: Join, Server: s, Number: number})
-				}
-				if in.Kind == "restart" {
-					add(Step{At: at + in.Ramp + restartDuration, Do: Start, Server: s})
-				}
-			case "join":
-				add(Step{At: at, Do: Join, Server: s, Number: number})
-			case "takeover":
-				add(Step{At: at, Do: End, Server: s})
-				add(Step{At: at + in.Ramp, Do: Takeover, Server: s, Number: number})
-			}
+	}
+	return steps
+}
+
+// during returns a step for the start of the fault and one for its end.
+func (f *Fault) during(begin, end Step) []Step {
+	begin.At = f.At
+	end.At = f.End()
+	return []Step{begin, end}
+}
+
+// sharedSteps returns the steps of faults that affect all servers or discovery.
+func (f *Fault) sharedSteps() []Step {
+	switch f.Kind {
+	case "report_late":
+		delay := time.Duration(f.Size * float64(time.Second))
+		return f.during(Step{Do: ReportsLater, Length: delay}, Step{Do: ReportsLater, Length: -delay})
+	case "discovery_late":
+		delay := time.Duration(f.Size * float64(time.Second))
+		return f.during(Step{Do: ListLater, Length: delay}, Step{Do: ListLater, Length: -delay})
+	case "discovery_outage":
+		return f.during(Step{Do: OutageBegins}, Step{Do: OutageEnds})
+	case "spoil":
+		return f.during(Step{Do: Spoil, Size: f.Part}, Step{Do: Spoil, Size: -f.Part})
+	case "list_loss":
+		return f.during(Step{Do: Lose, Servers: f.Servers}, Step{Do: Regain, Servers: f.Servers})
+	}
+	return nil
+}
+
+// serverSteps returns the steps of faults that affect servers one by one, for the server at a
+// position in the fault's list.
+func (f *Fault) serverSteps(position int) []Step {
+	server := f.Servers[position]
+	switch f.Kind {
+	case "slow":
+		return f.during(Step{Do: Slow, Server: server, Size: f.Size}, Step{Do: Slow, Server: server, Size: 1 / f.Size})
+	case "pauses":
+		length := time.Duration(f.Size * float64(time.Millisecond))
+		return f.during(Step{Do: Pauses, Server: server, Every: f.Every, Length: length}, Step{Do: Pauses, Server: server})
+	case "choke":
+		return []Step{{At: f.At, Do: Choke, Server: server}}
+	case "crash":
+		return f.during(Step{Do: End, Server: server}, Step{Do: Start, Server: server})
+	case "vanish":
+		return f.during(Step{Do: Vanish, Server: server}, Step{Do: Start, Server: server})
+	}
+	return f.membershipSteps(position)
+}
+
+// membershipSteps returns the steps of faults that replace, add, remove or restart servers in turn:
+// the turns are spread evenly over the duration of the fault.
+func (f *Fault) membershipSteps(position int) []Step {
+	server := f.Servers[position]
+	at := f.At + f.For*time.Duration(position)/time.Duration(len(f.Servers))
+	drain := Step{At: at, Do: Drain, Server: server}
+	end := Step{At: at + f.Ramp, Do: End, Server: server}
+	number := position + 1000*(f.Number+1) // distinct for each server of each fault
+	switch f.Kind {
+	case "shrink", "leave":
+		return []Step{drain, end}
+	case "replace":
+		return []Step{drain, end, {At: at, Do: Join, Server: server, Number: number}}
+	case "restart":
+		return []Step{drain, end, {At: at + f.Ramp + restartDuration, Do: Start, Server: server}}
+	case "join":
+		return []Step{{At: at, Do: Join, Server: server, Number: number}}
+	case "takeover":
+		return []Step{
+			{At: at, Do: End, Server: server},
+			{At: at + f.Ramp, Do: Takeover, Server: server, Number: number},
 		}
 	}
-	return out
+	return nil
 }
