--- a/internal/lab/scenario/draw.go
+++ b/internal/lab/scenario/draw.go
@@ -1,6 +1,7 @@
 package scenario
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"time"
 
@@ -8,31 +9,50 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// Draw draws one instance of the scenario. It fails only for a machine that cannot be.
+// DrawError is the error of Draw: the values drawn for a seed make a machine that is not possible.
+type DrawError struct {
+	Seed uint64
+	Err  error // of servermodel.Kind.Validate
+}
+
+// Error returns the seed and what is wrong.
+func (e *DrawError) Error() string { return fmt.Sprintf("seed %d: %v", e.Seed, e.Err) }
+
+// Unwrap returns what is wrong with the machine.
+func (e *DrawError) Unwrap() error { return e.Err }
+
+// Draw draws the instance of a seed. The order of the draws must not change: seeds would give other
+// instances. It fails with a *DrawError only. It may be called from any goroutine.
 func (s *Scenario) Draw(seed uint64) (*Instance, error) {
 	rng := Stream(seed, "site")
 	d := &Instance{
-		Name: s.Name, Seed: seed, Length: seconds(s.LengthS.draw(rng)), Tick: millis(s.TickMS.draw(rng)),
-		Zones: s.Zones.Names, Client: millis(s.Zones.ClientMS.draw(rng)), Jitter: s.Zones.Jitter.draw(rng),
-		Front: seconds(s.Balancers.FrontNoticeS.draw(rng)),
+		Name:   s.Name,
+		Seed:   seed,
+		Length: seconds(s.LengthS.draw(rng)),
+		Tick:   millis(s.TickMS.draw(rng)),
+		Zones:  s.Zones.Names,
+		Client: millis(s.Zones.ClientMS.draw(rng)),
+		Jitter: s.Zones.Jitter.draw(rng),
+		Front:  seconds(s.Balancers.FrontNoticeS.draw(rng)),
 	}
 	d.drawNetwork(s, rng)
-	d.drawFigures(s, Stream(seed, "figures"))
+	figures := Stream(seed, "figures") // one stream for four tables, in this order
+	d.drawRules(&s.Rules, figures)
+	d.drawClients(&s.Clients, figures)
+	d.drawDiscovery(&s.Discovery, figures)
+	d.drawScore(&s.Score, figures)
 	if err := d.drawServers(s, Stream(seed, "fleet")); err != nil {
 		return nil, err
 	}
 	d.drawClasses(s, Stream(seed, "classes"))
-	d.setSettings(s)
-	spread := s.Balancers.StartSpreadMS.draw(rng)
-	starts := Stream(seed, "starts")
-	for i := range s.Balancers.Count {
-		d.Balancers = append(d.Balancers, Balancer{Zone: i % len(d.Zones), Start: millis(starts.Float64() * spread)})
-	}
-	d.drawTraffic(s, Stream(seed, "traffic"))
+	d.Settings = d.moduleSettings(&s.Balancers)
+	d.drawBalancers(&s.Balancers, rng, Stream(seed, "starts"))
+	d.drawTraffic(&s.Traffic, Stream(seed, "traffic"))
 	d.drawFaults(s, seed)
 	return d, nil
 }
 
+// drawNetwork draws the delays within each zone and between each two zones.
 func (d *Instance) drawNetwork(s *Scenario, rng *rand.Rand) {
 	n := len(d.Zones)
 	d.Delay = make([][]time.Duration, n)
@@ -47,57 +67,120 @@
 	}
 }
 
-func (d *Instance) drawFigures(s *Scenario, rng *rand.Rand) {
-	r, c, v, g := &s.Rules, &s.Clients, &s.Discovery, &s.Score
+func (d *Instance) drawRules(r *Rules, rng *rand.Rand) {
 	d.Rules = InstanceRules{
-		Slack: millis(r.AnswerSlackMS.draw(rng)), AskWithin: millis(r.AskWithinMS.draw(rng)),
-		Grace: millis(r.DrainGraceMS.draw(rng)), Dial: millis(r.DialTimeoutMS.draw(rng)),
-		Probe: millis(r.ProbeTimeoutMS.draw(rng)), KeepAlive: millis(r.KeepaliveMS.draw(rng)),
-		ColdFrom: r.ColdFrom.draw(rng), Cold: millis(r.ColdMS.draw(rng)),
-		Fall: servermodel.Collapse{Multiple: r.FallMultiple.draw(rng), For: millis(r.FallMS.draw(rng))},
+		Slack:     millis(r.AnswerSlackMS.draw(rng)),
+		AskWithin: millis(r.AskWithinMS.draw(rng)),
+		Grace:     millis(r.DrainGraceMS.draw(rng)),
+		Dial:      millis(r.DialTimeoutMS.draw(rng)),
+		Probe:     millis(r.ProbeTimeoutMS.draw(rng)),
+		KeepAlive: millis(r.KeepaliveMS.draw(rng)),
+		ColdFrom:  r.ColdFrom.draw(rng),
+		Cold:      millis(r.ColdMS.draw(rng)),
+		Fall: servermodel.Collapse{
+			Multiple: r.FallMultiple.draw(rng),
+			For:      millis(r.FallMS.draw(rng)),
+		},
 	}
+}
+
+func (d *Instance) drawClients(c *Clients, rng *rand.Rand) {
 	d.Clients = InstanceClients{
-		Retries: c.Retries.draw(rng), Backoff: millis(c.BackoffMS.draw(rng)), TryShare: c.TryShare.draw(rng),
-		Honour: c.Honour.draw(rng), Impatient: c.Impatient.draw(rng), MarksRetry: c.MarksRetry,
+		Retries:    c.Retries.draw(rng),
+		Backoff:    millis(c.BackoffMS.draw(rng)),
+		TryShare:   c.TryShare.draw(rng),
+		Honour:     c.Honour.draw(rng),
+		Impatient:  c.Impatient.draw(rng),
+		MarksRetry: c.MarksRetry,
 	}
+}
+
+func (d *Instance) drawDiscovery(v *Discovery, rng *rand.Rand) {
 	d.Discovery = InstanceDiscovery{
-		Push: v.Push, Notice: seconds(v.NoticeS.draw(rng)), Silent: seconds(v.SilentS.draw(rng)), Add: seconds(v.AddS.draw(rng)),
-		Period: millis(v.PeriodMS.draw(rng)), Spread: millis(v.SpreadMS.draw(rng)), Patience: millis(v.TimeoutMS.draw(rng)),
-		CallsPerSec: v.CallsPerS.draw(rng), CallLines: v.CallLines.draw(rng),
+		Push:        v.Push,
+		Notice:      seconds(v.NoticeS.draw(rng)),
+		Silent:      seconds(v.SilentS.draw(rng)),
+		Add:         seconds(v.AddS.draw(rng)),
+		Period:      millis(v.PeriodMS.draw(rng)),
+		Spread:      millis(v.SpreadMS.draw(rng)),
+		Patience:    millis(v.TimeoutMS.draw(rng)),
+		CallsPerSec: v.CallsPerS.draw(rng),
+		CallLines:   v.CallLines.draw(rng),
 	}
+}
+
+func (d *Instance) drawScore(g *Score, rng *rand.Rand) {
 	d.Score = InstanceScore{
-		Whole: g.Whole.draw(rng), WorstWindow: g.WorstWindow.draw(rng), WorstClass: g.WorstClass.draw(rng),
-		Window: seconds(g.WindowS.draw(rng)), ByWork: g.WorthBy == "work", Waste: g.Waste.draw(rng),
-		LateFail: g.LateFail.draw(rng), CrossZone: g.CrossZone.draw(rng), Probe: g.Probe.draw(rng), Choke: g.Choke.draw(rng),
+		Whole:       g.Whole.draw(rng),
+		WorstWindow: g.WorstWindow.draw(rng),
+		WorstClass:  g.WorstClass.draw(rng),
+		Window:      seconds(g.WindowS.draw(rng)),
+		ByWork:      g.WorthBy == "work",
+		Waste:       g.Waste.draw(rng),
+		LateFail:    g.LateFail.draw(rng),
+		CrossZone:   g.CrossZone.draw(rng),
+		Probe:       g.Probe.draw(rng),
+		Choke:       g.Choke.draw(rng),
 	}
 }
 
-func (d *Instance) setSettings(s *Scenario) {
-	b := &s.Balancers
-	set := piernotch.Settings{
-		BalancerCount: b.Count, Zones: d.Zones, Tick: d.Tick, PollDiscovery: !d.Discovery.Push,
+// drawBalancers draws when the balancers start: the spread from the site's stream, each start within
+// it from the stream of starts.
+func (d *Instance) drawBalancers(b *Balancers, site, starts *rand.Rand) {
+	spread := b.StartSpreadMS.draw(site)
+	for i := range b.Count {
+		d.Balancers = append(d.Balancers, Balancer{Zone: i % len(d.Zones), Start: millis(starts.Float64() * spread)})
+	}
+}
+
+// moduleSettings returns the settings of the decision module. It draws nothing.
+func (d *Instance) moduleSettings(b *Balancers) piernotch.Settings {
+	settings := piernotch.Settings{
+		BalancerCount: b.Count,
+		Zones:         d.Zones,
+		Tick:          d.Tick,
+		PollDiscovery: !d.Discovery.Push,
 		Limits: piernotch.Limits{
-			MaxAttempts: b.MaxAttempts, HedgedRequests: b.SecondCopies, CancelAttempts: b.Cancel, HealthChecks: b.Probes,
-			RetryAfter: b.RetryAfter, MaxRetryAfter: millis(b.MaxRetryAfterMS.From),
+			MaxAttempts:    b.MaxAttempts,
+			HedgedRequests: b.SecondCopies,
+			CancelAttempts: b.Cancel,
+			HealthChecks:   b.Probes,
+			RetryAfter:     b.RetryAfter,
+			MaxRetryAfter:  millis(b.MaxRetryAfterMS.From),
+		},
+		Rules: piernotch.Rules{
+			PollInterval:      d.Rules.AskWithin,
+			SlowStartCapacity: d.Rules.ColdFrom,
+			SlowStartDuration: d.Rules.Cold,
+			OverloadWindow:    d.Rules.Fall.For,
 		},
-		Rules: piernotch.Rules{PollInterval: d.Rules.AskWithin, SlowStartCapacity: d.Rules.ColdFrom, SlowStartDuration: d.Rules.Cold,
-			OverloadWindow: d.Rules.Fall.For},
 		OverQuotaWeight: 0.1,
 	}
-	for _, c := range d.Classes {
-		set.Classes = append(set.Classes, c.Class)
+	for _, class := range d.Classes {
+		settings.Classes = append(settings.Classes, class.Class)
 	}
-	for _, k := range d.kinds {
-		set.KeyAffinity = set.KeyAffinity || k.kind.Keys.WorkSaved > 0
+	for i := range d.kinds {
+		if d.kinds[i].kind.Keys.WorkSaved > 0 {
+			settings.KeyAffinity = true
+		}
 	}
-	d.Settings = set
+	return settings
 }
 
-func (d *Instance) drawTraffic(s *Scenario, rng *rand.Rand) {
-	t := &s.Traffic
+// drawTraffic draws the traffic. Its rate follows from the load where it is not set; servers and
+// classes must have been drawn.
+func (d *Instance) drawTraffic(t *Traffic, rng *rand.Rand) {
 	d.Traffic = InstanceTraffic{
-		PerSec: t.RatePerS.draw(rng), Shape: t.Shape, Swing: t.Swing.draw(rng), Period: seconds(t.PeriodS.draw(rng)),
-		Phase: rng.Float64(), Keys: int(t.Keys.draw(rng)), KeyZipf: t.KeyZipf.draw(rng), Hints: t.Hints, HintCV: t.HintCV.draw(rng), Trace: t.Trace,
+		PerSec:  t.RatePerS.draw(rng),
+		Shape:   t.Shape,
+		Swing:   t.Swing.draw(rng),
+		Period:  seconds(t.PeriodS.draw(rng)),
+		Phase:   rng.Float64(),
+		Keys:    int(t.Keys.draw(rng)),
+		KeyZipf: t.KeyZipf.draw(rng),
+		Hints:   t.Hints,
+		HintCV:  t.HintCV.draw(rng),
+		Trace:   t.Trace,
 	}
 	load := t.Load.draw(rng)
 	if d.Traffic.PerSec == 0 && d.MeanWork() > 0 {
--- a/internal/lab/scenario/draw_classes.go
+++ b/internal/lab/scenario/draw_classes.go
@@ -9,43 +9,71 @@
 	"piernotch"
 )
 
-// Effects and scopes as files name them.
+// retrySafetyByName and dedupScopeByName hold the values of the keys effect and scope.
 var (
-	retrySafetyByName = map[string]piernotch.RetrySafety{"safe": piernotch.Idempotent, "keyed": piernotch.IdempotencyKey, "unsafe": piernotch.NonIdempotent}
-	dedupScopeByName  = map[string]piernotch.DedupScope{"": piernotch.DedupEverywhere, "all": piernotch.DedupEverywhere, "zone": piernotch.DedupInZone, "cell": piernotch.DedupInCell}
+	retrySafetyByName = map[string]piernotch.RetrySafety{
+		"safe":   piernotch.Idempotent,
+		"keyed":  piernotch.IdempotencyKey,
+		"unsafe": piernotch.NonIdempotent,
+	}
+	dedupScopeByName = map[string]piernotch.DedupScope{
+		"":     piernotch.DedupEverywhere,
+		"all":  piernotch.DedupEverywhere,
+		"zone": piernotch.DedupInZone,
+		"cell": piernotch.DedupInCell,
+	}
 )
 
+// drawClasses draws the classes. The work of requests is drawn later, by whoever runs the instance,
+// from a stream of its own.
 func (d *Instance) drawClasses(s *Scenario, rng *rand.Rand) {
 	total := 0.0
-	works := Stream(d.Seed, "work")
+	workStream := Stream(d.Seed, "work")
 	for i := range s.Classes {
-		k := &s.Classes[i]
-		share := k.Share.draw(rng)
-		total += share
-		mean, cv := k.WorkMS.draw(rng), k.CV.draw(rng)
-		d.Classes = append(d.Classes, InstanceClass{
-			Class: piernotch.Class{
-				Name: k.Name, LatencyObjective: millis(k.AimMS.draw(rng)), Deadline: millis(k.DeadlineMS.draw(rng)), PriorityWeight: k.Worth.draw(rng),
-				LateWeightShare: k.LateWorth.draw(rng), RetrySafety: retrySafetyByName[k.Effect], DedupScope: dedupScopeByName[k.Scope], DedupWindow: millis(k.WindowMS.draw(rng)),
-			},
-			Share: share, MeanWork: mean, AttemptCV: k.AttemptCV.draw(rng), Work: workOf(k.Dist, mean, cv, works),
-		})
+		class := s.Classes[i].drawClass(rng, workStream)
+		total += class.Share
+		d.Classes = append(d.Classes, class)
 	}
-	for i := range d.Classes {
-		if total > 0 {
+	if total > 0 {
+		for i := range d.Classes {
 			d.Classes[i].Share /= total
 		}
 	}
 }
 
-// maxWorkFactor bounds one request's work, in means: without it the mean of a Pareto
-// sample depends on a few draws.
+// drawClass draws one class; its share is not normalized.
+func (c *Class) drawClass(rng, workStream *rand.Rand) InstanceClass {
+	share := c.Share.draw(rng)
+	mean := c.WorkMS.draw(rng)
+	cv := c.CV.draw(rng)
+	return InstanceClass{
+		Class: piernotch.Class{
+			Name:             c.Name,
+			LatencyObjective: millis(c.AimMS.draw(rng)),
+			Deadline:         millis(c.DeadlineMS.draw(rng)),
+			PriorityWeight:   c.Worth.draw(rng),
+			LateWeightShare:  c.LateWorth.draw(rng),
+			RetrySafety:      retrySafetyByName[c.Effect],
+			DedupScope:       dedupScopeByName[c.Scope],
+			DedupWindow:      millis(c.WindowMS.draw(rng)),
+		},
+		Share:     share,
+		MeanWork:  mean,
+		AttemptCV: c.AttemptCV.draw(rng),
+		Work:      workDistribution(c.Dist, mean, cv, workStream),
+	}
+}
+
+// maxWorkFactor bounds the work of one request, as a multiple of the mean: without a bound the mean of
+// a Pareto sample depends on a few draws.
 const maxWorkFactor = 60
 
+// fixedWork is a distribution of one value.
 type fixedWork float64
 
 func (f fixedWork) Rand() float64 { return float64(f) }
 
+// boundedWork cuts a distribution off at a limit.
 type boundedWork struct {
 	distuv.Rander
 	limit float64
@@ -53,10 +81,11 @@
 
 func (b boundedWork) Rand() float64 { return min(b.Rander.Rand(), b.limit) }
 
-// workOf returns a distribution with a mean and a coefficient of variation.
-func workOf(dist string, mean, cv float64, src *rand.Rand) distuv.Rander {
+// workDistribution returns a distribution of a kind (Class.Dist) with a mean, in ms, and a coefficient
+// of variation.
+func workDistribution(dist string, mean, cv float64, src *rand.Rand) distuv.Rander {
 	switch {
-	case dist == "fixed" || cv == 0 && dist != "exponential":
+	case dist == "fixed", cv == 0 && dist != "exponential":
 		return fixedWork(mean)
 	case dist == "exponential":
 		return distuv.Exponential{Rate: 1 / mean, Src: src}
--- a/internal/lab/scenario/draw_machines.go
+++ b/internal/lab/scenario/draw_machines.go
@@ -1,7 +1,6 @@
 package scenario
 
 import (
-	"fmt"
 	"math"
 	"math/rand/v2"
 	"slices"
@@ -9,133 +8,189 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// draw makes the day's machine of a kind.
-func (k *Kind) draw(rng *rand.Rand, fall servermodel.Collapse) drawnKind {
+// drawKind draws the values that all machines of a kind share. The order of the draws must not
+// change: seeds would give other instances.
+func (k *Kind) drawKind(rng *rand.Rand, collapse servermodel.Collapse) drawnKind {
 	cores := float64(k.Cores)
-	yes := func(v, yes, no string) bool { // drawn always, so that the stream stays in step
-		coin := rng.Float64() < 0.5
-		return v == yes || v != no && coin
-	}
-	out := drawnKind{
+	drawn := drawnKind{
 		kind: servermodel.Kind{
-			Name: k.Name, Cores: k.Cores, Speed: k.Speed.draw(rng),
-			Slots: max(int(math.Round(k.SlotsPerCore.draw(rng)*cores)), 1), Queue: int(math.Round(k.QueuePerCore.draw(rng) * cores)),
-			Thrash: k.Thrash.draw(rng), ThrashAt: k.ThrashAt.draw(rng),
-			SlowStartCapacity: k.ColdFrom.draw(rng), SlowStartDuration: seconds(k.ColdS.draw(rng)),
-			PauseEvery: seconds(k.PauseEveryS.draw(rng)), PauseFor: millis(k.PauseMS.draw(rng)), PauseGrow: k.PauseGrow.draw(rng),
-			ErrorRate: k.ErrorRate.draw(rng),
-			Overload: servermodel.Overload{
-				QueuePerCore: k.ChokeAt.draw(rng), After: seconds(k.ChokeOverS.draw(rng)), Slowdown: k.ChokeSlower.draw(rng),
-				IdleBelow: k.ChokeBelow.draw(rng), IdleFor: seconds(k.ChokeRestS.draw(rng)), MaxDuration: seconds(k.ChokeMostS.draw(rng)),
-			},
-			Keys: servermodel.Keys{WorkSaved: k.KeyGain.draw(rng), WarmFor: seconds(k.KeyS.draw(rng)), MaxKeys: int(k.KeysPerCore.draw(rng) * cores)},
-			Conn: servermodel.ConnectionCost{Handshake: k.HandshakeMS.draw(rng), MaxConnections: int(k.ConnPerCore.draw(rng) * cores), Tax: k.ConnTax.draw(rng)},
-			Report: servermodel.ReportTiming{
-				Interval: millis(k.ReportEveryMS.draw(rng)), Delay: millis(k.ReportDelayMS.draw(rng)), Noise: k.ReportNoise.draw(rng),
-			},
-			Collapse: fall, HealthCheckWork: k.ProbeMS.draw(rng),
+			Name:  k.Name,
+			Cores: k.Cores,
+			Speed: k.Speed.draw(rng),
+			Slots: max(int(math.Round(k.SlotsPerCore.draw(rng)*cores)), 1),
+			Queue: int(math.Round(k.QueuePerCore.draw(rng) * cores)),
+
+			Thrash:            k.Thrash.draw(rng),
+			ThrashAt:          k.ThrashAt.draw(rng),
+			SlowStartCapacity: k.ColdFrom.draw(rng),
+			SlowStartDuration: seconds(k.ColdS.draw(rng)),
+			PauseEvery:        seconds(k.PauseEveryS.draw(rng)),
+			PauseFor:          millis(k.PauseMS.draw(rng)),
+			PauseGrow:         k.PauseGrow.draw(rng),
+			ErrorRate:         k.ErrorRate.draw(rng),
+
+			Overload:        k.drawOverload(rng),
+			Keys:            k.drawKeys(rng),
+			Conn:            k.drawConnectionCost(rng),
+			Report:          k.drawReportTiming(rng),
+			Collapse:        collapse,
+			HealthCheckWork: k.ProbeMS.draw(rng),
 		},
-		speedCV: k.SpeedCV.draw(rng), rtts: int(math.Round(k.HandshakeRTTs.draw(rng))),
+		speedCV: k.SpeedCV.draw(rng),
+		rtts:    int(math.Round(k.HandshakeRTTs.draw(rng))),
 	}
-	out.kind.StopRunning = yes(k.Cancel, "all", "queued")
-	out.kind.DropExpired = yes(k.DropExpired, "yes", "no")
+	drawn.kind.StopRunning = drawChoice(rng, k.Cancel, "all", "queued")
+	drawn.kind.DropExpired = drawChoice(rng, k.DropExpired, "yes", "no")
 	if k.WarmBy == "work" {
-		out.kind.WarmUpBy = servermodel.WarmByWork
+		drawn.kind.WarmUpBy = servermodel.WarmByWork
+	}
+	return drawn
+}
+
+func (k *Kind) drawOverload(rng *rand.Rand) servermodel.Overload {
+	return servermodel.Overload{
+		QueuePerCore: k.ChokeAt.draw(rng),
+		After:        seconds(k.ChokeOverS.draw(rng)),
+		Slowdown:     k.ChokeSlower.draw(rng),
+		IdleBelow:    k.ChokeBelow.draw(rng),
+		IdleFor:      seconds(k.ChokeRestS.draw(rng)),
+		MaxDuration:  seconds(k.ChokeMostS.draw(rng)),
+	}
+}
+
+func (k *Kind) drawKeys(rng *rand.Rand) servermodel.Keys {
+	return servermodel.Keys{
+		WorkSaved: k.KeyGain.draw(rng),
+		WarmFor:   seconds(k.KeyS.draw(rng)),
+		MaxKeys:   int(k.KeysPerCore.draw(rng) * float64(k.Cores)),
+	}
+}
+
+func (k *Kind) drawConnectionCost(rng *rand.Rand) servermodel.ConnectionCost {
+	return servermodel.ConnectionCost{
+		Handshake:      k.HandshakeMS.draw(rng),
+		MaxConnections: int(k.ConnPerCore.draw(rng) * float64(k.Cores)),
+		Tax:            k.ConnTax.draw(rng),
+	}
+}
+
+func (k *Kind) drawReportTiming(rng *rand.Rand) servermodel.ReportTiming {
+	return servermodel.ReportTiming{
+		Interval: millis(k.ReportEveryMS.draw(rng)),
+		Delay:    millis(k.ReportDelayMS.draw(rng)),
+		Noise:    k.ReportNoise.draw(rng),
+	}
+}
+
+// drawChoice reports whether a setting is on, where any value but the two is drawn. A number is drawn
+// in each case, so that the setting does not move the draws that follow.
+func drawChoice(rng *rand.Rand, setting, on, off string) bool {
+	coin := rng.Float64() < 0.5
+	switch setting {
+	case on:
+		return true
+	case off:
+		return false
 	}
-	return out
+	return coin
 }
 
+// drawServers draws the kinds and the servers that exist at the start.
 func (d *Instance) drawServers(s *Scenario, rng *rand.Rand) error {
 	shares := make([]float64, len(s.Kinds))
-	total := 0.0
 	for i := range s.Kinds {
-		d.kinds = append(d.kinds, s.Kinds[i].draw(rng, d.Rules.Fall))
+		d.kinds = append(d.kinds, s.Kinds[i].drawKind(rng, d.Rules.Fall))
 		shares[i] = s.Kinds[i].Share.draw(rng)
-		total += shares[i]
 	}
-	// Kinds and zones are dealt out by largest remainder and then shuffled, so that
-	// small fleets keep the shares as well as they can.
-	kinds := largestRemainder(shares, total, s.Fleet.Servers)
+	// Kinds and zones are allotted by largest remainder and kinds are then shuffled, so that small
+	// fleets keep the shares as well as they can.
+	kinds := largestRemainder(shares, s.Fleet.Servers)
 	rng.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
-	weights := s.Zones.Servers
-	if len(weights) == 0 {
-		weights = make([]float64, len(d.Zones))
-		for i := range weights {
-			weights[i] = 1
-		}
-	}
-	sum := 0.0
-	for _, w := range weights {
-		sum += w
-	}
-	zones := largestRemainder(weights, sum, s.Fleet.Servers)
-	seen := make([]int, len(d.Zones))
-	rough := s.Fleet.RoughCV.draw(rng)
+	zones := largestRemainder(zoneShares(s.Zones.Servers, len(d.Zones)), s.Fleet.Servers)
+	inZone := make([]int, len(d.Zones))
+	roughCV := s.Fleet.RoughCV.draw(rng)
 	for i := range s.Fleet.Servers {
-		v := d.drawServer(s.Fleet.Weights, rough, kinds[i], zones[i], rng)
-		v.Cell = zones[i]*1000 + seen[v.Zone]/s.Fleet.Cells
-		seen[v.Zone]++
-		if err := v.Kind.Validate(); err != nil {
-			return fmt.Errorf("seed %d: %w", d.Seed, err)
+		server := d.drawServer(s.Fleet.Weights, roughCV, kinds[i], zones[i], rng)
+		server.Cell = zones[i]*1000 + inZone[server.Zone]/s.Fleet.Cells
+		inZone[server.Zone]++
+		if err := server.Kind.Validate(); err != nil {
+			return &DrawError{Seed: d.Seed, Err: err}
 		}
-		d.Servers = append(d.Servers, v)
+		d.Servers = append(d.Servers, server)
 	}
 	return nil
 }
 
-// drawServer draws one machine of a kind.
-func (d *Instance) drawServer(weights string, rough float64, kind, zone int, rng *rand.Rand) Server {
-	k := d.kinds[kind]
-	v := Server{Kind: k.kind, KindIndex: kind, Zone: zone, Size: 1, Handshake: k.rtts}
-	v.Kind.Speed *= lognormal(rng, k.speedCV)
-	noise := lognormal(rng, rough)
+// zoneShares returns the share of the servers in each zone: even, where none are set.
+func zoneShares(set []float64, zones int) []float64 {
+	if len(set) > 0 {
+		return set
+	}
+	even := make([]float64, zones)
+	for i := range even {
+		even[i] = 1
+	}
+	return even
+}
+
+// drawServer draws one machine of a kind. Weights and roughCV are those of Fleet.
+func (d *Instance) drawServer(weights string, roughCV float64, kind, zone int, rng *rand.Rand) Server {
+	drawn := d.kinds[kind]
+	server := Server{Kind: drawn.kind, KindIndex: kind, Zone: zone, Size: 1, Handshake: drawn.rtts}
+	server.Kind.Speed *= lognormal(rng, drawn.speedCV)
+	noise := lognormal(rng, roughCV)
 	switch weights {
 	case "nominal":
-		v.Size = k.kind.Speed * float64(k.kind.Cores)
+		server.Size = drawn.kind.Speed * float64(drawn.kind.Cores)
 	case "rough":
-		v.Size = v.Kind.Speed * float64(k.kind.Cores) * noise
+		server.Size = server.Kind.Speed * float64(drawn.kind.Cores) * noise
 	}
-	return v
+	return server
 }
 
-// Like makes another machine of a server's kind, for one that joins or replaces it.
-// The number tells machines apart; the same number is always the same machine.
+// Like returns another machine of the kind of server i, for one that joins or replaces it. The
+// number identifies the machine: the same number always gives the same machine.
 func (d *Instance) Like(i, number int) Server {
 	rng := Stream(d.Seed^uint64(number)*0x9e3779b97f4a7c15, "spare")
-	was := d.Servers[i]
-	v := was
-	k := d.kinds[was.KindIndex]
-	v.Kind.Speed = k.kind.Speed * lognormal(rng, k.speedCV)
-	v.Size = was.Size / was.Kind.Speed * v.Kind.Speed
-	return v
+	original := d.Servers[i]
+	drawn := d.kinds[original.KindIndex]
+	server := original
+	server.Kind.Speed = drawn.kind.Speed * lognormal(rng, drawn.speedCV)
+	server.Size = original.Size / original.Kind.Speed * server.Kind.Speed
+	return server
 }
 
-// lognormal draws a factor of mean 1.
+// lognormal draws a factor of mean 1 and the given coefficient of variation.
 func lognormal(rng *rand.Rand, cv float64) float64 {
 	sigma := math.Sqrt(math.Log1p(cv * cv))
 	return math.Exp(sigma*rng.NormFloat64() - sigma*sigma/2)
 }
 
-// largestRemainder gives n places to shares by largest remainder.
-func largestRemainder(shares []float64, total float64, n int) []int {
+// largestRemainder allots n places in proportion to shares, by largest remainder. It returns the
+// index of a share for each place, or nil where no share is above 0.
+func largestRemainder(shares []float64, n int) []int {
+	total := 0.0
+	for _, share := range shares {
+		total += share
+	}
 	if n == 0 || total <= 0 {
 		return nil
 	}
-	type rest struct {
-		i    int
-		part float64
+	type remainder struct {
+		index int
+		part  float64
 	}
-	var out []int
-	var rests []rest
-	for i, s := range shares {
-		want := s / total * float64(n)
-		for range int(want) {
-			out = append(out, i)
+	var places []int
+	var remainders []remainder
+	for i, share := range shares {
+		exact := share / total * float64(n)
+		for range int(exact) {
+			places = append(places, i)
 		}
-		rests = append(rests, rest{i, want - math.Floor(want)})
+		remainders = append(remainders, remainder{i, exact - math.Floor(exact)})
 	}
-	slices.SortStableFunc(rests, func(a, b rest) int {
-		switch {
+	slices.SortStableFunc(remainders, func(a, b remainder) int {
+		switch { // not cmp.Compare, which orders NaN (of an infinite share) too
 		case a.part > b.part:
 			return -1
 		case a.part < b.part:
@@ -143,8 +198,8 @@
 		}
 		return 0
 	})
-	for i := 0; len(out) < n; i++ {
-		out = append(out, rests[i%len(rests)].i)
+	for i := 0; len(places) < n; i++ {
+		places = append(places, remainders[i%len(remainders)].index)
 	}
-	return out
+	return places
 }
