--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -8,75 +8,95 @@
 	"strings"
 )
 
-// Limits of what can be asked for: they keep a slip of the pen from eating the
-// machine.
+// Limits of a scenario's size. They keep a typing error from using up the machine.
 const (
-	MostServers   = 20000
-	MostBalancers = 5000
-	MostLength    = 3600.0 // s
+	MaxServers   = 20000
+	MaxBalancers = 5000
+	MaxLength    = 3600.0 // s
 )
 
-// checker collects problems with the places where the values were set.
+// checker collects problems, with the lines where the values were set.
 type checker struct {
-	s     *Scenario
-	found Problems
+	scenario *Scenario
+	problems Problems
 }
 
+// report adds a problem of a key.
 func (c *checker) report(key, format string, args ...any) {
-	p := Problem{Key: key, What: fmt.Sprintf(format, args...)}
-	for k := key; k != ""; { // the key itself, or the table that lacks it
-		if at, ok := c.s.origin[k]; ok {
-			p.File, p.Line = at.file, at.line
-			break
+	at := c.originOf(key)
+	c.problems = append(c.problems, Problem{File: at.file, Line: at.line, Key: key, What: fmt.Sprintf(format, args...)})
+}
+
+// originOf returns where a key was set: the key itself or, where it is left out, the innermost table
+// around it that is present. It returns the zero value where there is neither.
+func (c *checker) originOf(key string) sourceLine {
+	for key != "" {
+		if at, ok := c.scenario.origin[key]; ok {
+			return at
 		}
-		cut := strings.LastIndex(k, ".")
-		k = k[:max(cut, 0)]
+		parentEnd := max(strings.LastIndex(key, "."), 0)
+		key = key[:parentEnd]
 	}
-	c.found = append(c.found, p)
+	return sourceLine{}
 }
 
-// within wants a range's two ends between two bounds.
+// limits are the bounds between which both ends of a key's range must lie.
+type limits struct {
+	key    string
+	r      Range
+	lo, hi float64
+}
+
+// withinAll checks several keys of the table whose key, with a dot, is the prefix.
+func (c *checker) withinAll(prefix string, all []limits) {
+	for _, l := range all {
+		c.within(prefix+l.key, l.r, l.lo, l.hi)
+	}
+}
+
+// within checks that both ends of a range lie between two bounds, which are allowed themselves.
 func (c *checker) within(key string, r Range, lo, hi float64) {
 	if r.bad != "" {
 		c.report(key, "%s, a number or [from, to] is expected", r.bad)
 		return
 	}
 	for _, v := range []float64{r.From, r.To} {
-		if math.IsNaN(v) || v < lo || v > hi {
-			if math.IsInf(hi, 1) {
-				c.report(key, "%v, at least %v is expected", v, lo)
-			} else {
-				c.report(key, "%v, a value from %v to %v is expected", v, lo, hi)
-			}
-			return
+		if !math.IsNaN(v) && v >= lo && v <= hi {
+			continue
 		}
+		if math.IsInf(hi, 1) {
+			c.report(key, "%v, at least %v is expected", v, lo)
+		} else {
+			c.report(key, "%v, a value from %v to %v is expected", v, lo, hi)
+		}
+		return
 	}
 }
 
-func (c *checker) oneOf(key, value string, of ...string) {
-	if !slices.Contains(of, value) {
-		c.report(key, "%q, one of %s is expected", value, strings.Join(of, ", "))
+// oneOf checks that a value is one of those allowed.
+func (c *checker) oneOf(key, value string, allowed ...string) {
+	if !slices.Contains(allowed, value) {
+		c.report(key, "%q, one of %s is expected", value, strings.Join(allowed, ", "))
 	}
 }
 
-// Check returns everything that is wrong with a scenario, by file and line.
+// Check returns everything that is wrong with a scenario, in the order of the lines.
 func (s *Scenario) Check() Problems {
-	c := &checker{s: s}
-	inf := math.Inf(1)
-	c.within("length_s", s.LengthS, 1, MostLength)
+	c := &checker{scenario: s}
+	c.within("length_s", s.LengthS, 1, MaxLength)
 	c.within("tick_ms", s.TickMS, 0.1, 1000)
-	s.checkSite(c, inf)
+	s.checkSite(c)
 	for i := range s.Kinds {
-		s.Kinds[i].check(c, fmt.Sprintf("kind[%d].", i), inf)
+		s.Kinds[i].check(c, fmt.Sprintf("kind[%d].", i))
 	}
 	for i := range s.Classes {
-		s.Classes[i].check(c, fmt.Sprintf("class[%d].", i), inf)
+		s.Classes[i].check(c, fmt.Sprintf("class[%d].", i))
 	}
-	s.checkTraffic(c, inf)
-	s.checkFigures(c, inf)
+	s.checkTraffic(c)
+	s.checkFigures(c)
 	for i := range s.Troubles {
-		s.checkTrouble(c, fmt.Sprintf("trouble[%d].", i), &s.Troubles[i], inf)
+		s.checkTrouble(c, fmt.Sprintf("trouble[%d].", i), &s.Troubles[i])
 	}
-	sort.SliceStable(c.found, func(i, j int) bool { return c.found[i].Line < c.found[j].Line })
-	return c.found
+	sort.SliceStable(c.problems, func(i, j int) bool { return c.problems[i].Line < c.problems[j].Line })
+	return c.problems
 }
--- a/internal/lab/scenario/check_figures.go
+++ b/internal/lab/scenario/check_figures.go
@@ -2,33 +2,49 @@
 
 import "math"
 
-func (s *Scenario) checkFigures(c *checker, inf float64) {
-	d, r, g := &s.Discovery, &s.Rules, &s.Score
-	for _, f := range []struct {
-		key    string
-		r      Range
-		lo, hi float64
-	}{
-		{"discovery.notice_s", d.NoticeS, 0, 3600}, {"discovery.silent_notice_s", d.SilentS, 0, 3600},
-		{"discovery.add_s", d.AddS, 0, 3600}, {"discovery.period_ms", d.PeriodMS, 0, 600000},
-		{"discovery.spread_ms", d.SpreadMS, 0, 600000}, {"discovery.calls_per_s", d.CallsPerS, 0.001, 1e9},
-		{"discovery.call_lines", d.CallLines, 0.001, 1e9}, {"discovery.timeout_ms", d.TimeoutMS, 1, 600000},
-		{"rules.answer_slack_ms", r.AnswerSlackMS, 0, 60000}, {"rules.ask_within_ms", r.AskWithinMS, 1, 3600000},
-		{"rules.cold_from", r.ColdFrom, 0, 1}, {"rules.cold_ms", r.ColdMS, 0, 3600000},
-		{"rules.drain_grace_ms", r.DrainGraceMS, 0, 600000}, {"rules.fall_multiple", r.FallMultiple, 0, 1000},
-		{"rules.fall_ms", r.FallMS, 1, 600000}, {"rules.dial_timeout_ms", r.DialTimeoutMS, 1, 60000},
-		{"rules.probe_timeout_ms", r.ProbeTimeoutMS, 1, 60000}, {"rules.keepalive_ms", r.KeepaliveMS, 1, 3600000},
-		{"score.whole", g.Whole, 0, 1}, {"score.worst_window", g.WorstWindow, 0, 1}, {"score.worst_class", g.WorstClass, 0, 1},
-		{"score.window_s", g.WindowS, 1, 600}, {"score.waste", g.Waste, 0, 1}, {"score.late_fail", g.LateFail, 0, 1},
-		{"score.cross_zone", g.CrossZone, 0, 1}, {"score.probe", g.Probe, 0, 1}, {"score.choke", g.Choke, 0, 1},
-	} {
-		c.within(f.key, f.r, f.lo, f.hi)
-	}
+// checkFigures checks discovery, the rules, the score and the number of drawn troubles.
+func (s *Scenario) checkFigures(c *checker) {
+	d := &s.Discovery
+	r := &s.Rules
+	g := &s.Score
+	c.withinAll("discovery.", []limits{
+		{"notice_s", d.NoticeS, 0, 3600},
+		{"silent_notice_s", d.SilentS, 0, 3600},
+		{"add_s", d.AddS, 0, 3600},
+		{"period_ms", d.PeriodMS, 0, 600000},
+		{"spread_ms", d.SpreadMS, 0, 600000},
+		{"calls_per_s", d.CallsPerS, 0.001, 1e9},
+		{"call_lines", d.CallLines, 0.001, 1e9},
+		{"timeout_ms", d.TimeoutMS, 1, 600000},
+	})
+	c.withinAll("rules.", []limits{
+		{"answer_slack_ms", r.AnswerSlackMS, 0, 60000},
+		{"ask_within_ms", r.AskWithinMS, 1, 3600000},
+		{"cold_from", r.ColdFrom, 0, 1},
+		{"cold_ms", r.ColdMS, 0, 3600000},
+		{"drain_grace_ms", r.DrainGraceMS, 0, 600000},
+		{"fall_multiple", r.FallMultiple, 0, 1000},
+		{"fall_ms", r.FallMS, 1, 600000},
+		{"dial_timeout_ms", r.DialTimeoutMS, 1, 60000},
+		{"probe_timeout_ms", r.ProbeTimeoutMS, 1, 60000},
+		{"keepalive_ms", r.KeepaliveMS, 1, 3600000},
+	})
+	c.withinAll("score.", []limits{
+		{"whole", g.Whole, 0, 1},
+		{"worst_window", g.WorstWindow, 0, 1},
+		{"worst_class", g.WorstClass, 0, 1},
+		{"window_s", g.WindowS, 1, 600},
+		{"waste", g.Waste, 0, 1},
+		{"late_fail", g.LateFail, 0, 1},
+		{"cross_zone", g.CrossZone, 0, 1},
+		{"probe", g.Probe, 0, 1},
+		{"choke", g.Choke, 0, 1},
+	})
 	c.oneOf("score.worth_by", g.WorthBy, "work", "request")
 	if sum := g.Whole.From + g.WorstWindow.From + g.WorstClass.From; math.Abs(sum-1) > 1e-6 {
 		c.report("score", "whole, worst_window and worst_class add up to %v, 1 is expected", sum)
 	}
 	if n := s.Draws.Troubles; n.Set {
-		c.within("draw.troubles", n, 0, inf)
+		c.within("draw.troubles", n, 0, math.Inf(1))
 	}
 }
--- a/internal/lab/scenario/check_site.go
+++ b/internal/lab/scenario/check_site.go
@@ -1,6 +1,13 @@
 package scenario
 
-func (s *Scenario) checkSite(c *checker, inf float64) {
+// checkSite checks the zones, the balancers and the fleet.
+func (s *Scenario) checkSite(c *checker) {
+	s.checkZones(c)
+	s.checkBalancers(c)
+	s.checkFleet(c)
+}
+
+func (s *Scenario) checkZones(c *checker) {
 	if n := len(s.Zones.Names); n < 1 || n > 200 {
 		c.report("zones.names", "%d zones, 1 to 200 are expected", n)
 	}
@@ -21,8 +28,11 @@
 	c.within("zones.cross_ms", s.Zones.CrossMS, 0, 10000)
 	c.within("zones.client_ms", s.Zones.ClientMS, 0, 10000)
 	c.within("zones.jitter", s.Zones.Jitter, 0, 10)
-	if s.Balancers.Count < 1 || s.Balancers.Count > MostBalancers {
-		c.report("balancers.count", "%d, a number from 1 to %d is expected", s.Balancers.Count, MostBalancers)
+}
+
+func (s *Scenario) checkBalancers(c *checker) {
+	if s.Balancers.Count < 1 || s.Balancers.Count > MaxBalancers {
+		c.report("balancers.count", "%d, a number from 1 to %d is expected", s.Balancers.Count, MaxBalancers)
 	}
 	if s.Balancers.MaxAttempts < 1 || s.Balancers.MaxAttempts > 8 {
 		c.report("balancers.max_attempts", "%d, a number from 1 to 8 is expected", s.Balancers.MaxAttempts)
@@ -30,8 +40,11 @@
 	c.within("balancers.start_spread_ms", s.Balancers.StartSpreadMS, 0, 600000)
 	c.within("balancers.max_retry_after_ms", s.Balancers.MaxRetryAfterMS, 0, 600000)
 	c.within("balancers.front_notice_s", s.Balancers.FrontNoticeS, 0, 600)
-	if s.Fleet.Servers < 0 || s.Fleet.Servers > MostServers {
-		c.report("fleet.servers", "%d, a number from 0 to %d is expected", s.Fleet.Servers, MostServers)
+}
+
+func (s *Scenario) checkFleet(c *checker) {
+	if s.Fleet.Servers < 0 || s.Fleet.Servers > MaxServers {
+		c.report("fleet.servers", "%d, a number from 0 to %d is expected", s.Fleet.Servers, MaxServers)
 	}
 	if s.Fleet.Cells < 1 {
 		c.report("fleet.cell_size", "%d, at least 1 is expected", s.Fleet.Cells)
--- a/internal/lab/scenario/check_traffic.go
+++ b/internal/lab/scenario/check_traffic.go
@@ -1,10 +1,13 @@
 package scenario
 
-func (k *Class) check(c *checker, at string, inf float64) {
+import "math"
+
+// check checks a class, whose key with a dot is at.
+func (k *Class) check(c *checker, at string) {
 	if k.Name == "" {
 		c.report(at+"name", "a name is expected")
 	}
-	c.within(at+"share", k.Share, 0, inf)
+	c.within(at+"share", k.Share, 0, math.Inf(1))
 	c.within(at+"work_ms", k.WorkMS, 1e-6, 1e9)
 	c.within(at+"cv", k.CV, 0, 20)
 	c.within(at+"attempt_cv", k.AttemptCV, 0, 5)
@@ -23,7 +26,8 @@
 	}
 }
 
-func (s *Scenario) checkTraffic(c *checker, inf float64) {
+// checkTraffic checks the traffic and the clients.
+func (s *Scenario) checkTraffic(c *checker) {
 	t := &s.Traffic
 	c.within("traffic.load", t.Load, 0, 100)
 	c.within("traffic.rate_per_s", t.RatePerS, 0, 1e7)
--- a/internal/lab/scenario/check_troubles.go
+++ b/internal/lab/scenario/check_troubles.go
@@ -1,9 +1,13 @@
 package scenario
 
-import "slices"
+import (
+	"maps"
+	"slices"
+)
 
-// TroubleKinds names the kinds of trouble and what they need.
-var TroubleKinds = map[string]string{
+// troubleKinds describes the kinds of trouble, by their names in files. The texts are part of error
+// messages.
+var troubleKinds = map[string]string{
 	"slow":             "part of the servers run size times slower",
 	"pauses":           "part of the servers stand still for size ms, every every_s",
 	"report_late":      "load reports come size s later",
@@ -28,52 +32,55 @@
 	"discovery_late":   "discovery learns of changes size s later",
 }
 
-func (s *Scenario) checkTrouble(c *checker, at string, t *Trouble, inf float64) {
-	if _, ok := TroubleKinds[t.Kind]; !ok {
-		names := make([]string, 0, len(TroubleKinds))
-		for n := range TroubleKinds {
-			names = append(names, n)
-		}
-		slices.Sort(names)
-		c.oneOf(at+"kind", t.Kind, names...)
+// checkTrouble checks a trouble, whose key with a dot is at.
+func (s *Scenario) checkTrouble(c *checker, at string, t *Trouble) {
+	if _, ok := troubleKinds[t.Kind]; !ok {
+		c.oneOf(at+"kind", t.Kind, slices.Sorted(maps.Keys(troubleKinds))...)
 		return
 	}
-	c.within(at+"at_s", t.AtS, 0, MostLength)
-	c.within(at+"for_s", t.ForS, 0, MostLength)
-	c.within(at+"part", t.Part, 0, 1)
-	c.within(at+"size", t.Size, 0, 1e6)
-	c.within(at+"every_s", t.EveryS, 0, 3600)
-	c.within(at+"ramp_s", t.RampS, 0, 3600)
-	need := func(key string, r Range) {
+	c.withinAll(at, []limits{
+		{"at_s", t.AtS, 0, MaxLength},
+		{"for_s", t.ForS, 0, MaxLength},
+		{"part", t.Part, 0, 1},
+		{"size", t.Size, 0, 1e6},
+		{"every_s", t.EveryS, 0, 3600},
+		{"ramp_s", t.RampS, 0, 3600},
+	})
+	t.checkRequired(c, at)
+	if t.Class != "" && !slices.ContainsFunc(s.Classes, func(k Class) bool { return k.Name == t.Class }) {
+		c.report(at+"class", "%q is no class", t.Class)
+	}
+	if t.Zone != "" && !slices.Contains(s.Zones.Names, t.Zone) {
+		c.report(at+"zone", "%q is no zone", t.Zone)
+	}
+}
+
+// checkRequired checks the keys that a kind of trouble requires.
+func (t *Trouble) checkRequired(c *checker, at string) {
+	require := func(key string, r Range) {
 		if !r.Set || r.upper() == 0 {
-			c.report(at+key, "%s needs it: %s", t.Kind, TroubleKinds[t.Kind])
+			c.report(at+key, "%s needs it: %s", t.Kind, troubleKinds[t.Kind])
 		}
 	}
 	switch t.Kind {
 	case "slow", "heavy_tail":
-		need("part", t.Part)
-		need("size", t.Size)
+		require("part", t.Part)
+		require("size", t.Size)
 	case "pauses":
-		need("part", t.Part)
-		need("size", t.Size)
-		need("every_s", t.EveryS)
+		require("part", t.Part)
+		require("size", t.Size)
+		require("every_s", t.EveryS)
 		if t.EveryS.lower()*1000 <= t.Size.upper() {
 			c.report(at+"every_s", "more than size (%v ms) is expected", t.Size.upper())
 		}
 	case "report_late", "burst", "discovery_late", "rude":
-		need("size", t.Size)
+		require("size", t.Size)
 	case "shrink":
 		if t.Size.lower() < 1 {
 			c.report(at+"size", "%v, 1 or more is expected", t.Size.lower())
 		}
-	case "discovery_outage", "roster_move":
+	case "discovery_outage", "roster_move": // nothing is required
 	default:
-		need("part", t.Part)
-	}
-	if t.Class != "" && !slices.ContainsFunc(s.Classes, func(k Class) bool { return k.Name == t.Class }) {
-		c.report(at+"class", "%q is no class", t.Class)
-	}
-	if t.Zone != "" && !slices.Contains(s.Zones.Names, t.Zone) {
-		c.report(at+"zone", "%q is no zone", t.Zone)
+		require("part", t.Part)
 	}
 }
