--- a/internal/lab/scenario/load.go
+++ b/internal/lab/scenario/load.go
@@ -17,12 +17,14 @@
 //go:embed shipped/*.toml
 var shipped embed.FS
 
-// Problem is one thing that is wrong with a scenario.
+// Problem is one thing that is wrong with a scenario, with its file, line and key.
 type Problem = tomlfile.Problem
 
-// Problems is all that is wrong, in the order of the files.
+// Problems is all that is wrong with a scenario: what could not be read first, then what is out of its
+// limits. It is the type of the errors of Load, Parse and With; errors.As finds it.
 type Problems = tomlfile.Problems
 
+// sourceLine is where a key was set.
 type sourceLine struct {
 	file string
 	line int
@@ -31,18 +33,19 @@
 // maxIncludes bounds a chain of includes.
 const maxIncludes = 8
 
-// Shipped lists the names of the scenarios that come with the program.
+// Shipped returns the names of the scenarios that are part of the program, in alphabetical order.
 func Shipped() []string {
 	var names []string
-	files, _ := fs.Glob(shipped, "shipped/*.toml")
+	files, _ := fs.Glob(shipped, "shipped/*.toml") // fails for a malformed pattern only
 	for _, f := range files {
 		names = append(names, strings.TrimSuffix(filepath.Base(f), ".toml"))
 	}
 	return names
 }
 
-// Load reads a scenario by its file's path, or a shipped one by its name, and checks
-// it. The error is of type Problems and holds everything that is wrong.
+// Load reads a scenario by the path of its file, or a shipped one by its name, and checks it. Includes
+// are looked for beside the file and then among the shipped ones. The error is of type Problems and
+// holds everything that is wrong. It may be called from any goroutine.
 func Load(name string) (*Scenario, error) {
 	s := defaults()
 	l := loader{scenario: s}
@@ -50,7 +53,8 @@
 	return l.finish()
 }
 
-// Parse reads a scenario from memory. Includes are of shipped scenarios.
+// Parse reads a scenario from memory and checks it, as Load does. Problems name the file as given;
+// includes are relative to the working directory, or shipped.
 func Parse(file string, data []byte) (*Scenario, error) {
 	s := defaults()
 	l := loader{scenario: s}
@@ -58,12 +62,13 @@
 	return l.finish()
 }
 
+// loader reads a file after its includes, so that the values of the file win.
 type loader struct {
 	scenario *Scenario
 	problems Problems
 }
 
-// finish checks what was read, unless it could not be read at all.
+// finish checks what was read, unless no file could be read.
 func (l *loader) finish() (*Scenario, error) {
 	if l.scenario.origin != nil {
 		l.scenario.fillDefaults()
@@ -75,17 +80,18 @@
 	return l.scenario, nil
 }
 
-// file reads one file, looked for beside its includer and then among the shipped.
+// file reads one file: from dir, which is that of the including file, and then from the shipped ones.
 func (l *loader) file(name, dir string, depth int) {
 	path := name
 	if dir != "" && !filepath.IsAbs(name) {
 		path = filepath.Join(dir, name)
 	}
 	data, err := os.ReadFile(path)
-	if err != nil && !strings.ContainsRune(name, filepath.Separator) {
-		bare := strings.TrimSuffix(name, ".toml")
-		if inside, errIn := shipped.ReadFile("shipped/" + bare + ".toml"); errIn == nil {
-			data, err, path = inside, nil, bare+".toml"
+	if err != nil {
+		if inside, ok := readShipped(name); ok {
+			data = inside
+			path = strings.TrimSuffix(name, ".toml") + ".toml"
+			err = nil
 		}
 	}
 	if err != nil {
@@ -99,18 +105,30 @@
 	l.parse(path, data, filepath.Dir(path), depth)
 }
 
+// readShipped returns the file of a shipped scenario. A name with a path is none.
+func readShipped(name string) ([]byte, bool) {
+	if strings.ContainsRune(name, filepath.Separator) {
+		return nil, false
+	}
+	data, err := shipped.ReadFile("shipped/" + strings.TrimSuffix(name, ".toml") + ".toml")
+	return data, err == nil
+}
+
+// parse reads the include of a file and then the file itself, over the values that are there. The
+// depth is the number of includes that led to it.
 func (l *loader) parse(file string, data []byte, dir string, depth int) {
 	var head struct {
 		Include string `toml:"include"`
 	}
 	if err := toml.Unmarshal(data, &head); err == nil && head.Include != "" {
 		if depth >= maxIncludes {
-			l.problems = append(l.problems, Problem{File: file, Key: "include", What: fmt.Sprintf("more than %d deep", maxIncludes)})
+			what := fmt.Sprintf("more than %d deep", maxIncludes)
+			l.problems = append(l.problems, Problem{File: file, Key: "include", What: what})
 			return
 		}
 		l.file(head.Include, dir, depth+1)
 	}
-	// A file that lists kinds, classes or troubles replaces those of its base.
+	// The decoder replaces arrays: a file that lists kinds, classes or troubles drops those it includes.
 	l.problems = append(l.problems, tomlfile.Decode(file, data, l.scenario)...)
 	if l.scenario.origin == nil {
 		l.scenario.origin = map[string]sourceLine{}
--- a/internal/lab/scenario/overrides.go
+++ b/internal/lab/scenario/overrides.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"maps"
 	"reflect"
 	"slices"
 	"strconv"
@@ -11,80 +12,118 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// With returns a copy with values replaced and checked. An override is KEY=VALUE,
-// such as traffic.load=0.8, kind.fast.speed=[1.2,1.4], trouble[0].size=3 or
-// kind.*.choke_at=0; elements of arrays go by their place, or by their name or kind.
+// With returns a copy in which values have been replaced, and checks it. An override is KEY=VALUE,
+// such as traffic.load=0.8, kind.fast.speed=[1.2,1.4], trouble[0].size=3 or kind.*.choke_at=0; elements
+// of arrays are selected by index, by name or kind, or all with *. The error is of type Problems and
+// holds everything that is wrong.
 func (s *Scenario) With(overrides ...string) (*Scenario, error) {
-	c := *s
-	c.Kinds, c.Classes, c.Troubles = slices.Clone(s.Kinds), slices.Clone(s.Classes), slices.Clone(s.Troubles)
-	c.Zones.Names, c.Zones.Servers = slices.Clone(s.Zones.Names), slices.Clone(s.Zones.Servers)
-	c.origin = map[string]sourceLine{} // a value set here has no line
-	for k, v := range s.origin {
-		c.origin[k] = v
-	}
+	c := s.clone()
 	var problems Problems
-	for _, o := range overrides {
-		key, value, ok := strings.Cut(o, "=")
-		key, value = strings.TrimSpace(key), strings.TrimSpace(value)
-		if !ok || key == "" || value == "" {
-			problems = append(problems, Problem{Key: o, What: "KEY=VALUE is expected"})
-			continue
+	for _, override := range overrides {
+		if problem, ok := c.override(override); !ok {
+			problems = append(problems, problem)
 		}
-		path := strings.Split(strings.ReplaceAll(key, "[", ".["), ".")
-		if err := assign(reflect.ValueOf(&c).Elem(), path, value); err != nil {
-			problems = append(problems, Problem{Key: key, What: err.Error()})
-		}
-		delete(c.origin, key)
 	}
 	c.fillDefaults()
 	problems = append(problems, c.Check()...)
 	if len(problems) > 0 {
 		return nil, problems
 	}
-	return &c, nil
+	return c, nil
+}
+
+// clone returns a copy that shares nothing which an override may change.
+func (s *Scenario) clone() *Scenario {
+	c := *s
+	c.Kinds = slices.Clone(s.Kinds)
+	c.Classes = slices.Clone(s.Classes)
+	c.Troubles = slices.Clone(s.Troubles)
+	c.Zones.Names = slices.Clone(s.Zones.Names)
+	c.Zones.Servers = slices.Clone(s.Zones.Servers)
+	c.origin = map[string]sourceLine{}
+	maps.Copy(c.origin, s.origin)
+	return &c
+}
+
+// override applies one override. It returns the problem where it could not be applied.
+func (s *Scenario) override(override string) (Problem, bool) {
+	key, value, found := strings.Cut(override, "=")
+	key = strings.TrimSpace(key)
+	value = strings.TrimSpace(value)
+	if !found || key == "" || value == "" {
+		return Problem{Key: override, What: "KEY=VALUE is expected"}, false
+	}
+	delete(s.origin, key) // a value set here has no line
+	path := strings.Split(strings.ReplaceAll(key, "[", ".["), ".")
+	if err := assign(reflect.ValueOf(s).Elem(), path, value); err != nil {
+		return Problem{Key: key, What: err.Error()}, false
+	}
+	return Problem{}, true
 }
 
-// assign sets what a path leads to.
+// assign sets the value at a path of TOML keys and element selectors.
 func assign(v reflect.Value, path []string, value string) error {
 	if len(path) == 0 {
 		return decodeInto(v, value)
 	}
-	step := path[0]
+	isTable := v.Kind() == reflect.Struct && v.Type() != reflect.TypeFor[Range]()
+	isArrayOfTables := v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct
 	switch {
-	case v.Kind() == reflect.Struct && v.Type() != reflect.TypeFor[Range]():
-		for i := range v.NumField() {
-			if tag := v.Type().Field(i).Tag.Get("toml"); tag != "" && tag == step {
-				return assign(v.Field(i), path[1:], value)
-			}
+	case isTable:
+		return assignField(v, path, value)
+	case isArrayOfTables:
+		return assignElements(v, path, value)
+	}
+	return fmt.Errorf("nothing is inside %s", path[0])
+}
+
+// assignField sets a value in the field of a table whose TOML key is the first of the path.
+func assignField(table reflect.Value, path []string, value string) error {
+	for i := range table.NumField() {
+		tag := table.Type().Field(i).Tag.Get("toml")
+		if tag != "" && tag == path[0] {
+			return assign(table.Field(i), path[1:], value)
 		}
-		return fmt.Errorf("no such key: %s", step)
-	case v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct:
-		hits := 0
-		for i := range v.Len() {
-			e := v.Index(i)
-			if step == "*" || step == fmt.Sprintf("[%d]", i) || named(e, "Name") == step || named(e, "Kind") == step {
-				hits++
-				if err := assign(e, path[1:], value); err != nil {
-					return err
-				}
-			}
+	}
+	return fmt.Errorf("no such key: %s", path[0])
+}
+
+// assignElements sets a value in each element that the first selector of the path selects.
+func assignElements(elements reflect.Value, path []string, value string) error {
+	found := false
+	for i := range elements.Len() {
+		element := elements.Index(i)
+		if !selects(path[0], i, element) {
+			continue
 		}
-		if hits == 0 {
-			return fmt.Errorf("nothing here is called %s", step)
+		found = true
+		if err := assign(element, path[1:], value); err != nil {
+			return err
 		}
-		return nil
 	}
-	return fmt.Errorf("nothing is inside %s", step)
+	if !found {
+		return fmt.Errorf("nothing here is called %s", path[0])
+	}
+	return nil
+}
+
+// selects reports whether a selector selects an element: *, [index], or the value of its Name or Kind.
+func selects(selector string, index int, element reflect.Value) bool {
+	return selector == "*" ||
+		selector == fmt.Sprintf("[%d]", index) ||
+		selector == stringField(element, "Name") ||
+		selector == stringField(element, "Kind")
 }
 
-func named(e reflect.Value, field string) string {
-	if f := e.FieldByName(field); f.IsValid() && f.Kind() == reflect.String {
-		return f.String()
+// stringField returns the value of a Go field, or "" where there is no such string field.
+func stringField(v reflect.Value, name string) string {
+	if field := v.FieldByName(name); field.IsValid() && field.Kind() == reflect.String {
+		return field.String()
 	}
 	return ""
 }
 
-// decodeInto reads a TOML value; a bare word is taken for a string.
+// decodeInto decodes a TOML value; a string may be given without quotes.
 func decodeInto(v reflect.Value, value string) error {
 	if v.Kind() == reflect.String && !strings.HasPrefix(value, `"`) && !strings.HasPrefix(value, "'") {
 		value = strconv.Quote(value)
