--- a/internal/lab/scenario/schema.go
+++ b/internal/lab/scenario/schema.go
@@ -1,8 +1,11 @@
 package scenario
 
-// Scenario is a file, its includes and its overrides taken together. Names of fields
-// carry their unit: _ms and _s times, _per_s rates; what has none is a number or a
-// share.
+// Scenario is a file with its includes and overrides. Keys carry their unit: _ms and _s for times,
+// _per_s for rates; without one the value is a number or a share, 0 to 1. docs/SCENARIOS.md describes
+// each key, check_*.go gives the limits and defaults.go what is left out.
+//
+// Type and field names of this file appear in error messages of the TOML decoder, and Name and Kind
+// are looked up by With: they are part of the format.
 type Scenario struct {
 	Name    string `toml:"name"`
 	About   string `toml:"about"`
@@ -23,78 +26,82 @@
 	Draws     Draws     `toml:"draw"`
 	Troubles  []Trouble `toml:"trouble"`
 
-	origin map[string]sourceLine // where each key was set last
+	origin map[string]sourceLine // where each key was last set; nil: no file was read
 }
 
-// Zones are sites and the network between them. Times are one way.
+// Zones is the zones and the network between them. Delays are one way.
 type Zones struct {
 	Names    []string  `toml:"names"`
-	Servers  []float64 `toml:"servers"`  // share of the servers in each zone; none: evenly
-	SameMS   Range     `toml:"same_ms"`  // within a zone
-	CrossMS  Range     `toml:"cross_ms"` // between two zones, drawn for each pair
-	ClientMS Range     `toml:"client_ms"`
-	Jitter   Range     `toml:"jitter"` // a message takes up to this share longer
+	Servers  []float64 `toml:"servers"`   // share of the servers in each zone; empty: even shares
+	SameMS   Range     `toml:"same_ms"`   // within a zone
+	CrossMS  Range     `toml:"cross_ms"`  // between two zones, drawn for each pair
+	ClientMS Range     `toml:"client_ms"` // between a client and a balancer
+	Jitter   Range     `toml:"jitter"`    // share of the delay by which a message is at most late
 }
 
-// Balancers are the instances of the decision module and what they are allowed.
+// Balancers is the instances of the load balancer and the features that they may use.
 type Balancers struct {
 	Count           int   `toml:"count"`
-	StartSpreadMS   Range `toml:"start_spread_ms"` // they start within this
+	StartSpreadMS   Range `toml:"start_spread_ms"` // all start within this time
 	MaxAttempts     int   `toml:"max_attempts"`
-	SecondCopies    bool  `toml:"second_copies"`
-	Cancel          bool  `toml:"cancel"`
-	Probes          bool  `toml:"probes"`
+	SecondCopies    bool  `toml:"second_copies"` // hedged requests
+	Cancel          bool  `toml:"cancel"`        // cancellation of attempts
+	Probes          bool  `toml:"probes"`        // health checks
 	RetryAfter      bool  `toml:"retry_after"`
 	MaxRetryAfterMS Range `toml:"max_retry_after_ms"`
-	FrontNoticeS    Range `toml:"front_notice_s"` // a dead one is sent clients for so long
+	FrontNoticeS    Range `toml:"front_notice_s"` // for how long clients are still sent to one that is down
 }
 
-// Fleet is the feed servers at the start.
+// Fleet is the servers at the start.
 type Fleet struct {
 	Servers int    `toml:"servers"`
-	Cells   int    `toml:"cell_size"`
-	Weights string `toml:"weights"`  // none, nominal, rough
-	RoughCV Range  `toml:"rough_cv"` // of rough weights
+	Cells   int    `toml:"cell_size"` // servers in a cell
+	Weights string `toml:"weights"`   // none, nominal, rough
+	RoughCV Range  `toml:"rough_cv"`  // coefficient of variation of rough weights
 }
 
-// Kind is a kind of machine; internal/lab/servermodel says what each figure does.
+// Kind is a kind of machine. servermodel.Kind documents what the parameters do.
 type Kind struct {
 	Name         string `toml:"name"`
-	Share        Range  `toml:"share"`
+	Share        Range  `toml:"share"` // of the servers, relative to other kinds
 	Cores        int    `toml:"cores"`
 	Speed        Range  `toml:"speed"`
-	SpeedCV      Range  `toml:"speed_cv"` // of each machine's speed round that
+	SpeedCV      Range  `toml:"speed_cv"` // coefficient of variation of the speeds of single machines
 	SlotsPerCore Range  `toml:"slots_per_core"`
 	QueuePerCore Range  `toml:"queue_per_core"`
 	Thrash       Range  `toml:"thrash"`
 	ThrashAt     Range  `toml:"thrash_at"`
-	ColdFrom     Range  `toml:"cold_from"`
-	ColdS        Range  `toml:"cold_s"`
-	WarmBy       string `toml:"warm_by"` // time, work
+	ColdFrom     Range  `toml:"cold_from"` // share of the capacity at the beginning of slow start
+	ColdS        Range  `toml:"cold_s"`    // duration of slow start
+	WarmBy       string `toml:"warm_by"`   // time, work
 	PauseEveryS  Range  `toml:"pause_every_s"`
 	PauseMS      Range  `toml:"pause_ms"`
 	PauseGrow    Range  `toml:"pause_grow"`
 	ErrorRate    Range  `toml:"error_rate"`
-	Cancel       string `toml:"cancel"` // queued, all, or any: one of them a seed
-	DropExpired  string `toml:"drops_expired"`
-
-	ChokeAt     Range `toml:"choke_at"`
-	ChokeOverS  Range `toml:"choke_over_s"`
-	ChokeSlower Range `toml:"choke_slower"`
-	ChokeBelow  Range `toml:"choke_below"`
-	ChokeRestS  Range `toml:"choke_rest_s"`
-	ChokeMostS  Range `toml:"choke_most_s"`
-
+	Cancel       string `toml:"cancel"`        // queued, all, or any: one of the two is drawn
+	DropExpired  string `toml:"drops_expired"` // no, yes, or any: one of the two is drawn
+
+	// Overload collapse: the server becomes slower and stays so after the cause has gone.
+	ChokeAt     Range `toml:"choke_at"`     // queued requests for each core that cause it; 0: never
+	ChokeOverS  Range `toml:"choke_over_s"` // for which they must be queued
+	ChokeSlower Range `toml:"choke_slower"` // how many times slower the server becomes
+	ChokeBelow  Range `toml:"choke_below"`  // share of busy time under which the server is mostly idle
+	ChokeRestS  Range `toml:"choke_rest_s"` // after which mostly idle ends it
+	ChokeMostS  Range `toml:"choke_most_s"` // after which it ends in any case; 0: never
+
+	// Affinity of keys.
 	KeyGain     Range `toml:"key_gain"`
 	KeyS        Range `toml:"key_s"`
 	KeysPerCore Range `toml:"keys_per_core"`
 
+	// Cost of connections and health checks.
 	HandshakeMS   Range `toml:"handshake_ms"`
 	HandshakeRTTs Range `toml:"handshake_rtts"`
 	ConnPerCore   Range `toml:"connections_per_core"`
 	ConnTax       Range `toml:"connection_tax"`
 	ProbeMS       Range `toml:"probe_ms"`
 
+	// Load reports.
 	ReportEveryMS Range `toml:"report_every_ms"`
 	ReportDelayMS Range `toml:"report_delay_ms"`
 	ReportNoise   Range `toml:"report_noise"`
@@ -103,60 +110,60 @@
 // Class is a kind of request.
 type Class struct {
 	Name       string `toml:"name"`
-	Share      Range  `toml:"share"` // of the requests; 0: nobody sends it
+	Share      Range  `toml:"share"` // of the requests, relative to other classes; 0: there are none
 	WorkMS     Range  `toml:"work_ms"`
 	Dist       string `toml:"dist"` // fixed, exponential, lognormal, pareto
 	CV         Range  `toml:"cv"`
-	AttemptCV  Range  `toml:"attempt_cv"` // of the work of one attempt round the request's
-	AimMS      Range  `toml:"aim_ms"`
+	AttemptCV  Range  `toml:"attempt_cv"` // coefficient of variation of an attempt's work about its request's
+	AimMS      Range  `toml:"aim_ms"`     // latency objective
 	DeadlineMS Range  `toml:"deadline_ms"`
-	Worth      Range  `toml:"worth"`
-	LateWorth  Range  `toml:"late_worth"`
-	Effect     string `toml:"effect"` // safe, keyed, unsafe
-	Scope      string `toml:"scope"`  // of keyed: all, zone, cell
-	WindowMS   Range  `toml:"window_ms"`
+	Worth      Range  `toml:"worth"`      // priority weight
+	LateWorth  Range  `toml:"late_worth"` // share of it for a response after the objective
+	Effect     string `toml:"effect"`     // safe (idempotent), keyed (idempotent with an idempotency key), unsafe
+	Scope      string `toml:"scope"`      // of deduplication by key: all, zone, cell
+	WindowMS   Range  `toml:"window_ms"`  // of deduplication by key
 }
 
-// Traffic is what arrives. Load is its mean work as a share of what the fleet can do
-// warm; RatePerS is used instead where it is set.
+// Traffic is the arriving requests. Load is their mean work as a share of the capacity of the fleet
+// after slow start; RatePerS is used instead where it is above 0.
 type Traffic struct {
 	Load     Range  `toml:"load"`
 	RatePerS Range  `toml:"rate_per_s"`
 	Shape    string `toml:"shape"` // steady, waves, bursty
-	Swing    Range  `toml:"swing"` // how far the shape goes above and below the mean
+	Swing    Range  `toml:"swing"` // amplitude of the shape, as a share of the mean
 	PeriodS  Range  `toml:"period_s"`
 	ZoneSkew Range  `toml:"zone_skew"` // how unevenly clients are spread over zones
-	Keys     Range  `toml:"keys"`      // 0: requests have none
+	Keys     Range  `toml:"keys"`      // number of different keys; 0: requests have none
 	KeyZipf  Range  `toml:"key_zipf"`
 	Hints    string `toml:"hints"` // none, rough, exact
 	HintCV   Range  `toml:"hint_cv"`
-	Trace    string `toml:"trace"` // a recording that is played instead of drawn arrivals
+	Trace    string `toml:"trace"` // a recording to be replayed instead of drawn arrivals
 }
 
-// Clients is how clients behave.
+// Clients is the behaviour of clients.
 type Clients struct {
-	Retries    Range `toml:"retries"` // by themselves, after the first try
+	Retries    Range `toml:"retries"` // after the first attempt
 	BackoffMS  Range `toml:"backoff_ms"`
-	TryShare   Range `toml:"try_share"` // a try is given up after this share of the deadline
-	Honour     Range `toml:"honour"`    // share of clients that heed Retry-After
-	Impatient  Range `toml:"impatient"` // share of tries whose client leaves early
-	MarksRetry bool  `toml:"marks_retry"`
+	TryShare   Range `toml:"try_share"`   // an attempt times out after this share of the deadline
+	Honour     Range `toml:"honour"`      // share of clients that honour Retry-After
+	Impatient  Range `toml:"impatient"`   // share of attempts whose client disconnects early
+	MarksRetry bool  `toml:"marks_retry"` // clients mark retries as such
 }
 
-// Discovery is the list of servers as a service.
+// Discovery is the service discovery.
 type Discovery struct {
-	Push      bool  `toml:"push"` // changes come unasked
-	NoticeS   Range `toml:"notice_s"`
-	SilentS   Range `toml:"silent_notice_s"` // of a server that vanished
-	AddS      Range `toml:"add_s"`
-	PeriodMS  Range `toml:"period_ms"` // changes are published this often
-	SpreadMS  Range `toml:"spread_ms"` // and told within this
-	CallsPerS Range `toml:"calls_per_s"`
-	CallLines Range `toml:"call_lines"` // so many lines cost as much as a call
+	Push      bool  `toml:"push"`            // watches deliver changes; otherwise balancers poll
+	NoticeS   Range `toml:"notice_s"`        // until it notices that a server is gone
+	SilentS   Range `toml:"silent_notice_s"` // until it notices that a server no longer responds
+	AddS      Range `toml:"add_s"`           // until it lists a new server
+	PeriodMS  Range `toml:"period_ms"`       // interval at which changes are published
+	SpreadMS  Range `toml:"spread_ms"`       // time within which all watches get them
+	CallsPerS Range `toml:"calls_per_s"`     // capacity
+	CallLines Range `toml:"call_lines"`      // number of lines that cost as much as a call
 	TimeoutMS Range `toml:"timeout_ms"`
 }
 
-// Rules are the figures of the four rules.
+// Rules is the timeouts and the limits of the four rules of balancing, which package invariants checks.
 type Rules struct {
 	AnswerSlackMS  Range `toml:"answer_slack_ms"`
 	AskWithinMS    Range `toml:"ask_within_ms"`
@@ -170,7 +177,7 @@
 	KeepaliveMS    Range `toml:"keepalive_ms"`
 }
 
-// Score is how service is counted: the weights of its parts and what is taken off.
+// Score is how service is scored: the weights of its parts, which add up to 1, and what is deducted.
 type Score struct {
 	Whole       Range  `toml:"whole"`
 	WorstWindow Range  `toml:"worst_window"`
@@ -184,13 +191,13 @@
 	Choke       Range  `toml:"choke"`
 }
 
-// Draws picks some of the troubles for each seed; without it all are played.
+// Draws limits how many of the troubles are part of an instance; without it all are.
 type Draws struct {
 	Troubles Range `toml:"troubles"`
 }
 
-// Trouble is something that goes wrong. What part and size mean depends on the kind:
-// see docs/SCENARIOS.md.
+// Trouble is a fault to be injected; Fault is what is drawn from it. The meaning of part and size
+// depends on the kind: see troubleKinds and docs/SCENARIOS.md.
 type Trouble struct {
 	Kind   string  `toml:"kind"`
 	AtS    Range   `toml:"at_s"`
@@ -199,7 +206,7 @@
 	Size   Range   `toml:"size"`
 	EveryS Range   `toml:"every_s"`
 	RampS  Range   `toml:"ramp_s"`
-	Class  string  `toml:"class"`
-	Zone   string  `toml:"zone"`
-	Weight float64 `toml:"weight"`
+	Class  string  `toml:"class"`  // name of a class; "": all
+	Zone   string  `toml:"zone"`   // name of a zone; "": all
+	Weight float64 `toml:"weight"` // in the choice of Draws; 0: 1
 }
