--- a/internal/lab/scenario/check_figures.go
+++ b/internal/lab/scenario/check_figures.go
@@ -4,9 +4,15 @@
 
 // checkFigures checks discovery, the rules, the score and the number of drawn troubles.
 func (s *Scenario) checkFigures(c *checker) {
-	d := &s.Discovery
-	r := &s.Rules
-	g := &s.Score
+	s.Discovery.check(c)
+	s.Rules.check(c)
+	s.Score.check(c)
+	if n := s.Draws.Troubles; n.Set {
+		c.within("draw.troubles", n, 0, math.Inf(1))
+	}
+}
+
+func (d *Discovery) check(c *checker) {
 	c.withinAll("discovery.", []limits{
 		{"notice_s", d.NoticeS, 0, 3600},
 		{"silent_notice_s", d.SilentS, 0, 3600},
@@ -17,6 +23,9 @@
 		{"call_lines", d.CallLines, 0.001, 1e9},
 		{"timeout_ms", d.TimeoutMS, 1, 600000},
 	})
+}
+
+func (r *Rules) check(c *checker) {
 	c.withinAll("rules.", []limits{
 		{"answer_slack_ms", r.AnswerSlackMS, 0, 60000},
 		{"ask_within_ms", r.AskWithinMS, 1, 3600000},
@@ -29,6 +38,9 @@
 		{"probe_timeout_ms", r.ProbeTimeoutMS, 1, 60000},
 		{"keepalive_ms", r.KeepaliveMS, 1, 3600000},
 	})
+}
+
+func (g *Score) check(c *checker) {
 	c.withinAll("score.", []limits{
 		{"whole", g.Whole, 0, 1},
 		{"worst_window", g.WorstWindow, 0, 1},
@@ -41,10 +53,8 @@
 		{"choke", g.Choke, 0, 1},
 	})
 	c.oneOf("score.worth_by", g.WorthBy, "work", "request")
-	if sum := g.Whole.From + g.WorstWindow.From + g.WorstClass.From; math.Abs(sum-1) > 1e-6 {
+	sum := g.Whole.From + g.WorstWindow.From + g.WorstClass.From
+	if math.Abs(sum-1) > 1e-6 {
 		c.report("score", "whole, worst_window and worst_class add up to %v, 1 is expected", sum)
 	}
-	if n := s.Draws.Troubles; n.Set {
-		c.within("draw.troubles", n, 0, math.Inf(1))
-	}
 }
--- a/internal/lab/scenario/check_traffic.go
+++ b/internal/lab/scenario/check_traffic.go
@@ -3,26 +3,26 @@
 import "math"
 
 // check checks a class, whose key with a dot is at.
-func (k *Class) check(c *checker, at string) {
-	if k.Name == "" {
-		c.report(at+"name", "a name is expected")
+func (c *Class) check(checks *checker, at string) {
+	if c.Name == "" {
+		checks.report(at+"name", "a name is expected")
 	}
-	c.within(at+"share", k.Share, 0, math.Inf(1))
-	c.within(at+"work_ms", k.WorkMS, 1e-6, 1e9)
-	c.within(at+"cv", k.CV, 0, 20)
-	c.within(at+"attempt_cv", k.AttemptCV, 0, 5)
-	c.within(at+"aim_ms", k.AimMS, 0.001, 1e9)
-	c.within(at+"deadline_ms", k.DeadlineMS, 0.001, 1e9)
-	c.within(at+"worth", k.Worth, 0, 1e9)
-	c.within(at+"late_worth", k.LateWorth, 0, 1)
-	if k.DeadlineMS.lower() < k.AimMS.upper() {
-		c.report(at+"deadline_ms", "%v, at least aim_ms (%v) is expected", k.DeadlineMS.lower(), k.AimMS.upper())
+	checks.within(at+"share", c.Share, 0, math.Inf(1))
+	checks.within(at+"work_ms", c.WorkMS, 1e-6, 1e9)
+	checks.within(at+"cv", c.CV, 0, 20)
+	checks.within(at+"attempt_cv", c.AttemptCV, 0, 5)
+	checks.within(at+"aim_ms", c.AimMS, 0.001, 1e9)
+	checks.within(at+"deadline_ms", c.DeadlineMS, 0.001, 1e9)
+	checks.within(at+"worth", c.Worth, 0, 1e9)
+	checks.within(at+"late_worth", c.LateWorth, 0, 1)
+	if c.DeadlineMS.lower() < c.AimMS.upper() {
+		checks.report(at+"deadline_ms", "%v, at least aim_ms (%v) is expected", c.DeadlineMS.lower(), c.AimMS.upper())
 	}
-	c.oneOf(at+"dist", k.Dist, "fixed", "exponential", "lognormal", "pareto")
-	c.oneOf(at+"effect", k.Effect, "safe", "keyed", "unsafe")
-	if k.Effect == "keyed" {
-		c.oneOf(at+"scope", k.Scope, "all", "zone", "cell")
-		c.within(at+"window_ms", k.WindowMS, 0.001, 1e9)
+	checks.oneOf(at+"dist", c.Dist, "fixed", "exponential", "lognormal", "pareto")
+	checks.oneOf(at+"effect", c.Effect, "safe", "keyed", "unsafe")
+	if c.Effect == "keyed" {
+		checks.oneOf(at+"scope", c.Scope, "all", "zone", "cell")
+		checks.within(at+"window_ms", c.WindowMS, 0.001, 1e9)
 	}
 }
 
--- a/internal/lab/scenario/doc.go
+++ b/internal/lab/scenario/doc.go
@@ -11,7 +11,8 @@
 // its own (see Stream): a change in one does not move the values of another. It knows the decision
 // module's settings and the server model's parameters, but nothing of simulated time, sockets or
 // results. Packages simulation, emulator, load and loadtest run instances, goodput
-// scores them; the piernotch-lab command loads scenarios and draws from them. docs/SCENARIOS.md is the reference of the format.
+// scores them; the piernotch-lab command loads scenarios and draws from them. docs/SCENARIOS.md is the
+// reference of the format.
 //
 // The decoder prints Go type and field names of the schema (schema.go) in some of its errors, which
 // operators see. Those names are therefore part of the format: a new name changes error messages.
