--- a/internal/lab/scenario/draw_test.go
+++ b/internal/lab/scenario/draw_test.go
@@ -37,12 +37,13 @@
 			t.Fatal(err)
 		}
 		if n := len(d.Faults); n < 2 || n > 3 {
-			t.Fatalf("%d troubles", n)
+			t.Fatalf("%d faults", n)
 		}
-		for _, in := range d.Faults {
-			r := s.Troubles[in.Number]
-			if in.At.Seconds() < r.AtS.lower()-1e-6 || in.At.Seconds() > r.AtS.upper()+1e-6 {
-				t.Fatalf("%s at %v", in.Kind, in.At)
+		for _, fault := range d.Faults {
+			trouble := s.Troubles[fault.Number]
+			at := fault.At.Seconds()
+			if at < trouble.AtS.lower()-1e-6 || at > trouble.AtS.upper()+1e-6 {
+				t.Fatalf("%s at %v", fault.Kind, fault.At)
 			}
 		}
 		share := 0.0
@@ -57,3 +58,14 @@
 		}
 	})
 }
+
+func TestDrawErrorHoldsSeedAndCause(t *testing.T) {
+	s := defaults()
+	s.Kinds = []Kind{{Name: "stopped", Share: Fixed(1), Cores: 1, SlotsPerCore: Fixed(1)}} // without a speed
+	_, err := s.Draw(7)
+	var drawError *DrawError
+	require.ErrorAs(t, err, &drawError)
+	require.Equal(t, uint64(7), drawError.Seed)
+	require.ErrorIs(t, err, drawError.Err)
+	require.Equal(t, "seed 7: "+drawError.Err.Error(), err.Error())
+}
--- a/internal/lab/scenario/golden_test.go
+++ b/internal/lab/scenario/golden_test.go
@@ -83,7 +83,7 @@
 	require.Equal(t, goldenScenario(), got)
 }
 
-// describe writes a day's values in order, one concern a line: no name of a field or type is in it.
+// describe writes an instance's values in order, one concern a line: no name of a field or type is in it.
 func describe(d *Instance) []byte {
 	var out bytes.Buffer
 	line := func(values ...any) { fmt.Fprintln(&out, values...) }
@@ -102,8 +102,8 @@
 	for _, class := range d.Classes {
 		line(class.Class, class.Share, class.MeanWork, class.AttemptCV, class.Work.Rand(), class.Work.Rand())
 	}
-	for _, incident := range d.Faults {
-		line(incident)
+	for _, fault := range d.Faults {
+		line(fault)
 	}
 	for _, step := range d.Steps() {
 		line(step)
@@ -111,17 +111,17 @@
 	return out.Bytes()
 }
 
-// TestDrawnDayGoldenFile guards the days that are drawn: a seed gives the same day as ever, so that
+// TestDrawnInstanceGoldenFile guards the drawn instances: a seed gives the same instance as ever, so that
 // figures of two programs can be compared. The last digits are those that math.Exp has on amd64
 // processors with FMA.
-func TestDrawnDayGoldenFile(t *testing.T) {
+func TestDrawnInstanceGoldenFile(t *testing.T) {
 	s, err := Load("testdata/every-key.toml")
 	require.NoError(t, err)
 	var got []byte
 	for _, seed := range []uint64{1, 2, 3} {
-		day, err := s.Draw(seed)
+		instance, err := s.Draw(seed)
 		require.NoError(t, err)
-		got = append(got, describe(day)...)
+		got = append(got, describe(instance)...)
 	}
 	if *update {
 		require.NoError(t, os.WriteFile("testdata/days.txt", got, 0o644))
