--- a/internal/lab/scenario/instance.go
+++ b/internal/lab/scenario/instance.go
@@ -51,7 +51,7 @@
 	Kind      servermodel.Kind // with this machine's own speed
 	KindIndex int              // index into Scenario.Kinds
 	Zone      int              // index into Instance.Zones
-	Cell      int              // unique over all zones
+	Cell      int              // 1000*Zone and more; unique while no zone has over 1000 cells
 	Size      float64          // weight in the endpoint list
 	Handshake int              // round trips that a new connection takes
 }
@@ -98,25 +98,42 @@
 
 // InstanceDiscovery is service discovery as drawn.
 type InstanceDiscovery struct {
-	Push                                          bool
-	Notice, Silent, Add, Period, Spread, Patience time.Duration
-	CallsPerSec, CallLines                        float64
+	Push        bool          // watches deliver changes; otherwise balancers poll
+	Notice      time.Duration // until it notices that a server drains or has exited
+	Silent      time.Duration // until it notices that a server no longer responds
+	Add         time.Duration // until it lists a new server
+	Period      time.Duration // interval at which changes are published
+	Spread      time.Duration // time within which a published change is delivered
+	Patience    time.Duration // timeout of a call
+	CallsPerSec float64       // capacity
+	CallLines   float64       // number of lines that cost as much as a call
 }
 
 // InstanceRules is the timeouts and the limits of the invariants, as drawn.
 type InstanceRules struct {
-	Slack, AskWithin, Grace, Dial, Probe, KeepAlive time.Duration
-	ColdFrom                                        float64
-	Cold                                            time.Duration
-	Fall                                            servermodel.Collapse
+	Slack     time.Duration // by which a response may come after its deadline
+	AskWithin time.Duration // a balancer that neither watches nor polls for so long counts as notified
+	Grace     time.Duration // for which attempts may still go to a server that drains
+	Dial      time.Duration // timeout of connecting
+	Probe     time.Duration // timeout of a health check
+	KeepAlive time.Duration // after which an idle connection is closed
+	ColdFrom  float64       // share of the capacity at the beginning of slow start
+	Cold      time.Duration // duration of slow start
+	Fall      servermodel.Collapse
 }
 
 // InstanceScore is how service is scored: the weights of its parts and what is deducted.
 type InstanceScore struct {
-	Whole, WorstWindow, WorstClass           float64
-	Window                                   time.Duration
-	ByWork                                   bool
-	Waste, LateFail, CrossZone, Probe, Choke float64
+	Whole       float64       // weight of the service of the whole run
+	WorstWindow float64       // weight of that of the worst window
+	WorstClass  float64       // weight of that of the worst class
+	Window      time.Duration // length of a window
+	ByWork      bool          // requests are also weighted by their work
+	Waste       float64       // this and the following: factors of what is deducted
+	LateFail    float64
+	CrossZone   float64
+	Probe       float64
+	Choke       float64
 }
 
 // Fault is a fault at its time, with the servers and balancers that it hits.
--- a/internal/lab/scenario/range.go
+++ b/internal/lab/scenario/range.go
@@ -24,7 +24,7 @@
 	*r = Range{Set: true, bad: strings.TrimSpace(string(data))}
 	var doc struct{ V any }
 	if err := toml.Unmarshal(append([]byte("v = "), data...), &doc); err != nil {
-		return nil //nolint:nilerr // Check reports it
+		return nil // Check reports it
 	}
 	if v, ok := number(doc.V); ok {
 		*r = Fixed(v)
--- a/internal/lab/scenario/steps.go
+++ b/internal/lab/scenario/steps.go
@@ -13,7 +13,7 @@
 	Drain                   // Server starts to drain
 	End                     // Server's process exits
 	Start                   // Server's process starts, in slow start
-	Vanish                  // Server stops responding without closing its connections
+	Vanish                  // Server is cut off: it answers nothing any more
 	Join                    // a server of Server's kind starts; Number identifies it
 	Takeover                // the same, at Server's address
 	Lose                    // discovery omits Servers by mistake
@@ -33,7 +33,7 @@
 	Servers       []int // indexes into Instance.Servers; not to be modified
 	Size          float64
 	Every, Length time.Duration
-	Number        int // of a server that joins, as Instance.Like takes it
+	Number        int // identifies a server that joins, see Instance.Like
 }
 
 // restartDuration is the time from the exit of a server's process to its start in a restart.
@@ -106,7 +106,7 @@
 	at := f.At + f.For*time.Duration(position)/time.Duration(len(f.Servers))
 	drain := Step{At: at, Do: Drain, Server: server}
 	end := Step{At: at + f.Ramp, Do: End, Server: server}
-	number := position + 1000*(f.Number+1) // distinct for each server of each fault
+	number := position + 1000*(f.Number+1) // distinct while a fault affects at most 1000 servers
 	switch f.Kind {
 	case "shrink", "leave":
 		return []Step{drain, end}
