--- a/cmd/piernotch-lab/loadtest_report.go
+++ b/cmd/piernotch-lab/loadtest_report.go
@@ -16,7 +16,7 @@
 // printDay prints what is about to be played.
 func printDay(o *output, d *scenario.Instance, name string) {
 	o.out.Printf("%s, seed %d: %d balancers, %d servers, %.0f requests a second for %.0f s\n",
-		name, d.Seed, len(d.Balancers), len(d.Servers), d.Traffic.PerSec, d.Length.Seconds())
+		name, d.Seed, len(d.Balancers), len(d.Servers), d.Traffic.RequestsPerSecond, d.Length.Seconds())
 	for _, incident := range d.Faults {
 		o.out.Printf("  %s from %.1f s for %.1f s\n", incident.Kind, incident.At.Seconds(), incident.For.Seconds())
 	}
--- a/internal/lab/emulator/script.go
+++ b/internal/lab/emulator/script.go
@@ -35,7 +35,7 @@
 // scheduleSteps schedules what the simulation does to its servers, for these.
 func (f *Fleet) scheduleSteps() {
 	for _, s := range f.day.Steps() {
-		if s.Do == scenario.Join || s.Do == scenario.Takeover {
+		if s.Action == scenario.Join || s.Action == scenario.Takeover {
 			f.scheduleJoin(&s)
 			continue
 		}
@@ -45,19 +45,19 @@
 
 // playStep does one thing to servers or discovery.
 func (f *Fleet) playStep(s *scenario.Step) {
-	switch s.Do {
-	case scenario.Lose:
+	switch s.Action {
+	case scenario.DelistServers:
 		f.misreport(s.Servers, piernotch.Gone)
-	case scenario.Regain:
+	case scenario.RelistServers:
 		f.misreport(s.Servers, piernotch.Ready)
-	case scenario.ReportsLater:
+	case scenario.DelayReports:
 		f.loadReportDelay.Add(int64(s.Length))
-	case scenario.ListLater:
+	case scenario.DelayDiscovery:
 		f.discovery.extraDelay.Add(int64(s.Length))
-	case scenario.Spoil:
+	case scenario.CorruptResponses:
 		f.malformedShare.Add(int64(s.Size * 1e6))
-	case scenario.OutageBegins, scenario.OutageEnds:
-		f.discovery.setOutage(s.Do == scenario.OutageBegins)
+	case scenario.DiscoveryDown, scenario.DiscoveryUp:
+		f.discovery.setOutage(s.Action == scenario.DiscoveryDown)
 	default:
 		f.playServerStep(s, f.servers[s.Server])
 	}
@@ -65,25 +65,25 @@
 
 // playServerStep does one thing to one server.
 func (f *Fleet) playServerStep(step *scenario.Step, s *server) {
-	switch step.Do {
+	switch step.Action {
 	case scenario.Slow:
 		f.slow(s, step.Size)
 	case scenario.Pauses:
 		s.withModel(func(m *servermodel.Server, now time.Duration) { m.SetPauses(now, step.Every, step.Length) })
-	case scenario.Choke:
+	case scenario.Overload:
 		s.withModel(func(m *servermodel.Server, now time.Duration) {
 			m.SetOverloaded(now)
 			s.overloaded = true
 		})
 	case scenario.Drain:
 		f.drain(s)
-	case scenario.End:
+	case scenario.Exit:
 		f.end(s)
 	case scenario.Start:
 		f.start(s)
 	case scenario.Vanish:
 		s.silence()
-		f.discovery.publishAfter(s.number, piernotch.Gone, f.day.Discovery.Silent)
+		f.discovery.publishAfter(s.number, piernotch.Gone, f.day.Discovery.FailureDetectionDelay)
 	}
 }
 
@@ -103,7 +103,7 @@
 		m.Drain(now)
 	})
 	if up {
-		f.discovery.publishAfter(s.number, piernotch.Draining, f.day.Discovery.Notice)
+		f.discovery.publishAfter(s.number, piernotch.Draining, f.day.Discovery.RemovalDelay)
 	}
 }
 
@@ -124,7 +124,7 @@
 // end ends a server's process.
 func (f *Fleet) end(s *server) {
 	s.crash()
-	f.discovery.publishAfter(s.number, piernotch.Gone, f.day.Discovery.Notice)
+	f.discovery.publishAfter(s.number, piernotch.Gone, f.day.Discovery.RemovalDelay)
 }
 
 // start starts a server's process.
@@ -133,7 +133,7 @@
 		f.recordError(err)
 		return
 	}
-	f.discovery.publishAfter(s.number, piernotch.Ready, f.day.Discovery.Add)
+	f.discovery.publishAfter(s.number, piernotch.Ready, f.day.Discovery.AddDelay)
 }
 
 // scheduleJoin creates a server like another one and schedules its start; a takeover is at the address of
@@ -146,7 +146,7 @@
 	}
 	s.model.Crash(0) // it is down until then
 	f.schedule(step.At, func() {
-		if step.Do == scenario.Takeover {
+		if step.Action == scenario.Takeover {
 			address := f.servers[step.Server].currentAddress()
 			s.mu.Lock()
 			s.address = address
--- a/internal/lab/load/clients.go
+++ b/internal/lab/load/clients.go
@@ -129,7 +129,7 @@
 	c.countRequest(a)
 	rng := rand.New(rand.NewPCG(a.Seed, 11))
 	for attempt := 1; ; attempt++ {
-		timeout := min(time.Duration(float64(class.Deadline)*clients.TryShare), expires-c.Clock())
+		timeout := min(time.Duration(float64(class.Deadline)*clients.AttemptTimeoutShare), expires-c.Clock())
 		outcome, retryAfter := c.attempt(ctx, a, timeout, rng)
 		c.countAttempt(a, outcome)
 		if outcome == Served {
@@ -137,7 +137,7 @@
 			return
 		}
 		backoff := time.Duration(float64(clients.Backoff) * math.Exp2(float64(attempt-1)) * (0.5 + rng.Float64()))
-		if rng.Float64() < clients.Honour {
+		if rng.Float64() < clients.RetryAfterShare {
 			backoff = max(backoff, min(retryAfter, c.Day.Settings.Limits.MaxRetryAfter))
 		}
 		mayRetry := class.RetrySafety == piernotch.Idempotent || outcome.retryable()
--- a/internal/lab/loadtest/handover_play.go
+++ b/internal/lab/loadtest/handover_play.go
@@ -161,7 +161,7 @@
 	e.observer.EndpointNotified(both.balancer.number, server, piernotch.Draining, 0)
 	e.expectStatus(ctx, both.next, exclude, http.StatusOK)
 	e.expectStatus(ctx, both.next, adminCall{http.MethodPost, "/api/exclude", "s-nobody"}, http.StatusNotFound)
-	sleep(ctx, e.day.Rules.Grace+time.Second)
+	sleep(ctx, e.day.Rules.DrainGrace+time.Second)
 	e.observer.EndpointNotified(both.balancer.number, server, piernotch.Ready, 0)
 	e.expectStatus(ctx, both.next, adminCall{http.MethodPost, "/api/include", name}, http.StatusOK)
 }
--- a/internal/lab/loadtest/incidents.go
+++ b/internal/lab/loadtest/incidents.go
@@ -62,7 +62,7 @@
 		e.observer.BalancerKilled(p.number)
 		<-p.signal(syscall.SIGKILL)
 	})
-	e.at(ctx, incident.At+e.day.Front, func() {
+	e.at(ctx, incident.At+e.day.FailoverDelay, func() {
 		if p.isStopping() { // it is not back yet
 			p.setRouted(false)
 		}
--- a/internal/lab/loadtest/observer.go
+++ b/internal/lab/loadtest/observer.go
@@ -60,7 +60,7 @@
 // newObserver returns an observer of a day. Zone and cell return where a server is.
 func newObserver(day *scenario.Instance, clock func() time.Duration, zone, cell func(server int) int) *observer {
 	limits := invariants.Limits{
-		Slack: day.Rules.Slack + socketTolerance, Grace: day.Rules.Grace + socketTolerance, CollapseWindow: day.Rules.Fall.For,
+		Slack: day.Rules.ResponseSlack + socketTolerance, Grace: day.Rules.DrainGrace + socketTolerance, CollapseWindow: day.Rules.Collapse.For,
 		MaxAttempts: day.Settings.Limits.MaxAttempts, HedgedRequests: day.Settings.Limits.HedgedRequests, Zone: zone, Cell: cell,
 	}
 	for _, class := range day.Classes {
--- a/internal/lab/loadtest/process.go
+++ b/internal/lab/loadtest/process.go
@@ -90,8 +90,8 @@
 	set.Zone = p.zone
 	r := &day.Rules
 	settings, err := wire.MarshalSettings(&set, wire.ExtraSettings{
-		Instance: p.number, KeepAliveMS: wire.Milliseconds(r.KeepAlive), DialMS: wire.Milliseconds(r.Dial), SlackMS: wire.Milliseconds(r.Slack),
-		GraceMS: wire.Milliseconds(r.Grace), FallMultiple: r.Fall.Multiple, FallMS: wire.Milliseconds(r.Fall.For),
+		Instance: p.number, KeepAliveMS: wire.Milliseconds(r.KeepAlive), DialMS: wire.Milliseconds(r.DialTimeout), SlackMS: wire.Milliseconds(r.ResponseSlack),
+		GraceMS: wire.Milliseconds(r.DrainGrace), FallMultiple: r.Collapse.Multiple, FallMS: wire.Milliseconds(r.Collapse.For),
 		MachineTypes: day.KindNames(), Columns: []string{"eps", "qps", "inflight"}, WeightBy: "work",
 	})
 	if err != nil {
--- a/internal/lab/loadtest/report.go
+++ b/internal/lab/loadtest/report.go
@@ -88,7 +88,7 @@
 	}
 	result.ChokedShare = float64(e.fleet.Overloaded()) / float64(max(e.fleet.Servers(), 1))
 	// What only the simulation knows exactly (wasted work, crossings) is not deducted here.
-	result.Deducted = score.LateFail*parts.LateFail + score.Choke*result.ChokedShare
+	result.Deducted = score.LateFail*parts.LateFail + score.Overloaded*result.ChokedShare
 	result.Service = parts.Service(score, result.Deducted)
 	return result
 }
--- a/internal/lab/scenario/draw.go
+++ b/internal/lab/scenario/draw.go
@@ -26,14 +26,14 @@
 func (s *Scenario) Draw(seed uint64) (*Instance, error) {
 	rng := Stream(seed, "site")
 	d := &Instance{
-		Name:   s.Name,
-		Seed:   seed,
-		Length: seconds(s.LengthS.draw(rng)),
-		Tick:   millis(s.TickMS.draw(rng)),
-		Zones:  s.Zones.Names,
-		Client: millis(s.Zones.ClientMS.draw(rng)),
-		Jitter: s.Zones.Jitter.draw(rng),
-		Front:  seconds(s.Balancers.FrontNoticeS.draw(rng)),
+		Name:          s.Name,
+		Seed:          seed,
+		Length:        seconds(s.LengthS.draw(rng)),
+		Tick:          millis(s.TickMS.draw(rng)),
+		Zones:         s.Zones.Names,
+		ClientDelay:   millis(s.Zones.ClientMS.draw(rng)),
+		Jitter:        s.Zones.Jitter.draw(rng),
+		FailoverDelay: seconds(s.Balancers.FrontNoticeS.draw(rng)),
 	}
 	d.drawNetwork(s, rng)
 	figures := Stream(seed, "figures") // one stream for four tables, in this order
@@ -69,15 +69,15 @@
 
 func (d *Instance) drawRules(r *Rules, rng *rand.Rand) {
 	d.Rules = InstanceRules{
-		Slack:     millis(r.AnswerSlackMS.draw(rng)),
-		AskWithin: millis(r.AskWithinMS.draw(rng)),
-		Grace:     millis(r.DrainGraceMS.draw(rng)),
-		Dial:      millis(r.DialTimeoutMS.draw(rng)),
-		Probe:     millis(r.ProbeTimeoutMS.draw(rng)),
-		KeepAlive: millis(r.KeepaliveMS.draw(rng)),
-		ColdFrom:  r.ColdFrom.draw(rng),
-		Cold:      millis(r.ColdMS.draw(rng)),
-		Fall: servermodel.Collapse{
+		ResponseSlack:      millis(r.AnswerSlackMS.draw(rng)),
+		PollInterval:       millis(r.AskWithinMS.draw(rng)),
+		DrainGrace:         millis(r.DrainGraceMS.draw(rng)),
+		DialTimeout:        millis(r.DialTimeoutMS.draw(rng)),
+		HealthCheckTimeout: millis(r.ProbeTimeoutMS.draw(rng)),
+		KeepAlive:          millis(r.KeepaliveMS.draw(rng)),
+		SlowStartCapacity:  r.ColdFrom.draw(rng),
+		SlowStartDuration:  millis(r.ColdMS.draw(rng)),
+		Collapse: servermodel.Collapse{
 			Multiple: r.FallMultiple.draw(rng),
 			For:      millis(r.FallMS.draw(rng)),
 		},
@@ -86,41 +86,41 @@
 
 func (d *Instance) drawClients(c *Clients, rng *rand.Rand) {
 	d.Clients = InstanceClients{
-		Retries:    c.Retries.draw(rng),
-		Backoff:    millis(c.BackoffMS.draw(rng)),
-		TryShare:   c.TryShare.draw(rng),
-		Honour:     c.Honour.draw(rng),
-		Impatient:  c.Impatient.draw(rng),
-		MarksRetry: c.MarksRetry,
+		Retries:              c.Retries.draw(rng),
+		Backoff:              millis(c.BackoffMS.draw(rng)),
+		AttemptTimeoutShare:  c.TryShare.draw(rng),
+		RetryAfterShare:      c.Honour.draw(rng),
+		EarlyDisconnectShare: c.Impatient.draw(rng),
+		MarksRetry:           c.MarksRetry,
 	}
 }
 
 func (d *Instance) drawDiscovery(v *Discovery, rng *rand.Rand) {
 	d.Discovery = InstanceDiscovery{
-		Push:        v.Push,
-		Notice:      seconds(v.NoticeS.draw(rng)),
-		Silent:      seconds(v.SilentS.draw(rng)),
-		Add:         seconds(v.AddS.draw(rng)),
-		Period:      millis(v.PeriodMS.draw(rng)),
-		Spread:      millis(v.SpreadMS.draw(rng)),
-		Patience:    millis(v.TimeoutMS.draw(rng)),
-		CallsPerSec: v.CallsPerS.draw(rng),
-		CallLines:   v.CallLines.draw(rng),
+		Push:                  v.Push,
+		RemovalDelay:          seconds(v.NoticeS.draw(rng)),
+		FailureDetectionDelay: seconds(v.SilentS.draw(rng)),
+		AddDelay:              seconds(v.AddS.draw(rng)),
+		PublishInterval:       millis(v.PeriodMS.draw(rng)),
+		DeliverySpread:        millis(v.SpreadMS.draw(rng)),
+		CallTimeout:           millis(v.TimeoutMS.draw(rng)),
+		CallsPerSec:           v.CallsPerS.draw(rng),
+		LinesPerCall:          v.CallLines.draw(rng),
 	}
 }
 
 func (d *Instance) drawScore(g *Score, rng *rand.Rand) {
 	d.Score = InstanceScore{
-		Whole:       g.Whole.draw(rng),
-		WorstWindow: g.WorstWindow.draw(rng),
-		WorstClass:  g.WorstClass.draw(rng),
-		Window:      seconds(g.WindowS.draw(rng)),
-		ByWork:      g.WorthBy == "work",
-		Waste:       g.Waste.draw(rng),
-		LateFail:    g.LateFail.draw(rng),
-		CrossZone:   g.CrossZone.draw(rng),
-		Probe:       g.Probe.draw(rng),
-		Choke:       g.Choke.draw(rng),
+		Whole:        g.Whole.draw(rng),
+		WorstWindow:  g.WorstWindow.draw(rng),
+		WorstClass:   g.WorstClass.draw(rng),
+		Window:       seconds(g.WindowS.draw(rng)),
+		ByWork:       g.WorthBy == "work",
+		Waste:        g.Waste.draw(rng),
+		LateFail:     g.LateFail.draw(rng),
+		CrossZone:    g.CrossZone.draw(rng),
+		HealthChecks: g.Probe.draw(rng),
+		Overloaded:   g.Choke.draw(rng),
 	}
 }
 
@@ -149,10 +149,10 @@
 			MaxRetryAfter:  millis(b.MaxRetryAfterMS.From),
 		},
 		Rules: piernotch.Rules{
-			PollInterval:      d.Rules.AskWithin,
-			SlowStartCapacity: d.Rules.ColdFrom,
-			SlowStartDuration: d.Rules.Cold,
-			OverloadWindow:    d.Rules.Fall.For,
+			PollInterval:      d.Rules.PollInterval,
+			SlowStartCapacity: d.Rules.SlowStartCapacity,
+			SlowStartDuration: d.Rules.SlowStartDuration,
+			OverloadWindow:    d.Rules.Collapse.For,
 		},
 		OverQuotaWeight: 0.1,
 	}
@@ -171,20 +171,20 @@
 // classes must have been drawn.
 func (d *Instance) drawTraffic(t *Traffic, rng *rand.Rand) {
 	d.Traffic = InstanceTraffic{
-		PerSec:  t.RatePerS.draw(rng),
-		Shape:   t.Shape,
-		Swing:   t.Swing.draw(rng),
-		Period:  seconds(t.PeriodS.draw(rng)),
-		Phase:   rng.Float64(),
-		Keys:    int(t.Keys.draw(rng)),
-		KeyZipf: t.KeyZipf.draw(rng),
-		Hints:   t.Hints,
-		HintCV:  t.HintCV.draw(rng),
-		Trace:   t.Trace,
+		RequestsPerSecond: t.RatePerS.draw(rng),
+		Shape:             t.Shape,
+		Amplitude:         t.Swing.draw(rng),
+		Period:            seconds(t.PeriodS.draw(rng)),
+		Phase:             rng.Float64(),
+		Keys:              int(t.Keys.draw(rng)),
+		KeyZipf:           t.KeyZipf.draw(rng),
+		Hints:             t.Hints,
+		HintCV:            t.HintCV.draw(rng),
+		Trace:             t.Trace,
 	}
 	load := t.Load.draw(rng)
-	if d.Traffic.PerSec == 0 && d.MeanWork() > 0 {
-		d.Traffic.PerSec = load * d.Capacity() / d.MeanWork()
+	if d.Traffic.RequestsPerSecond == 0 && d.MeanWork() > 0 {
+		d.Traffic.RequestsPerSecond = load * d.Capacity() / d.MeanWork()
 	}
 	skew := t.ZoneSkew.draw(rng)
 	sum := 0.0
--- a/internal/lab/scenario/draw_machines.go
+++ b/internal/lab/scenario/draw_machines.go
@@ -99,7 +99,7 @@
 func (d *Instance) drawServers(s *Scenario, rng *rand.Rand) error {
 	shares := make([]float64, len(s.Kinds))
 	for i := range s.Kinds {
-		d.kinds = append(d.kinds, s.Kinds[i].drawKind(rng, d.Rules.Fall))
+		d.kinds = append(d.kinds, s.Kinds[i].drawKind(rng, d.Rules.Collapse))
 		shares[i] = s.Kinds[i].Share.draw(rng)
 	}
 	// Kinds and zones are allotted by largest remainder and kinds are then shuffled, so that small
@@ -136,7 +136,7 @@
 // drawServer draws one machine of a kind. Weights and roughCV are those of Fleet.
 func (d *Instance) drawServer(weights string, roughCV float64, kind, zone int, rng *rand.Rand) Server {
 	drawn := d.kinds[kind]
-	server := Server{Kind: drawn.kind, KindIndex: kind, Zone: zone, Size: 1, Handshake: drawn.rtts}
+	server := Server{Kind: drawn.kind, KindIndex: kind, Zone: zone, Size: 1, HandshakeRTTs: drawn.rtts}
 	server.Kind.Speed *= lognormal(rng, drawn.speedCV)
 	noise := lognormal(rng, roughCV)
 	switch weights {
--- a/internal/lab/scenario/golden_test.go
+++ b/internal/lab/scenario/golden_test.go
@@ -87,7 +87,7 @@
 func describe(d *Instance) []byte {
 	var out bytes.Buffer
 	line := func(values ...any) { fmt.Fprintln(&out, values...) }
-	line(d.Name, d.Seed, d.Length, d.Tick, d.Zones, d.Delay, d.Client, d.Jitter, d.Front)
+	line(d.Name, d.Seed, d.Length, d.Tick, d.Zones, d.Delay, d.ClientDelay, d.Jitter, d.FailoverDelay)
 	for _, server := range d.Servers {
 		line(server)
 	}
--- a/internal/lab/scenario/instance.go
+++ b/internal/lab/scenario/instance.go
@@ -25,15 +25,15 @@
 	Seed         uint64
 	Length, Tick time.Duration
 
-	Zones  []string
-	Delay  [][]time.Duration // one way, by zone and zone
-	Client time.Duration     // one way between a client and a balancer
-	Jitter float64
+	Zones       []string
+	Delay       [][]time.Duration // one way, by zone and zone
+	ClientDelay time.Duration     // one way between a client and a balancer
+	Jitter      float64
 
-	Servers   []Server
-	Balancers []Balancer
-	Settings  piernotch.Settings // without Zone, which differs between balancers
-	Front     time.Duration      // for how long clients are still sent to a balancer that is down
+	Servers       []Server
+	Balancers     []Balancer
+	Settings      piernotch.Settings // without Zone, which differs between balancers
+	FailoverDelay time.Duration      // for how long clients are still sent to a balancer that is down
 
 	Classes   []InstanceClass
 	Traffic   InstanceTraffic
@@ -48,12 +48,12 @@
 
 // Server is one machine of the instance.
 type Server struct {
-	Kind      servermodel.Kind // with this machine's own speed
-	KindIndex int              // index into Scenario.Kinds
-	Zone      int              // index into Instance.Zones
-	Cell      int              // 1000*Zone and more; unique while no zone has over 1000 cells
-	Size      float64          // weight in the endpoint list
-	Handshake int              // round trips that a new connection takes
+	Kind          servermodel.Kind // with this machine's own speed
+	KindIndex     int              // index into Scenario.Kinds
+	Zone          int              // index into Instance.Zones
+	Cell          int              // 1000*Zone and more; unique while no zone has over 1000 cells
+	Size          float64          // weight in the endpoint list
+	HandshakeRTTs int              // round trips that a new connection takes
 }
 
 // Balancer is one instance of the load balancer.
@@ -73,67 +73,67 @@
 
 // InstanceTraffic is the traffic as drawn.
 type InstanceTraffic struct {
-	PerSec  float64 // mean number of requests per second
-	Shape   string  // steady, waves or bursty
-	Swing   float64 // amplitude of the shape as a share of the mean
-	Period  time.Duration
-	Phase   float64   // share of a period at the start of the run
-	Zones   []float64 // cumulative shares of the clients by zone; the last is 1
-	Keys    int       // number of different keys; 0: requests have none
-	KeyZipf float64
-	Hints   string // none, rough or exact
-	HintCV  float64
-	Trace   string // file to be replayed; "": arrivals are drawn
+	RequestsPerSecond float64 // mean number of requests per second
+	Shape             string  // steady, waves or bursty
+	Amplitude         float64 // amplitude of the shape as a share of the mean
+	Period            time.Duration
+	Phase             float64   // share of a period at the start of the run
+	Zones             []float64 // cumulative shares of the clients by zone; the last is 1
+	Keys              int       // number of different keys; 0: requests have none
+	KeyZipf           float64
+	Hints             string // none, rough or exact
+	HintCV            float64
+	Trace             string // file to be replayed; "": arrivals are drawn
 }
 
 // InstanceClients is the clients' behaviour as drawn.
 type InstanceClients struct {
-	Retries    float64 // the fraction is the probability of one more
-	Backoff    time.Duration
-	TryShare   float64 // an attempt times out after this share of the deadline
-	Honour     float64 // share of the clients that honour Retry-After
-	Impatient  float64 // share of the attempts whose client disconnects early
-	MarksRetry bool    // clients mark their retries as such
+	Retries              float64 // the fraction is the probability of one more
+	Backoff              time.Duration
+	AttemptTimeoutShare  float64 // an attempt times out after this share of the deadline
+	RetryAfterShare      float64 // share of the clients that honour Retry-After
+	EarlyDisconnectShare float64 // share of the attempts whose client disconnects early
+	MarksRetry           bool    // clients mark their retries as such
 }
 
 // InstanceDiscovery is service discovery as drawn.
 type InstanceDiscovery struct {
-	Push        bool          // watches deliver changes; otherwise balancers poll
-	Notice      time.Duration // until it notices that a server drains or has exited
-	Silent      time.Duration // until it notices that a server no longer responds
-	Add         time.Duration // until it lists a new server
-	Period      time.Duration // interval at which changes are published
-	Spread      time.Duration // time within which a published change is delivered
-	Patience    time.Duration // timeout of a call
-	CallsPerSec float64       // capacity
-	CallLines   float64       // number of lines that cost as much as a call
+	Push                  bool          // watches deliver changes; otherwise balancers poll
+	RemovalDelay          time.Duration // until it notices that a server drains or has exited
+	FailureDetectionDelay time.Duration // until it notices that a server no longer responds
+	AddDelay              time.Duration // until it lists a new server
+	PublishInterval       time.Duration // interval at which changes are published
+	DeliverySpread        time.Duration // time within which a published change is delivered
+	CallTimeout           time.Duration // timeout of a call
+	CallsPerSec           float64       // capacity
+	LinesPerCall          float64       // number of lines that cost as much as a call
 }
 
 // InstanceRules is the timeouts and the limits of the invariants, as drawn.
 type InstanceRules struct {
-	Slack     time.Duration // by which a response may come after its deadline
-	AskWithin time.Duration // a balancer that neither watches nor polls for so long counts as notified
-	Grace     time.Duration // for which attempts may still go to a server that drains
-	Dial      time.Duration // timeout of connecting
-	Probe     time.Duration // timeout of a health check
-	KeepAlive time.Duration // after which an idle connection is closed
-	ColdFrom  float64       // share of the capacity at the beginning of slow start
-	Cold      time.Duration // duration of slow start
-	Fall      servermodel.Collapse
+	ResponseSlack      time.Duration // by which a response may come after its deadline
+	PollInterval       time.Duration // a balancer that neither watches nor polls for so long counts as notified
+	DrainGrace         time.Duration // for which attempts may still go to a server that drains
+	DialTimeout        time.Duration // timeout of connecting
+	HealthCheckTimeout time.Duration // timeout of a health check
+	KeepAlive          time.Duration // after which an idle connection is closed
+	SlowStartCapacity  float64       // share of the capacity at the beginning of slow start
+	SlowStartDuration  time.Duration // duration of slow start
+	Collapse           servermodel.Collapse
 }
 
 // InstanceScore is how service is scored: the weights of its parts and what is deducted.
 type InstanceScore struct {
-	Whole       float64       // weight of the service of the whole run
-	WorstWindow float64       // weight of that of the worst window
-	WorstClass  float64       // weight of that of the worst class
-	Window      time.Duration // length of a window
-	ByWork      bool          // requests are also weighted by their work
-	Waste       float64       // this and the following: factors of what is deducted
-	LateFail    float64
-	CrossZone   float64
-	Probe       float64
-	Choke       float64
+	Whole        float64       // weight of the service of the whole run
+	WorstWindow  float64       // weight of that of the worst window
+	WorstClass   float64       // weight of that of the worst class
+	Window       time.Duration // length of a window
+	ByWork       bool          // requests are also weighted by their work
+	Waste        float64       // this and the following: factors of what is deducted
+	LateFail     float64
+	CrossZone    float64
+	HealthChecks float64
+	Overloaded   float64
 }
 
 // Fault is a fault at its time, with the servers and balancers that it hits.
--- a/internal/lab/scenario/steps.go
+++ b/internal/lab/scenario/steps.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Act is the kind of a step.
-type Act uint8
+// Action is the kind of a step.
+type Action uint8
 
-// Acts. An act is applied to one server, to several, or to a property that all have in common.
+// Actions. An action is applied to one server, to several, or to a property that all have in common.
 const (
-	Slow         Act = iota // Server's speed is divided by Size, on top of earlier slowdowns
-	Pauses                  // Server pauses for Length every Every; zeros end the pauses
-	Choke                   // Server is put into overload collapse
-	Drain                   // Server starts to drain
-	End                     // Server's process exits
-	Start                   // Server's process starts, in slow start
-	Vanish                  // Server is cut off: it answers nothing any more
-	Join                    // a server of Server's kind starts; Number identifies it
-	Takeover                // the same, at Server's address
-	Lose                    // discovery omits Servers by mistake
-	Regain                  // discovery lists Servers again
-	ReportsLater            // the delay of load reports grows by Length, which may be negative
-	ListLater               // the delay of discovery grows by Length, which may be negative
-	Spoil                   // the share of corrupted responses grows by Size, which may be negative
-	OutageBegins            // discovery becomes unavailable
-	OutageEnds              // discovery is available again
+	Slow             Action = iota // Server's speed is divided by Size, on top of earlier slowdowns
+	Pauses                         // Server pauses for Length every Every; zeros end the pauses
+	Overload                       // Server is put into overload collapse
+	Drain                          // Server starts to drain
+	Exit                           // Server's process exits
+	Start                          // Server's process starts, in slow start
+	Vanish                         // Server is cut off: it answers nothing any more
+	Join                           // a server of Server's kind starts; Number identifies it
+	Takeover                       // the same, at Server's address
+	DelistServers                  // discovery omits Servers by mistake
+	RelistServers                  // discovery lists Servers again
+	DelayReports                   // the delay of load reports grows by Length, which may be negative
+	DelayDiscovery                 // the delay of discovery grows by Length, which may be negative
+	CorruptResponses               // the share of corrupted responses grows by Size, which may be negative
+	DiscoveryDown                  // discovery becomes unavailable
+	DiscoveryUp                    // discovery is available again
 )
 
 // Step is one change to servers or to discovery. Fields that its act does not name are zero.
 type Step struct {
 	At            time.Duration // since the start of the run
-	Do            Act
+	Action        Action
 	Server        int   // index into Instance.Servers
 	Servers       []int // indexes into Instance.Servers; not to be modified
 	Size          float64
@@ -65,16 +65,16 @@
 	switch f.Kind {
 	case "report_late":
 		delay := time.Duration(f.Size * float64(time.Second))
-		return f.during(Step{Do: ReportsLater, Length: delay}, Step{Do: ReportsLater, Length: -delay})
+		return f.during(Step{Action: DelayReports, Length: delay}, Step{Action: DelayReports, Length: -delay})
 	case "discovery_late":
 		delay := time.Duration(f.Size * float64(time.Second))
-		return f.during(Step{Do: ListLater, Length: delay}, Step{Do: ListLater, Length: -delay})
+		return f.during(Step{Action: DelayDiscovery, Length: delay}, Step{Action: DelayDiscovery, Length: -delay})
 	case "discovery_outage":
-		return f.during(Step{Do: OutageBegins}, Step{Do: OutageEnds})
+		return f.during(Step{Action: DiscoveryDown}, Step{Action: DiscoveryUp})
 	case "spoil":
-		return f.during(Step{Do: Spoil, Size: f.Part}, Step{Do: Spoil, Size: -f.Part})
+		return f.during(Step{Action: CorruptResponses, Size: f.Part}, Step{Action: CorruptResponses, Size: -f.Part})
 	case "list_loss":
-		return f.during(Step{Do: Lose, Servers: f.Servers}, Step{Do: Regain, Servers: f.Servers})
+		return f.during(Step{Action: DelistServers, Servers: f.Servers}, Step{Action: RelistServers, Servers: f.Servers})
 	}
 	return nil
 }
@@ -85,16 +85,16 @@
 	server := f.Servers[position]
 	switch f.Kind {
 	case "slow":
-		return f.during(Step{Do: Slow, Server: server, Size: f.Size}, Step{Do: Slow, Server: server, Size: 1 / f.Size})
+		return f.during(Step{Action: Slow, Server: server, Size: f.Size}, Step{Action: Slow, Server: server, Size: 1 / f.Size})
 	case "pauses":
 		length := time.Duration(f.Size * float64(time.Millisecond))
-		return f.during(Step{Do: Pauses, Server: server, Every: f.Every, Length: length}, Step{Do: Pauses, Server: server})
+		return f.during(Step{Action: Pauses, Server: server, Every: f.Every, Length: length}, Step{Action: Pauses, Server: server})
 	case "choke":
-		return []Step{{At: f.At, Do: Choke, Server: server}}
+		return []Step{{At: f.At, Action: Overload, Server: server}}
 	case "crash":
-		return f.during(Step{Do: End, Server: server}, Step{Do: Start, Server: server})
+		return f.during(Step{Action: Exit, Server: server}, Step{Action: Start, Server: server})
 	case "vanish":
-		return f.during(Step{Do: Vanish, Server: server}, Step{Do: Start, Server: server})
+		return f.during(Step{Action: Vanish, Server: server}, Step{Action: Start, Server: server})
 	}
 	return f.membershipSteps(position)
 }
@@ -104,22 +104,22 @@
 func (f *Fault) membershipSteps(position int) []Step {
 	server := f.Servers[position]
 	at := f.At + f.For*time.Duration(position)/time.Duration(len(f.Servers))
-	drain := Step{At: at, Do: Drain, Server: server}
-	end := Step{At: at + f.Ramp, Do: End, Server: server}
+	drain := Step{At: at, Action: Drain, Server: server}
+	end := Step{At: at + f.Ramp, Action: Exit, Server: server}
 	number := position + 1000*(f.Number+1) // distinct while a fault affects at most 1000 servers
 	switch f.Kind {
 	case "shrink", "leave":
 		return []Step{drain, end}
 	case "replace":
-		return []Step{drain, end, {At: at, Do: Join, Server: server, Number: number}}
+		return []Step{drain, end, {At: at, Action: Join, Server: server, Number: number}}
 	case "restart":
-		return []Step{drain, end, {At: at + f.Ramp + restartDuration, Do: Start, Server: server}}
+		return []Step{drain, end, {At: at + f.Ramp + restartDuration, Action: Start, Server: server}}
 	case "join":
-		return []Step{{At: at, Do: Join, Server: server, Number: number}}
+		return []Step{{At: at, Action: Join, Server: server, Number: number}}
 	case "takeover":
 		return []Step{
-			{At: at, Do: End, Server: server},
-			{At: at + f.Ramp, Do: Takeover, Server: server, Number: number},
+			{At: at, Action: Exit, Server: server},
+			{At: at + f.Ramp, Action: Takeover, Server: server, Number: number},
 		}
 	}
 	return nil
--- a/internal/lab/simulation/attempts.go
+++ b/internal/lab/simulation/attempts.go
@@ -156,7 +156,7 @@
 		w.planOutcome(attemptID, a, status, w.now+a.delay)
 	case servermodel.NoResponse:
 		if a.newConnection {
-			w.planOutcome(attemptID, a, piernotch.ConnectFailed, max(a.sentAt+w.day.Rules.Dial, w.now))
+			w.planOutcome(attemptID, a, piernotch.ConnectFailed, max(a.sentAt+w.day.Rules.DialTimeout, w.now))
 		}
 	}
 }
--- a/internal/lab/simulation/balancers.go
+++ b/internal/lab/simulation/balancers.go
@@ -205,7 +205,7 @@
 		r.answered, r.answeredAt = true, w.now
 		r.answer = invariants.Failed
 		r.balancerKilled = true
-		w.events.plan(w.now+w.day.Client, priorityMessage, eventAnswerArrives, id, 0)
+		w.events.plan(w.now+w.day.ClientDelay, priorityMessage, eventAnswerArrives, id, 0)
 	}
 	w.releaseRequest(id)
 }
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -24,13 +24,13 @@
 	n := client.sends
 	client.sends++
 	class := &w.day.Classes[client.class]
-	wait := time.Duration(float64(class.Deadline) * w.day.Clients.TryShare).Round(time.Microsecond)
+	wait := time.Duration(float64(class.Deadline) * w.day.Clients.AttemptTimeoutShare).Round(time.Microsecond)
 	key := mix(client.randomKey + uint64(n))
 	r := w.requests.Put(id)
 	*r = request{client: clientID, retry: int8(min(n, 100)), deadline: min(w.now+wait, client.deadline)}
 	w.counters.Requests++
 	instance := w.chooseBalancer(client.zone, key)
-	delay := w.networkDelay(w.day.Client, key, concernClientDelay)
+	delay := w.networkDelay(w.day.ClientDelay, key, concernClientDelay)
 	r.instance = int32(instance)
 	if instance < 0 {
 		w.events.plan(w.now+2*delay, priorityMessage, eventUnreachable, id, 0)
@@ -38,7 +38,7 @@
 	}
 	w.events.plan(w.now+delay, priorityArrival, eventRequestArrives, id, 0)
 	w.events.plan(r.deadline, priorityTimeout, eventRequestDeadline, id, 0)
-	if client.patienceDraw < w.day.Clients.Impatient {
+	if client.patienceDraw < w.day.Clients.EarlyDisconnectShare {
 		part := w.randFor(key, concernLeave).Float64()
 		leaves := w.now + time.Duration(part*float64(r.deadline-w.now))
 		w.events.plan(leaves, priorityTimeout, eventClientLeaves, id, 0)
@@ -78,7 +78,7 @@
 	}
 	client := w.clientRequests.Get(r.client)
 	if !w.instances[r.instance].up || client == nil {
-		w.events.plan(w.now+w.day.Client, priorityMessage, eventUnreachable, id, 0)
+		w.events.plan(w.now+w.day.ClientDelay, priorityMessage, eventUnreachable, id, 0)
 		return
 	}
 	r.received = true
@@ -110,7 +110,7 @@
 	r.answered = true
 	r.answeredAt = w.now
 	r.answer = answer
-	delay := w.networkDelay(w.day.Client, mix(id), concernClientDelay)
+	delay := w.networkDelay(w.day.ClientDelay, mix(id), concernClientDelay)
 	w.events.plan(w.now+delay, priorityMessage, eventAnswerArrives, id, 0)
 }
 
@@ -231,7 +231,7 @@
 	random := w.randFor(mix(client.randomKey+uint64(client.sends)), concernBackoff)
 	wait := time.Duration(float64(w.day.Clients.Backoff) * math.Exp2(float64(client.sends-1)) * (0.5 + random.Float64()))
 	advised := retryAfter > 0 && w.day.Settings.Limits.RetryAfter
-	if advised && random.Float64() < w.day.Clients.Honour {
+	if advised && random.Float64() < w.day.Clients.RetryAfterShare {
 		wait = max(wait, min(retryAfter, w.day.Settings.Limits.MaxRetryAfter))
 	}
 	return wait / time.Microsecond * time.Microsecond
--- a/internal/lab/simulation/connections.go
+++ b/internal/lab/simulation/connections.go
@@ -27,7 +27,7 @@
 	if limit := server.spec.Kind.Conn.MaxConnections; limit > 0 && server.connections >= limit {
 		w.counters.TableFull++
 		a.arrivesAt = never
-		w.planOutcome(attemptID, a, piernotch.ConnectFailed, w.now+w.day.Rules.Dial)
+		w.planOutcome(attemptID, a, piernotch.ConnectFailed, w.now+w.day.Rules.DialTimeout)
 		return
 	}
 	a.inTransit = true
@@ -35,7 +35,7 @@
 	server.connections++
 	server.SetConnections(w.now, server.connections)
 	w.counters.Opened++
-	a.arrivesAt = w.now + a.delay + 2*time.Duration(server.spec.Handshake)*a.delay
+	a.arrivesAt = w.now + a.delay + 2*time.Duration(server.spec.HandshakeRTTs)*a.delay
 	w.events.plan(a.arrivesAt, priorityMessage, eventAttemptArrives, attemptID, 0)
 }
 
--- a/internal/lab/simulation/discovery_delivery.go
+++ b/internal/lab/simulation/discovery_delivery.go
@@ -19,7 +19,7 @@
 // pushDelay is when an instance gets a push, after the list changed.
 func (d *discovery) pushDelay(w *World, i int) time.Duration {
 	u := w.randFor(mix(d.version<<20^uint64(i)), concernPush).Float64()
-	return time.Duration(u*float64(w.day.Discovery.Spread)) / time.Microsecond * time.Microsecond
+	return time.Duration(u*float64(w.day.Discovery.DeliverySpread)) / time.Microsecond * time.Microsecond
 }
 
 // planDelivery plans a delivery to an instance; one to a process that has ended is dropped.
@@ -37,10 +37,10 @@
 		return
 	}
 	settings := &w.day.Discovery
-	cost := time.Duration((1 + float64(d.answerSize(instance, watch))/settings.CallLines) / settings.CallsPerSec * float64(time.Second))
+	cost := time.Duration((1 + float64(d.answerSize(instance, watch))/settings.LinesPerCall) / settings.CallsPerSec * float64(time.Second))
 	done := max(d.busyUntil, w.now) + cost
-	if done-w.now > settings.Patience {
-		d.planDelivery(w, i, w.now+settings.Patience, answerFailed)
+	if done-w.now > settings.CallTimeout {
+		d.planDelivery(w, i, w.now+settings.CallTimeout, answerFailed)
 		w.counters.ListFailed++
 		return
 	}
@@ -171,7 +171,7 @@
 func (d *discovery) notifyImplied(w *World) {
 	for i := range w.instances {
 		instance := &w.instances[i]
-		limit := w.day.Rules.AskWithin
+		limit := w.day.Rules.PollInterval
 		if instance.pollFailed {
 			limit *= 4
 		}
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -11,7 +11,7 @@
 // scheduleFaults writes the scenario's faults into the script.
 func (w *World) scheduleFaults() {
 	for _, step := range w.day.Steps() {
-		if step.Do == scenario.Join || step.Do == scenario.Takeover { // the machine exists from the beginning
+		if step.Action == scenario.Join || step.Action == scenario.Takeover { // the machine exists from the beginning
 			w.scheduleJoin(step.Server, step.Number, step.At)
 			continue
 		}
@@ -34,7 +34,7 @@
 	switch fault.Kind {
 	case "balancer_crash":
 		w.schedule(fault.At, func() { w.killInstance(balancer) })
-		w.schedule(fault.At+w.day.Front, func() { w.admit(balancer, w.instances[balancer].up) })
+		w.schedule(fault.At+w.day.FailoverDelay, func() { w.admit(balancer, w.instances[balancer].up) })
 		w.schedule(fault.End(), func() { w.startInstance(balancer, false) })
 	case "balancer_restart":
 		// No more clients are sent to it, and what it has is answered first.
@@ -48,36 +48,36 @@
 
 // applyStep does one thing to servers or discovery.
 func (w *World) applyStep(step *scenario.Step) {
-	switch step.Do {
+	switch step.Action {
 	case scenario.Slow:
 		w.slowServer(step.Server, step.Size)
 	case scenario.Pauses:
 		w.servers[step.Server].SetPauses(w.now, step.Every, step.Length)
 		w.scheduleServer(step.Server)
-	case scenario.Choke:
+	case scenario.Overload:
 		w.servers[step.Server].SetOverloaded(w.now)
 		w.servers[step.Server].everOverloaded = true
 		w.scheduleServer(step.Server)
 	case scenario.Drain:
 		w.drainServer(step.Server)
-	case scenario.End:
+	case scenario.Exit:
 		w.endServer(step.Server)
 	case scenario.Start:
 		w.startServer(step.Server)
 	case scenario.Vanish:
 		w.vanishServer(step.Server)
-	case scenario.Lose:
+	case scenario.DelistServers:
 		w.discovery.listWrongly(w, step.Servers, piernotch.Gone)
-	case scenario.Regain:
+	case scenario.RelistServers:
 		w.discovery.listWrongly(w, step.Servers, piernotch.Ready)
-	case scenario.ReportsLater:
+	case scenario.DelayReports:
 		w.reportDelay += step.Length
-	case scenario.ListLater:
+	case scenario.DelayDiscovery:
 		w.discovery.noticeDelay += step.Length
-	case scenario.Spoil: // the request was executed; its response is of no use
+	case scenario.CorruptResponses: // the request was executed; its response is of no use
 		w.corruptShare += step.Size
-	case scenario.OutageBegins, scenario.OutageEnds:
-		w.discovery.outage(w, step.Do == scenario.OutageBegins)
+	case scenario.DiscoveryDown, scenario.DiscoveryUp:
+		w.discovery.outage(w, step.Action == scenario.DiscoveryDown)
 	}
 }
 
@@ -85,9 +85,9 @@
 func (w *World) longestRequest() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range w.day.Classes {
-		longest = max(longest, time.Duration(float64(c.Deadline)*w.day.Clients.TryShare))
+		longest = max(longest, time.Duration(float64(c.Deadline)*w.day.Clients.AttemptTimeoutShare))
 	}
-	return longest + w.day.Rules.Slack
+	return longest + w.day.Rules.ResponseSlack
 }
 
 // slowServer multiplies a server's slowness; faults of this kind may overlap.
@@ -105,7 +105,7 @@
 		return
 	}
 	server.Drain(w.now)
-	w.discovery.serverChanged(w, s, piernotch.Draining, w.day.Discovery.Notice)
+	w.discovery.serverChanged(w, s, piernotch.Draining, w.day.Discovery.RemovalDelay)
 }
 
 // endServer ends a server's process: as planned after a drain, else as a crash.
@@ -116,7 +116,7 @@
 	}
 	w.serverCompleted(int32(s), server.Crash(w.now))
 	w.dropConnections(s)
-	w.discovery.serverChanged(w, s, piernotch.Gone, w.day.Discovery.Notice)
+	w.discovery.serverChanged(w, s, piernotch.Gone, w.day.Discovery.RemovalDelay)
 }
 
 // vanishServer cuts a server off: nobody is notified of what becomes of its requests.
@@ -128,7 +128,7 @@
 			w.releaseAttempt(c.ID, a)
 		}
 	}
-	w.discovery.serverChanged(w, s, piernotch.Gone, w.day.Discovery.Silent)
+	w.discovery.serverChanged(w, s, piernotch.Gone, w.day.Discovery.FailureDetectionDelay)
 }
 
 // startServer starts a server's process, in slow start. A collapsed one stays down.
@@ -139,7 +139,7 @@
 	}
 	w.serverCompleted(int32(s), server.Start(w.now))
 	w.dropConnections(s)
-	w.discovery.serverChanged(w, s, piernotch.Ready, w.day.Discovery.Add)
+	w.discovery.serverChanged(w, s, piernotch.Ready, w.day.Discovery.AddDelay)
 }
 
 // scheduleJoin adds a new machine, like another one of the scenario's first, that starts later.
--- a/internal/lab/simulation/health_checks.go
+++ b/internal/lab/simulation/health_checks.go
@@ -37,7 +37,7 @@
 		check.status = piernotch.Full
 	case servermodel.Silent:
 		check.status = piernotch.Timeout
-		back = check.sentAt + w.day.Rules.Probe
+		back = check.sentAt + w.day.Rules.HealthCheckTimeout
 	default:
 		check.status = piernotch.ConnectFailed
 	}
--- a/internal/lab/simulation/result.go
+++ b/internal/lab/simulation/result.go
@@ -116,7 +116,7 @@
 	w.resultOfRates(r)
 	score := &w.day.Score
 	r.Deducted = score.Waste*r.WasteRate + score.LateFail*parts.LateFail + score.CrossZone*r.CrossRate +
-		score.Probe*r.ProbeRate + score.Choke*r.ChokedShare
+		score.HealthChecks*r.ProbeRate + score.Overloaded*r.ChokedShare
 	r.Service = parts.Service(*score, r.Deducted)
 	if r.Latency = goodput.Latency(); r.Latency != nil {
 		r.P50, r.P90 = goodput.Percentile(50), goodput.Percentile(90)
--- a/internal/lab/simulation/traffic.go
+++ b/internal/lab/simulation/traffic.go
@@ -38,10 +38,10 @@
 	}
 	shape := scenario.Stream(d.Seed, "shape")
 	for at := time.Duration(0); at <= d.Length; at += segment(d) {
-		t.levels = append(t.levels, 1+d.Traffic.Swing*(2*shape.Float64()-1))
+		t.levels = append(t.levels, 1+d.Traffic.Amplitude*(2*shape.Float64()-1))
 	}
 	t.zipf = cumulativeZipf(d.Traffic.Keys, d.Traffic.KeyZipf)
-	t.maxRate = d.Traffic.PerSec * (1 + d.Traffic.Swing)
+	t.maxRate = d.Traffic.RequestsPerSecond * (1 + d.Traffic.Amplitude)
 	for i := range d.Faults {
 		if fault := &d.Faults[i]; fault.Kind == "burst" {
 			t.maxRate *= max(fault.Size, 1)
@@ -64,10 +64,10 @@
 // rate is the rate of requests at a time, per second.
 func (t *traffic) rate(w *World, at time.Duration) float64 {
 	d := w.day
-	r := d.Traffic.PerSec
+	r := d.Traffic.RequestsPerSecond
 	switch d.Traffic.Shape {
 	case "waves":
-		r *= 1 + d.Traffic.Swing*math.Sin(2*math.Pi*(float64(at)/float64(d.Traffic.Period)+d.Traffic.Phase))
+		r *= 1 + d.Traffic.Amplitude*math.Sin(2*math.Pi*(float64(at)/float64(d.Traffic.Period)+d.Traffic.Phase))
 	case "bursty":
 		r *= t.levels[min(int(at/segment(d)), len(t.levels)-1)]
 	}
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -95,9 +95,9 @@
 func (w *World) limits() invariants.Limits {
 	rules, limits := &w.day.Rules, &w.day.Settings.Limits
 	out := invariants.Limits{
-		Slack:          rules.Slack + w.day.Tick,
-		Grace:          rules.Grace,
-		CollapseWindow: rules.Fall.For,
+		Slack:          rules.ResponseSlack + w.day.Tick,
+		Grace:          rules.DrainGrace,
+		CollapseWindow: rules.Collapse.For,
 		MaxAttempts:    limits.MaxAttempts,
 		HedgedRequests: limits.HedgedRequests,
 		Zone:           func(i int) int { return w.servers[i].spec.Zone },
