--- a/admission_test.go
+++ b/admission_test.go
@@ -21,7 +21,7 @@
 		before := len(h.attempts)
 		b.HandleRequest(now, r)
 		if len(h.attempts) > before {
-			b.HandleOutcome(now, Outcome{ID: r.ID, Backend: h.last().to, Latency: 450 * ms, Closed: true})
+			b.HandleOutcome(now, Outcome{ID: r.ID, Server: h.last().to, Latency: 450 * ms, Closed: true})
 		}
 		b.Timer(now, tickToken)
 	}
@@ -128,7 +128,7 @@
 	}
 }
 
-// Twice as much arrives as one backend completes, in two classes. By weight alone, the lower one would get
+// Twice as much arrives as one server completes, in two classes. By weight alone, the lower one would get
 // nothing for as long as that lasts.
 func TestNoClassStarvesUnderSustainedOverload(t *testing.T) {
 	s := manyBalancersSettings()
--- a/attempts.go
+++ b/attempts.go
@@ -5,7 +5,7 @@
 const retryBudgetShare = 0.15 // retries and hedged requests, as a share of requests
 
 // mayStartAttempt is the guard that every attempt passes. No other function knows these rules.
-func (b *Balancer) mayStartAttempt(now time.Duration, r *request, target *backend) bool {
+func (b *Balancer) mayStartAttempt(now time.Duration, r *request, target *server) bool {
 	if r.done || r.streaming || now >= r.Deadline || len(r.attempts) >= b.settings.Limits.MaxAttempts {
 		return false
 	}
@@ -26,13 +26,13 @@
 }
 
 // AttemptAllowed reports whether an attempt may still be written now that it has a connection. Meanwhile its
-// request may have been answered, its backend be draining, or the class's deduplication window have closed.
+// request may have been answered, its server be draining, or the class's deduplication window have closed.
 func (b *Balancer) AttemptAllowed(now time.Duration, id RequestID, try int) bool {
 	r := b.requests[id]
 	if r == nil || r.done || try < 0 || try >= len(r.attempts) || now >= r.Deadline {
 		return false
 	}
-	target := r.attempts[try].backend
+	target := r.attempts[try].server
 	for i := range r.attempts { // later ones, too: the one that waited for a connection is then the repeat
 		other := &r.attempts[i]
 		if i != try && other.mayHaveExecuted() && !r.mayRepeatOn(now, other, target) {
@@ -43,8 +43,8 @@
 }
 
 // mayRepeatOn reports whether a request that may have executed in the attempt first may also go to the
-// backend. The transit there, half of the fastest answer's latency, must end within the deduplication window.
-func (r *request) mayRepeatOn(now time.Duration, first *attempt, target *backend) bool {
+// server. The transit there, half of the fastest answer's latency, must end within the deduplication window.
+func (r *request) mayRepeatOn(now time.Duration, first *attempt, target *server) bool {
 	transit := milliseconds(target.path.fastestAnswer / 2)
 	switch {
 	case r.class.RetrySafety == Idempotent:
@@ -52,15 +52,15 @@
 	case r.class.RetrySafety == NonIdempotent, now+transit > first.sentAt+r.class.DedupWindow:
 		return false
 	case r.class.DedupScope == DedupInZone:
-		return target.Zone == first.backend.Zone
+		return target.Zone == first.server.Zone
 	case r.class.DedupScope == DedupInCell:
-		return target.Cell == first.backend.Cell
+		return target.Cell == first.server.Cell
 	}
 	return true
 }
 
-// startAttempt sends the request to the backend. The guard has allowed it.
-func (b *Balancer) startAttempt(now time.Duration, r *request, target *backend) {
+// startAttempt sends the request to the server. The guard has allowed it.
+func (b *Balancer) startAttempt(now time.Duration, r *request, target *server) {
 	target.inflight++
 	target.backlog += r.work
 	target.lastSentAt[r.Class] = now
@@ -76,12 +76,12 @@
 		target.nextSlowStartSend = max(target.nextSlowStartSend, now) + b.slowStartPause(now, target)
 	}
 	target.trialInflight = target.trialInflight || target.ejections > 0
-	r.attempts = append(r.attempts, attempt{backend: target, sentAt: now, warm: warm})
+	r.attempts = append(r.attempts, attempt{server: target, sentAt: now, warm: warm})
 	r.inflight++
 	b.host.StartAttempt(r.ID, target.ID, b.attemptDeadline(r)-now)
 }
 
-// attemptDeadline is when an answer is no longer worth the backend's work.
+// attemptDeadline is when an answer is no longer worth the server's work.
 func (b *Balancer) attemptDeadline(r *request) time.Duration {
 	if r.class.LateWeightShare > 0 && b.shedShare == 0 {
 		return r.Deadline
@@ -119,9 +119,9 @@
 	}
 }
 
-// recordOutcome updates what the outcome shows of the backend and its group.
+// recordOutcome updates what the outcome shows of the server and its group.
 func (b *Balancer) recordOutcome(now time.Duration, r *request, t *attempt, o Outcome) {
-	target := t.backend
+	target := t.server
 	target.trialInflight = false
 	if o.Status == OK || o.Status == Full || o.Status == Error {
 		target.lastAnswerAt = now
@@ -129,7 +129,7 @@
 	b.observeClassFailure(r, t, o)
 	switch {
 	case o.Status == Timeout && target.lastAnswerAt < t.sentAt:
-		// Its backend was silent, which no tick has noticed yet: late, but no reason to shed.
+		// Its server was silent, which no tick has noticed yet: late, but no reason to shed.
 		g := &b.groups[target.locality]
 		g.lateShare += groupSmoothing * (1 - g.lateShare)
 		b.recordFailure(now, target, maxSilentTimeouts)
@@ -140,7 +140,7 @@
 		b.recordLatency(now, r, target, o.Latency)
 		b.endEjection(now, target)
 	case o.Status == Full:
-		// A backend that rejects everything must neither attract requests nor make the group look late.
+		// A server that rejects everything must neither attract requests nor make the group look late.
 		b.recordFailure(now, target, maxFailures)
 		b.adjustShedding(b.shedStep(now), target.locality, 1)
 	case o.Status == ConnectFailed, o.Status == Error, o.Status == Reset:
@@ -150,12 +150,12 @@
 }
 
 // recordLatency updates the latency estimates, and moves the lanes and shedding by what is late.
-func (b *Balancer) recordLatency(now time.Duration, r *request, target *backend, took time.Duration) {
+func (b *Balancer) recordLatency(now time.Duration, r *request, target *server, took time.Duration) {
 	objective := r.class.LatencyObjective.Seconds() * 1000
 	queueing := b.observeLatency(r, target, took)
 	step := b.shedStep(now)
 	b.balanceLanes(step, r.lane, indicator(queueing > objective/2))
-	if r.work < objective/4 { // a heavy request is late on an idle backend, too
+	if r.work < objective/4 { // a heavy request is late on an idle server, too
 		b.adjustShedding(step, target.locality, indicator(took > r.class.LatencyObjective/2))
 	}
 }
--- a/attempts_test.go
+++ b/attempts_test.go
@@ -12,12 +12,12 @@
 		class   int
 		status  Status
 		retried bool
-		allowed func(first, second BackendID) bool // nil: any
+		allowed func(first, second ServerID) bool // nil: any
 	}{
 		{idempotentClass, Reset, true, nil},
 		{dedupEverywhereClass, Reset, true, nil},
-		{dedupInZoneClass, Reset, true, func(x, y BackendID) bool { return (x <= 2) == (y <= 2) }},
-		{dedupInCellClass, Reset, false, nil}, // the zone has one backend of the cell
+		{dedupInZoneClass, Reset, true, func(x, y ServerID) bool { return (x <= 2) == (y <= 2) }},
+		{dedupInCellClass, Reset, false, nil}, // the zone has one server of the cell
 		{nonIdempotentClass, Reset, false, nil},
 		{nonIdempotentClass, ConnectFailed, true, nil},
 		{nonIdempotentClass, Full, true, nil},
@@ -73,7 +73,7 @@
 }
 
 func TestRequestIsAnsweredOnceAndBeforeDeadline(t *testing.T) {
-	b, h := newTestBalancer(t, testSettings(), nil) // no backend at all
+	b, h := newTestBalancer(t, testSettings(), nil) // no server at all
 	r := newTestRequest(1, idempotentClass, 10)
 	b.HandleRequest(time.Second, r)
 	for now := time.Second; now < r.Deadline; now += b.tickInterval {
--- a/balancer.go
+++ b/balancer.go
@@ -8,7 +8,7 @@
 
 const (
 	ticksPerObjective = 16.0 // ticks within the shortest latency objective
-	backendsPerTick   = 256  // backends that can be reviewed at every tick
+	serversPerTick    = 256  // servers that can be reviewed at every tick
 	tickToken         = 1    // of the timer that ticks
 )
 
@@ -20,13 +20,13 @@
 	}
 	b := &Balancer{
 		settings: s, host: host, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		backends: map[BackendID]*backend{}, excluded: map[BackendID]bool{},
+		servers: map[ServerID]*server{}, excluded: map[ServerID]bool{},
 		requests: map[RequestID]*request{}, zonePaths: map[int]*zonePath{}, largeWorkShare: 0.5,
 	}
 	if b.manyBalancers() {
 		b.windowSeed = b.rng.Uint64()
 	}
-	for i := range b.groups { // balancers that start together must not pick backends in step
+	for i := range b.groups { // balancers that start together must not pick servers in step
 		b.groups[i].inflightLimit = math.Inf(1)
 		b.groups[i].nextTurn = [2]int{b.rng.IntN(math.MaxInt32), b.rng.IntN(math.MaxInt32)}
 	}
@@ -93,11 +93,11 @@
 	b.ensureStarted(now)
 	if r := b.requests[id]; r != nil && r.attemptOpen(try) {
 		r.streaming = true
-		r.attempts[try].backend.lastAnswerAt = now
+		r.attempts[try].server.lastAnswerAt = now
 	}
 }
 
-// Timer runs a tick: it reviews the backends, the shedding and every open request.
+// Timer runs a tick: it reviews the servers, the shedding and every open request.
 func (b *Balancer) Timer(now time.Duration, token uint32) {
 	b.ensureStarted(now)
 	if token != tickToken {
@@ -106,9 +106,9 @@
 	b.host.SetTimer(b.tickInterval, tickToken)
 	b.watchIfDue(now)
 	b.ticks++
-	reviewEvery := 1 + len(b.sorted)/backendsPerTick // a pass over a large fleet takes long
+	reviewEvery := 1 + len(b.sorted)/serversPerTick // a pass over a large fleet takes long
 	if b.ticks%reviewEvery == 0 {
-		b.reviewBackends(now)
+		b.reviewServers(now)
 	}
 	b.updatePriorities()
 	for i := len(b.openRequests) - 1; i >= 0; i = min(i, len(b.openRequests)) - 1 { // reviews release some
@@ -116,8 +116,8 @@
 	}
 }
 
-// reviewBackends ends slow starts, starts health checks and updates weights and limits.
-func (b *Balancer) reviewBackends(now time.Duration) {
+// reviewServers ends slow starts, starts health checks and updates weights and limits.
+func (b *Balancer) reviewServers(now time.Duration) {
 	for _, target := range b.sorted {
 		b.endSlowStartIfDue(now, target)
 		b.startHealthCheckIfDue(now, target)
--- a/benchmark_test.go
+++ b/benchmark_test.go
@@ -21,16 +21,16 @@
 			for i := range bench.N {
 				now += ms
 				b.HandleRequest(now, Request{ID: RequestID(i), CostHint: float64(i%13 + 1), Deadline: now + time.Second})
-				b.HandleOutcome(now, Outcome{ID: RequestID(i), Backend: h.to, Latency: 20 * ms, Closed: true})
+				b.HandleOutcome(now, Outcome{ID: RequestID(i), Server: h.to, Latency: 20 * ms, Closed: true})
 			}
 		})
 	}
 }
 
-// discardHost is a Host that remembers only the backend of the last attempt.
-type discardHost struct{ to BackendID }
+// discardHost is a Host that remembers only the server of the last attempt.
+type discardHost struct{ to ServerID }
 
-func (h *discardHost) StartAttempt(_ RequestID, to BackendID, _ time.Duration) { h.to = to }
+func (h *discardHost) StartAttempt(_ RequestID, to ServerID, _ time.Duration) { h.to = to }
 
 func (h *discardHost) CancelAttempt(RequestID, int) {}
 
@@ -38,7 +38,7 @@
 
 func (h *discardHost) Fail(RequestID) {}
 
-func (h *discardHost) HealthCheck(BackendID) {}
+func (h *discardHost) HealthCheck(ServerID) {}
 
 func (h *discardHost) WatchEndpoints() {}
 
--- a/cmd/piernotch-lab/chaos.go
+++ b/cmd/piernotch-lab/chaos.go
@@ -114,7 +114,7 @@
 		}
 		return run, nil
 	}
-	_, d, err := drawDay(c.Scenario, c.Set, c.Balancers, seed)
+	_, d, err := drawRealization(c.Scenario, c.Set, c.Balancers, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -126,7 +126,7 @@
 // play plays a run's schedule on its day and fills in how it went. The error is of a run that says
 // nothing: it could not be played, or is void.
 func (c *chaosCmd) play(ctx context.Context, run *chaosRun) error {
-	_, d, err := drawDay(c.Scenario, c.Set, c.Balancers, run.Seed)
+	_, d, err := drawRealization(c.Scenario, c.Set, c.Balancers, run.Seed)
 	if err != nil {
 		return err
 	}
--- a/cmd/piernotch-lab/emulate.go
+++ b/cmd/piernotch-lab/emulate.go
@@ -37,7 +37,7 @@
 func (*anyRequestObserver) ServerCollapsed(int)                               {}
 
 func (c *emulateCmd) Run(ctx context.Context, o *output) error {
-	_, d, err := drawDay(c.Scenario, c.Set, 0, c.Seed)
+	_, d, err := drawRealization(c.Scenario, c.Set, 0, c.Seed)
 	if err != nil {
 		return err
 	}
--- a/cmd/piernotch-lab/handover.go
+++ b/cmd/piernotch-lab/handover.go
@@ -26,7 +26,7 @@
 	rounds := (c.Times + c.Balancers - 1) / c.Balancers
 	length := loadtest.HandoverLeadTime + time.Duration(rounds)*loadtest.HandoverInterval
 	set := append([]string{fmt.Sprintf("length_s=%.0f", length.Seconds())}, c.Set...)
-	_, d, err := drawDay(c.Scenario, set, c.Balancers, c.Seed)
+	_, d, err := drawRealization(c.Scenario, set, c.Balancers, c.Seed)
 	if err != nil {
 		return err
 	}
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	done := printHandOvers(o, r)
+	done := printHandovers(o, r)
 	handed := r.Handovers
 	switch {
 	case r.Void != "":
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// printHandOvers prints what came of the hand-overs and returns how many were done.
-func printHandOvers(o *output, r *loadtest.Report) (done int) {
+// printHandovers prints what came of the handovers and returns how many were done.
+func printHandovers(o *output, r *loadtest.Report) (done int) {
 	handed := r.Handovers
 	for _, way := range loadtest.HandoverKinds {
 		o.out.Printf("  %-12s %d\n", way, handed.Done[way])
--- a/cmd/piernotch-lab/load.go
+++ b/cmd/piernotch-lab/load.go
@@ -23,7 +23,7 @@
 func (ignoreRequests) RequestEnded(string, load.Outcome)           {}
 
 func (c *loadCmd) Run(ctx context.Context, o *output) error {
-	_, d, err := drawDay(c.Scenario, c.Set, 0, c.Seed)
+	_, d, err := drawRealization(c.Scenario, c.Set, 0, c.Seed)
 	if err != nil {
 		return err
 	}
@@ -33,7 +33,7 @@
 	}
 	started := time.Now()
 	clients := &load.Clients{
-		Day: d, Arrivals: arrivals, Observer: ignoreRequests{}, Clock: func() time.Duration { return time.Since(started) },
+		Realization: d, Arrivals: arrivals, Observer: ignoreRequests{}, Clock: func() time.Duration { return time.Since(started) },
 		Pick: func(_ int, rng *rand.Rand) (int, string, bool) {
 			i := rng.IntN(len(c.To))
 			return i, c.To[i], true
--- a/cmd/piernotch-lab/loadtest.go
+++ b/cmd/piernotch-lab/loadtest.go
@@ -11,9 +11,9 @@
 	"piernotch/internal/lab/simulation"
 )
 
-// drawDay loads a scenario and draws one of its days, for the commands that play on sockets. With
+// drawRealization loads a scenario and draws one of its days, for the commands that play on sockets. With
 // balancers above zero it replaces the scenario's number of balancers.
-func drawDay(name string, set []string, balancers int, seed uint64) (*scenario.Scenario, *scenario.Instance, error) {
+func drawRealization(name string, set []string, balancers int, seed uint64) (*scenario.Scenario, *scenario.Realization, error) {
 	s, err := scenario.Load(name)
 	if err != nil {
 		return nil, nil, err
@@ -107,12 +107,12 @@
 func (c *loadtestCmd) play(ctx context.Context, o *output, options loadtest.Options) (loadtestRuns, error) {
 	var played loadtestRuns
 	for i := range c.Runs {
-		s, d, err := drawDay(c.Scenario, c.Set, c.Balancers, c.Seed+uint64(i))
+		s, d, err := drawRealization(c.Scenario, c.Set, c.Balancers, c.Seed+uint64(i))
 		if err != nil {
 			return played, err
 		}
 		played.scenario = s
-		printDay(o, d, s.Name)
+		printRealization(o, d, s.Name)
 		r, err := loadtest.Run(ctx, d, options)
 		if r != nil {
 			printReport(o, r)
--- a/cmd/piernotch-lab/loadtest_report.go
+++ b/cmd/piernotch-lab/loadtest_report.go
@@ -13,8 +13,8 @@
 	"piernotch/internal/lab/simulation"
 )
 
-// printDay prints what is about to be played.
-func printDay(o *output, d *scenario.Instance, name string) {
+// printRealization prints what is about to be played.
+func printRealization(o *output, d *scenario.Realization, name string) {
 	o.out.Printf("%s, seed %d: %d balancers, %d servers, %.0f requests a second for %.0f s\n",
 		name, d.Seed, len(d.Balancers), len(d.Servers), d.Traffic.RequestsPerSecond, d.Length.Seconds())
 	for _, incident := range d.Faults {
--- a/cmd/piernotch-lab/simulate_sweep.go
+++ b/cmd/piernotch-lab/simulate_sweep.go
@@ -23,12 +23,12 @@
 	if err != nil {
 		return err
 	}
-	days := c.Runs
+	realizations := c.Runs
 	for _, d := range dims {
-		days *= len(d.Values)
+		realizations *= len(d.Values)
 	}
 	var finish func()
-	p.Progress, finish = progress(o, days, "sweeping")
+	p.Progress, finish = progress(o, realizations, "sweeping")
 	variant := experiment.Variant{Name: "builtin", Adapter: c.Adapter}
 	points, err := experiment.Sweep(ctx, p, variant, dims)
 	finish()
--- a/cmd/simulator-adapter/adapter.go
+++ b/cmd/simulator-adapter/adapter.go
@@ -20,7 +20,7 @@
 // adapter hosts instances. What it decodes into is reused from event to event, so that a running
 // instance's events allocate nothing here.
 type adapter struct {
-	instances map[uint32]*piernotch.Balancer // nil for one whose settings could not be used
+	balancers map[uint32]*piernotch.Balancer // nil for one whose settings could not be used
 	columns   []string                       // of load reports; the same for all instances
 	reply     wire.Reply
 	event     wire.Event
@@ -29,7 +29,7 @@
 
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
-	a := adapter{instances: map[uint32]*piernotch.Balancer{}}
+	a := adapter{balancers: map[uint32]*piernotch.Balancer{}}
 	reader := wire.NewReader(bufio.NewReaderSize(in, streamBuffer))
 	writer := bufio.NewWriterSize(out, streamBuffer)
 	for {
@@ -58,7 +58,7 @@
 			return err
 		}
 		if err := a.handle(wire.Duration(batch.ClockMS)); err != nil {
-			return fmt.Errorf("batch %d, event %d: instance %d: %w", batch.Seq, i, a.event.Instance, err)
+			return fmt.Errorf("batch %d, event %d: instance %d: %w", batch.Seq, i, a.event.Balancer, err)
 		}
 	}
 	return nil
@@ -67,7 +67,7 @@
 // handle passes the current event to its instance.
 func (a *adapter) handle(now time.Duration) error {
 	e := &a.event
-	balancer, started := a.instances[e.Instance]
+	balancer, started := a.balancers[e.Balancer]
 	if e.Code == wire.EventStart {
 		if started {
 			return errStartedTwice
@@ -79,7 +79,7 @@
 		return fmt.Errorf("event with code %d before its start", e.Code)
 	}
 	if e.Code == wire.EventStop {
-		delete(a.instances, e.Instance)
+		delete(a.balancers, e.Balancer)
 		return nil
 	}
 	if balancer == nil { // its settings could not be used, which has been reported
@@ -91,13 +91,13 @@
 // start begins an instance. Settings that cannot be used are reported as a fault of the instance.
 func (a *adapter) start() {
 	e := &a.event
-	a.instances[e.Instance] = nil
+	a.balancers[e.Balancer] = nil
 	balancer, err := a.newBalancer()
 	if err != nil {
-		a.reply.ReportFault(e.Instance, err.Error())
+		a.reply.ReportFault(e.Balancer, err.Error())
 		return
 	}
-	a.instances[e.Instance] = balancer
+	a.balancers[e.Balancer] = balancer
 }
 
 func (a *adapter) newBalancer() (*piernotch.Balancer, error) {
@@ -109,14 +109,14 @@
 	if a.columns, err = wire.ParseReportColumns(e.Data); err != nil {
 		return nil, err
 	}
-	return piernotch.New(settings, e.Seed, &host{instance: e.Instance, reply: &a.reply})
+	return piernotch.New(settings, e.Seed, &host{balancer: e.Balancer, reply: &a.reply})
 }
 
 // dispatch calls the method of a running balancer that the current event stands for.
 func (a *adapter) dispatch(b *piernotch.Balancer, now time.Duration) error {
 	e := &a.event
 	if load, ok := wire.ParseLoadReport(e, a.columns); ok {
-		b.LoadReported(now, piernotch.BackendID(e.Backend), load)
+		b.LoadReported(now, piernotch.ServerID(e.Server), load)
 	}
 	switch e.Code {
 	case wire.EventRequest:
@@ -138,7 +138,7 @@
 		if err != nil {
 			return err
 		}
-		b.HealthCheckCompleted(now, piernotch.BackendID(e.Backend), status)
+		b.HealthCheckCompleted(now, piernotch.ServerID(e.Server), status)
 	case wire.EventEndpointList:
 		kind, entries, err := wire.ParseEndpointList(e, a.entries[:0])
 		if err != nil {
@@ -163,7 +163,7 @@
 
 func outcome(e *wire.Event, status piernotch.Status) piernotch.Outcome {
 	return piernotch.Outcome{
-		ID: piernotch.RequestID(e.ID), Attempt: int(e.Attempt), Backend: piernotch.BackendID(e.Backend),
+		ID: piernotch.RequestID(e.ID), Attempt: int(e.Attempt), Server: piernotch.ServerID(e.Server),
 		Status: status, Latency: wire.Duration(e.LatencyMS), Closed: e.Closed,
 	}
 }
--- a/cmd/simulator-adapter/adapter_test.go
+++ b/cmd/simulator-adapter/adapter_test.go
@@ -32,7 +32,7 @@
 	return r
 }
 
-func TestRequestWithoutBackendIsRejected(t *testing.T) {
+func TestRequestWithoutServerIsRejected(t *testing.T) {
 	request := make([]byte, 41)
 	request[0], request[1], request[5] = 3, 7, 9
 	binary.LittleEndian.PutUint64(request[24:], math.Float64bits(1001)) // it cannot be met
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestInstanceMayStartAgainAfterStop(t *testing.T) {
+func TestBalancerMayStartAgainAfterStop(t *testing.T) {
 	start := startRecord(7, settingsText)
 	in := batch(1, settingsText, start, []byte{8, 7}, start)
 	if err := serve(bytes.NewReader(in), &bytes.Buffer{}); err != nil {
--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -9,28 +9,28 @@
 
 // host is the piernotch.Host of one instance: it writes the instance's actions to the reply.
 type host struct {
-	instance uint32
+	balancer uint32
 	reply    *wire.Reply
 }
 
-func (h *host) StartAttempt(id piernotch.RequestID, to piernotch.BackendID, timeout time.Duration) {
-	h.reply.StartAttempt(h.instance, uint64(id), uint32(to), wire.Milliseconds(timeout))
+func (h *host) StartAttempt(id piernotch.RequestID, to piernotch.ServerID, timeout time.Duration) {
+	h.reply.StartAttempt(h.balancer, uint64(id), uint32(to), wire.Milliseconds(timeout))
 }
 
 func (h *host) CancelAttempt(id piernotch.RequestID, attempt int) {
-	h.reply.CancelAttempt(h.instance, uint64(id), uint8(attempt))
+	h.reply.CancelAttempt(h.balancer, uint64(id), uint8(attempt))
 }
 
 func (h *host) Reject(id piernotch.RequestID, retryAfter time.Duration) {
-	h.reply.Reject(h.instance, uint64(id), wire.Milliseconds(retryAfter))
+	h.reply.Reject(h.balancer, uint64(id), wire.Milliseconds(retryAfter))
 }
 
-func (h *host) Fail(id piernotch.RequestID) { h.reply.Fail(h.instance, uint64(id)) }
+func (h *host) Fail(id piernotch.RequestID) { h.reply.Fail(h.balancer, uint64(id)) }
 
-func (h *host) HealthCheck(b piernotch.BackendID) { h.reply.HealthCheck(h.instance, uint32(b)) }
+func (h *host) HealthCheck(b piernotch.ServerID) { h.reply.HealthCheck(h.balancer, uint32(b)) }
 
-func (h *host) WatchEndpoints() { h.reply.WatchEndpoints(h.instance, true) }
+func (h *host) WatchEndpoints() { h.reply.WatchEndpoints(h.balancer, true) }
 
 func (h *host) SetTimer(delay time.Duration, token uint32) {
-	h.reply.SetTimer(h.instance, wire.Milliseconds(delay), token)
+	h.reply.SetTimer(h.balancer, wire.Milliseconds(delay), token)
 }
--- a/concurrency_limits.go
+++ b/concurrency_limits.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	targetInflight      = 1.5  // all balancers' requests at a backend, on the mean of its group
+	targetInflight      = 1.5  // all balancers' requests at a server, on the mean of its group
 	limitAdjustTime     = 0.35 // seconds in which the limit on a group changes by a factor of e, at most
 	fewBalancersPerZone = 4.0  // up to so many, each one's own bounds suffice
 )
 
-// LoadReported takes a backend's load report. It ignores unknown backends, negative figures and NaN.
-func (b *Balancer) LoadReported(now time.Duration, id BackendID, load LoadReport) {
-	if target := b.backends[id]; target != nil && load.Inflight >= 0 && load.CompletedPerSecond >= 0 {
+// LoadReported takes a server's load report. It ignores unknown servers, negative figures and NaN.
+func (b *Balancer) LoadReported(now time.Duration, id ServerID, load LoadReport) {
+	if target := b.servers[id]; target != nil && load.Inflight >= 0 && load.CompletedPerSecond >= 0 {
 		target.reports.record(now, load, target.inflight)
 	}
 }
 
-// totalInflightReaches reports whether all balancers together have so many requests at a backend, by its load
+// totalInflightReaches reports whether all balancers together have so many requests at a server, by its load
 // reports: with many balancers, a bound on each one's own requests would not bound the sum.
-func (b *Balancer) totalInflightReaches(now time.Duration, target *backend, most float64) bool {
+func (b *Balancer) totalInflightReaches(now time.Duration, target *server, most float64) bool {
 	prior := min(target.reports.meanOthers, b.groups[target.locality].meanOthers)
 	return target.reports.estimateOthers(now, prior)+float64(target.inflight) >= most
 }
@@ -31,7 +31,7 @@
 }
 
 // adjustInflightLimit moves the limit on this balancer's requests in a group towards what keeps the mean of
-// its backends at the target. If all balancers do so, they reach it together, however many they are.
+// its servers at the target. If all balancers do so, they reach it together, however many they are.
 func (b *Balancer) adjustInflightLimit(now time.Duration, g *group) {
 	dt := b.tickInterval.Seconds()
 	g.peakInflight = max(float64(g.inflight), g.peakInflight*math.Exp(-dt))
@@ -45,5 +45,5 @@
 	g.inflightLimit = max(reachable*math.Exp(adjustment*dt/limitAdjustTime), 1)
 }
 
-// atInflightLimit reports whether the group's warm backends have all that this balancer may send there.
+// atInflightLimit reports whether the group's warm servers have all that this balancer may send there.
 func (g *group) atInflightLimit() bool { return float64(g.inflight) >= g.inflightLimit }
--- a/concurrency_limits_test.go
+++ b/concurrency_limits_test.go
@@ -8,30 +8,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each of eighty balancers has few requests at one backend, which reports all of them. Without a fresh
+// Each of eighty balancers has few requests at one server, which reports all of them. Without a fresh
 // report, it gets its turn.
-func TestBackendReportingHighLoadIsSkipped(t *testing.T) {
+func TestServerReportingHighLoadIsSkipped(t *testing.T) {
 	b, h := newTestBalancer(t, manyBalancersSettings(), testEndpoints(4, 1))
 	b.LoadReported(time.Second, 2, LoadReport{Inflight: 15, CompletedPerSecond: 20})
 	for i := range 40 {
 		b.HandleRequest(time.Second, newTestRequest(RequestID(i), idempotentClass, 10))
-		require.NotEqual(t, BackendID(2), h.last().to, "request %d went to the overloaded backend", i)
+		require.NotEqual(t, ServerID(2), h.last().to, "request %d went to the overloaded server", i)
 		completeAttempt(b, time.Second, RequestID(i), 0, h.last().to, OK)
 	}
-	used := map[BackendID]bool{}
+	used := map[ServerID]bool{}
 	for i := range 40 { // the report is old by now
 		id, now := RequestID(100+i), 8*time.Second
 		b.HandleRequest(now, Request{ID: id, Class: idempotentClass, Deadline: now + time.Second, CostHint: 10})
 		used[h.last().to] = true
 		completeAttempt(b, now, id, 0, h.last().to, OK)
 	}
-	require.True(t, used[2], "a report of seven seconds ago still excludes the backend")
+	require.True(t, used[2], "a report of seven seconds ago still excludes the server")
 }
 
 func TestInvalidLoadReportsAreIgnored(t *testing.T) {
 	b, _ := newTestBalancer(t, manyBalancersSettings(), testEndpoints(2, 1))
 	b.LoadReported(time.Second, 1, LoadReport{Inflight: 3, CompletedPerSecond: 20})
-	before := b.backends[1].reports
+	before := b.servers[1].reports
 	for _, invalid := range []LoadReport{
 		{Inflight: -1},
 		{Inflight: math.NaN()},
@@ -40,19 +40,19 @@
 		b.LoadReported(2*time.Second, 1, invalid)
 	}
 	b.LoadReported(2*time.Second, 77, LoadReport{Inflight: 3})
-	require.Equal(t, before, b.backends[1].reports)
+	require.Equal(t, before, b.servers[1].reports)
 }
 
 // Each of eighty balancers keeps its own bounds, and all together overload the fleet. The mean of what its
-// backends report makes each of them reduce its limit.
+// servers report makes each of them reduce its limit.
 func TestInflightLimitHoldsGroupToTarget(t *testing.T) {
 	b, h := runTicks(t, manyBalancersSettings(), 5)
 	require.True(t, b.groups[0].atInflightLimit(), "limit %v", b.groups[0].inflightLimit)
 	b.HandleRequest(4*time.Second, Request{ID: 100, Class: idempotentClass, Deadline: time.Minute, CostHint: 10})
-	require.Greater(t, h.last().to, BackendID(6), "a full zone counts as empty")
+	require.Greater(t, h.last().to, ServerID(6), "a full zone counts as empty")
 
 	b, _ = runTicks(t, manyBalancersSettings(), 0.1)
-	require.False(t, b.groups[0].atInflightLimit(), "idle backends: limit %v", b.groups[0].inflightLimit)
+	require.False(t, b.groups[0].atInflightLimit(), "idle servers: limit %v", b.groups[0].inflightLimit)
 	b, _ = runTicks(t, testSettings(), 5)
 	require.False(t, b.groups[0].atInflightLimit(), "few balancers: their own bounds suffice")
 }
--- a/doc.go
+++ b/doc.go
@@ -1,5 +1,5 @@
-// Package piernotch makes the decisions of a reverse proxy that spreads requests over HTTP backends: which
-// backend gets a request, when to retry, hedge or reject it, and which backends to eject or warm up.
+// Package piernotch makes the decisions of a reverse proxy that spreads requests over HTTP servers: which
+// server gets a request, when to retry, hedge or reject it, and which servers to eject or warm up.
 //
 // # Contract
 //
@@ -18,15 +18,15 @@
 //
 // On arrival a request gets a priority (its class, within or over its tenant's quota) and a lane (its cost
 // hint, below or above the median). While answers come late everywhere, a share of the requests is rejected,
-// lowest precedence first (admission.go). The others go to a backend (selection.go): the own zone up to a
-// small load on each backend, then other zones; in each, the backend that rendezvous hashing picks for the
+// lowest precedence first (admission.go). The others go to a server (selection.go): the own zone up to a
+// small load on each server, then other zones; in each, the server that rendezvous hashing picks for the
 // request's key, or else the next in weighted round robin that is expected to answer in time. If none has
 // capacity, the request waits for the next tick or the next answer.
 //
 // One guard, mayStartAttempt, allows or denies every attempt (attempts.go): the class's retry safety, the
 // number of attempts, draining, ejection, slow start and the concurrency limit. Retries and hedged requests
 // spend a budget. A timer ticks a few times within the shortest latency objective, finds overdue attempts and
-// reviews the backends.
+// reviews the servers.
 //
 // # Files
 //
@@ -34,12 +34,12 @@
 //
 //   - balancer.go: construction, events and the tick
 //   - admission.go: quotas, priorities, shedding and the waiting requests
-//   - selection.go: which backend a request gets, weights and lanes
+//   - selection.go: which server a request gets, weights and lanes
 //   - attempts.go: the guard, retries, hedging and what outcomes lead to
 //   - outlier_ejection.go: ejection, health checks and trials
-//   - slow_start.go: the pace of requests to a backend that has started lately
+//   - slow_start.go: the pace of requests to a server that has started lately
 //   - concurrency_limits.go: bounds by load reports on what all balancers send
-//   - endpoints.go: the list of backends
+//   - endpoints.go: the list of servers
 //
 // Beside them stand the interface (piernotch.go, settings.go), the records (state.go), estimators.go,
 // load_reports.go, queue.go with the length of the queue, and what operators ask for while the program runs
--- a/endpoints.go
+++ b/endpoints.go
@@ -12,7 +12,7 @@
 		b.backOffWatch(now)
 		return
 	}
-	named := make(map[BackendID]bool, len(entries))
+	named := make(map[ServerID]bool, len(entries))
 	for _, e := range entries {
 		named[e.ID] = true
 		b.applyEndpoint(now, e)
@@ -27,19 +27,19 @@
 	if kind != UpdateCached {
 		b.watchBackoff = b.settings.Rules.PollInterval / 8
 	}
-	b.reindexBackends()
+	b.reindexServers()
 	b.rebuildGroups(now)
 }
 
-// applyEndpoint adds or updates one backend. A new start time is a new process, which has not failed yet.
+// applyEndpoint adds or updates one server. A new start time is a new process, which has not failed yet.
 func (b *Balancer) applyEndpoint(now time.Duration, e Endpoint) {
 	if !(e.Size > 0) || math.IsInf(e.Size, 0) {
 		e.Size = 1
 	}
-	target := b.backends[e.ID]
+	target := b.servers[e.ID]
 	if target == nil {
 		if e.State != Gone {
-			b.slowStartIfYoung(now, b.addBackend(e))
+			b.slowStartIfYoung(now, b.addServer(e))
 		}
 		return
 	}
--- a/estimators.go
+++ b/estimators.go
@@ -8,7 +8,7 @@
 
 const (
 	groupSmoothing   = 1.0 / 16 // weight of one outcome in a running mean over a group
-	backendSmoothing = 1.0 / 6  // the same for one backend, which has fewer outcomes
+	serverSmoothing  = 1.0 / 6  // the same for one server, which has fewer outcomes
 	pathMinAnswers   = 64       // answers from which the latency of the path to a zone is known
 	pathMaxShare     = 0.75     // of the requests in flight that count as in transit, at most
 	fastQuantile     = 1.0 / 8  // quantile of a class's latencies that replaces missing cost hints
@@ -73,8 +73,8 @@
 }
 
 // rendezvousMember returns the member with the highest hash for the key. There must be one.
-func rendezvousMember(members []*backend, key uint64) *backend {
-	var best *backend
+func rendezvousMember(members []*server, key uint64) *server {
+	var best *server
 	var highest uint64
 	for _, target := range members {
 		hash := mixBits(key ^ target.idHash)
@@ -168,10 +168,10 @@
 	}
 }
 
-// observeLatency updates the latency estimates of all, of the group and of the backend by one answer, and
+// observeLatency updates the latency estimates of all, of the group and of the server by one answer, and
 // returns its latency beyond the request's work in ms, at most the objective. Estimates of latency are for
 // a request of mean work, so that the lanes compare.
-func (b *Balancer) observeLatency(r *request, target *backend, took time.Duration) (queueing float64) {
+func (b *Balancer) observeLatency(r *request, target *server, took time.Duration) (queueing float64) {
 	ms := took.Seconds() * 1000
 	queueing = min(max(ms-r.work, 0), r.class.LatencyObjective.Seconds()*1000)
 	typical := max(ms-r.work, -b.meanWork/2) + b.meanWork
@@ -186,29 +186,29 @@
 		target.path.fastestAnswer = ms
 	}
 	target.path.answerCount++
-	target.latency += backendSmoothing * (typical - target.latency)
+	target.latency += serverSmoothing * (typical - target.latency)
 	b.latencyPerWork = followRatio(b.latencyPerWork, ms, r.work, groupSmoothing*r.work/b.meanWork)
-	target.latencyPerWork = followRatio(target.latencyPerWork, ms, r.work, backendSmoothing*r.work/b.meanWork)
+	target.latencyPerWork = followRatio(target.latencyPerWork, ms, r.work, serverSmoothing*r.work/b.meanWork)
 	g.latency += groupSmoothing * (typical - g.latency)
 	g.queueingDeviation += groupSmoothing * (math.Abs(queueing-g.queueingMean) - g.queueingDeviation)
 	g.queueingMean += groupSmoothing * (queueing - g.queueingMean)
 	return queueing
 }
 
-// observeClassFailure updates the share of a class's requests that fail on a backend which answers
+// observeClassFailure updates the share of a class's requests that fail on a server which answers
 // others. A cancelled attempt counts as failed if it had taken half of the objective.
 func (b *Balancer) observeClassFailure(r *request, t *attempt, o Outcome) {
-	target := t.backend
+	target := t.server
 	tookLong := o.Status == Timeout || o.Status == Cancelled && o.Latency > r.class.LatencyObjective/2
 	answersOthers := target.lastAnswerAt >= t.sentAt
 	if tookLong && answersOthers || o.Status == OK || o.Status == Error {
 		failed := indicator(o.Status != OK)
-		target.failureShare[r.Class] += backendSmoothing * (failed - target.failureShare[r.Class])
+		target.failureShare[r.Class] += serverSmoothing * (failed - target.failureShare[r.Class])
 	}
 }
 
-// capacityShare returns the share of its capacity that the backend has now, in slow start.
-func (b *Balancer) capacityShare(now time.Duration, target *backend) float64 {
+// capacityShare returns the share of its capacity that the server has now, in slow start.
+func (b *Balancer) capacityShare(now time.Duration, target *server) float64 {
 	if target.warm() || b.settings.Rules.SlowStartDuration <= 0 {
 		return 1
 	}
@@ -216,8 +216,8 @@
 	return b.settings.Rules.SlowStartCapacity + (1-b.settings.Rules.SlowStartCapacity)*min(max(age, 0), 1)
 }
 
-// warmSendRate returns the work per second that this balancer sends to a warm backend of size 1. What
-// arrives is no measure of that: by clients' retries it is a multiple of any capacity. A few backends left
+// warmSendRate returns the work per second that this balancer sends to a warm server of size 1. What
+// arrives is no measure of that: by clients' retries it is a multiple of any capacity. A few servers left
 // warm in a zone may be overloaded: they count as half of the zone. If none is warm, the mean counts.
 func (b *Balancer) warmSendRate(now time.Duration) float64 {
 	most := 0.0
@@ -230,10 +230,10 @@
 	return max(most, b.sendRate.perSec(now)/max(b.groups[localZone].fullSize+b.groups[remoteZones].fullSize, 1))
 }
 
-// expectedLatency returns how long the backend will probably take for the request, in ms: by this balancer's
+// expectedLatency returns how long the server will probably take for the request, in ms: by this balancer's
 // own requests there and, if there are many balancers, by its load reports (Little's law: requests held over
 // completions per second).
-func (b *Balancer) expectedLatency(now time.Duration, r *request, target *backend) float64 {
+func (b *Balancer) expectedLatency(now time.Duration, r *request, target *server) float64 {
 	perWork := target.latencyPerWork
 	if perWork == 0 {
 		perWork = b.latencyPerWork
@@ -255,11 +255,11 @@
 	return milliseconds(ms)
 }
 
-// effectiveLoad returns how many of this balancer's requests the backend holds. The others in flight are
-// in transit: where that takes long, a bound on all of them would leave the backend idle. The transit time
+// effectiveLoad returns how many of this balancer's requests the server holds. The others in flight are
+// in transit: where that takes long, a bound on all of them would leave the server idle. The transit time
 // of a zone is its fastest answer's latency less a light request's work. It never rises, so that a jam
 // does not look like a long path. A request that is mostly in transit makes no room for another.
-func (b *Balancer) effectiveLoad(target *backend) float64 {
+func (b *Balancer) effectiveLoad(target *server) float64 {
 	transit := target.path.fastestAnswer - b.meanWork/4
 	if target.path.answerCount < pathMinAnswers || transit <= b.meanWork/4 || target.latency <= 0 {
 		return float64(target.inflight)
--- a/estimators_test.go
+++ b/estimators_test.go
@@ -7,16 +7,16 @@
 )
 
 // A regression: where the transit to a zone takes far longer than the work, a bound on all requests in flight
-// left the backends there idle while requests were rejected.
+// left the servers there idle while requests were rejected.
 func TestEffectiveLoadExcludesRequestsInTransit(t *testing.T) {
 	set := testSettings()
 	set.BalancerCount = 4
 	b, _ := newTestBalancer(t, set, testEndpoints(1, 2))
 	now := time.Second
-	remote := b.backends[2]
+	remote := b.servers[2]
 	answer := func(took time.Duration) {
 		r := &request{class: &set.Classes[idempotentClass], work: 10}
-		b.recordOutcome(now, r, &attempt{backend: remote}, Outcome{Status: OK, Latency: took})
+		b.recordOutcome(now, r, &attempt{server: remote}, Outcome{Status: OK, Latency: took})
 	}
 	b.medianHint, b.meanWork, b.hintCount = 10, 10, 1
 	for range pathMinAnswers {
--- a/example_test.go
+++ b/example_test.go
@@ -10,8 +10,8 @@
 // printer is a Host that prints what a balancer would do.
 type printer struct{}
 
-func (printer) StartAttempt(id piernotch.RequestID, to piernotch.BackendID, timeout time.Duration) {
-	fmt.Printf("send request %d to backend %d, wait %v\n", id, to, timeout)
+func (printer) StartAttempt(id piernotch.RequestID, to piernotch.ServerID, timeout time.Duration) {
+	fmt.Printf("send request %d to server %d, wait %v\n", id, to, timeout)
 }
 func (printer) CancelAttempt(id piernotch.RequestID, attempt int) {
 	fmt.Printf("cancel attempt %d of request %d\n", attempt, id)
@@ -19,10 +19,10 @@
 func (printer) Reject(id piernotch.RequestID, _ time.Duration) {
 	fmt.Printf("reject request %d\n", id)
 }
-func (printer) Fail(id piernotch.RequestID)       { fmt.Printf("fail request %d\n", id) }
-func (printer) HealthCheck(b piernotch.BackendID) { fmt.Printf("check backend %d\n", b) }
-func (printer) WatchEndpoints()                   { fmt.Println("subscribe to the endpoint list") }
-func (printer) SetTimer(time.Duration, uint32)    {} // call Timer with the token when it is due
+func (printer) Fail(id piernotch.RequestID)      { fmt.Printf("fail request %d\n", id) }
+func (printer) HealthCheck(b piernotch.ServerID) { fmt.Printf("check server %d\n", b) }
+func (printer) WatchEndpoints()                  { fmt.Println("subscribe to the endpoint list") }
+func (printer) SetTimer(time.Duration, uint32)   {} // call Timer with the token when it is due
 
 func Example() {
 	settings := piernotch.Settings{
@@ -42,11 +42,11 @@
 	})
 	b.HandleRequest(now, piernotch.Request{ID: 7, Deadline: now + time.Second})
 	b.HandleOutcome(now+30*time.Millisecond, piernotch.Outcome{
-		ID: 7, Backend: 1, Status: piernotch.OK, Latency: 30 * time.Millisecond, Closed: true,
+		ID: 7, Server: 1, Status: piernotch.OK, Latency: 30 * time.Millisecond, Closed: true,
 	})
 	b.UpdateEndpoints(now, piernotch.UpdateDelta, []piernotch.Endpoint{{ID: 1, Zone: 0, State: piernotch.Draining}})
 	b.HandleRequest(now+40*time.Millisecond, piernotch.Request{ID: 8, Deadline: now + time.Second})
 	// Output:
-	// send request 7 to backend 1, wait 200ms
-	// send request 8 to backend 2, wait 200ms
+	// send request 7 to server 1, wait 200ms
+	// send request 8 to server 2, wait 200ms
 }
--- a/exclusion.go
+++ b/exclusion.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Exclude keeps new requests from a backend until Include, whatever the list says of it meanwhile and
+// Exclude keeps new requests from a server until Include, whatever the list says of it meanwhile and
 // whether or not it is listed. Attempts in flight there may end. To exclude it again changes nothing.
-func (b *Balancer) Exclude(now time.Duration, id BackendID) {
+func (b *Balancer) Exclude(now time.Duration, id ServerID) {
 	b.ensureStarted(now)
 	b.excluded[id] = true
-	if target := b.backends[id]; target != nil {
+	if target := b.servers[id]; target != nil {
 		target.excluded = true
 		b.rebuildGroups(now)
 	}
 }
 
-// Include ends an exclusion at the clock time since. The backend was excluded to be restarted, which the
+// Include ends an exclusion at the clock time since. The server was excluded to be restarted, which the
 // list may not show yet: its slow start counts from since, or from a later start in the list.
-func (b *Balancer) Include(now time.Duration, id BackendID, since time.Duration) {
+func (b *Balancer) Include(now time.Duration, id ServerID, since time.Duration) {
 	b.ensureStarted(now)
 	delete(b.excluded, id)
-	target := b.backends[id]
+	target := b.servers[id]
 	if target == nil {
 		return
 	}
--- a/exclusion_test.go
+++ b/exclusion_test.go
@@ -7,16 +7,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An excluded backend gets nothing, whatever the list says of it. Once included, it is in slow start like one
+// An excluded server gets nothing, whatever the list says of it. Once included, it is in slow start like one
 // that has just started, and gets requests again at once.
-func TestExcludedBackendReceivesNoRequests(t *testing.T) {
+func TestExcludedServerReceivesNoRequests(t *testing.T) {
 	s := testSettings()
 	list := testEndpoints(2, 1)
 	b, h := newTestBalancer(t, s, list)
 	b.Exclude(0, list[0].ID)
 	b.Exclude(0, list[0].ID) // a second call changes nothing
 	id := RequestID(1)
-	serve := func(now time.Duration) BackendID {
+	serve := func(now time.Duration) ServerID {
 		b.HandleRequest(now, newTestRequest(id, idempotentClass, 1))
 		a := h.last()
 		require.Equal(t, id, a.id)
@@ -36,7 +36,7 @@
 	require.Equal(t, list[1].ID, serve(ms))
 
 	b.Include(time.Second, list[0].ID, time.Second)
-	require.GreaterOrEqual(t, b.backends[list[0].ID].slowStartSince, time.Duration(0))
+	require.GreaterOrEqual(t, b.servers[list[0].ID].slowStartSince, time.Duration(0))
 	used := false
 	for now := time.Second; now < 6*time.Second; now += 100 * ms {
 		b.Timer(now, tickToken)
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -13,12 +13,12 @@
 	canceled     []int
 	rejected     []RequestID
 	failed       []RequestID
-	healthChecks []BackendID
+	healthChecks []ServerID
 	watches      int
 	timers       []timerCall
 }
 
-func (h *recorder) StartAttempt(id RequestID, to BackendID, timeout time.Duration) {
+func (h *recorder) StartAttempt(id RequestID, to ServerID, timeout time.Duration) {
 	h.attempts = append(h.attempts, startedAttempt{id, to, timeout})
 }
 
@@ -28,7 +28,7 @@
 
 func (h *recorder) Fail(id RequestID) { h.failed = append(h.failed, id) }
 
-func (h *recorder) HealthCheck(b BackendID) { h.healthChecks = append(h.healthChecks, b) }
+func (h *recorder) HealthCheck(b ServerID) { h.healthChecks = append(h.healthChecks, b) }
 
 func (h *recorder) WatchEndpoints() { h.watches++ }
 
@@ -39,7 +39,7 @@
 // startedAttempt is a call of StartAttempt.
 type startedAttempt struct {
 	id      RequestID
-	to      BackendID
+	to      ServerID
 	timeout time.Duration
 }
 
@@ -90,12 +90,12 @@
 	return s
 }
 
-// testEndpoints returns n ready, warm backends in each of the zones; ids count from 1.
+// testEndpoints returns n ready, warm servers in each of the zones; ids count from 1.
 func testEndpoints(n, zones int) []Endpoint {
 	var all []Endpoint
 	for z := range zones {
 		for i := range n {
-			all = append(all, Endpoint{ID: BackendID(z*n + i + 1), Zone: z, Cell: i % 2, Size: 1})
+			all = append(all, Endpoint{ID: ServerID(z*n + i + 1), Zone: z, Cell: i % 2, Size: 1})
 		}
 	}
 	return all
@@ -119,12 +119,12 @@
 }
 
 // completeAttempt ends an attempt after 20 ms; OK is the request's final answer.
-func completeAttempt(b *Balancer, now time.Duration, id RequestID, try int, to BackendID, s Status) {
-	b.HandleOutcome(now, Outcome{ID: id, Attempt: try, Backend: to, Status: s, Latency: 20 * ms, Closed: s == OK})
+func completeAttempt(b *Balancer, now time.Duration, id RequestID, try int, to ServerID, s Status) {
+	b.HandleOutcome(now, Outcome{ID: id, Attempt: try, Server: to, Status: s, Latency: 20 * ms, Closed: s == OK})
 }
 
-// runTicks reviews the backends for three seconds, with some requests in flight in the own zone, where each
-// backend reports a few times that it holds so many requests.
+// runTicks reviews the servers for three seconds, with some requests in flight in the own zone, where each
+// server reports a few times that it holds so many requests.
 func runTicks(t *testing.T, s Settings, held float64) (*Balancer, *recorder) {
 	t.Helper()
 	b, h := newTestBalancer(t, s, testEndpoints(6, 2))
@@ -135,10 +135,10 @@
 	}
 	for i := range 300 {
 		now += b.tickInterval
-		for id := BackendID(1); i%50 == 0 && id <= 6; id++ {
+		for id := ServerID(1); i%50 == 0 && id <= 6; id++ {
 			b.LoadReported(now, id, LoadReport{Inflight: held, CompletedPerSecond: 20})
 		}
-		b.reviewBackends(now)
+		b.reviewServers(now)
 	}
 	return b, h
 }
--- a/internal/lab/emulator/connection.go
+++ b/internal/lab/emulator/connection.go
@@ -77,7 +77,7 @@
 		defer close(gone)
 		readMessages(c, messages, stop)
 	}()
-	keepAlive := s.fleet.day.Rules.KeepAlive
+	keepAlive := s.fleet.realization.Rules.KeepAlive
 	idle := time.NewTimer(keepAlive)
 	defer idle.Stop()
 	for {
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -154,7 +154,7 @@
 	d.changes[server]++
 	change := d.changes[server]
 	startedAt := d.fleet.servers[server].startedAt()
-	if period := d.fleet.day.Discovery.PublishInterval; period > 0 { // changes are published at its multiples
+	if period := d.fleet.realization.Discovery.PublishInterval; period > 0 { // changes are published at its multiples
 		now := d.fleet.clock()
 		delay = (now+delay+period-1)/period*period - now
 	}
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -13,13 +13,13 @@
 // Fleet is the stand-in feed servers of a day and their discovery. Its methods may be called from any
 // goroutine, but Play and Close.
 type Fleet struct {
-	day       *scenario.Instance
-	clock     Clock
-	observer  Observer
-	servers   []*server // those that join later included
-	discovery *Discovery
-	steps     []scheduledStep
-	timers    []*time.Timer // of the steps, once they are played
+	realization *scenario.Realization
+	clock       Clock
+	observer    Observer
+	servers     []*server // those that join later included
+	discovery   *Discovery
+	steps       []scheduledStep
+	timers      []*time.Timer // of the steps, once they are played
 
 	loadReportDelay atomic.Int64 // ns
 	malformedShare  atomic.Int64 // of answers, in millionths
@@ -38,9 +38,9 @@
 
 // New creates the servers of a day and opens them and discovery. Nothing goes wrong until Play. The caller
 // calls Close.
-func New(day *scenario.Instance, opts Options) (*Fleet, error) {
-	f := &Fleet{day: day, clock: opts.Clock, observer: opts.Observer}
-	for _, spec := range day.Servers {
+func New(realization *scenario.Realization, opts Options) (*Fleet, error) {
+	f := &Fleet{realization: realization, clock: opts.Clock, observer: opts.Observer}
+	for _, spec := range realization.Servers {
 		if _, err := f.add(spec); err != nil {
 			return nil, err
 		}
@@ -50,7 +50,7 @@
 		f.Close()
 		return nil, err
 	}
-	for i := range day.Servers {
+	for i := range realization.Servers {
 		f.discovery.publish(i, piernotch.Ready, 0)
 	}
 	return f, nil
@@ -58,7 +58,7 @@
 
 // open opens the servers that are there from the beginning, and discovery.
 func (f *Fleet) open(opts Options) error {
-	for _, s := range f.servers[:len(f.day.Servers)] {
+	for _, s := range f.servers[:len(f.realization.Servers)] {
 		if err := s.open(); err != nil {
 			return err
 		}
@@ -71,7 +71,7 @@
 // add creates a server that is not open.
 func (f *Fleet) add(spec scenario.Server) (*server, error) {
 	n := len(f.servers)
-	s, err := newServer(f, n, spec, f.day.Seed<<16^uint64(n)+1)
+	s, err := newServer(f, n, spec, f.realization.Seed<<16^uint64(n)+1)
 	if err == nil {
 		f.servers = append(f.servers, s)
 	}
@@ -85,12 +85,12 @@
 // meanWork returns the mean work of a request of a class, ms. The class may be followed by a path.
 func (f *Fleet) meanWork(class string) float64 {
 	class, _, _ = strings.Cut(class, "/")
-	for i := range f.day.Classes {
-		if f.day.Classes[i].Name == class {
-			return f.day.Classes[i].MeanWork
+	for i := range f.realization.Classes {
+		if f.realization.Classes[i].Name == class {
+			return f.realization.Classes[i].MeanWork
 		}
 	}
-	return f.day.MeanWork()
+	return f.realization.MeanWork()
 }
 
 // Discovery returns the stand-in for discovery.
--- a/internal/lab/emulator/script.go
+++ b/internal/lab/emulator/script.go
@@ -34,7 +34,7 @@
 
 // scheduleSteps schedules what the simulation does to its servers, for these.
 func (f *Fleet) scheduleSteps() {
-	for _, s := range f.day.Steps() {
+	for _, s := range f.realization.Steps() {
 		if s.Action == scenario.Join || s.Action == scenario.Takeover {
 			f.scheduleJoin(&s)
 			continue
@@ -83,7 +83,7 @@
 		f.start(s)
 	case scenario.Vanish:
 		s.silence()
-		f.discovery.publishAfter(s.number, piernotch.Gone, f.day.Discovery.FailureDetectionDelay)
+		f.discovery.publishAfter(s.number, piernotch.Gone, f.realization.Discovery.FailureDetectionDelay)
 	}
 }
 
@@ -103,7 +103,7 @@
 		m.Drain(now)
 	})
 	if up {
-		f.discovery.publishAfter(s.number, piernotch.Draining, f.day.Discovery.RemovalDelay)
+		f.discovery.publishAfter(s.number, piernotch.Draining, f.realization.Discovery.RemovalDelay)
 	}
 }
 
@@ -124,7 +124,7 @@
 // end ends a server's process.
 func (f *Fleet) end(s *server) {
 	s.crash()
-	f.discovery.publishAfter(s.number, piernotch.Gone, f.day.Discovery.RemovalDelay)
+	f.discovery.publishAfter(s.number, piernotch.Gone, f.realization.Discovery.RemovalDelay)
 }
 
 // start starts a server's process.
@@ -133,13 +133,13 @@
 		f.recordError(err)
 		return
 	}
-	f.discovery.publishAfter(s.number, piernotch.Ready, f.day.Discovery.AddDelay)
+	f.discovery.publishAfter(s.number, piernotch.Ready, f.realization.Discovery.AddDelay)
 }
 
 // scheduleJoin creates a server like another one and schedules its start; a takeover is at the address of
 // that one.
 func (f *Fleet) scheduleJoin(step *scenario.Step) {
-	s, err := f.add(f.day.Like(step.Server, step.Number))
+	s, err := f.add(f.realization.Like(step.Server, step.Number))
 	if err != nil {
 		f.recordError(fmt.Errorf("a server that joins: %w", err))
 		return
--- a/internal/lab/emulator/watch.go
+++ b/internal/lab/emulator/watch.go
@@ -65,7 +65,7 @@
 			address = d.ServerAddress(balancer, i, address)
 		}
 		list.Instances = append(list.Instances, instanceJSON{
-			InstanceID: s.name, HostPort: address, Zone: d.fleet.day.Zones[s.spec.Zone], MachineType: s.spec.Kind.Name,
+			InstanceID: s.name, HostPort: address, Zone: d.fleet.realization.Zones[s.spec.Zone], MachineType: s.spec.Kind.Name,
 			Cell: s.spec.Cell, Lifecycle: lifecycles[e.state], Weight: s.spec.Size, StartedAtMs: e.startedUnixMS,
 		})
 		servers = append(servers, i)
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -72,18 +72,18 @@
 
 // runSeed plays one day.
 func runSeed(s *scenario.Scenario, seed uint64, adapter string) (*simulation.Result, error) {
-	day, err := s.Draw(seed)
+	realization, err := s.Draw(seed)
 	if err != nil {
 		return nil, err
 	}
 	var tier simulation.Tier = simulation.NewInProcess()
 	if adapter != "" {
-		tier, err = simulation.StartChild(day, adapter)
+		tier, err = simulation.StartChild(realization, adapter)
 		if err != nil {
 			return nil, err
 		}
 	}
-	w, err := simulation.New(day, tier)
+	w, err := simulation.New(realization, tier)
 	if err != nil {
 		_ = tier.Close() // the first error says more
 		return nil, err
--- a/internal/lab/goodput/counter.go
+++ b/internal/lab/goodput/counter.go
@@ -57,9 +57,9 @@
 	LateUnserved float64 // weight that ended unserved after its latency objective
 	Seconds      []Second
 
-	day       *scenario.Instance
-	classes   []classCounter
-	latencies *hdrhistogram.Histogram
+	realization *scenario.Realization
+	classes     []classCounter
+	latencies   *hdrhistogram.Histogram
 }
 
 // classCounter counts the requests of one class.
@@ -69,12 +69,12 @@
 }
 
 // New returns a Counter for a run of a drawn scenario.
-func New(d *scenario.Instance) *Counter {
+func New(d *scenario.Realization) *Counter {
 	return &Counter{
-		Seconds:   make([]Second, int(math.Ceil(d.Length.Seconds()))),
-		day:       d,
-		classes:   make([]classCounter, len(d.Classes)),
-		latencies: hdrhistogram.New(1, int64(maxLatency/time.Microsecond), significantDigits),
+		Seconds:     make([]Second, int(math.Ceil(d.Length.Seconds()))),
+		realization: d,
+		classes:     make([]classCounter, len(d.Classes)),
+		latencies:   hdrhistogram.New(1, int64(maxLatency/time.Microsecond), significantDigits),
 	}
 }
 
@@ -84,7 +84,7 @@
 }
 
 // Weight is the priority weight of a request of a class; work is in ms.
-func Weight(d *scenario.Instance, class int, work float64) float64 {
+func Weight(d *scenario.Realization, class int, work float64) float64 {
 	if d.Score.ByWork {
 		return d.Classes[class].PriorityWeight * work
 	}
@@ -93,7 +93,7 @@
 
 // RequestSent counts a client's request when it is first sent; work is in ms.
 func (c *Counter) RequestSent(first time.Duration, class int, work float64) {
-	weight := Weight(c.day, class, work)
+	weight := Weight(c.realization, class, work)
 	c.Requests++
 	c.AskedWork += work
 	c.classes[class].asked += weight
@@ -116,8 +116,8 @@
 // RequestFinished counts a request that is over, took after its first sending and with so many sendings, and
 // returns the weight that it earned.
 func (c *Counter) RequestFinished(first, took time.Duration, class int, work float64, sends int, served bool) float64 {
-	settings := &c.day.Classes[class]
-	weight := Weight(c.day, class, work)
+	settings := &c.realization.Classes[class]
+	weight := Weight(c.realization, class, work)
 	late := took > settings.LatencyObjective
 	earned := 0.0
 	switch {
--- a/internal/lab/goodput/counter_test.go
+++ b/internal/lab/goodput/counter_test.go
@@ -11,14 +11,14 @@
 )
 
 func newTestCounter() *Counter {
-	return New(&scenario.Instance{
+	return New(&scenario.Realization{
 		Length: 4 * time.Second,
-		Classes: []scenario.InstanceClass{
+		Classes: []scenario.DrawnClass{
 			{Class: piernotch.Class{Name: "read", PriorityWeight: 1, LatencyObjective: time.Second, LateWeightShare: 0.5}},
 			{Class: piernotch.Class{Name: "write", PriorityWeight: 3, LatencyObjective: time.Second}},
 			{Class: piernotch.Class{Name: "unused", PriorityWeight: 1}},
 		},
-		Score: scenario.InstanceScore{Whole: 0.5, WorstWindow: 0.25, WorstClass: 0.25, Window: time.Second},
+		Score: scenario.DrawnScore{Whole: 0.5, WorstWindow: 0.25, WorstClass: 0.25, Window: time.Second},
 	})
 }
 
@@ -56,15 +56,15 @@
 	require.Equal(t, 1.0/4, parts.WorstWindow)
 	require.Equal(t, 1.0/2, parts.WorstClass)
 	require.Equal(t, []ClassShare{{"read", 1, 2}, {"write", 0.5, 2}, {"unused", 1, 0}}, parts.Classes)
-	require.InDelta(t, 0.5*5/8+0.25/4+0.25/2-0.01, parts.Service(counter.day.Score, 0.01), 1e-12)
-	require.Zero(t, parts.Service(counter.day.Score, 2))
+	require.InDelta(t, 0.5*5/8+0.25/4+0.25/2-0.01, parts.Service(counter.realization.Score, 0.01), 1e-12)
+	require.Zero(t, parts.Service(counter.realization.Score, 2))
 	require.InEpsilon(t, 500, counter.Percentile(50), 1e-3)
 	require.Len(t, counter.Latency(), len(latencyPercentiles))
 }
 
 func TestRunWithoutRequestsIsFullyServed(t *testing.T) {
 	counter := newTestCounter()
-	require.Equal(t, 1.0, counter.Parts().Service(counter.day.Score, 0))
+	require.Equal(t, 1.0, counter.Parts().Service(counter.realization.Score, 0))
 	require.Nil(t, counter.Latency())
 }
 
--- a/internal/lab/goodput/service.go
+++ b/internal/lab/goodput/service.go
@@ -26,7 +26,7 @@
 		class := &c.classes[i]
 		asked += class.asked
 		served += class.served
-		share := ClassShare{Name: c.day.Classes[i].Name, Requests: class.requests, Service: 1}
+		share := ClassShare{Name: c.realization.Classes[i].Name, Requests: class.requests, Service: 1}
 		if class.asked > 0 { // a class without requests is not the worst one
 			share.Service = class.served / class.asked
 			p.WorstClass = min(p.WorstClass, share.Service)
@@ -37,12 +37,12 @@
 		p.Whole = served / asked
 		p.LateFail = c.LateUnserved / asked
 	}
-	p.WorstWindow = c.worstWindow(int(c.day.Score.Window/time.Second), p.Whole)
+	p.WorstWindow = c.worstWindow(int(c.realization.Score.Window/time.Second), p.Whole)
 	return p
 }
 
 // Service weighs the parts and takes off a deduction; it is not below 0.
-func (p Parts) Service(score scenario.InstanceScore, deducted float64) float64 {
+func (p Parts) Service(score scenario.DrawnScore, deducted float64) float64 {
 	return max(score.Whole*p.Whole+score.WorstWindow*p.WorstWindow+score.WorstClass*p.WorstClass-deducted, 0)
 }
 
--- a/internal/lab/invariants/attempts.go
+++ b/internal/lab/invariants/attempts.go
@@ -9,11 +9,11 @@
 
 // AttemptSent records that an attempt left a balancer for a server. The attempts of a request are
 // numbered from 0 in the order of their sending.
-func (c *Checker) AttemptSent(at time.Duration, instance int, id uint64, server int) {
-	c.checkDrain(at, instance, id, server)
+func (c *Checker) AttemptSent(at time.Duration, balancer int, id uint64, server int) {
+	c.checkDrain(at, balancer, id, server)
 	r := c.requests.Get(id)
 	if r == nil || r.answered {
-		c.reportRequest(Lost, at, instance, id, server, "sent after its final answer")
+		c.reportRequest(Lost, at, balancer, id, server, "sent after its final answer")
 		if r == nil {
 			return
 		}
@@ -25,14 +25,14 @@
 }
 
 // checkDrain checks that a balancer was not notified that a server drains or is gone.
-func (c *Checker) checkDrain(at time.Duration, instance int, id uint64, server int) {
-	notified, ok := c.unavailableSince[instanceServer{int32(instance), int32(server)}]
+func (c *Checker) checkDrain(at time.Duration, balancer int, id uint64, server int) {
+	notified, ok := c.unavailableSince[balancerServer{int32(balancer), int32(server)}]
 	if !ok {
 		return
 	}
 	c.drainLatest = max(c.drainLatest, at-notified)
 	if at > notified+c.limits.Grace {
-		c.reportRequest(Drain, at, instance, id, server, fmt.Sprintf("sent %v after it was told that the server leaves", at-notified))
+		c.reportRequest(Drain, at, balancer, id, server, fmt.Sprintf("sent %v after it was told that the server leaves", at-notified))
 	}
 }
 
@@ -43,7 +43,7 @@
 		return
 	}
 	report := func(message string) {
-		c.reportRequest(Repeated, at, int(r.instance), id, server, message)
+		c.reportRequest(Repeated, at, int(r.balancer), id, server, message)
 	}
 	if len(r.attempts) >= c.limits.MaxAttempts {
 		report(fmt.Sprintf("attempt %d of %d allowed", len(r.attempts)+1, c.limits.MaxAttempts))
@@ -121,7 +121,7 @@
 	}
 	for i := range r.attempts {
 		if i != n && r.attempts[i].executed {
-			c.reportRequest(Repeated, at, int(r.instance), id, int(a.server), "ran a second time")
+			c.reportRequest(Repeated, at, int(r.balancer), id, int(a.server), "ran a second time")
 			return
 		}
 	}
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -30,7 +30,7 @@
 
 // request is what was observed of one request.
 type request struct {
-	instance   int32
+	balancer   int32
 	class      int8
 	answered   bool
 	answer     Result
@@ -40,8 +40,8 @@
 	attempts   []attempt
 }
 
-// instanceServer is a balancer's instance and a server.
-type instanceServer struct{ instance, server int32 }
+// balancerServer is a balancer's instance and a server.
+type balancerServer struct{ balancer, server int32 }
 
 // Checker checks observations against the rules. Its methods must be called in the order of time,
 // from one goroutine at a time.
@@ -52,8 +52,8 @@
 	checkedSteps int64              // steps that were looked at
 	freeAttempts [][]attempt        // for reuse
 
-	unavailableSince map[instanceServer]time.Duration // when a drain or an end was notified
-	startedAt        map[instanceServer]time.Duration // the start of the server that was notified last
+	unavailableSince map[balancerServer]time.Duration // when a drain or an end was notified
+	startedAt        map[balancerServer]time.Duration // the start of the server that was notified last
 	slowStartWork    map[int32][]arrivedWork          // by server
 
 	counts      [ruleCount]int
@@ -66,8 +66,8 @@
 	return &Checker{
 		limits:           limits,
 		due:              map[int64][]uint64{},
-		unavailableSince: map[instanceServer]time.Duration{},
-		startedAt:        map[instanceServer]time.Duration{},
+		unavailableSince: map[balancerServer]time.Duration{},
+		startedAt:        map[balancerServer]time.Duration{},
 		slowStartWork:    map[int32][]arrivedWork{},
 	}
 }
@@ -81,9 +81,9 @@
 }
 
 // reportRequest counts a violation by a request of an instance.
-func (c *Checker) reportRequest(rule Rule, at time.Duration, instance int, id uint64, server int, message string) {
+func (c *Checker) reportRequest(rule Rule, at time.Duration, balancer int, id uint64, server int, message string) {
 	c.report(Violation{
-		Rule: rule, At: at, Instance: instance, Request: id, Server: server, Message: message, Steps: c.describe(id),
+		Rule: rule, At: at, Balancer: balancer, Request: id, Server: server, Message: message, Steps: c.describe(id),
 	})
 }
 
--- a/internal/lab/invariants/requests.go
+++ b/internal/lab/invariants/requests.go
@@ -10,9 +10,9 @@
 
 // RequestReceived records that a balancer has received the whole of a client's request. IDs must
 // rise. A class that Limits does not list is not checked for retries.
-func (c *Checker) RequestReceived(at time.Duration, instance int, id uint64, class int, deadline time.Duration) {
+func (c *Checker) RequestReceived(at time.Duration, balancer int, id uint64, class int, deadline time.Duration) {
 	r := c.requests.Put(id)
-	*r = request{instance: int32(instance), class: int8(class), receivedAt: at, deadline: deadline}
+	*r = request{balancer: int32(balancer), class: int8(class), receivedAt: at, deadline: deadline}
 	if n := len(c.freeAttempts); n > 0 {
 		r.attempts = c.freeAttempts[n-1]
 		c.freeAttempts = c.freeAttempts[:n-1]
@@ -25,15 +25,15 @@
 func (c *Checker) RequestAnswered(at time.Duration, id uint64, answer Result) {
 	r := c.requests.Get(id)
 	if r == nil || r.answered {
-		instance := -1
+		balancer := -1
 		if r != nil {
-			instance = int(r.instance)
+			balancer = int(r.balancer)
 		}
-		c.reportRequest(Lost, at, instance, id, noServer, answer.String()+": a second final answer, or one to nobody")
+		c.reportRequest(Lost, at, balancer, id, noServer, answer.String()+": a second final answer, or one to nobody")
 		return
 	}
 	if at > r.deadline+c.limits.Slack {
-		c.reportRequest(Lost, at, int(r.instance), id, noServer, fmt.Sprintf("%s %v after its deadline", answer, at-r.deadline))
+		c.reportRequest(Lost, at, int(r.balancer), id, noServer, fmt.Sprintf("%s %v after its deadline", answer, at-r.deadline))
 	}
 	r.answered = true
 	r.answer = answer
@@ -41,7 +41,7 @@
 	switch answer {
 	case Served:
 		if !slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.executed }) {
-			c.reportRequest(Lost, at, int(r.instance), id, noServer, "served, but no server ran it")
+			c.reportRequest(Lost, at, int(r.balancer), id, noServer, "served, but no server ran it")
 		}
 	case Rejected:
 		c.checkRejection(at, id, r)
@@ -58,7 +58,7 @@
 	}
 	for _, a := range r.attempts {
 		if !a.neverExecuted {
-			c.reportRequest(Repeated, at, int(r.instance), id, int(a.server), "refused what may have run")
+			c.reportRequest(Repeated, at, int(r.balancer), id, int(a.server), "refused what may have run")
 			return
 		}
 	}
@@ -89,7 +89,7 @@
 // RequestDropped records that a balancer ended the connection of a request without an answer.
 func (c *Checker) RequestDropped(at time.Duration, id uint64) {
 	if r := c.requests.Get(id); r != nil && !r.answered {
-		c.reportRequest(Lost, at, int(r.instance), id, noServer, "its connection was ended without an answer")
+		c.reportRequest(Lost, at, int(r.balancer), id, noServer, "its connection was ended without an answer")
 		c.RequestExcused(at, id)
 	}
 }
@@ -102,7 +102,7 @@
 			if r == nil || r.answered {
 				continue
 			}
-			c.reportRequest(Lost, now, int(r.instance), id, noServer, fmt.Sprintf("no final answer %v after its deadline", now-r.deadline))
+			c.reportRequest(Lost, now, int(r.balancer), id, noServer, fmt.Sprintf("no final answer %v after its deadline", now-r.deadline))
 			c.RequestExcused(now, id)
 		}
 		delete(c.due, c.checkedSteps)
@@ -131,7 +131,7 @@
 	if class := c.classOf(r); class != nil {
 		name = class.Name
 	}
-	out := []string{fmt.Sprintf("%.6f s: balancer %d takes it, %s, deadline %.6f s", r.receivedAt.Seconds(), r.instance, name, r.deadline.Seconds())}
+	out := []string{fmt.Sprintf("%.6f s: balancer %d takes it, %s, deadline %.6f s", r.receivedAt.Seconds(), r.balancer, name, r.deadline.Seconds())}
 	for i := range r.attempts {
 		out = append(out, r.attempts[i].describe(i))
 	}
--- a/internal/lab/invariants/rules.go
+++ b/internal/lab/invariants/rules.go
@@ -70,7 +70,7 @@
 type Violation struct {
 	Rule     Rule          `json:"rule"`
 	At       time.Duration `json:"at_ns"`
-	Instance int           `json:"instance"` // of the balancer; -1: unknown
+	Balancer int           `json:"instance"` // of the balancer; -1: unknown
 	Request  uint64        `json:"request,omitempty"`
 	Server   int           `json:"server"` // -1: none
 	Message  string        `json:"what"`
@@ -79,7 +79,7 @@
 
 // String is the violation in one line.
 func (v Violation) String() string {
-	s := fmt.Sprintf("%s at %.6f s: balancer %d", v.Rule, v.At.Seconds(), v.Instance)
+	s := fmt.Sprintf("%s at %.6f s: balancer %d", v.Rule, v.At.Seconds(), v.Balancer)
 	if v.Request != 0 {
 		s += fmt.Sprintf(", request %d", v.Request)
 	}
--- a/internal/lab/load/attempt.go
+++ b/internal/lab/load/attempt.go
@@ -101,7 +101,7 @@
 
 // encodeRequest returns the request as it is sent.
 func (c *Clients) encodeRequest(a *simulation.Arrival, id string, remaining time.Duration) []byte {
-	class := &c.Day.Classes[a.Class]
+	class := &c.Realization.Classes[a.Class]
 	method := http.MethodGet
 	var body []byte
 	if class.RetrySafety != piernotch.Idempotent {
--- a/internal/lab/load/clients.go
+++ b/internal/lab/load/clients.go
@@ -48,11 +48,11 @@
 
 // Clients are the clients of a day. All exported fields are required, and read only.
 type Clients struct {
-	Day      *scenario.Instance
-	Arrivals []simulation.Arrival // in the order of time
-	Clock    func() time.Duration // the time of the day
-	Pick     PickBalancer
-	Observer Observer
+	Realization *scenario.Realization
+	Arrivals    []simulation.Arrival // in the order of time
+	Clock       func() time.Duration // the time of the day
+	Pick        PickBalancer
+	Observer    Observer
 
 	nextID atomic.Uint64
 
@@ -81,7 +81,7 @@
 // Run sends all arrivals at their times and returns when the last has ended, or soon after the context has.
 // It is called once.
 func (c *Clients) Run(ctx context.Context) {
-	c.goodput = goodput.New(c.Day)
+	c.goodput = goodput.New(c.Realization)
 	c.lateness = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	c.idleConnections = map[string][]*connection{}
 	var requests sync.WaitGroup
@@ -123,8 +123,8 @@
 
 // send is one client with one request and its attempts.
 func (c *Clients) send(ctx context.Context, a *simulation.Arrival) {
-	clients := &c.Day.Clients
-	class := &c.Day.Classes[a.Class]
+	clients := &c.Realization.Clients
+	class := &c.Realization.Classes[a.Class]
 	expires := a.At + class.Deadline
 	c.countRequest(a)
 	rng := rand.New(rand.NewPCG(a.Seed, 11))
@@ -138,7 +138,7 @@
 		}
 		backoff := time.Duration(float64(clients.Backoff) * math.Exp2(float64(attempt-1)) * (0.5 + rng.Float64()))
 		if rng.Float64() < clients.RetryAfterShare {
-			backoff = max(backoff, min(retryAfter, c.Day.Settings.Limits.MaxRetryAfter))
+			backoff = max(backoff, min(retryAfter, c.Realization.Settings.Limits.MaxRetryAfter))
 		}
 		mayRetry := class.RetrySafety == piernotch.Idempotent || outcome.retryable()
 		if !mayRetry || attempt >= a.Tries || ctx.Err() != nil || c.Clock()+backoff >= expires {
--- a/internal/lab/load/clients_test.go
+++ b/internal/lab/load/clients_test.go
@@ -88,7 +88,7 @@
 	started := time.Now()
 	e := &outcomeRecorder{}
 	clients := &Clients{
-		Day: d, Arrivals: arrivals, Observer: e, Clock: func() time.Duration { return time.Since(started) },
+		Realization: d, Arrivals: arrivals, Observer: e, Clock: func() time.Duration { return time.Since(started) },
 		Pick: func(int, *rand.Rand) (int, string, bool) { return 0, l.Addr().String(), true },
 	}
 	clients.Run(context.Background())
--- a/internal/lab/loadtest/doc.go
+++ b/internal/lab/loadtest/doc.go
@@ -2,7 +2,7 @@
 // (internal/lab/emulator), open-loop clients (internal/lab/load), and balancers as processes of their own.
 // What both ends see is checked by internal/lab/invariants.
 //
-// Run plays one day. On top of the scenario's own incidents it can play hand-overs of balancers to new
+// Run plays one day. On top of the scenario's own incidents it can play handovers of balancers to new
 // processes (Handover), seeded faults of links and processes (internal/lab/chaos), and let the balancers
 // share one watch of discovery through a group of voters. FaultTests are short scenarios with one fault
 // each, and MeasureRecovery compares them with the same day without it.
--- a/internal/lab/loadtest/environment.go
+++ b/internal/lab/loadtest/environment.go
@@ -20,7 +20,7 @@
 
 // environment is all that runs while a day is played.
 type environment struct {
-	day         *scenario.Instance
+	realization *scenario.Realization
 	opts        Options
 	started     atomic.Pointer[time.Time] // when the day began; nil: not yet
 	observer    *observer
@@ -28,7 +28,7 @@
 	balancers   []*process
 	malformed   load.MalformedClients
 	handovers   *HandoverReport
-	background  sync.WaitGroup      // hand-overs and faults that are being played
+	background  sync.WaitGroup      // handovers and faults that are being played
 	proxies     *faultproxy.Network // nil: nothing stands between the processes
 	sharedWatch *sharedWatch        // nil: each balancer watches discovery itself
 	stopped     atomic.Bool         // the day is over
@@ -36,19 +36,19 @@
 	err         error // the first one; guarded by mu
 }
 
-func newEnvironment(day *scenario.Instance, opts Options) *environment {
-	e := &environment{day: day, opts: opts, handovers: &HandoverReport{Done: map[HandoverKind]int{}}}
+func newEnvironment(realization *scenario.Realization, opts Options) *environment {
+	e := &environment{realization: realization, opts: opts, handovers: &HandoverReport{Done: map[HandoverKind]int{}}}
 	zone := func(server int) int { return e.fleet.Spec(server).Zone }
 	cell := func(server int) int { return e.fleet.Spec(server).Cell }
-	e.observer = newObserver(day, e.clock, zone, cell)
+	e.observer = newObserver(realization, e.clock, zone, cell)
 	return e
 }
 
 // open starts all but the balancers. close is to be called also when it fails.
 func (e *environment) open() error {
 	var err error
-	balancers := len(e.day.Balancers)
-	e.fleet, err = emulator.New(e.day, emulator.Options{
+	balancers := len(e.realization.Balancers)
+	e.fleet, err = emulator.New(e.realization, emulator.Options{
 		Balancers: balancers, Clock: e.clock, Observer: e.observer, Notified: e.endpointNotified,
 	})
 	if err != nil {
@@ -64,7 +64,7 @@
 		if e.sharedWatch != nil {
 			return ErrLinkFaultsWithSharedWatch
 		}
-		e.proxies = faultproxy.New(e.day.Seed)
+		e.proxies = faultproxy.New(e.realization.Seed)
 		e.observer.crossingTime = crossingTimeWithProxies
 		e.fleet.Discovery().ServerAddress = e.routeThroughProxy
 	}
@@ -116,7 +116,7 @@
 
 // addBalancer starts a balancer of the day for the first time.
 func (e *environment) addBalancer(ctx context.Context, number int) error {
-	p, err := newProcess(e.opts, number, e.day)
+	p, err := newProcess(e.opts, number, e.realization)
 	if err != nil {
 		return err
 	}
@@ -150,7 +150,7 @@
 	discovery := e.fleet.Discovery()
 	address := e.routeThroughProxy(p.number, chaos.Discovery, discovery.Address(p.number))
 	limits := limits{Cores: 1, MemoryMB: e.opts.MemoryMB, Sockets: e.opts.Sockets}
-	return p.configure(e.day, address, discovery.EndpointList(p.number), limits)
+	return p.configure(e.realization, address, discovery.EndpointList(p.number), limits)
 }
 
 // pickBalancer picks one of the zone's balancers at random, or of any zone where it has none. It reports
--- a/internal/lab/loadtest/handover.go
+++ b/internal/lab/loadtest/handover.go
@@ -9,10 +9,10 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// HandoverKind is how a hand-over goes.
+// HandoverKind is how a handover goes.
 type HandoverKind string
 
-// Kinds of hand-overs. Each ends with one process of the balancer. The values are those of stored
+// Kinds of handovers. Each ends with one process of the balancer. The values are those of stored
 // results.
 const (
 	HandoverPlain            HandoverKind = "plain"       // the old process is told to end once the new one is ready
@@ -32,7 +32,7 @@
 	HandoverStopBeforeReady, HandoverThirdProcess, HandoverExclude, HandoverDrain,
 }
 
-// Handover is one of a balancer's hand-overs in a day.
+// Handover is one of a balancer's handovers in a day.
 type Handover struct {
 	At        time.Duration // since the day began
 	Balancer  int
@@ -41,10 +41,10 @@
 }
 
 const (
-	// HandoverInterval is the time from one hand-over of a balancer to its next, which covers the
+	// HandoverInterval is the time from one handover of a balancer to its next, which covers the
 	// longest.
 	HandoverInterval = maxStopDelay + 8*time.Second
-	// HandoverLeadTime is the time before the first hand-over.
+	// HandoverLeadTime is the time before the first handover.
 	HandoverLeadTime = 2 * time.Second
 
 	maxStopDelay = 6 * time.Second
@@ -55,25 +55,25 @@
 	killGrace = 700 * time.Millisecond
 )
 
-// DrawHandovers spreads n hand-overs over the balancers of a day, one after the other at each, and gives
+// DrawHandovers spreads n handovers over the balancers of a day, one after the other at each, and gives
 // every kind the same share. It follows from the day's seed.
-func DrawHandovers(day *scenario.Instance, n int) []Handover {
-	rng := rand.New(rand.NewPCG(day.Seed, 23))
+func DrawHandovers(realization *scenario.Realization, n int) []Handover {
+	rng := rand.New(rand.NewPCG(realization.Seed, 23))
 	handovers := make([]Handover, n)
 	for i := range handovers {
 		handovers[i] = Handover{
-			Balancer: i % len(day.Balancers), Kind: HandoverKinds[i%len(HandoverKinds)],
+			Balancer: i % len(realization.Balancers), Kind: HandoverKinds[i%len(HandoverKinds)],
 			StopDelay: time.Duration(rng.Int64N(int64(maxStopDelay))),
 		}
 	}
 	rng.Shuffle(n, func(i, j int) { handovers[i].Kind, handovers[j].Kind = handovers[j].Kind, handovers[i].Kind })
 	for i := range handovers {
-		handovers[i].At = HandoverLeadTime + time.Duration(i)*HandoverInterval/time.Duration(len(day.Balancers))
+		handovers[i].At = HandoverLeadTime + time.Duration(i)*HandoverInterval/time.Duration(len(realization.Balancers))
 	}
 	return handovers
 }
 
-// HandoverReport is what came of the hand-overs. It is complete when Run has returned.
+// HandoverReport is what came of the handovers. It is complete when Run has returned.
 type HandoverReport struct {
 	mu                 sync.Mutex
 	Done               map[HandoverKind]int `json:"done"`
@@ -90,7 +90,7 @@
 	h.Problems = append(h.Problems, fmt.Sprintf(format, args...))
 }
 
-// addDone counts a hand-over that has come to its end.
+// addDone counts a handover that has come to its end.
 func (h *HandoverReport) addDone(kind HandoverKind) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/loadtest/handover_play.go
+++ b/internal/lab/loadtest/handover_play.go
@@ -10,7 +10,7 @@
 	"piernotch"
 )
 
-// Pauses of hand-overs.
+// Pauses of handovers.
 const (
 	reloadPause  = 100 * time.Millisecond  // after a reload of both processes
 	crashPause   = 1200 * time.Millisecond // until clients have no connection to a killed process
@@ -19,7 +19,7 @@
 	minStopLimit = 3 * time.Second         // that the platform gives a process to end, at least
 )
 
-// scheduleHandovers plays the day's hand-overs. Its goroutines end with them, and are waited for as
+// scheduleHandovers plays the day's handovers. Its goroutines end with them, and are waited for as
 // background.
 func (e *environment) scheduleHandovers(ctx context.Context) {
 	for _, h := range e.opts.Handovers {
@@ -32,7 +32,7 @@
 	}
 }
 
-// playHandover plays one hand-over of a balancer.
+// playHandover plays one handover of a balancer.
 func (e *environment) playHandover(ctx context.Context, p *process, h Handover) error {
 	p.handover.Lock() // one after the other
 	defer p.handover.Unlock()
@@ -74,14 +74,14 @@
 	return nil
 }
 
-// instances are the two instances of a balancer during a hand-over.
+// instances are the two instances of a balancer during a handover.
 type instances struct {
 	balancer *process
 	old      *instance
 	next     *instance
 }
 
-// disturbHandover does what makes a hand-over special while both instances run. It returns the instance
+// disturbHandover does what makes a handover special while both instances run. It returns the instance
 // that takes over.
 func (e *environment) disturbHandover(ctx context.Context, h Handover, both instances) (*instance, error) {
 	switch h.Kind {
@@ -125,7 +125,7 @@
 	return third, nil
 }
 
-// finishHandover notes that a hand-over has come to its end, with one instance left.
+// finishHandover notes that a handover has come to its end, with one instance left.
 func (e *environment) finishHandover(h Handover, p *process, left *instance) {
 	p.mu.Lock()
 	p.instance = left
@@ -136,7 +136,7 @@
 // awaitExit waits for an instance that was told to end, as long as the platform does, and kills it then.
 func (e *environment) awaitExit(old *instance) {
 	limit := minStopLimit
-	for _, class := range e.day.Classes {
+	for _, class := range e.realization.Classes {
 		limit = max(limit, class.Deadline)
 	}
 	select {
@@ -161,7 +161,7 @@
 	e.observer.EndpointNotified(both.balancer.number, server, piernotch.Draining, 0)
 	e.expectStatus(ctx, both.next, exclude, http.StatusOK)
 	e.expectStatus(ctx, both.next, adminCall{http.MethodPost, "/api/exclude", "s-nobody"}, http.StatusNotFound)
-	sleep(ctx, e.day.Rules.DrainGrace+time.Second)
+	sleep(ctx, e.realization.Rules.DrainGrace+time.Second)
 	e.observer.EndpointNotified(both.balancer.number, server, piernotch.Ready, 0)
 	e.expectStatus(ctx, both.next, adminCall{http.MethodPost, "/api/include", name}, http.StatusOK)
 }
--- a/internal/lab/loadtest/incidents.go
+++ b/internal/lab/loadtest/incidents.go
@@ -20,14 +20,14 @@
 // and malformed requests. The emulator plays the others.
 func (e *environment) scheduleIncidents(ctx context.Context) {
 	e.malformed.Pick = e.pickBalancer
-	for i := range e.day.Faults {
-		incident := &e.day.Faults[i]
+	for i := range e.realization.Faults {
+		incident := &e.realization.Faults[i]
 		switch incident.Kind {
 		case "rude":
 			e.at(ctx, incident.At, func() {
 				ctx, stop := context.WithTimeout(ctx, incident.For)
 				defer stop()
-				e.malformed.Run(ctx, incident.Size, e.day.Seed+uint64(i))
+				e.malformed.Run(ctx, incident.Size, e.realization.Seed+uint64(i))
 			})
 		case "roster_move":
 			for _, p := range e.balancers {
@@ -50,7 +50,7 @@
 // then.
 func (e *environment) at(ctx context.Context, t time.Duration, do func()) {
 	time.AfterFunc(max(t-e.clock(), 0), func() {
-		if ctx.Err() == nil && e.clock() < e.day.Length {
+		if ctx.Err() == nil && e.clock() < e.realization.Length {
 			do()
 		}
 	})
@@ -62,7 +62,7 @@
 		e.observer.BalancerKilled(p.number)
 		<-p.signal(syscall.SIGKILL)
 	})
-	e.at(ctx, incident.At+e.day.FailoverDelay, func() {
+	e.at(ctx, incident.At+e.realization.FailoverDelay, func() {
 		if p.isStopping() { // it is not back yet
 			p.setRouted(false)
 		}
--- a/internal/lab/loadtest/loadtest.go
+++ b/internal/lab/loadtest/loadtest.go
@@ -65,22 +65,22 @@
 // Run plays a day. When the context ends, it ends all that it started and reports what it has. A report
 // may come with an error: then something went wrong while the day was played. The errors are those of
 // errors.go, and what the system or the scenario gives.
-func Run(ctx context.Context, day *scenario.Instance, opts Options) (*Report, error) {
+func Run(ctx context.Context, realization *scenario.Realization, opts Options) (*Report, error) {
 	opts, cleanup, err := opts.withDefaults()
 	if err != nil {
 		return nil, err
 	}
 	defer cleanup()
-	arrivals, err := simulation.Arrivals(day)
+	arrivals, err := simulation.Arrivals(realization)
 	if err != nil {
 		return nil, err
 	}
-	e := newEnvironment(day, opts)
+	e := newEnvironment(realization, opts)
 	defer e.close()
 	if err := e.open(); err != nil {
 		return nil, err
 	}
-	for i := range day.Balancers {
+	for i := range realization.Balancers {
 		if err := e.addBalancer(ctx, i); err != nil {
 			return nil, err
 		}
@@ -92,7 +92,7 @@
 func (e *environment) play(ctx context.Context, arrivals []simulation.Arrival) (*Report, error) {
 	now := time.Now()
 	e.started.Store(&now)
-	clients := &load.Clients{Day: e.day, Arrivals: arrivals, Observer: e.observer, Pick: e.pickBalancer, Clock: e.clock}
+	clients := &load.Clients{Realization: e.realization, Arrivals: arrivals, Observer: e.observer, Pick: e.pickBalancer, Clock: e.clock}
 	e.fleet.Play(ctx)
 	e.scheduleIncidents(ctx)
 	e.scheduleFaults(ctx)
--- a/internal/lab/loadtest/loadtest_test.go
+++ b/internal/lab/loadtest/loadtest_test.go
@@ -16,7 +16,7 @@
 	"piernotch/internal/lab/scenario"
 )
 
-func testDay(t *testing.T, text string, set ...string) *scenario.Instance {
+func testRealization(t *testing.T, text string, set ...string) *scenario.Realization {
 	t.Helper()
 	s, err := scenario.Parse("test", []byte("include = \"base\"\n"+text))
 	require.NoError(t, err)
@@ -35,7 +35,7 @@
 	t.Helper()
 	self, err := os.Executable()
 	require.NoError(t, err)
-	return Run(context.Background(), testDay(t, text, set...), Options{Program: self, Env: []string{"FAKE_BALANCER=" + fault}})
+	return Run(context.Background(), testRealization(t, text, set...), Options{Program: self, Env: []string{"FAKE_BALANCER=" + fault}})
 }
 
 // requireOneOutcomePerAttempt checks that every attempt of a client has one outcome.
@@ -123,7 +123,7 @@
 for_s = 4
 size = 30
 `
-	r, err := Run(context.Background(), testDay(t, trouble, "balancers.count=2", "length_s=8"), Options{Program: program})
+	r, err := Run(context.Background(), testRealization(t, trouble, "balancers.count=2", "length_s=8"), Options{Program: program})
 	require.NoError(t, err)
 	requireOneOutcomePerAttempt(t, r)
 	require.Zero(t, r.Broken(), "%v", r.Breaks)
@@ -145,7 +145,7 @@
 	var once sync.Once
 	time.AfterFunc(2*time.Second, func() { once.Do(stop) })
 	started := time.Now()
-	r, err := Run(ctx, testDay(t, "", "length_s=120"), Options{Program: self, Env: []string{"FAKE_BALANCER=none"}})
+	r, err := Run(ctx, testRealization(t, "", "length_s=120"), Options{Program: self, Env: []string{"FAKE_BALANCER=none"}})
 	if err == nil {
 		requireOneOutcomePerAttempt(t, r)
 	}
--- a/internal/lab/loadtest/observer.go
+++ b/internal/lab/loadtest/observer.go
@@ -58,12 +58,12 @@
 }
 
 // newObserver returns an observer of a day. Zone and cell return where a server is.
-func newObserver(day *scenario.Instance, clock func() time.Duration, zone, cell func(server int) int) *observer {
+func newObserver(realization *scenario.Realization, clock func() time.Duration, zone, cell func(server int) int) *observer {
 	limits := invariants.Limits{
-		Slack: day.Rules.ResponseSlack + socketTolerance, Grace: day.Rules.DrainGrace + socketTolerance, CollapseWindow: day.Rules.Collapse.For,
-		MaxAttempts: day.Settings.Limits.MaxAttempts, HedgedRequests: day.Settings.Limits.HedgedRequests, Zone: zone, Cell: cell,
+		Slack: realization.Rules.ResponseSlack + socketTolerance, Grace: realization.Rules.DrainGrace + socketTolerance, CollapseWindow: realization.Rules.Collapse.For,
+		MaxAttempts: realization.Settings.Limits.MaxAttempts, HedgedRequests: realization.Settings.Limits.HedgedRequests, Zone: zone, Cell: cell,
 	}
-	for _, class := range day.Classes {
+	for _, class := range realization.Classes {
 		limits.Classes = append(limits.Classes, class.Class)
 	}
 	return &observer{
--- a/internal/lab/loadtest/process.go
+++ b/internal/lab/loadtest/process.go
@@ -42,7 +42,7 @@
 	configFile string
 	listener   *listener // nil: it binds its address itself
 
-	handover sync.Mutex // held while a hand-over goes on
+	handover sync.Mutex // held while a handover goes on
 
 	mu        sync.Mutex    // guards what follows
 	instance  *instance     // that clients are served by, or the last one
@@ -73,33 +73,33 @@
 	Sockets  int     `json:"sockets"`
 }
 
-func newProcess(opts Options, number int, day *scenario.Instance) (*process, error) {
+func newProcess(opts Options, number int, realization *scenario.Realization) (*process, error) {
 	address, err := faultproxy.FreeAddress()
 	if err != nil {
 		return nil, err
 	}
 	return &process{
-		number: number, zone: day.Balancers[number].Zone, program: opts.Program, env: opts.Env, dir: opts.LogDir, address: address,
+		number: number, zone: realization.Balancers[number].Zone, program: opts.Program, env: opts.Env, dir: opts.LogDir, address: address,
 		configFile: filepath.Join(opts.LogDir, fmt.Sprintf("n%d.json", number)),
 	}, nil
 }
 
 // configure writes the platform's JSON.
-func (p *process) configure(day *scenario.Instance, discovery string, known json.RawMessage, l limits) error {
-	set := day.Settings
+func (p *process) configure(realization *scenario.Realization, discovery string, known json.RawMessage, l limits) error {
+	set := realization.Settings
 	set.Zone = p.zone
-	r := &day.Rules
+	r := &realization.Rules
 	settings, err := wire.MarshalSettings(&set, wire.ExtraSettings{
-		Instance: p.number, KeepAliveMS: wire.Milliseconds(r.KeepAlive), DialMS: wire.Milliseconds(r.DialTimeout), SlackMS: wire.Milliseconds(r.ResponseSlack),
+		Balancer: p.number, KeepAliveMS: wire.Milliseconds(r.KeepAlive), DialMS: wire.Milliseconds(r.DialTimeout), SlackMS: wire.Milliseconds(r.ResponseSlack),
 		GraceMS: wire.Milliseconds(r.DrainGrace), FallMultiple: r.Collapse.Multiple, FallMS: wire.Milliseconds(r.Collapse.For),
-		MachineTypes: day.KindNames(), Columns: []string{"eps", "qps", "inflight"}, WeightBy: "work",
+		MachineTypes: realization.KindNames(), Columns: []string{"eps", "qps", "inflight"}, WeightBy: "work",
 	})
 	if err != nil {
 		return err
 	}
 	data, err := json.Marshal(map[string]any{
 		"name": fmt.Sprintf("n%d", p.number), "listen": p.address, "discovery": discovery,
-		"seed": fmt.Sprintf("%x", day.Seed*1000+uint64(p.number)+1), "limits": l, "known": known, "settings": json.RawMessage(settings),
+		"seed": fmt.Sprintf("%x", realization.Seed*1000+uint64(p.number)+1), "limits": l, "known": known, "settings": json.RawMessage(settings),
 	})
 	if err != nil {
 		return err
--- a/internal/lab/loadtest/report.go
+++ b/internal/lab/loadtest/report.go
@@ -65,11 +65,11 @@
 
 // buildResult is the part of the report that the simulation gives, too.
 func (e *environment) buildResult(t *goodput.Counter, counts load.Counts) simulation.Result {
-	score := e.day.Score
+	score := e.realization.Score
 	parts := t.Parts()
 	checker := e.observer.Finish()
 	result := simulation.Result{
-		Seed: e.day.Seed, Requests: t.Requests, Tries: counts.Attempts, Whole: parts.Whole, WorstWindow: parts.WorstWindow, WorstClass: parts.WorstClass,
+		Seed: e.realization.Seed, Requests: t.Requests, Tries: counts.Attempts, Whole: parts.Whole, WorstWindow: parts.WorstWindow, WorstClass: parts.WorstClass,
 		Classes: parts.Classes, Seconds: t.Seconds, Latency: t.Latency(), WallS: e.clock().Seconds(),
 		Lost: checker.Count(invariants.Lost), Repeated: checker.Count(invariants.Repeated),
 		DrainBreaks: checker.Count(invariants.Drain), ColdFalls: checker.Count(invariants.SlowStart),
--- a/internal/lab/loadtest/usage.go
+++ b/internal/lab/loadtest/usage.go
@@ -36,7 +36,7 @@
 			return quarters
 		case <-tick.C:
 		}
-		now := min(int(4*e.clock()/e.day.Length), 3) // what goes on after the day's end belongs to the last quarter
+		now := min(int(4*e.clock()/e.realization.Length), 3) // what goes on after the day's end belongs to the last quarter
 		for i, p := range e.balancers {
 			u := p.usage()
 			quarter := &quarters[i][now]
--- a/internal/lab/scenario/draw.go
+++ b/internal/lab/scenario/draw.go
@@ -23,9 +23,9 @@
 
 // Draw draws the instance of a seed. The order of the draws must not change: seeds would give other
 // instances. It fails with a *DrawError only. It may be called from any goroutine.
-func (s *Scenario) Draw(seed uint64) (*Instance, error) {
+func (s *Scenario) Draw(seed uint64) (*Realization, error) {
 	rng := Stream(seed, "site")
-	d := &Instance{
+	d := &Realization{
 		Name:          s.Name,
 		Seed:          seed,
 		Length:        seconds(s.LengthS.draw(rng)),
@@ -53,7 +53,7 @@
 }
 
 // drawNetwork draws the delays within each zone and between each two zones.
-func (d *Instance) drawNetwork(s *Scenario, rng *rand.Rand) {
+func (d *Realization) drawNetwork(s *Scenario, rng *rand.Rand) {
 	n := len(d.Zones)
 	d.Delay = make([][]time.Duration, n)
 	same := millis(s.Zones.SameMS.draw(rng))
@@ -67,8 +67,8 @@
 	}
 }
 
-func (d *Instance) drawRules(r *Rules, rng *rand.Rand) {
-	d.Rules = InstanceRules{
+func (d *Realization) drawRules(r *Rules, rng *rand.Rand) {
+	d.Rules = DrawnRules{
 		ResponseSlack:      millis(r.AnswerSlackMS.draw(rng)),
 		PollInterval:       millis(r.AskWithinMS.draw(rng)),
 		DrainGrace:         millis(r.DrainGraceMS.draw(rng)),
@@ -84,8 +84,8 @@
 	}
 }
 
-func (d *Instance) drawClients(c *Clients, rng *rand.Rand) {
-	d.Clients = InstanceClients{
+func (d *Realization) drawClients(c *Clients, rng *rand.Rand) {
+	d.Clients = DrawnClients{
 		Retries:              c.Retries.draw(rng),
 		Backoff:              millis(c.BackoffMS.draw(rng)),
 		AttemptTimeoutShare:  c.TryShare.draw(rng),
@@ -95,8 +95,8 @@
 	}
 }
 
-func (d *Instance) drawDiscovery(v *Discovery, rng *rand.Rand) {
-	d.Discovery = InstanceDiscovery{
+func (d *Realization) drawDiscovery(v *Discovery, rng *rand.Rand) {
+	d.Discovery = DrawnDiscovery{
 		Push:                  v.Push,
 		RemovalDelay:          seconds(v.NoticeS.draw(rng)),
 		FailureDetectionDelay: seconds(v.SilentS.draw(rng)),
@@ -109,8 +109,8 @@
 	}
 }
 
-func (d *Instance) drawScore(g *Score, rng *rand.Rand) {
-	d.Score = InstanceScore{
+func (d *Realization) drawScore(g *Score, rng *rand.Rand) {
+	d.Score = DrawnScore{
 		Whole:        g.Whole.draw(rng),
 		WorstWindow:  g.WorstWindow.draw(rng),
 		WorstClass:   g.WorstClass.draw(rng),
@@ -126,7 +126,7 @@
 
 // drawBalancers draws when the balancers start: the spread from the site's stream, each start within
 // it from the stream of starts.
-func (d *Instance) drawBalancers(b *Balancers, site, starts *rand.Rand) {
+func (d *Realization) drawBalancers(b *Balancers, site, starts *rand.Rand) {
 	spread := b.StartSpreadMS.draw(site)
 	for i := range b.Count {
 		d.Balancers = append(d.Balancers, Balancer{Zone: i % len(d.Zones), Start: millis(starts.Float64() * spread)})
@@ -134,7 +134,7 @@
 }
 
 // moduleSettings returns the settings of the decision module. It draws nothing.
-func (d *Instance) moduleSettings(b *Balancers) piernotch.Settings {
+func (d *Realization) moduleSettings(b *Balancers) piernotch.Settings {
 	settings := piernotch.Settings{
 		BalancerCount: b.Count,
 		Zones:         d.Zones,
@@ -169,8 +169,8 @@
 
 // drawTraffic draws the traffic. Its rate follows from the load where it is not set; servers and
 // classes must have been drawn.
-func (d *Instance) drawTraffic(t *Traffic, rng *rand.Rand) {
-	d.Traffic = InstanceTraffic{
+func (d *Realization) drawTraffic(t *Traffic, rng *rand.Rand) {
+	d.Traffic = DrawnTraffic{
 		RequestsPerSecond: t.RatePerS.draw(rng),
 		Shape:             t.Shape,
 		Amplitude:         t.Swing.draw(rng),
--- a/internal/lab/scenario/draw_classes.go
+++ b/internal/lab/scenario/draw_classes.go
@@ -26,7 +26,7 @@
 
 // drawClasses draws the classes. The work of requests is drawn later, by whoever runs the instance,
 // from a stream of its own.
-func (d *Instance) drawClasses(s *Scenario, rng *rand.Rand) {
+func (d *Realization) drawClasses(s *Scenario, rng *rand.Rand) {
 	total := 0.0
 	workStream := Stream(d.Seed, "work")
 	for i := range s.Classes {
@@ -42,11 +42,11 @@
 }
 
 // drawClass draws one class; its share is not normalized.
-func (c *Class) drawClass(rng, workStream *rand.Rand) InstanceClass {
+func (c *Class) drawClass(rng, workStream *rand.Rand) DrawnClass {
 	share := c.Share.draw(rng)
 	mean := c.WorkMS.draw(rng)
 	cv := c.CV.draw(rng)
-	return InstanceClass{
+	return DrawnClass{
 		Class: piernotch.Class{
 			Name:             c.Name,
 			LatencyObjective: millis(c.AimMS.draw(rng)),
--- a/internal/lab/scenario/draw_faults.go
+++ b/internal/lab/scenario/draw_faults.go
@@ -9,7 +9,7 @@
 
 // drawFaults draws the faults. Each trouble has a stream of its own, so that another trouble in the
 // scenario does not change the draws of the rest.
-func (d *Instance) drawFaults(s *Scenario, seed uint64) {
+func (d *Realization) drawFaults(s *Scenario, seed uint64) {
 	chosen := s.chooseTroubles(seed)
 	for i := range s.Troubles {
 		if chosen[i] {
@@ -58,7 +58,7 @@
 }
 
 // drawFault draws the fault of the trouble with an index, and which servers and balancers it affects.
-func (d *Instance) drawFault(s *Scenario, index int, rng *rand.Rand) Fault {
+func (d *Realization) drawFault(s *Scenario, index int, rng *rand.Rand) Fault {
 	t := &s.Troubles[index]
 	fault := Fault{
 		Kind:   t.Kind,
--- a/internal/lab/scenario/draw_machines.go
+++ b/internal/lab/scenario/draw_machines.go
@@ -96,7 +96,7 @@
 }
 
 // drawServers draws the kinds and the servers that exist at the start.
-func (d *Instance) drawServers(s *Scenario, rng *rand.Rand) error {
+func (d *Realization) drawServers(s *Scenario, rng *rand.Rand) error {
 	shares := make([]float64, len(s.Kinds))
 	for i := range s.Kinds {
 		d.kinds = append(d.kinds, s.Kinds[i].drawKind(rng, d.Rules.Collapse))
@@ -134,7 +134,7 @@
 }
 
 // drawServer draws one machine of a kind. Weights and roughCV are those of Fleet.
-func (d *Instance) drawServer(weights string, roughCV float64, kind, zone int, rng *rand.Rand) Server {
+func (d *Realization) drawServer(weights string, roughCV float64, kind, zone int, rng *rand.Rand) Server {
 	drawn := d.kinds[kind]
 	server := Server{Kind: drawn.kind, KindIndex: kind, Zone: zone, Size: 1, HandshakeRTTs: drawn.rtts}
 	server.Kind.Speed *= lognormal(rng, drawn.speedCV)
@@ -150,7 +150,7 @@
 
 // Like returns another machine of the kind of server i, for one that joins or replaces it. The
 // number identifies the machine: the same number always gives the same machine.
-func (d *Instance) Like(i, number int) Server {
+func (d *Realization) Like(i, number int) Server {
 	rng := Stream(d.Seed^uint64(number)*0x9e3779b97f4a7c15, "spare")
 	original := d.Servers[i]
 	drawn := d.kinds[original.KindIndex]
--- a/internal/lab/scenario/golden_test.go
+++ b/internal/lab/scenario/golden_test.go
@@ -84,7 +84,7 @@
 }
 
 // describe writes an instance's values in order, one concern a line: no name of a field or type is in it.
-func describe(d *Instance) []byte {
+func describe(d *Realization) []byte {
 	var out bytes.Buffer
 	line := func(values ...any) { fmt.Fprintln(&out, values...) }
 	line(d.Name, d.Seed, d.Length, d.Tick, d.Zones, d.Delay, d.ClientDelay, d.Jitter, d.FailoverDelay)
@@ -111,17 +111,17 @@
 	return out.Bytes()
 }
 
-// TestDrawnInstanceGoldenFile guards the drawn instances: a seed gives the same instance as ever, so that
+// TestDrawnRealizationGoldenFile guards the drawn instances: a seed gives the same instance as ever, so that
 // figures of two programs can be compared. The last digits are those that math.Exp has on amd64
 // processors with FMA.
-func TestDrawnInstanceGoldenFile(t *testing.T) {
+func TestDrawnRealizationGoldenFile(t *testing.T) {
 	s, err := Load("testdata/every-key.toml")
 	require.NoError(t, err)
 	var got []byte
 	for _, seed := range []uint64{1, 2, 3} {
-		instance, err := s.Draw(seed)
+		realization, err := s.Draw(seed)
 		require.NoError(t, err)
-		got = append(got, describe(instance)...)
+		got = append(got, describe(realization)...)
 	}
 	if *update {
 		require.NoError(t, os.WriteFile("testdata/days.txt", got, 0o644))
--- a/internal/lab/scenario/instance.go
+++ b/internal/lab/scenario/instance.go
@@ -20,7 +20,7 @@
 }
 
 // Instance is one drawn instance of a scenario: each range has become one value.
-type Instance struct {
+type Realization struct {
 	Name         string
 	Seed         uint64
 	Length, Tick time.Duration
@@ -35,12 +35,12 @@
 	Settings      piernotch.Settings // without Zone, which differs between balancers
 	FailoverDelay time.Duration      // for how long clients are still sent to a balancer that is down
 
-	Classes   []InstanceClass
-	Traffic   InstanceTraffic
-	Clients   InstanceClients
-	Discovery InstanceDiscovery
-	Rules     InstanceRules
-	Score     InstanceScore
+	Classes   []DrawnClass
+	Traffic   DrawnTraffic
+	Clients   DrawnClients
+	Discovery DrawnDiscovery
+	Rules     DrawnRules
+	Score     DrawnScore
 	Faults    []Fault
 
 	kinds []drawnKind
@@ -62,8 +62,8 @@
 	Start time.Duration // since the start of the run
 }
 
-// InstanceClass is a class as drawn. Times are durations, work is in ms.
-type InstanceClass struct {
+// DrawnClass is a class as drawn. Times are durations, work is in ms.
+type DrawnClass struct {
 	piernotch.Class
 	Share     float64       // of the requests; the shares of all classes add up to 1
 	Work      distuv.Rander // work of a request, ms; all classes draw from one stream
@@ -71,8 +71,8 @@
 	AttemptCV float64       // coefficient of variation of an attempt's work about its request's
 }
 
-// InstanceTraffic is the traffic as drawn.
-type InstanceTraffic struct {
+// DrawnTraffic is the traffic as drawn.
+type DrawnTraffic struct {
 	RequestsPerSecond float64 // mean number of requests per second
 	Shape             string  // steady, waves or bursty
 	Amplitude         float64 // amplitude of the shape as a share of the mean
@@ -86,8 +86,8 @@
 	Trace             string // file to be replayed; "": arrivals are drawn
 }
 
-// InstanceClients is the clients' behaviour as drawn.
-type InstanceClients struct {
+// DrawnClients is the clients' behaviour as drawn.
+type DrawnClients struct {
 	Retries              float64 // the fraction is the probability of one more
 	Backoff              time.Duration
 	AttemptTimeoutShare  float64 // an attempt times out after this share of the deadline
@@ -96,8 +96,8 @@
 	MarksRetry           bool    // clients mark their retries as such
 }
 
-// InstanceDiscovery is service discovery as drawn.
-type InstanceDiscovery struct {
+// DrawnDiscovery is service discovery as drawn.
+type DrawnDiscovery struct {
 	Push                  bool          // watches deliver changes; otherwise balancers poll
 	RemovalDelay          time.Duration // until it notices that a server drains or has exited
 	FailureDetectionDelay time.Duration // until it notices that a server no longer responds
@@ -109,8 +109,8 @@
 	LinesPerCall          float64       // number of lines that cost as much as a call
 }
 
-// InstanceRules is the timeouts and the limits of the invariants, as drawn.
-type InstanceRules struct {
+// DrawnRules is the timeouts and the limits of the invariants, as drawn.
+type DrawnRules struct {
 	ResponseSlack      time.Duration // by which a response may come after its deadline
 	PollInterval       time.Duration // a balancer that neither watches nor polls for so long counts as notified
 	DrainGrace         time.Duration // for which attempts may still go to a server that drains
@@ -122,8 +122,8 @@
 	Collapse           servermodel.Collapse
 }
 
-// InstanceScore is how service is scored: the weights of its parts and what is deducted.
-type InstanceScore struct {
+// DrawnScore is how service is scored: the weights of its parts and what is deducted.
+type DrawnScore struct {
 	Whole        float64       // weight of the service of the whole run
 	WorstWindow  float64       // weight of that of the worst window
 	WorstClass   float64       // weight of that of the worst class
@@ -168,7 +168,7 @@
 
 // Capacity returns the work in ms that the instance's servers together do in one second after slow
 // start.
-func (d *Instance) Capacity() float64 {
+func (d *Realization) Capacity() float64 {
 	sum := 0.0
 	for i := range d.Servers {
 		sum += d.Servers[i].Kind.Capacity()
@@ -177,7 +177,7 @@
 }
 
 // MeanWork returns the mean work of a request in ms.
-func (d *Instance) MeanWork() float64 {
+func (d *Realization) MeanWork() float64 {
 	sum := 0.0
 	for _, c := range d.Classes {
 		sum += c.Share * c.MeanWork
@@ -186,7 +186,7 @@
 }
 
 // KindNames returns the names of the kinds of machine, by Server.KindIndex.
-func (d *Instance) KindNames() []string {
+func (d *Realization) KindNames() []string {
 	names := make([]string, len(d.kinds))
 	for i := range d.kinds {
 		names[i] = d.kinds[i].kind.Name
--- a/internal/lab/scenario/steps.go
+++ b/internal/lab/scenario/steps.go
@@ -41,7 +41,7 @@
 
 // Steps returns what the instance's faults do to servers and to discovery, fault by fault; within
 // a fault the times need not ascend. Faults of balancers and of traffic have no steps.
-func (d *Instance) Steps() []Step {
+func (d *Realization) Steps() []Step {
 	var steps []Step
 	for i := range d.Faults {
 		fault := &d.Faults[i]
--- a/internal/lab/simulation/attempts.go
+++ b/internal/lab/simulation/attempts.go
@@ -14,38 +14,38 @@
 // completed as piernotch.NotSent.
 func (w *World) startAttempt(action *Action) {
 	id := uint64(action.ID)
-	s, ok := w.serverByID[action.Backend]
+	s, ok := w.serverByID[action.Server]
 	if !ok {
-		w.err = fmt.Errorf("balancer %d %w: %d", action.Instance, errUnknownServer, action.Backend)
+		w.err = fmt.Errorf("balancer %d %w: %d", action.Balancer, errUnknownServer, action.Server)
 		return
 	}
 	r := w.requests.Get(id)
-	if r == nil || r.answered || int(r.instance) != action.Instance {
+	if r == nil || r.answered || int(r.balancer) != action.Balancer {
 		// A balancer that was notified of the end in this very turn may not have known of it.
 		if r == nil || r.answeredByBalancer || r.answeredAt <= w.previousTurn {
-			w.checker.AttemptSent(w.now, action.Instance, id, int(s))
+			w.checker.AttemptSent(w.now, action.Balancer, id, int(s))
 		}
 		w.attemptNotSent(action, r)
 		return
 	}
-	limit := min(w.day.Settings.Limits.MaxAttempts, maxAttempts)
+	limit := min(w.realization.Settings.Limits.MaxAttempts, maxAttempts)
 	if int(r.attempts) >= limit || w.now >= r.deadline {
 		w.attemptNotSent(action, r)
 		return
 	}
-	w.checker.AttemptSent(w.now, action.Instance, id, int(s))
+	w.checker.AttemptSent(w.now, action.Balancer, id, int(s))
 	attemptID, a := w.newAttempt(id, r, s)
 	timeout := r.deadline - w.now
 	if action.Delay != 0 {
 		timeout = min(timeout, max(action.Delay, 0))
 	}
 	w.events.plan(w.now+timeout, priorityTimeout, eventAttemptTimeout, attemptID, 0)
-	w.connect(&w.instances[action.Instance], attemptID, a)
+	w.connect(&w.balancers[action.Balancer], attemptID, a)
 }
 
 // newAttempt adds an attempt of a request to server s, with its network delay and its work.
 func (w *World) newAttempt(id uint64, r *request, s int32) (uint64, *attempt) {
-	instance := &w.instances[r.instance]
+	balancer := &w.balancers[r.balancer]
 	client := w.clientOf(r)
 	w.lastAttempt++
 	attemptID := w.lastAttempt
@@ -57,20 +57,20 @@
 	*a = attempt{
 		request:   id,
 		randomKey: mix(mix(client.randomKey+uint64(r.retry)) + uint64(n) + 77),
-		instance:  r.instance,
+		balancer:  r.balancer,
 		server:    s,
-		epoch:     instance.epoch,
+		epoch:     balancer.epoch,
 		number:    int8(n),
 		sentAt:    w.now,
 	}
 	zone := w.servers[s].spec.Zone
-	a.delay = w.networkDelay(w.day.Delay[instance.zone][zone], a.randomKey, concernDelay)
+	a.delay = w.networkDelay(w.realization.Delay[balancer.zone][zone], a.randomKey, concernDelay)
 	a.work = client.work
-	if cv := w.day.Classes[client.class].AttemptCV; cv > 0 {
+	if cv := w.realization.Classes[client.class].AttemptCV; cv > 0 {
 		sigma := math.Sqrt(math.Log1p(cv * cv))
 		a.work *= math.Exp(sigma*w.randFor(a.randomKey, concernWork).NormFloat64() - sigma*sigma/2)
 	}
-	w.counters.attemptStarted(n, instance.zone != zone)
+	w.counters.attemptStarted(n, balancer.zone != zone)
 	return attemptID, a
 }
 
@@ -90,8 +90,8 @@
 		n = int(r.attempts)
 	}
 	w.counters.Outcomes[piernotch.NotSent]++
-	w.notify(action.Instance, Event{Kind: EventAttemptCompleted, Outcome: piernotch.Outcome{
-		ID: action.ID, Attempt: n, Backend: action.Backend, Status: piernotch.NotSent, Closed: r == nil || r.answered,
+	w.notify(action.Balancer, Event{Kind: EventAttemptCompleted, Outcome: piernotch.Outcome{
+		ID: action.ID, Attempt: n, Server: action.Server, Status: piernotch.NotSent, Closed: r == nil || r.answered,
 	}})
 }
 
@@ -121,7 +121,7 @@
 	}
 	slowStart := server.InSlowStart(w.now)
 	if slowStart {
-		w.checker.SlowStartWork(w.now, int(a.instance), int(a.server), server.Started(), a.work)
+		w.checker.SlowStartWork(w.now, int(a.balancer), int(a.server), server.Started(), a.work)
 	}
 	admission, lost := server.Arrive(w.now, servermodel.Job{
 		ID: attemptID, Work: a.work, Key: w.clientOf(r).key, Expires: r.deadline, ErrorDraw: w.randFor(a.randomKey, concernError).Float64(),
@@ -156,7 +156,7 @@
 		w.planOutcome(attemptID, a, status, w.now+a.delay)
 	case servermodel.NoResponse:
 		if a.newConnection {
-			w.planOutcome(attemptID, a, piernotch.ConnectFailed, max(a.sentAt+w.day.Rules.DialTimeout, w.now))
+			w.planOutcome(attemptID, a, piernotch.ConnectFailed, max(a.sentAt+w.realization.Rules.DialTimeout, w.now))
 		}
 	}
 }
@@ -215,7 +215,7 @@
 func (w *World) completeAttempt(attemptID uint64, a *attempt, status piernotch.Status) {
 	a.completed = true
 	a.status = status
-	w.returnConnection(&w.instances[a.instance], a, status)
+	w.returnConnection(&w.balancers[a.balancer], a, status)
 	w.checker.AttemptCompleted(a.request, int(a.number), status.NeverExecuted())
 	if r := w.requests.Get(a.request); r != nil {
 		r.inflight--
@@ -236,18 +236,18 @@
 
 // notifyOutcome notifies a balancer of an attempt's end, if the process that sent it still runs.
 func (w *World) notifyOutcome(a *attempt, r *request, status piernotch.Status) {
-	instance := &w.instances[a.instance]
-	if !instance.up || a.epoch != instance.epoch {
+	balancer := &w.balancers[a.balancer]
+	if !balancer.up || a.epoch != balancer.epoch {
 		return
 	}
 	e := Event{Kind: EventAttemptCompleted, Outcome: piernotch.Outcome{
-		ID: piernotch.RequestID(a.request), Attempt: int(a.number), Backend: w.servers[a.server].id, Status: status,
+		ID: piernotch.RequestID(a.request), Attempt: int(a.number), Server: w.servers[a.server].id, Status: status,
 		Latency: w.now - a.sentAt, Closed: r.answered,
 	}}
 	if responded(status) {
 		e.Load, e.HasLoad = a.load, a.hasLoad
 	}
-	w.notify(int(a.instance), e)
+	w.notify(int(a.balancer), e)
 }
 
 // cancelArrives brings the end of a wait to the server.
--- a/internal/lab/simulation/balancers.go
+++ b/internal/lab/simulation/balancers.go
@@ -15,15 +15,15 @@
 
 // notify puts an event into an instance's inbox; it is taken at the next tick.
 func (w *World) notify(i int, e Event) {
-	instance := &w.instances[i]
-	e.Instance = i
-	instance.inbox = append(instance.inbox, e)
-	if instance.queued {
+	balancer := &w.balancers[i]
+	e.Balancer = i
+	balancer.inbox = append(balancer.inbox, e)
+	if balancer.queued {
 		return
 	}
-	instance.queued = true
+	balancer.queued = true
 	w.pending = append(w.pending, i)
-	tick := w.day.Tick
+	tick := w.realization.Tick
 	at := (w.now + tick - 1) / tick * tick
 	if at <= w.lastTurn {
 		at += tick
@@ -63,18 +63,18 @@
 	slices.Sort(w.pending)
 	w.batch = w.batch[:0]
 	for _, i := range w.pending {
-		instance := &w.instances[i]
-		w.batch = append(w.batch, instance.inbox...)
-		instance.inbox = instance.inbox[:0]
-		instance.queued = false
+		balancer := &w.balancers[i]
+		w.batch = append(w.batch, balancer.inbox...)
+		balancer.inbox = balancer.inbox[:0]
+		balancer.queued = false
 	}
 	w.pending = w.pending[:0]
 }
 
 // perform does what a balancer asks for.
 func (w *World) perform(a *Action) {
-	if a.Instance < 0 || a.Instance >= len(w.instances) || !w.instances[a.Instance].up {
-		w.err = fmt.Errorf("balancer %d acts, but does not run", a.Instance)
+	if a.Balancer < 0 || a.Balancer >= len(w.balancers) || !w.balancers[a.Balancer].up {
+		w.err = fmt.Errorf("balancer %d acts, but does not run", a.Balancer)
 		return
 	}
 	switch a.Kind {
@@ -89,7 +89,7 @@
 	case ActionHealthCheck:
 		w.startHealthCheck(a)
 	case ActionWatchEndpoints, ActionFetchEndpoints:
-		w.discovery.call(w, a.Instance, a.Kind == ActionWatchEndpoints)
+		w.discovery.call(w, a.Balancer, a.Kind == ActionWatchEndpoints)
 	case ActionSetTimer:
 		w.setTimer(a)
 	case ActionCloseIdle:
@@ -99,36 +99,36 @@
 
 func (w *World) setTimer(a *Action) {
 	if a.Delay < 0 {
-		w.err = fmt.Errorf("balancer %d: a timer of %v", a.Instance, a.Delay)
+		w.err = fmt.Errorf("balancer %d: a timer of %v", a.Balancer, a.Delay)
 		return
 	}
 	// It fires at a later tick, never in the turn that is being taken.
 	at := max(w.now+a.Delay, w.now+1)
-	epoch := w.instances[a.Instance].epoch
-	w.events.plan(at, priorityTimer, eventTimer, uint64(epoch)<<32|uint64(a.Token), int32(a.Instance))
+	epoch := w.balancers[a.Balancer].epoch
+	w.events.plan(at, priorityTimer, eventTimer, uint64(epoch)<<32|uint64(a.Token), int32(a.Balancer))
 }
 
 // timerFires notifies an instance of a timer, unless the process that set it has ended. The ID is
 // the epoch of the process and the token.
 func (w *World) timerFires(i int, id uint64) {
-	instance := &w.instances[i]
-	if instance.up && uint32(id>>32) == instance.epoch {
+	balancer := &w.balancers[i]
+	if balancer.up && uint32(id>>32) == balancer.epoch {
 		w.notify(i, Event{Kind: EventTimer, Token: uint32(id)})
 	}
 }
 
-// startInstance starts a balancer's process. The first one knows the full endpoint list, a later one
+// startBalancer starts a balancer's process. The first one knows the full endpoint list, a later one
 // the list that its predecessor had.
-func (w *World) startInstance(i int, first bool) {
-	instance := &w.instances[i]
-	instance.up = true
-	instance.watching = w.day.Discovery.Push
-	instance.pollFailed = false
-	instance.lastPoll = w.now
-	instance.epoch++
-	settings := w.day.Settings
-	settings.Zone = instance.zone
-	seed := mix(w.day.Seed ^ mix(uint64(i)<<20^uint64(instance.epoch)+concernStart))
+func (w *World) startBalancer(i int, first bool) {
+	balancer := &w.balancers[i]
+	balancer.up = true
+	balancer.watching = w.realization.Discovery.Push
+	balancer.pollFailed = false
+	balancer.lastPoll = w.now
+	balancer.epoch++
+	settings := w.realization.Settings
+	settings.Zone = balancer.zone
+	seed := mix(w.realization.Seed ^ mix(uint64(i)<<20^uint64(balancer.epoch)+concernStart))
 	w.notify(i, Event{Kind: EventStart, Seed: seed, Settings: &settings})
 	if first {
 		w.discovery.setFullList(w, i)
@@ -140,12 +140,12 @@
 
 // admit has clients sent to an instance, or no longer.
 func (w *World) admit(i int, admitted bool) {
-	instance := &w.instances[i]
-	if instance.admitted == admitted {
+	balancer := &w.balancers[i]
+	if balancer.admitted == admitted {
 		return
 	}
-	instance.admitted = admitted
-	list := &w.admittedByZone[instance.zone]
+	balancer.admitted = admitted
+	list := &w.admittedByZone[balancer.zone]
 	if admitted {
 		*list = append(*list, i)
 		slices.SortFunc(*list, cmp.Compare[int])
@@ -154,32 +154,32 @@
 	}
 }
 
-// killInstance ends a balancer's process at once: what it holds is lost to it, and its clients find
+// killBalancer ends a balancer's process at once: what it holds is lost to it, and its clients find
 // their connections broken.
-func (w *World) killInstance(i int) {
-	instance := &w.instances[i]
-	if !instance.up {
+func (w *World) killBalancer(i int) {
+	balancer := &w.balancers[i]
+	if !balancer.up {
 		return
 	}
-	instance.up = false
-	instance.watching = false
-	instance.inbox = instance.inbox[:0]
+	balancer.up = false
+	balancer.watching = false
+	balancer.inbox = balancer.inbox[:0]
 	w.notify(i, Event{Kind: EventStop})
 	for _, id := range w.requestsOf(i) {
 		w.loseRequest(id)
 	}
-	for s := range instance.pools {
-		w.closeConnections(s, int(instance.pools[s].open))
+	for s := range balancer.pools {
+		w.closeConnections(s, int(balancer.pools[s].open))
 	}
-	instance.pools = nil
-	instance.epoch++
+	balancer.pools = nil
+	balancer.epoch++
 }
 
 // requestsOf lists the requests that an instance has received, in order.
 func (w *World) requestsOf(i int) []uint64 {
 	var ids []uint64
 	w.requests.Each(func(id uint64, r *request) {
-		if int(r.instance) == i && r.received {
+		if int(r.balancer) == i && r.received {
 			ids = append(ids, id)
 		}
 	})
@@ -205,7 +205,7 @@
 		r.answered, r.answeredAt = true, w.now
 		r.answer = invariants.Failed
 		r.balancerKilled = true
-		w.events.plan(w.now+w.day.ClientDelay, priorityMessage, eventAnswerArrives, id, 0)
+		w.events.plan(w.now+w.realization.ClientDelay, priorityMessage, eventAnswerArrives, id, 0)
 	}
 	w.releaseRequest(id)
 }
--- a/internal/lab/simulation/child.go
+++ b/internal/lab/simulation/child.go
@@ -52,20 +52,20 @@
 	// Patience is how long the program may take for one batch.
 	Patience time.Duration
 
-	day      *scenario.Instance
-	path     string
-	cmd      *exec.Cmd
-	stdin    io.Closer
-	writer   *bufio.Writer // on stdin
-	stderr   *stderrTail
-	requests chan uint32     // sequence numbers of the replies to read; nil once closed
-	replies  chan childReply // one for each of them
-	waited   chan childExit  // how the process ended
-	failed   bool
-	seq      uint32
-	batch    wire.BatchWriter
-	entries  []wire.EndpointEntry
-	actions  []Action
+	realization *scenario.Realization
+	path        string
+	cmd         *exec.Cmd
+	stdin       io.Closer
+	writer      *bufio.Writer // on stdin
+	stderr      *stderrTail
+	requests    chan uint32     // sequence numbers of the replies to read; nil once closed
+	replies     chan childReply // one for each of them
+	waited      chan childExit  // how the process ended
+	failed      bool
+	seq         uint32
+	batch       wire.BatchWriter
+	entries     []wire.EndpointEntry
+	actions     []Action
 }
 
 // childReply is what was read as the reply to one batch.
@@ -79,16 +79,16 @@
 
 // StartChild starts a program for a drawn scenario. The caller must call Close, which ends the
 // process and the goroutine that reads from it.
-func StartChild(day *scenario.Instance, path string, args ...string) (*Child, error) {
+func StartChild(realization *scenario.Realization, path string, args ...string) (*Child, error) {
 	c := &Child{
-		Patience: DefaultPatience,
-		day:      day,
-		path:     path,
-		cmd:      exec.Command(path, args...),
-		stderr:   &stderrTail{},
-		requests: make(chan uint32),
-		replies:  make(chan childReply),
-		waited:   make(chan childExit, 1),
+		Patience:    DefaultPatience,
+		realization: realization,
+		path:        path,
+		cmd:         exec.Command(path, args...),
+		stderr:      &stderrTail{},
+		requests:    make(chan uint32),
+		replies:     make(chan childReply),
+		waited:      make(chan childExit, 1),
 	}
 	stdin, err := c.cmd.StdinPipe()
 	if err != nil {
--- a/internal/lab/simulation/child_frames.go
+++ b/internal/lab/simulation/child_frames.go
@@ -20,40 +20,40 @@
 
 // encode adds an event to the batch.
 func (c *Child) encode(e *Event) error {
-	instance := uint32(e.Instance)
+	balancer := uint32(e.Balancer)
 	switch e.Kind {
 	case EventStart:
-		settings, err := wire.MarshalSettings(e.Settings, c.extraSettings(e.Instance))
+		settings, err := wire.MarshalSettings(e.Settings, c.extraSettings(e.Balancer))
 		if err != nil {
 			return err
 		}
-		c.batch.Start(instance, e.Seed, settings)
+		c.batch.Start(balancer, e.Seed, settings)
 	case EventStop:
-		c.batch.Stop(instance)
+		c.batch.Stop(balancer)
 	case EventRequest:
 		r := &e.Request
-		c.batch.Request(instance, uint64(r.ID), uint8(r.Class), uint16(r.Tenant), r.Key, wire.Milliseconds(r.Deadline), r.CostHint, requestFlags(e))
+		c.batch.Request(balancer, uint64(r.ID), uint8(r.Class), uint16(r.Tenant), r.Key, wire.Milliseconds(r.Deadline), r.CostHint, requestFlags(e))
 	case EventClientGone:
-		c.batch.ClientGone(instance, uint64(e.ID))
+		c.batch.ClientGone(balancer, uint64(e.ID))
 	case EventAttemptCompleted:
 		o := &e.Outcome
-		c.batch.AttemptCompleted(instance, uint64(o.ID), uint8(o.Attempt), uint32(o.Backend), wire.StatusCode(o.Status),
+		c.batch.AttemptCompleted(balancer, uint64(o.ID), uint8(o.Attempt), uint32(o.Server), wire.StatusCode(o.Status),
 			wire.Milliseconds(o.Latency), o.Closed, loadValues(e)...)
 	case EventHealthCheckCompleted:
-		c.batch.HealthCheckCompleted(instance, uint32(e.Backend), wire.StatusCode(e.Status), wire.Milliseconds(e.Latency), loadValues(e)...)
+		c.batch.HealthCheckCompleted(balancer, uint32(e.Server), wire.StatusCode(e.Status), wire.Milliseconds(e.Latency), loadValues(e)...)
 	case EventEndpointList:
 		c.encodeEndpoints(e)
 	case EventTimer:
-		c.batch.TimerFired(instance, e.Token)
+		c.batch.TimerFired(balancer, e.Token)
 	}
 	return nil
 }
 
 // extraSettings is what a start event holds beyond the module's settings.
-func (c *Child) extraSettings(instance int) wire.ExtraSettings {
-	rules := &c.day.Rules
+func (c *Child) extraSettings(balancer int) wire.ExtraSettings {
+	rules := &c.realization.Rules
 	extra := wire.ExtraSettings{
-		Instance:     instance,
+		Balancer:     balancer,
 		KeepAliveMS:  wire.Milliseconds(rules.KeepAlive),
 		DialMS:       wire.Milliseconds(rules.DialTimeout),
 		SlackMS:      wire.Milliseconds(rules.ResponseSlack),
@@ -62,9 +62,9 @@
 		FallMS:       wire.Milliseconds(rules.Collapse.For),
 		WeightBy:     "request",
 		Columns:      loadColumns,
-		MachineTypes: c.day.KindNames(),
+		MachineTypes: c.realization.KindNames(),
 	}
-	if c.day.Score.ByWork {
+	if c.realization.Score.ByWork {
 		extra.WeightBy = "work"
 	}
 	return extra
@@ -85,7 +85,7 @@
 	c.entries = c.entries[:0]
 	for i, entry := range e.Entries {
 		c.entries = append(c.entries, wire.EndpointEntry{
-			Backend:     uint32(entry.ID),
+			Server:      uint32(entry.ID),
 			Zone:        uint8(entry.Zone),
 			Kind:        uint8(e.MachineKinds[i]),
 			Cell:        uint16(entry.Cell),
@@ -94,7 +94,7 @@
 			StartedAtMS: wire.Milliseconds(entry.StartedAt),
 		})
 	}
-	c.batch.EndpointList(uint32(e.Instance), wire.ListKindCode(e.ListKind), e.Version, c.entries)
+	c.batch.EndpointList(uint32(e.Balancer), wire.ListKindCode(e.ListKind), e.Version, c.entries)
 }
 
 // actionKinds maps the wire's actions to those of a Tier. Others are not performed.
@@ -116,7 +116,7 @@
 	for i := range reply {
 		in := &reply[i]
 		if in.Code == wire.ActionReportFault {
-			return nil, c.fail(fmt.Sprintf("balancer %d reports a fault: %s", in.Instance, in.Text), nil)
+			return nil, c.fail(fmt.Sprintf("balancer %d reports a fault: %s", in.Balancer, in.Text), nil)
 		}
 		kind, known := actionKinds[in.Code]
 		endsWatch := in.Code == wire.ActionWatchEndpoints && !in.On
@@ -124,7 +124,7 @@
 			continue
 		}
 		c.actions = append(c.actions, Action{
-			Kind: kind, Instance: int(in.Instance), ID: piernotch.RequestID(in.ID), Backend: piernotch.BackendID(in.Backend),
+			Kind: kind, Balancer: int(in.Balancer), ID: piernotch.RequestID(in.ID), Server: piernotch.ServerID(in.Server),
 			Attempt: int(in.Attempt), Delay: wire.Duration(in.DurationMS), Token: in.Token,
 		})
 	}
--- a/internal/lab/simulation/child_test.go
+++ b/internal/lab/simulation/child_test.go
@@ -61,6 +61,6 @@
 		require.ErrorAs(t, err, &childErr, c.name)
 		require.Less(t, time.Since(began), 20*time.Second, c.name)
 	}
-	_, err := StartChild(&scenario.Instance{}, filepath.Join(os.TempDir(), "no such adapter"))
+	_, err := StartChild(&scenario.Realization{}, filepath.Join(os.TempDir(), "no such adapter"))
 	require.Error(t, err)
 }
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -23,22 +23,22 @@
 	id := w.lastRequest
 	n := client.sends
 	client.sends++
-	class := &w.day.Classes[client.class]
-	wait := time.Duration(float64(class.Deadline) * w.day.Clients.AttemptTimeoutShare).Round(time.Microsecond)
+	class := &w.realization.Classes[client.class]
+	wait := time.Duration(float64(class.Deadline) * w.realization.Clients.AttemptTimeoutShare).Round(time.Microsecond)
 	key := mix(client.randomKey + uint64(n))
 	r := w.requests.Put(id)
 	*r = request{client: clientID, retry: int8(min(n, 100)), deadline: min(w.now+wait, client.deadline)}
 	w.counters.Requests++
-	instance := w.chooseBalancer(client.zone, key)
-	delay := w.networkDelay(w.day.ClientDelay, key, concernClientDelay)
-	r.instance = int32(instance)
-	if instance < 0 {
+	balancer := w.chooseBalancer(client.zone, key)
+	delay := w.networkDelay(w.realization.ClientDelay, key, concernClientDelay)
+	r.balancer = int32(balancer)
+	if balancer < 0 {
 		w.events.plan(w.now+2*delay, priorityMessage, eventUnreachable, id, 0)
 		return
 	}
 	w.events.plan(w.now+delay, priorityArrival, eventRequestArrives, id, 0)
 	w.events.plan(r.deadline, priorityTimeout, eventRequestDeadline, id, 0)
-	if client.patienceDraw < w.day.Clients.EarlyDisconnectShare {
+	if client.patienceDraw < w.realization.Clients.EarlyDisconnectShare {
 		part := w.randFor(key, concernLeave).Float64()
 		leaves := w.now + time.Duration(part*float64(r.deadline-w.now))
 		w.events.plan(leaves, priorityTimeout, eventClientLeaves, id, 0)
@@ -77,15 +77,15 @@
 		return
 	}
 	client := w.clientRequests.Get(r.client)
-	if !w.instances[r.instance].up || client == nil {
-		w.events.plan(w.now+w.day.ClientDelay, priorityMessage, eventUnreachable, id, 0)
+	if !w.balancers[r.balancer].up || client == nil {
+		w.events.plan(w.now+w.realization.ClientDelay, priorityMessage, eventUnreachable, id, 0)
 		return
 	}
 	r.received = true
-	w.checker.RequestReceived(w.now, int(r.instance), id, client.class, r.deadline)
-	w.notify(int(r.instance), Event{
+	w.checker.RequestReceived(w.now, int(r.balancer), id, client.class, r.deadline)
+	w.notify(int(r.balancer), Event{
 		Kind:  EventRequest,
-		Retry: r.retry > 0 && w.day.Clients.MarksRetry,
+		Retry: r.retry > 0 && w.realization.Clients.MarksRetry,
 		Request: piernotch.Request{
 			ID: piernotch.RequestID(id), Class: client.class, Key: client.key, Deadline: r.deadline, CostHint: client.costHint,
 		},
@@ -96,7 +96,7 @@
 // is ignored.
 func (w *World) finalAnswer(action *Action, answer invariants.Result) {
 	r := w.requests.Get(uint64(action.ID))
-	if r == nil || r.answered || int(r.instance) != action.Instance {
+	if r == nil || r.answered || int(r.balancer) != action.Balancer {
 		return
 	}
 	r.retryAfter = action.Delay
@@ -110,7 +110,7 @@
 	r.answered = true
 	r.answeredAt = w.now
 	r.answer = answer
-	delay := w.networkDelay(w.day.ClientDelay, mix(id), concernClientDelay)
+	delay := w.networkDelay(w.realization.ClientDelay, mix(id), concernClientDelay)
 	w.events.plan(w.now+delay, priorityMessage, eventAnswerArrives, id, 0)
 }
 
@@ -134,7 +134,7 @@
 	r.answered = true
 	r.answeredAt = w.now
 	r.clientDone = true
-	r.expired = r.expired || r.instance < 0
+	r.expired = r.expired || r.balancer < 0
 	w.counters.Unreachable++
 	w.clientDecides(r, invariants.Failed, true)
 	w.releaseRequest(id)
@@ -167,7 +167,7 @@
 	w.checker.CheckOverdue(w.now)
 	r.answered = true
 	r.answeredAt = w.now
-	w.notify(int(r.instance), Event{Kind: EventClientGone, ID: piernotch.RequestID(id)})
+	w.notify(int(r.balancer), Event{Kind: EventClientGone, ID: piernotch.RequestID(id)})
 	w.releaseRequest(id)
 }
 
@@ -182,7 +182,7 @@
 	r.answeredAt = w.now
 	w.counters.Left++
 	w.checker.RequestExcused(w.now, id)
-	w.notify(int(r.instance), Event{Kind: EventClientGone, ID: piernotch.RequestID(id)})
+	w.notify(int(r.balancer), Event{Kind: EventClientGone, ID: piernotch.RequestID(id)})
 	w.finishClientRequest(r.client, false)
 	w.releaseRequest(id)
 }
@@ -201,7 +201,7 @@
 	}
 	w.counters.goodput.SendingUnserved(client.firstSent, answer == invariants.Rejected)
 	neverExecuted := answer == invariants.Rejected || unreached
-	retryable := neverExecuted || w.mayRepeat(client, &w.day.Classes[client.class])
+	retryable := neverExecuted || w.mayRepeat(client, &w.realization.Classes[client.class])
 	if !retryable || client.sends > client.maxRetries {
 		w.finishClientRequest(clientID, false)
 		return
@@ -215,7 +215,7 @@
 }
 
 // mayRepeat reports whether a client may repeat what may have been executed.
-func (w *World) mayRepeat(client *clientRequest, class *scenario.InstanceClass) bool {
+func (w *World) mayRepeat(client *clientRequest, class *scenario.DrawnClass) bool {
 	switch class.RetrySafety {
 	case piernotch.Idempotent:
 		return true
@@ -229,10 +229,10 @@
 // jitter, and not below the Retry-After that it honours.
 func (w *World) backoff(client *clientRequest, retryAfter time.Duration) time.Duration {
 	random := w.randFor(mix(client.randomKey+uint64(client.sends)), concernBackoff)
-	wait := time.Duration(float64(w.day.Clients.Backoff) * math.Exp2(float64(client.sends-1)) * (0.5 + random.Float64()))
-	advised := retryAfter > 0 && w.day.Settings.Limits.RetryAfter
-	if advised && random.Float64() < w.day.Clients.RetryAfterShare {
-		wait = max(wait, min(retryAfter, w.day.Settings.Limits.MaxRetryAfter))
+	wait := time.Duration(float64(w.realization.Clients.Backoff) * math.Exp2(float64(client.sends-1)) * (0.5 + random.Float64()))
+	advised := retryAfter > 0 && w.realization.Settings.Limits.RetryAfter
+	if advised && random.Float64() < w.realization.Clients.RetryAfterShare {
+		wait = max(wait, min(retryAfter, w.realization.Settings.Limits.MaxRetryAfter))
 	}
 	return wait / time.Microsecond * time.Microsecond
 }
--- a/internal/lab/simulation/connections.go
+++ b/internal/lab/simulation/connections.go
@@ -7,12 +7,12 @@
 )
 
 // connect finds a connection for an attempt or opens one, and sends the attempt off.
-func (w *World) connect(instance *balancerInstance, attemptID uint64, a *attempt) {
-	if instance.pools == nil {
-		instance.pools = make([]connectionPool, len(w.servers))
+func (w *World) connect(balancer *balancerState, attemptID uint64, a *attempt) {
+	if balancer.pools == nil {
+		balancer.pools = make([]connectionPool, len(w.servers))
 	}
-	pool := &instance.pools[a.server]
-	if pool.idle > 0 && w.now-pool.lastUsed > w.day.Rules.KeepAlive {
+	pool := &balancer.pools[a.server]
+	if pool.idle > 0 && w.now-pool.lastUsed > w.realization.Rules.KeepAlive {
 		w.closeConnections(int(a.server), pool.closeIdle())
 	}
 	if pool.idle > 0 {
@@ -27,7 +27,7 @@
 	if limit := server.spec.Kind.Conn.MaxConnections; limit > 0 && server.connections >= limit {
 		w.counters.TableFull++
 		a.arrivesAt = never
-		w.planOutcome(attemptID, a, piernotch.ConnectFailed, w.now+w.day.Rules.DialTimeout)
+		w.planOutcome(attemptID, a, piernotch.ConnectFailed, w.now+w.realization.Rules.DialTimeout)
 		return
 	}
 	a.inTransit = true
@@ -41,11 +41,11 @@
 
 // returnConnection puts the connection of a completed attempt back into its pool, or closes it where
 // the status leaves it in an unknown state.
-func (w *World) returnConnection(instance *balancerInstance, a *attempt, status piernotch.Status) {
-	if a.epoch != instance.epoch || instance.pools == nil {
+func (w *World) returnConnection(balancer *balancerState, a *attempt, status piernotch.Status) {
+	if a.epoch != balancer.epoch || balancer.pools == nil {
 		return
 	}
-	pool := &instance.pools[a.server]
+	pool := &balancer.pools[a.server]
 	if pool.open <= pool.idle {
 		return
 	}
@@ -65,10 +65,10 @@
 
 // closeIdle closes an instance's idle connections to a server.
 func (w *World) closeIdle(a *Action) {
-	instance := &w.instances[a.Instance]
-	s, known := w.serverByID[a.Backend]
-	if known && instance.pools != nil {
-		w.closeConnections(int(s), instance.pools[s].closeIdle())
+	balancer := &w.balancers[a.Balancer]
+	s, known := w.serverByID[a.Server]
+	if known && balancer.pools != nil {
+		w.closeConnections(int(s), balancer.pools[s].closeIdle())
 	}
 }
 
@@ -83,8 +83,8 @@
 
 // dropConnections closes all connections to a server whose process has ended.
 func (w *World) dropConnections(s int) {
-	for i := range w.instances {
-		if pools := w.instances[i].pools; pools != nil {
+	for i := range w.balancers {
+		if pools := w.balancers[i].pools; pools != nil {
 			pools[s] = connectionPool{}
 		}
 	}
--- a/internal/lab/simulation/counters.go
+++ b/internal/lab/simulation/counters.go
@@ -52,7 +52,7 @@
 	tracks []ServerTrack
 }
 
-func (c *counters) init(d *scenario.Instance) { c.goodput = goodput.New(d) }
+func (c *counters) init(d *scenario.Realization) { c.goodput = goodput.New(d) }
 
 // finish counts a client's request that is over.
 func (c *counters) finish(w *World, client *clientRequest, served bool) {
@@ -97,7 +97,7 @@
 	if c.tracks == nil {
 		c.chooseTracks(w)
 	}
-	if w.now > w.day.Length {
+	if w.now > w.realization.Length {
 		return
 	}
 	for i := range c.tracks {
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -54,7 +54,7 @@
 		d.entries[i] = listEntry{present: true, state: piernotch.Ready}
 	}
 	d.version = 1
-	d.phase = time.Duration(scenario.Stream(w.day.Seed, "discovery").Float64() * float64(w.day.Discovery.PublishInterval))
+	d.phase = time.Duration(scenario.Stream(w.realization.Seed, "discovery").Float64() * float64(w.realization.Discovery.PublishInterval))
 }
 
 // serverChanged notes a server's new state; discovery learns of it after a while.
@@ -78,7 +78,7 @@
 		return
 	}
 	at := w.now
-	if p := w.day.Discovery.PublishInterval; p > 0 {
+	if p := w.realization.Discovery.PublishInterval; p > 0 {
 		at = (w.now-d.phase+p-1)/p*p + d.phase
 	}
 	w.events.plan(max(at, w.now), priorityFault, eventDiscoveryPublish, 0, 0)
@@ -171,9 +171,9 @@
 		return
 	}
 	d.outages++
-	for i := range w.instances {
-		if instance := &w.instances[i]; instance.up && instance.watching && !w.day.Discovery.Push {
-			instance.watching = false
+	for i := range w.balancers {
+		if balancer := &w.balancers[i]; balancer.up && balancer.watching && !w.realization.Discovery.Push {
+			balancer.watching = false
 			d.planDelivery(w, i, w.now+time.Millisecond, answerFailed)
 		}
 	}
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -10,15 +10,15 @@
 
 // scheduleFaults writes the scenario's faults into the script.
 func (w *World) scheduleFaults() {
-	for _, step := range w.day.Steps() {
+	for _, step := range w.realization.Steps() {
 		if step.Action == scenario.Join || step.Action == scenario.Takeover { // the machine exists from the beginning
 			w.scheduleJoin(step.Server, step.Number, step.At)
 			continue
 		}
 		w.schedule(step.At, func() { w.applyStep(&step) })
 	}
-	for i := range w.day.Faults {
-		fault := &w.day.Faults[i]
+	for i := range w.realization.Faults {
+		fault := &w.realization.Faults[i]
 		if fault.Kind == "roster_move" { // to the balancers it is an outage that is over at once
 			w.schedule(fault.At, func() { w.discovery.outage(w, true) })
 			w.schedule(fault.At+time.Millisecond, func() { w.discovery.outage(w, false) })
@@ -33,16 +33,16 @@
 func (w *World) scheduleBalancerFault(fault *scenario.Fault, n, balancer int) {
 	switch fault.Kind {
 	case "balancer_crash":
-		w.schedule(fault.At, func() { w.killInstance(balancer) })
-		w.schedule(fault.At+w.day.FailoverDelay, func() { w.admit(balancer, w.instances[balancer].up) })
-		w.schedule(fault.End(), func() { w.startInstance(balancer, false) })
+		w.schedule(fault.At, func() { w.killBalancer(balancer) })
+		w.schedule(fault.At+w.realization.FailoverDelay, func() { w.admit(balancer, w.balancers[balancer].up) })
+		w.schedule(fault.End(), func() { w.startBalancer(balancer, false) })
 	case "balancer_restart":
 		// No more clients are sent to it, and what it has is answered first.
 		at := fault.At + fault.Every*time.Duration(n)
 		killedAt := at + w.longestRequest()
 		w.schedule(at, func() { w.admit(balancer, false) })
-		w.schedule(killedAt, func() { w.killInstance(balancer) })
-		w.schedule(killedAt+fault.For, func() { w.startInstance(balancer, false) })
+		w.schedule(killedAt, func() { w.killBalancer(balancer) })
+		w.schedule(killedAt+fault.For, func() { w.startBalancer(balancer, false) })
 	}
 }
 
@@ -84,10 +84,10 @@
 // longestRequest is how long a balancer may hold a request.
 func (w *World) longestRequest() time.Duration {
 	longest := time.Duration(0)
-	for _, c := range w.day.Classes {
-		longest = max(longest, time.Duration(float64(c.Deadline)*w.day.Clients.AttemptTimeoutShare))
+	for _, c := range w.realization.Classes {
+		longest = max(longest, time.Duration(float64(c.Deadline)*w.realization.Clients.AttemptTimeoutShare))
 	}
-	return longest + w.day.Rules.ResponseSlack
+	return longest + w.realization.Rules.ResponseSlack
 }
 
 // slowServer multiplies a server's slowness; faults of this kind may overlap.
@@ -105,7 +105,7 @@
 		return
 	}
 	server.Drain(w.now)
-	w.discovery.serverChanged(w, s, piernotch.Draining, w.day.Discovery.RemovalDelay)
+	w.discovery.serverChanged(w, s, piernotch.Draining, w.realization.Discovery.RemovalDelay)
 }
 
 // endServer ends a server's process: as planned after a drain, else as a crash.
@@ -116,7 +116,7 @@
 	}
 	w.serverCompleted(int32(s), server.Crash(w.now))
 	w.dropConnections(s)
-	w.discovery.serverChanged(w, s, piernotch.Gone, w.day.Discovery.RemovalDelay)
+	w.discovery.serverChanged(w, s, piernotch.Gone, w.realization.Discovery.RemovalDelay)
 }
 
 // vanishServer cuts a server off: nobody is notified of what becomes of its requests.
@@ -128,7 +128,7 @@
 			w.releaseAttempt(c.ID, a)
 		}
 	}
-	w.discovery.serverChanged(w, s, piernotch.Gone, w.day.Discovery.FailureDetectionDelay)
+	w.discovery.serverChanged(w, s, piernotch.Gone, w.realization.Discovery.FailureDetectionDelay)
 }
 
 // startServer starts a server's process, in slow start. A collapsed one stays down.
@@ -139,12 +139,12 @@
 	}
 	w.serverCompleted(int32(s), server.Start(w.now))
 	w.dropConnections(s)
-	w.discovery.serverChanged(w, s, piernotch.Ready, w.day.Discovery.AddDelay)
+	w.discovery.serverChanged(w, s, piernotch.Ready, w.realization.Discovery.AddDelay)
 }
 
 // scheduleJoin adds a new machine, like another one of the scenario's first, that starts later.
 func (w *World) scheduleJoin(like, number int, at time.Duration) {
-	s, err := w.addServer(w.day.Like(like, number))
+	s, err := w.addServer(w.realization.Like(like, number))
 	if err != nil {
 		w.err = err
 		return
--- a/internal/lab/simulation/health_checks.go
+++ b/internal/lab/simulation/health_checks.go
@@ -9,17 +9,17 @@
 
 // startHealthCheck sends a health check on its way to a server.
 func (w *World) startHealthCheck(action *Action) {
-	s, ok := w.serverByID[action.Backend]
+	s, ok := w.serverByID[action.Server]
 	if !ok {
-		w.err = fmt.Errorf("balancer %d %w: %d", action.Instance, errUnknownServer, action.Backend)
+		w.err = fmt.Errorf("balancer %d %w: %d", action.Balancer, errUnknownServer, action.Server)
 		return
 	}
-	instance := &w.instances[action.Instance]
+	balancer := &w.balancers[action.Balancer]
 	w.lastHealthCheck++
 	check := w.healthChecks.Put(w.lastHealthCheck)
-	key := mix(uint64(action.Instance)<<40 ^ uint64(w.now))
-	*check = healthCheck{instance: int32(action.Instance), server: s, epoch: instance.epoch, sentAt: w.now}
-	check.delay = w.networkDelay(w.day.Delay[instance.zone][w.servers[s].spec.Zone], key, concernDelay)
+	key := mix(uint64(action.Balancer)<<40 ^ uint64(w.now))
+	*check = healthCheck{balancer: int32(action.Balancer), server: s, epoch: balancer.epoch, sentAt: w.now}
+	check.delay = w.networkDelay(w.realization.Delay[balancer.zone][w.servers[s].spec.Zone], key, concernDelay)
 	w.counters.HealthChecks++
 	w.events.plan(w.now+check.delay, priorityMessage, eventHealthCheckArrives, w.lastHealthCheck, 0)
 }
@@ -37,7 +37,7 @@
 		check.status = piernotch.Full
 	case servermodel.Silent:
 		check.status = piernotch.Timeout
-		back = check.sentAt + w.day.Rules.HealthCheckTimeout
+		back = check.sentAt + w.realization.Rules.HealthCheckTimeout
 	default:
 		check.status = piernotch.ConnectFailed
 	}
@@ -47,9 +47,9 @@
 // healthCheckCompletes brings a result to the balancer, if the process that asked still runs.
 func (w *World) healthCheckCompletes(id uint64) {
 	check := w.healthChecks.Get(id)
-	if instance := &w.instances[check.instance]; instance.up && instance.epoch == check.epoch {
-		w.notify(int(check.instance), Event{
-			Kind: EventHealthCheckCompleted, Backend: w.servers[check.server].id, Status: check.status,
+	if balancer := &w.balancers[check.balancer]; balancer.up && balancer.epoch == check.epoch {
+		w.notify(int(check.balancer), Event{
+			Kind: EventHealthCheckCompleted, Server: w.servers[check.server].id, Status: check.status,
 			Latency: w.now - check.sentAt, Load: check.load, HasLoad: check.hasLoad,
 		})
 	}
--- a/internal/lab/simulation/in_process.go
+++ b/internal/lab/simulation/in_process.go
@@ -10,7 +10,7 @@
 
 // InProcess hosts instances of the decision module that this program was built with.
 type InProcess struct {
-	instances []*piernotch.Balancer // nil: not running
+	balancers []*piernotch.Balancer // nil: not running
 	actions   []Action
 	now       time.Duration
 	current   int // instance whose event is being handled
@@ -32,14 +32,14 @@
 	}()
 	for i := range events {
 		e := &events[i]
-		p.current = e.Instance
+		p.current = e.Balancer
 		if e.Kind == EventStart {
 			if err := p.start(e); err != nil {
 				return nil, err
 			}
 			continue
 		}
-		if balancer := p.instances[e.Instance]; balancer != nil {
+		if balancer := p.balancers[e.Balancer]; balancer != nil {
 			p.dispatch(balancer, e)
 		}
 	}
@@ -47,14 +47,14 @@
 }
 
 func (p *InProcess) start(e *Event) error {
-	for len(p.instances) <= e.Instance {
-		p.instances = append(p.instances, nil)
+	for len(p.balancers) <= e.Balancer {
+		p.balancers = append(p.balancers, nil)
 	}
-	balancer, err := piernotch.New(*e.Settings, e.Seed, inProcessHost{p, e.Instance})
+	balancer, err := piernotch.New(*e.Settings, e.Seed, inProcessHost{p, e.Balancer})
 	if err != nil {
-		return fmt.Errorf("balancer %d: %w", e.Instance, err)
+		return fmt.Errorf("balancer %d: %w", e.Balancer, err)
 	}
-	p.instances[e.Instance] = balancer
+	p.balancers[e.Balancer] = balancer
 	return nil
 }
 
@@ -62,11 +62,11 @@
 func (p *InProcess) dispatch(b *piernotch.Balancer, e *Event) {
 	if e.HasLoad {
 		load := piernotch.LoadReport{Inflight: e.Load.Inflight, CompletedPerSecond: e.Load.PerSec}
-		b.LoadReported(p.now, e.loadBackend(), load)
+		b.LoadReported(p.now, e.loadServer(), load)
 	}
 	switch e.Kind {
 	case EventStop:
-		p.instances[e.Instance] = nil
+		p.balancers[e.Balancer] = nil
 	case EventRequest:
 		b.HandleRequest(p.now, e.Request)
 	case EventClientGone:
@@ -74,7 +74,7 @@
 	case EventAttemptCompleted:
 		b.HandleOutcome(p.now, e.Outcome)
 	case EventHealthCheckCompleted:
-		b.HealthCheckCompleted(p.now, e.Backend, e.Status)
+		b.HealthCheckCompleted(p.now, e.Server, e.Status)
 	case EventEndpointList:
 		b.UpdateEndpoints(p.now, e.ListKind, e.Entries)
 	case EventTimer:
@@ -85,16 +85,16 @@
 // inProcessHost is the piernotch.Host of one instance: it collects the instance's actions.
 type inProcessHost struct {
 	tier     *InProcess
-	instance int
+	balancer int
 }
 
 func (h inProcessHost) add(a Action) {
-	a.Instance = h.instance
+	a.Balancer = h.balancer
 	h.tier.actions = append(h.tier.actions, a)
 }
 
-func (h inProcessHost) StartAttempt(id piernotch.RequestID, to piernotch.BackendID, timeout time.Duration) {
-	h.add(Action{Kind: ActionStartAttempt, ID: id, Backend: to, Delay: timeout})
+func (h inProcessHost) StartAttempt(id piernotch.RequestID, to piernotch.ServerID, timeout time.Duration) {
+	h.add(Action{Kind: ActionStartAttempt, ID: id, Server: to, Delay: timeout})
 }
 
 func (h inProcessHost) CancelAttempt(id piernotch.RequestID, attempt int) {
@@ -109,8 +109,8 @@
 	h.add(Action{Kind: ActionFail, ID: id})
 }
 
-func (h inProcessHost) HealthCheck(b piernotch.BackendID) {
-	h.add(Action{Kind: ActionHealthCheck, Backend: b})
+func (h inProcessHost) HealthCheck(b piernotch.ServerID) {
+	h.add(Action{Kind: ActionHealthCheck, Server: b})
 }
 
 func (h inProcessHost) WatchEndpoints() {
--- a/internal/lab/simulation/invariants_test.go
+++ b/internal/lab/simulation/invariants_test.go
@@ -79,7 +79,7 @@
 		out := append([]Action(nil), actions...)
 		for _, a := range actions {
 			if a.Kind == ActionStartAttempt && a.ID%40 == 0 {
-				out = append(out, Action{Kind: ActionReject, Instance: a.Instance, ID: a.ID})
+				out = append(out, Action{Kind: ActionReject, Balancer: a.Balancer, ID: a.ID})
 			}
 		}
 		return out
@@ -89,20 +89,20 @@
 
 func TestCheckerDetectsAttemptToDrainingServer(t *testing.T) {
 	// It goes on sending to the first server that it was notified to drain.
-	first := map[int]piernotch.BackendID{}
+	first := map[int]piernotch.ServerID{}
 	r := runFaultyTier(t, 1, func(_ time.Duration, events []Event, actions []Action) []Action {
 		for _, e := range events {
 			if e.Kind == EventEndpointList && e.ListKind == piernotch.UpdateDelta {
 				for _, en := range e.Entries {
-					if _, ok := first[e.Instance]; !ok && en.State == piernotch.Draining {
-						first[e.Instance] = en.ID
+					if _, ok := first[e.Balancer]; !ok && en.State == piernotch.Draining {
+						first[e.Balancer] = en.ID
 					}
 				}
 			}
 		}
 		for i := range actions {
-			if to, ok := first[actions[i].Instance]; ok && actions[i].Kind == ActionStartAttempt && actions[i].ID%10 == 0 {
-				actions[i].Backend = to
+			if to, ok := first[actions[i].Balancer]; ok && actions[i].Kind == ActionStartAttempt && actions[i].ID%10 == 0 {
+				actions[i].Server = to
 			}
 		}
 		return actions
@@ -141,7 +141,7 @@
 				done[a.ID]++
 				// Rejected at once, unsent; and sent all the same one turn later.
 				late = append(late, a)
-				out = append(out[:0:0], Action{Kind: ActionReject, Instance: a.Instance, ID: a.ID})
+				out = append(out[:0:0], Action{Kind: ActionReject, Balancer: a.Balancer, ID: a.ID})
 				for _, b := range actions {
 					if b.ID != a.ID || b.Kind == ActionSetTimer {
 						out = append(out, b)
@@ -156,19 +156,19 @@
 
 func TestCheckerDetectsCollapseInSlowStart(t *testing.T) {
 	// All attempts go to the server that started last.
-	newest := map[int]piernotch.BackendID{}
+	newest := map[int]piernotch.ServerID{}
 	startedAt := map[int]time.Duration{}
 	r := runFaultyTier(t, 2, func(_ time.Duration, events []Event, actions []Action) []Action {
 		for _, e := range events {
 			for _, en := range e.Entries {
-				if e.Kind == EventEndpointList && en.State == piernotch.Ready && en.StartedAt > startedAt[e.Instance] {
-					newest[e.Instance], startedAt[e.Instance] = en.ID, en.StartedAt
+				if e.Kind == EventEndpointList && en.State == piernotch.Ready && en.StartedAt > startedAt[e.Balancer] {
+					newest[e.Balancer], startedAt[e.Balancer] = en.ID, en.StartedAt
 				}
 			}
 		}
 		for i := range actions {
-			if to, ok := newest[actions[i].Instance]; ok && actions[i].Kind == ActionStartAttempt {
-				actions[i].Backend = to
+			if to, ok := newest[actions[i].Balancer]; ok && actions[i].Kind == ActionStartAttempt {
+				actions[i].Server = to
 			}
 		}
 		return actions
@@ -191,7 +191,7 @@
 	require.NoError(t, err)
 	w, err := New(d, faultyTier{NewInProcess(), func(_ time.Duration, _ []Event, a []Action) []Action {
 		for i := range a {
-			a[i].Backend++
+			a[i].Server++
 		}
 		return a
 	}})
--- a/internal/lab/simulation/random.go
+++ b/internal/lab/simulation/random.go
@@ -30,12 +30,12 @@
 
 // randFor returns the random numbers of one concern of a key. They are valid until the next call.
 func (w *World) randFor(key, concern uint64) *rand.Rand {
-	w.pcg.Seed(key, concern^w.day.Seed)
+	w.pcg.Seed(key, concern^w.realization.Seed)
 	return w.hashedRand
 }
 
 // networkDelay is a message's time on the way, in whole microseconds.
 func (w *World) networkDelay(base time.Duration, key, concern uint64) time.Duration {
-	d := float64(base) * (1 + w.day.Jitter*w.randFor(key, concern).Float64())
+	d := float64(base) * (1 + w.realization.Jitter*w.randFor(key, concern).Float64())
 	return time.Duration(d) / time.Microsecond * time.Microsecond
 }
--- a/internal/lab/simulation/records.go
+++ b/internal/lab/simulation/records.go
@@ -35,7 +35,7 @@
 // request is one sending of a client's request, as a balancer sees it.
 type request struct {
 	client             uint64 // ID of the clientRequest
-	instance           int32  // of the balancer; -1: none could be reached
+	balancer           int32  // of the balancer; -1: none could be reached
 	retry              int8   // number of the sending, from 0
 	attempts           int8   // started so far
 	inflight           int8   // of them, not completed yet
@@ -56,7 +56,7 @@
 type attempt struct {
 	request       uint64
 	randomKey     uint64
-	instance      int32
+	balancer      int32
 	server        int32
 	epoch         uint32 // of the instance
 	number        int8   // from 0, for each request
@@ -77,7 +77,7 @@
 
 // healthCheck is one health check on its way to a server and back.
 type healthCheck struct {
-	instance, server int32
+	balancer, server int32
 	epoch            uint32 // of the instance
 	status           piernotch.Status
 	sentAt           time.Duration
@@ -100,8 +100,8 @@
 	return int(idle)
 }
 
-// balancerInstance is one balancer and the process that it runs in.
-type balancerInstance struct {
+// balancerState is one balancer and the process that it runs in.
+type balancerState struct {
 	zone        int
 	up          bool
 	admitted    bool   // clients are sent here
@@ -116,11 +116,11 @@
 	pollFailed  bool
 }
 
-// serverInstance is one server and what the world knows of it beyond its model.
-type serverInstance struct {
+// serverState is one server and what the world knows of it beyond its model.
+type serverState struct {
 	*servermodel.Server
 	spec           scenario.Server
-	id             piernotch.BackendID
+	id             piernotch.ServerID
 	nextAdvance    time.Duration // when its next Advance is planned
 	connections    int           // open, from all balancers
 	slowFactor     float64       // product of the slow faults in force
--- a/internal/lab/simulation/result.go
+++ b/internal/lab/simulation/result.go
@@ -104,7 +104,7 @@
 	c.advance(w.now)
 	parts := goodput.Parts()
 	r := &Result{
-		Seed: w.day.Seed, Requests: goodput.Requests, Tries: c.Requests, Attempts: c.Attempts, Events: c.Events, Digest: c.digest,
+		Seed: w.realization.Seed, Requests: goodput.Requests, Tries: c.Requests, Attempts: c.Attempts, Events: c.Events, Digest: c.digest,
 		Falls: c.Collapses, Whole: parts.Whole, WorstWindow: parts.WorstWindow, WorstClass: parts.WorstClass, Classes: parts.Classes,
 		WallS: wall.Seconds(), ModuleS: c.ModuleTime.Seconds(), Seconds: goodput.Seconds, Servers: c.tracks,
 		Handshakes: c.Opened, ListFailed: c.ListFailed, Ended: map[string]int{},
@@ -114,7 +114,7 @@
 	}
 	w.resultOfRules(r)
 	w.resultOfRates(r)
-	score := &w.day.Score
+	score := &w.realization.Score
 	r.Deducted = score.Waste*r.WasteRate + score.LateFail*parts.LateFail + score.CrossZone*r.CrossRate +
 		score.HealthChecks*r.ProbeRate + score.Overloaded*r.ChokedShare
 	r.Service = parts.Service(*score, r.Deducted)
--- a/internal/lab/simulation/tier.go
+++ b/internal/lab/simulation/tier.go
@@ -26,14 +26,14 @@
 // names the kinds, without their prefix, that set it.
 type Event struct {
 	Kind         EventKind
-	Instance     int
+	Balancer     int
 	Seed         uint64                 // Start
 	Settings     *piernotch.Settings    // Start
 	Request      piernotch.Request      // Request
 	Retry        bool                   // Request: where clients mark retries
 	ID           piernotch.RequestID    // ClientGone
 	Outcome      piernotch.Outcome      // AttemptCompleted
-	Backend      piernotch.BackendID    // HealthCheckCompleted
+	Server       piernotch.ServerID     // HealthCheckCompleted
 	Status       piernotch.Status       // HealthCheckCompleted
 	Latency      time.Duration          // HealthCheckCompleted
 	Load         servermodel.LoadReport // AttemptCompleted, HealthCheckCompleted: with HasLoad
@@ -45,12 +45,12 @@
 	Token        uint32               // Timer
 }
 
-// loadBackend is the backend that a load report is of.
-func (e *Event) loadBackend() piernotch.BackendID {
+// loadServer is the server that a load report is of.
+func (e *Event) loadServer() piernotch.ServerID {
 	if e.Kind == EventAttemptCompleted {
-		return e.Outcome.Backend
+		return e.Outcome.Server
 	}
-	return e.Backend
+	return e.Server
 }
 
 // ActionKind is the kind of an Action.
@@ -72,9 +72,9 @@
 // Action is one output of a balancer. Which fields are set depends on the kind.
 type Action struct {
 	Kind     ActionKind
-	Instance int
+	Balancer int
 	ID       piernotch.RequestID
-	Backend  piernotch.BackendID
+	Server   piernotch.ServerID
 	Attempt  int
 	Delay    time.Duration // StartAttempt: timeout, Reject: Retry-After, SetTimer: delay
 	Token    uint32
--- a/internal/lab/simulation/trace_overload_test.go
+++ b/internal/lab/simulation/trace_overload_test.go
@@ -15,7 +15,7 @@
 // roundRobinTier sends each request at once to the next ready server of the list, whatever its load,
 // and waits for it until the deadline.
 type roundRobinTier struct {
-	ready   [][]piernotch.BackendID
+	ready   [][]piernotch.ServerID
 	next    []int
 	actions []Action
 }
@@ -26,13 +26,13 @@
 	h.actions = h.actions[:0]
 	do := func(a Action) { h.actions = append(h.actions, a) }
 	for _, e := range events {
-		for len(h.ready) <= e.Instance {
+		for len(h.ready) <= e.Balancer {
 			h.ready, h.next = append(h.ready, nil), append(h.next, 0)
 		}
-		list := &h.ready[e.Instance]
+		list := &h.ready[e.Balancer]
 		switch e.Kind {
 		case EventStart:
-			do(Action{Kind: ActionWatchEndpoints, Instance: e.Instance})
+			do(Action{Kind: ActionWatchEndpoints, Balancer: e.Balancer})
 		case EventEndpointList:
 			for _, en := range e.Entries {
 				others := (*list)[:0]
@@ -46,11 +46,11 @@
 				}
 			}
 		case EventRequest:
-			h.next[e.Instance]++
-			do(Action{Kind: ActionStartAttempt, Instance: e.Instance, ID: e.Request.ID, Backend: (*list)[h.next[e.Instance]%len(*list)]})
+			h.next[e.Balancer]++
+			do(Action{Kind: ActionStartAttempt, Balancer: e.Balancer, ID: e.Request.ID, Server: (*list)[h.next[e.Balancer]%len(*list)]})
 		case EventAttemptCompleted:
 			if !e.Outcome.Closed {
-				do(Action{Kind: ActionFail, Instance: e.Instance, ID: e.Outcome.ID})
+				do(Action{Kind: ActionFail, Balancer: e.Balancer, ID: e.Outcome.ID})
 			}
 		}
 	}
--- a/internal/lab/simulation/traffic.go
+++ b/internal/lab/simulation/traffic.go
@@ -26,11 +26,13 @@
 }
 
 // segment is the length over which bursty traffic keeps a level.
-func segment(d *scenario.Instance) time.Duration { return max(d.Traffic.Period/4, 10*time.Millisecond) }
+func segment(d *scenario.Realization) time.Duration {
+	return max(d.Traffic.Period/4, 10*time.Millisecond)
+}
 
 // init draws the shape of the traffic, or reads the recording.
 func (t *traffic) init(w *World) error {
-	d := w.day
+	d := w.realization
 	t.arrivals, t.keys = scenario.Stream(d.Seed, "arrivals"), scenario.Stream(d.Seed, "keys")
 	t.hints, t.tails = scenario.Stream(d.Seed, "hints"), scenario.Stream(d.Seed, "heavy")
 	if d.Traffic.Trace != "" {
@@ -63,7 +65,7 @@
 
 // rate is the rate of requests at a time, per second.
 func (t *traffic) rate(w *World, at time.Duration) float64 {
-	d := w.day
+	d := w.realization
 	r := d.Traffic.RequestsPerSecond
 	switch d.Traffic.Shape {
 	case "waves":
@@ -100,7 +102,7 @@
 func (t *traffic) planNext(w *World) {
 	if t.replay {
 		if len(t.records) > 0 {
-			if at := t.records[0].At / time.Microsecond * time.Microsecond; at < w.day.Length {
+			if at := t.records[0].At / time.Microsecond * time.Microsecond; at < w.realization.Length {
 				w.events.plan(max(at, w.now), priorityArrival, eventNextClient, 0, 0)
 			}
 		}
@@ -113,7 +115,7 @@
 	// share that the present rate is of it (Lewis and Shedler 1979).
 	for at := w.now; ; {
 		at += time.Duration(t.arrivals.ExpFloat64() / t.maxRate * float64(time.Second))
-		if at >= w.day.Length {
+		if at >= w.realization.Length {
 			return
 		}
 		if t.arrivals.Float64()*t.maxRate < t.rate(w, at) {
@@ -135,7 +137,7 @@
 
 // drawRequest draws what a client wants.
 func (t *traffic) drawRequest(w *World, client *clientRequest) {
-	d := w.day
+	d := w.realization
 	*client = clientRequest{randomKey: mix(d.Seed ^ w.lastClientRequest*0x9e3779b97f4a7c15), firstSent: w.now, costHint: math.NaN()}
 	if t.replay {
 		t.takeRecorded(w, client)
@@ -163,8 +165,8 @@
 }
 
 // Arrivals draws all requests of a scenario ahead: the same that a World plays.
-func Arrivals(day *scenario.Instance) ([]Arrival, error) {
-	w := &World{day: day}
+func Arrivals(realization *scenario.Realization) ([]Arrival, error) {
+	w := &World{realization: realization}
 	if err := w.traffic.init(w); err != nil {
 		return nil, err
 	}
@@ -187,7 +189,7 @@
 
 // drawFromScenario draws class, zone, work, key and cost hint.
 func (t *traffic) drawFromScenario(w *World, client *clientRequest) {
-	d := w.day
+	d := w.realization
 	u := t.arrivals.Float64()
 	for client.class = 0; client.class < len(d.Classes)-1 && u >= d.Classes[client.class].Share; client.class++ {
 		u -= d.Classes[client.class].Share
@@ -212,7 +214,7 @@
 }
 
 // drawHint is the cost hint of a request, ms; NaN: none.
-func (t *traffic) drawHint(d *scenario.Instance, work float64) float64 {
+func (t *traffic) drawHint(d *scenario.Realization, work float64) float64 {
 	sigma := math.Sqrt(math.Log1p(d.Traffic.HintCV * d.Traffic.HintCV))
 	noise := math.Exp(sigma*t.hints.NormFloat64() - sigma*sigma/2)
 	switch d.Traffic.Hints {
--- a/internal/lab/simulation/traffic_trace.go
+++ b/internal/lab/simulation/traffic_trace.go
@@ -13,7 +13,7 @@
 
 // loadTrace reads a recording, whose records stand in the order in which requests ended. The error is
 // of a file that cannot be read, or of a class that the scenario lacks.
-func (t *traffic) loadTrace(d *scenario.Instance) error {
+func (t *traffic) loadTrace(d *scenario.Realization) error {
 	r, err := trace.Open(d.Traffic.Trace)
 	if err != nil {
 		return err
@@ -47,16 +47,16 @@
 	r := t.records[0]
 	t.records = t.records[1:]
 	client.class = t.classOf[t.head.Classes[r.Class]]
-	client.zone = int(client.randomKey>>8) % len(w.day.Zones)
+	client.zone = int(client.randomKey>>8) % len(w.realization.Zones)
 	if z := t.head.Zone; z != "" {
-		for i, name := range w.day.Zones {
+		for i, name := range w.realization.Zones {
 			if name == z {
 				client.zone = i
 			}
 		}
 	}
 	client.key = r.Key
-	client.work = w.day.Classes[client.class].Work.Rand()
+	client.work = w.realization.Classes[client.class].Work.Rand()
 	if r.CostHint > 0 {
 		client.work, client.costHint = r.CostHint, r.CostHint
 	}
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -21,12 +21,12 @@
 
 // World plays one drawn scenario. It is for one goroutine and one call of Run.
 type World struct {
-	day    *scenario.Instance
-	tier   Tier
-	events eventQueue
-	now    time.Duration
-	stop   bool
-	err    error // ends the run
+	realization *scenario.Realization
+	tier        Tier
+	events      eventQueue
+	now         time.Duration
+	stop        bool
+	err         error // ends the run
 
 	clientRequests    idtable.Table[clientRequest]
 	requests          idtable.Table[request]
@@ -37,10 +37,10 @@
 	lastAttempt       uint64
 	lastHealthCheck   uint64
 
-	instances      []balancerInstance
+	balancers      []balancerState
 	admittedByZone [][]int // instances that clients are sent to
-	servers        []serverInstance
-	serverByID     map[piernotch.BackendID]int32
+	servers        []serverState
+	serverByID     map[piernotch.ServerID]int32
 	discovery      discovery
 	traffic        traffic
 
@@ -62,28 +62,28 @@
 
 // New returns the World of a drawn scenario, with all of its servers and faults. The caller closes
 // the tier. The error is of a kind of machine that cannot be, or of a trace that cannot be read.
-func New(day *scenario.Instance, tier Tier) (*World, error) {
-	w := &World{day: day, tier: tier, serverByID: map[piernotch.BackendID]int32{}, nextTurn: never, lastTurn: -1}
+func New(realization *scenario.Realization, tier Tier) (*World, error) {
+	w := &World{realization: realization, tier: tier, serverByID: map[piernotch.ServerID]int32{}, nextTurn: never, lastTurn: -1}
 	w.hashedRand = rand.New(&w.pcg)
-	for i := range day.Servers {
-		if _, err := w.addServer(day.Servers[i]); err != nil {
+	for i := range realization.Servers {
+		if _, err := w.addServer(realization.Servers[i]); err != nil {
 			return nil, err
 		}
 	}
 	w.checker = invariants.New(w.limits())
-	w.counters.init(day)
-	w.instances = make([]balancerInstance, len(day.Balancers))
-	w.admittedByZone = make([][]int, len(day.Zones))
-	for i, b := range day.Balancers {
-		w.instances[i].zone = b.Zone
+	w.counters.init(realization)
+	w.balancers = make([]balancerState, len(realization.Balancers))
+	w.admittedByZone = make([][]int, len(realization.Zones))
+	for i, b := range realization.Balancers {
+		w.balancers[i].zone = b.Zone
 	}
 	w.discovery.init(w)
 	if err := w.traffic.init(w); err != nil {
 		return nil, err
 	}
 	w.scheduleFaults()
-	for i, b := range day.Balancers {
-		w.schedule(b.Start, func() { w.startInstance(i, true) })
+	for i, b := range realization.Balancers {
+		w.schedule(b.Start, func() { w.startBalancer(i, true) })
 	}
 	w.traffic.planNext(w)
 	w.events.plan(time.Second, prioritySample, eventEachSecond, 0, 0)
@@ -93,9 +93,9 @@
 // limits is what the invariants are measured by. An answer may be late by a tick more than on
 // sockets, since balancers decide at ticks only.
 func (w *World) limits() invariants.Limits {
-	rules, limits := &w.day.Rules, &w.day.Settings.Limits
+	rules, limits := &w.realization.Rules, &w.realization.Settings.Limits
 	out := invariants.Limits{
-		Slack:          rules.ResponseSlack + w.day.Tick,
+		Slack:          rules.ResponseSlack + w.realization.Tick,
 		Grace:          rules.DrainGrace,
 		CollapseWindow: rules.Collapse.For,
 		MaxAttempts:    limits.MaxAttempts,
@@ -103,7 +103,7 @@
 		Zone:           func(i int) int { return w.servers[i].spec.Zone },
 		Cell:           func(i int) int { return w.servers[i].spec.Cell },
 	}
-	for _, c := range w.day.Classes {
+	for _, c := range w.realization.Classes {
 		out.Classes = append(out.Classes, c.Class)
 	}
 	return out
@@ -118,20 +118,20 @@
 // addServer adds a server and returns its index.
 func (w *World) addServer(spec scenario.Server) (int, error) {
 	n := len(w.servers)
-	s, err := servermodel.New(spec.Kind, mix(w.day.Seed^mix(uint64(n)+0x5e)), 0)
+	s, err := servermodel.New(spec.Kind, mix(w.realization.Seed^mix(uint64(n)+0x5e)), 0)
 	if err != nil {
 		return 0, err
 	}
-	id := w.newBackendID(n)
+	id := w.newServerID(n)
 	w.serverByID[id] = int32(n)
-	w.servers = append(w.servers, serverInstance{Server: s, spec: spec, id: id, nextAdvance: servermodel.Never, slowFactor: 1})
+	w.servers = append(w.servers, serverState{Server: s, spec: spec, id: id, nextAdvance: servermodel.Never, slowFactor: 1})
 	return n, nil
 }
 
-// newBackendID returns the ID of server n: one that reveals nothing, and is the same at every
+// newServerID returns the ID of server n: one that reveals nothing, and is the same at every
 // balancer.
-func (w *World) newBackendID(n int) piernotch.BackendID {
-	id := piernotch.BackendID(mix(w.day.Seed ^ mix(uint64(n)+0x1d)))
+func (w *World) newServerID(n int) piernotch.ServerID {
+	id := piernotch.ServerID(mix(w.realization.Seed ^ mix(uint64(n)+0x1d)))
 	for {
 		if _, taken := w.serverByID[id]; !taken && id != 0 {
 			return id
@@ -153,7 +153,7 @@
 		w.counters.Events++
 		w.handle(&e)
 		if w.err != nil {
-			return nil, fmt.Errorf("seed %d, %.3f s: %w", w.day.Seed, w.now.Seconds(), w.err)
+			return nil, fmt.Errorf("seed %d, %.3f s: %w", w.realization.Seed, w.now.Seconds(), w.err)
 		}
 	}
 	w.checker.CheckOverdue(w.now + time.Second)
@@ -216,7 +216,7 @@
 	w.discovery.notifyImplied(w)
 	w.counters.sample(w)
 	idle := w.clientRequests.Len() == 0
-	if w.now >= w.day.Length && (idle || w.now > w.day.Length+drainAfter) {
+	if w.now >= w.realization.Length && (idle || w.now > w.realization.Length+drainAfter) {
 		w.stop = true
 		return
 	}
--- a/internal/serve/admin/api.go
+++ b/internal/serve/admin/api.go
@@ -19,7 +19,7 @@
 	"/api/rejoin":   overrides.Rejoin,
 }
 
-// maxNameLength is the longest name of a backend, in bytes.
+// maxNameLength is the longest name of a server, in bytes.
 const maxNameLength = 256
 
 // serve answers a call, or has it executed.
--- a/internal/serve/admin/connection.go
+++ b/internal/serve/admin/connection.go
@@ -14,7 +14,7 @@
 	server      *Server
 	conn        *eventloop.Conn
 	parser      *http1.Parser
-	operation   string        // path and backend of the call, for the log
+	operation   string        // path and server of the call, for the log
 	since       time.Duration // when it was accepted; once it is answered, when that was
 	call        uint64        // being executed, or last executed; 0: none so far
 	answered    bool
--- a/internal/serve/admin/server.go
+++ b/internal/serve/admin/server.go
@@ -36,7 +36,7 @@
 // It must be used from the event loop's goroutine and not be copied while in use.
 type Server struct {
 	// Execute carries out an action. Complete must follow with the same call, at once or later. server
-	// is the name of a backend, or empty if the action concerns none.
+	// is the name of a server, or empty if the action concerns none.
 	Execute func(call uint64, action overrides.Action, server string)
 	// Ready reports whether this process can serve clients.
 	Ready func() bool
--- a/internal/serve/core/admin.go
+++ b/internal/serve/core/admin.go
@@ -28,7 +28,7 @@
 func (c *Core) handleAdminCommand(ev AdminCommand) {
 	changed, err := c.overrides.Apply(overrides.Command{
 		At: c.now, Process: c.processID, Action: ev.Action,
-		Server: ev.Server, Listed: c.backendsByName[ev.Server] != nil,
+		Server: ev.Server, Listed: c.serversByName[ev.Server] != nil,
 	})
 	if changed {
 		slog.Info("admin command", "action", ev.Action, "server", ev.Server)
@@ -58,10 +58,10 @@
 	}
 }
 
-// applyOverride has the module follow the override of a backend. If it is not listed, that happens
+// applyOverride has the module follow the override of a server. If it is not listed, that happens
 // when it is listed again.
 func (c *Core) applyOverride(name string) {
-	b := c.backendsByName[name]
+	b := c.serversByName[name]
 	if b == nil {
 		return
 	}
--- a/internal/serve/core/attempts.go
+++ b/internal/serve/core/attempts.go
@@ -8,9 +8,9 @@
 	"piernotch/internal/wheel"
 )
 
-// attempt is one attempt to have a request served by a backend.
+// attempt is one attempt to have a request served by a server.
 type attempt struct {
-	backend   *backend
+	server    *server
 	startedAt time.Duration
 	written   bool // it was sent, in part at least: it may have run
 	completed bool
@@ -32,9 +32,9 @@
 
 // startAttempt starts the next attempt of a request. If the request is closed or has had all its
 // attempts, the attempt completes as not sent. A timeout of 0 means the request's deadline.
-func (c *Core) startAttempt(r *request, b *backend, timeout time.Duration) {
+func (c *Core) startAttempt(r *request, b *server, timeout time.Duration) {
 	n := len(r.attempts)
-	a := &attempt{backend: b, startedAt: c.now}
+	a := &attempt{server: b, startedAt: c.now}
 	r.attempts = append(r.attempts, a)
 	r.inflight++
 	if r.closed || n >= c.settings.Limits.MaxAttempts {
@@ -54,7 +54,7 @@
 }
 
 // handleAttemptConnected has an attempt written if that is still allowed: one that waited for its
-// connection must not be sent to a backend that is draining by now, nor retry a request outside of
+// connection must not be sent to a server that is draining by now, nor retry a request outside of
 // its deduplication window.
 func (c *Core) handleAttemptConnected(ev AttemptConnected) {
 	ref := ev.Ref
@@ -67,7 +67,7 @@
 		return
 	}
 	if c.debug {
-		slog.Debug("attempt written", "id", r.clientID, "attempt", ref.Attempt, "server", a.backend.name,
+		slog.Debug("attempt written", "id", r.clientID, "attempt", ref.Attempt, "server", a.server.name,
 			"elapsed_ms", (c.now - a.startedAt).Milliseconds())
 	}
 	a.written = true
@@ -112,7 +112,7 @@
 	a.timer.Stop()
 	r.inflight--
 	if c.debug {
-		slog.Debug("attempt completed", "id", r.clientID, "attempt", n, "server", a.backend.name, "status", status,
+		slog.Debug("attempt completed", "id", r.clientID, "attempt", n, "server", a.server.name, "status", status,
 			"written", a.written, "elapsed_ms", (c.now - a.startedAt).Milliseconds())
 	}
 	c.Counts.countAttempt(status)
@@ -123,7 +123,7 @@
 		c.respond(r, Respond{Result: Served, Answer: answer})
 	}
 	c.balancer.HandleOutcome(c.now, piernotch.Outcome{
-		ID: r.id, Attempt: n, Backend: a.backend.id, Status: status, Latency: c.now - a.startedAt, Closed: r.closed,
+		ID: r.id, Attempt: n, Server: a.server.id, Status: status, Latency: c.now - a.startedAt, Closed: r.closed,
 	})
 	c.release(r)
 }
--- a/internal/serve/core/attempts_test.go
+++ b/internal/serve/core/attempts_test.go
@@ -11,8 +11,8 @@
 	"piernotch/internal/serve/overrides"
 )
 
-// An attempt that waited for its connection while its backend began to drain must not be sent.
-func TestAttemptIsNotWrittenToDrainingBackend(t *testing.T) {
+// An attempt that waited for its connection while its server began to drain must not be sent.
+func TestAttemptIsNotWrittenToDrainingServer(t *testing.T) {
 	c := newCore(t)
 	attempt := receive(c, 1)[0].(StartAttempt)
 	c.Handle(start, EndpointUpdate{
@@ -24,14 +24,14 @@
 	require.Contains(t, effects, Respond{Exchange: 1, Result: Rejected}, "it is known that it never ran")
 }
 
-// An attempt that waited for its connection while its backend was excluded must not be sent. The
+// An attempt that waited for its connection while its server was excluded must not be sent. The
 // command is answered after the overrides were persisted.
-func TestAttemptIsNotWrittenToExcludedBackend(t *testing.T) {
+func TestAttemptIsNotWrittenToExcludedServer(t *testing.T) {
 	c := newCore(t)
 	attempt := receive(c, 1)[0].(StartAttempt)
 	effects := c.Handle(start, AdminCommand{Call: 7, Action: overrides.Exclude, Server: "s-1"})
 	require.Equal(t, []Effect{
-		CloseIdle{Endpoint{attempt.To.Backend, "127.0.0.1:1"}}, PersistOverrides{}, AdminResult{Call: 7},
+		CloseIdle{Endpoint{attempt.To.Server, "127.0.0.1:1"}}, PersistOverrides{}, AdminResult{Call: 7},
 	}, effects)
 	effects = c.Handle(start, AttemptConnected{attempt.Ref})
 	require.Equal(t, CancelAttempt{attempt.Ref}, effects[0])
--- a/internal/serve/core/core.go
+++ b/internal/serve/core/core.go
@@ -27,11 +27,11 @@
 	exchanges     map[ExchangeID]*request          // without a response
 	openClientIDs map[string]struct{}              // clients' request IDs without a response
 
-	backends       map[piernotch.BackendID]*backend
-	backendsByName map[string]*backend
+	servers        map[piernotch.ServerID]*server
+	serversByName  map[string]*server
 	endpointsKnown bool
 	discovery      string // address
-	healthChecks   map[piernotch.BackendID]*wheel.Timer
+	healthChecks   map[piernotch.ServerID]*wheel.Timer
 
 	overrides overrides.Overrides
 	processID uint64 // of this process, in the overrides' timestamps
@@ -59,18 +59,18 @@
 // New returns a reducer without endpoints. An error means that the settings cannot be used.
 func New(options Options) (*Core, error) {
 	c := &Core{
-		settings:       options.Settings,
-		now:            options.Now,
-		timers:         wheel.New(TickInterval, options.Now),
-		requests:       map[piernotch.RequestID]*request{},
-		exchanges:      map[ExchangeID]*request{},
-		openClientIDs:  map[string]struct{}{},
-		backends:       map[piernotch.BackendID]*backend{},
-		backendsByName: map[string]*backend{},
-		discovery:      options.Discovery,
-		healthChecks:   map[piernotch.BackendID]*wheel.Timer{},
-		processID:      options.ProcessID,
-		routes:         routesOf(options.Settings.Classes),
+		settings:      options.Settings,
+		now:           options.Now,
+		timers:        wheel.New(TickInterval, options.Now),
+		requests:      map[piernotch.RequestID]*request{},
+		exchanges:     map[ExchangeID]*request{},
+		openClientIDs: map[string]struct{}{},
+		servers:       map[piernotch.ServerID]*server{},
+		serversByName: map[string]*server{},
+		discovery:     options.Discovery,
+		healthChecks:  map[piernotch.ServerID]*wheel.Timer{},
+		processID:     options.ProcessID,
+		routes:        routesOf(options.Settings.Classes),
 	}
 	balancer, err := piernotch.New(options.Settings, options.Seed, host{c})
 	if err != nil {
--- a/internal/serve/core/effects.go
+++ b/internal/serve/core/effects.go
@@ -32,7 +32,7 @@
 		RetryAfter time.Duration    // if Result is Rejected
 		Close      bool             // close the client's connection after the response
 	}
-	// HealthCheck sends a health check to a backend. HealthCheckCompleted reports its result.
+	// HealthCheck sends a health check to a server. HealthCheckCompleted reports its result.
 	HealthCheck struct{ To Endpoint }
 	// WatchDiscovery subscribes to endpoint updates.
 	WatchDiscovery struct{}
@@ -82,7 +82,7 @@
 
 // Results.
 const (
-	// Served means that a backend answered.
+	// Served means that a server answered.
 	Served Result = iota
 	// Rejected means that the request did not run; it is safe to send it again.
 	Rejected
--- a/internal/serve/core/endpoints.go
+++ b/internal/serve/core/endpoints.go
@@ -10,9 +10,9 @@
 	"piernotch"
 )
 
-// backend is an entry of the endpoint table.
-type backend struct {
-	id        piernotch.BackendID
+// server is an entry of the endpoint table.
+type server struct {
+	id        piernotch.ServerID
 	name      string
 	address   string
 	state     piernotch.State
@@ -21,15 +21,15 @@
 	listed    DiscoveredEndpoint // as discovery listed it last
 }
 
-func (b *backend) endpoint() Endpoint { return Endpoint{b.id, b.address} }
+func (b *server) endpoint() Endpoint { return Endpoint{b.id, b.address} }
 
 // EndpointsKnown reports whether a usable endpoint list has been received.
 func (c *Core) EndpointsKnown() bool { return c.endpointsKnown }
 
 // Endpoints returns all endpoints as discovery listed them last, sorted by name.
 func (c *Core) Endpoints() []DiscoveredEndpoint {
-	list := make([]DiscoveredEndpoint, 0, len(c.backendsByName))
-	for _, b := range c.backendsByName {
+	list := make([]DiscoveredEndpoint, 0, len(c.serversByName))
+	for _, b := range c.serversByName {
 		list = append(list, b.listed)
 	}
 	slices.SortFunc(list, func(a, b DiscoveredEndpoint) int { return cmp.Compare(a.Name, b.Name) })
@@ -47,7 +47,7 @@
 	listed := make(map[string]bool, len(ev.Endpoints))
 	for _, e := range ev.Endpoints {
 		listed[e.Name] = true
-		entries = append(entries, c.updateBackend(e))
+		entries = append(entries, c.updateServer(e))
 	}
 	if ev.Kind != piernotch.UpdateDelta {
 		c.markUnlistedGone(listed)
@@ -63,13 +63,13 @@
 	}
 }
 
-// updateBackend enters a listed endpoint into the table and returns it as the module takes it.
-func (c *Core) updateBackend(e DiscoveredEndpoint) piernotch.Endpoint {
-	b := c.backendsByName[e.Name]
+// updateServer enters a listed endpoint into the table and returns it as the module takes it.
+func (c *Core) updateServer(e DiscoveredEndpoint) piernotch.Endpoint {
+	b := c.serversByName[e.Name]
 	if b == nil {
-		b = c.addBackend(e.Name)
+		b = c.addServer(e.Name)
 	}
-	// Of a backend that has moved, has restarted or is draining, idle connections are of no use, and
+	// Of a server that has moved, has restarted or is draining, idle connections are of no use, and
 	// a machine that vanished never closes its own.
 	replaced := b.address != e.Address || b.startedAt != e.Endpoint.StartedAt
 	if b.address != "" && (replaced || e.Endpoint.State != piernotch.Ready) {
@@ -84,11 +84,11 @@
 	return entry
 }
 
-// addBackend adds a backend to the table, excluded if operators have excluded its name.
-func (c *Core) addBackend(name string) *backend {
-	b := &backend{id: c.newBackendID(name), name: name}
-	c.backendsByName[name] = b
-	c.backends[b.id] = b
+// addServer adds a server to the table, excluded if operators have excluded its name.
+func (c *Core) addServer(name string) *server {
+	b := &server{id: c.newServerID(name), name: name}
+	c.serversByName[name] = b
+	c.servers[b.id] = b
 	b.excluded = c.overrides.Excluded(name)
 	if b.excluded {
 		c.balancer.Exclude(c.now, b.id)
@@ -96,20 +96,20 @@
 	return b
 }
 
-// newBackendID derives an ID from the name alone, so that all balancers arrive at the same.
-func (c *Core) newBackendID(name string) piernotch.BackendID {
+// newServerID derives an ID from the name alone, so that all balancers arrive at the same.
+func (c *Core) newServerID(name string) piernotch.ServerID {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name))
-	id := piernotch.BackendID(h.Sum32())
-	for c.backends[id] != nil {
+	id := piernotch.ServerID(h.Sum32())
+	for c.servers[id] != nil {
 		id++
 	}
 	return id
 }
 
-// markUnlistedGone marks the backends that a complete list does not contain as gone.
+// markUnlistedGone marks the servers that a complete list does not contain as gone.
 func (c *Core) markUnlistedGone(listed map[string]bool) {
-	for name, b := range c.backendsByName {
+	for name, b := range c.serversByName {
 		if !listed[name] && b.state != piernotch.Gone {
 			b.state = piernotch.Gone
 			c.emit(CloseIdle{b.endpoint()})
@@ -117,25 +117,25 @@
 	}
 }
 
-// removeGone removes the backends that are gone from the table and returns them. Attempts in flight
+// removeGone removes the servers that are gone from the table and returns them. Attempts in flight
 // keep their reference.
-func (c *Core) removeGone() []*backend {
-	var gone []*backend
-	for name, b := range c.backendsByName {
+func (c *Core) removeGone() []*server {
+	var gone []*server
+	for name, b := range c.serversByName {
 		if b.state == piernotch.Gone {
-			delete(c.backendsByName, name)
-			delete(c.backends, b.id)
+			delete(c.serversByName, name)
+			delete(c.servers, b.id)
 			gone = append(gone, b)
 		}
 	}
 	return gone
 }
 
-// HealthCheckTimeout is how long a backend may take to answer a health check.
+// HealthCheckTimeout is how long a server may take to answer a health check.
 const HealthCheckTimeout = 500 * time.Millisecond
 
-// startHealthCheck checks a backend, unless a check of it is running.
-func (c *Core) startHealthCheck(b *backend) {
+// startHealthCheck checks a server, unless a check of it is running.
+func (c *Core) startHealthCheck(b *server) {
 	if c.healthChecks[b.id] != nil {
 		return
 	}
@@ -148,19 +148,19 @@
 }
 
 func (c *Core) handleHealthCheckCompleted(ev HealthCheckCompleted) {
-	timer := c.healthChecks[ev.Backend]
+	timer := c.healthChecks[ev.Server]
 	if timer == nil {
 		return
 	}
 	timer.Stop()
-	delete(c.healthChecks, ev.Backend)
-	c.balancer.HealthCheckCompleted(c.now, ev.Backend, ev.Status)
+	delete(c.healthChecks, ev.Server)
+	c.balancer.HealthCheckCompleted(c.now, ev.Server, ev.Status)
 }
 
 func (c *Core) handleLoadReported(ev LoadReported) {
-	if b := c.backends[ev.Backend]; c.debug && b != nil {
+	if b := c.servers[ev.Server]; c.debug && b != nil {
 		slog.Debug("load report", "server", b.name, "inflight", ev.Load.Inflight,
 			"completed_per_s", ev.Load.CompletedPerSecond)
 	}
-	c.balancer.LoadReported(c.now, ev.Backend, ev.Load)
+	c.balancer.LoadReported(c.now, ev.Server, ev.Load)
 }
--- a/internal/serve/core/events.go
+++ b/internal/serve/core/events.go
@@ -17,14 +17,14 @@
 	Attempt int
 }
 
-// Endpoint is a backend together with its address. A new backend may come up at the address of one
+// Endpoint is a server together with its address. A new server may come up at the address of one
 // that is gone; connections and results of the one must not be attributed to the other.
 type Endpoint struct {
-	Backend piernotch.BackendID
+	Server  piernotch.ServerID
 	Address string
 }
 
-// DiscoveredEndpoint is one backend as discovery lists it.
+// DiscoveredEndpoint is one server as discovery lists it.
 type DiscoveredEndpoint struct {
 	Name     string
 	Address  string
@@ -60,13 +60,13 @@
 	}
 	// HealthCheckCompleted reports the result of a health check.
 	HealthCheckCompleted struct {
-		Backend piernotch.BackendID
-		Status  piernotch.Status
+		Server piernotch.ServerID
+		Status piernotch.Status
 	}
-	// LoadReported carries the load report that a backend attached to an answer.
+	// LoadReported carries the load report that a server attached to an answer.
 	LoadReported struct {
-		Backend piernotch.BackendID
-		Load    piernotch.LoadReport
+		Server piernotch.ServerID
+		Load   piernotch.LoadReport
 	}
 	// EndpointUpdate carries endpoints from discovery, or reports that discovery failed.
 	EndpointUpdate struct {
@@ -85,7 +85,7 @@
 	AdminCommand struct {
 		Call   uint64 // identifies the command in AdminResult
 		Action overrides.Action
-		Server string // name of the backend concerned; unused by Evacuate and Rejoin
+		Server string // name of the server concerned; unused by Evacuate and Rejoin
 	}
 	// PeerOverrides carries the overrides held by another process of this balancer.
 	PeerOverrides struct{ Overrides *overrides.Overrides }
--- a/internal/serve/core/host.go
+++ b/internal/serve/core/host.go
@@ -14,9 +14,9 @@
 var _ piernotch.Host = host{}
 
 // StartAttempt implements piernotch.Host.
-func (h host) StartAttempt(id piernotch.RequestID, to piernotch.BackendID, timeout time.Duration) {
+func (h host) StartAttempt(id piernotch.RequestID, to piernotch.ServerID, timeout time.Duration) {
 	r := h.core.requests[id]
-	b := h.core.backends[to]
+	b := h.core.servers[to]
 	if r == nil || b == nil {
 		slog.Error("attempt for unknown request or backend", "request", id, "backend", to)
 		return
@@ -52,8 +52,8 @@
 }
 
 // HealthCheck implements piernotch.Host.
-func (h host) HealthCheck(id piernotch.BackendID) {
-	if b := h.core.backends[id]; b != nil {
+func (h host) HealthCheck(id piernotch.ServerID) {
+	if b := h.core.servers[id]; b != nil {
 		h.core.startHealthCheck(b)
 	}
 }
--- a/internal/serve/core/requests.go
+++ b/internal/serve/core/requests.go
@@ -27,7 +27,7 @@
 func (c *Core) PendingRequests() int { return len(c.exchanges) }
 
 func (c *Core) handleRequestReceived(ev RequestReceived) {
-	// Two open requests with one ID would be a single request to the backends: a hedged copy that
+	// Two open requests with one ID would be a single request to the servers: a hedged copy that
 	// nobody asked for, and an answer that could belong to either.
 	if _, open := c.openClientIDs[ev.ID]; open && ev.ID != "" {
 		c.emit(Respond{Exchange: ev.Exchange, Result: DuplicateID, Close: c.shuttingDown})
--- a/internal/serve/handover/record.go
+++ b/internal/serve/handover/record.go
@@ -25,7 +25,7 @@
 	Snapshot   piernotch.Snapshot  `json:"learnt"`
 }
 
-// Endpoint is a backend as it was listed last. Its zone is stored by name, as the numbers of zones
+// Endpoint is a server as it was listed last. Its zone is stored by name, as the numbers of zones
 // depend on the settings.
 type Endpoint struct {
 	Name      string          `json:"name"`
@@ -33,7 +33,7 @@
 	Zone      string          `json:"zone"`
 	Cell      int             `json:"cell"`
 	State     piernotch.State `json:"state"`
-	Size      float64         `json:"size"` // relative to other backends
+	Size      float64         `json:"size"` // relative to other servers
 	StartedAt time.Duration   `json:"born"` // Unix time of the last start; 0: long ago
 }
 
--- a/internal/serve/overrides/overrides.go
+++ b/internal/serve/overrides/overrides.go
@@ -1,4 +1,4 @@
-// Package overrides holds the operators' overrides of a balancer: which backends are excluded, and
+// Package overrides holds the operators' overrides of a balancer: which servers are excluded, and
 // whether it sends its clients to other balancers.
 //
 // While one process of a balancer takes over from another, both are alive and either may receive
@@ -23,7 +23,7 @@
 
 // Actions.
 const (
-	Exclude  Action = iota // send no requests to a backend
+	Exclude  Action = iota // send no requests to a server
 	Include                // undo Exclude
 	Evacuate               // send clients to other balancers
 	Rejoin                 // undo Evacuate
@@ -34,7 +34,7 @@
 // String returns the name of the action as the log has it.
 func (a Action) String() string { return actionNames[a] }
 
-// ConcernsServer reports whether the action is about one backend, not about the balancer's clients.
+// ConcernsServer reports whether the action is about one server, not about the balancer's clients.
 func (a Action) ConcernsServer() bool { return a == Exclude || a == Include }
 
 // activates reports whether the action sets an override rather than undoing it.
@@ -42,13 +42,13 @@
 
 // Errors of Apply. Their text is shown to operators.
 var (
-	// ErrUnknownServer means that the backend is neither listed nor excluded.
+	// ErrUnknownServer means that the server is neither listed nor excluded.
 	ErrUnknownServer = errors.New("no feed server of that name is known")
-	// ErrTooManyExcluded means that MaxExcluded backends are excluded already.
+	// ErrTooManyExcluded means that MaxExcluded servers are excluded already.
 	ErrTooManyExcluded = errors.New("too many feed servers are left out already")
 )
 
-// MaxExcluded bounds the number of backends that may be excluded at a time.
+// MaxExcluded bounds the number of servers that may be excluded at a time.
 const MaxExcluded = 4096
 
 // Timestamp is a Lamport timestamp: Counter is above that of every override that was known when it
@@ -80,7 +80,7 @@
 	Drain   Override            `json:"drain"`             // active: clients are sent to other balancers
 }
 
-// Excluded reports whether the named backend is excluded.
+// Excluded reports whether the named server is excluded.
 func (o *Overrides) Excluded(server string) bool { return o.Servers[server].Active }
 
 // Clone returns a deep copy.
@@ -93,8 +93,8 @@
 	At      time.Duration // Unix time
 	Process uint64        // the receiving process, for the timestamp
 	Action  Action
-	Server  string // name of the backend, if the action concerns one
-	Listed  bool   // that backend is in the endpoint list
+	Server  string // name of the server, if the action concerns one
+	Listed  bool   // that server is in the endpoint list
 }
 
 // Apply carries out a command and reports whether anything has changed: a repeated command changes
@@ -125,7 +125,7 @@
 	return true, nil
 }
 
-// Merge takes over the later overrides of another process. It returns the names of the backends
+// Merge takes over the later overrides of another process. It returns the names of the servers
 // whose override has changed or is new, in no particular order, and whether Drain has changed.
 func (o *Overrides) Merge(other *Overrides) (servers []string, drainChanged bool) {
 	for name, theirs := range other.Servers {
@@ -145,7 +145,7 @@
 	return servers, drainChanged
 }
 
-// Prune removes the entries of backends that were included again before the given time (Unix time).
+// Prune removes the entries of servers that were included again before the given time (Unix time).
 // It must not be called while another process of the balancer is alive: that one could still hold
 // the exclusion, and a merge would bring it back.
 func (o *Overrides) Prune(before time.Duration) {
@@ -170,7 +170,7 @@
 	return highest
 }
 
-// countExcluded returns the number of excluded backends.
+// countExcluded returns the number of excluded servers.
 func (o *Overrides) countExcluded() int {
 	n := 0
 	for _, override := range o.Servers {
--- a/internal/serve/upstream/attempt.go
+++ b/internal/serve/upstream/attempt.go
@@ -62,7 +62,7 @@
 	slog.Info("attempt failed", "server", cause.Address, "stage", cause.Stage, "idle_ms", cause.IdleFor.Milliseconds(),
 		"health_check", a.healthCheck, "err", cause.Err)
 	if a.healthCheck {
-		u.emit(core.HealthCheckCompleted{Backend: a.pool.endpoint.Backend, Status: cause.Status()})
+		u.emit(core.HealthCheckCompleted{Server: a.pool.endpoint.Server, Status: cause.Status()})
 		return
 	}
 	u.emit(core.AttemptCompleted{Ref: a.ref, Status: cause.Status()})
@@ -75,7 +75,7 @@
 	status := responseStatus(response)
 	u.loadReportReceived(endpoint, response.Fields.Get("x-load"))
 	if a.healthCheck {
-		u.emit(core.HealthCheckCompleted{Backend: endpoint.Backend, Status: status})
+		u.emit(core.HealthCheckCompleted{Server: endpoint.Server, Status: status})
 		return
 	}
 	completed := core.AttemptCompleted{Ref: a.ref, Status: status}
--- a/internal/serve/upstream/load_report.go
+++ b/internal/serve/upstream/load_report.go
@@ -52,7 +52,7 @@
 	}
 	load, err := parseLoadReport(text)
 	if err == nil {
-		u.emit(core.LoadReported{Backend: from.Backend, Load: load})
+		u.emit(core.LoadReported{Server: from.Server, Load: load})
 		return
 	}
 	now := u.now()
--- a/internal/serve/upstream/pool_test.go
+++ b/internal/serve/upstream/pool_test.go
@@ -62,7 +62,7 @@
 		for i := range attempts {
 			u.StartAttempt(core.StartAttempt{
 				Ref:     core.AttemptRef{Request: piernotch.RequestID(i)},
-				To:      core.Endpoint{Backend: 1, Address: address},
+				To:      core.Endpoint{Server: 1, Address: address},
 				Timeout: time.Minute,
 			}, &Request{Method: "GET", Target: "/", ID: "1"})
 		}
--- a/internal/wire/batch_reader.go
+++ b/internal/wire/batch_reader.go
@@ -89,7 +89,7 @@
 // the codes, without their prefix, that set it.
 type Event struct {
 	Code       EventCode
-	Instance   uint32
+	Balancer   uint32
 	Seed       uint64     // Start
 	Data       []byte     // Start: settings; Message: body
 	Token      uint32     // TimerFired
@@ -100,7 +100,7 @@
 	DeadlineMS float64    // Request: milliseconds of the simulator's clock
 	CostHintMS float64    // Request: valid with FlagCostHint
 	Flags      uint8      // Request
-	Backend    uint32     // HealthCheckCompleted, ResponseStarted, AttemptCompleted
+	Server     uint32     // HealthCheckCompleted, ResponseStarted, AttemptCompleted
 	Status     uint8      // HealthCheckCompleted, AttemptCompleted
 	LatencyMS  float64    // HealthCheckCompleted, ResponseStarted, AttemptCompleted
 	Attempt    uint8      // ResponseStarted, AttemptCompleted
@@ -116,7 +116,7 @@
 // and is valid as long as the batch is. An error is a *FrameError.
 func (b *Batch) Event(i int, e *Event) error {
 	rec := b.records[i*eventSize : (i+1)*eventSize]
-	*e = Event{Code: EventCode(rec[0]), Instance: u32(rec[1:])}
+	*e = Event{Code: EventCode(rec[0]), Balancer: u32(rec[1:])}
 	if err := b.decode(rec, e); err != nil {
 		return &FrameError{Seq: b.Seq, Record: i, Err: fmt.Errorf("batch %d, event %d (code %d): %w", b.Seq, i, rec[0], err)}
 	}
@@ -139,14 +139,14 @@
 	case EventRequest:
 		e.decodeRequest(rec)
 	case EventAttemptCompleted:
-		e.ID, e.Attempt, e.Backend, e.Status = u64(rec[5:]), rec[13], u32(rec[14:]), rec[18]
+		e.ID, e.Attempt, e.Server, e.Status = u64(rec[5:]), rec[13], u32(rec[14:]), rec[18]
 		e.LatencyMS, e.Closed = f64(rec[19:]), rec[27] != 0
 		err = e.decodeLoad(rec[28:])
 	case EventHealthCheckCompleted:
-		e.Backend, e.Status, e.LatencyMS = u32(rec[5:]), rec[9], f64(rec[10:])
+		e.Server, e.Status, e.LatencyMS = u32(rec[5:]), rec[9], f64(rec[10:])
 		err = e.decodeLoad(rec[18:])
 	case EventResponseStarted:
-		e.ID, e.LatencyMS, e.Backend, e.Attempt = u64(rec[5:]), f64(rec[13:]), u32(rec[21:]), rec[25]
+		e.ID, e.LatencyMS, e.Server, e.Attempt = u64(rec[5:]), f64(rec[13:]), u32(rec[21:]), rec[25]
 	case EventClientGone:
 		e.ID = u64(rec[5:])
 	case EventTimerFired:
@@ -191,7 +191,7 @@
 
 // EndpointEntry is one server in an endpoint list.
 type EndpointEntry struct {
-	Backend     uint32
+	Server      uint32
 	Zone        uint8
 	Kind        uint8 // kind of machine
 	Cell        uint16
@@ -207,7 +207,7 @@
 func (e *Event) Entry(i int) EndpointEntry {
 	p := e.Entries[i*entrySize:]
 	return EndpointEntry{
-		Backend: u32(p), Zone: p[4], Kind: p[5], Cell: u16(p[6:]), State: p[8],
+		Server: u32(p), Zone: p[4], Kind: p[5], Cell: u16(p[6:]), State: p[8],
 		Size: float64(math.Float32frombits(u32(p[9:]))), StartedAtMS: f64(p[13:]),
 	}
 }
--- a/internal/wire/batch_writer.go
+++ b/internal/wire/batch_writer.go
@@ -64,11 +64,11 @@
 
 // AttemptCompleted adds the end of an attempt after latencyMS milliseconds; load is the load report
 // that came with it, four values at most, or empty.
-func (b *BatchWriter) AttemptCompleted(inst uint32, id uint64, attempt uint8, backend uint32, status uint8, latencyMS float64, closed bool, load ...float32) {
+func (b *BatchWriter) AttemptCompleted(inst uint32, id uint64, attempt uint8, server uint32, status uint8, latencyMS float64, closed bool, load ...float32) {
 	rec := b.record(EventAttemptCompleted, inst)
 	put64(rec[5:], id)
 	rec[13] = attempt
-	put32(rec[14:], backend)
+	put32(rec[14:], server)
 	rec[18] = status
 	putF64(rec[19:], latencyMS)
 	if closed {
@@ -78,9 +78,9 @@
 }
 
 // HealthCheckCompleted adds the result of a health check; load is as in AttemptCompleted.
-func (b *BatchWriter) HealthCheckCompleted(inst, backend uint32, status uint8, latencyMS float64, load ...float32) {
+func (b *BatchWriter) HealthCheckCompleted(inst, server uint32, status uint8, latencyMS float64, load ...float32) {
 	rec := b.record(EventHealthCheckCompleted, inst)
-	put32(rec[5:], backend)
+	put32(rec[5:], server)
 	rec[9] = status
 	putF64(rec[10:], latencyMS)
 	putLoad(rec[18:], load)
@@ -103,7 +103,7 @@
 	put32(rec[18:], uint32(len(entries)))
 	for _, entry := range entries {
 		var p [entrySize]byte
-		put32(p[:], entry.Backend)
+		put32(p[:], entry.Server)
 		p[4], p[5], p[8] = entry.Zone, entry.Kind, entry.State
 		put16(p[6:], entry.Cell)
 		put32(p[9:], math.Float32bits(float32(entry.Size)))
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -61,7 +61,7 @@
 	}
 	var e Event
 	want := Event{
-		Code: EventRequest, Instance: 3, ID: 0xfbadb5d3a91c4, CostHintMS: 12, Flags: FlagCostHint, DeadlineMS: 8652.25, Key: 0x91f03b7c55d20a64,
+		Code: EventRequest, Balancer: 3, ID: 0xfbadb5d3a91c4, CostHintMS: 12, Flags: FlagCostHint, DeadlineMS: 8652.25, Key: 0x91f03b7c55d20a64,
 	}
 	if err := b.Event(0, &e); err != nil || !reflect.DeepEqual(e, want) {
 		t.Errorf("%+v, %v", e, err)
@@ -69,7 +69,7 @@
 	if err := b.Event(1, &e); err != nil || e.Code != EventTimerFired || e.Token != 77 {
 		t.Errorf("%+v, %v", e, err)
 	}
-	if err := b.Event(2, &e); err != nil || e.Code != EventClientGone || e.Instance != 5 {
+	if err := b.Event(2, &e); err != nil || e.Code != EventClientGone || e.Balancer != 5 {
 		t.Errorf("%+v, %v", e, err)
 	}
 	if _, err := r.Next(); !errors.Is(err, io.EOF) {
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -35,8 +35,8 @@
 // writer of messages between instances: its record is in the second batch, put together by hand.
 func TestBatchGoldenFile(t *testing.T) {
 	lines := []EndpointEntry{
-		{Backend: 0x03124a07, Zone: 1, Kind: 2, Cell: 0x0304, State: 2, Size: 1.5, StartedAtMS: 6100.25},
-		{Backend: 0x2c9011f2, Zone: 5, Kind: 6, Cell: 0x0708, State: 0, Size: 0.25, StartedAtMS: 7100.5},
+		{Server: 0x03124a07, Zone: 1, Kind: 2, Cell: 0x0304, State: 2, Size: 1.5, StartedAtMS: 6100.25},
+		{Server: 0x2c9011f2, Zone: 5, Kind: 6, Cell: 0x0708, State: 0, Size: 0.25, StartedAtMS: 7100.5},
 	}
 	var b BatchWriter
 	var out bytes.Buffer
@@ -61,17 +61,17 @@
 	require.NoError(t, b.WriteTo(&out, 8413.5, 0x0a0b0c0e))
 
 	want := [][]Event{{
-		{Code: 1, Instance: 1, Seed: 0x0102030405060708, Data: []byte(`{"group_size":1}`)},
-		{Code: 2, Instance: 2, Token: 77},
-		{Code: 3, Instance: 3, ID: 0x1112131415161718, Class: 4, Tenant: 0x0506, Key: 0x2122232425262728, DeadlineMS: 8652.25, CostHintMS: 12.5, Flags: 7},
-		{Code: 4, Instance: 4, ID: 0x3132333435363738},
-		{Code: 5, Instance: 5, Backend: 0x2c9011f2, Status: 14, LatencyMS: 3.5, Load: [4]float64{1, 2.5, 3, 4}, LoadCount: 4},
-		{Code: 6, Instance: 6, ListKind: 3},
-		{Code: 9, Instance: 7, ID: 0x4142434445464748, Attempt: 2, Backend: 0x03124a07, Status: 13, LatencyMS: 18.5, Closed: true, Load: [4]float64{5, 6.5}, LoadCount: 2},
-		{Code: 8, Instance: 8},
+		{Code: 1, Balancer: 1, Seed: 0x0102030405060708, Data: []byte(`{"group_size":1}`)},
+		{Code: 2, Balancer: 2, Token: 77},
+		{Code: 3, Balancer: 3, ID: 0x1112131415161718, Class: 4, Tenant: 0x0506, Key: 0x2122232425262728, DeadlineMS: 8652.25, CostHintMS: 12.5, Flags: 7},
+		{Code: 4, Balancer: 4, ID: 0x3132333435363738},
+		{Code: 5, Balancer: 5, Server: 0x2c9011f2, Status: 14, LatencyMS: 3.5, Load: [4]float64{1, 2.5, 3, 4}, LoadCount: 4},
+		{Code: 6, Balancer: 6, ListKind: 3},
+		{Code: 9, Balancer: 7, ID: 0x4142434445464748, Attempt: 2, Server: 0x03124a07, Status: 13, LatencyMS: 18.5, Closed: true, Load: [4]float64{5, 6.5}, LoadCount: 2},
+		{Code: 8, Balancer: 8},
 	}, {
-		{Code: 7, Instance: 9, ID: 0x5152535455565758, LatencyMS: 9.75, Backend: 0x03124a07, Attempt: 3},
-		{Code: 0, Instance: 10, From: 11, Data: []byte("hi 7")},
+		{Code: 7, Balancer: 9, ID: 0x5152535455565758, LatencyMS: 9.75, Server: 0x03124a07, Attempt: 3},
+		{Code: 0, Balancer: 10, From: 11, Data: []byte("hi 7")},
 	}}
 	r := NewReader(bytes.NewReader(checkGolden(t, "batches.bin", out.Bytes())))
 	for i, events := range want {
@@ -118,17 +118,17 @@
 	got, err := ReadReply(golden, 12, nil)
 	require.NoError(t, err)
 	require.Equal(t, []Action{
-		{Code: 0, Instance: 1, ID: 0x0102030405060708, Attempt: 2},
-		{Code: 1, Instance: 2, Backend: 0x2c9011f2},
-		{Code: 2, Instance: 3, ID: 0x1112131415161718, Backend: 0x03124a07, DurationMS: 80.5},
-		{Code: 3, Instance: 4, ID: 0x2122232425262728},
-		{Code: 4, Instance: 5, DurationMS: 500.25, Token: 77},
-		{Code: 5, Instance: 6, Backend: 0x2c9011f2},
-		{Code: 6, Instance: 7, Text: "index out of range"},
-		{Code: 7, Instance: 8, ID: 0x3132333435363738, DurationMS: 250.75},
-		{Code: 8, Instance: 9},
-		{Code: 9, Instance: 10, On: true},
-		{Code: 10, Instance: 11, Text: "two servers known"},
+		{Code: 0, Balancer: 1, ID: 0x0102030405060708, Attempt: 2},
+		{Code: 1, Balancer: 2, Server: 0x2c9011f2},
+		{Code: 2, Balancer: 3, ID: 0x1112131415161718, Server: 0x03124a07, DurationMS: 80.5},
+		{Code: 3, Balancer: 4, ID: 0x2122232425262728},
+		{Code: 4, Balancer: 5, DurationMS: 500.25, Token: 77},
+		{Code: 5, Balancer: 6, Server: 0x2c9011f2},
+		{Code: 6, Balancer: 7, Text: "index out of range"},
+		{Code: 7, Balancer: 8, ID: 0x3132333435363738, DurationMS: 250.75},
+		{Code: 8, Balancer: 9},
+		{Code: 9, Balancer: 10, On: true},
+		{Code: 10, Balancer: 11, Text: "two servers known"},
 	}, got)
 	require.Equal(t, 12+32+4, golden.Len(), "the frame of Tell")
 }
@@ -153,7 +153,7 @@
 		OverQuotaWeight: 0.1, WeightPerRequest: true,
 	}
 	data, err := MarshalSettings(&want, ExtraSettings{
-		Instance: 2, MachineTypes: []string{"fast", "mid"}, KeepAliveMS: 60000, DialMS: 250, SlackMS: 20, GraceMS: 2100,
+		Balancer: 2, MachineTypes: []string{"fast", "mid"}, KeepAliveMS: 60000, DialMS: 250, SlackMS: 20, GraceMS: 2100,
 		FallMultiple: 2.5, FallMS: 2250, WeightBy: "request", Columns: []string{"inflight", "qps"},
 	})
 	require.NoError(t, err)
