--- a/internal/wire/reply_reader.go
+++ b/internal/wire/reply_reader.go
@@ -10,9 +10,9 @@
 // Action is one decoded action of a reply. Which fields are set depends on Code.
 type Action struct {
 	Code       ActionCode
-	Instance   uint32
+	Balancer   uint32
 	ID         uint64
-	Backend    uint32
+	Server     uint32
 	Attempt    uint8
 	DurationMS float64 // StartAttempt: timeout; Reject: Retry-After; SetTimer: delay. Finite.
 	Token      uint32
@@ -70,10 +70,10 @@
 
 // decodeAction decodes one record of a reply; tail holds the texts.
 func decodeAction(rec, tail []byte) (Action, error) {
-	a := Action{Code: rec[0], Instance: u32(rec[1:])}
+	a := Action{Code: rec[0], Balancer: u32(rec[1:])}
 	switch a.Code {
 	case ActionStartAttempt:
-		a.ID, a.Backend, a.DurationMS = u64(rec[5:]), u32(rec[13:]), f64(rec[17:])
+		a.ID, a.Server, a.DurationMS = u64(rec[5:]), u32(rec[13:]), f64(rec[17:])
 	case ActionCancelAttempt:
 		a.ID, a.Attempt = u64(rec[5:]), rec[13]
 	case ActionFail:
@@ -83,7 +83,7 @@
 	case ActionSetTimer:
 		a.DurationMS, a.Token = f64(rec[5:]), u32(rec[13:])
 	case ActionHealthCheck, ActionCloseIdle:
-		a.Backend = u32(rec[5:])
+		a.Server = u32(rec[5:])
 	case ActionWatchEndpoints:
 		a.On = rec[5] != 0
 	case ActionFetchEndpoints:
--- a/internal/wire/reply_writer.go
+++ b/internal/wire/reply_writer.go
@@ -39,12 +39,12 @@
 	r.tail = append(r.tail, data...)
 }
 
-// StartAttempt sends a request to a backend. The attempt ends after timeoutMS milliseconds at the
+// StartAttempt sends a request to a server. The attempt ends after timeoutMS milliseconds at the
 // latest; 0: at the request's deadline.
-func (r *Reply) StartAttempt(inst uint32, id uint64, backend uint32, timeoutMS float64) {
+func (r *Reply) StartAttempt(inst uint32, id uint64, server uint32, timeoutMS float64) {
 	rec := r.record(ActionStartAttempt, inst)
 	put64(rec[5:], id)
-	put32(rec[13:], backend)
+	put32(rec[13:], server)
 	putF64(rec[17:], timeoutMS)
 }
 
@@ -72,13 +72,13 @@
 	put32(rec[13:], token)
 }
 
-// HealthCheck sends a health check to a backend.
-func (r *Reply) HealthCheck(inst, backend uint32) {
-	put32(r.record(ActionHealthCheck, inst)[5:], backend)
+// HealthCheck sends a health check to a server.
+func (r *Reply) HealthCheck(inst, server uint32) {
+	put32(r.record(ActionHealthCheck, inst)[5:], server)
 }
 
-// CloseIdle closes idle connections to a backend.
-func (r *Reply) CloseIdle(inst, backend uint32) { put32(r.record(ActionCloseIdle, inst)[5:], backend) }
+// CloseIdle closes idle connections to a server.
+func (r *Reply) CloseIdle(inst, server uint32) { put32(r.record(ActionCloseIdle, inst)[5:], server) }
 
 // FetchEndpoints asks for the full endpoint list once.
 func (r *Reply) FetchEndpoints(inst uint32) { r.record(ActionFetchEndpoints, inst) }
--- a/internal/wire/settings_writer.go
+++ b/internal/wire/settings_writer.go
@@ -8,7 +8,7 @@
 
 // ExtraSettings is what settings hold on the wire beyond those of the module. Times are in milliseconds.
 type ExtraSettings struct {
-	Instance     int      // of the balancer, from 0
+	Balancer     int      // of the balancer, from 0
 	MachineTypes []string // names, by EndpointEntry.Kind
 	KeepAliveMS  float64  // a server keeps an idle connection for so long
 	DialMS       float64  // a connection may take so long to come up
@@ -64,7 +64,7 @@
 func MarshalSettings(s *piernotch.Settings, x ExtraSettings) ([]byte, error) {
 	out := settingsMessage{
 		Family:       "proxy",
-		Number:       x.Instance,
+		Number:       x.Balancer,
 		MachineTypes: x.MachineTypes,
 		WeightBy:     x.WeightBy,
 		SizeSource:   "rough",
--- a/internal/wire/translate.go
+++ b/internal/wire/translate.go
@@ -112,7 +112,7 @@
 			return 0, into, fmt.Errorf("entry %d: unknown state %d", i, l.State)
 		}
 		into = append(into, piernotch.Endpoint{
-			ID: piernotch.BackendID(l.Backend), Zone: int(l.Zone), Cell: int(l.Cell),
+			ID: piernotch.ServerID(l.Server), Zone: int(l.Zone), Cell: int(l.Cell),
 			State: stateByCode[l.State], Size: l.Size, StartedAt: Duration(l.StartedAtMS),
 		})
 	}
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// invariantChecker is a Host that checks every action: no request to a backend that is not ready, retries only
+// invariantChecker is a Host that checks every action: no request to a server that is not ready, retries only
 // as the class permits, attempts within the limit, and one final answer in time.
 type invariantChecker struct {
 	t                *testing.T
 	set              Settings
 	now              time.Duration
 	requests         map[RequestID]*trackedRequest
-	unavailableSince map[BackendID]time.Duration // by the list
-	entries          map[BackendID]Endpoint
+	unavailableSince map[ServerID]time.Duration // by the list
+	entries          map[ServerID]Endpoint
 	violations       []string
 	timers           []time.Duration
 }
@@ -30,7 +30,7 @@
 
 // trackedAttempt is what the checker knows of an attempt.
 type trackedAttempt struct {
-	backend   BackendID
+	server    ServerID
 	startedAt time.Duration
 	done      bool
 	status    Status
@@ -40,7 +40,7 @@
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-func (c *invariantChecker) StartAttempt(id RequestID, to BackendID, _ time.Duration) {
+func (c *invariantChecker) StartAttempt(id RequestID, to ServerID, _ time.Duration) {
 	r := c.requests[id]
 	if r.answers > 0 {
 		c.violate("attempt for %d after its answer", id)
@@ -53,20 +53,20 @@
 		if t.done && t.status.NeverExecuted() {
 			continue
 		}
-		first, second := c.entries[t.backend], c.entries[to]
+		first, second := c.entries[t.server], c.entries[to]
 		sameScope := class.DedupScope == DedupEverywhere ||
 			class.DedupScope == DedupInZone && first.Zone == second.Zone ||
 			class.DedupScope == DedupInCell && first.Cell == second.Cell
 		deduplicated := sameScope && c.now <= t.startedAt+class.DedupWindow
 		if class.RetrySafety == NonIdempotent || class.RetrySafety == IdempotencyKey && !deduplicated {
-			c.violate("class %d sent again from %d to %d", r.Class, t.backend, to)
+			c.violate("class %d sent again from %d to %d", r.Class, t.server, to)
 		}
 		break
 	}
 	if len(r.attempts) >= c.set.Limits.MaxAttempts {
 		c.violate("attempt %d of %d", len(r.attempts), id)
 	}
-	r.attempts = append(r.attempts, trackedAttempt{backend: to, startedAt: c.now})
+	r.attempts = append(r.attempts, trackedAttempt{server: to, startedAt: c.now})
 }
 
 func (c *invariantChecker) mayHaveExecuted(r *trackedRequest) bool {
@@ -96,13 +96,13 @@
 
 func (c *invariantChecker) CancelAttempt(RequestID, int) {}
 
-func (c *invariantChecker) HealthCheck(BackendID) {}
+func (c *invariantChecker) HealthCheck(ServerID) {}
 
 func (c *invariantChecker) WatchEndpoints() {}
 
 func (c *invariantChecker) SetTimer(d time.Duration, _ uint32) { c.timers = append(c.timers, c.now+d) }
 
-// completeRandomAttempt ends a random attempt. Some backends never answer before the timeout.
+// completeRandomAttempt ends a random attempt. Some servers never answer before the timeout.
 func (c *invariantChecker) completeRandomAttempt(b *Balancer, rng *rand.Rand, live []RequestID) {
 	if len(live) == 0 {
 		return
@@ -110,7 +110,7 @@
 	id := live[rng.IntN(len(live))]
 	r := c.requests[id]
 	for i := range r.attempts {
-		if t := &r.attempts[i]; !t.done && t.backend%5 != 0 {
+		if t := &r.attempts[i]; !t.done && t.server%5 != 0 {
 			statuses := []Status{OK, OK, OK, OK, Error, Full, ConnectFailed, Reset}
 			c.complete(b, r, i, statuses[rng.IntN(len(statuses))])
 			return
@@ -126,7 +126,7 @@
 		r.answers = max(r.answers, 1)
 	}
 	b.HandleOutcome(c.now, Outcome{
-		ID: r.ID, Attempt: i, Backend: t.backend, Status: s, Latency: c.now - t.startedAt, Closed: r.answers > 0,
+		ID: r.ID, Attempt: i, Server: t.server, Status: s, Latency: c.now - t.startedAt, Closed: r.answers > 0,
 	})
 }
 
@@ -162,7 +162,7 @@
 	s := testSettings()
 	s.Limits.HealthChecks, s.KeyAffinity = seed%2 == 0, seed%3 == 0
 	c := &invariantChecker{t: t, set: s, now: time.Second, requests: map[RequestID]*trackedRequest{},
-		unavailableSince: map[BackendID]time.Duration{}, entries: map[BackendID]Endpoint{}}
+		unavailableSince: map[ServerID]time.Duration{}, entries: map[ServerID]Endpoint{}}
 	b, err := New(s, seed, c)
 	if err != nil {
 		t.Fatal(err)
@@ -248,6 +248,6 @@
 		b.groupsStale = true
 	}
 	if len(runRandomEvents(t, 1, sendToDraining)) == 0 {
-		t.Error("requests to draining backends went unnoticed")
+		t.Error("requests to draining servers went unnoticed")
 	}
 }
--- a/load_reports.go
+++ b/load_reports.go
@@ -12,7 +12,7 @@
 	peakRateRetention = 1 - 1.0/4096    // of the peak completion rate, from one review to the next
 )
 
-// loadReports is what a backend's reports show of the requests of other balancers there.
+// loadReports is what a server's reports show of the requests of other balancers there.
 type loadReports struct {
 	others             float64       // requests of other balancers, in the last report
 	completionRate     float64       // completions per second, in the last report
@@ -33,7 +33,7 @@
 	c.reportedAt = now
 }
 
-// estimateOthers returns how many requests of other balancers the backend holds by now. The weight of
+// estimateOthers returns how many requests of other balancers the server holds by now. The weight of
 // the last report decays with its age, in favour of the prior.
 func (c *loadReports) estimateOthers(now time.Duration, prior float64) float64 {
 	if c.reportedAt == 0 {
@@ -47,15 +47,15 @@
 	return c.reportedAt > 0 && now-c.reportedAt < reportMaxAge
 }
 
-// sendersTo returns how many balancers send to the backend, if they are spread evenly over the zones.
-func (b *Balancer) sendersTo(target *backend) float64 {
+// sendersTo returns how many balancers send to the server, if they are spread evenly over the zones.
+func (b *Balancer) sendersTo(target *server) float64 {
 	if target.locality == remoteZones {
 		return float64(b.settings.BalancerCount)
 	}
 	return max(float64(b.settings.BalancerCount)/float64(max(len(b.settings.Zones), 1)), 1)
 }
 
-// updatePeakCompletionRate updates what a warm backend of size 1 completes per second for all
+// updatePeakCompletionRate updates what a warm server of size 1 completes per second for all
 // balancers. It decays slowly, because an overloaded fleet completes less than it can.
 func (b *Balancer) updatePeakCompletionRate() {
 	var rate, size float64
--- a/outlier_ejection.go
+++ b/outlier_ejection.go
@@ -3,25 +3,25 @@
 import "time"
 
 const (
-	maxSilentTimeouts = 2   // consecutive timeouts without any answer that eject a backend
+	maxSilentTimeouts = 2   // consecutive timeouts without any answer that eject a server
 	maxFailures       = 3   // other consecutive failures that do; a healthy one has some now and then
 	silenceDeviations = 4.0 // mean deviations beyond the mean from which silence counts, as in TCP
 )
 
 // recordFailure counts a failure; so many in a row eject. A failed trial ejects again at once.
-func (b *Balancer) recordFailure(now time.Duration, target *backend, most int) {
+func (b *Balancer) recordFailure(now time.Duration, target *server, most int) {
 	target.consecutiveFailures++
 	if target.ejections > 0 || target.consecutiveFailures >= most {
 		b.eject(now, target)
 	}
 }
 
-// ejectSilent reports whether an attempt of the request is overdue, and ejects the backends that have
+// ejectSilent reports whether an attempt of the request is overdue, and ejects the servers that have
 // answered nothing since they got it. One that answered others is only slow with this one.
 func (b *Balancer) ejectSilent(now time.Duration, r *request) (overdue bool) {
 	for i := range r.attempts {
 		t := &r.attempts[i]
-		target := t.backend
+		target := t.server
 		if t.ended || now-t.sentAt < b.silenceTimeout(&b.groups[target.locality], r.work) {
 			continue
 		}
@@ -33,8 +33,8 @@
 	return overdue
 }
 
-// eject takes a backend out of its group, for longer each time in a row; a single trial brings it back.
-func (b *Balancer) eject(now time.Duration, target *backend) {
+// eject takes a server out of its group, for longer each time in a row; a single trial brings it back.
+func (b *Balancer) eject(now time.Duration, target *server) {
 	target.ejections++
 	target.consecutiveFailures, target.healthCheckPassed = 0, false
 	base := max(b.silenceTimeout(&b.groups[target.locality], b.meanWork), b.shortestObjective)
@@ -43,13 +43,13 @@
 	b.groupsStale = true
 }
 
-// trialDue reports whether an ejected backend may get its trial: after the pause and any health check.
-func (b *Balancer) trialDue(now time.Duration, target *backend) bool {
+// trialDue reports whether an ejected server may get its trial: after the pause and any health check.
+func (b *Balancer) trialDue(now time.Duration, target *server) bool {
 	return now >= target.trialAt && (target.healthCheckPassed || !b.settings.Limits.HealthChecks)
 }
 
-// startHealthCheckIfDue starts the health check that precedes the trial of an ejected backend.
-func (b *Balancer) startHealthCheckIfDue(now time.Duration, target *backend) {
+// startHealthCheckIfDue starts the health check that precedes the trial of an ejected server.
+func (b *Balancer) startHealthCheckIfDue(now time.Duration, target *server) {
 	due := target.ejections > 0 && now >= target.trialAt && target.available()
 	if due && b.settings.Limits.HealthChecks && !target.healthCheckPassed && !target.healthCheckInflight {
 		target.healthCheckInflight = true
@@ -58,9 +58,9 @@
 }
 
 // HealthCheckCompleted takes a health check's result: OK allows the trial, any other status ejects again.
-func (b *Balancer) HealthCheckCompleted(now time.Duration, id BackendID, status Status) {
+func (b *Balancer) HealthCheckCompleted(now time.Duration, id ServerID, status Status) {
 	b.ensureStarted(now)
-	target := b.backends[id]
+	target := b.servers[id]
 	if target == nil || !target.healthCheckInflight {
 		return
 	}
@@ -73,9 +73,9 @@
 	b.eject(now, target)
 }
 
-// endEjection follows a good answer. If connects kept failing, the process may be a new one: the backend
+// endEjection follows a good answer. If connects kept failing, the process may be a new one: the server
 // is in slow start until the list has had time to name a restart. Otherwise it is as warm as before.
-func (b *Balancer) endEjection(now time.Duration, target *backend) {
+func (b *Balancer) endEjection(now time.Duration, target *server) {
 	mayHaveRestarted := target.connectFailures >= 2
 	target.consecutiveFailures, target.connectFailures = 0, 0
 	if target.ejections == 0 {
--- a/outlier_ejection_test.go
+++ b/outlier_ejection_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A hung backend accepts requests and does not answer; the list says that it is ready.
-func TestSilentBackendIsEjectedAndReturnsAfterOneTrial(t *testing.T) {
+// A hung server accepts requests and does not answer; the list says that it is ready.
+func TestSilentServerIsEjectedAndReturnsAfterOneTrial(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
 	hung := b.sorted[0]
 	now, id := time.Second, RequestID(0)
@@ -40,7 +40,7 @@
 	}
 	for _, a := range h.attempts[before : len(h.attempts)-1] {
 		if a.to == hung.ID {
-			t.Fatal("an ejected backend got a request before its trial")
+			t.Fatal("an ejected server got a request before its trial")
 		}
 	}
 	now = hung.trialAt + ms
@@ -86,15 +86,15 @@
 	}
 }
 
-// A regression: bad answers, resets and silence ejected backends, which came back in slow start. Half of the
+// A regression: bad answers, resets and silence ejected servers, which came back in slow start. Half of the
 // fleet was limited to one request at a time, though no process had restarted.
 func TestOnlyConnectFailuresEndEjectionInSlowStart(t *testing.T) {
 	for status, slowStart := range map[Status]bool{Error: false, Reset: false, ConnectFailed: true} {
 		b, _ := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
-		to := b.backends[1]
+		to := b.servers[1]
 		record := func(s Status) {
 			r := &request{class: &b.settings.Classes[idempotentClass], work: 10}
-			b.recordOutcome(time.Second, r, &attempt{backend: to}, Outcome{Status: s})
+			b.recordOutcome(time.Second, r, &attempt{server: to}, Outcome{Status: s})
 		}
 		b.meanWork = 10
 		record(status)
@@ -113,9 +113,9 @@
 	}
 }
 
-// A regression: a backend that rejects everything is idle and answers at once, so it got turn after turn, and
+// A regression: a server that rejects everything is idle and answers at once, so it got turn after turn, and
 // its rejections counted as late answers of the whole fleet.
-func TestBackendRejectingAllRequestsIsEjected(t *testing.T) {
+func TestServerRejectingAllRequestsIsEjected(t *testing.T) {
 	b, h := newTestBalancer(t, manyBalancersSettings(), testEndpoints(6, 1))
 	b.retryBudget = 100
 	rejections := 0
--- a/piernotch.go
+++ b/piernotch.go
@@ -5,8 +5,8 @@
 // RequestID identifies a request until it has its final answer and no attempt is in flight.
 type RequestID uint64
 
-// BackendID identifies a backend. It survives a restart of the backend's process.
-type BackendID uint32
+// ServerID identifies a server. It survives a restart of the server's process.
+type ServerID uint32
 
 // RetrySafety is what a class permits once an attempt may have executed.
 type RetrySafety uint8
@@ -18,14 +18,14 @@
 	NonIdempotent                     // must not execute twice
 )
 
-// DedupScope is the set of backends that discard each other's repeats.
+// DedupScope is the set of servers that discard each other's repeats.
 type DedupScope uint8
 
 // The values of DedupScope.
 const (
-	DedupEverywhere DedupScope = iota // all backends
-	DedupInZone                       // the backends of one zone
-	DedupInCell                       // the backends of one cell
+	DedupEverywhere DedupScope = iota // all servers
+	DedupInZone                       // the servers of one zone
+	DedupInCell                       // the servers of one cell
 )
 
 // Class describes one kind of request.
@@ -51,7 +51,7 @@
 	MaxAttempts    int           // attempts of a request, the first included; at least 1
 	HedgedRequests bool          // two attempts of a request may be in flight at once
 	CancelAttempts bool          // attempts may be cancelled
-	HealthChecks   bool          // ejected backends may be health checked
+	HealthChecks   bool          // ejected servers may be health checked
 	RetryAfter     bool          // rejections may advise when to come back
 	MaxRetryAfter  time.Duration // bound on that advice
 }
@@ -59,9 +59,9 @@
 // Rules holds the parameters of discovery and slow start.
 type Rules struct {
 	PollInterval      time.Duration // where discovery has to be polled: at least this often
-	SlowStartCapacity float64       // share of its capacity that a backend starts with, in [0, 1]
+	SlowStartCapacity float64       // share of its capacity that a server starts with, in [0, 1]
 	SlowStartDuration time.Duration // time after its start at which it has all of it
-	OverloadWindow    time.Duration // overload that lasts so long fails a backend in slow start; 0: unknown
+	OverloadWindow    time.Duration // overload that lasts so long fails a server in slow start; 0: unknown
 }
 
 // Settings configures a Balancer. Names in it are labels for people: no decision depends on one.
@@ -73,14 +73,14 @@
 	Tenants          []Tenant      // none: no quotas
 	Tick             time.Duration // resolution of the clock
 	PollDiscovery    bool          // the endpoint list comes only after Host.WatchEndpoints
-	KeyAffinity      bool          // a backend serves a key that it served lately with less work
+	KeyAffinity      bool          // a server serves a key that it served lately with less work
 	Limits           Limits
 	Rules            Rules
 	OverQuotaWeight  float64 // factor on the weight of a request over its tenant's quota
 	WeightPerRequest bool    // the weight is for each request, whatever its work
 }
 
-// State is the state of a backend in the endpoint list.
+// State is the state of a server in the endpoint list.
 type State uint8
 
 // The values of State.
@@ -92,11 +92,11 @@
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
-	ID        BackendID
+	ID        ServerID
 	Zone      int // an index of Settings.Zones
 	Cell      int // failure domain within the zone
 	State     State
-	Size      float64       // capacity relative to other backends; positive
+	Size      float64       // capacity relative to other servers; positive
 	StartedAt time.Duration // clock time of its last start; 0: long ago
 }
 
@@ -106,7 +106,7 @@
 // The values of UpdateKind.
 const (
 	UpdateDelta  UpdateKind = iota // changed entries only
-	UpdateFull                     // all entries; a backend that is missing is gone
+	UpdateFull                     // all entries; a server that is missing is gone
 	UpdateCached                   // all entries that this process last had, maybe stale
 	UpdateFailed                   // no entries: discovery did not answer or closed the connection
 )
@@ -128,7 +128,7 @@
 const (
 	OK            Status = iota // a good response
 	Error                       // any other response, malformed ones included
-	Full                        // rejected by the backend before execution
+	Full                        // rejected by the server before execution
 	Timeout                     // no response within the attempt's timeout
 	ConnectFailed               // no connection
 	Reset                       // the connection broke before the response
@@ -141,7 +141,7 @@
 // String returns the status's name in logs and traces. The status must be one of the constants.
 func (s Status) String() string { return statuses[s] }
 
-// NeverExecuted reports whether the status proves that the backend did not execute the request.
+// NeverExecuted reports whether the status proves that the server did not execute the request.
 func (s Status) NeverExecuted() bool {
 	return s == Full || s == ConnectFailed || s == NotSent
 }
@@ -150,16 +150,16 @@
 type Outcome struct {
 	ID      RequestID
 	Attempt int // attempts of a request are numbered from 0, in sending order
-	Backend BackendID
+	Server  ServerID
 	Status  Status
 	Latency time.Duration // from the start of the attempt
 	Closed  bool          // the request has its final answer
 }
 
-// LoadReport is a backend's report of its load, which counts what all balancers sent. It is some
+// LoadReport is a server's report of its load, which counts what all balancers sent. It is some
 // time old when it arrives.
 type LoadReport struct {
-	Inflight           float64 // requests that the backend holds
+	Inflight           float64 // requests that the server holds
 	CompletedPerSecond float64 // requests that it completes per second; 0: unknown
 }
 
@@ -168,7 +168,7 @@
 type Host interface {
 	// StartAttempt starts the next attempt of a request. The attempt ends with an Outcome, after
 	// timeout at the latest; 0 means the client's deadline.
-	StartAttempt(id RequestID, to BackendID, timeout time.Duration)
+	StartAttempt(id RequestID, to ServerID, timeout time.Duration)
 	// CancelAttempt ends an attempt that is in flight.
 	CancelAttempt(id RequestID, attempt int)
 	// Reject answers the request finally: not executed, or trying again does no harm. A retryAfter of
@@ -176,8 +176,8 @@
 	Reject(id RequestID, retryAfter time.Duration)
 	// Fail answers the request finally, without a promise.
 	Fail(id RequestID)
-	// HealthCheck checks a backend and reports by HealthCheckCompleted.
-	HealthCheck(b BackendID)
+	// HealthCheck checks a server and reports by HealthCheckCompleted.
+	HealthCheck(b ServerID)
 	// WatchEndpoints subscribes to changes of the endpoint list.
 	WatchEndpoints()
 	// SetTimer asks for a call of Timer with the token after d.
--- a/selection.go
+++ b/selection.go
@@ -4,15 +4,15 @@
 
 const (
 	objectiveShare         = 0.9  // the expected latency is within this share of the time left
-	failsClassShare        = 0.3  // failure share from which a class avoids a backend that serves others
-	minSpillers            = 3.0  // balancers of other zones that may spill to one backend, at least
+	failsClassShare        = 0.3  // failure share from which a class avoids a server that serves others
+	minSpillers            = 3.0  // balancers of other zones that may spill to one server, at least
 	spillerShare           = 0.1  // the same as a share of all balancers
-	totalInflightBound     = 6.0  // all balancers' requests at a backend, for each unit of maxLoad
+	totalInflightBound     = 6.0  // all balancers' requests at a server, for each unit of maxLoad
 	totalInflightBoundKey  = 8.0  // all balancers' requests, if the request's key may be cached there
-	totalInflightBoundLast = 10.0 // all balancers' requests, if no other backend has capacity
+	totalInflightBoundLast = 10.0 // all balancers' requests, if no other server has capacity
 )
 
-// search is the choice of a backend in one lane of a group.
+// search is the choice of a server in one lane of a group.
 type search struct {
 	now     time.Duration
 	request *request
@@ -21,12 +21,12 @@
 	maxLoad float64 // exclusive bound on the effective load
 }
 
-// dispatch starts an attempt of the request, or returns false if no backend can take it now.
+// dispatch starts an attempt of the request, or returns false if no server can take it now.
 func (b *Balancer) dispatch(now time.Duration, r *request) bool {
 	if b.groupsStale {
 		b.rebuildGroups(now)
 	}
-	target := b.selectBackend(now, r)
+	target := b.selectServer(now, r)
 	if target == nil {
 		return false
 	}
@@ -34,8 +34,8 @@
 	return true
 }
 
-// selectBackend tries the levels in turn, in each of them the request's own lane first.
-func (b *Balancer) selectBackend(now time.Duration, r *request) *backend {
+// selectServer tries the levels in turn, in each of them the request's own lane first.
+func (b *Balancer) selectServer(now time.Duration, r *request) *server {
 	for _, level := range b.levels {
 		g := &b.groups[level.locality]
 		if len(g.members) == 0 {
@@ -54,11 +54,11 @@
 	return b.leastExpectedLatency(now, r)
 }
 
-// weightedRoundRobin takes turns within the lane. A backend of less weight misses some of its turns. One
+// weightedRoundRobin takes turns within the lane. A server of less weight misses some of its turns. One
 // without capacity misses all of them, and they are neither given to its neighbour nor made up for later.
-func (b *Balancer) weightedRoundRobin(s search) *backend {
+func (b *Balancer) weightedRoundRobin(s search) *server {
 	g, members := s.group, s.group.laneMembers(s.lane)
-	var fallback *backend // has capacity, but not yet the credit for a turn
+	var fallback *server // has capacity, but not yet the credit for a turn
 	for i := range 3 * len(members) {
 		turn := (g.nextTurn[s.lane] + 1) % len(members)
 		g.nextTurn[s.lane] = turn
@@ -80,9 +80,9 @@
 	return fallback
 }
 
-// rendezvousPick returns the backend that probably has the request's key cached: from the ids alone, all
-// balancers agree on it. It returns nil if there is no key, or that backend is slow or has no capacity.
-func (b *Balancer) rendezvousPick(s search) *backend {
+// rendezvousPick returns the server that probably has the request's key cached: from the ids alone, all
+// balancers agree on it. It returns nil if there is no key, or that server is slow or has no capacity.
+func (b *Balancer) rendezvousPick(s search) *server {
 	if !b.settings.KeyAffinity || s.request.Key == 0 {
 		return nil
 	}
@@ -93,9 +93,9 @@
 	return target
 }
 
-// leastExpectedLatency is the last resort, if no backend with capacity is likely to meet the objective.
-func (b *Balancer) leastExpectedLatency(now time.Duration, r *request) *backend {
-	var best *backend
+// leastExpectedLatency is the last resort, if no server with capacity is likely to meet the objective.
+func (b *Balancer) leastExpectedLatency(now time.Duration, r *request) *server {
+	var best *server
 	for _, level := range b.levels[1:] {
 		for _, target := range b.groups[level.locality].members {
 			if !b.hasCapacity(now, target, level.maxLoad, totalInflightBoundLast) ||
@@ -111,20 +111,20 @@
 	return best
 }
 
-// canServeInTime reports whether the backend may get the request and is likely to meet its objective.
-func (b *Balancer) canServeInTime(s search, target *backend, maxTotal float64) bool {
+// canServeInTime reports whether the server may get the request and is likely to meet its objective.
+func (b *Balancer) canServeInTime(s search, target *server, maxTotal float64) bool {
 	return b.hasCapacity(s.now, target, s.maxLoad, maxTotal) && b.meetsObjective(s.now, s.request, target) &&
 		!s.request.attemptedOn(target) && b.mayStartAttempt(s.now, s.request, target)
 }
 
-// hasCapacity reports whether the backend is below the bounds on this balancer's load and on all requests.
-func (b *Balancer) hasCapacity(now time.Duration, target *backend, maxLoad, maxTotal float64) bool {
+// hasCapacity reports whether the server is below the bounds on this balancer's load and on all requests.
+func (b *Balancer) hasCapacity(now time.Duration, target *server, maxLoad, maxTotal float64) bool {
 	return b.effectiveLoad(target) < maxLoad && !b.reservedForOtherZones(target) &&
 		!b.totalInflightReaches(now, target, maxTotal)
 }
 
-// failsClass reports whether the backend fails this class but serves others. It lapses if nothing is sent.
-func (b *Balancer) failsClass(now time.Duration, r *request, target *backend) bool {
+// failsClass reports whether the server fails this class but serves others. It lapses if nothing is sent.
+func (b *Balancer) failsClass(now time.Duration, r *request, target *server) bool {
 	own, least := target.failureShare[r.Class], 1.0
 	for class, share := range target.failureShare {
 		if class != r.Class {
@@ -135,19 +135,19 @@
 	return own > failsClassShare && own > 3*least && sentLately
 }
 
-// meetsObjective reports whether the backend is likely to answer in time, with what is queued there.
-func (b *Balancer) meetsObjective(now time.Duration, r *request, target *backend) bool {
+// meetsObjective reports whether the server is likely to answer in time, with what is queued there.
+func (b *Balancer) meetsObjective(now time.Duration, r *request, target *server) bool {
 	left := objectiveShare * float64(r.objective-now) / float64(time.Millisecond)
 	return !b.failsClass(now, r, target) && b.expectedLatency(now, r, target) <= left
 }
 
-// spills reports whether a request to the backend leaves this zone though it has backends.
-func (b *Balancer) spills(target *backend) bool {
+// spills reports whether a request to the server leaves this zone though it has servers.
+func (b *Balancer) spills(target *server) bool {
 	return target.locality == remoteZones && len(b.groups[localZone].members) > 0
 }
 
-// reservedForOtherZones reports whether only others may spill to the backend: all together would overload it.
-func (b *Balancer) reservedForOtherZones(target *backend) bool {
+// reservedForOtherZones reports whether only others may spill to the server: all together would overload it.
+func (b *Balancer) reservedForOtherZones(target *server) bool {
 	return b.spills(target) && target.spillRank*float64(b.settings.BalancerCount-1) > b.maxSpillers
 }
 
@@ -159,7 +159,7 @@
 	b.laneOffset = min(max(b.laneOffset, -small), small/2)
 }
 
-// rebuildGroups assigns the backends that may get requests to the local and the remote group.
+// rebuildGroups assigns the servers that may get requests to the local and the remote group.
 func (b *Balancer) rebuildGroups(now time.Duration) {
 	b.groupsStale = false
 	for i := range b.groups {
--- a/selection_test.go
+++ b/selection_test.go
@@ -8,12 +8,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSelectionStaysInZoneWhileItHasBackends(t *testing.T) {
+func TestSelectionStaysInZoneWhileItHasServers(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), testEndpoints(3, 2))
 	for i := range 20 {
 		b.HandleRequest(time.Second, newTestRequest(RequestID(i), idempotentClass, 10))
 		if to := h.last().to; to > 3 {
-			t.Fatalf("request %d left its zone for backend %d", i, to)
+			t.Fatalf("request %d left its zone for server %d", i, to)
 		}
 		completeAttempt(b, time.Second, RequestID(i), 0, h.last().to, OK)
 	}
@@ -28,7 +28,7 @@
 
 func TestSelectionSeparatesLanesByCostHint(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), testEndpoints(8, 1))
-	heavy, light := map[BackendID]int{}, map[BackendID]int{}
+	heavy, light := map[ServerID]int{}, map[ServerID]int{}
 	for i := range 400 {
 		hint, seen := 9.0, light
 		if i%2 == 1 {
@@ -40,9 +40,9 @@
 		}
 		completeAttempt(b, time.Second, RequestID(i), 0, h.last().to, OK)
 	}
-	for id := BackendID(1); id <= 8; id++ {
+	for id := ServerID(1); id <= 8; id++ {
 		if id <= 3 && light[id] > 0 || id >= 6 && heavy[id] > 0 {
-			t.Errorf("backend %d got %d light and %d heavy requests", id, light[id], heavy[id])
+			t.Errorf("server %d got %d light and %d heavy requests", id, light[id], heavy[id])
 		}
 	}
 	if len(light) < 3 || len(heavy) < 3 {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestRequestsWithoutHintUseSmallLaneAndSingleBackendServesBoth(t *testing.T) {
+func TestRequestsWithoutHintUseSmallLaneAndSingleServerServesBoth(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), testEndpoints(8, 1))
 	for i, hint := range []float64{math.NaN(), math.Inf(1), 0, -3} {
 		b.HandleRequest(time.Second, newTestRequest(RequestID(i), idempotentClass, hint))
@@ -62,11 +62,11 @@
 	b.HandleRequest(time.Second, newTestRequest(1, idempotentClass, 5))
 	b.HandleRequest(time.Second, newTestRequest(2, idempotentClass, 50))
 	if len(h.attempts) != 2 {
-		t.Errorf("the only backend got %d of 2 requests", len(h.attempts))
+		t.Errorf("the only server got %d of 2 requests", len(h.attempts))
 	}
 }
 
-// A regression: queues at the backends had no bound, so all backends were overloaded and most
+// A regression: queues at the servers had no bound, so all servers were overloaded and most
 // requests were rejected because answers came late.
 func TestFullZoneSpillsAndThenQueues(t *testing.T) {
 	set := testSettings()
@@ -76,7 +76,7 @@
 	for i := range 9 {
 		b.HandleRequest(time.Second, newTestRequest(RequestID(i), idempotentClass, 10))
 		if local := h.last().to <= 3; local != (i < 6) {
-			t.Fatalf("request %d went to backend %d", i, h.last().to)
+			t.Fatalf("request %d went to server %d", i, h.last().to)
 		}
 	}
 	b.HandleRequest(time.Second, newTestRequest(10, idempotentClass, 10))
@@ -94,9 +94,9 @@
 	}
 }
 
-// A regression: a zone's only backend was in slow start while others were idle in the next zone, and
+// A regression: a zone's only server was in slow start while others were idle in the next zone, and
 // requests were rejected because none of those was among the few this balancer may spill to.
-func TestRequestsDoNotWaitWhileRemoteBackendsAreIdle(t *testing.T) {
+func TestRequestsDoNotWaitWhileRemoteServersAreIdle(t *testing.T) {
 	list := append(testEndpoints(1, 1), Endpoint{ID: 8, Zone: 1, Size: 1}, Endpoint{ID: 9, Zone: 1, Size: 1})
 	list[0].StartedAt = 900 * ms
 	b, h := newTestBalancer(t, testSettings(), list)
@@ -110,9 +110,9 @@
 	}
 }
 
-// A regression: balancers that started together took turns in step, all on the same few backends.
+// A regression: balancers that started together took turns in step, all on the same few servers.
 func TestRoundRobinStartsDifferPerSeed(t *testing.T) {
-	first := map[BackendID]int{}
+	first := map[ServerID]int{}
 	for seed := range uint64(100) {
 		h := &recorder{}
 		b, err := New(testSettings(), seed, h)
@@ -125,13 +125,13 @@
 	}
 	for id, n := range first {
 		if n > 30 {
-			t.Errorf("%d of 100 balancers begin with backend %d", n, id)
+			t.Errorf("%d of 100 balancers begin with server %d", n, id)
 		}
 	}
 }
 
-// A regression: round robin sent a heavy request to a slow backend, where it was certainly late.
-func TestHeavyRequestsGoToFastEnoughBackend(t *testing.T) {
+// A regression: round robin sent a heavy request to a slow server, where it was certainly late.
+func TestHeavyRequestsGoToFastEnoughServer(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), testEndpoints(4, 1))
 	b.hintCount, b.medianHint, b.meanWork, b.latencyPerWork = 100, 10, 10, 1
 	for _, to := range b.sorted {
@@ -140,16 +140,16 @@
 	b.sorted[2].latencyPerWork = 0.5
 	b.HandleRequest(time.Second, newTestRequest(1, nonIdempotentClass, 300))
 	if h.last().to != 3 {
-		t.Fatalf("300 ms of work within 500 ms went to backend %d", h.last().to)
+		t.Fatalf("300 ms of work within 500 ms went to server %d", h.last().to)
 	}
 	// Late everywhere: it is completed first behind the other one.
 	b.HandleRequest(time.Second, newTestRequest(2, nonIdempotentClass, 300))
 	if h.last().to != 3 {
-		t.Fatalf("the second request went to backend %d", h.last().to)
+		t.Fatalf("the second request went to server %d", h.last().to)
 	}
 }
 
-// Two balancers may together spill as much to a backend as four.
+// Two balancers may together spill as much to a server as four.
 func TestFewBalancersSpillMoreEach(t *testing.T) {
 	for balancers, want := range map[int]int{2: 4, 4: 3} {
 		set := testSettings()
@@ -164,33 +164,33 @@
 	}
 }
 
-// A regression: one class hung on some backends that answered the others. Its requests used up the
+// A regression: one class hung on some servers that answered the others. Its requests used up the
 // capacity there for a latency objective each, and all of them failed.
-func TestClassFailingOnBackendIsSentElsewhere(t *testing.T) {
+func TestClassFailingOnServerIsSentElsewhere(t *testing.T) {
 	set := testSettings()
 	b, h := newTestBalancer(t, set, testEndpoints(2, 1))
 	now := time.Second
-	send := func(class int) BackendID {
+	send := func(class int) ServerID {
 		id := RequestID(len(b.requests)) + RequestID(now)
 		b.HandleRequest(now, newTestRequest(id, class, 10))
 		return h.last().to
 	}
-	failing := b.backends[1]
+	failing := b.servers[1]
 	served := &request{class: &set.Classes[idempotentClass], work: 10}
 	hung := &request{
 		Request: Request{Class: nonIdempotentClass}, class: &set.Classes[nonIdempotentClass], work: 10,
 	}
 	for range 4 {
 		now += 100 * ms
-		answered := &attempt{backend: failing, sentAt: now}
+		answered := &attempt{server: failing, sentAt: now}
 		b.recordOutcome(now, served, answered, Outcome{Status: OK, Latency: ms})
-		timedOut := &attempt{backend: failing, sentAt: now - 50*ms}
+		timedOut := &attempt{server: failing, sentAt: now - 50*ms}
 		b.recordOutcome(now, hung, timedOut, Outcome{Status: Timeout, Latency: 50 * ms})
 	}
 	failing.lastSentAt[nonIdempotentClass] = now
 	for range 2 {
 		if to := send(nonIdempotentClass); to == 1 {
-			t.Error("sent to the backend that fails its class")
+			t.Error("sent to the server that fails its class")
 		}
 	}
 	if to := send(idempotentClass); to != 1 {
@@ -202,9 +202,9 @@
 	}
 }
 
-// A backend that holds five requests and completes one per second answers late, whatever this balancer has
+// A server that holds five requests and completes one per second answers late, whatever this balancer has
 // there. Its report does not count for long.
-func TestOverloadedBackendReceivesNoRequestsPastObjective(t *testing.T) {
+func TestOverloadedServerReceivesNoRequestsPastObjective(t *testing.T) {
 	b, h := newTestBalancer(t, manyBalancersSettings(), testEndpoints(1, 1))
 	b.LoadReported(time.Second, 1, LoadReport{Inflight: 5, CompletedPerSecond: 1})
 	b.HandleRequest(time.Second, newTestRequest(1, idempotentClass, 10))
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -12,7 +12,7 @@
 	list[0].StartedAt = 900 * ms
 	list[4].StartedAt = 900 * ms // in the other zone
 	b, h := newTestBalancer(t, testSettings(), list)
-	work := map[BackendID]float64{}
+	work := map[ServerID]float64{}
 	for i := range 1000 {
 		now := time.Second + time.Duration(i)*5*ms
 		r := newTestRequest(RequestID(i), idempotentClass, 10)
@@ -23,29 +23,29 @@
 	}
 	warm := (work[2] + work[3]) / 2
 	if work[1] == 0 || work[1] > 0.5*warm {
-		t.Errorf("a backend in slow start got %.0f, a warm one %.0f", work[1], warm)
+		t.Errorf("a server in slow start got %.0f, a warm one %.0f", work[1], warm)
 	}
 	if work[5] > 0 {
-		t.Error("a backend in slow start in another zone got work that its own zone can send")
+		t.Error("a server in slow start in another zone got work that its own zone can send")
 	}
 	// A regression: heavy requests of many balancers at once overloaded one.
-	starting := b.backends[1]
+	starting := b.servers[1]
 	r := b.newRequest(7*time.Second, Request{ID: 5000, Deadline: 9 * time.Second, CostHint: 500})
 	starting.nextSlowStartSend = 0
 	if b.mayStartAttempt(7*time.Second, r, starting) {
-		t.Error("a backend in slow start may get a heavy request")
+		t.Error("a server in slow start may get a heavy request")
 	}
 	r.work = 1
 	if !b.mayStartAttempt(7*time.Second, r, starting) {
-		t.Error("a backend in slow start may get nothing at all")
+		t.Error("a server in slow start may get nothing at all")
 	}
 	starting.inflight = 1
 	if b.mayStartAttempt(7*time.Second, r, starting) {
-		t.Error("a backend in slow start may hold two requests of one balancer")
+		t.Error("a server in slow start may hold two requests of one balancer")
 	}
 }
 
-// A zone of which only the backend in slow start is left is not a small zone.
+// A zone of which only the server in slow start is left is not a small zone.
 func TestSlowStartRateDoesNotGrowWhenEndpointsLeave(t *testing.T) {
 	list := testEndpoints(4, 2)
 	list[0].StartedAt = 900 * ms
@@ -60,24 +60,24 @@
 	}
 	b.UpdateEndpoints(now, UpdateDelta, list[1:4])
 	if after := b.warmSendRate(now); after > 2*before {
-		t.Errorf("the rate of a warm backend rose from %.1f to %.1f as the others left", before, after)
+		t.Errorf("the rate of a warm server rose from %.1f to %.1f as the others left", before, after)
 	}
 }
 
 // When a zone is lost and comes back in slow start, the rate that this balancer sends fell with the fleet.
-// What warm backends reported to complete for all balancers did not.
+// What warm servers reported to complete for all balancers did not.
 func TestSlowStartRateFollowsReportedCompletionRate(t *testing.T) {
 	interval := func(report bool) time.Duration {
 		b, _ := newTestBalancer(t, manyBalancersSettings(), testEndpoints(4, 2))
 		if report {
-			for id := range BackendID(8) {
+			for id := range ServerID(8) {
 				b.LoadReported(time.Second, id+1, LoadReport{Inflight: 2, CompletedPerSecond: 30})
 			}
 		}
-		b.reviewBackends(time.Second)
+		b.reviewServers(time.Second)
 		b.meanWork = 25
 		b.sendRate.add(time.Second, 100)
-		to := b.backends[1]
+		to := b.servers[1]
 		b.startSlowStart(2*time.Second, to, 2*time.Second)
 		return b.slowStartInterval(2*time.Second, to)
 	}
@@ -86,12 +86,12 @@
 	require.Greater(t, interval(false), interval(true))
 }
 
-// A backend warms up by its work, sooner than the rule promises.
-func TestIdleBackendInSlowStartGetsMore(t *testing.T) {
+// A server warms up by its work, sooner than the rule promises.
+func TestIdleServerInSlowStartGetsMore(t *testing.T) {
 	b, _ := newTestBalancer(t, manyBalancersSettings(), testEndpoints(2, 1))
 	b.meanWork = 25
 	b.sendRate.add(time.Second, 50)
-	to := b.backends[1]
+	to := b.servers[1]
 	b.startSlowStart(time.Second, to, time.Second)
 	interval := b.slowStartInterval(time.Second, to)
 	b.LoadReported(time.Second, 1, LoadReport{Inflight: 9, CompletedPerSecond: 200})
@@ -106,9 +106,9 @@
 	s := manyBalancersSettings()
 	s.Rules.OverloadWindow = 2 * time.Second
 	const (
-		completions = 10.0 // of a warm backend, per second
+		completions = 10.0 // of a warm server, per second
 		work        = 50.0 // of a request, ms
-		overload    = 2.5  // multiple of its capacity that overloads a backend
+		overload    = 2.5  // multiple of its capacity that overloads a server
 		rounds      = 10
 		startedAt   = 2 * time.Second
 	)
@@ -119,12 +119,12 @@
 			b, err := New(s, round<<32+i, &recorder{})
 			require.NoError(t, err)
 			b.UpdateEndpoints(time.Second, UpdateFull, testEndpoints(4, 2))
-			for id := range BackendID(8) {
+			for id := range ServerID(8) {
 				b.LoadReported(time.Second, id+1, LoadReport{Inflight: 2, CompletedPerSecond: completions})
 			}
-			b.reviewBackends(time.Second)
+			b.reviewServers(time.Second)
 			b.meanWork = work
-			to := b.backends[1]
+			to := b.servers[1]
 			b.startSlowStart(startedAt, to, startedAt)
 			for now := startedAt + 3*time.Second; now < startedAt+5*time.Second; now += 20 * ms {
 				r := b.newRequest(now, Request{
@@ -145,9 +145,9 @@
 	require.Less(t, most, overload*capacity)
 }
 
-// Where there are fewer balancers than zones, all balancers send to a backend in slow start in a zone that
+// Where there are fewer balancers than zones, all balancers send to a server in slow start in a zone that
 // has none: it would get nothing until it is warm.
-func TestSlowStartBackendInZoneWithoutBalancerIsUsed(t *testing.T) {
+func TestSlowStartServerInZoneWithoutBalancerIsUsed(t *testing.T) {
 	for _, c := range []struct {
 		zones []string
 		used  bool
--- a/state.go
+++ b/state.go
@@ -11,13 +11,13 @@
 
 // The records that the decision files keep. Nothing here decides.
 
-// The localities of a backend are indices of Balancer.groups.
+// The localities of a server are indices of Balancer.groups.
 const (
 	localZone   = 0 // the balancer's own zone
 	remoteZones = 1 // all other zones
 )
 
-// The lanes part a group's backends by the work of the requests that they get first.
+// The lanes part a group's servers by the work of the requests that they get first.
 const (
 	smallLane = 0 // requests up to the median cost hint, or without one
 	largeLane = 1 // requests above it
@@ -34,14 +34,14 @@
 	ticks             int
 	shortestObjective time.Duration // the least LatencyObjective of all classes
 
-	backends    map[BackendID]*backend
-	excluded    map[BackendID]bool // excluded by operators, listed or not
-	sorted      []*backend         // all that are not gone, by id
-	groups      [2]group           // localZone, remoteZones
-	groupsStale bool               // the groups no longer match the list and the ejections
-	levels      []selectionLevel   // tried in turn
-	zonePaths   map[int]*zonePath  // by zone
-	maxSpillers float64            // balancers of other zones that may spill to one backend
+	servers     map[ServerID]*server
+	excluded    map[ServerID]bool // excluded by operators, listed or not
+	sorted      []*server         // all that are not gone, by id
+	groups      [2]group          // localZone, remoteZones
+	groupsStale bool              // the groups no longer match the list and the ejections
+	levels      []selectionLevel  // tried in turn
+	zonePaths   map[int]*zonePath // by zone
+	maxSpillers float64           // balancers of other zones that may spill to one server
 
 	openRequests []*request // that need a final answer or have attempts in flight
 	requests     map[RequestID]*request
@@ -66,7 +66,7 @@
 	laneOffset         float64    // added to that share, by the lateness in the lanes
 	lateByLane         [2]float64 // share of late answers in each lane
 	sendRate           rate       // work sent per second
-	peakCompletionRate float64    // most answers per second of a warm backend of size 1; 0: not known
+	peakCompletionRate float64    // most answers per second of a warm server of size 1; 0: not known
 
 	watching     bool // a subscription to the list is asked for, or there is one
 	nextWatchAt  time.Duration
@@ -83,9 +83,9 @@
 	starved     bool    // much less than its part of what is forwarded
 }
 
-// group is the backends of one locality that may get requests.
+// group is the servers of one locality that may get requests.
 type group struct {
-	members       []*backend // by id
+	members       []*server  // by id
 	weight        float64    // sum of the members'
 	fullSize      float64    // greatest sum of listed sizes so far
 	warmSize      float64    // sum of the sizes of its warm members
@@ -119,8 +119,8 @@
 	answerCount   int     // answers that it is from
 }
 
-// backend is one listed backend.
-type backend struct {
+// server is one listed server.
+type server struct {
 	Endpoint
 	excluded            bool            // by operators
 	idHash              uint64          // for rendezvous hashing and slow start draws
@@ -143,34 +143,34 @@
 	consecutiveFailures int
 	connectFailures     float64       // since its last good answer
 	ejections           int           // in a row; 0: not ejected
-	trialAt             time.Duration // an ejected backend gets one trial request from here on
+	trialAt             time.Duration // an ejected server gets one trial request from here on
 	trialInflight       bool
 	healthCheckInflight bool
 	healthCheckPassed   bool // since its ejection
 }
 
-// warm reports whether the backend is not in slow start.
-func (target *backend) warm() bool { return target.slowStartSince < 0 }
+// warm reports whether the server is not in slow start.
+func (target *server) warm() bool { return target.slowStartSince < 0 }
 
-// available reports whether the list and the operators allow new requests to the backend.
-func (target *backend) available() bool { return target.State == Ready && !target.excluded }
+// available reports whether the list and the operators allow new requests to the server.
+func (target *server) available() bool { return target.State == Ready && !target.excluded }
 
 // resetEjection forgets the failures of a process that has been replaced.
-func (target *backend) resetEjection() {
+func (target *server) resetEjection() {
 	target.ejections, target.consecutiveFailures = 0, 0
 	target.trialInflight, target.healthCheckPassed = false, false
 }
 
-// attempt is one sending of a request to a backend.
+// attempt is one sending of a request to a server.
 type attempt struct {
-	backend *backend
-	sentAt  time.Duration
-	warm    bool // the backend was, at sentAt
-	ended   bool
-	status  Status // once ended
+	server *server
+	sentAt time.Duration
+	warm   bool // the server was, at sentAt
+	ended  bool
+	status Status // once ended
 }
 
-// mayHaveExecuted reports whether nothing proves that the backend did not execute the attempt.
+// mayHaveExecuted reports whether nothing proves that the server did not execute the attempt.
 func (t *attempt) mayHaveExecuted() bool { return !t.ended || !t.status.NeverExecuted() }
 
 // request is a client's request until it has its final answer and no attempt is in flight.
@@ -201,10 +201,10 @@
 	return try >= 0 && try < len(r.attempts) && !r.attempts[try].ended
 }
 
-// attemptedOn reports whether an attempt has gone to the backend.
-func (r *request) attemptedOn(target *backend) bool {
+// attemptedOn reports whether an attempt has gone to the server.
+func (r *request) attemptedOn(target *server) bool {
 	for i := range r.attempts {
-		if r.attempts[i].backend == target {
+		if r.attempts[i].server == target {
 			return true
 		}
 	}
@@ -242,7 +242,7 @@
 // endAttempt records the end of an attempt and takes it off the counts of what is in flight.
 func (b *Balancer) endAttempt(r *request, o Outcome) *attempt {
 	t := &r.attempts[o.Attempt]
-	target := t.backend
+	target := t.server
 	t.ended, t.status = true, o.Status
 	r.inflight--
 	target.inflight--
@@ -265,12 +265,12 @@
 	b.freeRequests = append(b.freeRequests, r)
 }
 
-// addBackend adds a record for a backend that is new in the list.
-func (b *Balancer) addBackend(e Endpoint) *backend {
+// addServer adds a record for a server that is new in the list.
+func (b *Balancer) addServer(e Endpoint) *server {
 	if b.zonePaths[e.Zone] == nil {
 		b.zonePaths[e.Zone] = &zonePath{}
 	}
-	target := &backend{
+	target := &server{
 		Endpoint: e, excluded: b.excluded[e.ID], idHash: mixBits(uint64(e.ID)),
 		spillRank: b.rng.Float64(), path: b.zonePaths[e.Zone], slowStartSince: -1,
 		lastSentAt:   make([]time.Duration, len(b.settings.Classes)),
@@ -279,25 +279,25 @@
 	if e.Zone != b.settings.Zone {
 		target.locality = remoteZones
 	}
-	b.backends[e.ID] = target
+	b.servers[e.ID] = target
 	b.sorted = append(b.sorted, target)
 	return target
 }
 
-// reindexBackends drops the backends that are gone, updates the groups' full sizes and sorts.
-func (b *Balancer) reindexBackends() {
-	b.sorted = slices.DeleteFunc(b.sorted, func(target *backend) bool {
+// reindexServers drops the servers that are gone, updates the groups' full sizes and sorts.
+func (b *Balancer) reindexServers() {
+	b.sorted = slices.DeleteFunc(b.sorted, func(target *server) bool {
 		if target.State != Gone {
 			return false
 		}
-		delete(b.backends, target.ID)
+		delete(b.servers, target.ID)
 		return true
 	})
 	b.updateFullSizes()
-	slices.SortFunc(b.sorted, func(x, y *backend) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(b.sorted, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
 }
 
-// updateFullSizes keeps the greatest size that each group had: a zone of which only one backend
+// updateFullSizes keeps the greatest size that each group had: a zone of which only one server
 // in slow start is left must not be taken for a small zone.
 func (b *Balancer) updateFullSizes() {
 	var size [2]float64
@@ -310,7 +310,7 @@
 }
 
 // laneMembers returns the members of a lane. The one at the split point is in both.
-func (g *group) laneMembers(lane int) []*backend {
+func (g *group) laneMembers(lane int) []*server {
 	if lane == largeLane {
 		return g.members[:g.laneSplit+1]
 	}
