--- a/cmd/piernotch-lab/trace.go
+++ b/cmd/piernotch-lab/trace.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"piernotch/internal/trace"
+	"piernotch/internal/trafficrecording"
 )
 
 type traceCmd struct {
@@ -26,7 +26,7 @@
 }
 
 func (c *traceShowCmd) Run(o *output) error {
-	reader, err := trace.Open(c.File)
+	reader, err := trafficrecording.Open(c.File)
 	if err != nil {
 		return err
 	}
@@ -47,9 +47,9 @@
 }
 
 // countTrace reads a recording to its end; the error says how it ended, io.EOF if it is complete.
-func countTrace(reader *trace.Reader) (traceCounts, error) {
+func countTrace(reader *trafficrecording.Reader) (traceCounts, error) {
 	counts := traceCounts{classes: make([]int, len(reader.Header().Classes))}
-	var record trace.Record
+	var record trafficrecording.Record
 	for {
 		if err := reader.Next(&record); err != nil {
 			counts.last = record.At
--- a/cmd/piernotch-voter/main.go
+++ b/cmd/piernotch-voter/main.go
@@ -13,8 +13,8 @@
 
 	"github.com/alecthomas/kong"
 
-	"piernotch/internal/group"
-	"piernotch/internal/group/voter"
+	"piernotch/internal/controlgroup"
+	"piernotch/internal/controlgroup/voter"
 	"piernotch/internal/logs"
 )
 
@@ -43,7 +43,7 @@
 func run(flags commandLine) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
-	cfg, err := group.LoadFile(flags.Group)
+	cfg, err := controlgroup.LoadFile(flags.Group)
 	if err != nil {
 		return err
 	}
--- a/cmd/piernotch/duties.go
+++ b/cmd/piernotch/duties.go
@@ -9,9 +9,9 @@
 	"text/tabwriter"
 	"time"
 
-	"piernotch/internal/group"
-	"piernotch/internal/group/client"
-	"piernotch/internal/group/protocol"
+	"piernotch/internal/controlgroup"
+	"piernotch/internal/controlgroup/client"
+	"piernotch/internal/controlgroup/protocol"
 )
 
 // dutiesCmd shows which balancer of a group holds which duty.
@@ -22,7 +22,7 @@
 
 // Run prints the holders of all duties and the voters. It fails if no voter leads.
 func (c *dutiesCmd) Run() error {
-	cfg, err := group.LoadFile(c.Group)
+	cfg, err := controlgroup.LoadFile(c.Group)
 	if err != nil {
 		return err
 	}
--- a/cmd/piernotch/duties_test.go
+++ b/cmd/piernotch/duties_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
 )
 
 func TestDutiesArePrintedAsTables(t *testing.T) {
--- a/cmd/piernotch/serve.go
+++ b/cmd/piernotch/serve.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
-	"piernotch/internal/group"
-	"piernotch/internal/group/client"
+	"piernotch/internal/controlgroup"
+	"piernotch/internal/controlgroup/client"
 	"piernotch/internal/logs"
 	"piernotch/internal/serve/config"
 	"piernotch/internal/serve/runtime"
@@ -85,7 +85,7 @@
 	if file == "" {
 		return func() {}, nil
 	}
-	cfg, err := group.LoadFile(file)
+	cfg, err := controlgroup.LoadFile(file)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/simulator-adapter/adapter.go
+++ b/cmd/simulator-adapter/adapter.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"piernotch"
-	"piernotch/internal/wire"
+	"piernotch/internal/simprotocol"
 )
 
 // streamBuffer is the size of the buffers on standard input and output, in bytes.
@@ -22,15 +22,15 @@
 type adapter struct {
 	balancers map[uint32]*piernotch.Balancer // nil for one whose settings could not be used
 	columns   []string                       // of load reports; the same for all instances
-	reply     wire.Reply
-	event     wire.Event
+	reply     simprotocol.Reply
+	event     simprotocol.Event
 	entries   []piernotch.Endpoint
 }
 
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	a := adapter{balancers: map[uint32]*piernotch.Balancer{}}
-	reader := wire.NewReader(bufio.NewReaderSize(in, streamBuffer))
+	reader := simprotocol.NewReader(bufio.NewReaderSize(in, streamBuffer))
 	writer := bufio.NewWriterSize(out, streamBuffer)
 	for {
 		batch, err := reader.Next()
@@ -52,12 +52,12 @@
 	}
 }
 
-func (a *adapter) handleBatch(batch *wire.Batch) error {
+func (a *adapter) handleBatch(batch *simprotocol.Batch) error {
 	for i := range batch.Count {
 		if err := batch.Event(i, &a.event); err != nil {
 			return err
 		}
-		if err := a.handle(wire.Duration(batch.ClockMS)); err != nil {
+		if err := a.handle(simprotocol.Duration(batch.ClockMS)); err != nil {
 			return fmt.Errorf("batch %d, event %d: instance %d: %w", batch.Seq, i, a.event.Balancer, err)
 		}
 	}
@@ -68,7 +68,7 @@
 func (a *adapter) handle(now time.Duration) error {
 	e := &a.event
 	balancer, started := a.balancers[e.Balancer]
-	if e.Code == wire.EventStart {
+	if e.Code == simprotocol.EventStart {
 		if started {
 			return errStartedTwice
 		}
@@ -78,7 +78,7 @@
 	if !started {
 		return fmt.Errorf("event with code %d before its start", e.Code)
 	}
-	if e.Code == wire.EventStop {
+	if e.Code == simprotocol.EventStop {
 		delete(a.balancers, e.Balancer)
 		return nil
 	}
@@ -102,11 +102,11 @@
 
 func (a *adapter) newBalancer() (*piernotch.Balancer, error) {
 	e := &a.event
-	settings, err := wire.ParseSettings(e.Data)
+	settings, err := simprotocol.ParseSettings(e.Data)
 	if err != nil {
 		return nil, err
 	}
-	if a.columns, err = wire.ParseReportColumns(e.Data); err != nil {
+	if a.columns, err = simprotocol.ParseReportColumns(e.Data); err != nil {
 		return nil, err
 	}
 	return piernotch.New(settings, e.Seed, &host{balancer: e.Balancer, reply: &a.reply})
@@ -115,32 +115,32 @@
 // dispatch calls the method of a running balancer that the current event stands for.
 func (a *adapter) dispatch(b *piernotch.Balancer, now time.Duration) error {
 	e := &a.event
-	if load, ok := wire.ParseLoadReport(e, a.columns); ok {
+	if load, ok := simprotocol.ParseLoadReport(e, a.columns); ok {
 		b.LoadReported(now, piernotch.ServerID(e.Server), load)
 	}
 	switch e.Code {
-	case wire.EventRequest:
+	case simprotocol.EventRequest:
 		b.HandleRequest(now, request(e))
-	case wire.EventAttemptCompleted:
-		status, err := wire.ParseStatus(e.Status)
+	case simprotocol.EventAttemptCompleted:
+		status, err := simprotocol.ParseStatus(e.Status)
 		if err != nil {
 			return err
 		}
 		b.HandleOutcome(now, outcome(e, status))
-	case wire.EventTimerFired:
+	case simprotocol.EventTimerFired:
 		b.Timer(now, e.Token)
-	case wire.EventClientGone:
+	case simprotocol.EventClientGone:
 		b.ClientDisconnected(now, piernotch.RequestID(e.ID))
-	case wire.EventResponseStarted:
+	case simprotocol.EventResponseStarted:
 		b.ResponseStarted(now, piernotch.RequestID(e.ID), int(e.Attempt))
-	case wire.EventHealthCheckCompleted:
-		status, err := wire.ParseStatus(e.Status)
+	case simprotocol.EventHealthCheckCompleted:
+		status, err := simprotocol.ParseStatus(e.Status)
 		if err != nil {
 			return err
 		}
 		b.HealthCheckCompleted(now, piernotch.ServerID(e.Server), status)
-	case wire.EventEndpointList:
-		kind, entries, err := wire.ParseEndpointList(e, a.entries[:0])
+	case simprotocol.EventEndpointList:
+		kind, entries, err := simprotocol.ParseEndpointList(e, a.entries[:0])
 		if err != nil {
 			return err
 		}
@@ -150,20 +150,20 @@
 	return nil
 }
 
-func request(e *wire.Event) piernotch.Request {
+func request(e *simprotocol.Event) piernotch.Request {
 	hint := e.CostHintMS
-	if e.Flags&wire.FlagCostHint == 0 {
+	if e.Flags&simprotocol.FlagCostHint == 0 {
 		hint = math.NaN()
 	}
 	return piernotch.Request{
 		ID: piernotch.RequestID(e.ID), Class: int(e.Class), Tenant: int(e.Tenant), Key: e.Key,
-		Deadline: wire.Duration(e.DeadlineMS), CostHint: hint,
+		Deadline: simprotocol.Duration(e.DeadlineMS), CostHint: hint,
 	}
 }
 
-func outcome(e *wire.Event, status piernotch.Status) piernotch.Outcome {
+func outcome(e *simprotocol.Event, status piernotch.Status) piernotch.Outcome {
 	return piernotch.Outcome{
 		ID: piernotch.RequestID(e.ID), Attempt: int(e.Attempt), Server: piernotch.ServerID(e.Server),
-		Status: status, Latency: wire.Duration(e.LatencyMS), Closed: e.Closed,
+		Status: status, Latency: simprotocol.Duration(e.LatencyMS), Closed: e.Closed,
 	}
 }
--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -4,17 +4,17 @@
 	"time"
 
 	"piernotch"
-	"piernotch/internal/wire"
+	"piernotch/internal/simprotocol"
 )
 
 // host is the piernotch.Host of one instance: it writes the instance's actions to the reply.
 type host struct {
 	balancer uint32
-	reply    *wire.Reply
+	reply    *simprotocol.Reply
 }
 
 func (h *host) StartAttempt(id piernotch.RequestID, to piernotch.ServerID, timeout time.Duration) {
-	h.reply.StartAttempt(h.balancer, uint64(id), uint32(to), wire.Milliseconds(timeout))
+	h.reply.StartAttempt(h.balancer, uint64(id), uint32(to), simprotocol.Milliseconds(timeout))
 }
 
 func (h *host) CancelAttempt(id piernotch.RequestID, attempt int) {
@@ -22,7 +22,7 @@
 }
 
 func (h *host) Reject(id piernotch.RequestID, retryAfter time.Duration) {
-	h.reply.Reject(h.balancer, uint64(id), wire.Milliseconds(retryAfter))
+	h.reply.Reject(h.balancer, uint64(id), simprotocol.Milliseconds(retryAfter))
 }
 
 func (h *host) Fail(id piernotch.RequestID) { h.reply.Fail(h.balancer, uint64(id)) }
@@ -32,5 +32,5 @@
 func (h *host) WatchEndpoints() { h.reply.WatchEndpoints(h.balancer, true) }
 
 func (h *host) SetTimer(delay time.Duration, token uint32) {
-	h.reply.SetTimer(h.balancer, wire.Milliseconds(delay), token)
+	h.reply.SetTimer(h.balancer, simprotocol.Milliseconds(delay), token)
 }
--- a/internal/group/client/client.go
+++ b/internal/controlgroup/client/client.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"piernotch/internal/group"
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
-	"piernotch/internal/group/transport"
+	"piernotch/internal/controlgroup"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
+	"piernotch/internal/controlgroup/transport"
 )
 
 const (
@@ -24,7 +24,7 @@
 
 // Client is a running member of a group. Its methods may be called from any goroutine.
 type Client struct {
-	cfg       group.Config
+	cfg       controlgroup.Config
 	process   lease.Process
 	timing    lease.Timing
 	startedAt time.Time
@@ -44,7 +44,7 @@
 
 // Start begins a member that acquires the duties of its configuration. The configuration has to be
 // valid. observer may be nil. The caller has to call Close.
-func Start(cfg group.Config, observer RequestObserver) *Client {
+func Start(cfg controlgroup.Config, observer RequestObserver) *Client {
 	c := &Client{
 		cfg:          cfg,
 		process:      lease.Process{Name: cfg.Self, Incarnation: rand.Uint64()},
--- a/internal/group/client/connection.go
+++ b/internal/controlgroup/client/connection.go
@@ -6,9 +6,9 @@
 	"math/rand/v2"
 	"time"
 
-	"piernotch/internal/group"
-	"piernotch/internal/group/protocol"
-	"piernotch/internal/group/transport"
+	"piernotch/internal/controlgroup"
+	"piernotch/internal/controlgroup/protocol"
+	"piernotch/internal/controlgroup/transport"
 )
 
 // keepConnected keeps a connection to the leader until ctx is done: to the voter that was named as the
@@ -30,7 +30,7 @@
 }
 
 // takeTarget returns the voter to connect to: the leader once after it was named, otherwise the next in turn.
-func (c *Client) takeTarget(next int) group.Voter {
+func (c *Client) takeTarget(next int) controlgroup.Voter {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	target := c.cfg.Voters[next%len(c.cfg.Voters)]
--- a/internal/group/client/request.go
+++ b/internal/controlgroup/client/request.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
-	"piernotch/internal/group/transport"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
+	"piernotch/internal/controlgroup/transport"
 )
 
 // RequestRecord is one request of a client, as the client saw it.
--- a/internal/group/client/shared_watch.go
+++ b/internal/controlgroup/client/shared_watch.go
@@ -6,10 +6,10 @@
 	"math/rand/v2"
 	"time"
 
-	"piernotch/internal/group"
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
-	"piernotch/internal/group/watch"
+	"piernotch/internal/controlgroup"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
+	"piernotch/internal/controlgroup/watch"
 )
 
 // sharedWatch is the duty of polling discovery for all members. The holder of the duty publishes what its
@@ -18,7 +18,7 @@
 type sharedWatch struct {
 	client   *Client
 	duty     lease.Duty
-	onUpdate group.OnUpdate
+	onUpdate controlgroup.OnUpdate
 	address  string         // where this balancer reaches what the group calls cfg.Source
 	log      watch.EventLog // what this balancer's own polls returned
 	follower *watch.Follower
@@ -40,15 +40,15 @@
 	return &sharedWatch{
 		client:   c,
 		duty:     d,
-		onUpdate: func(group.WatchEvent) {},
+		onUpdate: func(controlgroup.WatchEvent) {},
 		holder:   watch.NewHolder(watch.DefaultTiming, now),
 		follower: watch.NewFollower(watch.DefaultTiming, rng, now),
 	}
 }
 
-// SharedWatch begins the balancer's part in the shared watch; it is a group.JoinWatch. onUpdate is called
+// SharedWatch begins the balancer's part in the shared watch; it is a controlgroup.JoinWatch. onUpdate is called
 // from the client's goroutines.
-func (c *Client) SharedWatch(source string, onUpdate group.OnUpdate) group.SharedWatch {
+func (c *Client) SharedWatch(source string, onUpdate controlgroup.OnUpdate) controlgroup.SharedWatch {
 	if c.sharedWatch == nil {
 		return nil
 	}
@@ -63,28 +63,28 @@
 // lockedSharedWatch is the shared watch as the balancer sees it: each method takes the client's lock.
 type lockedSharedWatch struct{ w *sharedWatch }
 
-// ShouldPoll implements group.SharedWatch.
+// ShouldPoll implements controlgroup.SharedWatch.
 func (l lockedSharedWatch) ShouldPoll(source string) (poll, complete bool) {
 	l.w.client.mu.Lock()
 	defer l.w.client.mu.Unlock()
 	return l.w.shouldPollLocked(source)
 }
 
-// Publish implements group.SharedWatch.
-func (l lockedSharedWatch) Publish(e group.WatchEvent) {
+// Publish implements controlgroup.SharedWatch.
+func (l lockedSharedWatch) Publish(e controlgroup.WatchEvent) {
 	l.w.client.mu.Lock()
 	defer l.w.client.mu.Unlock()
 	l.w.appendLocked(e)
 }
 
-// PollFailed implements group.SharedWatch.
+// PollFailed implements controlgroup.SharedWatch.
 func (l lockedSharedWatch) PollFailed() {
 	l.w.client.mu.Lock()
 	defer l.w.client.mu.Unlock()
 	l.w.holder.PollFailed()
 }
 
-// RequestUpdate implements group.SharedWatch.
+// RequestUpdate implements controlgroup.SharedWatch.
 func (l lockedSharedWatch) RequestUpdate(source string, version uint64) {
 	l.w.client.mu.Lock()
 	defer l.w.client.mu.Unlock()
@@ -119,7 +119,7 @@
 	return poll, held && needsCompleteList
 }
 
-func (w *sharedWatch) appendLocked(e group.WatchEvent) {
+func (w *sharedWatch) appendLocked(e controlgroup.WatchEvent) {
 	e.Source = w.commonName(e.Source)
 	w.knownSource = e.Source
 	w.knownVersion = e.ToVersion
@@ -147,7 +147,7 @@
 	w.client.sendLocked(protocol.Request{
 		Kind:    protocol.Subscribe,
 		Command: lease.Command{Duty: w.duty},
-		Event:   &group.WatchEvent{Source: w.knownSource, ToVersion: w.knownVersion},
+		Event:   &controlgroup.WatchEvent{Source: w.knownSource, ToVersion: w.knownVersion},
 	}, func(protocol.Response) {})
 }
 
@@ -176,7 +176,7 @@
 		w.client.holders[w.duty].Release()
 	case w.holder.HeartbeatDue(now):
 		if source, version, hasEvents := w.log.Version(); hasEvents {
-			w.publishEventLocked(token, group.WatchEvent{Source: source, FromVersion: version, ToVersion: version})
+			w.publishEventLocked(token, controlgroup.WatchEvent{Source: source, FromVersion: version, ToVersion: version})
 		}
 	}
 }
@@ -205,7 +205,7 @@
 }
 
 // publishEventLocked publishes one event. If the leader lacks what precedes it, all is published again.
-func (w *sharedWatch) publishEventLocked(token uint64, e group.WatchEvent) {
+func (w *sharedWatch) publishEventLocked(token uint64, e controlgroup.WatchEvent) {
 	w.client.sendLocked(protocol.Request{
 		Kind:    protocol.Publish,
 		Command: lease.Command{Duty: w.duty, Process: w.client.process, Token: token},
@@ -219,7 +219,7 @@
 
 // handleEventLocked passes an event of the holder on to the balancer. It ignores a holder that polls
 // another discovery, one that has been replaced, and this balancer's own events.
-func (w *sharedWatch) handleEventLocked(token uint64, e group.WatchEvent) {
+func (w *sharedWatch) handleEventLocked(token uint64, e controlgroup.WatchEvent) {
 	if e.Source != w.currentSource {
 		return
 	}
--- a/internal/group/client/shared_watch_test.go
+++ b/internal/controlgroup/client/shared_watch_test.go
@@ -6,22 +6,22 @@
 
 	"github.com/stretchr/testify/require"
 
-	"piernotch/internal/group"
-	"piernotch/internal/group/watch"
+	"piernotch/internal/controlgroup"
+	"piernotch/internal/controlgroup/watch"
 )
 
 // A balancer whose settings name another discovery does not rely on a holder that polls the old one.
 func TestHolderPollingAnotherDiscoveryIsIgnored(t *testing.T) {
-	c := Start(group.Config{
-		Name: "g", Self: "a", LeaseDuration: time.Second, WatchDuty: "watch", Voters: []group.Voter{{Name: "v", Address: "127.0.0.1:1"}},
+	c := Start(controlgroup.Config{
+		Name: "g", Self: "a", LeaseDuration: time.Second, WatchDuty: "watch", Voters: []controlgroup.Voter{{Name: "v", Address: "127.0.0.1:1"}},
 	}, nil)
 	defer c.Close(0)
 	updates := 0
-	shared := c.SharedWatch("old", func(group.WatchEvent) { updates++ })
+	shared := c.SharedWatch("old", func(controlgroup.WatchEvent) { updates++ })
 	receive := func(version uint64) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.sharedWatch.handleEventLocked(1, group.WatchEvent{Source: "old", Complete: true, ToVersion: version})
+		c.sharedWatch.handleEventLocked(1, controlgroup.WatchEvent{Source: "old", Complete: true, ToVersion: version})
 	}
 	receive(1)
 	polls, _ := shared.ShouldPoll("old")
--- a/internal/group/config_test.go
+++ b/internal/controlgroup/config_test.go
@@ -1,4 +1,4 @@
-package group
+package controlgroup
 
 import (
 	"errors"
--- a/internal/group/consensus/announcement.go
+++ b/internal/controlgroup/consensus/announcement.go
@@ -3,8 +3,8 @@
 import (
 	"go.etcd.io/raft/v3/raftpb"
 
-	"piernotch/internal/group/failpoint"
-	"piernotch/internal/group/protocol"
+	"piernotch/internal/controlgroup/failpoint"
+	"piernotch/internal/controlgroup/protocol"
 )
 
 // peerProgress is what another voter's messages have shown of its store.
--- a/internal/group/consensus/apply.go
+++ b/internal/controlgroup/consensus/apply.go
@@ -8,7 +8,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"piernotch/internal/group/lease"
+	"piernotch/internal/controlgroup/lease"
 )
 
 // EntryError is returned by Advance for a committed log entry that this program cannot apply.
--- a/internal/group/consensus/golden_test.go
+++ b/internal/controlgroup/consensus/golden_test.go
@@ -12,8 +12,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
 )
 
 var update = flag.Bool("update", false, "write the golden files again; only where the form changes on purpose")
--- a/internal/group/consensus/machine.go
+++ b/internal/controlgroup/consensus/machine.go
@@ -11,9 +11,9 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"piernotch/internal/group/failpoint"
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
+	"piernotch/internal/controlgroup/failpoint"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
 )
 
 // electionTicks is raft's election timeout in ticks: a voter that hears no leader for that long, and for a
--- a/internal/group/consensus/machine_test.go
+++ b/internal/controlgroup/consensus/machine_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
 )
 
 // newSingleVoter returns the machine of a group of one voter, with ID 1.
--- a/internal/group/consensus/membership.go
+++ b/internal/controlgroup/consensus/membership.go
@@ -9,8 +9,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"go.etcd.io/raft/v3/tracker"
 
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
 )
 
 // membershipChange is the context of a configuration change in the log: who proposed it, which request it
--- a/internal/group/consensus/requests.go
+++ b/internal/controlgroup/consensus/requests.go
@@ -9,9 +9,9 @@
 	"github.com/fxamacker/cbor/v2"
 	"go.etcd.io/raft/v3"
 
-	"piernotch/internal/group/failpoint"
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
+	"piernotch/internal/controlgroup/failpoint"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
 )
 
 // maxPendingRequests bounds the requests that wait at one leader; more are refused with ErrOverloaded.
--- a/internal/group/consensus/snapshot.go
+++ b/internal/controlgroup/consensus/snapshot.go
@@ -7,7 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"piernotch/internal/group/protocol"
+	"piernotch/internal/controlgroup/protocol"
 )
 
 // compactionInterval is how many entries are applied between two snapshots of the state.
--- a/internal/group/consensus/store_test.go
+++ b/internal/controlgroup/consensus/store_test.go
@@ -10,7 +10,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"piernotch/internal/group/protocol"
+	"piernotch/internal/controlgroup/protocol"
 )
 
 func entryAt(index, term uint64, data string) *raftpb.Entry {
--- a/internal/group/doc.go
+++ b/internal/controlgroup/doc.go
@@ -1,4 +1,4 @@
-// Package group is the interface between a balancer and its control group: the balancers of one
+// Package controlgroup is the interface between a balancer and its control group: the balancers of one
 // installation that elect leaders for duties, keep replicated state and share one watch of discovery.
 //
 // The package owns the settings of a group (Config, LoadFile) and the types that cross the border
@@ -8,4 +8,4 @@
 //
 // Callers are the programs, which load the settings; the balancer's runtime and its discovery
 // watcher, which use SharedWatch; and the packages below, which implement it.
-package group
+package controlgroup
--- a/internal/group/lease/expiry_clock.go
+++ b/internal/controlgroup/lease/expiry_clock.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"piernotch/internal/group/failpoint"
+	"piernotch/internal/controlgroup/failpoint"
 )
 
 // ExpiryClock expires leases that are not renewed. The leader of the group runs one, from when it begins to lead.
--- a/internal/group/lease/fence.go
+++ b/internal/controlgroup/lease/fence.go
@@ -1,6 +1,6 @@
 package lease
 
-import "piernotch/internal/group/failpoint"
+import "piernotch/internal/controlgroup/failpoint"
 
 // Fence rejects acts under outdated tokens. Whoever receives acts has one. What it has seen must outlive its
 // process: the receiver stores Tokens before it carries out an act whose token Admit calls fresh. The
--- a/internal/group/lease/holder.go
+++ b/internal/controlgroup/lease/holder.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"piernotch/internal/group/failpoint"
+	"piernotch/internal/controlgroup/failpoint"
 )
 
 // Request is what a Holder asks of the group: a command, or the renewal of what it holds.
--- a/internal/group/lease/table.go
+++ b/internal/controlgroup/lease/table.go
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"piernotch/internal/group/failpoint"
+	"piernotch/internal/controlgroup/failpoint"
 )
 
 // Duty names what at most one process may do at a time.
--- a/internal/group/protocol/request.go
+++ b/internal/controlgroup/protocol/request.go
@@ -3,8 +3,8 @@
 import (
 	"errors"
 
-	"piernotch/internal/group"
-	"piernotch/internal/group/lease"
+	"piernotch/internal/controlgroup"
+	"piernotch/internal/controlgroup/lease"
 )
 
 // Errors of a Response, beside lease.ErrHeld and lease.ErrNotHeld. Package transport gives each a code.
@@ -38,8 +38,8 @@
 	Key     uint64 // the sender's own number; the response repeats it
 	Kind    Kind
 	Command lease.Command
-	Voter   Voter             // of AddVoter
-	Event   *group.WatchEvent // of Publish and Subscribe
+	Voter   Voter                    // of AddVoter
+	Event   *controlgroup.WatchEvent // of Publish and Subscribe
 }
 
 // RequestFor returns the request that a lease holder wants sent, without a Key.
--- a/internal/group/protocol/voter.go
+++ b/internal/controlgroup/protocol/voter.go
@@ -1,6 +1,6 @@
 package protocol
 
-import "piernotch/internal/group/lease"
+import "piernotch/internal/controlgroup/lease"
 
 // Voter is a member of the group that votes. It is identified by its ID, never by its name: a voter whose store
 // was lost comes back under the same name as another voter.
--- a/internal/group/shared_watch.go
+++ b/internal/controlgroup/shared_watch.go
@@ -1,4 +1,4 @@
-package group
+package controlgroup
 
 // SharedWatch is a balancer's part in a watch of discovery that one balancer, the holder of the
 // watch's duty, polls for all. Its methods do not block and may be called from any goroutine.
--- a/internal/group/transport/errors.go
+++ b/internal/controlgroup/transport/errors.go
@@ -3,9 +3,9 @@
 import (
 	"errors"
 
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
-	"piernotch/internal/group/watch"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
+	"piernotch/internal/controlgroup/watch"
 )
 
 // Errors of a connection. They are wrapped with what was received.
--- a/internal/group/transport/frame.go
+++ b/internal/controlgroup/transport/frame.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"piernotch/internal/group"
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
+	"piernotch/internal/controlgroup"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
 )
 
 // A frame is a header and its CBOR data. The header is the length of the data in bytes (4 bytes, big endian)
@@ -41,24 +41,24 @@
 
 // Request is a member's request to the leader; see protocol.Request.
 type Request struct {
-	Key     uint64            `cbor:"1,keyasint"` // chosen by the sender, and repeated in the response; 0: no response is expected
-	Kind    protocol.Kind     `cbor:"2,keyasint"`
-	Command lease.Command     `cbor:"3,keyasint"`
-	Voter   protocol.Voter    `cbor:"4,keyasint,omitempty"`
-	Event   *group.WatchEvent `cbor:"5,keyasint,omitempty"`
+	Key     uint64                   `cbor:"1,keyasint"` // chosen by the sender, and repeated in the response; 0: no response is expected
+	Kind    protocol.Kind            `cbor:"2,keyasint"`
+	Command lease.Command            `cbor:"3,keyasint"`
+	Voter   protocol.Voter           `cbor:"4,keyasint,omitempty"`
+	Event   *controlgroup.WatchEvent `cbor:"5,keyasint,omitempty"`
 }
 
 // Response is the answer to a Request or, with Key 0, what a voter sends on its own.
 type Response struct {
-	Key       uint64            `cbor:"1,keyasint"`
-	Code      ErrorCode         `cbor:"2,keyasint"`
-	Grant     lease.Grant       `cbor:"3,keyasint,omitempty"`
-	Snapshot  protocol.Snapshot `cbor:"4,keyasint,omitempty"`
-	Leader    string            `cbor:"5,keyasint,omitempty"` // the name of the voter that leads; "": not known
-	FreedDuty lease.Duty        `cbor:"6,keyasint,omitempty"` // with Key 0: this duty may have come free
-	Duty      lease.Duty        `cbor:"7,keyasint,omitempty"` // with Key 0: the duty of the watch that Event belongs to
-	Token     uint64            `cbor:"8,keyasint,omitempty"` // the token under which Event was published
-	Event     *group.WatchEvent `cbor:"9,keyasint,omitempty"`
+	Key       uint64                   `cbor:"1,keyasint"`
+	Code      ErrorCode                `cbor:"2,keyasint"`
+	Grant     lease.Grant              `cbor:"3,keyasint,omitempty"`
+	Snapshot  protocol.Snapshot        `cbor:"4,keyasint,omitempty"`
+	Leader    string                   `cbor:"5,keyasint,omitempty"` // the name of the voter that leads; "": not known
+	FreedDuty lease.Duty               `cbor:"6,keyasint,omitempty"` // with Key 0: this duty may have come free
+	Duty      lease.Duty               `cbor:"7,keyasint,omitempty"` // with Key 0: the duty of the watch that Event belongs to
+	Token     uint64                   `cbor:"8,keyasint,omitempty"` // the token under which Event was published
+	Event     *controlgroup.WatchEvent `cbor:"9,keyasint,omitempty"`
 }
 
 // decoder bounds what a frame may hold, so that a hostile one takes no more memory than its size allows.
--- a/internal/group/transport/golden_test.go
+++ b/internal/controlgroup/transport/golden_test.go
@@ -11,10 +11,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"piernotch/internal/group"
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
-	"piernotch/internal/group/watch"
+	"piernotch/internal/controlgroup"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
+	"piernotch/internal/controlgroup/watch"
 )
 
 var update = flag.Bool("update", false, "write the golden files again; only where the form changes on purpose")
@@ -23,7 +23,7 @@
 // program: every part with every field set, every kind of question, operation and error.
 func TestFramesGoldenFile(t *testing.T) {
 	accepted := true
-	event := &group.WatchEvent{Source: "127.0.0.1:18500", FromVersion: 6, ToVersion: 7, Complete: true, Body: []byte(`{"generation":7}`)}
+	event := &controlgroup.WatchEvent{Source: "127.0.0.1:18500", FromVersion: 6, ToVersion: 7, Complete: true, Body: []byte(`{"generation":7}`)}
 	voter := protocol.Voter{ID: 0x1122334455667701, Name: "n2", Address: "127.0.0.1:18702"}
 	command := lease.Command{
 		Op: lease.Transfer, Duty: "watch/addis", Process: lease.Process{Name: "n0", Incarnation: 21}, Token: 22, Successor: lease.Process{Name: "n1", Incarnation: 23},
--- a/internal/group/voter/connections.go
+++ b/internal/controlgroup/voter/connections.go
@@ -12,9 +12,9 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"piernotch/internal/group"
-	"piernotch/internal/group/consensus"
-	"piernotch/internal/group/transport"
+	"piernotch/internal/controlgroup"
+	"piernotch/internal/controlgroup/consensus"
+	"piernotch/internal/controlgroup/transport"
 )
 
 const (
@@ -25,7 +25,7 @@
 
 // link is the connection to another voter.
 type link struct {
-	to   group.Voter
+	to   controlgroup.Voter
 	conn *transport.Conn // nil: not connected; owned by the event loop
 }
 
--- a/internal/group/voter/requests.go
+++ b/internal/controlgroup/voter/requests.go
@@ -5,9 +5,9 @@
 	"math/rand/v2"
 	"slices"
 
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
-	"piernotch/internal/group/transport"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
+	"piernotch/internal/controlgroup/transport"
 )
 
 const (
--- a/internal/group/voter/store.go
+++ b/internal/controlgroup/voter/store.go
@@ -8,10 +8,10 @@
 	"math/rand/v2"
 	"slices"
 
-	"piernotch/internal/group/consensus"
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
-	"piernotch/internal/group/transport"
+	"piernotch/internal/controlgroup/consensus"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
+	"piernotch/internal/controlgroup/transport"
 )
 
 // openStore opens the voter's file, in place of a corrupt one a new one, and starts the machine if the file is that
--- a/internal/group/voter/subscriptions.go
+++ b/internal/controlgroup/voter/subscriptions.go
@@ -3,11 +3,11 @@
 import (
 	"slices"
 
-	"piernotch/internal/group"
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
-	"piernotch/internal/group/transport"
-	"piernotch/internal/group/watch"
+	"piernotch/internal/controlgroup"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
+	"piernotch/internal/controlgroup/transport"
+	"piernotch/internal/controlgroup/watch"
 )
 
 // subscription is what the holder of a duty has published, and who is sent it.
@@ -32,7 +32,7 @@
 	}
 	s := v.subscriptions[duty]
 	if s == nil {
-		if len(v.subscriptions) >= group.MaxDuties {
+		if len(v.subscriptions) >= controlgroup.MaxDuties {
 			return protocol.ErrOverloaded
 		}
 		s = &subscription{}
@@ -52,7 +52,7 @@
 }
 
 // subscribe sends a connection the events after a version, and then each new one.
-func (s *subscription) subscribe(conn *transport.Conn, duty lease.Duty, from *group.WatchEvent) {
+func (s *subscription) subscribe(conn *transport.Conn, duty lease.Duty, from *controlgroup.WatchEvent) {
 	if !slices.Contains(s.subscribers, conn) {
 		s.subscribers = append(s.subscribers, conn)
 	}
@@ -62,7 +62,7 @@
 }
 
 // publish adds an event, and sends it to all subscribers but the publisher.
-func (s *subscription) publish(conn *transport.Conn, duty lease.Duty, token uint64, event *group.WatchEvent) error {
+func (s *subscription) publish(conn *transport.Conn, duty lease.Duty, token uint64, event *controlgroup.WatchEvent) error {
 	if err := s.Append(token, *event); err != nil {
 		return err
 	}
--- a/internal/group/voter/voter.go
+++ b/internal/controlgroup/voter/voter.go
@@ -7,11 +7,11 @@
 	"sync"
 	"time"
 
-	"piernotch/internal/group"
-	"piernotch/internal/group/consensus"
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
-	"piernotch/internal/group/transport"
+	"piernotch/internal/controlgroup"
+	"piernotch/internal/controlgroup/consensus"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
+	"piernotch/internal/controlgroup/transport"
 )
 
 // StartError is returned by Start for a setting of the group that cannot be used here.
@@ -28,7 +28,7 @@
 
 // Voter is a running voter. Its exported methods may be called from any goroutine.
 type Voter struct {
-	config    group.Config
+	config    controlgroup.Config
 	startedAt time.Time
 	listener  net.Listener
 
@@ -58,7 +58,7 @@
 // Start opens the voter's file, listens, and returns a running voter, which the caller has to Close. A corrupt
 // file is quarantined; the voter then starts with an empty one and a new ID, under which the group has to add it.
 // Errors are a *StartError, or the consensus package's for a file whose content is not consistent.
-func Start(cfg group.Config) (*Voter, error) {
+func Start(cfg controlgroup.Config) (*Voter, error) {
 	self, isVoter := cfg.Voter()
 	if !isVoter {
 		return nil, &StartError{Setting: "self", Err: fmt.Errorf("%q is none of the voters", cfg.Self)}
--- a/internal/group/voter/voter_test.go
+++ b/internal/controlgroup/voter/voter_test.go
@@ -12,27 +12,27 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
-	"piernotch/internal/group"
-	"piernotch/internal/group/client"
-	"piernotch/internal/group/lease"
+	"piernotch/internal/controlgroup"
+	"piernotch/internal/controlgroup/client"
+	"piernotch/internal/controlgroup/lease"
 )
 
 // waitLimit bounds every wait; nothing depends on how long one takes.
 const waitLimit = 30 * time.Second
 
 // threeConfigs returns the configurations of the three voters of a group.
-func threeConfigs(t *testing.T) []group.Config {
+func threeConfigs(t *testing.T) []controlgroup.Config {
 	t.Helper()
-	var voters []group.Voter
+	var voters []controlgroup.Voter
 	for i := range 3 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		voters = append(voters, group.Voter{Name: fmt.Sprintf("n%d", i), Address: l.Addr().String()})
+		voters = append(voters, controlgroup.Voter{Name: fmt.Sprintf("n%d", i), Address: l.Addr().String()})
 		require.NoError(t, l.Close())
 	}
-	var configs []group.Config
+	var configs []controlgroup.Config
 	for _, v := range voters {
-		configs = append(configs, group.Config{
+		configs = append(configs, controlgroup.Config{
 			Name:          "g",
 			Self:          v.Name,
 			StorePath:     filepath.Join(t.TempDir(), "voter"),
@@ -44,7 +44,7 @@
 	return configs
 }
 
-func startVoter(t *testing.T, c group.Config) *Voter {
+func startVoter(t *testing.T, c controlgroup.Config) *Voter {
 	t.Helper()
 	v, err := Start(c)
 	require.NoError(t, err)
@@ -52,7 +52,7 @@
 }
 
 // startClient returns a client of the group that wants a duty.
-func startClient(c group.Config, name string, duty lease.Duty) *client.Client {
+func startClient(c controlgroup.Config, name string, duty lease.Duty) *client.Client {
 	c.Self = name
 	c.StorePath = ""
 	c.Duties = []string{string(duty)}
@@ -142,7 +142,7 @@
 	listener, err := net.Listen("tcp", addressInUse.Voters[1].Address)
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
-	for setting, c := range map[string]group.Config{"self": notAVoter, "voter": addressInUse} {
+	for setting, c := range map[string]controlgroup.Config{"self": notAVoter, "voter": addressInUse} {
 		t.Run(setting, func(t *testing.T) {
 			_, err := Start(c)
 			var startError *StartError
--- a/internal/group/watch/event_log.go
+++ b/internal/controlgroup/watch/event_log.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 
-	"piernotch/internal/group"
+	"piernotch/internal/controlgroup"
 )
 
 // Bounds of an EventLog.
@@ -26,13 +26,13 @@
 	token   uint64
 	source  string
 	version uint64
-	events  []group.WatchEvent // the first is a complete list
+	events  []controlgroup.WatchEvent // the first is a complete list
 }
 
 // Append adds an event that was published under a token. A complete list replaces the log; a change has to
 // apply to the log's version. The error is ErrStaleToken for an event older than the log, ErrVersionGap if
 // a complete list has to come first, and ErrTooLarge over MaxBodySize; the log is then as before.
-func (l *EventLog) Append(token uint64, e group.WatchEvent) error {
+func (l *EventLog) Append(token uint64, e controlgroup.WatchEvent) error {
 	if token < l.token {
 		return ErrStaleToken
 	}
@@ -56,20 +56,20 @@
 }
 
 // replace begins the log anew with a complete list, which a holder may not publish for an older version.
-func (l *EventLog) replace(token uint64, e group.WatchEvent) error {
+func (l *EventLog) replace(token uint64, e controlgroup.WatchEvent) error {
 	if token == l.token && e.Source == l.source && e.ToVersion < l.version {
 		return ErrStaleToken
 	}
 	l.token = token
 	l.source = e.Source
 	l.version = e.ToVersion
-	l.events = []group.WatchEvent{e} // not the old array, of which Since has returned parts
+	l.events = []controlgroup.WatchEvent{e} // not the old array, of which Since has returned parts
 	return nil
 }
 
 // Since returns the events after a version of a source, or the whole log if it does not know that
 // version. The caller must not change them.
-func (l *EventLog) Since(source string, version uint64) []group.WatchEvent {
+func (l *EventLog) Since(source string, version uint64) []controlgroup.WatchEvent {
 	if source == l.source {
 		for i, e := range l.events {
 			if e.ToVersion == version {
--- a/internal/group/watch/event_log_test.go
+++ b/internal/controlgroup/watch/event_log_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"piernotch/internal/group"
+	"piernotch/internal/controlgroup"
 )
 
 func TestEventLogLeadsEveryFollowerToTheLastVersion(t *testing.T) {
@@ -15,7 +15,7 @@
 		version, token := uint64(0), uint64(1)
 		followerVersions := map[int]uint64{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			e := group.WatchEvent{Source: "d", FromVersion: version, ToVersion: version + 1}
+			e := controlgroup.WatchEvent{Source: "d", FromVersion: version, ToVersion: version + 1}
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				e.Complete, e.FromVersion = true, 0
@@ -25,7 +25,7 @@
 				token++ // a new holder begins with a complete list
 				e.Complete, e.FromVersion = true, 0
 			case 3: // the holder before publishes once more
-				err := log.Append(token-1, group.WatchEvent{Source: "d", Complete: true, ToVersion: version + 9})
+				err := log.Append(token-1, controlgroup.WatchEvent{Source: "d", Complete: true, ToVersion: version + 9})
 				if log.token == token {
 					require.ErrorIs(t, err, ErrStaleToken)
 				} else {
@@ -57,17 +57,17 @@
 
 func TestFollowsAppliesOnlyNewerEventsOfTheSameSource(t *testing.T) {
 	for _, c := range []struct {
-		event          group.WatchEvent
+		event          controlgroup.WatchEvent
 		apply, missing bool
 	}{
-		{group.WatchEvent{Source: "d", FromVersion: 5, ToVersion: 6}, true, false},
-		{group.WatchEvent{Source: "d", FromVersion: 6, ToVersion: 7}, false, true},
-		{group.WatchEvent{Source: "d", FromVersion: 4, ToVersion: 5}, false, false},
-		{group.WatchEvent{Source: "d", Complete: true, ToVersion: 4}, false, false},
-		{group.WatchEvent{Source: "d", Complete: true, ToVersion: 9}, true, false},
-		{group.WatchEvent{Source: "d", FromVersion: 9, ToVersion: 9}, false, true},
-		{group.WatchEvent{Source: "d", FromVersion: 5, ToVersion: 5}, false, false},
-		{group.WatchEvent{Source: "e", Complete: true, ToVersion: 9}, false, false},
+		{controlgroup.WatchEvent{Source: "d", FromVersion: 5, ToVersion: 6}, true, false},
+		{controlgroup.WatchEvent{Source: "d", FromVersion: 6, ToVersion: 7}, false, true},
+		{controlgroup.WatchEvent{Source: "d", FromVersion: 4, ToVersion: 5}, false, false},
+		{controlgroup.WatchEvent{Source: "d", Complete: true, ToVersion: 4}, false, false},
+		{controlgroup.WatchEvent{Source: "d", Complete: true, ToVersion: 9}, true, false},
+		{controlgroup.WatchEvent{Source: "d", FromVersion: 9, ToVersion: 9}, false, true},
+		{controlgroup.WatchEvent{Source: "d", FromVersion: 5, ToVersion: 5}, false, false},
+		{controlgroup.WatchEvent{Source: "e", Complete: true, ToVersion: 9}, false, false},
 	} {
 		apply, missing := c.event.Follows("d", 5)
 		require.Equal(t, c.apply, apply, c.event)
--- a/internal/lab/clustersim/checks.go
+++ b/internal/lab/clustersim/checks.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
 )
 
 // maxViolations bounds what a result keeps; a run ends at its first violation.
--- a/internal/lab/clustersim/disk.go
+++ b/internal/lab/clustersim/disk.go
@@ -5,7 +5,7 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"piernotch/internal/group/consensus"
+	"piernotch/internal/controlgroup/consensus"
 )
 
 // disk is what survives the end of a voter's process.
--- a/internal/lab/clustersim/linearizability.go
+++ b/internal/lab/clustersim/linearizability.go
@@ -9,8 +9,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
 )
 
 // Call is one request as its sender saw it, with the group's response. Calls are compared by their times,
--- a/internal/lab/clustersim/member.go
+++ b/internal/lab/clustersim/member.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"time"
 
-	"piernotch/internal/group/failpoint"
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
+	"piernotch/internal/controlgroup/failpoint"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
 )
 
 const (
--- a/internal/lab/clustersim/node.go
+++ b/internal/lab/clustersim/node.go
@@ -4,8 +4,8 @@
 	"maps"
 	"time"
 
-	"piernotch/internal/group/failpoint"
-	"piernotch/internal/group/lease"
+	"piernotch/internal/controlgroup/failpoint"
+	"piernotch/internal/controlgroup/lease"
 )
 
 // nodeID is the number of a node: voters first, then members, then receivers, as in Fault.Node.
--- a/internal/lab/clustersim/planted_test.go
+++ b/internal/lab/clustersim/planted_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"piernotch/internal/group/failpoint"
+	"piernotch/internal/controlgroup/failpoint"
 )
 
 // Each planted defect is found; the log says by which seed and after how long. Run it with -tags planted -v.
--- a/internal/lab/clustersim/simulation.go
+++ b/internal/lab/clustersim/simulation.go
@@ -4,9 +4,9 @@
 	"math/rand/v2"
 	"time"
 
-	"piernotch/internal/group/consensus"
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
+	"piernotch/internal/controlgroup/consensus"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
 )
 
 // LeaseTiming is that of the simulated group: short, so that a schedule holds many leases.
--- a/internal/lab/clustersim/voter.go
+++ b/internal/lab/clustersim/voter.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"piernotch/internal/group/consensus"
-	"piernotch/internal/group/failpoint"
-	"piernotch/internal/group/protocol"
+	"piernotch/internal/controlgroup/consensus"
+	"piernotch/internal/controlgroup/failpoint"
+	"piernotch/internal/controlgroup/protocol"
 )
 
 const (
--- a/internal/lab/clustertest/checks.go
+++ b/internal/lab/clustertest/checks.go
@@ -10,8 +10,8 @@
 	"slices"
 	"time"
 
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
 	"piernotch/internal/lab/clustersim"
 )
 
--- a/internal/lab/clustertest/checks_test.go
+++ b/internal/lab/clustertest/checks_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"piernotch/internal/group/lease"
+	"piernotch/internal/controlgroup/lease"
 )
 
 func TestActsUnderTokensAreChecked(t *testing.T) {
--- a/internal/lab/clustertest/failover.go
+++ b/internal/lab/clustertest/failover.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"piernotch/internal/group/lease"
+	"piernotch/internal/controlgroup/lease"
 )
 
 const (
--- a/internal/lab/clustertest/harness.go
+++ b/internal/lab/clustertest/harness.go
@@ -9,8 +9,8 @@
 	"syscall"
 	"time"
 
-	"piernotch/internal/group/client"
-	"piernotch/internal/group/lease"
+	"piernotch/internal/controlgroup/client"
+	"piernotch/internal/controlgroup/lease"
 	"piernotch/internal/lab/clustersim"
 	"piernotch/internal/lab/faultproxy"
 )
--- a/internal/lab/clustertest/holder.go
+++ b/internal/lab/clustertest/holder.go
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
-	"piernotch/internal/group"
-	"piernotch/internal/group/client"
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
+	"piernotch/internal/controlgroup"
+	"piernotch/internal/controlgroup/client"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
 )
 
 const (
@@ -21,7 +21,7 @@
 // RunHolder is the program of a holder: it acquires the duties of a group's file and acts under those that it
 // holds, until ctx is done. harness is the TCP address that it reports to.
 func RunHolder(ctx context.Context, file, harness string) error {
-	cfg, err := group.LoadFile(file)
+	cfg, err := controlgroup.LoadFile(file)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/clustertest/process.go
+++ b/internal/lab/clustertest/process.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"syscall"
 
-	"piernotch/internal/group"
-	"piernotch/internal/group/client"
+	"piernotch/internal/controlgroup"
+	"piernotch/internal/controlgroup/client"
 	"piernotch/internal/lab/faultproxy"
 )
 
@@ -78,8 +78,8 @@
 }
 
 // groupConfig returns the configuration of process i, and starts its proxies to the voters.
-func (h *harness) groupConfig(i int, name string, addresses []string) (group.Config, error) {
-	cfg := group.Config{Name: "rig", Self: name, LeaseDuration: LeaseDuration, MaxClockDrift: maxClockDrift}
+func (h *harness) groupConfig(i int, name string, addresses []string) (controlgroup.Config, error) {
+	cfg := controlgroup.Config{Name: "rig", Self: name, LeaseDuration: LeaseDuration, MaxClockDrift: maxClockDrift}
 	for voter, address := range addresses {
 		if voter != i {
 			l, err := h.proxies.Link(linkName(i, voter), address)
@@ -88,7 +88,7 @@
 			}
 			address = l.Address()
 		}
-		cfg.Voters = append(cfg.Voters, group.Voter{Name: processName(voter), Address: address})
+		cfg.Voters = append(cfg.Voters, controlgroup.Voter{Name: processName(voter), Address: address})
 	}
 	return cfg, nil
 }
--- a/internal/lab/clustertest/report.go
+++ b/internal/lab/clustertest/report.go
@@ -1,8 +1,8 @@
 package clustertest
 
 import (
-	"piernotch/internal/group/lease"
-	"piernotch/internal/group/protocol"
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
 )
 
 // report is one line from a holder to the harness. One of Act and Call is set.
--- a/internal/lab/loadtest/process.go
+++ b/internal/lab/loadtest/process.go
@@ -16,7 +16,7 @@
 
 	"piernotch/internal/lab/faultproxy"
 	"piernotch/internal/lab/scenario"
-	"piernotch/internal/wire"
+	"piernotch/internal/simprotocol"
 )
 
 // How long a balancer's start may take.
@@ -89,9 +89,9 @@
 	set := realization.Settings
 	set.Zone = p.zone
 	r := &realization.Rules
-	settings, err := wire.MarshalSettings(&set, wire.ExtraSettings{
-		Balancer: p.number, KeepAliveMS: wire.Milliseconds(r.KeepAlive), DialMS: wire.Milliseconds(r.DialTimeout), SlackMS: wire.Milliseconds(r.ResponseSlack),
-		GraceMS: wire.Milliseconds(r.DrainGrace), FallMultiple: r.Collapse.Multiple, FallMS: wire.Milliseconds(r.Collapse.For),
+	settings, err := simprotocol.MarshalSettings(&set, simprotocol.ExtraSettings{
+		Balancer: p.number, KeepAliveMS: simprotocol.Milliseconds(r.KeepAlive), DialMS: simprotocol.Milliseconds(r.DialTimeout), SlackMS: simprotocol.Milliseconds(r.ResponseSlack),
+		GraceMS: simprotocol.Milliseconds(r.DrainGrace), FallMultiple: r.Collapse.Multiple, FallMS: simprotocol.Milliseconds(r.Collapse.For),
 		MachineTypes: realization.KindNames(), Columns: []string{"eps", "qps", "inflight"}, WeightBy: "work",
 	})
 	if err != nil {
--- a/internal/lab/loadtest/sharedwatch.go
+++ b/internal/lab/loadtest/sharedwatch.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"piernotch"
-	"piernotch/internal/group"
-	"piernotch/internal/group/watch"
+	"piernotch/internal/controlgroup"
+	"piernotch/internal/controlgroup/watch"
 	"piernotch/internal/lab/faultproxy"
 )
 
@@ -50,13 +50,13 @@
 // startSharedWatch starts the voters and writes the group's files of all. The caller calls stop.
 func startSharedWatch(opts Options, balancers int) (*sharedWatch, error) {
 	s := &sharedWatch{balancers: balancers, notifications: map[endpointKey]int{}}
-	c := group.Config{Name: "rehearsal", LeaseDuration: sharedLeaseDuration, MaxClockDrift: sharedClockDrift}
+	c := controlgroup.Config{Name: "rehearsal", LeaseDuration: sharedLeaseDuration, MaxClockDrift: sharedClockDrift}
 	for i := range sharedWatchVoters {
 		address, err := faultproxy.FreeAddress()
 		if err != nil {
 			return nil, err
 		}
-		c.Voters = append(c.Voters, group.Voter{Name: fmt.Sprintf("v%d", i), Address: address})
+		c.Voters = append(c.Voters, controlgroup.Voter{Name: fmt.Sprintf("v%d", i), Address: address})
 	}
 	for _, v := range c.Voters {
 		own := c
@@ -83,7 +83,7 @@
 }
 
 // startVoter starts one voter on an empty disk.
-func (s *sharedWatch) startVoter(opts Options, c group.Config) error {
+func (s *sharedWatch) startVoter(opts Options, c controlgroup.Config) error {
 	_ = os.Remove(c.StorePath) // of an earlier run, if there is one
 	file, err := writeGroupFile(opts, c)
 	if err != nil {
@@ -104,7 +104,7 @@
 	return nil
 }
 
-func writeGroupFile(opts Options, c group.Config) (string, error) {
+func writeGroupFile(opts Options, c controlgroup.Config) (string, error) {
 	name := filepath.Join(opts.LogDir, c.Self+"-group.toml")
 	return name, os.WriteFile(name, []byte(c.TOML()), 0o600)
 }
--- a/internal/lab/simulation/child.go
+++ b/internal/lab/simulation/child.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"piernotch/internal/lab/scenario"
-	"piernotch/internal/wire"
+	"piernotch/internal/simprotocol"
 )
 
 // DefaultPatience is how long a child may take for one batch.
@@ -63,14 +63,14 @@
 	waited      chan childExit  // how the process ended
 	failed      bool
 	seq         uint32
-	batch       wire.BatchWriter
-	entries     []wire.EndpointEntry
+	batch       simprotocol.BatchWriter
+	entries     []simprotocol.EndpointEntry
 	actions     []Action
 }
 
 // childReply is what was read as the reply to one batch.
 type childReply struct {
-	actions []wire.Action
+	actions []simprotocol.Action
 	err     error
 }
 
@@ -113,7 +113,7 @@
 // readReplies reads one reply for each sequence number that it is sent.
 func (c *Child) readReplies(stdout io.Reader, requests <-chan uint32) {
 	for seq := range requests {
-		actions, err := wire.ReadReply(stdout, seq, nil)
+		actions, err := simprotocol.ReadReply(stdout, seq, nil)
 		c.replies <- childReply{actions, err}
 		if err != nil {
 			break
@@ -189,7 +189,7 @@
 	// A child that does not read must not block Turn. The goroutine ends with the write, at the
 	// latest when fail kills the process and so breaks the pipe.
 	go func() {
-		err := c.batch.WriteTo(c.writer, wire.Milliseconds(now), c.seq)
+		err := c.batch.WriteTo(c.writer, simprotocol.Milliseconds(now), c.seq)
 		if err == nil {
 			err = c.writer.Flush()
 		}
--- a/internal/lab/simulation/trace_overload_test.go
+++ b/internal/lab/simulation/trace_overload_test.go
@@ -9,7 +9,7 @@
 
 	"piernotch"
 	"piernotch/internal/lab/scenario"
-	"piernotch/internal/trace"
+	"piernotch/internal/trafficrecording"
 )
 
 // roundRobinTier sends each request at once to the next ready server of the list, whatever its load,
@@ -61,7 +61,7 @@
 // they stay slow long after the burst; the module does not.
 func TestRoundRobinStaysOverloadedAfterRecordedBurst(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "burst.pnt")
-	out, err := trace.Create(name, trace.Header{Classes: []string{"segment-read"}}, trace.Limits{Pending: 1 << 16})
+	out, err := trafficrecording.Create(name, trafficrecording.Header{Classes: []string{"segment-read"}}, trafficrecording.Limits{Pending: 1 << 16})
 	require.NoError(t, err)
 	gap := func(at time.Duration) time.Duration {
 		if at >= 12*time.Second && at < 20*time.Second {
@@ -71,7 +71,7 @@
 	}
 	n := 0
 	for at := time.Duration(0); at < 55*time.Second; at += gap(at) {
-		out.Add(trace.Record{At: at, Key: uint64(n%500 + 1), CostHint: 80, Deadline: time.Second})
+		out.Add(trafficrecording.Record{At: at, Key: uint64(n%500 + 1), CostHint: 80, Deadline: time.Second})
 		n++
 	}
 	require.NoError(t, out.Close())
--- a/internal/lab/simulation/trace_replay_test.go
+++ b/internal/lab/simulation/trace_replay_test.go
@@ -8,16 +8,16 @@
 	"github.com/stretchr/testify/require"
 
 	"piernotch/internal/lab/scenario"
-	"piernotch/internal/trace"
+	"piernotch/internal/trafficrecording"
 )
 
 func TestTraceIsReplayedInOrderOfArrival(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "t.pnt")
-	out, err := trace.Create(name, trace.Header{Zone: "hawassa", Classes: []string{"pick-submit", "segment-read"}}, trace.Limits{})
+	out, err := trafficrecording.Create(name, trafficrecording.Header{Zone: "hawassa", Classes: []string{"pick-submit", "segment-read"}}, trafficrecording.Limits{})
 	require.NoError(t, err)
 	for i := range 400 { // in the order in which they ended: pairs stand crosswise
 		at := time.Duration(i^1) * 20 * time.Millisecond
-		out.Add(trace.Record{At: at, Class: uint16(i % 2), Key: uint64(i%7 + 1), CostHint: 30, Deadline: time.Second})
+		out.Add(trafficrecording.Record{At: at, Class: uint16(i % 2), Key: uint64(i%7 + 1), CostHint: 30, Deadline: time.Second})
 	}
 	require.NoError(t, out.Close())
 	r := run(t, NewInProcess(), "quiet", 1, "traffic.trace="+name, "length_s=10", "clients.retries=0")
--- a/internal/lab/simulation/traffic.go
+++ b/internal/lab/simulation/traffic.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"piernotch/internal/lab/scenario"
-	"piernotch/internal/trace"
+	"piernotch/internal/trafficrecording"
 )
 
 // traffic brings clients: drawn from the scenario, or those of a recording. Nothing in it depends on
@@ -20,9 +20,9 @@
 	maxRate float64   // greatest rate, per second
 
 	replay  bool // the requests are recorded
-	head    trace.Header
-	records []trace.Record // by arrival; those to come
-	classOf map[string]int // index by name
+	head    trafficrecording.Header
+	records []trafficrecording.Record // by arrival; those to come
+	classOf map[string]int            // index by name
 }
 
 // segment is the length over which bursty traffic keeps a level.
--- a/internal/lab/simulation/traffic_trace.go
+++ b/internal/lab/simulation/traffic_trace.go
@@ -8,13 +8,13 @@
 	"slices"
 
 	"piernotch/internal/lab/scenario"
-	"piernotch/internal/trace"
+	"piernotch/internal/trafficrecording"
 )
 
 // loadTrace reads a recording, whose records stand in the order in which requests ended. The error is
 // of a file that cannot be read, or of a class that the scenario lacks.
 func (t *traffic) loadTrace(d *scenario.Realization) error {
-	r, err := trace.Open(d.Traffic.Trace)
+	r, err := trafficrecording.Open(d.Traffic.Trace)
 	if err != nil {
 		return err
 	}
@@ -29,10 +29,10 @@
 		}
 	}
 	for {
-		var rec trace.Record
+		var rec trafficrecording.Record
 		switch err := r.Next(&rec); {
 		case errors.Is(err, io.EOF):
-			slices.SortStableFunc(t.records, func(a, b trace.Record) int { return cmp.Compare(a.At, b.At) })
+			slices.SortStableFunc(t.records, func(a, b trafficrecording.Record) int { return cmp.Compare(a.At, b.At) })
 			return nil
 		case err != nil:
 			return err
--- a/internal/serve/config/platform.go
+++ b/internal/serve/config/platform.go
@@ -9,7 +9,7 @@
 
 	"piernotch/internal/logs"
 	"piernotch/internal/serve/discovery"
-	"piernotch/internal/wire"
+	"piernotch/internal/simprotocol"
 )
 
 // Environment variables of the platform's form. Where one is set, it overrides the file.
@@ -176,13 +176,13 @@
 // errors name their keys.
 func (c *Config) readSettings(data []byte) error {
 	var err error
-	if c.Settings, err = wire.ParseSettings(data); err != nil {
+	if c.Settings, err = simprotocol.ParseSettings(data); err != nil {
 		return err
 	}
 	if err := c.Settings.Validate(); err != nil {
 		return err
 	}
-	c.KeepAlive, c.DialTimeout, err = wire.ParseConnections(data)
+	c.KeepAlive, c.DialTimeout, err = simprotocol.ParseConnections(data)
 	return err
 }
 
--- a/internal/serve/core/attempts.go
+++ b/internal/serve/core/attempts.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"piernotch"
-	"piernotch/internal/wheel"
+	"piernotch/internal/timingwheel"
 )
 
 // attempt is one attempt to have a request served by a server.
@@ -14,7 +14,7 @@
 	startedAt time.Duration
 	written   bool // it was sent, in part at least: it may have run
 	completed bool
-	timer     *wheel.Timer // its timeout; nil if it was never started outside
+	timer     *timingwheel.Timer // its timeout; nil if it was never started outside
 }
 
 // findAttempt returns an attempt that has not completed, with its request, or nil.
--- a/internal/serve/core/core.go
+++ b/internal/serve/core/core.go
@@ -7,7 +7,7 @@
 
 	"piernotch"
 	"piernotch/internal/serve/overrides"
-	"piernotch/internal/wheel"
+	"piernotch/internal/timingwheel"
 )
 
 // TickInterval is the resolution of all timers. Tick events should come at this interval.
@@ -18,7 +18,7 @@
 	settings      piernotch.Settings
 	balancer      *piernotch.Balancer
 	now           time.Duration // never goes back
-	timers        *wheel.Wheel
+	timers        *timingwheel.Wheel
 	effects       []Effect // of the event being handled
 	deferred      []func() // calls into the module to make once its present call has returned
 	lastRequestID piernotch.RequestID
@@ -31,7 +31,7 @@
 	serversByName  map[string]*server
 	endpointsKnown bool
 	discovery      string // address
-	healthChecks   map[piernotch.ServerID]*wheel.Timer
+	healthChecks   map[piernotch.ServerID]*timingwheel.Timer
 
 	overrides overrides.Overrides
 	processID uint64 // of this process, in the overrides' timestamps
@@ -61,14 +61,14 @@
 	c := &Core{
 		settings:      options.Settings,
 		now:           options.Now,
-		timers:        wheel.New(TickInterval, options.Now),
+		timers:        timingwheel.New(TickInterval, options.Now),
 		requests:      map[piernotch.RequestID]*request{},
 		exchanges:     map[ExchangeID]*request{},
 		openClientIDs: map[string]struct{}{},
 		servers:       map[piernotch.ServerID]*server{},
 		serversByName: map[string]*server{},
 		discovery:     options.Discovery,
-		healthChecks:  map[piernotch.ServerID]*wheel.Timer{},
+		healthChecks:  map[piernotch.ServerID]*timingwheel.Timer{},
 		processID:     options.ProcessID,
 		routes:        routesOf(options.Settings.Classes),
 	}
--- a/internal/serve/core/requests.go
+++ b/internal/serve/core/requests.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"piernotch"
-	"piernotch/internal/wheel"
+	"piernotch/internal/timingwheel"
 )
 
 // request is a request from its receipt until it is released.
@@ -20,7 +20,7 @@
 	inflight      int  // attempts that have not completed
 	closed        bool // it has a response, or its client is gone
 	lastStatus    piernotch.Status
-	deadlineTimer *wheel.Timer
+	deadlineTimer *timingwheel.Timer
 }
 
 // PendingRequests returns the number of requests without a response.
--- a/internal/serve/discovery/shared_watch.go
+++ b/internal/serve/discovery/shared_watch.go
@@ -3,18 +3,18 @@
 import (
 	"log/slog"
 
-	"piernotch/internal/group"
+	"piernotch/internal/controlgroup"
 )
 
 // UseSharedWatch has the watcher poll only when the group asks it to, and publish
 // what its polls bring. nil: it polls for itself alone.
-func (w *Watcher) UseSharedWatch(shared group.SharedWatch) { w.shared = shared }
+func (w *Watcher) UseSharedWatch(shared controlgroup.SharedWatch) { w.shared = shared }
 
 // ReceiveShared takes a list that another balancer polled and published. One that
 // is older than what is known is ignored; one that does not follow what is known
 // makes the watcher request an update from the group. UseSharedWatch must have
 // been called with a group.
-func (w *Watcher) ReceiveShared(event group.WatchEvent) {
+func (w *Watcher) ReceiveShared(event controlgroup.WatchEvent) {
 	take, missing := event.Follows(w.address, w.version)
 	if w.needsReset && event.Source == w.address {
 		// The known version means nothing here: only a complete list can be taken.
@@ -47,7 +47,7 @@
 // publish passes a list on to the group in the form that it was received in. It
 // must be called before the list is applied.
 func (w *Watcher) publish(list EndpointList, body []byte) {
-	event := group.WatchEvent{
+	event := controlgroup.WatchEvent{
 		Source:      w.address,
 		FromVersion: w.version,
 		ToVersion:   list.Generation,
--- a/internal/serve/discovery/shared_watch_test.go
+++ b/internal/serve/discovery/shared_watch_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"piernotch"
-	"piernotch/internal/group"
+	"piernotch/internal/controlgroup"
 	"piernotch/internal/http1"
 	"piernotch/internal/serve/core"
 )
@@ -20,14 +20,16 @@
 
 // fakeSharedWatch is a group in which another balancer polls. It records what the watcher calls.
 type fakeSharedWatch struct {
-	published []group.WatchEvent
+	published []controlgroup.WatchEvent
 	requested []uint64 // the known versions that RequestUpdate was called with
 	failures  int
 }
 
 func (f *fakeSharedWatch) ShouldPoll(string) (ask, whole bool) { return false, false }
-func (f *fakeSharedWatch) Publish(event group.WatchEvent)      { f.published = append(f.published, event) }
-func (f *fakeSharedWatch) PollFailed()                         { f.failures++ }
+func (f *fakeSharedWatch) Publish(event controlgroup.WatchEvent) {
+	f.published = append(f.published, event)
+}
+func (f *fakeSharedWatch) PollFailed() { f.failures++ }
 func (f *fakeSharedWatch) RequestUpdate(_ string, version uint64) {
 	f.requested = append(f.requested, version)
 }
@@ -56,42 +58,42 @@
 	delta := core.EndpointUpdate{Kind: piernotch.UpdateDelta}
 	full := core.EndpointUpdate{Kind: piernotch.UpdateFull}
 	for name, test := range map[string]struct {
-		event      group.WatchEvent
+		event      controlgroup.WatchEvent
 		needsReset bool
 		version    uint64
 		events     []core.Event
 		requested  []uint64
 	}{
 		"a change of what is known is applied": {
-			event:   group.WatchEvent{Source: testAddress, FromVersion: 5, ToVersion: 6, Body: emptyList(6, false)},
+			event:   controlgroup.WatchEvent{Source: testAddress, FromVersion: 5, ToVersion: 6, Body: emptyList(6, false)},
 			version: 6, events: []core.Event{delta},
 		},
 		"a complete list is applied": {
-			event:   group.WatchEvent{Source: testAddress, ToVersion: 9, Complete: true, Body: emptyList(9, true)},
+			event:   controlgroup.WatchEvent{Source: testAddress, ToVersion: 9, Complete: true, Body: emptyList(9, true)},
 			version: 9, events: []core.Event{full},
 		},
 		"an older list is ignored": {
-			event:   group.WatchEvent{Source: testAddress, FromVersion: 3, ToVersion: 4, Body: emptyList(4, false)},
+			event:   controlgroup.WatchEvent{Source: testAddress, FromVersion: 3, ToVersion: 4, Body: emptyList(4, false)},
 			version: 5,
 		},
 		"a change of an unknown version is requested anew": {
-			event:   group.WatchEvent{Source: testAddress, FromVersion: 7, ToVersion: 8, Body: emptyList(8, false)},
+			event:   controlgroup.WatchEvent{Source: testAddress, FromVersion: 7, ToVersion: 8, Body: emptyList(8, false)},
 			version: 5, requested: []uint64{5},
 		},
 		"a list of another service is ignored": {
-			event:   group.WatchEvent{Source: otherAddress, FromVersion: 5, ToVersion: 6, Body: emptyList(6, false)},
+			event:   controlgroup.WatchEvent{Source: otherAddress, FromVersion: 5, ToVersion: 6, Body: emptyList(6, false)},
 			version: 5,
 		},
 		"an invalid list is ignored": {
-			event:   group.WatchEvent{Source: testAddress, FromVersion: 5, ToVersion: 6, Body: []byte("{")},
+			event:   controlgroup.WatchEvent{Source: testAddress, FromVersion: 5, ToVersion: 6, Body: []byte("{")},
 			version: 5,
 		},
 		"a change is not applied to a version of another service": {
-			event:      group.WatchEvent{Source: testAddress, FromVersion: 5, ToVersion: 6, Body: emptyList(6, false)},
+			event:      controlgroup.WatchEvent{Source: testAddress, FromVersion: 5, ToVersion: 6, Body: emptyList(6, false)},
 			needsReset: true, version: 5, requested: []uint64{0},
 		},
 		"a complete list replaces a version of another service": {
-			event:      group.WatchEvent{Source: testAddress, ToVersion: 2, Complete: true, Body: emptyList(2, true)},
+			event:      controlgroup.WatchEvent{Source: testAddress, ToVersion: 2, Complete: true, Body: emptyList(2, true)},
 			needsReset: true, version: 2, events: []core.Event{full},
 		},
 	} {
@@ -118,7 +120,7 @@
 	respond(http1.StatusOK, emptyList(3, true))
 	respond(http1.StatusServiceUnavailable, nil)
 
-	require.Equal(t, []group.WatchEvent{
+	require.Equal(t, []controlgroup.WatchEvent{
 		{Source: testAddress, FromVersion: 5, ToVersion: 6, Body: emptyList(6, false)},
 		{Source: testAddress, FromVersion: 6, ToVersion: 4, Body: emptyList(4, false)},
 		{Source: testAddress, ToVersion: 3, Complete: true, Body: emptyList(3, true)},
--- a/internal/serve/discovery/watcher.go
+++ b/internal/serve/discovery/watcher.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"piernotch"
-	"piernotch/internal/group"
+	"piernotch/internal/controlgroup"
 	"piernotch/internal/http1"
 	"piernotch/internal/serve/core"
 	"piernotch/internal/serve/eventloop"
@@ -66,7 +66,7 @@
 	connection *connection // nil: there is none, or it is being dialled
 	epoch      int         // counts moves, to ignore dials of an earlier address
 
-	shared group.SharedWatch // nil: this balancer polls for itself alone
+	shared controlgroup.SharedWatch // nil: this balancer polls for itself alone
 }
 
 // Options is what a Watcher works with. Only Version may be zero.
--- a/internal/serve/runtime/balancer.go
+++ b/internal/serve/runtime/balancer.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"piernotch"
-	"piernotch/internal/group"
+	"piernotch/internal/controlgroup"
 	"piernotch/internal/serve/admin"
 	"piernotch/internal/serve/config"
 	"piernotch/internal/serve/core"
@@ -115,8 +115,8 @@
 
 // ShareWatch makes the watch of discovery part of a group in which one balancer polls for many. It
 // is called before Start. join may return nil: then the balancer polls by itself.
-func (b *Balancer) ShareWatch(join group.JoinWatch) {
-	onUpdate := func(event group.WatchEvent) {
+func (b *Balancer) ShareWatch(join controlgroup.JoinWatch) {
+	onUpdate := func(event controlgroup.WatchEvent) {
 		b.loop.Post(func() { b.watcher.ReceiveShared(event) })
 	}
 	if shared := join(b.cfg.Discovery, onUpdate); shared != nil {
--- a/internal/serve/runtime/shared_watch_test.go
+++ b/internal/serve/runtime/shared_watch_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"piernotch"
-	"piernotch/internal/group"
+	"piernotch/internal/controlgroup"
 	"piernotch/internal/serve/config"
 	"piernotch/internal/serve/discovery"
 )
@@ -20,7 +20,7 @@
 type fakeSharedWatch struct {
 	mu        sync.Mutex
 	poll      bool
-	published []group.WatchEvent
+	published []controlgroup.WatchEvent
 	requested []uint64
 }
 
@@ -30,7 +30,7 @@
 	return w.poll, false
 }
 
-func (w *fakeSharedWatch) Publish(p group.WatchEvent) {
+func (w *fakeSharedWatch) Publish(p controlgroup.WatchEvent) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.published = append(w.published, p)
@@ -45,7 +45,7 @@
 }
 
 // calls returns what was published, and the versions after which an update was requested.
-func (w *fakeSharedWatch) calls() (published []group.WatchEvent, requested []uint64) {
+func (w *fakeSharedWatch) calls() (published []controlgroup.WatchEvent, requested []uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.published, w.requested
@@ -81,8 +81,8 @@
 	balancer, err := New(cfg)
 	require.NoError(t, err)
 	w := &fakeSharedWatch{}
-	var onUpdate group.OnUpdate
-	balancer.ShareWatch(func(_ string, f group.OnUpdate) group.SharedWatch { onUpdate = f; return w })
+	var onUpdate controlgroup.OnUpdate
+	balancer.ShareWatch(func(_ string, f controlgroup.OnUpdate) controlgroup.SharedWatch { onUpdate = f; return w })
 	require.NoError(t, balancer.Start())
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -96,7 +96,7 @@
 	}
 	serves("a")
 	publish := func(from, to uint64, body string) {
-		onUpdate(group.WatchEvent{Source: discoveryAddress, FromVersion: from, ToVersion: to, Complete: from == 0, Body: []byte(body)})
+		onUpdate(controlgroup.WatchEvent{Source: discoveryAddress, FromVersion: from, ToVersion: to, Complete: from == 0, Body: []byte(body)})
 	}
 	publish(0, 2, endpointList(2, true, "in_service", b))
 	serves("b")
@@ -116,5 +116,5 @@
 	serves("a")
 	published, _ := w.calls()
 	body := []byte(endpointList(4, true, "in_service", a))
-	require.Equal(t, group.WatchEvent{Source: discoveryAddress, ToVersion: 4, Complete: true, Body: body}, published[0])
+	require.Equal(t, controlgroup.WatchEvent{Source: discoveryAddress, ToVersion: 4, Complete: true, Body: body}, published[0])
 }
--- a/internal/serve/runtime/trace_recorder.go
+++ b/internal/serve/runtime/trace_recorder.go
@@ -7,15 +7,15 @@
 
 	"piernotch/internal/serve/config"
 	"piernotch/internal/serve/core"
-	"piernotch/internal/trace"
+	"piernotch/internal/trafficrecording"
 )
 
 // traceRecorder writes clients' requests and their outcomes to a trace. It holds a record for each
 // pending request, and never waits for the disk.
 type traceRecorder struct {
-	out       *trace.Writer
+	out       *trafficrecording.Writer
 	startedAt time.Duration // on the balancer's clock
-	pending   map[core.ExchangeID]trace.Record
+	pending   map[core.ExchangeID]trafficrecording.Record
 }
 
 // newTraceRecorder creates the trace file. It returns nil if the configuration names none.
@@ -23,31 +23,31 @@
 	if cfg.Trace.File == "" {
 		return nil, nil
 	}
-	header := trace.Header{Name: cfg.Name, StartedAt: int64(now)}
+	header := trafficrecording.Header{Name: cfg.Name, StartedAt: int64(now)}
 	for _, class := range cfg.Settings.Classes {
 		header.Classes = append(header.Classes, class.Name)
 	}
 	if zone := cfg.Settings.Zone; zone < len(cfg.Settings.Zones) {
 		header.Zone = cfg.Settings.Zones[zone]
 	}
-	out, err := trace.Create(cfg.Trace.File, header, trace.Limits{Bytes: cfg.Trace.MaxBytes})
+	out, err := trafficrecording.Create(cfg.Trace.File, header, trafficrecording.Limits{Bytes: cfg.Trace.MaxBytes})
 	if err != nil {
 		return nil, err
 	}
-	return &traceRecorder{out: out, startedAt: now, pending: map[core.ExchangeID]trace.Record{}}, nil
+	return &traceRecorder{out: out, startedAt: now, pending: map[core.ExchangeID]trafficrecording.Record{}}, nil
 }
 
 // eventReceived notes a request, or that its client has gone. Other events are ignored.
 func (r *traceRecorder) eventReceived(now time.Duration, event core.Event) {
 	switch e := event.(type) {
 	case core.RequestReceived:
-		record := trace.Record{At: now - r.startedAt, Class: uint16(e.Class), Key: e.Key, Deadline: e.Deadline - now}
+		record := trafficrecording.Record{At: now - r.startedAt, Class: uint16(e.Class), Key: e.Key, Deadline: e.Deadline - now}
 		if e.CostHint > 0 && !math.IsInf(e.CostHint, 0) {
 			record.CostHint = e.CostHint
 		}
 		r.pending[e.Exchange] = record
 	case core.ClientDisconnected:
-		r.complete(now, e.Exchange, trace.ClientGone)
+		r.complete(now, e.Exchange, trafficrecording.ClientGone)
 	}
 }
 
@@ -55,18 +55,18 @@
 func (r *traceRecorder) responseSent(now time.Duration, response core.Respond) {
 	switch response.Result {
 	case core.Served:
-		r.complete(now, response.Exchange, trace.Served)
+		r.complete(now, response.Exchange, trafficrecording.Served)
 	case core.Rejected:
-		r.complete(now, response.Exchange, trace.Rejected)
+		r.complete(now, response.Exchange, trafficrecording.Rejected)
 	case core.Failed:
-		r.complete(now, response.Exchange, trace.Failed)
+		r.complete(now, response.Exchange, trafficrecording.Failed)
 	default: // the request was not valid and never accepted
 		delete(r.pending, response.Exchange)
 	}
 }
 
 // complete writes the record of a request, if it is pending.
-func (r *traceRecorder) complete(now time.Duration, client core.ExchangeID, outcome trace.Outcome) {
+func (r *traceRecorder) complete(now time.Duration, client core.ExchangeID, outcome trafficrecording.Outcome) {
 	record, ok := r.pending[client]
 	if !ok {
 		return
--- a/internal/serve/runtime/trace_recorder_test.go
+++ b/internal/serve/runtime/trace_recorder_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"piernotch/internal/trace"
+	"piernotch/internal/trafficrecording"
 )
 
 // Requests are recorded with their outcomes, and the trace reads back.
@@ -45,15 +45,15 @@
 	case <-time.After(testTimeout):
 		t.Fatal("still running")
 	}
-	r, err := trace.Open(name)
+	r, err := trafficrecording.Open(name)
 	require.NoError(t, err)
 	defer func() { require.NoError(t, r.Close()) }()
 	require.Equal(t, []string{"read", "append"}, r.Header().Classes)
 	require.Equal(t, "a", r.Header().Zone)
-	var record trace.Record
+	var record trafficrecording.Record
 	for i := range 4 {
 		require.NoError(t, r.Next(&record))
-		require.Equal(t, trace.Served, record.Outcome)
+		require.Equal(t, trafficrecording.Served, record.Outcome)
 		require.Positive(t, record.Latency)
 		require.Equal(t, i == 3, record.Class == 1)
 		require.Equal(t, i < 3, record.Key != 0)
--- a/internal/serve/upstream/load_report.go
+++ b/internal/serve/upstream/load_report.go
@@ -11,7 +11,7 @@
 
 	"piernotch"
 	"piernotch/internal/serve/core"
-	"piernotch/internal/wire"
+	"piernotch/internal/simprotocol"
 )
 
 // reportWarningInterval is the least time between two log lines about invalid
@@ -33,12 +33,12 @@
 		name, value, found := strings.Cut(strings.TrimSpace(pair), "=")
 		number, err := strconv.ParseFloat(value, 64)
 		wellFormed := found && err == nil && !slices.Contains(seen, name)
-		if !wellFormed || !wire.SetLoadValue(&load, name, number) {
+		if !wellFormed || !simprotocol.SetLoadValue(&load, name, number) {
 			return piernotch.LoadReport{}, fmt.Errorf("%w: %q", errInvalidLoadValue, pair)
 		}
 		seen = append(seen, name)
 	}
-	if !slices.Contains(seen, wire.InflightColumn) {
+	if !slices.Contains(seen, simprotocol.InflightColumn) {
 		return piernotch.LoadReport{}, fmt.Errorf("%w in %q", errNoInflight, text)
 	}
 	return load, nil
--- a/internal/wire/doc.go
+++ b/internal/simprotocol/doc.go
@@ -1,4 +1,4 @@
-// Package wire encodes and decodes the simulator's protocol: a batch of events comes in over a
+// Package simprotocol encodes and decodes the simulator's protocol: a batch of events comes in over a
 // pipe, and one reply of actions goes out for each batch, both as little-endian binary frames.
 // Settings travel inside of a start event as JSON.
 //
@@ -11,4 +11,4 @@
 //
 // A Reader, a Reply or a BatchWriter belongs to one goroutine. Decoding a record and adding one to
 // a warm buffer allocate nothing.
-package wire
+package simprotocol
--- a/internal/wire/settings_writer.go
+++ b/internal/simprotocol/settings_writer.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"encoding/json"
--- a/internal/wheel/wheel.go
+++ b/internal/timingwheel/wheel.go
@@ -1,10 +1,10 @@
-// Package wheel provides coarse timers on a hashed timing wheel: a ring of slots, one for each tick,
+// Package timingwheel provides coarse timers on a hashed timing wheel: a ring of slots, one for each tick,
 // in which starting and stopping a timer take constant time.
 //
 // The wheel reads no clock and starts no goroutine: its owner passes the time to Advance, and
 // callbacks run within that call. It knows nothing of what the timers are for. internal/serve/core
 // uses it for all timers of a balancer.
-package wheel
+package timingwheel
 
 import "time"
 
--- a/internal/wheel/wheel_test.go
+++ b/internal/timingwheel/wheel_test.go
@@ -1,4 +1,4 @@
-package wheel
+package timingwheel
 
 import (
 	"testing"
--- a/internal/trace/doc.go
+++ b/internal/trafficrecording/doc.go
@@ -1,4 +1,4 @@
-// Package trace reads and writes recorded traffic: which requests clients sent, and how they ended.
+// Package trafficrecording reads and writes recorded traffic: which requests clients sent, and how they ended.
 // A balancer writes a recording while it serves, without ever waiting for the disk, and the lab's
 // simulation replays it.
 //
@@ -18,4 +18,4 @@
 // Each block can be read alone, and the blocks' headers can be read without their data, which is how
 // Reader.Seek finds a time in a long file. A file whose writer died ends in a block that is cut
 // short; the blocks before it are complete.
-package trace
+package trafficrecording
--- a/internal/trace/golden_test.go
+++ b/internal/trafficrecording/golden_test.go
@@ -1,4 +1,4 @@
-package trace
+package trafficrecording
 
 import (
 	"bytes"
