--- a/benchmark_test.go
+++ b/benchmark_test.go
@@ -6,27 +6,74 @@
 	"time"
 )
 
+// benchmarkFleets are the numbers of servers in all that the benchmarks use, half of them in each zone.
+var benchmarkFleets = []int{20, 200, 2000}
+
 // The cost of a request and its outcome must not grow with the fleet.
 func BenchmarkRequest(bench *testing.B) {
-	for _, n := range []int{10, 100, 1000} {
-		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
-			h := &discardHost{}
-			b, err := New(testSettings(), 1, h)
+	benchmarkRequests(bench, testSettings(), func(*benchmarkBalancer) {})
+}
+
+// With many balancers, load reports bound what goes to a server, and keys lead to servers by hashing over
+// a lane's members. A report comes with each outcome.
+func BenchmarkRequestManyBalancersWithKeys(bench *testing.B) {
+	settings := manyBalancersSettings()
+	settings.KeyAffinity = true
+	benchmarkRequests(bench, settings, func(b *benchmarkBalancer) {
+		b.LoadReported(b.now, b.host.to, LoadReport{Inflight: 1, CompletedPerSecond: 20})
+	})
+}
+
+// A tick reviews the servers, so that its cost grows with the fleet up to serversPerTick. There is one
+// for each request here.
+func BenchmarkRequestAndTick(bench *testing.B) {
+	benchmarkRequests(bench, testSettings(), func(b *benchmarkBalancer) { b.Timer(b.now, tickToken) })
+}
+
+// benchmarkBalancer is a Balancer with its host and its time.
+type benchmarkBalancer struct {
+	*Balancer
+	host  *discardHost
+	now   time.Duration
+	count RequestID
+}
+
+// benchmarkRequests measures one request with its outcome and what then calls, for each size of the fleet.
+// Before the measurement twice as many requests pass as there are servers, so that maps and records have grown.
+func benchmarkRequests(bench *testing.B, settings Settings, then func(*benchmarkBalancer)) {
+	for _, n := range benchmarkFleets {
+		bench.Run(fmt.Sprintf("%d-servers", n), func(bench *testing.B) {
+			host := &discardHost{}
+			balancer, err := New(settings, 1, host)
 			if err != nil {
 				bench.Fatal(err)
 			}
-			b.UpdateEndpoints(time.Second, UpdateFull, testEndpoints(n, 2))
+			b := &benchmarkBalancer{Balancer: balancer, host: host, now: time.Second}
+			b.UpdateEndpoints(b.now, UpdateFull, testEndpoints(n/2, 2))
+			for range 2 * n {
+				b.decide()
+				then(b)
+			}
 			bench.ReportAllocs()
-			now := time.Second
-			for i := range bench.N {
-				now += ms
-				b.HandleRequest(now, Request{ID: RequestID(i), CostHint: float64(i%13 + 1), Deadline: now + time.Second})
-				b.HandleOutcome(now, Outcome{ID: RequestID(i), Server: h.to, Latency: 20 * ms, Closed: true})
+			for bench.Loop() {
+				b.decide()
+				then(b)
 			}
 		})
 	}
 }
 
+// decide passes one request and its outcome.
+func (b *benchmarkBalancer) decide() {
+	b.now += ms
+	b.count++
+	id := b.count
+	b.HandleRequest(b.now, Request{
+		ID: id, Key: mixBits(uint64(id%512)) | 1, CostHint: float64(id%13 + 1), Deadline: b.now + time.Second,
+	})
+	b.HandleOutcome(b.now, Outcome{ID: id, Server: b.host.to, Latency: 20 * ms, Closed: true})
+}
+
 // discardHost is a Host that remembers only the server of the last attempt.
 type discardHost struct{ to ServerID }
 
