--- a/cmd/piernotch-lab/chaos.go
+++ b/cmd/piernotch-lab/chaos.go
@@ -144,9 +144,9 @@
 		return err
 	case err != nil:
 		run.Failed = err.Error()
-	case report.Broken() > 0:
-		first := report.Breaks[0]
-		run.Failed = fmt.Sprintf("%d breaks of a rule, first %s at %.2f s: %s", report.Broken(), first.Rule, first.At.Seconds(), first.Message)
+	case report.ViolationCount() > 0:
+		first := report.Violations[0]
+		run.Failed = fmt.Sprintf("%d breaks of a rule, first %s at %.2f s: %s", report.ViolationCount(), first.Rule, first.At.Seconds(), first.Message)
 	default:
 		run.Failed = c.checkRecovery(report, d.Length)
 	}
--- a/cmd/piernotch-lab/emulate.go
+++ b/cmd/piernotch-lab/emulate.go
@@ -30,11 +30,11 @@
 	a.attempts[id]++
 	return a.attempts[id] - 1
 }
-func (*anyRequestObserver) AttemptAccepted(string, int)                       {}
-func (*anyRequestObserver) AttemptExecuted(string, int)                       {}
-func (*anyRequestObserver) AttemptCompleted(string, int, bool)                {}
-func (*anyRequestObserver) SlowStartWork(string, int, time.Duration, float64) {}
-func (*anyRequestObserver) ServerCollapsed(int)                               {}
+func (*anyRequestObserver) AttemptAccepted(string, int)                          {}
+func (*anyRequestObserver) AttemptExecuted(string, int)                          {}
+func (*anyRequestObserver) AttemptCompleted(string, int, emulator.NeverExecuted) {}
+func (*anyRequestObserver) SlowStartWork(string, int, time.Duration, float64)    {}
+func (*anyRequestObserver) ServerCollapsed(int)                                  {}
 
 func (c *emulateCmd) Run(ctx context.Context, o *output) error {
 	_, d, err := drawRealization(c.Scenario, c.Set, 0, c.Seed)
--- a/cmd/piernotch-lab/faulttest.go
+++ b/cmd/piernotch-lab/faulttest.go
@@ -180,7 +180,7 @@
 		refused = append(refused, recovery.Rejected)
 		failed = append(failed, recovery.Failed)
 		recovered = append(recovered, fmt.Sprintf("%.0f", recovery.RecoveredAfter))
-		violations += r.Broken()
+		violations += r.ViolationCount()
 	}
 	if len(served) == 0 {
 		return table.Row{test.Name, "void"}
--- a/cmd/piernotch-lab/handover.go
+++ b/cmd/piernotch-lab/handover.go
@@ -41,7 +41,7 @@
 	case r.Void != "":
 		o.out.Println("VOID:", r.Void)
 		return errFailed
-	case r.Broken() > 0, len(handed.Problems) > 0, handed.Killed > 0, r.Counts.Unreachable > 0:
+	case r.ViolationCount() > 0, len(handed.Problems) > 0, handed.Killed > 0, r.Counts.Unreachable > 0:
 		return errFailed
 	case done < c.Times && ctx.Err() == nil:
 		return errFailed
--- a/cmd/piernotch-lab/load.go
+++ b/cmd/piernotch-lab/load.go
@@ -45,6 +45,6 @@
 	o.out.Printf("%d requests in %d tries: served %d, refused %d, failed %d, unanswered %d, broken off %d, unreached %d\n",
 		len(arrivals), counts.Attempts, counts.Served, counts.Rejected, counts.Failed, counts.TimedOut, counts.Disconnected, counts.Unreachable)
 	o.out.Printf("in time: whole %.3f, worst 10 s %.3f, worst class %.3f; p50 %.1f ms, p99 %.1f ms from the due time; sent %v late at the 99th percentile\n",
-		parts.Whole, parts.WorstWindow, parts.WorstClass, clients.Goodput().Percentile(50), clients.Goodput().Percentile(99), clients.Lateness(99))
+		parts.WholeRun, parts.WorstWindow, parts.WorstClass, clients.Goodput().Percentile(50), clients.Goodput().Percentile(99), clients.Lateness(99))
 	return nil
 }
--- a/cmd/piernotch-lab/loadtest_report.go
+++ b/cmd/piernotch-lab/loadtest_report.go
@@ -25,7 +25,7 @@
 // printRunViolations prints the first violations of each run.
 func printRunViolations(o *output, runs []*simulation.Result) {
 	for _, r := range runs {
-		for _, violation := range r.Breaks[:min(len(r.Breaks), maxPrintedViolations)] {
+		for _, violation := range r.Violations[:min(len(r.Violations), maxPrintedViolations)] {
 			o.out.Printf("BROKEN seed %d: %s\n    %s\n", r.Seed, violation, strings.Join(violation.Steps, "\n    "))
 		}
 	}
@@ -49,7 +49,7 @@
 func printReport(o *output, r *loadtest.Report) {
 	o.out.Printf("  |%s| served in time, by second\n", serviceBars(&r.Result))
 	o.out.Printf("  service %.3f (whole %.3f, worst 10 s %.3f, worst class %.3f); p50 %.0f ms, p99 %.0f ms\n",
-		r.Service, r.Whole, r.WorstWindow, r.WorstClass, r.P50, r.P99)
+		r.Service, r.WholeRun, r.WorstWindow, r.WorstClass, r.P50, r.P99)
 	counts := r.Counts
 	o.out.Printf("  %d requests in %d tries: served %d, refused %d, failed %d, unanswered %d, broken off %d, unreached %d\n",
 		r.Requests, counts.Attempts, counts.Served, counts.Rejected, counts.Failed, counts.TimedOut, counts.Disconnected, counts.Unreachable)
@@ -57,7 +57,7 @@
 		o.out.Printf("  %s: %d asked, %.3f of their worth served in time\n", class.Name, class.Requests, class.Service)
 	}
 	o.out.Printf("  rules broken: lost %d, repeated %d, drain %d, cold %d; %.0f us of CPU a request; the rig was %.1f ms late (p99)\n",
-		r.Lost, r.Repeated, r.DrainBreaks, r.ColdFalls, r.CPUPerAnswer, r.LatenessMS)
+		r.Lost, r.Repeated, r.DrainViolations, r.SlowStartCollapses, r.CPUPerAnswer, r.LatenessMS)
 	for _, kind := range slices.Sorted(maps.Keys(r.Malformed)) {
 		count := r.Malformed[kind]
 		o.out.Printf("  rude clients, %s: %d, %d got an error or a close in time, %d were served\n", kind, count.Sent, count.Answered, count.Served)
--- a/cmd/piernotch-lab/scenario.go
+++ b/cmd/piernotch-lab/scenario.go
@@ -34,7 +34,7 @@
 			o.err.Println(err)
 			continue
 		}
-		o.out.Printf("%s: good: %d balancers, %d servers, %d troubles\n", file, s.Balancers.Count, s.Fleet.Servers, len(s.Troubles))
+		o.out.Printf("%s: good: %d balancers, %d servers, %d troubles\n", file, s.Balancers.Count, s.Fleet.Servers, len(s.Faults))
 	}
 	if failed {
 		return errFailed
--- a/cmd/piernotch-lab/simulate.go
+++ b/cmd/piernotch-lab/simulate.go
@@ -97,7 +97,7 @@
 func (c *simulateOptions) printViolations(w *printer, set []string, adapter string, runs []*simulation.Result) {
 	printed := 0
 	for _, r := range runs {
-		for _, violation := range r.Breaks {
+		for _, violation := range r.Violations {
 			if printed++; printed > maxPrintedViolations {
 				return
 			}
--- a/cmd/simulator-adapter/adapter.go
+++ b/cmd/simulator-adapter/adapter.go
@@ -17,21 +17,21 @@
 
 var errStartedTwice = errors.New("started twice without a stop")
 
-// adapter hosts instances. What it decodes into is reused from event to event, so that a running
-// instance's events allocate nothing here.
+// adapter hosts balancers. What it decodes into is reused from event to event, so that the events of a
+// running balancer allocate nothing here.
 type adapter struct {
-	balancers map[uint32]*piernotch.Balancer // nil for one whose settings could not be used
-	columns   []string                       // of load reports; the same for all instances
+	balancers map[simprotocol.BalancerNumber]*piernotch.Balancer // nil for one whose settings could not be used
+	columns   []string                                           // of load reports; the same for all balancers
 	reply     simprotocol.Reply
 	event     simprotocol.Event
 	entries   []piernotch.Endpoint
 }
 
 // serve answers batches until the input ends.
-func serve(in io.Reader, out io.Writer) error {
-	a := adapter{balancers: map[uint32]*piernotch.Balancer{}}
-	reader := simprotocol.NewReader(bufio.NewReaderSize(in, streamBuffer))
-	writer := bufio.NewWriterSize(out, streamBuffer)
+func serve(input io.Reader, output io.Writer) error {
+	hosted := adapter{balancers: map[simprotocol.BalancerNumber]*piernotch.Balancer{}}
+	reader := simprotocol.NewReader(bufio.NewReaderSize(input, streamBuffer))
+	writer := bufio.NewWriterSize(output, streamBuffer)
 	for {
 		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
@@ -40,10 +40,10 @@
 		if err != nil {
 			return err
 		}
-		if err := a.handleBatch(batch); err != nil {
+		if err := hosted.handleBatch(batch); err != nil {
 			return err
 		}
-		if err := a.reply.WriteTo(writer, batch.Seq); err != nil {
+		if err := hosted.reply.WriteTo(writer, batch.Seq); err != nil {
 			return err
 		}
 		if err := writer.Flush(); err != nil {
@@ -58,17 +58,17 @@
 			return err
 		}
 		if err := a.handle(simprotocol.Duration(batch.ClockMS)); err != nil {
-			return fmt.Errorf("batch %d, event %d: instance %d: %w", batch.Seq, i, a.event.Balancer, err)
+			return fmt.Errorf("batch %d, event %d: balancer %d: %w", batch.Seq, i, a.event.Balancer, err)
 		}
 	}
 	return nil
 }
 
-// handle passes the current event to its instance.
+// handle passes the current event to its balancer.
 func (a *adapter) handle(now time.Duration) error {
-	e := &a.event
-	balancer, started := a.balancers[e.Balancer]
-	if e.Code == simprotocol.EventStart {
+	event := &a.event
+	balancer, started := a.balancers[event.Balancer]
+	if event.Code == simprotocol.EventStart {
 		if started {
 			return errStartedTwice
 		}
@@ -76,10 +76,10 @@
 		return nil
 	}
 	if !started {
-		return fmt.Errorf("event with code %d before its start", e.Code)
+		return fmt.Errorf("event with code %d before its start", event.Code)
 	}
-	if e.Code == simprotocol.EventStop {
-		delete(a.balancers, e.Balancer)
+	if event.Code == simprotocol.EventStop {
+		delete(a.balancers, event.Balancer)
 		return nil
 	}
 	if balancer == nil { // its settings could not be used, which has been reported
@@ -88,82 +88,82 @@
 	return a.dispatch(balancer, now)
 }
 
-// start begins an instance. Settings that cannot be used are reported as a fault of the instance.
+// start starts a balancer. Settings that cannot be used are reported as a fault of the balancer.
 func (a *adapter) start() {
-	e := &a.event
-	a.balancers[e.Balancer] = nil
+	event := &a.event
+	a.balancers[event.Balancer] = nil
 	balancer, err := a.newBalancer()
 	if err != nil {
-		a.reply.ReportFault(e.Balancer, err.Error())
+		a.reply.ReportFault(event.Balancer, err.Error())
 		return
 	}
-	a.balancers[e.Balancer] = balancer
+	a.balancers[event.Balancer] = balancer
 }
 
 func (a *adapter) newBalancer() (*piernotch.Balancer, error) {
-	e := &a.event
-	settings, err := simprotocol.ParseSettings(e.Data)
+	event := &a.event
+	settings, err := simprotocol.ParseSettings(event.Data)
 	if err != nil {
 		return nil, err
 	}
-	if a.columns, err = simprotocol.ParseReportColumns(e.Data); err != nil {
+	if a.columns, err = simprotocol.ParseReportColumns(event.Data); err != nil {
 		return nil, err
 	}
-	return piernotch.New(settings, e.Seed, &host{balancer: e.Balancer, reply: &a.reply})
+	return piernotch.New(settings, event.Seed, &host{balancer: event.Balancer, reply: &a.reply})
 }
 
 // dispatch calls the method of a running balancer that the current event stands for.
-func (a *adapter) dispatch(b *piernotch.Balancer, now time.Duration) error {
-	e := &a.event
-	if load, ok := simprotocol.ParseLoadReport(e, a.columns); ok {
-		b.LoadReported(now, piernotch.ServerID(e.Server), load)
+func (a *adapter) dispatch(balancer *piernotch.Balancer, now time.Duration) error {
+	event := &a.event
+	if load, ok := simprotocol.ParseLoadReport(event, a.columns); ok {
+		balancer.LoadReported(now, event.Server, load)
 	}
-	switch e.Code {
+	switch event.Code {
 	case simprotocol.EventRequest:
-		b.HandleRequest(now, request(e))
+		balancer.HandleRequest(now, request(event))
 	case simprotocol.EventAttemptCompleted:
-		status, err := simprotocol.ParseStatus(e.Status)
+		status, err := simprotocol.ParseStatus(event.Status)
 		if err != nil {
 			return err
 		}
-		b.HandleOutcome(now, outcome(e, status))
+		balancer.HandleOutcome(now, outcome(event, status))
 	case simprotocol.EventTimerFired:
-		b.Timer(now, e.Token)
+		balancer.Timer(now, event.Token)
 	case simprotocol.EventClientGone:
-		b.ClientDisconnected(now, piernotch.RequestID(e.ID))
+		balancer.ClientDisconnected(now, piernotch.RequestID(event.ID))
 	case simprotocol.EventResponseStarted:
-		b.ResponseStarted(now, piernotch.RequestID(e.ID), int(e.Attempt))
+		balancer.ResponseStarted(now, piernotch.RequestID(event.ID), int(event.AttemptNumber))
 	case simprotocol.EventHealthCheckCompleted:
-		status, err := simprotocol.ParseStatus(e.Status)
+		status, err := simprotocol.ParseStatus(event.Status)
 		if err != nil {
 			return err
 		}
-		b.HealthCheckCompleted(now, piernotch.ServerID(e.Server), status)
+		balancer.HealthCheckCompleted(now, event.Server, status)
 	case simprotocol.EventEndpointList:
-		kind, entries, err := simprotocol.ParseEndpointList(e, a.entries[:0])
+		kind, entries, err := simprotocol.ParseEndpointList(event, a.entries[:0])
 		if err != nil {
 			return err
 		}
 		a.entries = entries
-		b.UpdateEndpoints(now, kind, entries)
+		balancer.UpdateEndpoints(now, kind, entries)
 	}
 	return nil
 }
 
-func request(e *simprotocol.Event) piernotch.Request {
-	hint := e.CostHintMS
-	if e.Flags&simprotocol.FlagCostHint == 0 {
+func request(event *simprotocol.Event) piernotch.Request {
+	hint := event.CostHintMS
+	if event.Flags&simprotocol.FlagCostHint == 0 {
 		hint = math.NaN()
 	}
 	return piernotch.Request{
-		ID: piernotch.RequestID(e.ID), Class: int(e.Class), Tenant: int(e.Tenant), Key: e.Key,
-		Deadline: simprotocol.Duration(e.DeadlineMS), CostHint: hint,
+		ID: piernotch.RequestID(event.ID), Class: int(event.Class), Tenant: int(event.Tenant), Key: event.Key,
+		Deadline: simprotocol.Duration(event.DeadlineMS), CostHint: hint,
 	}
 }
 
-func outcome(e *simprotocol.Event, status piernotch.Status) piernotch.Outcome {
+func outcome(event *simprotocol.Event, status piernotch.Status) piernotch.Outcome {
 	return piernotch.Outcome{
-		ID: piernotch.RequestID(e.ID), Attempt: int(e.Attempt), Server: piernotch.ServerID(e.Server),
-		Status: status, Latency: simprotocol.Duration(e.LatencyMS), Closed: e.Closed,
+		ID: piernotch.RequestID(event.ID), Attempt: int(event.AttemptNumber), Server: event.Server,
+		Status: status, Latency: simprotocol.Duration(event.LatencyMS), Closed: event.Closed,
 	}
 }
--- a/cmd/simulator-adapter/adapter_test.go
+++ b/cmd/simulator-adapter/adapter_test.go
@@ -48,7 +48,7 @@
 	}
 	reject := got[len(got)-32:]
 	if reject[0] != 7 || reject[1] != 7 || reject[5] != 9 {
-		t.Errorf("without a backend, request 9 of instance 7 is rejected; got %x", reject)
+		t.Errorf("without a server, request 9 of balancer 7 is rejected; got %x", reject)
 	}
 }
 
@@ -58,7 +58,7 @@
 		in   []byte
 		want string
 	}{
-		"unknown instance": {batch(1, "", []byte{2, 5}), "before its start"},
+		"unknown balancer": {batch(1, "", []byte{2, 5}), "before its start"},
 		"started twice":    {batch(1, settingsText, start, start), "started twice"},
 		"cut short":        {batch(1, settingsText, start)[:30], "cut short"},
 		"after its stop":   {batch(1, settingsText, start, []byte{8, 7}, []byte{2, 7}), "before its start"},
--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -7,18 +7,18 @@
 	"piernotch/internal/simprotocol"
 )
 
-// host is the piernotch.Host of one instance: it writes the instance's actions to the reply.
+// host is the piernotch.Host of one balancer: it writes the balancer's actions to the reply.
 type host struct {
-	balancer uint32
+	balancer simprotocol.BalancerNumber
 	reply    *simprotocol.Reply
 }
 
 func (h *host) StartAttempt(id piernotch.RequestID, to piernotch.ServerID, timeout time.Duration) {
-	h.reply.StartAttempt(h.balancer, uint64(id), uint32(to), simprotocol.Milliseconds(timeout))
+	h.reply.StartAttempt(h.balancer, uint64(id), to, simprotocol.Milliseconds(timeout))
 }
 
-func (h *host) CancelAttempt(id piernotch.RequestID, attempt int) {
-	h.reply.CancelAttempt(h.balancer, uint64(id), uint8(attempt))
+func (h *host) CancelAttempt(id piernotch.RequestID, attemptNumber int) {
+	h.reply.CancelAttempt(h.balancer, uint64(id), uint8(attemptNumber))
 }
 
 func (h *host) Reject(id piernotch.RequestID, retryAfter time.Duration) {
@@ -27,9 +27,9 @@
 
 func (h *host) Fail(id piernotch.RequestID) { h.reply.Fail(h.balancer, uint64(id)) }
 
-func (h *host) HealthCheck(b piernotch.ServerID) { h.reply.HealthCheck(h.balancer, uint32(b)) }
+func (h *host) HealthCheck(server piernotch.ServerID) { h.reply.HealthCheck(h.balancer, server) }
 
-func (h *host) WatchEndpoints() { h.reply.WatchEndpoints(h.balancer, true) }
+func (h *host) WatchEndpoints() { h.reply.WatchEndpoints(h.balancer) }
 
 func (h *host) SetTimer(delay time.Duration, token uint32) {
 	h.reply.SetTimer(h.balancer, simprotocol.Milliseconds(delay), token)
--- a/internal/lab/emulator/connection.go
+++ b/internal/lab/emulator/connection.go
@@ -13,9 +13,9 @@
 const acceptRetryPause = time.Millisecond
 
 // accept accepts the connections of one process.
-func (s *server) accept(l net.Listener, incarnation int) {
+func (s *server) accept(listener net.Listener, incarnation int) {
 	for {
-		c, err := l.Accept()
+		connection, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -23,16 +23,16 @@
 			time.Sleep(acceptRetryPause)
 			continue
 		}
-		if !s.addConnection(c, incarnation) {
-			reset(c)
+		if !s.addConnection(connection, incarnation) {
+			reset(connection)
 			continue
 		}
-		go s.serve(c) // ends with the connection
+		go s.serve(connection) // ends with the connection
 	}
 }
 
 // addConnection counts a new connection. It reports false if there are too many, or the process has ended.
-func (s *server) addConnection(c net.Conn, incarnation int) bool {
+func (s *server) addConnection(connection net.Conn, incarnation int) bool {
 	cost := &s.spec.Kind.Conn
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,7 +40,7 @@
 	if full || s.incarnation != incarnation {
 		return false
 	}
-	s.connections[c] = struct{}{}
+	s.connections[connection] = struct{}{}
 	s.model.Charge(s.fleet.clock(), cost.Handshake)
 	s.model.SetConnections(s.fleet.clock(), len(s.connections))
 	s.resetTimer()
@@ -48,42 +48,42 @@
 }
 
 // closeConnection closes a connection, unless the process has ended meanwhile.
-func (s *server) closeConnection(c net.Conn) {
+func (s *server) closeConnection(connection net.Conn) {
 	s.mu.Lock()
-	if _, ok := s.connections[c]; ok {
-		delete(s.connections, c)
+	if _, ok := s.connections[connection]; ok {
+		delete(s.connections, connection)
 		s.model.SetConnections(s.fleet.clock(), len(s.connections))
 	}
 	s.mu.Unlock()
-	_ = c.Close()
+	_ = connection.Close()
 }
 
 // reset closes a connection with a TCP reset.
-func reset(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0)
+func reset(connection net.Conn) {
+	if tcp, ok := connection.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
 	}
-	_ = c.Close()
+	_ = connection.Close()
 }
 
 // serve answers one connection until it ends or was idle for too long.
-func (s *server) serve(c net.Conn) {
-	defer s.closeConnection(c)
+func (s *server) serve(connection net.Conn) {
+	defer s.closeConnection(connection)
 	messages := make(chan *http1.Message)
 	gone := make(chan struct{})
 	stop := make(chan struct{})
 	defer close(stop)
 	go func() { // ends with the connection or with stop; meanwhile it notices when the other side is gone
 		defer close(gone)
-		readMessages(c, messages, stop)
+		readMessages(connection, messages, stop)
 	}()
 	keepAlive := s.fleet.realization.Rules.KeepAlive
 	idle := time.NewTimer(keepAlive)
 	defer idle.Stop()
 	for {
 		select {
-		case m := <-messages:
-			if !s.answer(exchange{conn: c, request: m, gone: gone}) {
+		case message := <-messages:
+			if !s.answer(exchange{conn: connection, request: message, gone: gone}) {
 				return
 			}
 			idle.Reset(keepAlive)
@@ -96,25 +96,25 @@
 }
 
 // readMessages reads requests until the connection ends, a request is malformed, or stop is closed.
-func readMessages(c net.Conn, messages chan<- *http1.Message, stop <-chan struct{}) {
+func readMessages(connection net.Conn, messages chan<- *http1.Message, stop <-chan struct{}) {
 	parser := http1.NewRequestParser()
-	buf := make([]byte, 8<<10)
+	buffer := make([]byte, 8<<10)
 	for {
-		n, err := c.Read(buf)
+		count, err := connection.Read(buffer)
 		if err != nil {
 			return
 		}
-		parser.Feed(buf[:n])
+		parser.Feed(buffer[:count])
 		for {
-			m, err := parser.Next()
+			message, err := parser.Next()
 			if err != nil {
 				return
 			}
-			if m == nil {
+			if message == nil {
 				break
 			}
 			select {
-			case messages <- m:
+			case messages <- message:
 			case <-stop:
 				return
 			}
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -44,41 +44,41 @@
 // endpoint is a server as it is listed.
 type endpoint struct {
 	state         piernotch.State
-	startedAt     time.Duration // time of the day
+	startedAt     time.Duration // time of the run
 	address       string
 	generation    uint64 // of its last change
-	startedUnixMS int64  // 0: before the day
+	startedUnixMS int64  // 0: before the run
 }
 
-func newDiscovery(f *Fleet, opts Options) (*Discovery, error) {
-	d := &Discovery{
-		fleet: f, notified: opts.Notified, endpoints: map[int]*endpoint{}, changes: map[int]int{}, changed: make(chan struct{}),
-		listeners: make([]*http.Server, opts.Balancers), addresses: make([]string, opts.Balancers),
+func newDiscovery(fleet *Fleet, options Options) (*Discovery, error) {
+	service := &Discovery{
+		fleet: fleet, notified: options.Notified, endpoints: map[int]*endpoint{}, changes: map[int]int{}, changed: make(chan struct{}),
+		listeners: make([]*http.Server, options.Balancers), addresses: make([]string, options.Balancers),
 	}
-	d.outage, d.beginOutage = context.WithCancel(context.Background())
-	for balancer := range opts.Balancers {
-		if err := d.open(balancer); err != nil {
-			d.close()
+	service.outage, service.beginOutage = context.WithCancel(context.Background())
+	for balancer := range options.Balancers {
+		if err := service.open(balancer); err != nil {
+			service.close()
 			return nil, err
 		}
 	}
-	return d, nil
+	return service, nil
 }
 
 // open has a balancer's discovery listen at a new address.
 func (d *Discovery) open(balancer int) error {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("roster: %w", err)
+		return fmt.Errorf("discovery: %w", err)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog/members", func(w http.ResponseWriter, req *http.Request) { d.serveWatch(w, req, balancer) })
-	s := &http.Server{Handler: mux}
+	server := &http.Server{Handler: mux}
 	d.mu.Lock()
-	d.listeners[balancer] = s
-	d.addresses[balancer] = l.Addr().String()
+	d.listeners[balancer] = server
+	d.addresses[balancer] = listener.Addr().String()
 	d.mu.Unlock()
-	go func() { _ = s.Serve(l) }() // ends with Move or close
+	go func() { _ = server.Serve(listener) }() // ends with Move or close
 	return nil
 }
 
@@ -119,9 +119,9 @@
 func (d *Discovery) ReadyServer() (server int, name string, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for i, s := range d.fleet.servers {
-		if e := d.endpoints[i]; e != nil && e.state == piernotch.Ready {
-			return i, s.name, true
+	for number, candidate := range d.fleet.servers {
+		if listed := d.endpoints[number]; listed != nil && listed.state == piernotch.Ready {
+			return number, candidate.name, true
 		}
 	}
 	return 0, "", false
@@ -130,16 +130,16 @@
 // close ends all watches and closes all addresses.
 func (d *Discovery) close() {
 	d.mu.Lock()
-	for _, t := range d.timers {
-		t.Stop()
+	for _, timer := range d.timers {
+		timer.Stop()
 	}
 	listeners := d.listeners
 	beginOutage := d.beginOutage
 	d.mu.Unlock()
 	beginOutage()
-	for _, s := range listeners {
-		if s != nil {
-			_ = s.Close()
+	for _, server := range listeners {
+		if server != nil {
+			_ = server.Close()
 		}
 	}
 }
@@ -182,15 +182,15 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.generation++
-	e := &endpoint{state: state, startedAt: startedAt, address: d.fleet.servers[server].currentAddress(), generation: d.generation}
+	listed := &endpoint{state: state, startedAt: startedAt, address: d.fleet.servers[server].currentAddress(), generation: d.generation}
 	previous := d.endpoints[server]
 	switch {
 	case previous != nil && previous.startedAt == startedAt:
-		e.startedUnixMS = previous.startedUnixMS // one start has one time, to the millisecond
+		listed.startedUnixMS = previous.startedUnixMS // one start has one time, to the millisecond
 	case startedAt > 0:
-		e.startedUnixMS = time.Now().Add(startedAt - d.fleet.clock()).UnixMilli()
+		listed.startedUnixMS = time.Now().Add(startedAt - d.fleet.clock()).UnixMilli()
 	}
-	d.endpoints[server] = e
+	d.endpoints[server] = listed
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
--- a/internal/lab/emulator/doc.go
+++ b/internal/lab/emulator/doc.go
@@ -1,4 +1,4 @@
-// Package emulator puts the behaviour of internal/lab/servermodel behind sockets: stand-in feed servers and
+// Package emulator puts the behaviour of internal/lab/servermodel behind sockets: stand-in servers and
 // a stand-in discovery service on loopback, scripted by the same scenario files as the simulation. Work is
 // waited for, not computed, so that hundreds of servers fit on a core.
 //
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -56,7 +56,7 @@
 }
 func (n *recorder) AttemptAccepted(id string, a int) { n.add("began %s %d", id, a) }
 func (n *recorder) AttemptExecuted(id string, a int) { n.add("ran %s %d", id, a) }
-func (n *recorder) AttemptCompleted(id string, a int, unrun bool) {
+func (n *recorder) AttemptCompleted(id string, a int, unrun NeverExecuted) {
 	n.add("over %s %d %t", id, a, unrun)
 }
 func (n *recorder) SlowStartWork(id string, s int, _ time.Duration, w float64) {
@@ -64,7 +64,7 @@
 }
 func (n *recorder) ServerCollapsed(s int) { n.add("fell %d", s) }
 
-// openFleet makes a fleet of one server whose day has begun.
+// openFleet makes a fleet of one server whose run has begun.
 func openFleet(t *testing.T, text string, notified EndpointNotified) (*Fleet, *recorder) {
 	t.Helper()
 	s, err := scenario.Parse("test", []byte(`
--- a/internal/lab/emulator/exchange.go
+++ b/internal/lab/emulator/exchange.go
@@ -15,7 +15,7 @@
 // maxWork bounds the work that a request may ask for, ms.
 const maxWork = 1e9
 
-// notRun is the header of an answer that proves that the request has not run.
+// notRun is the header of a response that proves that the request has not run.
 var notRun = http1.Field{Name: "X-Not-Run", Value: "1"}
 
 // exchange is a request on a connection and what belongs to its answer.
@@ -27,7 +27,7 @@
 	attempt int             // its number among those of the request
 }
 
-// write writes an answer. It reports whether the connection goes on.
+// write writes a response. It reports whether the connection goes on.
 func (x *exchange) write(status int, fields http1.Fields, body []byte) bool {
 	_, err := x.conn.Write(http1.AppendResponse(nil, status, fields, body))
 	return err == nil && !x.request.Close
@@ -38,7 +38,7 @@
 	now := s.fleet.clock()
 	path := x.request.Path()
 	if path == "/ping" || path == "/_load" {
-		return s.answerProbe(x, now)
+		return s.answerHealthCheck(x, now)
 	}
 	x.id = x.request.Fields.Get("x-request-id")
 	if x.id == "" {
@@ -52,15 +52,15 @@
 	switch admission {
 	case servermodel.Rejected:
 		fields := append(s.loadHeader(now), notRun)
-		s.fleet.observer.AttemptCompleted(x.id, x.attempt, true)
+		s.fleet.observer.AttemptCompleted(x.id, x.attempt, NeverExecuted(true))
 		return x.write(http.StatusServiceUnavailable, fields, nil)
 	case servermodel.Refused:
-		s.fleet.observer.AttemptCompleted(x.id, x.attempt, false)
+		s.fleet.observer.AttemptCompleted(x.id, x.attempt, NeverExecuted(false))
 		reset(x.conn)
 		return false
 	case servermodel.NoResponse:
 		<-x.gone
-		s.fleet.observer.AttemptCompleted(x.id, x.attempt, false)
+		s.fleet.observer.AttemptCompleted(x.id, x.attempt, NeverExecuted(false))
 		return false
 	}
 	select {
@@ -78,8 +78,8 @@
 	return err == nil
 }
 
-// answerProbe answers a health check or a call for the load report.
-func (s *server) answerProbe(x exchange, now time.Duration) bool {
+// answerHealthCheck answers a health check or a call for the load report.
+func (s *server) answerHealthCheck(x exchange, now time.Duration) bool {
 	s.mu.Lock()
 	s.model.Charge(now, s.spec.Kind.HealthCheckWork)
 	state := s.model.State()
@@ -101,7 +101,7 @@
 	return x.write(status, fields, body)
 }
 
-// loadHeader returns the X-Load header of an answer; nothing if the server does not report its load.
+// loadHeader returns the X-Load header of a response; nothing if the server does not report its load.
 func (s *server) loadHeader(now time.Duration) http1.Fields {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,11 +109,11 @@
 }
 
 func (s *server) loadHeaderLocked(now time.Duration) http1.Fields {
-	r, ok := s.model.Report(now, s.fleet.reportDelay())
+	report, ok := s.model.Report(now, s.fleet.reportDelay())
 	if !ok {
 		return nil
 	}
-	return http1.Fields{{Name: "X-Load", Value: fmt.Sprintf("eps=%.2f,qps=%.2f,inflight=%.1f", r.ErrorsPerSec, r.PerSec, r.Inflight)}}
+	return http1.Fields{{Name: "X-Load", Value: fmt.Sprintf("eps=%.2f,qps=%.2f,inflight=%.1f", report.ErrorsPerSec, report.PerSec, report.Inflight)}}
 }
 
 // admit brings a request to the model. The job is nil unless it was accepted.
@@ -121,15 +121,15 @@
 	job := s.parseJob(x.request, now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	cold := s.model.InSlowStart(now)
-	if cold {
+	slowStart := s.model.InSlowStart(now)
+	if slowStart {
 		s.fleet.observer.SlowStartWork(x.id, s.number, s.model.Started(), job.Work)
 	}
 	s.lastJob++
 	job.ID = s.lastJob
 	job.ErrorDraw = s.rng.Float64()
 	admission, lost := s.model.Arrive(now, job)
-	if cold && s.model.State() == servermodel.Collapsed {
+	if slowStart && s.model.State() == servermodel.Collapsed {
 		s.fleet.observer.ServerCollapsed(s.number)
 		s.deliver(lost)
 		s.closeAll()
@@ -146,16 +146,16 @@
 }
 
 // parseJob reads what a request asks for.
-func (s *server) parseJob(m *http1.Message, now time.Duration) servermodel.Job {
-	work, err := strconv.ParseFloat(m.Query("w"), 64)
+func (s *server) parseJob(message *http1.Message, now time.Duration) servermodel.Job {
+	work, err := strconv.ParseFloat(message.Query("w"), 64)
 	valid := err == nil && work > 0 && work < maxWork
 	if !valid { // its sender did not say: what its class takes
-		work = s.fleet.meanWork(strings.TrimPrefix(m.Path(), "/"))
+		work = s.fleet.meanWork(strings.TrimPrefix(message.Path(), "/"))
 	}
-	key, _ := strconv.ParseUint(m.Query("k"), 16, 64) // none is 0
+	key, _ := strconv.ParseUint(message.Query("k"), 16, 64) // none is 0
 	job := servermodel.Job{Work: work, Key: key}
-	if ms, err := strconv.Atoi(m.Fields.Get("x-deadline-ms")); err == nil {
-		job.Expires = now + time.Duration(ms)*time.Millisecond
+	if milliseconds, err := strconv.Atoi(message.Fields.Get("x-deadline-ms")); err == nil {
+		job.Expires = now + time.Duration(milliseconds)*time.Millisecond
 	}
 	return job
 }
@@ -172,7 +172,7 @@
 	if started {
 		s.fleet.observer.AttemptExecuted(x.id, x.attempt)
 	}
-	s.fleet.observer.AttemptCompleted(x.id, x.attempt, false)
+	s.fleet.observer.AttemptCompleted(x.id, x.attempt, NeverExecuted(false))
 }
 
 // respond answers a request whose job has been completed. It reports whether the connection goes on.
@@ -181,15 +181,15 @@
 		s.fleet.observer.AttemptExecuted(x.id, x.attempt)
 	}
 	fields := s.loadHeader(s.fleet.clock())
-	unrun := completion.Outcome == servermodel.Expired
-	s.fleet.observer.AttemptCompleted(x.id, x.attempt, unrun)
+	expired := completion.Outcome == servermodel.Expired
+	s.fleet.observer.AttemptCompleted(x.id, x.attempt, NeverExecuted(expired))
 	switch completion.Outcome {
 	case servermodel.Reset:
 		reset(x.conn)
 		return false
 	case servermodel.Expired:
 		return x.write(http.StatusGatewayTimeout, append(fields, notRun), nil)
-	case servermodel.AnsweredError:
+	case servermodel.CompletedWithError:
 		return x.write(http.StatusInternalServerError, fields, nil)
 	}
 	body := []byte(s.name + " " + x.id)
@@ -199,12 +199,12 @@
 	return x.write(http.StatusOK, fields, body)
 }
 
-// drawMalformed draws whether an answer is malformed, and how.
-func (s *server) drawMalformed() (malformedAnswer, bool) {
+// drawMalformed draws whether a response is malformed, and how.
+func (s *server) drawMalformed() (malformedResponse, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.rng.Float64() >= s.fleet.malformedProbability() {
 		return 0, false
 	}
-	return malformedAnswer(s.rng.IntN(int(malformedAnswers))), true
+	return malformedResponse(s.rng.IntN(int(malformedResponses))), true
 }
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -10,7 +10,7 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// Fleet is the stand-in feed servers of a day and their discovery. Its methods may be called from any
+// Fleet is the stand-in servers of a run and their discovery. Its methods may be called from any
 // goroutine, but Play and Close.
 type Fleet struct {
 	realization *scenario.Realization
@@ -22,7 +22,7 @@
 	timers      []*time.Timer // of the steps, once they are played
 
 	loadReportDelay atomic.Int64 // ns
-	malformedShare  atomic.Int64 // of answers, in millionths
+	malformedShare  atomic.Int64 // of responses, in millionths
 
 	mu  sync.Mutex
 	err error // the first one
@@ -36,46 +36,46 @@
 	Notified  EndpointNotified // may be nil
 }
 
-// New creates the servers of a day and opens them and discovery. Nothing goes wrong until Play. The caller
+// New creates the servers of a run and opens them and discovery. Nothing goes wrong until Play. The caller
 // calls Close.
-func New(realization *scenario.Realization, opts Options) (*Fleet, error) {
-	f := &Fleet{realization: realization, clock: opts.Clock, observer: opts.Observer}
+func New(realization *scenario.Realization, options Options) (*Fleet, error) {
+	fleet := &Fleet{realization: realization, clock: options.Clock, observer: options.Observer}
 	for _, spec := range realization.Servers {
-		if _, err := f.add(spec); err != nil {
+		if _, err := fleet.add(spec); err != nil {
 			return nil, err
 		}
 	}
-	f.scheduleSteps()
-	if err := f.open(opts); err != nil {
-		f.Close()
+	fleet.scheduleSteps()
+	if err := fleet.open(options); err != nil {
+		fleet.Close()
 		return nil, err
 	}
 	for i := range realization.Servers {
-		f.discovery.publish(i, piernotch.Ready, 0)
+		fleet.discovery.publish(i, piernotch.Ready, 0)
 	}
-	return f, nil
+	return fleet, nil
 }
 
 // open opens the servers that are there from the beginning, and discovery.
-func (f *Fleet) open(opts Options) error {
-	for _, s := range f.servers[:len(f.realization.Servers)] {
-		if err := s.open(); err != nil {
+func (f *Fleet) open(options Options) error {
+	for _, server := range f.servers[:len(f.realization.Servers)] {
+		if err := server.open(); err != nil {
 			return err
 		}
 	}
 	var err error
-	f.discovery, err = newDiscovery(f, opts)
+	f.discovery, err = newDiscovery(f, options)
 	return err
 }
 
 // add creates a server that is not open.
 func (f *Fleet) add(spec scenario.Server) (*server, error) {
-	n := len(f.servers)
-	s, err := newServer(f, n, spec, f.realization.Seed<<16^uint64(n)+1)
+	number := len(f.servers)
+	added, err := newServer(f, number, spec, f.realization.Seed<<16^uint64(number)+1)
 	if err == nil {
-		f.servers = append(f.servers, s)
+		f.servers = append(f.servers, added)
 	}
-	return s, err
+	return added, err
 }
 
 func (f *Fleet) malformedProbability() float64 { return float64(f.malformedShare.Load()) / 1e6 }
@@ -104,15 +104,15 @@
 
 // Overloaded returns the number of servers that were overloaded at some time.
 func (f *Fleet) Overloaded() int {
-	n := 0
-	for _, s := range f.servers {
-		s.mu.Lock()
-		if s.overloaded {
-			n++
+	count := 0
+	for _, server := range f.servers {
+		server.mu.Lock()
+		if server.overloaded {
+			count++
 		}
-		s.mu.Unlock()
+		server.mu.Unlock()
 	}
-	return n
+	return count
 }
 
 // Err returns the first error of the servers since New: one could not be opened again.
@@ -132,12 +132,12 @@
 
 // Close ends all servers and discovery.
 func (f *Fleet) Close() {
-	for _, t := range f.timers {
-		t.Stop()
+	for _, timer := range f.timers {
+		timer.Stop()
 	}
-	for _, s := range f.servers {
-		s.crash()
-		s.timer.Stop()
+	for _, server := range f.servers {
+		server.crash()
+		server.timer.Stop()
 	}
 	if f.discovery != nil {
 		f.discovery.close()
--- a/internal/lab/emulator/malformed.go
+++ b/internal/lab/emulator/malformed.go
@@ -10,74 +10,74 @@
 	"piernotch/internal/http1"
 )
 
-// malformedAnswer is how an answer is malformed: the request has run, and the connection is of no more use.
+// malformedResponse is how a response is malformed: the request has run, and the connection is of no more use.
 // Those whose names begin with odd are valid, but come with more than belongs to them.
-type malformedAnswer int
+type malformedResponse int
 
-// Malformed answers. A seed picks them by their order.
+// Malformed responses. A seed picks them by their order.
 const (
-	malformedNoise malformedAnswer = iota
+	malformedNoise malformedResponse = iota
 	malformedEndlessHead
 	malformedShortBody // fewer bytes than it said
 	malformedLength    // a length that cannot be
 	malformedHugeBody  // said to hold 3 GB
-	oddDuplicate       // a second copy right behind
+	oddDuplicate       // the same response again, right behind
 	oddNoise           // noise right behind
-	oddInterim         // 1xx answers in front
+	oddInterim         // 1xx responses in front
 	oddLoadReport      // a load report that cannot be read
-	malformedAnswers   // their number
+	malformedResponses // their number
 )
 
 const (
-	// malformedDuration bounds how long an endless answer goes on, and how long a malformed one stays open.
+	// malformedDuration bounds how long an endless response goes on, and how long a malformed one stays open.
 	malformedDuration = 5 * time.Second
-	endlessPause      = time.Millisecond // between the pieces of an endless answer
+	endlessPause      = time.Millisecond // between the pieces of an endless response
 )
 
-// writeMalformed writes an answer in a malformed or odd way. It reports whether the connection goes on.
-func writeMalformed(x exchange, kind malformedAnswer, fields http1.Fields, body []byte) bool {
+// writeMalformed writes a response in a malformed or odd way. It reports whether the connection goes on.
+func writeMalformed(x exchange, kind malformedResponse, fields http1.Fields, body []byte) bool {
 	valid := string(http1.AppendResponse(nil, 200, fields, body))
-	c := x.conn
+	connection := x.conn
 	switch kind {
 	case malformedNoise:
-		writeText(c, "\x00\x01 noise \xff\r\n\r\n")
+		writeText(connection, "\x00\x01 noise \xff\r\n\r\n")
 		awaitGone(x)
 	case malformedEndlessHead:
-		writeEndless(c, "HTTP/1.1 200 OK\r\n", strings.Repeat("X-Filler: aaaaaaaa\r\n", 20))
+		writeEndless(connection, "HTTP/1.1 200 OK\r\n", strings.Repeat("X-Filler: aaaaaaaa\r\n", 20))
 	case malformedShortBody:
-		writeText(c, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body)+100, body))
+		writeText(connection, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body)+100, body))
 		awaitGone(x)
 	case malformedLength:
-		writeText(c, "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n"+string(body))
+		writeText(connection, "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n"+string(body))
 		awaitGone(x)
 	case malformedHugeBody:
-		writeEndless(c, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", strings.Repeat("x", 4096))
+		writeEndless(connection, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", strings.Repeat("x", 4096))
 	case oddDuplicate:
-		return writeText(c, valid+valid)
+		return writeText(connection, valid+valid)
 	case oddNoise:
-		return writeText(c, valid+"\x00\xff noise")
+		return writeText(connection, valid+"\x00\xff noise")
 	case oddInterim:
-		return writeText(c, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-A: b\r\n\r\n"+valid)
+		return writeText(connection, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-A: b\r\n\r\n"+valid)
 	case oddLoadReport:
-		return writeText(c, fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Load: \x7f=,inflight=many,=\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
+		return writeText(connection, fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Load: \x7f=,inflight=many,=\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 	default:
-		return writeText(c, valid)
+		return writeText(connection, valid)
 	}
 	return false
 }
 
 // writeText reports whether the text was written.
-func writeText(c net.Conn, text string) bool {
-	_, err := io.WriteString(c, text)
+func writeText(connection net.Conn, text string) bool {
+	_, err := io.WriteString(connection, text)
 	return err == nil
 }
 
 // writeEndless writes a text, and then a piece again and again until malformedDuration or the connection is
 // over.
-func writeEndless(c net.Conn, start, piece string) {
-	writeText(c, start)
+func writeEndless(connection net.Conn, start, piece string) {
+	writeText(connection, start)
 	for started := time.Now(); time.Since(started) < malformedDuration; time.Sleep(endlessPause) {
-		if !writeText(c, piece) {
+		if !writeText(connection, piece) {
 			return
 		}
 	}
--- a/internal/lab/emulator/script.go
+++ b/internal/lab/emulator/script.go
@@ -10,19 +10,19 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// scheduledStep is one thing that happens at a time of the day.
+// scheduledStep is one thing that happens at a time of the run.
 type scheduledStep struct {
 	at time.Duration
 	do func()
 }
 
-// Play has the day's incidents happen at their times, until the context ends or the fleet is closed. It is
-// called once, when the day begins, and returns at once; the steps run on timers.
+// Play has the faults happen at their times, until the context ends or the fleet is closed. It is
+// called once, when the run begins, and returns at once; the steps run on timers.
 func (f *Fleet) Play(ctx context.Context) {
-	for _, s := range f.steps {
-		f.timers = append(f.timers, time.AfterFunc(max(s.at-f.clock(), 0), func() {
+	for _, step := range f.steps {
+		f.timers = append(f.timers, time.AfterFunc(max(step.at-f.clock(), 0), func() {
 			if ctx.Err() == nil {
-				s.do()
+				step.do()
 			}
 		}))
 	}
@@ -34,124 +34,124 @@
 
 // scheduleSteps schedules what the simulation does to its servers, for these.
 func (f *Fleet) scheduleSteps() {
-	for _, s := range f.realization.Steps() {
-		if s.Action == scenario.Join || s.Action == scenario.Takeover {
-			f.scheduleJoin(&s)
+	for _, step := range f.realization.Steps() {
+		if step.Action == scenario.Join || step.Action == scenario.Takeover {
+			f.scheduleJoin(&step)
 			continue
 		}
-		f.schedule(s.At, func() { f.playStep(&s) })
+		f.schedule(step.At, func() { f.playStep(&step) })
 	}
 }
 
 // playStep does one thing to servers or discovery.
-func (f *Fleet) playStep(s *scenario.Step) {
-	switch s.Action {
+func (f *Fleet) playStep(step *scenario.Step) {
+	switch step.Action {
 	case scenario.DelistServers:
-		f.misreport(s.Servers, piernotch.Gone)
+		f.misreport(step.Servers, piernotch.Gone)
 	case scenario.RelistServers:
-		f.misreport(s.Servers, piernotch.Ready)
+		f.misreport(step.Servers, piernotch.Ready)
 	case scenario.DelayReports:
-		f.loadReportDelay.Add(int64(s.Length))
+		f.loadReportDelay.Add(int64(step.Length))
 	case scenario.DelayDiscovery:
-		f.discovery.extraDelay.Add(int64(s.Length))
+		f.discovery.extraDelay.Add(int64(step.Length))
 	case scenario.CorruptResponses:
-		f.malformedShare.Add(int64(s.Size * 1e6))
+		f.malformedShare.Add(int64(step.Size * 1e6))
 	case scenario.DiscoveryDown, scenario.DiscoveryUp:
-		f.discovery.setOutage(s.Action == scenario.DiscoveryDown)
+		f.discovery.setOutage(step.Action == scenario.DiscoveryDown)
 	default:
-		f.playServerStep(s, f.servers[s.Server])
+		f.playServerStep(step, f.servers[step.Server])
 	}
 }
 
 // playServerStep does one thing to one server.
-func (f *Fleet) playServerStep(step *scenario.Step, s *server) {
+func (f *Fleet) playServerStep(step *scenario.Step, server *server) {
 	switch step.Action {
 	case scenario.Slow:
-		f.slow(s, step.Size)
+		f.slow(server, step.Size)
 	case scenario.Pauses:
-		s.withModel(func(m *servermodel.Server, now time.Duration) { m.SetPauses(now, step.Every, step.Length) })
+		server.withModel(func(model *servermodel.Server, now time.Duration) { model.SetPauses(now, step.Every, step.Length) })
 	case scenario.Overload:
-		s.withModel(func(m *servermodel.Server, now time.Duration) {
-			m.SetOverloaded(now)
-			s.overloaded = true
+		server.withModel(func(model *servermodel.Server, now time.Duration) {
+			model.SetOverloaded(now)
+			server.overloaded = true
 		})
 	case scenario.Drain:
-		f.drain(s)
+		f.drain(server)
 	case scenario.Exit:
-		f.end(s)
+		f.end(server)
 	case scenario.Start:
-		f.start(s)
+		f.start(server)
 	case scenario.Vanish:
-		s.silence()
-		f.discovery.publishAfter(s.number, piernotch.Gone, f.realization.Discovery.FailureDetectionDelay)
+		server.silence()
+		f.discovery.publishAfter(server.number, piernotch.Gone, f.realization.Discovery.FailureDetectionDelay)
 	}
 }
 
 // slow makes a server so many times slower, on top of how slow it is.
-func (f *Fleet) slow(s *server, times float64) {
-	s.withModel(func(m *servermodel.Server, now time.Duration) {
-		s.slowdown *= times
-		m.SetSlow(now, s.slowdown)
+func (f *Fleet) slow(server *server, times float64) {
+	server.withModel(func(model *servermodel.Server, now time.Duration) {
+		server.slowdown *= times
+		model.SetSlow(now, server.slowdown)
 	})
 }
 
 // drain has a server shut down gracefully, if it is up.
-func (f *Fleet) drain(s *server) {
+func (f *Fleet) drain(server *server) {
 	up := false
-	s.withModel(func(m *servermodel.Server, now time.Duration) {
-		up = m.State() == servermodel.Up
-		m.Drain(now)
+	server.withModel(func(model *servermodel.Server, now time.Duration) {
+		up = model.State() == servermodel.Up
+		model.Drain(now)
 	})
 	if up {
-		f.discovery.publishAfter(s.number, piernotch.Draining, f.realization.Discovery.RemovalDelay)
+		f.discovery.publishAfter(server.number, piernotch.Draining, f.realization.Discovery.RemovalDelay)
 	}
 }
 
 // misreport lists servers that are up in a state by mistake, or corrects that.
 func (f *Fleet) misreport(servers []int, state piernotch.State) {
-	for _, n := range servers {
-		s := f.servers[n]
-		s.mu.Lock()
-		up := s.model.State() == servermodel.Up
-		startedAt := s.model.Started()
-		s.mu.Unlock()
+	for _, number := range servers {
+		server := f.servers[number]
+		server.mu.Lock()
+		up := server.model.State() == servermodel.Up
+		startedAt := server.model.Started()
+		server.mu.Unlock()
 		if up {
-			f.discovery.publish(n, state, startedAt)
+			f.discovery.publish(number, state, startedAt)
 		}
 	}
 }
 
 // end ends a server's process.
-func (f *Fleet) end(s *server) {
-	s.crash()
-	f.discovery.publishAfter(s.number, piernotch.Gone, f.realization.Discovery.RemovalDelay)
+func (f *Fleet) end(server *server) {
+	server.crash()
+	f.discovery.publishAfter(server.number, piernotch.Gone, f.realization.Discovery.RemovalDelay)
 }
 
 // start starts a server's process.
-func (f *Fleet) start(s *server) {
-	if err := s.start(); err != nil {
+func (f *Fleet) start(server *server) {
+	if err := server.start(); err != nil {
 		f.recordError(err)
 		return
 	}
-	f.discovery.publishAfter(s.number, piernotch.Ready, f.realization.Discovery.AddDelay)
+	f.discovery.publishAfter(server.number, piernotch.Ready, f.realization.Discovery.AddDelay)
 }
 
 // scheduleJoin creates a server like another one and schedules its start; a takeover is at the address of
 // that one.
 func (f *Fleet) scheduleJoin(step *scenario.Step) {
-	s, err := f.add(f.realization.Like(step.Server, step.Number))
+	joining, err := f.add(f.realization.Like(step.Server, step.Number))
 	if err != nil {
 		f.recordError(fmt.Errorf("a server that joins: %w", err))
 		return
 	}
-	s.model.Crash(0) // it is down until then
+	joining.model.Crash(0) // it is down until then
 	f.schedule(step.At, func() {
 		if step.Action == scenario.Takeover {
 			address := f.servers[step.Server].currentAddress()
-			s.mu.Lock()
-			s.address = address
-			s.mu.Unlock()
+			joining.mu.Lock()
+			joining.address = address
+			joining.mu.Unlock()
 		}
-		f.start(s)
+		f.start(joining)
 	})
 }
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -11,7 +11,7 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// server is one stand-in feed server. Over time it is played by one process after the other; the model and
+// server is one stand-in server. Over time it is played by one process after the other; the model and
 // the address stay the same.
 type server struct {
 	fleet  *Fleet
@@ -39,18 +39,18 @@
 	completed chan servermodel.Completion // has room for it
 }
 
-func newServer(f *Fleet, number int, spec scenario.Server, seed uint64) (*server, error) {
+func newServer(fleet *Fleet, number int, spec scenario.Server, seed uint64) (*server, error) {
 	model, err := servermodel.New(spec.Kind, seed, 0)
 	if err != nil {
 		return nil, err
 	}
-	s := &server{
-		fleet: f, number: number, name: fmt.Sprintf("s-%d", number), spec: spec, model: model, jobs: map[uint64]*pendingJob{},
+	created := &server{
+		fleet: fleet, number: number, name: fmt.Sprintf("s-%d", number), spec: spec, model: model, jobs: map[uint64]*pendingJob{},
 		slowdown: 1, connections: map[net.Conn]struct{}{}, rng: rand.New(rand.NewPCG(seed, 7)),
 	}
-	s.timer = time.AfterFunc(time.Hour, s.advance)
-	s.timer.Stop()
-	return s, nil
+	created.timer = time.AfterFunc(time.Hour, created.advance)
+	created.timer.Stop()
+	return created, nil
 }
 
 // open listens at the former address, if there is one.
@@ -59,17 +59,17 @@
 	if address == "" {
 		address = "127.0.0.1:0"
 	}
-	l, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("server %s: %w", s.name, err)
 	}
 	s.mu.Lock()
-	s.listener = l
-	s.address = l.Addr().String()
+	s.listener = listener
+	s.address = listener.Addr().String()
 	s.incarnation++
 	incarnation := s.incarnation
 	s.mu.Unlock()
-	go s.accept(l, incarnation) // ends when the listener is closed
+	go s.accept(listener, incarnation) // ends when the listener is closed
 	return nil
 }
 
@@ -80,7 +80,7 @@
 	return s.address
 }
 
-// startedAt returns the time of the day at which the present process started.
+// startedAt returns the time of the run at which the present process started.
 func (s *server) startedAt() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +146,7 @@
 	s.resetTimer()
 }
 
-// silence stops all answers; connections stay open and carry nothing.
+// silence stops all responses; connections stay open and carry nothing.
 func (s *server) silence() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,7 +156,7 @@
 	s.resetTimer()
 }
 
-// start starts a new process, which is cold. A server that has collapsed stays down.
+// start starts a new process, in slow start. A server that has collapsed stays down.
 func (s *server) start() error {
 	s.mu.Lock()
 	if s.model.State() == servermodel.Collapsed {
--- a/internal/lab/emulator/watch.go
+++ b/internal/lab/emulator/watch.go
@@ -55,20 +55,20 @@
 func (d *Discovery) list(balancer int, since uint64, complete bool) (listJSON, []int) {
 	list := listJSON{Generation: d.generation, Reset: complete, Instances: []instanceJSON{}}
 	var servers []int
-	for i, s := range d.fleet.servers {
-		e := d.endpoints[i]
-		if e == nil || complete && e.state == piernotch.Gone || !complete && e.generation <= since {
+	for number, server := range d.fleet.servers {
+		endpoint := d.endpoints[number]
+		if endpoint == nil || complete && endpoint.state == piernotch.Gone || !complete && endpoint.generation <= since {
 			continue
 		}
-		address := e.address
+		address := endpoint.address
 		if d.ServerAddress != nil {
-			address = d.ServerAddress(balancer, i, address)
+			address = d.ServerAddress(balancer, number, address)
 		}
 		list.Instances = append(list.Instances, instanceJSON{
-			InstanceID: s.name, HostPort: address, Zone: d.fleet.realization.Zones[s.spec.Zone], MachineType: s.spec.Kind.Name,
-			Cell: s.spec.Cell, Lifecycle: lifecycles[e.state], Weight: s.spec.Size, StartedAtMs: e.startedUnixMS,
+			InstanceID: server.name, HostPort: address, Zone: d.fleet.realization.Zones[server.spec.Zone], MachineType: server.spec.Kind.Name,
+			Cell: server.spec.Cell, Lifecycle: lifecycles[endpoint.state], Weight: server.spec.Size, StartedAtMs: endpoint.startedUnixMS,
 		})
-		servers = append(servers, i)
+		servers = append(servers, number)
 	}
 	return list, servers
 }
@@ -81,10 +81,10 @@
 	noWait   bool // it is to be answered at once, also without changes
 }
 
-// watchAnswer is what a call is answered with now.
-type watchAnswer struct {
+// watchResponse is what a call is answered with now.
+type watchResponse struct {
 	unavailable bool // there is an outage
-	ready       bool // list is the answer; else it waits
+	ready       bool // list is the response; else it waits
 	list        listJSON
 	servers     []int
 	endpoints   []endpoint // of the servers
@@ -106,20 +106,20 @@
 	deadline := time.NewTimer(time.Duration(limit) * time.Millisecond)
 	defer deadline.Stop()
 	for {
-		answer := d.answerNow(call)
-		if answer.unavailable {
+		response := d.responseNow(call)
+		if response.unavailable {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if answer.ready {
-			d.writeAnswer(w, balancer, answer)
+		if response.ready {
+			d.writeResponse(w, balancer, response)
 			return
 		}
 		select {
-		case <-answer.changed:
+		case <-response.changed:
 		case <-deadline.C:
 			call.noWait = true
-		case <-answer.outage.Done():
+		case <-response.outage.Done():
 			panic(http.ErrAbortHandler) // the connection breaks
 		case <-req.Context().Done():
 			return
@@ -127,34 +127,34 @@
 	}
 }
 
-// answerNow returns the answer to a call, or what it has to wait for.
-func (d *Discovery) answerNow(call watchCall) watchAnswer {
+// responseNow returns the response to a call, or what it has to wait for.
+func (d *Discovery) responseNow(call watchCall) watchResponse {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	answer := watchAnswer{unavailable: d.outages > 0, changed: d.changed, outage: d.outage}
-	if answer.unavailable {
-		return answer
+	response := watchResponse{unavailable: d.outages > 0, changed: d.changed, outage: d.outage}
+	if response.unavailable {
+		return response
 	}
-	complete := call.complete || call.since > d.generation // of another life of discovery
+	complete := call.complete || call.since > d.generation // of another incarnation of discovery
 	if !complete && d.generation == call.since && !call.noWait {
-		return answer
+		return response
 	}
-	answer.ready = true
-	answer.list, answer.servers = d.list(call.balancer, call.since, complete)
-	for _, server := range answer.servers {
-		answer.endpoints = append(answer.endpoints, *d.endpoints[server])
+	response.ready = true
+	response.list, response.servers = d.list(call.balancer, call.since, complete)
+	for _, server := range response.servers {
+		response.endpoints = append(response.endpoints, *d.endpoints[server])
 	}
-	return answer
+	return response
 }
 
-// writeAnswer writes an answer and says what the balancer was notified of.
-func (d *Discovery) writeAnswer(w http.ResponseWriter, balancer int, answer watchAnswer) {
+// writeResponse writes a response and says what the balancer was notified of.
+func (d *Discovery) writeResponse(w http.ResponseWriter, balancer int, response watchResponse) {
 	w.Header().Set("Content-Type", "application/json")
-	_, err := w.Write(encodeList(answer.list))
+	_, err := w.Write(encodeList(response.list))
 	if err != nil || d.notified == nil {
 		return
 	}
-	for i, server := range answer.servers {
-		d.notified(balancer, server, answer.endpoints[i].state, answer.endpoints[i].startedAt)
+	for i, server := range response.servers {
+		d.notified(balancer, server, response.endpoints[i].state, response.endpoints[i].startedAt)
 	}
 }
--- a/internal/lab/experiment/figures.go
+++ b/internal/lab/experiment/figures.go
@@ -8,25 +8,25 @@
 	Value func(r *simulation.Result) float64
 }{
 	{"service", func(r *simulation.Result) float64 { return r.Service }},
-	{"whole", func(r *simulation.Result) float64 { return r.Whole }},
+	{"whole", func(r *simulation.Result) float64 { return r.WholeRun }},
 	{"worst_window", func(r *simulation.Result) float64 { return r.WorstWindow }},
 	{"worst_class", func(r *simulation.Result) float64 { return r.WorstClass }},
 	{"deducted", func(r *simulation.Result) float64 { return r.Deducted }},
 	{"lost", func(r *simulation.Result) float64 { return float64(r.Lost) }},
 	{"repeated", func(r *simulation.Result) float64 { return float64(r.Repeated) }},
-	{"drain_breaks", func(r *simulation.Result) float64 { return float64(r.DrainBreaks) }},
-	{"cold_falls", func(r *simulation.Result) float64 { return float64(r.ColdFalls) }},
-	{"cold_peak", func(r *simulation.Result) float64 { return r.ColdPeak }},
+	{"drain_breaks", func(r *simulation.Result) float64 { return float64(r.DrainViolations) }},
+	{"cold_falls", func(r *simulation.Result) float64 { return float64(r.SlowStartCollapses) }},
+	{"cold_peak", func(r *simulation.Result) float64 { return r.SlowStartPeak }},
 	{"drain_latest_ms", func(r *simulation.Result) float64 { return r.DrainLatest }},
-	{"falls", func(r *simulation.Result) float64 { return float64(r.Falls) }},
+	{"falls", func(r *simulation.Result) float64 { return float64(r.Collapses) }},
 	{"requests", func(r *simulation.Result) float64 { return float64(r.Requests) }},
-	{"refused_rate", func(r *simulation.Result) float64 { return r.RefusedRate }},
+	{"refused_rate", func(r *simulation.Result) float64 { return r.RejectedRate }},
 	{"failed_rate", func(r *simulation.Result) float64 { return r.FailedRate }},
 	{"retry_rate", func(r *simulation.Result) float64 { return r.RetryRate }},
 	{"waste_rate", func(r *simulation.Result) float64 { return r.WasteRate }},
 	{"cross_rate", func(r *simulation.Result) float64 { return r.CrossRate }},
-	{"probe_rate", func(r *simulation.Result) float64 { return r.ProbeRate }},
-	{"choked_share", func(r *simulation.Result) float64 { return r.ChokedShare }},
+	{"probe_rate", func(r *simulation.Result) float64 { return r.HealthCheckRate }},
+	{"choked_share", func(r *simulation.Result) float64 { return r.OverloadedShare }},
 	{"p50_ms", func(r *simulation.Result) float64 { return r.P50 }},
 	{"p99_ms", func(r *simulation.Result) float64 { return r.P99 }},
 	{"events", func(r *simulation.Result) float64 { return float64(r.Events) }},
@@ -65,7 +65,7 @@
 func Violations(runs []*simulation.Result) int {
 	n := 0
 	for _, r := range runs {
-		n += r.Broken()
+		n += r.ViolationCount()
 	}
 	return n
 }
--- a/internal/lab/experiment/render_test.go
+++ b/internal/lab/experiment/render_test.go
@@ -27,7 +27,7 @@
 	cmp, err := Compare(context.Background(), p, Variant{Name: "x"}, Variant{Name: "y"})
 	require.NoError(t, err)
 	broken := points[0].Runs[0]
-	broken.ColdFalls, broken.Breaks = 1, []invariants.Violation{{Rule: invariants.SlowStart, Server: 3, Message: "pushed over", Steps: []string{"a step"}}}
+	broken.SlowStartCollapses, broken.Violations = 1, []invariants.Violation{{Rule: invariants.SlowStart, Server: 3, Message: "pushed over", Steps: []string{"a step"}}}
 	for _, f := range []*ResultFile{
 		{Kind: "sweep", Scenario: "s", Dimensions: dims, Points: points},
 		{Kind: "run", Scenario: "s", Runs: runs, Summary: SummarizeRuns(runs)},
@@ -53,7 +53,7 @@
 		require.NotContains(t, string(html), "src=", "it needs nothing beside it")
 		if f.Kind == "sweep" {
 			require.Contains(t, string(html), "pushed over\na step")
-			require.Equal(t, invariants.SlowStart, back.Points[0].Runs[0].Breaks[0].Rule)
+			require.Equal(t, invariants.SlowStart, back.Points[0].Runs[0].Violations[0].Rule)
 		} else {
 			require.Contains(t, string(html), "No rule was broken")
 		}
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -107,7 +107,7 @@
 func (d *reportData) addViolations(runs []*simulation.Result) {
 	d.Violations += Violations(runs)
 	for _, r := range runs {
-		for _, violation := range r.Breaks {
+		for _, violation := range r.Violations {
 			if len(d.Details) < maxReportedViolations {
 				d.Details = append(d.Details, fmt.Sprintf("seed %d: %s\n%s", r.Seed, violation, strings.Join(violation.Steps, "\n")))
 			}
--- a/internal/lab/goodput/counter.go
+++ b/internal/lab/goodput/counter.go
@@ -1,6 +1,6 @@
-// Package goodput measures service as the operators do: the weight of what was answered in time over
-// the weight of what was asked for, by second and by class. A client's retries count for its first
-// sending.
+// Package goodput measures service as the operators do: the priority weight of what was served in time over
+// the weight of what was requested, by second and by class. A client's retries count for its first
+// attempt.
 //
 // It owns the definition of service and of its parts. It must not know whether time is simulated or
 // how a request came to its end. internal/lab/simulation and internal/lab/load call a Counter for each
@@ -27,11 +27,11 @@
 
 // Second is one second of the run, by when requests were first sent.
 type Second struct {
-	AskedWeight  float64 `json:"asked"`  // weight of the requests
-	ServedWeight float64 `json:"served"` // weight that was earned
-	Sends        int     `json:"tries"`  // sendings of the requests that have ended
-	Rejected     int     `json:"refused"`
-	Failed       int     `json:"failed"`
+	AskedWeight    float64 `json:"asked"`  // weight of the requests
+	ServedWeight   float64 `json:"served"` // weight that was earned
+	ClientAttempts int     `json:"tries"`  // attempts of clients at the requests that have ended
+	Rejected       int     `json:"refused"`
+	Failed         int     `json:"failed"`
 }
 
 // ClassShare is one class's service.
@@ -50,8 +50,8 @@
 // Counter counts the requests of one run. It is for one goroutine at a time.
 type Counter struct {
 	Requests     int     // requests
-	Rejected     int     // sendings that were rejected
-	Failed       int     // sendings that failed
+	Rejected     int     // attempts that were rejected
+	Failed       int     // attempts that failed
 	InObjective  int     // requests served within their latency objective
 	AskedWork    float64 // ms
 	LateUnserved float64 // weight that ended unserved after its latency objective
@@ -68,12 +68,12 @@
 	asked, served float64 // weight
 }
 
-// New returns a Counter for a run of a drawn scenario.
-func New(d *scenario.Realization) *Counter {
+// New returns a Counter for a run of a realization.
+func New(realization *scenario.Realization) *Counter {
 	return &Counter{
-		Seconds:     make([]Second, int(math.Ceil(d.Length.Seconds()))),
-		realization: d,
-		classes:     make([]classCounter, len(d.Classes)),
+		Seconds:     make([]Second, int(math.Ceil(realization.Length.Seconds()))),
+		realization: realization,
+		classes:     make([]classCounter, len(realization.Classes)),
 		latencies:   hdrhistogram.New(1, int64(maxLatency/time.Microsecond), significantDigits),
 	}
 }
@@ -84,11 +84,11 @@
 }
 
 // Weight is the priority weight of a request of a class; work is in ms.
-func Weight(d *scenario.Realization, class int, work float64) float64 {
-	if d.Score.ByWork {
-		return d.Classes[class].PriorityWeight * work
+func Weight(realization *scenario.Realization, class int, work float64) float64 {
+	if realization.Score.ByWork {
+		return realization.Classes[class].PriorityWeight * work
 	}
-	return d.Classes[class].PriorityWeight
+	return realization.Classes[class].PriorityWeight
 }
 
 // RequestSent counts a client's request when it is first sent; work is in ms.
@@ -101,59 +101,77 @@
 	c.second(first).AskedWeight += weight
 }
 
-// SendingUnserved counts a sending that was rejected or failed, by when its request was first sent.
-func (c *Counter) SendingUnserved(first time.Duration, rejected bool) {
-	s := c.second(first)
+// AttemptUnserved counts a client's attempt that was rejected or failed, by when its request was first sent.
+func (c *Counter) AttemptUnserved(first time.Duration, rejected bool) {
+	second := c.second(first)
 	if rejected {
 		c.Rejected++
-		s.Rejected++
+		second.Rejected++
 		return
 	}
 	c.Failed++
-	s.Failed++
+	second.Failed++
 }
 
-// RequestFinished counts a request that is over, took after its first sending and with so many sendings, and
-// returns the weight that it earned.
-func (c *Counter) RequestFinished(first, took time.Duration, class int, work float64, sends int, served bool) float64 {
-	settings := &c.realization.Classes[class]
-	weight := Weight(c.realization, class, work)
-	late := took > settings.LatencyObjective
+// End is how a request ended for its client.
+type End bool
+
+// Ends.
+const (
+	Unserved End = false
+	Served   End = true
+)
+
+// FinishedRequest is a client's request that is over.
+type FinishedRequest struct {
+	First          time.Duration // when it was first sent
+	Took           time.Duration // from then to its end
+	Class          int
+	Work           float64 // ms
+	ClientAttempts int     // the first one and the client's retries
+	End            End
+}
+
+// RequestFinished counts a request that is over and returns the weight that it earned.
+func (c *Counter) RequestFinished(finished FinishedRequest) float64 {
+	class := &c.realization.Classes[finished.Class]
+	weight := Weight(c.realization, finished.Class, finished.Work)
+	late := finished.Took > class.LatencyObjective
 	earned := 0.0
 	switch {
-	case served:
+	case finished.End == Served:
 		// What exceeds the histogram's range is not in the distribution.
-		_ = c.latencies.RecordValue(max(int64(took/time.Microsecond), 1))
+		_ = c.latencies.RecordValue(max(int64(finished.Took/time.Microsecond), 1))
 		earned = weight
 		if late {
-			earned *= settings.LateWeightShare
+			earned *= class.LateWeightShare
 		} else {
 			c.InObjective++
 		}
 	case late:
 		c.LateUnserved += weight
 	}
-	c.classes[class].served += earned
-	s := c.second(first)
-	s.ServedWeight += earned
-	s.Sends += sends
+	c.classes[finished.Class].served += earned
+	second := c.second(finished.First)
+	second.ServedWeight += earned
+	second.ClientAttempts += finished.ClientAttempts
 	return earned
 }
 
-// Latency is the distribution of served requests' latency since their first sending; nil if none was
+// Latency is the distribution of served requests' latency since their first attempt; nil if none was
 // served.
 func (c *Counter) Latency() []LatencyStep {
 	if c.latencies.TotalCount() == 0 {
 		return nil
 	}
-	var out []LatencyStep
-	for _, p := range latencyPercentiles {
-		out = append(out, LatencyStep{p, c.Percentile(p)})
+	var steps []LatencyStep
+	for _, percentile := range latencyPercentiles {
+		steps = append(steps, LatencyStep{percentile, c.Percentile(percentile)})
 	}
-	return out
+	return steps
 }
 
 // Percentile is a percentile of the latency of served requests, ms.
-func (c *Counter) Percentile(p float64) float64 {
-	return float64(c.latencies.ValueAtPercentile(p)) / 1000
+func (c *Counter) Percentile(percentile float64) float64 {
+	return float64(c.latencies.ValueAtPercentile(percentile)) / 1000
 }
--- a/internal/lab/goodput/counter_test.go
+++ b/internal/lab/goodput/counter_test.go
@@ -18,7 +18,7 @@
 			{Class: piernotch.Class{Name: "write", PriorityWeight: 3, LatencyObjective: time.Second}},
 			{Class: piernotch.Class{Name: "unused", PriorityWeight: 1}},
 		},
-		Score: scenario.DrawnScore{Whole: 0.5, WorstWindow: 0.25, WorstClass: 0.25, Window: time.Second},
+		Score: scenario.DrawnScore{WholeRun: 0.5, WorstWindow: 0.25, WorstClass: 0.25, Window: time.Second},
 	})
 }
 
@@ -36,7 +36,7 @@
 	} {
 		counter := newTestCounter()
 		counter.RequestSent(0, 0, 10)
-		require.Equal(t, c.want, counter.RequestFinished(0, c.took, 0, 10, 1, c.served))
+		require.Equal(t, c.want, counter.RequestFinished(FinishedRequest{Took: c.took, Work: 10, ClientAttempts: 1, End: End(c.served)}))
 		require.Equal(t, c.late, counter.LateUnserved)
 	}
 }
@@ -45,14 +45,16 @@
 	counter := newTestCounter()
 	finish := func(at time.Duration, class int, served bool) {
 		counter.RequestSent(at, class, 10)
-		counter.RequestFinished(at, 500*time.Millisecond, class, 10, 1, served)
+		counter.RequestFinished(FinishedRequest{
+			First: at, Took: 500 * time.Millisecond, Class: class, Work: 10, ClientAttempts: 1, End: End(served),
+		})
 	}
 	finish(0, 0, true)
 	finish(time.Second, 0, true)
 	finish(time.Second, 1, false)
 	finish(2*time.Second, 1, true)
 	parts := counter.Parts()
-	require.Equal(t, 5.0/8, parts.Whole)
+	require.Equal(t, 5.0/8, parts.WholeRun)
 	require.Equal(t, 1.0/4, parts.WorstWindow)
 	require.Equal(t, 1.0/2, parts.WorstClass)
 	require.Equal(t, []ClassShare{{"read", 1, 2}, {"write", 0.5, 2}, {"unused", 1, 0}}, parts.Classes)
@@ -68,11 +70,11 @@
 	require.Nil(t, counter.Latency())
 }
 
-func TestEndedSendingsCountForSecondOfFirst(t *testing.T) {
+func TestUnservedAttemptsCountForSecondOfFirst(t *testing.T) {
 	counter := newTestCounter()
-	counter.SendingUnserved(1500*time.Millisecond, true)
-	counter.SendingUnserved(1500*time.Millisecond, false)
-	counter.SendingUnserved(time.Minute, false)
+	counter.AttemptUnserved(1500*time.Millisecond, true)
+	counter.AttemptUnserved(1500*time.Millisecond, false)
+	counter.AttemptUnserved(time.Minute, false)
 	require.Equal(t, Second{Rejected: 1, Failed: 1}, counter.Seconds[1])
 	require.Equal(t, Second{Failed: 1}, counter.Seconds[3])
 	require.Equal(t, 1, counter.Rejected)
--- a/internal/lab/invariants/attempts.go
+++ b/internal/lab/invariants/attempts.go
@@ -7,132 +7,159 @@
 	"piernotch"
 )
 
-// AttemptSent records that an attempt left a balancer for a server. The attempts of a request are
-// numbered from 0 in the order of their sending.
-func (c *Checker) AttemptSent(at time.Duration, balancer int, id uint64, server int) {
-	c.checkDrain(at, balancer, id, server)
-	r := c.requests.Get(id)
-	if r == nil || r.answered {
-		c.reportRequest(Lost, at, balancer, id, server, "sent after its final answer")
-		if r == nil {
+// SentAttempt is an attempt that left a balancer for a server.
+type SentAttempt struct {
+	At       time.Duration
+	Balancer BalancerIndex
+	Request  uint64
+	Server   ServerIndex
+}
+
+// AttemptSent records an attempt that was sent. The attempts of a request are numbered from 0 in the
+// order in which they are sent.
+func (c *Checker) AttemptSent(sent SentAttempt) {
+	c.checkDrain(&sent)
+	request := c.requests.Get(sent.Request)
+	if request == nil || request.answered {
+		c.reportAttempt(Lost, &sent, "sent after its final response")
+		if request == nil {
 			return
 		}
 	}
-	c.checkRetry(at, r, id, server)
-	if len(r.attempts) < maxAttempts {
-		r.attempts = append(r.attempts, attempt{sentAt: at, server: int32(server)})
+	c.checkRetry(&sent, request)
+	if len(request.attempts) < maxAttempts {
+		request.attempts = append(request.attempts, attemptRecord{sentAt: sent.At, server: sent.Server})
 	}
 }
 
+// reportAttempt counts a violation by an attempt that was sent.
+func (c *Checker) reportAttempt(rule Rule, sent *SentAttempt, message string) {
+	c.report(Violation{
+		Rule: rule, At: sent.At, Balancer: sent.Balancer, Request: sent.Request, Server: sent.Server,
+		Message: message, Steps: c.describe(sent.Request),
+	})
+}
+
 // checkDrain checks that a balancer was not notified that a server drains or is gone.
-func (c *Checker) checkDrain(at time.Duration, balancer int, id uint64, server int) {
-	notified, ok := c.unavailableSince[balancerServer{int32(balancer), int32(server)}]
+func (c *Checker) checkDrain(sent *SentAttempt) {
+	notifiedAt, ok := c.unavailableSince[balancerServer{sent.Balancer, sent.Server}]
 	if !ok {
 		return
 	}
-	c.drainLatest = max(c.drainLatest, at-notified)
-	if at > notified+c.limits.Grace {
-		c.reportRequest(Drain, at, balancer, id, server, fmt.Sprintf("sent %v after it was told that the server leaves", at-notified))
+	sinceNotified := sent.At - notifiedAt
+	c.drainLatest = max(c.drainLatest, sinceNotified)
+	if sinceNotified > c.limits.Grace {
+		c.reportAttempt(Drain, sent, fmt.Sprintf("sent %v after the balancer was notified that the server drains or is gone", sinceNotified))
 	}
 }
 
 // checkRetry checks a further attempt of a request against its class and the limits.
-func (c *Checker) checkRetry(at time.Duration, r *request, id uint64, server int) {
-	class := c.classOf(r)
-	if class == nil || len(r.attempts) == 0 {
+func (c *Checker) checkRetry(sent *SentAttempt, request *requestRecord) {
+	class := c.classOf(request)
+	if class == nil || len(request.attempts) == 0 {
 		return
 	}
 	report := func(message string) {
-		c.reportRequest(Repeated, at, int(r.balancer), id, server, message)
+		c.reportRequest(request, Violation{Rule: Repeated, At: sent.At, Request: sent.Request, Server: sent.Server, Message: message})
 	}
-	if len(r.attempts) >= c.limits.MaxAttempts {
-		report(fmt.Sprintf("attempt %d of %d allowed", len(r.attempts)+1, c.limits.MaxAttempts))
+	if len(request.attempts) >= c.limits.MaxAttempts {
+		report(fmt.Sprintf("attempt %d of %d allowed", len(request.attempts)+1, c.limits.MaxAttempts))
 	}
-	first, inflight := r.firstExecutable()
+	first, inflight := request.firstExecutable()
 	if inflight && !c.limits.HedgedRequests {
-		report("a second copy, which is not allowed here")
+		report("a hedged request, which is not allowed")
 	}
 	if first == nil {
 		return
 	}
-	if message := c.unsafeRetry(at, class, first, server); message != "" {
+	if message := c.unsafeRetry(sent, class, first); message != "" {
 		report(message)
 	}
 }
 
 // firstExecutable returns the first attempt that may have been executed, or nil, and whether any
 // attempt is in flight.
-func (r *request) firstExecutable() (first *attempt, inflight bool) {
+func (r *requestRecord) firstExecutable() (first *attemptRecord, inflight bool) {
 	for i := range r.attempts {
-		a := &r.attempts[i]
-		if !a.neverExecuted && first == nil {
-			first = a
+		attempt := &r.attempts[i]
+		if !attempt.neverExecuted && first == nil {
+			first = attempt
 		}
-		inflight = inflight || !a.completed
+		inflight = inflight || !attempt.completed
 	}
 	return first, inflight
 }
 
 // unsafeRetry returns why an attempt must not follow one that may have been executed, or nothing if
 // it may.
-func (c *Checker) unsafeRetry(at time.Duration, class *piernotch.Class, first *attempt, server int) string {
+func (c *Checker) unsafeRetry(sent *SentAttempt, class *piernotch.Class, first *attemptRecord) string {
 	switch class.RetrySafety {
 	case piernotch.NonIdempotent:
-		return "sent again, though an earlier attempt may have run"
+		return "retried, though an earlier attempt may have been executed"
 	case piernotch.IdempotencyKey:
-		earlier := int(first.server)
-		switch {
-		case at > first.sentAt+class.DedupWindow:
-			return "sent again after the time in which repeats are dropped"
-		case class.DedupScope == piernotch.DedupInZone && c.limits.Zone(server) != c.limits.Zone(earlier):
-			return "sent again to another zone"
-		case class.DedupScope == piernotch.DedupInCell && c.limits.Cell(server) != c.limits.Cell(earlier):
-			return "sent again to another cell"
-		}
+		return c.outsideDeduplication(sent, class, first)
 	}
 	return ""
 }
 
-// attempt returns attempt n of a request with the request, or nil for one that is not remembered.
-func (c *Checker) attempt(id uint64, n int) (*request, *attempt) {
-	r := c.requests.Get(id)
-	if r == nil || n < 0 || n >= len(r.attempts) {
+// outsideDeduplication returns why servers do not deduplicate an attempt against an earlier one with
+// the same idempotency key, or nothing if they do.
+func (c *Checker) outsideDeduplication(sent *SentAttempt, class *piernotch.Class, first *attemptRecord) string {
+	tooLate := sent.At > first.sentAt+class.DedupWindow
+	switch {
+	case tooLate:
+		return "retried after the deduplication window"
+	case class.DedupScope == piernotch.DedupInZone && c.limits.Zone(sent.Server) != c.limits.Zone(first.server):
+		return "retried in another zone, outside of the deduplication scope"
+	case class.DedupScope == piernotch.DedupInCell && c.limits.Cell(sent.Server) != c.limits.Cell(first.server):
+		return "retried in another cell, outside of the deduplication scope"
+	}
+	return ""
+}
+
+// attempt returns an attempt of a request with the request, or nil for one that is not remembered.
+func (c *Checker) attempt(id uint64, attemptNumber int) (*requestRecord, *attemptRecord) {
+	request := c.requests.Get(id)
+	if request == nil || attemptNumber < 0 || attemptNumber >= len(request.attempts) {
 		return nil, nil
 	}
-	return r, &r.attempts[n]
+	return request, &request.attempts[attemptNumber]
 }
 
 // AttemptAccepted records that a server accepted an attempt: from here on it may be executed.
-func (c *Checker) AttemptAccepted(id uint64, n int) {
-	if _, a := c.attempt(id, n); a != nil {
-		a.accepted = true
+func (c *Checker) AttemptAccepted(id uint64, attemptNumber int) {
+	if _, attempt := c.attempt(id, attemptNumber); attempt != nil {
+		attempt.accepted = true
 	}
 }
 
 // AttemptExecuted records that a server executed an attempt, or a part of it.
-func (c *Checker) AttemptExecuted(at time.Duration, id uint64, n int) {
-	r, a := c.attempt(id, n)
-	if a == nil {
+func (c *Checker) AttemptExecuted(at time.Duration, id uint64, attemptNumber int) {
+	request, attempt := c.attempt(id, attemptNumber)
+	if attempt == nil {
 		return
 	}
-	a.executed = true
-	if class := c.classOf(r); class == nil || class.RetrySafety != piernotch.NonIdempotent {
+	attempt.executed = true
+	if class := c.classOf(request); class == nil || class.RetrySafety != piernotch.NonIdempotent {
 		return
 	}
-	for i := range r.attempts {
-		if i != n && r.attempts[i].executed {
-			c.reportRequest(Repeated, at, int(r.balancer), id, int(a.server), "ran a second time")
+	for i := range request.attempts {
+		if i != attemptNumber && request.attempts[i].executed {
+			c.reportRequest(request, Violation{Rule: Repeated, At: at, Request: id, Server: attempt.server, Message: "executed a second time"})
 			return
 		}
 	}
 }
 
-// AttemptCompleted records that the balancer knows how an attempt ended, and whether what it got
-// proves that the attempt was never executed.
-func (c *Checker) AttemptCompleted(id uint64, n int, neverExecuted bool) {
-	if r, a := c.attempt(id, n); a != nil {
-		a.completed = true
-		a.neverExecuted = neverExecuted
-		c.release(id, r)
+// NeverExecuted says of a completed attempt that what its balancer got proves that no server executed
+// any part of it. Without the proof the attempt may have been executed.
+type NeverExecuted bool
+
+// AttemptCompleted records that the balancer knows how an attempt ended.
+func (c *Checker) AttemptCompleted(id uint64, attemptNumber int, proof NeverExecuted) {
+	if request, attempt := c.attempt(id, attemptNumber); attempt != nil {
+		attempt.completed = true
+		attempt.neverExecuted = bool(proof)
+		c.release(id, request)
 	}
 }
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -12,49 +12,64 @@
 	maxViolations = 50
 	// maxAttempts bounds the attempts of a request that are remembered.
 	maxAttempts = 16
-	// checkInterval is the step in which overdue answers are looked for.
+	// checkInterval is the step in which overdue responses are looked for.
 	checkInterval = 100 * time.Millisecond
+)
+
+// BalancerIndex numbers the balancers of a run from 0. It belongs to the balancer, whatever process it
+// runs in.
+type BalancerIndex int32
+
+// ServerIndex numbers the servers of a run from 0, those that join later included.
+type ServerIndex int32
+
+const (
 	// noServer is Violation.Server where none is involved.
-	noServer = -1
+	noServer ServerIndex = -1
+	// unknownBalancer is Violation.Balancer where it is not known.
+	unknownBalancer BalancerIndex = -1
 )
 
-// attempt is what was observed of one attempt.
-type attempt struct {
+// attemptRecord is what was observed of one attempt.
+type attemptRecord struct {
 	sentAt        time.Duration
-	server        int32
+	server        ServerIndex
 	neverExecuted bool // that is proved
 	completed     bool // for its balancer
 	accepted      bool // by the server
 	executed      bool // by the server, in part at least
 }
 
-// request is what was observed of one request.
-type request struct {
-	balancer   int32
+// requestRecord is what was observed of one request.
+type requestRecord struct {
+	balancer   BalancerIndex
 	class      int8
 	answered   bool
-	answer     Result
+	result     Result
 	receivedAt time.Duration
 	deadline   time.Duration
 	answeredAt time.Duration
-	attempts   []attempt
+	attempts   []attemptRecord
 }
 
-// balancerServer is a balancer's instance and a server.
-type balancerServer struct{ balancer, server int32 }
+// balancerServer is a balancer and a server.
+type balancerServer struct {
+	balancer BalancerIndex
+	server   ServerIndex
+}
 
 // Checker checks observations against the rules. Its methods must be called in the order of time,
 // from one goroutine at a time.
 type Checker struct {
 	limits       Limits
-	requests     idtable.Table[request]
-	due          map[int64][]uint64 // requests, by the step in which their answers are overdue
+	requests     idtable.Table[requestRecord]
+	due          map[int64][]uint64 // requests, by the step in which their responses are overdue
 	checkedSteps int64              // steps that were looked at
-	freeAttempts [][]attempt        // for reuse
+	freeAttempts [][]attemptRecord  // for reuse
 
 	unavailableSince map[balancerServer]time.Duration // when a drain or an end was notified
 	startedAt        map[balancerServer]time.Duration // the start of the server that was notified last
-	slowStartWork    map[int32][]arrivedWork          // by server
+	slowStartWork    map[ServerIndex][]arrivedWork
 
 	counts      [ruleCount]int
 	violations  []Violation
@@ -68,27 +83,31 @@
 		due:              map[int64][]uint64{},
 		unavailableSince: map[balancerServer]time.Duration{},
 		startedAt:        map[balancerServer]time.Duration{},
-		slowStartWork:    map[int32][]arrivedWork{},
+		slowStartWork:    map[ServerIndex][]arrivedWork{},
 	}
 }
 
 // report counts a violation.
-func (c *Checker) report(v Violation) {
-	c.counts[v.Rule]++
+func (c *Checker) report(violation Violation) {
+	c.counts[violation.Rule]++
 	if len(c.violations) < maxViolations {
-		c.violations = append(c.violations, v)
+		c.violations = append(c.violations, violation)
 	}
 }
 
-// reportRequest counts a violation by a request of an instance.
-func (c *Checker) reportRequest(rule Rule, at time.Duration, balancer int, id uint64, server int, message string) {
-	c.report(Violation{
-		Rule: rule, At: at, Balancer: balancer, Request: id, Server: server, Message: message, Steps: c.describe(id),
-	})
+// reportRequest counts a violation by a request, of the balancer that received it, with what was observed
+// of it; the record is nil if the request is unknown.
+func (c *Checker) reportRequest(request *requestRecord, violation Violation) {
+	violation.Balancer = unknownBalancer
+	if request != nil {
+		violation.Balancer = request.balancer
+	}
+	violation.Steps = c.describe(violation.Request)
+	c.report(violation)
 }
 
-// Count is how often a rule was broken.
-func (c *Checker) Count(r Rule) int { return c.counts[r] }
+// Count is how often a rule was violated.
+func (c *Checker) Count(rule Rule) int { return c.counts[rule] }
 
 // DrainLatest is the latest that an attempt was sent after a drain was notified.
 func (c *Checker) DrainLatest() time.Duration { return c.drainLatest }
@@ -96,21 +115,21 @@
 // Violations returns the first violations, 50 at most.
 func (c *Checker) Violations() []Violation { return c.violations }
 
-// PendingRequests is how many requests have no final answer yet.
+// PendingRequests is how many requests have no final response yet.
 func (c *Checker) PendingRequests() int {
-	n := 0
-	c.requests.Each(func(_ uint64, r *request) {
-		if !r.answered {
-			n++
+	pending := 0
+	c.requests.Each(func(_ uint64, request *requestRecord) {
+		if !request.answered {
+			pending++
 		}
 	})
-	return n
+	return pending
 }
 
 // classOf returns the class of a request, or nil if it is unknown.
-func (c *Checker) classOf(r *request) *piernotch.Class {
-	if r.class < 0 || int(r.class) >= len(c.limits.Classes) {
+func (c *Checker) classOf(request *requestRecord) *piernotch.Class {
+	if request.class < 0 || int(request.class) >= len(c.limits.Classes) {
 		return nil
 	}
-	return &c.limits.Classes[r.class]
+	return &c.limits.Classes[request.class]
 }
--- a/internal/lab/invariants/checker_test.go
+++ b/internal/lab/invariants/checker_test.go
@@ -27,16 +27,16 @@
 			{Name: "write", RetrySafety: piernotch.NonIdempotent},
 			{Name: "key", RetrySafety: piernotch.IdempotencyKey, DedupScope: piernotch.DedupInZone, DedupWindow: 200 * ms},
 		},
-		Zone: func(server int) int { return server / 10 },
-		Cell: func(server int) int { return server },
+		Zone: func(server ServerIndex) int { return int(server) / 10 },
+		Cell: func(server ServerIndex) int { return int(server) },
 	})
 }
 
 // failedAttempt records an attempt that was executed and ended without a response.
-func failedAttempt(c *Checker, at time.Duration, id uint64, n, server int) {
-	c.AttemptSent(at, 0, id, server)
-	c.AttemptAccepted(id, n)
-	c.AttemptCompleted(id, n, false)
+func failedAttempt(c *Checker, at time.Duration, id uint64, attemptNumber int, server ServerIndex) {
+	c.AttemptSent(SentAttempt{At: at, Request: id, Server: server})
+	c.AttemptAccepted(id, attemptNumber)
+	c.AttemptCompleted(id, attemptNumber, NeverExecuted(false))
 }
 
 func TestCheckerCountsViolationsByRule(t *testing.T) {
@@ -46,27 +46,27 @@
 		want    map[Rule]string // the message of the only violation of each rule
 	}{
 		"served": {classNonIdempotent, func(c *Checker) {
-			c.AttemptSent(ms, 0, 1, 3)
+			c.AttemptSent(SentAttempt{At: ms, Request: 1, Server: 3})
 			c.AttemptExecuted(2*ms, 1, 0)
-			c.AttemptCompleted(1, 0, false)
+			c.AttemptCompleted(1, 0, NeverExecuted(false))
 			c.RequestAnswered(3*ms, 1, Served)
 		}, nil},
 		"served by nobody": {classIdempotent, func(c *Checker) { c.RequestAnswered(ms, 1, Served) },
-			map[Rule]string{Lost: "served, but no server ran it"}},
+			map[Rule]string{Lost: "served, but no server executed it"}},
 		"answered late": {classIdempotent, func(c *Checker) { c.RequestAnswered(150*ms, 1, Failed) },
 			map[Rule]string{Lost: "failed 50ms after its deadline"}},
 		"answered twice": {classIdempotent, func(c *Checker) {
 			c.RequestAnswered(ms, 1, Failed)
 			c.RequestAnswered(2*ms, 1, Failed)
-		}, map[Rule]string{Lost: "failed: a second final answer, or one to nobody"}},
+		}, map[Rule]string{Lost: "failed: a second final response, or one to an unknown request"}},
 		"never answered": {classIdempotent, func(c *Checker) { c.CheckOverdue(time.Second) },
-			map[Rule]string{Lost: "no final answer 900ms after its deadline"}},
+			map[Rule]string{Lost: "no final response 900ms after its deadline"}},
 		"excused": {classIdempotent, func(c *Checker) {
 			c.RequestExcused(ms, 1)
 			c.CheckOverdue(time.Second)
 		}, nil},
 		"dropped": {classIdempotent, func(c *Checker) { c.RequestDropped(ms, 1) },
-			map[Rule]string{Lost: "its connection was ended without an answer"}},
+			map[Rule]string{Lost: "its connection was closed without a response"}},
 		"idempotent retry": {classIdempotent, func(c *Checker) {
 			failedAttempt(c, ms, 1, 0, 3)
 			failedAttempt(c, 2*ms, 1, 1, 14)
@@ -79,25 +79,25 @@
 			c.RequestAnswered(3*ms, 1, Failed)
 		}, map[Rule]string{Repeated: "attempt 3 of 2 allowed"}},
 		"hedged request": {classIdempotent, func(c *Checker) {
-			c.AttemptSent(ms, 0, 1, 3)
-			c.AttemptSent(ms, 0, 1, 4)
+			c.AttemptSent(SentAttempt{At: ms, Request: 1, Server: 3})
+			c.AttemptSent(SentAttempt{At: ms, Request: 1, Server: 4})
 			c.RequestAnswered(3*ms, 1, Failed)
-		}, map[Rule]string{Repeated: "a second copy, which is not allowed here"}},
+		}, map[Rule]string{Repeated: "a hedged request, which is not allowed"}},
 		"non-idempotent retry": {classNonIdempotent, func(c *Checker) {
 			failedAttempt(c, ms, 1, 0, 3)
 			failedAttempt(c, 2*ms, 1, 1, 4)
 			c.RequestAnswered(3*ms, 1, Failed)
-		}, map[Rule]string{Repeated: "sent again, though an earlier attempt may have run"}},
+		}, map[Rule]string{Repeated: "retried, though an earlier attempt may have been executed"}},
 		"retry of what was never executed": {classNonIdempotent, func(c *Checker) {
-			c.AttemptSent(ms, 0, 1, 3)
-			c.AttemptCompleted(1, 0, true)
+			c.AttemptSent(SentAttempt{At: ms, Request: 1, Server: 3})
+			c.AttemptCompleted(1, 0, NeverExecuted(true))
 			failedAttempt(c, 2*ms, 1, 1, 4)
 			c.RequestAnswered(3*ms, 1, Failed)
 		}, nil},
 		"rejection after an attempt": {classNonIdempotent, func(c *Checker) {
 			failedAttempt(c, ms, 1, 0, 3)
 			c.RequestAnswered(3*ms, 1, Rejected)
-		}, map[Rule]string{Repeated: "refused what may have run"}},
+		}, map[Rule]string{Repeated: "rejected, though an attempt may have been executed"}},
 		"retry with key in its zone": {classZoneKey, func(c *Checker) {
 			failedAttempt(c, ms, 1, 0, 3)
 			failedAttempt(c, 2*ms, 1, 1, 4)
@@ -107,19 +107,19 @@
 			failedAttempt(c, ms, 1, 0, 3)
 			failedAttempt(c, 2*ms, 1, 1, 14)
 			c.RequestAnswered(3*ms, 1, Failed)
-		}, map[Rule]string{Repeated: "sent again to another zone"}},
+		}, map[Rule]string{Repeated: "retried in another zone, outside of the deduplication scope"}},
 		"attempt within the grace of a drain": {classIdempotent, func(c *Checker) {
-			c.EndpointNotified(0, 0, 3, piernotch.Draining, 0)
+			c.EndpointNotified(NotifiedEndpoint{Server: 3, State: piernotch.Draining})
 			failedAttempt(c, 100*ms, 1, 0, 3)
 			c.RequestAnswered(101*ms, 1, Failed)
 		}, nil},
 		"attempt after a drain": {classIdempotent, func(c *Checker) {
-			c.EndpointNotified(0, 0, 3, piernotch.Draining, 0)
+			c.EndpointNotified(NotifiedEndpoint{Server: 3, State: piernotch.Draining})
 			failedAttempt(c, 101*ms, 1, 0, 3)
 			c.RequestAnswered(102*ms, 1, Failed)
-		}, map[Rule]string{Drain: "sent 101ms after it was told that the server leaves"}},
+		}, map[Rule]string{Drain: "sent 101ms after the balancer was notified that the server drains or is gone"}},
 		"attempt after a drain and a restart": {classIdempotent, func(c *Checker) {
-			c.EndpointNotified(0, 0, 3, piernotch.Draining, 0)
+			c.EndpointNotified(NotifiedEndpoint{Server: 3, State: piernotch.Draining})
 			c.BalancerRestarted(0)
 			failedAttempt(c, 101*ms, 1, 0, 3)
 			c.RequestAnswered(102*ms, 1, Failed)
@@ -127,7 +127,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			checker := newTestChecker()
-			checker.RequestReceived(0, 0, 1, c.class, 100*ms)
+			checker.RequestReceived(ReceivedRequest{ID: 1, Class: c.class, Deadline: 100 * ms})
 			c.observe(checker)
 			got := map[Rule]string{}
 			for _, v := range checker.Violations() {
@@ -148,10 +148,10 @@
 	for _, notified := range []bool{false, true} {
 		c := newTestChecker()
 		if notified {
-			c.EndpointNotified(0, 0, 3, piernotch.Ready, 5*ms)
+			c.EndpointNotified(NotifiedEndpoint{Server: 3, State: piernotch.Ready, StartedAt: 5 * ms})
 		}
-		c.SlowStartWork(10*ms, 0, 3, 5*ms, 70)
-		c.SlowStartWork(20*ms, 1, 3, 5*ms, 30)
+		c.SlowStartWork(SlowStartArrival{At: 10 * ms, Balancer: 0, Server: 3, StartedAt: 5 * ms, Work: 70})
+		c.SlowStartWork(SlowStartArrival{At: 20 * ms, Balancer: 1, Server: 3, StartedAt: 5 * ms, Work: 30})
 		c.ServerCollapsed(20*ms, 3)
 		require.Equal(t, notified, c.Count(SlowStart) == 1)
 	}
--- a/internal/lab/invariants/requests.go
+++ b/internal/lab/invariants/requests.go
@@ -8,57 +8,67 @@
 	"piernotch"
 )
 
-// RequestReceived records that a balancer has received the whole of a client's request. IDs must
-// rise. A class that Limits does not list is not checked for retries.
-func (c *Checker) RequestReceived(at time.Duration, balancer int, id uint64, class int, deadline time.Duration) {
-	r := c.requests.Put(id)
-	*r = request{balancer: int32(balancer), class: int8(class), receivedAt: at, deadline: deadline}
-	if n := len(c.freeAttempts); n > 0 {
-		r.attempts = c.freeAttempts[n-1]
-		c.freeAttempts = c.freeAttempts[:n-1]
-	}
-	step := int64((deadline+c.limits.Slack)/checkInterval) + 1
-	c.due[step] = append(c.due[step], id)
+// ReceivedRequest is a client's request that a balancer has received in full.
+type ReceivedRequest struct {
+	At       time.Duration
+	Balancer BalancerIndex
+	ID       uint64 // above those of earlier requests
+	Class    int    // index into Limits.Classes; one that is not listed there is not checked for retries
+	Deadline time.Duration
 }
 
-// RequestAnswered records that a final answer left for the client.
-func (c *Checker) RequestAnswered(at time.Duration, id uint64, answer Result) {
-	r := c.requests.Get(id)
-	if r == nil || r.answered {
-		balancer := -1
-		if r != nil {
-			balancer = int(r.balancer)
-		}
-		c.reportRequest(Lost, at, balancer, id, noServer, answer.String()+": a second final answer, or one to nobody")
+// RequestReceived records a request that was received.
+func (c *Checker) RequestReceived(received ReceivedRequest) {
+	request := c.requests.Put(received.ID)
+	*request = requestRecord{
+		balancer:   received.Balancer,
+		class:      int8(received.Class),
+		receivedAt: received.At,
+		deadline:   received.Deadline,
+	}
+	if free := len(c.freeAttempts); free > 0 {
+		request.attempts = c.freeAttempts[free-1]
+		c.freeAttempts = c.freeAttempts[:free-1]
+	}
+	step := int64((received.Deadline+c.limits.Slack)/checkInterval) + 1
+	c.due[step] = append(c.due[step], received.ID)
+}
+
+// RequestAnswered records that a final response left for the client.
+func (c *Checker) RequestAnswered(at time.Duration, id uint64, result Result) {
+	request := c.requests.Get(id)
+	if request == nil || request.answered {
+		c.reportRequest(request, Violation{Rule: Lost, At: at, Request: id, Server: noServer, Message: result.String() + ": a second final response, or one to an unknown request"})
 		return
 	}
-	if at > r.deadline+c.limits.Slack {
-		c.reportRequest(Lost, at, int(r.balancer), id, noServer, fmt.Sprintf("%s %v after its deadline", answer, at-r.deadline))
+	if at > request.deadline+c.limits.Slack {
+		c.reportRequest(request, Violation{Rule: Lost, At: at, Request: id, Server: noServer, Message: fmt.Sprintf("%s %v after its deadline", result, at-request.deadline)})
 	}
-	r.answered = true
-	r.answer = answer
-	r.answeredAt = at
-	switch answer {
+	request.answered = true
+	request.result = result
+	request.answeredAt = at
+	switch result {
 	case Served:
-		if !slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.executed }) {
-			c.reportRequest(Lost, at, int(r.balancer), id, noServer, "served, but no server ran it")
+		if !slices.ContainsFunc(request.attempts, func(attempt attemptRecord) bool { return attempt.executed }) {
+			c.reportRequest(request, Violation{Rule: Lost, At: at, Request: id, Server: noServer, Message: "served, but no server executed it"})
 		}
 	case Rejected:
-		c.checkRejection(at, id, r)
+		c.checkRejection(at, id, request)
 	}
-	c.release(id, r)
+	c.release(id, request)
 }
 
 // checkRejection checks that a rejected request was never executed. A rejection says that the request
-// may be sent again, which matters where nobody drops repeats.
-func (c *Checker) checkRejection(at time.Duration, id uint64, r *request) {
-	class := c.classOf(r)
+// may be sent again, which matters where repeats are not deduplicated everywhere.
+func (c *Checker) checkRejection(at time.Duration, id uint64, request *requestRecord) {
+	class := c.classOf(request)
 	if class == nil || !repeatsMatter(class) {
 		return
 	}
-	for _, a := range r.attempts {
-		if !a.neverExecuted {
-			c.reportRequest(Repeated, at, int(r.balancer), id, int(a.server), "refused what may have run")
+	for i := range request.attempts {
+		attempt := &request.attempts[i]
+		if !attempt.neverExecuted {
+			c.reportRequest(request, Violation{Rule: Repeated, At: at, Request: id, Server: attempt.server, Message: "rejected, though an attempt may have been executed"})
 			return
 		}
 	}
@@ -75,34 +85,34 @@
 	return false
 }
 
-// RequestExcused records that a request needs no answer any more: the client left, or its balancer
+// RequestExcused records that a request needs no response any more: the client left, or its balancer
 // was killed.
 func (c *Checker) RequestExcused(at time.Duration, id uint64) {
-	if r := c.requests.Get(id); r != nil && !r.answered {
-		r.answered = true
-		r.answer = Failed
-		r.answeredAt = at
-		c.release(id, r)
+	if request := c.requests.Get(id); request != nil && !request.answered {
+		request.answered = true
+		request.result = Failed
+		request.answeredAt = at
+		c.release(id, request)
 	}
 }
 
-// RequestDropped records that a balancer ended the connection of a request without an answer.
+// RequestDropped records that a balancer closed the connection of a request without a response.
 func (c *Checker) RequestDropped(at time.Duration, id uint64) {
-	if r := c.requests.Get(id); r != nil && !r.answered {
-		c.reportRequest(Lost, at, int(r.balancer), id, noServer, "its connection was ended without an answer")
+	if request := c.requests.Get(id); request != nil && !request.answered {
+		c.reportRequest(request, Violation{Rule: Lost, At: at, Request: id, Server: noServer, Message: "its connection was closed without a response"})
 		c.RequestExcused(at, id)
 	}
 }
 
-// CheckOverdue finds answers that are overdue. It is to be called now and then, and at the end.
+// CheckOverdue finds responses that are overdue. It is to be called now and then, and at the end.
 func (c *Checker) CheckOverdue(now time.Duration) {
 	for ; c.checkedSteps <= int64(now/checkInterval); c.checkedSteps++ {
 		for _, id := range c.due[c.checkedSteps] {
-			r := c.requests.Get(id)
-			if r == nil || r.answered {
+			request := c.requests.Get(id)
+			if request == nil || request.answered {
 				continue
 			}
-			c.reportRequest(Lost, now, int(r.balancer), id, noServer, fmt.Sprintf("no final answer %v after its deadline", now-r.deadline))
+			c.reportRequest(request, Violation{Rule: Lost, At: now, Request: id, Server: noServer, Message: fmt.Sprintf("no final response %v after its deadline", now-request.deadline)})
 			c.RequestExcused(now, id)
 		}
 		delete(c.due, c.checkedSteps)
@@ -110,50 +120,51 @@
 }
 
 // release deletes a request that is answered and has no attempt in flight.
-func (c *Checker) release(id uint64, r *request) {
-	inflight := slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.completed })
-	if !r.answered || inflight {
+func (c *Checker) release(id uint64, request *requestRecord) {
+	inflight := slices.ContainsFunc(request.attempts, func(attempt attemptRecord) bool { return !attempt.completed })
+	if !request.answered || inflight {
 		return
 	}
-	if r.attempts != nil {
-		c.freeAttempts = append(c.freeAttempts, r.attempts[:0])
+	if request.attempts != nil {
+		c.freeAttempts = append(c.freeAttempts, request.attempts[:0])
 	}
 	c.requests.Delete(id)
 }
 
 // describe returns what was observed of a request, one step a line.
 func (c *Checker) describe(id uint64) []string {
-	r := c.requests.Get(id)
-	if r == nil {
-		return []string{"no more is known of it: it was never taken, or it had its final answer and nothing was out"}
+	request := c.requests.Get(id)
+	if request == nil {
+		return []string{"nothing is recorded: it was never received, or it had its final response and no attempt in flight"}
 	}
-	name := fmt.Sprintf("class %d", r.class)
-	if class := c.classOf(r); class != nil {
-		name = class.Name
+	class := fmt.Sprintf("class %d", request.class)
+	if listed := c.classOf(request); listed != nil {
+		class = listed.Name
 	}
-	out := []string{fmt.Sprintf("%.6f s: balancer %d takes it, %s, deadline %.6f s", r.receivedAt.Seconds(), r.balancer, name, r.deadline.Seconds())}
-	for i := range r.attempts {
-		out = append(out, r.attempts[i].describe(i))
+	steps := []string{fmt.Sprintf("%.6f s: received by balancer %d, %s, deadline %.6f s",
+		request.receivedAt.Seconds(), request.balancer, class, request.deadline.Seconds())}
+	for i := range request.attempts {
+		steps = append(steps, request.attempts[i].describe(i))
 	}
-	if r.answered {
-		out = append(out, fmt.Sprintf("%.6f s: %s", r.answeredAt.Seconds(), r.answer))
+	if request.answered {
+		steps = append(steps, fmt.Sprintf("%.6f s: %s", request.answeredAt.Seconds(), request.result))
 	}
-	return out
+	return steps
 }
 
-// describe returns what was observed of attempt n, in one line.
-func (a *attempt) describe(n int) string {
-	line := fmt.Sprintf("%.6f s: attempt %d to server %d", a.sentAt.Seconds(), n, a.server)
+// describe returns what was observed of an attempt, in one line.
+func (a *attemptRecord) describe(attemptNumber int) string {
+	line := fmt.Sprintf("%.6f s: attempt %d to server %d", a.sentAt.Seconds(), attemptNumber, a.server)
 	switch {
 	case a.executed:
-		line += ", which ran it"
+		line += ", executed"
 	case a.neverExecuted:
-		line += ", proved unrun"
+		line += ", proved never executed"
 	case a.accepted:
-		line += ", which took it in"
+		line += ", accepted"
 	}
 	if !a.completed {
-		line += ", still out"
+		line += ", in flight"
 	}
 	return line
 }
--- a/internal/lab/invariants/servers.go
+++ b/internal/lab/invariants/servers.go
@@ -10,78 +10,102 @@
 // arrivedWork is work that arrived at a server in slow start.
 type arrivedWork struct {
 	at       time.Duration
-	balancer int32
+	balancer BalancerIndex
 	notified bool    // the balancer was notified of this start of the server
 	work     float64 // ms
 }
 
-// EndpointNotified records that a balancer was notified of a server's state by the endpoint list.
-// startedAt is when the server's process started; 0: long ago.
-func (c *Checker) EndpointNotified(at time.Duration, balancer, server int, state piernotch.State, startedAt time.Duration) {
-	key := balancerServer{int32(balancer), int32(server)}
-	if state == piernotch.Ready {
+// NotifiedEndpoint is a server's state as the endpoint list notified it to a balancer.
+type NotifiedEndpoint struct {
+	At        time.Duration
+	Balancer  BalancerIndex
+	Server    ServerIndex
+	State     piernotch.State
+	StartedAt time.Duration // when the server's process started; 0: long ago
+}
+
+// EndpointNotified records that a balancer was notified of a server's state.
+func (c *Checker) EndpointNotified(notified NotifiedEndpoint) {
+	key := balancerServer{notified.Balancer, notified.Server}
+	if notified.State == piernotch.Ready {
 		delete(c.unavailableSince, key)
-		if startedAt > 0 {
-			c.startedAt[key] = startedAt
+		if notified.StartedAt > 0 {
+			c.startedAt[key] = notified.StartedAt
 		}
 		return
 	}
 	if _, ok := c.unavailableSince[key]; !ok {
-		c.unavailableSince[key] = at
+		c.unavailableSince[key] = notified.At
 	}
 }
 
-// BalancerRestarted records that a balancer starts with nothing: what its predecessor was notified of
-// does not count.
-func (c *Checker) BalancerRestarted(balancer int) {
+// BalancerRestarted records that a balancer's process starts with nothing: what its predecessor was
+// notified of does not count.
+func (c *Checker) BalancerRestarted(balancer BalancerIndex) {
 	for key := range c.unavailableSince {
-		if key.balancer == int32(balancer) {
+		if key.balancer == balancer {
 			delete(c.unavailableSince, key)
 		}
 	}
 	for key := range c.startedAt {
-		if key.balancer == int32(balancer) {
+		if key.balancer == balancer {
 			delete(c.startedAt, key)
 		}
 	}
 }
 
-// SlowStartWork records that work, ms, from a balancer arrived at a server in slow start, whose
-// process started at startedAt.
-func (c *Checker) SlowStartWork(at time.Duration, balancer, server int, startedAt time.Duration, work float64) {
-	list := c.slowStartWork[int32(server)]
-	for len(list) > 0 && list[0].at <= at-c.limits.CollapseWindow {
-		list = list[1:]
+// SlowStartArrival is work from a balancer that arrived at a server in slow start.
+type SlowStartArrival struct {
+	At        time.Duration
+	Balancer  BalancerIndex
+	Server    ServerIndex
+	StartedAt time.Duration // when the server's process started
+	Work      float64       // ms
+}
+
+// SlowStartWork records work that arrived at a server in slow start.
+func (c *Checker) SlowStartWork(arrival SlowStartArrival) {
+	recent := c.slowStartWork[arrival.Server]
+	for len(recent) > 0 && recent[0].at <= arrival.At-c.limits.CollapseWindow {
+		recent = recent[1:]
 	}
-	notified := c.startedAt[balancerServer{int32(balancer), int32(server)}] == startedAt
-	c.slowStartWork[int32(server)] = append(list, arrivedWork{at, int32(balancer), notified, work})
+	notifiedStart := c.startedAt[balancerServer{arrival.Balancer, arrival.Server}]
+	c.slowStartWork[arrival.Server] = append(recent, arrivedWork{
+		at:       arrival.At,
+		balancer: arrival.Balancer,
+		notified: notifiedStart == arrival.StartedAt,
+		work:     arrival.Work,
+	})
 }
 
-// ServerCollapsed records that a server collapsed in slow start. It breaks the rule if two thirds of
-// the work that it got came from balancers that were notified of its start.
-func (c *Checker) ServerCollapsed(at time.Duration, server int) {
-	list := c.slowStartWork[int32(server)]
+// ServerCollapsed records that a server collapsed in slow start. It violates the rule if most of the
+// work that it got came from balancers that were notified of its start.
+func (c *Checker) ServerCollapsed(at time.Duration, server ServerIndex) {
+	arrivals := c.slowStartWork[server]
 	total, notified := 0.0, 0.0
-	balancers := map[int32]bool{}
-	last := -1
-	for _, w := range list {
-		total += w.work
-		balancers[w.balancer] = true
-		last = int(w.balancer)
-		if w.notified {
-			notified += w.work
+	balancers := map[BalancerIndex]bool{}
+	last := unknownBalancer
+	for i := range arrivals {
+		arrival := &arrivals[i]
+		total += arrival.work
+		balancers[arrival.balancer] = true
+		last = arrival.balancer
+		if arrival.notified {
+			notified += arrival.work
 		}
 	}
-	if total == 0 || notified < total*2/3 {
+	// At two thirds: the balancers that could not know of the start are then not to blame.
+	mostlyNotified := notified >= total*2/3
+	if total == 0 || !mostlyNotified {
 		return
 	}
 	var steps []string
-	for _, w := range list {
-		steps = append(steps, w.describe())
+	for i := range arrivals {
+		steps = append(steps, arrivals[i].describe())
 	}
 	c.report(Violation{
 		Rule: SlowStart, At: at, Balancer: last, Server: server, Steps: steps,
-		Message: fmt.Sprintf("pushed over by %.0f ms of work within %v, from %d balancers", total, c.limits.CollapseWindow, len(balancers)),
+		Message: fmt.Sprintf("collapsed under %.0f ms of work within %v, from %d balancers", total, c.limits.CollapseWindow, len(balancers)),
 	})
 }
 
@@ -89,7 +113,7 @@
 func (w *arrivedWork) describe() string {
 	line := fmt.Sprintf("%.6f s: %.1f ms of work from balancer %d", w.at.Seconds(), w.work, w.balancer)
 	if w.notified {
-		line += ", which knew of its start"
+		line += ", notified of its start"
 	}
 	return line
 }
--- a/internal/lab/load/clients.go
+++ b/internal/lab/load/clients.go
@@ -23,9 +23,9 @@
 const (
 	Served       Outcome = iota
 	Rejected             // by a 429 or 503
-	Failed               // by another status, or an answer that is not this request's
-	TimedOut             // without an answer
-	Disconnected         // the balancer closed the connection without an answer
+	Failed               // by another status, or a response that is not this request's
+	TimedOut             // without a response
+	Disconnected         // the balancer closed the connection without a response
 	Unreachable          // no balancer accepted it
 )
 
@@ -36,7 +36,7 @@
 // Observer is notified of what clients see. Its methods may be called from any goroutine.
 type Observer interface {
 	// RequestSent says that a request is about to be written to a balancer's socket. The deadline is a
-	// time of the day.
+	// time of the run.
 	RequestSent(id string, balancer, class int, deadline time.Duration)
 	// RequestEnded says how it ended. Each id is sent and ended once.
 	RequestEnded(id string, outcome Outcome)
@@ -46,11 +46,11 @@
 // reports false if there is none. It may be called from any goroutine, with an rng of the caller's.
 type PickBalancer func(zone int, rng *rand.Rand) (balancer int, address string, ok bool)
 
-// Clients are the clients of a day. All exported fields are required, and read only.
+// Clients are the clients of a run. All exported fields are required, and read only.
 type Clients struct {
 	Realization *scenario.Realization
 	Arrivals    []simulation.Arrival // in the order of time
-	Clock       func() time.Duration // the time of the day
+	Clock       func() time.Duration // the time since the start of the run
 	Pick        PickBalancer
 	Observer    Observer
 
@@ -122,27 +122,29 @@
 }
 
 // send is one client with one request and its attempts.
-func (c *Clients) send(ctx context.Context, a *simulation.Arrival) {
+func (c *Clients) send(ctx context.Context, arrival *simulation.Arrival) {
 	clients := &c.Realization.Clients
-	class := &c.Realization.Classes[a.Class]
-	expires := a.At + class.Deadline
-	c.countRequest(a)
-	rng := rand.New(rand.NewPCG(a.Seed, 11))
-	for attempt := 1; ; attempt++ {
+	class := &c.Realization.Classes[arrival.Class]
+	expires := arrival.At + class.Deadline
+	c.countRequest(arrival)
+	rng := rand.New(rand.NewPCG(arrival.Seed, 11))
+	for attemptCount := 1; ; attemptCount++ {
 		timeout := min(time.Duration(float64(class.Deadline)*clients.AttemptTimeoutShare), expires-c.Clock())
-		outcome, retryAfter := c.attempt(ctx, a, timeout, rng)
-		c.countAttempt(a, outcome)
+		outcome, retryAfter := c.sendAttempt(ctx, arrival, timeout, rng)
+		c.countAttempt(arrival, outcome)
 		if outcome == Served {
-			c.countEnd(a, attempt, true)
+			c.countEnd(arrival, attemptCount, goodput.Served)
 			return
 		}
-		backoff := time.Duration(float64(clients.Backoff) * math.Exp2(float64(attempt-1)) * (0.5 + rng.Float64()))
+		backoff := time.Duration(float64(clients.Backoff) * math.Exp2(float64(attemptCount-1)) * (0.5 + rng.Float64()))
 		if rng.Float64() < clients.RetryAfterShare {
 			backoff = max(backoff, min(retryAfter, c.Realization.Settings.Limits.MaxRetryAfter))
 		}
 		mayRetry := class.RetrySafety == piernotch.Idempotent || outcome.retryable()
-		if !mayRetry || attempt >= a.Tries || ctx.Err() != nil || c.Clock()+backoff >= expires {
-			c.countEnd(a, attempt, false)
+		attemptsLeft := attemptCount < arrival.MaxAttempts && ctx.Err() == nil
+		inTime := c.Clock()+backoff < expires
+		if !mayRetry || !attemptsLeft || !inTime {
+			c.countEnd(arrival, attemptCount, goodput.Unserved)
 			return
 		}
 		sleep(ctx, backoff)
@@ -150,29 +152,31 @@
 }
 
 // countRequest counts a request that is about to be sent.
-func (c *Clients) countRequest(a *simulation.Arrival) {
+func (c *Clients) countRequest(arrival *simulation.Arrival) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.goodput.RequestSent(a.At, a.Class, a.Work)
-	_ = c.lateness.RecordValue(max(int64((c.Clock()-a.At)/time.Microsecond), 1)) // a minute late is out of range, and void anyway
+	c.goodput.RequestSent(arrival.At, arrival.Class, arrival.Work)
+	_ = c.lateness.RecordValue(max(int64((c.Clock()-arrival.At)/time.Microsecond), 1)) // a minute late is out of range, and void anyway
 }
 
 // countAttempt counts an attempt that has ended.
-func (c *Clients) countAttempt(a *simulation.Arrival, outcome Outcome) {
+func (c *Clients) countAttempt(arrival *simulation.Arrival, outcome Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.attempts++
 	c.outcomes[outcome]++
 	if outcome != Served {
-		c.goodput.SendingUnserved(a.At, outcome == Rejected)
+		c.goodput.AttemptUnserved(arrival.At, outcome == Rejected)
 	}
 }
 
 // countEnd counts a request that has ended after so many attempts.
-func (c *Clients) countEnd(a *simulation.Arrival, attempts int, served bool) {
+func (c *Clients) countEnd(arrival *simulation.Arrival, attempts int, end goodput.End) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.goodput.RequestFinished(a.At, c.Clock()-a.At, a.Class, a.Work, attempts, served)
+	c.goodput.RequestFinished(goodput.FinishedRequest{
+		First: arrival.At, Took: c.Clock() - arrival.At, Class: arrival.Class, Work: arrival.Work, ClientAttempts: attempts, End: end,
+	})
 }
 
 // sleep waits for a time, or until the context ends.
--- a/internal/lab/load/connection.go
+++ b/internal/lab/load/connection.go
@@ -13,8 +13,8 @@
 	maxIdleConnections = 256
 	// maxIdleTime is how long an idle connection may be reused: balancers are about to close older ones.
 	maxIdleTime = time.Second
-	// maxAnswerSize bounds an answer, bytes.
-	maxAnswerSize = 1 << 20
+	// maxResponseSize bounds a response, bytes.
+	maxResponseSize = 1 << 20
 )
 
 // connection is an open connection to a balancer. It is used for one request at a time.
@@ -22,11 +22,11 @@
 	net.Conn
 	parser    *http1.Parser
 	reused    bool          // it has carried a request before
-	idleSince time.Duration // time of the day
+	idleSince time.Duration // time of the run
 }
 
 // connect returns an idle connection or opens one; with fresh it opens one. It fails when the deadline, a
-// time of the day, is over.
+// time of the run, is over.
 func (c *Clients) connect(ctx context.Context, address string, fresh bool, deadline time.Duration) (*connection, error) {
 	if !fresh {
 		if conn := c.takeIdle(address); conn != nil {
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &connection{Conn: conn, parser: http1.NewResponseParser(maxAnswerSize)}, nil
+	return &connection{Conn: conn, parser: http1.NewResponseParser(maxResponseSize)}, nil
 }
 
 // takeIdle returns the idle connection that was used last, and closes those that are too old. It returns
--- a/internal/lab/load/doc.go
+++ b/internal/lab/load/doc.go
@@ -1,4 +1,4 @@
-// Package load plays the clients of a day. They are open-loop: each request is sent when it is due, whether
+// Package load plays the clients of a run. They are open-loop: each request is sent when it is due, whether
 // or not earlier ones have been answered, and its latency counts from its due time. They keep the protocol:
 // request ids, deadlines, idempotency keys, cost hints, reused connections, and retries by class.
 // MalformedClients send what is not a valid request.
--- a/internal/lab/load/malformed.go
+++ b/internal/lab/load/malformed.go
@@ -26,7 +26,7 @@
 	outcomes map[string]*MalformedCount // by kind
 }
 
-// MalformedCount is how the clients of one kind were answered.
+// MalformedCount is how the clients of one kind were answered. The JSON keys are those of stored results.
 type MalformedCount struct {
 	Sent     int `json:"sent"`
 	Answered int `json:"answered"` // with a 4xx or 5xx, or a close, in time
@@ -65,17 +65,17 @@
 	if m.outcomes == nil {
 		m.outcomes = map[string]*MalformedCount{}
 	}
-	c := m.outcomes[kind]
-	if c == nil {
-		c = &MalformedCount{}
-		m.outcomes[kind] = c
+	counted := m.outcomes[kind]
+	if counted == nil {
+		counted = &MalformedCount{}
+		m.outcomes[kind] = counted
 	}
-	c.Sent++
+	counted.Sent++
 	if answered {
-		c.Answered++
+		counted.Answered++
 	}
 	if served {
-		c.Served++
+		counted.Served++
 	}
 }
 
@@ -84,8 +84,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	counts := map[string]MalformedCount{}
-	for kind, c := range m.outcomes {
-		counts[kind] = *c
+	for kind, counted := range m.outcomes {
+		counts[kind] = *counted
 	}
 	return counts
 }
@@ -115,12 +115,12 @@
 	stop := make(chan struct{})
 	defer close(stop)
 	go kind.send(conn, id, stop) // ends with stop, or when the connection is closed
-	buf := make([]byte, 512)
-	n, err := io.ReadAtLeast(conn, buf, len("HTTP/1.1 200"))
+	buffer := make([]byte, 512)
+	count, err := io.ReadAtLeast(conn, buffer, len("HTTP/1.1 200"))
 	if err != nil {
 		return !isTimeout(err), false
 	}
-	status := buf[:n]
+	status := buffer[:count]
 	answered = bytes.HasPrefix(status, []byte("HTTP/1.1 4")) || bytes.HasPrefix(status, []byte("HTTP/1.1 5"))
 	return answered, bytes.HasPrefix(status, []byte("HTTP/1.1 2"))
 }
@@ -128,7 +128,7 @@
 // maxHeaderSize bounds the headers that a client goes on sending, bytes.
 const maxHeaderSize = 1 << 20
 
-// send writes the request and what comes after it. The answer is read meanwhile, as by a real client.
+// send writes the request and what comes after it. The response is read meanwhile, as by a real client.
 func (k *malformedKind) send(conn net.Conn, id string, stop <-chan struct{}) {
 	if _, err := conn.Write(k.encode(id)); err != nil {
 		return
@@ -147,8 +147,8 @@
 		remaining = largeBodySize
 	}
 	for remaining > 0 {
-		n, err := conn.Write(more)
-		remaining -= n
+		written, err := conn.Write(more)
+		remaining -= written
 		if err != nil {
 			return
 		}
--- a/internal/lab/load/malformed_kinds.go
+++ b/internal/lab/load/malformed_kinds.go
@@ -62,11 +62,11 @@
 
 // rawRequest is a request's head with more header lines, as it is sent.
 func rawRequest(start string, lines ...string) []byte {
-	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s HTTP/1.1\r\nHost: b\r\n", start)
+	var raw bytes.Buffer
+	fmt.Fprintf(&raw, "%s HTTP/1.1\r\nHost: b\r\n", start)
 	for _, line := range lines {
-		b.WriteString(line + "\r\n")
+		raw.WriteString(line + "\r\n")
 	}
-	b.WriteString("\r\n")
-	return b.Bytes()
+	raw.WriteString("\r\n")
+	return raw.Bytes()
 }
--- a/internal/lab/loadtest/environment.go
+++ b/internal/lab/loadtest/environment.go
@@ -11,6 +11,7 @@
 	"piernotch/internal/lab/chaos"
 	"piernotch/internal/lab/emulator"
 	"piernotch/internal/lab/faultproxy"
+	"piernotch/internal/lab/invariants"
 	"piernotch/internal/lab/load"
 	"piernotch/internal/lab/scenario"
 )
@@ -38,8 +39,8 @@
 
 func newEnvironment(realization *scenario.Realization, opts Options) *environment {
 	e := &environment{realization: realization, opts: opts, handovers: &HandoverReport{Done: map[HandoverKind]int{}}}
-	zone := func(server int) int { return e.fleet.Spec(server).Zone }
-	cell := func(server int) int { return e.fleet.Spec(server).Cell }
+	zone := func(server invariants.ServerIndex) int { return e.fleet.Spec(int(server)).Zone }
+	cell := func(server invariants.ServerIndex) int { return e.fleet.Spec(int(server)).Cell }
 	e.observer = newObserver(realization, e.clock, zone, cell)
 	return e
 }
--- a/internal/lab/loadtest/loadtest_test.go
+++ b/internal/lab/loadtest/loadtest_test.go
@@ -54,10 +54,10 @@
 		rule           invariants.Rule
 		what           string
 	}{
-		{"repeats", "", invariants.Repeated, "though an earlier attempt may have run"},
-		{"drops", "", invariants.Lost, "its connection was ended without an answer"},
-		{"lies", "", invariants.Repeated, "refused what may have run"},
-		{"ignores drains", leave, invariants.Drain, "after it was told that the server leaves"},
+		{"repeats", "", invariants.Repeated, "though an earlier attempt may have been executed"},
+		{"drops", "", invariants.Lost, "its connection was closed without a response"},
+		{"lies", "", invariants.Repeated, "rejected, though an attempt may have been executed"},
+		{"ignores drains", leave, invariants.Drain, "after the balancer was notified that the server drains or is gone"},
 	} {
 		t.Run(c.fault, func(t *testing.T) {
 			t.Parallel()
@@ -65,10 +65,10 @@
 			require.NoError(t, err)
 			requireOneOutcomePerAttempt(t, r)
 			found := false
-			for _, b := range r.Breaks {
+			for _, b := range r.Violations {
 				found = found || b.Rule == c.rule && strings.Contains(b.Message, c.what) && len(b.Steps) > 0
 			}
-			require.True(t, found, "%v", r.Breaks)
+			require.True(t, found, "%v", r.Violations)
 		})
 	}
 }
@@ -126,7 +126,7 @@
 	r, err := Run(context.Background(), testRealization(t, trouble, "balancers.count=2", "length_s=8"), Options{Program: program})
 	require.NoError(t, err)
 	requireOneOutcomePerAttempt(t, r)
-	require.Zero(t, r.Broken(), "%v", r.Breaks)
+	require.Zero(t, r.ViolationCount(), "%v", r.Violations)
 	require.Greater(t, r.Counts.Served, r.Requests/2)
 	require.NotEmpty(t, r.Malformed)
 	for kind, c := range r.Malformed {
--- a/internal/lab/loadtest/observer.go
+++ b/internal/lab/loadtest/observer.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"piernotch"
+	"piernotch/internal/lab/emulator"
 	"piernotch/internal/lab/invariants"
 	"piernotch/internal/lab/load"
 	"piernotch/internal/lab/scenario"
@@ -58,7 +59,7 @@
 }
 
 // newObserver returns an observer of a day. Zone and cell return where a server is.
-func newObserver(realization *scenario.Realization, clock func() time.Duration, zone, cell func(server int) int) *observer {
+func newObserver(realization *scenario.Realization, clock func() time.Duration, zone, cell func(server invariants.ServerIndex) int) *observer {
 	limits := invariants.Limits{
 		Slack: realization.Rules.ResponseSlack + socketTolerance, Grace: realization.Rules.DrainGrace + socketTolerance, CollapseWindow: realization.Rules.Collapse.For,
 		MaxAttempts: realization.Settings.Limits.MaxAttempts, HedgedRequests: realization.Settings.Limits.HedgedRequests, Zone: zone, Cell: cell,
@@ -79,7 +80,9 @@
 	now := o.clock()
 	o.lastSequence++
 	o.requests[id] = &request{sequence: o.lastSequence, balancer: balancer}
-	o.checker.RequestReceived(now, balancer, o.lastSequence, class, deadline)
+	o.checker.RequestReceived(invariants.ReceivedRequest{
+		At: now, Balancer: invariants.BalancerIndex(balancer), ID: o.lastSequence, Class: class, Deadline: deadline,
+	})
 	for len(o.ended) > 0 && now-o.ended[0].at > endedRequestTTL {
 		delete(o.requests, o.ended[0].id)
 		o.ended = o.ended[1:]
@@ -148,7 +151,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.excused, balancer)
-	o.checker.BalancerRestarted(balancer)
+	o.checker.BalancerRestarted(invariants.BalancerIndex(balancer))
 }
 
 // ClosedUnderRequest returns the number of requests whose connection was closed before they were read, by
@@ -196,7 +199,9 @@
 		r.ignored[n] = true
 		return n
 	}
-	o.checker.AttemptSent(now, r.balancer, r.sequence, server)
+	o.checker.AttemptSent(invariants.SentAttempt{
+		At: now, Balancer: invariants.BalancerIndex(r.balancer), Request: r.sequence, Server: invariants.ServerIndex(server),
+	})
 	return n
 }
 
@@ -228,11 +233,11 @@
 }
 
 // AttemptCompleted implements emulator.Observer.
-func (o *observer) AttemptCompleted(id string, n int, unrun bool) {
+func (o *observer) AttemptCompleted(id string, n int, proof emulator.NeverExecuted) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if r := o.attempt(id, n); r != nil {
-		o.checker.AttemptCompleted(r.sequence, n, unrun)
+		o.checker.AttemptCompleted(r.sequence, n, invariants.NeverExecuted(proof))
 	}
 }
 
@@ -241,7 +246,9 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if r := o.requests[id]; r != nil {
-		o.checker.SlowStartWork(o.clock(), r.balancer, server, started, work)
+		o.checker.SlowStartWork(invariants.SlowStartArrival{
+			At: o.clock(), Balancer: invariants.BalancerIndex(r.balancer), Server: invariants.ServerIndex(server), StartedAt: started, Work: work,
+		})
 	}
 }
 
@@ -249,14 +256,16 @@
 func (o *observer) ServerCollapsed(server int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.checker.ServerCollapsed(o.clock(), server)
+	o.checker.ServerCollapsed(o.clock(), invariants.ServerIndex(server))
 }
 
 // EndpointNotified notes that discovery has notified a balancer of a server.
 func (o *observer) EndpointNotified(balancer, server int, state piernotch.State, startedAt time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.checker.EndpointNotified(o.clock(), balancer, server, state, startedAt)
+	o.checker.EndpointNotified(invariants.NotifiedEndpoint{
+		At: o.clock(), Balancer: invariants.BalancerIndex(balancer), Server: invariants.ServerIndex(server), State: state, StartedAt: startedAt,
+	})
 }
 
 // Finish ends the observation and returns its checker.
--- a/internal/lab/loadtest/process.go
+++ b/internal/lab/loadtest/process.go
@@ -90,9 +90,9 @@
 	set.Zone = p.zone
 	r := &realization.Rules
 	settings, err := simprotocol.MarshalSettings(&set, simprotocol.ExtraSettings{
-		Balancer: p.number, KeepAliveMS: simprotocol.Milliseconds(r.KeepAlive), DialMS: simprotocol.Milliseconds(r.DialTimeout), SlackMS: simprotocol.Milliseconds(r.ResponseSlack),
+		Balancer: simprotocol.BalancerNumber(p.number), KeepAliveMS: simprotocol.Milliseconds(r.KeepAlive), DialMS: simprotocol.Milliseconds(r.DialTimeout), SlackMS: simprotocol.Milliseconds(r.ResponseSlack),
 		GraceMS: simprotocol.Milliseconds(r.DrainGrace), FallMultiple: r.Collapse.Multiple, FallMS: simprotocol.Milliseconds(r.Collapse.For),
-		MachineTypes: realization.KindNames(), Columns: []string{"eps", "qps", "inflight"}, WeightBy: "work",
+		ServerKinds: realization.KindNames(), Columns: []string{"eps", "qps", "inflight"}, WeightBy: "work",
 	})
 	if err != nil {
 		return err
--- a/internal/lab/loadtest/recovery.go
+++ b/internal/lab/loadtest/recovery.go
@@ -32,7 +32,7 @@
 	for _, second := range r.Seconds[at:] {
 		rejected += second.Rejected
 		failed += second.Failed
-		attempts += second.Sends
+		attempts += second.ClientAttempts
 	}
 	if attempts > 0 {
 		recovery.Rejected = float64(rejected) / float64(attempts)
--- a/internal/lab/loadtest/recovery_test.go
+++ b/internal/lab/loadtest/recovery_test.go
@@ -12,8 +12,8 @@
 func TestMeasureRecoveryComparesWithControl(t *testing.T) {
 	control, r := &simulation.Result{}, &simulation.Result{}
 	for i := range 30 {
-		control.Seconds = append(control.Seconds, goodput.Second{AskedWeight: 10, ServedWeight: 8, Sends: 4})
-		r.Seconds = append(r.Seconds, goodput.Second{AskedWeight: 10, ServedWeight: 8, Sends: 4})
+		control.Seconds = append(control.Seconds, goodput.Second{AskedWeight: 10, ServedWeight: 8, ClientAttempts: 4})
+		r.Seconds = append(r.Seconds, goodput.Second{AskedWeight: 10, ServedWeight: 8, ClientAttempts: 4})
 		if i >= 12 && i < 16 {
 			r.Seconds[i].ServedWeight, r.Seconds[i].Rejected = 2, 2
 		}
--- a/internal/lab/loadtest/report.go
+++ b/internal/lab/loadtest/report.go
@@ -69,11 +69,11 @@
 	parts := t.Parts()
 	checker := e.observer.Finish()
 	result := simulation.Result{
-		Seed: e.realization.Seed, Requests: t.Requests, Tries: counts.Attempts, Whole: parts.Whole, WorstWindow: parts.WorstWindow, WorstClass: parts.WorstClass,
+		Seed: e.realization.Seed, Requests: t.Requests, ClientAttempts: counts.Attempts, WholeRun: parts.WholeRun, WorstWindow: parts.WorstWindow, WorstClass: parts.WorstClass,
 		Classes: parts.Classes, Seconds: t.Seconds, Latency: t.Latency(), WallS: e.clock().Seconds(),
 		Lost: checker.Count(invariants.Lost), Repeated: checker.Count(invariants.Repeated),
-		DrainBreaks: checker.Count(invariants.Drain), ColdFalls: checker.Count(invariants.SlowStart),
-		Breaks: checker.Violations(), DrainLatest: checker.DrainLatest().Seconds() * 1000,
+		DrainViolations: checker.Count(invariants.Drain), SlowStartCollapses: checker.Count(invariants.SlowStart),
+		Violations: checker.Violations(), DrainLatest: checker.DrainLatest().Seconds() * 1000,
 	}
 	if result.Latency != nil {
 		result.P50 = t.Percentile(50)
@@ -83,12 +83,12 @@
 	}
 	if n := float64(t.Requests); n > 0 {
 		result.ServedShare = float64(t.InObjective) / n
-		result.RefusedRate = float64(t.Rejected) / n
+		result.RejectedRate = float64(t.Rejected) / n
 		result.FailedRate = float64(t.Failed) / n
 	}
-	result.ChokedShare = float64(e.fleet.Overloaded()) / float64(max(e.fleet.Servers(), 1))
+	result.OverloadedShare = float64(e.fleet.Overloaded()) / float64(max(e.fleet.Servers(), 1))
 	// What only the simulation knows exactly (wasted work, crossings) is not deducted here.
-	result.Deducted = score.LateFail*parts.LateFail + score.Overloaded*result.ChokedShare
+	result.Deducted = score.LateFail*parts.LateFail + score.Overloaded*result.OverloadedShare
 	result.Service = parts.Service(score, result.Deducted)
 	return result
 }
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Limits of a scenario's size. They keep a typing error from using up the machine.
+// Limits of a scenario's size. They keep a typing error from exhausting the host.
 const (
 	MaxServers   = 20000
 	MaxBalancers = 5000
@@ -43,31 +43,31 @@
 // limits are the bounds between which both ends of a key's range must lie.
 type limits struct {
 	key    string
-	r      Range
+	value  Range
 	lo, hi float64
 }
 
 // withinAll checks several keys of the table whose key, with a dot, is the prefix.
 func (c *checker) withinAll(prefix string, all []limits) {
-	for _, l := range all {
-		c.within(prefix+l.key, l.r, l.lo, l.hi)
+	for _, limit := range all {
+		c.within(prefix+limit.key, limit.value, limit.lo, limit.hi)
 	}
 }
 
 // within checks that both ends of a range lie between two bounds, which are allowed themselves.
-func (c *checker) within(key string, r Range, lo, hi float64) {
-	if r.bad != "" {
-		c.report(key, "%s, a number or [from, to] is expected", r.bad)
+func (c *checker) within(key string, value Range, lo, hi float64) {
+	if value.bad != "" {
+		c.report(key, "%s, a number or [from, to] is expected", value.bad)
 		return
 	}
-	for _, v := range []float64{r.From, r.To} {
-		if !math.IsNaN(v) && v >= lo && v <= hi {
+	for _, bound := range []float64{value.From, value.To} {
+		if !math.IsNaN(bound) && bound >= lo && bound <= hi {
 			continue
 		}
 		if math.IsInf(hi, 1) {
-			c.report(key, "%v, at least %v is expected", v, lo)
+			c.report(key, "%v, at least %v is expected", bound, lo)
 		} else {
-			c.report(key, "%v, a value from %v to %v is expected", v, lo, hi)
+			c.report(key, "%v, a value from %v to %v is expected", bound, lo, hi)
 		}
 		return
 	}
@@ -94,8 +94,8 @@
 	}
 	s.checkTraffic(c)
 	s.checkFigures(c)
-	for i := range s.Troubles {
-		s.checkTrouble(c, fmt.Sprintf("trouble[%d].", i), &s.Troubles[i])
+	for i := range s.Faults {
+		s.checkFault(c, fmt.Sprintf("trouble[%d].", i), &s.Faults[i])
 	}
 	sort.SliceStable(c.problems, func(i, j int) bool { return c.problems[i].Line < c.problems[j].Line })
 	return c.problems
--- a/internal/lab/scenario/check_site.go
+++ b/internal/lab/scenario/check_site.go
@@ -39,15 +39,15 @@
 	}
 	c.within("balancers.start_spread_ms", s.Balancers.StartSpreadMS, 0, 600000)
 	c.within("balancers.max_retry_after_ms", s.Balancers.MaxRetryAfterMS, 0, 600000)
-	c.within("balancers.front_notice_s", s.Balancers.FrontNoticeS, 0, 600)
+	c.within("balancers.front_notice_s", s.Balancers.FailoverDelayS, 0, 600)
 }
 
 func (s *Scenario) checkFleet(c *checker) {
 	if s.Fleet.Servers < 0 || s.Fleet.Servers > MaxServers {
 		c.report("fleet.servers", "%d, a number from 0 to %d is expected", s.Fleet.Servers, MaxServers)
 	}
-	if s.Fleet.Cells < 1 {
-		c.report("fleet.cell_size", "%d, at least 1 is expected", s.Fleet.Cells)
+	if s.Fleet.CellSize < 1 {
+		c.report("fleet.cell_size", "%d, at least 1 is expected", s.Fleet.CellSize)
 	}
 	c.oneOf("fleet.weights", s.Fleet.Weights, "none", "nominal", "rough")
 	c.within("fleet.rough_cv", s.Fleet.RoughCV, 0, 3)
--- a/internal/lab/scenario/draw_classes.go
+++ b/internal/lab/scenario/draw_classes.go
@@ -24,19 +24,19 @@
 	}
 )
 
-// drawClasses draws the classes. The work of requests is drawn later, by whoever runs the instance,
+// drawClasses draws the classes. The work of requests is drawn later, by whoever runs the realization,
 // from a stream of its own.
-func (d *Realization) drawClasses(s *Scenario, rng *rand.Rand) {
+func (r *Realization) drawClasses(scenario *Scenario, rng *rand.Rand) {
 	total := 0.0
-	workStream := Stream(d.Seed, "work")
-	for i := range s.Classes {
-		class := s.Classes[i].drawClass(rng, workStream)
+	workStream := Stream(r.Seed, "work")
+	for i := range scenario.Classes {
+		class := scenario.Classes[i].drawClass(rng, workStream)
 		total += class.Share
-		d.Classes = append(d.Classes, class)
+		r.Classes = append(r.Classes, class)
 	}
 	if total > 0 {
-		for i := range d.Classes {
-			d.Classes[i].Share /= total
+		for i := range r.Classes {
+			r.Classes[i].Share /= total
 		}
 	}
 }
@@ -49,13 +49,13 @@
 	return DrawnClass{
 		Class: piernotch.Class{
 			Name:             c.Name,
-			LatencyObjective: millis(c.AimMS.draw(rng)),
+			LatencyObjective: millis(c.LatencyObjectiveMS.draw(rng)),
 			Deadline:         millis(c.DeadlineMS.draw(rng)),
-			PriorityWeight:   c.Worth.draw(rng),
-			LateWeightShare:  c.LateWorth.draw(rng),
-			RetrySafety:      retrySafetyByName[c.Effect],
-			DedupScope:       dedupScopeByName[c.Scope],
-			DedupWindow:      millis(c.WindowMS.draw(rng)),
+			PriorityWeight:   c.PriorityWeight.draw(rng),
+			LateWeightShare:  c.LateWeightShare.draw(rng),
+			RetrySafety:      retrySafetyByName[c.RetrySafety],
+			DedupScope:       dedupScopeByName[c.DedupScope],
+			DedupWindow:      millis(c.DedupWindowMS.draw(rng)),
 		},
 		Share:     share,
 		MeanWork:  mean,
--- a/internal/lab/scenario/draw_faults.go
+++ b/internal/lab/scenario/draw_faults.go
@@ -7,49 +7,49 @@
 	"slices"
 )
 
-// drawFaults draws the faults. Each trouble has a stream of its own, so that another trouble in the
-// scenario does not change the draws of the rest.
-func (d *Realization) drawFaults(s *Scenario, seed uint64) {
-	chosen := s.chooseTroubles(seed)
-	for i := range s.Troubles {
+// drawFaults draws the faults. Each has a stream of its own, so that another fault in the scenario does
+// not change the draws of the rest.
+func (r *Realization) drawFaults(scenario *Scenario, seed uint64) {
+	chosen := scenario.chooseFaults(seed)
+	for i := range scenario.Faults {
 		if chosen[i] {
-			d.Faults = append(d.Faults, d.drawFault(s, i, Stream(seed, fmt.Sprintf("trouble %d", i))))
+			r.Faults = append(r.Faults, r.drawFault(scenario, i, Stream(seed, fmt.Sprintf("trouble %d", i))))
 		}
 	}
 }
 
-// chooseTroubles reports for each trouble whether it is part of the instance: all of them, or a drawn
+// chooseFaults reports for each fault whether it is part of the realization: all of them, or a drawn
 // number of them, chosen by weight without replacement.
-func (s *Scenario) chooseTroubles(seed uint64) []bool {
-	chosen := make([]bool, len(s.Troubles))
-	if !s.Draws.Troubles.Set {
+func (s *Scenario) chooseFaults(seed uint64) []bool {
+	chosen := make([]bool, len(s.Faults))
+	if !s.Draws.Faults.Set {
 		for i := range chosen {
 			chosen[i] = true
 		}
 		return chosen
 	}
 	rng := Stream(seed, "troubles")
-	count := min(int(s.Draws.Troubles.draw(rng)), len(s.Troubles))
+	count := min(int(s.Draws.Faults.draw(rng)), len(s.Faults))
 	for range count {
-		s.chooseTrouble(chosen, rng)
+		s.chooseFault(chosen, rng)
 	}
 	return chosen
 }
 
-// chooseTrouble marks one more trouble as chosen, by weight.
-func (s *Scenario) chooseTrouble(chosen []bool, rng *rand.Rand) {
+// chooseFault marks one more fault as chosen, by weight.
+func (s *Scenario) chooseFault(chosen []bool, rng *rand.Rand) {
 	total := 0.0
-	for i := range s.Troubles {
+	for i := range s.Faults {
 		if !chosen[i] {
-			total += s.Troubles[i].Weight
+			total += s.Faults[i].Weight
 		}
 	}
 	remaining := rng.Float64() * total
-	for i := range s.Troubles {
+	for i := range s.Faults {
 		if chosen[i] {
 			continue
 		}
-		remaining -= s.Troubles[i].Weight
+		remaining -= s.Faults[i].Weight
 		if remaining <= 0 {
 			chosen[i] = true
 			return
@@ -57,40 +57,40 @@
 	}
 }
 
-// drawFault draws the fault of the trouble with an index, and which servers and balancers it affects.
-func (d *Realization) drawFault(s *Scenario, index int, rng *rand.Rand) Fault {
-	t := &s.Troubles[index]
+// drawFault draws the fault with an index, and which servers and balancers it affects.
+func (r *Realization) drawFault(scenario *Scenario, index int, rng *rand.Rand) Fault {
+	spec := &scenario.Faults[index]
 	fault := Fault{
-		Kind:   t.Kind,
-		At:     seconds(t.AtS.draw(rng)),
-		For:    seconds(t.ForS.draw(rng)),
-		Part:   t.Part.draw(rng),
-		Size:   t.Size.draw(rng),
-		Every:  seconds(t.EveryS.draw(rng)),
-		Ramp:   seconds(t.RampS.draw(rng)),
+		Kind:   spec.Kind,
+		At:     seconds(spec.AtS.draw(rng)),
+		For:    seconds(spec.ForS.draw(rng)),
+		Part:   spec.Part.draw(rng),
+		Size:   spec.Size.draw(rng),
+		Every:  seconds(spec.EveryS.draw(rng)),
+		Ramp:   seconds(spec.RampS.draw(rng)),
 		Class:  -1,
 		Number: index,
 	}
-	for i := range s.Classes {
-		if s.Classes[i].Name == t.Class {
+	for i := range scenario.Classes {
+		if scenario.Classes[i].Name == spec.Class {
 			fault.Class = i
 		}
 	}
-	inZone := func(zone int) bool { return t.Zone == "" || d.Zones[zone] == t.Zone }
+	inZone := func(zone int) bool { return spec.Zone == "" || r.Zones[zone] == spec.Zone }
 	var servers []int
-	for i := range d.Servers {
-		if inZone(d.Servers[i].Zone) {
+	for i := range r.Servers {
+		if inZone(r.Servers[i].Zone) {
 			servers = append(servers, i)
 		}
 	}
 	serverPart := fault.Part
-	if t.Kind == "shrink" {
+	if spec.Kind == FaultShrink {
 		serverPart = 1 - 1/fault.Size
 	}
 	fault.Servers = sample(servers, serverPart, rng)
 	var balancers []int
-	for i := range d.Balancers {
-		if inZone(d.Balancers[i].Zone) {
+	for i := range r.Balancers {
+		if inZone(r.Balancers[i].Zone) {
 			balancers = append(balancers, i)
 		}
 	}
@@ -102,9 +102,9 @@
 func sample(from []int, part float64, rng *rand.Rand) []int {
 	shuffled := slices.Clone(from)
 	rng.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
-	n := int(math.Round(part * float64(len(shuffled))))
-	if part > 0 && n == 0 {
-		n = 1
+	count := int(math.Round(part * float64(len(shuffled))))
+	if part > 0 && count == 0 {
+		count = 1
 	}
-	return shuffled[:min(n, len(shuffled))]
+	return shuffled[:min(count, len(shuffled))]
 }
--- a/internal/lab/scenario/draw_machines.go
+++ b/internal/lab/scenario/draw_servers.go
@@ -8,8 +8,8 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// drawKind draws the values that all machines of a kind share. The order of the draws must not
-// change: seeds would give other instances.
+// drawKind draws the values that all servers of a kind share. The order of the draws must not
+// change: seeds would give other realizations.
 func (k *Kind) drawKind(rng *rand.Rand, collapse servermodel.Collapse) drawnKind {
 	cores := float64(k.Cores)
 	drawn := drawnKind{
@@ -22,8 +22,8 @@
 
 			Thrash:            k.Thrash.draw(rng),
 			ThrashAt:          k.ThrashAt.draw(rng),
-			SlowStartCapacity: k.ColdFrom.draw(rng),
-			SlowStartDuration: seconds(k.ColdS.draw(rng)),
+			SlowStartCapacity: k.SlowStartCapacity.draw(rng),
+			SlowStartDuration: seconds(k.SlowStartS.draw(rng)),
 			PauseEvery:        seconds(k.PauseEveryS.draw(rng)),
 			PauseFor:          millis(k.PauseMS.draw(rng)),
 			PauseGrow:         k.PauseGrow.draw(rng),
@@ -34,14 +34,14 @@
 			Conn:            k.drawConnectionCost(rng),
 			Report:          k.drawReportTiming(rng),
 			Collapse:        collapse,
-			HealthCheckWork: k.ProbeMS.draw(rng),
+			HealthCheckWork: k.HealthCheckMS.draw(rng),
 		},
 		speedCV: k.SpeedCV.draw(rng),
 		rtts:    int(math.Round(k.HandshakeRTTs.draw(rng))),
 	}
 	drawn.kind.StopRunning = drawChoice(rng, k.Cancel, "all", "queued")
 	drawn.kind.DropExpired = drawChoice(rng, k.DropExpired, "yes", "no")
-	if k.WarmBy == "work" {
+	if k.WarmUpBy == "work" {
 		drawn.kind.WarmUpBy = servermodel.WarmByWork
 	}
 	return drawn
@@ -49,19 +49,19 @@
 
 func (k *Kind) drawOverload(rng *rand.Rand) servermodel.Overload {
 	return servermodel.Overload{
-		QueuePerCore: k.ChokeAt.draw(rng),
-		After:        seconds(k.ChokeOverS.draw(rng)),
-		Slowdown:     k.ChokeSlower.draw(rng),
-		IdleBelow:    k.ChokeBelow.draw(rng),
-		IdleFor:      seconds(k.ChokeRestS.draw(rng)),
-		MaxDuration:  seconds(k.ChokeMostS.draw(rng)),
+		QueuePerCore: k.OverloadQueuePerCore.draw(rng),
+		After:        seconds(k.OverloadAfterS.draw(rng)),
+		Slowdown:     k.OverloadSlowdown.draw(rng),
+		IdleBelow:    k.OverloadIdleBelow.draw(rng),
+		IdleFor:      seconds(k.OverloadIdleForS.draw(rng)),
+		MaxDuration:  seconds(k.OverloadMaxS.draw(rng)),
 	}
 }
 
 func (k *Kind) drawKeys(rng *rand.Rand) servermodel.Keys {
 	return servermodel.Keys{
-		WorkSaved: k.KeyGain.draw(rng),
-		WarmFor:   seconds(k.KeyS.draw(rng)),
+		WorkSaved: k.KeyWorkSaved.draw(rng),
+		WarmFor:   seconds(k.KeyWarmForS.draw(rng)),
 		MaxKeys:   int(k.KeysPerCore.draw(rng) * float64(k.Cores)),
 	}
 }
@@ -69,8 +69,8 @@
 func (k *Kind) drawConnectionCost(rng *rand.Rand) servermodel.ConnectionCost {
 	return servermodel.ConnectionCost{
 		Handshake:      k.HandshakeMS.draw(rng),
-		MaxConnections: int(k.ConnPerCore.draw(rng) * float64(k.Cores)),
-		Tax:            k.ConnTax.draw(rng),
+		MaxConnections: int(k.ConnectionsPerCore.draw(rng) * float64(k.Cores)),
+		Tax:            k.ConnectionTax.draw(rng),
 	}
 }
 
@@ -95,28 +95,31 @@
 	return coin
 }
 
+// maxCellsPerZone keeps the numbers of cells of different zones apart.
+const maxCellsPerZone = 1000
+
 // drawServers draws the kinds and the servers that exist at the start.
-func (d *Realization) drawServers(s *Scenario, rng *rand.Rand) error {
-	shares := make([]float64, len(s.Kinds))
-	for i := range s.Kinds {
-		d.kinds = append(d.kinds, s.Kinds[i].drawKind(rng, d.Rules.Collapse))
-		shares[i] = s.Kinds[i].Share.draw(rng)
+func (r *Realization) drawServers(scenario *Scenario, rng *rand.Rand) error {
+	shares := make([]float64, len(scenario.Kinds))
+	for i := range scenario.Kinds {
+		r.kinds = append(r.kinds, scenario.Kinds[i].drawKind(rng, r.Rules.Collapse))
+		shares[i] = scenario.Kinds[i].Share.draw(rng)
 	}
 	// Kinds and zones are allotted by largest remainder and kinds are then shuffled, so that small
 	// fleets keep the shares as well as they can.
-	kinds := largestRemainder(shares, s.Fleet.Servers)
+	kinds := largestRemainder(shares, scenario.Fleet.Servers)
 	rng.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
-	zones := largestRemainder(zoneShares(s.Zones.Servers, len(d.Zones)), s.Fleet.Servers)
-	inZone := make([]int, len(d.Zones))
-	roughCV := s.Fleet.RoughCV.draw(rng)
-	for i := range s.Fleet.Servers {
-		server := d.drawServer(s.Fleet.Weights, roughCV, kinds[i], zones[i], rng)
-		server.Cell = zones[i]*1000 + inZone[server.Zone]/s.Fleet.Cells
+	zones := largestRemainder(zoneShares(scenario.Zones.Servers, len(r.Zones)), scenario.Fleet.Servers)
+	inZone := make([]int, len(r.Zones))
+	roughCV := scenario.Fleet.RoughCV.draw(rng)
+	for i := range scenario.Fleet.Servers {
+		server := r.drawServer(serverDraw{kind: kinds[i], zone: zones[i], weights: scenario.Fleet.Weights, roughCV: roughCV}, rng)
+		server.Cell = zones[i]*maxCellsPerZone + inZone[server.Zone]/scenario.Fleet.CellSize
 		inZone[server.Zone]++
 		if err := server.Kind.Validate(); err != nil {
-			return &DrawError{Seed: d.Seed, Err: err}
+			return &DrawError{Seed: r.Seed, Err: err}
 		}
-		d.Servers = append(d.Servers, server)
+		r.Servers = append(r.Servers, server)
 	}
 	return nil
 }
@@ -133,13 +136,20 @@
 	return even
 }
 
-// drawServer draws one machine of a kind. Weights and roughCV are those of Fleet.
-func (d *Realization) drawServer(weights string, roughCV float64, kind, zone int, rng *rand.Rand) Server {
-	drawn := d.kinds[kind]
-	server := Server{Kind: drawn.kind, KindIndex: kind, Zone: zone, Size: 1, HandshakeRTTs: drawn.rtts}
+// serverDraw is what a server is drawn from.
+type serverDraw struct {
+	kind, zone int     // indexes into Scenario.Kinds and Realization.Zones
+	weights    string  // of Fleet
+	roughCV    float64 // drawn from that of Fleet
+}
+
+// drawServer draws one server.
+func (r *Realization) drawServer(from serverDraw, rng *rand.Rand) Server {
+	drawn := r.kinds[from.kind]
+	server := Server{Kind: drawn.kind, KindIndex: from.kind, Zone: from.zone, Size: 1, HandshakeRTTs: drawn.rtts}
 	server.Kind.Speed *= lognormal(rng, drawn.speedCV)
-	noise := lognormal(rng, roughCV)
-	switch weights {
+	noise := lognormal(rng, from.roughCV)
+	switch from.weights {
 	case "nominal":
 		server.Size = drawn.kind.Speed * float64(drawn.kind.Cores)
 	case "rough":
@@ -148,12 +158,15 @@
 	return server
 }
 
-// Like returns another machine of the kind of server i, for one that joins or replaces it. The
-// number identifies the machine: the same number always gives the same machine.
-func (d *Realization) Like(i, number int) Server {
-	rng := Stream(d.Seed^uint64(number)*0x9e3779b97f4a7c15, "spare")
-	original := d.Servers[i]
-	drawn := d.kinds[original.KindIndex]
+// goldenRatio is 2^64 divided by the golden ratio: it spreads consecutive numbers over all bits.
+const goldenRatio = 0x9e3779b97f4a7c15
+
+// Like returns another server of the kind of server i, for one that joins or replaces it. The number
+// identifies the new one: the same number always gives the same server.
+func (r *Realization) Like(i, number int) Server {
+	rng := Stream(r.Seed^uint64(number)*goldenRatio, "spare")
+	original := r.Servers[i]
+	drawn := r.kinds[original.KindIndex]
 	server := original
 	server.Kind.Speed = drawn.kind.Speed * lognormal(rng, drawn.speedCV)
 	server.Size = original.Size / original.Kind.Speed * server.Kind.Speed
@@ -168,12 +181,12 @@
 
 // largestRemainder allots n places in proportion to shares, by largest remainder. It returns the
 // index of a share for each place, or nil where no share is above 0.
-func largestRemainder(shares []float64, n int) []int {
+func largestRemainder(shares []float64, count int) []int {
 	total := 0.0
 	for _, share := range shares {
 		total += share
 	}
-	if n == 0 || total <= 0 {
+	if count == 0 || total <= 0 {
 		return nil
 	}
 	type remainder struct {
@@ -183,7 +196,7 @@
 	var places []int
 	var remainders []remainder
 	for i, share := range shares {
-		exact := share / total * float64(n)
+		exact := share / total * float64(count)
 		for range int(exact) {
 			places = append(places, i)
 		}
@@ -198,7 +211,7 @@
 		}
 		return 0
 	})
-	for i := 0; len(places) < n; i++ {
+	for i := 0; len(places) < count; i++ {
 		places = append(places, remainders[i%len(remainders)].index)
 	}
 	return places
--- a/internal/lab/scenario/draw_test.go
+++ b/internal/lab/scenario/draw_test.go
@@ -40,7 +40,7 @@
 			t.Fatalf("%d faults", n)
 		}
 		for _, fault := range d.Faults {
-			trouble := s.Troubles[fault.Number]
+			trouble := s.Faults[fault.Number]
 			at := fault.At.Seconds()
 			if at < trouble.AtS.lower()-1e-6 || at > trouble.AtS.upper()+1e-6 {
 				t.Fatalf("%s at %v", fault.Kind, fault.At)
--- a/internal/lab/scenario/load.go
+++ b/internal/lab/scenario/load.go
@@ -47,19 +47,19 @@
 // are looked for beside the file and then among the shipped ones. The error is of type Problems and
 // holds everything that is wrong. It may be called from any goroutine.
 func Load(name string) (*Scenario, error) {
-	s := defaults()
-	l := loader{scenario: s}
-	l.file(name, "", 0)
-	return l.finish()
+	scenario := defaults()
+	reader := loader{scenario: scenario}
+	reader.file(name, "", 0)
+	return reader.finish()
 }
 
 // Parse reads a scenario from memory and checks it, as Load does. Problems name the file as given;
 // includes are relative to the working directory, or shipped.
 func Parse(file string, data []byte) (*Scenario, error) {
-	s := defaults()
-	l := loader{scenario: s}
-	l.parse(file, data, "", 0)
-	return l.finish()
+	scenario := defaults()
+	reader := loader{scenario: scenario}
+	reader.parse(file, data, "", 0)
+	return reader.finish()
 }
 
 // loader reads a file after its includes, so that the values of the file win.
@@ -128,7 +128,7 @@
 		}
 		l.file(head.Include, dir, depth+1)
 	}
-	// The decoder replaces arrays: a file that lists kinds, classes or troubles drops those it includes.
+	// The decoder replaces arrays: a file that lists kinds, classes or faults drops those it includes.
 	l.problems = append(l.problems, tomlfile.Decode(file, data, l.scenario)...)
 	if l.scenario.origin == nil {
 		l.scenario.origin = map[string]sourceLine{}
--- a/internal/lab/scenario/overrides.go
+++ b/internal/lab/scenario/overrides.go
@@ -17,32 +17,32 @@
 // of arrays are selected by index, by name or kind, or all with *. The error is of type Problems and
 // holds everything that is wrong.
 func (s *Scenario) With(overrides ...string) (*Scenario, error) {
-	c := s.clone()
+	changed := s.clone()
 	var problems Problems
 	for _, override := range overrides {
-		if problem, ok := c.override(override); !ok {
+		if problem, ok := changed.override(override); !ok {
 			problems = append(problems, problem)
 		}
 	}
-	c.fillDefaults()
-	problems = append(problems, c.Check()...)
+	changed.fillDefaults()
+	problems = append(problems, changed.Check()...)
 	if len(problems) > 0 {
 		return nil, problems
 	}
-	return c, nil
+	return changed, nil
 }
 
 // clone returns a copy that shares nothing which an override may change.
 func (s *Scenario) clone() *Scenario {
-	c := *s
-	c.Kinds = slices.Clone(s.Kinds)
-	c.Classes = slices.Clone(s.Classes)
-	c.Troubles = slices.Clone(s.Troubles)
-	c.Zones.Names = slices.Clone(s.Zones.Names)
-	c.Zones.Servers = slices.Clone(s.Zones.Servers)
-	c.origin = map[string]sourceLine{}
-	maps.Copy(c.origin, s.origin)
-	return &c
+	copied := *s
+	copied.Kinds = slices.Clone(s.Kinds)
+	copied.Classes = slices.Clone(s.Classes)
+	copied.Faults = slices.Clone(s.Faults)
+	copied.Zones.Names = slices.Clone(s.Zones.Names)
+	copied.Zones.Servers = slices.Clone(s.Zones.Servers)
+	copied.origin = map[string]sourceLine{}
+	maps.Copy(copied.origin, s.origin)
+	return &copied
 }
 
 // override applies one override. It returns the problem where it could not be applied.
@@ -124,16 +124,16 @@
 }
 
 // decodeInto decodes a TOML value; a string may be given without quotes.
-func decodeInto(v reflect.Value, value string) error {
-	if v.Kind() == reflect.String && !strings.HasPrefix(value, `"`) && !strings.HasPrefix(value, "'") {
+func decodeInto(target reflect.Value, value string) error {
+	if target.Kind() == reflect.String && !strings.HasPrefix(value, `"`) && !strings.HasPrefix(value, "'") {
 		value = strconv.Quote(value)
 	}
-	box := reflect.New(reflect.StructOf([]reflect.StructField{{Name: "V", Type: v.Type(), Tag: `toml:"v"`}}))
-	dec := toml.NewDecoder(strings.NewReader("v = " + value))
-	dec.EnableUnmarshalerInterface()
-	if err := dec.Decode(box.Interface()); err != nil {
+	box := reflect.New(reflect.StructOf([]reflect.StructField{{Name: "V", Type: target.Type(), Tag: `toml:"v"`}}))
+	decoder := toml.NewDecoder(strings.NewReader("v = " + value))
+	decoder.EnableUnmarshalerInterface()
+	if err := decoder.Decode(box.Interface()); err != nil {
 		return errors.New(strings.TrimPrefix(err.Error(), "toml: "))
 	}
-	v.Set(box.Elem().Field(0))
+	target.Set(box.Elem().Field(0))
 	return nil
 }
--- a/internal/lab/scenario/overrides_test.go
+++ b/internal/lab/scenario/overrides_test.go
@@ -13,9 +13,9 @@
 	require.NoError(t, err)
 	require.Equal(t, 0.2, c.Traffic.Load.To)
 	require.Equal(t, Fixed(3), c.Kinds[0].Speed)
-	require.Zero(t, c.Kinds[2].ChokeAt.upper())
-	require.NotZero(t, s.Kinds[2].ChokeAt.upper(), "the original stays")
-	require.Equal(t, "safe", c.Classes[1].Effect)
+	require.Zero(t, c.Kinds[2].OverloadQueuePerCore.upper())
+	require.NotZero(t, s.Kinds[2].OverloadQueuePerCore.upper(), "the original stays")
+	require.Equal(t, "safe", c.Classes[1].RetrySafety)
 	for _, bad := range []string{"traffic.lod=1", "kind.steam.speed=1", "traffic.load", "traffic.load=-1", "class[9].worth=1", "fleet.servers=x", "tick_ms.x=1"} {
 		_, err := s.With(bad)
 		require.Error(t, err, bad)
@@ -52,7 +52,7 @@
 			file + "141: score: whole, worst_window and worst_class add up to 7.5, 1 is expected"},
 		{"trouble[0].kind=x", file + `156: trouble[0].kind: "x", one of ` + kinds + " is expected"},
 		{"trouble[0].class=x", file + `156: trouble[0].class: "x" is no class`},
-		{"trouble[0].every_s=0", file + "156: trouble[0].every_s: pauses needs it: part of the servers stand still for size ms, every every_s\n" +
+		{"trouble[0].every_s=0", file + "156: trouble[0].every_s: pauses requires it: part of the servers pause for size ms, every every_s\n" +
 			file + "156: trouble[0].every_s: more than size (70 ms) is expected"},
 	} {
 		_, err := s.With(test.override)
--- a/internal/lab/scenario/instance.go
+++ b/internal/lab/scenario/realization.go
@@ -19,7 +19,7 @@
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(concern)))
 }
 
-// Instance is one drawn instance of a scenario: each range has become one value.
+// Realization is a drawn scenario: each range has become one value.
 type Realization struct {
 	Name         string
 	Seed         uint64
@@ -46,19 +46,19 @@
 	kinds []drawnKind
 }
 
-// Server is one machine of the instance.
+// Server is one server of the realization.
 type Server struct {
-	Kind          servermodel.Kind // with this machine's own speed
+	Kind          servermodel.Kind // with this server's own speed
 	KindIndex     int              // index into Scenario.Kinds
-	Zone          int              // index into Instance.Zones
-	Cell          int              // 1000*Zone and more; unique while no zone has over 1000 cells
+	Zone          int              // index into Realization.Zones
+	Cell          int              // maxCellsPerZone*Zone and more; unique while no zone has more cells
 	Size          float64          // weight in the endpoint list
 	HandshakeRTTs int              // round trips that a new connection takes
 }
 
-// Balancer is one instance of the load balancer.
+// Balancer is one balancer.
 type Balancer struct {
-	Zone  int           // index into Instance.Zones
+	Zone  int           // index into Realization.Zones
 	Start time.Duration // since the start of the run
 }
 
@@ -124,7 +124,7 @@
 
 // DrawnScore is how service is scored: the weights of its parts and what is deducted.
 type DrawnScore struct {
-	Whole        float64       // weight of the service of the whole run
+	WholeRun     float64       // weight of the service of the whole run
 	WorstWindow  float64       // weight of that of the worst window
 	WorstClass   float64       // weight of that of the worst class
 	Window       time.Duration // length of a window
@@ -144,19 +144,19 @@
 	Size      float64
 	Every     time.Duration
 	Ramp      time.Duration
-	Class     int   // index into Instance.Classes; -1: all
-	Servers   []int // indexes into Instance.Servers, in the order in which they are affected
-	Balancers []int // indexes into Instance.Balancers, in the order in which they are affected
-	Number    int   // index into Scenario.Troubles
+	Class     int   // index into Realization.Classes; -1: all
+	Servers   []int // indexes into Realization.Servers, in the order in which they are affected
+	Balancers []int // indexes into Realization.Balancers, in the order in which they are affected
+	Number    int   // index into Scenario.Faults
 }
 
 // End returns when the fault is over, since the start of the run.
 func (f *Fault) End() time.Duration { return f.At + f.For }
 
-// drawnKind is what all machines of a kind have in common in an instance.
+// drawnKind is what all servers of a kind have in common in a realization.
 type drawnKind struct {
 	kind    servermodel.Kind
-	speedCV float64 // coefficient of variation of the machines' speeds
+	speedCV float64 // coefficient of variation of the servers' speeds
 	rtts    int     // round trips of a handshake
 }
 
@@ -166,30 +166,30 @@
 // millis converts milliseconds to a duration, rounded to microseconds.
 func millis(v float64) time.Duration { return time.Duration(math.Round(v*1e3)) * time.Microsecond }
 
-// Capacity returns the work in ms that the instance's servers together do in one second after slow
+// Capacity returns the work in ms that all servers together do in one second after slow
 // start.
-func (d *Realization) Capacity() float64 {
+func (r *Realization) Capacity() float64 {
 	sum := 0.0
-	for i := range d.Servers {
-		sum += d.Servers[i].Kind.Capacity()
+	for i := range r.Servers {
+		sum += r.Servers[i].Kind.Capacity()
 	}
 	return sum
 }
 
 // MeanWork returns the mean work of a request in ms.
-func (d *Realization) MeanWork() float64 {
+func (r *Realization) MeanWork() float64 {
 	sum := 0.0
-	for _, c := range d.Classes {
+	for _, c := range r.Classes {
 		sum += c.Share * c.MeanWork
 	}
 	return sum
 }
 
-// KindNames returns the names of the kinds of machine, by Server.KindIndex.
-func (d *Realization) KindNames() []string {
-	names := make([]string, len(d.kinds))
-	for i := range d.kinds {
-		names[i] = d.kinds[i].kind.Name
+// KindNames returns the names of the kinds of servers, by Server.KindIndex.
+func (r *Realization) KindNames() []string {
+	names := make([]string, len(r.kinds))
+	for i := range r.kinds {
+		names[i] = r.kinds[i].kind.Name
 	}
 	return names
 }
--- a/internal/lab/scenario/steps.go
+++ b/internal/lab/scenario/steps.go
@@ -13,7 +13,7 @@
 	Drain                          // Server starts to drain
 	Exit                           // Server's process exits
 	Start                          // Server's process starts, in slow start
-	Vanish                         // Server is cut off: it answers nothing any more
+	Vanish                         // Server is cut off: it responds to nothing any more
 	Join                           // a server of Server's kind starts; Number identifies it
 	Takeover                       // the same, at Server's address
 	DelistServers                  // discovery omits Servers by mistake
@@ -25,26 +25,30 @@
 	DiscoveryUp                    // discovery is available again
 )
 
-// Step is one change to servers or to discovery. Fields that its act does not name are zero.
+// Step is one change to servers or to discovery. Fields that its action does not name are zero.
 type Step struct {
 	At            time.Duration // since the start of the run
 	Action        Action
-	Server        int   // index into Instance.Servers
-	Servers       []int // indexes into Instance.Servers; not to be modified
+	Server        int   // index into Realization.Servers
+	Servers       []int // indexes into Realization.Servers; not to be modified
 	Size          float64
 	Every, Length time.Duration
-	Number        int // identifies a server that joins, see Instance.Like
+	Number        int // identifies a server that joins, see Realization.Like
 }
 
+// maxServersPerFault keeps the numbers of servers that join by different faults apart; two faults that
+// affect more servers may give servers of the same draw.
+const maxServersPerFault = 1000
+
 // restartDuration is the time from the exit of a server's process to its start in a restart.
 const restartDuration = 500 * time.Millisecond
 
-// Steps returns what the instance's faults do to servers and to discovery, fault by fault; within
+// Steps returns what the faults of the realization do to servers and to discovery, fault by fault; within
 // a fault the times need not ascend. Faults of balancers and of traffic have no steps.
-func (d *Realization) Steps() []Step {
+func (r *Realization) Steps() []Step {
 	var steps []Step
-	for i := range d.Faults {
-		fault := &d.Faults[i]
+	for i := range r.Faults {
+		fault := &r.Faults[i]
 		steps = append(steps, fault.sharedSteps()...)
 		for position := range fault.Servers {
 			steps = append(steps, fault.serverSteps(position)...)
@@ -63,17 +67,17 @@
 // sharedSteps returns the steps of faults that affect all servers or discovery.
 func (f *Fault) sharedSteps() []Step {
 	switch f.Kind {
-	case "report_late":
+	case FaultLateReports:
 		delay := time.Duration(f.Size * float64(time.Second))
 		return f.during(Step{Action: DelayReports, Length: delay}, Step{Action: DelayReports, Length: -delay})
-	case "discovery_late":
+	case FaultLateDiscovery:
 		delay := time.Duration(f.Size * float64(time.Second))
 		return f.during(Step{Action: DelayDiscovery, Length: delay}, Step{Action: DelayDiscovery, Length: -delay})
-	case "discovery_outage":
+	case FaultDiscoveryOutage:
 		return f.during(Step{Action: DiscoveryDown}, Step{Action: DiscoveryUp})
-	case "spoil":
+	case FaultCorruptResponses:
 		return f.during(Step{Action: CorruptResponses, Size: f.Part}, Step{Action: CorruptResponses, Size: -f.Part})
-	case "list_loss":
+	case FaultDelistServers:
 		return f.during(Step{Action: DelistServers, Servers: f.Servers}, Step{Action: RelistServers, Servers: f.Servers})
 	}
 	return nil
@@ -84,16 +88,16 @@
 func (f *Fault) serverSteps(position int) []Step {
 	server := f.Servers[position]
 	switch f.Kind {
-	case "slow":
+	case FaultSlowServers:
 		return f.during(Step{Action: Slow, Server: server, Size: f.Size}, Step{Action: Slow, Server: server, Size: 1 / f.Size})
-	case "pauses":
+	case FaultServerPauses:
 		length := time.Duration(f.Size * float64(time.Millisecond))
 		return f.during(Step{Action: Pauses, Server: server, Every: f.Every, Length: length}, Step{Action: Pauses, Server: server})
-	case "choke":
+	case FaultOverloadServers:
 		return []Step{{At: f.At, Action: Overload, Server: server}}
-	case "crash":
+	case FaultCrashServers:
 		return f.during(Step{Action: Exit, Server: server}, Step{Action: Start, Server: server})
-	case "vanish":
+	case FaultUnresponsiveServers:
 		return f.during(Step{Action: Vanish, Server: server}, Step{Action: Start, Server: server})
 	}
 	return f.membershipSteps(position)
@@ -106,17 +110,17 @@
 	at := f.At + f.For*time.Duration(position)/time.Duration(len(f.Servers))
 	drain := Step{At: at, Action: Drain, Server: server}
 	end := Step{At: at + f.Ramp, Action: Exit, Server: server}
-	number := position + 1000*(f.Number+1) // distinct while a fault affects at most 1000 servers
+	number := position + maxServersPerFault*(f.Number+1)
 	switch f.Kind {
-	case "shrink", "leave":
+	case FaultShrink, FaultLeave:
 		return []Step{drain, end}
-	case "replace":
+	case FaultReplaceServers:
 		return []Step{drain, end, {At: at, Action: Join, Server: server, Number: number}}
-	case "restart":
+	case FaultRestartServers:
 		return []Step{drain, end, {At: at + f.Ramp + restartDuration, Action: Start, Server: server}}
-	case "join":
+	case FaultJoinServers:
 		return []Step{{At: at, Action: Join, Server: server, Number: number}}
-	case "takeover":
+	case FaultAddressTakeover:
 		return []Step{
 			{At: at, Action: Exit, Server: server},
 			{At: at + f.Ramp, Action: Takeover, Server: server, Number: number},
--- a/internal/lab/servermodel/doc.go
+++ b/internal/lab/servermodel/doc.go
@@ -1,4 +1,4 @@
-// Package servermodel models a feed server: what it does with the work that it is sent. It covers
+// Package servermodel models a server: what it does with the work that it is sent. It covers
 // queueing and processor sharing, slow start and collapse in it, overload, pauses, the cost of
 // connections, key affinity and load reports.
 //
--- a/internal/lab/servermodel/kind.go
+++ b/internal/lab/servermodel/kind.go
@@ -14,7 +14,7 @@
 	WarmByWork               // with the work done, and over SlowStartDuration at the latest
 )
 
-// Kind is the description of one machine. The zero value of a field turns its mechanism off, except
+// Kind is the description of one server. The zero value of a field turns its mechanism off, except
 // where the comment gives a minimum.
 type Kind struct {
 	Name  string
@@ -23,10 +23,10 @@
 	Slots int     // requests executed at once; at least 1
 	Queue int     // requests that may be queued; further ones are rejected
 
-	// Holding more than ThrashAt requests a core costs up to Thrash of the speed:
+	// More than ThrashAt requests in flight for each core cost up to Thrash of the speed:
 	// all of it at twice ThrashAt.
 	Thrash   float64 // share, 0 to 1
-	ThrashAt float64 // requests held for each core
+	ThrashAt float64 // requests in flight for each core
 
 	SlowStartCapacity float64       // share of its capacity that a started process has, 0 to 1
 	SlowStartDuration time.Duration // of slow start; 0: none
@@ -36,7 +36,7 @@
 	PauseFor   time.Duration // mean length of a pause
 	PauseGrow  float64       // share by which a pause of a fully busy server is longer
 
-	ErrorRate   float64 // share of answers that are errors
+	ErrorRate   float64 // share of responses that are errors
 	StopRunning bool    // cancelling ends running jobs too, not only queued ones
 	DropExpired bool    // queued jobs that have expired are rejected, not executed
 
@@ -77,7 +77,7 @@
 // ReportTiming is when load reports are made and how exact they are.
 type ReportTiming struct {
 	Interval time.Duration // between two reports; 0: there are none
-	Delay    time.Duration // from a report's making until answers carry it
+	Delay    time.Duration // from a report's making until responses carry it
 	Noise    float64       // coefficient of variation of each value
 }
 
@@ -120,16 +120,16 @@
 		value float64
 	}{
 		{"thrash", k.Thrash},
-		{"cold_from", k.SlowStartCapacity},
-		{"error_rate", k.ErrorRate},
-		{"choke below", k.Overload.IdleBelow},
-		{"keys gain", k.Keys.WorkSaved},
+		{"slow start capacity", k.SlowStartCapacity},
+		{"error rate", k.ErrorRate},
+		{"overload idle share", k.Overload.IdleBelow},
+		{"work saved by key affinity", k.Keys.WorkSaved},
 		{"connection tax", k.Conn.Tax},
 	}
-	for _, s := range shares {
-		isShare := s.value >= 0 && s.value <= 1
+	for _, share := range shares {
+		isShare := share.value >= 0 && share.value <= 1
 		if !isShare {
-			return fmt.Sprintf("%s is %v, a share from 0 to 1 is needed", s.name, s.value)
+			return fmt.Sprintf("%s is %v, a share from 0 to 1 is needed", share.name, share.value)
 		}
 	}
 	return ""
@@ -147,9 +147,9 @@
 	case k.Queue < 0:
 		return fmt.Sprintf("queue of %d", k.Queue)
 	case k.Overload.QueuePerCore > 0 && !(k.Overload.Slowdown >= 1):
-		return fmt.Sprintf("choke slower is %v, 1 or more is needed", k.Overload.Slowdown)
+		return fmt.Sprintf("overload slowdown is %v, 1 or more is needed", k.Overload.Slowdown)
 	case k.SlowStartDuration > 0 && !(k.SlowStartCapacity > 0):
-		return "cold_from is 0, it would never do anything"
+		return "slow start capacity is 0, it would never do anything"
 	case k.PauseFor > 0 && k.PauseEvery <= k.PauseFor:
 		return fmt.Sprintf("pauses of %v every %v", k.PauseFor, k.PauseEvery)
 	}
--- a/internal/lab/servermodel/pauses.go
+++ b/internal/lab/servermodel/pauses.go
@@ -10,7 +10,7 @@
 func (s *Server) SetPauses(now, every, length time.Duration) {
 	s.advanceClock(now)
 	s.pauseFault = pauseTiming{every, length}
-	s.planPause(now)
+	s.schedulePause(now)
 }
 
 func (s *Server) pauseTiming() pauseTiming {
@@ -25,8 +25,8 @@
 	return s.nextPause <= s.now && s.now >= s.pauseEnd
 }
 
-// planPause draws when the next pause begins.
-func (s *Server) planPause(now time.Duration) {
+// schedulePause draws when the next pause begins.
+func (s *Server) schedulePause(now time.Duration) {
 	timing := s.pauseTiming()
 	s.nextPause = Never
 	if timing.length > 0 && timing.every > 0 {
@@ -34,11 +34,11 @@
 	}
 }
 
-// beginPause begins the pause that is due and plans the one after it.
+// beginPause begins the pause that is due and schedules the one after it.
 func (s *Server) beginPause() {
 	begin := s.nextPause
 	length := s.pauseTiming().length
-	s.planPause(begin)
+	s.schedulePause(begin)
 	if length == 0 || !s.state.running() {
 		return
 	}
--- a/internal/lab/servermodel/queue.go
+++ b/internal/lab/servermodel/queue.go
@@ -8,7 +8,7 @@
 	Work      float64       // ms on a core of speed 1
 	Key       uint64        // for key affinity; 0: none
 	Expires   time.Duration // nobody waits for it later than this; 0: unknown
-	ErrorDraw float64       // a draw from [0, 1): below the error rate, the answer is an error
+	ErrorDraw float64       // a draw from [0, 1): below the error rate, the response is an error
 }
 
 // Admission is what a server made of a job on arrival.
@@ -27,10 +27,10 @@
 
 // Outcomes.
 const (
-	Answered      Outcome = iota
-	AnsweredError         // answered with an error after execution
-	Expired               // dropped from the queue, never executed
-	Reset                 // the process ended; it may have been executed
+	Completed          Outcome = iota
+	CompletedWithError         // completed with an error after execution
+	Expired                    // dropped from the queue, never executed
+	Reset                      // the process ended; it may have been executed
 )
 
 // Completion is the end of one job.
@@ -47,7 +47,7 @@
 	left, workDone float64 // ms
 }
 
-// Arrive brings a job. If the server collapses under it, State shows that, and the jobs that it held
+// Arrive brings a job. If the server collapses under it, State shows that, and the jobs that it had
 // are returned as reset; the slice is valid until the next call of any method.
 func (s *Server) Arrive(now time.Duration, job Job) (Admission, []Completion) {
 	s.advanceClock(now)
--- a/internal/lab/servermodel/queue_test.go
+++ b/internal/lab/servermodel/queue_test.go
@@ -29,10 +29,10 @@
 	}
 	next := time.Duration(0)
 	pass := func(to time.Duration) {
-		area += float64(s.Held()) * (to - last).Seconds()
+		area += float64(s.Inflight()) * (to - last).Seconds()
 		last, now = to, to
 	}
-	for i := 0; i < jobs || s.Held() > 0; {
+	for i := 0; i < jobs || s.Inflight() > 0; {
 		if due := s.Next(); i >= jobs || due <= next {
 			pass(due)
 			take(s.Advance(now))
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -19,19 +19,19 @@
 	Up        State = iota
 	Draining        // finishes what it has, rejects new work
 	Down            // connections are refused
-	Silent          // it vanished: nothing is answered any more
+	Silent          // it vanished: it responds to nothing any more
 	Collapsed       // under too much work in slow start; refuses like Down, and stays down
 )
 
 // String names a state as reports do.
 func (s State) String() string {
-	return [...]string{"up", "draining", "down", "silent", "fallen"}[s]
+	return [...]string{"up", "draining", "down", "silent", "collapsed"}[s]
 }
 
 // running reports whether the process does work.
 func (s State) running() bool { return s <= Draining }
 
-// Server is one feed server. The zero value is not usable; see New.
+// Server is one server. The zero value is not usable; see New.
 type Server struct {
 	kind   Kind
 	pauses *rand.Rand // drawn from at scheduled times only, whatever the load
@@ -63,11 +63,11 @@
 	arrivedWork float64   // sum of arrivals, ms
 	arrivalPeak float64   // most arrivedWork, as a share of what collapses the server
 
-	nextReport     time.Duration
-	reportAnswered int // since the last report
-	reportErrors   int // since the last report
-	reports        [maxReports]timedReport
-	reportCount    int
+	nextReport      time.Duration
+	reportCompleted int // since the last report
+	reportErrors    int // since the last report
+	reports         [maxReports]timedReport
+	reportCount     int
 
 	completions []Completion // reused by Advance and others
 }
@@ -98,7 +98,7 @@
 	return s, nil
 }
 
-// resetProcess forgets all that a process holds in memory.
+// resetProcess forgets all that a process has in memory.
 func (s *Server) resetProcess(now time.Duration) {
 	s.running = s.running[:0]
 	s.queue = s.queue[:0]
@@ -111,7 +111,7 @@
 	s.arrivedWork = 0
 	s.doneSinceStart = 0
 	s.pauseEnd = 0
-	s.planPause(now)
+	s.schedulePause(now)
 	if s.keys != nil {
 		s.keys.Purge()
 	}
@@ -123,8 +123,8 @@
 // State returns the state of the process.
 func (s *Server) State() State { return s.state }
 
-// Held is how many requests are running or queued.
-func (s *Server) Held() int { return len(s.running) + len(s.queue) }
+// Inflight is how many requests are running or queued.
+func (s *Server) Inflight() int { return len(s.running) + len(s.queue) }
 
 // Queued is how many requests are queued.
 func (s *Server) Queued() int { return len(s.queue) }
@@ -145,7 +145,7 @@
 // Started is when the process started; 0: long ago.
 func (s *Server) Started() time.Duration { return s.started }
 
-// Start starts a new process, in slow start. It returns the jobs that the old one held as reset; the
+// Start starts a new process, in slow start. It returns the jobs that the old one had as reset; the
 // slice is valid until the next call of any method.
 func (s *Server) Start(now time.Duration) []Completion {
 	s.advanceClock(now)
@@ -158,7 +158,7 @@
 	return reset
 }
 
-// Drain begins a graceful shutdown: new work is rejected, and what the server holds is finished.
+// Drain begins a graceful shutdown: new work is rejected, and what the server has is finished.
 func (s *Server) Drain(now time.Duration) {
 	s.advanceClock(now)
 	if s.state == Up {
@@ -166,7 +166,7 @@
 	}
 }
 
-// Crash ends the process. It returns the jobs that it held as reset; the slice is valid until the
+// Crash ends the process. It returns the jobs that it had as reset; the slice is valid until the
 // next call of any method.
 func (s *Server) Crash(now time.Duration) []Completion {
 	s.advanceClock(now)
@@ -174,7 +174,7 @@
 	return s.resetJobs()
 }
 
-// Vanish cuts the server off: nothing is answered any more. It returns the jobs that it held, of
+// Vanish cuts the server off: it responds to nothing any more. It returns the jobs that it had, of
 // whose end nobody is notified; the slice is valid until the next call of any method.
 func (s *Server) Vanish(now time.Duration) []Completion {
 	s.advanceClock(now)
@@ -182,7 +182,7 @@
 	return s.resetJobs()
 }
 
-// SetSlow makes the server so many times slower; 1 ends that.
+// SetSlow makes the server slower by a factor; 1 ends that.
 func (s *Server) SetSlow(now time.Duration, factor float64) {
 	s.advanceClock(now)
 	s.slowFactor = max(factor, 1)
--- a/internal/lab/servermodel/server_test.go
+++ b/internal/lab/servermodel/server_test.go
@@ -108,11 +108,11 @@
 	require.False(t, b.s.Overloaded())
 	b.until(2100 * ms)
 	require.True(t, b.s.Overloaded(), "5 wait for 2 s")
-	left := b.s.Held()
+	left := b.s.Inflight()
 	b.until(8 * time.Second)
-	require.Equal(t, left-5, b.s.Held(), "three times slower: 1.2 s each")
+	require.Equal(t, left-5, b.s.Inflight(), "three times slower: 1.2 s each")
 	b.until(40 * time.Second)
-	require.Zero(t, b.s.Held())
+	require.Zero(t, b.s.Inflight())
 	require.False(t, b.s.Overloaded())
 
 	b = newTestServer(t, Kind{Queue: 1000, Overload: overload}) // never idle: it ends all the same
@@ -250,7 +250,7 @@
 		}
 		b.until(time.Second)
 		require.Equal(t, !stops, b.end[1] == 100*ms)
-		require.Zero(t, b.s.Held())
+		require.Zero(t, b.s.Inflight())
 	}
 }
 
@@ -259,13 +259,13 @@
 	b.job(0, Job{Work: 100, ErrorDraw: 0.2})
 	b.job(0, Job{Work: 100, Expires: 80 * ms})
 	b.until(time.Second)
-	require.Equal(t, map[uint64]Outcome{1: AnsweredError, 2: Expired}, b.how)
+	require.Equal(t, map[uint64]Outcome{1: CompletedWithError, 2: Expired}, b.how)
 
 	b.job(time.Second, Job{Work: 1000})
 	b.s.Drain(1100 * ms)
 	require.Equal(t, Rejected, b.job(1200*ms, Job{Work: 1}))
 	b.until(2500 * ms)
-	require.Equal(t, Answered, b.how[3], "what it held is finished")
+	require.Equal(t, Completed, b.how[3], "what it held is finished")
 	require.Empty(t, b.s.Crash(3*time.Second))
 	require.Equal(t, Refused, b.job(3*time.Second, Job{Work: 1}))
 
@@ -298,7 +298,7 @@
 		b.job(time.Duration(i)*100*ms, Job{Work: 10})
 	}
 	b.until(20 * time.Second)
-	require.Zero(t, b.s.Held())
+	require.Zero(t, b.s.Inflight())
 	require.Equal(t, 1.0, b.s.CapacityShare(20*time.Second))
 }
 
@@ -307,7 +307,7 @@
 	require.NoError(t, good.Validate())
 	for name, corrupt := range map[string]func(*Kind){
 		"cores": func(k *Kind) { k.Cores = 0 }, "speed": func(k *Kind) { k.Speed = 0 }, "slots": func(k *Kind) { k.Slots = 0 },
-		"cold_from": func(k *Kind) { k.SlowStartDuration = time.Second }, "slower": func(k *Kind) { k.Overload.QueuePerCore = 1 },
+		"slow start capacity": func(k *Kind) { k.SlowStartDuration = time.Second }, "overload slowdown": func(k *Kind) { k.Overload.QueuePerCore = 1 },
 		"pauses": func(k *Kind) { k.PauseFor, k.PauseEvery = time.Second, ms }, "thrash": func(k *Kind) { k.Thrash = 2 },
 		"queue": func(k *Kind) { k.Queue = -1 },
 	} {
--- a/internal/lab/servermodel/work.go
+++ b/internal/lab/servermodel/work.go
@@ -86,10 +86,10 @@
 // complete ends running job i.
 func (s *Server) complete(i int) {
 	job := &s.running[i]
-	outcome := Answered
-	s.reportAnswered++
+	outcome := Completed
+	s.reportCompleted++
 	if job.ErrorDraw < s.kind.ErrorRate {
-		outcome = AnsweredError
+		outcome = CompletedWithError
 		s.reportErrors++
 	}
 	s.completions = append(s.completions, Completion{ID: job.ID, Outcome: outcome, Started: true, WorkDone: job.workDone})
@@ -172,7 +172,7 @@
 		rate /= s.kind.Overload.Slowdown
 	}
 	if s.kind.Thrash > 0 && s.kind.ThrashAt > 0 {
-		excess := float64(s.Held())/float64(s.kind.Cores)/s.kind.ThrashAt - 1
+		excess := float64(s.Inflight())/float64(s.kind.Cores)/s.kind.ThrashAt - 1
 		rate *= 1 - s.kind.Thrash*min(max(excess, 0), 1)
 	}
 	return rate
--- a/internal/lab/simulation/attempts.go
+++ b/internal/lab/simulation/attempts.go
@@ -14,266 +14,277 @@
 // completed as piernotch.NotSent.
 func (w *World) startAttempt(action *Action) {
 	id := uint64(action.ID)
-	s, ok := w.serverByID[action.Server]
-	if !ok {
+	server, known := w.serverByID[action.Server]
+	if !known {
 		w.err = fmt.Errorf("balancer %d %w: %d", action.Balancer, errUnknownServer, action.Server)
 		return
 	}
-	r := w.requests.Get(id)
-	if r == nil || r.answered || int(r.balancer) != action.Balancer {
+	request := w.requests.Get(id)
+	if request == nil || request.answered || request.balancer != balancerIndex(action.Balancer) {
 		// A balancer that was notified of the end in this very turn may not have known of it.
-		if r == nil || r.answeredByBalancer || r.answeredAt <= w.previousTurn {
-			w.checker.AttemptSent(w.now, action.Balancer, id, int(s))
+		if request == nil || request.answeredByBalancer || request.answeredAt <= w.previousTurn {
+			w.checker.AttemptSent(w.sentAttempt(action, server))
 		}
-		w.attemptNotSent(action, r)
+		w.attemptNotSent(action, request)
 		return
 	}
 	limit := min(w.realization.Settings.Limits.MaxAttempts, maxAttempts)
-	if int(r.attempts) >= limit || w.now >= r.deadline {
-		w.attemptNotSent(action, r)
+	if int(request.attempts) >= limit || w.now >= request.deadline {
+		w.attemptNotSent(action, request)
 		return
 	}
-	w.checker.AttemptSent(w.now, action.Balancer, id, int(s))
-	attemptID, a := w.newAttempt(id, r, s)
-	timeout := r.deadline - w.now
+	w.checker.AttemptSent(w.sentAttempt(action, server))
+	attemptID, attempt := w.newAttempt(id, request, server)
+	timeout := request.deadline - w.now
 	if action.Delay != 0 {
 		timeout = min(timeout, max(action.Delay, 0))
 	}
-	w.events.plan(w.now+timeout, priorityTimeout, eventAttemptTimeout, attemptID, 0)
-	w.connect(&w.balancers[action.Balancer], attemptID, a)
+	w.events.schedule(w.now+timeout, eventAttemptTimeout, attemptID)
+	w.connect(&w.balancers[action.Balancer], attemptID, attempt)
 }
 
-// newAttempt adds an attempt of a request to server s, with its network delay and its work.
-func (w *World) newAttempt(id uint64, r *request, s int32) (uint64, *attempt) {
-	balancer := &w.balancers[r.balancer]
-	client := w.clientOf(r)
+// sentAttempt is what the invariants are notified of when an attempt is sent.
+func (w *World) sentAttempt(action *Action, server serverIndex) invariants.SentAttempt {
+	return invariants.SentAttempt{At: w.now, Balancer: balancerIndex(action.Balancer), Request: uint64(action.ID), Server: server}
+}
+
+// newAttempt adds an attempt of a request to a server, with its network delay and its work.
+func (w *World) newAttempt(requestID uint64, request *requestState, server serverIndex) (attemptID uint64, attempt *attemptState) {
+	balancer := &w.balancers[request.balancer]
+	client := w.clientOf(request)
 	w.lastAttempt++
-	attemptID := w.lastAttempt
-	n := int(r.attempts)
-	r.attemptIDs[n] = attemptID
-	r.attempts++
-	r.inflight++
-	a := w.attempts.Put(attemptID)
-	*a = attempt{
-		request:   id,
-		randomKey: mix(mix(client.randomKey+uint64(r.retry)) + uint64(n) + 77),
-		balancer:  r.balancer,
-		server:    s,
+	attemptID = w.lastAttempt
+	attemptNumber := int(request.attempts)
+	request.attemptIDs[attemptNumber] = attemptID
+	request.attempts++
+	request.inflight++
+	attempt = w.attempts.Put(attemptID)
+	*attempt = attemptState{
+		request:   requestID,
+		randomKey: mix(mix(client.randomKey+uint64(request.retry)) + uint64(attemptNumber) + saltAttempt),
+		balancer:  request.balancer,
+		server:    server,
 		epoch:     balancer.epoch,
-		number:    int8(n),
+		number:    int8(attemptNumber),
 		sentAt:    w.now,
 	}
-	zone := w.servers[s].spec.Zone
-	a.delay = w.networkDelay(w.realization.Delay[balancer.zone][zone], a.randomKey, concernDelay)
-	a.work = client.work
+	zone := w.servers[server].spec.Zone
+	attempt.delay = w.networkDelay(w.realization.Delay[balancer.zone][zone], attempt.randomKey, concernDelay)
+	attempt.work = client.work
 	if cv := w.realization.Classes[client.class].AttemptCV; cv > 0 {
 		sigma := math.Sqrt(math.Log1p(cv * cv))
-		a.work *= math.Exp(sigma*w.randFor(a.randomKey, concernWork).NormFloat64() - sigma*sigma/2)
+		attempt.work *= math.Exp(sigma*w.randFor(attempt.randomKey, concernWork).NormFloat64() - sigma*sigma/2)
 	}
-	w.counters.attemptStarted(n, balancer.zone != zone)
-	return attemptID, a
+	w.counters.attemptStarted(attemptNumber, balancer.zone != zone)
+	return attemptID, attempt
 }
 
 // clientOf returns what the client of a request wants, or departedClient if the client is gone and
 // the balancer was not notified of it.
-func (w *World) clientOf(r *request) *clientRequest {
-	if client := w.clientRequests.Get(r.client); client != nil {
+func (w *World) clientOf(request *requestState) *clientRequest {
+	if client := w.clientRequests.Get(request.client); client != nil {
 		return client
 	}
 	return &departedClient
 }
 
 // attemptNotSent notifies a balancer that an attempt was not sent; r is nil for an unknown request.
-func (w *World) attemptNotSent(action *Action, r *request) {
-	n := 0
-	if r != nil {
-		n = int(r.attempts)
+func (w *World) attemptNotSent(action *Action, request *requestState) {
+	attemptNumber := 0
+	if request != nil {
+		attemptNumber = int(request.attempts)
 	}
 	w.counters.Outcomes[piernotch.NotSent]++
-	w.notify(action.Balancer, Event{Kind: EventAttemptCompleted, Outcome: piernotch.Outcome{
-		ID: action.ID, Attempt: n, Server: action.Server, Status: piernotch.NotSent, Closed: r == nil || r.answered,
+	w.notify(balancerIndex(action.Balancer), Event{Kind: EventAttemptCompleted, Outcome: piernotch.Outcome{
+		ID: action.ID, Attempt: attemptNumber, Server: action.Server, Status: piernotch.NotSent, Closed: request == nil || request.answered,
 	}})
 }
 
 // attemptArrives brings an attempt to its server.
 func (w *World) attemptArrives(attemptID uint64) {
-	a := w.attempts.Get(attemptID)
-	if a == nil {
+	attempt := w.attempts.Get(attemptID)
+	if attempt == nil {
 		return
 	}
-	a.inTransit = false
-	if a.completed { // cancelled before it was written
-		w.releaseAttempt(attemptID, a)
+	attempt.inTransit = false
+	if attempt.completed { // cancelled before it was written
+		w.releaseAttempt(attemptID, attempt)
 		return
 	}
-	r := w.requests.Get(a.request)
-	if r == nil {
+	request := w.requests.Get(attempt.request)
+	if request == nil {
 		return
 	}
-	w.admitAttempt(attemptID, a, w.arriveAtServer(attemptID, a, r))
+	w.admitAttempt(attemptID, attempt, w.arriveAtServer(attemptID, attempt, request))
 }
 
 // arriveAtServer hands an attempt to the model of its server, which may collapse under it.
-func (w *World) arriveAtServer(attemptID uint64, a *attempt, r *request) servermodel.Admission {
-	server := &w.servers[a.server]
-	if a.newConnection {
+func (w *World) arriveAtServer(attemptID uint64, attempt *attemptState, request *requestState) servermodel.Admission {
+	server := &w.servers[attempt.server]
+	if attempt.newConnection {
 		server.Charge(w.now, server.spec.Kind.Conn.Handshake)
 	}
 	slowStart := server.InSlowStart(w.now)
 	if slowStart {
-		w.checker.SlowStartWork(w.now, int(a.balancer), int(a.server), server.Started(), a.work)
+		w.checker.SlowStartWork(invariants.SlowStartArrival{
+			At: w.now, Balancer: attempt.balancer, Server: attempt.server, StartedAt: server.Started(), Work: attempt.work,
+		})
 	}
 	admission, lost := server.Arrive(w.now, servermodel.Job{
-		ID: attemptID, Work: a.work, Key: w.clientOf(r).key, Expires: r.deadline, ErrorDraw: w.randFor(a.randomKey, concernError).Float64(),
+		ID:        attemptID,
+		Work:      attempt.work,
+		Key:       w.clientOf(request).key,
+		Expires:   request.deadline,
+		ErrorDraw: w.randFor(attempt.randomKey, concernError).Float64(),
 	})
 	if server.State() == servermodel.Collapsed && slowStart {
-		w.checker.ServerCollapsed(w.now, int(a.server))
+		w.checker.ServerCollapsed(w.now, attempt.server)
 		w.counters.Collapses++
-		w.serverCompleted(a.server, lost)
-		w.dropConnections(int(a.server))
+		w.serverCompleted(attempt.server, lost)
+		w.dropConnections(attempt.server)
 	}
 	return admission
 }
 
 // admitAttempt follows up on what a server made of an attempt on arrival.
-func (w *World) admitAttempt(attemptID uint64, a *attempt, admission servermodel.Admission) {
+func (w *World) admitAttempt(attemptID uint64, attempt *attemptState, admission servermodel.Admission) {
 	switch admission {
 	case servermodel.Accepted:
-		a.held = true
+		attempt.atServer = true
 		w.counters.enter(w)
-		a.arrivesAt = w.now
-		w.checker.AttemptAccepted(a.request, int(a.number))
-		w.scheduleServer(int(a.server))
+		attempt.arrivesAt = w.now
+		w.checker.AttemptAccepted(attempt.request, int(attempt.number))
+		w.scheduleServer(attempt.server)
 	case servermodel.Rejected:
 		w.counters.RejectedByServer++
-		a.load, a.hasLoad = w.servers[a.server].Report(w.now, w.reportDelay)
-		w.planOutcome(attemptID, a, piernotch.Full, w.now+a.delay)
+		attempt.load, attempt.hasLoad = w.servers[attempt.server].Report(w.now, w.reportDelay)
+		w.scheduleOutcome(attemptID, attempt, piernotch.Full, w.now+attempt.delay)
 	case servermodel.Refused:
 		status := piernotch.ConnectFailed
-		if !a.newConnection { // it was written to a connection that is closed
+		if !attempt.newConnection { // it was written to a connection that is closed
 			status = piernotch.Reset
 		}
-		w.planOutcome(attemptID, a, status, w.now+a.delay)
+		w.scheduleOutcome(attemptID, attempt, status, w.now+attempt.delay)
 	case servermodel.NoResponse:
-		if a.newConnection {
-			w.planOutcome(attemptID, a, piernotch.ConnectFailed, max(a.sentAt+w.realization.Rules.DialTimeout, w.now))
+		if attempt.newConnection {
+			w.scheduleOutcome(attemptID, attempt, piernotch.ConnectFailed, max(attempt.sentAt+w.realization.Rules.DialTimeout, w.now))
 		}
 	}
 }
 
-// planOutcome has an attempt's balancer learn its outcome at a time, unless another one is planned.
-func (w *World) planOutcome(attemptID uint64, a *attempt, status piernotch.Status, at time.Duration) {
-	if a.outcomeSent || a.completed {
+// scheduleOutcome has an attempt's balancer learn its outcome at a time, unless another one is scheduled.
+func (w *World) scheduleOutcome(attemptID uint64, attempt *attemptState, status piernotch.Status, at time.Duration) {
+	if attempt.outcomeSent || attempt.completed {
 		return
 	}
-	a.outcomeSent = true
-	a.status = status
-	w.events.plan(at, priorityMessage, eventOutcomeArrives, attemptID, 0)
+	attempt.outcomeSent = true
+	attempt.status = status
+	w.events.schedule(at, eventOutcomeArrives, attemptID)
 }
 
 // outcomeArrives brings an outcome to the balancer.
 func (w *World) outcomeArrives(attemptID uint64) {
-	a := w.attempts.Get(attemptID)
-	if a == nil {
+	attempt := w.attempts.Get(attemptID)
+	if attempt == nil {
 		return
 	}
-	a.outcomeSent = false
-	if a.completed { // too late
-		w.releaseAttempt(attemptID, a)
+	attempt.outcomeSent = false
+	if attempt.completed { // too late
+		w.releaseAttempt(attemptID, attempt)
 		return
 	}
-	w.completeAttempt(attemptID, a, a.status)
+	w.completeAttempt(attemptID, attempt, attempt.status)
 }
 
 // attemptTimesOut ends an attempt at its timeout.
 func (w *World) attemptTimesOut(attemptID uint64) {
-	a := w.attempts.Get(attemptID)
-	if a == nil || a.completed {
+	attempt := w.attempts.Get(attemptID)
+	if attempt == nil || attempt.completed {
 		return
 	}
 	status := piernotch.Timeout
-	connecting := a.newConnection && w.now < a.arrivesAt-a.delay
+	connecting := attempt.newConnection && w.now < attempt.arrivesAt-attempt.delay
 	if connecting {
 		status = piernotch.ConnectFailed
 	}
-	w.completeAttempt(attemptID, a, status)
+	w.completeAttempt(attemptID, attempt, status)
 }
 
 // cancelAttempt ends an attempt at its balancer's wish.
 func (w *World) cancelAttempt(action *Action) {
-	r := w.requests.Get(uint64(action.ID))
-	if r == nil || action.Attempt < 0 || action.Attempt >= int(r.attempts) {
+	request := w.requests.Get(uint64(action.ID))
+	if request == nil || action.Attempt < 0 || action.Attempt >= int(request.attempts) {
 		return
 	}
-	attemptID := r.attemptIDs[action.Attempt]
-	if a := w.attempts.Get(attemptID); a != nil && !a.completed {
-		w.completeAttempt(attemptID, a, piernotch.Cancelled)
+	attemptID := request.attemptIDs[action.Attempt]
+	if attempt := w.attempts.Get(attemptID); attempt != nil && !attempt.completed {
+		w.completeAttempt(attemptID, attempt, piernotch.Cancelled)
 	}
 }
 
 // completeAttempt ends an attempt for its balancer and notifies the balancer.
-func (w *World) completeAttempt(attemptID uint64, a *attempt, status piernotch.Status) {
-	a.completed = true
-	a.status = status
-	w.returnConnection(&w.balancers[a.balancer], a, status)
-	w.checker.AttemptCompleted(a.request, int(a.number), status.NeverExecuted())
-	if r := w.requests.Get(a.request); r != nil {
-		r.inflight--
-		if status == piernotch.OK && !r.answered {
-			w.counters.ServedWork += a.workDone
-			w.answer(a.request, r, invariants.Served)
+func (w *World) completeAttempt(attemptID uint64, attempt *attemptState, status piernotch.Status) {
+	attempt.completed = true
+	attempt.status = status
+	w.returnConnection(&w.balancers[attempt.balancer], attempt, status)
+	w.checker.AttemptCompleted(attempt.request, int(attempt.number), invariants.NeverExecuted(status.NeverExecuted()))
+	if request := w.requests.Get(attempt.request); request != nil {
+		request.inflight--
+		if status == piernotch.OK && !request.answered {
+			w.counters.ServedWork += attempt.workDone
+			w.respondToClient(attempt.request, request, invariants.Served)
 		}
-		w.notifyOutcome(a, r, status)
-		w.releaseRequest(a.request)
+		w.notifyOutcome(attempt, request, status)
+		w.releaseRequest(attempt.request)
 	}
 	w.counters.Outcomes[status]++
 	if status == piernotch.Timeout || status == piernotch.Cancelled {
-		w.events.plan(w.now+a.delay, priorityMessage, eventCancelArrives, attemptID, 0)
+		w.events.schedule(w.now+attempt.delay, eventCancelArrives, attemptID)
 		return
 	}
-	w.releaseAttempt(attemptID, a)
+	w.releaseAttempt(attemptID, attempt)
 }
 
 // notifyOutcome notifies a balancer of an attempt's end, if the process that sent it still runs.
-func (w *World) notifyOutcome(a *attempt, r *request, status piernotch.Status) {
-	balancer := &w.balancers[a.balancer]
-	if !balancer.up || a.epoch != balancer.epoch {
+func (w *World) notifyOutcome(attempt *attemptState, request *requestState, status piernotch.Status) {
+	balancer := &w.balancers[attempt.balancer]
+	if !balancer.up || attempt.epoch != balancer.epoch {
 		return
 	}
-	e := Event{Kind: EventAttemptCompleted, Outcome: piernotch.Outcome{
-		ID: piernotch.RequestID(a.request), Attempt: int(a.number), Server: w.servers[a.server].id, Status: status,
-		Latency: w.now - a.sentAt, Closed: r.answered,
+	event := Event{Kind: EventAttemptCompleted, Outcome: piernotch.Outcome{
+		ID: piernotch.RequestID(attempt.request), Attempt: int(attempt.number), Server: w.servers[attempt.server].id, Status: status,
+		Latency: w.now - attempt.sentAt, Closed: request.answered,
 	}}
 	if responded(status) {
-		e.Load, e.HasLoad = a.load, a.hasLoad
+		event.Load, event.HasLoad = attempt.load, attempt.hasLoad
 	}
-	w.notify(int(a.balancer), e)
+	w.notify(attempt.balancer, event)
 }
 
 // cancelArrives brings the end of a wait to the server.
 func (w *World) cancelArrives(attemptID uint64) {
-	a := w.attempts.Get(attemptID)
-	if a == nil {
+	attempt := w.attempts.Get(attemptID)
+	if attempt == nil {
 		return
 	}
-	if a.held {
-		removed, begun, workDone := w.servers[a.server].Cancel(w.now, attemptID)
+	if attempt.atServer {
+		removed, begun, workDone := w.servers[attempt.server].Cancel(w.now, attemptID)
 		if begun {
-			w.checker.AttemptExecuted(w.now, a.request, int(a.number))
+			w.checker.AttemptExecuted(w.now, attempt.request, int(attempt.number))
 		}
 		if removed {
-			w.counters.exit(w, a)
-			a.held = false
-			a.workDone = workDone
+			w.counters.exit(w, attempt)
+			attempt.atServer = false
+			attempt.workDone = workDone
 		}
-		w.scheduleServer(int(a.server))
+		w.scheduleServer(attempt.server)
 	}
-	w.releaseAttempt(attemptID, a)
+	w.releaseAttempt(attemptID, attempt)
 }
 
 // releaseAttempt deletes an attempt once neither side has it any more.
-func (w *World) releaseAttempt(attemptID uint64, a *attempt) {
-	if a.completed && !a.held && !a.outcomeSent && !a.inTransit {
+func (w *World) releaseAttempt(attemptID uint64, attempt *attemptState) {
+	if attempt.completed && !attempt.atServer && !attempt.outcomeSent && !attempt.inTransit {
 		w.attempts.Delete(attemptID)
 	}
 }
