--- a/internal/lab/simulation/balancers.go
+++ b/internal/lab/simulation/balancers.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"cmp"
 	"errors"
 	"fmt"
 	"slices"
@@ -13,16 +12,16 @@
 // errUnknownServer is the error of an action for a server that no endpoint list named.
 var errUnknownServer = errors.New("names a server that was in none of its lists")
 
-// notify puts an event into an instance's inbox; it is taken at the next tick.
-func (w *World) notify(i int, e Event) {
-	balancer := &w.balancers[i]
-	e.Balancer = i
-	balancer.inbox = append(balancer.inbox, e)
+// notify puts an event into a balancer's inbox; it is taken at the next tick.
+func (w *World) notify(index balancerIndex, event Event) {
+	balancer := &w.balancers[index]
+	event.Balancer = int(index)
+	balancer.inbox = append(balancer.inbox, event)
 	if balancer.queued {
 		return
 	}
 	balancer.queued = true
-	w.pending = append(w.pending, i)
+	w.pending = append(w.pending, index)
 	tick := w.realization.Tick
 	at := (w.now + tick - 1) / tick * tick
 	if at <= w.lastTurn {
@@ -30,7 +29,7 @@
 	}
 	if at < w.nextTurn {
 		w.nextTurn = at
-		w.events.plan(at, priorityTurn, eventTurn, 0, 0)
+		w.events.schedule(at, eventTurn, 0)
 	}
 }
 
@@ -58,12 +57,12 @@
 	}
 }
 
-// collectInboxes moves the events of all pending instances into the batch, in order of instances.
+// collectInboxes moves the events of all pending balancers into the batch, in order of balancers.
 func (w *World) collectInboxes() {
 	slices.Sort(w.pending)
 	w.batch = w.batch[:0]
-	for _, i := range w.pending {
-		balancer := &w.balancers[i]
+	for _, index := range w.pending {
+		balancer := &w.balancers[index]
 		w.batch = append(w.batch, balancer.inbox...)
 		balancer.inbox = balancer.inbox[:0]
 		balancer.queued = false
@@ -72,55 +71,70 @@
 }
 
 // perform does what a balancer asks for.
-func (w *World) perform(a *Action) {
-	if a.Balancer < 0 || a.Balancer >= len(w.balancers) || !w.balancers[a.Balancer].up {
-		w.err = fmt.Errorf("balancer %d acts, but does not run", a.Balancer)
+func (w *World) perform(action *Action) {
+	if action.Balancer < 0 || action.Balancer >= len(w.balancers) || !w.balancers[action.Balancer].up {
+		w.err = fmt.Errorf("balancer %d acts, but does not run", action.Balancer)
 		return
 	}
-	switch a.Kind {
+	switch action.Kind {
 	case ActionStartAttempt:
-		w.startAttempt(a)
+		w.startAttempt(action)
 	case ActionCancelAttempt:
-		w.cancelAttempt(a)
+		w.cancelAttempt(action)
 	case ActionReject:
-		w.finalAnswer(a, invariants.Rejected)
+		w.finalResponse(action, invariants.Rejected)
 	case ActionFail:
-		w.finalAnswer(a, invariants.Failed)
+		w.finalResponse(action, invariants.Failed)
 	case ActionHealthCheck:
-		w.startHealthCheck(a)
-	case ActionWatchEndpoints, ActionFetchEndpoints:
-		w.discovery.call(w, a.Balancer, a.Kind == ActionWatchEndpoints)
+		w.startHealthCheck(action)
+	case ActionWatchEndpoints:
+		w.discovery.call(w, balancerIndex(action.Balancer), watchChanges)
+	case ActionFetchEndpoints:
+		w.discovery.call(w, balancerIndex(action.Balancer), fetchList)
 	case ActionSetTimer:
-		w.setTimer(a)
+		w.setTimer(action)
 	case ActionCloseIdle:
-		w.closeIdle(a)
+		w.closeIdle(action)
 	}
 }
 
-func (w *World) setTimer(a *Action) {
-	if a.Delay < 0 {
-		w.err = fmt.Errorf("balancer %d: a timer of %v", a.Balancer, a.Delay)
+func (w *World) setTimer(action *Action) {
+	if action.Delay < 0 {
+		w.err = fmt.Errorf("balancer %d: a timer of %v", action.Balancer, action.Delay)
 		return
 	}
 	// It fires at a later tick, never in the turn that is being taken.
-	at := max(w.now+a.Delay, w.now+1)
-	epoch := w.balancers[a.Balancer].epoch
-	w.events.plan(at, priorityTimer, eventTimer, uint64(epoch)<<32|uint64(a.Token), int32(a.Balancer))
+	at := max(w.now+action.Delay, w.now+1)
+	epoch := w.balancers[action.Balancer].epoch
+	w.events.scheduleFor(at, eventTimer, uint64(epoch)<<32|uint64(action.Token), int32(action.Balancer))
 }
 
-// timerFires notifies an instance of a timer, unless the process that set it has ended. The ID is
+// timerFires notifies a balancer of a timer, unless the process that set it has ended. The ID is
 // the epoch of the process and the token.
-func (w *World) timerFires(i int, id uint64) {
-	balancer := &w.balancers[i]
+func (w *World) timerFires(index balancerIndex, id uint64) {
+	balancer := &w.balancers[index]
 	if balancer.up && uint32(id>>32) == balancer.epoch {
-		w.notify(i, Event{Kind: EventTimer, Token: uint32(id)})
+		w.notify(index, Event{Kind: EventTimer, Token: uint32(id)})
 	}
 }
 
-// startBalancer starts a balancer's process. The first one knows the full endpoint list, a later one
-// the list that its predecessor had.
-func (w *World) startBalancer(i int, first bool) {
-	balancer := &w.balancers[i]
+// startFirstProcess starts the first process of a balancer, which knows the full endpoint list.
+func (w *World) startFirstProcess(index balancerIndex) {
+	w.startProcess(index)
+	w.discovery.setFullList(w, index)
+	w.beginService(index)
+}
+
+// startNextProcess starts a process of a balancer after another one has ended. It knows the endpoint
+// list that its predecessor had last.
+func (w *World) startNextProcess(index balancerIndex) {
+	w.startProcess(index)
+	w.beginService(index)
+}
+
+// startProcess starts a process of a balancer, which has no endpoint list yet.
+func (w *World) startProcess(index balancerIndex) {
+	balancer := &w.balancers[index]
 	balancer.up = true
 	balancer.watching = w.realization.Discovery.Push
 	balancer.pollFailed = false
@@ -128,58 +142,66 @@
 	balancer.epoch++
 	settings := w.realization.Settings
 	settings.Zone = balancer.zone
-	seed := mix(w.realization.Seed ^ mix(uint64(i)<<20^uint64(balancer.epoch)+concernStart))
-	w.notify(i, Event{Kind: EventStart, Seed: seed, Settings: &settings})
-	if first {
-		w.discovery.setFullList(w, i)
-	}
-	w.checker.BalancerRestarted(i)
-	w.discovery.sendCached(w, i)
-	w.admit(i, true)
+	seed := mix(w.realization.Seed ^ mix(uint64(index)<<20^uint64(balancer.epoch)+concernStart))
+	w.notify(index, Event{Kind: EventStart, Seed: seed, Settings: &settings})
 }
 
-// admit has clients sent to an instance, or no longer.
-func (w *World) admit(i int, admitted bool) {
-	balancer := &w.balancers[i]
-	if balancer.admitted == admitted {
+// beginService hands the cached endpoint list to a new process and has clients sent to it.
+func (w *World) beginService(index balancerIndex) {
+	w.checker.BalancerRestarted(index)
+	w.discovery.sendCached(w, index)
+	w.admit(index)
+}
+
+// admit has clients sent to a balancer.
+func (w *World) admit(index balancerIndex) {
+	balancer := &w.balancers[index]
+	if balancer.admitted {
 		return
 	}
-	balancer.admitted = admitted
-	list := &w.admittedByZone[balancer.zone]
-	if admitted {
-		*list = append(*list, i)
-		slices.SortFunc(*list, cmp.Compare[int])
-	} else {
-		*list = slices.DeleteFunc(*list, func(j int) bool { return j == i })
+	balancer.admitted = true
+	admitted := &w.admittedByZone[balancer.zone]
+	*admitted = append(*admitted, index)
+	slices.Sort(*admitted)
+}
+
+// stopAdmitting has no more clients sent to a balancer.
+func (w *World) stopAdmitting(index balancerIndex) {
+	balancer := &w.balancers[index]
+	if !balancer.admitted {
+		return
 	}
+	balancer.admitted = false
+	admitted := &w.admittedByZone[balancer.zone]
+	*admitted = slices.DeleteFunc(*admitted, func(other balancerIndex) bool { return other == index })
 }
 
-// killBalancer ends a balancer's process at once: what it holds is lost to it, and its clients find
-// their connections broken.
-func (w *World) killBalancer(i int) {
-	balancer := &w.balancers[i]
+// killBalancer ends a balancer's process at once: what it has in flight is lost to it, and its clients
+// find their connections broken.
+func (w *World) killBalancer(index balancerIndex) {
+	balancer := &w.balancers[index]
 	if !balancer.up {
 		return
 	}
 	balancer.up = false
 	balancer.watching = false
 	balancer.inbox = balancer.inbox[:0]
-	w.notify(i, Event{Kind: EventStop})
-	for _, id := range w.requestsOf(i) {
+	w.notify(index, Event{Kind: EventStop})
+	for _, id := range w.requestsOf(index) {
 		w.loseRequest(id)
 	}
-	for s := range balancer.pools {
-		w.closeConnections(s, int(balancer.pools[s].open))
+	for server := range balancer.pools {
+		w.closeConnections(serverIndex(server), int(balancer.pools[server].open))
 	}
 	balancer.pools = nil
 	balancer.epoch++
 }
 
-// requestsOf lists the requests that an instance has received, in order.
-func (w *World) requestsOf(i int) []uint64 {
+// requestsOf lists the requests that a balancer has received, in order.
+func (w *World) requestsOf(index balancerIndex) []uint64 {
 	var ids []uint64
-	w.requests.Each(func(id uint64, r *request) {
-		if int(r.balancer) == i && r.received {
+	w.requests.Each(func(id uint64, request *requestState) {
+		if request.balancer == index && request.received {
 			ids = append(ids, id)
 		}
 	})
@@ -190,22 +212,22 @@
 // loseRequest ends a request whose balancer was killed: servers learn that nobody waits for its
 // attempts, and its client that the connection broke.
 func (w *World) loseRequest(id uint64) {
-	r := w.requests.Get(id)
-	for n := range int(r.attempts) {
-		attemptID := r.attemptIDs[n]
-		if a := w.attempts.Get(attemptID); a != nil && !a.completed {
-			a.completed = true
-			r.inflight--
-			w.checker.AttemptCompleted(id, n, false)
-			w.events.plan(w.now+a.delay, priorityMessage, eventCancelArrives, attemptID, 0)
+	request := w.requests.Get(id)
+	for attemptNumber := range int(request.attempts) {
+		attemptID := request.attemptIDs[attemptNumber]
+		if attempt := w.attempts.Get(attemptID); attempt != nil && !attempt.completed {
+			attempt.completed = true
+			request.inflight--
+			w.checker.AttemptCompleted(id, attemptNumber, invariants.NeverExecuted(false))
+			w.events.schedule(w.now+attempt.delay, eventCancelArrives, attemptID)
 		}
 	}
-	if !r.answered {
+	if !request.answered {
 		w.checker.RequestExcused(w.now, id)
-		r.answered, r.answeredAt = true, w.now
-		r.answer = invariants.Failed
-		r.balancerKilled = true
-		w.events.plan(w.now+w.realization.ClientDelay, priorityMessage, eventAnswerArrives, id, 0)
+		request.answered, request.answeredAt = true, w.now
+		request.result = invariants.Failed
+		request.balancerKilled = true
+		w.events.schedule(w.now+w.realization.ClientDelay, eventResponseArrives, id)
 	}
 	w.releaseRequest(id)
 }
--- a/internal/lab/simulation/bench_test.go
+++ b/internal/lab/simulation/bench_test.go
@@ -7,7 +7,7 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// BenchmarkDay plays days of several sizes at the same load for each server. It reports
+// BenchmarkWorld runs worlds of several sizes at the same load for each server. It reports
 // what a client's request costs, in the world and in the balancers' decisions.
 func BenchmarkWorld(b *testing.B) {
 	for _, size := range [][2]int{{4, 20}, {50, 200}, {500, 2000}} {
--- a/internal/lab/simulation/child.go
+++ b/internal/lab/simulation/child.go
@@ -11,12 +11,12 @@
 	"piernotch/internal/simprotocol"
 )
 
-// DefaultPatience is how long a child may take for one batch.
-const DefaultPatience = 30 * time.Second
+// DefaultBatchTimeout is how long a child may take for one batch.
+const DefaultBatchTimeout = 30 * time.Second
 
 const (
-	// endPatience is how long a child may take to end after its input was closed.
-	endPatience = 5 * time.Second
+	// endTimeout is how long a child may take to end after its input was closed.
+	endTimeout = 5 * time.Second
 	// stderrGrace is how long the last lines of a failed child are waited for.
 	stderrGrace = 20 * time.Millisecond
 	pipeBuffer  = 1 << 16 // bytes
@@ -37,7 +37,7 @@
 		text += ": " + e.Err.Error()
 	}
 	if e.Stderr != "" {
-		text += "; it said last:\n" + e.Stderr
+		text += "; the end of its standard error:\n" + e.Stderr
 	}
 	return text
 }
@@ -45,12 +45,12 @@
 // Unwrap returns the cause.
 func (e *ChildError) Unwrap() error { return e.Err }
 
-// Child hosts the instances in another program, over its standard input and output in the
-// simulator's protocol (package wire): another version of the module, built elsewhere. It is a Tier
+// Child hosts the balancers in another program, over its standard input and output in the
+// simulator's protocol (package simprotocol): another version of the decision module, built elsewhere. It is a Tier
 // for one goroutine.
 type Child struct {
-	// Patience is how long the program may take for one batch.
-	Patience time.Duration
+	// BatchTimeout is how long the program may take for one batch.
+	BatchTimeout time.Duration
 
 	realization *scenario.Realization
 	path        string
@@ -80,34 +80,34 @@
 // StartChild starts a program for a drawn scenario. The caller must call Close, which ends the
 // process and the goroutine that reads from it.
 func StartChild(realization *scenario.Realization, path string, args ...string) (*Child, error) {
-	c := &Child{
-		Patience:    DefaultPatience,
-		realization: realization,
-		path:        path,
-		cmd:         exec.Command(path, args...),
-		stderr:      &stderrTail{},
-		requests:    make(chan uint32),
-		replies:     make(chan childReply),
-		waited:      make(chan childExit, 1),
+	child := &Child{
+		BatchTimeout: DefaultBatchTimeout,
+		realization:  realization,
+		path:         path,
+		cmd:          exec.Command(path, args...),
+		stderr:       &stderrTail{},
+		requests:     make(chan uint32),
+		replies:      make(chan childReply),
+		waited:       make(chan childExit, 1),
 	}
-	stdin, err := c.cmd.StdinPipe()
+	stdin, err := child.cmd.StdinPipe()
 	if err != nil {
 		return nil, err
 	}
-	stdout, err := c.cmd.StdoutPipe()
+	stdout, err := child.cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	c.cmd.Stderr = c.stderr
-	if err := c.cmd.Start(); err != nil {
+	child.cmd.Stderr = child.stderr
+	if err := child.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	c.stdin = stdin
-	c.writer = bufio.NewWriterSize(stdin, pipeBuffer)
+	child.stdin = stdin
+	child.writer = bufio.NewWriterSize(stdin, pipeBuffer)
 	// The reader ends when Close closes requests, or with the first reply that cannot be read; then
 	// it waits for the process.
-	go c.readReplies(bufio.NewReaderSize(stdout, pipeBuffer), c.requests)
-	return c, nil
+	go child.readReplies(bufio.NewReaderSize(stdout, pipeBuffer), child.requests)
+	return child, nil
 }
 
 // readReplies reads one reply for each sequence number that it is sent.
@@ -141,7 +141,7 @@
 			return nil // it was killed, and the failure was returned
 		}
 		return exit.err
-	case <-time.After(endPatience):
+	case <-time.After(endTimeout):
 		_ = c.cmd.Process.Kill()
 		<-c.waited
 		return fmt.Errorf("%s did not end with its input", c.path)
@@ -164,20 +164,20 @@
 		}
 	}
 	c.seq++
-	deadline := time.NewTimer(c.Patience)
+	deadline := time.NewTimer(c.BatchTimeout)
 	defer deadline.Stop()
 	if err := c.writeBatch(now, deadline.C); err != nil {
 		return nil, err
 	}
 	c.requests <- c.seq
 	select {
-	case r := <-c.replies:
-		if r.err != nil {
-			return nil, c.fail("no usable reply", r.err)
+	case reply := <-c.replies:
+		if reply.err != nil {
+			return nil, c.fail("no usable reply", reply.err)
 		}
-		return c.translate(r.actions)
+		return c.translate(reply.actions)
 	case <-deadline.C:
-		err := c.fail(fmt.Sprintf("no reply within %v", c.Patience), nil)
+		err := c.fail(fmt.Sprintf("no reply within %v", c.BatchTimeout), nil)
 		<-c.replies // the pipe breaks with the process
 		return nil, err
 	}
@@ -198,10 +198,10 @@
 	select {
 	case err := <-written:
 		if err != nil {
-			return c.fail("it takes no more input", err)
+			return c.fail("it accepts no more input", err)
 		}
 		return nil
 	case <-deadline:
-		return c.fail(fmt.Sprintf("it did not read a batch within %v", c.Patience), nil)
+		return c.fail(fmt.Sprintf("it did not read a batch within %v", c.BatchTimeout), nil)
 	}
 }
--- a/internal/lab/simulation/child_frames.go
+++ b/internal/lab/simulation/child_frames.go
@@ -11,46 +11,74 @@
 var loadColumns = []string{"eps", "qps", "inflight"}
 
 // loadValues returns the values of an event's load report, or none.
-func loadValues(e *Event) []float32 {
-	if !e.HasLoad {
+func loadValues(event *Event) []float32 {
+	if !event.HasLoad {
 		return nil
 	}
-	return []float32{float32(e.Load.ErrorsPerSec), float32(e.Load.PerSec), float32(e.Load.Inflight)}
+	return []float32{float32(event.Load.ErrorsPerSec), float32(event.Load.PerSec), float32(event.Load.Inflight)}
 }
 
 // encode adds an event to the batch.
-func (c *Child) encode(e *Event) error {
-	balancer := uint32(e.Balancer)
-	switch e.Kind {
+func (c *Child) encode(event *Event) error {
+	balancer := simprotocol.BalancerNumber(event.Balancer)
+	switch event.Kind {
 	case EventStart:
-		settings, err := simprotocol.MarshalSettings(e.Settings, c.extraSettings(e.Balancer))
+		settings, err := simprotocol.MarshalSettings(event.Settings, c.extraSettings(balancer))
 		if err != nil {
 			return err
 		}
-		c.batch.Start(balancer, e.Seed, settings)
+		c.batch.Start(balancer, event.Seed, settings)
 	case EventStop:
 		c.batch.Stop(balancer)
 	case EventRequest:
-		r := &e.Request
-		c.batch.Request(balancer, uint64(r.ID), uint8(r.Class), uint16(r.Tenant), r.Key, simprotocol.Milliseconds(r.Deadline), r.CostHint, requestFlags(e))
+		c.encodeRequest(event)
 	case EventClientGone:
-		c.batch.ClientGone(balancer, uint64(e.ID))
+		c.batch.ClientGone(balancer, uint64(event.ID))
 	case EventAttemptCompleted:
-		o := &e.Outcome
-		c.batch.AttemptCompleted(balancer, uint64(o.ID), uint8(o.Attempt), uint32(o.Server), simprotocol.StatusCode(o.Status),
-			simprotocol.Milliseconds(o.Latency), o.Closed, loadValues(e)...)
+		c.encodeOutcome(event)
 	case EventHealthCheckCompleted:
-		c.batch.HealthCheckCompleted(balancer, uint32(e.Server), simprotocol.StatusCode(e.Status), simprotocol.Milliseconds(e.Latency), loadValues(e)...)
+		c.batch.HealthCheckCompleted(balancer, &simprotocol.HealthCheckEvent{
+			Server:    event.Server,
+			Status:    simprotocol.StatusCode(event.Status),
+			LatencyMS: simprotocol.Milliseconds(event.Latency),
+			Load:      loadValues(event),
+		})
 	case EventEndpointList:
-		c.encodeEndpoints(e)
+		c.encodeEndpoints(event)
 	case EventTimer:
-		c.batch.TimerFired(balancer, e.Token)
+		c.batch.TimerFired(balancer, event.Token)
 	}
 	return nil
 }
 
+func (c *Child) encodeRequest(event *Event) {
+	request := &event.Request
+	c.batch.Request(simprotocol.BalancerNumber(event.Balancer), &simprotocol.RequestEvent{
+		ID:         uint64(request.ID),
+		Class:      uint8(request.Class),
+		Tenant:     uint16(request.Tenant),
+		Key:        request.Key,
+		DeadlineMS: simprotocol.Milliseconds(request.Deadline),
+		CostHintMS: request.CostHint,
+		Flags:      requestFlags(event),
+	})
+}
+
+func (c *Child) encodeOutcome(event *Event) {
+	outcome := &event.Outcome
+	c.batch.AttemptCompleted(simprotocol.BalancerNumber(event.Balancer), &simprotocol.AttemptEvent{
+		ID:            uint64(outcome.ID),
+		AttemptNumber: uint8(outcome.Attempt),
+		Server:        outcome.Server,
+		Status:        simprotocol.StatusCode(outcome.Status),
+		LatencyMS:     simprotocol.Milliseconds(outcome.Latency),
+		Closed:        outcome.Closed,
+		Load:          loadValues(event),
+	})
+}
+
 // extraSettings is what a start event holds beyond the module's settings.
-func (c *Child) extraSettings(balancer int) simprotocol.ExtraSettings {
+func (c *Child) extraSettings(balancer simprotocol.BalancerNumber) simprotocol.ExtraSettings {
 	rules := &c.realization.Rules
 	extra := simprotocol.ExtraSettings{
 		Balancer:     balancer,
@@ -62,7 +90,7 @@
 		FallMS:       simprotocol.Milliseconds(rules.Collapse.For),
 		WeightBy:     "request",
 		Columns:      loadColumns,
-		MachineTypes: c.realization.KindNames(),
+		ServerKinds:  c.realization.KindNames(),
 	}
 	if c.realization.Score.ByWork {
 		extra.WeightBy = "work"
@@ -70,31 +98,31 @@
 	return extra
 }
 
-func requestFlags(e *Event) uint8 {
+func requestFlags(event *Event) uint8 {
 	flags := uint8(0)
-	if e.Request.CostHint > 0 {
+	if event.Request.CostHint > 0 {
 		flags |= simprotocol.FlagCostHint
 	}
-	if e.Retry {
+	if event.Retry {
 		flags |= simprotocol.FlagRetry
 	}
 	return flags
 }
 
-func (c *Child) encodeEndpoints(e *Event) {
+func (c *Child) encodeEndpoints(event *Event) {
 	c.entries = c.entries[:0]
-	for i, entry := range e.Entries {
+	for i, entry := range event.Entries {
 		c.entries = append(c.entries, simprotocol.EndpointEntry{
-			Server:      uint32(entry.ID),
+			Server:      entry.ID,
 			Zone:        uint8(entry.Zone),
-			Kind:        uint8(e.MachineKinds[i]),
+			Kind:        uint8(event.ServerKinds[i]),
 			Cell:        uint16(entry.Cell),
 			State:       simprotocol.StateCode(entry.State),
 			Size:        entry.Size,
 			StartedAtMS: simprotocol.Milliseconds(entry.StartedAt),
 		})
 	}
-	c.batch.EndpointList(uint32(e.Balancer), simprotocol.ListKindCode(e.ListKind), e.Version, c.entries)
+	c.batch.EndpointList(simprotocol.BalancerNumber(event.Balancer), simprotocol.ListKindCode(event.ListKind), event.Version, c.entries)
 }
 
 // actionKinds maps the wire's actions to those of a Tier. Others are not performed.
@@ -114,18 +142,18 @@
 func (c *Child) translate(reply []simprotocol.Action) ([]Action, error) {
 	c.actions = c.actions[:0]
 	for i := range reply {
-		in := &reply[i]
-		if in.Code == simprotocol.ActionReportFault {
-			return nil, c.fail(fmt.Sprintf("balancer %d reports a fault: %s", in.Balancer, in.Text), nil)
+		action := &reply[i]
+		if action.Code == simprotocol.ActionReportFault {
+			return nil, c.fail(fmt.Sprintf("balancer %d reports a fault: %s", action.Balancer, action.Text), nil)
 		}
-		kind, known := actionKinds[in.Code]
-		endsWatch := in.Code == simprotocol.ActionWatchEndpoints && !in.On
+		kind, known := actionKinds[action.Code]
+		endsWatch := action.Code == simprotocol.ActionWatchEndpoints && !action.On
 		if !known || endsWatch {
 			continue
 		}
 		c.actions = append(c.actions, Action{
-			Kind: kind, Balancer: int(in.Balancer), ID: piernotch.RequestID(in.ID), Server: piernotch.ServerID(in.Server),
-			Attempt: int(in.Attempt), Delay: simprotocol.Duration(in.DurationMS), Token: in.Token,
+			Kind: kind, Balancer: int(action.Balancer), ID: piernotch.RequestID(action.ID), Server: action.Server,
+			Attempt: int(action.AttemptNumber), Delay: simprotocol.Duration(action.DurationMS), Token: action.Token,
 		})
 	}
 	return c.actions, nil
--- a/internal/lab/simulation/child_test.go
+++ b/internal/lab/simulation/child_test.go
@@ -21,7 +21,7 @@
 	return path
 }
 
-func runChild(t *testing.T, path string, patience time.Duration, args ...string) (*Result, error) {
+func runChild(t *testing.T, path string, timeout time.Duration, args ...string) (*Result, error) {
 	t.Helper()
 	s, err := scenario.Load("felt-quake")
 	require.NoError(t, err)
@@ -29,7 +29,7 @@
 	require.NoError(t, err)
 	c, err := StartChild(d, path, args...)
 	require.NoError(t, err)
-	c.Patience = patience
+	c.BatchTimeout = timeout
 	w, err := New(d, c)
 	require.NoError(t, err)
 	r, err := w.Run()
@@ -41,7 +41,7 @@
 }
 
 func TestChildGivesSameResultAsInProcess(t *testing.T) {
-	got, err := runChild(t, buildAdapter(t), DefaultPatience)
+	got, err := runChild(t, buildAdapter(t), DefaultBatchTimeout)
 	require.NoError(t, err)
 	want := run(t, NewInProcess(), "felt-quake", 2)
 	require.Equal(t, want.Digest, got.Digest)
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -5,13 +5,22 @@
 	"time"
 
 	"piernotch"
+	"piernotch/internal/lab/goodput"
 	"piernotch/internal/lab/invariants"
 	"piernotch/internal/lab/scenario"
 )
 
-// overdueAfter is when a balancer that has not answered is notified that nobody waits any more. The
-// rule is broken long before.
-const overdueAfter = time.Second
+// responseGrace is how long after the deadline a balancer that has not answered is notified that nobody
+// waits any more. The rule is violated long before.
+const responseGrace = time.Second
+
+// reachedBalancer says whether a balancer may have received a request that has ended for its client.
+type reachedBalancer bool
+
+const (
+	balancerReached   reachedBalancer = true
+	balancerUnreached reachedBalancer = false
+)
 
 // sendRequest has a client send its request, for the first time or again.
 func (w *World) sendRequest(clientID uint64) {
@@ -20,198 +29,200 @@
 		return
 	}
 	w.lastRequest++
-	id := w.lastRequest
-	n := client.sends
-	client.sends++
+	requestID := w.lastRequest
+	retry := client.attemptsSent
+	client.attemptsSent++
 	class := &w.realization.Classes[client.class]
 	wait := time.Duration(float64(class.Deadline) * w.realization.Clients.AttemptTimeoutShare).Round(time.Microsecond)
-	key := mix(client.randomKey + uint64(n))
-	r := w.requests.Put(id)
-	*r = request{client: clientID, retry: int8(min(n, 100)), deadline: min(w.now+wait, client.deadline)}
+	key := mix(client.randomKey + uint64(retry))
+	request := w.requests.Put(requestID)
+	*request = requestState{client: clientID, retry: int8(min(retry, 100)), deadline: min(w.now+wait, client.deadline)}
 	w.counters.Requests++
 	balancer := w.chooseBalancer(client.zone, key)
 	delay := w.networkDelay(w.realization.ClientDelay, key, concernClientDelay)
-	r.balancer = int32(balancer)
-	if balancer < 0 {
-		w.events.plan(w.now+2*delay, priorityMessage, eventUnreachable, id, 0)
+	request.balancer = balancer
+	if balancer == noBalancer {
+		w.events.schedule(w.now+2*delay, eventUnreachable, requestID)
 		return
 	}
-	w.events.plan(w.now+delay, priorityArrival, eventRequestArrives, id, 0)
-	w.events.plan(r.deadline, priorityTimeout, eventRequestDeadline, id, 0)
-	if client.patienceDraw < w.realization.Clients.EarlyDisconnectShare {
-		part := w.randFor(key, concernLeave).Float64()
-		leaves := w.now + time.Duration(part*float64(r.deadline-w.now))
-		w.events.plan(leaves, priorityTimeout, eventClientLeaves, id, 0)
+	w.events.schedule(w.now+delay, eventRequestArrives, requestID)
+	w.events.schedule(request.deadline, eventRequestDeadline, requestID)
+	if client.disconnectDraw < w.realization.Clients.EarlyDisconnectShare {
+		part := w.randFor(key, concernDisconnect).Float64()
+		disconnectsAt := w.now + time.Duration(part*float64(request.deadline-w.now))
+		w.events.schedule(disconnectsAt, eventClientDisconnects, requestID)
 	}
 }
 
-// chooseBalancer is the load balancing in front of the balancers: one of the zone's instances by
-// chance, or of any zone where it has none. It returns -1 if there is none at all.
-func (w *World) chooseBalancer(zone int, key uint64) int {
-	list := w.admittedByZone[zone]
-	u := w.randFor(key, concernBalancer).Float64()
-	if len(list) > 0 {
-		return list[int(u*float64(len(list)))]
+// chooseBalancer is the load balancing in front of the balancers: one of the zone's balancers by
+// chance, or of any zone where it has none. It returns noBalancer if there is none at all.
+func (w *World) chooseBalancer(zone int, key uint64) balancerIndex {
+	admittedInZone := w.admittedByZone[zone]
+	draw := w.randFor(key, concernBalancer).Float64()
+	if len(admittedInZone) > 0 {
+		return admittedInZone[int(draw*float64(len(admittedInZone)))]
 	}
 	total := 0
-	for _, l := range w.admittedByZone {
-		total += len(l)
+	for _, admitted := range w.admittedByZone {
+		total += len(admitted)
 	}
 	if total == 0 {
-		return -1
+		return noBalancer
 	}
-	at := int(u * float64(total))
-	for _, l := range w.admittedByZone {
-		if at < len(l) {
-			return l[at]
+	position := int(draw * float64(total))
+	for _, admitted := range w.admittedByZone {
+		if position < len(admitted) {
+			return admitted[position]
 		}
-		at -= len(l)
+		position -= len(admitted)
 	}
-	return -1 // not reached: at is below the total
+	return noBalancer // not reached: the position is below the total
 }
 
 // requestArrives brings a request to its balancer.
 func (w *World) requestArrives(id uint64) {
-	r := w.requests.Get(id)
-	if r == nil {
+	request := w.requests.Get(id)
+	if request == nil {
 		return
 	}
-	client := w.clientRequests.Get(r.client)
-	if !w.balancers[r.balancer].up || client == nil {
-		w.events.plan(w.now+w.realization.ClientDelay, priorityMessage, eventUnreachable, id, 0)
+	client := w.clientRequests.Get(request.client)
+	if !w.balancers[request.balancer].up || client == nil {
+		w.events.schedule(w.now+w.realization.ClientDelay, eventUnreachable, id)
 		return
 	}
-	r.received = true
-	w.checker.RequestReceived(w.now, int(r.balancer), id, client.class, r.deadline)
-	w.notify(int(r.balancer), Event{
+	request.received = true
+	w.checker.RequestReceived(invariants.ReceivedRequest{
+		At: w.now, Balancer: request.balancer, ID: id, Class: client.class, Deadline: request.deadline,
+	})
+	w.notify(request.balancer, Event{
 		Kind:  EventRequest,
-		Retry: r.retry > 0 && w.realization.Clients.MarksRetry,
+		Retry: request.retry > 0 && w.realization.Clients.MarksRetry,
 		Request: piernotch.Request{
-			ID: piernotch.RequestID(id), Class: client.class, Key: client.key, Deadline: r.deadline, CostHint: client.costHint,
+			ID: piernotch.RequestID(id), Class: client.class, Key: client.key, Deadline: request.deadline, CostHint: client.costHint,
 		},
 	})
 }
 
-// finalAnswer takes a balancer's rejection or failure of a request. One for a request that is over
+// finalResponse takes a balancer's rejection or failure of a request. One for a request that is over
 // is ignored.
-func (w *World) finalAnswer(action *Action, answer invariants.Result) {
-	r := w.requests.Get(uint64(action.ID))
-	if r == nil || r.answered || int(r.balancer) != action.Balancer {
+func (w *World) finalResponse(action *Action, result invariants.Result) {
+	request := w.requests.Get(uint64(action.ID))
+	if request == nil || request.answered || request.balancer != balancerIndex(action.Balancer) {
 		return
 	}
-	r.retryAfter = action.Delay
-	r.answeredByBalancer = true
-	w.answer(uint64(action.ID), r, answer)
+	request.retryAfter = action.Delay
+	request.answeredByBalancer = true
+	w.respondToClient(uint64(action.ID), request, result)
 }
 
-// answer sends a final answer on its way to the client.
-func (w *World) answer(id uint64, r *request, answer invariants.Result) {
-	w.checker.RequestAnswered(w.now, id, answer)
-	r.answered = true
-	r.answeredAt = w.now
-	r.answer = answer
+// respondToClient sends a final response on its way to the client.
+func (w *World) respondToClient(id uint64, request *requestState, result invariants.Result) {
+	w.checker.RequestAnswered(w.now, id, result)
+	request.answered = true
+	request.answeredAt = w.now
+	request.result = result
 	delay := w.networkDelay(w.realization.ClientDelay, mix(id), concernClientDelay)
-	w.events.plan(w.now+delay, priorityMessage, eventAnswerArrives, id, 0)
+	w.events.schedule(w.now+delay, eventResponseArrives, id)
 }
 
-// answerArrives brings a final answer to the client.
-func (w *World) answerArrives(id uint64) {
-	r := w.requests.Get(id)
-	if r == nil || r.clientDone {
+// responseArrives brings a final response to the client.
+func (w *World) responseArrives(id uint64) {
+	request := w.requests.Get(id)
+	if request == nil || request.clientDone {
 		return
 	}
-	r.clientDone = true
-	w.clientDecides(r, r.answer, r.balancerKilled)
+	request.clientDone = true
+	w.clientDecides(request, request.result, reachedBalancer(!request.balancerKilled))
 	w.releaseRequest(id)
 }
 
 // unreachable has a client find that no balancer receives its request.
 func (w *World) unreachable(id uint64) {
-	r := w.requests.Get(id)
-	if r == nil || r.clientDone {
+	request := w.requests.Get(id)
+	if request == nil || request.clientDone {
 		return
 	}
-	r.answered = true
-	r.answeredAt = w.now
-	r.clientDone = true
-	r.expired = r.expired || r.balancer < 0
+	request.answered = true
+	request.answeredAt = w.now
+	request.clientDone = true
+	request.expired = request.expired || request.balancer == noBalancer
 	w.counters.Unreachable++
-	w.clientDecides(r, invariants.Failed, true)
+	w.clientDecides(request, invariants.Failed, balancerUnreached)
 	w.releaseRequest(id)
 }
 
 // requestExpires ends a client's wait for one request.
 func (w *World) requestExpires(id uint64) {
-	r := w.requests.Get(id)
-	if r == nil {
+	request := w.requests.Get(id)
+	if request == nil {
 		return
 	}
-	r.expired = true
-	if r.received && !r.answered {
-		w.events.plan(w.now+overdueAfter, priorityTimeout, eventAnswerOverdue, id, 0)
+	request.expired = true
+	if request.received && !request.answered {
+		w.events.schedule(w.now+responseGrace, eventResponseOverdue, id)
 	}
-	if !r.clientDone {
-		r.clientDone = true
+	if !request.clientDone {
+		request.clientDone = true
 		w.counters.TimedOut++
-		w.clientDecides(r, invariants.Failed, false)
+		w.clientDecides(request, invariants.Failed, balancerReached)
 	}
 	w.releaseRequest(id)
 }
 
-// answerOverdue gives up on a balancer that has not answered.
-func (w *World) answerOverdue(id uint64) {
-	r := w.requests.Get(id)
-	if r == nil || r.answered {
+// responseOverdue gives up on a balancer that has not answered.
+func (w *World) responseOverdue(id uint64) {
+	request := w.requests.Get(id)
+	if request == nil || request.answered {
 		return
 	}
 	w.checker.CheckOverdue(w.now)
-	r.answered = true
-	r.answeredAt = w.now
-	w.notify(int(r.balancer), Event{Kind: EventClientGone, ID: piernotch.RequestID(id)})
+	request.answered = true
+	request.answeredAt = w.now
+	w.notify(request.balancer, Event{Kind: EventClientGone, ID: piernotch.RequestID(id)})
 	w.releaseRequest(id)
 }
 
-// clientLeaves has a client close its connection before its deadline.
-func (w *World) clientLeaves(id uint64) {
-	r := w.requests.Get(id)
-	if r == nil || r.clientDone || r.answered || !r.received {
+// clientDisconnects has a client close its connection before its deadline.
+func (w *World) clientDisconnects(id uint64) {
+	request := w.requests.Get(id)
+	if request == nil || request.clientDone || request.answered || !request.received {
 		return
 	}
-	r.clientDone = true
-	r.answered = true
-	r.answeredAt = w.now
-	w.counters.Left++
+	request.clientDone = true
+	request.answered = true
+	request.answeredAt = w.now
+	w.counters.Disconnected++
 	w.checker.RequestExcused(w.now, id)
-	w.notify(int(r.balancer), Event{Kind: EventClientGone, ID: piernotch.RequestID(id)})
-	w.finishClientRequest(r.client, false)
+	w.notify(request.balancer, Event{Kind: EventClientGone, ID: piernotch.RequestID(id)})
+	w.clientGivesUp(request.client)
 	w.releaseRequest(id)
 }
 
 // clientDecides has a client act on how a request ended: it is done, retries after a backoff, or
 // gives up.
-func (w *World) clientDecides(r *request, answer invariants.Result, unreached bool) {
-	clientID := r.client
+func (w *World) clientDecides(request *requestState, result invariants.Result, reached reachedBalancer) {
+	clientID := request.client
 	client := w.clientRequests.Get(clientID)
 	if client == nil {
 		return
 	}
-	if answer == invariants.Served {
-		w.finishClientRequest(clientID, true)
+	if result == invariants.Served {
+		w.clientServed(clientID)
 		return
 	}
-	w.counters.goodput.SendingUnserved(client.firstSent, answer == invariants.Rejected)
-	neverExecuted := answer == invariants.Rejected || unreached
+	w.counters.goodput.AttemptUnserved(client.firstSent, result == invariants.Rejected)
+	neverExecuted := result == invariants.Rejected || reached == balancerUnreached
 	retryable := neverExecuted || w.mayRepeat(client, &w.realization.Classes[client.class])
-	if !retryable || client.sends > client.maxRetries {
-		w.finishClientRequest(clientID, false)
+	if !retryable || client.attemptsSent > client.maxRetries {
+		w.clientGivesUp(clientID)
 		return
 	}
-	backoff := w.backoff(client, r.retryAfter)
+	backoff := w.backoff(client, request.retryAfter)
 	if w.now+backoff >= client.deadline {
-		w.finishClientRequest(clientID, false)
+		w.clientGivesUp(clientID)
 		return
 	}
-	w.events.plan(w.now+backoff, priorityArrival, eventClientRetry, clientID, 0)
+	w.events.schedule(w.now+backoff, eventClientRetry, clientID)
 }
 
 // mayRepeat reports whether a client may repeat what may have been executed.
@@ -228,8 +239,8 @@
 // backoff is how long a client waits before its next retry, in whole microseconds: exponential with
 // jitter, and not below the Retry-After that it honours.
 func (w *World) backoff(client *clientRequest, retryAfter time.Duration) time.Duration {
-	random := w.randFor(mix(client.randomKey+uint64(client.sends)), concernBackoff)
-	wait := time.Duration(float64(w.realization.Clients.Backoff) * math.Exp2(float64(client.sends-1)) * (0.5 + random.Float64()))
+	random := w.randFor(mix(client.randomKey+uint64(client.attemptsSent)), concernBackoff)
+	wait := time.Duration(float64(w.realization.Clients.Backoff) * math.Exp2(float64(client.attemptsSent-1)) * (0.5 + random.Float64()))
 	advised := retryAfter > 0 && w.realization.Settings.Limits.RetryAfter
 	if advised && random.Float64() < w.realization.Clients.RetryAfterShare {
 		wait = max(wait, min(retryAfter, w.realization.Settings.Limits.MaxRetryAfter))
@@ -237,18 +248,23 @@
 	return wait / time.Microsecond * time.Microsecond
 }
 
-// finishClientRequest ends what a client wanted, unless it has ended already.
-func (w *World) finishClientRequest(id uint64, served bool) {
+// clientServed ends what a client wanted with a served response, unless it has ended already.
+func (w *World) clientServed(id uint64) { w.finishClientRequest(id, goodput.Served) }
+
+// clientGivesUp ends what a client wanted without one, unless it has ended already.
+func (w *World) clientGivesUp(id uint64) { w.finishClientRequest(id, goodput.Unserved) }
+
+func (w *World) finishClientRequest(id uint64, end goodput.End) {
 	if client := w.clientRequests.Get(id); client != nil {
-		w.counters.finish(w, client, served)
+		w.counters.finish(w, client, end)
 		w.clientRequests.Delete(id)
 	}
 }
 
 // releaseRequest deletes a request once client, balancer and servers are done with it.
 func (w *World) releaseRequest(id uint64) {
-	r := w.requests.Get(id)
-	if r != nil && r.clientDone && r.answered && r.expired && r.inflight == 0 {
+	request := w.requests.Get(id)
+	if request != nil && request.clientDone && request.answered && request.expired && request.inflight == 0 {
 		w.requests.Delete(id)
 	}
 }
--- a/internal/lab/simulation/counters.go
+++ b/internal/lab/simulation/counters.go
@@ -22,7 +22,7 @@
 // counters counts what a World does.
 type counters struct {
 	Events           int
-	Requests         int // sendings by clients
+	Requests         int // attempts of clients
 	Attempts         int
 	FirstAttempts    int
 	CrossZone        int // attempts to another zone
@@ -33,7 +33,7 @@
 	Collapses        int
 	Unreachable      int // requests that reached no balancer
 	TimedOut         int // requests whose client waited no longer
-	Left             int // requests whose client left early
+	Disconnected     int // requests whose client disconnected early
 	ListFailed       int // calls to discovery that timed out
 	Outcomes         [piernotch.NotSent + 1]int
 	ServedWork       float64       // ms
@@ -43,28 +43,30 @@
 	digest  uint64 // of what clients got, and when
 
 	// For Little's law.
-	held           int           // attempts that servers hold
-	since          time.Duration // until when heldSeconds is counted
-	heldSeconds    float64       // integral of held over time, s
-	sojournSeconds float64       // sum over attempts of the time at their server, s
-	accepted       int
+	inflight        int           // attempts at servers
+	since           time.Duration // until when inflightSeconds is counted
+	inflightSeconds float64       // integral of inflight over time, s
+	sojournSeconds  float64       // sum over attempts of the time at their server, s
+	accepted        int
 
 	tracks []ServerTrack
 }
 
-func (c *counters) init(d *scenario.Realization) { c.goodput = goodput.New(d) }
+func (c *counters) init(realization *scenario.Realization) { c.goodput = goodput.New(realization) }
 
 // finish counts a client's request that is over.
-func (c *counters) finish(w *World, client *clientRequest, served bool) {
+func (c *counters) finish(w *World, client *clientRequest, end goodput.End) {
 	took := w.now - client.firstSent
-	earned := c.goodput.RequestFinished(client.firstSent, took, client.class, client.work, client.sends, served)
+	earned := c.goodput.RequestFinished(goodput.FinishedRequest{
+		First: client.firstSent, Took: took, Class: client.class, Work: client.work, ClientAttempts: client.attemptsSent, End: end,
+	})
 	c.digest = mix(c.digest^mix(client.randomKey^uint64(took)<<1)) + math.Float64bits(earned)
 }
 
-// attemptStarted counts attempt n of a request.
-func (c *counters) attemptStarted(n int, crossZone bool) {
+// attemptStarted counts an attempt of a request.
+func (c *counters) attemptStarted(attemptNumber int, crossZone bool) {
 	c.Attempts++
-	if n == 0 {
+	if attemptNumber == 0 {
 		c.FirstAttempts++
 	}
 	if crossZone {
@@ -75,20 +77,20 @@
 // enter counts an attempt that a server accepted.
 func (c *counters) enter(w *World) {
 	c.advance(w.now)
-	c.held++
+	c.inflight++
 	c.accepted++
 }
 
 // exit counts an attempt that a server is done with.
-func (c *counters) exit(w *World, a *attempt) {
+func (c *counters) exit(w *World, attempt *attemptState) {
 	c.advance(w.now)
-	c.held--
-	c.sojournSeconds += (w.now - a.arrivesAt).Seconds()
+	c.inflight--
+	c.sojournSeconds += (w.now - attempt.arrivesAt).Seconds()
 }
 
-// advance integrates the number of held attempts up to now.
+// advance integrates the number of attempts at servers up to now.
 func (c *counters) advance(now time.Duration) {
-	c.heldSeconds += float64(c.held) * (now - c.since).Seconds()
+	c.inflightSeconds += float64(c.inflight) * (now - c.since).Seconds()
 	c.since = now
 }
 
@@ -111,16 +113,16 @@
 			state = sampleSlowStart
 		}
 		track.Busy = append(track.Busy, float32(math.Round(1000*server.Busy())/1000))
-		track.Holds = append(track.Holds, int16(min(server.Held(), math.MaxInt16)))
+		track.Inflight = append(track.Inflight, int16(min(server.Inflight(), math.MaxInt16)))
 		track.State = append(track.State, state)
 	}
 }
 
 // chooseTracks picks the servers to sample.
 func (c *counters) chooseTracks(w *World) {
-	n := len(w.servers)
-	step := max((n+maxTracks-1)/maxTracks, 1)
-	for i := 0; i < n; i += step {
+	count := len(w.servers)
+	step := max((count+maxTracks-1)/maxTracks, 1)
+	for i := 0; i < count; i += step {
 		spec := &w.servers[i].spec
 		c.tracks = append(c.tracks, ServerTrack{Server: i, Kind: spec.Kind.Name, Zone: spec.Zone})
 	}
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -16,9 +16,9 @@
 	unpublished []int         // notices that are learned of and not published yet
 	version     uint64        // of the list
 	busyUntil   time.Duration // with the calls taken so far
-	outages     int           // in force
+	outages     int           // that go on
 	noticeDelay time.Duration // by which faults delay notices further
-	phase       time.Duration // of the period of publishing
+	phase       time.Duration // of the interval of publishing
 }
 
 // listEntry is one server as listed.
@@ -32,19 +32,19 @@
 
 // notice is a change of a server that discovery learns of after a while.
 type notice struct {
-	server    int
-	seq       int // among the notices of this server
+	server    serverIndex
+	number    int // among the notices of this server, from 1
 	state     piernotch.State
 	startedAt time.Duration
 }
 
-// Kinds of deliveries to an instance: answers to calls and pushes of changes. In the ID of a
-// planned event, the instance's epoch stands above the kind, from bit 8 on.
+// Kinds of deliveries to a balancer: responses to calls, and pushes of changes. In the ID of a
+// scheduled event, the epoch of the balancer's process stands above the kind, from bit 8 on.
 const (
 	pushChanges uint64 = iota
-	answerWatch
-	answerFetch
-	answerFailed
+	watchResponse
+	fetchResponse
+	callFailed
 )
 
 // init lists all servers as ready.
@@ -58,48 +58,49 @@
 }
 
 // serverChanged notes a server's new state; discovery learns of it after a while.
-func (d *discovery) serverChanged(w *World, s int, state piernotch.State, after time.Duration) {
-	server := &w.servers[s]
+func (d *discovery) serverChanged(w *World, index serverIndex, state piernotch.State, after time.Duration) {
+	server := &w.servers[index]
 	server.noticeCount++
-	n := notice{server: s, seq: server.noticeCount, state: state, startedAt: server.Started()}
+	change := notice{server: index, number: server.noticeCount, state: state, startedAt: server.Started()}
 	if state == piernotch.Ready {
 		after += d.noticeDelay / 2
 	} else {
 		after += d.noticeDelay
 	}
-	d.notices = append(d.notices, n)
-	w.events.plan(w.now+after, priorityFault, eventDiscoveryNotice, uint64(len(d.notices)-1), 0)
+	d.notices = append(d.notices, change)
+	w.events.schedule(w.now+after, eventDiscoveryNotice, uint64(len(d.notices)-1))
 }
 
 // learn has discovery learn of a change; it is published at the next period.
-func (d *discovery) learn(w *World, i int) {
-	d.unpublished = append(d.unpublished, i)
+func (d *discovery) learn(w *World, noticeNumber int) {
+	d.unpublished = append(d.unpublished, noticeNumber)
 	if len(d.unpublished) > 1 {
 		return
 	}
 	at := w.now
-	if p := w.realization.Discovery.PublishInterval; p > 0 {
-		at = (w.now-d.phase+p-1)/p*p + d.phase
+	if interval := w.realization.Discovery.PublishInterval; interval > 0 {
+		at = (w.now-d.phase+interval-1)/interval*interval + d.phase
 	}
-	w.events.plan(max(at, w.now), priorityFault, eventDiscoveryPublish, 0, 0)
+	w.events.schedule(max(at, w.now), eventDiscoveryPublish, 0)
 }
 
 // publish makes a new version of the list and pushes it to the watchers.
 func (d *discovery) publish(w *World) {
 	d.version++
 	changed := false
-	for _, i := range d.unpublished {
-		n := d.notices[i]
-		outdated := n.seq < w.servers[n.server].noticeCount && n.state != piernotch.Ready
-		if outdated && d.supersededByStart(n) {
+	for _, noticeNumber := range d.unpublished {
+		change := d.notices[noticeNumber]
+		outdated := change.number < w.servers[change.server].noticeCount && change.state != piernotch.Ready
+		if outdated && d.supersededByStart(change) {
 			continue
 		}
-		entry := &d.entries[n.server]
-		was := *entry
-		entry.present = n.state != piernotch.Gone
-		entry.state = n.state
-		entry.startedAt = n.startedAt
-		if was.present == entry.present && was.state == entry.state && was.startedAt == entry.startedAt {
+		entry := &d.entries[change.server]
+		previous := *entry
+		entry.present = change.state != piernotch.Gone
+		entry.state = change.state
+		entry.startedAt = change.startedAt
+		unchanged := previous.present == entry.present && previous.state == entry.state && previous.startedAt == entry.startedAt
+		if unchanged {
 			continue
 		}
 		entry.changedIn, entry.changedAt = d.version, w.now
@@ -116,11 +117,11 @@
 // drain stay as they are listed.
 func (d *discovery) listWrongly(w *World, servers []int, state piernotch.State) {
 	d.version++
-	for _, s := range servers {
-		if server := &w.servers[s]; server.State() != servermodel.Up {
+	for _, index := range servers {
+		if server := &w.servers[index]; server.State() != servermodel.Up {
 			continue
 		}
-		entry := &d.entries[s]
+		entry := &d.entries[index]
 		entry.present = state != piernotch.Gone
 		entry.state = state
 		entry.changedIn, entry.changedAt = d.version, w.now
@@ -129,52 +130,53 @@
 }
 
 // supersededByStart reports whether a later start of the server is listed than the notice is of.
-func (d *discovery) supersededByStart(n notice) bool {
-	entry := &d.entries[n.server]
-	return entry.state == piernotch.Ready && entry.startedAt > n.startedAt
+func (d *discovery) supersededByStart(change notice) bool {
+	entry := &d.entries[change.server]
+	return entry.state == piernotch.Ready && entry.startedAt > change.startedAt
 }
 
 // endpoint is a server as it is listed.
-func (d *discovery) endpoint(w *World, s int) piernotch.Endpoint {
-	entry, server := &d.entries[s], &w.servers[s]
+func (d *discovery) endpoint(w *World, index serverIndex) piernotch.Endpoint {
+	entry, server := &d.entries[index], &w.servers[index]
 	return piernotch.Endpoint{
 		ID: server.id, Zone: server.spec.Zone, Cell: server.spec.Cell, State: entry.state, Size: server.spec.Size, StartedAt: entry.startedAt,
 	}
 }
 
 // changedSince lists the servers that changed after a version of the list.
-func (d *discovery) changedSince(version uint64) []int {
-	var servers []int
-	for s := range d.entries {
-		if d.entries[s].changedIn > version {
-			servers = append(servers, s)
+func (d *discovery) changedSince(version uint64) []serverIndex {
+	var servers []serverIndex
+	for index := range d.entries {
+		if d.entries[index].changedIn > version {
+			servers = append(servers, serverIndex(index))
 		}
 	}
 	return servers
 }
 
 // presentServers lists every server that is on the list.
-func (d *discovery) presentServers() []int {
-	var servers []int
-	for s := range d.entries {
-		if d.entries[s].present {
-			servers = append(servers, s)
+func (d *discovery) presentServers() []serverIndex {
+	var servers []serverIndex
+	for index := range d.entries {
+		if d.entries[index].present {
+			servers = append(servers, serverIndex(index))
 		}
 	}
 	return servers
 }
 
-// outage begins or ends an outage; several may overlap. It ends all watches, and calls fail.
-func (d *discovery) outage(w *World, begins bool) {
-	if !begins {
-		d.outages--
-		return
-	}
+// beginOutage begins an outage; several may overlap. It ends all watches, and calls fail.
+func (d *discovery) beginOutage(w *World) {
 	d.outages++
 	for i := range w.balancers {
-		if balancer := &w.balancers[i]; balancer.up && balancer.watching && !w.realization.Discovery.Push {
+		balancer := &w.balancers[i]
+		watches := balancer.up && balancer.watching
+		if watches && !w.realization.Discovery.Push {
 			balancer.watching = false
-			d.planDelivery(w, i, w.now+time.Millisecond, answerFailed)
+			d.scheduleDelivery(w, balancerIndex(i), w.now+callFailureDelay, callFailed)
 		}
 	}
 }
+
+// endOutage ends one outage.
+func (d *discovery) endOutage() { d.outages-- }
--- a/internal/lab/simulation/discovery_delivery.go
+++ b/internal/lab/simulation/discovery_delivery.go
@@ -5,84 +5,106 @@
 	"time"
 
 	"piernotch"
+	"piernotch/internal/lab/invariants"
 )
 
-// push plans the delivery of changes to all watchers.
+// callFailureDelay is how much longer than the round trip a balancer waits for a call that fails in an
+// outage.
+const callFailureDelay = time.Millisecond
+
+// pollIntervalsAfterFailure is for how many poll intervals a balancer whose last call failed may go
+// without another one.
+const pollIntervalsAfterFailure = 4
+
+// callKind is what a balancer asks discovery for.
+type callKind uint8
+
+const (
+	fetchList    callKind = iota // the full list
+	watchChanges                 // changes of the list, as they come
+)
+
+// push schedules the delivery of changes to all balancers that watch.
 func (d *discovery) push(w *World) {
 	for i := range w.balancers {
-		if balancer := &w.balancers[i]; balancer.up && balancer.watching && d.outages == 0 {
-			d.planDelivery(w, i, w.now+d.pushDelay(w, i), pushChanges)
+		index := balancerIndex(i)
+		if balancer := &w.balancers[index]; balancer.up && balancer.watching && d.outages == 0 {
+			d.scheduleDelivery(w, index, w.now+d.pushDelay(w, index), pushChanges)
 		}
 	}
 }
 
-// pushDelay is when an instance gets a push, after the list changed.
-func (d *discovery) pushDelay(w *World, i int) time.Duration {
-	u := w.randFor(mix(d.version<<20^uint64(i)), concernPush).Float64()
-	return time.Duration(u*float64(w.realization.Discovery.DeliverySpread)) / time.Microsecond * time.Microsecond
+// pushDelay is how long after a change of the list a balancer gets the push.
+func (d *discovery) pushDelay(w *World, index balancerIndex) time.Duration {
+	draw := w.randFor(mix(d.version<<20^uint64(index)), concernPush).Float64()
+	delay := time.Duration(draw * float64(w.realization.Discovery.DeliverySpread))
+	return delay / time.Microsecond * time.Microsecond
 }
 
-// planDelivery plans a delivery to an instance; one to a process that has ended is dropped.
-func (d *discovery) planDelivery(w *World, i int, at time.Duration, kind uint64) {
-	w.events.plan(at, priorityEndpointList, eventListArrives, uint64(w.balancers[i].epoch)<<8|kind, int32(i))
+// scheduleDelivery schedules a delivery to a balancer; one to a process that has ended by then is
+// dropped.
+func (d *discovery) scheduleDelivery(w *World, index balancerIndex, at time.Duration, kind uint64) {
+	w.events.scheduleFor(at, eventListArrives, uint64(w.balancers[index].epoch)<<8|kind, int32(index))
 }
 
-// call takes an instance's call: a watch of changes, or a fetch of the full list.
-func (d *discovery) call(w *World, i int, watch bool) {
-	balancer := &w.balancers[i]
+// call takes a balancer's call. Calls are answered one after the other.
+func (d *discovery) call(w *World, index balancerIndex, kind callKind) {
+	balancer := &w.balancers[index]
 	balancer.lastPoll = w.now
 	roundTrip := 2 * w.realization.Delay[balancer.zone][0]
 	if d.outages > 0 {
-		d.planDelivery(w, i, w.now+roundTrip+time.Millisecond, answerFailed)
+		d.scheduleDelivery(w, index, w.now+roundTrip+callFailureDelay, callFailed)
 		return
 	}
 	settings := &w.realization.Discovery
-	cost := time.Duration((1 + float64(d.answerSize(balancer, watch))/settings.LinesPerCall) / settings.CallsPerSec * float64(time.Second))
+	callsWorth := 1 + float64(d.responseSize(balancer, kind))/settings.LinesPerCall
+	cost := time.Duration(callsWorth / settings.CallsPerSec * float64(time.Second))
 	done := max(d.busyUntil, w.now) + cost
 	if done-w.now > settings.CallTimeout {
-		d.planDelivery(w, i, w.now+settings.CallTimeout, answerFailed)
+		d.scheduleDelivery(w, index, w.now+settings.CallTimeout, callFailed)
 		w.counters.ListFailed++
 		return
 	}
 	d.busyUntil = done
-	kind := answerFetch
-	if watch {
-		kind = answerWatch
+	response := fetchResponse
+	if kind == watchChanges {
+		response = watchResponse
 	}
-	d.planDelivery(w, i, done+roundTrip, kind)
+	d.scheduleDelivery(w, index, done+roundTrip, response)
 }
 
-// answerSize is how many entries the answer to a call holds.
-func (d *discovery) answerSize(balancer *balancerState, watch bool) int {
-	n := 0
-	for s := range d.entries {
-		entry := &d.entries[s]
-		inFullList := entry.present && !watch
+// responseSize is how many entries the response to a call holds.
+func (d *discovery) responseSize(balancer *balancerState, kind callKind) int {
+	count := 0
+	for i := range d.entries {
+		entry := &d.entries[i]
+		inFullList := entry.present && kind == fetchList
 		if inFullList || entry.changedIn > balancer.listVersion {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// deliver brings a list to an instance.
-func (d *discovery) deliver(w *World, i int, id uint64) {
-	balancer := &w.balancers[i]
-	if !balancer.up || uint32(id>>8) != balancer.epoch {
+// deliver brings a list to a balancer. The ID is the epoch of its process and the kind of delivery.
+func (d *discovery) deliver(w *World, index balancerIndex, id uint64) {
+	balancer := &w.balancers[index]
+	sameProcess := uint32(id>>8) == balancer.epoch
+	if !balancer.up || !sameProcess {
 		return
 	}
 	kind := id & 0xff
 	switch kind {
-	case answerFailed:
+	case callFailed:
 		balancer.watching, balancer.pollFailed = w.realization.Discovery.Push, true
-		w.notify(i, Event{Kind: EventEndpointList, ListKind: piernotch.UpdateFailed, Version: balancer.listVersion})
+		w.notify(index, Event{Kind: EventEndpointList, ListKind: piernotch.UpdateFailed, Version: balancer.listVersion})
 		return
-	case answerFetch:
+	case fetchResponse:
 		balancer.pollFailed = false
-		d.setFullList(w, i)
-		d.send(w, i, piernotch.UpdateFull, d.presentServers())
+		d.setFullList(w, index)
+		d.send(w, index, piernotch.UpdateFull, d.presentServers())
 		return
-	case answerWatch:
+	case watchResponse:
 		balancer.watching, balancer.pollFailed = true, false
 	}
 	if d.outages > 0 {
@@ -93,97 +115,111 @@
 		return
 	}
 	balancer.listVersion = d.version
-	for _, s := range servers {
-		d.remember(w, balancer, s)
+	for _, server := range servers {
+		d.remember(w, balancer, server)
 	}
-	d.send(w, i, piernotch.UpdateDelta, servers)
+	d.send(w, index, piernotch.UpdateDelta, servers)
 }
 
-// remember caches an entry for the instance's next process.
-func (d *discovery) remember(w *World, balancer *balancerState, s int) {
+// remember caches an entry for the balancer's next process.
+func (d *discovery) remember(w *World, balancer *balancerState, server serverIndex) {
 	if balancer.entries == nil {
-		balancer.entries = map[int32]piernotch.Endpoint{}
+		balancer.entries = map[serverIndex]piernotch.Endpoint{}
 	}
-	if !d.entries[s].present {
-		delete(balancer.entries, int32(s))
+	if !d.entries[server].present {
+		delete(balancer.entries, server)
 		return
 	}
-	balancer.entries[int32(s)] = d.endpoint(w, s)
+	balancer.entries[server] = d.endpoint(w, server)
 }
 
-// setFullList makes an instance's cached list the present one.
-func (d *discovery) setFullList(w *World, i int) {
-	balancer := &w.balancers[i]
+// setFullList makes a balancer's cached list the present one.
+func (d *discovery) setFullList(w *World, index balancerIndex) {
+	balancer := &w.balancers[index]
 	balancer.listVersion = d.version
 	clear(balancer.entries)
-	for s := range d.entries {
-		if d.entries[s].present {
-			d.remember(w, balancer, s)
+	for i := range d.entries {
+		if d.entries[i].present {
+			d.remember(w, balancer, serverIndex(i))
 		}
 	}
 }
 
-// send notifies an instance of servers as they are listed now.
-func (d *discovery) send(w *World, i int, kind piernotch.UpdateKind, servers []int) {
-	e := Event{Kind: EventEndpointList, ListKind: kind, Version: d.version}
-	for _, s := range servers {
-		w.addEntry(&e, i, s, d.endpoint(w, s))
+// send notifies a balancer of servers as they are listed now.
+func (d *discovery) send(w *World, balancer balancerIndex, kind piernotch.UpdateKind, servers []serverIndex) {
+	event := Event{Kind: EventEndpointList, ListKind: kind, Version: d.version}
+	for _, server := range servers {
+		w.addEntry(&event, balancer, server, d.endpoint(w, server))
 	}
 	if kind == piernotch.UpdateFull {
-		d.notifyAbsent(w, i)
+		d.notifyAbsent(w, balancer)
 	}
-	w.notify(i, e)
+	w.notify(balancer, event)
 }
 
-// addEntry adds an entry of server s to an event for instance i.
-func (w *World) addEntry(e *Event, i, s int, entry piernotch.Endpoint) {
-	e.Entries = append(e.Entries, entry)
-	e.MachineKinds = append(e.MachineKinds, w.servers[s].spec.KindIndex)
-	w.checker.EndpointNotified(w.now, i, s, entry.State, entry.StartedAt)
+// addEntry adds the entry of a server to an event for a balancer.
+func (w *World) addEntry(event *Event, balancer balancerIndex, server serverIndex, entry piernotch.Endpoint) {
+	event.Entries = append(event.Entries, entry)
+	event.ServerKinds = append(event.ServerKinds, w.servers[server].spec.KindIndex)
+	w.checker.EndpointNotified(invariants.NotifiedEndpoint{
+		At: w.now, Balancer: balancer, Server: server, State: entry.State, StartedAt: entry.StartedAt,
+	})
 }
 
 // notifyAbsent counts the servers that a full list leaves out as notified to be gone.
-func (d *discovery) notifyAbsent(w *World, i int) {
-	for s := range d.entries {
-		if !d.entries[s].present {
-			w.checker.EndpointNotified(w.now, i, s, piernotch.Gone, 0)
+func (d *discovery) notifyAbsent(w *World, balancer balancerIndex) {
+	for i := range d.entries {
+		if !d.entries[i].present {
+			w.checker.EndpointNotified(invariants.NotifiedEndpoint{
+				At: w.now, Balancer: balancer, Server: serverIndex(i), State: piernotch.Gone,
+			})
 		}
 	}
 }
 
-// sendCached notifies a starting instance of the list that its predecessor had last.
-func (d *discovery) sendCached(w *World, i int) {
-	balancer := &w.balancers[i]
-	e := Event{Kind: EventEndpointList, ListKind: piernotch.UpdateCached, Version: balancer.listVersion}
-	servers := make([]int, 0, len(balancer.entries))
-	for s := range balancer.entries {
-		servers = append(servers, int(s))
+// sendCached notifies a balancer's process that starts of the list that its predecessor had last.
+func (d *discovery) sendCached(w *World, index balancerIndex) {
+	balancer := &w.balancers[index]
+	event := Event{Kind: EventEndpointList, ListKind: piernotch.UpdateCached, Version: balancer.listVersion}
+	servers := make([]serverIndex, 0, len(balancer.entries))
+	for server := range balancer.entries {
+		servers = append(servers, server)
 	}
 	slices.Sort(servers)
-	for _, s := range servers {
-		w.addEntry(&e, i, s, balancer.entries[int32(s)])
+	for _, server := range servers {
+		w.addEntry(&event, index, server, balancer.entries[server])
 	}
-	w.notify(i, e)
+	w.notify(index, event)
 }
 
-// notifyImplied counts instances that neither watch nor poll as notified of what has been listed for
+// notifyImplied counts balancers that neither watch nor poll as notified of what has been listed for
 // longer than they may go without polling.
 func (d *discovery) notifyImplied(w *World) {
 	for i := range w.balancers {
 		balancer := &w.balancers[i]
 		limit := w.realization.Rules.PollInterval
 		if balancer.pollFailed {
-			limit *= 4
+			limit *= pollIntervalsAfterFailure
 		}
-		if !balancer.up || balancer.watching || w.now-balancer.lastPoll <= limit {
+		polledLately := w.now-balancer.lastPoll <= limit
+		if !balancer.up || balancer.watching || polledLately {
 			continue
 		}
-		for s := range d.entries {
-			entry := &d.entries[s]
-			unknown := entry.state != piernotch.Ready && entry.changedIn > balancer.listVersion
-			if unknown && entry.changedAt <= w.now-limit {
-				w.checker.EndpointNotified(w.now, i, s, entry.state, 0)
-			}
+		d.notifyUnpolled(w, balancerIndex(i), w.now-limit)
+	}
+}
+
+// notifyUnpolled counts a balancer as notified of each server that is not ready, and has been listed so
+// since a time at the latest.
+func (d *discovery) notifyUnpolled(w *World, index balancerIndex, since time.Duration) {
+	balancer := &w.balancers[index]
+	for i := range d.entries {
+		entry := &d.entries[i]
+		unknown := entry.state != piernotch.Ready && entry.changedIn > balancer.listVersion
+		if unknown && entry.changedAt <= since {
+			w.checker.EndpointNotified(invariants.NotifiedEndpoint{
+				At: w.now, Balancer: index, Server: serverIndex(i), State: entry.state,
+			})
 		}
 	}
 }
--- a/internal/lab/simulation/event_queue_test.go
+++ b/internal/lab/simulation/event_queue_test.go
@@ -15,31 +15,31 @@
 	rng := rand.New(rand.NewPCG(2, 2))
 	now := time.Duration(0)
 	for range 3000 {
-		q.plan(time.Duration(rng.IntN(1000000)), priorityMessage, eventScript, 0, 0)
+		q.schedule(time.Duration(rng.IntN(1000000)), eventScript, 0)
 	}
 	for range 100000 {
 		e, ok := q.pop()
 		require.True(t, ok)
 		require.GreaterOrEqual(t, e.at, now)
 		now = e.at
-		q.plan(now+time.Duration(rng.IntN(1000000)), priorityMessage, eventScript, 0, 0)
+		q.schedule(now+time.Duration(rng.IntN(1000000)), eventScript, 0)
 	}
 }
 
 func TestEventQueueOrdersByTimePriorityAndPlanning(t *testing.T) {
 	var q eventQueue
 	rng := rand.New(rand.NewPCG(1, 1))
-	var want []plannedEvent
+	var want []scheduledEvent
 	for i := range 5000 {
-		at, prio := time.Duration(rng.IntN(50)), uint8(rng.IntN(9))
-		q.plan(at, prio, eventScript, uint64(i), 0)
-		want = append(want, plannedEvent{at: at, order: uint64(prio)<<56 | uint64(i+1), id: uint64(i)})
+		at, kind := time.Duration(rng.IntN(50)), eventKind(rng.IntN(int(eventKinds)))
+		q.schedule(at, kind, uint64(i))
+		want = append(want, scheduledEvent{at: at, order: uint64(priorityByKind[kind])<<56 | uint64(i+1), id: uint64(i)})
 		if rng.IntN(3) == 0 {
 			e, _ := q.pop()
-			want = slices.DeleteFunc(want, func(w plannedEvent) bool { return w.id == e.id })
+			want = slices.DeleteFunc(want, func(w scheduledEvent) bool { return w.id == e.id })
 		}
 	}
-	slices.SortFunc(want, func(x, y plannedEvent) int {
+	slices.SortFunc(want, func(x, y scheduledEvent) int {
 		if x.before(&y) {
 			return -1
 		}
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -11,7 +11,7 @@
 // scheduleFaults writes the scenario's faults into the script.
 func (w *World) scheduleFaults() {
 	for _, step := range w.realization.Steps() {
-		if step.Action == scenario.Join || step.Action == scenario.Takeover { // the machine exists from the beginning
+		if step.Action == scenario.Join || step.Action == scenario.Takeover { // the server exists from the beginning
 			w.scheduleJoin(step.Server, step.Number, step.At)
 			continue
 		}
@@ -19,30 +19,36 @@
 	}
 	for i := range w.realization.Faults {
 		fault := &w.realization.Faults[i]
-		if fault.Kind == "roster_move" { // to the balancers it is an outage that is over at once
-			w.schedule(fault.At, func() { w.discovery.outage(w, true) })
-			w.schedule(fault.At+time.Millisecond, func() { w.discovery.outage(w, false) })
+		if fault.Kind == scenario.FaultMoveDiscovery { // to the balancers it is an outage that is over at once
+			w.schedule(fault.At, func() { w.discovery.beginOutage(w) })
+			w.schedule(fault.At+time.Millisecond, func() { w.discovery.endOutage() })
 		}
-		for n, balancer := range fault.Balancers {
-			w.scheduleBalancerFault(fault, n, balancer)
+		for position, balancer := range fault.Balancers {
+			w.scheduleBalancerFault(fault, position, balancerIndex(balancer))
 		}
 	}
 }
 
 // scheduleBalancerFault schedules what a fault does to the n-th of its balancers.
-func (w *World) scheduleBalancerFault(fault *scenario.Fault, n, balancer int) {
+func (w *World) scheduleBalancerFault(fault *scenario.Fault, position int, balancer balancerIndex) {
 	switch fault.Kind {
-	case "balancer_crash":
+	case scenario.FaultCrashBalancers:
 		w.schedule(fault.At, func() { w.killBalancer(balancer) })
-		w.schedule(fault.At+w.realization.FailoverDelay, func() { w.admit(balancer, w.balancers[balancer].up) })
-		w.schedule(fault.End(), func() { w.startBalancer(balancer, false) })
-	case "balancer_restart":
+		w.schedule(fault.At+w.realization.FailoverDelay, func() {
+			if w.balancers[balancer].up { // its next process has started meanwhile
+				w.admit(balancer)
+			} else {
+				w.stopAdmitting(balancer)
+			}
+		})
+		w.schedule(fault.End(), func() { w.startNextProcess(balancer) })
+	case scenario.FaultRestartBalancers:
 		// No more clients are sent to it, and what it has is answered first.
-		at := fault.At + fault.Every*time.Duration(n)
+		at := fault.At + fault.Every*time.Duration(position)
 		killedAt := at + w.longestRequest()
-		w.schedule(at, func() { w.admit(balancer, false) })
+		w.schedule(at, func() { w.stopAdmitting(balancer) })
 		w.schedule(killedAt, func() { w.killBalancer(balancer) })
-		w.schedule(killedAt+fault.For, func() { w.startBalancer(balancer, false) })
+		w.schedule(killedAt+fault.For, func() { w.startNextProcess(balancer) })
 	}
 }
 
@@ -50,22 +56,22 @@
 func (w *World) applyStep(step *scenario.Step) {
 	switch step.Action {
 	case scenario.Slow:
-		w.slowServer(step.Server, step.Size)
+		w.slowServer(serverIndex(step.Server), step.Size)
 	case scenario.Pauses:
 		w.servers[step.Server].SetPauses(w.now, step.Every, step.Length)
-		w.scheduleServer(step.Server)
+		w.scheduleServer(serverIndex(step.Server))
 	case scenario.Overload:
 		w.servers[step.Server].SetOverloaded(w.now)
 		w.servers[step.Server].everOverloaded = true
-		w.scheduleServer(step.Server)
+		w.scheduleServer(serverIndex(step.Server))
 	case scenario.Drain:
-		w.drainServer(step.Server)
+		w.drainServer(serverIndex(step.Server))
 	case scenario.Exit:
-		w.endServer(step.Server)
+		w.endServer(serverIndex(step.Server))
 	case scenario.Start:
-		w.startServer(step.Server)
+		w.startServer(serverIndex(step.Server))
 	case scenario.Vanish:
-		w.vanishServer(step.Server)
+		w.vanishServer(serverIndex(step.Server))
 	case scenario.DelistServers:
 		w.discovery.listWrongly(w, step.Servers, piernotch.Gone)
 	case scenario.RelistServers:
@@ -76,80 +82,82 @@
 		w.discovery.noticeDelay += step.Length
 	case scenario.CorruptResponses: // the request was executed; its response is of no use
 		w.corruptShare += step.Size
-	case scenario.DiscoveryDown, scenario.DiscoveryUp:
-		w.discovery.outage(w, step.Action == scenario.DiscoveryDown)
+	case scenario.DiscoveryDown:
+		w.discovery.beginOutage(w)
+	case scenario.DiscoveryUp:
+		w.discovery.endOutage()
 	}
 }
 
 // longestRequest is how long a balancer may hold a request.
 func (w *World) longestRequest() time.Duration {
 	longest := time.Duration(0)
-	for _, c := range w.realization.Classes {
-		longest = max(longest, time.Duration(float64(c.Deadline)*w.realization.Clients.AttemptTimeoutShare))
+	for _, class := range w.realization.Classes {
+		longest = max(longest, time.Duration(float64(class.Deadline)*w.realization.Clients.AttemptTimeoutShare))
 	}
 	return longest + w.realization.Rules.ResponseSlack
 }
 
 // slowServer multiplies a server's slowness; faults of this kind may overlap.
-func (w *World) slowServer(s int, factor float64) {
-	server := &w.servers[s]
+func (w *World) slowServer(index serverIndex, factor float64) {
+	server := &w.servers[index]
 	server.slowFactor *= factor
 	server.SetSlow(w.now, server.slowFactor)
-	w.scheduleServer(s)
+	w.scheduleServer(index)
 }
 
 // drainServer begins a server's graceful shutdown.
-func (w *World) drainServer(s int) {
-	server := &w.servers[s]
+func (w *World) drainServer(index serverIndex) {
+	server := &w.servers[index]
 	if server.State() != servermodel.Up {
 		return
 	}
 	server.Drain(w.now)
-	w.discovery.serverChanged(w, s, piernotch.Draining, w.realization.Discovery.RemovalDelay)
+	w.discovery.serverChanged(w, index, piernotch.Draining, w.realization.Discovery.RemovalDelay)
 }
 
 // endServer ends a server's process: as planned after a drain, else as a crash.
-func (w *World) endServer(s int) {
-	server := &w.servers[s]
+func (w *World) endServer(index serverIndex) {
+	server := &w.servers[index]
 	if server.State() == servermodel.Silent || server.State() == servermodel.Down {
 		return
 	}
-	w.serverCompleted(int32(s), server.Crash(w.now))
-	w.dropConnections(s)
-	w.discovery.serverChanged(w, s, piernotch.Gone, w.realization.Discovery.RemovalDelay)
+	w.serverCompleted(index, server.Crash(w.now))
+	w.dropConnections(index)
+	w.discovery.serverChanged(w, index, piernotch.Gone, w.realization.Discovery.RemovalDelay)
 }
 
 // vanishServer cuts a server off: nobody is notified of what becomes of its requests.
-func (w *World) vanishServer(s int) {
-	for _, c := range w.servers[s].Vanish(w.now) {
-		if a := w.attempts.Get(c.ID); a != nil {
-			w.counters.exit(w, a)
-			a.held = false
-			w.releaseAttempt(c.ID, a)
+func (w *World) vanishServer(index serverIndex) {
+	for _, lost := range w.servers[index].Vanish(w.now) {
+		if attempt := w.attempts.Get(lost.ID); attempt != nil {
+			w.counters.exit(w, attempt)
+			attempt.atServer = false
+			w.releaseAttempt(lost.ID, attempt)
 		}
 	}
-	w.discovery.serverChanged(w, s, piernotch.Gone, w.realization.Discovery.FailureDetectionDelay)
+	w.discovery.serverChanged(w, index, piernotch.Gone, w.realization.Discovery.FailureDetectionDelay)
 }
 
 // startServer starts a server's process, in slow start. A collapsed one stays down.
-func (w *World) startServer(s int) {
-	server := &w.servers[s]
+func (w *World) startServer(index serverIndex) {
+	server := &w.servers[index]
 	if server.State() == servermodel.Collapsed {
 		return
 	}
-	w.serverCompleted(int32(s), server.Start(w.now))
-	w.dropConnections(s)
-	w.discovery.serverChanged(w, s, piernotch.Ready, w.realization.Discovery.AddDelay)
+	w.serverCompleted(index, server.Start(w.now))
+	w.dropConnections(index)
+	w.discovery.serverChanged(w, index, piernotch.Ready, w.realization.Discovery.AddDelay)
 }
 
-// scheduleJoin adds a new machine, like another one of the scenario's first, that starts later.
+// scheduleJoin adds a new server that starts later, like one of those at the start of the run.
 func (w *World) scheduleJoin(like, number int, at time.Duration) {
-	s, err := w.addServer(w.realization.Like(like, number))
+	index, err := w.addServer(w.realization.Like(like, number))
 	if err != nil {
 		w.err = err
 		return
 	}
-	w.servers[s].Crash(0)
+	w.servers[index].Crash(0)
 	w.discovery.entries = append(w.discovery.entries, listEntry{state: piernotch.Gone})
-	w.schedule(at, func() { w.startServer(s) })
+	w.schedule(at, func() { w.startServer(index) })
 }
--- a/internal/lab/simulation/health_checks.go
+++ b/internal/lab/simulation/health_checks.go
@@ -9,8 +9,8 @@
 
 // startHealthCheck sends a health check on its way to a server.
 func (w *World) startHealthCheck(action *Action) {
-	s, ok := w.serverByID[action.Server]
-	if !ok {
+	server, known := w.serverByID[action.Server]
+	if !known {
 		w.err = fmt.Errorf("balancer %d %w: %d", action.Balancer, errUnknownServer, action.Server)
 		return
 	}
@@ -18,10 +18,10 @@
 	w.lastHealthCheck++
 	check := w.healthChecks.Put(w.lastHealthCheck)
 	key := mix(uint64(action.Balancer)<<40 ^ uint64(w.now))
-	*check = healthCheck{balancer: int32(action.Balancer), server: s, epoch: balancer.epoch, sentAt: w.now}
-	check.delay = w.networkDelay(w.realization.Delay[balancer.zone][w.servers[s].spec.Zone], key, concernDelay)
+	*check = healthCheckState{balancer: balancerIndex(action.Balancer), server: server, epoch: balancer.epoch, sentAt: w.now}
+	check.delay = w.networkDelay(w.realization.Delay[balancer.zone][w.servers[server].spec.Zone], key, concernDelay)
 	w.counters.HealthChecks++
-	w.events.plan(w.now+check.delay, priorityMessage, eventHealthCheckArrives, w.lastHealthCheck, 0)
+	w.events.schedule(w.now+check.delay, eventHealthCheckArrives, w.lastHealthCheck)
 }
 
 // healthCheckArrives has a server answer a health check as its state allows.
@@ -41,14 +41,14 @@
 	default:
 		check.status = piernotch.ConnectFailed
 	}
-	w.events.plan(back, priorityMessage, eventHealthCheckCompletes, id, 0)
+	w.events.schedule(back, eventHealthCheckCompletes, id)
 }
 
 // healthCheckCompletes brings a result to the balancer, if the process that asked still runs.
 func (w *World) healthCheckCompletes(id uint64) {
 	check := w.healthChecks.Get(id)
 	if balancer := &w.balancers[check.balancer]; balancer.up && balancer.epoch == check.epoch {
-		w.notify(int(check.balancer), Event{
+		w.notify(check.balancer, Event{
 			Kind: EventHealthCheckCompleted, Server: w.servers[check.server].id, Status: check.status,
 			Latency: w.now - check.sentAt, Load: check.load, HasLoad: check.hasLoad,
 		})
--- a/internal/lab/simulation/in_process.go
+++ b/internal/lab/simulation/in_process.go
@@ -8,15 +8,15 @@
 	"piernotch"
 )
 
-// InProcess hosts instances of the decision module that this program was built with.
+// InProcess hosts balancers with the decision module that this program was built with.
 type InProcess struct {
 	balancers []*piernotch.Balancer // nil: not running
 	actions   []Action
 	now       time.Duration
-	current   int // instance whose event is being handled
+	current   int // balancer whose event is being handled
 }
 
-// NewInProcess returns a tier without instances.
+// NewInProcess returns a tier without balancers.
 func NewInProcess() *InProcess { return &InProcess{} }
 
 // Close implements Tier. There is nothing to free.
@@ -26,63 +26,63 @@
 func (p *InProcess) Turn(now time.Duration, events []Event) (actions []Action, err error) {
 	p.now, p.actions = now, p.actions[:0]
 	defer func() {
-		if r := recover(); r != nil {
-			err = fmt.Errorf("balancer %d at %v: panic: %v\n%s", p.current, now, r, debug.Stack())
+		if panicked := recover(); panicked != nil {
+			err = fmt.Errorf("balancer %d at %v: panic: %v\n%s", p.current, now, panicked, debug.Stack())
 		}
 	}()
 	for i := range events {
-		e := &events[i]
-		p.current = e.Balancer
-		if e.Kind == EventStart {
-			if err := p.start(e); err != nil {
+		event := &events[i]
+		p.current = event.Balancer
+		if event.Kind == EventStart {
+			if err := p.start(event); err != nil {
 				return nil, err
 			}
 			continue
 		}
-		if balancer := p.balancers[e.Balancer]; balancer != nil {
-			p.dispatch(balancer, e)
+		if balancer := p.balancers[event.Balancer]; balancer != nil {
+			p.dispatch(balancer, event)
 		}
 	}
 	return p.actions, nil
 }
 
-func (p *InProcess) start(e *Event) error {
-	for len(p.balancers) <= e.Balancer {
+func (p *InProcess) start(event *Event) error {
+	for len(p.balancers) <= event.Balancer {
 		p.balancers = append(p.balancers, nil)
 	}
-	balancer, err := piernotch.New(*e.Settings, e.Seed, inProcessHost{p, e.Balancer})
+	balancer, err := piernotch.New(*event.Settings, event.Seed, inProcessHost{p, event.Balancer})
 	if err != nil {
-		return fmt.Errorf("balancer %d: %w", e.Balancer, err)
+		return fmt.Errorf("balancer %d: %w", event.Balancer, err)
 	}
-	p.balancers[e.Balancer] = balancer
+	p.balancers[event.Balancer] = balancer
 	return nil
 }
 
 // dispatch calls the method of a running balancer that an event stands for.
-func (p *InProcess) dispatch(b *piernotch.Balancer, e *Event) {
-	if e.HasLoad {
-		load := piernotch.LoadReport{Inflight: e.Load.Inflight, CompletedPerSecond: e.Load.PerSec}
-		b.LoadReported(p.now, e.loadServer(), load)
+func (p *InProcess) dispatch(balancer *piernotch.Balancer, event *Event) {
+	if event.HasLoad {
+		load := piernotch.LoadReport{Inflight: event.Load.Inflight, CompletedPerSecond: event.Load.PerSec}
+		balancer.LoadReported(p.now, event.loadServer(), load)
 	}
-	switch e.Kind {
+	switch event.Kind {
 	case EventStop:
-		p.balancers[e.Balancer] = nil
+		p.balancers[event.Balancer] = nil
 	case EventRequest:
-		b.HandleRequest(p.now, e.Request)
+		balancer.HandleRequest(p.now, event.Request)
 	case EventClientGone:
-		b.ClientDisconnected(p.now, e.ID)
+		balancer.ClientDisconnected(p.now, event.ID)
 	case EventAttemptCompleted:
-		b.HandleOutcome(p.now, e.Outcome)
+		balancer.HandleOutcome(p.now, event.Outcome)
 	case EventHealthCheckCompleted:
-		b.HealthCheckCompleted(p.now, e.Server, e.Status)
+		balancer.HealthCheckCompleted(p.now, event.Server, event.Status)
 	case EventEndpointList:
-		b.UpdateEndpoints(p.now, e.ListKind, e.Entries)
+		balancer.UpdateEndpoints(p.now, event.ListKind, event.Entries)
 	case EventTimer:
-		b.Timer(p.now, e.Token)
+		balancer.Timer(p.now, event.Token)
 	}
 }
 
-// inProcessHost is the piernotch.Host of one instance: it collects the instance's actions.
+// inProcessHost is the piernotch.Host of one balancer: it collects the balancer's actions.
 type inProcessHost struct {
 	tier     *InProcess
 	balancer int
--- a/internal/lab/simulation/invariants_test.go
+++ b/internal/lab/simulation/invariants_test.go
@@ -42,7 +42,7 @@
 // requireViolation requires a violation of a rule, with its steps.
 func requireViolation(t *testing.T, r *Result, rule invariants.Rule, message string) {
 	t.Helper()
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		if b.Rule == rule && strings.Contains(b.Message, message) {
 			require.NotEmpty(t, b.Steps, b)
 			require.Positive(t, b.At)
@@ -69,8 +69,8 @@
 		return out
 	})
 	require.Positive(t, r.Repeated)
-	requireViolation(t, r, invariants.Repeated, "sent again, though an earlier attempt may have run")
-	requireViolation(t, r, invariants.Repeated, "ran a second time")
+	requireViolation(t, r, invariants.Repeated, "retried, though an earlier attempt may have been executed")
+	requireViolation(t, r, invariants.Repeated, "executed a second time")
 }
 
 func TestCheckerDetectsRejectionAfterExecution(t *testing.T) {
@@ -84,7 +84,7 @@
 		}
 		return out
 	})
-	requireViolation(t, r, invariants.Repeated, "refused what may have run")
+	requireViolation(t, r, invariants.Repeated, "rejected, though an attempt may have been executed")
 }
 
 func TestCheckerDetectsAttemptToDrainingServer(t *testing.T) {
@@ -107,8 +107,8 @@
 		}
 		return actions
 	})
-	require.Positive(t, r.DrainBreaks)
-	requireViolation(t, r, invariants.Drain, "after it was told that the server leaves")
+	require.Positive(t, r.DrainViolations)
+	requireViolation(t, r, invariants.Drain, "after the balancer was notified that the server drains or is gone")
 }
 
 func TestCheckerDetectsMissingAnswer(t *testing.T) {
@@ -126,7 +126,7 @@
 		return out
 	})
 	require.Positive(t, r.Lost)
-	requireViolation(t, r, invariants.Lost, "no final answer")
+	requireViolation(t, r, invariants.Lost, "no final response")
 }
 
 func TestCheckerDetectsAttemptAfterFinalAnswer(t *testing.T) {
@@ -151,7 +151,7 @@
 		}
 		return out
 	}, "balancers.count=1")
-	requireViolation(t, r, invariants.Lost, "sent after its final answer")
+	requireViolation(t, r, invariants.Lost, "sent after its final response")
 }
 
 func TestCheckerDetectsCollapseInSlowStart(t *testing.T) {
@@ -173,14 +173,14 @@
 		}
 		return actions
 	})
-	require.Positive(t, r.ColdFalls)
-	requireViolation(t, r, invariants.SlowStart, "pushed over by")
+	require.Positive(t, r.SlowStartCollapses)
+	requireViolation(t, r, invariants.SlowStart, "collapsed under")
 }
 
 func TestModuleKeepsAllRulesInRestartStorm(t *testing.T) {
 	for seed := range uint64(4) {
 		r := runFaultyTier(t, seed, func(_ time.Duration, _ []Event, a []Action) []Action { return a })
-		require.Zero(t, r.Broken(), "seed %d: %v", seed, r.Breaks)
+		require.Zero(t, r.ViolationCount(), "seed %d: %v", seed, r.Violations)
 	}
 }
 
--- a/internal/lab/simulation/random.go
+++ b/internal/lab/simulation/random.go
@@ -14,6 +14,16 @@
 	return x ^ x>>33
 }
 
+// Salts keep numbers that are hashed for different purposes apart. Another value would change every run.
+const (
+	saltServerModel uint64 = 0x5e // seeds of server models
+	saltServerID    uint64 = 0x1d // IDs of servers
+	saltAttempt     uint64 = 77   // keys of attempts
+)
+
+// goldenRatio is 2^64 divided by the golden ratio: it spreads consecutive numbers over all bits.
+const goldenRatio uint64 = 0x9e3779b97f4a7c15
+
 // Concerns of hashed random numbers. Two concerns of one key share no numbers.
 const (
 	concernDelay       uint64 = iota + 1 // network delay of an attempt or health check
@@ -24,8 +34,8 @@
 	concernStart                         // seed of a balancer's process
 	concernPush                          // delay of a pushed endpoint list
 	concernClientDelay                   // network delay between client and balancer
-	concernCorrupt                       // whether an answer comes back corrupt
-	concernLeave       = concernBalancer + 100
+	concernCorrupt                       // whether a response comes back corrupt
+	concernDisconnect  = concernBalancer + 100
 )
 
 // randFor returns the random numbers of one concern of a key. They are valid until the next call.
@@ -36,6 +46,6 @@
 
 // networkDelay is a message's time on the way, in whole microseconds.
 func (w *World) networkDelay(base time.Duration, key, concern uint64) time.Duration {
-	d := float64(base) * (1 + w.realization.Jitter*w.randFor(key, concern).Float64())
-	return time.Duration(d) / time.Microsecond * time.Microsecond
+	delay := float64(base) * (1 + w.realization.Jitter*w.randFor(key, concern).Float64())
+	return time.Duration(delay) / time.Microsecond * time.Microsecond
 }
--- a/internal/lab/simulation/records.go
+++ b/internal/lab/simulation/records.go
@@ -13,58 +13,58 @@
 // maxAttempts bounds the attempts of a request, whatever the settings allow.
 const maxAttempts = 8
 
-// clientRequest is what a client wants. The client sends it once, and again after some failures;
-// each sending is a request of its own to the balancers.
+// clientRequest is what a client wants. The client makes a first attempt at it, and retries after some
+// failures; to the balancers each of its attempts is a request of its own.
 type clientRequest struct {
-	randomKey    uint64 // seeds its hashed random numbers
-	firstSent    time.Duration
-	deadline     time.Duration // the client waits no longer, over all sendings
-	class        int
-	zone         int
-	work         float64 // ms on a core of speed 1
-	costHint     float64 // ms; NaN: none
-	key          uint64  // for key affinity; 0: none
-	sends        int     // so far
-	maxRetries   int     // retries that the client would make
-	patienceDraw float64 // from [0, 1): below a share, the client leaves early
+	randomKey      uint64 // seeds its hashed random numbers
+	firstSent      time.Duration
+	deadline       time.Duration // when the client gives up, over all of its attempts
+	class          int
+	zone           int
+	work           float64 // ms on a core of speed 1
+	costHint       float64 // ms; NaN: none
+	key            uint64  // for key affinity; 0: none
+	attemptsSent   int     // so far
+	maxRetries     int     // retries that the client would make
+	disconnectDraw float64 // from [0, 1): below a share, the client disconnects early
 }
 
 // departedClient stands for a client that has gone while its balancer still works for it.
 var departedClient = clientRequest{costHint: math.NaN()}
 
-// request is one sending of a client's request, as a balancer sees it.
-type request struct {
-	client             uint64 // ID of the clientRequest
-	balancer           int32  // of the balancer; -1: none could be reached
-	retry              int8   // number of the sending, from 0
-	attempts           int8   // started so far
-	inflight           int8   // of them, not completed yet
-	received           bool   // by the balancer
-	answered           bool   // it has its final answer, or needs none
-	clientDone         bool   // the client knows how it ended
-	expired            bool   // its deadline has passed
-	answeredByBalancer bool   // the balancer itself rejected or failed it
+// requestState is one attempt of a client at its request, as a balancer sees it.
+type requestState struct {
+	client             uint64        // ID of its clientRequest
+	balancer           balancerIndex // noBalancer: none could be reached
+	retry              int8          // number of the client's attempt, from 0
+	attempts           int8          // started so far
+	inflight           int8          // of them, not completed yet
+	received           bool          // by the balancer
+	answered           bool          // it has its final response, or needs none
+	clientDone         bool          // the client knows how it ended
+	expired            bool          // its deadline has passed
+	answeredByBalancer bool          // the balancer itself rejected or failed it
 	answeredAt         time.Duration
-	answer             invariants.Result
+	result             invariants.Result
 	balancerKilled     bool          // while it had the request
 	retryAfter         time.Duration // advice of a rejection
 	deadline           time.Duration
 	attemptIDs         [maxAttempts]uint64
 }
 
-// attempt is one sending of a request by a balancer to a server.
-type attempt struct {
+// attemptState is one sending of a request by a balancer to a server.
+type attemptState struct {
 	request       uint64
 	randomKey     uint64
-	balancer      int32
-	server        int32
-	epoch         uint32 // of the instance
+	balancer      balancerIndex
+	server        serverIndex
+	epoch         uint32 // of the balancer, when it was sent
 	number        int8   // from 0, for each request
 	status        piernotch.Status
 	newConnection bool
 	inTransit     bool // on its way to the server
 	completed     bool // for its balancer
-	held          bool // by the server, running or queued
+	atServer      bool // running or queued there
 	outcomeSent   bool // its outcome is on the way to the balancer
 	hasLoad       bool
 	delay         time.Duration // of the network, one way
@@ -75,15 +75,16 @@
 	load          servermodel.LoadReport
 }
 
-// healthCheck is one health check on its way to a server and back.
-type healthCheck struct {
-	balancer, server int32
-	epoch            uint32 // of the instance
-	status           piernotch.Status
-	sentAt           time.Duration
-	delay            time.Duration // of the network, one way
-	load             servermodel.LoadReport
-	hasLoad          bool
+// healthCheckState is one health check on its way to a server and back.
+type healthCheckState struct {
+	balancer balancerIndex
+	server   serverIndex
+	epoch    uint32 // of the balancer, when it was sent
+	status   piernotch.Status
+	sentAt   time.Duration
+	delay    time.Duration // of the network, one way
+	load     servermodel.LoadReport
+	hasLoad  bool
 }
 
 // connectionPool is one balancer's connections to one server.
@@ -110,7 +111,7 @@
 	queued      bool             // for the next turn
 	pools       []connectionPool // by server; nil: none used yet
 	listVersion uint64
-	entries     map[int32]piernotch.Endpoint // last endpoint list, cached for the next process
+	entries     map[serverIndex]piernotch.Endpoint // last endpoint list, cached for the next process
 	watching    bool
 	lastPoll    time.Duration
 	pollFailed  bool
@@ -121,7 +122,7 @@
 	*servermodel.Server
 	spec           scenario.Server
 	id             piernotch.ServerID
-	nextAdvance    time.Duration // when its next Advance is planned
+	nextAdvance    time.Duration // when its next Advance is scheduled
 	connections    int           // open, from all balancers
 	slowFactor     float64       // product of the slow faults in force
 	everOverloaded bool
--- a/internal/lab/simulation/servers.go
+++ b/internal/lab/simulation/servers.go
@@ -7,63 +7,63 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// scheduleServer plans a server's next Advance, unless an earlier one is planned.
-func (w *World) scheduleServer(s int) {
-	server := &w.servers[s]
+// scheduleServer schedules a server's next Advance, unless an earlier one is scheduled.
+func (w *World) scheduleServer(index serverIndex) {
+	server := &w.servers[index]
 	if next := server.Next(); next < server.nextAdvance {
 		server.nextAdvance = max(next, w.now)
-		w.events.plan(server.nextAdvance, priorityServer, eventServerAdvance, 0, int32(s))
+		w.events.scheduleFor(server.nextAdvance, eventServerAdvance, 0, int32(index))
 	}
 }
 
-// advanceServer takes what a server has completed; a plan that an earlier one replaced is ignored.
-func (w *World) advanceServer(s int, at time.Duration) {
-	server := &w.servers[s]
+// advanceServer takes what a server has completed; one that an earlier one replaced is ignored.
+func (w *World) advanceServer(index serverIndex, at time.Duration) {
+	server := &w.servers[index]
 	if server.nextAdvance != at {
 		return
 	}
 	server.nextAdvance = servermodel.Never
-	w.serverCompleted(int32(s), server.Advance(w.now))
+	w.serverCompleted(index, server.Advance(w.now))
 	server.everOverloaded = server.everOverloaded || server.Overloaded()
-	w.scheduleServer(s)
+	w.scheduleServer(index)
 }
 
 // serverCompleted sends the responses of what a server has completed.
-func (w *World) serverCompleted(s int32, completions []servermodel.Completion) {
-	for _, c := range completions {
-		a := w.attempts.Get(c.ID)
-		if a == nil {
+func (w *World) serverCompleted(index serverIndex, completions []servermodel.Completion) {
+	for _, completion := range completions {
+		attempt := w.attempts.Get(completion.ID)
+		if attempt == nil {
 			continue
 		}
-		w.counters.exit(w, a)
-		a.held = false
-		a.workDone = c.WorkDone
-		if c.Started {
-			w.checker.AttemptExecuted(w.now, a.request, int(a.number))
+		w.counters.exit(w, attempt)
+		attempt.atServer = false
+		attempt.workDone = completion.WorkDone
+		if completion.Started {
+			w.checker.AttemptExecuted(w.now, attempt.request, int(attempt.number))
 		}
-		if a.completed {
-			w.releaseAttempt(c.ID, a)
+		if attempt.completed {
+			w.releaseAttempt(completion.ID, attempt)
 			continue
 		}
-		w.respond(s, a, c)
+		w.respond(index, attempt, completion)
 	}
 }
 
 // respond sends the response of one attempt on its way to the balancer.
-func (w *World) respond(s int32, a *attempt, c servermodel.Completion) {
-	a.load, a.hasLoad = w.servers[s].Report(w.now, w.reportDelay)
+func (w *World) respond(index serverIndex, attempt *attemptState, completion servermodel.Completion) {
+	attempt.load, attempt.hasLoad = w.servers[index].Report(w.now, w.reportDelay)
 	status := piernotch.OK
-	if c.Outcome == servermodel.Answered && w.randFor(a.randomKey, concernCorrupt).Float64() < w.corruptShare {
-		c.Outcome = servermodel.AnsweredError
+	if completion.Outcome == servermodel.Completed && w.randFor(attempt.randomKey, concernCorrupt).Float64() < w.corruptShare {
+		completion.Outcome = servermodel.CompletedWithError
 	}
-	switch c.Outcome {
-	case servermodel.AnsweredError:
+	switch completion.Outcome {
+	case servermodel.CompletedWithError:
 		status = piernotch.Error
 	case servermodel.Expired:
 		status = piernotch.Full
 	case servermodel.Reset:
 		status = piernotch.Reset
-		a.hasLoad = false
+		attempt.hasLoad = false
 	}
-	w.planOutcome(c.ID, a, status, w.now+a.delay)
+	w.scheduleOutcome(completion.ID, attempt, status, w.now+attempt.delay)
 }
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -9,7 +9,7 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// run plays one day of a scenario, with overrides.
+// run runs one realization of a scenario, with overrides.
 func run(t *testing.T, tier Tier, name string, seed uint64, set ...string) *Result {
 	t.Helper()
 	s, err := scenario.Load(name)
@@ -33,10 +33,10 @@
 			continue // the same mechanisms, for minutes
 		}
 		r := run(t, NewInProcess(), name, 7)
-		require.Zero(t, r.Broken(), "%s: %v", name, r.Breaks)
+		require.Zero(t, r.ViolationCount(), "%s: %v", name, r.Violations)
 		require.Greater(t, r.Requests, 1000, name)
 		require.Greater(t, r.Service, 0.3, name)
-		require.InEpsilon(t, r.Little.Held, r.Little.PerSec*r.Little.SojournS, 1e-6, "%s: Little's law", name)
+		require.InEpsilon(t, r.Little.Inflight, r.Little.PerSec*r.Little.SojournS, 1e-6, "%s: Little's law", name)
 	}
 }
 
@@ -69,7 +69,7 @@
 		{"no traffic", []string{"traffic.load=0", "length_s=5"}},
 	} {
 		r := run(t, NewInProcess(), "quiet", 1, c.set...)
-		require.Zero(t, r.Broken(), "%s: %v", c.what, r.Breaks)
+		require.Zero(t, r.ViolationCount(), "%s: %v", c.what, r.Violations)
 		switch c.what {
 		case "no servers":
 			require.Positive(t, r.Requests)
--- a/internal/lab/simulation/stderr_tail.go
+++ b/internal/lab/simulation/stderr_tail.go
@@ -19,14 +19,14 @@
 }
 
 // Write implements io.Writer.
-func (s *stderrTail) Write(p []byte) (int, error) {
+func (s *stderrTail) Write(written []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.text = append(s.text, p...)
+	s.text = append(s.text, written...)
 	if excess := len(s.text) - maxStderrTail; excess > 0 {
 		s.text = append(s.text[:0], s.text[excess:]...)
 	}
-	return len(p), nil
+	return len(written), nil
 }
 
 // String returns the last lines.
--- a/internal/lab/simulation/tier.go
+++ b/internal/lab/simulation/tier.go
@@ -25,24 +25,24 @@
 // Event is one input of a balancer. Which fields are set depends on the kind; the comment of a field
 // names the kinds, without their prefix, that set it.
 type Event struct {
-	Kind         EventKind
-	Balancer     int
-	Seed         uint64                 // Start
-	Settings     *piernotch.Settings    // Start
-	Request      piernotch.Request      // Request
-	Retry        bool                   // Request: where clients mark retries
-	ID           piernotch.RequestID    // ClientGone
-	Outcome      piernotch.Outcome      // AttemptCompleted
-	Server       piernotch.ServerID     // HealthCheckCompleted
-	Status       piernotch.Status       // HealthCheckCompleted
-	Latency      time.Duration          // HealthCheckCompleted
-	Load         servermodel.LoadReport // AttemptCompleted, HealthCheckCompleted: with HasLoad
-	HasLoad      bool
-	ListKind     piernotch.UpdateKind // EndpointList
-	Version      uint64               // EndpointList
-	Entries      []piernotch.Endpoint // EndpointList
-	MachineKinds []int                // EndpointList: the kind of each entry's machine
-	Token        uint32               // Timer
+	Kind        EventKind
+	Balancer    int
+	Seed        uint64                 // Start
+	Settings    *piernotch.Settings    // Start
+	Request     piernotch.Request      // Request
+	Retry       bool                   // Request: where clients mark retries
+	ID          piernotch.RequestID    // ClientGone
+	Outcome     piernotch.Outcome      // AttemptCompleted
+	Server      piernotch.ServerID     // HealthCheckCompleted
+	Status      piernotch.Status       // HealthCheckCompleted
+	Latency     time.Duration          // HealthCheckCompleted
+	Load        servermodel.LoadReport // AttemptCompleted, HealthCheckCompleted: with HasLoad
+	HasLoad     bool
+	ListKind    piernotch.UpdateKind // EndpointList
+	Version     uint64               // EndpointList
+	Entries     []piernotch.Endpoint // EndpointList
+	ServerKinds []int                // EndpointList: the kind of each entry's server
+	Token       uint32               // Timer
 }
 
 // loadServer is the server that a load report is of.
@@ -82,7 +82,7 @@
 
 // Tier hosts the decisions of all balancers. A World calls it from its own goroutine.
 type Tier interface {
-	// Turn passes all events of the balancers up to now, in order of instances, and returns their
+	// Turn passes all events of the balancers up to now, in order of balancers, and returns their
 	// actions, in order. The returned slice is valid until the next call. An error ends the run.
 	Turn(now time.Duration, events []Event) ([]Action, error)
 	// Close frees what the tier holds. It is called once, after the last Turn.
--- a/internal/lab/simulation/trace_overload_test.go
+++ b/internal/lab/simulation/trace_overload_test.go
@@ -90,11 +90,11 @@
 	require.Equal(t, n, bad.Requests)
 	require.Equal(t, n, good.Requests)
 	require.Greater(t, served(bad, 0, 9), 0.9, "before the burst")
-	require.Greater(t, bad.ChokedShare, 0.3)
+	require.Greater(t, bad.OverloadedShare, 0.3)
 	require.Less(t, served(bad, 24, 34), 0.6, "the burst is over, the overload is not")
-	require.Less(t, good.ChokedShare, bad.ChokedShare)
+	require.Less(t, good.OverloadedShare, bad.OverloadedShare)
 	require.Greater(t, served(good, 24, 34), served(bad, 24, 34)+0.2)
-	require.Zero(t, good.Broken(), good.Breaks)
+	require.Zero(t, good.ViolationCount(), good.Violations)
 }
 
 // A drain that is notified in the tick of a request precedes it: balancers decide last.
@@ -122,12 +122,12 @@
 		for s := range w.servers {
 			w.discovery.entries[s].state = piernotch.Draining
 		}
-		w.discovery.send(w, 0, piernotch.UpdateDelta, []int{0, 1})
+		w.discovery.send(w, 0, piernotch.UpdateDelta, []serverIndex{0, 1})
 	})
 	r, err := w.Run()
 	require.NoError(t, err)
 	require.Positive(t, r.Requests)
-	require.Zero(t, r.Broken())
+	require.Zero(t, r.ViolationCount())
 	require.LessOrEqual(t, sent, 1, "only what came first in the tick")
 	require.LessOrEqual(t, r.DrainLatest, 5.0, "within the tick")
 }
--- a/internal/lab/simulation/trace_replay_test.go
+++ b/internal/lab/simulation/trace_replay_test.go
@@ -23,7 +23,7 @@
 	r := run(t, NewInProcess(), "quiet", 1, "traffic.trace="+name, "length_s=10", "clients.retries=0")
 	require.Equal(t, 400, r.Requests)
 	require.Greater(t, r.Service, 0.9)
-	require.Zero(t, r.Broken())
+	require.Zero(t, r.ViolationCount())
 	for i := range 8 {
 		require.InDelta(t, 50*30*6.5, r.Seconds[i].AskedWeight, 1, "25 of each class a second")
 	}
--- a/internal/lab/simulation/traffic.go
+++ b/internal/lab/simulation/traffic.go
@@ -26,26 +26,26 @@
 }
 
 // segment is the length over which bursty traffic keeps a level.
-func segment(d *scenario.Realization) time.Duration {
-	return max(d.Traffic.Period/4, 10*time.Millisecond)
+func segment(realization *scenario.Realization) time.Duration {
+	return max(realization.Traffic.Period/4, 10*time.Millisecond)
 }
 
 // init draws the shape of the traffic, or reads the recording.
 func (t *traffic) init(w *World) error {
-	d := w.realization
-	t.arrivals, t.keys = scenario.Stream(d.Seed, "arrivals"), scenario.Stream(d.Seed, "keys")
-	t.hints, t.tails = scenario.Stream(d.Seed, "hints"), scenario.Stream(d.Seed, "heavy")
-	if d.Traffic.Trace != "" {
-		return t.loadTrace(d)
-	}
-	shape := scenario.Stream(d.Seed, "shape")
-	for at := time.Duration(0); at <= d.Length; at += segment(d) {
-		t.levels = append(t.levels, 1+d.Traffic.Amplitude*(2*shape.Float64()-1))
-	}
-	t.zipf = cumulativeZipf(d.Traffic.Keys, d.Traffic.KeyZipf)
-	t.maxRate = d.Traffic.RequestsPerSecond * (1 + d.Traffic.Amplitude)
-	for i := range d.Faults {
-		if fault := &d.Faults[i]; fault.Kind == "burst" {
+	realization := w.realization
+	t.arrivals, t.keys = scenario.Stream(realization.Seed, "arrivals"), scenario.Stream(realization.Seed, "keys")
+	t.hints, t.tails = scenario.Stream(realization.Seed, "hints"), scenario.Stream(realization.Seed, "heavy")
+	if realization.Traffic.Trace != "" {
+		return t.loadTrace(realization)
+	}
+	shape := scenario.Stream(realization.Seed, "shape")
+	for at := time.Duration(0); at <= realization.Length; at += segment(realization) {
+		t.levels = append(t.levels, 1+realization.Traffic.Amplitude*(2*shape.Float64()-1))
+	}
+	t.zipf = cumulativeZipf(realization.Traffic.Keys, realization.Traffic.KeyZipf)
+	t.maxRate = realization.Traffic.RequestsPerSecond * (1 + realization.Traffic.Amplitude)
+	for i := range realization.Faults {
+		if fault := &realization.Faults[i]; fault.Kind == scenario.FaultBurst {
 			t.maxRate *= max(fault.Size, 1)
 		}
 	}
@@ -53,36 +53,36 @@
 }
 
 // cumulativeZipf returns the cumulative weights of n keys by Zipf's law.
-func cumulativeZipf(n int, exponent float64) []float64 {
-	var out []float64
+func cumulativeZipf(keys int, exponent float64) []float64 {
+	var weights []float64
 	sum := 0.0
-	for i := range n {
+	for i := range keys {
 		sum += math.Pow(float64(i+1), -exponent)
-		out = append(out, sum)
+		weights = append(weights, sum)
 	}
-	return out
+	return weights
 }
 
 // rate is the rate of requests at a time, per second.
 func (t *traffic) rate(w *World, at time.Duration) float64 {
-	d := w.realization
-	r := d.Traffic.RequestsPerSecond
-	switch d.Traffic.Shape {
+	realization := w.realization
+	rate := realization.Traffic.RequestsPerSecond
+	switch realization.Traffic.Shape {
 	case "waves":
-		r *= 1 + d.Traffic.Amplitude*math.Sin(2*math.Pi*(float64(at)/float64(d.Traffic.Period)+d.Traffic.Phase))
+		rate *= 1 + realization.Traffic.Amplitude*math.Sin(2*math.Pi*(float64(at)/float64(realization.Traffic.Period)+realization.Traffic.Phase))
 	case "bursty":
-		r *= t.levels[min(int(at/segment(d)), len(t.levels)-1)]
+		rate *= t.levels[min(int(at/segment(realization)), len(t.levels)-1)]
 	}
-	for i := range d.Faults {
-		fault := &d.Faults[i]
+	for i := range realization.Faults {
+		fault := &realization.Faults[i]
 		switch fault.Kind {
-		case "burst":
-			r *= 1 + (fault.Size-1)*ramp(at, fault.At, fault.End(), fault.Ramp)
-		case "shrink": // traffic falls with the number of servers, and stays low
-			r *= 1 - (1-1/fault.Size)*ramp(at, fault.At, never, fault.For)
+		case scenario.FaultBurst:
+			rate *= 1 + (fault.Size-1)*ramp(at, fault.At, fault.End(), fault.Ramp)
+		case scenario.FaultShrink: // traffic falls with the number of servers, and stays low
+			rate *= 1 - (1-1/fault.Size)*ramp(at, fault.At, never, fault.For)
 		}
 	}
-	return r
+	return rate
 }
 
 // ramp rises from 0 to 1 after from, and falls back before to.
@@ -98,12 +98,12 @@
 	return min(up, down, 1)
 }
 
-// planNext plans the next client, unless none comes before the end.
-func (t *traffic) planNext(w *World) {
+// scheduleNext schedules the next client, unless none comes before the end.
+func (t *traffic) scheduleNext(w *World) {
 	if t.replay {
 		if len(t.records) > 0 {
 			if at := t.records[0].At / time.Microsecond * time.Microsecond; at < w.realization.Length {
-				w.events.plan(max(at, w.now), priorityArrival, eventNextClient, 0, 0)
+				w.events.schedule(max(at, w.now), eventNextClient, 0)
 			}
 		}
 		return
@@ -119,105 +119,105 @@
 			return
 		}
 		if t.arrivals.Float64()*t.maxRate < t.rate(w, at) {
-			w.events.plan(at/time.Microsecond*time.Microsecond, priorityArrival, eventNextClient, 0, 0)
+			w.events.schedule(at/time.Microsecond*time.Microsecond, eventNextClient, 0)
 			return
 		}
 	}
 }
 
-// clientArrives adds the client that was planned, and plans the next one.
+// clientArrives adds the client that was scheduled, and schedules the next one.
 func (t *traffic) clientArrives(w *World) {
 	w.lastClientRequest++
 	client := w.clientRequests.Put(w.lastClientRequest)
 	t.drawRequest(w, client)
 	w.counters.goodput.RequestSent(client.firstSent, client.class, client.work)
 	w.sendRequest(w.lastClientRequest)
-	t.planNext(w)
+	t.scheduleNext(w)
 }
 
 // drawRequest draws what a client wants.
 func (t *traffic) drawRequest(w *World, client *clientRequest) {
-	d := w.realization
-	*client = clientRequest{randomKey: mix(d.Seed ^ w.lastClientRequest*0x9e3779b97f4a7c15), firstSent: w.now, costHint: math.NaN()}
+	realization := w.realization
+	*client = clientRequest{randomKey: mix(realization.Seed ^ w.lastClientRequest*goldenRatio), firstSent: w.now, costHint: math.NaN()}
 	if t.replay {
 		t.takeRecorded(w, client)
 	} else {
 		t.drawFromScenario(w, client)
 	}
-	client.deadline = w.now + d.Classes[client.class].Deadline
-	client.patienceDraw = t.tails.Float64()
-	client.maxRetries = int(d.Clients.Retries)
-	if t.tails.Float64() < d.Clients.Retries-float64(client.maxRetries) {
+	client.deadline = w.now + realization.Classes[client.class].Deadline
+	client.disconnectDraw = t.tails.Float64()
+	client.maxRetries = int(realization.Clients.Retries)
+	if t.tails.Float64() < realization.Clients.Retries-float64(client.maxRetries) {
 		client.maxRetries++
 	}
 }
 
 // Arrival is one request of a client, before any decision.
 type Arrival struct {
-	At    time.Duration // since the start
-	Class int
-	Zone  int
-	Work  float64 // ms
-	Hint  float64 // ms; NaN: none
-	Key   uint64  // 0: none
-	Tries int     // sendings that the client makes at most
-	Seed  uint64  // of the client's other random numbers
+	At          time.Duration // since the start
+	Class       int
+	Zone        int
+	Work        float64 // ms
+	Hint        float64 // ms; NaN: none
+	Key         uint64  // 0: none
+	MaxAttempts int     // that the client makes
+	Seed        uint64  // of the client's other random numbers
 }
 
 // Arrivals draws all requests of a scenario ahead: the same that a World plays.
 func Arrivals(realization *scenario.Realization) ([]Arrival, error) {
-	w := &World{realization: realization}
-	if err := w.traffic.init(w); err != nil {
+	world := &World{realization: realization}
+	if err := world.traffic.init(world); err != nil {
 		return nil, err
 	}
-	var out []Arrival
-	for w.traffic.planNext(w); ; w.traffic.planNext(w) {
-		e, ok := w.events.pop()
+	var arrivals []Arrival
+	for world.traffic.scheduleNext(world); ; world.traffic.scheduleNext(world) {
+		event, ok := world.events.pop()
 		if !ok {
-			return out, nil
+			return arrivals, nil
 		}
-		w.now = e.at
-		w.lastClientRequest++
+		world.now = event.at
+		world.lastClientRequest++
 		var client clientRequest
-		w.traffic.drawRequest(w, &client)
-		out = append(out, Arrival{
+		world.traffic.drawRequest(world, &client)
+		arrivals = append(arrivals, Arrival{
 			At: client.firstSent, Class: client.class, Zone: client.zone, Work: client.work, Hint: client.costHint, Key: client.key,
-			Tries: client.maxRetries + 1, Seed: client.randomKey,
+			MaxAttempts: client.maxRetries + 1, Seed: client.randomKey,
 		})
 	}
 }
 
 // drawFromScenario draws class, zone, work, key and cost hint.
 func (t *traffic) drawFromScenario(w *World, client *clientRequest) {
-	d := w.realization
-	u := t.arrivals.Float64()
-	for client.class = 0; client.class < len(d.Classes)-1 && u >= d.Classes[client.class].Share; client.class++ {
-		u -= d.Classes[client.class].Share
-	}
-	client.zone = sort.SearchFloat64s(d.Traffic.Zones, t.arrivals.Float64())
-	client.zone = min(client.zone, len(d.Zones)-1)
-	client.work = d.Classes[client.class].Work.Rand()
+	realization := w.realization
+	draw := t.arrivals.Float64()
+	for client.class = 0; client.class < len(realization.Classes)-1 && draw >= realization.Classes[client.class].Share; client.class++ {
+		draw -= realization.Classes[client.class].Share
+	}
+	client.zone = sort.SearchFloat64s(realization.Traffic.Zones, t.arrivals.Float64())
+	client.zone = min(client.zone, len(realization.Zones)-1)
+	client.work = realization.Classes[client.class].Work.Rand()
 	tail := t.tails.Float64()
-	for i := range d.Faults {
-		fault := &d.Faults[i]
-		active := fault.Kind == "heavy_tail" && w.now >= fault.At && w.now < fault.End()
+	for i := range realization.Faults {
+		fault := &realization.Faults[i]
+		active := fault.Kind == scenario.FaultHeavyTail && w.now >= fault.At && w.now < fault.End()
 		hit := fault.Class < 0 || fault.Class == client.class
 		if active && hit && tail < fault.Part {
 			client.work *= fault.Size
 		}
 	}
-	if n := len(t.zipf); n > 0 {
-		i := sort.SearchFloat64s(t.zipf, t.keys.Float64()*t.zipf[n-1])
-		client.key = mix(d.Seed^uint64(i+1)) | 1
+	if keys := len(t.zipf); keys > 0 {
+		rank := sort.SearchFloat64s(t.zipf, t.keys.Float64()*t.zipf[keys-1])
+		client.key = mix(realization.Seed^uint64(rank+1)) | 1
 	}
-	client.costHint = t.drawHint(d, client.work)
+	client.costHint = t.drawHint(realization, client.work)
 }
 
 // drawHint is the cost hint of a request, ms; NaN: none.
-func (t *traffic) drawHint(d *scenario.Realization, work float64) float64 {
-	sigma := math.Sqrt(math.Log1p(d.Traffic.HintCV * d.Traffic.HintCV))
+func (t *traffic) drawHint(realization *scenario.Realization, work float64) float64 {
+	sigma := math.Sqrt(math.Log1p(realization.Traffic.HintCV * realization.Traffic.HintCV))
 	noise := math.Exp(sigma*t.hints.NormFloat64() - sigma*sigma/2)
-	switch d.Traffic.Hints {
+	switch realization.Traffic.Hints {
 	case "exact":
 		return work
 	case "rough":
--- a/internal/lab/simulation/traffic_trace.go
+++ b/internal/lab/simulation/traffic_trace.go
@@ -13,51 +13,51 @@
 
 // loadTrace reads a recording, whose records stand in the order in which requests ended. The error is
 // of a file that cannot be read, or of a class that the scenario lacks.
-func (t *traffic) loadTrace(d *scenario.Realization) error {
-	r, err := trafficrecording.Open(d.Traffic.Trace)
+func (t *traffic) loadTrace(realization *scenario.Realization) error {
+	recording, err := trafficrecording.Open(realization.Traffic.Trace)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = r.Close() }() // it was only read
-	t.replay, t.head, t.classOf = true, *r.Header(), map[string]int{}
-	for i, c := range d.Classes {
-		t.classOf[c.Name] = i
+	defer func() { _ = recording.Close() }() // it was only read
+	t.replay, t.head, t.classOf = true, *recording.Header(), map[string]int{}
+	for i, class := range realization.Classes {
+		t.classOf[class.Name] = i
 	}
 	for _, name := range t.head.Classes {
 		if _, ok := t.classOf[name]; !ok {
-			return fmt.Errorf("%s: its class %q is none of the scenario's", d.Traffic.Trace, name)
+			return fmt.Errorf("%s: its class %q is none of the scenario's", realization.Traffic.Trace, name)
 		}
 	}
 	for {
-		var rec trafficrecording.Record
-		switch err := r.Next(&rec); {
+		var record trafficrecording.Record
+		switch err := recording.Next(&record); {
 		case errors.Is(err, io.EOF):
 			slices.SortStableFunc(t.records, func(a, b trafficrecording.Record) int { return cmp.Compare(a.At, b.At) })
 			return nil
 		case err != nil:
 			return err
 		}
-		t.records = append(t.records, rec)
+		t.records = append(t.records, record)
 	}
 }
 
 // takeRecorded takes the next request of the recording. A recording knows no work: the cost hint
 // stands for it, or else the class's distribution.
 func (t *traffic) takeRecorded(w *World, client *clientRequest) {
-	r := t.records[0]
+	record := t.records[0]
 	t.records = t.records[1:]
-	client.class = t.classOf[t.head.Classes[r.Class]]
+	client.class = t.classOf[t.head.Classes[record.Class]]
 	client.zone = int(client.randomKey>>8) % len(w.realization.Zones)
-	if z := t.head.Zone; z != "" {
+	if zone := t.head.Zone; zone != "" {
 		for i, name := range w.realization.Zones {
-			if name == z {
+			if name == zone {
 				client.zone = i
 			}
 		}
 	}
-	client.key = r.Key
+	client.key = record.Key
 	client.work = w.realization.Classes[client.class].Work.Rand()
-	if r.CostHint > 0 {
-		client.work, client.costHint = r.CostHint, r.CostHint
+	if record.CostHint > 0 {
+		client.work, client.costHint = record.CostHint, record.CostHint
 	}
 }
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -13,13 +13,22 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// never is the time of a turn that is not planned.
+// Balancers and servers are numbered as package invariants numbers them.
+type (
+	balancerIndex = invariants.BalancerIndex
+	serverIndex   = invariants.ServerIndex
+)
+
+// noBalancer stands for a balancer where there is none.
+const noBalancer balancerIndex = -1
+
+// never is the time of a turn that is not scheduled.
 const never = time.Duration(math.MaxInt64)
 
 // drainAfter bounds how long a World runs on after its last arrival.
 const drainAfter = 60 * time.Second
 
-// World plays one drawn scenario. It is for one goroutine and one call of Run.
+// World plays one realization of a scenario. It is for one goroutine and one call of Run.
 type World struct {
 	realization *scenario.Realization
 	tier        Tier
@@ -29,28 +38,28 @@
 	err         error // ends the run
 
 	clientRequests    idtable.Table[clientRequest]
-	requests          idtable.Table[request]
-	attempts          idtable.Table[attempt]
-	healthChecks      idtable.Table[healthCheck]
+	requests          idtable.Table[requestState]
+	attempts          idtable.Table[attemptState]
+	healthChecks      idtable.Table[healthCheckState]
 	lastClientRequest uint64 // the IDs given out last
 	lastRequest       uint64
 	lastAttempt       uint64
 	lastHealthCheck   uint64
 
 	balancers      []balancerState
-	admittedByZone [][]int // instances that clients are sent to
+	admittedByZone [][]balancerIndex // balancers that clients are sent to
 	servers        []serverState
-	serverByID     map[piernotch.ServerID]int32
+	serverByID     map[piernotch.ServerID]serverIndex
 	discovery      discovery
 	traffic        traffic
 
 	script       []func()      // steps of faults and starts, by eventScript
 	reportDelay  time.Duration // by which faults delay load reports further
-	corruptShare float64       // share of answers that a fault corrupts
+	corruptShare float64       // share of responses that a fault corrupts
 
-	pending      []int // instances with events for the next turn
+	pending      []balancerIndex // balancers with events for the next turn
 	batch        []Event
-	nextTurn     time.Duration // never: none is planned
+	nextTurn     time.Duration // never: none is scheduled
 	lastTurn     time.Duration
 	previousTurn time.Duration // the one before lastTurn
 
@@ -60,78 +69,84 @@
 	counters   counters
 }
 
-// New returns the World of a drawn scenario, with all of its servers and faults. The caller closes
-// the tier. The error is of a kind of machine that cannot be, or of a trace that cannot be read.
+// New returns the World of a realization, with all of its servers and faults. The caller closes
+// the tier. The error is of a kind of server that cannot be, or of a recording that cannot be read.
 func New(realization *scenario.Realization, tier Tier) (*World, error) {
-	w := &World{realization: realization, tier: tier, serverByID: map[piernotch.ServerID]int32{}, nextTurn: never, lastTurn: -1}
-	w.hashedRand = rand.New(&w.pcg)
+	world := &World{
+		realization: realization,
+		tier:        tier,
+		serverByID:  map[piernotch.ServerID]serverIndex{},
+		nextTurn:    never,
+		lastTurn:    -1, // a turn at time 0 is still to come
+	}
+	world.hashedRand = rand.New(&world.pcg)
 	for i := range realization.Servers {
-		if _, err := w.addServer(realization.Servers[i]); err != nil {
+		if _, err := world.addServer(realization.Servers[i]); err != nil {
 			return nil, err
 		}
 	}
-	w.checker = invariants.New(w.limits())
-	w.counters.init(realization)
-	w.balancers = make([]balancerState, len(realization.Balancers))
-	w.admittedByZone = make([][]int, len(realization.Zones))
-	for i, b := range realization.Balancers {
-		w.balancers[i].zone = b.Zone
+	world.checker = invariants.New(world.limits())
+	world.counters.init(realization)
+	world.balancers = make([]balancerState, len(realization.Balancers))
+	world.admittedByZone = make([][]balancerIndex, len(realization.Zones))
+	for i, balancer := range realization.Balancers {
+		world.balancers[i].zone = balancer.Zone
 	}
-	w.discovery.init(w)
-	if err := w.traffic.init(w); err != nil {
+	world.discovery.init(world)
+	if err := world.traffic.init(world); err != nil {
 		return nil, err
 	}
-	w.scheduleFaults()
-	for i, b := range realization.Balancers {
-		w.schedule(b.Start, func() { w.startBalancer(i, true) })
+	world.scheduleFaults()
+	for i, balancer := range realization.Balancers {
+		world.schedule(balancer.Start, func() { world.startFirstProcess(balancerIndex(i)) })
 	}
-	w.traffic.planNext(w)
-	w.events.plan(time.Second, prioritySample, eventEachSecond, 0, 0)
-	return w, nil
+	world.traffic.scheduleNext(world)
+	world.events.schedule(time.Second, eventEachSecond, 0)
+	return world, nil
 }
 
-// limits is what the invariants are measured by. An answer may be late by a tick more than on
+// limits is what the invariants are measured by. A response may be late by a tick more than on
 // sockets, since balancers decide at ticks only.
 func (w *World) limits() invariants.Limits {
 	rules, limits := &w.realization.Rules, &w.realization.Settings.Limits
-	out := invariants.Limits{
+	measured := invariants.Limits{
 		Slack:          rules.ResponseSlack + w.realization.Tick,
 		Grace:          rules.DrainGrace,
 		CollapseWindow: rules.Collapse.For,
 		MaxAttempts:    limits.MaxAttempts,
 		HedgedRequests: limits.HedgedRequests,
-		Zone:           func(i int) int { return w.servers[i].spec.Zone },
-		Cell:           func(i int) int { return w.servers[i].spec.Cell },
+		Zone:           func(server serverIndex) int { return w.servers[server].spec.Zone },
+		Cell:           func(server serverIndex) int { return w.servers[server].spec.Cell },
 	}
-	for _, c := range w.realization.Classes {
-		out.Classes = append(out.Classes, c.Class)
+	for _, class := range w.realization.Classes {
+		measured.Classes = append(measured.Classes, class.Class)
 	}
-	return out
+	return measured
 }
 
 // schedule adds a step to the script.
-func (w *World) schedule(t time.Duration, step func()) {
+func (w *World) schedule(at time.Duration, step func()) {
 	w.script = append(w.script, step)
-	w.events.plan(t, priorityFault, eventScript, uint64(len(w.script)-1), 0)
+	w.events.schedule(at, eventScript, uint64(len(w.script)-1))
 }
 
 // addServer adds a server and returns its index.
-func (w *World) addServer(spec scenario.Server) (int, error) {
-	n := len(w.servers)
-	s, err := servermodel.New(spec.Kind, mix(w.realization.Seed^mix(uint64(n)+0x5e)), 0)
+func (w *World) addServer(spec scenario.Server) (serverIndex, error) {
+	index := serverIndex(len(w.servers))
+	model, err := servermodel.New(spec.Kind, mix(w.realization.Seed^mix(uint64(index)+saltServerModel)), 0)
 	if err != nil {
 		return 0, err
 	}
-	id := w.newServerID(n)
-	w.serverByID[id] = int32(n)
-	w.servers = append(w.servers, serverState{Server: s, spec: spec, id: id, nextAdvance: servermodel.Never, slowFactor: 1})
-	return n, nil
+	id := w.newServerID(index)
+	w.serverByID[id] = index
+	w.servers = append(w.servers, serverState{Server: model, spec: spec, id: id, nextAdvance: servermodel.Never, slowFactor: 1})
+	return index, nil
 }
 
 // newServerID returns the ID of server n: one that reveals nothing, and is the same at every
 // balancer.
-func (w *World) newServerID(n int) piernotch.ServerID {
-	id := piernotch.ServerID(mix(w.realization.Seed ^ mix(uint64(n)+0x1d)))
+func (w *World) newServerID(index serverIndex) piernotch.ServerID {
+	id := piernotch.ServerID(mix(w.realization.Seed ^ mix(uint64(index)+saltServerID)))
 	for {
 		if _, taken := w.serverByID[id]; !taken && id != 0 {
 			return id
@@ -140,18 +155,18 @@
 	}
 }
 
-// Run plays the scenario to its end: until all is answered after the last arrival. An error names
+// Run plays the scenario to its end: until all requests are answered after the last arrival. An error names
 // the seed and the time; it is of the tier, or of an action that is impossible.
 func (w *World) Run() (*Result, error) {
 	began := time.Now()
 	for !w.stop {
-		e, ok := w.events.pop()
+		event, ok := w.events.pop()
 		if !ok {
 			break
 		}
-		w.now = e.at
+		w.now = event.at
 		w.counters.Events++
-		w.handle(&e)
+		w.handle(&event)
 		if w.err != nil {
 			return nil, fmt.Errorf("seed %d, %.3f s: %w", w.realization.Seed, w.now.Seconds(), w.err)
 		}
@@ -160,58 +175,58 @@
 	return w.result(time.Since(began)), nil
 }
 
-// handle dispatches one planned event.
-func (w *World) handle(e *plannedEvent) {
-	switch e.kind {
+// handle dispatches one scheduled event.
+func (w *World) handle(event *scheduledEvent) {
+	switch event.kind {
 	case eventScript:
-		w.script[e.id]()
+		w.script[event.id]()
 	case eventServerAdvance:
-		w.advanceServer(int(e.index), e.at)
+		w.advanceServer(serverIndex(event.index), event.at)
 	case eventAttemptArrives:
-		w.attemptArrives(e.id)
+		w.attemptArrives(event.id)
 	case eventOutcomeArrives:
-		w.outcomeArrives(e.id)
+		w.outcomeArrives(event.id)
 	case eventCancelArrives:
-		w.cancelArrives(e.id)
+		w.cancelArrives(event.id)
 	case eventAttemptTimeout:
-		w.attemptTimesOut(e.id)
+		w.attemptTimesOut(event.id)
 	case eventHealthCheckArrives:
-		w.healthCheckArrives(e.id)
+		w.healthCheckArrives(event.id)
 	case eventHealthCheckCompletes:
-		w.healthCheckCompletes(e.id)
+		w.healthCheckCompletes(event.id)
 	case eventRequestArrives:
-		w.requestArrives(e.id)
-	case eventAnswerArrives:
-		w.answerArrives(e.id)
+		w.requestArrives(event.id)
+	case eventResponseArrives:
+		w.responseArrives(event.id)
 	case eventUnreachable:
-		w.unreachable(e.id)
+		w.unreachable(event.id)
 	case eventRequestDeadline:
-		w.requestExpires(e.id)
-	case eventAnswerOverdue:
-		w.answerOverdue(e.id)
-	case eventClientLeaves:
-		w.clientLeaves(e.id)
+		w.requestExpires(event.id)
+	case eventResponseOverdue:
+		w.responseOverdue(event.id)
+	case eventClientDisconnects:
+		w.clientDisconnects(event.id)
 	case eventClientRetry:
-		w.sendRequest(e.id)
+		w.sendRequest(event.id)
 	case eventNextClient:
 		w.traffic.clientArrives(w)
 	case eventListArrives:
-		w.discovery.deliver(w, int(e.index), e.id)
+		w.discovery.deliver(w, balancerIndex(event.index), event.id)
 	case eventDiscoveryNotice:
-		w.discovery.learn(w, int(e.id))
+		w.discovery.learn(w, int(event.id))
 	case eventDiscoveryPublish:
 		w.discovery.publish(w)
 	case eventTimer:
-		w.timerFires(int(e.index), e.id)
+		w.timerFires(balancerIndex(event.index), event.id)
 	case eventTurn:
 		w.turn()
 	case eventEachSecond:
-		w.eachSecond()
+		w.onEachSecond()
 	}
 }
 
-// eachSecond checks for overdue answers, takes samples and ends the run when all is over.
-func (w *World) eachSecond() {
+// onEachSecond checks for overdue responses, takes samples and ends the run when all is over.
+func (w *World) onEachSecond() {
 	w.checker.CheckOverdue(w.now)
 	w.discovery.notifyImplied(w)
 	w.counters.sample(w)
@@ -220,5 +235,5 @@
 		w.stop = true
 		return
 	}
-	w.events.plan(w.now+time.Second, prioritySample, eventEachSecond, 0, 0)
+	w.events.schedule(w.now+time.Second, eventEachSecond, 0)
 }
--- a/internal/simprotocol/batch_reader.go
+++ b/internal/simprotocol/batch_reader.go
@@ -6,6 +6,8 @@
 	"fmt"
 	"io"
 	"math"
+
+	"piernotch"
 )
 
 // Batch is one frame of events. It is valid until the next call of Reader.Next.
@@ -66,13 +68,13 @@
 
 // fill reads until the buffer holds n bytes. It grows only as bytes arrive, so that a wrong length
 // costs no memory.
-func (r *Reader) fill(n int) error {
+func (r *Reader) fill(size int) error {
 	const step = 1 << 20
-	for len(r.buffer) < n {
+	for len(r.buffer) < size {
 		have := len(r.buffer)
-		want := min(n, max(have+step, cap(r.buffer)))
+		want := min(size, max(have+step, cap(r.buffer)))
 		if cap(r.buffer) < want {
-			grown := make([]byte, have, max(want, min(2*cap(r.buffer), n)))
+			grown := make([]byte, have, max(want, min(2*cap(r.buffer), size)))
 			copy(grown, r.buffer)
 			r.buffer = grown
 		}
@@ -88,69 +90,69 @@
 // Event is one decoded event. Which fields are set depends on Code; the comment of a field names
 // the codes, without their prefix, that set it.
 type Event struct {
-	Code       EventCode
-	Balancer   uint32
-	Seed       uint64     // Start
-	Data       []byte     // Start: settings; Message: body
-	Token      uint32     // TimerFired
-	ID         uint64     // Request, ClientGone, ResponseStarted, AttemptCompleted
-	Class      uint8      // Request
-	Tenant     uint16     // Request
-	Key        uint64     // Request
-	DeadlineMS float64    // Request: milliseconds of the simulator's clock
-	CostHintMS float64    // Request: valid with FlagCostHint
-	Flags      uint8      // Request
-	Server     uint32     // HealthCheckCompleted, ResponseStarted, AttemptCompleted
-	Status     uint8      // HealthCheckCompleted, AttemptCompleted
-	LatencyMS  float64    // HealthCheckCompleted, ResponseStarted, AttemptCompleted
-	Attempt    uint8      // ResponseStarted, AttemptCompleted
-	Closed     bool       // AttemptCompleted: the request has its final answer
-	ListKind   uint8      // EndpointList
-	Entries    []byte     // EndpointList: undecoded entries, see Entry
-	From       uint32     // Message
-	Load       [4]float64 // HealthCheckCompleted, AttemptCompleted: values of the load report
-	LoadCount  int        // values in Load; 0: no report
+	Code          EventCode
+	Balancer      BalancerNumber
+	Seed          uint64             // Start
+	Data          []byte             // Start: settings; Message: body
+	Token         uint32             // TimerFired
+	ID            uint64             // Request, ClientGone, ResponseStarted, AttemptCompleted
+	Class         uint8              // Request
+	Tenant        uint16             // Request
+	Key           uint64             // Request
+	DeadlineMS    float64            // Request: milliseconds of the simulator's clock
+	CostHintMS    float64            // Request: valid with FlagCostHint
+	Flags         uint8              // Request
+	Server        piernotch.ServerID // HealthCheckCompleted, ResponseStarted, AttemptCompleted
+	Status        uint8              // HealthCheckCompleted, AttemptCompleted
+	LatencyMS     float64            // HealthCheckCompleted, ResponseStarted, AttemptCompleted
+	AttemptNumber uint8              // ResponseStarted, AttemptCompleted
+	Closed        bool               // AttemptCompleted: the request has its final response
+	ListKind      uint8              // EndpointList
+	Entries       []byte             // EndpointList: undecoded entries, see Entry
+	From          uint32             // Message
+	Load          [4]float64         // HealthCheckCompleted, AttemptCompleted: values of the load report
+	LoadCount     int                // values in Load; 0: no report
 }
 
 // Event decodes record i into e without allocating. What it decodes refers to the batch's buffer
 // and is valid as long as the batch is. An error is a *FrameError.
-func (b *Batch) Event(i int, e *Event) error {
-	rec := b.records[i*eventSize : (i+1)*eventSize]
-	*e = Event{Code: EventCode(rec[0]), Balancer: u32(rec[1:])}
-	if err := b.decode(rec, e); err != nil {
-		return &FrameError{Seq: b.Seq, Record: i, Err: fmt.Errorf("batch %d, event %d (code %d): %w", b.Seq, i, rec[0], err)}
+func (b *Batch) Event(i int, event *Event) error {
+	record := b.records[i*eventSize : (i+1)*eventSize]
+	*event = Event{Code: EventCode(record[0]), Balancer: BalancerNumber(u32(record[1:]))}
+	if err := b.decode(record, event); err != nil {
+		return &FrameError{Seq: b.Seq, Record: i, Err: fmt.Errorf("batch %d, event %d (code %d): %w", b.Seq, i, record[0], err)}
 	}
 	return nil
 }
 
-// decode fills in the fields that follow code and instance.
-func (b *Batch) decode(rec []byte, e *Event) error {
+// decode fills in the fields that follow code and balancer.
+func (b *Batch) decode(record []byte, event *Event) error {
 	var err error
-	switch e.Code {
+	switch event.Code {
 	case EventStart:
-		e.Seed = u64(rec[5:])
-		e.Data, err = b.tailSlice(u32(rec[13:]), u32(rec[17:]), 1)
+		event.Seed = u64(record[5:])
+		event.Data, err = b.tailSlice(u32(record[13:]), u32(record[17:]), 1)
 	case EventEndpointList:
-		e.ListKind = rec[5]
-		e.Entries, err = b.tailSlice(u32(rec[14:]), u32(rec[18:]), entrySize)
+		event.ListKind = record[5]
+		event.Entries, err = b.tailSlice(u32(record[14:]), u32(record[18:]), entrySize)
 	case EventMessage:
-		e.From = u32(rec[5:])
-		e.Data, err = b.tailSlice(u32(rec[9:]), u32(rec[13:]), 1)
+		event.From = u32(record[5:])
+		event.Data, err = b.tailSlice(u32(record[9:]), u32(record[13:]), 1)
 	case EventRequest:
-		e.decodeRequest(rec)
+		event.decodeRequest(record)
 	case EventAttemptCompleted:
-		e.ID, e.Attempt, e.Server, e.Status = u64(rec[5:]), rec[13], u32(rec[14:]), rec[18]
-		e.LatencyMS, e.Closed = f64(rec[19:]), rec[27] != 0
-		err = e.decodeLoad(rec[28:])
+		event.ID, event.AttemptNumber, event.Server, event.Status = u64(record[5:]), record[13], piernotch.ServerID(u32(record[14:])), record[18]
+		event.LatencyMS, event.Closed = f64(record[19:]), record[27] != 0
+		err = event.decodeLoad(record[28:])
 	case EventHealthCheckCompleted:
-		e.Server, e.Status, e.LatencyMS = u32(rec[5:]), rec[9], f64(rec[10:])
-		err = e.decodeLoad(rec[18:])
+		event.Server, event.Status, event.LatencyMS = piernotch.ServerID(u32(record[5:])), record[9], f64(record[10:])
+		err = event.decodeLoad(record[18:])
 	case EventResponseStarted:
-		e.ID, e.LatencyMS, e.Server, e.Attempt = u64(rec[5:]), f64(rec[13:]), u32(rec[21:]), rec[25]
+		event.ID, event.LatencyMS, event.Server, event.AttemptNumber = u64(record[5:]), f64(record[13:]), piernotch.ServerID(u32(record[21:])), record[25]
 	case EventClientGone:
-		e.ID = u64(rec[5:])
+		event.ID = u64(record[5:])
 	case EventTimerFired:
-		e.Token = u32(rec[5:])
+		event.Token = u32(record[5:])
 	case EventStop:
 	default:
 		err = errors.New("unknown code")
@@ -158,42 +160,42 @@
 	return err
 }
 
-func (e *Event) decodeRequest(rec []byte) {
-	e.ID = u64(rec[5:])
-	e.Class = rec[13]
-	e.Tenant = u16(rec[14:])
-	e.Key = u64(rec[16:])
-	e.DeadlineMS = f64(rec[24:])
-	e.CostHintMS = f64(rec[32:])
-	e.Flags = rec[40]
+func (e *Event) decodeRequest(record []byte) {
+	e.ID = u64(record[5:])
+	e.Class = record[13]
+	e.Tenant = u16(record[14:])
+	e.Key = u64(record[16:])
+	e.DeadlineMS = f64(record[24:])
+	e.CostHintMS = f64(record[32:])
+	e.Flags = record[40]
 }
 
 // decodeLoad reads a load report: the number of values, then the values as 32-bit floats.
-func (e *Event) decodeLoad(p []byte) error {
-	e.LoadCount = int(p[0])
+func (e *Event) decodeLoad(data []byte) error {
+	e.LoadCount = int(data[0])
 	if e.LoadCount > len(e.Load) {
 		return fmt.Errorf("load report of %d values", e.LoadCount)
 	}
 	for i := range e.LoadCount {
-		e.Load[i] = float64(math.Float32frombits(u32(p[1+4*i:])))
+		e.Load[i] = float64(math.Float32frombits(u32(data[1+4*i:])))
 	}
 	return nil
 }
 
 // tailSlice returns n items of the given size in bytes, from an offset of the tail on.
-func (b *Batch) tailSlice(at, n uint32, size uint64) ([]byte, error) {
-	end := uint64(at) + uint64(n)*size
+func (b *Batch) tailSlice(offset, count uint32, size uint64) ([]byte, error) {
+	end := uint64(offset) + uint64(count)*size
 	if end > uint64(len(b.tail)) {
-		return nil, fmt.Errorf("tail offset %d, count %d: the tail has %d bytes", at, n, len(b.tail))
+		return nil, fmt.Errorf("tail offset %d, count %d: the tail has %d bytes", offset, count, len(b.tail))
 	}
-	return b.tail[at:end], nil
+	return b.tail[offset:end], nil
 }
 
 // EndpointEntry is one server in an endpoint list.
 type EndpointEntry struct {
-	Server      uint32
+	Server      piernotch.ServerID
 	Zone        uint8
-	Kind        uint8 // kind of machine
+	Kind        uint8 // index into ExtraSettings.ServerKinds
 	Cell        uint16
 	State       uint8
 	Size        float64
@@ -205,9 +207,9 @@
 
 // Entry decodes entry i of an endpoint list.
 func (e *Event) Entry(i int) EndpointEntry {
-	p := e.Entries[i*entrySize:]
+	data := e.Entries[i*entrySize:]
 	return EndpointEntry{
-		Server: u32(p), Zone: p[4], Kind: p[5], Cell: u16(p[6:]), State: p[8],
-		Size: float64(math.Float32frombits(u32(p[9:]))), StartedAtMS: f64(p[13:]),
+		Server: piernotch.ServerID(u32(data)), Zone: data[4], Kind: data[5], Cell: u16(data[6:]), State: data[8],
+		Size: float64(math.Float32frombits(u32(data[9:]))), StartedAtMS: f64(data[13:]),
 	}
 }
--- a/internal/simprotocol/batch_writer.go
+++ b/internal/simprotocol/batch_writer.go
@@ -3,6 +3,8 @@
 import (
 	"io"
 	"math"
+
+	"piernotch"
 )
 
 // BatchWriter collects the events of one batch on the simulator's side. Its methods add one record
@@ -14,101 +16,129 @@
 	head    [batchHeaderSize]byte
 }
 
-// record appends a zeroed record with its code and instance. It is valid until the next call.
-func (b *BatchWriter) record(code EventCode, inst uint32) []byte {
-	n := len(b.records)
+// record appends a zeroed record with its code and balancer. It is valid until the next call.
+func (b *BatchWriter) record(code EventCode, balancer BalancerNumber) []byte {
+	end := len(b.records)
 	b.records = append(b.records, make([]byte, eventSize)...)
-	rec := b.records[n:]
-	rec[0] = byte(code)
-	put32(rec[1:], inst)
+	record := b.records[end:]
+	record[0] = byte(code)
+	put32(record[1:], uint32(balancer))
 	b.count++
-	return rec
+	return record
 }
 
-// Start adds the start of an instance with settings as JSON.
-func (b *BatchWriter) Start(inst uint32, seed uint64, settings []byte) {
-	rec := b.record(EventStart, inst)
-	put64(rec[5:], seed)
-	put32(rec[13:], uint32(len(b.tail)))
-	put32(rec[17:], uint32(len(settings)))
+// Start adds the start of a balancer's process with settings as JSON.
+func (b *BatchWriter) Start(balancer BalancerNumber, seed uint64, settings []byte) {
+	record := b.record(EventStart, balancer)
+	put64(record[5:], seed)
+	put32(record[13:], uint32(len(b.tail)))
+	put32(record[17:], uint32(len(settings)))
 	b.tail = append(b.tail, settings...)
 }
 
-// Stop adds the end of an instance.
-func (b *BatchWriter) Stop(inst uint32) { b.record(EventStop, inst) }
+// Stop adds the end of a balancer's process.
+func (b *BatchWriter) Stop(balancer BalancerNumber) { b.record(EventStop, balancer) }
 
 // TimerFired adds a timer that is due.
-func (b *BatchWriter) TimerFired(inst, token uint32) {
-	put32(b.record(EventTimerFired, inst)[5:], token)
+func (b *BatchWriter) TimerFired(balancer BalancerNumber, token uint32) {
+	put32(b.record(EventTimerFired, balancer)[5:], token)
 }
 
 // ClientGone adds the end of a client's wait.
-func (b *BatchWriter) ClientGone(inst uint32, id uint64) {
-	put64(b.record(EventClientGone, inst)[5:], id)
+func (b *BatchWriter) ClientGone(balancer BalancerNumber, id uint64) {
+	put64(b.record(EventClientGone, balancer)[5:], id)
+}
+
+// RequestEvent is a client's request that a balancer has received.
+type RequestEvent struct {
+	ID         uint64
+	Class      uint8
+	Tenant     uint16
+	Key        uint64  // for key affinity; 0: none
+	DeadlineMS float64 // milliseconds of the simulator's clock
+	CostHintMS float64 // written only where Flags hold FlagCostHint
+	Flags      uint8
 }
 
-// Request adds a client's request. The deadline is in milliseconds of the simulator's clock; hintMS is
-// written only where flags hold FlagCostHint.
-func (b *BatchWriter) Request(inst uint32, id uint64, class uint8, tenant uint16, key uint64, deadlineMS, hintMS float64, flags uint8) {
-	rec := b.record(EventRequest, inst)
-	put64(rec[5:], id)
-	rec[13] = class
-	put16(rec[14:], tenant)
-	put64(rec[16:], key)
-	putF64(rec[24:], deadlineMS)
-	if flags&FlagCostHint != 0 {
-		putF64(rec[32:], hintMS)
+// Request adds a client's request.
+func (b *BatchWriter) Request(balancer BalancerNumber, request *RequestEvent) {
+	record := b.record(EventRequest, balancer)
+	put64(record[5:], request.ID)
+	record[13] = request.Class
+	put16(record[14:], request.Tenant)
+	put64(record[16:], request.Key)
+	putF64(record[24:], request.DeadlineMS)
+	if request.Flags&FlagCostHint != 0 {
+		putF64(record[32:], request.CostHintMS)
 	}
-	rec[40] = flags
+	record[40] = request.Flags
 }
 
-// AttemptCompleted adds the end of an attempt after latencyMS milliseconds; load is the load report
-// that came with it, four values at most, or empty.
-func (b *BatchWriter) AttemptCompleted(inst uint32, id uint64, attempt uint8, server uint32, status uint8, latencyMS float64, closed bool, load ...float32) {
-	rec := b.record(EventAttemptCompleted, inst)
-	put64(rec[5:], id)
-	rec[13] = attempt
-	put32(rec[14:], server)
-	rec[18] = status
-	putF64(rec[19:], latencyMS)
-	if closed {
-		rec[27] = 1
+// AttemptEvent is the end of an attempt.
+type AttemptEvent struct {
+	ID            uint64 // of the request
+	AttemptNumber uint8
+	Server        piernotch.ServerID
+	Status        uint8
+	LatencyMS     float64
+	Closed        bool      // the request has its final response
+	Load          []float32 // load report that came with it, four values at most; empty: none
+}
+
+// AttemptCompleted adds the end of an attempt.
+func (b *BatchWriter) AttemptCompleted(balancer BalancerNumber, attempt *AttemptEvent) {
+	record := b.record(EventAttemptCompleted, balancer)
+	put64(record[5:], attempt.ID)
+	record[13] = attempt.AttemptNumber
+	put32(record[14:], uint32(attempt.Server))
+	record[18] = attempt.Status
+	putF64(record[19:], attempt.LatencyMS)
+	if attempt.Closed {
+		record[27] = 1
 	}
-	putLoad(rec[28:], load)
+	putLoad(record[28:], attempt.Load)
+}
+
+// HealthCheckEvent is the result of a health check.
+type HealthCheckEvent struct {
+	Server    piernotch.ServerID
+	Status    uint8
+	LatencyMS float64
+	Load      []float32 // as in AttemptEvent
 }
 
-// HealthCheckCompleted adds the result of a health check; load is as in AttemptCompleted.
-func (b *BatchWriter) HealthCheckCompleted(inst, server uint32, status uint8, latencyMS float64, load ...float32) {
-	rec := b.record(EventHealthCheckCompleted, inst)
-	put32(rec[5:], server)
-	rec[9] = status
-	putF64(rec[10:], latencyMS)
-	putLoad(rec[18:], load)
+// HealthCheckCompleted adds the result of a health check.
+func (b *BatchWriter) HealthCheckCompleted(balancer BalancerNumber, check *HealthCheckEvent) {
+	record := b.record(EventHealthCheckCompleted, balancer)
+	put32(record[5:], uint32(check.Server))
+	record[9] = check.Status
+	putF64(record[10:], check.LatencyMS)
+	putLoad(record[18:], check.Load)
 }
 
 // putLoad writes the number of values, then the values as 32-bit floats.
-func putLoad(p []byte, load []float32) {
-	p[0] = byte(len(load))
-	for i, v := range load {
-		put32(p[1+4*i:], math.Float32bits(v))
+func putLoad(data []byte, load []float32) {
+	data[0] = byte(len(load))
+	for i, value := range load {
+		put32(data[1+4*i:], math.Float32bits(value))
 	}
 }
 
-// EndpointList adds an endpoint list; kind is 0 failed, 1 cached, 2 full, 3 changes.
-func (b *BatchWriter) EndpointList(inst uint32, kind uint8, version uint64, entries []EndpointEntry) {
-	rec := b.record(EventEndpointList, inst)
-	rec[5] = kind
-	put64(rec[6:], version)
-	put32(rec[14:], uint32(len(b.tail)))
-	put32(rec[18:], uint32(len(entries)))
+// EndpointList adds an endpoint list. The kind is that of ListKindCode.
+func (b *BatchWriter) EndpointList(balancer BalancerNumber, kind uint8, version uint64, entries []EndpointEntry) {
+	record := b.record(EventEndpointList, balancer)
+	record[5] = kind
+	put64(record[6:], version)
+	put32(record[14:], uint32(len(b.tail)))
+	put32(record[18:], uint32(len(entries)))
 	for _, entry := range entries {
-		var p [entrySize]byte
-		put32(p[:], entry.Server)
-		p[4], p[5], p[8] = entry.Zone, entry.Kind, entry.State
-		put16(p[6:], entry.Cell)
-		put32(p[9:], math.Float32bits(float32(entry.Size)))
-		putF64(p[13:], entry.StartedAtMS)
-		b.tail = append(b.tail, p[:]...)
+		var data [entrySize]byte
+		put32(data[:], uint32(entry.Server))
+		data[4], data[5], data[8] = entry.Zone, entry.Kind, entry.State
+		put16(data[6:], entry.Cell)
+		put32(data[9:], math.Float32bits(float32(entry.Size)))
+		putF64(data[13:], entry.StartedAtMS)
+		b.tail = append(b.tail, data[:]...)
 	}
 }
 
--- a/internal/simprotocol/codes.go
+++ b/internal/simprotocol/codes.go
@@ -14,6 +14,9 @@
 	entrySize       = 21
 )
 
+// BalancerNumber is the simulator's number of a balancer, which stays the same for all of its processes.
+type BalancerNumber uint32
+
 // EventCode is the kind of an event, as the first byte of its record.
 type EventCode uint8
 
--- a/internal/simprotocol/frame_test.go
+++ b/internal/simprotocol/frame_test.go
@@ -123,7 +123,7 @@
 		"close":  {func() { r.CloseIdle(3, 0x2c9011f2) }, "05 03000000 f211902c"},
 		"fail":   {func() { r.Fail(3, 0x85fb60e6f2b19) }, "03 03000000 192b6f0eb65f0800"},
 		"fetch":  {func() { r.FetchEndpoints(3) }, "08 03000000"},
-		"watch":  {func() { r.WatchEndpoints(3, true) }, "09 03000000 01"},
+		"watch":  {func() { r.WatchEndpoints(3) }, "09 03000000 01"},
 		"probe":  {func() { r.HealthCheck(3, 0x2c9011f2) }, "01 03000000 f211902c"},
 		"refuse": {func() { r.Reject(3, 0x85fb60e6f2b19, 250) }, "07 03000000 192b6f0eb65f0800 0000000000406f40"},
 		"fault":  {func() { r.ReportFault(3, "index out of range") }, "06 03000000 00000000 12000000"},
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -32,7 +32,7 @@
 }
 
 // TestBatchGoldenFile guards the frames of events: every event with every field set. There is no
-// writer of messages between instances: its record is in the second batch, put together by hand.
+// writer of messages between balancers: its record is in the second batch, put together by hand.
 func TestBatchGoldenFile(t *testing.T) {
 	lines := []EndpointEntry{
 		{Server: 0x03124a07, Zone: 1, Kind: 2, Cell: 0x0304, State: 2, Size: 1.5, StartedAtMS: 6100.25},
@@ -42,11 +42,16 @@
 	var out bytes.Buffer
 	b.Start(1, 0x0102030405060708, []byte(`{"group_size":1}`))
 	b.TimerFired(2, 77)
-	b.Request(3, 0x1112131415161718, 4, 0x0506, 0x2122232425262728, 8652.25, 12.5, FlagCostHint|FlagRetry|FlagWrite)
+	b.Request(3, &RequestEvent{
+		ID: 0x1112131415161718, Class: 4, Tenant: 0x0506, Key: 0x2122232425262728, DeadlineMS: 8652.25, CostHintMS: 12.5,
+		Flags: FlagCostHint | FlagRetry | FlagWrite,
+	})
 	b.ClientGone(4, 0x3132333435363738)
-	b.HealthCheckCompleted(5, 0x2c9011f2, 14, 3.5, 1, 2.5, 3, 4)
+	b.HealthCheckCompleted(5, &HealthCheckEvent{Server: 0x2c9011f2, Status: 14, LatencyMS: 3.5, Load: []float32{1, 2.5, 3, 4}})
 	b.EndpointList(6, 3, 41, lines)
-	b.AttemptCompleted(7, 0x4142434445464748, 2, 0x03124a07, 13, 18.5, true, 5, 6.5)
+	b.AttemptCompleted(7, &AttemptEvent{
+		ID: 0x4142434445464748, AttemptNumber: 2, Server: 0x03124a07, Status: 13, LatencyMS: 18.5, Closed: true, Load: []float32{5, 6.5},
+	})
 	b.Stop(8)
 	require.NoError(t, b.WriteTo(&out, 8412.25, 0x0a0b0c0d))
 	streaming := b.record(EventResponseStarted, 9)
@@ -67,10 +72,10 @@
 		{Code: 4, Balancer: 4, ID: 0x3132333435363738},
 		{Code: 5, Balancer: 5, Server: 0x2c9011f2, Status: 14, LatencyMS: 3.5, Load: [4]float64{1, 2.5, 3, 4}, LoadCount: 4},
 		{Code: 6, Balancer: 6, ListKind: 3},
-		{Code: 9, Balancer: 7, ID: 0x4142434445464748, Attempt: 2, Server: 0x03124a07, Status: 13, LatencyMS: 18.5, Closed: true, Load: [4]float64{5, 6.5}, LoadCount: 2},
+		{Code: 9, Balancer: 7, ID: 0x4142434445464748, AttemptNumber: 2, Server: 0x03124a07, Status: 13, LatencyMS: 18.5, Closed: true, Load: [4]float64{5, 6.5}, LoadCount: 2},
 		{Code: 8, Balancer: 8},
 	}, {
-		{Code: 7, Balancer: 9, ID: 0x5152535455565758, LatencyMS: 9.75, Server: 0x03124a07, Attempt: 3},
+		{Code: 7, Balancer: 9, ID: 0x5152535455565758, LatencyMS: 9.75, Server: 0x03124a07, AttemptNumber: 3},
 		{Code: 0, Balancer: 10, From: 11, Data: []byte("hi 7")},
 	}}
 	r := NewReader(bytes.NewReader(checkGolden(t, "batches.bin", out.Bytes())))
@@ -96,7 +101,7 @@
 }
 
 // TestReplyGoldenFile guards the frames of actions: every action with every field set. Nobody here
-// reads messages between instances, so that they have a frame of their own.
+// reads messages between balancers, so that they have a frame of their own.
 func TestReplyGoldenFile(t *testing.T) {
 	var r Reply
 	var out bytes.Buffer
@@ -109,7 +114,7 @@
 	r.ReportFault(7, "index out of range")
 	r.Reject(8, 0x3132333435363738, 250.75)
 	r.FetchEndpoints(9)
-	r.WatchEndpoints(10, true)
+	r.WatchEndpoints(10)
 	r.Log(11, "two servers known")
 	require.NoError(t, r.WriteTo(&out, 12))
 	r.SendMessage(12, 0xffff, []byte("hi 7"))
@@ -118,7 +123,7 @@
 	got, err := ReadReply(golden, 12, nil)
 	require.NoError(t, err)
 	require.Equal(t, []Action{
-		{Code: 0, Balancer: 1, ID: 0x0102030405060708, Attempt: 2},
+		{Code: 0, Balancer: 1, ID: 0x0102030405060708, AttemptNumber: 2},
 		{Code: 1, Balancer: 2, Server: 0x2c9011f2},
 		{Code: 2, Balancer: 3, ID: 0x1112131415161718, Server: 0x03124a07, DurationMS: 80.5},
 		{Code: 3, Balancer: 4, ID: 0x2122232425262728},
@@ -153,7 +158,7 @@
 		OverQuotaWeight: 0.1, WeightPerRequest: true,
 	}
 	data, err := MarshalSettings(&want, ExtraSettings{
-		Balancer: 2, MachineTypes: []string{"fast", "mid"}, KeepAliveMS: 60000, DialMS: 250, SlackMS: 20, GraceMS: 2100,
+		Balancer: 2, ServerKinds: []string{"fast", "mid"}, KeepAliveMS: 60000, DialMS: 250, SlackMS: 20, GraceMS: 2100,
 		FallMultiple: 2.5, FallMS: 2250, WeightBy: "request", Columns: []string{"inflight", "qps"},
 	})
 	require.NoError(t, err)
--- a/internal/simprotocol/reply_reader.go
+++ b/internal/simprotocol/reply_reader.go
@@ -5,19 +5,21 @@
 	"fmt"
 	"io"
 	"math"
+
+	"piernotch"
 )
 
 // Action is one decoded action of a reply. Which fields are set depends on Code.
 type Action struct {
-	Code       ActionCode
-	Balancer   uint32
-	ID         uint64
-	Server     uint32
-	Attempt    uint8
-	DurationMS float64 // StartAttempt: timeout; Reject: Retry-After; SetTimer: delay. Finite.
-	Token      uint32
-	On         bool   // WatchEndpoints: the watch begins, or ends
-	Text       string // ReportFault, Log
+	Code          ActionCode
+	Balancer      BalancerNumber
+	ID            uint64
+	Server        piernotch.ServerID
+	AttemptNumber uint8
+	DurationMS    float64 // StartAttempt: timeout; Reject: Retry-After; SetTimer: delay. Finite.
+	Token         uint32
+	On            bool   // WatchEndpoints: the watch begins, or ends
+	Text          string // ReportFault, Log
 }
 
 // maxReplySize bounds a reply, in bytes: a broken adapter must not exhaust the memory.
@@ -53,7 +55,7 @@
 }
 
 var (
-	errMessagesUnsupported = errors.New("balancers share nothing here: no messages between them")
+	errMessagesUnsupported = errors.New("messages between balancers are not supported")
 	errTextOutside         = errors.New("its text lies outside of the reply")
 )
 
@@ -70,36 +72,36 @@
 
 // decodeAction decodes one record of a reply; tail holds the texts.
 func decodeAction(rec, tail []byte) (Action, error) {
-	a := Action{Code: rec[0], Balancer: u32(rec[1:])}
-	switch a.Code {
+	action := Action{Code: rec[0], Balancer: BalancerNumber(u32(rec[1:]))}
+	switch action.Code {
 	case ActionStartAttempt:
-		a.ID, a.Server, a.DurationMS = u64(rec[5:]), u32(rec[13:]), f64(rec[17:])
+		action.ID, action.Server, action.DurationMS = u64(rec[5:]), piernotch.ServerID(u32(rec[13:])), f64(rec[17:])
 	case ActionCancelAttempt:
-		a.ID, a.Attempt = u64(rec[5:]), rec[13]
+		action.ID, action.AttemptNumber = u64(rec[5:]), rec[13]
 	case ActionFail:
-		a.ID = u64(rec[5:])
+		action.ID = u64(rec[5:])
 	case ActionReject:
-		a.ID, a.DurationMS = u64(rec[5:]), f64(rec[13:])
+		action.ID, action.DurationMS = u64(rec[5:]), f64(rec[13:])
 	case ActionSetTimer:
-		a.DurationMS, a.Token = f64(rec[5:]), u32(rec[13:])
+		action.DurationMS, action.Token = f64(rec[5:]), u32(rec[13:])
 	case ActionHealthCheck, ActionCloseIdle:
-		a.Server = u32(rec[5:])
+		action.Server = piernotch.ServerID(u32(rec[5:]))
 	case ActionWatchEndpoints:
-		a.On = rec[5] != 0
+		action.On = rec[5] != 0
 	case ActionFetchEndpoints:
 	case ActionReportFault, ActionLog:
-		at, n := uint64(u32(rec[5:])), uint64(u32(rec[9:]))
-		if at+n > uint64(len(tail)) {
-			return a, errTextOutside
+		offset, length := uint64(u32(rec[5:])), uint64(u32(rec[9:]))
+		if offset+length > uint64(len(tail)) {
+			return action, errTextOutside
 		}
-		a.Text = string(tail[at : at+n])
+		action.Text = string(tail[offset : offset+length])
 	case ActionSendMessage:
-		return a, errMessagesUnsupported
+		return action, errMessagesUnsupported
 	default:
-		return a, fmt.Errorf("unknown code %d", a.Code)
+		return action, fmt.Errorf("unknown code %d", action.Code)
 	}
-	if math.IsNaN(a.DurationMS) || math.IsInf(a.DurationMS, 0) {
-		return a, fmt.Errorf("a time of %v ms", a.DurationMS)
+	if math.IsNaN(action.DurationMS) || math.IsInf(action.DurationMS, 0) {
+		return action, fmt.Errorf("a time of %v ms", action.DurationMS)
 	}
-	return a, nil
+	return action, nil
 }
--- a/internal/simprotocol/reply_writer.go
+++ b/internal/simprotocol/reply_writer.go
@@ -1,12 +1,16 @@
 package simprotocol
 
-import "io"
+import (
+	"io"
+
+	"piernotch"
+)
 
 // replyGrowth is what a full buffer of records grows by beyond its double, in bytes.
 const replyGrowth = actionSize * 64
 
 // Reply collects the actions that answer one batch. Its methods add one record each, in the order
-// of the calls; instances and requests are numbered as in the batch. The zero value is empty and
+// of the calls; balancers and requests are numbered as in the batch. The zero value is empty and
 // ready. It is for one goroutine.
 type Reply struct {
 	count   int
@@ -15,94 +19,98 @@
 	head    [replyHeaderSize]byte
 }
 
-// record appends a zeroed record with its code and instance. It is valid until the next call.
-func (r *Reply) record(code ActionCode, inst uint32) []byte {
-	n := len(r.records)
-	if cap(r.records)-n < actionSize {
-		grown := make([]byte, n, 2*cap(r.records)+replyGrowth)
+// record appends a zeroed record with its code and balancer. It is valid until the next call.
+func (r *Reply) record(code ActionCode, balancer BalancerNumber) []byte {
+	end := len(r.records)
+	if cap(r.records)-end < actionSize {
+		grown := make([]byte, end, 2*cap(r.records)+replyGrowth)
 		copy(grown, r.records)
 		r.records = grown
 	}
-	r.records = r.records[:n+actionSize]
-	rec := r.records[n:]
-	clear(rec)
-	rec[0] = code
-	put32(rec[1:], inst)
+	r.records = r.records[:end+actionSize]
+	record := r.records[end:]
+	clear(record)
+	record[0] = code
+	put32(record[1:], uint32(balancer))
 	r.count++
-	return rec
+	return record
 }
 
 // attach appends data to the tail and writes its place into the record.
-func (r *Reply) attach(rec, data []byte) {
-	put32(rec, uint32(len(r.tail)))
-	put32(rec[4:], uint32(len(data)))
+func (r *Reply) attach(record, data []byte) {
+	put32(record, uint32(len(r.tail)))
+	put32(record[4:], uint32(len(data)))
 	r.tail = append(r.tail, data...)
 }
 
 // StartAttempt sends a request to a server. The attempt ends after timeoutMS milliseconds at the
 // latest; 0: at the request's deadline.
-func (r *Reply) StartAttempt(inst uint32, id uint64, server uint32, timeoutMS float64) {
-	rec := r.record(ActionStartAttempt, inst)
-	put64(rec[5:], id)
-	put32(rec[13:], server)
-	putF64(rec[17:], timeoutMS)
+func (r *Reply) StartAttempt(balancer BalancerNumber, id uint64, server piernotch.ServerID, timeoutMS float64) {
+	record := r.record(ActionStartAttempt, balancer)
+	put64(record[5:], id)
+	put32(record[13:], uint32(server))
+	putF64(record[17:], timeoutMS)
 }
 
-// CancelAttempt ends the wait for an attempt, numbered from 0 for each request.
-func (r *Reply) CancelAttempt(inst uint32, id uint64, attempt uint8) {
-	rec := r.record(ActionCancelAttempt, inst)
-	put64(rec[5:], id)
-	rec[13] = attempt
+// CancelAttempt ends the wait for an attempt. The attempts of a request are numbered from 0.
+func (r *Reply) CancelAttempt(balancer BalancerNumber, id uint64, attemptNumber uint8) {
+	record := r.record(ActionCancelAttempt, balancer)
+	put64(record[5:], id)
+	record[13] = attemptNumber
 }
 
 // Fail answers a request with a failure.
-func (r *Reply) Fail(inst uint32, id uint64) { put64(r.record(ActionFail, inst)[5:], id) }
+func (r *Reply) Fail(balancer BalancerNumber, id uint64) {
+	put64(r.record(ActionFail, balancer)[5:], id)
+}
 
 // Reject sheds a request; retryAfterMS is the advice to its client in milliseconds, 0: none.
-func (r *Reply) Reject(inst uint32, id uint64, retryAfterMS float64) {
-	rec := r.record(ActionReject, inst)
-	put64(rec[5:], id)
-	putF64(rec[13:], retryAfterMS)
+func (r *Reply) Reject(balancer BalancerNumber, id uint64, retryAfterMS float64) {
+	record := r.record(ActionReject, balancer)
+	put64(record[5:], id)
+	putF64(record[13:], retryAfterMS)
 }
 
 // SetTimer asks for an EventTimerFired with the token after delayMS milliseconds.
-func (r *Reply) SetTimer(inst uint32, delayMS float64, token uint32) {
-	rec := r.record(ActionSetTimer, inst)
-	putF64(rec[5:], delayMS)
-	put32(rec[13:], token)
+func (r *Reply) SetTimer(balancer BalancerNumber, delayMS float64, token uint32) {
+	record := r.record(ActionSetTimer, balancer)
+	putF64(record[5:], delayMS)
+	put32(record[13:], token)
 }
 
 // HealthCheck sends a health check to a server.
-func (r *Reply) HealthCheck(inst, server uint32) {
-	put32(r.record(ActionHealthCheck, inst)[5:], server)
+func (r *Reply) HealthCheck(balancer BalancerNumber, server piernotch.ServerID) {
+	put32(r.record(ActionHealthCheck, balancer)[5:], uint32(server))
 }
 
 // CloseIdle closes idle connections to a server.
-func (r *Reply) CloseIdle(inst, server uint32) { put32(r.record(ActionCloseIdle, inst)[5:], server) }
+func (r *Reply) CloseIdle(balancer BalancerNumber, server piernotch.ServerID) {
+	put32(r.record(ActionCloseIdle, balancer)[5:], uint32(server))
+}
 
 // FetchEndpoints asks for the full endpoint list once.
-func (r *Reply) FetchEndpoints(inst uint32) { r.record(ActionFetchEndpoints, inst) }
+func (r *Reply) FetchEndpoints(balancer BalancerNumber) { r.record(ActionFetchEndpoints, balancer) }
 
-// WatchEndpoints begins or ends a watch of the endpoint list.
-func (r *Reply) WatchEndpoints(inst uint32, on bool) {
-	if rec := r.record(ActionWatchEndpoints, inst); on {
-		rec[5] = 1
-	}
+// WatchEndpoints begins a watch of the endpoint list.
+func (r *Reply) WatchEndpoints(balancer BalancerNumber) {
+	r.record(ActionWatchEndpoints, balancer)[5] = 1
 }
 
 // SendMessage sends a message to a peer, or to all peers with 0xffff.
-func (r *Reply) SendMessage(inst uint32, peer uint16, body []byte) {
-	rec := r.record(ActionSendMessage, inst)
-	put16(rec[5:], peer)
-	r.attach(rec[7:], body)
+func (r *Reply) SendMessage(balancer BalancerNumber, peer uint16, body []byte) {
+	record := r.record(ActionSendMessage, balancer)
+	put16(record[5:], peer)
+	r.attach(record[7:], body)
 }
 
 // Log adds a line to the simulator's log.
-func (r *Reply) Log(inst uint32, text string) { r.attach(r.record(ActionLog, inst)[5:], []byte(text)) }
+func (r *Reply) Log(balancer BalancerNumber, text string) {
+	r.attach(r.record(ActionLog, balancer)[5:], []byte(text))
+}
 
-// ReportFault reports that an instance cannot go on.
-func (r *Reply) ReportFault(inst uint32, text string) {
-	r.attach(r.record(ActionReportFault, inst)[5:], []byte(text))
+// ReportFault reports that a balancer cannot go on.
+func (r *Reply) ReportFault(balancer BalancerNumber, text string) {
+	r.attach(r.record(ActionReportFault, balancer)[5:], []byte(text))
 }
 
 // WriteTo writes the reply to batch seq and empties it for the next. An error is that of w.
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -80,33 +80,33 @@
 // ParseSettings reads the settings of a start event. Keys it does not know are skipped, and whether the
 // values make sense is for piernotch.New to say. An error is a *SettingsError.
 func ParseSettings(data []byte) (piernotch.Settings, error) {
-	var in settingsJSON
-	if err := json.Unmarshal(data, &in); err != nil {
+	var parsed settingsJSON
+	if err := json.Unmarshal(data, &parsed); err != nil {
 		return piernotch.Settings{}, &SettingsError{err}
 	}
-	s := piernotch.Settings{
-		BalancerCount:    in.BalancerCount,
-		Zone:             in.Zone,
-		Zones:            in.Zones,
-		Tick:             Duration(in.TickMS),
-		PollDiscovery:    in.Discovery == "on_request",
-		KeyAffinity:      in.Features.KeyAffinity,
-		Limits:           in.Limits.parse(),
-		Rules:            in.Rules.parse(),
-		OverQuotaWeight:  in.OverQuotaWeight,
-		WeightPerRequest: in.WeightBy == "request",
+	settings := piernotch.Settings{
+		BalancerCount:    parsed.BalancerCount,
+		Zone:             parsed.Zone,
+		Zones:            parsed.Zones,
+		Tick:             Duration(parsed.TickMS),
+		PollDiscovery:    parsed.Discovery == "on_request",
+		KeyAffinity:      parsed.Features.KeyAffinity,
+		Limits:           parsed.Limits.parse(),
+		Rules:            parsed.Rules.parse(),
+		OverQuotaWeight:  parsed.OverQuotaWeight,
+		WeightPerRequest: parsed.WeightBy == "request",
 	}
-	for i := range in.Classes {
-		class, err := in.Classes[i].parse(i)
+	for i := range parsed.Classes {
+		class, err := parsed.Classes[i].parse(i)
 		if err != nil {
-			return s, err
+			return settings, err
 		}
-		s.Classes = append(s.Classes, class)
+		settings.Classes = append(settings.Classes, class)
 	}
-	for _, t := range in.Tenants {
-		s.Tenants = append(s.Tenants, piernotch.Tenant{Name: t.Name, QuotaPerSec: t.QuotaPerSec})
+	for _, tenant := range parsed.Tenants {
+		settings.Tenants = append(settings.Tenants, piernotch.Tenant{Name: tenant.Name, QuotaPerSec: tenant.QuotaPerSec})
 	}
-	return s, nil
+	return settings, nil
 }
 
 func (l *limitsJSON) parse() piernotch.Limits {
@@ -154,33 +154,33 @@
 // ParseReportColumns reads the names of the values that a load report holds, in their order. An
 // error is a *SettingsError.
 func ParseReportColumns(data []byte) ([]string, error) {
-	var in settingsJSON
-	if err := json.Unmarshal(data, &in); err != nil {
+	var parsed settingsJSON
+	if err := json.Unmarshal(data, &parsed); err != nil {
 		return nil, &SettingsError{err}
 	}
-	return in.Report.Columns, nil
+	return parsed.Report.Columns, nil
 }
 
 // ParseConnections reads what the settings say of connections, which concerns sockets and not decisions:
 // how long a server keeps an idle one, and how long one may take to come up. Both are above 0. An
 // error is a *SettingsError.
 func ParseConnections(data []byte) (keepAlive, dialTimeout time.Duration, err error) {
-	var in struct {
+	var parsed struct {
 		Limits struct {
 			KeepAliveMS   float64 `json:"keepalive_ms"`
 			DialTimeoutMS float64 `json:"dial_timeout_ms"`
 		} `json:"limits"`
 	}
-	if err := json.Unmarshal(data, &in); err != nil {
+	if err := json.Unmarshal(data, &parsed); err != nil {
 		return 0, 0, &SettingsError{err}
 	}
-	if !(in.Limits.KeepAliveMS > 0) {
-		return 0, 0, notPositive("limits.keepalive_ms", in.Limits.KeepAliveMS)
+	if !(parsed.Limits.KeepAliveMS > 0) {
+		return 0, 0, notPositive("limits.keepalive_ms", parsed.Limits.KeepAliveMS)
 	}
-	if !(in.Limits.DialTimeoutMS > 0) {
-		return 0, 0, notPositive("limits.dial_timeout_ms", in.Limits.DialTimeoutMS)
+	if !(parsed.Limits.DialTimeoutMS > 0) {
+		return 0, 0, notPositive("limits.dial_timeout_ms", parsed.Limits.DialTimeoutMS)
 	}
-	return Duration(in.Limits.KeepAliveMS), Duration(in.Limits.DialTimeoutMS), nil
+	return Duration(parsed.Limits.KeepAliveMS), Duration(parsed.Limits.DialTimeoutMS), nil
 }
 
 func notPositive(key string, v float64) error {
--- a/internal/simprotocol/settings_writer.go
+++ b/internal/simprotocol/settings_writer.go
@@ -8,11 +8,11 @@
 
 // ExtraSettings is what settings hold on the wire beyond those of the module. Times are in milliseconds.
 type ExtraSettings struct {
-	Balancer     int      // of the balancer, from 0
-	MachineTypes []string // names, by EndpointEntry.Kind
+	Balancer     BalancerNumber
+	ServerKinds  []string // names of the kinds of servers, by EndpointEntry.Kind
 	KeepAliveMS  float64  // a server keeps an idle connection for so long
 	DialMS       float64  // a connection may take so long to come up
-	SlackMS      float64  // a final answer may come so much later than its deadline
+	SlackMS      float64  // a final response may come so much later than its deadline
 	GraceMS      float64  // requests may still be sent so long after a drain is notified
 	FallMultiple float64  // multiple of its capacity that collapses a server in slow start
 	FallMS       float64  // span over which that is counted
@@ -30,14 +30,14 @@
 // the same key in the embedded struct are hidden by those here.
 type settingsMessage struct {
 	settingsJSON
-	Family       string        `json:"family"`
-	Number       int           `json:"my_number"`
-	MachineTypes []string      `json:"machine_types"`
-	WeightBy     string        `json:"worth_by"`
-	SizeSource   string        `json:"weights"`
-	Limits       limitsMessage `json:"limits"`
-	Rules        rulesMessage  `json:"rules"`
-	Features     featuresJSON  `json:"specifics"`
+	Family      string         `json:"family"`
+	Number      BalancerNumber `json:"my_number"`
+	ServerKinds []string       `json:"machine_types"`
+	WeightBy    string         `json:"worth_by"`
+	SizeSource  string         `json:"weights"`
+	Limits      limitsMessage  `json:"limits"`
+	Rules       rulesMessage   `json:"rules"`
+	Features    featuresJSON   `json:"specifics"`
 }
 
 type limitsMessage struct {
@@ -61,90 +61,90 @@
 }
 
 // MarshalSettings writes settings as a start event holds them; Settings reads them back.
-func MarshalSettings(s *piernotch.Settings, x ExtraSettings) ([]byte, error) {
-	out := settingsMessage{
-		Family:       "proxy",
-		Number:       x.Balancer,
-		MachineTypes: x.MachineTypes,
-		WeightBy:     x.WeightBy,
-		SizeSource:   "rough",
-		Limits:       marshalLimits(&s.Limits, &x),
-		Rules:        marshalRules(&s.Rules, &x),
-		Features:     featuresJSON{KeyAffinity: s.KeyAffinity},
+func MarshalSettings(settings *piernotch.Settings, extra ExtraSettings) ([]byte, error) {
+	message := settingsMessage{
+		Family:      "proxy",
+		Number:      extra.Balancer,
+		ServerKinds: extra.ServerKinds,
+		WeightBy:    extra.WeightBy,
+		SizeSource:  "rough",
+		Limits:      marshalLimits(&settings.Limits, &extra),
+		Rules:       marshalRules(&settings.Rules, &extra),
+		Features:    featuresJSON{KeyAffinity: settings.KeyAffinity},
 	}
-	out.settingsJSON = settingsJSON{
-		Classes:         make([]classJSON, len(s.Classes)),
+	message.settingsJSON = settingsJSON{
+		Classes:         make([]classJSON, len(settings.Classes)),
 		Discovery:       "pushed",
-		BalancerCount:   s.BalancerCount,
-		Zone:            s.Zone,
-		Zones:           s.Zones,
-		TickMS:          Milliseconds(s.Tick),
-		Report:          loadReportJSON{Columns: x.Columns, Source: "answers"},
-		OverQuotaWeight: s.OverQuotaWeight,
+		BalancerCount:   settings.BalancerCount,
+		Zone:            settings.Zone,
+		Zones:           settings.Zones,
+		TickMS:          Milliseconds(settings.Tick),
+		Report:          loadReportJSON{Columns: extra.Columns, Source: "answers"},
+		OverQuotaWeight: settings.OverQuotaWeight,
 	}
-	if len(s.Classes) == 0 {
-		out.Classes = nil // it is written as null
+	if len(settings.Classes) == 0 {
+		message.Classes = nil // it is written as null
 	}
-	if s.PollDiscovery {
-		out.Discovery = "on_request"
+	if settings.PollDiscovery {
+		message.Discovery = "on_request"
 	}
-	for i := range s.Classes {
-		out.Classes[i] = marshalClass(&s.Classes[i])
+	for i := range settings.Classes {
+		message.Classes[i] = marshalClass(&settings.Classes[i])
 	}
-	for _, t := range s.Tenants {
-		out.Tenants = append(out.Tenants, tenantJSON{t.Name, t.QuotaPerSec})
+	for _, tenant := range settings.Tenants {
+		message.Tenants = append(message.Tenants, tenantJSON{tenant.Name, tenant.QuotaPerSec})
 	}
-	return json.Marshal(&out)
+	return json.Marshal(&message)
 }
 
-func marshalLimits(l *piernotch.Limits, x *ExtraSettings) limitsMessage {
+func marshalLimits(limits *piernotch.Limits, extra *ExtraSettings) limitsMessage {
 	return limitsMessage{
 		limitsJSON: limitsJSON{
-			MaxAttempts:     l.MaxAttempts,
-			HedgedRequests:  l.HedgedRequests,
-			CancelAttempts:  l.CancelAttempts,
-			HealthChecks:    l.HealthChecks,
-			RetryAfter:      l.RetryAfter,
-			MaxRetryAfterMS: Milliseconds(l.MaxRetryAfter),
+			MaxAttempts:     limits.MaxAttempts,
+			HedgedRequests:  limits.HedgedRequests,
+			CancelAttempts:  limits.CancelAttempts,
+			HealthChecks:    limits.HealthChecks,
+			RetryAfter:      limits.RetryAfter,
+			MaxRetryAfterMS: Milliseconds(limits.MaxRetryAfter),
 		},
-		KeepAliveMS: x.KeepAliveMS,
-		DialMS:      x.DialMS,
+		KeepAliveMS: extra.KeepAliveMS,
+		DialMS:      extra.DialMS,
 		MaxOpen:     maxOpenConnections,
 		Multiplex:   1,
 		CPU:         cpuMicrosPerSecond,
 	}
 }
 
-func marshalRules(r *piernotch.Rules, x *ExtraSettings) rulesMessage {
+func marshalRules(rules *piernotch.Rules, extra *ExtraSettings) rulesMessage {
 	return rulesMessage{
-		PollIntervalMS:      Milliseconds(r.PollInterval),
-		SlowStartCapacity:   r.SlowStartCapacity,
-		SlowStartDurationMS: Milliseconds(r.SlowStartDuration),
-		SlackMS:             x.SlackMS,
-		GraceMS:             x.GraceMS,
-		FallMultiple:        x.FallMultiple,
-		FallMS:              x.FallMS,
+		PollIntervalMS:      Milliseconds(rules.PollInterval),
+		SlowStartCapacity:   rules.SlowStartCapacity,
+		SlowStartDurationMS: Milliseconds(rules.SlowStartDuration),
+		SlackMS:             extra.SlackMS,
+		GraceMS:             extra.GraceMS,
+		FallMultiple:        extra.FallMultiple,
+		FallMS:              extra.FallMS,
 	}
 }
 
-func marshalClass(c *piernotch.Class) classJSON {
-	out := classJSON{
-		Name:               c.Name,
-		LatencyObjectiveMS: Milliseconds(c.LatencyObjective),
-		DeadlineMS:         Milliseconds(c.Deadline),
-		PriorityWeight:     c.PriorityWeight,
-		LateWeightShare:    c.LateWeightShare,
-		DedupWindowMS:      Milliseconds(c.DedupWindow),
+func marshalClass(class *piernotch.Class) classJSON {
+	message := classJSON{
+		Name:               class.Name,
+		LatencyObjectiveMS: Milliseconds(class.LatencyObjective),
+		DeadlineMS:         Milliseconds(class.Deadline),
+		PriorityWeight:     class.PriorityWeight,
+		LateWeightShare:    class.LateWeightShare,
+		DedupWindowMS:      Milliseconds(class.DedupWindow),
 	}
 	for name, safety := range retrySafetyByName {
-		if safety == c.RetrySafety {
-			out.RetrySafety = name
+		if safety == class.RetrySafety {
+			message.RetrySafety = name
 		}
 	}
 	for name, scope := range dedupScopeByName {
-		if scope == c.DedupScope && name != "" {
-			out.DedupScope = name
+		if scope == class.DedupScope && name != "" {
+			message.DedupScope = name
 		}
 	}
-	return out
+	return message
 }
--- a/internal/simprotocol/translate.go
+++ b/internal/simprotocol/translate.go
@@ -9,9 +9,9 @@
 )
 
 // StatusCode returns the wire's code of a status; 0 for one that the wire does not know.
-func StatusCode(s piernotch.Status) uint8 {
-	for code, status := range statusByCode {
-		if status == s {
+func StatusCode(status piernotch.Status) uint8 {
+	for code, known := range statusByCode {
+		if known == status {
 			return code
 		}
 	}
@@ -19,9 +19,9 @@
 }
 
 // StateCode returns the wire's code of a server's state.
-func StateCode(s piernotch.State) uint8 {
-	for code, state := range stateByCode {
-		if state == s {
+func StateCode(state piernotch.State) uint8 {
+	for code, known := range stateByCode {
+		if known == state {
 			return uint8(code)
 		}
 	}
@@ -29,9 +29,9 @@
 }
 
 // ListKindCode returns the wire's code of a kind of list.
-func ListKindCode(k piernotch.UpdateKind) uint8 {
-	for code, kind := range listKindByCode {
-		if kind == k {
+func ListKindCode(kind piernotch.UpdateKind) uint8 {
+	for code, known := range listKindByCode {
+		if known == kind {
 			return uint8(code)
 		}
 	}
@@ -40,9 +40,9 @@
 
 // ParseLoadReport translates the load report of an attempt or a health check. The columns name its
 // values in order; ok is false if there is no report, or if a value is impossible.
-func ParseLoadReport(e *Event, columns []string) (load piernotch.LoadReport, ok bool) {
-	for i, name := range columns[:min(len(columns), e.LoadCount)] {
-		if !SetLoadValue(&load, name, e.Load[i]) {
+func ParseLoadReport(event *Event, columns []string) (load piernotch.LoadReport, ok bool) {
+	for i, name := range columns[:min(len(columns), event.LoadCount)] {
+		if !SetLoadValue(&load, name, event.Load[i]) {
 			return piernotch.LoadReport{}, false
 		}
 		ok = ok || name == InflightColumn
@@ -50,19 +50,19 @@
 	return load, ok
 }
 
-// InflightColumn names the value without which a load report is of no use: requests held.
+// InflightColumn names the value without which a load report is of no use: requests at the server.
 const InflightColumn = "inflight"
 
 // SetLoadValue sets one named value of a load report; unknown names are ignored. It reports whether the
 // value is possible: neither negative nor infinite nor NaN.
-func SetLoadValue(load *piernotch.LoadReport, name string, v float64) bool {
+func SetLoadValue(load *piernotch.LoadReport, name string, value float64) bool {
 	switch name {
 	case InflightColumn:
-		load.Inflight = v
+		load.Inflight = value
 	case "qps":
-		load.CompletedPerSecond = v
+		load.CompletedPerSecond = value
 	}
-	return v >= 0 && !math.IsInf(v, 0)
+	return value >= 0 && !math.IsInf(value, 0)
 }
 
 // Duration converts the wire's milliseconds, rounded to the microsecond that the wire counts in. NaN
@@ -87,11 +87,11 @@
 
 // ParseStatus translates the wire's disposition. It returns an error for an unknown one.
 func ParseStatus(code uint8) (piernotch.Status, error) {
-	s, ok := statusByCode[code]
+	status, ok := statusByCode[code]
 	if !ok {
 		return 0, fmt.Errorf("unknown disposition %d", code)
 	}
-	return s, nil
+	return status, nil
 }
 
 var stateByCode = [...]piernotch.State{0: piernotch.Draining, 1: piernotch.Gone, 2: piernotch.Ready}
@@ -102,19 +102,19 @@
 
 // ParseEndpointList translates the kind and the entries of an endpoint list, appending to into. The
 // entries before a malformed one are returned with the error.
-func ParseEndpointList(e *Event, into []piernotch.Endpoint) (piernotch.UpdateKind, []piernotch.Endpoint, error) {
-	if int(e.ListKind) >= len(listKindByCode) {
-		return 0, into, fmt.Errorf("unknown list kind %d", e.ListKind)
+func ParseEndpointList(event *Event, into []piernotch.Endpoint) (piernotch.UpdateKind, []piernotch.Endpoint, error) {
+	if int(event.ListKind) >= len(listKindByCode) {
+		return 0, into, fmt.Errorf("unknown list kind %d", event.ListKind)
 	}
-	for i := range e.EntryCount() {
-		l := e.Entry(i)
-		if int(l.State) >= len(stateByCode) {
-			return 0, into, fmt.Errorf("entry %d: unknown state %d", i, l.State)
+	for i := range event.EntryCount() {
+		entry := event.Entry(i)
+		if int(entry.State) >= len(stateByCode) {
+			return 0, into, fmt.Errorf("entry %d: unknown state %d", i, entry.State)
 		}
 		into = append(into, piernotch.Endpoint{
-			ID: piernotch.ServerID(l.Server), Zone: int(l.Zone), Cell: int(l.Cell),
-			State: stateByCode[l.State], Size: l.Size, StartedAt: Duration(l.StartedAtMS),
+			ID: entry.Server, Zone: int(entry.Zone), Cell: int(entry.Cell),
+			State: stateByCode[entry.State], Size: entry.Size, StartedAt: Duration(entry.StartedAtMS),
 		})
 	}
-	return listKindByCode[e.ListKind], into, nil
+	return listKindByCode[event.ListKind], into, nil
 }
