--- a/internal/lab/emulator/exchange.go
+++ b/internal/lab/emulator/exchange.go
@@ -34,40 +34,40 @@
 }
 
 // answer serves one request. It reports whether the connection goes on.
-func (s *server) answer(x exchange) bool {
+func (s *server) answer(received exchange) bool {
 	now := s.fleet.clock()
-	path := x.request.Path()
+	path := received.request.Path()
 	if path == "/ping" || path == "/_load" {
-		return s.answerHealthCheck(x, now)
+		return s.answerHealthCheck(received, now)
 	}
-	x.id = x.request.Fields.Get("x-request-id")
-	if x.id == "" {
-		return x.writeError(http.StatusNotFound)
+	received.id = received.request.Fields.Get("x-request-id")
+	if received.id == "" {
+		return received.writeError(http.StatusNotFound)
 	}
-	x.attempt = s.fleet.observer.AttemptReceived(x.id, s.number)
-	if x.attempt < 0 {
-		return x.writeError(http.StatusBadRequest)
+	received.attempt = s.fleet.observer.AttemptReceived(received.id, s.number)
+	if received.attempt < 0 {
+		return received.writeError(http.StatusBadRequest)
 	}
-	admission, job := s.admit(x, now)
+	admission, job := s.admit(received, now)
 	switch admission {
 	case servermodel.Rejected:
 		fields := append(s.loadHeader(now), notRun)
-		s.fleet.observer.AttemptCompleted(x.id, x.attempt, NeverExecuted(true))
-		return x.write(http.StatusServiceUnavailable, fields, nil)
+		s.fleet.observer.AttemptCompleted(received.id, received.attempt, NeverExecuted(true))
+		return received.write(http.StatusServiceUnavailable, fields, nil)
 	case servermodel.Refused:
-		s.fleet.observer.AttemptCompleted(x.id, x.attempt, NeverExecuted(false))
-		reset(x.conn)
+		s.fleet.observer.AttemptCompleted(received.id, received.attempt, NeverExecuted(false))
+		reset(received.conn)
 		return false
 	case servermodel.NoResponse:
-		<-x.gone
-		s.fleet.observer.AttemptCompleted(x.id, x.attempt, NeverExecuted(false))
+		<-received.gone
+		s.fleet.observer.AttemptCompleted(received.id, received.attempt, NeverExecuted(false))
 		return false
 	}
 	select {
 	case completion := <-job.completed:
-		return s.respond(x, completion)
-	case <-x.gone: // the balancer waits no longer
-		s.cancel(x, job)
+		return s.respond(received, completion)
+	case <-received.gone: // the balancer waits no longer
+		s.cancel(received, job)
 		return false
 	}
 }
@@ -79,7 +79,7 @@
 }
 
 // answerHealthCheck answers a health check or a call for the load report.
-func (s *server) answerHealthCheck(x exchange, now time.Duration) bool {
+func (s *server) answerHealthCheck(received exchange, now time.Duration) bool {
 	s.mu.Lock()
 	s.model.Charge(now, s.spec.Kind.HealthCheckWork)
 	state := s.model.State()
@@ -87,7 +87,7 @@
 	s.resetTimer()
 	s.mu.Unlock()
 	if state == servermodel.Silent {
-		<-x.gone
+		<-received.gone
 		return false
 	}
 	status := http.StatusOK
@@ -95,10 +95,10 @@
 		status = http.StatusServiceUnavailable
 	}
 	var body []byte
-	if len(fields) > 0 && x.request.Path() == "/_load" {
+	if len(fields) > 0 && received.request.Path() == "/_load" {
 		body = []byte(fields[0].Value)
 	}
-	return x.write(status, fields, body)
+	return received.write(status, fields, body)
 }
 
 // loadHeader returns the X-Load header of a response; nothing if the server does not report its load.
@@ -117,13 +117,13 @@
 }
 
 // admit brings a request to the model. The job is nil unless it was accepted.
-func (s *server) admit(x exchange, now time.Duration) (servermodel.Admission, *pendingJob) {
-	job := s.parseJob(x.request, now)
+func (s *server) admit(received exchange, now time.Duration) (servermodel.Admission, *pendingJob) {
+	job := s.parseJob(received.request, now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	slowStart := s.model.InSlowStart(now)
 	if slowStart {
-		s.fleet.observer.SlowStartWork(x.id, s.number, s.model.Started(), job.Work)
+		s.fleet.observer.SlowStartWork(received.id, s.number, s.model.Started(), job.Work)
 	}
 	s.lastJob++
 	job.ID = s.lastJob
@@ -140,7 +140,7 @@
 	}
 	pending := &pendingJob{id: job.ID, completed: make(chan servermodel.Completion, 1)}
 	s.jobs[job.ID] = pending
-	s.fleet.observer.AttemptAccepted(x.id, x.attempt)
+	s.fleet.observer.AttemptAccepted(received.id, received.attempt)
 	s.resetTimer()
 	return admission, pending
 }
@@ -161,7 +161,7 @@
 }
 
 // cancel takes back the job of a request whose connection is gone.
-func (s *server) cancel(x exchange, job *pendingJob) {
+func (s *server) cancel(received exchange, job *pendingJob) {
 	s.mu.Lock()
 	cancelled, started, _ := s.model.Cancel(s.fleet.clock(), job.id)
 	if cancelled {
@@ -170,33 +170,33 @@
 	s.resetTimer()
 	s.mu.Unlock()
 	if started {
-		s.fleet.observer.AttemptExecuted(x.id, x.attempt)
+		s.fleet.observer.AttemptExecuted(received.id, received.attempt)
 	}
-	s.fleet.observer.AttemptCompleted(x.id, x.attempt, NeverExecuted(false))
+	s.fleet.observer.AttemptCompleted(received.id, received.attempt, NeverExecuted(false))
 }
 
 // respond answers a request whose job has been completed. It reports whether the connection goes on.
-func (s *server) respond(x exchange, completion servermodel.Completion) bool {
+func (s *server) respond(received exchange, completion servermodel.Completion) bool {
 	if completion.Started {
-		s.fleet.observer.AttemptExecuted(x.id, x.attempt)
+		s.fleet.observer.AttemptExecuted(received.id, received.attempt)
 	}
 	fields := s.loadHeader(s.fleet.clock())
 	expired := completion.Outcome == servermodel.Expired
-	s.fleet.observer.AttemptCompleted(x.id, x.attempt, NeverExecuted(expired))
+	s.fleet.observer.AttemptCompleted(received.id, received.attempt, NeverExecuted(expired))
 	switch completion.Outcome {
 	case servermodel.Reset:
-		reset(x.conn)
+		reset(received.conn)
 		return false
 	case servermodel.Expired:
-		return x.write(http.StatusGatewayTimeout, append(fields, notRun), nil)
+		return received.write(http.StatusGatewayTimeout, append(fields, notRun), nil)
 	case servermodel.CompletedWithError:
-		return x.write(http.StatusInternalServerError, fields, nil)
+		return received.write(http.StatusInternalServerError, fields, nil)
 	}
-	body := []byte(s.name + " " + x.id)
+	body := []byte(s.name + " " + received.id)
 	if kind, malformed := s.drawMalformed(); malformed {
-		return writeMalformed(x, kind, fields, body) && !x.request.Close
+		return writeMalformed(received, kind, fields, body) && !received.request.Close
 	}
-	return x.write(http.StatusOK, fields, body)
+	return received.write(http.StatusOK, fields, body)
 }
 
 // drawMalformed draws whether a response is malformed, and how.
--- a/internal/lab/emulator/malformed.go
+++ b/internal/lab/emulator/malformed.go
@@ -35,21 +35,21 @@
 )
 
 // writeMalformed writes a response in a malformed or odd way. It reports whether the connection goes on.
-func writeMalformed(x exchange, kind malformedResponse, fields http1.Fields, body []byte) bool {
+func writeMalformed(received exchange, kind malformedResponse, fields http1.Fields, body []byte) bool {
 	valid := string(http1.AppendResponse(nil, 200, fields, body))
-	connection := x.conn
+	connection := received.conn
 	switch kind {
 	case malformedNoise:
 		writeText(connection, "\x00\x01 noise \xff\r\n\r\n")
-		awaitGone(x)
+		awaitGone(received)
 	case malformedEndlessHead:
 		writeEndless(connection, "HTTP/1.1 200 OK\r\n", strings.Repeat("X-Filler: aaaaaaaa\r\n", 20))
 	case malformedShortBody:
 		writeText(connection, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body)+100, body))
-		awaitGone(x)
+		awaitGone(received)
 	case malformedLength:
 		writeText(connection, "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n"+string(body))
-		awaitGone(x)
+		awaitGone(received)
 	case malformedHugeBody:
 		writeEndless(connection, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", strings.Repeat("x", 4096))
 	case oddDuplicate:
@@ -84,9 +84,9 @@
 }
 
 // awaitGone keeps the connection open until the other side is gone, or malformedDuration is over.
-func awaitGone(x exchange) {
+func awaitGone(received exchange) {
 	select {
-	case <-x.gone:
+	case <-received.gone:
 	case <-time.After(malformedDuration):
 	}
 }
--- a/internal/lab/emulator/watch.go
+++ b/internal/lab/emulator/watch.go
@@ -94,11 +94,11 @@
 
 // serveWatch answers a balancer's call: at once with what has changed, or when something changes or its time
 // is up.
-func (d *Discovery) serveWatch(w http.ResponseWriter, req *http.Request, balancer int) {
+func (d *Discovery) serveWatch(writer http.ResponseWriter, request *http.Request, balancer int) {
 	d.mu.Lock()
 	d.calls++
 	d.mu.Unlock()
-	query := req.URL.Query()
+	query := request.URL.Query()
 	since, err := strconv.ParseUint(query.Get("index"), 10, 64)
 	wait, _ := strconv.Atoi(query.Get("wait")) // ms; none is 0
 	call := watchCall{balancer: balancer, since: since, complete: err != nil, noWait: wait <= 0}
@@ -108,11 +108,11 @@
 	for {
 		response := d.responseNow(call)
 		if response.unavailable {
-			w.WriteHeader(http.StatusServiceUnavailable)
+			writer.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 		if response.ready {
-			d.writeResponse(w, balancer, response)
+			d.writeResponse(writer, balancer, response)
 			return
 		}
 		select {
@@ -121,7 +121,7 @@
 			call.noWait = true
 		case <-response.outage.Done():
 			panic(http.ErrAbortHandler) // the connection breaks
-		case <-req.Context().Done():
+		case <-request.Context().Done():
 			return
 		}
 	}
@@ -148,9 +148,9 @@
 }
 
 // writeResponse writes a response and says what the balancer was notified of.
-func (d *Discovery) writeResponse(w http.ResponseWriter, balancer int, response watchResponse) {
-	w.Header().Set("Content-Type", "application/json")
-	_, err := w.Write(encodeList(response.list))
+func (d *Discovery) writeResponse(writer http.ResponseWriter, balancer int, response watchResponse) {
+	writer.Header().Set("Content-Type", "application/json")
+	_, err := writer.Write(encodeList(response.list))
 	if err != nil || d.notified == nil {
 		return
 	}
--- a/internal/lab/load/malformed.go
+++ b/internal/lab/load/malformed.go
@@ -39,7 +39,7 @@
 	rng := rand.New(rand.NewPCG(seed, 5))
 	var clients sync.WaitGroup
 	defer clients.Wait()
-	for n := 0; ; n++ {
+	for number := 0; ; number++ {
 		select {
 		case <-ctx.Done():
 			return
@@ -51,7 +51,7 @@
 		}
 		kind := &malformedKinds[rng.IntN(len(malformedKinds))]
 		clients.Go(func() { // ends with its timeout at the latest
-			answered, served := m.play(ctx, kind, address, fmt.Sprintf("rude-%x-%d", seed, n))
+			answered, served := m.play(ctx, kind, address, fmt.Sprintf("rude-%x-%d", seed, number))
 			if ctx.Err() == nil || answered { // one that was ended early says nothing
 				m.count(kind.name, answered, served)
 			}
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -55,19 +55,19 @@
 }
 
 // within checks that both ends of a range lie between two bounds, which are allowed themselves.
-func (c *checker) within(key string, value Range, lo, hi float64) {
+func (c *checker) within(key string, value Range, lower, upper float64) {
 	if value.bad != "" {
 		c.report(key, "%s, a number or [from, to] is expected", value.bad)
 		return
 	}
 	for _, bound := range []float64{value.From, value.To} {
-		if !math.IsNaN(bound) && bound >= lo && bound <= hi {
+		if !math.IsNaN(bound) && bound >= lower && bound <= upper {
 			continue
 		}
-		if math.IsInf(hi, 1) {
-			c.report(key, "%v, at least %v is expected", bound, lo)
+		if math.IsInf(upper, 1) {
+			c.report(key, "%v, at least %v is expected", bound, lower)
 		} else {
-			c.report(key, "%v, a value from %v to %v is expected", bound, lo, hi)
+			c.report(key, "%v, a value from %v to %v is expected", bound, lower, upper)
 		}
 		return
 	}
@@ -82,21 +82,21 @@
 
 // Check returns everything that is wrong with a scenario, in the order of the lines.
 func (s *Scenario) Check() Problems {
-	c := &checker{scenario: s}
-	c.within("length_s", s.LengthS, 1, MaxLength)
-	c.within("tick_ms", s.TickMS, 0.1, 1000)
-	s.checkSite(c)
+	checks := &checker{scenario: s}
+	checks.within("length_s", s.LengthS, 1, MaxLength)
+	checks.within("tick_ms", s.TickMS, 0.1, 1000)
+	s.checkSite(checks)
 	for i := range s.Kinds {
-		s.Kinds[i].check(c, fmt.Sprintf("kind[%d].", i))
+		s.Kinds[i].check(checks, fmt.Sprintf("kind[%d].", i))
 	}
 	for i := range s.Classes {
-		s.Classes[i].check(c, fmt.Sprintf("class[%d].", i))
+		s.Classes[i].check(checks, fmt.Sprintf("class[%d].", i))
 	}
-	s.checkTraffic(c)
-	s.checkFigures(c)
+	s.checkTraffic(checks)
+	s.checkFigures(checks)
 	for i := range s.Faults {
-		s.checkFault(c, fmt.Sprintf("trouble[%d].", i), &s.Faults[i])
+		s.checkFault(checks, fmt.Sprintf("trouble[%d].", i), &s.Faults[i])
 	}
-	sort.SliceStable(c.problems, func(i, j int) bool { return c.problems[i].Line < c.problems[j].Line })
-	return c.problems
+	sort.SliceStable(checks.problems, func(i, j int) bool { return checks.problems[i].Line < checks.problems[j].Line })
+	return checks.problems
 }
--- a/internal/lab/scenario/check_faults.go
+++ b/internal/lab/scenario/check_faults.go
@@ -6,12 +6,12 @@
 )
 
 // checkFault checks a fault, whose key with a dot is the prefix.
-func (s *Scenario) checkFault(c *checker, prefix string, fault *FaultSpec) {
+func (s *Scenario) checkFault(checks *checker, prefix string, fault *FaultSpec) {
 	if _, ok := faultKinds[fault.Kind]; !ok {
-		c.oneOf(prefix+"kind", fault.Kind, slices.Sorted(maps.Keys(faultKinds))...)
+		checks.oneOf(prefix+"kind", fault.Kind, slices.Sorted(maps.Keys(faultKinds))...)
 		return
 	}
-	c.withinAll(prefix, []limits{
+	checks.withinAll(prefix, []limits{
 		{"at_s", fault.AtS, 0, MaxLength},
 		{"for_s", fault.ForS, 0, MaxLength},
 		{"part", fault.Part, 0, 1},
@@ -19,20 +19,20 @@
 		{"every_s", fault.EveryS, 0, 3600},
 		{"ramp_s", fault.RampS, 0, 3600},
 	})
-	fault.checkRequired(c, prefix)
+	fault.checkRequired(checks, prefix)
 	if fault.Class != "" && !slices.ContainsFunc(s.Classes, func(class Class) bool { return class.Name == fault.Class }) {
-		c.report(prefix+"class", "%q is no class", fault.Class)
+		checks.report(prefix+"class", "%q is no class", fault.Class)
 	}
 	if fault.Zone != "" && !slices.Contains(s.Zones.Names, fault.Zone) {
-		c.report(prefix+"zone", "%q is no zone", fault.Zone)
+		checks.report(prefix+"zone", "%q is no zone", fault.Zone)
 	}
 }
 
 // checkRequired checks the keys that a kind of fault requires.
-func (f *FaultSpec) checkRequired(c *checker, prefix string) {
+func (f *FaultSpec) checkRequired(checks *checker, prefix string) {
 	require := func(key string, value Range) {
 		if !value.Set || value.upper() == 0 {
-			c.report(prefix+key, "%s requires it: %s", f.Kind, faultKinds[f.Kind])
+			checks.report(prefix+key, "%s requires it: %s", f.Kind, faultKinds[f.Kind])
 		}
 	}
 	switch f.Kind {
@@ -44,13 +44,13 @@
 		require("size", f.Size)
 		require("every_s", f.EveryS)
 		if f.EveryS.lower()*1000 <= f.Size.upper() {
-			c.report(prefix+"every_s", "more than size (%v ms) is expected", f.Size.upper())
+			checks.report(prefix+"every_s", "more than size (%v ms) is expected", f.Size.upper())
 		}
 	case FaultLateReports, FaultBurst, FaultLateDiscovery, FaultMalformedClients:
 		require("size", f.Size)
 	case FaultShrink:
 		if f.Size.lower() < 1 {
-			c.report(prefix+"size", "%v, 1 or more is expected", f.Size.lower())
+			checks.report(prefix+"size", "%v, 1 or more is expected", f.Size.lower())
 		}
 	case FaultDiscoveryOutage, FaultMoveDiscovery: // nothing is required
 	default:
--- a/internal/lab/scenario/check_figures.go
+++ b/internal/lab/scenario/check_figures.go
@@ -3,17 +3,17 @@
 import "math"
 
 // checkFigures checks discovery, the rules, the score and the number of drawn faults.
-func (s *Scenario) checkFigures(c *checker) {
-	s.Discovery.check(c)
-	s.Rules.check(c)
-	s.Score.check(c)
+func (s *Scenario) checkFigures(checks *checker) {
+	s.Discovery.check(checks)
+	s.Rules.check(checks)
+	s.Score.check(checks)
 	if n := s.Draws.Faults; n.Set {
-		c.within("draw.troubles", n, 0, math.Inf(1))
+		checks.within("draw.troubles", n, 0, math.Inf(1))
 	}
 }
 
-func (d *Discovery) check(c *checker) {
-	c.withinAll("discovery.", []limits{
+func (d *Discovery) check(checks *checker) {
+	checks.withinAll("discovery.", []limits{
 		{"notice_s", d.RemovalDelayS, 0, 3600},
 		{"silent_notice_s", d.FailureDetectionDelayS, 0, 3600},
 		{"add_s", d.AddDelayS, 0, 3600},
@@ -25,8 +25,8 @@
 	})
 }
 
-func (r *Rules) check(c *checker) {
-	c.withinAll("rules.", []limits{
+func (r *Rules) check(checks *checker) {
+	checks.withinAll("rules.", []limits{
 		{"answer_slack_ms", r.ResponseSlackMS, 0, 60000},
 		{"ask_within_ms", r.PollIntervalMS, 1, 3600000},
 		{"cold_from", r.SlowStartCapacity, 0, 1},
@@ -40,8 +40,8 @@
 	})
 }
 
-func (g *Score) check(c *checker) {
-	c.withinAll("score.", []limits{
+func (g *Score) check(checks *checker) {
+	checks.withinAll("score.", []limits{
 		{"whole", g.WholeRun, 0, 1},
 		{"worst_window", g.WorstWindow, 0, 1},
 		{"worst_class", g.WorstClass, 0, 1},
@@ -52,9 +52,9 @@
 		{"probe", g.HealthChecks, 0, 1},
 		{"choke", g.Overloaded, 0, 1},
 	})
-	c.oneOf("score.worth_by", g.WeightBy, "work", "request")
+	checks.oneOf("score.worth_by", g.WeightBy, "work", "request")
 	sum := g.WholeRun.From + g.WorstWindow.From + g.WorstClass.From
 	if math.Abs(sum-1) > 1e-6 {
-		c.report("score", "whole, worst_window and worst_class add up to %v, 1 is expected", sum)
+		checks.report("score", "whole, worst_window and worst_class add up to %v, 1 is expected", sum)
 	}
 }
--- a/internal/lab/scenario/check_kinds.go
+++ b/internal/lab/scenario/check_kinds.go
@@ -3,26 +3,26 @@
 import "math"
 
 // check checks a kind, whose key with a dot is the prefix.
-func (k *Kind) check(c *checker, prefix string) {
+func (k *Kind) check(checks *checker, prefix string) {
 	if k.Name == "" {
-		c.report(prefix+"name", "a name is expected")
+		checks.report(prefix+"name", "a name is expected")
 	}
 	if k.Cores < 1 || k.Cores > 4096 {
-		c.report(prefix+"cores", "%d, a number from 1 to 4096 is expected", k.Cores)
+		checks.report(prefix+"cores", "%d, a number from 1 to 4096 is expected", k.Cores)
 	}
-	c.withinAll(prefix, k.limits())
+	checks.withinAll(prefix, k.limits())
 	if k.OverloadQueuePerCore.upper() > 0 && k.OverloadSlowdown.lower() < 1 {
-		c.report(prefix+"choke_slower", "%v, 1 or more is expected where choke_at is set", k.OverloadSlowdown.lower())
+		checks.report(prefix+"choke_slower", "%v, 1 or more is expected where choke_at is set", k.OverloadSlowdown.lower())
 	}
 	if k.SlowStartS.upper() > 0 && k.SlowStartCapacity.lower() <= 0 {
-		c.report(prefix+"cold_from", "above 0 is expected where cold_s is set")
+		checks.report(prefix+"cold_from", "above 0 is expected where cold_s is set")
 	}
 	if k.PauseMS.upper() > 0 && k.PauseEveryS.lower()*1000 <= k.PauseMS.upper() {
-		c.report(prefix+"pause_every_s", "more than pause_ms is expected")
+		checks.report(prefix+"pause_every_s", "more than pause_ms is expected")
 	}
-	c.oneOf(prefix+"warm_by", k.WarmUpBy, "time", "work")
-	c.oneOf(prefix+"cancel", k.Cancel, "queued", "all", "any")
-	c.oneOf(prefix+"drops_expired", k.DropExpired, "no", "yes", "any")
+	checks.oneOf(prefix+"warm_by", k.WarmUpBy, "time", "work")
+	checks.oneOf(prefix+"cancel", k.Cancel, "queued", "all", "any")
+	checks.oneOf(prefix+"drops_expired", k.DropExpired, "no", "yes", "any")
 }
 
 // limits returns the limits of the keys that are ranges.
--- a/internal/lab/scenario/check_traffic.go
+++ b/internal/lab/scenario/check_traffic.go
@@ -27,24 +27,24 @@
 }
 
 // checkTraffic checks the traffic and the clients.
-func (s *Scenario) checkTraffic(c *checker) {
+func (s *Scenario) checkTraffic(checks *checker) {
 	traffic := &s.Traffic
-	c.within("traffic.load", traffic.Load, 0, 100)
-	c.within("traffic.rate_per_s", traffic.RatePerS, 0, 1e7)
-	c.oneOf("traffic.shape", traffic.Shape, "steady", "waves", "bursty")
-	c.within("traffic.swing", traffic.Amplitude, 0, 1)
-	c.within("traffic.period_s", traffic.PeriodS, 0.01, 3600)
-	c.within("traffic.zone_skew", traffic.ZoneSkew, 0, 1)
-	c.within("traffic.keys", traffic.Keys, 0, 1e7)
-	c.within("traffic.key_zipf", traffic.KeyZipf, 0, 10)
-	c.oneOf("traffic.hints", traffic.Hints, "none", "rough", "exact")
-	c.within("traffic.hint_cv", traffic.HintCV, 0, 10)
-	c.within("clients.retries", s.Clients.Retries, 0, 20)
-	c.within("clients.backoff_ms", s.Clients.BackoffMS, 0, 600000)
-	c.within("clients.try_share", s.Clients.AttemptTimeoutShare, 0.001, 1)
-	c.within("clients.honour", s.Clients.RetryAfterShare, 0, 1)
-	c.within("clients.impatient", s.Clients.EarlyDisconnectShare, 0, 1)
+	checks.within("traffic.load", traffic.Load, 0, 100)
+	checks.within("traffic.rate_per_s", traffic.RatePerS, 0, 1e7)
+	checks.oneOf("traffic.shape", traffic.Shape, "steady", "waves", "bursty")
+	checks.within("traffic.swing", traffic.Amplitude, 0, 1)
+	checks.within("traffic.period_s", traffic.PeriodS, 0.01, 3600)
+	checks.within("traffic.zone_skew", traffic.ZoneSkew, 0, 1)
+	checks.within("traffic.keys", traffic.Keys, 0, 1e7)
+	checks.within("traffic.key_zipf", traffic.KeyZipf, 0, 10)
+	checks.oneOf("traffic.hints", traffic.Hints, "none", "rough", "exact")
+	checks.within("traffic.hint_cv", traffic.HintCV, 0, 10)
+	checks.within("clients.retries", s.Clients.Retries, 0, 20)
+	checks.within("clients.backoff_ms", s.Clients.BackoffMS, 0, 600000)
+	checks.within("clients.try_share", s.Clients.AttemptTimeoutShare, 0.001, 1)
+	checks.within("clients.honour", s.Clients.RetryAfterShare, 0, 1)
+	checks.within("clients.impatient", s.Clients.EarlyDisconnectShare, 0, 1)
 	if traffic.Trace == "" && len(s.Classes) == 0 {
-		c.report("class", "one class at least is expected")
+		checks.report("class", "one class at least is expected")
 	}
 }
--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -3,31 +3,31 @@
 // defaults returns a small plain site: the values of the tables that a file leaves out. Those of kinds,
 // classes and faults are filled in by fillDefaults once the file has been read.
 func defaults() *Scenario {
-	f := Fixed
+	fixed := Fixed
 	return &Scenario{
-		LengthS: f(60),
-		TickMS:  f(5),
+		LengthS: fixed(60),
+		TickMS:  fixed(5),
 		Zones: Zones{
-			Names: []string{"zone"}, SameMS: f(0.2), CrossMS: f(10), ClientMS: f(0.5), Jitter: f(0.2),
+			Names: []string{"zone"}, SameMS: fixed(0.2), CrossMS: fixed(10), ClientMS: fixed(0.5), Jitter: fixed(0.2),
 		},
 		Balancers: Balancers{
 			Count: 4, MaxAttempts: 4, HedgedRequests: true, Cancel: true, HealthChecks: true,
-			MaxRetryAfterMS: f(2000), FailoverDelayS: f(2),
+			MaxRetryAfterMS: fixed(2000), FailoverDelayS: fixed(2),
 		},
-		Fleet:   Fleet{Servers: 12, CellSize: 8, Weights: "rough", RoughCV: f(0.15)},
-		Traffic: Traffic{Load: f(0.5), Shape: "steady", PeriodS: f(10), Hints: "rough", HintCV: f(0.5)},
-		Clients: Clients{Retries: f(2), BackoffMS: f(200), AttemptTimeoutShare: f(0.7)},
+		Fleet:   Fleet{Servers: 12, CellSize: 8, Weights: "rough", RoughCV: fixed(0.15)},
+		Traffic: Traffic{Load: fixed(0.5), Shape: "steady", PeriodS: fixed(10), Hints: "rough", HintCV: fixed(0.5)},
+		Clients: Clients{Retries: fixed(2), BackoffMS: fixed(200), AttemptTimeoutShare: fixed(0.7)},
 		Discovery: Discovery{
-			RemovalDelayS: f(2), FailureDetectionDelayS: f(10), AddDelayS: f(1), PublishIntervalMS: f(500), DeliverySpreadMS: f(50),
-			CallsPerS: f(20), LinesPerCall: f(50), TimeoutMS: f(3000),
+			RemovalDelayS: fixed(2), FailureDetectionDelayS: fixed(10), AddDelayS: fixed(1), PublishIntervalMS: fixed(500), DeliverySpreadMS: fixed(50),
+			CallsPerS: fixed(20), LinesPerCall: fixed(50), TimeoutMS: fixed(3000),
 		},
 		Rules: Rules{
-			ResponseSlackMS: f(20), PollIntervalMS: f(10000), SlowStartCapacity: f(0.12), SlowStartMS: f(24000), DrainGraceMS: f(2000),
-			CollapseMultiple: f(2.5), CollapseWindowMS: f(2000), DialTimeoutMS: f(250), HealthCheckTimeoutMS: f(500), KeepaliveMS: f(60000),
+			ResponseSlackMS: fixed(20), PollIntervalMS: fixed(10000), SlowStartCapacity: fixed(0.12), SlowStartMS: fixed(24000), DrainGraceMS: fixed(2000),
+			CollapseMultiple: fixed(2.5), CollapseWindowMS: fixed(2000), DialTimeoutMS: fixed(250), HealthCheckTimeoutMS: fixed(500), KeepaliveMS: fixed(60000),
 		},
 		Score: Score{
-			WholeRun: f(0.45), WorstWindow: f(0.45), WorstClass: f(0.1), WindowS: f(10), WeightBy: "work",
-			Waste: f(0.05), LateFail: f(0.05), CrossZone: f(0.03), HealthChecks: f(0.01), Overloaded: f(0.08),
+			WholeRun: fixed(0.45), WorstWindow: fixed(0.45), WorstClass: fixed(0.1), WindowS: fixed(10), WeightBy: "work",
+			Waste: fixed(0.05), LateFail: fixed(0.05), CrossZone: fixed(0.03), HealthChecks: fixed(0.01), Overloaded: fixed(0.08),
 		},
 	}
 }
--- a/internal/lab/scenario/draw_classes.go
+++ b/internal/lab/scenario/draw_classes.go
@@ -45,7 +45,7 @@
 func (c *Class) drawClass(rng, workStream *rand.Rand) DrawnClass {
 	share := c.Share.draw(rng)
 	mean := c.WorkMS.draw(rng)
-	cv := c.CV.draw(rng)
+	variation := c.CV.draw(rng)
 	return DrawnClass{
 		Class: piernotch.Class{
 			Name:             c.Name,
@@ -60,7 +60,7 @@
 		Share:     share,
 		MeanWork:  mean,
 		AttemptCV: c.AttemptCV.draw(rng),
-		Work:      workDistribution(c.Dist, mean, cv, workStream),
+		Work:      workDistribution(c.Dist, mean, variation, workStream),
 	}
 }
 
@@ -83,16 +83,16 @@
 
 // workDistribution returns a distribution of a kind (Class.Dist) with a mean, in ms, and a coefficient
 // of variation.
-func workDistribution(dist string, mean, cv float64, src *rand.Rand) distuv.Rander {
+func workDistribution(dist string, mean, variation float64, src *rand.Rand) distuv.Rander {
 	switch {
-	case dist == "fixed", cv == 0 && dist != "exponential":
+	case dist == "fixed", variation == 0 && dist != "exponential":
 		return fixedWork(mean)
 	case dist == "exponential":
 		return distuv.Exponential{Rate: 1 / mean, Src: src}
 	case dist == "pareto":
-		alpha := 1 + math.Sqrt(1+1/(cv*cv))
+		alpha := 1 + math.Sqrt(1+1/(variation*variation))
 		return boundedWork{distuv.Pareto{Xm: mean * (alpha - 1) / alpha, Alpha: alpha, Src: src}, maxWorkFactor * mean}
 	}
-	sigma := math.Sqrt(math.Log1p(cv * cv))
+	sigma := math.Sqrt(math.Log1p(variation * variation))
 	return boundedWork{distuv.LogNormal{Mu: math.Log(mean) - sigma*sigma/2, Sigma: sigma, Src: src}, maxWorkFactor * mean}
 }
--- a/internal/lab/scenario/overrides.go
+++ b/internal/lab/scenario/overrides.go
@@ -62,17 +62,17 @@
 }
 
 // assign sets the value at a path of TOML keys and element selectors.
-func assign(v reflect.Value, path []string, value string) error {
+func assign(target reflect.Value, path []string, value string) error {
 	if len(path) == 0 {
-		return decodeInto(v, value)
+		return decodeInto(target, value)
 	}
-	isTable := v.Kind() == reflect.Struct && v.Type() != reflect.TypeFor[Range]()
-	isArrayOfTables := v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct
+	isTable := target.Kind() == reflect.Struct && target.Type() != reflect.TypeFor[Range]()
+	isArrayOfTables := target.Kind() == reflect.Slice && target.Type().Elem().Kind() == reflect.Struct
 	switch {
 	case isTable:
-		return assignField(v, path, value)
+		return assignField(target, path, value)
 	case isArrayOfTables:
-		return assignElements(v, path, value)
+		return assignElements(target, path, value)
 	}
 	return fmt.Errorf("nothing is inside %s", path[0])
 }
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -79,7 +79,7 @@
 	if err := kind.Validate(); err != nil {
 		return nil, err
 	}
-	s := &Server{
+	server := &Server{
 		kind:       kind,
 		now:        now,
 		slowFactor: 1,
@@ -88,14 +88,14 @@
 		noise:      rand.New(rand.NewPCG(seed, 2)),
 	}
 	if kind.Keys.MaxKeys > 0 && kind.Keys.WorkSaved > 0 {
-		s.keys, _ = simplelru.NewLRU[uint64, time.Duration](kind.Keys.MaxKeys, nil) // fails for a size below 1 only
+		server.keys, _ = simplelru.NewLRU[uint64, time.Duration](kind.Keys.MaxKeys, nil) // fails for a size below 1 only
 	}
-	s.resetProcess(now)
-	s.nextReport = Never
+	server.resetProcess(now)
+	server.nextReport = Never
 	if kind.Report.Interval > 0 {
-		s.nextReport = now + time.Duration(s.noise.Float64()*float64(kind.Report.Interval))
+		server.nextReport = now + time.Duration(server.noise.Float64()*float64(kind.Report.Interval))
 	}
-	return s, nil
+	return server, nil
 }
 
 // resetProcess forgets all that a process has in memory.
--- a/internal/lab/servermodel/work.go
+++ b/internal/lab/servermodel/work.go
@@ -123,23 +123,23 @@
 
 // doWork lets the time up to `to` pass, in which the rate of work does not change.
 func (s *Server) doWork(to time.Duration) {
-	dt := float64(to - s.now)
-	s.updateBusy(dt)
+	elapsed := float64(to - s.now)
+	s.updateBusy(elapsed)
 	rate := s.workRate(s.now)
 	if rate == 0 {
 		return
 	}
-	perJob := rate * dt / float64(time.Millisecond)
-	n := float64(len(s.running))
+	perJob := rate * elapsed / float64(time.Millisecond)
+	jobs := float64(len(s.running))
 	if s.overheadWork > 0 {
-		overhead := min(s.overheadWork, perJob*max(n, 1))
+		overhead := min(s.overheadWork, perJob*max(jobs, 1))
 		s.overheadWork -= overhead
 		s.workDone += overhead
 		s.doneSinceStart += overhead
-		if n == 0 {
+		if jobs == 0 {
 			return
 		}
-		perJob -= overhead / n
+		perJob -= overhead / jobs
 	}
 	for i := range s.running {
 		done := min(perJob, s.running[i].left)
--- a/internal/lab/simulation/counters.go
+++ b/internal/lab/simulation/counters.go
@@ -55,8 +55,8 @@
 func (c *counters) init(realization *scenario.Realization) { c.goodput = goodput.New(realization) }
 
 // finish counts a client's request that is over.
-func (c *counters) finish(w *World, client *clientRequest, end goodput.End) {
-	took := w.now - client.firstSent
+func (c *counters) finish(world *World, client *clientRequest, end goodput.End) {
+	took := world.now - client.firstSent
 	earned := c.goodput.RequestFinished(goodput.FinishedRequest{
 		First: client.firstSent, Took: took, Class: client.class, Work: client.work, ClientAttempts: client.attemptsSent, End: end,
 	})
@@ -75,17 +75,17 @@
 }
 
 // enter counts an attempt that a server accepted.
-func (c *counters) enter(w *World) {
-	c.advance(w.now)
+func (c *counters) enter(world *World) {
+	c.advance(world.now)
 	c.inflight++
 	c.accepted++
 }
 
 // exit counts an attempt that a server is done with.
-func (c *counters) exit(w *World, attempt *attemptState) {
-	c.advance(w.now)
+func (c *counters) exit(world *World, attempt *attemptState) {
+	c.advance(world.now)
 	c.inflight--
-	c.sojournSeconds += (w.now - attempt.arrivesAt).Seconds()
+	c.sojournSeconds += (world.now - attempt.arrivesAt).Seconds()
 }
 
 // advance integrates the number of attempts at servers up to now.
@@ -95,21 +95,21 @@
 }
 
 // sample records the state of some servers; it is called once a second.
-func (c *counters) sample(w *World) {
+func (c *counters) sample(world *World) {
 	if c.tracks == nil {
-		c.chooseTracks(w)
+		c.chooseTracks(world)
 	}
-	if w.now > w.realization.Length {
+	if world.now > world.realization.Length {
 		return
 	}
 	for i := range c.tracks {
 		track := &c.tracks[i]
-		server := &w.servers[track.Server]
+		server := &world.servers[track.Server]
 		state := uint8(server.State())
 		switch {
 		case server.State() == servermodel.Up && server.Overloaded():
 			state = sampleOverloaded
-		case server.State() == servermodel.Up && server.InSlowStart(w.now):
+		case server.State() == servermodel.Up && server.InSlowStart(world.now):
 			state = sampleSlowStart
 		}
 		track.Busy = append(track.Busy, float32(math.Round(1000*server.Busy())/1000))
@@ -119,11 +119,11 @@
 }
 
 // chooseTracks picks the servers to sample.
-func (c *counters) chooseTracks(w *World) {
-	count := len(w.servers)
+func (c *counters) chooseTracks(world *World) {
+	count := len(world.servers)
 	step := max((count+maxTracks-1)/maxTracks, 1)
 	for i := 0; i < count; i += step {
-		spec := &w.servers[i].spec
+		spec := &world.servers[i].spec
 		c.tracks = append(c.tracks, ServerTrack{Server: i, Kind: spec.Kind.Name, Zone: spec.Zone})
 	}
 }
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -48,18 +48,18 @@
 )
 
 // init lists all servers as ready.
-func (d *discovery) init(w *World) {
-	d.entries = make([]listEntry, len(w.servers))
+func (d *discovery) init(world *World) {
+	d.entries = make([]listEntry, len(world.servers))
 	for i := range d.entries {
 		d.entries[i] = listEntry{present: true, state: piernotch.Ready}
 	}
 	d.version = 1
-	d.phase = time.Duration(scenario.Stream(w.realization.Seed, "discovery").Float64() * float64(w.realization.Discovery.PublishInterval))
+	d.phase = time.Duration(scenario.Stream(world.realization.Seed, "discovery").Float64() * float64(world.realization.Discovery.PublishInterval))
 }
 
 // serverChanged notes a server's new state; discovery learns of it after a while.
-func (d *discovery) serverChanged(w *World, index serverIndex, state piernotch.State, after time.Duration) {
-	server := &w.servers[index]
+func (d *discovery) serverChanged(world *World, index serverIndex, state piernotch.State, after time.Duration) {
+	server := &world.servers[index]
 	server.noticeCount++
 	change := notice{server: index, number: server.noticeCount, state: state, startedAt: server.Started()}
 	if state == piernotch.Ready {
@@ -68,29 +68,29 @@
 		after += d.noticeDelay
 	}
 	d.notices = append(d.notices, change)
-	w.events.schedule(w.now+after, eventDiscoveryNotice, uint64(len(d.notices)-1))
+	world.events.schedule(world.now+after, eventDiscoveryNotice, uint64(len(d.notices)-1))
 }
 
 // learn has discovery learn of a change; it is published at the next period.
-func (d *discovery) learn(w *World, noticeNumber int) {
+func (d *discovery) learn(world *World, noticeNumber int) {
 	d.unpublished = append(d.unpublished, noticeNumber)
 	if len(d.unpublished) > 1 {
 		return
 	}
-	at := w.now
-	if interval := w.realization.Discovery.PublishInterval; interval > 0 {
-		at = (w.now-d.phase+interval-1)/interval*interval + d.phase
+	at := world.now
+	if interval := world.realization.Discovery.PublishInterval; interval > 0 {
+		at = (world.now-d.phase+interval-1)/interval*interval + d.phase
 	}
-	w.events.schedule(max(at, w.now), eventDiscoveryPublish, 0)
+	world.events.schedule(max(at, world.now), eventDiscoveryPublish, 0)
 }
 
 // publish makes a new version of the list and pushes it to the watchers.
-func (d *discovery) publish(w *World) {
+func (d *discovery) publish(world *World) {
 	d.version++
 	changed := false
 	for _, noticeNumber := range d.unpublished {
 		change := d.notices[noticeNumber]
-		outdated := change.number < w.servers[change.server].noticeCount && change.state != piernotch.Ready
+		outdated := change.number < world.servers[change.server].noticeCount && change.state != piernotch.Ready
 		if outdated && d.supersededByStart(change) {
 			continue
 		}
@@ -103,30 +103,30 @@
 		if unchanged {
 			continue
 		}
-		entry.changedIn, entry.changedAt = d.version, w.now
+		entry.changedIn, entry.changedAt = d.version, world.now
 		changed = true
 	}
 	d.unpublished = d.unpublished[:0]
 	if !changed || d.outages > 0 {
 		return
 	}
-	d.push(w)
+	d.push(world)
 }
 
 // listWrongly lists servers as gone that are not, or as ready again. Servers that have ended or
 // drain stay as they are listed.
-func (d *discovery) listWrongly(w *World, servers []int, state piernotch.State) {
+func (d *discovery) listWrongly(world *World, servers []int, state piernotch.State) {
 	d.version++
 	for _, index := range servers {
-		if server := &w.servers[index]; server.State() != servermodel.Up {
+		if server := &world.servers[index]; server.State() != servermodel.Up {
 			continue
 		}
 		entry := &d.entries[index]
 		entry.present = state != piernotch.Gone
 		entry.state = state
-		entry.changedIn, entry.changedAt = d.version, w.now
+		entry.changedIn, entry.changedAt = d.version, world.now
 	}
-	d.push(w)
+	d.push(world)
 }
 
 // supersededByStart reports whether a later start of the server is listed than the notice is of.
@@ -136,8 +136,8 @@
 }
 
 // endpoint is a server as it is listed.
-func (d *discovery) endpoint(w *World, index serverIndex) piernotch.Endpoint {
-	entry, server := &d.entries[index], &w.servers[index]
+func (d *discovery) endpoint(world *World, index serverIndex) piernotch.Endpoint {
+	entry, server := &d.entries[index], &world.servers[index]
 	return piernotch.Endpoint{
 		ID: server.id, Zone: server.spec.Zone, Cell: server.spec.Cell, State: entry.state, Size: server.spec.Size, StartedAt: entry.startedAt,
 	}
@@ -166,14 +166,14 @@
 }
 
 // beginOutage begins an outage; several may overlap. It ends all watches, and calls fail.
-func (d *discovery) beginOutage(w *World) {
+func (d *discovery) beginOutage(world *World) {
 	d.outages++
-	for i := range w.balancers {
-		balancer := &w.balancers[i]
+	for i := range world.balancers {
+		balancer := &world.balancers[i]
 		watches := balancer.up && balancer.watching
-		if watches && !w.realization.Discovery.Push {
+		if watches && !world.realization.Discovery.Push {
 			balancer.watching = false
-			d.scheduleDelivery(w, balancerIndex(i), w.now+callFailureDelay, callFailed)
+			d.scheduleDelivery(world, balancerIndex(i), world.now+callFailureDelay, callFailed)
 		}
 	}
 }
--- a/internal/lab/simulation/discovery_delivery.go
+++ b/internal/lab/simulation/discovery_delivery.go
@@ -25,44 +25,44 @@
 )
 
 // push schedules the delivery of changes to all balancers that watch.
-func (d *discovery) push(w *World) {
-	for i := range w.balancers {
+func (d *discovery) push(world *World) {
+	for i := range world.balancers {
 		index := balancerIndex(i)
-		if balancer := &w.balancers[index]; balancer.up && balancer.watching && d.outages == 0 {
-			d.scheduleDelivery(w, index, w.now+d.pushDelay(w, index), pushChanges)
+		if balancer := &world.balancers[index]; balancer.up && balancer.watching && d.outages == 0 {
+			d.scheduleDelivery(world, index, world.now+d.pushDelay(world, index), pushChanges)
 		}
 	}
 }
 
 // pushDelay is how long after a change of the list a balancer gets the push.
-func (d *discovery) pushDelay(w *World, index balancerIndex) time.Duration {
-	draw := w.randFor(mix(d.version<<20^uint64(index)), concernPush).Float64()
-	delay := time.Duration(draw * float64(w.realization.Discovery.DeliverySpread))
+func (d *discovery) pushDelay(world *World, index balancerIndex) time.Duration {
+	draw := world.randFor(mix(d.version<<20^uint64(index)), concernPush).Float64()
+	delay := time.Duration(draw * float64(world.realization.Discovery.DeliverySpread))
 	return delay / time.Microsecond * time.Microsecond
 }
 
 // scheduleDelivery schedules a delivery to a balancer; one to a process that has ended by then is
 // dropped.
-func (d *discovery) scheduleDelivery(w *World, index balancerIndex, at time.Duration, kind uint64) {
-	w.events.scheduleFor(at, eventListArrives, uint64(w.balancers[index].epoch)<<8|kind, int32(index))
+func (d *discovery) scheduleDelivery(world *World, index balancerIndex, at time.Duration, kind uint64) {
+	world.events.scheduleFor(at, eventListArrives, uint64(world.balancers[index].epoch)<<8|kind, int32(index))
 }
 
 // call takes a balancer's call. Calls are answered one after the other.
-func (d *discovery) call(w *World, index balancerIndex, kind callKind) {
-	balancer := &w.balancers[index]
-	balancer.lastPoll = w.now
-	roundTrip := 2 * w.realization.Delay[balancer.zone][0]
+func (d *discovery) call(world *World, index balancerIndex, kind callKind) {
+	balancer := &world.balancers[index]
+	balancer.lastPoll = world.now
+	roundTrip := 2 * world.realization.Delay[balancer.zone][0]
 	if d.outages > 0 {
-		d.scheduleDelivery(w, index, w.now+roundTrip+callFailureDelay, callFailed)
+		d.scheduleDelivery(world, index, world.now+roundTrip+callFailureDelay, callFailed)
 		return
 	}
-	settings := &w.realization.Discovery
+	settings := &world.realization.Discovery
 	callsWorth := 1 + float64(d.responseSize(balancer, kind))/settings.LinesPerCall
 	cost := time.Duration(callsWorth / settings.CallsPerSec * float64(time.Second))
-	done := max(d.busyUntil, w.now) + cost
-	if done-w.now > settings.CallTimeout {
-		d.scheduleDelivery(w, index, w.now+settings.CallTimeout, callFailed)
-		w.counters.ListFailed++
+	done := max(d.busyUntil, world.now) + cost
+	if done-world.now > settings.CallTimeout {
+		d.scheduleDelivery(world, index, world.now+settings.CallTimeout, callFailed)
+		world.counters.ListFailed++
 		return
 	}
 	d.busyUntil = done
@@ -70,7 +70,7 @@
 	if kind == watchChanges {
 		response = watchResponse
 	}
-	d.scheduleDelivery(w, index, done+roundTrip, response)
+	d.scheduleDelivery(world, index, done+roundTrip, response)
 }
 
 // responseSize is how many entries the response to a call holds.
@@ -87,8 +87,8 @@
 }
 
 // deliver brings a list to a balancer. The ID is the epoch of its process and the kind of delivery.
-func (d *discovery) deliver(w *World, index balancerIndex, id uint64) {
-	balancer := &w.balancers[index]
+func (d *discovery) deliver(world *World, index balancerIndex, id uint64) {
+	balancer := &world.balancers[index]
 	sameProcess := uint32(id>>8) == balancer.epoch
 	if !balancer.up || !sameProcess {
 		return
@@ -96,13 +96,13 @@
 	kind := id & 0xff
 	switch kind {
 	case callFailed:
-		balancer.watching, balancer.pollFailed = w.realization.Discovery.Push, true
-		w.notify(index, Event{Kind: EventEndpointList, ListKind: piernotch.UpdateFailed, Version: balancer.listVersion})
+		balancer.watching, balancer.pollFailed = world.realization.Discovery.Push, true
+		world.notify(index, Event{Kind: EventEndpointList, ListKind: piernotch.UpdateFailed, Version: balancer.listVersion})
 		return
 	case fetchResponse:
 		balancer.pollFailed = false
-		d.setFullList(w, index)
-		d.send(w, index, piernotch.UpdateFull, d.presentServers())
+		d.setFullList(world, index)
+		d.send(world, index, piernotch.UpdateFull, d.presentServers())
 		return
 	case watchResponse:
 		balancer.watching, balancer.pollFailed = true, false
@@ -116,13 +116,13 @@
 	}
 	balancer.listVersion = d.version
 	for _, server := range servers {
-		d.remember(w, balancer, server)
+		d.remember(world, balancer, server)
 	}
-	d.send(w, index, piernotch.UpdateDelta, servers)
+	d.send(world, index, piernotch.UpdateDelta, servers)
 }
 
 // remember caches an entry for the balancer's next process.
-func (d *discovery) remember(w *World, balancer *balancerState, server serverIndex) {
+func (d *discovery) remember(world *World, balancer *balancerState, server serverIndex) {
 	if balancer.entries == nil {
 		balancer.entries = map[serverIndex]piernotch.Endpoint{}
 	}
@@ -130,31 +130,31 @@
 		delete(balancer.entries, server)
 		return
 	}
-	balancer.entries[server] = d.endpoint(w, server)
+	balancer.entries[server] = d.endpoint(world, server)
 }
 
 // setFullList makes a balancer's cached list the present one.
-func (d *discovery) setFullList(w *World, index balancerIndex) {
-	balancer := &w.balancers[index]
+func (d *discovery) setFullList(world *World, index balancerIndex) {
+	balancer := &world.balancers[index]
 	balancer.listVersion = d.version
 	clear(balancer.entries)
 	for i := range d.entries {
 		if d.entries[i].present {
-			d.remember(w, balancer, serverIndex(i))
+			d.remember(world, balancer, serverIndex(i))
 		}
 	}
 }
 
 // send notifies a balancer of servers as they are listed now.
-func (d *discovery) send(w *World, balancer balancerIndex, kind piernotch.UpdateKind, servers []serverIndex) {
+func (d *discovery) send(world *World, balancer balancerIndex, kind piernotch.UpdateKind, servers []serverIndex) {
 	event := Event{Kind: EventEndpointList, ListKind: kind, Version: d.version}
 	for _, server := range servers {
-		w.addEntry(&event, balancer, server, d.endpoint(w, server))
+		world.addEntry(&event, balancer, server, d.endpoint(world, server))
 	}
 	if kind == piernotch.UpdateFull {
-		d.notifyAbsent(w, balancer)
+		d.notifyAbsent(world, balancer)
 	}
-	w.notify(balancer, event)
+	world.notify(balancer, event)
 }
 
 // addEntry adds the entry of a server to an event for a balancer.
@@ -167,19 +167,19 @@
 }
 
 // notifyAbsent counts the servers that a full list leaves out as notified to be gone.
-func (d *discovery) notifyAbsent(w *World, balancer balancerIndex) {
+func (d *discovery) notifyAbsent(world *World, balancer balancerIndex) {
 	for i := range d.entries {
 		if !d.entries[i].present {
-			w.checker.EndpointNotified(invariants.NotifiedEndpoint{
-				At: w.now, Balancer: balancer, Server: serverIndex(i), State: piernotch.Gone,
+			world.checker.EndpointNotified(invariants.NotifiedEndpoint{
+				At: world.now, Balancer: balancer, Server: serverIndex(i), State: piernotch.Gone,
 			})
 		}
 	}
 }
 
 // sendCached notifies a balancer's process that starts of the list that its predecessor had last.
-func (d *discovery) sendCached(w *World, index balancerIndex) {
-	balancer := &w.balancers[index]
+func (d *discovery) sendCached(world *World, index balancerIndex) {
+	balancer := &world.balancers[index]
 	event := Event{Kind: EventEndpointList, ListKind: piernotch.UpdateCached, Version: balancer.listVersion}
 	servers := make([]serverIndex, 0, len(balancer.entries))
 	for server := range balancer.entries {
@@ -187,38 +187,38 @@
 	}
 	slices.Sort(servers)
 	for _, server := range servers {
-		w.addEntry(&event, index, server, balancer.entries[server])
+		world.addEntry(&event, index, server, balancer.entries[server])
 	}
-	w.notify(index, event)
+	world.notify(index, event)
 }
 
 // notifyImplied counts balancers that neither watch nor poll as notified of what has been listed for
 // longer than they may go without polling.
-func (d *discovery) notifyImplied(w *World) {
-	for i := range w.balancers {
-		balancer := &w.balancers[i]
-		limit := w.realization.Rules.PollInterval
+func (d *discovery) notifyImplied(world *World) {
+	for i := range world.balancers {
+		balancer := &world.balancers[i]
+		limit := world.realization.Rules.PollInterval
 		if balancer.pollFailed {
 			limit *= pollIntervalsAfterFailure
 		}
-		polledLately := w.now-balancer.lastPoll <= limit
+		polledLately := world.now-balancer.lastPoll <= limit
 		if !balancer.up || balancer.watching || polledLately {
 			continue
 		}
-		d.notifyUnpolled(w, balancerIndex(i), w.now-limit)
+		d.notifyUnpolled(world, balancerIndex(i), world.now-limit)
 	}
 }
 
 // notifyUnpolled counts a balancer as notified of each server that is not ready, and has been listed so
 // since a time at the latest.
-func (d *discovery) notifyUnpolled(w *World, index balancerIndex, since time.Duration) {
-	balancer := &w.balancers[index]
+func (d *discovery) notifyUnpolled(world *World, index balancerIndex, since time.Duration) {
+	balancer := &world.balancers[index]
 	for i := range d.entries {
 		entry := &d.entries[i]
 		unknown := entry.state != piernotch.Ready && entry.changedIn > balancer.listVersion
 		if unknown && entry.changedAt <= since {
-			w.checker.EndpointNotified(invariants.NotifiedEndpoint{
-				At: w.now, Balancer: index, Server: serverIndex(i), State: entry.state,
+			world.checker.EndpointNotified(invariants.NotifiedEndpoint{
+				At: world.now, Balancer: index, Server: serverIndex(i), State: entry.state,
 			})
 		}
 	}
--- a/internal/lab/simulation/traffic.go
+++ b/internal/lab/simulation/traffic.go
@@ -31,8 +31,8 @@
 }
 
 // init draws the shape of the traffic, or reads the recording.
-func (t *traffic) init(w *World) error {
-	realization := w.realization
+func (t *traffic) init(world *World) error {
+	realization := world.realization
 	t.arrivals, t.keys = scenario.Stream(realization.Seed, "arrivals"), scenario.Stream(realization.Seed, "keys")
 	t.hints, t.tails = scenario.Stream(realization.Seed, "hints"), scenario.Stream(realization.Seed, "heavy")
 	if realization.Traffic.Trace != "" {
@@ -64,8 +64,8 @@
 }
 
 // rate is the rate of requests at a time, per second.
-func (t *traffic) rate(w *World, at time.Duration) float64 {
-	realization := w.realization
+func (t *traffic) rate(world *World, at time.Duration) float64 {
+	realization := world.realization
 	rate := realization.Traffic.RequestsPerSecond
 	switch realization.Traffic.Shape {
 	case "waves":
@@ -99,11 +99,11 @@
 }
 
 // scheduleNext schedules the next client, unless none comes before the end.
-func (t *traffic) scheduleNext(w *World) {
+func (t *traffic) scheduleNext(world *World) {
 	if t.replay {
 		if len(t.records) > 0 {
-			if at := t.records[0].At / time.Microsecond * time.Microsecond; at < w.realization.Length {
-				w.events.schedule(max(at, w.now), eventNextClient, 0)
+			if at := t.records[0].At / time.Microsecond * time.Microsecond; at < world.realization.Length {
+				world.events.schedule(max(at, world.now), eventNextClient, 0)
 			}
 		}
 		return
@@ -113,38 +113,38 @@
 	}
 	// Thinning: candidates come at the greatest rate, and each is taken with the
 	// share that the present rate is of it (Lewis and Shedler 1979).
-	for at := w.now; ; {
+	for at := world.now; ; {
 		at += time.Duration(t.arrivals.ExpFloat64() / t.maxRate * float64(time.Second))
-		if at >= w.realization.Length {
+		if at >= world.realization.Length {
 			return
 		}
-		if t.arrivals.Float64()*t.maxRate < t.rate(w, at) {
-			w.events.schedule(at/time.Microsecond*time.Microsecond, eventNextClient, 0)
+		if t.arrivals.Float64()*t.maxRate < t.rate(world, at) {
+			world.events.schedule(at/time.Microsecond*time.Microsecond, eventNextClient, 0)
 			return
 		}
 	}
 }
 
 // clientArrives adds the client that was scheduled, and schedules the next one.
-func (t *traffic) clientArrives(w *World) {
-	w.lastClientRequest++
-	client := w.clientRequests.Put(w.lastClientRequest)
-	t.drawRequest(w, client)
-	w.counters.goodput.RequestSent(client.firstSent, client.class, client.work)
-	w.sendRequest(w.lastClientRequest)
-	t.scheduleNext(w)
+func (t *traffic) clientArrives(world *World) {
+	world.lastClientRequest++
+	client := world.clientRequests.Put(world.lastClientRequest)
+	t.drawRequest(world, client)
+	world.counters.goodput.RequestSent(client.firstSent, client.class, client.work)
+	world.sendRequest(world.lastClientRequest)
+	t.scheduleNext(world)
 }
 
 // drawRequest draws what a client wants.
-func (t *traffic) drawRequest(w *World, client *clientRequest) {
-	realization := w.realization
-	*client = clientRequest{randomKey: mix(realization.Seed ^ w.lastClientRequest*goldenRatio), firstSent: w.now, costHint: math.NaN()}
+func (t *traffic) drawRequest(world *World, client *clientRequest) {
+	realization := world.realization
+	*client = clientRequest{randomKey: mix(realization.Seed ^ world.lastClientRequest*goldenRatio), firstSent: world.now, costHint: math.NaN()}
 	if t.replay {
-		t.takeRecorded(w, client)
+		t.takeRecorded(world, client)
 	} else {
-		t.drawFromScenario(w, client)
+		t.drawFromScenario(world, client)
 	}
-	client.deadline = w.now + realization.Classes[client.class].Deadline
+	client.deadline = world.now + realization.Classes[client.class].Deadline
 	client.disconnectDraw = t.tails.Float64()
 	client.maxRetries = int(realization.Clients.Retries)
 	if t.tails.Float64() < realization.Clients.Retries-float64(client.maxRetries) {
@@ -188,8 +188,8 @@
 }
 
 // drawFromScenario draws class, zone, work, key and cost hint.
-func (t *traffic) drawFromScenario(w *World, client *clientRequest) {
-	realization := w.realization
+func (t *traffic) drawFromScenario(world *World, client *clientRequest) {
+	realization := world.realization
 	draw := t.arrivals.Float64()
 	for client.class = 0; client.class < len(realization.Classes)-1 && draw >= realization.Classes[client.class].Share; client.class++ {
 		draw -= realization.Classes[client.class].Share
@@ -200,7 +200,7 @@
 	tail := t.tails.Float64()
 	for i := range realization.Faults {
 		fault := &realization.Faults[i]
-		active := fault.Kind == scenario.FaultHeavyTail && w.now >= fault.At && w.now < fault.End()
+		active := fault.Kind == scenario.FaultHeavyTail && world.now >= fault.At && world.now < fault.End()
 		hit := fault.Class < 0 || fault.Class == client.class
 		if active && hit && tail < fault.Part {
 			client.work *= fault.Size
--- a/internal/lab/simulation/traffic_trace.go
+++ b/internal/lab/simulation/traffic_trace.go
@@ -43,20 +43,20 @@
 
 // takeRecorded takes the next request of the recording. A recording knows no work: the cost hint
 // stands for it, or else the class's distribution.
-func (t *traffic) takeRecorded(w *World, client *clientRequest) {
+func (t *traffic) takeRecorded(world *World, client *clientRequest) {
 	record := t.records[0]
 	t.records = t.records[1:]
 	client.class = t.classOf[t.head.Classes[record.Class]]
-	client.zone = int(client.randomKey>>8) % len(w.realization.Zones)
+	client.zone = int(client.randomKey>>8) % len(world.realization.Zones)
 	if zone := t.head.Zone; zone != "" {
-		for i, name := range w.realization.Zones {
+		for i, name := range world.realization.Zones {
 			if name == zone {
 				client.zone = i
 			}
 		}
 	}
 	client.key = record.Key
-	client.work = w.realization.Classes[client.class].Work.Rand()
+	client.work = world.realization.Classes[client.class].Work.Rand()
 	if record.CostHint > 0 {
 		client.work, client.costHint = record.CostHint, record.CostHint
 	}
--- a/internal/simprotocol/batch_writer.go
+++ b/internal/simprotocol/batch_writer.go
@@ -143,14 +143,14 @@
 }
 
 // WriteTo writes the batch with its clock, milliseconds, and its number, and empties it for the next.
-// An error is that of w.
-func (b *BatchWriter) WriteTo(w io.Writer, clockMS float64, seq uint32) error {
+// An error is that of the output.
+func (b *BatchWriter) WriteTo(output io.Writer, clockMS float64, seq uint32) error {
 	put32(b.head[:], uint32(b.count))
 	put32(b.head[4:], uint32(batchHeaderSize+len(b.records)+len(b.tail)))
 	putF64(b.head[8:], clockMS)
 	put32(b.head[16:], seq)
 	for _, part := range [][]byte{b.head[:], b.records, b.tail} {
-		if _, err := w.Write(part); err != nil {
+		if _, err := output.Write(part); err != nil {
 			return err
 		}
 	}
--- a/internal/simprotocol/reply_reader.go
+++ b/internal/simprotocol/reply_reader.go
@@ -27,9 +27,9 @@
 
 // ReadReply reads the reply to batch seq and appends its actions to into. After an error the
 // stream is of no more use; actions decoded before it are returned with it.
-func ReadReply(r io.Reader, seq uint32, into []Action) ([]Action, error) {
+func ReadReply(input io.Reader, seq uint32, into []Action) ([]Action, error) {
 	var head [replyHeaderSize]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	if _, err := io.ReadFull(input, head[:]); err != nil {
 		return into, replyError(seq, "reply to batch %d: %w", seq, err)
 	}
 	count, length := uint64(u32(head[:])), uint64(u32(head[4:]))
@@ -40,7 +40,7 @@
 		return into, replyError(seq, "a reply of %d actions says it is %d bytes long", count, length)
 	}
 	body := make([]byte, length-replyHeaderSize)
-	if _, err := io.ReadFull(r, body); err != nil {
+	if _, err := io.ReadFull(input, body); err != nil {
 		return into, replyError(seq, "reply to batch %d: %w", seq, err)
 	}
 	tail := body[count*actionSize:]
--- a/internal/simprotocol/reply_writer.go
+++ b/internal/simprotocol/reply_writer.go
@@ -113,13 +113,13 @@
 	r.attach(r.record(ActionReportFault, balancer)[5:], []byte(text))
 }
 
-// WriteTo writes the reply to batch seq and empties it for the next. An error is that of w.
-func (r *Reply) WriteTo(w io.Writer, seq uint32) error {
+// WriteTo writes the reply to batch seq and empties it for the next. An error is that of the output.
+func (r *Reply) WriteTo(output io.Writer, seq uint32) error {
 	put32(r.head[:], uint32(r.count))
 	put32(r.head[4:], uint32(replyHeaderSize+len(r.records)+len(r.tail)))
 	put32(r.head[8:], seq)
 	for _, part := range [][]byte{r.head[:], r.records, r.tail} {
-		if _, err := w.Write(part); err != nil {
+		if _, err := output.Write(part); err != nil {
 			return err
 		}
 	}
--- a/internal/simprotocol/translate.go
+++ b/internal/simprotocol/translate.go
@@ -67,13 +67,13 @@
 
 // Duration converts the wire's milliseconds, rounded to the microsecond that the wire counts in. NaN
 // is 0, and what exceeds a Duration is cut to half of its range.
-func Duration(ms float64) time.Duration {
+func Duration(milliseconds float64) time.Duration {
 	const limit = float64(math.MaxInt64 / int64(time.Millisecond) / 2)
-	if math.IsNaN(ms) {
+	if math.IsNaN(milliseconds) {
 		return 0
 	}
-	ms = min(max(ms, -limit), limit)
-	return time.Duration(math.Round(ms*1000)) * time.Microsecond
+	milliseconds = min(max(milliseconds, -limit), limit)
+	return time.Duration(math.Round(milliseconds*1000)) * time.Microsecond
 }
 
 // Milliseconds is the reverse of Duration; what is below a microsecond is cut off.
