--- a/internal/lab/emulator/connection.go
+++ b/internal/lab/emulator/connection.go
@@ -12,6 +12,9 @@
 // free.
 const acceptRetryPause = time.Millisecond
 
+// readBufferSize is the size of the buffer for what a connection reads at once, bytes.
+const readBufferSize = 8 << 10
+
 // accept accepts the connections of one process.
 func (s *server) accept(listener net.Listener, incarnation int) {
 	for {
@@ -98,7 +101,7 @@
 // readMessages reads requests until the connection ends, a request is malformed, or stop is closed.
 func readMessages(connection net.Conn, messages chan<- *http1.Message, stop <-chan struct{}) {
 	parser := http1.NewRequestParser()
-	buffer := make([]byte, 8<<10)
+	buffer := make([]byte, readBufferSize)
 	for {
 		count, err := connection.Read(buffer)
 		if err != nil {
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -10,6 +10,9 @@
 	"piernotch/internal/lab/scenario"
 )
 
+// shareUnit is what a share of 1 is as a whole number: shares are kept in millionths.
+const shareUnit = 1e6
+
 // Fleet is the stand-in servers of a run and their discovery. Its methods may be called from any
 // goroutine, but Play and Close.
 type Fleet struct {
@@ -22,7 +25,7 @@
 	timers      []*time.Timer // of the steps, once they are played
 
 	loadReportDelay atomic.Int64 // ns
-	malformedShare  atomic.Int64 // of responses, in millionths
+	malformedShare  atomic.Int64 // of responses, in units of 1/shareUnit
 
 	mu  sync.Mutex
 	err error // the first one
@@ -78,7 +81,7 @@
 	return added, err
 }
 
-func (f *Fleet) malformedProbability() float64 { return float64(f.malformedShare.Load()) / 1e6 }
+func (f *Fleet) malformedProbability() float64 { return float64(f.malformedShare.Load()) / shareUnit }
 
 func (f *Fleet) reportDelay() time.Duration { return time.Duration(f.loadReportDelay.Load()) }
 
--- a/internal/lab/emulator/script.go
+++ b/internal/lab/emulator/script.go
@@ -55,7 +55,7 @@
 	case scenario.DelayDiscovery:
 		f.discovery.extraDelay.Add(int64(step.Length))
 	case scenario.CorruptResponses:
-		f.malformedShare.Add(int64(step.Size * 1e6))
+		f.malformedShare.Add(int64(step.Size * shareUnit))
 	case scenario.DiscoveryDown, scenario.DiscoveryUp:
 		f.discovery.setOutage(step.Action == scenario.DiscoveryDown)
 	default:
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -11,6 +11,10 @@
 	"piernotch/internal/lab/servermodel"
 )
 
+// serverStream keeps the random numbers of a stand-in server apart from those of its model, which has the
+// same seed.
+const serverStream = 7
+
 // server is one stand-in server. Over time it is played by one process after the other; the model and
 // the address stay the same.
 type server struct {
@@ -46,7 +50,7 @@
 	}
 	created := &server{
 		fleet: fleet, number: number, name: fmt.Sprintf("s-%d", number), spec: spec, model: model, jobs: map[uint64]*pendingJob{},
-		slowdown: 1, connections: map[net.Conn]struct{}{}, rng: rand.New(rand.NewPCG(seed, 7)),
+		slowdown: 1, connections: map[net.Conn]struct{}{}, rng: rand.New(rand.NewPCG(seed, serverStream)),
 	}
 	created.timer = time.AfterFunc(time.Hour, created.advance)
 	created.timer.Stop()
--- a/internal/lab/emulator/watch.go
+++ b/internal/lab/emulator/watch.go
@@ -41,7 +41,7 @@
 func (d *Discovery) EndpointList(balancer int) json.RawMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	list, _ := d.list(balancer, 0, true)
+	list, _ := d.list(watchCall{balancer: balancer, complete: true})
 	return encodeList(list)
 }
 
@@ -50,19 +50,19 @@
 	return data
 }
 
-// list returns what has changed since a generation, or with complete all servers that are not gone, and
-// their numbers. The lock is held.
-func (d *Discovery) list(balancer int, since uint64, complete bool) (listJSON, []int) {
-	list := listJSON{Generation: d.generation, Reset: complete, Instances: []instanceJSON{}}
+// list returns what has changed since the generation of a call, or for a complete one all servers that are
+// not gone, and their numbers. The lock is held.
+func (d *Discovery) list(call watchCall) (listJSON, []int) {
+	list := listJSON{Generation: d.generation, Reset: call.complete, Instances: []instanceJSON{}}
 	var servers []int
 	for number, server := range d.fleet.servers {
 		endpoint := d.endpoints[number]
-		if endpoint == nil || complete && endpoint.state == piernotch.Gone || !complete && endpoint.generation <= since {
+		if endpoint == nil || !call.wants(endpoint) {
 			continue
 		}
 		address := endpoint.address
 		if d.ServerAddress != nil {
-			address = d.ServerAddress(balancer, number, address)
+			address = d.ServerAddress(call.balancer, number, address)
 		}
 		list.Instances = append(list.Instances, instanceJSON{
 			InstanceID: server.name, HostPort: address, Zone: d.fleet.realization.Zones[server.spec.Zone], MachineType: server.spec.Kind.Name,
@@ -81,6 +81,14 @@
 	noWait   bool // it is to be answered at once, also without changes
 }
 
+// wants reports whether an endpoint is part of the response to the call.
+func (c *watchCall) wants(listed *endpoint) bool {
+	if c.complete {
+		return listed.state != piernotch.Gone
+	}
+	return listed.generation > c.since
+}
+
 // watchResponse is what a call is answered with now.
 type watchResponse struct {
 	unavailable bool // there is an outage
@@ -140,7 +148,8 @@
 		return response
 	}
 	response.ready = true
-	response.list, response.servers = d.list(call.balancer, call.since, complete)
+	call.complete = complete
+	response.list, response.servers = d.list(call)
 	for _, server := range response.servers {
 		response.endpoints = append(response.endpoints, *d.endpoints[server])
 	}
--- a/internal/lab/goodput/counter.go
+++ b/internal/lab/goodput/counter.go
@@ -101,16 +101,16 @@
 	c.second(first).AskedWeight += weight
 }
 
-// AttemptUnserved counts a client's attempt that was rejected or failed, by when its request was first sent.
-func (c *Counter) AttemptUnserved(first time.Duration, rejected bool) {
-	second := c.second(first)
-	if rejected {
-		c.Rejected++
-		second.Rejected++
-		return
-	}
+// AttemptRejected counts a client's attempt that was rejected, by when its request was first sent.
+func (c *Counter) AttemptRejected(first time.Duration) {
+	c.Rejected++
+	c.second(first).Rejected++
+}
+
+// AttemptFailed counts a client's attempt that failed, by when its request was first sent.
+func (c *Counter) AttemptFailed(first time.Duration) {
 	c.Failed++
-	second.Failed++
+	c.second(first).Failed++
 }
 
 // End is how a request ended for its client.
--- a/internal/lab/goodput/counter_test.go
+++ b/internal/lab/goodput/counter_test.go
@@ -72,9 +72,9 @@
 
 func TestUnservedAttemptsCountForSecondOfFirst(t *testing.T) {
 	counter := newTestCounter()
-	counter.AttemptUnserved(1500*time.Millisecond, true)
-	counter.AttemptUnserved(1500*time.Millisecond, false)
-	counter.AttemptUnserved(time.Minute, false)
+	counter.AttemptRejected(1500 * time.Millisecond)
+	counter.AttemptFailed(1500 * time.Millisecond)
+	counter.AttemptFailed(time.Minute)
 	require.Equal(t, Second{Rejected: 1, Failed: 1}, counter.Seconds[1])
 	require.Equal(t, Second{Failed: 1}, counter.Seconds[3])
 	require.Equal(t, 1, counter.Rejected)
--- a/internal/lab/load/attempt.go
+++ b/internal/lab/load/attempt.go
@@ -20,6 +20,9 @@
 // all.
 const readGrace = 150 * time.Millisecond
 
+// readBufferSize is the size of the buffer for what a client reads at once, bytes.
+const readBufferSize = 4 << 10
+
 // sendAttempt sends the request once, and once more where a reused connection was closed under it. The
 // duration that it returns is the Retry-After of the response.
 func (c *Clients) sendAttempt(ctx context.Context, arrival *simulation.Arrival, timeout time.Duration, rng *rand.Rand) (outcome Outcome, retryAfter time.Duration) {
@@ -72,7 +75,7 @@
 		_ = conn.Close()
 		return response{outcome: Disconnected, closedUnread: true}
 	}
-	buffer := make([]byte, 4<<10)
+	buffer := make([]byte, readBufferSize)
 	received := false
 	for {
 		count, err := conn.Read(buffer)
--- a/internal/lab/load/clients.go
+++ b/internal/lab/load/clients.go
@@ -16,6 +16,9 @@
 	"piernotch/internal/lab/simulation"
 )
 
+// clientStream keeps a client's random numbers apart from others of its seed.
+const clientStream = 11
+
 // Outcome is how an attempt ended for its client.
 type Outcome uint8
 
@@ -127,7 +130,7 @@
 	class := &c.Realization.Classes[arrival.Class]
 	expires := arrival.At + class.Deadline
 	c.countRequest(arrival)
-	rng := rand.New(rand.NewPCG(arrival.Seed, 11))
+	rng := rand.New(rand.NewPCG(arrival.Seed, clientStream))
 	for attemptCount := 1; ; attemptCount++ {
 		timeout := min(time.Duration(float64(class.Deadline)*clients.AttemptTimeoutShare), expires-c.Clock())
 		outcome, retryAfter := c.sendAttempt(ctx, arrival, timeout, rng)
@@ -165,8 +168,12 @@
 	defer c.mu.Unlock()
 	c.attempts++
 	c.outcomes[outcome]++
-	if outcome != Served {
-		c.goodput.AttemptUnserved(arrival.At, outcome == Rejected)
+	switch outcome {
+	case Served:
+	case Rejected:
+		c.goodput.AttemptRejected(arrival.At)
+	default:
+		c.goodput.AttemptFailed(arrival.At)
 	}
 }
 
--- a/internal/lab/load/malformed.go
+++ b/internal/lab/load/malformed.go
@@ -17,6 +17,12 @@
 	LargeBodyTimeout = 6 * time.Second // where it has a large body to send
 )
 
+// malformedStream keeps the random numbers of malformed clients apart from others of the seed.
+const malformedStream = 5
+
+// statusBufferSize holds more than the status line of a response, bytes.
+const statusBufferSize = 512
+
 // MalformedClients send what is not a valid request. Each must get an error or a close within its timeout,
 // and none may be served as if its request had run. Pick is required.
 type MalformedClients struct {
@@ -36,7 +42,7 @@
 // Run sends perSec malformed requests a second, on average, until the context ends, and waits for the last.
 // It may be called more than once, also at the same time.
 func (m *MalformedClients) Run(ctx context.Context, perSec float64, seed uint64) {
-	rng := rand.New(rand.NewPCG(seed, 5))
+	rng := rand.New(rand.NewPCG(seed, malformedStream))
 	var clients sync.WaitGroup
 	defer clients.Wait()
 	for number := 0; ; number++ {
@@ -115,7 +121,7 @@
 	stop := make(chan struct{})
 	defer close(stop)
 	go kind.send(conn, id, stop) // ends with stop, or when the connection is closed
-	buffer := make([]byte, 512)
+	buffer := make([]byte, statusBufferSize)
 	count, err := io.ReadAtLeast(conn, buffer, len("HTTP/1.1 200"))
 	if err != nil {
 		return !isTimeout(err), false
--- a/internal/lab/scenario/fault_kinds.go
+++ b/internal/lab/scenario/fault_kinds.go
@@ -49,5 +49,5 @@
 	FaultDelistServers:       "the endpoint list omits part of the servers by mistake, and has them again after for_s",
 	FaultMoveDiscovery:       "discovery moves to another address, and balancers are notified by a reload",
 	FaultDiscoveryOutage:     "calls to discovery fail and all watches end",
-	FaultLateDiscovery:       "the endpoint list shows changes size s later",
+	FaultLateDiscovery:       "the endpoint list shows ends and drains size s later, and starts half of that",
 }
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -11,6 +11,12 @@
 // Never is a time that does not come.
 const Never = time.Duration(math.MaxInt64)
 
+// Streams of a server's random numbers. They are apart, so that load reports do not move the pauses.
+const (
+	pauseStream = 1
+	noiseStream = 2
+)
+
 // State is the state of a server's process.
 type State uint8
 
@@ -84,8 +90,8 @@
 		now:        now,
 		slowFactor: 1,
 		warm:       true,
-		pauses:     rand.New(rand.NewPCG(seed, 1)),
-		noise:      rand.New(rand.NewPCG(seed, 2)),
+		pauses:     rand.New(rand.NewPCG(seed, pauseStream)),
+		noise:      rand.New(rand.NewPCG(seed, noiseStream)),
 	}
 	if kind.Keys.MaxKeys > 0 && kind.Keys.WorkSaved > 0 {
 		server.keys, _ = simplelru.NewLRU[uint64, time.Duration](kind.Keys.MaxKeys, nil) // fails for a size below 1 only
--- a/internal/lab/simulation/attempts.go
+++ b/internal/lab/simulation/attempts.go
@@ -20,16 +20,20 @@
 		return
 	}
 	request := w.requests.Get(id)
-	if request == nil || request.answered || request.balancer != balancerIndex(action.Balancer) {
+	pending := request != nil && !request.answered && request.balancer == balancerIndex(action.Balancer)
+	if !pending {
 		// A balancer that was notified of the end in this very turn may not have known of it.
-		if request == nil || request.answeredByBalancer || request.answeredAt <= w.previousTurn {
+		knewOfEnd := request == nil || request.answeredByBalancer || request.answeredAt <= w.previousTurn
+		if knewOfEnd {
 			w.checker.AttemptSent(w.sentAttempt(action, server))
 		}
 		w.attemptNotSent(action, request)
 		return
 	}
 	limit := min(w.realization.Settings.Limits.MaxAttempts, maxAttempts)
-	if int(request.attempts) >= limit || w.now >= request.deadline {
+	tooMany := int(request.attempts) >= limit
+	tooLate := w.now >= request.deadline
+	if tooMany || tooLate {
 		w.attemptNotSent(action, request)
 		return
 	}
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -210,7 +210,11 @@
 		w.clientServed(clientID)
 		return
 	}
-	w.counters.goodput.AttemptUnserved(client.firstSent, result == invariants.Rejected)
+	if result == invariants.Rejected {
+		w.counters.goodput.AttemptRejected(client.firstSent)
+	} else {
+		w.counters.goodput.AttemptFailed(client.firstSent)
+	}
 	neverExecuted := result == invariants.Rejected || reached == balancerUnreached
 	retryable := neverExecuted || w.mayRepeat(client, &w.realization.Classes[client.class])
 	if !retryable || client.attemptsSent > client.maxRetries {
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -30,6 +30,9 @@
 	changedAt time.Duration
 }
 
+// lateStartDivisor is by what faults delay the notices of starts less than those of ends and drains.
+const lateStartDivisor = 2
+
 // notice is a change of a server that discovery learns of after a while.
 type notice struct {
 	server    serverIndex
@@ -63,7 +66,7 @@
 	server.noticeCount++
 	change := notice{server: index, number: server.noticeCount, state: state, startedAt: server.Started()}
 	if state == piernotch.Ready {
-		after += d.noticeDelay / 2
+		after += d.noticeDelay / lateStartDivisor
 	} else {
 		after += d.noticeDelay
 	}
--- a/internal/lab/simulation/in_process.go
+++ b/internal/lab/simulation/in_process.go
@@ -97,8 +97,8 @@
 	h.add(Action{Kind: ActionStartAttempt, ID: id, Server: to, Delay: timeout})
 }
 
-func (h inProcessHost) CancelAttempt(id piernotch.RequestID, attempt int) {
-	h.add(Action{Kind: ActionCancelAttempt, ID: id, Attempt: attempt})
+func (h inProcessHost) CancelAttempt(id piernotch.RequestID, attemptNumber int) {
+	h.add(Action{Kind: ActionCancelAttempt, ID: id, Attempt: attemptNumber})
 }
 
 func (h inProcessHost) Reject(id piernotch.RequestID, retryAfter time.Duration) {
@@ -109,14 +109,14 @@
 	h.add(Action{Kind: ActionFail, ID: id})
 }
 
-func (h inProcessHost) HealthCheck(b piernotch.ServerID) {
-	h.add(Action{Kind: ActionHealthCheck, Server: b})
+func (h inProcessHost) HealthCheck(server piernotch.ServerID) {
+	h.add(Action{Kind: ActionHealthCheck, Server: server})
 }
 
 func (h inProcessHost) WatchEndpoints() {
 	h.add(Action{Kind: ActionWatchEndpoints})
 }
 
-func (h inProcessHost) SetTimer(d time.Duration, token uint32) {
-	h.add(Action{Kind: ActionSetTimer, Delay: d, Token: token})
+func (h inProcessHost) SetTimer(delay time.Duration, token uint32) {
+	h.add(Action{Kind: ActionSetTimer, Delay: delay, Token: token})
 }
