--- a/internal/lab/emulator/exchange.go
+++ b/internal/lab/emulator/exchange.go
@@ -15,7 +15,7 @@
 // maxWork bounds the work that a request may ask for, ms.
 const maxWork = 1e9
 
-// notRun is the header of an answer that proves that the request has not run.
+// notRun is the header of a response that proves that the request has not run.
 var notRun = http1.Field{Name: "X-Not-Run", Value: "1"}
 
 // exchange is a request on a connection and what belongs to its answer.
@@ -27,47 +27,47 @@
 	attempt int             // its number among those of the request
 }
 
-// write writes an answer. It reports whether the connection goes on.
+// write writes a response. It reports whether the connection goes on.
 func (x *exchange) write(status int, fields http1.Fields, body []byte) bool {
 	_, err := x.conn.Write(http1.AppendResponse(nil, status, fields, body))
 	return err == nil && !x.request.Close
 }
 
 // answer serves one request. It reports whether the connection goes on.
-func (s *server) answer(x exchange) bool {
+func (s *server) answer(received exchange) bool {
 	now := s.fleet.clock()
-	path := x.request.Path()
+	path := received.request.Path()
 	if path == "/ping" || path == "/_load" {
-		return s.answerProbe(x, now)
+		return s.answerHealthCheck(received, now)
 	}
-	x.id = x.request.Fields.Get("x-request-id")
-	if x.id == "" {
-		return x.writeError(http.StatusNotFound)
+	received.id = received.request.Fields.Get("x-request-id")
+	if received.id == "" {
+		return received.writeError(http.StatusNotFound)
 	}
-	x.attempt = s.fleet.observer.AttemptReceived(x.id, s.number)
-	if x.attempt < 0 {
-		return x.writeError(http.StatusBadRequest)
+	received.attempt = s.fleet.observer.AttemptReceived(received.id, s.number)
+	if received.attempt < 0 {
+		return received.writeError(http.StatusBadRequest)
 	}
-	admission, job := s.admit(x, now)
+	admission, job := s.admit(received, now)
 	switch admission {
 	case servermodel.Rejected:
 		fields := append(s.loadHeader(now), notRun)
-		s.fleet.observer.AttemptCompleted(x.id, x.attempt, true)
-		return x.write(http.StatusServiceUnavailable, fields, nil)
+		s.fleet.observer.AttemptCompleted(received.id, received.attempt, NeverExecuted(true))
+		return received.write(http.StatusServiceUnavailable, fields, nil)
 	case servermodel.Refused:
-		s.fleet.observer.AttemptCompleted(x.id, x.attempt, false)
-		reset(x.conn)
+		s.fleet.observer.AttemptCompleted(received.id, received.attempt, NeverExecuted(false))
+		reset(received.conn)
 		return false
 	case servermodel.NoResponse:
-		<-x.gone
-		s.fleet.observer.AttemptCompleted(x.id, x.attempt, false)
+		<-received.gone
+		s.fleet.observer.AttemptCompleted(received.id, received.attempt, NeverExecuted(false))
 		return false
 	}
 	select {
 	case completion := <-job.completed:
-		return s.respond(x, completion)
-	case <-x.gone: // the balancer waits no longer
-		s.cancel(x, job)
+		return s.respond(received, completion)
+	case <-received.gone: // the balancer waits no longer
+		s.cancel(received, job)
 		return false
 	}
 }
@@ -78,8 +78,8 @@
 	return err == nil
 }
 
-// answerProbe answers a health check or a call for the load report.
-func (s *server) answerProbe(x exchange, now time.Duration) bool {
+// answerHealthCheck answers a health check or a call for the load report.
+func (s *server) answerHealthCheck(received exchange, now time.Duration) bool {
 	s.mu.Lock()
 	s.model.Charge(now, s.spec.Kind.HealthCheckWork)
 	state := s.model.State()
@@ -87,7 +87,7 @@
 	s.resetTimer()
 	s.mu.Unlock()
 	if state == servermodel.Silent {
-		<-x.gone
+		<-received.gone
 		return false
 	}
 	status := http.StatusOK
@@ -95,13 +95,13 @@
 		status = http.StatusServiceUnavailable
 	}
 	var body []byte
-	if len(fields) > 0 && x.request.Path() == "/_load" {
+	if len(fields) > 0 && received.request.Path() == "/_load" {
 		body = []byte(fields[0].Value)
 	}
-	return x.write(status, fields, body)
+	return received.write(status, fields, body)
 }
 
-// loadHeader returns the X-Load header of an answer; nothing if the server does not report its load.
+// loadHeader returns the X-Load header of a response; nothing if the server does not report its load.
 func (s *server) loadHeader(now time.Duration) http1.Fields {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,27 +109,27 @@
 }
 
 func (s *server) loadHeaderLocked(now time.Duration) http1.Fields {
-	r, ok := s.model.Report(now, s.fleet.reportDelay())
+	report, ok := s.model.Report(now, s.fleet.reportDelay())
 	if !ok {
 		return nil
 	}
-	return http1.Fields{{Name: "X-Load", Value: fmt.Sprintf("eps=%.2f,qps=%.2f,inflight=%.1f", r.ErrorsPerSec, r.PerSec, r.Inflight)}}
+	return http1.Fields{{Name: "X-Load", Value: fmt.Sprintf("eps=%.2f,qps=%.2f,inflight=%.1f", report.ErrorsPerSec, report.PerSec, report.Inflight)}}
 }
 
 // admit brings a request to the model. The job is nil unless it was accepted.
-func (s *server) admit(x exchange, now time.Duration) (servermodel.Admission, *pendingJob) {
-	job := s.parseJob(x.request, now)
+func (s *server) admit(received exchange, now time.Duration) (servermodel.Admission, *pendingJob) {
+	job := s.parseJob(received.request, now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	cold := s.model.InSlowStart(now)
-	if cold {
-		s.fleet.observer.SlowStartWork(x.id, s.number, s.model.Started(), job.Work)
+	slowStart := s.model.InSlowStart(now)
+	if slowStart {
+		s.fleet.observer.SlowStartWork(received.id, s.number, s.model.Started(), job.Work)
 	}
 	s.lastJob++
 	job.ID = s.lastJob
 	job.ErrorDraw = s.rng.Float64()
 	admission, lost := s.model.Arrive(now, job)
-	if cold && s.model.State() == servermodel.Collapsed {
+	if slowStart && s.model.State() == servermodel.Collapsed {
 		s.fleet.observer.ServerCollapsed(s.number)
 		s.deliver(lost)
 		s.closeAll()
@@ -140,28 +140,28 @@
 	}
 	pending := &pendingJob{id: job.ID, completed: make(chan servermodel.Completion, 1)}
 	s.jobs[job.ID] = pending
-	s.fleet.observer.AttemptAccepted(x.id, x.attempt)
+	s.fleet.observer.AttemptAccepted(received.id, received.attempt)
 	s.resetTimer()
 	return admission, pending
 }
 
 // parseJob reads what a request asks for.
-func (s *server) parseJob(m *http1.Message, now time.Duration) servermodel.Job {
-	work, err := strconv.ParseFloat(m.Query("w"), 64)
+func (s *server) parseJob(message *http1.Message, now time.Duration) servermodel.Job {
+	work, err := strconv.ParseFloat(message.Query("w"), 64)
 	valid := err == nil && work > 0 && work < maxWork
 	if !valid { // its sender did not say: what its class takes
-		work = s.fleet.meanWork(strings.TrimPrefix(m.Path(), "/"))
+		work = s.fleet.meanWork(strings.TrimPrefix(message.Path(), "/"))
 	}
-	key, _ := strconv.ParseUint(m.Query("k"), 16, 64) // none is 0
+	key, _ := strconv.ParseUint(message.Query("k"), 16, 64) // none is 0
 	job := servermodel.Job{Work: work, Key: key}
-	if ms, err := strconv.Atoi(m.Fields.Get("x-deadline-ms")); err == nil {
-		job.Expires = now + time.Duration(ms)*time.Millisecond
+	if milliseconds, err := strconv.Atoi(message.Fields.Get("x-deadline-ms")); err == nil {
+		job.Expires = now + time.Duration(milliseconds)*time.Millisecond
 	}
 	return job
 }
 
 // cancel takes back the job of a request whose connection is gone.
-func (s *server) cancel(x exchange, job *pendingJob) {
+func (s *server) cancel(received exchange, job *pendingJob) {
 	s.mu.Lock()
 	cancelled, started, _ := s.model.Cancel(s.fleet.clock(), job.id)
 	if cancelled {
@@ -170,41 +170,41 @@
 	s.resetTimer()
 	s.mu.Unlock()
 	if started {
-		s.fleet.observer.AttemptExecuted(x.id, x.attempt)
+		s.fleet.observer.AttemptExecuted(received.id, received.attempt)
 	}
-	s.fleet.observer.AttemptCompleted(x.id, x.attempt, false)
+	s.fleet.observer.AttemptCompleted(received.id, received.attempt, NeverExecuted(false))
 }
 
 // respond answers a request whose job has been completed. It reports whether the connection goes on.
-func (s *server) respond(x exchange, completion servermodel.Completion) bool {
+func (s *server) respond(received exchange, completion servermodel.Completion) bool {
 	if completion.Started {
-		s.fleet.observer.AttemptExecuted(x.id, x.attempt)
+		s.fleet.observer.AttemptExecuted(received.id, received.attempt)
 	}
 	fields := s.loadHeader(s.fleet.clock())
-	unrun := completion.Outcome == servermodel.Expired
-	s.fleet.observer.AttemptCompleted(x.id, x.attempt, unrun)
+	expired := completion.Outcome == servermodel.Expired
+	s.fleet.observer.AttemptCompleted(received.id, received.attempt, NeverExecuted(expired))
 	switch completion.Outcome {
 	case servermodel.Reset:
-		reset(x.conn)
+		reset(received.conn)
 		return false
 	case servermodel.Expired:
-		return x.write(http.StatusGatewayTimeout, append(fields, notRun), nil)
-	case servermodel.AnsweredError:
-		return x.write(http.StatusInternalServerError, fields, nil)
+		return received.write(http.StatusGatewayTimeout, append(fields, notRun), nil)
+	case servermodel.CompletedWithError:
+		return received.write(http.StatusInternalServerError, fields, nil)
 	}
-	body := []byte(s.name + " " + x.id)
+	body := []byte(s.name + " " + received.id)
 	if kind, malformed := s.drawMalformed(); malformed {
-		return writeMalformed(x, kind, fields, body) && !x.request.Close
+		return writeMalformed(received, kind, fields, body) && !received.request.Close
 	}
-	return x.write(http.StatusOK, fields, body)
+	return received.write(http.StatusOK, fields, body)
 }
 
-// drawMalformed draws whether an answer is malformed, and how.
-func (s *server) drawMalformed() (malformedAnswer, bool) {
+// drawMalformed draws whether a response is malformed, and how.
+func (s *server) drawMalformed() (malformedResponse, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.rng.Float64() >= s.fleet.malformedProbability() {
 		return 0, false
 	}
-	return malformedAnswer(s.rng.IntN(int(malformedAnswers))), true
+	return malformedResponse(s.rng.IntN(int(malformedResponses))), true
 }
--- a/internal/lab/emulator/watch.go
+++ b/internal/lab/emulator/watch.go
@@ -41,7 +41,7 @@
 func (d *Discovery) EndpointList(balancer int) json.RawMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	list, _ := d.list(balancer, 0, true)
+	list, _ := d.list(watchCall{balancer: balancer, complete: true})
 	return encodeList(list)
 }
 
@@ -50,25 +50,25 @@
 	return data
 }
 
-// list returns what has changed since a generation, or with complete all servers that are not gone, and
-// their numbers. The lock is held.
-func (d *Discovery) list(balancer int, since uint64, complete bool) (listJSON, []int) {
-	list := listJSON{Generation: d.generation, Reset: complete, Instances: []instanceJSON{}}
+// list returns what has changed since the generation of a call, or for a complete one all servers that are
+// not gone, and their numbers. The lock is held.
+func (d *Discovery) list(call watchCall) (listJSON, []int) {
+	list := listJSON{Generation: d.generation, Reset: call.complete, Instances: []instanceJSON{}}
 	var servers []int
-	for i, s := range d.fleet.servers {
-		e := d.endpoints[i]
-		if e == nil || complete && e.state == piernotch.Gone || !complete && e.generation <= since {
+	for number, server := range d.fleet.servers {
+		endpoint := d.endpoints[number]
+		if endpoint == nil || !call.wants(endpoint) {
 			continue
 		}
-		address := e.address
+		address := endpoint.address
 		if d.ServerAddress != nil {
-			address = d.ServerAddress(balancer, i, address)
+			address = d.ServerAddress(call.balancer, number, address)
 		}
 		list.Instances = append(list.Instances, instanceJSON{
-			InstanceID: s.name, HostPort: address, Zone: d.fleet.realization.Zones[s.spec.Zone], MachineType: s.spec.Kind.Name,
-			Cell: s.spec.Cell, Lifecycle: lifecycles[e.state], Weight: s.spec.Size, StartedAtMs: e.startedUnixMS,
+			InstanceID: server.name, HostPort: address, Zone: d.fleet.realization.Zones[server.spec.Zone], MachineType: server.spec.Kind.Name,
+			Cell: server.spec.Cell, Lifecycle: lifecycles[endpoint.state], Weight: server.spec.Size, StartedAtMs: endpoint.startedUnixMS,
 		})
-		servers = append(servers, i)
+		servers = append(servers, number)
 	}
 	return list, servers
 }
@@ -81,10 +81,18 @@
 	noWait   bool // it is to be answered at once, also without changes
 }
 
-// watchAnswer is what a call is answered with now.
-type watchAnswer struct {
+// wants reports whether an endpoint is part of the response to the call.
+func (c *watchCall) wants(listed *endpoint) bool {
+	if c.complete {
+		return listed.state != piernotch.Gone
+	}
+	return listed.generation > c.since
+}
+
+// watchResponse is what a call is answered with now.
+type watchResponse struct {
 	unavailable bool // there is an outage
-	ready       bool // list is the answer; else it waits
+	ready       bool // list is the response; else it waits
 	list        listJSON
 	servers     []int
 	endpoints   []endpoint // of the servers
@@ -94,11 +102,11 @@
 
 // serveWatch answers a balancer's call: at once with what has changed, or when something changes or its time
 // is up.
-func (d *Discovery) serveWatch(w http.ResponseWriter, req *http.Request, balancer int) {
+func (d *Discovery) serveWatch(writer http.ResponseWriter, request *http.Request, balancer int) {
 	d.mu.Lock()
 	d.calls++
 	d.mu.Unlock()
-	query := req.URL.Query()
+	query := request.URL.Query()
 	since, err := strconv.ParseUint(query.Get("index"), 10, 64)
 	wait, _ := strconv.Atoi(query.Get("wait")) // ms; none is 0
 	call := watchCall{balancer: balancer, since: since, complete: err != nil, noWait: wait <= 0}
@@ -106,55 +114,56 @@
 	deadline := time.NewTimer(time.Duration(limit) * time.Millisecond)
 	defer deadline.Stop()
 	for {
-		answer := d.answerNow(call)
-		if answer.unavailable {
-			w.WriteHeader(http.StatusServiceUnavailable)
+		response := d.responseNow(call)
+		if response.unavailable {
+			writer.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if answer.ready {
-			d.writeAnswer(w, balancer, answer)
+		if response.ready {
+			d.writeResponse(writer, balancer, response)
 			return
 		}
 		select {
-		case <-answer.changed:
+		case <-response.changed:
 		case <-deadline.C:
 			call.noWait = true
-		case <-answer.outage.Done():
+		case <-response.outage.Done():
 			panic(http.ErrAbortHandler) // the connection breaks
-		case <-req.Context().Done():
+		case <-request.Context().Done():
 			return
 		}
 	}
 }
 
-// answerNow returns the answer to a call, or what it has to wait for.
-func (d *Discovery) answerNow(call watchCall) watchAnswer {
+// responseNow returns the response to a call, or what it has to wait for.
+func (d *Discovery) responseNow(call watchCall) watchResponse {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	answer := watchAnswer{unavailable: d.outages > 0, changed: d.changed, outage: d.outage}
-	if answer.unavailable {
-		return answer
+	response := watchResponse{unavailable: d.outages > 0, changed: d.changed, outage: d.outage}
+	if response.unavailable {
+		return response
 	}
-	complete := call.complete || call.since > d.generation // of another life of discovery
+	complete := call.complete || call.since > d.generation // of another incarnation of discovery
 	if !complete && d.generation == call.since && !call.noWait {
-		return answer
+		return response
 	}
-	answer.ready = true
-	answer.list, answer.servers = d.list(call.balancer, call.since, complete)
-	for _, server := range answer.servers {
-		answer.endpoints = append(answer.endpoints, *d.endpoints[server])
+	response.ready = true
+	call.complete = complete
+	response.list, response.servers = d.list(call)
+	for _, server := range response.servers {
+		response.endpoints = append(response.endpoints, *d.endpoints[server])
 	}
-	return answer
+	return response
 }
 
-// writeAnswer writes an answer and says what the balancer was notified of.
-func (d *Discovery) writeAnswer(w http.ResponseWriter, balancer int, answer watchAnswer) {
-	w.Header().Set("Content-Type", "application/json")
-	_, err := w.Write(encodeList(answer.list))
+// writeResponse writes a response and says what the balancer was notified of.
+func (d *Discovery) writeResponse(writer http.ResponseWriter, balancer int, response watchResponse) {
+	writer.Header().Set("Content-Type", "application/json")
+	_, err := writer.Write(encodeList(response.list))
 	if err != nil || d.notified == nil {
 		return
 	}
-	for i, server := range answer.servers {
-		d.notified(balancer, server, answer.endpoints[i].state, answer.endpoints[i].startedAt)
+	for i, server := range response.servers {
+		d.notified(balancer, server, response.endpoints[i].state, response.endpoints[i].startedAt)
 	}
 }
--- a/internal/lab/load/malformed.go
+++ b/internal/lab/load/malformed.go
@@ -17,6 +17,12 @@
 	LargeBodyTimeout = 6 * time.Second // where it has a large body to send
 )
 
+// malformedStream keeps the random numbers of malformed clients apart from others of the seed.
+const malformedStream = 5
+
+// statusBufferSize holds more than the status line of a response, bytes.
+const statusBufferSize = 512
+
 // MalformedClients send what is not a valid request. Each must get an error or a close within its timeout,
 // and none may be served as if its request had run. Pick is required.
 type MalformedClients struct {
@@ -26,7 +32,7 @@
 	outcomes map[string]*MalformedCount // by kind
 }
 
-// MalformedCount is how the clients of one kind were answered.
+// MalformedCount is how the clients of one kind were answered. The JSON keys are those of stored results.
 type MalformedCount struct {
 	Sent     int `json:"sent"`
 	Answered int `json:"answered"` // with a 4xx or 5xx, or a close, in time
@@ -36,10 +42,10 @@
 // Run sends perSec malformed requests a second, on average, until the context ends, and waits for the last.
 // It may be called more than once, also at the same time.
 func (m *MalformedClients) Run(ctx context.Context, perSec float64, seed uint64) {
-	rng := rand.New(rand.NewPCG(seed, 5))
+	rng := rand.New(rand.NewPCG(seed, malformedStream))
 	var clients sync.WaitGroup
 	defer clients.Wait()
-	for n := 0; ; n++ {
+	for number := 0; ; number++ {
 		select {
 		case <-ctx.Done():
 			return
@@ -51,7 +57,7 @@
 		}
 		kind := &malformedKinds[rng.IntN(len(malformedKinds))]
 		clients.Go(func() { // ends with its timeout at the latest
-			answered, served := m.play(ctx, kind, address, fmt.Sprintf("rude-%x-%d", seed, n))
+			answered, served := m.play(ctx, kind, address, fmt.Sprintf("rude-%x-%d", seed, number))
 			if ctx.Err() == nil || answered { // one that was ended early says nothing
 				m.count(kind.name, answered, served)
 			}
@@ -65,17 +71,17 @@
 	if m.outcomes == nil {
 		m.outcomes = map[string]*MalformedCount{}
 	}
-	c := m.outcomes[kind]
-	if c == nil {
-		c = &MalformedCount{}
-		m.outcomes[kind] = c
+	counted := m.outcomes[kind]
+	if counted == nil {
+		counted = &MalformedCount{}
+		m.outcomes[kind] = counted
 	}
-	c.Sent++
+	counted.Sent++
 	if answered {
-		c.Answered++
+		counted.Answered++
 	}
 	if served {
-		c.Served++
+		counted.Served++
 	}
 }
 
@@ -84,8 +90,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	counts := map[string]MalformedCount{}
-	for kind, c := range m.outcomes {
-		counts[kind] = *c
+	for kind, counted := range m.outcomes {
+		counts[kind] = *counted
 	}
 	return counts
 }
@@ -115,12 +121,12 @@
 	stop := make(chan struct{})
 	defer close(stop)
 	go kind.send(conn, id, stop) // ends with stop, or when the connection is closed
-	buf := make([]byte, 512)
-	n, err := io.ReadAtLeast(conn, buf, len("HTTP/1.1 200"))
+	buffer := make([]byte, statusBufferSize)
+	count, err := io.ReadAtLeast(conn, buffer, len("HTTP/1.1 200"))
 	if err != nil {
 		return !isTimeout(err), false
 	}
-	status := buf[:n]
+	status := buffer[:count]
 	answered = bytes.HasPrefix(status, []byte("HTTP/1.1 4")) || bytes.HasPrefix(status, []byte("HTTP/1.1 5"))
 	return answered, bytes.HasPrefix(status, []byte("HTTP/1.1 2"))
 }
@@ -128,7 +134,7 @@
 // maxHeaderSize bounds the headers that a client goes on sending, bytes.
 const maxHeaderSize = 1 << 20
 
-// send writes the request and what comes after it. The answer is read meanwhile, as by a real client.
+// send writes the request and what comes after it. The response is read meanwhile, as by a real client.
 func (k *malformedKind) send(conn net.Conn, id string, stop <-chan struct{}) {
 	if _, err := conn.Write(k.encode(id)); err != nil {
 		return
@@ -147,8 +153,8 @@
 		remaining = largeBodySize
 	}
 	for remaining > 0 {
-		n, err := conn.Write(more)
-		remaining -= n
+		written, err := conn.Write(more)
+		remaining -= written
 		if err != nil {
 			return
 		}
--- a/internal/lab/servermodel/work.go
+++ b/internal/lab/servermodel/work.go
@@ -86,10 +86,10 @@
 // complete ends running job i.
 func (s *Server) complete(i int) {
 	job := &s.running[i]
-	outcome := Answered
-	s.reportAnswered++
+	outcome := Completed
+	s.reportCompleted++
 	if job.ErrorDraw < s.kind.ErrorRate {
-		outcome = AnsweredError
+		outcome = CompletedWithError
 		s.reportErrors++
 	}
 	s.completions = append(s.completions, Completion{ID: job.ID, Outcome: outcome, Started: true, WorkDone: job.workDone})
@@ -123,23 +123,23 @@
 
 // doWork lets the time up to `to` pass, in which the rate of work does not change.
 func (s *Server) doWork(to time.Duration) {
-	dt := float64(to - s.now)
-	s.updateBusy(dt)
+	elapsed := float64(to - s.now)
+	s.updateBusy(elapsed)
 	rate := s.workRate(s.now)
 	if rate == 0 {
 		return
 	}
-	perJob := rate * dt / float64(time.Millisecond)
-	n := float64(len(s.running))
+	perJob := rate * elapsed / float64(time.Millisecond)
+	jobs := float64(len(s.running))
 	if s.overheadWork > 0 {
-		overhead := min(s.overheadWork, perJob*max(n, 1))
+		overhead := min(s.overheadWork, perJob*max(jobs, 1))
 		s.overheadWork -= overhead
 		s.workDone += overhead
 		s.doneSinceStart += overhead
-		if n == 0 {
+		if jobs == 0 {
 			return
 		}
-		perJob -= overhead / n
+		perJob -= overhead / jobs
 	}
 	for i := range s.running {
 		done := min(perJob, s.running[i].left)
@@ -172,7 +172,7 @@
 		rate /= s.kind.Overload.Slowdown
 	}
 	if s.kind.Thrash > 0 && s.kind.ThrashAt > 0 {
-		excess := float64(s.Held())/float64(s.kind.Cores)/s.kind.ThrashAt - 1
+		excess := float64(s.Inflight())/float64(s.kind.Cores)/s.kind.ThrashAt - 1
 		rate *= 1 - s.kind.Thrash*min(max(excess, 0), 1)
 	}
 	return rate
--- a/internal/lab/simulation/counters.go
+++ b/internal/lab/simulation/counters.go
@@ -22,7 +22,7 @@
 // counters counts what a World does.
 type counters struct {
 	Events           int
-	Requests         int // sendings by clients
+	Requests         int // attempts of clients
 	Attempts         int
 	FirstAttempts    int
 	CrossZone        int // attempts to another zone
@@ -33,7 +33,7 @@
 	Collapses        int
 	Unreachable      int // requests that reached no balancer
 	TimedOut         int // requests whose client waited no longer
-	Left             int // requests whose client left early
+	Disconnected     int // requests whose client disconnected early
 	ListFailed       int // calls to discovery that timed out
 	Outcomes         [piernotch.NotSent + 1]int
 	ServedWork       float64       // ms
@@ -43,28 +43,30 @@
 	digest  uint64 // of what clients got, and when
 
 	// For Little's law.
-	held           int           // attempts that servers hold
-	since          time.Duration // until when heldSeconds is counted
-	heldSeconds    float64       // integral of held over time, s
-	sojournSeconds float64       // sum over attempts of the time at their server, s
-	accepted       int
+	inflight        int           // attempts at servers
+	since           time.Duration // until when inflightSeconds is counted
+	inflightSeconds float64       // integral of inflight over time, s
+	sojournSeconds  float64       // sum over attempts of the time at their server, s
+	accepted        int
 
 	tracks []ServerTrack
 }
 
-func (c *counters) init(d *scenario.Realization) { c.goodput = goodput.New(d) }
+func (c *counters) init(realization *scenario.Realization) { c.goodput = goodput.New(realization) }
 
 // finish counts a client's request that is over.
-func (c *counters) finish(w *World, client *clientRequest, served bool) {
-	took := w.now - client.firstSent
-	earned := c.goodput.RequestFinished(client.firstSent, took, client.class, client.work, client.sends, served)
+func (c *counters) finish(world *World, client *clientRequest, end goodput.End) {
+	took := world.now - client.firstSent
+	earned := c.goodput.RequestFinished(goodput.FinishedRequest{
+		First: client.firstSent, Took: took, Class: client.class, Work: client.work, ClientAttempts: client.attemptsSent, End: end,
+	})
 	c.digest = mix(c.digest^mix(client.randomKey^uint64(took)<<1)) + math.Float64bits(earned)
 }
 
-// attemptStarted counts attempt n of a request.
-func (c *counters) attemptStarted(n int, crossZone bool) {
+// attemptStarted counts an attempt of a request.
+func (c *counters) attemptStarted(attemptNumber int, crossZone bool) {
 	c.Attempts++
-	if n == 0 {
+	if attemptNumber == 0 {
 		c.FirstAttempts++
 	}
 	if crossZone {
@@ -73,55 +75,55 @@
 }
 
 // enter counts an attempt that a server accepted.
-func (c *counters) enter(w *World) {
-	c.advance(w.now)
-	c.held++
+func (c *counters) enter(world *World) {
+	c.advance(world.now)
+	c.inflight++
 	c.accepted++
 }
 
 // exit counts an attempt that a server is done with.
-func (c *counters) exit(w *World, a *attempt) {
-	c.advance(w.now)
-	c.held--
-	c.sojournSeconds += (w.now - a.arrivesAt).Seconds()
+func (c *counters) exit(world *World, attempt *attemptState) {
+	c.advance(world.now)
+	c.inflight--
+	c.sojournSeconds += (world.now - attempt.arrivesAt).Seconds()
 }
 
-// advance integrates the number of held attempts up to now.
+// advance integrates the number of attempts at servers up to now.
 func (c *counters) advance(now time.Duration) {
-	c.heldSeconds += float64(c.held) * (now - c.since).Seconds()
+	c.inflightSeconds += float64(c.inflight) * (now - c.since).Seconds()
 	c.since = now
 }
 
 // sample records the state of some servers; it is called once a second.
-func (c *counters) sample(w *World) {
+func (c *counters) sample(world *World) {
 	if c.tracks == nil {
-		c.chooseTracks(w)
+		c.chooseTracks(world)
 	}
-	if w.now > w.realization.Length {
+	if world.now > world.realization.Length {
 		return
 	}
 	for i := range c.tracks {
 		track := &c.tracks[i]
-		server := &w.servers[track.Server]
+		server := &world.servers[track.Server]
 		state := uint8(server.State())
 		switch {
 		case server.State() == servermodel.Up && server.Overloaded():
 			state = sampleOverloaded
-		case server.State() == servermodel.Up && server.InSlowStart(w.now):
+		case server.State() == servermodel.Up && server.InSlowStart(world.now):
 			state = sampleSlowStart
 		}
 		track.Busy = append(track.Busy, float32(math.Round(1000*server.Busy())/1000))
-		track.Holds = append(track.Holds, int16(min(server.Held(), math.MaxInt16)))
+		track.Inflight = append(track.Inflight, int16(min(server.Inflight(), math.MaxInt16)))
 		track.State = append(track.State, state)
 	}
 }
 
 // chooseTracks picks the servers to sample.
-func (c *counters) chooseTracks(w *World) {
-	n := len(w.servers)
-	step := max((n+maxTracks-1)/maxTracks, 1)
-	for i := 0; i < n; i += step {
-		spec := &w.servers[i].spec
+func (c *counters) chooseTracks(world *World) {
+	count := len(world.servers)
+	step := max((count+maxTracks-1)/maxTracks, 1)
+	for i := 0; i < count; i += step {
+		spec := &world.servers[i].spec
 		c.tracks = append(c.tracks, ServerTrack{Server: i, Kind: spec.Kind.Name, Zone: spec.Zone})
 	}
 }
