--- a/internal/lab/faultproxy/address.go
+++ b/internal/lab/faultproxy/address.go
@@ -25,8 +25,8 @@
 	lastGivenPort.CompareAndSwap(0, int32(firstPort+rand.IntN(lastPort-firstPort)))
 	for range lastPort - firstPort {
 		address := fmt.Sprintf("127.0.0.1:%d", firstPort+(lastGivenPort.Add(1)-firstPort)%(lastPort-firstPort))
-		if l, err := net.Listen("tcp", address); err == nil {
-			return address, l.Close()
+		if socket, err := net.Listen("tcp", address); err == nil {
+			return address, socket.Close()
 		}
 	}
 	return "", ErrNoFreeAddress
--- a/internal/lab/faultproxy/fault.go
+++ b/internal/lab/faultproxy/fault.go
@@ -19,7 +19,7 @@
 // schedules as JSON.
 type Fault struct {
 	Cut            Cut           `json:"Cut"`
-	Delay          time.Duration `json:"Delay"`  // added to each piece of data
+	Delay          time.Duration `json:"Delay"`  // added to each chunk of data
 	Jitter         time.Duration `json:"Jitter"` // random, on top of Delay: from 0 up to this; order is kept
 	BytesPerSecond int           `json:"Rate"`   // 0: unlimited
 }
--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -11,30 +11,30 @@
 	"go.uber.org/goleak"
 )
 
-// startEchoServer starts a server that answers line by line, and returns its address.
+// startEchoServer starts a server that echoes line by line, and returns its address.
 func startEchoServer(t *testing.T) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = l.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			connection, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer func() { _ = c.Close() }()
-				for r := bufio.NewReader(c); ; {
-					line, err := r.ReadString('\n')
+				defer func() { _ = connection.Close() }()
+				for reader := bufio.NewReader(connection); ; {
+					line, err := reader.ReadString('\n')
 					if err != nil {
 						return
 					}
-					_, _ = fmt.Fprint(c, line)
+					_, _ = fmt.Fprint(connection, line)
 				}
 			}()
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
 type peer struct {
@@ -49,7 +49,7 @@
 	return &peer{c, bufio.NewReader(c)}
 }
 
-// exchange sends a line and returns the answer, or how none came within the time.
+// exchange sends a line and returns the response, or an error if none came within the time.
 func (p *peer) exchange(line string, within time.Duration) (string, error) {
 	if _, err := fmt.Fprintln(p, line); err != nil {
 		return "", err
@@ -70,24 +70,24 @@
 func TestLinkFaultsHoldBackDelayThrottleAndReset(t *testing.T) {
 	current := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, current) })
-	n := New(1)
-	defer n.Close()
-	l, err := n.Link("a>b", startEchoServer(t))
+	network := New(1)
+	defer network.Close()
+	link, err := network.Link("a>b", startEchoServer(t))
 	require.NoError(t, err)
-	c := dial(t, l)
-	got, err := c.exchange("one", long)
+	client := dial(t, link)
+	got, err := client.exchange("one", long)
 	require.NoError(t, err)
 	require.Equal(t, "one\n", got)
 
-	for _, d := range []Direction{ToTarget, FromTarget} { // each way alone keeps the answer away, and loses nothing
-		l.SetFault(d, Fault{Cut: Blackhole})
-		_, err = c.exchange("held", short)
+	for _, direction := range []Direction{ToTarget, FromTarget} { // a cut of either direction delays the response, and loses nothing
+		link.SetFault(direction, Fault{Cut: Blackhole})
+		_, err = client.exchange("held", short)
 		require.ErrorContains(t, err, "timeout")
-		half := dial(t, l)
+		half := dial(t, link)
 		_, err = half.exchange("half-open", short)
 		require.ErrorContains(t, err, "timeout")
-		l.Heal()
-		got, err = c.receive(long)
+		link.Heal()
+		got, err = client.receive(long)
 		require.NoError(t, err)
 		require.Equal(t, "held\n", got)
 		got, err = half.receive(long)
@@ -95,46 +95,46 @@
 		require.Equal(t, "half-open\n", got)
 	}
 
-	l.SetFault(FromTarget, Fault{Delay: 2 * short, Jitter: short})
+	link.SetFault(FromTarget, Fault{Delay: 2 * short, Jitter: short})
 	started := time.Now()
-	_, err = c.exchange("late", long)
+	_, err = client.exchange("late", long)
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, time.Since(started), 2*short)
-	l.SetFault(FromTarget, Fault{BytesPerSecond: 100})
+	link.SetFault(FromTarget, Fault{BytesPerSecond: 100})
 	started = time.Now()
-	_, err = c.exchange("0123456789012345678", long)
+	_, err = client.exchange("0123456789012345678", long)
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, time.Since(started), 200*time.Millisecond)
 
-	l.SetFault(ToTarget, Fault{Cut: Reset})
-	_, err = c.receive(long)
+	link.SetFault(ToTarget, Fault{Cut: Reset})
+	_, err = client.receive(long)
 	require.ErrorContains(t, err, "reset")
-	require.False(t, l.Delivered(ToTarget))
-	if c, err := net.Dial("tcp", l.Address()); err == nil { // it may be reset at once
-		_, err = (&peer{c, bufio.NewReader(c)}).exchange("new", long)
+	require.False(t, link.Delivered(ToTarget))
+	if client, err := net.Dial("tcp", link.Address()); err == nil { // it may be reset at once
+		_, err = (&peer{client, bufio.NewReader(client)}).exchange("new", long)
 		require.Error(t, err)
 	}
-	l.Heal()
-	_, err = dial(t, l).exchange("well again", long)
+	link.Heal()
+	_, err = dial(t, link).exchange("healed", long)
 	require.NoError(t, err)
-	require.True(t, l.Delivered(ToTarget))
+	require.True(t, link.Delivered(ToTarget))
 }
 
-// A machine that was cut off for long is back with its connections reset.
+// Connections under a cut that outlasts retransmission are reset when it heals.
 func TestLongSilentCutResetsConnections(t *testing.T) {
-	n := New(1)
-	defer n.Close()
-	l, err := n.Link("a>b", startEchoServer(t))
+	network := New(1)
+	defer network.Close()
+	link, err := network.Link("a>b", startEchoServer(t))
 	require.NoError(t, err)
-	c := dial(t, l)
-	_, err = c.exchange("one", long)
+	client := dial(t, link)
+	_, err = client.exchange("one", long)
 	require.NoError(t, err)
-	l.SetFault(ToTarget, Fault{Cut: Blackhole})
-	_, _ = c.exchange("lost", short)
-	l.mu.Lock()
-	l.silentSince[ToTarget] = l.silentSince[ToTarget].Add(-retransmitLimit)
-	l.mu.Unlock()
-	l.Heal()
-	_, err = c.receive(long)
+	link.SetFault(ToTarget, Fault{Cut: Blackhole})
+	_, _ = client.exchange("lost", short)
+	link.mu.Lock()
+	link.silentSince[ToTarget] = link.silentSince[ToTarget].Add(-retransmitLimit)
+	link.mu.Unlock()
+	link.Heal()
+	_, err = client.receive(long)
 	require.ErrorContains(t, err, "reset")
 }
--- a/internal/lab/faultproxy/link.go
+++ b/internal/lab/faultproxy/link.go
@@ -31,26 +31,26 @@
 
 // SetFault replaces the fault of one direction. A reset, and the end of a silent cut that was longer than
 // retransmission goes on for, reset all open connections.
-func (l *Link) SetFault(d Direction, f Fault) {
+func (l *Link) SetFault(direction Direction, fault Fault) {
 	l.mu.Lock()
-	wasSilent := l.faults[d].Cut == Blackhole
-	silent := f.Cut == Blackhole
-	tooLong := wasSilent && !silent && time.Since(l.silentSince[d]) > retransmitLimit
+	wasSilent := l.faults[direction].Cut == Blackhole
+	silent := fault.Cut == Blackhole
+	tooLong := wasSilent && !silent && time.Since(l.silentSince[direction]) > retransmitLimit
 	if silent && !wasSilent {
-		l.silentSince[d] = time.Now()
+		l.silentSince[direction] = time.Now()
 	}
-	l.faults[d] = f
+	l.faults[direction] = fault
 	l.notifyLocked()
 	var doomed []*connection
-	if f.Cut == Reset || tooLong {
-		for c := range l.connections {
-			c.doomed = true
-			doomed = append(doomed, c)
+	if fault.Cut == Reset || tooLong {
+		for connection := range l.connections {
+			connection.doomed = true
+			doomed = append(doomed, connection)
 		}
 	}
 	l.mu.Unlock()
-	for _, c := range doomed {
-		l.reset(c)
+	for _, connection := range doomed {
+		l.reset(connection)
 	}
 }
 
@@ -63,30 +63,30 @@
 // Delivered waits until what has been written to a direction by now has arrived, as far as the link's
 // faults are concerned. It reports false if that never happens: the connection was reset or the link
 // closed.
-func (l *Link) Delivered(d Direction) bool {
+func (l *Link) Delivered(direction Direction) bool {
 	started := time.Now()
-	f, ok := l.waitUntilOpen(d)
-	if !ok || f.Cut == Reset || time.Since(started) > retransmitLimit {
+	fault, ok := l.waitUntilOpen(direction)
+	if !ok || fault.Cut == Reset || time.Since(started) > retransmitLimit {
 		return false
 	}
-	time.Sleep(f.Delay + f.Jitter)
+	time.Sleep(fault.Delay + fault.Jitter)
 	return true
 }
 
 // waitUntilOpen waits while a direction is silent, and returns its fault then; false if the link was
 // closed.
-func (l *Link) waitUntilOpen(d Direction) (Fault, bool) {
+func (l *Link) waitUntilOpen(direction Direction) (Fault, bool) {
 	for {
 		l.mu.Lock()
-		f := l.faults[d]
+		fault := l.faults[direction]
 		changed := l.changed
 		closed := l.closed
 		l.mu.Unlock()
 		switch {
 		case closed:
-			return f, false
-		case f.Cut != Blackhole:
-			return f, true
+			return fault, false
+		case fault.Cut != Blackhole:
+			return fault, true
 		}
 		<-changed
 	}
@@ -103,19 +103,19 @@
 	l.closed = true
 	l.notifyLocked()
 	var open []*connection
-	for c := range l.connections {
-		open = append(open, c)
+	for connection := range l.connections {
+		open = append(open, connection)
 	}
 	l.mu.Unlock()
 	_ = l.listener.Close()
-	for _, c := range open {
-		l.end(c)
+	for _, connection := range open {
+		l.end(connection)
 	}
 }
 
 func (l *Link) accept() {
 	for {
-		c, err := l.listener.Accept()
+		opener, err := l.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -123,6 +123,6 @@
 			time.Sleep(acceptRetryPause)
 			continue
 		}
-		go l.carry(c.(*net.TCPConn)) // ends with the connection, which close ends
+		go l.carry(opener.(*net.TCPConn)) // ends with the connection, which close ends
 	}
 }
--- a/internal/lab/faultproxy/network.go
+++ b/internal/lab/faultproxy/network.go
@@ -25,11 +25,11 @@
 func (n *Network) Link(name, target string) (*Link, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if l := n.links[name]; l != nil {
-		l.mu.Lock()
-		l.target = target
-		l.mu.Unlock()
-		return l, nil
+	if link := n.links[name]; link != nil {
+		link.mu.Lock()
+		link.target = target
+		link.mu.Unlock()
+		return link, nil
 	}
 	if n.closed {
 		return nil, net.ErrClosed
@@ -38,28 +38,28 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{
+	link := &Link{
 		Name: name, target: target, listener: listener, changed: make(chan struct{}), connections: map[*connection]struct{}{},
 		rng: rand.New(rand.NewPCG(n.seed, xxhash.Sum64String(name))),
 	}
-	n.links[name] = l
-	go l.accept() // ends when the link is closed
-	return l, nil
+	n.links[name] = link
+	go link.accept() // ends when the link is closed
+	return link, nil
 }
 
-// Each calls f for every link whose name is selected, in no particular order. The network is not locked
+// Each calls visit for every link whose name is selected, in no particular order. The network is not locked
 // meanwhile.
-func (n *Network) Each(selects func(name string) bool, f func(*Link)) {
+func (n *Network) Each(selects func(name string) bool, visit func(*Link)) {
 	n.mu.Lock()
 	var selected []*Link
-	for name, l := range n.links {
+	for name, link := range n.links {
 		if selects(name) {
-			selected = append(selected, l)
+			selected = append(selected, link)
 		}
 	}
 	n.mu.Unlock()
-	for _, l := range selected {
-		f(l)
+	for _, link := range selected {
+		visit(link)
 	}
 }
 
