--- a/internal/lab/loganalysis/events.go
+++ b/internal/lab/loganalysis/events.go
@@ -9,6 +9,7 @@
 	eventAttemptCompleted   = "attempt completed"
 	eventEndpointUpdate     = "endpoint update"
 	eventDiscoveryFailed    = "discovery failed"
+	eventState              = "state"
 )
 
 // The keys that are read of them.
@@ -21,6 +22,7 @@
 	keyAttempts = "attempts" // of a completed request: how many were started
 	keyStatus   = "status"   // of a completed attempt
 	keyWritten  = "written"  // of a completed attempt: whether it got a connection
+	keyModule   = "module"   // of a state line: the decision module's state, as key=value
 )
 
 // The results of a completed request.
--- a/internal/lab/loganalysis/loganalysis_test.go
+++ b/internal/lab/loganalysis/loganalysis_test.go
@@ -37,23 +37,23 @@
 	require.Equal(t, "n1", found[0].Balancer)
 	require.Equal(t, "rejected", found[3].Fields["result"])
 
-	r, err := Summarize(dir, 2)
+	report, err := Summarize(dir, 2)
 	require.NoError(t, err)
-	require.Equal(t, 2, r.Balancers)
-	require.Equal(t, 1, r.Skipped)
-	last := r.Seconds[len(r.Seconds)-1]
+	require.Equal(t, 2, report.Balancers)
+	require.Equal(t, 1, report.Skipped)
+	last := report.Seconds[len(report.Seconds)-1]
 	require.Equal(t, []int{3, 2, 1, 1, 1}, []int{last.Second, last.Rejected, last.RejectedUnsent, last.Attempts, last.UnwrittenAttempts})
-	s := r.Servers[0]
-	require.Equal(t, []int{3, 3, 2}, []int{s.Attempts, s.PeakAttempts, s.PeakBalancers}, "1.1 to 3.0 lie within 2 s")
-	require.InDelta(t, 0.5, s.FirstUpdate, 1e-9)
-	require.Equal(t, 1, s.AttemptStatuses["connect_failed"])
+	server := report.Servers[0]
+	require.Equal(t, []int{3, 3, 2}, []int{server.Attempts, server.PeakAttempts, server.PeakBalancers}, "1.1 to 3.0 lie within 2 s")
+	require.InDelta(t, 0.5, server.FirstUpdate, 1e-9)
+	require.Equal(t, 1, server.AttemptStatuses["connect_failed"])
 }
 
 func TestParseUsesOwnTimeWithoutCommonStart(t *testing.T) {
-	l, ok := Parse("n1", `time=1970-01-01T00:00:02.500Z level=WARN msg="discovery failed" err="a \"b\" c"`)
+	line, ok := Parse("n1", `time=1970-01-01T00:00:02.500Z level=WARN msg="discovery failed" err="a \"b\" c"`)
 	require.True(t, ok)
-	require.InDelta(t, 2.5, l.Time, 1e-9)
-	require.Equal(t, `a "b" c`, l.Fields["err"])
+	require.InDelta(t, 2.5, line.Time, 1e-9)
+	require.Equal(t, `a "b" c`, line.Fields["err"])
 	for _, bad := range []string{"", "time", `time=x msg=y`, `1.0 msg="open`, "goroutine 1 [running]:"} {
 		_, ok := Parse("n1", bad)
 		require.False(t, ok, bad)
@@ -62,3 +62,41 @@
 	require.ErrorIs(t, err, ErrNoLogs)
 	require.ErrorContains(t, err, "no *.log files")
 }
+
+// Logs of older programs are read as if they had the names of today.
+func TestOldNamesAreReadAsCurrentOnes(t *testing.T) {
+	const old = `1.0 level=DEBUG msg=state module="open=3 shed=0.10 pace=1.00 budget=2.0 median=5.0 mean=6.0 usual=7.0` +
+		` | members=4 cold=1 out=2 limit=8.0 held=1.0 late=0.50 wait=12 latency=30 | members=0 cold=0 out=0 limit=0.0 held=0.0 late=0.00 wait=0 latency=0"`
+	const current = "open=3 shed_share=0.10 latency_per_work=1.00 retry_budget=2.0 median_cost_hint=5.0 mean_work=6.0 peak_completion_rate=7.0" +
+		" | members=4 slow_start=1 inflight=2 inflight_limit=8.0 others_inflight=1.0 late_share=0.50 queueing_delay=12 latency=30" +
+		" | members=0 slow_start=0 inflight=0 inflight_limit=0.0 others_inflight=0.0 late_share=0.00 queueing_delay=0 latency=0"
+	line, ok := Parse("n1", old)
+	require.True(t, ok)
+	require.Equal(t, current, line.Fields["module"])
+	require.Equal(t, old, line.Text, "what is printed of a request is what was logged")
+	again, ok := Parse("n1", `1.0 level=DEBUG msg=state module="`+current+`"`)
+	require.True(t, ok)
+	require.Equal(t, current, again.Fields["module"], "names of today stay")
+
+	line, ok = Parse("n1", "1.0 level=DEBUG msg=state open=3 held=2 others=1")
+	require.True(t, ok)
+	require.Equal(t, map[string]string{"level": "DEBUG", "msg": "state", "open": "3", "others_inflight": "2", "others": "1"}, line.Fields)
+
+	line, ok = Parse("n1", `1.0 level=DEBUG msg="attempt completed" id=aa server=s-1 status=moot written=false`)
+	require.True(t, ok)
+	require.Equal(t, "not_sent", line.Fields["status"])
+	line, ok = Parse("n1", `1.0 level=DEBUG msg="request completed" id=aa status=moot wait=3`)
+	require.True(t, ok)
+	require.Equal(t, []string{"moot", "3"}, []string{line.Fields["status"], line.Fields["wait"]}, "other events keep their keys")
+
+	summary, err := Summarize(writeLogs(t, map[string]string{
+		"n1": `1.0 msg="attempt started" id=aa server=s-1
+1.1 msg="attempt completed" id=aa server=s-1 status=moot written=false
+`,
+		"n2": `1.2 msg="attempt started" id=bb server=s-1
+1.3 msg="attempt completed" id=bb server=s-1 status=not_sent written=false
+`,
+	}), 2)
+	require.NoError(t, err)
+	require.Equal(t, map[string]int{"not_sent": 2}, summary.Servers[0].AttemptStatuses)
+}
--- a/internal/lab/loganalysis/parse.go
+++ b/internal/lab/loganalysis/parse.go
@@ -24,8 +24,8 @@
 	Time     float64 // seconds; since the common start, or Unix time
 	Balancer string  // the file's name without its ending
 	Event    string
-	Fields   map[string]string // all keys, the event's name and time among them
-	Text     string
+	Fields   map[string]string // all keys, the event's name and time among them; old names as today's
+	Text     string            // as it was logged
 }
 
 // Parse reads a line. It reports false for a line that is not a balancer's.
@@ -53,10 +53,11 @@
 		line.Time = float64(at.UnixMilli()) / 1000
 	}
 	line.Event = line.Fields[keyEvent]
+	useCurrentNames(&line)
 	return line, line.Event != ""
 }
 
-// cutCommonTime takes the number off the front of a line, if there is one. It reports !ok for a line
+// cutCommonTime removes the number at the start of a line, if there is one. It reports !ok for a line
 // that begins with neither a number nor a key.
 func cutCommonTime(text string) (seconds float64, rest string, found, ok bool) {
 	first, after, _ := strings.Cut(text, " ")
@@ -70,25 +71,25 @@
 	return seconds, after, true, true
 }
 
-// Each calls f with every line of the *.log files of a folder, balancer by balancer. It returns the
+// Each calls visit with every line of the *.log files of a folder, balancer by balancer. It returns the
 // number of files and the number of lines that could not be read. A folder without logs is ErrNoLogs;
 // other errors name the file.
-func Each(dir string, f func(Line)) (files, skipped int, err error) {
+func Each(dir string, visit func(Line)) (files, skipped int, err error) {
 	names, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil || len(names) == 0 {
 		return 0, 0, fmt.Errorf("%s: %w", dir, ErrNoLogs)
 	}
 	for _, name := range names {
-		n, err := eachOfFile(name, f)
+		skippedOfFile, err := eachOfFile(name, visit)
 		if err != nil {
 			return 0, 0, err
 		}
-		skipped += n
+		skipped += skippedOfFile
 	}
 	return len(names), skipped, nil
 }
 
-func eachOfFile(name string, f func(Line)) (skipped int, err error) {
+func eachOfFile(name string, visit func(Line)) (skipped int, err error) {
 	file, err := os.Open(name)
 	if err != nil {
 		return 0, err
@@ -103,7 +104,7 @@
 			skipped++
 			continue
 		}
-		f(line)
+		visit(line)
 	}
 	if err := lines.Err(); err != nil {
 		return 0, fmt.Errorf("%s: %w", name, err)
--- a/internal/lab/loganalysis/summarize.go
+++ b/internal/lab/loganalysis/summarize.go
@@ -20,15 +20,15 @@
 	DiscoveryFailures int            `json:"list_failures"`
 }
 
-// Server is what one feed server was sent.
+// Server is what one server was sent.
 type Server struct {
 	Name            string         `json:"name"`
 	Attempts        int            `json:"sends"`
 	AttemptStatuses map[string]int `json:"ends"`      // completed attempts, by status
 	FirstUpdate     float64        `json:"listed"`    // seconds, of its first endpoint update; 0: never
-	PeakAttempts    int            `json:"most"`      // most attempts within any span
-	PeakTime        float64        `json:"most_at"`   // seconds, the end of that span
-	PeakBalancers   int            `json:"balancers"` // that the attempts of that span came from
+	PeakAttempts    int            `json:"most"`      // most attempts within any window
+	PeakTime        float64        `json:"most_at"`   // seconds, the end of that window
+	PeakBalancers   int            `json:"balancers"` // that the attempts of that window came from
 	attempts        []attempt
 }
 
@@ -46,27 +46,27 @@
 	Servers   []Server `json:"servers"` // highest peak first
 }
 
-// Summarize counts over the logs of all balancers of a folder. The span, in seconds, is that in which
+// Summarize counts over the logs of all balancers of a folder. The window, in seconds, is that in which
 // a server's peak of attempts is looked for. Errors are those of Each.
-func Summarize(dir string, span float64) (*Report, error) {
-	c := counter{seconds: map[int]*Second{}, servers: map[string]*Server{}}
-	files, skipped, err := Each(dir, c.count)
+func Summarize(dir string, window float64) (*Report, error) {
+	counts := counter{seconds: map[int]*Second{}, servers: map[string]*Server{}}
+	files, skipped, err := Each(dir, counts.count)
 	if err != nil {
 		return nil, err
 	}
-	r := &Report{Balancers: files, Skipped: skipped}
-	for _, s := range c.seconds {
-		r.Seconds = append(r.Seconds, *s)
+	report := &Report{Balancers: files, Skipped: skipped}
+	for _, second := range counts.seconds {
+		report.Seconds = append(report.Seconds, *second)
 	}
-	slices.SortFunc(r.Seconds, func(a, b Second) int { return cmp.Compare(a.Second, b.Second) })
-	for _, s := range c.servers {
-		s.findPeak(span)
-		r.Servers = append(r.Servers, *s)
+	slices.SortFunc(report.Seconds, func(a, b Second) int { return cmp.Compare(a.Second, b.Second) })
+	for _, server := range counts.servers {
+		server.findPeak(window)
+		report.Servers = append(report.Servers, *server)
 	}
-	slices.SortFunc(r.Servers, func(a, b Server) int {
+	slices.SortFunc(report.Servers, func(a, b Server) int {
 		return cmp.Or(cmp.Compare(b.PeakAttempts, a.PeakAttempts), cmp.Compare(a.Name, b.Name))
 	})
-	return r, nil
+	return report, nil
 }
 
 // counter counts lines by second and by server.
@@ -106,24 +106,24 @@
 	}
 }
 
-func (c *counter) second(n int) *Second {
-	s := c.seconds[n]
-	if s == nil {
-		s = &Second{Second: n, AttemptStatuses: map[string]int{}}
-		c.seconds[n] = s
+func (c *counter) second(number int) *Second {
+	second := c.seconds[number]
+	if second == nil {
+		second = &Second{Second: number, AttemptStatuses: map[string]int{}}
+		c.seconds[number] = second
 	}
-	return s
+	return second
 }
 
 // server returns the counts of the server that a line names.
 func (c *counter) server(line Line) *Server {
 	name := line.Fields[keyServer]
-	s := c.servers[name]
-	if s == nil {
-		s = &Server{Name: name, AttemptStatuses: map[string]int{}}
-		c.servers[name] = s
+	server := c.servers[name]
+	if server == nil {
+		server = &Server{Name: name, AttemptStatuses: map[string]int{}}
+		c.servers[name] = server
 	}
-	return s
+	return server
 }
 
 func (s *Second) countCompletedRequest(line Line) {
@@ -140,25 +140,25 @@
 	}
 }
 
-// findPeak finds the span, in seconds, in which the server was sent most.
-func (s *Server) findPeak(span float64) {
+// findPeak finds the window, in seconds, in which the server was sent most attempts.
+func (s *Server) findPeak(window float64) {
 	slices.SortFunc(s.attempts, func(a, b attempt) int { return cmp.Compare(a.time, b.time) })
 	s.Attempts = len(s.attempts)
-	first, last := 0, 0 // of the window, and the last attempt of the peak
-	for i, a := range s.attempts {
-		for a.time-s.attempts[first].time >= span {
+	first, peakEnd := 0, 0 // of the window, and the last attempt of the peak
+	for i, last := range s.attempts {
+		for last.time-s.attempts[first].time >= window {
 			first++
 		}
-		if n := i - first + 1; n > s.PeakAttempts {
-			s.PeakAttempts = n
-			s.PeakTime = a.time
-			last = i
+		if attempts := i - first + 1; attempts > s.PeakAttempts {
+			s.PeakAttempts = attempts
+			s.PeakTime = last.time
+			peakEnd = i
 		}
 	}
 	balancers := map[string]bool{}
-	from := max(last+1-s.PeakAttempts, 0)
-	for _, a := range s.attempts[from : from+s.PeakAttempts] {
-		balancers[a.balancer] = true
+	from := max(peakEnd+1-s.PeakAttempts, 0)
+	for _, peakAttempt := range s.attempts[from : from+s.PeakAttempts] {
+		balancers[peakAttempt.balancer] = true
 	}
 	s.PeakBalancers = len(balancers)
 }
