--- a/internal/lab/experiment/bound.go
+++ b/internal/lab/experiment/bound.go
@@ -6,31 +6,34 @@
 	"slices"
 	"strconv"
 	"strings"
+
+	"piernotch/internal/lab/storednames"
 )
 
-// Bound is a bound for a figure's mean.
+// Bound is a threshold for a figure's mean.
 type Bound struct {
-	Figure  string
-	AtLeast bool // the mean is to be at least the value, or else at most
+	Figure  string // its stored name
+	AtLeast bool   // the mean is to be at least the value, or else at most
 	Value   float64
 }
 
-// ParseBound reads FIGURE>=VALUE or FIGURE<=VALUE. Its errors are FlagErrors of --aim.
+// ParseBound reads FIGURE>=VALUE or FIGURE<=VALUE. A figure may be given by its stored name or by the one that
+// is printed. Its errors are FlagErrors of --threshold.
 func ParseBound(text string) (Bound, error) {
 	for _, operator := range []string{">=", "<="} {
 		name, value, ok := strings.Cut(text, operator)
 		if !ok {
 			continue
 		}
-		name = strings.TrimSpace(name)
-		v, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
-		if err != nil || !slices.Contains(FigureNames(), name) {
-			cause := fmt.Errorf("one of %s and a number are expected", strings.Join(FigureNames(), ", "))
-			return Bound{}, &FlagError{Flag: "--aim", Value: text, Err: cause}
+		figure := storednames.Stored(storednames.Figures, strings.TrimSpace(name))
+		threshold, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
+		if err != nil || !slices.Contains(FigureNames(), figure) {
+			cause := fmt.Errorf("one of %s and a number are expected", strings.Join(displayNames(FigureNames()), ", "))
+			return Bound{}, &FlagError{Flag: "--threshold", Value: text, Err: cause}
 		}
-		return Bound{Figure: name, AtLeast: operator == ">=", Value: v}, nil
+		return Bound{Figure: figure, AtLeast: operator == ">=", Value: threshold}, nil
 	}
-	return Bound{}, &FlagError{Flag: "--aim", Value: text, Err: errors.New("FIGURE>=BOUND or FIGURE<=BOUND is expected")}
+	return Bound{}, &FlagError{Flag: "--threshold", Value: text, Err: errors.New("FIGURE>=VALUE or FIGURE<=VALUE is expected")}
 }
 
 // Missed reports whether a summary misses the bound.
--- a/internal/lab/experiment/chart.go
+++ b/internal/lab/experiment/chart.go
@@ -42,15 +42,15 @@
 // labels are the texts of a chart.
 type labels struct{ title, x, y string }
 
-func newChart(name string, l labels) *Chart {
-	p := plot.New()
-	p.Title.Text = l.title
-	p.X.Label.Text = l.x
-	p.Y.Label.Text = l.y
-	p.Legend.Top = true
-	p.Legend.Left = true
-	p.Add(plotter.NewGrid())
-	return &Chart{Name: name, Plot: p, Width: 18 * vg.Centimeter, Height: 9 * vg.Centimeter}
+func newChart(name string, texts labels) *Chart {
+	drawing := plot.New()
+	drawing.Title.Text = texts.title
+	drawing.X.Label.Text = texts.x
+	drawing.Y.Label.Text = texts.y
+	drawing.Legend.Top = true
+	drawing.Legend.Left = true
+	drawing.Add(plotter.NewGrid())
+	return &Chart{Name: name, Plot: drawing, Width: 18 * vg.Centimeter, Height: 9 * vg.Centimeter}
 }
 
 // SVG returns the chart as SVG.
@@ -78,24 +78,24 @@
 }
 
 // Charts draws all that a result has to show. A result without anything is ErrNothingToDraw.
-func Charts(f *ResultFile) ([]*Chart, error) {
+func Charts(file *ResultFile) ([]*Chart, error) {
 	switch {
-	case f.Kind == kindCompare && f.Compare != nil:
-		return runCharts([]series{{"a: " + f.Compare.A.Name, f.Compare.RunsA}, {"b: " + f.Compare.B.Name, f.Compare.RunsB}})
-	case f.Kind == kindRun:
-		return runCharts([]series{{f.Scenario, f.Runs}})
-	case f.Kind == kindSweep:
+	case file.Kind == kindCompare && file.Compare != nil:
+		return runCharts([]series{{"a: " + file.Compare.A.Name, file.Compare.RunsA}, {"b: " + file.Compare.B.Name, file.Compare.RunsB}})
+	case file.Kind == kindRun:
+		return runCharts([]series{{file.Scenario, file.Runs}})
+	case file.Kind == kindSweep:
 		var charts []*Chart
 		for _, figure := range sweepCharts {
-			c, err := sweepChart(f, figure)
+			chart, err := sweepChart(file, figure)
 			if err != nil {
 				return nil, err
 			}
-			charts = append(charts, c)
+			charts = append(charts, chart)
 		}
 		return charts, nil
 	}
-	return nil, fmt.Errorf("a result of kind %q: %w", f.Kind, ErrNothingToDraw)
+	return nil, fmt.Errorf("a result of kind %q: %w", file.Kind, ErrNothingToDraw)
 }
 
 // runCharts draws service over time, latencies, and the servers of each series' first run.
@@ -112,9 +112,9 @@
 	if hasLatency(all[0].runs) {
 		charts = append(charts, latency)
 	}
-	for _, s := range all {
-		if len(s.runs) > 0 && len(s.runs[0].Servers) > 0 {
-			charts = append(charts, serversChart(s.name, s.runs[0]))
+	for _, drawn := range all {
+		if len(drawn.runs) > 0 && len(drawn.runs[0].Servers) > 0 {
+			charts = append(charts, serversChart(drawn.name, drawn.runs[0]))
 		}
 	}
 	return charts, nil
--- a/internal/lab/experiment/chart_lines.go
+++ b/internal/lab/experiment/chart_lines.go
@@ -12,34 +12,34 @@
 
 // serviceChart draws service over time.
 func serviceChart(all []series) (*Chart, error) {
-	c := newChart("service", labels{"Service over time, mean and 95% band over seeds", "second of the day", "worth served in time"})
-	c.Plot.Y.Min = 0
-	c.Plot.Y.Max = 1.02
-	for i, s := range all {
-		if err := addBand(c.Plot, serviceBand(s), i); err != nil {
+	chart := newChart("service", labels{title: "Service over time, mean and 95% band over seeds", x: "second of the run", y: "share of priority weight served within the latency objective"})
+	chart.Plot.Y.Min = 0
+	chart.Plot.Y.Max = 1.02
+	for i, drawn := range all {
+		if err := addBand(chart.Plot, serviceBand(drawn), i); err != nil {
 			return nil, err
 		}
 	}
-	return c, nil
+	return chart, nil
 }
 
 // latencyChart draws latency over percentiles.
 func latencyChart(all []series) (*Chart, error) {
-	c := newChart("latency", labels{"Latency of served requests, mean and 95% band over seeds", "percentile", "ms"})
-	for i, s := range all {
-		if err := addBand(c.Plot, latencyBand(s), i); err != nil {
+	chart := newChart("latency", labels{title: "Latency of served requests, mean and 95% band over seeds", x: "percentile", y: "ms"})
+	for i, drawn := range all {
+		if err := addBand(chart.Plot, latencyBand(drawn), i); err != nil {
 			return nil, err
 		}
 	}
-	c.Plot.Y.Scale = plot.LogScale{}
-	c.Plot.Y.Tick.Marker = plot.LogTicks{Prec: -1}
-	c.Plot.X.Tick.Marker = plot.ConstantTicks(tailTicks)
-	return c, nil
+	chart.Plot.Y.Scale = plot.LogScale{}
+	chart.Plot.Y.Tick.Marker = plot.LogTicks{Prec: -1}
+	chart.Plot.X.Tick.Marker = plot.ConstantTicks(tailTicks)
+	return chart, nil
 }
 
 func hasLatency(runs []*simulation.Result) bool {
-	for _, r := range runs {
-		if len(r.Latency) > 0 {
+	for _, run := range runs {
+		if len(run.Latency) > 0 {
 			return true
 		}
 	}
@@ -53,23 +53,24 @@
 	values func(i int) []float64 // of all runs at xs[i]; points without any are left out
 }
 
-// lowestBandEdge keeps the lower edge of a band above zero, which a logarithmic scale does not have.
+// lowestBandEdge, in ms, keeps latencies and the lower edge of their band above zero, which a logarithmic scale
+// does not have.
 const lowestBandEdge = 1e-3
 
 // addBand draws a band in the color of a number, unless it has no points.
-func addBand(p *plot.Plot, b band, number int) error {
+func addBand(drawing *plot.Plot, drawn band, number int) error {
 	var line, upper, lower plotter.XYs
-	for i, x := range b.xs {
-		values := b.values(i)
+	for i, x := range drawn.xs {
+		values := drawn.values(i)
 		if len(values) == 0 {
 			continue
 		}
-		s := Summarize(values)
-		low, high := s.Mean, s.Mean
-		if s.Low != nil {
-			low, high = *s.Low, *s.High
+		interval := Summarize(values)
+		low, high := interval.Mean, interval.Mean
+		if interval.Low != nil {
+			low, high = *interval.Low, *interval.High
 		}
-		line = append(line, plotter.XY{X: x, Y: s.Mean})
+		line = append(line, plotter.XY{X: x, Y: interval.Mean})
 		upper = append(upper, plotter.XY{X: x, Y: high})
 		lower = append(lower, plotter.XY{X: x, Y: max(low, lowestBandEdge)})
 	}
@@ -86,32 +87,32 @@
 	}
 	area.Color = translucent(lineColor(number))
 	area.Width = 0
-	l, err := plotter.NewLine(line)
+	meanLine, err := plotter.NewLine(line)
 	if err != nil {
 		return err
 	}
-	l.Color = lineColor(number)
-	l.Width = vg.Points(1.4)
-	p.Add(area, l)
-	p.Legend.Add(b.name, l)
+	meanLine.Color = lineColor(number)
+	meanLine.Width = vg.Points(1.4)
+	drawing.Add(area, meanLine)
+	drawing.Legend.Add(drawn.name, meanLine)
 	return nil
 }
 
-// serviceBand is the share served in time, by second.
-func serviceBand(s series) band {
+// serviceBand is the share served within the latency objective, by second.
+func serviceBand(drawn series) band {
 	seconds := 0
-	for _, r := range s.runs {
-		seconds = max(seconds, len(r.Seconds))
+	for _, run := range drawn.runs {
+		seconds = max(seconds, len(run.Seconds))
 	}
 	xs := make([]float64, seconds)
 	for i := range xs {
 		xs[i] = float64(i) + 0.5
 	}
-	return band{s.name, xs, func(i int) []float64 {
+	return band{drawn.name, xs, func(i int) []float64 {
 		var values []float64
-		for _, r := range s.runs {
-			if i < len(r.Seconds) && r.Seconds[i].AskedWeight > 0 {
-				values = append(values, r.Seconds[i].ServedWeight/r.Seconds[i].AskedWeight)
+		for _, run := range drawn.runs {
+			if hasRequests := i < len(run.Seconds) && run.Seconds[i].AskedWeight > 0; hasRequests {
+				values = append(values, run.Seconds[i].ServedWeight/run.Seconds[i].AskedWeight)
 			}
 		}
 		return values
@@ -119,33 +120,36 @@
 }
 
 // latencyBand is the latency in ms, by percentile. The percentiles are those of the first run that has any.
-func latencyBand(s series) band {
+func latencyBand(drawn series) band {
 	var xs []float64
-	for _, r := range s.runs {
-		if len(r.Latency) == 0 {
+	for _, run := range drawn.runs {
+		if len(run.Latency) == 0 {
 			continue
 		}
-		for _, step := range r.Latency {
+		for _, step := range run.Latency {
 			if step.Percentile < 100 {
 				xs = append(xs, tailScale(step.Percentile))
 			}
 		}
 		break
 	}
-	return band{s.name, xs, func(i int) []float64 {
+	return band{drawn.name, xs, func(i int) []float64 {
 		var values []float64
-		for _, r := range s.runs {
-			if i < len(r.Latency) {
-				values = append(values, max(r.Latency[i].MS, 0.001))
+		for _, run := range drawn.runs {
+			if i < len(run.Latency) {
+				values = append(values, max(run.Latency[i].MS, lowestBandEdge))
 			}
 		}
 		return values
 	}}
 }
 
+// smallestTail is the share above the last percentile that tailScale tells apart, 99.999.
+const smallestTail = 1e-5
+
 // tailScale stretches the tail: from 90 to 99 is as far as from 99 to 99.9.
 func tailScale(percentile float64) float64 {
-	return -math.Log10(max(1-percentile/100, 1e-5))
+	return -math.Log10(max(1-percentile/100, smallestTail))
 }
 
 var tailTicks = []plot.Tick{
--- a/internal/lab/experiment/chart_servers.go
+++ b/internal/lab/experiment/chart_servers.go
@@ -23,7 +23,7 @@
 	2: {90, 90, 90, 255},    // down
 	3: {20, 20, 20, 255},    // silent
 	4: {150, 0, 150, 255},   // collapsed
-	5: {120, 190, 255, 255}, // cold
+	5: {120, 190, 255, 255}, // in slow start
 	6: {214, 39, 40, 255},   // overloaded
 }
 
@@ -35,42 +35,42 @@
 }
 
 // Plot draws the rows.
-func (s serverStrips) Plot(c draw.Canvas, p *plot.Plot) {
-	tx, ty := p.Transforms(&c)
-	for row, t := range s.tracks {
-		bottom := ty(float64(row))
-		top := ty(float64(row) + stripHeight)
-		for i := range t.Busy {
-			cell, ok := stateColors[t.State[i]]
+func (s serverStrips) Plot(canvas draw.Canvas, drawing *plot.Plot) {
+	toX, toY := drawing.Transforms(&canvas)
+	for row, track := range s.tracks {
+		bottom := toY(float64(row))
+		top := toY(float64(row) + stripHeight)
+		for i := range track.Busy {
+			cell, ok := stateColors[track.State[i]]
 			if !ok {
-				cell = busyColor(t.Busy[i])
+				cell = busyColor(track.Busy[i])
 			}
-			left := tx(float64(i))
-			right := tx(float64(i + 1))
-			c.FillPolygon(cell, []vg.Point{{X: left, Y: bottom}, {X: right, Y: bottom}, {X: right, Y: top}, {X: left, Y: top}})
+			left := toX(float64(i))
+			right := toX(float64(i + 1))
+			canvas.FillPolygon(cell, []vg.Point{{X: left, Y: bottom}, {X: right, Y: bottom}, {X: right, Y: top}, {X: left, Y: top}})
 		}
 	}
 }
 
 // DataRange returns the seconds and rows that are drawn.
 func (s serverStrips) DataRange() (xmin, xmax, ymin, ymax float64) {
-	for _, t := range s.tracks {
-		xmax = max(xmax, float64(len(t.Busy)))
+	for _, track := range s.tracks {
+		xmax = max(xmax, float64(len(track.Busy)))
 	}
 	return 0, xmax, 0, float64(len(s.tracks))
 }
 
 // serversChart draws the servers of one run.
-func serversChart(name string, r *simulation.Result) *Chart {
-	title := fmt.Sprintf("%s, seed %d: servers (green: busy, blue: cold, yellow: draining, red: choked,\ngrey: down, black: silent, violet: pushed over)", name, r.Seed)
-	c := newChart("servers", labels{title: title, x: "second of the day"})
-	c.Plot.Add(serverStrips{r.Servers})
+func serversChart(name string, run *simulation.Result) *Chart {
+	title := fmt.Sprintf("%s, seed %d: servers (green: busy, blue: in slow start, yellow: draining, red: overloaded,\ngrey: down, black: silent, violet: collapsed)", name, run.Seed)
+	chart := newChart("servers", labels{title: title, x: "second of the run"})
+	chart.Plot.Add(serverStrips{run.Servers})
 	var ticks []plot.Tick
-	for i, t := range r.Servers {
-		ticks = append(ticks, plot.Tick{Value: float64(i) + stripHeight/2, Label: fmt.Sprintf("%d %s z%d", t.Server, t.Kind, t.Zone)})
+	for i, track := range run.Servers {
+		ticks = append(ticks, plot.Tick{Value: float64(i) + stripHeight/2, Label: fmt.Sprintf("%d %s z%d", track.Server, track.Kind, track.Zone)})
 	}
-	c.Plot.Y.Tick.Marker = plot.ConstantTicks(ticks)
-	c.Plot.Y.Tick.Label.Font.Size = vg.Points(6)
-	c.Height = vg.Length(len(r.Servers))*0.3*vg.Centimeter + 4*vg.Centimeter
-	return c
+	chart.Plot.Y.Tick.Marker = plot.ConstantTicks(ticks)
+	chart.Plot.Y.Tick.Label.Font.Size = vg.Points(6)
+	chart.Height = vg.Length(len(run.Servers))*0.3*vg.Centimeter + 4*vg.Centimeter
+	return chart
 }
--- a/internal/lab/experiment/chart_sweep.go
+++ b/internal/lab/experiment/chart_sweep.go
@@ -6,38 +6,41 @@
 	"strconv"
 
 	"gonum.org/v1/plot/plotter"
+
+	"piernotch/internal/lab/storednames"
 )
 
 // sweepChart draws a figure over the first dimension, with a line for each value of the second.
-func sweepChart(f *ResultFile, figure string) (*Chart, error) {
-	if len(f.Points) == 0 || len(f.Dimensions) == 0 {
+func sweepChart(file *ResultFile, figure string) (*Chart, error) {
+	if len(file.Points) == 0 || len(file.Dimensions) == 0 {
 		return nil, fmt.Errorf("a sweep without points: %w", ErrNothingToDraw)
 	}
-	first := f.Dimensions[0]
-	c := newChart(figure, labels{figure + ", mean and 95% interval over seeds", first.Key, figure})
+	first := file.Dimensions[0]
+	display := storednames.Display(storednames.Figures, figure)
+	chart := newChart(figure, labels{title: display + ", mean and 95% interval over seeds", x: first.Key, y: display})
 	if !isNumeric(first.Values) {
-		c.Plot.NominalX(first.Values...)
+		chart.Plot.NominalX(first.Values...)
 	}
-	if len(f.Dimensions) < 2 {
-		return c, addSweepLine(c, sweepPoints(f, figure, ""), 0, "")
+	if len(file.Dimensions) < 2 {
+		return chart, addSweepLine(chart, sweepPoints(file, figure, ""), 0, "")
 	}
-	second := f.Dimensions[1]
+	second := file.Dimensions[1]
 	for i, value := range second.Values {
 		legend := ""
 		if value != "" {
 			legend = second.Key + "=" + value
 		}
-		if err := addSweepLine(c, sweepPoints(f, figure, value), i, legend); err != nil {
+		if err := addSweepLine(chart, sweepPoints(file, figure, value), i, legend); err != nil {
 			return nil, err
 		}
 	}
-	return c, nil
+	return chart, nil
 }
 
 // isNumeric reports whether all values are numbers.
 func isNumeric(values []string) bool {
-	for _, v := range values {
-		if _, err := strconv.ParseFloat(v, 64); err != nil {
+	for _, value := range values {
+		if _, err := strconv.ParseFloat(value, 64); err != nil {
 			return false
 		}
 	}
@@ -51,19 +54,19 @@
 }
 
 // sweepPoints returns a figure over the first dimension, where the second one, if there is any, has a value.
-func sweepPoints(f *ResultFile, figure, second string) pointsWithErrors {
+func sweepPoints(file *ResultFile, figure, second string) pointsWithErrors {
 	var points pointsWithErrors
-	first := f.Dimensions[0].Values
+	first := file.Dimensions[0].Values
 	numeric := isNumeric(first)
-	for _, p := range f.Points {
-		if len(f.Dimensions) == 2 && p.Values[1] != second {
+	for _, point := range file.Points {
+		if len(file.Dimensions) == 2 && point.Values[1] != second {
 			continue
 		}
-		x := float64(max(lastIndex(first, p.Values[0]), 0))
+		x := float64(max(lastIndex(first, point.Values[0]), 0))
 		if numeric {
-			x, _ = strconv.ParseFloat(p.Values[0], 64)
+			x, _ = strconv.ParseFloat(point.Values[0], 64)
 		}
-		interval := p.Summary[figure]
+		interval := point.Summary[figure]
 		half := interval.halfWidth()
 		points.XYs = append(points.XYs, plotter.XY{X: x, Y: interval.Mean})
 		points.YErrors = append(points.YErrors, struct{ Low, High float64 }{half, half})
@@ -82,7 +85,7 @@
 }
 
 // addSweepLine draws points in the color of a number, with a legend if there is one.
-func addSweepLine(c *Chart, points pointsWithErrors, number int, legend string) error {
+func addSweepLine(chart *Chart, points pointsWithErrors, number int, legend string) error {
 	bars, err := plotter.NewYErrorBars(points)
 	if err != nil {
 		return err
@@ -95,9 +98,9 @@
 	bars.Color = color
 	line.Color = color
 	dots.Color = color
-	c.Plot.Add(line, dots, bars)
+	chart.Plot.Add(line, dots, bars)
 	if legend != "" {
-		c.Plot.Legend.Add(legend, line)
+		chart.Plot.Legend.Add(legend, line)
 	}
 	return nil
 }
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -30,29 +30,29 @@
 }
 
 // Compare plays both variants on the same seeds.
-func Compare(ctx context.Context, p Plan, a, b Variant) (*Comparison, error) {
-	runsA, err := Run(ctx, p, a)
+func Compare(ctx context.Context, plan Plan, variantA, variantB Variant) (*Comparison, error) {
+	runsA, err := Run(ctx, plan, variantA)
 	if err != nil {
 		return nil, fmt.Errorf("a: %w", err)
 	}
-	runsB, err := Run(ctx, p, b)
+	runsB, err := Run(ctx, plan, variantB)
 	if err != nil {
 		return nil, fmt.Errorf("b: %w", err)
 	}
-	c := &Comparison{
-		A: a, B: b, RunsA: runsA, RunsB: runsB,
+	comparison := &Comparison{
+		A: variantA, B: variantB, RunsA: runsA, RunsB: runsB,
 		SummaryA: SummarizeRuns(runsA), SummaryB: SummarizeRuns(runsB), Difference: map[string]Interval{},
 	}
-	for _, f := range figures {
-		valuesA := column(runsA, f.Value)
-		differences := column(runsB, f.Value)
+	for _, figure := range figures {
+		valuesA := column(runsA, figure.Value)
+		differences := column(runsB, figure.Value)
 		for i := range differences {
 			differences[i] -= valuesA[i]
 		}
-		c.Difference[f.Name] = Summarize(differences)
+		comparison.Difference[figure.Name] = Summarize(differences)
 	}
-	c.Verdict = judge(c.Difference["service"])
-	return c, nil
+	comparison.Verdict = judge(comparison.Difference["service"])
+	return comparison, nil
 }
 
 // judge is inconclusive unless the whole interval lies on one side.
--- a/internal/lab/experiment/compare_test.go
+++ b/internal/lab/experiment/compare_test.go
@@ -8,21 +8,21 @@
 )
 
 func TestCompareFindsNoDifferenceToItselfAndWorseVariant(t *testing.T) {
-	p := testPlan(t, 8, 0)
-	c, err := Compare(context.Background(), p, Variant{Name: "a"}, Variant{Name: "b"})
+	plan := testPlan(t, 8, 0)
+	comparison, err := Compare(context.Background(), plan, Variant{Name: "a"}, Variant{Name: "b"})
 	require.NoError(t, err)
-	require.Equal(t, Inconclusive, c.Verdict)
-	require.Zero(t, c.Difference["service"].Mean)
-	// Without probes and second tries, with half of the fleet, anything is worse.
-	c, err = Compare(context.Background(), p, Variant{}, Variant{Set: []string{"kind.*.speed=0.4", "traffic.rate_per_s=90"}})
+	require.Equal(t, Inconclusive, comparison.Verdict)
+	require.Zero(t, comparison.Difference["service"].Mean)
+	// Slower servers under more traffic are worse.
+	comparison, err = Compare(context.Background(), plan, Variant{}, Variant{Set: []string{"kind.*.speed=0.4", "traffic.rate_per_s=90"}})
 	require.NoError(t, err)
-	require.Equal(t, Worse, c.Verdict)
-	_, err = Run(context.Background(), p, Variant{Set: []string{"no.such=1"}})
+	require.Equal(t, Worse, comparison.Verdict)
+	_, err = Run(context.Background(), plan, Variant{Set: []string{"no.such=1"}})
 	require.Error(t, err)
-	_, err = Run(context.Background(), p, Variant{Adapter: "/no/such/adapter"})
+	_, err = Run(context.Background(), plan, Variant{Adapter: "/no/such/adapter"})
 	require.Error(t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
-	_, err = Run(ctx, p, Variant{})
+	_, err = Run(ctx, plan, Variant{})
 	require.ErrorIs(t, err, context.Canceled)
 }
--- a/internal/lab/experiment/figures.go
+++ b/internal/lab/experiment/figures.go
@@ -1,8 +1,12 @@
 package experiment
 
-import "piernotch/internal/lab/simulation"
+import (
+	"piernotch/internal/lab/simulation"
+	"piernotch/internal/lab/storednames"
+)
 
-// figures are what is summed up of each run. Their names are keys of result files.
+// figures are what is summed up of each run. Their names are keys of result files; storednames has those that
+// are printed.
 var figures = []struct {
 	Name  string
 	Value func(r *simulation.Result) float64
@@ -34,20 +38,29 @@
 	{"module_s", func(r *simulation.Result) float64 { return r.ModuleS }},
 }
 
-// FigureNames returns the names of all figures.
+// FigureNames returns the stored names of all figures.
 func FigureNames() []string {
 	var names []string
-	for _, f := range figures {
-		names = append(names, f.Name)
+	for _, figure := range figures {
+		names = append(names, figure.Name)
 	}
 	return names
 }
 
-// SummarizeRuns returns the interval of each figure, by its name.
+// displayNames returns the names of figures that people read.
+func displayNames(figures []string) []string {
+	var names []string
+	for _, figure := range figures {
+		names = append(names, storednames.Display(storednames.Figures, figure))
+	}
+	return names
+}
+
+// SummarizeRuns returns the interval of each figure, by its stored name.
 func SummarizeRuns(runs []*simulation.Result) map[string]Interval {
 	summary := map[string]Interval{}
-	for _, f := range figures {
-		summary[f.Name] = Summarize(column(runs, f.Value))
+	for _, figure := range figures {
+		summary[figure.Name] = Summarize(column(runs, figure.Value))
 	}
 	return summary
 }
@@ -55,17 +68,17 @@
 // column returns one figure of each run.
 func column(runs []*simulation.Result, value func(*simulation.Result) float64) []float64 {
 	values := make([]float64, len(runs))
-	for i, r := range runs {
-		values[i] = value(r)
+	for i, run := range runs {
+		values[i] = value(run)
 	}
 	return values
 }
 
-// Violations returns how often rules were broken over all runs.
+// Violations returns how often invariants were violated over all runs.
 func Violations(runs []*simulation.Result) int {
-	n := 0
-	for _, r := range runs {
-		n += r.Broken()
+	violations := 0
+	for _, run := range runs {
+		violations += run.Broken()
 	}
-	return n
+	return violations
 }
--- a/internal/lab/experiment/render.go
+++ b/internal/lab/experiment/render.go
@@ -4,13 +4,15 @@
 	"fmt"
 	"path/filepath"
 	"strings"
+
+	"piernotch/internal/lab/storednames"
 )
 
 // Render draws a result for a file of a name: .svg and .png hold one chart, the named one or else the
 // first, .html holds a report with all. Its errors are ErrNothingToDraw, ErrUnknownChart and
 // ErrUnknownImageFormat, and those of drawing.
-func Render(f *ResultFile, name, chartName string) ([]byte, error) {
-	charts, err := Charts(f)
+func Render(file *ResultFile, name, chartName string) ([]byte, error) {
+	charts, err := Charts(file)
 	if err != nil {
 		return nil, err
 	}
@@ -19,7 +21,7 @@
 	}
 	extension := strings.ToLower(filepath.Ext(name))
 	if extension == ".html" {
-		return renderReport(f, charts)
+		return renderReport(file, charts)
 	}
 	chart, err := pickChart(charts, chartName)
 	if err != nil {
@@ -34,17 +36,18 @@
 	return nil, fmt.Errorf("%s: %w", name, ErrUnknownImageFormat)
 }
 
-// pickChart returns the first chart of a name, or the first one for "".
+// pickChart returns the first chart of a name, stored or printed, or the first one for "".
 func pickChart(charts []*Chart, name string) (*Chart, error) {
 	if name == "" {
 		return charts[0], nil
 	}
+	name = storednames.Stored(storednames.Figures, name)
 	var names []string
-	for _, c := range charts {
-		if c.Name == name {
-			return c, nil
+	for _, chart := range charts {
+		if chart.Name == name {
+			return chart, nil
 		}
-		names = append(names, c.Name)
+		names = append(names, chart.Name)
 	}
-	return nil, fmt.Errorf("%w: %q, there are: %s", ErrUnknownChart, name, strings.Join(names, ", "))
+	return nil, fmt.Errorf("%w: %q, there are: %s", ErrUnknownChart, name, strings.Join(displayNames(names), ", "))
 }
--- a/internal/lab/experiment/render_test.go
+++ b/internal/lab/experiment/render_test.go
@@ -14,33 +14,33 @@
 )
 
 func TestSweepsAndCharts(t *testing.T) {
-	p := testPlan(t, 2, 0)
-	dims := []Dimension{{"traffic.load", []string{"0.4", "0.8"}}, {"fleet.servers", []string{"8", "12"}}}
-	points, err := Sweep(context.Background(), p, Variant{}, dims)
+	plan := testPlan(t, 2, 0)
+	dimensions := []Dimension{{"traffic.load", []string{"0.4", "0.8"}}, {"fleet.servers", []string{"8", "12"}}}
+	points, err := Sweep(context.Background(), plan, Variant{}, dimensions)
 	require.NoError(t, err)
 	require.Len(t, points, 4)
 	require.Equal(t, []string{"0.4", "12"}, points[1].Values)
-	_, err = Sweep(context.Background(), p, Variant{}, nil)
+	_, err = Sweep(context.Background(), plan, Variant{}, nil)
 	require.ErrorIs(t, err, ErrDimensions)
-	runs, err := Run(context.Background(), p, Variant{})
+	runs, err := Run(context.Background(), plan, Variant{})
 	require.NoError(t, err)
-	cmp, err := Compare(context.Background(), p, Variant{Name: "x"}, Variant{Name: "y"})
+	comparison, err := Compare(context.Background(), plan, Variant{Name: "x"}, Variant{Name: "y"})
 	require.NoError(t, err)
 	broken := points[0].Runs[0]
 	broken.ColdFalls, broken.Breaks = 1, []invariants.Violation{{Rule: invariants.SlowStart, Server: 3, Message: "pushed over", Steps: []string{"a step"}}}
-	for _, f := range []*ResultFile{
-		{Kind: "sweep", Scenario: "s", Dimensions: dims, Points: points},
+	for _, file := range []*ResultFile{
+		{Kind: "sweep", Scenario: "s", Dimensions: dimensions, Points: points},
 		{Kind: "run", Scenario: "s", Runs: runs, Summary: SummarizeRuns(runs)},
-		{Kind: "compare", Scenario: "s", Compare: cmp},
+		{Kind: "compare", Scenario: "s", Compare: comparison},
 	} {
 		name := filepath.Join(t.TempDir(), "r.json")
-		require.NoError(t, f.Write(name))
+		require.NoError(t, file.Write(name))
 		back, err := ReadFile(name)
 		require.NoError(t, err)
 		svg, err := Render(back, "x.svg", "")
 		require.NoError(t, err)
-		for dec := xml.NewDecoder(strings.NewReader(string(svg))); ; { // it is well formed
-			if _, err := dec.Token(); err != nil {
+		for decoder := xml.NewDecoder(strings.NewReader(string(svg))); ; { // it is well formed
+			if _, err := decoder.Token(); err != nil {
 				require.ErrorIs(t, err, io.EOF)
 				break
 			}
@@ -51,11 +51,11 @@
 		html, err := Render(back, "x.html", "")
 		require.NoError(t, err)
 		require.NotContains(t, string(html), "src=", "it needs nothing beside it")
-		if f.Kind == "sweep" {
+		if file.Kind == "sweep" {
 			require.Contains(t, string(html), "pushed over\na step")
 			require.Equal(t, invariants.SlowStart, back.Points[0].Runs[0].Breaks[0].Rule)
 		} else {
-			require.Contains(t, string(html), "No rule was broken")
+			require.Contains(t, string(html), "No invariant was violated")
 		}
 		_, err = Render(back, "x.svg", "nonsense")
 		require.ErrorIs(t, err, ErrUnknownChart)
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -7,6 +7,7 @@
 	"strings"
 
 	"piernotch/internal/lab/simulation"
+	"piernotch/internal/lab/storednames"
 )
 
 // maxReportedViolations bounds the violations that a report shows in detail.
@@ -22,7 +23,7 @@
 th:first-child,td:first-child{text-align:left}svg{max-width:100%;height:auto}.bad{color:#b00;font-weight:bold}pre{background:#f4f4f4;padding:.6em;overflow:auto}</style></head><body>
 <h1>{{.File.Scenario}}</h1><p>{{.File.Description}} Kind: {{.File.Kind}}, first seed {{.File.Seed}}.</p>
 {{if .Verdict}}<p>b against a: <b>{{.Verdict}}</b></p>{{end}}
-{{if .Violations}}<p class="bad">Rules were broken {{.Violations}} times.</p>{{else}}<p>No rule was broken.</p>{{end}}
+{{if .Violations}}<p class="bad">Invariants were violated {{.Violations}} times.</p>{{else}}<p>No invariant was violated.</p>{{end}}
 <table><tr>{{range .Head}}<th>{{.}}</th>{{end}}</tr>{{range .Rows}}<tr>{{range .}}<td>{{.}}</td>{{end}}</tr>{{end}}</table>
 {{range .Charts}}{{.}}{{end}}
 {{range .Details}}<pre>{{.}}</pre>{{end}}
@@ -41,18 +42,18 @@
 }
 
 // renderReport returns a page that needs no other file.
-func renderReport(f *ResultFile, charts []*Chart) ([]byte, error) {
-	data := &reportData{File: f}
+func renderReport(file *ResultFile, charts []*Chart) ([]byte, error) {
+	data := &reportData{File: file}
 	switch {
-	case f.Compare != nil:
-		data.addComparison(f.Compare)
-	case len(f.Points) > 0:
-		data.addSweep(f)
+	case file.Compare != nil:
+		data.addComparison(file.Compare)
+	case len(file.Points) > 0:
+		data.addSweep(file)
 	default:
-		data.addRuns(f)
+		data.addRuns(file)
 	}
-	for _, c := range charts {
-		svg, err := c.SVG()
+	for _, chart := range charts {
+		svg, err := chart.SVG()
 		if err != nil {
 			return nil, err
 		}
@@ -68,48 +69,48 @@
 	return out.Bytes(), nil
 }
 
-func (d *reportData) addComparison(c *Comparison) {
-	d.Verdict = c.Verdict
+func (d *reportData) addComparison(comparison *Comparison) {
+	d.Verdict = comparison.Verdict
 	d.Head = []string{"figure", "a", "b", "b less a"}
 	for _, name := range FigureNames() {
-		d.Rows = append(d.Rows, []string{name, c.SummaryA[name].String(), c.SummaryB[name].String(), c.Difference[name].String()})
+		d.Rows = append(d.Rows, []string{storednames.Display(storednames.Figures, name), comparison.SummaryA[name].String(), comparison.SummaryB[name].String(), comparison.Difference[name].String()})
 	}
-	d.addViolations(c.RunsA)
-	d.addViolations(c.RunsB)
+	d.addViolations(comparison.RunsA)
+	d.addViolations(comparison.RunsB)
 }
 
-func (d *reportData) addSweep(f *ResultFile) {
-	for _, dimension := range f.Dimensions {
+func (d *reportData) addSweep(file *ResultFile) {
+	for _, dimension := range file.Dimensions {
 		d.Head = append(d.Head, dimension.Key)
 	}
-	d.Head = append(d.Head, reportedFigures...)
-	for _, p := range f.Points {
-		row := append([]string{}, p.Values...)
+	d.Head = append(d.Head, displayNames(reportedFigures)...)
+	for _, point := range file.Points {
+		row := append([]string{}, point.Values...)
 		for _, name := range reportedFigures {
-			row = append(row, p.Summary[name].String())
+			row = append(row, point.Summary[name].String())
 		}
 		d.Rows = append(d.Rows, row)
-		d.addViolations(p.Runs)
+		d.addViolations(point.Runs)
 	}
 }
 
-func (d *reportData) addRuns(f *ResultFile) {
+func (d *reportData) addRuns(file *ResultFile) {
 	d.Head = []string{"figure", "mean and 95% interval"}
 	for _, name := range FigureNames() {
-		if s, ok := f.Summary[name]; ok {
-			d.Rows = append(d.Rows, []string{name, s.String()})
+		if interval, ok := file.Summary[name]; ok {
+			d.Rows = append(d.Rows, []string{storednames.Display(storednames.Figures, name), interval.String()})
 		}
 	}
-	d.addViolations(f.Runs)
+	d.addViolations(file.Runs)
 }
 
 // addViolations counts the violations of runs and shows the first ones.
 func (d *reportData) addViolations(runs []*simulation.Result) {
 	d.Violations += Violations(runs)
-	for _, r := range runs {
-		for _, violation := range r.Breaks {
+	for _, run := range runs {
+		for _, violation := range run.Breaks {
 			if len(d.Details) < maxReportedViolations {
-				d.Details = append(d.Details, fmt.Sprintf("seed %d: %s\n%s", r.Seed, violation, strings.Join(violation.Steps, "\n")))
+				d.Details = append(d.Details, fmt.Sprintf("seed %d: %s\n%s", run.Seed, violation, strings.Join(violation.Steps, "\n")))
 			}
 		}
 	}
--- a/internal/lab/experiment/resultfile.go
+++ b/internal/lab/experiment/resultfile.go
@@ -38,12 +38,12 @@
 func (f *ResultFile) RemoveTimings() {
 	removeRunTimings(f.Runs)
 	removeSummaryTimings(f.Summary)
-	if c := f.Compare; c != nil {
-		removeRunTimings(c.RunsA)
-		removeRunTimings(c.RunsB)
-		removeSummaryTimings(c.SummaryA)
-		removeSummaryTimings(c.SummaryB)
-		removeSummaryTimings(c.Difference)
+	if comparison := f.Compare; comparison != nil {
+		removeRunTimings(comparison.RunsA)
+		removeRunTimings(comparison.RunsB)
+		removeSummaryTimings(comparison.SummaryA)
+		removeSummaryTimings(comparison.SummaryB)
+		removeSummaryTimings(comparison.Difference)
 	}
 	for i := range f.Points {
 		removeRunTimings(f.Points[i].Runs)
@@ -52,9 +52,9 @@
 }
 
 func removeRunTimings(runs []*simulation.Result) {
-	for _, r := range runs {
-		r.WallS = 0
-		r.ModuleS = 0
+	for _, run := range runs {
+		run.WallS = 0
+		run.ModuleS = 0
 	}
 }
 
@@ -84,12 +84,12 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &ResultFile{}
-	if err := json.Unmarshal(data, f); err != nil {
+	result := &ResultFile{}
+	if err := json.Unmarshal(data, result); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	if f.Format != Format {
-		return nil, fmt.Errorf("%s: %w: format %q, %q is expected", name, ErrBadFormat, f.Format, Format)
+	if result.Format != Format {
+		return nil, fmt.Errorf("%s: %w: format %q, %q is expected", name, ErrBadFormat, result.Format, Format)
 	}
-	return f, nil
+	return result, nil
 }
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -17,7 +17,7 @@
 	Scenario *scenario.Scenario
 	Seed     uint64 // the first; the others follow it
 	Runs     int    // how many seeds
-	Workers  int    // days played at once; 0: as many as there are cores
+	Workers  int    // runs at the same time; 0: as many as there are cores
 	Progress func() // called for each run that has ended, from any goroutine; may be nil
 }
 
@@ -33,26 +33,26 @@
 
 // Run plays all seeds for one variant. The results are in the order of the seeds, whatever the number of
 // workers. It ends with the first error, or with the context's.
-func Run(ctx context.Context, p Plan, v Variant) ([]*simulation.Result, error) {
-	s, err := p.Scenario.With(v.Set...)
+func Run(ctx context.Context, plan Plan, variant Variant) ([]*simulation.Result, error) {
+	varied, err := plan.Scenario.With(variant.Set...)
 	if err != nil {
 		return nil, err
 	}
-	results := make([]*simulation.Result, p.Runs)
+	results := make([]*simulation.Result, plan.Runs)
 	workers, ctx := errgroup.WithContext(ctx)
-	workers.SetLimit(p.workers())
-	for i := range p.Runs {
-		workers.Go(func() error { // ends with its day
+	workers.SetLimit(plan.workers())
+	for i := range plan.Runs {
+		workers.Go(func() error { // ends with its run
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			r, err := runSeed(s, p.Seed+uint64(i), v.Adapter)
+			result, err := runSeed(varied, plan.Seed+uint64(i), variant.Adapter)
 			if err != nil {
 				return err
 			}
-			results[i] = r
-			if p.Progress != nil {
-				p.Progress()
+			results[i] = result
+			if plan.Progress != nil {
+				plan.Progress()
 			}
 			return nil
 		})
@@ -70,9 +70,9 @@
 	return max(p.Workers, 1)
 }
 
-// runSeed plays one day.
-func runSeed(s *scenario.Scenario, seed uint64, adapter string) (*simulation.Result, error) {
-	realization, err := s.Draw(seed)
+// runSeed plays one realization.
+func runSeed(definition *scenario.Scenario, seed uint64, adapter string) (*simulation.Result, error) {
+	realization, err := definition.Draw(seed)
 	if err != nil {
 		return nil, err
 	}
@@ -83,15 +83,15 @@
 			return nil, err
 		}
 	}
-	w, err := simulation.New(realization, tier)
+	world, err := simulation.New(realization, tier)
 	if err != nil {
 		_ = tier.Close() // the first error says more
 		return nil, err
 	}
-	r, err := w.Run()
+	result, err := world.Run()
 	closeErr := tier.Close()
 	if err == nil && closeErr != nil {
 		err = fmt.Errorf("seed %d: %w", seed, closeErr)
 	}
-	return r, err
+	return result, err
 }
--- a/internal/lab/experiment/statistics.go
+++ b/internal/lab/experiment/statistics.go
@@ -35,9 +35,9 @@
 func Summarize(values []float64) Interval {
 	mean, deviation := stat.MeanStdDev(values, nil)
 	interval := Interval{Mean: mean}
-	if n := float64(len(values)); n > 1 {
-		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975)
-		half := t * deviation / math.Sqrt(n)
+	if count := float64(len(values)); count > 1 {
+		quantile := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: count - 1}.Quantile(0.975)
+		half := quantile * deviation / math.Sqrt(count)
 		low := mean - half
 		high := mean + half
 		interval.Low = &low
--- a/internal/lab/experiment/statistics_test.go
+++ b/internal/lab/experiment/statistics_test.go
@@ -13,11 +13,11 @@
 	covered := 0
 	const rounds = 4000
 	for range rounds {
-		v := make([]float64, 6)
-		for i := range v {
-			v[i] = 3 + 2*rng.NormFloat64()
+		values := make([]float64, 6)
+		for i := range values {
+			values[i] = 3 + 2*rng.NormFloat64()
 		}
-		if s := Summarize(v); *s.Low <= 3 && 3 <= *s.High {
+		if interval := Summarize(values); *interval.Low <= 3 && 3 <= *interval.High {
 			covered++
 		}
 	}
--- a/internal/lab/experiment/sweep.go
+++ b/internal/lab/experiment/sweep.go
@@ -31,37 +31,37 @@
 // ParseDimension reads KEY=V1,V2,…; commas inside of brackets do not separate values. Its errors are
 // FlagErrors of --vary.
 func ParseDimension(text string) (Dimension, error) {
-	invalid := func(d Dimension, err error) (Dimension, error) {
-		return d, &FlagError{Flag: "--vary", Value: text, Err: err}
+	invalid := func(dimension Dimension, err error) (Dimension, error) {
+		return dimension, &FlagError{Flag: "--vary", Value: text, Err: err}
 	}
 	key, list, ok := strings.Cut(text, "=")
-	d := Dimension{Key: strings.TrimSpace(key)}
-	if !ok || d.Key == "" {
-		return invalid(d, errors.New("KEY=V1,V2,… is expected"))
+	dimension := Dimension{Key: strings.TrimSpace(key)}
+	if !ok || dimension.Key == "" {
+		return invalid(dimension, errors.New("KEY=V1,V2,… is expected"))
 	}
-	d.Values = splitValues(list)
-	if len(d.Values) == 0 {
-		return invalid(d, errors.New("no values"))
+	dimension.Values = splitValues(list)
+	if len(dimension.Values) == 0 {
+		return invalid(dimension, errors.New("no values"))
 	}
-	for _, value := range d.Values {
-		if strings.Count(value, "+") != strings.Count(d.Key, "+") {
-			return invalid(d, fmt.Errorf("%s has not one value for each key", value))
+	for _, value := range dimension.Values {
+		if strings.Count(value, "+") != strings.Count(dimension.Key, "+") {
+			return invalid(dimension, fmt.Errorf("%s has not one value for each key", value))
 		}
 	}
-	return d, nil
+	return dimension, nil
 }
 
 // splitValues splits a list at the commas outside of brackets, and leaves out empty values.
 func splitValues(list string) []string {
 	var values []string
 	depth, from := 0, 0
-	for i, c := range list + "," {
+	for i, character := range list + "," {
 		switch {
-		case c == '[':
+		case character == '[':
 			depth++
-		case c == ']':
+		case character == ']':
 			depth--
-		case c == ',' && depth == 0:
+		case character == ',' && depth == 0:
 			if value := strings.TrimSpace(list[from:i]); value != "" {
 				values = append(values, value)
 			}
@@ -80,20 +80,20 @@
 
 // Sweep plays every combination of one or two dimensions on the same seeds. Other numbers of dimensions are
 // ErrDimensions.
-func Sweep(ctx context.Context, p Plan, v Variant, dimensions []Dimension) ([]Point, error) {
+func Sweep(ctx context.Context, plan Plan, variant Variant, dimensions []Dimension) ([]Point, error) {
 	if len(dimensions) < 1 || len(dimensions) > 2 {
 		return nil, fmt.Errorf("%w, not %d", ErrDimensions, len(dimensions))
 	}
 	var points []Point
 	for _, values := range combinations(dimensions) {
-		at := v
-		at.Set = slices.Clone(v.Set)
+		varied := variant
+		varied.Set = slices.Clone(variant.Set)
 		for i, value := range values {
-			at.Set = append(at.Set, dimensions[i].Settings(value)...)
+			varied.Set = append(varied.Set, dimensions[i].Settings(value)...)
 		}
-		runs, err := Run(ctx, p, at)
+		runs, err := Run(ctx, plan, varied)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", strings.Join(at.Set, " "), err)
+			return nil, fmt.Errorf("%s: %w", strings.Join(varied.Set, " "), err)
 		}
 		points = append(points, Point{Values: values, Summary: SummarizeRuns(runs), Runs: withoutSeries(runs)})
 	}
@@ -103,10 +103,10 @@
 // combinations returns all combinations of the dimensions' values; the last dimension changes first.
 func combinations(dimensions []Dimension) [][]string {
 	all := [][]string{{}}
-	for _, d := range dimensions {
+	for _, dimension := range dimensions {
 		var next [][]string
 		for _, values := range all {
-			for _, value := range d.Values {
+			for _, value := range dimension.Values {
 				next = append(next, append(slices.Clone(values), value))
 			}
 		}
@@ -117,10 +117,10 @@
 
 // withoutSeries drops what a run holds by second, server and percentile: a sweep keeps the figures only.
 func withoutSeries(runs []*simulation.Result) []*simulation.Result {
-	for _, r := range runs {
-		r.Seconds = nil
-		r.Servers = nil
-		r.Latency = nil
+	for _, run := range runs {
+		run.Seconds = nil
+		run.Servers = nil
+		run.Latency = nil
 	}
 	return runs
 }
--- a/internal/lab/experiment/variant.go
+++ b/internal/lab/experiment/variant.go
@@ -12,7 +12,7 @@
 // Variant is what decides, and under which settings. The zero value is the module in this process.
 type Variant struct {
 	Name    string   `json:"name"`
-	Adapter string   `json:"adapter,omitempty"` // a program on the simulator's wire; "": the module in this process
+	Adapter string   `json:"adapter,omitempty"` // a program that speaks the simulator's protocol; "": the module in this process
 	Set     []string `json:"set,omitempty"`     // KEY=VALUE on top of the scenario
 }
 
@@ -22,24 +22,24 @@
 	if text == "" || text == builtinVariant {
 		return Variant{Name: builtinVariant}, nil
 	}
-	v := Variant{Name: text}
+	variant := Variant{Name: text}
 	info, err := os.Stat(text)
 	if err == nil && !info.IsDir() {
 		isExecutable := info.Mode()&0o111 != 0
 		if isExecutable {
-			v.Adapter = text
-			return v, nil
+			variant.Adapter = text
+			return variant, nil
 		}
-		v.Set, err = readSettings(text)
-		return v, err
+		variant.Set, err = readSettings(text)
+		return variant, err
 	}
 	if !strings.Contains(text, "=") {
-		return v, fmt.Errorf("%s: %w", text, ErrUnknownVariant)
+		return variant, fmt.Errorf("%s: %w", text, ErrUnknownVariant)
 	}
 	for part := range strings.SplitSeq(text, ";") {
-		v.Set = append(v.Set, strings.TrimSpace(part))
+		variant.Set = append(variant.Set, strings.TrimSpace(part))
 	}
-	return v, nil
+	return variant, nil
 }
 
 // readSettings reads the lines of a file but empty ones and comments.
