--- a/internal/lab/chaos/chaos_test.go
+++ b/internal/lab/chaos/chaos_test.go
@@ -21,11 +21,11 @@
 		again, err := Draw(kind, seed, size)
 		require.NoError(t, err)
 		require.Equal(t, steps, again)
-		for i, s := range steps {
-			require.LessOrEqual(t, s.End(), size.Length-RecoveryTime, s)
-			require.Less(t, s.Balancer, size.Balancers)
-			for _, o := range steps[:i] {
-				require.False(t, s.conflictsWith(o), "%v, %v", o, s)
+		for i, step := range steps {
+			require.LessOrEqual(t, step.End(), size.Length-RecoveryTime, step)
+			require.Less(t, step.Balancer, size.Balancers)
+			for _, earlier := range steps[:i] {
+				require.False(t, step.conflictsWith(earlier), "%v, %v", earlier, step)
 			}
 		}
 	})
@@ -41,9 +41,9 @@
 	require.NoError(t, err)
 	failing := []Step{steps[2], steps[9]}
 	calls := 0
-	got := Shrink(steps, 200, func(s []Step) bool {
+	got := Shrink(steps, 200, func(remaining []Step) bool {
 		calls++
-		return slices.Contains(s, failing[0]) && slices.Contains(s, failing[1])
+		return slices.Contains(remaining, failing[0]) && slices.Contains(remaining, failing[1])
 	})
 	require.Equal(t, failing, got)
 	require.Less(t, calls, 60)
--- a/internal/lab/chaos/schedule.go
+++ b/internal/lab/chaos/schedule.go
@@ -15,14 +15,14 @@
 // Errors of Draw.
 var (
 	ErrUnknownKind = errors.New("no such schedule")
-	ErrTooSmall    = errors.New("too little for a schedule")
+	ErrTooSmall    = errors.New("too small for a schedule")
 )
 
 // Size is what a schedule is drawn for.
 type Size struct {
 	Balancers int
 	Servers   int
-	Length    time.Duration // of the day; all faults are over RecoveryTime before its end
+	Length    time.Duration // of the run; all faults are over RecoveryTime before its end
 	Steps     int           // fewer are drawn where so many cannot be placed without conflicts
 }
 
@@ -35,25 +35,34 @@
 // placementAttempts bounds how often a place is drawn for a step, on average.
 const placementAttempts = 20
 
+// Names of the kinds. The values are those of stored schedules, and part of what a seed means.
+const (
+	kindLinks     = "links"
+	kindDiscovery = "roster"
+	kindProcesses = "processes"
+	kindFlaps     = "flaps"
+	kindMixed     = "mixed"
+)
+
 // Kind is a kind of schedule.
 type Kind struct {
-	Name        string // as given to Draw
+	Name        string // as given to Draw and stored; storednames has the one that people read
 	Description string
 }
 
 // Kinds are the kinds of schedules.
 var Kinds = []Kind{
-	{"links", "links to servers are cut, slowed, throttled and reset, one way or both"},
-	{"roster", "the links to the roster are, while servers come and go"},
-	{"processes", "balancers stand still and are killed"},
-	{"flaps", "links go on and off every 200 ms"},
-	{"mixed", "all of these, overlapping"},
+	{kindLinks, "links to servers are cut, delayed, throttled and reset, in one direction or both"},
+	{kindDiscovery, "links to discovery are, while servers are added and removed"},
+	{kindProcesses, "balancers are paused and killed"},
+	{kindFlaps, "links are cut and healed every 200 ms"},
+	{kindMixed, "all of these, overlapping"},
 }
 
 // Draw draws a schedule of a kind, in the order of time. Steps on the same link or process do not
 // overlap: the later one would end the earlier. It fails with ErrUnknownKind or ErrTooSmall.
 func Draw(kind string, seed uint64, size Size) ([]Step, error) {
-	if !slices.ContainsFunc(Kinds, func(k Kind) bool { return k.Name == kind }) {
+	if !slices.ContainsFunc(Kinds, func(known Kind) bool { return known.Name == kind }) {
 		return nil, fmt.Errorf("%w: %q; --list prints them", ErrUnknownKind, kind)
 	}
 	available := size.Length - leadTime - RecoveryTime
@@ -63,11 +72,11 @@
 	rng := rand.New(rand.NewPCG(seed, xxhash.Sum64String(kind)))
 	var steps []Step
 	for attempts := 0; len(steps) < size.Steps && attempts < placementAttempts*size.Steps; attempts++ {
-		s := drawStep(kind, rng, size)
-		s.Duration = min(s.Duration, available)
-		s.At = leadTime + time.Duration(rng.Int64N(int64(available-s.Duration)+1))
-		if !slices.ContainsFunc(steps, s.conflictsWith) {
-			steps = append(steps, s)
+		step := drawStep(kind, rng, size)
+		step.Duration = min(step.Duration, available)
+		step.At = leadTime + time.Duration(rng.Int64N(int64(available-step.Duration)+1))
+		if !slices.ContainsFunc(steps, step.conflictsWith) {
+			steps = append(steps, step)
 		}
 	}
 	slices.SortStableFunc(steps, func(a, b Step) int { return int(a.At - b.At) })
@@ -76,49 +85,49 @@
 
 // drawStep draws a step without its time. The order of the draws is part of what a seed means.
 func drawStep(kind string, rng *rand.Rand, size Size) Step {
-	s := Step{Action: FaultLink}
-	s.Balancer = rng.IntN(size.Balancers)
-	s.Target = rng.IntN(size.Servers)
-	s.Duration = between(rng, 300*time.Millisecond, 6*time.Second)
-	if kind == "mixed" {
-		kind = []string{"links", "links", "roster", "processes", "flaps"}[rng.IntN(5)]
+	step := Step{Action: FaultLink}
+	step.Balancer = rng.IntN(size.Balancers)
+	step.Target = Target(rng.IntN(size.Servers))
+	step.Duration = between(rng, 300*time.Millisecond, 6*time.Second)
+	if kind == kindMixed {
+		kind = []string{kindLinks, kindLinks, kindDiscovery, kindProcesses, kindFlaps}[rng.IntN(5)]
 	}
 	switch kind {
-	case "roster":
-		s.Target = Discovery
-	case "processes":
-		s.Action = PauseBalancer
-		s.Target = 0
+	case kindDiscovery:
+		step.Target = Discovery
+	case kindProcesses:
+		step.Action = PauseBalancer
+		step.Target = 0
 		if rng.IntN(2) == 0 {
-			s.Action = KillBalancer
-			s.Duration = between(rng, 200*time.Millisecond, 3*time.Second)
+			step.Action = KillBalancer
+			step.Duration = between(rng, 200*time.Millisecond, 3*time.Second)
 		}
-		return s
-	case "flaps":
-		s.Action = FlapLink
+		return step
+	case kindFlaps:
+		step.Action = FlapLink
 		if rng.IntN(4) == 0 {
-			s.Target = Discovery
+			step.Target = Discovery
 		}
-	case "links":
+	case kindLinks:
 		if rng.IntN(5) == 0 {
-			s.Target = AllServers
+			step.Target = AllServers
 		}
 	}
-	s.drawFault(rng)
-	return s
+	step.drawFault(rng)
+	return step
 }
 
 // drawFault draws the fault of a link and its directions. A link that flaps is cut.
 func (s *Step) drawFault(rng *rand.Rand) {
 	s.Directions = Directions(rng.IntN(3))
 	flaps := s.Action == FlapLink
-	switch n := rng.IntN(5); {
-	case n < 2, flaps && n < 4:
+	switch choice := rng.IntN(5); {
+	case choice < 2, flaps && choice < 4:
 		s.Fault.Cut = faultproxy.Blackhole
-	case n == 2, flaps:
+	case choice == 2, flaps:
 		s.Fault.Cut = faultproxy.Reset
 		s.Directions = Both
-	case n == 3:
+	case choice == 3:
 		s.Fault.Delay = between(rng, 10*time.Millisecond, 800*time.Millisecond)
 		s.Fault.Jitter = between(rng, time.Millisecond, 300*time.Millisecond)
 	default:
@@ -126,7 +135,7 @@
 	}
 }
 
-// between draws a duration from lo up to, but not including, hi.
-func between(rng *rand.Rand, lo, hi time.Duration) time.Duration {
-	return lo + time.Duration(rng.Int64N(int64(hi-lo)))
+// between draws a duration from a lower bound up to, but not including, an upper one.
+func between(rng *rand.Rand, lower, upper time.Duration) time.Duration {
+	return lower + time.Duration(rng.Int64N(int64(upper-lower)))
 }
--- a/internal/lab/chaos/shrink.go
+++ b/internal/lab/chaos/shrink.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Shrink leaves out steps as long as fails reports that those left still fail, and returns the ones it
-// could not leave out. It calls fails at most maxCalls times.
+// Shrink removes steps as long as fails reports that the remaining ones still fail, and returns those that
+// remain. It calls fails at most maxCalls times.
 func Shrink[T any](steps []T, maxCalls int, fails func([]T) bool) []T {
-	// Runs of steps are left out, of half of them at first, and shorter ones where none can be.
+	// It tries to remove consecutive steps: half of all at first, and fewer at a time where that does not fail.
 	for length := (len(steps) + 1) / 2; length >= 1 && maxCalls > 0; {
 		shorter := false
 		for i := 0; i < len(steps) && len(steps) > 1 && maxCalls > 0; i += length {
--- a/internal/lab/chaos/step.go
+++ b/internal/lab/chaos/step.go
@@ -14,7 +14,7 @@
 // Actions. The values are those of stored schedules.
 const (
 	FaultLink     Action = "link" // Step.Fault on Step.Directions, for as long as the step lasts
-	FlapLink      Action = "flap" // the same, on and off every FlapInterval
+	FlapLink      Action = "flap" // the same, put on and healed every FlapInterval
 	PauseBalancer Action = "stop" // SIGSTOP, then SIGCONT
 	KillBalancer  Action = "kill" // SIGKILL, then a new start
 )
@@ -36,29 +36,37 @@
 )
 
 // Includes reports whether a direction is among them.
-func (ds Directions) Includes(d faultproxy.Direction) bool {
-	switch ds {
+func (d Directions) Includes(direction faultproxy.Direction) bool {
+	switch d {
 	case OnlyToTarget:
-		return d == faultproxy.ToTarget
+		return direction == faultproxy.ToTarget
 	case OnlyFromTarget:
-		return d == faultproxy.FromTarget
+		return direction == faultproxy.FromTarget
 	}
-	return ds == Both
+	return d == Both
 }
 
-// Targets of a link that are not the number of a server. The values are those of stored schedules.
+// Target is where a link leads: the number of a server, Discovery or AllServers.
+type Target int
+
+// Targets that are not the number of a server. The values are those of stored schedules.
 const (
-	Discovery  = -1
-	AllServers = -2
+	Discovery  Target = -1
+	AllServers Target = -2
 )
 
+// includes reports whether a fault of one target is on the links of another, too.
+func (t Target) includes(other Target) bool {
+	return t == other || t == AllServers && other >= 0
+}
+
 // Step is one fault of a schedule.
 type Step struct {
-	At         time.Duration    `json:"at_ns"` // since the day began
+	At         time.Duration    `json:"at_ns"` // since the run began
 	Duration   time.Duration    `json:"for_ns"`
 	Action     Action           `json:"act"`
 	Balancer   int              `json:"balancer"`
-	Target     int              `json:"to"` // of FaultLink and FlapLink: a server, Discovery or AllServers
+	Target     Target           `json:"to"` // of FaultLink and FlapLink
 	Directions Directions       `json:"way"`
 	Fault      faultproxy.Fault `json:"fault"`
 }
@@ -71,51 +79,49 @@
 	when := fmt.Sprintf("%5.2f s for %.2f s: ", s.At.Seconds(), s.Duration.Seconds())
 	switch s.Action {
 	case PauseBalancer:
-		return when + fmt.Sprintf("balancer %d stands still", s.Balancer)
+		return when + fmt.Sprintf("balancer %d is paused", s.Balancer)
 	case KillBalancer:
 		return when + fmt.Sprintf("balancer %d is killed, and started again", s.Balancer)
 	}
-	directions := [...]string{"", ", one way there", ", one way back"}[s.Directions]
-	return when + fmt.Sprintf("balancer %d to %s%s: %s", s.Balancer, s.targetName(), directions, s.faultText())
+	directions := [...]string{"", ", only to it", ", only from it"}[s.Directions]
+	return when + fmt.Sprintf("balancer %d to %s%s: %s", s.Balancer, s.Target, directions, s.faultText())
 }
 
-func (s Step) targetName() string {
-	switch s.Target {
+// String names the target.
+func (t Target) String() string {
+	switch t {
 	case Discovery:
-		return "the roster"
+		return "discovery"
 	case AllServers:
 		return "all servers"
 	}
-	return fmt.Sprintf("server %d", s.Target)
+	return fmt.Sprintf("server %d", int(t))
 }
 
 func (s Step) faultText() string {
 	var parts []string
-	f := s.Fault
-	if f.Cut != faultproxy.Open {
-		parts = append(parts, "cut, "+f.Cut.String())
+	fault := s.Fault
+	if fault.Cut != faultproxy.Open {
+		parts = append(parts, "cut, "+fault.Cut.String())
 	} else {
-		if f.Delay+f.Jitter > 0 {
-			parts = append(parts, fmt.Sprintf("later by %v to %v", f.Delay, f.Delay+f.Jitter))
+		if fault.Delay+fault.Jitter > 0 {
+			parts = append(parts, fmt.Sprintf("delayed by %v to %v", fault.Delay, fault.Delay+fault.Jitter))
 		}
-		if f.BytesPerSecond > 0 {
-			parts = append(parts, fmt.Sprintf("%d bytes a second", f.BytesPerSecond))
+		if fault.BytesPerSecond > 0 {
+			parts = append(parts, fmt.Sprintf("throttled to %d bytes a second", fault.BytesPerSecond))
 		}
 	}
 	if s.Action == FlapLink {
-		parts = append(parts, "on and off")
+		parts = append(parts, "flapping")
 	}
 	return strings.Join(parts, ", ")
 }
 
 // conflictsWith reports whether two steps concern the same process or link at the same time.
-func (s Step) conflictsWith(o Step) bool {
-	overlap := s.At < o.End() && o.At < s.End()
-	if !overlap || s.Balancer != o.Balancer || s.Action.onProcess() != o.Action.onProcess() {
+func (s Step) conflictsWith(other Step) bool {
+	overlap := s.At < other.End() && other.At < s.End()
+	if !overlap || s.Balancer != other.Balancer || s.Action.onProcess() != other.Action.onProcess() {
 		return false
 	}
-	if s.Action.onProcess() || s.Target == o.Target {
-		return true
-	}
-	return s.Target == AllServers && o.Target >= 0 || o.Target == AllServers && s.Target >= 0
+	return s.Action.onProcess() || s.Target.includes(other.Target) || other.Target.includes(s.Target)
 }
--- a/internal/lab/loadtest/admin.go
+++ b/internal/lab/loadtest/admin.go
@@ -14,30 +14,30 @@
 const callTimeout = time.Second
 
 // newCallClient returns a client that opens a connection for each call: a kept one could belong to an
-// instance that has handed over.
+// process that has handed over.
 func newCallClient() *http.Client {
 	return &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// healthStatus returns the status of a balancer's health check; 0 if there was no answer.
+// healthStatus returns the status of a balancer's health check; 0 if there was no response.
 func healthStatus(address string) int {
-	resp, err := newCallClient().Get("http://" + address + "/_health")
+	response, err := newCallClient().Get("http://" + address + "/_health")
 	if err != nil {
 		return 0
 	}
-	_ = resp.Body.Close()
-	return resp.StatusCode
+	_ = response.Body.Close()
+	return response.StatusCode
 }
 
-// adminCall is one call to an instance's admin address.
+// adminCall is one call to a process's admin address.
 type adminCall struct {
 	method string
 	path   string
 	server string // the name that is sent; "": no body
 }
 
-// callAdmin makes a call and returns the status of its answer.
-func (in *instance) callAdmin(call adminCall) (int, error) {
+// callAdmin makes a call and returns the status of its response.
+func (p *process) callAdmin(call adminCall) (int, error) {
 	var body []byte
 	if call.server != "" {
 		var err error
@@ -46,45 +46,45 @@
 			return 0, err
 		}
 	}
-	req, err := http.NewRequest(call.method, "http://"+in.adminAddress+call.path, bytes.NewReader(body))
+	request, err := http.NewRequest(call.method, "http://"+p.adminAddress+call.path, bytes.NewReader(body))
 	if err != nil {
 		return 0, err
 	}
-	resp, err := newCallClient().Do(req)
+	response, err := newCallClient().Do(request)
 	if err != nil {
 		return 0, err
 	}
-	return resp.StatusCode, resp.Body.Close()
+	return response.StatusCode, response.Body.Close()
 }
 
-// Why a new instance was not ready in time.
+// Why a new process was not ready in time.
 var (
-	errInstanceExited   = errors.New("the new process has ended")
-	errInstanceNotReady = errors.New("no yes")
+	errProcessExited   = errors.New("the new process has ended")
+	errProcessNotReady = errors.New("not ready")
 )
 
-// awaitReady polls until an instance reports that it can serve.
-func (in *instance) awaitReady(ctx context.Context, timeout time.Duration) error {
+// awaitReady polls until a process reports that it can serve.
+func (p *process) awaitReady(ctx context.Context, timeout time.Duration) error {
 	for end := time.Now().Add(timeout); time.Now().Before(end); {
-		status, err := in.callAdmin(adminCall{method: http.MethodGet, path: "/api/ready"})
+		status, err := p.callAdmin(adminCall{method: http.MethodGet, path: "/api/ready"})
 		if err == nil && status == http.StatusOK {
 			return nil
 		}
 		select {
-		case <-in.exited:
-			return errInstanceExited
+		case <-p.exited:
+			return errProcessExited
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("%w within %v", errInstanceNotReady, timeout)
+	return fmt.Errorf("%w within %v", errProcessNotReady, timeout)
 }
 
-// expectStatus makes a call and reports a problem unless it is answered with the status in time.
-func (e *environment) expectStatus(ctx context.Context, in *instance, call adminCall, status int) {
-	got, err := in.callAdmin(call)
+// expectStatus makes a call and reports a problem unless its response has the status, in time.
+func (e *environment) expectStatus(ctx context.Context, target *process, call adminCall, status int) {
+	got, err := target.callAdmin(call)
 	if (err != nil || got != status) && ctx.Err() == nil {
-		e.handovers.addProblem("%s %s %q: status %d, %v; %d is expected", call.method, call.path, call.server, got, err, status)
+		e.handovers.addProblem("%s %s %q: status %d, %v; expected %d", call.method, call.path, call.server, got, err, status)
 	}
 }
--- /dev/null
+++ b/internal/lab/loadtest/balancer.go
@@ -0,0 +1,280 @@
+package loadtest
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+
+	"piernotch/internal/lab/faultproxy"
+	"piernotch/internal/lab/scenario"
+	"piernotch/internal/simprotocol"
+)
+
+// How long a balancer's start may take: startPolls health checks, startPollPause apart.
+const (
+	startPolls     = 200
+	startPollPause = 50 * time.Millisecond
+	startTimeout   = startPolls * startPollPause
+)
+
+// lastLogLines is how many lines of a balancer's log an error quotes.
+const lastLogLines = 4
+
+// balancer is one logical balancer. It outlives its processes, which are starts of its program.
+type balancer struct {
+	number     int
+	zone       int
+	program    string
+	args       []string
+	env        []string
+	dir        string // for logs
+	address    string
+	configFile string
+	listener   *listener // nil: it binds its address itself
+
+	handover sync.Mutex // held while a handover goes on
+
+	mu        sync.Mutex    // guards what follows
+	process   *process      // that clients are served by, or the last one
+	routed    bool          // clients are sent to it
+	crash     error         // nil: it has not ended by itself
+	exitedCPU time.Duration // of exited processes
+}
+
+// process is one start of a balancer's program.
+type process struct {
+	cmd          *exec.Cmd
+	exited       chan struct{} // closed when it has exited
+	adminAddress string        // of its admin calls; "": none
+	stopping     bool          // it was told to end, or killed; guarded by balancer.mu
+}
+
+// listener is the listening socket that all processes of a balancer inherit, and the directory that they
+// share.
+type listener struct {
+	file    *os.File
+	tempDir string
+}
+
+// limits is what a balancer may use.
+type limits struct {
+	Cores    float64 `json:"cores"`
+	MemoryMB int     `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
+}
+
+func newBalancer(opts Options, number int, realization *scenario.Realization) (*balancer, error) {
+	address, err := faultproxy.FreeAddress()
+	if err != nil {
+		return nil, err
+	}
+	return &balancer{
+		number: number, zone: realization.Balancers[number].Zone, program: opts.Program, env: opts.Env, dir: opts.LogDir, address: address,
+		configFile: filepath.Join(opts.LogDir, fmt.Sprintf("n%d.json", number)),
+	}, nil
+}
+
+// configure writes the platform's JSON.
+func (b *balancer) configure(realization *scenario.Realization, discovery string, known json.RawMessage, allowed limits) error {
+	balancerSettings := realization.Settings
+	balancerSettings.Zone = b.zone
+	rules := &realization.Rules
+	settings, err := simprotocol.MarshalSettings(&balancerSettings, simprotocol.ExtraSettings{
+		Balancer: b.number, KeepAliveMS: simprotocol.Milliseconds(rules.KeepAlive), DialMS: simprotocol.Milliseconds(rules.DialTimeout), SlackMS: simprotocol.Milliseconds(rules.ResponseSlack),
+		GraceMS: simprotocol.Milliseconds(rules.DrainGrace), FallMultiple: rules.Collapse.Multiple, FallMS: simprotocol.Milliseconds(rules.Collapse.For),
+		MachineTypes: realization.KindNames(), Columns: []string{"eps", "qps", "inflight"}, WeightBy: "work",
+	})
+	if err != nil {
+		return err
+	}
+	data, err := json.Marshal(map[string]any{
+		"name": fmt.Sprintf("n%d", b.number), "listen": b.address, "discovery": discovery,
+		"seed": fmt.Sprintf("%x", realization.Seed*1000+uint64(b.number)+1), "limits": allowed, "known": known, "settings": json.RawMessage(settings),
+	})
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(b.configFile, data, 0o600)
+}
+
+// openListener opens the socket that the processes inherit. The caller closes its file.
+func (b *balancer) openListener() error {
+	socket, err := net.Listen("tcp", b.address)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = socket.Close() }() // the file is a duplicate
+	file, err := socket.(*net.TCPListener).File()
+	if err != nil {
+		return err
+	}
+	b.listener = &listener{file: file, tempDir: fmt.Sprintf("%s/tmp-n%d", b.dir, b.number)}
+	return os.MkdirAll(b.listener.tempDir, 0o700)
+}
+
+// commandEnvironment is the environment of a process, and the address of its admin calls.
+func (b *balancer) commandEnvironment() (env []string, adminAddress string, err error) {
+	env = append(append(os.Environ(), b.env...), "ROUTER_CONFIG="+b.configFile, "PIERNOTCH_CONFIG=", "ROUTER_LISTEN_FD=", "ROUTER_MANAGEMENT=")
+	if b.listener == nil {
+		return env, "", nil
+	}
+	adminAddress, err = faultproxy.FreeAddress()
+	return append(env, "ROUTER_LISTEN_FD=3", "TMPDIR="+b.listener.tempDir, "ROUTER_MANAGEMENT="+adminAddress), adminAddress, err
+}
+
+// current returns the process that clients are served by.
+func (b *balancer) current() *process {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.process
+}
+
+// isStopping reports whether the present process was told to end.
+func (b *balancer) isStopping() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.process.stopping
+}
+
+func (b *balancer) isRouted() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.routed
+}
+
+// route has clients sent to the balancer.
+func (b *balancer) route() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.routed = true
+}
+
+// unroute has no clients sent to the balancer any more.
+func (b *balancer) unroute() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.routed = false
+}
+
+// crashError returns how the balancer ended by itself; nil if it did not.
+func (b *balancer) crashError() error {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.crash
+}
+
+// error makes a BalancerError with the last lines of the log.
+func (b *balancer) error(stage string, err error) error {
+	return &BalancerError{Balancer: b.number, Stage: stage, Err: err, LastLog: b.lastLog()}
+}
+
+func (b *balancer) logFile() string { return filepath.Join(b.dir, fmt.Sprintf("n%d.log", b.number)) }
+
+// lastLog returns the last lines of the log.
+func (b *balancer) lastLog() string {
+	data, err := os.ReadFile(b.logFile())
+	if err != nil || len(data) == 0 {
+		return ""
+	}
+	lines := strings.Split(strings.TrimSpace(string(data)), "\n")
+	return strings.Join(lines[max(len(lines)-lastLogLines, 0):], "\n")
+}
+
+// spawn starts a process. It does not yet serve for the balancer.
+func (b *balancer) spawn() (*process, error) {
+	log, err := os.OpenFile(b.logFile(), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = log.Close() }() // the process has its own
+	started := &process{cmd: exec.Command(b.program, b.args...), exited: make(chan struct{})}
+	started.cmd.Env, started.adminAddress, err = b.commandEnvironment()
+	if err != nil {
+		return nil, err
+	}
+	if b.listener != nil {
+		started.cmd.ExtraFiles = []*os.File{b.listener.file}
+	}
+	started.cmd.Stdout = log
+	started.cmd.Stderr = log
+	if err := started.cmd.Start(); err != nil {
+		return nil, &BalancerError{Balancer: b.number, Err: err}
+	}
+	go b.awaitProcess(started) // ends with the process
+	return started, nil
+}
+
+// awaitProcess waits until a process has exited, and notes its CPU time and whether it crashed.
+func (b *balancer) awaitProcess(started *process) {
+	err := started.cmd.Wait()
+	b.mu.Lock()
+	b.exitedCPU += started.cmd.ProcessState.UserTime() + started.cmd.ProcessState.SystemTime()
+	if b.process == started && !started.stopping {
+		cause := ErrBalancerExited
+		if err != nil {
+			cause = fmt.Errorf("%w: %w", ErrBalancerExited, err)
+		}
+		b.crash = b.error("", cause)
+	}
+	b.mu.Unlock()
+	close(started.exited)
+}
+
+// start starts a process that serves for the balancer, and waits until it is ready.
+func (b *balancer) start(ctx context.Context) error {
+	started, err := b.spawn()
+	if err != nil {
+		return err
+	}
+	b.mu.Lock()
+	b.process = started
+	b.mu.Unlock()
+	for range startPolls {
+		if healthStatus(b.address) == http.StatusOK {
+			return nil
+		}
+		select {
+		case <-started.exited:
+			return b.error("", ErrBalancerNotStarted)
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(startPollPause):
+		}
+	}
+	return b.error("", fmt.Errorf("%w after %v", ErrBalancerNotReady, startTimeout))
+}
+
+// signal sends a signal to the present process and returns the channel that is closed when it has exited.
+// All signals but a reload count as telling it to end. Without a process the channel is closed.
+func (b *balancer) signal(sent syscall.Signal) <-chan struct{} {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.process == nil {
+		closed := make(chan struct{})
+		close(closed)
+		return closed
+	}
+	if sent != syscall.SIGHUP {
+		b.process.stopping = true
+	}
+	_ = b.process.cmd.Process.Signal(sent)
+	return b.process.exited
+}
+
+// handTo has the next process serve for the balancer and tells the old one to end.
+func (b *balancer) handTo(next, old *process) {
+	b.mu.Lock()
+	b.process = next
+	old.stopping = true
+	b.mu.Unlock()
+	_ = old.cmd.Process.Signal(syscall.SIGTERM)
+}
--- a/internal/lab/loadtest/environment.go
+++ b/internal/lab/loadtest/environment.go
@@ -15,23 +15,23 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// stopTimeout is how long a balancer may take to end at the end of the day.
+// stopTimeout is how long a balancer may take to end at the end of the run.
 const stopTimeout = 3 * time.Second
 
-// environment is all that runs while a day is played.
+// environment is all that runs during a run.
 type environment struct {
 	realization *scenario.Realization
 	opts        Options
-	started     atomic.Pointer[time.Time] // when the day began; nil: not yet
+	started     atomic.Pointer[time.Time] // when the run began; nil: not yet
 	observer    *observer
 	fleet       *emulator.Fleet
-	balancers   []*process
+	balancers   []*balancer // by number
 	malformed   load.MalformedClients
 	handovers   *HandoverReport
 	background  sync.WaitGroup      // handovers and faults that are being played
 	proxies     *faultproxy.Network // nil: nothing stands between the processes
 	sharedWatch *sharedWatch        // nil: each balancer watches discovery itself
-	stopped     atomic.Bool         // the day is over
+	stopped     atomic.Bool         // the run is over
 	mu          sync.Mutex
 	err         error // the first one; guarded by mu
 }
@@ -66,16 +66,18 @@
 		}
 		e.proxies = faultproxy.New(e.realization.Seed)
 		e.observer.crossingTime = crossingTimeWithProxies
-		e.fleet.Discovery().ServerAddress = e.routeThroughProxy
+		e.fleet.Discovery().ServerAddress = func(balancer, server int, address string) string {
+			return e.routeThroughProxy(balancer, chaos.Target(server), address)
+		}
 	}
 	return nil
 }
 
 // close ends all that runs, in the reverse order of its start.
 func (e *environment) close() {
-	for _, p := range e.balancers {
-		if p.listener != nil {
-			_ = p.listener.file.Close()
+	for _, balancer := range e.balancers {
+		if balancer.listener != nil {
+			_ = balancer.listener.file.Close()
 		}
 	}
 	e.stopped.Store(true)
@@ -91,7 +93,7 @@
 	}
 }
 
-// clock is the time of the day, which begins once all balancers are ready.
+// clock is the time since the run began, which it does once all balancers are ready.
 func (e *environment) clock() time.Duration {
 	if started := e.started.Load(); started != nil {
 		return time.Since(*started)
@@ -114,56 +116,56 @@
 	return e.err
 }
 
-// addBalancer starts a balancer of the day for the first time.
+// addBalancer starts a balancer of the realization for the first time.
 func (e *environment) addBalancer(ctx context.Context, number int) error {
-	p, err := newProcess(e.opts, number, e.realization)
+	added, err := newBalancer(e.opts, number, e.realization)
 	if err != nil {
 		return err
 	}
-	e.balancers = append(e.balancers, p)
+	e.balancers = append(e.balancers, added)
 	if e.sharedWatch != nil {
-		p.args = []string{"serve", "--group", e.sharedWatch.groupFiles[number]}
+		added.args = []string{"serve", "--group", e.sharedWatch.groupFiles[number]}
 	}
 	if len(e.opts.Handovers) > 0 {
-		if err := p.openListener(); err != nil {
+		if err := added.openListener(); err != nil {
 			return err
 		}
 	}
-	return e.launch(ctx, p)
+	return e.launch(ctx, added)
 }
 
 // launch configures and starts a balancer, and has clients use it.
-func (e *environment) launch(ctx context.Context, p *process) error {
-	if err := e.configure(p); err != nil {
+func (e *environment) launch(ctx context.Context, target *balancer) error {
+	if err := e.configure(target); err != nil {
 		return err
 	}
-	e.observer.BalancerRestarted(p.number)
-	if err := p.start(ctx); err != nil {
+	e.observer.BalancerRestarted(target.number)
+	if err := target.start(ctx); err != nil {
 		return err
 	}
-	p.setRouted(true)
+	target.route()
 	return nil
 }
 
 // configure writes a balancer's configuration with the present address of its discovery.
-func (e *environment) configure(p *process) error {
+func (e *environment) configure(target *balancer) error {
 	discovery := e.fleet.Discovery()
-	address := e.routeThroughProxy(p.number, chaos.Discovery, discovery.Address(p.number))
+	address := e.routeThroughProxy(target.number, chaos.Discovery, discovery.Address(target.number))
 	limits := limits{Cores: 1, MemoryMB: e.opts.MemoryMB, Sockets: e.opts.Sockets}
-	return p.configure(e.realization, address, discovery.EndpointList(p.number), limits)
+	return target.configure(e.realization, address, discovery.EndpointList(target.number), limits)
 }
 
 // pickBalancer picks one of the zone's balancers at random, or of any zone where it has none. It reports
 // false if no balancer is in use. It implements load.PickBalancer.
-func (e *environment) pickBalancer(zone int, rng *rand.Rand) (balancer int, address string, ok bool) {
-	var sameZone, all []*process
-	for _, p := range e.balancers {
-		if !p.isRouted() {
+func (e *environment) pickBalancer(zone int, rng *rand.Rand) (number int, address string, ok bool) {
+	var sameZone, all []*balancer
+	for _, candidate := range e.balancers {
+		if !candidate.isRouted() {
 			continue
 		}
-		all = append(all, p)
-		if p.zone == zone {
-			sameZone = append(sameZone, p)
+		all = append(all, candidate)
+		if candidate.zone == zone {
+			sameZone = append(sameZone, candidate)
 		}
 	}
 	candidates := sameZone
@@ -173,29 +175,29 @@
 	if len(candidates) == 0 {
 		return 0, "", false
 	}
-	p := candidates[rng.IntN(len(candidates))]
-	return p.number, p.address, true
+	picked := candidates[rng.IntN(len(candidates))]
+	return picked.number, picked.address, true
 }
 
 // stopBalancers ends all balancers that run.
 func (e *environment) stopBalancers() {
-	for _, p := range e.balancers {
-		e.observer.BalancerKilled(p.number)
+	for _, balancer := range e.balancers {
+		e.observer.BalancerKilled(balancer.number)
 	}
-	for _, p := range e.balancers {
-		exited := p.signal(syscall.SIGTERM)
+	for _, balancer := range e.balancers {
+		exited := balancer.signal(syscall.SIGTERM)
 		select {
 		case <-exited:
 		case <-time.After(stopTimeout):
-			<-p.signal(syscall.SIGKILL)
+			<-balancer.signal(syscall.SIGKILL)
 		}
 	}
 }
 
 // sleep waits for a time, or until the context ends.
-func sleep(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
-	case <-time.After(d):
+	case <-time.After(duration):
 	case <-ctx.Done():
 	}
 }
--- a/internal/lab/loadtest/errors.go
+++ b/internal/lab/loadtest/errors.go
@@ -8,7 +8,7 @@
 // Errors of Run.
 var (
 	// ErrLinkFaultsWithSharedWatch is returned when faults of links and a shared watch are asked for.
-	ErrLinkFaultsWithSharedWatch = errors.New("balancers that share a list reach servers at the same addresses: no faults of links can be played")
+	ErrLinkFaultsWithSharedWatch = errors.New("faults of links cannot be played on balancers that share a watch: they reach servers at the same addresses")
 	// ErrBalancerExited is a balancer that ended though nobody had stopped it.
 	ErrBalancerExited = errors.New("ended by itself")
 	// ErrBalancerNotStarted is a balancer that ended before it was ready.
@@ -33,7 +33,7 @@
 	}
 	text += fmt.Sprintf(": %v", e.Err)
 	if e.LastLog != "" {
-		text += "; it said last:\n" + e.LastLog
+		text += "; last log lines:\n" + e.LastLog
 	}
 	return text
 }
--- a/internal/lab/loadtest/fakebalancer_test.go
+++ b/internal/lab/loadtest/fakebalancer_test.go
@@ -26,14 +26,14 @@
 // runFakeBalancer is a simple balancer with one fault: it sends each request to the next server of the list
 // that it was started with, and ignores endpoint updates.
 func runFakeBalancer(fault string) {
-	var cfg struct {
+	var config struct {
 		Listen, Discovery string
 		Known             struct {
 			Instances []struct{ HostPort string }
 		}
 	}
 	data, err := os.ReadFile(os.Getenv("ROUTER_CONFIG"))
-	if err != nil || json.Unmarshal(data, &cfg) != nil {
+	if err != nil || json.Unmarshal(data, &config) != nil {
 		os.Exit(3)
 	}
 	if fault == "dies" {
@@ -42,57 +42,57 @@
 	}
 	go func() { // it polls discovery, and ignores the answers
 		for {
-			if r, err := http.Get("http://" + cfg.Discovery + "/catalog/members"); err == nil {
-				_, _ = io.Copy(io.Discard, r.Body)
-				_ = r.Body.Close()
+			if response, err := http.Get("http://" + config.Discovery + "/catalog/members"); err == nil {
+				_, _ = io.Copy(io.Discard, response.Body)
+				_ = response.Body.Close()
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
 	}()
-	var n atomic.Int64
-	forward := func(req *http.Request, body []byte) (*http.Response, error) {
-		to := cfg.Known.Instances[int(n.Add(1))%len(cfg.Known.Instances)].HostPort
-		out, err := http.NewRequest(req.Method, "http://"+to+req.URL.RequestURI(), bytes.NewReader(body))
+	var forwarded atomic.Int64
+	forward := func(request *http.Request, body []byte) (*http.Response, error) {
+		to := config.Known.Instances[int(forwarded.Add(1))%len(config.Known.Instances)].HostPort
+		copied, err := http.NewRequest(request.Method, "http://"+to+request.URL.RequestURI(), bytes.NewReader(body))
 		if err != nil {
 			return nil, err
 		}
-		out.Header = req.Header.Clone()
-		return http.DefaultClient.Do(out)
+		copied.Header = request.Header.Clone()
+		return http.DefaultClient.Do(copied)
 	}
-	serve := func(w http.ResponseWriter, req *http.Request) {
-		if req.URL.Path == "/_health" {
+	serve := func(writer http.ResponseWriter, request *http.Request) {
+		if request.URL.Path == "/_health" {
 			return
 		}
-		body, _ := io.ReadAll(req.Body)
-		odd := n.Load()%10 == 3
-		if fault == "repeats" && req.Method == "POST" && odd {
-			if r, err := forward(req, body); err == nil {
-				_ = r.Body.Close()
+		body, _ := io.ReadAll(request.Body)
+		odd := forwarded.Load()%10 == 3
+		if fault == "repeats" && request.Method == "POST" && odd {
+			if response, err := forward(request, body); err == nil {
+				_ = response.Body.Close()
 			}
 		}
 		if fault == "drops" && odd {
 			panic(http.ErrAbortHandler)
 		}
-		r, err := forward(req, body)
+		response, err := forward(request, body)
 		if err != nil {
-			w.WriteHeader(http.StatusBadGateway)
+			writer.WriteHeader(http.StatusBadGateway)
 			return
 		}
-		defer func() { _ = r.Body.Close() }()
-		answer, _ := io.ReadAll(r.Body)
-		if fault == "lies" && r.StatusCode == 200 && odd {
-			w.WriteHeader(http.StatusServiceUnavailable)
+		defer func() { _ = response.Body.Close() }()
+		answer, _ := io.ReadAll(response.Body)
+		if fault == "lies" && response.StatusCode == 200 && odd {
+			writer.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		w.WriteHeader(r.StatusCode)
-		_, _ = w.Write(answer)
+		writer.WriteHeader(response.StatusCode)
+		_, _ = writer.Write(answer)
 	}
-	s := &http.Server{Addr: cfg.Listen, Handler: http.HandlerFunc(serve)}
+	server := &http.Server{Addr: config.Listen, Handler: http.HandlerFunc(serve)}
 	go func() {
 		stop := make(chan os.Signal, 1)
 		signal.Notify(stop, syscall.SIGTERM)
 		<-stop
-		_ = s.Close()
+		_ = server.Close()
 	}()
-	_ = s.ListenAndServe()
+	_ = server.ListenAndServe()
 }
--- a/internal/lab/loadtest/faults.go
+++ b/internal/lab/loadtest/faults.go
@@ -12,11 +12,12 @@
 	"piernotch/internal/lab/faultproxy"
 )
 
-// resumePause is how long after a pause a balancer may still answer late: what waited is answered first.
+// resumePause is how long after a pause a balancer may still respond late: it first responds to what waited.
 const resumePause = time.Second
 
-// linkName is the name of the link from a balancer to a server or to discovery.
-func linkName(balancer, target int) string {
+// linkName is the name of the link from a balancer to a server or to discovery. A link draws its jitter from
+// its name: another name would give other runs of a seed.
+func linkName(balancer int, target chaos.Target) string {
 	if target == chaos.Discovery {
 		return fmt.Sprintf("n%d>roster", balancer)
 	}
@@ -28,99 +29,118 @@
 
 // routeThroughProxy returns where a balancer reaches an address: the address itself, or that of the proxy
 // before it.
-func (e *environment) routeThroughProxy(balancer, target int, address string) string {
+func (e *environment) routeThroughProxy(balancer int, target chaos.Target, address string) string {
 	if e.proxies == nil {
 		return address
 	}
-	l, err := e.proxies.Link(linkName(balancer, target), address)
+	name := linkName(balancer, target)
+	link, err := e.proxies.Link(name, address)
 	if err != nil {
 		if !e.stopped.Load() {
-			e.recordError(fmt.Errorf("link %s: %w", linkName(balancer, target), err))
+			e.recordError(fmt.Errorf("link %s: %w", name, err))
 		}
 		return address
 	}
-	return l.Address()
+	return link.Address()
 }
 
 // endpointNotified passes on that discovery has written a server's state to a balancer, once it has
-// arrived: a link that is cut holds it back.
+// arrived: a link that is cut delays it.
 func (e *environment) endpointNotified(balancer, server int, state piernotch.State, startedAt time.Duration) {
 	if e.sharedWatch != nil {
-		e.sharedWatch.endpointNotified(e, notification{balancer, server, state, startedAt})
+		e.sharedWatch.endpointNotified(e, notification{balancer: balancer, server: server, state: state, startedAt: startedAt})
 		return
 	}
 	if e.proxies == nil {
 		e.observer.EndpointNotified(balancer, server, state, startedAt)
 		return
 	}
-	l, err := e.proxies.Link(linkName(balancer, chaos.Discovery), e.fleet.Discovery().Address(balancer))
+	link, err := e.proxies.Link(linkName(balancer, chaos.Discovery), e.fleet.Discovery().Address(balancer))
 	if err != nil {
 		return
 	}
 	go func() { // ends when the link heals, is reset or is closed
-		if l.Delivered(faultproxy.FromTarget) {
+		if link.Delivered(faultproxy.FromTarget) {
 			e.observer.EndpointNotified(balancer, server, state, startedAt)
 		}
 	}()
 }
 
-// scheduleFaults plays the schedule of faults between processes. Its goroutines end with the faults, and
-// are waited for as background.
-func (e *environment) scheduleFaults(ctx context.Context) {
-	for _, s := range e.opts.Faults {
+// scheduleLinkAndProcessFaults plays the schedule of faults between processes. Its goroutines end with the
+// faults, and are waited for as background.
+func (e *environment) scheduleLinkAndProcessFaults(ctx context.Context) {
+	for _, step := range e.opts.Faults {
 		e.background.Go(func() {
-			sleep(ctx, s.At-e.clock())
+			sleep(ctx, step.At-e.clock())
 			if ctx.Err() == nil {
-				e.playFault(ctx, s)
+				e.playFault(ctx, step)
 			}
 		})
 	}
 }
 
 // playFault plays one step of a schedule, from now until its end.
-func (e *environment) playFault(ctx context.Context, s chaos.Step) {
-	p := e.balancers[s.Balancer]
-	awaitEnd := func() { sleep(ctx, s.End()-e.clock()) }
-	switch s.Action {
+func (e *environment) playFault(ctx context.Context, step chaos.Step) {
+	faulted := e.balancers[step.Balancer]
+	awaitEnd := func() { sleep(ctx, step.End()-e.clock()) }
+	switch step.Action {
 	case chaos.PauseBalancer:
-		paused := p.current()
-		e.observer.BalancerPaused(s.Balancer)
+		paused := faulted.current()
+		e.observer.BalancerPaused(step.Balancer)
 		_ = paused.cmd.Process.Signal(syscall.SIGSTOP)
 		awaitEnd()
 		_ = paused.cmd.Process.Signal(syscall.SIGCONT)
 		sleep(ctx, resumePause)
-		e.observer.BalancerRecovered(s.Balancer)
+		e.observer.BalancerRecovered(step.Balancer)
 	case chaos.KillBalancer:
-		e.observer.BalancerKilled(s.Balancer)
-		<-p.signal(syscall.SIGKILL)
+		e.observer.BalancerKilled(step.Balancer)
+		<-faulted.signal(syscall.SIGKILL)
 		awaitEnd()
-		e.relaunch(ctx, p)
+		e.relaunch(ctx, faulted)
 	case chaos.FlapLink:
-		for faulty := true; e.clock() < s.End() && ctx.Err() == nil; faulty = !faulty {
-			e.setLinkFault(s, faulty)
-			sleep(ctx, min(chaos.FlapInterval, s.End()-e.clock()))
-		}
-		e.setLinkFault(s, false)
+		e.flapLinks(ctx, step)
 	default:
-		e.setLinkFault(s, true)
+		e.setLinkFault(step)
 		awaitEnd()
-		e.setLinkFault(s, false)
+		e.healLinks(step)
 	}
 }
 
-// setLinkFault puts a step's fault on its links, or heals them.
-func (e *environment) setLinkFault(s chaos.Step, faulty bool) {
-	selects := func(name string) bool { return name == linkName(s.Balancer, s.Target) }
-	if s.Target == chaos.AllServers {
-		selects = func(name string) bool { return strings.HasPrefix(name, serverLinkPrefix(s.Balancer)) }
+// flapLinks puts a step's fault on its links and heals them, in turn, until the step's end.
+func (e *environment) flapLinks(ctx context.Context, step chaos.Step) {
+	for faulty := false; e.clock() < step.End() && ctx.Err() == nil; {
+		faulty = !faulty
+		if faulty {
+			e.setLinkFault(step)
+		} else {
+			e.healLinks(step)
+		}
+		sleep(ctx, min(chaos.FlapInterval, step.End()-e.clock()))
 	}
-	e.proxies.Each(selects, func(l *faultproxy.Link) {
-		for _, d := range []faultproxy.Direction{faultproxy.ToTarget, faultproxy.FromTarget} {
+	e.healLinks(step)
+}
+
+// setLinkFault puts a step's fault on its links.
+func (e *environment) setLinkFault(step chaos.Step) {
+	e.eachLink(step, func(link *faultproxy.Link) {
+		for _, direction := range []faultproxy.Direction{faultproxy.ToTarget, faultproxy.FromTarget} {
 			fault := faultproxy.Fault{}
-			if faulty && s.Directions.Includes(d) {
-				fault = s.Fault
+			if step.Directions.Includes(direction) {
+				fault = step.Fault
 			}
-			l.SetFault(d, fault)
+			link.SetFault(direction, fault)
 		}
 	})
 }
+
+// healLinks ends all faults of a step's links.
+func (e *environment) healLinks(step chaos.Step) { e.eachLink(step, (*faultproxy.Link).Heal) }
+
+// eachLink calls visit for each link that a step is about.
+func (e *environment) eachLink(step chaos.Step, visit func(*faultproxy.Link)) {
+	selects := func(name string) bool { return name == linkName(step.Balancer, step.Target) }
+	if step.Target == chaos.AllServers {
+		selects = func(name string) bool { return strings.HasPrefix(name, serverLinkPrefix(step.Balancer)) }
+	}
+	e.proxies.Each(selects, visit)
+}
--- a/internal/lab/loadtest/faulttests.go
+++ b/internal/lab/loadtest/faulttests.go
@@ -7,7 +7,7 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// FaultTest is a short scenario with one fault, on an otherwise ordinary day.
+// FaultTest is a short scenario with one fault.
 type FaultTest struct {
 	Name         string
 	Description  string
@@ -17,7 +17,7 @@
 // Times of a fault test, seconds.
 const (
 	FaultTime       = 12 // when the fault begins
-	FaultTestLength = 45 // of the day
+	FaultTestLength = 45 // of the run
 )
 
 // balancerFault is the text of a scenario with so many balancers and one fault of them.
@@ -34,33 +34,33 @@
 func FaultTests() []FaultTest {
 	return []FaultTest{
 		{"none", "nothing goes wrong", ""},
-		{"kill-1-of-2", "one of two balancers is killed, back after 3 s", balancerFault(2, "balancer_crash", "for_s = 3\npart = 0.5\n")},
-		{"kill-1-of-4", "one of four is killed, back after 3 s", balancerFault(4, "balancer_crash", "for_s = 3\npart = 0.25\n")},
-		{"kill-1-of-10", "one of ten is killed, back after 3 s", balancerFault(10, "balancer_crash", "for_s = 3\npart = 0.1\n")},
-		{"restart-1-of-2", "one of two is restarted, away for 2 s", balancerFault(2, "balancer_restart", "for_s = 2\npart = 0.5\n")},
+		{"kill-1-of-2", "one of two balancers is killed, and started again after 3 s", balancerFault(2, "balancer_crash", "for_s = 3\npart = 0.5\n")},
+		{"kill-1-of-4", "one of four is killed, and started again after 3 s", balancerFault(4, "balancer_crash", "for_s = 3\npart = 0.25\n")},
+		{"kill-1-of-10", "one of ten is killed, and started again after 3 s", balancerFault(10, "balancer_crash", "for_s = 3\npart = 0.1\n")},
+		{"restart-1-of-2", "one of two is restarted, down for 2 s", balancerFault(2, "balancer_restart", "for_s = 2\npart = 0.5\n")},
 		{"restart-4-in-order", "four are restarted, 4 s apart", balancerFault(4, "balancer_restart", "for_s = 1\npart = 1\nevery_s = 4\n")},
 		{"restart-4-together", "four are restarted within one second", balancerFault(4, "balancer_restart", "for_s = 1\npart = 1\nevery_s = 0.3\n")},
-		{"server-crash", "an eighth of the servers crash, back cold after 3 s", fault("crash", "for_s = 3\npart = 0.125\n")},
+		{"server-crash", "an eighth of the servers crash, in slow start after 3 s", fault("crash", "for_s = 3\npart = 0.125\n")},
 		{"server-vanish", "an eighth of the servers fall silent for 12 s", fault("vanish", "for_s = 12\npart = 0.125\n")},
 		{"server-replace", "a quarter of the servers are replaced over 8 s", fault("replace", "for_s = 8\npart = 0.25\nramp_s = 3\n")},
 		{"server-takeover", "a quarter of the servers crash and new ones come up at their addresses",
 			fault("takeover", "for_s = 4\npart = 0.25\nramp_s = 1\n")},
-		{"zone-crash", "all servers of a zone crash, back cold after 8 s", fault("crash", "for_s = 8\npart = 1\nzone = \"adama\"\n")},
-		{"choke-half", "half of the servers are choked", fault("choke", "part = 0.5\n")},
+		{"zone-crash", "all servers of a zone crash, in slow start after 8 s", fault("crash", "for_s = 8\npart = 1\nzone = \"adama\"\n")},
+		{"choke-half", "half of the servers are overloaded", fault("choke", "part = 0.5\n")},
 		{"discovery-down", "discovery is down for 30 s", fault("discovery_outage", "for_s = 30\n")},
-		{"discovery-down-in-drain", "discovery is down for 10 s while a quarter of the servers leave",
+		{"discovery-down-in-drain", "discovery is down for 10 s while a quarter of the servers drain",
 			fault("discovery_outage", "for_s = 10\n") + fault("leave", "for_s = 3\npart = 0.25\nramp_s = 6\n")},
-		{"discovery-lies", "the list loses half of the fleet by mistake for 4 s", fault("list_loss", "for_s = 4\npart = 0.5\n")},
-		{"discovery-moves", "discovery moves to another address, told by a reload", fault("roster_move", "")},
+		{"discovery-lies", "the endpoint list loses half of the servers by mistake for 4 s", fault("list_loss", "for_s = 4\npart = 0.5\n")},
+		{"discovery-moves", "discovery moves to another address, set by a reload", fault("roster_move", "")},
 	}
 }
 
 // Scenario returns the fault test as a scenario.
 func (t FaultTest) Scenario() (*scenario.Scenario, error) {
-	return t.parse("drill "+t.Name, t.scenarioText)
+	return t.parse("fault test "+t.Name, t.scenarioText)
 }
 
-// Control returns the same day without the fault: the same servers and traffic for a seed. Fault tests
+// Control returns the same scenario without the fault: the same servers and traffic for a seed. Fault tests
 // with equal control texts have equal controls.
 func (t FaultTest) Control() (s *scenario.Scenario, text string, err error) {
 	text, _, _ = strings.Cut(t.scenarioText, "[[trouble]]")
--- a/internal/lab/loadtest/handover.go
+++ b/internal/lab/loadtest/handover.go
@@ -32,9 +32,9 @@
 	HandoverStopBeforeReady, HandoverThirdProcess, HandoverExclude, HandoverDrain,
 }
 
-// Handover is one of a balancer's handovers in a day.
+// Handover is one of a balancer's handovers in a run.
 type Handover struct {
-	At        time.Duration // since the day began
+	At        time.Duration // since the run began
 	Balancer  int
 	Kind      HandoverKind
 	StopDelay time.Duration // until the old process is told to end, where that is late
@@ -55,30 +55,33 @@
 	killGrace = 700 * time.Millisecond
 )
 
-// DrawHandovers spreads n handovers over the balancers of a day, one after the other at each, and gives
-// every kind the same share. It follows from the day's seed.
-func DrawHandovers(realization *scenario.Realization, n int) []Handover {
-	rng := rand.New(rand.NewPCG(realization.Seed, 23))
-	handovers := make([]Handover, n)
+// handoverStream is the random stream of DrawHandovers, apart from those that other draws of a seed use.
+const handoverStream = 23
+
+// DrawHandovers spreads a number of handovers over the balancers of a realization, one after the other at
+// each, and gives every kind the same share. They are determined by the realization's seed.
+func DrawHandovers(realization *scenario.Realization, count int) []Handover {
+	rng := rand.New(rand.NewPCG(realization.Seed, handoverStream))
+	handovers := make([]Handover, count)
 	for i := range handovers {
 		handovers[i] = Handover{
 			Balancer: i % len(realization.Balancers), Kind: HandoverKinds[i%len(HandoverKinds)],
 			StopDelay: time.Duration(rng.Int64N(int64(maxStopDelay))),
 		}
 	}
-	rng.Shuffle(n, func(i, j int) { handovers[i].Kind, handovers[j].Kind = handovers[j].Kind, handovers[i].Kind })
+	rng.Shuffle(count, func(i, j int) { handovers[i].Kind, handovers[j].Kind = handovers[j].Kind, handovers[i].Kind })
 	for i := range handovers {
 		handovers[i].At = HandoverLeadTime + time.Duration(i)*HandoverInterval/time.Duration(len(realization.Balancers))
 	}
 	return handovers
 }
 
-// HandoverReport is what came of the handovers. It is complete when Run has returned.
+// HandoverReport is the result of the handovers. It is complete when Run has returned.
 type HandoverReport struct {
 	mu                 sync.Mutex
 	Done               map[HandoverKind]int `json:"done"`
 	SlowestReady       time.Duration        `json:"slowest_yes_ns"`
-	Problems           []string             `json:"wrong,omitempty"` // calls answered late or otherwise than they should be
+	Problems           []string             `json:"wrong,omitempty"` // admin calls whose response was late or wrong
 	Exited             int                  `json:"ended"`           // processes that ended when told to
 	Killed             int                  `json:"killed"`          // and that had to be killed after their time
 	ClosedUnderRequest int                  `json:"turned_back"`     // requests whose connection was closed unread, by processes that were not killed
@@ -104,13 +107,16 @@
 	h.SlowestReady = max(h.SlowestReady, after)
 }
 
-// addExit counts an old process that has ended.
-func (h *HandoverReport) addExit(killed bool) {
+// addExited counts an old process that ended when it was told to.
+func (h *HandoverReport) addExited() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if killed {
-		h.Killed++
-	} else {
-		h.Exited++
-	}
+	h.Exited++
+}
+
+// addKilled counts an old process that had to be killed.
+func (h *HandoverReport) addKilled() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.Killed++
 }
--- a/internal/lab/loadtest/handover_play.go
+++ b/internal/lab/loadtest/handover_play.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"piernotch"
+	"piernotch/internal/lab/storednames"
 )
 
 // Pauses of handovers.
@@ -19,13 +20,13 @@
 	minStopLimit = 3 * time.Second         // that the platform gives a process to end, at least
 )
 
-// scheduleHandovers plays the day's handovers. Its goroutines end with them, and are waited for as
+// scheduleHandovers plays the handovers of the run. Its goroutines end with them, and are waited for as
 // background.
 func (e *environment) scheduleHandovers(ctx context.Context) {
-	for _, h := range e.opts.Handovers {
+	for _, handover := range e.opts.Handovers {
 		e.background.Go(func() {
-			sleep(ctx, h.At-e.clock())
-			if err := e.playHandover(ctx, e.balancers[h.Balancer], h); err != nil && ctx.Err() == nil {
+			sleep(ctx, handover.At-e.clock())
+			if err := e.playHandover(ctx, e.balancers[handover.Balancer], handover); err != nil && ctx.Err() == nil {
 				e.recordError(err)
 			}
 		})
@@ -33,60 +34,60 @@
 }
 
 // playHandover plays one handover of a balancer.
-func (e *environment) playHandover(ctx context.Context, p *process, h Handover) error {
-	p.handover.Lock() // one after the other
-	defer p.handover.Unlock()
+func (e *environment) playHandover(ctx context.Context, target *balancer, played Handover) error {
+	target.handover.Lock() // one after the other
+	defer target.handover.Unlock()
 	if ctx.Err() != nil {
 		return nil
 	}
-	old := p.current()
-	next, err := p.spawn()
+	old := target.current()
+	next, err := target.spawn()
 	if err != nil {
 		return err
 	}
-	switch h.Kind {
+	switch played.Kind {
 	case HandoverCrashBeforeReady:
 		_ = next.cmd.Process.Kill()
 		<-next.exited
-		e.finishHandover(h, p, old)
+		e.finishHandover(played, target, old)
 		return nil
 	case HandoverStopBeforeReady:
-		p.handTo(next, old)
+		target.handTo(next, old)
 	}
 	spawned := time.Now()
 	if err := next.awaitReady(ctx, readyTimeout); err != nil {
-		return p.error(fmt.Sprintf("hand-over %s at %v", h.Kind, h.At), err)
+		return target.error(fmt.Sprintf("handover %s at %v", storednames.Display(storednames.HandoverKinds, string(played.Kind)), played.At), err)
 	}
 	e.handovers.addReady(time.Since(spawned))
-	if h.Kind == HandoverCrashAfterReady {
-		e.crashNext(ctx, p, next, h)
-		e.finishHandover(h, p, old)
+	if played.Kind == HandoverCrashAfterReady {
+		e.crashNext(ctx, target, next, played)
+		e.finishHandover(played, target, old)
 		return nil
 	}
-	both := instances{balancer: p, old: old, next: next}
-	next, err = e.disturbHandover(ctx, h, both)
+	both := handoverProcesses{balancer: target, old: old, next: next}
+	next, err = e.disturbHandover(ctx, played, both)
 	if err != nil {
 		return err
 	}
-	p.handTo(next, old)
+	target.handTo(next, old)
 	e.awaitExit(old)
-	e.finishHandover(h, p, next)
+	e.finishHandover(played, target, next)
 	return nil
 }
 
-// instances are the two instances of a balancer during a handover.
-type instances struct {
-	balancer *process
-	old      *instance
-	next     *instance
+// handoverProcesses are the two processes of a balancer during a handover.
+type handoverProcesses struct {
+	balancer *balancer
+	old      *process
+	next     *process
 }
 
-// disturbHandover does what makes a handover special while both instances run. It returns the instance
-// that takes over.
-func (e *environment) disturbHandover(ctx context.Context, h Handover, both instances) (*instance, error) {
-	switch h.Kind {
+// disturbHandover plays what is particular to a kind of handover while both processes run. It returns the
+// process that takes over.
+func (e *environment) disturbHandover(ctx context.Context, played Handover, both handoverProcesses) (*process, error) {
+	switch played.Kind {
 	case HandoverLateStop:
-		sleep(ctx, h.StopDelay)
+		sleep(ctx, played.StopDelay)
 	case HandoverBothReload:
 		_ = both.old.cmd.Process.Signal(syscall.SIGHUP)
 		_ = both.next.cmd.Process.Signal(syscall.SIGHUP)
@@ -101,82 +102,82 @@
 	return both.next, nil
 }
 
-// crashNext kills the new instance, and what it holds with it.
-func (e *environment) crashNext(ctx context.Context, p *process, next *instance, h Handover) {
-	sleep(ctx, h.StopDelay/3)
-	e.observer.BalancerKilled(p.number)
+// crashNext kills the new process, and the requests in flight at it with it.
+func (e *environment) crashNext(ctx context.Context, target *balancer, next *process, played Handover) {
+	sleep(ctx, played.StopDelay/3)
+	e.observer.BalancerKilled(target.number)
 	_ = next.cmd.Process.Kill()
 	<-next.exited
 	sleep(ctx, crashPause)
-	e.observer.BalancerRecovered(p.number)
+	e.observer.BalancerRecovered(target.number)
 }
 
-// handToThird hands over from the new instance to a third one while the old one still runs.
-func (e *environment) handToThird(ctx context.Context, p *process, next *instance) (*instance, error) {
-	third, err := p.spawn()
+// handToThird hands over from the new process to a third one while the old one still runs.
+func (e *environment) handToThird(ctx context.Context, target *balancer, next *process) (*process, error) {
+	third, err := target.spawn()
 	if err != nil {
 		return nil, err
 	}
 	if err := third.awaitReady(ctx, readyTimeout); err != nil {
-		return nil, p.error("third process", err)
+		return nil, target.error("third process", err)
 	}
-	p.handTo(third, next)
+	target.handTo(third, next)
 	e.awaitExit(next)
 	return third, nil
 }
 
-// finishHandover notes that a handover has come to its end, with one instance left.
-func (e *environment) finishHandover(h Handover, p *process, left *instance) {
-	p.mu.Lock()
-	p.instance = left
-	p.mu.Unlock()
-	e.handovers.addDone(h.Kind)
+// finishHandover notes that a handover has come to its end, with one process left.
+func (e *environment) finishHandover(played Handover, target *balancer, left *process) {
+	target.mu.Lock()
+	target.process = left
+	target.mu.Unlock()
+	e.handovers.addDone(played.Kind)
 }
 
-// awaitExit waits for an instance that was told to end, as long as the platform does, and kills it then.
-func (e *environment) awaitExit(old *instance) {
+// awaitExit waits for a process that was told to end, as long as the platform does, and kills it then.
+func (e *environment) awaitExit(old *process) {
 	limit := minStopLimit
 	for _, class := range e.realization.Classes {
 		limit = max(limit, class.Deadline)
 	}
 	select {
 	case <-old.exited:
-		e.handovers.addExit(false)
+		e.handovers.addExited()
 	case <-time.After(limit + killGrace):
-		e.handovers.addExit(true)
+		e.handovers.addKilled()
 		_ = old.cmd.Process.Kill()
 		<-old.exited
 	}
 }
 
-// excludeServer excludes a server at one instance and includes it again at the other. The balancer is
-// held to the rule on drains meanwhile, and has to reject the name of no server.
-func (e *environment) excludeServer(ctx context.Context, both instances) {
+// excludeServer excludes a server at one process and includes it again at the other. Meanwhile the
+// invariant on draining applies to the balancer, and it has to reject the name of an unknown server.
+func (e *environment) excludeServer(ctx context.Context, both handoverProcesses) {
 	server, name, ok := e.fleet.Discovery().ReadyServer()
 	if !ok {
 		return
 	}
-	exclude := adminCall{http.MethodPost, "/api/exclude", name}
+	exclude := adminCall{method: http.MethodPost, path: "/api/exclude", server: name}
 	e.expectStatus(ctx, both.old, exclude, http.StatusOK)
 	e.observer.EndpointNotified(both.balancer.number, server, piernotch.Draining, 0)
 	e.expectStatus(ctx, both.next, exclude, http.StatusOK)
-	e.expectStatus(ctx, both.next, adminCall{http.MethodPost, "/api/exclude", "s-nobody"}, http.StatusNotFound)
+	e.expectStatus(ctx, both.next, adminCall{method: http.MethodPost, path: "/api/exclude", server: "s-nobody"}, http.StatusNotFound)
 	sleep(ctx, e.realization.Rules.DrainGrace+time.Second)
 	e.observer.EndpointNotified(both.balancer.number, server, piernotch.Ready, 0)
-	e.expectStatus(ctx, both.next, adminCall{http.MethodPost, "/api/include", name}, http.StatusOK)
+	e.expectStatus(ctx, both.next, adminCall{method: http.MethodPost, path: "/api/include", server: name}, http.StatusOK)
 }
 
-// drainBalancer drains the balancer at one instance and has it rejoin at the other.
-func (e *environment) drainBalancer(ctx context.Context, both instances) {
+// drainBalancer drains the balancer at one process and has it rejoin at the other.
+func (e *environment) drainBalancer(ctx context.Context, both handoverProcesses) {
 	e.expectStatus(ctx, both.old, adminCall{method: http.MethodPost, path: "/api/evacuate"}, http.StatusOK)
 	sleep(ctx, healthPause)
 	if status := healthStatus(both.balancer.address); status == http.StatusOK {
-		e.handovers.addProblem("/_health says yes 150 ms after a drain")
+		e.handovers.addProblem("/_health is still 200 %v after a drain", healthPause)
 	}
 	sleep(ctx, drainPause)
 	e.expectStatus(ctx, both.next, adminCall{method: http.MethodPost, path: "/api/rejoin"}, http.StatusOK)
 	sleep(ctx, healthPause)
 	if status := healthStatus(both.balancer.address); status != http.StatusOK {
-		e.handovers.addProblem("/_health says %d 150 ms after a drain ended", status)
+		e.handovers.addProblem("/_health is %d %v after a drain ended", status, healthPause)
 	}
 }
--- a/internal/lab/loadtest/loadtest.go
+++ b/internal/lab/loadtest/loadtest.go
@@ -17,13 +17,13 @@
 	defaultSockets  = 1024
 )
 
-// Options say how a day is played. Only Program is required.
+// Options say how a realization is played. Only Program is required.
 type Options struct {
 	Program  string   // the balancer
 	MemoryMB int      // memory limit of each balancer; 0: 192
 	Sockets  int      // descriptor limit of each balancer; 0: 1024
 	Env      []string // KEY=VALUE, of the balancers, on top of this program's own
-	// Handovers are played during the day. With any, each balancer's listening socket is opened here
+	// Handovers are played during the run. With any, each balancer's listening socket is opened here
 	// and inherited by its processes.
 	Handovers []Handover
 	// VoterProgram runs as three voters, through which the balancers share one watch of discovery;
@@ -47,23 +47,23 @@
 	if o.LogDir != "" {
 		return o, func() {}, os.MkdirAll(o.LogDir, 0o755)
 	}
-	o.LogDir, err = os.MkdirTemp("", "rehearsal")
+	o.LogDir, err = os.MkdirTemp("", "loadtest")
 	dir := o.LogDir
 	return o, func() { _ = os.RemoveAll(dir) }, err // temporary: what is left does no harm
 }
 
 // needsProxies reports whether faults of links are to be played.
 func (o Options) needsProxies() bool {
-	for _, s := range o.Faults {
-		if s.Action == chaos.FaultLink || s.Action == chaos.FlapLink {
+	for _, step := range o.Faults {
+		if step.Action == chaos.FaultLink || step.Action == chaos.FlapLink {
 			return true
 		}
 	}
 	return false
 }
 
-// Run plays a day. When the context ends, it ends all that it started and reports what it has. A report
-// may come with an error: then something went wrong while the day was played. The errors are those of
+// Run plays a realization. When the context ends, it ends all that it started and reports what it has. A
+// report may come with an error: then something went wrong during the run. The errors are those of
 // errors.go, and what the system or the scenario gives.
 func Run(ctx context.Context, realization *scenario.Realization, opts Options) (*Report, error) {
 	opts, cleanup, err := opts.withDefaults()
@@ -75,27 +75,27 @@
 	if err != nil {
 		return nil, err
 	}
-	e := newEnvironment(realization, opts)
-	defer e.close()
-	if err := e.open(); err != nil {
+	running := newEnvironment(realization, opts)
+	defer running.close()
+	if err := running.open(); err != nil {
 		return nil, err
 	}
 	for i := range realization.Balancers {
-		if err := e.addBalancer(ctx, i); err != nil {
+		if err := running.addBalancer(ctx, i); err != nil {
 			return nil, err
 		}
 	}
-	return e.play(ctx, arrivals)
+	return running.play(ctx, arrivals)
 }
 
-// play plays the day once all balancers are ready.
+// play plays the realization once all balancers are ready.
 func (e *environment) play(ctx context.Context, arrivals []simulation.Arrival) (*Report, error) {
 	now := time.Now()
 	e.started.Store(&now)
 	clients := &load.Clients{Realization: e.realization, Arrivals: arrivals, Observer: e.observer, Pick: e.pickBalancer, Clock: e.clock}
 	e.fleet.Play(ctx)
-	e.scheduleIncidents(ctx)
-	e.scheduleFaults(ctx)
+	e.scheduleScenarioFaults(ctx)
+	e.scheduleLinkAndProcessFaults(ctx)
 	e.scheduleHandovers(ctx)
 	usage := make(chan [][]Quarter)
 	stop := make(chan struct{})
--- a/internal/lab/loadtest/loadtest_test.go
+++ b/internal/lab/loadtest/loadtest_test.go
@@ -18,19 +18,19 @@
 
 func testRealization(t *testing.T, text string, set ...string) *scenario.Realization {
 	t.Helper()
-	s, err := scenario.Parse("test", []byte("include = \"base\"\n"+text))
+	loaded, err := scenario.Parse("test", []byte("include = \"base\"\n"+text))
 	require.NoError(t, err)
-	s, err = s.With(append([]string{
+	loaded, err = loaded.With(append([]string{
 		"length_s=6", "balancers.count=1", "fleet.servers=6", "traffic.rate_per_s=40", "class.*.work_ms=20", "clients.retries=1",
 		"kind.*.error_rate=0", "kind.*.cold_s=0",
 	}, set...)...)
 	require.NoError(t, err)
-	d, err := s.Draw(2)
+	realization, err := loaded.Draw(2)
 	require.NoError(t, err)
-	return d
+	return realization
 }
 
-// runWithFakeBalancer plays a test day with a balancer that has a fault.
+// runWithFakeBalancer plays a test realization with a balancer that has a fault.
 func runWithFakeBalancer(t *testing.T, fault, text string, set ...string) (*Report, error) {
 	t.Helper()
 	self, err := os.Executable()
@@ -39,17 +39,17 @@
 }
 
 // requireOneOutcomePerAttempt checks that every attempt of a client has one outcome.
-func requireOneOutcomePerAttempt(t *testing.T, r *Report) {
+func requireOneOutcomePerAttempt(t *testing.T, report *Report) {
 	t.Helper()
-	counts := r.Counts
+	counts := report.Counts
 	require.Equal(t, counts.Attempts, counts.Served+counts.Rejected+counts.Failed+counts.TimedOut+counts.Disconnected+counts.Unreachable)
-	require.Positive(t, r.Requests)
-	require.GreaterOrEqual(t, counts.Attempts, r.Requests)
+	require.Positive(t, report.Requests)
+	require.GreaterOrEqual(t, counts.Attempts, report.Requests)
 }
 
 func TestInvariantViolationsAreDetectedOnSockets(t *testing.T) {
-	leave := "[[trouble]]\nkind = \"leave\"\nat_s = 0.5\nfor_s = 0.1\npart = 0.4\nramp_s = 5\n"
-	for _, c := range []struct {
+	drain := "[[trouble]]\nkind = \"leave\"\nat_s = 0.5\nfor_s = 0.1\npart = 0.4\nramp_s = 5\n"
+	for _, test := range []struct {
 		fault, trouble string
 		rule           invariants.Rule
 		what           string
@@ -57,18 +57,18 @@
 		{"repeats", "", invariants.Repeated, "though an earlier attempt may have run"},
 		{"drops", "", invariants.Lost, "its connection was ended without an answer"},
 		{"lies", "", invariants.Repeated, "refused what may have run"},
-		{"ignores drains", leave, invariants.Drain, "after it was told that the server leaves"},
+		{"ignores drains", drain, invariants.Drain, "after it was told that the server leaves"},
 	} {
-		t.Run(c.fault, func(t *testing.T) {
+		t.Run(test.fault, func(t *testing.T) {
 			t.Parallel()
-			r, err := runWithFakeBalancer(t, c.fault, c.trouble, "discovery.notice_s=0.2", "discovery.period_ms=100")
+			report, err := runWithFakeBalancer(t, test.fault, test.trouble, "discovery.notice_s=0.2", "discovery.period_ms=100")
 			require.NoError(t, err)
-			requireOneOutcomePerAttempt(t, r)
+			requireOneOutcomePerAttempt(t, report)
 			found := false
-			for _, b := range r.Breaks {
-				found = found || b.Rule == c.rule && strings.Contains(b.Message, c.what) && len(b.Steps) > 0
+			for _, violation := range report.Breaks {
+				found = found || violation.Rule == test.rule && strings.Contains(violation.Message, test.what) && len(violation.Steps) > 0
 			}
-			require.True(t, found, "%v", r.Breaks)
+			require.True(t, found, "%v", report.Breaks)
 		})
 	}
 }
@@ -80,7 +80,7 @@
 	require.ErrorContains(t, err, "out of cheese")
 }
 
-// The real balancer keeps the rules through a crash, a restart and servers that leave.
+// The real balancer violates no invariant through a crash, a restart and servers that drain.
 func TestBalancerKeepsInvariantsOnSockets(t *testing.T) {
 	t.Parallel()
 	program := filepath.Join(t.TempDir(), "piernotch")
@@ -123,16 +123,16 @@
 for_s = 4
 size = 30
 `
-	r, err := Run(context.Background(), testRealization(t, trouble, "balancers.count=2", "length_s=8"), Options{Program: program})
+	report, err := Run(context.Background(), testRealization(t, trouble, "balancers.count=2", "length_s=8"), Options{Program: program})
 	require.NoError(t, err)
-	requireOneOutcomePerAttempt(t, r)
-	require.Zero(t, r.Broken(), "%v", r.Breaks)
-	require.Greater(t, r.Counts.Served, r.Requests/2)
-	require.NotEmpty(t, r.Malformed)
-	for kind, c := range r.Malformed {
-		require.Zero(t, c.Served, kind)
+	requireOneOutcomePerAttempt(t, report)
+	require.Zero(t, report.Broken(), "%v", report.Breaks)
+	require.Greater(t, report.Counts.Served, report.Requests/2)
+	require.NotEmpty(t, report.Malformed)
+	for kind, count := range report.Malformed {
+		require.Zero(t, count.Served, kind)
 	}
-	for _, quarters := range r.Balancers {
+	for _, quarters := range report.Balancers {
 		require.Len(t, quarters, 4)
 	}
 }
@@ -145,9 +145,9 @@
 	var once sync.Once
 	time.AfterFunc(2*time.Second, func() { once.Do(stop) })
 	started := time.Now()
-	r, err := Run(ctx, testRealization(t, "", "length_s=120"), Options{Program: self, Env: []string{"FAKE_BALANCER=none"}})
+	report, err := Run(ctx, testRealization(t, "", "length_s=120"), Options{Program: self, Env: []string{"FAKE_BALANCER=none"}})
 	if err == nil {
-		requireOneOutcomePerAttempt(t, r)
+		requireOneOutcomePerAttempt(t, report)
 	}
 	require.Less(t, time.Since(started), 60*time.Second)
 }
--- a/internal/lab/loadtest/observer.go
+++ b/internal/lab/loadtest/observer.go
@@ -13,8 +13,8 @@
 // socketTolerance is how much longer every time limit is than in simulated time.
 const socketTolerance = 50 * time.Millisecond
 
-// How long after its answer a request may still arrive at a server, because it was sent before. Proxies
-// hold it back for longer: by what a link delays, and for as long as a silent cut does not break its
+// How long after its final response a request may still arrive at a server, because it was sent before.
+// Proxies delay it for longer: by the delay of a link, and for as long as a silent cut does not break its
 // connection.
 const (
 	crossingTime            = 100 * time.Millisecond
@@ -24,21 +24,21 @@
 // endedRequestTTL is how long a request that has ended is remembered.
 const endedRequestTTL = 10 * time.Second
 
-// finalMargin is how far beyond the day's end overdue requests are looked for.
+// finalMargin is how far beyond the end of the run overdue requests are looked for.
 const finalMargin = time.Minute
 
 // observer feeds the invariants' checker with what clients, servers and discovery see. It implements
 // load.Observer and emulator.Observer. All methods may be called from any goroutine.
 type observer struct {
 	clock        func() time.Duration
-	crossingTime time.Duration // crossingTime, or crossingTimeWithProxies; set before the day begins
+	crossingTime time.Duration // crossingTime, or crossingTimeWithProxies; set before the run begins
 
 	mu                 sync.Mutex // guards what follows
 	checker            *invariants.Checker
 	lastSequence       uint64
 	requests           map[string]*request // by id
 	ended              []endedRequest      // in the order of time
-	excused            map[int]int         // by balancer: the number of reasons why it need not answer
+	excused            map[int]int         // by balancer: the number of reasons why it need not respond
 	closedUnderRequest int                 // requests whose connection was closed unread by balancers without such a reason
 }
 
@@ -49,7 +49,7 @@
 	attempts int
 	endedAt  time.Duration // 0: it has not ended
 	paused   bool          // its balancer was paused meanwhile
-	ignored  map[int]bool  // attempts that crossed the answer
+	ignored  map[int]bool  // attempts that crossed the final response
 }
 
 type endedRequest struct {
@@ -57,7 +57,7 @@
 	at time.Duration
 }
 
-// newObserver returns an observer of a day. Zone and cell return where a server is.
+// newObserver returns an observer of a run. Zone and cell return where a server is.
 func newObserver(realization *scenario.Realization, clock func() time.Duration, zone, cell func(server int) int) *observer {
 	limits := invariants.Limits{
 		Slack: realization.Rules.ResponseSlack + socketTolerance, Grace: realization.Rules.DrainGrace + socketTolerance, CollapseWindow: realization.Rules.Collapse.For,
@@ -86,59 +86,59 @@
 	}
 }
 
-// RequestEnded implements load.Observer. A request without an answer when its time is up has failed and is
-// not lost; one whose balancer closed the connection is lost, unless the balancer was killed, which
-// BalancerKilled says beforehand.
+// RequestEnded implements load.Observer. A request without a response at its deadline has failed and is not
+// lost; one whose balancer closed the connection is lost, unless the balancer was killed, which BalancerKilled
+// notes beforehand.
 func (o *observer) RequestEnded(id string, outcome load.Outcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.clock()
-	r := o.requests[id]
-	if r == nil || r.endedAt != 0 {
+	sent := o.requests[id]
+	if sent == nil || sent.endedAt != 0 {
 		return
 	}
-	o.endLocked(id, r, now)
-	excused := o.excused[r.balancer] > 0
+	o.endLocked(id, sent, now)
+	excused := o.excused[sent.balancer] > 0
 	if outcome == load.Unreachable && !excused {
 		o.closedUnderRequest++
 	}
-	// A paused balancer cannot be in time. But what it was given meanwhile must not be served late.
+	// A paused balancer cannot respond in time. But requests that it received meanwhile must not be served late.
 	excusedFailure := excused && (outcome == load.Rejected || outcome == load.Failed || outcome == load.Disconnected)
-	if r.paused || excusedFailure {
-		o.checker.RequestExcused(now, r.sequence)
+	if sent.paused || excusedFailure {
+		o.checker.RequestExcused(now, sent.sequence)
 		return
 	}
 	switch outcome {
 	case load.Served:
-		o.checker.RequestAnswered(now, r.sequence, invariants.Served)
+		o.checker.RequestAnswered(now, sent.sequence, invariants.Served)
 	case load.Rejected:
-		o.checker.RequestAnswered(now, r.sequence, invariants.Rejected)
+		o.checker.RequestAnswered(now, sent.sequence, invariants.Rejected)
 	case load.Failed:
-		o.checker.RequestAnswered(now, r.sequence, invariants.Failed)
+		o.checker.RequestAnswered(now, sent.sequence, invariants.Failed)
 	case load.Disconnected:
-		o.checker.RequestDropped(now, r.sequence)
+		o.checker.RequestDropped(now, sent.sequence)
 	default:
-		o.checker.RequestExcused(now, r.sequence)
+		o.checker.RequestExcused(now, sent.sequence)
 	}
 }
 
 // endLocked notes that a request has ended. The lock is held.
-func (o *observer) endLocked(id string, r *request, now time.Duration) {
-	r.endedAt = now
+func (o *observer) endLocked(id string, sent *request, now time.Duration) {
+	sent.endedAt = now
 	o.ended = append(o.ended, endedRequest{id, now})
 }
 
-// BalancerKilled excuses all requests that a balancer has, and those it is sent until BalancerRestarted:
+// BalancerKilled excuses all requests that are open at a balancer, and those it is sent until BalancerRestarted:
 // its process is about to be killed.
 func (o *observer) BalancerKilled(balancer int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.clock()
 	o.excused[balancer]++
-	for id, r := range o.requests {
-		if r.balancer == balancer && r.endedAt == 0 {
-			o.endLocked(id, r, now)
-			o.checker.RequestExcused(now, r.sequence)
+	for id, sent := range o.requests {
+		if sent.balancer == balancer && sent.endedAt == 0 {
+			o.endLocked(id, sent, now)
+			o.checker.RequestExcused(now, sent.sequence)
 		}
 	}
 }
@@ -159,14 +159,14 @@
 	return o.closedUnderRequest
 }
 
-// BalancerPaused excuses a balancer from answering in time, until BalancerRecovered. The requests it has may
-// go on afterwards.
+// BalancerPaused excuses a balancer from responding in time, until BalancerRecovered. The requests open at it
+// may go on afterwards.
 func (o *observer) BalancerPaused(balancer int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.excused[balancer]++
-	for _, r := range o.requests {
-		r.paused = r.paused || r.balancer == balancer && r.endedAt == 0
+	for _, sent := range o.requests {
+		sent.paused = sent.paused || sent.balancer == balancer && sent.endedAt == 0
 	}
 }
 
@@ -182,57 +182,57 @@
 func (o *observer) AttemptReceived(id string, server int) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	r := o.requests[id]
-	if r == nil {
+	sent := o.requests[id]
+	if sent == nil {
 		return -1
 	}
 	now := o.clock()
-	n := r.attempts
-	r.attempts++
-	if r.endedAt != 0 && now-r.endedAt < o.crossingTime {
-		if r.ignored == nil {
-			r.ignored = map[int]bool{}
+	attemptNumber := sent.attempts
+	sent.attempts++
+	if sent.endedAt != 0 && now-sent.endedAt < o.crossingTime {
+		if sent.ignored == nil {
+			sent.ignored = map[int]bool{}
 		}
-		r.ignored[n] = true
-		return n
+		sent.ignored[attemptNumber] = true
+		return attemptNumber
 	}
-	o.checker.AttemptSent(now, r.balancer, r.sequence, server)
-	return n
+	o.checker.AttemptSent(now, sent.balancer, sent.sequence, server)
+	return attemptNumber
 }
 
 // attempt returns the request of an attempt that the checker knows; nil for others. The lock is held.
-func (o *observer) attempt(id string, n int) *request {
-	r := o.requests[id]
-	if r == nil || r.ignored[n] {
+func (o *observer) attempt(id string, attemptNumber int) *request {
+	sent := o.requests[id]
+	if sent == nil || sent.ignored[attemptNumber] {
 		return nil
 	}
-	return r
+	return sent
 }
 
 // AttemptAccepted implements emulator.Observer.
-func (o *observer) AttemptAccepted(id string, n int) {
+func (o *observer) AttemptAccepted(id string, attemptNumber int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if r := o.attempt(id, n); r != nil {
-		o.checker.AttemptAccepted(r.sequence, n)
+	if sent := o.attempt(id, attemptNumber); sent != nil {
+		o.checker.AttemptAccepted(sent.sequence, attemptNumber)
 	}
 }
 
 // AttemptExecuted implements emulator.Observer.
-func (o *observer) AttemptExecuted(id string, n int) {
+func (o *observer) AttemptExecuted(id string, attemptNumber int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if r := o.attempt(id, n); r != nil {
-		o.checker.AttemptExecuted(o.clock(), r.sequence, n)
+	if sent := o.attempt(id, attemptNumber); sent != nil {
+		o.checker.AttemptExecuted(o.clock(), sent.sequence, attemptNumber)
 	}
 }
 
 // AttemptCompleted implements emulator.Observer.
-func (o *observer) AttemptCompleted(id string, n int, unrun bool) {
+func (o *observer) AttemptCompleted(id string, attemptNumber int, unrun bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if r := o.attempt(id, n); r != nil {
-		o.checker.AttemptCompleted(r.sequence, n, unrun)
+	if sent := o.attempt(id, attemptNumber); sent != nil {
+		o.checker.AttemptCompleted(sent.sequence, attemptNumber, unrun)
 	}
 }
 
@@ -240,8 +240,8 @@
 func (o *observer) SlowStartWork(id string, server int, started time.Duration, work float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if r := o.requests[id]; r != nil {
-		o.checker.SlowStartWork(o.clock(), r.balancer, server, started, work)
+	if sent := o.requests[id]; sent != nil {
+		o.checker.SlowStartWork(o.clock(), sent.balancer, server, started, work)
 	}
 }
 
--- a/internal/lab/loadtest/recovery.go
+++ b/internal/lab/loadtest/recovery.go
@@ -3,33 +3,34 @@
 import "piernotch/internal/lab/simulation"
 
 const (
-	recoverySpan      = 3 // seconds: a single one holds few requests
+	// recoverySpan is the length of the spans that are compared, seconds: a single second holds few requests.
+	recoverySpan = 3
+	// recoveryThreshold is the share of the control's goodput from which a span counts as recovered.
 	recoveryThreshold = 0.95
 )
 
-// Recovery is how a day went from the time of its fault on, against its control.
+// Recovery compares a run with its control, from the time of its fault on.
 type Recovery struct {
-	Served         float64 // weight served in time, as a share of the control's
+	Served         float64 // weight served within the latency objective, as a share of the control's
 	Worst          float64 // the same, over the worst recoverySpan
 	RecoveredAfter float64 // seconds until the last span below recoveryThreshold was over; 0: there was none
 	Rejected       float64 // share of the attempts that were rejected
 	Failed         float64 // and that failed, or found no balancer
 }
 
-// MeasureRecovery compares a day whose fault began at a second with its control. Both days are of one
-// seed.
-func MeasureRecovery(r, control *simulation.Result, at int) Recovery {
-	n := min(len(r.Seconds), len(control.Seconds))
-	recovery := Recovery{Served: servedShare(r, control, at, n), Worst: 1}
-	for from := at; from+recoverySpan <= n; from++ {
-		share := servedShare(r, control, from, from+recoverySpan)
+// MeasureRecovery compares a run whose fault began at a second with its control. Both are of one seed.
+func MeasureRecovery(run, control *simulation.Result, faultSecond int) Recovery {
+	seconds := min(len(run.Seconds), len(control.Seconds))
+	recovery := Recovery{Served: servedShare(run, control, faultSecond, seconds), Worst: 1}
+	for from := faultSecond; from+recoverySpan <= seconds; from++ {
+		share := servedShare(run, control, from, from+recoverySpan)
 		recovery.Worst = min(recovery.Worst, share)
 		if share < recoveryThreshold {
-			recovery.RecoveredAfter = float64(from + recoverySpan - at)
+			recovery.RecoveredAfter = float64(from + recoverySpan - faultSecond)
 		}
 	}
 	rejected, failed, attempts := 0, 0, 0
-	for _, second := range r.Seconds[at:] {
+	for _, second := range run.Seconds[faultSecond:] {
 		rejected += second.Rejected
 		failed += second.Failed
 		attempts += second.Sends
@@ -41,12 +42,12 @@
 	return recovery
 }
 
-// servedShare is the weight served in time in the seconds from one up to, but not including, another, as a
-// share of the control's.
-func servedShare(r, control *simulation.Result, from, to int) float64 {
+// servedShare is the weight served within the latency objective in the seconds from one up to, but not
+// including, another, as a share of the control's.
+func servedShare(run, control *simulation.Result, from, to int) float64 {
 	got, want := 0.0, 0.0
 	for i := from; i < to; i++ {
-		got += r.Seconds[i].ServedWeight
+		got += run.Seconds[i].ServedWeight
 		want += control.Seconds[i].ServedWeight
 	}
 	if want == 0 {
--- a/internal/lab/loadtest/report.go
+++ b/internal/lab/loadtest/report.go
@@ -10,7 +10,7 @@
 	"piernotch/internal/lab/simulation"
 )
 
-// Quarter is what a balancer used in a quarter of the day.
+// Quarter is what a balancer used in a quarter of the run.
 type Quarter struct {
 	CPUSeconds  float64 `json:"cpu_s"`
 	ResidentMB  float64 `json:"resident_mb"` // the most of all samples
@@ -31,13 +31,13 @@
 
 	Handovers *HandoverReport `json:"handed,omitempty"` // nil: none were played
 
-	Malformed map[string]load.MalformedCount `json:"rude,omitempty"` // by what was sent
+	Malformed map[string]load.MalformedCount `json:"rude,omitempty"` // by kind of malformed client
 }
 
 // maxLateness is the test's own lateness at the 99th percentile that voids a run.
 const maxLateness = 50 * time.Millisecond
 
-// buildReport sums up a day that is over.
+// buildReport sums up a run that is over.
 func (e *environment) buildReport(clients *load.Clients, usage [][]Quarter) *Report {
 	counts := clients.Counts()
 	lateness := clients.Lateness(99)
@@ -49,14 +49,14 @@
 		report.CPUPerAnswer = totalCPUSeconds(usage) / float64(counts.Attempts) * 1e6
 	}
 	if lateness > maxLateness {
-		report.Void = fmt.Sprintf("the rig sent requests %v late at the 99th percentile, more than %v", lateness.Round(time.Millisecond), maxLateness)
+		report.Void = fmt.Sprintf("the test harness sent requests %v late at the 99th percentile, more than %v", lateness.Round(time.Millisecond), maxLateness)
 	}
 	if len(e.opts.Handovers) > 0 {
 		e.handovers.ClosedUnderRequest = e.observer.ClosedUnderRequest()
 		report.Handovers = e.handovers
 	}
-	for _, p := range e.balancers {
-		if err := p.crashError(); err != nil {
+	for _, balancer := range e.balancers {
+		if err := balancer.crashError(); err != nil {
 			e.recordError(err)
 		}
 	}
@@ -64,27 +64,27 @@
 }
 
 // buildResult is the part of the report that the simulation gives, too.
-func (e *environment) buildResult(t *goodput.Counter, counts load.Counts) simulation.Result {
+func (e *environment) buildResult(counter *goodput.Counter, counts load.Counts) simulation.Result {
 	score := e.realization.Score
-	parts := t.Parts()
+	parts := counter.Parts()
 	checker := e.observer.Finish()
 	result := simulation.Result{
-		Seed: e.realization.Seed, Requests: t.Requests, Tries: counts.Attempts, Whole: parts.Whole, WorstWindow: parts.WorstWindow, WorstClass: parts.WorstClass,
-		Classes: parts.Classes, Seconds: t.Seconds, Latency: t.Latency(), WallS: e.clock().Seconds(),
+		Seed: e.realization.Seed, Requests: counter.Requests, Tries: counts.Attempts, Whole: parts.Whole, WorstWindow: parts.WorstWindow, WorstClass: parts.WorstClass,
+		Classes: parts.Classes, Seconds: counter.Seconds, Latency: counter.Latency(), WallS: e.clock().Seconds(),
 		Lost: checker.Count(invariants.Lost), Repeated: checker.Count(invariants.Repeated),
 		DrainBreaks: checker.Count(invariants.Drain), ColdFalls: checker.Count(invariants.SlowStart),
 		Breaks: checker.Violations(), DrainLatest: checker.DrainLatest().Seconds() * 1000,
 	}
 	if result.Latency != nil {
-		result.P50 = t.Percentile(50)
-		result.P90 = t.Percentile(90)
-		result.P99 = t.Percentile(99)
-		result.P999 = t.Percentile(99.9)
+		result.P50 = counter.Percentile(50)
+		result.P90 = counter.Percentile(90)
+		result.P99 = counter.Percentile(99)
+		result.P999 = counter.Percentile(99.9)
 	}
-	if n := float64(t.Requests); n > 0 {
-		result.ServedShare = float64(t.InObjective) / n
-		result.RefusedRate = float64(t.Rejected) / n
-		result.FailedRate = float64(t.Failed) / n
+	if requests := float64(counter.Requests); requests > 0 {
+		result.ServedShare = float64(counter.InObjective) / requests
+		result.RefusedRate = float64(counter.Rejected) / requests
+		result.FailedRate = float64(counter.Failed) / requests
 	}
 	result.ChokedShare = float64(e.fleet.Overloaded()) / float64(max(e.fleet.Servers(), 1))
 	// What only the simulation knows exactly (wasted work, crossings) is not deducted here.
--- /dev/null
+++ b/internal/lab/loadtest/scenario_faults.go
@@ -0,0 +1,109 @@
+package loadtest
+
+import (
+	"context"
+	"syscall"
+	"time"
+
+	"piernotch/internal/lab/scenario"
+)
+
+// Times of a restart.
+const (
+	// unrouteDelay is how long after a SIGTERM clients still go to the balancer.
+	unrouteDelay = 300 * time.Millisecond
+	// restartTimeout is how long a balancer may take to end before it is killed.
+	restartTimeout = 10 * time.Second
+)
+
+// scheduleScenarioFaults plays those of the realization's faults that concern balancers, their discovery's
+// address and malformed clients. The emulator plays the others.
+func (e *environment) scheduleScenarioFaults(ctx context.Context) {
+	e.malformed.Pick = e.pickBalancer
+	for i := range e.realization.Faults {
+		fault := &e.realization.Faults[i]
+		switch fault.Kind {
+		case "rude":
+			e.at(ctx, fault.At, func() {
+				ctx, stop := context.WithTimeout(ctx, fault.For)
+				defer stop()
+				e.malformed.Run(ctx, fault.Size, e.realization.Seed+uint64(i))
+			})
+		case "roster_move":
+			for _, target := range e.balancers {
+				e.at(ctx, fault.At, func() { e.moveDiscovery(target) })
+			}
+		case "balancer_crash":
+			for _, number := range fault.Balancers {
+				e.scheduleCrash(ctx, fault, e.balancers[number])
+			}
+		case "balancer_restart":
+			for position, number := range fault.Balancers {
+				target := e.balancers[number]
+				e.at(ctx, fault.At+fault.Every*time.Duration(position), func() { e.restart(ctx, fault, target) })
+			}
+		}
+	}
+}
+
+// at calls do at a time of the run, on a goroutine of its own, unless the run or the context has ended by
+// then.
+func (e *environment) at(ctx context.Context, due time.Duration, do func()) {
+	time.AfterFunc(max(due-e.clock(), 0), func() {
+		if ctx.Err() == nil && e.clock() < e.realization.Length {
+			do()
+		}
+	})
+}
+
+// scheduleCrash kills a balancer, has clients avoid it after the failover delay, and launches it again.
+func (e *environment) scheduleCrash(ctx context.Context, fault *scenario.Fault, target *balancer) {
+	e.at(ctx, fault.At, func() {
+		e.observer.BalancerKilled(target.number)
+		<-target.signal(syscall.SIGKILL)
+	})
+	e.at(ctx, fault.At+e.realization.FailoverDelay, func() {
+		if target.isStopping() { // it is not back yet
+			target.unroute()
+		}
+	})
+	e.at(ctx, fault.End(), func() { e.relaunch(ctx, target) })
+}
+
+// restart shuts a balancer down gracefully and launches it again.
+func (e *environment) restart(ctx context.Context, fault *scenario.Fault, target *balancer) {
+	exited := target.signal(syscall.SIGTERM)
+	time.AfterFunc(unrouteDelay, target.unroute)
+	select {
+	case <-exited:
+	case <-time.After(restartTimeout):
+		e.observer.BalancerKilled(target.number)
+		<-target.signal(syscall.SIGKILL)
+	}
+	time.Sleep(fault.For)
+	if ctx.Err() == nil {
+		e.relaunch(ctx, target)
+	}
+}
+
+func (e *environment) relaunch(ctx context.Context, target *balancer) {
+	if err := e.launch(ctx, target); err != nil && ctx.Err() == nil {
+		e.recordError(err)
+	}
+}
+
+// moveDiscovery moves a balancer's discovery to another address, and has the balancer reload its
+// configuration.
+func (e *environment) moveDiscovery(target *balancer) {
+	err := e.fleet.Discovery().Move(target.number)
+	if err == nil {
+		err = e.configure(target)
+	}
+	if err != nil {
+		e.recordError(err)
+		return
+	}
+	if !target.isStopping() {
+		target.signal(syscall.SIGHUP)
+	}
+}
--- a/internal/lab/loadtest/sharedwatch.go
+++ b/internal/lab/loadtest/sharedwatch.go
@@ -17,17 +17,17 @@
 
 const (
 	sharedWatchVoters = 3
-	// sharedLeaseDuration is how long the lease of the watch lasts without a renewal.
+	// sharedLeaseDuration is how long the lease of the watch is valid without a renewal.
 	sharedLeaseDuration = 2 * time.Second
 	// sharedClockDrift is the most that the clocks of the group drift apart, as a share.
 	sharedClockDrift = 0.01
 )
 
-// sharedNotifyTimeout is the time after which what one balancer was notified of counts as known to all:
-// by then each has been notified by the group, or watches discovery itself.
+// sharedNotifyTimeout is the time after which an endpoint update that one balancer received counts as known to
+// all: by then each has been notified by the group, or watches discovery itself.
 var sharedNotifyTimeout = watch.DefaultTiming.HeartbeatTimeout + watch.DefaultTiming.TimeoutJitter + 500*time.Millisecond
 
-// sharedWatch is one watch of discovery for all balancers, through a group of voters.
+// sharedWatch is one watch of discovery for all balancers, through a control group of voters.
 type sharedWatch struct {
 	groupFiles []string // by balancer
 	voters     []*exec.Cmd
@@ -47,49 +47,49 @@
 	startedAt time.Duration
 }
 
-// startSharedWatch starts the voters and writes the group's files of all. The caller calls stop.
+// startSharedWatch starts the voters and writes the group files of all members. The caller calls stop.
 func startSharedWatch(opts Options, balancers int) (*sharedWatch, error) {
-	s := &sharedWatch{balancers: balancers, notifications: map[endpointKey]int{}}
-	c := controlgroup.Config{Name: "rehearsal", LeaseDuration: sharedLeaseDuration, MaxClockDrift: sharedClockDrift}
+	shared := &sharedWatch{balancers: balancers, notifications: map[endpointKey]int{}}
+	group := controlgroup.Config{Name: "rehearsal", LeaseDuration: sharedLeaseDuration, MaxClockDrift: sharedClockDrift}
 	for i := range sharedWatchVoters {
 		address, err := faultproxy.FreeAddress()
 		if err != nil {
 			return nil, err
 		}
-		c.Voters = append(c.Voters, controlgroup.Voter{Name: fmt.Sprintf("v%d", i), Address: address})
+		group.Voters = append(group.Voters, controlgroup.Voter{Name: fmt.Sprintf("v%d", i), Address: address})
 	}
-	for _, v := range c.Voters {
-		own := c
-		own.Self = v.Name
-		own.StorePath = filepath.Join(opts.LogDir, v.Name+".voter")
-		if err := s.startVoter(opts, own); err != nil {
-			s.stop()
+	for _, voter := range group.Voters {
+		own := group
+		own.Self = voter.Name
+		own.StorePath = filepath.Join(opts.LogDir, voter.Name+".voter")
+		if err := shared.startVoter(opts, own); err != nil {
+			shared.stop()
 			return nil, err
 		}
 	}
 	for i := range balancers {
-		own := c
+		own := group
 		own.Self = fmt.Sprintf("n%d", i)
 		own.WatchDuty = "watch"
 		own.DiscoveryName = "roster"
 		file, err := writeGroupFile(opts, own)
 		if err != nil {
-			s.stop()
+			shared.stop()
 			return nil, err
 		}
-		s.groupFiles = append(s.groupFiles, file)
+		shared.groupFiles = append(shared.groupFiles, file)
 	}
-	return s, nil
+	return shared, nil
 }
 
 // startVoter starts one voter on an empty disk.
-func (s *sharedWatch) startVoter(opts Options, c controlgroup.Config) error {
-	_ = os.Remove(c.StorePath) // of an earlier run, if there is one
-	file, err := writeGroupFile(opts, c)
+func (s *sharedWatch) startVoter(opts Options, config controlgroup.Config) error {
+	_ = os.Remove(config.StorePath) // of an earlier run, if there is one
+	file, err := writeGroupFile(opts, config)
 	if err != nil {
 		return err
 	}
-	log, err := os.Create(filepath.Join(opts.LogDir, c.Self+".log"))
+	log, err := os.Create(filepath.Join(opts.LogDir, config.Self+".log"))
 	if err != nil {
 		return err
 	}
@@ -104,51 +104,51 @@
 	return nil
 }
 
-func writeGroupFile(opts Options, c controlgroup.Config) (string, error) {
-	name := filepath.Join(opts.LogDir, c.Self+"-group.toml")
-	return name, os.WriteFile(name, []byte(c.TOML()), 0o600)
+func writeGroupFile(opts Options, config controlgroup.Config) (string, error) {
+	name := filepath.Join(opts.LogDir, config.Self+"-group.toml")
+	return name, os.WriteFile(name, []byte(config.TOML()), 0o600)
 }
 
 // stop kills the voters.
 func (s *sharedWatch) stop() {
-	for _, v := range s.voters {
-		_ = v.Process.Signal(syscall.SIGKILL)
-		_ = v.Wait()
+	for _, voter := range s.voters {
+		_ = voter.Process.Signal(syscall.SIGKILL)
+		_ = voter.Wait()
 	}
 }
 
-// endpointNotified notifies the observer for all balancers that share the watch. That a server is ready
-// counts at once, because each balancer that learns it may use the server; that it leaves, when all must
-// have learnt it.
-func (s *sharedWatch) endpointNotified(e *environment, n notification) {
+// endpointNotified notifies the observer for all balancers that share the watch. An update that a server is
+// ready counts at once, because each balancer that receives it may use the server. An update that it drains
+// counts once all balancers must have received it.
+func (s *sharedWatch) endpointNotified(running *environment, received notification) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.notifyLocked(e, n)
+	s.notifyLocked(running, received)
 	for balancer := range s.balancers {
-		if balancer == n.balancer {
+		if balancer == received.balancer {
 			continue
 		}
-		other := n
+		other := received
 		other.balancer = balancer
-		if n.state == piernotch.Ready {
-			s.notifyLocked(e, other)
+		if received.state == piernotch.Ready {
+			s.notifyLocked(running, other)
 			continue
 		}
-		key := endpointKey{balancer, n.server}
+		key := endpointKey{balancer: balancer, server: received.server}
 		before := s.notifications[key]
 		time.AfterFunc(sharedNotifyTimeout, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			newer := s.notifications[key] != before // it was notified of a later state itself
-			if !newer && !e.stopped.Load() {
-				s.notifyLocked(e, other)
+			newer := s.notifications[key] != before // it received a later update itself
+			if !newer && !running.stopped.Load() {
+				s.notifyLocked(running, other)
 			}
 		})
 	}
 }
 
 // notifyLocked notifies the observer for one balancer. The lock is held.
-func (s *sharedWatch) notifyLocked(e *environment, n notification) {
-	s.notifications[endpointKey{n.balancer, n.server}]++
-	e.observer.EndpointNotified(n.balancer, n.server, n.state, n.startedAt)
+func (s *sharedWatch) notifyLocked(running *environment, received notification) {
+	s.notifications[endpointKey{balancer: received.balancer, server: received.server}]++
+	running.observer.EndpointNotified(received.balancer, received.server, received.state, received.startedAt)
 }
--- a/internal/lab/loadtest/usage.go
+++ b/internal/lab/loadtest/usage.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// sampleInterval is the time between two looks at the balancers' use of resources.
+// sampleInterval is the time between two samples of the balancers' use of resources.
 const sampleInterval = 500 * time.Millisecond
 
 // clockTick is the unit of CPU time in /proc, which Linux fixes for user space.
@@ -20,13 +20,13 @@
 	descriptors int
 }
 
-// sampleUsage samples the balancers until stop is closed, and sums up by balancer and quarter of the day.
+// sampleUsage samples the balancers until stop is closed, and sums up by balancer and quarter of the run.
 func (e *environment) sampleUsage(stop <-chan struct{}) [][]Quarter {
 	quarters := make([][]Quarter, len(e.balancers))
 	previous := make([]time.Duration, len(e.balancers)) // CPU time
-	for i, p := range e.balancers {
+	for i, balancer := range e.balancers {
 		quarters[i] = make([]Quarter, 4)
-		previous[i] = p.usage().cpu
+		previous[i] = balancer.usage().cpu
 	}
 	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
@@ -36,39 +36,39 @@
 			return quarters
 		case <-tick.C:
 		}
-		now := min(int(4*e.clock()/e.realization.Length), 3) // what goes on after the day's end belongs to the last quarter
-		for i, p := range e.balancers {
-			u := p.usage()
+		now := min(int(4*e.clock()/e.realization.Length), 3) // what goes on after the realization's length belongs to the last quarter
+		for i, balancer := range e.balancers {
+			used := balancer.usage()
 			quarter := &quarters[i][now]
-			quarter.CPUSeconds += max(u.cpu-previous[i], 0).Seconds()
-			previous[i] = max(u.cpu, previous[i])
-			quarter.ResidentMB = max(quarter.ResidentMB, u.residentMB)
-			quarter.Descriptors = max(quarter.Descriptors, u.descriptors)
+			quarter.CPUSeconds += max(used.cpu-previous[i], 0).Seconds()
+			previous[i] = max(used.cpu, previous[i])
+			quarter.ResidentMB = max(quarter.ResidentMB, used.residentMB)
+			quarter.Descriptors = max(quarter.Descriptors, used.descriptors)
 		}
 	}
 }
 
 // usage reads what the present process uses. What cannot be read is 0.
-func (p *process) usage() usage {
-	p.mu.Lock()
-	current := p.instance
-	u := usage{cpu: p.exitedCPU}
-	p.mu.Unlock()
+func (b *balancer) usage() usage {
+	b.mu.Lock()
+	current := b.process
+	used := usage{cpu: b.exitedCPU}
+	b.mu.Unlock()
 	if current == nil {
-		return u
+		return used
 	}
 	select {
 	case <-current.exited:
-		return u
+		return used
 	default:
 	}
 	dir := "/proc/" + strconv.Itoa(current.cmd.Process.Pid)
-	u.cpu += readCPUTime(dir + "/stat")
-	u.residentMB = readResidentMB(dir + "/statm")
+	used.cpu += readCPUTime(dir + "/stat")
+	used.residentMB = readResidentMB(dir + "/statm")
 	if list, err := os.ReadDir(dir + "/fd"); err == nil {
-		u.descriptors = len(list)
+		used.descriptors = len(list)
 	}
-	return u
+	return used
 }
 
 // readCPUTime reads a process's user and system time from its stat file.
