--- a/cmd/piernotch-lab/bounds.go
+++ b/cmd/piernotch-lab/bounds.go
@@ -2,30 +2,30 @@
 
 import "piernotch/internal/lab/experiment"
 
-// bounds are the bounds of a command line (--aim) and the texts they were given as.
+// bounds are the thresholds of a command line (--threshold) and the texts they were given as.
 type bounds struct {
 	texts  []string
 	parsed []experiment.Bound
 }
 
 func parseBounds(texts []string) (bounds, error) {
-	b := bounds{texts: texts}
+	checked := bounds{texts: texts}
 	for _, text := range texts {
 		bound, err := experiment.ParseBound(text)
 		if err != nil {
 			return bounds{}, err
 		}
-		b.parsed = append(b.parsed, bound)
+		checked.parsed = append(checked.parsed, bound)
 	}
-	return b, nil
+	return checked, nil
 }
 
-// check prints the missed bounds, and returns errFailed for these and for violations.
-func (b bounds) check(w *printer, summary map[string]experiment.Interval, violations int) error {
+// check prints the missed thresholds, and returns errFailed for these and for violations.
+func (b bounds) check(out *printer, summary map[string]experiment.Interval, violations int) error {
 	failed := violations > 0
 	for i, bound := range b.parsed {
 		if bound.Missed(summary) {
-			w.Printf("missed: %s, it is %s\n", b.texts[i], summary[bound.Figure])
+			out.Printf("missed: %s, it is %s\n", b.texts[i], summary[bound.Figure])
 			failed = true
 		}
 	}
--- a/cmd/piernotch-lab/chaos.go
+++ b/cmd/piernotch-lab/chaos.go
@@ -10,28 +10,29 @@
 	"piernotch/internal/lab/chaos"
 	"piernotch/internal/lab/loadtest"
 	"piernotch/internal/lab/simulation"
+	"piernotch/internal/lab/storednames"
 )
 
 type chaosCmd struct {
-	Name      string   `arg:"" optional:"" default:"mixed" help:"A kind of schedule; --list prints them."`
-	List      bool     `help:"Only list the kinds."`
-	Seed      uint64   `default:"1" help:"Of the first run: the day and its faults."`
-	Runs      int      `default:"1" help:"Seeds to play, one after the other, in real time."`
-	Steps     int      `default:"12" help:"Faults of each run."`
-	Scenario  string   `default:"chaos" help:"A scenario file, or the name of a shipped one."`
-	Balancers int      `help:"Balancers, instead of the scenario's."`
-	Set       []string `sep:"none" placeholder:"KEY=VALUE" help:"Replace a value of the scenario; may be repeated."`
-	Back      float64  `default:"0.9" help:"Share that has to be served in time in the end, when all faults are over."`
-	Shrink    int      `default:"0" help:"Runs that may be spent on leaving out faults of a run that fails."`
-	Replay    string   `placeholder:"FILE" help:"Play the schedule in the file."`
-	Program   string   `placeholder:"FILE" help:"The balancer; piernotch beside this program is the default."`
-	Group     bool     `help:"The balancers share one watch of discovery, by a group of three voters (piernotch-voter beside this program); for schedules without links."`
-	Logs      string   `placeholder:"DIR" help:"Keep the balancers' configurations and logs there."`
-	JSON      string   `name:"json" placeholder:"FILE" help:"Keep the results there."`
-	voter     string
+	Kind         string   `arg:"" name:"kind" optional:"" default:"mixed" help:"A kind of schedule; --list prints them."`
+	List         bool     `help:"Only list the kinds."`
+	Seed         uint64   `default:"1" help:"Of the first run: its realization of the scenario and its faults."`
+	Runs         int      `default:"1" help:"Seeds to play, one after the other, in real time."`
+	Faults       int      `name:"faults" aliases:"steps" default:"12" help:"Faults of each run."`
+	Scenario     string   `default:"chaos" help:"A scenario file, or the name of a shipped one."`
+	Balancers    int      `help:"Number of balancers, instead of the scenario's."`
+	Set          []string `sep:"none" placeholder:"KEY=VALUE" help:"Replace a value of the scenario; may be repeated."`
+	MinRecovered float64  `name:"min-recovered" aliases:"back" default:"0.9" help:"Share that has to be served within its latency objective at the end, when all faults are over."`
+	Shrink       int      `default:"0" help:"Runs that may be spent on leaving out faults of a run that fails."`
+	Replay       string   `placeholder:"FILE" help:"Play the schedule in the file."`
+	Program      string   `placeholder:"FILE" help:"The balancer; piernotch beside this program is the default."`
+	SharedWatch  bool     `name:"shared-watch" aliases:"group" help:"The balancers share one watch of discovery, through a control group of three voters (piernotch-voter beside this program); for schedules without links."`
+	Logs         string   `placeholder:"DIR" help:"Keep the balancers' configurations and logs there."`
+	JSON         string   `name:"json" placeholder:"FILE" help:"Keep the results there."`
+	voterProgram string
 }
 
-// chaosRun is one schedule and what came of it, as it is kept in files.
+// chaosRun is one schedule and its result, as it is kept in files.
 type chaosRun struct {
 	Kind         string           `json:"kind"`
 	Seed         uint64           `json:"seed"`
@@ -41,22 +42,22 @@
 	Report       *loadtest.Report `json:"report,omitempty"`
 }
 
-func (c *chaosCmd) Run(ctx context.Context, o *output) error {
+func (c *chaosCmd) Run(ctx context.Context, std *streams) error {
 	if c.List {
 		for _, kind := range chaos.Kinds {
-			o.out.Printf("%-10s %s\n", kind.Name, kind.Description)
+			std.out.Printf("%-10s %s\n", storednames.Display(storednames.ScheduleKinds, kind.Name), kind.Description)
 		}
 		return nil
 	}
 	if err := resolveProgram(&c.Program, "piernotch"); err != nil {
 		return err
 	}
-	if c.Group {
-		if err := resolveProgram(&c.voter, "piernotch-voter"); err != nil {
+	if c.SharedWatch {
+		if err := resolveProgram(&c.voterProgram, "piernotch-voter"); err != nil {
 			return err
 		}
 	}
-	runs, err := c.playAll(ctx, o)
+	runs, err := c.playAll(ctx, std)
 	if err != nil {
 		return err
 	}
@@ -71,7 +72,7 @@
 			failed++
 		}
 	}
-	o.out.Printf("%d of %d runs kept everything\n", len(runs)-failed, len(runs))
+	std.out.Printf("%d of %d runs passed\n", len(runs)-failed, len(runs))
 	if failed > 0 {
 		return errFailed
 	}
@@ -79,7 +80,7 @@
 }
 
 // playAll plays the seeds one after the other until the context ends.
-func (c *chaosCmd) playAll(ctx context.Context, o *output) ([]*chaosRun, error) {
+func (c *chaosCmd) playAll(ctx context.Context, std *streams) ([]*chaosRun, error) {
 	var runs []*chaosRun
 	for i := range c.Runs {
 		run, err := c.schedule(c.Seed + uint64(i))
@@ -92,10 +93,10 @@
 		if ctx.Err() != nil {
 			break
 		}
-		c.print(o, run)
+		c.print(std, run)
 		runs = append(runs, run)
 		if run.Failed != "" && c.Shrink > 0 {
-			c.shrink(ctx, o, run)
+			c.shrink(ctx, std, run)
 		}
 	}
 	return runs, nil
@@ -103,7 +104,7 @@
 
 // schedule reads the schedule to replay, or draws that of a seed.
 func (c *chaosCmd) schedule(seed uint64) (*chaosRun, error) {
-	run := &chaosRun{Kind: c.Name, Seed: seed}
+	run := &chaosRun{Kind: storednames.Stored(storednames.ScheduleKinds, c.Kind), Seed: seed}
 	if c.Replay != "" {
 		data, err := os.ReadFile(c.Replay)
 		if err != nil {
@@ -114,25 +115,25 @@
 		}
 		return run, nil
 	}
-	_, d, err := drawRealization(c.Scenario, c.Set, c.Balancers, seed)
+	_, realization, err := drawRealization(c.Scenario, c.Set, c.Balancers, seed)
 	if err != nil {
 		return nil, err
 	}
-	size := chaos.Size{Balancers: len(d.Balancers), Servers: len(d.Servers), Length: d.Length, Steps: c.Steps}
-	run.Steps, err = chaos.Draw(c.Name, seed, size)
+	size := chaos.Size{Balancers: len(realization.Balancers), Servers: len(realization.Servers), Length: realization.Length, Steps: c.Faults}
+	run.Steps, err = chaos.Draw(run.Kind, seed, size)
 	return run, err
 }
 
-// play plays a run's schedule on its day and fills in how it went. The error is of a run that says
-// nothing: it could not be played, or is void.
+// play plays a run's schedule on its realization and fills in the result. The error is of a run without a
+// result: it could not be played, or is void.
 func (c *chaosCmd) play(ctx context.Context, run *chaosRun) error {
-	_, d, err := drawRealization(c.Scenario, c.Set, c.Balancers, run.Seed)
+	_, realization, err := drawRealization(c.Scenario, c.Set, c.Balancers, run.Seed)
 	if err != nil {
 		return err
 	}
 	run.Failed = ""
 	run.describe()
-	report, err := loadtest.Run(ctx, d, loadtest.Options{Program: c.Program, LogDir: c.Logs, Faults: run.Steps, VoterProgram: c.voter})
+	report, err := loadtest.Run(ctx, realization, loadtest.Options{Program: c.Program, LogDir: c.Logs, Faults: run.Steps, VoterProgram: c.voterProgram})
 	run.Report = report
 	switch {
 	case report == nil:
@@ -146,9 +147,9 @@
 		run.Failed = err.Error()
 	case report.Broken() > 0:
 		first := report.Breaks[0]
-		run.Failed = fmt.Sprintf("%d breaks of a rule, first %s at %.2f s: %s", report.Broken(), first.Rule, first.At.Seconds(), first.Message)
+		run.Failed = fmt.Sprintf("%d violations of invariants, the first %s at %.2f s: %s", report.Broken(), first.Rule, first.At.Seconds(), first.Message)
 	default:
-		run.Failed = c.checkRecovery(report, d.Length)
+		run.Failed = c.checkRecovery(report, realization.Length)
 	}
 	return nil
 }
@@ -157,12 +158,12 @@
 func (c *chaosCmd) checkRecovery(report *loadtest.Report, length time.Duration) string {
 	from := int((length - chaos.RecoveryTime/2).Seconds())
 	asked, served := 0.0, 0.0
-	for _, s := range report.Seconds[min(from, len(report.Seconds)):] {
-		asked += s.AskedWeight
-		served += s.ServedWeight
+	for _, second := range report.Seconds[min(from, len(report.Seconds)):] {
+		asked += second.AskedWeight
+		served += second.ServedWeight
 	}
-	if asked > 0 && served/asked < c.Back {
-		return fmt.Sprintf("%.3f served in time from %d s on, with all faults over; %.3f is wanted", served/asked, from, c.Back)
+	if asked > 0 && served/asked < c.MinRecovered {
+		return fmt.Sprintf("%.3f served within the latency objective from %d s on, after all faults; at least %.3f is required", served/asked, from, c.MinRecovered)
 	}
 	return ""
 }
@@ -175,23 +176,23 @@
 	}
 }
 
-func (c *chaosCmd) print(o *output, run *chaosRun) {
+func (c *chaosCmd) print(std *streams, run *chaosRun) {
 	counts := run.Report.Counts
-	o.out.Printf("%s, seed %d: %d tries, %d served, %d refused, %d failed, %d without an answer, %d broken, %d met no balancer, %d calls for the list\n",
-		run.Kind, run.Seed, counts.Attempts, counts.Served, counts.Rejected, counts.Failed, counts.TimedOut, counts.Disconnected, counts.Unreachable, run.Report.DiscoveryCalls)
+	std.out.Printf("%s, seed %d: %d attempts, %d served, %d rejected, %d failed, %d timed out, %d disconnected, %d unreachable, %d polls of discovery\n",
+		storednames.Display(storednames.ScheduleKinds, run.Kind), run.Seed, counts.Attempts, counts.Served, counts.Rejected, counts.Failed, counts.TimedOut, counts.Disconnected, counts.Unreachable, run.Report.DiscoveryCalls)
 	if run.Failed == "" {
 		return
 	}
-	o.out.Println("FAILED:", run.Failed)
+	std.out.Println("FAILED:", run.Failed)
 	for _, description := range run.Descriptions {
-		o.out.Println(" ", description)
+		std.out.Println(" ", description)
 	}
-	printRunViolations(o, []*simulation.Result{&run.Report.Result})
-	o.out.Printf("again: piernotch-lab chaos %s --seed %d --steps %d\n", run.Kind, run.Seed, c.Steps)
+	printRunViolations(std, []*simulation.Result{&run.Report.Result})
+	std.out.Printf("replay: piernotch-lab chaos %s --seed %d --faults %d\n", storednames.Display(storednames.ScheduleKinds, run.Kind), run.Seed, c.Faults)
 }
 
 // shrink looks for fewer faults that still fail, and keeps them in a file.
-func (c *chaosCmd) shrink(ctx context.Context, o *output, run *chaosRun) {
+func (c *chaosCmd) shrink(ctx context.Context, std *streams, run *chaosRun) {
 	short := *run
 	short.Steps = chaos.Shrink(run.Steps, c.Shrink, func(steps []chaos.Step) bool {
 		attempt := *run
@@ -206,11 +207,11 @@
 	short.describe()
 	name := fmt.Sprintf("chaos-%s-%d.json", run.Kind, run.Seed)
 	if err := writeJSON(name, short); err != nil {
-		o.err.Println(err)
+		std.err.Println(err)
 		return
 	}
-	o.out.Printf("%d faults still fail: piernotch-lab chaos --replay %s\n", len(short.Steps), name)
+	std.out.Printf("%d faults still fail: piernotch-lab chaos --replay %s\n", len(short.Steps), name)
 	for _, description := range short.Descriptions {
-		o.out.Println(" ", description)
+		std.out.Println(" ", description)
 	}
 }
--- a/cmd/piernotch-lab/cluster.go
+++ b/cmd/piernotch-lab/cluster.go
@@ -12,21 +12,21 @@
 
 type clusterCmd struct {
 	Simulate  clusterSimulateCmd  `cmd:"" aliases:"model" help:"Play schedules of faults on the control group in simulated time, thousands of seeds."`
-	Processes clusterProcessesCmd `cmd:"" aliases:"rig" help:"Play the same schedules on real processes with relays between them."`
-	Times     clusterTimesCmd     `cmd:"" help:"Measure how long a duty is without a holder when its holder ends, planned and unplanned."`
+	Processes clusterProcessesCmd `cmd:"" aliases:"rig" help:"Play the same schedules on real processes with fault proxies between them."`
+	Times     clusterTimesCmd     `cmd:"" help:"Measure how long a duty has no lease holder after its holder ends, planned and unplanned."`
 }
 
 // clusterOptions are the arguments that say what a schedule is played on.
 type clusterOptions struct {
 	Seed    uint64 `default:"1" help:"The first seed."`
 	Runs    int    `default:"100" help:"How many seeds."`
-	Voters  int    `default:"3" help:"Processes that vote."`
-	Members int    `default:"4" help:"Processes that want duties."`
-	Duties  int    `default:"2" help:"Duties that all of them want."`
+	Voters  int    `default:"3" help:"Number of voters."`
+	Members int    `default:"4" help:"Number of processes that compete for duties."`
+	Duties  int    `default:"2" help:"Number of duties, each of which all of them compete for."`
 	Faults  int    `default:"12" help:"Faults of each seed."`
 	Length  int    `default:"60" help:"Seconds of each seed; the last 25 are without faults."`
 	JSON    string `name:"json" placeholder:"FILE" help:"Keep the results there."`
-	SVG     string `name:"svg" placeholder:"FILE" help:"With one seed: draw who held what, and what went wrong."`
+	SVG     string `name:"svg" placeholder:"FILE" help:"With one seed: draw the lease holders over time, and the violations."`
 }
 
 // draw writes the picture of a seed, if one is asked for.
@@ -34,12 +34,12 @@
 	if c.SVG == "" || c.Runs != 1 {
 		return nil
 	}
-	f, err := os.Create(c.SVG)
+	file, err := os.Create(c.SVG)
 	if err != nil {
 		return err
 	}
-	clustersim.DrawTimeline(f, fmt.Sprintf("seed %d", seed), c.size().Duration, faults, spans)
-	return f.Close()
+	clustersim.DrawTimeline(file, fmt.Sprintf("seed %d", seed), c.size().Duration, faults, spans)
+	return file.Close()
 }
 
 func (c *clusterOptions) size() clustersim.Size {
@@ -58,13 +58,13 @@
 
 // finish prints the violations, writes the results' file, and returns errFailed for violations. The
 // subcommand is named in the commands that replay them.
-func (c *clusterOptions) finish(o *output, subcommand string, results any, failures []clusterFailure) error {
+func (c *clusterOptions) finish(std *streams, subcommand string, results any, failures []clusterFailure) error {
 	for _, failure := range failures {
-		o.out.Printf("seed %d BROKEN: %s\n", failure.seed, failure.violations[0])
+		std.out.Printf("seed %d VIOLATION: %s\n", failure.seed, failure.violations[0])
 		for _, fault := range failure.faults {
-			o.out.Println(" ", fault)
+			std.out.Println(" ", fault)
 		}
-		o.out.Printf("again: piernotch-lab cluster %s --seed %d --runs 1 --voters %d --members %d --duties %d --faults %d --length %d\n",
+		std.out.Printf("replay: piernotch-lab cluster %s --seed %d --runs 1 --voters %d --members %d --duties %d --faults %d --length %d\n",
 			subcommand, failure.seed, c.Voters, c.Members, c.Duties, c.Faults, c.Length)
 	}
 	if c.JSON != "" {
@@ -72,17 +72,19 @@
 			return err
 		}
 	}
-	o.out.Printf("%d seeds broke something\n", len(failures))
+	std.out.Printf("%d seeds violated an invariant\n", len(failures))
 	if len(failures) > 0 {
 		return errFailed
 	}
 	return nil
 }
 
-// holdCmd is a process that clustertest starts.
+// holdCmd is a process that clustertest starts: it competes for duties.
 type holdCmd struct {
-	File string `arg:"" help:"The group's file."`
-	Rig  string `arg:"" help:"Where the test listens."`
+	File    string `arg:"" name:"file" help:"The control group's file."`
+	Harness string `arg:"" name:"harness" help:"Address at which the test harness listens."`
 }
 
-func (c *holdCmd) Run(ctx context.Context) error { return clustertest.RunHolder(ctx, c.File, c.Rig) }
+func (c *holdCmd) Run(ctx context.Context) error {
+	return clustertest.RunHolder(ctx, c.File, c.Harness)
+}
--- a/cmd/piernotch-lab/cluster_processes.go
+++ b/cmd/piernotch-lab/cluster_processes.go
@@ -18,13 +18,13 @@
 
 type clusterProcessesCmd struct {
 	clusterOptions
-	Beside  int    `default:"2" help:"Seeds that are played side by side."`
-	Program string `placeholder:"FILE" help:"The voter; piernotch-voter beside this program is the default."`
-	Logs    string `placeholder:"DIR" help:"Keep configurations, disks and logs there."`
+	Parallel int    `name:"parallel" aliases:"beside" default:"2" help:"Seeds that are played at the same time."`
+	Program  string `placeholder:"FILE" help:"The voter; piernotch-voter beside this program is the default."`
+	Logs     string `placeholder:"DIR" help:"Keep configurations, disks and logs there."`
 }
 
 // playEach plays the seeds, several at a time, each with a directory of its own.
-func (c *clusterProcessesCmd) playEach(ctx context.Context, o *output, play func(clustertest.Options) error) error {
+func (c *clusterProcessesCmd) playEach(ctx context.Context, std *streams, play func(clustertest.Options) error) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -39,9 +39,9 @@
 		}
 		defer func() { _ = os.RemoveAll(dir) }() // temporary: what is left does no harm
 	}
-	bar := progressbar.NewOptions(c.Runs, progressbar.OptionSetWriter(o.err.writer), progressbar.OptionClearOnFinish())
+	bar := progressbar.NewOptions(c.Runs, progressbar.OptionSetWriter(std.err.writer), progressbar.OptionClearOnFinish())
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(c.Beside)
+	group.SetLimit(c.Parallel)
 	for i := range c.Runs {
 		group.Go(func() error {
 			defer func() { _ = bar.Add(1) }()
@@ -62,20 +62,20 @@
 	return group.Wait()
 }
 
-func (c *clusterProcessesCmd) Run(ctx context.Context, o *output) error {
+func (c *clusterProcessesCmd) Run(ctx context.Context, std *streams) error {
 	var (
 		mu      sync.Mutex
 		results []clustertest.Result
 	)
-	err := c.playEach(ctx, o, func(opts clustertest.Options) error {
-		r, err := clustertest.Run(ctx, opts)
+	err := c.playEach(ctx, std, func(opts clustertest.Options) error {
+		result, err := clustertest.Run(ctx, opts)
 		if err != nil {
 			return err
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		results = append(results, r)
-		return c.draw(r.Seed, clustersim.GenerateSchedule(r.Seed, opts.Size), r.Spans)
+		results = append(results, result)
+		return c.draw(result.Seed, clustersim.GenerateSchedule(result.Seed, opts.Size), result.Spans)
 	})
 	if err != nil {
 		return err
@@ -84,40 +84,40 @@
 	acts, fenced, grants := 0, 0, 0
 	var gaps []float64
 	failures := []clusterFailure{}
-	for _, r := range results {
-		acts += r.Acts
-		fenced += r.Fenced
-		grants += r.Grants
-		gaps = append(gaps, r.Gaps...)
-		if len(r.Violations) > 0 {
-			failures = append(failures, clusterFailure{r.Seed, r.Violations, r.Faults})
+	for _, result := range results {
+		acts += result.Acts
+		fenced += result.Fenced
+		grants += result.Grants
+		gaps = append(gaps, result.Gaps...)
+		if len(result.Violations) > 0 {
+			failures = append(failures, clusterFailure{result.Seed, result.Violations, result.Faults})
 		}
 	}
 	slices.Sort(gaps)
-	o.out.Printf("%d seeds, %d grants, %d acts, %d refused by their token", len(results), grants, acts, fenced)
-	if n := len(gaps); n > 0 {
-		o.out.Printf("; from one holder to the next %.3f s in the median, %.3f s at most", gaps[n/2], gaps[n-1])
+	std.out.Printf("%d seeds, %d grants, %d acts, %d rejected by their fencing token", len(results), grants, acts, fenced)
+	if count := len(gaps); count > 0 {
+		std.out.Printf("; without a lease holder for %.3f s in the median, %.3f s at most", gaps[count/2], gaps[count-1])
 	}
-	o.out.Println()
-	return c.finish(o, "processes", results, failures)
+	std.out.Println()
+	return c.finish(std, "processes", results, failures)
 }
 
 type clusterTimesCmd struct {
 	clusterProcessesCmd
-	Times int `default:"10" help:"Ends of either kind in each group; --runs groups are measured."`
+	Failovers int `name:"failovers" aliases:"times" default:"10" help:"Failovers of either kind in each control group; --runs groups are measured."`
 }
 
-func (c *clusterTimesCmd) Run(ctx context.Context, o *output) error {
+func (c *clusterTimesCmd) Run(ctx context.Context, std *streams) error {
 	var (
 		mu  sync.Mutex
 		all clustertest.FailoverTimes
 	)
-	err := c.playEach(ctx, o, func(opts clustertest.Options) error {
-		t, err := clustertest.MeasureFailover(ctx, opts, c.Times)
+	err := c.playEach(ctx, std, func(opts clustertest.Options) error {
+		measured, err := clustertest.MeasureFailover(ctx, opts, c.Failovers)
 		mu.Lock()
 		defer mu.Unlock()
-		all.Planned = append(all.Planned, t.Planned...)
-		all.Unplanned = append(all.Unplanned, t.Unplanned...)
+		all.Planned = append(all.Planned, measured.Planned...)
+		all.Unplanned = append(all.Unplanned, measured.Unplanned...)
 		return err
 	})
 	if err != nil {
@@ -127,10 +127,10 @@
 		name    string
 		seconds []float64
 	}{{"planned", all.Planned}, {"unplanned", all.Unplanned}} {
-		s := kind.seconds
-		if n := len(s); n > 0 {
-			slices.Sort(s)
-			o.out.Printf("%-9s %d times: median %.3f s, p99 %.3f s, most %.3f s\n", kind.name, n, s[n/2], s[n*99/100], s[n-1])
+		seconds := kind.seconds
+		if count := len(seconds); count > 0 {
+			slices.Sort(seconds)
+			std.out.Printf("%-9s %d times: median %.3f s, p99 %.3f s, longest %.3f s\n", kind.name, count, seconds[count/2], seconds[count*99/100], seconds[count-1])
 		}
 	}
 	if c.JSON != "" {
--- a/cmd/piernotch-lab/cluster_simulate.go
+++ b/cmd/piernotch-lab/cluster_simulate.go
@@ -19,10 +19,10 @@
 
 type clusterSimulateCmd struct {
 	clusterOptions
-	Workers int    `default:"0" help:"Processes side by side; 0: one a core."`
-	Shrink  int    `default:"0" help:"Plays that may be spent on leaving out faults of a seed that breaks something."`
+	Workers int    `default:"0" help:"Processes at the same time; 0: one a core."`
+	Shrink  int    `default:"0" help:"Runs that may be spent on leaving out faults of a seed that violates an invariant."`
 	Replay  string `placeholder:"FILE" help:"Play the schedule in the file, on its seed."`
-	Child   bool   `hidden:"" help:"Play the seeds here, and print each result."`
+	Child   bool   `hidden:"" help:"Play the seeds in this process, and print each result."`
 }
 
 // clusterSchedule is a seed's faults as they are kept in a file.
@@ -33,94 +33,94 @@
 	Broken string             `json:"broken"`
 }
 
-func (c *clusterSimulateCmd) Run(ctx context.Context, o *output) error {
+func (c *clusterSimulateCmd) Run(ctx context.Context, std *streams) error {
 	if c.Child {
-		return c.playAsChild(ctx, o)
+		return c.playAsChild(ctx, std)
 	}
 	if c.Replay != "" || c.Runs == 1 {
-		return c.playOne(o)
+		return c.playOne(std)
 	}
 	if c.Workers == 0 {
 		c.Workers = runtime.NumCPU()
 	}
 	// The consensus engine draws random numbers from a source that a process has once: seeds that
 	// are played at the same time are in processes of their own.
-	results, err := c.playInChildren(ctx, o)
+	results, err := c.playInChildren(ctx, std)
 	if err != nil {
 		return err
 	}
 	acts, fenced, grants := 0, 0, 0
 	unheld := 0.0
 	failures := []clusterFailure{}
-	for _, r := range results {
-		acts += r.Acts
-		fenced += r.Fenced
-		grants += r.Grants
-		unheld += r.UnheldShare
-		if len(r.Violations) > 0 {
-			failures = append(failures, clusterFailure{r.Seed, r.Violations, r.Faults})
+	for _, result := range results {
+		acts += result.Acts
+		fenced += result.Fenced
+		grants += result.Grants
+		unheld += result.UnheldShare
+		if len(result.Violations) > 0 {
+			failures = append(failures, clusterFailure{result.Seed, result.Violations, result.Faults})
 		}
 	}
-	o.out.Printf("%d seeds, %d grants, %d acts, %d refused by their token, a duty held by nobody %.1f%% of the time\n",
+	std.out.Printf("%d seeds, %d grants, %d acts, %d rejected by their fencing token, a duty without a lease holder %.1f%% of the time\n",
 		len(results), grants, acts, fenced, 100*unheld/float64(max(len(results), 1)))
 	if c.Shrink > 0 {
 		for _, failure := range failures {
-			if err := c.shrink(o, failure); err != nil {
+			if err := c.shrink(std, failure); err != nil {
 				return err
 			}
 		}
 	}
-	return c.finish(o, "simulate", results, failures)
+	return c.finish(std, "simulate", results, failures)
 }
 
 // playOne plays one seed, or the schedule of a file, in this process.
-func (c *clusterSimulateCmd) playOne(o *output) error {
-	s := clusterSchedule{Seed: c.Seed, Size: c.size()}
-	s.Faults = clustersim.GenerateSchedule(s.Seed, s.Size)
+func (c *clusterSimulateCmd) playOne(std *streams) error {
+	schedule := clusterSchedule{Seed: c.Seed, Size: c.size()}
+	schedule.Faults = clustersim.GenerateSchedule(schedule.Seed, schedule.Size)
 	if c.Replay != "" {
 		data, err := os.ReadFile(c.Replay)
 		if err == nil {
-			err = json.Unmarshal(data, &s)
+			err = json.Unmarshal(data, &schedule)
 		}
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.Replay, err)
 		}
 	}
-	r := clustersim.RunSchedule(s.Seed, s.Size, s.Faults)
-	o.out.Printf("seed %d: %d grants, %d acts, %d refused by their token\n", r.Seed, r.Grants, r.Acts, r.Fenced)
-	if err := c.draw(s.Seed, s.Faults, r.Spans); err != nil {
+	result := clustersim.RunSchedule(schedule.Seed, schedule.Size, schedule.Faults)
+	std.out.Printf("seed %d: %d grants, %d acts, %d rejected by their fencing token\n", result.Seed, result.Grants, result.Acts, result.Fenced)
+	if err := c.draw(schedule.Seed, schedule.Faults, result.Spans); err != nil {
 		return err
 	}
 	var failures []clusterFailure
-	if len(r.Violations) > 0 {
-		failures = append(failures, clusterFailure{r.Seed, r.Violations, r.Faults})
+	if len(result.Violations) > 0 {
+		failures = append(failures, clusterFailure{result.Seed, result.Violations, result.Faults})
 	}
-	return c.finish(o, "simulate", []clustersim.Result{r}, failures)
+	return c.finish(std, "simulate", []clustersim.Result{result}, failures)
 }
 
 // shrink looks for fewer faults that still violate an invariant, and keeps them in a file.
-func (c *clusterSimulateCmd) shrink(o *output, failure clusterFailure) error {
-	s := clusterSchedule{Seed: failure.seed, Size: c.size(), Broken: failure.violations[0]}
-	s.Faults = chaos.Shrink(failure.faults, c.Shrink, func(faults []clustersim.Fault) bool {
-		r := clustersim.RunSchedule(s.Seed, s.Size, faults)
-		if len(r.Violations) > 0 {
-			s.Broken = r.Violations[0]
+func (c *clusterSimulateCmd) shrink(std *streams, failure clusterFailure) error {
+	schedule := clusterSchedule{Seed: failure.seed, Size: c.size(), Broken: failure.violations[0]}
+	schedule.Faults = chaos.Shrink(failure.faults, c.Shrink, func(faults []clustersim.Fault) bool {
+		result := clustersim.RunSchedule(schedule.Seed, schedule.Size, faults)
+		if len(result.Violations) > 0 {
+			schedule.Broken = result.Violations[0]
 		}
-		return len(r.Violations) > 0
+		return len(result.Violations) > 0
 	})
-	name := fmt.Sprintf("group-%d.json", s.Seed)
-	o.out.Printf("%d faults still break something: piernotch-lab cluster simulate --replay %s\n", len(s.Faults), name)
-	return writeJSON(name, s)
+	name := fmt.Sprintf("group-%d.json", schedule.Seed)
+	std.out.Printf("%d faults still violate an invariant: piernotch-lab cluster simulate --replay %s\n", len(schedule.Faults), name)
+	return writeJSON(name, schedule)
 }
 
 // playAsChild plays the seeds in this process and prints each result as JSON.
-func (c *clusterSimulateCmd) playAsChild(ctx context.Context, o *output) error {
-	enc := json.NewEncoder(o.out)
+func (c *clusterSimulateCmd) playAsChild(ctx context.Context, std *streams) error {
+	encoder := json.NewEncoder(std.out)
 	for i := range c.Runs {
 		if ctx.Err() != nil {
 			break
 		}
-		if err := enc.Encode(clustersim.Run(c.Seed+uint64(i), c.size())); err != nil {
+		if err := encoder.Encode(clustersim.Run(c.Seed+uint64(i), c.size())); err != nil {
 			return err
 		}
 	}
@@ -132,12 +132,12 @@
 
 // playInChildren plays the seeds in processes of this program and returns the results in the order of
 // the seeds. The error is of any process that failed.
-func (c *clusterSimulateCmd) playInChildren(ctx context.Context, o *output) ([]clustersim.Result, error) {
+func (c *clusterSimulateCmd) playInChildren(ctx context.Context, std *streams) ([]clustersim.Result, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	bar := progressbar.NewOptions(c.Runs, progressbar.OptionSetWriter(o.err.writer), progressbar.OptionClearOnFinish())
+	bar := progressbar.NewOptions(c.Runs, progressbar.OptionSetWriter(std.err.writer), progressbar.OptionClearOnFinish())
 	var (
 		mu      sync.Mutex // guards results and failed
 		results []clustersim.Result
@@ -145,16 +145,16 @@
 		work    = make(chan int) // first seeds, as offsets
 		workers sync.WaitGroup
 	)
-	collect := func(r clustersim.Result) {
+	collect := func(result clustersim.Result) {
 		mu.Lock()
-		results = append(results, r)
+		results = append(results, result)
 		mu.Unlock()
 		_ = bar.Add(1) // only the display can fail
 	}
 	for range c.Workers { // each ends when work is closed
 		workers.Go(func() {
 			for from := range work {
-				if err := c.playChild(ctx, o, self, from, collect); err != nil {
+				if err := c.playChild(ctx, std, childRun{program: self, from: from, collect: collect}); err != nil {
 					mu.Lock()
 					failed = err
 					mu.Unlock()
@@ -171,15 +171,22 @@
 	return results, failed
 }
 
-// playChild plays up to seedsPerChild seeds in one process, from an offset on.
-func (c *clusterSimulateCmd) playChild(ctx context.Context, o *output, program string, from int, collect func(clustersim.Result)) error {
-	n := min(seedsPerChild, c.Runs-from)
-	cmd := exec.CommandContext(ctx, program, "cluster", "simulate", "--child",
-		fmt.Sprintf("--seed=%d", c.Seed+uint64(from)), fmt.Sprintf("--runs=%d", n),
+// childRun is what one process of this program plays: up to seedsPerChild seeds.
+type childRun struct {
+	program string
+	from    int                     // offset of the first seed
+	collect func(clustersim.Result) // called with each result
+}
+
+// playChild plays seeds in a process of their own and waits for its end.
+func (c *clusterSimulateCmd) playChild(ctx context.Context, std *streams, child childRun) error {
+	seeds := min(seedsPerChild, c.Runs-child.from)
+	cmd := exec.CommandContext(ctx, child.program, "cluster", "simulate", "--child",
+		fmt.Sprintf("--seed=%d", c.Seed+uint64(child.from)), fmt.Sprintf("--runs=%d", seeds),
 		fmt.Sprintf("--voters=%d", c.Voters), fmt.Sprintf("--members=%d", c.Members), fmt.Sprintf("--duties=%d", c.Duties),
 		fmt.Sprintf("--faults=%d", c.Faults), fmt.Sprintf("--length=%d", c.Length))
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
-	cmd.Stderr = o.err.writer
+	cmd.Stderr = std.err.writer
 	out, err := cmd.StdoutPipe()
 	if err != nil {
 		return err
@@ -188,18 +195,18 @@
 		return err
 	}
 	got := 0
-	for dec := json.NewDecoder(out); ; got++ {
-		var r clustersim.Result
-		if dec.Decode(&r) != nil { // its end, or how it failed: Wait says which
+	for decoder := json.NewDecoder(out); ; got++ {
+		var result clustersim.Result
+		if decoder.Decode(&result) != nil { // its end, or how it failed: Wait says which
 			break
 		}
-		collect(r)
+		child.collect(result)
 	}
 	if err := cmd.Wait(); err != nil {
 		return err
 	}
-	if got < n {
-		return fmt.Errorf("%d of %d seeds from %d were played", got, n, from)
+	if got < seeds {
+		return fmt.Errorf("%d of %d seeds from %d were played", got, seeds, child.from)
 	}
 	return nil
 }
--- a/cmd/piernotch-lab/emulate.go
+++ b/cmd/piernotch-lab/emulate.go
@@ -10,12 +10,12 @@
 
 type emulateCmd struct {
 	Scenario  string   `arg:"" help:"A scenario file, or the name of a shipped one."`
-	Seed      uint64   `default:"1" help:"The day."`
+	Seed      uint64   `default:"1" help:"Of the realization of the scenario."`
 	Set       []string `sep:"none" placeholder:"KEY=VALUE" help:"Replace a value of the scenario; may be repeated."`
-	Balancers int      `default:"1" help:"Addresses of the roster, one for each balancer."`
+	Balancers int      `default:"1" help:"Number of discovery addresses, one for each balancer."`
 }
 
-// anyRequestObserver accepts every request, whoever sent it: there are no clients to compare with.
+// anyRequestObserver accepts every request: there are no clients to compare with.
 type anyRequestObserver struct {
 	mu       sync.Mutex
 	attempts map[string]int // by request id
@@ -36,13 +36,13 @@
 func (*anyRequestObserver) SlowStartWork(string, int, time.Duration, float64) {}
 func (*anyRequestObserver) ServerCollapsed(int)                               {}
 
-func (c *emulateCmd) Run(ctx context.Context, o *output) error {
-	_, d, err := drawRealization(c.Scenario, c.Set, 0, c.Seed)
+func (c *emulateCmd) Run(ctx context.Context, std *streams) error {
+	_, realization, err := drawRealization(c.Scenario, c.Set, 0, c.Seed)
 	if err != nil {
 		return err
 	}
 	started := time.Now()
-	fleet, err := emulator.New(d, emulator.Options{
+	fleet, err := emulator.New(realization, emulator.Options{
 		Balancers: c.Balancers, Clock: func() time.Duration { return time.Since(started) },
 		Observer: &anyRequestObserver{attempts: map[string]int{}},
 	})
@@ -51,12 +51,12 @@
 	}
 	defer fleet.Close()
 	for i := range c.Balancers {
-		o.out.Printf("roster %s\n", fleet.Discovery().Address(i))
+		std.out.Printf("discovery %s\n", fleet.Discovery().Address(i))
 	}
 	fleet.Play(ctx)
 	select {
 	case <-ctx.Done():
-	case <-time.After(d.Length):
+	case <-time.After(realization.Length):
 	}
 	return fleet.Err()
 }
--- a/cmd/piernotch-lab/faulttest.go
+++ b/cmd/piernotch-lab/faulttest.go
@@ -20,16 +20,16 @@
 	Names    []string `arg:"" optional:"" help:"Fault tests; none: all."`
 	Runs     int      `default:"3" help:"Seeds of each."`
 	Seed     uint64   `default:"1" help:"The first seed."`
-	Simulate bool     `name:"model" help:"In simulated time, instead of on sockets."`
+	Simulate bool     `name:"simulate" aliases:"model" help:"In simulated time, instead of on sockets."`
 	Program  string   `placeholder:"FILE" help:"The balancer; piernotch beside this program is the default."`
 	List     bool     `help:"Only list the fault tests."`
-	JSON     string   `name:"json" placeholder:"DIR" help:"Keep the results there, a file a fault test; piernotch-lab plot draws them."`
+	JSON     string   `name:"json" placeholder:"DIR" help:"Keep the results there, one file for each fault test; piernotch-lab plot draws them."`
 }
 
-func (c *faulttestCmd) Run(ctx context.Context, o *output) error {
+func (c *faulttestCmd) Run(ctx context.Context, std *streams) error {
 	if c.List {
 		for _, test := range loadtest.FaultTests() {
-			o.out.Printf("%-24s %s\n", test.Name, test.Description)
+			std.out.Printf("%-24s %s\n", test.Name, test.Description)
 		}
 		return nil
 	}
@@ -40,12 +40,12 @@
 	if err := resolveProgram(&c.Program, "piernotch"); err != nil {
 		return err
 	}
-	t := table.NewWriter()
-	t.AppendHeader(table.Row{"drill", "served, of the control", "worst 3 s", "back after, s", "refused", "failed", "rules broken"})
+	resultTable := table.NewWriter()
+	resultTable.AppendHeader(table.Row{"fault test", "served, of the control", "worst 3 s", "recovery time, s", "rejected", "failed", "violations"})
 	var valid []*simulation.Result // of all tests
 	controls := faulttestControls{}
 	for _, test := range tests {
-		runs, control, err := c.playTest(ctx, o, controls, test)
+		runs, control, err := c.playTest(ctx, std, controls, test)
 		if err != nil {
 			return err
 		}
@@ -53,13 +53,13 @@
 			break
 		}
 		valid = append(valid, withoutVoid(runs)...)
-		t.AppendRow(faulttestRow(test, runs, control))
+		resultTable.AppendRow(faulttestRow(test, runs, control))
 		if err := c.save(test, withoutVoid(runs)); err != nil {
 			return err
 		}
 	}
-	o.out.Println(t.RenderMarkdown())
-	printRunViolations(o, valid)
+	std.out.Println(resultTable.RenderMarkdown())
+	printRunViolations(std, valid)
 	if experiment.Violations(valid) > 0 {
 		return errFailed
 	}
@@ -81,16 +81,16 @@
 }
 
 // playTest plays a fault test and its control.
-func (c *faulttestCmd) playTest(ctx context.Context, o *output, controls faulttestControls, test loadtest.FaultTest) (runs, control []*simulation.Result, err error) {
-	s, err := test.Scenario()
+func (c *faulttestCmd) playTest(ctx context.Context, std *streams, controls faulttestControls, test loadtest.FaultTest) (runs, control []*simulation.Result, err error) {
+	testScenario, err := test.Scenario()
 	if err != nil {
 		return nil, nil, err
 	}
-	control, err = c.control(ctx, o, controls, test)
+	control, err = c.control(ctx, std, controls, test)
 	if err != nil {
 		return nil, nil, err
 	}
-	runs, err = c.play(ctx, o, s)
+	runs, err = c.play(ctx, std, testScenario)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", test.Name, err)
 	}
@@ -101,13 +101,13 @@
 type faulttestControls map[string][]*simulation.Result
 
 // control plays the control of a fault test, unless it has been played for another test.
-func (c *faulttestCmd) control(ctx context.Context, o *output, controls faulttestControls, test loadtest.FaultTest) ([]*simulation.Result, error) {
-	s, key, err := test.Control()
+func (c *faulttestCmd) control(ctx context.Context, std *streams, controls faulttestControls, test loadtest.FaultTest) ([]*simulation.Result, error) {
+	testScenario, key, err := test.Control()
 	if err != nil {
 		return nil, err
 	}
 	if controls[key] == nil {
-		runs, err := c.play(ctx, o, s)
+		runs, err := c.play(ctx, std, testScenario)
 		if err != nil {
 			return nil, fmt.Errorf("control of %s: %w", test.Name, err)
 		}
@@ -121,70 +121,70 @@
 	if c.JSON == "" {
 		return nil
 	}
-	s, err := test.Scenario()
+	testScenario, err := test.Scenario()
 	if err != nil {
 		return err
 	}
 	if err := os.MkdirAll(c.JSON, 0o755); err != nil {
 		return err
 	}
-	f := &experiment.ResultFile{
-		Kind: "run", Scenario: s.Name, Description: s.About, Seed: c.Seed,
+	file := &experiment.ResultFile{
+		Kind: "run", Scenario: testScenario.Name, Description: testScenario.About, Seed: c.Seed,
 		Runs: runs, Summary: experiment.SummarizeRuns(runs),
 	}
-	return f.Write(filepath.Join(c.JSON, test.Name+".json"))
+	return file.Write(filepath.Join(c.JSON, test.Name+".json"))
 }
 
 // withoutVoid leaves out the runs that are void.
 func withoutVoid(runs []*simulation.Result) []*simulation.Result {
-	return slices.DeleteFunc(slices.Clone(runs), func(r *simulation.Result) bool { return r == nil })
+	return slices.DeleteFunc(slices.Clone(runs), func(result *simulation.Result) bool { return result == nil })
 }
 
 // play plays all seeds of a scenario, in the order of the seeds; a void run is nil.
-func (c *faulttestCmd) play(ctx context.Context, o *output, s *scenario.Scenario) ([]*simulation.Result, error) {
+func (c *faulttestCmd) play(ctx context.Context, std *streams, testScenario *scenario.Scenario) ([]*simulation.Result, error) {
 	if c.Simulate {
-		return experiment.Run(ctx, experiment.Plan{Scenario: s, Seed: c.Seed, Runs: c.Runs}, experiment.Variant{})
+		return experiment.Run(ctx, experiment.Plan{Scenario: testScenario, Seed: c.Seed, Runs: c.Runs}, experiment.Variant{})
 	}
 	var runs []*simulation.Result
 	for i := range c.Runs {
-		d, err := s.Draw(c.Seed + uint64(i))
+		realization, err := testScenario.Draw(c.Seed + uint64(i))
 		if err != nil {
 			return nil, err
 		}
-		r, err := loadtest.Run(ctx, d, loadtest.Options{Program: c.Program})
+		result, err := loadtest.Run(ctx, realization, loadtest.Options{Program: c.Program})
 		if err != nil {
 			return nil, err
 		}
-		if r.Void != "" {
-			o.err.Printf("%s, seed %d: void: %s\n", s.Name, d.Seed, r.Void)
+		if result.Void != "" {
+			std.err.Printf("%s, seed %d: void: %s\n", testScenario.Name, realization.Seed, result.Void)
 			runs = append(runs, nil)
 			continue
 		}
-		runs = append(runs, &r.Result)
+		runs = append(runs, &result.Result)
 	}
 	return runs, nil
 }
 
 // faulttestRow sums up a fault test; seeds that are void on either side are left out.
 func faulttestRow(test loadtest.FaultTest, runs, controls []*simulation.Result) table.Row {
-	var served, worst, refused, failed []float64
+	var served, worst, rejected, failed []float64
 	var recovered []string
 	violations := 0
-	for i, r := range runs {
-		if r == nil || controls[i] == nil {
+	for i, result := range runs {
+		if result == nil || controls[i] == nil {
 			continue
 		}
-		recovery := loadtest.MeasureRecovery(r, controls[i], loadtest.FaultTime)
+		recovery := loadtest.MeasureRecovery(result, controls[i], loadtest.FaultTime)
 		served = append(served, recovery.Served)
 		worst = append(worst, recovery.Worst)
-		refused = append(refused, recovery.Rejected)
+		rejected = append(rejected, recovery.Rejected)
 		failed = append(failed, recovery.Failed)
 		recovered = append(recovered, fmt.Sprintf("%.0f", recovery.RecoveredAfter))
-		violations += r.Broken()
+		violations += result.Broken()
 	}
 	if len(served) == 0 {
 		return table.Row{test.Name, "void"}
 	}
-	mean := func(v []float64) string { return fmt.Sprintf("%.3f", experiment.Summarize(v).Mean) }
-	return table.Row{test.Name, mean(served), mean(worst), strings.Join(recovered, ", "), mean(refused), mean(failed), violations}
+	mean := func(values []float64) string { return fmt.Sprintf("%.3f", experiment.Summarize(values).Mean) }
+	return table.Row{test.Name, mean(served), mean(worst), strings.Join(recovered, ", "), mean(rejected), mean(failed), violations}
 }
--- a/cmd/piernotch-lab/handover.go
+++ b/cmd/piernotch-lab/handover.go
@@ -7,64 +7,65 @@
 
 	"piernotch/internal/lab/loadtest"
 	"piernotch/internal/lab/simulation"
+	"piernotch/internal/lab/storednames"
 )
 
 type handoverCmd struct {
 	Scenario  string   `arg:"" optional:"" default:"quiet" help:"A scenario file, or the name of a shipped one."`
-	Times     int      `default:"200" help:"Hand-overs in all, spread over the balancers and the ways they can go."`
-	Balancers int      `default:"4" help:"Balancers, each of which is handed over again and again."`
-	Seed      uint64   `default:"1" help:"Of the day and of the hand-overs."`
+	Handovers int      `name:"handovers" aliases:"times" default:"200" help:"Number of handovers, spread over the balancers and the kinds of handover."`
+	Balancers int      `default:"4" help:"Number of balancers, each of which has its share of the handovers."`
+	Seed      uint64   `default:"1" help:"Of the realization of the scenario and of the handovers."`
 	Set       []string `sep:"none" placeholder:"KEY=VALUE" help:"Replace a value of the scenario; may be repeated."`
 	Program   string   `placeholder:"FILE" help:"The balancer; piernotch beside this program is the default."`
 	Logs      string   `placeholder:"DIR" help:"Keep the balancers' configurations and logs there."`
 }
 
-func (c *handoverCmd) Run(ctx context.Context, o *output) error {
+func (c *handoverCmd) Run(ctx context.Context, std *streams) error {
 	if err := resolveProgram(&c.Program, "piernotch"); err != nil {
 		return err
 	}
-	rounds := (c.Times + c.Balancers - 1) / c.Balancers
+	rounds := (c.Handovers + c.Balancers - 1) / c.Balancers
 	length := loadtest.HandoverLeadTime + time.Duration(rounds)*loadtest.HandoverInterval
 	set := append([]string{fmt.Sprintf("length_s=%.0f", length.Seconds())}, c.Set...)
-	_, d, err := drawRealization(c.Scenario, set, c.Balancers, c.Seed)
+	_, realization, err := drawRealization(c.Scenario, set, c.Balancers, c.Seed)
 	if err != nil {
 		return err
 	}
-	o.out.Printf("%d hand-overs of %d balancers in %v, seed %d\n", c.Times, c.Balancers, length, c.Seed)
-	r, err := loadtest.Run(ctx, d, loadtest.Options{Program: c.Program, LogDir: c.Logs, Handovers: loadtest.DrawHandovers(d, c.Times)})
+	std.out.Printf("%d handovers of %d balancers in %v, seed %d\n", c.Handovers, c.Balancers, length, c.Seed)
+	report, err := loadtest.Run(ctx, realization, loadtest.Options{Program: c.Program, LogDir: c.Logs, Handovers: loadtest.DrawHandovers(realization, c.Handovers)})
 	if err != nil {
 		return err
 	}
-	done := printHandovers(o, r)
-	handed := r.Handovers
+	done := printHandovers(std, report)
+	handovers := report.Handovers
 	switch {
-	case r.Void != "":
-		o.out.Println("VOID:", r.Void)
+	case report.Void != "":
+		std.out.Println("VOID:", report.Void)
 		return errFailed
-	case r.Broken() > 0, len(handed.Problems) > 0, handed.Killed > 0, r.Counts.Unreachable > 0:
+	case report.Broken() > 0 || len(handovers.Problems) > 0 || handovers.Killed > 0 || report.Counts.Unreachable > 0:
 		return errFailed
-	case done < c.Times && ctx.Err() == nil:
+	case done < c.Handovers && ctx.Err() == nil:
 		return errFailed
 	}
 	return nil
 }
 
-// printHandovers prints what came of the handovers and returns how many were done.
-func printHandovers(o *output, r *loadtest.Report) (done int) {
-	handed := r.Handovers
-	for _, way := range loadtest.HandoverKinds {
-		o.out.Printf("  %-12s %d\n", way, handed.Done[way])
-		done += handed.Done[way]
+// printHandovers prints the results of the handovers and returns how many were done.
+func printHandovers(std *streams, report *loadtest.Report) (done int) {
+	handovers := report.Handovers
+	for _, kind := range loadtest.HandoverKinds {
+		std.out.Printf("  %-21s %d\n", storednames.Display(storednames.HandoverKinds, string(kind)), handovers.Done[kind])
+		done += handovers.Done[kind]
 	}
-	o.out.Printf("%d done, the slowest yes after %v; %d processes ended in order, %d had to be killed\n",
-		done, handed.SlowestReady.Round(time.Millisecond), handed.Exited, handed.Killed)
-	counts := r.Counts
-	o.out.Printf("%d tries: %d served, %d refused, %d failed, %d without an answer, %d broken, %d met no balancer, %d turned back and sent again\n",
+	std.out.Printf("%d done, slowest to be ready %v; %d processes ended in time, %d had to be killed\n",
+		done, handovers.SlowestReady.Round(time.Millisecond), handovers.Exited, handovers.Killed)
+	counts := report.Counts
+	std.out.Printf("%d attempts: %d served, %d rejected, %d failed, %d timed out, %d disconnected, %d unreachable, %d closed unread and retried\n",
 		counts.Attempts, counts.Served, counts.Rejected, counts.Failed, counts.TimedOut, counts.Disconnected, counts.Unreachable, counts.RetriedOnClose)
-	o.out.Printf("%d turned back unheard by processes that were not killed\n", handed.ClosedUnderRequest)
-	for _, text := range handed.Problems {
-		o.out.Println("wrong:", text)
+	std.out.Printf("%d requests closed unread by processes that were not killed\n", handovers.ClosedUnderRequest)
+	for _, text := range handovers.Problems {
+		std.out.Println("problem:", text)
 	}
-	printRunViolations(o, []*simulation.Result{&r.Result})
+	printRunViolations(std, []*simulation.Result{&report.Result})
 	return done
 }
--- a/cmd/piernotch-lab/loadtest_report.go
+++ b/cmd/piernotch-lab/loadtest_report.go
@@ -11,34 +11,35 @@
 	"piernotch/internal/lab/loadtest"
 	"piernotch/internal/lab/scenario"
 	"piernotch/internal/lab/simulation"
+	"piernotch/internal/lab/storednames"
 )
 
-// printRealization prints what is about to be played.
-func printRealization(o *output, d *scenario.Realization, name string) {
-	o.out.Printf("%s, seed %d: %d balancers, %d servers, %.0f requests a second for %.0f s\n",
-		name, d.Seed, len(d.Balancers), len(d.Servers), d.Traffic.RequestsPerSecond, d.Length.Seconds())
-	for _, incident := range d.Faults {
-		o.out.Printf("  %s from %.1f s for %.1f s\n", incident.Kind, incident.At.Seconds(), incident.For.Seconds())
+// printRealization prints the realization of a named scenario that is about to be played.
+func printRealization(std *streams, name string, realization *scenario.Realization) {
+	std.out.Printf("%s, seed %d: %d balancers, %d servers, %.0f requests a second for %.0f s\n",
+		name, realization.Seed, len(realization.Balancers), len(realization.Servers), realization.Traffic.RequestsPerSecond, realization.Length.Seconds())
+	for _, fault := range realization.Faults {
+		std.out.Printf("  %s from %.1f s for %.1f s\n", storednames.Display(storednames.FaultKinds, fault.Kind), fault.At.Seconds(), fault.For.Seconds())
 	}
 }
 
 // printRunViolations prints the first violations of each run.
-func printRunViolations(o *output, runs []*simulation.Result) {
-	for _, r := range runs {
-		for _, violation := range r.Breaks[:min(len(r.Breaks), maxPrintedViolations)] {
-			o.out.Printf("BROKEN seed %d: %s\n    %s\n", r.Seed, violation, strings.Join(violation.Steps, "\n    "))
+func printRunViolations(std *streams, runs []*simulation.Result) {
+	for _, result := range runs {
+		for _, violation := range result.Breaks[:min(len(result.Breaks), maxPrintedViolations)] {
+			std.out.Printf("VIOLATION seed %d: %s\n    %s\n", result.Seed, violation, strings.Join(violation.Steps, "\n    "))
 		}
 	}
 }
 
 // serviceBars draws service over time, a character for each second.
-func serviceBars(r *simulation.Result) string {
+func serviceBars(result *simulation.Result) string {
 	levels := []rune(" ▁▂▃▄▅▆▇█")
 	var out strings.Builder
-	for _, s := range r.Seconds {
+	for _, second := range result.Seconds {
 		share := 1.0
-		if s.AskedWeight > 0 {
-			share = s.ServedWeight / s.AskedWeight
+		if second.AskedWeight > 0 {
+			share = second.ServedWeight / second.AskedWeight
 		}
 		out.WriteRune(levels[int(min(max(share, 0), 1)*float64(len(levels)-1)+0.5)])
 	}
@@ -46,38 +47,38 @@
 }
 
 // printReport prints what one load test measured.
-func printReport(o *output, r *loadtest.Report) {
-	o.out.Printf("  |%s| served in time, by second\n", serviceBars(&r.Result))
-	o.out.Printf("  service %.3f (whole %.3f, worst 10 s %.3f, worst class %.3f); p50 %.0f ms, p99 %.0f ms\n",
-		r.Service, r.Whole, r.WorstWindow, r.WorstClass, r.P50, r.P99)
-	counts := r.Counts
-	o.out.Printf("  %d requests in %d tries: served %d, refused %d, failed %d, unanswered %d, broken off %d, unreached %d\n",
-		r.Requests, counts.Attempts, counts.Served, counts.Rejected, counts.Failed, counts.TimedOut, counts.Disconnected, counts.Unreachable)
-	for _, class := range r.Classes {
-		o.out.Printf("  %s: %d asked, %.3f of their worth served in time\n", class.Name, class.Requests, class.Service)
+func printReport(std *streams, report *loadtest.Report) {
+	std.out.Printf("  |%s| served within the latency objective, by second\n", serviceBars(&report.Result))
+	std.out.Printf("  service %.3f (whole run %.3f, worst 10 s %.3f, worst class %.3f); p50 %.0f ms, p99 %.0f ms\n",
+		report.Service, report.Whole, report.WorstWindow, report.WorstClass, report.P50, report.P99)
+	counts := report.Counts
+	std.out.Printf("  %d requests in %d attempts: served %d, rejected %d, failed %d, timed out %d, disconnected %d, unreachable %d\n",
+		report.Requests, counts.Attempts, counts.Served, counts.Rejected, counts.Failed, counts.TimedOut, counts.Disconnected, counts.Unreachable)
+	for _, class := range report.Classes {
+		std.out.Printf("  %s: %d requests, %.3f of their priority weight served within the latency objective\n", class.Name, class.Requests, class.Service)
 	}
-	o.out.Printf("  rules broken: lost %d, repeated %d, drain %d, cold %d; %.0f us of CPU a request; the rig was %.1f ms late (p99)\n",
-		r.Lost, r.Repeated, r.DrainBreaks, r.ColdFalls, r.CPUPerAnswer, r.LatenessMS)
-	for _, kind := range slices.Sorted(maps.Keys(r.Malformed)) {
-		count := r.Malformed[kind]
-		o.out.Printf("  rude clients, %s: %d, %d got an error or a close in time, %d were served\n", kind, count.Sent, count.Answered, count.Served)
+	std.out.Printf("  violations: lost %d, repeated %d, drain %d, slow start %d; %.0f us of CPU per request; the test harness was %.1f ms late (p99)\n",
+		report.Lost, report.Repeated, report.DrainBreaks, report.ColdFalls, report.CPUPerAnswer, report.LatenessMS)
+	for _, kind := range slices.Sorted(maps.Keys(report.Malformed)) {
+		count := report.Malformed[kind]
+		std.out.Printf("  malformed clients, %s: %d, %d got an error or a close in time, %d were served\n", kind, count.Sent, count.Answered, count.Served)
 	}
-	printBalancerTable(o, r.Balancers)
+	printBalancerTable(std, report.Balancers)
 }
 
-// printBalancerTable prints the use of resources by balancer and quarter of the day.
-func printBalancerTable(o *output, balancers [][]loadtest.Quarter) {
-	t := table.NewWriter()
-	t.SetOutputMirror(o.out)
-	t.AppendHeader(table.Row{"balancer", "CPU s by quarter", "MB", "descriptors"})
+// printBalancerTable prints the use of resources by balancer and quarter of the run.
+func printBalancerTable(std *streams, balancers [][]loadtest.Quarter) {
+	resultTable := table.NewWriter()
+	resultTable.SetOutputMirror(std.out)
+	resultTable.AppendHeader(table.Row{"balancer", "CPU s by quarter", "MB", "descriptors"})
 	for i, quarters := range balancers {
 		var cpu, memory, descriptors []string
-		for _, q := range quarters {
-			cpu = append(cpu, fmt.Sprintf("%.2f", q.CPUSeconds))
-			memory = append(memory, fmt.Sprintf("%.1f", q.ResidentMB))
-			descriptors = append(descriptors, fmt.Sprint(q.Descriptors))
+		for _, quarter := range quarters {
+			cpu = append(cpu, fmt.Sprintf("%.2f", quarter.CPUSeconds))
+			memory = append(memory, fmt.Sprintf("%.1f", quarter.ResidentMB))
+			descriptors = append(descriptors, fmt.Sprint(quarter.Descriptors))
 		}
-		t.AppendRow(table.Row{i, strings.Join(cpu, " "), strings.Join(memory, " "), strings.Join(descriptors, " ")})
+		resultTable.AppendRow(table.Row{i, strings.Join(cpu, " "), strings.Join(memory, " "), strings.Join(descriptors, " ")})
 	}
-	t.Render()
+	resultTable.Render()
 }
--- a/cmd/piernotch-lab/logs.go
+++ b/cmd/piernotch-lab/logs.go
@@ -10,59 +10,59 @@
 )
 
 type logsCmd struct {
-	Dir  string  `arg:"" help:"Folder with one NAME.log for each balancer."`
-	ID   string  `help:"Follow the request of this id instead."`
-	Span float64 `default:"2" help:"Seconds over which the most that a server was sent is taken."`
-	Top  int     `default:"10" help:"So many servers are printed."`
-	JSON bool    `help:"All of it as JSON."`
+	Dir     string  `arg:"" help:"Folder with one NAME.log for each balancer."`
+	Request string  `name:"request" aliases:"id" help:"Follow the request with this id instead."`
+	Window  float64 `name:"window" aliases:"span" default:"2" help:"Seconds over which the peak of attempts at a server is counted."`
+	Top     int     `default:"10" help:"Number of servers that are printed."`
+	JSON    bool    `name:"json" help:"Print all of it as JSON."`
 }
 
-func (c *logsCmd) Run(o *output) error {
-	if c.ID != "" {
-		return c.follow(o)
+func (c *logsCmd) Run(std *streams) error {
+	if c.Request != "" {
+		return c.follow(std)
 	}
-	report, err := loganalysis.Summarize(c.Dir, c.Span)
+	report, err := loganalysis.Summarize(c.Dir, c.Window)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		enc := json.NewEncoder(o.out)
-		enc.SetIndent("", " ")
-		return enc.Encode(report)
+		encoder := json.NewEncoder(std.out)
+		encoder.SetIndent("", " ")
+		return encoder.Encode(report)
 	}
-	c.print(o, report)
+	c.print(std, report)
 	return nil
 }
 
 // follow prints the lines of one request.
-func (c *logsCmd) follow(o *output) error {
-	lines, err := loganalysis.Follow(c.Dir, c.ID)
+func (c *logsCmd) follow(std *streams) error {
+	lines, err := loganalysis.Follow(c.Dir, c.Request)
 	for _, line := range lines {
-		o.out.Println(line.Balancer, line.Text)
+		std.out.Println(line.Balancer, line.Text)
 	}
 	if err == nil && len(lines) == 0 {
-		err = fmt.Errorf("%s: nothing is said of request %s", c.Dir, c.ID)
+		err = fmt.Errorf("%s: no line is about request %s", c.Dir, c.Request)
 	}
 	return err
 }
 
-func (c *logsCmd) print(o *output, report *loganalysis.Report) {
-	t := table.NewWriter()
-	t.SetOutputMirror(o.out)
-	t.AppendHeader(table.Row{
-		"second", "requests", "served", "refused", "never sent", "failed", "given up", "sends",
-		"timeout", "full", "connect failed", "reset", "list failures",
+func (c *logsCmd) print(std *streams, report *loganalysis.Report) {
+	resultTable := table.NewWriter()
+	resultTable.SetOutputMirror(std.out)
+	resultTable.AppendHeader(table.Row{
+		"second", "requests", "served", "rejected", "without attempt", "failed", "clients gone", "attempts",
+		"timeout", "full", "connect failed", "reset", "discovery failures",
 	})
-	for _, s := range report.Seconds {
-		t.AppendRow(table.Row{
-			s.Second, s.Requests, s.Served, s.Rejected, s.RejectedUnsent, s.Failed, s.ClientDisconnects, s.Attempts,
-			s.AttemptStatuses["timeout"], s.AttemptStatuses["full"], s.AttemptStatuses["connect_failed"], s.AttemptStatuses["reset"], s.DiscoveryFailures,
+	for _, second := range report.Seconds {
+		resultTable.AppendRow(table.Row{
+			second.Second, second.Requests, second.Served, second.Rejected, second.RejectedUnsent, second.Failed, second.ClientDisconnects, second.Attempts,
+			second.AttemptStatuses["timeout"], second.AttemptStatuses["full"], second.AttemptStatuses["connect_failed"], second.AttemptStatuses["reset"], second.DiscoveryFailures,
 		})
 	}
-	t.Render()
-	for _, s := range report.Servers[:min(c.Top, len(report.Servers))] {
-		o.out.Printf("%s: %d sends in %gs until %.1f from %d balancers; first in a change at %.1f; ends %v\n",
-			s.Name, s.PeakAttempts, c.Span, s.PeakTime, s.PeakBalancers, s.FirstUpdate, s.AttemptStatuses)
+	resultTable.Render()
+	for _, server := range report.Servers[:min(c.Top, len(report.Servers))] {
+		std.out.Printf("%s: peak of %d attempts in %g s until %.1f s from %d balancers; first endpoint update at %.1f s; statuses %v\n",
+			server.Name, server.PeakAttempts, c.Window, server.PeakTime, server.PeakBalancers, server.FirstUpdate, server.AttemptStatuses)
 	}
-	o.out.Printf("%d balancers, %d lines that could not be read\n", report.Balancers, report.Skipped)
+	std.out.Printf("%d balancers, %d lines that could not be read\n", report.Balancers, report.Skipped)
 }
--- a/cmd/piernotch-lab/main.go
+++ b/cmd/piernotch-lab/main.go
@@ -1,5 +1,10 @@
-// Command piernotch-lab is the laboratory: it plays scenarios against the decision module
-// in simulated time, compares versions and settings, and draws what came of it.
+// Command piernotch-lab is the laboratory: it plays scenarios against the decision module in simulated time
+// and against the balancer's program on sockets, compares versions and settings, puts faults between processes,
+// reads logs, and draws the results.
+//
+// It owns the command line: flags, what is printed, and exit codes. Each subcommand only joins packages of
+// internal/lab, which must not know of it. Names of stored results are printed by the table of
+// internal/lab/storednames. It is called by engineers and by .ci/run.
 package main
 
 import (
@@ -20,33 +25,33 @@
 // Exit codes.
 const (
 	exitPassed = 0
-	exitFailed = 1 // a rule was broken, or an aim missed
+	exitFailed = 1 // an invariant was violated, or a threshold missed
 	exitUsage  = 2
 )
 
-// errFailed is a command that ran to its end and found a violation or a missed bound.
-var errFailed = errors.New("a rule was broken or an aim missed")
+// errFailed is a command that ran to its end and found a violation or a missed threshold.
+var errFailed = errors.New("an invariant was violated or a threshold missed")
 
 // cli holds the subcommands. Those that have been renamed keep their old names as aliases.
 type cli struct {
 	Simulate  simulateCmd  `cmd:"" aliases:"model" help:"Play scenarios in simulated time."`
-	Loadtest  loadtestCmd  `cmd:"" aliases:"rehearse" help:"Play a scenario on real sockets: balancers as processes, stand-in servers, roster and clients."`
-	Faulttest faulttestCmd `cmd:"" aliases:"drill" help:"Play the failures that a service must get over by itself, and say how long it took."`
-	Handover  handoverCmd  `cmd:"" help:"Hand balancers over to processes beside them, again and again, under load and with faults."`
-	Chaos     chaosCmd     `cmd:"" help:"Put faults between balancers, servers and roster by a seeded schedule, and check what clients and servers saw."`
-	Cluster   clusterCmd   `cmd:"" aliases:"group" help:"Put faults between the voters and holders of a control group, in simulated time or on processes."`
-	Hold      holdCmd      `cmd:"" hidden:"" help:"A process that holds duties, for cluster processes."`
-	Emulate   emulateCmd   `cmd:"" help:"Stand-in feed servers and a roster alone, for any balancer."`
-	Load      loadCmd      `cmd:"" help:"Clients alone, for any balancer."`
+	Loadtest  loadtestCmd  `cmd:"" aliases:"rehearse" help:"Play a scenario on real sockets: balancers as processes, emulated servers, discovery and clients."`
+	Faulttest faulttestCmd `cmd:"" aliases:"drill" help:"Play the faults that a service must recover from by itself, and measure its recovery time."`
+	Handover  handoverCmd  `cmd:"" help:"Play handovers of balancers from process to process, under load and with faults."`
+	Chaos     chaosCmd     `cmd:"" help:"Put faults between balancers, servers and discovery by a seeded schedule, and check invariants by what clients and servers observed."`
+	Cluster   clusterCmd   `cmd:"" aliases:"group" help:"Put faults between the voters and lease holders of a control group, in simulated time or on processes."`
+	Hold      holdCmd      `cmd:"" hidden:"" help:"A process that competes for duties, for cluster processes."`
+	Emulate   emulateCmd   `cmd:"" help:"Emulate the servers and discovery alone, for any balancer."`
+	Load      loadCmd      `cmd:"" help:"Emulate the clients alone, for any balancer."`
 	Plot      plotCmd      `cmd:"" help:"Draw a result (.svg, .png) or make a report of it (.html)."`
 	Scenario  scenarioCmd  `cmd:"" help:"List, show and check scenarios."`
 	Trace     traceCmd     `cmd:"" help:"Look at recorded traffic."`
 	Logs      logsCmd      `cmd:"" help:"Count over the logs of many balancers, or follow a request through them."`
 }
 
-const about = `The laboratory of piernotch: a fleet of feed servers, its clients and any number of
-balancers in simulated time, with the real decisions. One seed is one day: the same seed gives
-the same result on every machine.
+const about = `The laboratory of piernotch: a fleet of servers, its clients and any number of balancers in
+simulated time, with the real decision module. A seed determines the realization of a scenario:
+the same seed gives the same result on every machine.
 
 	piernotch-lab scenario list
 	piernotch-lab simulate run felt-quake --runs 10
@@ -58,7 +63,7 @@
 The commands simulate, loadtest, faulttest and cluster also have their former names model, rehearse,
 drill and group.
 
-It exits with 0 if all rules and aims held, 1 if not, 2 if it was called wrongly.`
+It exits with 0 if no invariant was violated and all thresholds were met, with 1 if not, with 2 for a usage error.`
 
 func main() {
 	if os.Getenv(reverseProxyVariable) != "" {
@@ -81,40 +86,46 @@
 	return err
 }
 
+// newParser returns the parser of the command line, which fills in the commands.
+func newParser(commands *cli, options ...kong.Option) (*kong.Kong, error) {
+	options = append(options, kong.Name("piernotch-lab"), kong.Description(about), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
+	return kong.New(commands, options...)
+}
+
 // run is the program; it returns the exit code.
 func run(args []string, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	o := newOutput(stdout, stderr)
-	var c cli
+	std := newStreams(stdout, stderr)
+	var commands cli
 	exited := -1
-	parser, err := kong.New(&c, kong.Name("piernotch-lab"), kong.Description(about), kong.Writers(stdout, stderr),
-		kong.Exit(func(code int) { exited = code }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
-		kong.BindTo(ctx, (*context.Context)(nil)), kong.Bind(o))
+	parser, err := newParser(&commands, kong.Writers(stdout, stderr), kong.Exit(func(code int) { exited = code }),
+		kong.BindTo(ctx, (*context.Context)(nil)), kong.Bind(std))
 	if err != nil {
-		o.err.Println("piernotch-lab:", err)
+		std.err.Println("piernotch-lab:", err)
 		return exitUsage
 	}
 	if len(args) == 0 {
 		args = []string{"--help"}
 	}
 	command, err := parser.Parse(args)
-	if exited >= 0 { // help was asked for
+	helpWasPrinted := exited >= 0
+	if helpWasPrinted {
 		return exited
 	}
 	if err != nil {
-		o.err.Printf("piernotch-lab: %v\npiernotch-lab --help tells more\n", err)
+		std.err.Printf("piernotch-lab: %v\nSee piernotch-lab --help.\n", err)
 		return exitUsage
 	}
 	err = command.Run()
 	if err == nil {
-		err = o.failure()
+		err = std.failure()
 	}
-	return exitCode(o, err)
+	return exitCode(std, err)
 }
 
 // exitCode prints a command's error and returns its exit code.
-func exitCode(o *output, err error) int {
+func exitCode(std *streams, err error) int {
 	var problems scenario.Problems
 	switch {
 	case err == nil:
@@ -122,9 +133,9 @@
 	case errors.Is(err, errFailed):
 		return exitFailed
 	case errors.As(err, &problems):
-		o.err.Println(problems.Error())
+		std.err.Println(problems.Error())
 		return exitUsage
 	}
-	o.err.Println("piernotch-lab:", err)
+	std.err.Println("piernotch-lab:", err)
 	return exitUsage
 }
--- a/cmd/piernotch-lab/main_test.go
+++ b/cmd/piernotch-lab/main_test.go
@@ -29,7 +29,7 @@
 	short := []string{"--set", "length_s=5", "--runs", "2"}
 	bad := filepath.Join(dir, "bad.toml")
 	require.NoError(t, os.WriteFile(bad, []byte("include = \"base\"\ntick_ms = 0\n"), 0o600))
-	for _, c := range []struct {
+	for _, test := range []struct {
 		args []string
 		code int
 		says string
@@ -42,6 +42,8 @@
 		{[]string{"plot", json, "-o", svg}, 0, ""},
 		{[]string{"plot", json, "-o", filepath.Join(dir, "r.doc")}, 2, ".svg, .png or .html"},
 		{append([]string{simulate, "run", "quiet", "--aim", "service>=1.5"}, short...), 1, "missed: service>=1.5"},
+		{append([]string{simulate, "run", "quiet", "--threshold", "service>=1.5"}, short...), 1, "missed: service>=1.5"},
+		{append([]string{simulate, "run", "quiet", "--threshold", "rejected_rate<=-1"}, short...), 1, "missed: rejected_rate<=-1"},
 		{append([]string{simulate, "compare", "quiet", "--b", "balancers.max_attempts=1"}, short...), 0, "can't tell"},
 		{append([]string{simulate, "sweep", "quiet", "--vary", "traffic.load=0.2,0.3"}, short...), 0, "0.3"},
 		{[]string{simulate, "run", "quiet", "--set", "traffic.lod=1"}, 2, "no such key"},
@@ -49,9 +51,9 @@
 		{[]string{simulate, "run", "quiet", "--runs", "0"}, 2, "at least 1"},
 		{[]string{simulate, "dance"}, 2, "unexpected argument dance"},
 	} {
-		code, out, err := call(c.args...)
-		require.Equal(t, c.code, code, "%v: %s%s", c.args, out, err)
-		require.Contains(t, out+err, c.says, "%v", c.args)
+		code, out, err := call(test.args...)
+		require.Equal(t, test.code, code, "%v: %s%s", test.args, out, err)
+		require.Contains(t, out+err, test.says, "%v", test.args)
 	}
 	data, err := os.ReadFile(svg)
 	require.NoError(t, err)
@@ -60,7 +62,7 @@
 
 // Scripts and pages from before the renames use the former names of subcommands.
 func TestFormerSubcommandNamesAreAliases(t *testing.T) {
-	for _, c := range []struct{ former, now []string }{
+	for _, names := range []struct{ former, now []string }{
 		{[]string{"model", "run"}, []string{"simulate", "run"}},
 		{[]string{"model", "compare"}, []string{"simulate", "compare"}},
 		{[]string{"model", "sweep"}, []string{"simulate", "sweep"}},
@@ -70,11 +72,11 @@
 		{[]string{"group", "rig"}, []string{"cluster", "processes"}},
 		{[]string{"group", "times"}, []string{"cluster", "times"}},
 	} {
-		wantCode, want, _ := call(append(c.now, "--help")...)
-		gotCode, got, _ := call(append(c.former, "--help")...)
-		require.Equal(t, []int{0, 0}, []int{wantCode, gotCode}, "%v", c)
-		require.Contains(t, want, "Usage: piernotch-lab "+c.now[0]+" ("+c.former[0]+") ")
-		require.Equal(t, want, got, "%v", c)
+		wantCode, want, _ := call(append(names.now, "--help")...)
+		gotCode, got, _ := call(append(names.former, "--help")...)
+		require.Equal(t, []int{0, 0}, []int{wantCode, gotCode}, "%v", names)
+		require.Contains(t, want, "Usage: piernotch-lab "+names.now[0]+" ("+names.former[0]+") ")
+		require.Equal(t, want, got, "%v", names)
 	}
 	_, want, _ := call("faulttest", "--list")
 	code, got, _ := call("drill", "--list")
--- a/cmd/piernotch-lab/output.go
+++ b/cmd/piernotch-lab/output.go
@@ -35,16 +35,16 @@
 	_, _ = p.Write(fmt.Appendln(nil, args...)) // Write remembers the error
 }
 
-// output is where commands print: results to out, remarks and errors to err.
-type output struct{ out, err *printer }
+// streams are where commands print: results to out, remarks and errors to err.
+type streams struct{ out, err *printer }
 
-func newOutput(stdout, stderr io.Writer) *output {
-	return &output{out: &printer{writer: stdout}, err: &printer{writer: stderr}}
+func newStreams(stdout, stderr io.Writer) *streams {
+	return &streams{out: &printer{writer: stdout}, err: &printer{writer: stderr}}
 }
 
 // failure returns the write errors of a whole command, nil if all was written.
-func (o *output) failure() error {
-	if err := errors.Join(o.out.err, o.err.err); err != nil {
+func (std *streams) failure() error {
+	if err := errors.Join(std.out.err, std.err.err); err != nil {
 		return fmt.Errorf("output: %w", err)
 	}
 	return nil
--- a/cmd/piernotch-lab/plot.go
+++ b/cmd/piernotch-lab/plot.go
@@ -9,15 +9,15 @@
 type plotCmd struct {
 	Result string `arg:"" type:"existingfile" help:"A result that --json kept."`
 	Out    string `short:"o" required:"" placeholder:"FILE" help:"Where to; .svg, .png or .html (a report with all charts)."`
-	Chart  string `placeholder:"NAME" help:"Which chart: service, latency, servers; of a sweep: the figure. The first is the default."`
+	Chart  string `placeholder:"NAME" help:"Which chart: service, latency, servers; of a sweep: a figure. The first is the default."`
 }
 
-func (c *plotCmd) Run(o *output) error {
-	f, err := experiment.ReadFile(c.Result)
+func (c *plotCmd) Run(std *streams) error {
+	file, err := experiment.ReadFile(c.Result)
 	if err != nil {
 		return err
 	}
-	data, err := experiment.Render(f, c.Out, c.Chart)
+	data, err := experiment.Render(file, c.Out, c.Chart)
 	if err != nil {
 		return err
 	}
--- a/cmd/piernotch-lab/reverse_proxy.go
+++ b/cmd/piernotch-lab/reverse_proxy.go
@@ -36,46 +36,46 @@
 var errNoServers = errors.New("no servers are known")
 
 func readPlatformConfig() (platformConfig, error) {
-	var cfg platformConfig
+	var config platformConfig
 	data, err := os.ReadFile(os.Getenv("ROUTER_CONFIG"))
 	if err == nil {
-		err = json.Unmarshal(data, &cfg)
+		err = json.Unmarshal(data, &config)
 	}
-	if err == nil && len(cfg.Known.Instances) == 0 {
+	if err == nil && len(config.Known.Instances) == 0 {
 		err = errNoServers
 	}
 	if err != nil {
-		return cfg, fmt.Errorf("ROUTER_CONFIG: %w", err)
+		return config, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	return cfg, nil
+	return config, nil
 }
 
 // reverseProxy is net/http/httputil's ReverseProxy before the servers that the platform's
 // configuration lists, in turn. It takes no decisions and ignores later endpoint updates. It returns
 // after a SIGTERM.
 func reverseProxy() error {
-	cfg, err := readPlatformConfig()
+	config, err := readPlatformConfig()
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(1) // as the balancer has it
-	servers := cfg.Known.Instances
+	servers := config.Known.Instances
 	var next atomic.Uint64
 	proxy := &httputil.ReverseProxy{
-		Rewrite: func(r *httputil.ProxyRequest) {
-			r.Out.URL.Scheme = "http"
-			r.Out.URL.Host = servers[next.Add(1)%uint64(len(servers))].HostPort
+		Rewrite: func(request *httputil.ProxyRequest) {
+			request.Out.URL.Scheme = "http"
+			request.Out.URL.Host = servers[next.Add(1)%uint64(len(servers))].HostPort
 		},
 		Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: time.Minute, DisableCompression: true},
 		ErrorLog:  log.New(io.Discard, "", 0),
 	}
-	handler := func(w http.ResponseWriter, r *http.Request) {
-		if strings.HasPrefix(r.URL.Path, "/_health") {
+	handler := func(w http.ResponseWriter, request *http.Request) {
+		if strings.HasPrefix(request.URL.Path, "/_health") {
 			return
 		}
-		proxy.ServeHTTP(w, r)
+		proxy.ServeHTTP(w, request)
 	}
-	server := &http.Server{Addr: cfg.Listen, Handler: http.HandlerFunc(handler)}
+	server := &http.Server{Addr: config.Listen, Handler: http.HandlerFunc(handler)}
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer cancel()
 	go func() { // ends with the signal, or when this function returns
--- a/cmd/piernotch-lab/scenario.go
+++ b/cmd/piernotch-lab/scenario.go
@@ -9,32 +9,32 @@
 
 type scenarioListCmd struct{}
 
-func (*scenarioListCmd) Run(o *output) error {
+func (*scenarioListCmd) Run(std *streams) error {
 	for _, name := range scenario.Shipped() {
-		s, err := scenario.Load(name)
+		loaded, err := scenario.Load(name)
 		if err != nil {
 			return err
 		}
-		o.out.Printf("%-18s %s\n", name, s.About)
+		std.out.Printf("%-18s %s\n", name, loaded.About)
 	}
 	return nil
 }
 
 type scenarioCheckCmd struct {
 	Files []string `arg:"" help:"Files, or names of shipped scenarios."`
-	Seeds int      `default:"3" help:"Draw so many days of each, too."`
+	Seeds int      `default:"3" help:"Number of realizations of each that are drawn, too."`
 }
 
-func (c *scenarioCheckCmd) Run(o *output) error {
+func (c *scenarioCheckCmd) Run(std *streams) error {
 	failed := false
 	for _, file := range c.Files {
-		s, err := c.check(file)
+		loaded, err := c.check(file)
 		if err != nil {
 			failed = true
-			o.err.Println(err)
+			std.err.Println(err)
 			continue
 		}
-		o.out.Printf("%s: good: %d balancers, %d servers, %d troubles\n", file, s.Balancers.Count, s.Fleet.Servers, len(s.Troubles))
+		std.out.Printf("%s: valid: %d balancers, %d servers, %d faults\n", file, loaded.Balancers.Count, loaded.Fleet.Servers, len(loaded.Troubles))
 	}
 	if failed {
 		return errFailed
@@ -44,14 +44,14 @@
 
 // check loads a scenario and draws its first seeds.
 func (c *scenarioCheckCmd) check(file string) (*scenario.Scenario, error) {
-	s, err := scenario.Load(file)
+	loaded, err := scenario.Load(file)
 	if err != nil {
 		return nil, err
 	}
 	for seed := range uint64(c.Seeds) {
-		if _, err := s.Draw(seed); err != nil {
+		if _, err := loaded.Draw(seed); err != nil {
 			return nil, err
 		}
 	}
-	return s, nil
+	return loaded, nil
 }
--- a/cmd/piernotch-lab/simulate_sweep.go
+++ b/cmd/piernotch-lab/simulate_sweep.go
@@ -6,6 +6,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 
 	"piernotch/internal/lab/experiment"
+	"piernotch/internal/lab/storednames"
 )
 
 type simulateSweepCmd struct {
@@ -14,36 +15,36 @@
 	Adapter string   `placeholder:"PROGRAM" help:"Let another program decide."`
 }
 
-func (c *simulateSweepCmd) Run(ctx context.Context, o *output) error {
-	p, aims, err := c.plan()
+func (c *simulateSweepCmd) Run(ctx context.Context, std *streams) error {
+	plan, thresholds, err := c.plan()
 	if err != nil {
 		return err
 	}
-	dims, err := c.dimensions()
+	dimensions, err := c.dimensions()
 	if err != nil {
 		return err
 	}
-	realizations := c.Runs
-	for _, d := range dims {
-		realizations *= len(d.Values)
+	runs := c.Runs
+	for _, dimension := range dimensions {
+		runs *= len(dimension.Values)
 	}
 	var finish func()
-	p.Progress, finish = progress(o, realizations, "sweeping")
+	plan.Progress, finish = progress(std, runs, "sweeping")
 	variant := experiment.Variant{Name: "builtin", Adapter: c.Adapter}
-	points, err := experiment.Sweep(ctx, p, variant, dims)
+	points, err := experiment.Sweep(ctx, plan, variant, dimensions)
 	finish()
 	if err != nil {
 		return err
 	}
-	w, t := c.newTable(o, p)
-	fillSweepTable(t, dims, points)
-	t.Render()
-	missed := c.checkPoints(w, aims, dims, points)
-	f := &experiment.ResultFile{
-		Kind: "sweep", Scenario: p.Scenario.Name, Description: p.Scenario.About, Seed: c.Seed,
-		Variant: &variant, Dimensions: dims, Points: points,
+	out, resultTable := c.newTable(std, plan)
+	fillSweepTable(resultTable, dimensions, points)
+	resultTable.Render()
+	missed := c.checkPoints(out, thresholds, dimensions, points)
+	file := &experiment.ResultFile{
+		Kind: "sweep", Scenario: plan.Scenario.Name, Description: plan.Scenario.About, Seed: c.Seed,
+		Variant: &variant, Dimensions: dimensions, Points: points,
 	}
-	if err := c.save(f); err != nil {
+	if err := c.save(file); err != nil {
 		return err
 	}
 	return missed
@@ -51,27 +52,27 @@
 
 // dimensions reads the dimensions of the command line.
 func (c *simulateSweepCmd) dimensions() ([]experiment.Dimension, error) {
-	var dims []experiment.Dimension
+	var dimensions []experiment.Dimension
 	for _, text := range c.Vary {
-		d, err := experiment.ParseDimension(text)
+		dimension, err := experiment.ParseDimension(text)
 		if err != nil {
 			return nil, err
 		}
-		dims = append(dims, d)
+		dimensions = append(dimensions, dimension)
 	}
-	return dims, nil
+	return dimensions, nil
 }
 
-// checkPoints prints the violations and missed bounds of all points, and returns errFailed for these.
-func (c *simulateSweepCmd) checkPoints(w *printer, aims bounds, dims []experiment.Dimension, points []experiment.Point) error {
+// checkPoints prints the violations and missed thresholds of all points, and returns errFailed for these.
+func (c *simulateSweepCmd) checkPoints(out *printer, thresholds bounds, dimensions []experiment.Dimension, points []experiment.Point) error {
 	var failed error
 	for _, point := range points {
 		var set []string
 		for i, value := range point.Values {
-			set = append(set, dims[i].Settings(value)...)
+			set = append(set, dimensions[i].Settings(value)...)
 		}
-		c.printViolations(w, set, c.Adapter, point.Runs)
-		if err := aims.check(w, point.Summary, experiment.Violations(point.Runs)); err != nil {
+		c.printViolations(out, set, c.Adapter, point.Runs)
+		if err := thresholds.check(out, point.Summary, experiment.Violations(point.Runs)); err != nil {
 			failed = err
 		}
 	}
@@ -79,16 +80,16 @@
 }
 
 // fillSweepTable adds a row for each point: its values, then some of its figures.
-func fillSweepTable(t table.Writer, dims []experiment.Dimension, points []experiment.Point) {
+func fillSweepTable(resultTable table.Writer, dimensions []experiment.Dimension, points []experiment.Point) {
 	figures := []string{"service", "worst_window", "refused_rate", "choked_share", "p99_ms", "cold_peak", "falls"}
 	head := table.Row{}
-	for _, d := range dims {
-		head = append(head, d.Key)
+	for _, dimension := range dimensions {
+		head = append(head, dimension.Key)
 	}
 	for _, name := range figures {
-		head = append(head, name)
+		head = append(head, storednames.Display(storednames.Figures, name))
 	}
-	t.AppendHeader(head)
+	resultTable.AppendHeader(head)
 	for _, point := range points {
 		row := table.Row{}
 		for _, value := range point.Values {
@@ -97,6 +98,6 @@
 		for _, name := range figures {
 			row = append(row, point.Summary[name])
 		}
-		t.AppendRow(row)
+		resultTable.AppendRow(row)
 	}
 }
--- a/cmd/piernotch-lab/trace.go
+++ b/cmd/piernotch-lab/trace.go
@@ -10,7 +10,7 @@
 )
 
 type traceCmd struct {
-	Show traceShowCmd `cmd:"" help:"Say what a recording holds."`
+	Show traceShowCmd `cmd:"" help:"Print the counts of a recording."`
 }
 
 type traceShowCmd struct {
@@ -21,11 +21,11 @@
 type traceCounts struct {
 	requests, hinted int
 	last             time.Duration // when the last request came
-	outcomes         [4]int        // served, refused, failed, left
+	outcomes         [4]int        // served, rejected, failed, client disconnected
 	classes          []int
 }
 
-func (c *traceShowCmd) Run(o *output) error {
+func (c *traceShowCmd) Run(std *streams) error {
 	reader, err := trafficrecording.Open(c.File)
 	if err != nil {
 		return err
@@ -33,14 +33,14 @@
 	defer func() { _ = reader.Close() }() // it was only read
 	header := reader.Header()
 	counts, readErr := countTrace(reader)
-	o.out.Printf("%s: balancer %q, zone %q, %d requests, the last at %.3f s\n", c.File, header.Name, header.Zone, counts.requests, counts.last.Seconds())
+	std.out.Printf("%s: balancer %q, zone %q, %d requests, the last at %.3f s\n", c.File, header.Name, header.Zone, counts.requests, counts.last.Seconds())
 	for i, name := range header.Classes {
-		o.out.Printf("  %s: %d\n", name, counts.classes[i])
+		std.out.Printf("  %s: %d\n", name, counts.classes[i])
 	}
 	outcomes := counts.outcomes
-	o.out.Printf("  served %d, refused %d, failed %d, left %d; with a cost hint %d\n", outcomes[0], outcomes[1], outcomes[2], outcomes[3], counts.hinted)
+	std.out.Printf("  served %d, rejected %d, failed %d, client disconnected %d; with a cost hint %d\n", outcomes[0], outcomes[1], outcomes[2], outcomes[3], counts.hinted)
 	if !errors.Is(readErr, io.EOF) {
-		o.err.Println(strings.TrimSpace(readErr.Error()))
+		std.err.Println(strings.TrimSpace(readErr.Error()))
 		return errFailed
 	}
 	return nil
