--- a/internal/lab/loadtest/scenario_faults.go
+++ b/internal/lab/loadtest/scenario_faults.go
@@ -16,6 +16,14 @@
 	restartTimeout = 10 * time.Second
 )
 
+// The kinds of faults that are played here. The values are those of scenario files.
+const (
+	faultMalformedClients = "rude"
+	faultDiscoveryMove    = "roster_move"
+	faultBalancerCrash    = "balancer_crash"
+	faultBalancerRestart  = "balancer_restart"
+)
+
 // scheduleScenarioFaults plays those of the realization's faults that concern balancers, their discovery's
 // address and malformed clients. The emulator plays the others.
 func (e *environment) scheduleScenarioFaults(ctx context.Context) {
@@ -23,21 +31,21 @@
 	for i := range e.realization.Faults {
 		fault := &e.realization.Faults[i]
 		switch fault.Kind {
-		case "rude":
+		case faultMalformedClients:
 			e.at(ctx, fault.At, func() {
 				ctx, stop := context.WithTimeout(ctx, fault.For)
 				defer stop()
 				e.malformed.Run(ctx, fault.Size, e.realization.Seed+uint64(i))
 			})
-		case "roster_move":
+		case faultDiscoveryMove:
 			for _, target := range e.balancers {
 				e.at(ctx, fault.At, func() { e.moveDiscovery(target) })
 			}
-		case "balancer_crash":
+		case faultBalancerCrash:
 			for _, number := range fault.Balancers {
 				e.scheduleCrash(ctx, fault, e.balancers[number])
 			}
-		case "balancer_restart":
+		case faultBalancerRestart:
 			for position, number := range fault.Balancers {
 				target := e.balancers[number]
 				e.at(ctx, fault.At+fault.Every*time.Duration(position), func() { e.restart(ctx, fault, target) })
--- a/internal/lab/loadtest/sharedwatch.go
+++ b/internal/lab/loadtest/sharedwatch.go
@@ -50,7 +50,7 @@
 // startSharedWatch starts the voters and writes the group files of all members. The caller calls stop.
 func startSharedWatch(opts Options, balancers int) (*sharedWatch, error) {
 	shared := &sharedWatch{balancers: balancers, notifications: map[endpointKey]int{}}
-	group := controlgroup.Config{Name: "rehearsal", LeaseDuration: sharedLeaseDuration, MaxClockDrift: sharedClockDrift}
+	group := controlgroup.Config{Name: "loadtest", LeaseDuration: sharedLeaseDuration, MaxClockDrift: sharedClockDrift}
 	for i := range sharedWatchVoters {
 		address, err := faultproxy.FreeAddress()
 		if err != nil {
@@ -71,7 +71,7 @@
 		own := group
 		own.Self = fmt.Sprintf("n%d", i)
 		own.WatchDuty = "watch"
-		own.DiscoveryName = "roster"
+		own.DiscoveryName = "discovery"
 		file, err := writeGroupFile(opts, own)
 		if err != nil {
 			shared.stop()
