--- a/selection.go
+++ b/selection.go
@@ -21,6 +21,18 @@
 	maxLoad float64 // exclusive bound on the effective load
 }
 
+// selectionLevels returns the levels that are tried in turn: the own zone, up to a small load, and then the
+// others. Requests beyond that load wait here and not in a server's queue, so that they can still go to
+// whichever server is free first. The loads are small because all balancers' requests add up at a server:
+// the fewer balancers may spill to one, the more requests each of them may.
+func selectionLevels(balancers int) []selectionLevel {
+	levels := []selectionLevel{{localZone, 1}, {localZone, 2}, {remoteZones, 1}}
+	for load := 2.0; load*float64(balancers-1) <= minSpillers && load < minSpillers; load++ {
+		levels = append(levels, selectionLevel{remoteZones, load})
+	}
+	return levels
+}
+
 // dispatch starts an attempt of the request, or returns false if no server can take it now.
 func (b *Balancer) dispatch(now time.Duration, r *request) bool {
 	if b.groupsStale {
