--- a/admission.go
+++ b/admission.go
@@ -3,6 +3,8 @@
 import (
 	"math"
 	"time"
+
+	"piernotch/internal/decision/estimate"
 )
 
 const (
@@ -42,7 +44,7 @@
 	if b.dispatch(now, r) {
 		return
 	}
-	needs := min(milliseconds(r.work*b.latencyPerWork), r.class.LatencyObjective/2)
+	needs := min(estimate.Milliseconds(r.work*b.latencyPerWork), r.class.LatencyObjective/2)
 	latest := min(b.attemptDeadline(r)-needs, r.queueDeadline)
 	if now+2*b.tickInterval >= latest || b.queueTooLong(now, r) {
 		b.rejectOrFail(r)
@@ -133,16 +135,16 @@
 func (b *Balancer) shedStep(now time.Duration) float64 {
 	elapsed := (now - b.shedAdjustedAt).Seconds()
 	b.shedAdjustedAt = now
-	return min(elapsed/b.shortestObjective.Seconds()*shedGain, groupSmoothing)
+	return min(elapsed/b.shortestObjective.Seconds()*shedGain, estimate.GroupSmoothing)
 }
 
 // adjustShedding moves the shed share by one answer: late is 1 if it took over half of its objective, so that
 // there is time to act. Work is shed only while the other group is late, too: spilling costs less.
 func (b *Balancer) adjustShedding(step float64, locality int, late float64) {
 	g, other := &b.groups[locality], &b.groups[1-locality]
-	g.lateShare += groupSmoothing * (late - g.lateShare)
+	g.lateShare += estimate.GroupSmoothing * (late - g.lateShare)
 	g.lateUpdatedAt = b.shedAdjustedAt
-	lateElsewhere := len(other.members) == 0 || other.lateShare > 2*groupSmoothing
+	lateElsewhere := len(other.members) == 0 || other.lateShare > 2*estimate.GroupSmoothing
 	change := -step / 2
 	if late > 0 && lateElsewhere {
 		change = step
--- a/admission_test.go
+++ b/admission_test.go
@@ -6,6 +6,8 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
+
+	"piernotch/internal/decision/estimate"
 )
 
 // Overload rejects the lowest priority first, and shedding decays when everything is rejected.
@@ -193,13 +195,13 @@
 		h.attempts = h.attempts[:0]
 		waiting := 0
 		for _, r := range b.openRequests {
-			waiting += int(indicator(r.inflight == 0))
+			waiting += int(estimate.Indicator(r.inflight == 0))
 		}
 		mostWaiting = max(mostWaiting, waiting)
 	}
 	rejectedImportant := 0
 	for _, id := range h.rejected {
-		rejectedImportant += int(indicator(class[id] == nonIdempotentClass))
+		rejectedImportant += int(estimate.Indicator(class[id] == nonIdempotentClass))
 	}
 	require.Less(t, mostWaiting, 40, "160 per second for a quarter of 500 ms")
 	importantShare := float64(rejectedImportant) / float64(important)
--- a/attempts.go
+++ b/attempts.go
@@ -1,6 +1,10 @@
 package piernotch
 
-import "time"
+import (
+	"time"
+
+	"piernotch/internal/decision/estimate"
+)
 
 const retryBudgetShare = 0.15 // retries and hedged requests, as a share of requests
 
@@ -45,7 +49,7 @@
 // mayRepeatOn reports whether a request that may have executed in the attempt first may also go to the
 // server. The transit there, half of the fastest answer's latency, must end within the deduplication window.
 func (r *request) mayRepeatOn(now time.Duration, first *attempt, target *server) bool {
-	transit := milliseconds(target.path.fastestAnswer / 2)
+	transit := estimate.Milliseconds(target.path.fastestAnswer / 2)
 	switch {
 	case r.class.RetrySafety == Idempotent:
 		return true
@@ -64,14 +68,14 @@
 	target.inflight++
 	target.backlog += r.work
 	target.lastSentAt[r.Class] = now
-	b.sendRate.add(now, r.work)
+	b.sendRate.Add(now, r.work)
 	if len(r.attempts) == 0 {
 		b.priorities[r.priority].forwarded += r.work
 	}
 	warm := target.warm()
 	if warm {
 		b.groups[target.locality].inflight++
-		b.groups[target.locality].sendRate.add(now, r.work)
+		b.groups[target.locality].sendRate.Add(now, r.work)
 	} else {
 		target.nextSlowStartSend = max(target.nextSlowStartSend, now) + b.slowStartPause(now, target)
 	}
@@ -131,7 +135,7 @@
 	case o.Status == Timeout && target.lastAnswerAt < t.sentAt:
 		// Its server was silent, which no tick has noticed yet: late, but no reason to shed.
 		g := &b.groups[target.locality]
-		g.lateShare += groupSmoothing * (1 - g.lateShare)
+		g.lateShare += estimate.GroupSmoothing * (1 - g.lateShare)
 		b.recordFailure(now, target, maxSilentTimeouts)
 	case o.Status == Timeout:
 		b.recordLatency(now, r, target, o.Latency)
@@ -144,7 +148,7 @@
 		b.recordFailure(now, target, maxFailures)
 		b.adjustShedding(b.shedStep(now), target.locality, 1)
 	case o.Status == ConnectFailed, o.Status == Error, o.Status == Reset:
-		target.connectFailures += indicator(o.Status == ConnectFailed)
+		target.connectFailures += estimate.Indicator(o.Status == ConnectFailed)
 		b.recordFailure(now, target, maxFailures)
 	}
 }
@@ -154,8 +158,8 @@
 	objective := r.class.LatencyObjective.Seconds() * 1000
 	queueing := b.observeLatency(r, target, took)
 	step := b.shedStep(now)
-	b.balanceLanes(step, r.lane, indicator(queueing > objective/2))
+	b.balanceLanes(step, r.lane, estimate.Indicator(queueing > objective/2))
 	if r.work < objective/4 { // a heavy request is late on an idle server, too
-		b.adjustShedding(step, target.locality, indicator(took > r.class.LatencyObjective/2))
+		b.adjustShedding(step, target.locality, estimate.Indicator(took > r.class.LatencyObjective/2))
 	}
 }
--- a/balancer.go
+++ b/balancer.go
@@ -4,6 +4,8 @@
 	"math"
 	"math/rand/v2"
 	"time"
+
+	"piernotch/internal/decision/estimate"
 )
 
 const (
@@ -41,11 +43,11 @@
 		return
 	}
 	b.started = true
-	b.sendRate.since = now
+	b.sendRate.Start(now)
 	for i := range b.groups {
-		b.groups[i].sendRate.since = now
+		b.groups[i].sendRate.Start(now)
 	}
-	b.nextWatchAt = now + jitter(b.rng, b.watchBackoff)
+	b.nextWatchAt = now + estimate.Jitter(b.rng, b.watchBackoff)
 	b.host.SetTimer(b.tickInterval, tickToken)
 }
 
--- a/endpoints.go
+++ b/endpoints.go
@@ -3,6 +3,8 @@
 import (
 	"math"
 	"time"
+
+	"piernotch/internal/decision/estimate"
 )
 
 // UpdateEndpoints takes an event of the endpoint list. A size that is not a positive number counts as 1.
@@ -63,6 +65,6 @@
 // backOffWatch puts off the next subscription after one that failed, for longer each time.
 func (b *Balancer) backOffWatch(now time.Duration) {
 	b.watching = false
-	b.nextWatchAt = now + b.watchBackoff/2 + jitter(b.rng, b.watchBackoff)
+	b.nextWatchAt = now + b.watchBackoff/2 + estimate.Jitter(b.rng, b.watchBackoff)
 	b.watchBackoff = min(2*b.watchBackoff, max(b.settings.Rules.PollInterval, b.watchBackoff))
 }
--- a/estimators.go
+++ b/estimators.go
@@ -2,50 +2,18 @@
 
 import (
 	"math"
-	"math/rand/v2"
 	"time"
+
+	"piernotch/internal/decision/estimate"
 )
 
 const (
-	groupSmoothing   = 1.0 / 16 // weight of one outcome in a running mean over a group
-	serverSmoothing  = 1.0 / 6  // the same for one server, which has fewer outcomes
 	pathMinAnswers   = 64       // answers from which the latency of the path to a zone is known
 	pathMaxShare     = 0.75     // of the requests in flight that count as in transit, at most
 	fastQuantile     = 1.0 / 8  // quantile of a class's latencies that replaces missing cost hints
 	fastQuantileStep = 1.0 / 16 // relative change of that estimate by one answer
 )
 
-// minRateSpan is the least time a rate is taken over, in seconds: one heavy request
-// in the first moments must not pass for a heavy stream of them.
-const minRateSpan = 0.5
-
-// rate is a running rate per second over about the last second.
-type rate struct {
-	value float64
-	since time.Duration // the first event's time
-	at    time.Duration // the last addition's time
-}
-
-// add counts an amount at the present time.
-func (r *rate) add(now time.Duration, amount float64) {
-	r.decay(now)
-	r.value += amount
-}
-
-// decay reduces the rate by a factor of e for each second since the last addition.
-func (r *rate) decay(now time.Duration) {
-	if r.at > 0 {
-		r.value *= math.Exp(-(now - r.at).Seconds())
-	}
-	r.at = now
-}
-
-// perSec returns the rate, corrected for the time before the first event.
-func (r *rate) perSec(now time.Duration) float64 {
-	seen := 1 - math.Exp(-max((now-r.since).Seconds(), minRateSpan))
-	return r.value * math.Exp(-(now - r.at).Seconds()) / seen
-}
-
 // tokenBucket holds tokens that are added at a steady rate, up to those of one second.
 type tokenBucket struct {
 	tokens float64
@@ -63,21 +31,12 @@
 	return true
 }
 
-// mixBits is a bijective hash of x.
-func mixBits(x uint64) uint64 {
-	x ^= x >> 30
-	x *= 0xbf58476d1ce4e5b9
-	x ^= x >> 27
-	x *= 0x94d049bb133111eb
-	return x ^ x>>31
-}
-
 // rendezvousMember returns the member with the highest hash for the key. There must be one.
 func rendezvousMember(members []*server, key uint64) *server {
 	var best *server
 	var highest uint64
 	for _, target := range members {
-		hash := mixBits(key ^ target.idHash)
+		hash := estimate.MixBits(key ^ target.idHash)
 		if best == nil || hash > highest {
 			best, highest = target, hash
 		}
@@ -85,35 +44,6 @@
 	return best
 }
 
-// indicator returns 1 for true and 0 for false, as a sample of a running share.
-func indicator(yes bool) float64 {
-	if yes {
-		return 1
-	}
-	return 0
-}
-
-// jitter returns a random time below d.
-func jitter(rng *rand.Rand, d time.Duration) time.Duration {
-	return time.Duration(rng.Float64() * float64(d))
-}
-
-// milliseconds returns the time of ms milliseconds.
-func milliseconds(ms float64) time.Duration {
-	return time.Duration(ms * float64(time.Millisecond))
-}
-
-// followRatio moves the running ratio towards ms/work by the gain; a ratio of 0 is not known yet.
-func followRatio(ratio, ms, work, gain float64) float64 {
-	if !(work > 0) || !(ms > 0) || math.IsInf(gain, 0) || math.IsNaN(gain) {
-		return ratio
-	}
-	if ratio == 0 {
-		return ms / work
-	}
-	return ratio + min(gain, 0.5)*(ms/work-ratio)
-}
-
 // workWithoutHint returns the work that replaces a missing cost hint of a class, in ms: a low quantile
 // of its latencies, which includes no queueing, or the mean work until there is an answer. Without it a
 // site that gives no hints would have no measure of work at all.
@@ -146,9 +76,9 @@
 	}
 	if r.work > 0 {
 		b.workSamples++
-		gain := max(1/b.workSamples, groupSmoothing/8)
+		gain := max(1/b.workSamples, estimate.GroupSmoothing/8)
 		b.meanWork += gain * (r.work - b.meanWork)
-		b.largeWorkShare += gain * (r.work / b.meanWork) * (indicator(r.lane == largeLane) - b.largeWorkShare)
+		b.largeWorkShare += gain * (r.work / b.meanWork) * (estimate.Indicator(r.lane == largeLane) - b.largeWorkShare)
 		b.largeWorkShare = min(max(b.largeWorkShare, 0), 1)
 	}
 	b.priorities[r.priority].arrived += r.work
@@ -157,7 +87,7 @@
 // observeHint moves the running median towards a cost hint.
 func (b *Balancer) observeHint(hint float64) {
 	b.hintCount++
-	step := 1 + max(1/b.hintCount, groupSmoothing/2)
+	step := 1 + max(1/b.hintCount, estimate.GroupSmoothing/2)
 	switch {
 	case b.hintCount == 1:
 		b.medianHint = hint
@@ -186,12 +116,12 @@
 		target.path.fastestAnswer = ms
 	}
 	target.path.answerCount++
-	target.latency += serverSmoothing * (typical - target.latency)
-	b.latencyPerWork = followRatio(b.latencyPerWork, ms, r.work, groupSmoothing*r.work/b.meanWork)
-	target.latencyPerWork = followRatio(target.latencyPerWork, ms, r.work, serverSmoothing*r.work/b.meanWork)
-	g.latency += groupSmoothing * (typical - g.latency)
-	g.queueingDeviation += groupSmoothing * (math.Abs(queueing-g.queueingMean) - g.queueingDeviation)
-	g.queueingMean += groupSmoothing * (queueing - g.queueingMean)
+	target.latency += estimate.ServerSmoothing * (typical - target.latency)
+	b.latencyPerWork = estimate.FollowRatio(b.latencyPerWork, ms, r.work, estimate.GroupSmoothing*r.work/b.meanWork)
+	target.latencyPerWork = estimate.FollowRatio(target.latencyPerWork, ms, r.work, estimate.ServerSmoothing*r.work/b.meanWork)
+	g.latency += estimate.GroupSmoothing * (typical - g.latency)
+	g.queueingDeviation += estimate.GroupSmoothing * (math.Abs(queueing-g.queueingMean) - g.queueingDeviation)
+	g.queueingMean += estimate.GroupSmoothing * (queueing - g.queueingMean)
 	return queueing
 }
 
@@ -202,8 +132,8 @@
 	tookLong := o.Status == Timeout || o.Status == Cancelled && o.Latency > r.class.LatencyObjective/2
 	answersOthers := target.lastAnswerAt >= t.sentAt
 	if tookLong && answersOthers || o.Status == OK || o.Status == Error {
-		failed := indicator(o.Status != OK)
-		target.failureShare[r.Class] += serverSmoothing * (failed - target.failureShare[r.Class])
+		failed := estimate.Indicator(o.Status != OK)
+		target.failureShare[r.Class] += estimate.ServerSmoothing * (failed - target.failureShare[r.Class])
 	}
 }
 
@@ -224,10 +154,10 @@
 	for i := range b.groups {
 		g := &b.groups[i]
 		if g.fullSize > 0 {
-			most = max(most, g.sendRate.perSec(now)/max(g.warmSize, g.fullSize/2))
+			most = max(most, g.sendRate.PerSecond(now)/max(g.warmSize, g.fullSize/2))
 		}
 	}
-	return max(most, b.sendRate.perSec(now)/max(b.groups[localZone].fullSize+b.groups[remoteZones].fullSize, 1))
+	return max(most, b.sendRate.PerSecond(now)/max(b.groups[localZone].fullSize+b.groups[remoteZones].fullSize, 1))
 }
 
 // expectedLatency returns how long the server will probably take for the request, in ms: by this balancer's
@@ -252,7 +182,7 @@
 	if g.latency == 0 {
 		ms = 2*work + float64(b.shortestObjective)/float64(time.Millisecond)
 	}
-	return milliseconds(ms)
+	return estimate.Milliseconds(ms)
 }
 
 // effectiveLoad returns how many of this balancer's requests the server holds. The others in flight are
--- a/outlier_ejection.go
+++ b/outlier_ejection.go
@@ -1,6 +1,10 @@
 package piernotch
 
-import "time"
+import (
+	"time"
+
+	"piernotch/internal/decision/estimate"
+)
 
 const (
 	maxSilentTimeouts = 2   // consecutive timeouts without any answer that eject a server
@@ -39,7 +43,7 @@
 	target.consecutiveFailures, target.healthCheckPassed = 0, false
 	base := max(b.silenceTimeout(&b.groups[target.locality], b.meanWork), b.shortestObjective)
 	pause := base << min(target.ejections, 4)
-	target.trialAt = now + pause/2 + jitter(b.rng, pause)
+	target.trialAt = now + pause/2 + estimate.Jitter(b.rng, pause)
 	b.groupsStale = true
 }
 
@@ -65,7 +69,7 @@
 		return
 	}
 	target.healthCheckInflight = false
-	target.connectFailures += indicator(status == ConnectFailed)
+	target.connectFailures += estimate.Indicator(status == ConnectFailed)
 	if status == OK {
 		target.healthCheckPassed, b.groupsStale = true, true
 		return
--- a/queue.go
+++ b/queue.go
@@ -22,7 +22,7 @@
 			length++
 		}
 	}
-	rate := b.sendRate.perSec(now)
+	rate := b.sendRate.PerSecond(now)
 	if length < queueMinLength || rate <= 0 {
 		return 0
 	}
--- a/selection.go
+++ b/selection.go
@@ -1,6 +1,10 @@
 package piernotch
 
-import "time"
+import (
+	"time"
+
+	"piernotch/internal/decision/estimate"
+)
 
 const (
 	objectiveShare         = 0.9  // the expected latency is within this share of the time left
@@ -165,7 +169,7 @@
 
 // balanceLanes moves the split towards equal lateness: the small lane gets half to twice its share by hints.
 func (b *Balancer) balanceLanes(step float64, lane int, late float64) {
-	b.lateByLane[lane] += groupSmoothing * (late - b.lateByLane[lane])
+	b.lateByLane[lane] += estimate.GroupSmoothing * (late - b.lateByLane[lane])
 	b.laneOffset += step * (b.lateByLane[largeLane] - b.lateByLane[smallLane])
 	small := 1 - b.largeWorkShare
 	b.laneOffset = min(max(b.laneOffset, -small), small/2)
--- a/slow_start.go
+++ b/slow_start.go
@@ -3,6 +3,8 @@
 import (
 	"math"
 	"time"
+
+	"piernotch/internal/decision/estimate"
 )
 
 const (
@@ -22,7 +24,7 @@
 // startSlowStart counts a slow start from since. A random delay keeps many balancers from sending at once.
 func (b *Balancer) startSlowStart(now time.Duration, target *server, since time.Duration) {
 	target.slowStartSince, target.assumedRestartUntil, target.latency = since, 0, 0
-	target.nextSlowStartSend = now + jitter(b.rng, b.slowStartPause(now, target))
+	target.nextSlowStartSend = now + estimate.Jitter(b.rng, b.slowStartPause(now, target))
 }
 
 // endSlowStartIfDue ends a slow start after its time, or when the list has not confirmed a restart.
@@ -54,7 +56,7 @@
 // used lapses: if it lasted, all would use theirs at once when they get busy. The windows are staggered.
 func (b *Balancer) winsSlowStartDraw(now time.Duration, target *server) bool {
 	window := uint64(float64(now)/float64(b.slowStartWindow) + target.spillRank)
-	draw := float64(mixBits(mixBits(window^b.windowSeed)^target.idHash)) / math.MaxUint64
+	draw := float64(estimate.MixBits(estimate.MixBits(window^b.windowSeed)^target.idHash)) / math.MaxUint64
 	return draw*float64(b.slowStartInterval(now, target)) <= float64(b.slowStartWindow)
 }
 
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -51,7 +51,7 @@
 	list[0].StartedAt = 900 * ms
 	b, _ := newTestBalancer(t, testSettings(), list)
 	for i := range 100 {
-		b.groups[0].sendRate.add(time.Second+time.Duration(i)*10*ms, 10)
+		b.groups[0].sendRate.Add(time.Second+time.Duration(i)*10*ms, 10)
 	}
 	now := 2 * time.Second
 	before := b.warmSendRate(now)
@@ -76,7 +76,7 @@
 		}
 		b.reviewServers(time.Second)
 		b.meanWork = 25
-		b.sendRate.add(time.Second, 100)
+		b.sendRate.Add(time.Second, 100)
 		to := b.servers[1]
 		b.startSlowStart(2*time.Second, to, 2*time.Second)
 		return b.slowStartInterval(2*time.Second, to)
@@ -90,7 +90,7 @@
 func TestIdleServerInSlowStartGetsMore(t *testing.T) {
 	b, _ := newTestBalancer(t, manyBalancersSettings(), testEndpoints(2, 1))
 	b.meanWork = 25
-	b.sendRate.add(time.Second, 50)
+	b.sendRate.Add(time.Second, 50)
 	to := b.servers[1]
 	b.startSlowStart(time.Second, to, time.Second)
 	interval := b.slowStartInterval(time.Second, to)
--- a/state.go
+++ b/state.go
@@ -7,6 +7,8 @@
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"piernotch/internal/decision/estimate"
 )
 
 // The records that the decision files keep. Nothing here decides.
@@ -56,17 +58,17 @@
 	windowSeed      uint64        // makes this balancer's slow start draws differ from others'
 	slowStartWindow time.Duration // for which a send in slow start is drawn; 0: sends are not drawn
 
-	medianHint         float64    // running median of the cost hints, ms
-	hintCount          float64    // hints that it is from
-	meanWork           float64    // mean work of a request, ms
-	workSamples        float64    // requests that it is from
-	fastAnswers        []float64  // low quantile of each class's latency, ms; 0: not known
-	latencyPerWork     float64    // latency for each ms of work, queueing included; 0: not known
-	largeWorkShare     float64    // share of the work that is above the median hint
-	laneOffset         float64    // added to that share, by the lateness in the lanes
-	lateByLane         [2]float64 // share of late answers in each lane
-	sendRate           rate       // work sent per second
-	peakCompletionRate float64    // most answers per second of a warm server of size 1; 0: not known
+	medianHint         float64       // running median of the cost hints, ms
+	hintCount          float64       // hints that it is from
+	meanWork           float64       // mean work of a request, ms
+	workSamples        float64       // requests that it is from
+	fastAnswers        []float64     // low quantile of each class's latency, ms; 0: not known
+	latencyPerWork     float64       // latency for each ms of work, queueing included; 0: not known
+	largeWorkShare     float64       // share of the work that is above the median hint
+	laneOffset         float64       // added to that share, by the lateness in the lanes
+	lateByLane         [2]float64    // share of late answers in each lane
+	sendRate           estimate.Rate // work sent per second
+	peakCompletionRate float64       // most answers per second of a warm server of size 1; 0: not known
 
 	watching     bool // a subscription to the list is asked for, or there is one
 	nextWatchAt  time.Duration
@@ -94,7 +96,7 @@
 	nextTurn      [2]int     // round robin position in each lane
 	maxLaneWeight [2]float64 // greatest weight in each lane
 
-	sendRate          rate          // work sent to its warm members per second
+	sendRate          estimate.Rate // work sent to its warm members per second
 	lateShare         float64       // share of answers that took over half of their objective
 	lateUpdatedAt     time.Duration // when an answer last counted in it
 	latency           float64       // mean latency of a request of mean work, ms
@@ -271,7 +273,7 @@
 		b.zonePaths[e.Zone] = &zonePath{}
 	}
 	target := &server{
-		Endpoint: e, excluded: b.excluded[e.ID], idHash: mixBits(uint64(e.ID)),
+		Endpoint: e, excluded: b.excluded[e.ID], idHash: estimate.MixBits(uint64(e.ID)),
 		spillRank: b.rng.Float64(), path: b.zonePaths[e.Zone], slowStartSince: -1,
 		lastSentAt:   make([]time.Duration, len(b.settings.Classes)),
 		failureShare: make([]float64, len(b.settings.Classes)),
