--- a/attempts.go
+++ b/attempts.go
@@ -6,8 +6,6 @@
 	"piernotch/internal/decision/estimate"
 )
 
-const retryBudgetShare = 0.15 // retries and hedged requests, as a share of requests
-
 // mayStartAttempt is the guard that every attempt passes. No other function knows these rules.
 func (b *Balancer) mayStartAttempt(now time.Duration, r *request, target *server) bool {
 	if r.done || r.streaming || now >= r.Deadline || len(r.attempts) >= b.settings.Limits.MaxAttempts {
@@ -93,14 +91,9 @@
 	return r.objective
 }
 
-func (b *Balancer) addRetryBudget() {
-	most := float64(b.settings.Limits.MaxAttempts) / retryBudgetShare
-	b.retryBudget = min(b.retryBudget+retryBudgetShare, most)
-}
-
 // mayRetry reports whether the budget has a retry left and the request can still be in time.
 func (b *Balancer) mayRetry(now time.Duration, r *request) bool {
-	return b.retryBudget >= 1 && now < r.objective
+	return b.retryBudget.Available() && now < r.objective
 }
 
 // retryOrAnswer retries a request after an attempt, or gives the final answer if none is in flight.
@@ -109,7 +102,7 @@
 	case r.done:
 		b.release(r)
 	case status != Timeout && b.mayRetry(now, r) && b.dispatch(now, r):
-		b.retryBudget--
+		b.retryBudget.Spend()
 	case r.inflight == 0:
 		b.rejectOrFail(r)
 	}
@@ -119,7 +112,7 @@
 func (b *Balancer) hedge(now time.Duration, r *request) {
 	if !r.hedged && b.shedShare == 0 && b.mayRetry(now, r) && b.dispatch(now, r) {
 		r.hedged = true
-		b.retryBudget--
+		b.retryBudget.Spend()
 	}
 }
 
--- a/attempts_test.go
+++ b/attempts_test.go
@@ -29,7 +29,7 @@
 			list[i].Cell = i
 		}
 		b, h := newTestBalancer(t, testSettings(), list)
-		b.retryBudget = 10
+		fillRetryBudget(b)
 		b.HandleRequest(time.Second, newTestRequest(1, c.class, 10))
 		first := h.last().to
 		completeAttempt(b, time.Second+10*ms, 1, 0, first, c.status)
@@ -49,7 +49,7 @@
 	b, h := newTestBalancer(t, testSettings(), testEndpoints(3, 1))
 	r := newTestRequest(1, dedupEverywhereClass, 10)
 	b.settings.Classes[dedupEverywhereClass].DedupWindow = 50 * ms
-	b.retryBudget = 10
+	fillRetryBudget(b)
 	b.HandleRequest(time.Second, r)
 	completeAttempt(b, time.Second+60*ms, 1, 0, h.last().to, Reset)
 	if len(h.attempts) != 1 {
@@ -59,7 +59,7 @@
 
 func TestRequestIsRejectedAfterMaxAttempts(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), testEndpoints(6, 1))
-	b.retryBudget = 10
+	fillRetryBudget(b)
 	b.HandleRequest(time.Second, newTestRequest(1, idempotentClass, 10))
 	for i := range 3 {
 		completeAttempt(b, time.Second+ms, 1, i, h.last().to, Full)
@@ -143,7 +143,7 @@
 	now := time.Second
 	b.HandleRequest(now, Request{ID: 1, Class: dedupEverywhereClass, Deadline: now + 3*time.Second, CostHint: 10})
 	r := b.requests[1]
-	b.retryBudget = 1
+	fillRetryBudget(b)
 	now += 100 * ms
 	if !b.dispatch(now, r) || len(h.attempts) != 2 {
 		t.Fatalf("sent %v", h.attempts)
--- a/balancer.go
+++ b/balancer.go
@@ -60,7 +60,7 @@
 	}
 	r := b.newRequest(now, in)
 	b.observeArrival(r)
-	b.addRetryBudget()
+	b.retryBudget.RequestArrived()
 	if b.rng.Float64() < b.priorities[r.priority].rejectShare {
 		b.rejectOrFail(r)
 		return
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -142,3 +142,10 @@
 	}
 	return b, h
 }
+
+// fillRetryBudget fills the retry budget to its bound.
+func fillRetryBudget(b *Balancer) {
+	for range 1000 {
+		b.retryBudget.RequestArrived()
+	}
+}
--- a/outlier_ejection_test.go
+++ b/outlier_ejection_test.go
@@ -117,7 +117,7 @@
 // its rejections counted as late answers of the whole fleet.
 func TestServerRejectingAllRequestsIsEjected(t *testing.T) {
 	b, h := newTestBalancer(t, manyBalancersSettings(), testEndpoints(6, 1))
-	b.retryBudget = 100
+	fillRetryBudget(b)
 	rejections := 0
 	for i := range 200 {
 		now := time.Second + time.Duration(i)*ms
--- a/settings.go
+++ b/settings.go
@@ -111,5 +111,6 @@
 	for len(b.fastAnswers) < len(s.Classes) {
 		b.fastAnswers = append(b.fastAnswers, 0)
 	}
+	b.retryBudget.Configure(s.Limits.MaxAttempts)
 	b.buildPriorities()
 }
--- a/state.go
+++ b/state.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"piernotch/internal/decision/estimate"
+	"piernotch/internal/decision/retrybudget"
 )
 
 // The records that the decision files keep. Nothing here decides.
@@ -49,7 +50,7 @@
 	requests     map[RequestID]*request
 	freeRequests []*request // for reuse
 
-	retryBudget    float64 // retries and hedged requests that may be sent now
+	retryBudget    retrybudget.Budget
 	shedShare      float64 // share of the work, lowest precedence first, that is rejected
 	shedAdjustedAt time.Duration
 	priorities     []priorityBand // two of each class: within its tenants' quotas and over them
@@ -335,7 +336,7 @@
 // String describes the state in one line, for a log.
 func (b *Balancer) String() string {
 	text := fmt.Sprintf("open=%d shed=%.2f pace=%.2f budget=%.1f median=%.1f mean=%.1f usual=%.1f",
-		len(b.openRequests), b.shedShare, b.latencyPerWork, b.retryBudget, b.medianHint, b.meanWork, b.peakCompletionRate)
+		len(b.openRequests), b.shedShare, b.latencyPerWork, b.retryBudget.Left(), b.medianHint, b.meanWork, b.peakCompletionRate)
 	for i := range b.groups {
 		g := &b.groups[i]
 		inSlowStart := 0
