--- a/balancer.go
+++ b/balancer.go
@@ -4,8 +4,6 @@
 	"math"
 	"math/rand/v2"
 	"time"
-
-	"piernotch/internal/decision/estimate"
 )
 
 const (
@@ -47,7 +45,7 @@
 	for i := range b.groups {
 		b.groups[i].sendRate.Start(now)
 	}
-	b.nextWatchAt = now + estimate.Jitter(b.rng, b.watchBackoff)
+	b.subscription.Start(now, b.rng)
 	b.host.SetTimer(b.tickInterval, tickToken)
 }
 
@@ -106,7 +104,9 @@
 		return
 	}
 	b.host.SetTimer(b.tickInterval, tickToken)
-	b.watchIfDue(now)
+	if b.subscription.SubscribeIfDue(now) {
+		b.host.WatchEndpoints()
+	}
 	b.ticks++
 	reviewEvery := 1 + len(b.sorted)/serversPerTick // a pass over a large fleet takes long
 	if b.ticks%reviewEvery == 0 {
--- a/doc.go
+++ b/doc.go
@@ -41,6 +41,7 @@
 //   - concurrency_limits.go: bounds by load reports on what all balancers send
 //   - endpoints.go: the list of servers
 //   - internal/decision/retrybudget: how many retries and hedged requests may be sent
+//   - internal/decision/subscription: when to subscribe to the endpoint list
 //
 // Beside them stand the interface (piernotch.go, settings.go), the records (state.go), estimators.go,
 // load_reports.go, queue.go with the length of the queue, and what operators ask for while the program runs
--- a/endpoints.go
+++ b/endpoints.go
@@ -3,15 +3,13 @@
 import (
 	"math"
 	"time"
-
-	"piernotch/internal/decision/estimate"
 )
 
 // UpdateEndpoints takes an event of the endpoint list. A size that is not a positive number counts as 1.
 func (b *Balancer) UpdateEndpoints(now time.Duration, kind UpdateKind, entries []Endpoint) {
 	b.ensureStarted(now)
 	if kind == UpdateFailed {
-		b.backOffWatch(now)
+		b.subscription.Failed(now, b.rng)
 		return
 	}
 	named := make(map[ServerID]bool, len(entries))
@@ -27,7 +25,7 @@
 		}
 	}
 	if kind != UpdateCached {
-		b.watchBackoff = b.settings.Rules.PollInterval / 8
+		b.subscription.Succeeded()
 	}
 	b.reindexServers()
 	b.rebuildGroups(now)
@@ -52,19 +50,3 @@
 		b.slowStartIfYoung(now, target)
 	}
 }
-
-// watchIfDue subscribes to the endpoint list, where it has to be asked for.
-func (b *Balancer) watchIfDue(now time.Duration) {
-	if !b.settings.PollDiscovery || b.watching || now < b.nextWatchAt {
-		return
-	}
-	b.watching = true
-	b.host.WatchEndpoints()
-}
-
-// backOffWatch puts off the next subscription after one that failed, for longer each time.
-func (b *Balancer) backOffWatch(now time.Duration) {
-	b.watching = false
-	b.nextWatchAt = now + b.watchBackoff/2 + estimate.Jitter(b.rng, b.watchBackoff)
-	b.watchBackoff = min(2*b.watchBackoff, max(b.settings.Rules.PollInterval, b.watchBackoff))
-}
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -31,7 +31,6 @@
 		t.Fatalf("%d subscriptions within the poll interval", h.watches)
 	}
 	b.UpdateEndpoints(now, UpdateFailed, nil)
-	backoff := b.watchBackoff
 	if len(b.sorted) != 2 {
 		t.Fatal("a failed update emptied the list")
 	}
@@ -39,12 +38,18 @@
 	if h.watches != 1 {
 		t.Fatal("subscribed again without a backoff")
 	}
-	run(backoff)
+	firstBackoff := s.Rules.PollInterval / 8
+	run(firstBackoff * 3 / 2)
 	if h.watches != 2 {
 		t.Fatal("did not subscribe again")
 	}
 	b.UpdateEndpoints(now, UpdateFailed, nil)
-	if b.watchBackoff <= backoff {
+	run(firstBackoff) // half of twice the first backoff: the least that the jitter leaves of it
+	if h.watches != 2 {
 		t.Fatal("the backoff did not grow")
 	}
+	run(firstBackoff * 2)
+	if h.watches != 3 {
+		t.Fatal("did not subscribe after the second backoff")
+	}
 }
--- a/settings.go
+++ b/settings.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"slices"
 	"time"
+
+	"piernotch/internal/decision/subscription"
 )
 
 // SettingsError is a setting that cannot be used.
@@ -101,7 +103,9 @@
 		b.shortestObjective = min(b.shortestObjective, c.LatencyObjective)
 	}
 	b.tickInterval = max(s.Tick, time.Duration(float64(b.shortestObjective)/ticksPerObjective))
-	b.watchBackoff = s.Rules.PollInterval / 8
+	b.subscription.Configure(subscription.Options{
+		Subscribe: s.PollDiscovery, PollInterval: s.Rules.PollInterval,
+	})
 	b.maxSpillers = max(minSpillers, spillerShare*float64(s.BalancerCount))
 	b.slowStartWindow = 0
 	if b.manyBalancers() {
--- a/state.go
+++ b/state.go
@@ -10,6 +10,7 @@
 
 	"piernotch/internal/decision/estimate"
 	"piernotch/internal/decision/retrybudget"
+	"piernotch/internal/decision/subscription"
 )
 
 // The records that the decision files keep. Nothing here decides.
@@ -71,9 +72,7 @@
 	sendRate           estimate.Rate // work sent per second
 	peakCompletionRate float64       // most answers per second of a warm server of size 1; 0: not known
 
-	watching     bool // a subscription to the list is asked for, or there is one
-	nextWatchAt  time.Duration
-	watchBackoff time.Duration
+	subscription subscription.Schedule // to the endpoint list
 }
 
 // priorityBand is the requests of one class, within or over their tenants' quotas.
