--- a/admission.go
+++ b/admission.go
@@ -24,21 +24,12 @@
 		r.lane = largeLane
 	}
 	r.priority = 2 * in.Class
-	if b.overQuota(now, in.Tenant) {
+	if !b.quotas.Take(now, in.Tenant) {
 		r.priority++
 	}
 	return r
 }
 
-// overQuota takes a request from this balancer's part of a tenant's quota and reports if none was left.
-func (b *Balancer) overQuota(now time.Duration, tenant int) bool {
-	if tenant < 0 || tenant >= len(b.quotas) || b.settings.Tenants[tenant].QuotaPerSec == 0 {
-		return false
-	}
-	part := b.settings.Tenants[tenant].QuotaPerSec / float64(b.settings.BalancerCount)
-	return !b.quotas[tenant].take(now, part)
-}
-
 // dispatchOrQueue dispatches a request, lets it wait, or rejects it if it would have to wait too long.
 func (b *Balancer) dispatchOrQueue(now time.Duration, r *request) {
 	if b.dispatch(now, r) {
--- a/balancer.go
+++ b/balancer.go
@@ -30,7 +30,6 @@
 		b.groups[i].inflightLimit = math.Inf(1)
 		b.groups[i].nextTurn = [2]int{b.rng.IntN(math.MaxInt32), b.rng.IntN(math.MaxInt32)}
 	}
-	b.quotas = make([]tokenBucket, len(s.Tenants))
 	b.deriveFromSettings()
 	return b, nil
 }
--- a/doc.go
+++ b/doc.go
@@ -40,6 +40,7 @@
 //   - slow_start.go: the pace of requests to a server that has started lately
 //   - concurrency_limits.go: bounds by load reports on what all balancers send
 //   - endpoints.go: the list of servers
+//   - internal/decision/quota: which requests are over their tenant's quota
 //   - internal/decision/retrybudget: how many retries and hedged requests may be sent
 //   - internal/decision/subscription: when to subscribe to the endpoint list
 //
--- a/estimators.go
+++ b/estimators.go
@@ -14,23 +14,6 @@
 	fastQuantileStep = 1.0 / 16 // relative change of that estimate by one answer
 )
 
-// tokenBucket holds tokens that are added at a steady rate, up to those of one second.
-type tokenBucket struct {
-	tokens float64
-	at     time.Duration
-}
-
-// take takes one token, and reports whether there was one.
-func (q *tokenBucket) take(now time.Duration, perSec float64) bool {
-	q.tokens = min(q.tokens+perSec*(now-q.at).Seconds(), max(1, perSec))
-	q.at = now
-	if q.tokens < 1 {
-		return false
-	}
-	q.tokens--
-	return true
-}
-
 // rendezvousMember returns the member with the highest hash for the key. There must be one.
 func rendezvousMember(members []*server, key uint64) *server {
 	var best *server
--- a/settings.go
+++ b/settings.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"piernotch/internal/decision/quota"
 	"piernotch/internal/decision/subscription"
 )
 
@@ -116,5 +117,15 @@
 		b.fastAnswers = append(b.fastAnswers, 0)
 	}
 	b.retryBudget.Configure(s.Limits.MaxAttempts)
+	b.quotas.Configure(quota.Options{PerSecond: s.quotasPerSecond(), BalancerCount: s.BalancerCount})
 	b.buildPriorities()
 }
+
+// quotasPerSecond returns the quotas of all tenants.
+func (s *Settings) quotasPerSecond() []float64 {
+	var quotas []float64
+	for _, tenant := range s.Tenants {
+		quotas = append(quotas, tenant.QuotaPerSec)
+	}
+	return quotas
+}
--- a/state.go
+++ b/state.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"piernotch/internal/decision/estimate"
+	"piernotch/internal/decision/quota"
 	"piernotch/internal/decision/retrybudget"
 	"piernotch/internal/decision/subscription"
 )
@@ -55,7 +56,7 @@
 	shedShare      float64 // share of the work, lowest precedence first, that is rejected
 	shedAdjustedAt time.Duration
 	priorities     []priorityBand // two of each class: within its tenants' quotas and over them
-	quotas         []tokenBucket  // by tenant
+	quotas         quota.Limiter
 
 	windowSeed      uint64        // makes this balancer's slow start draws differ from others'
 	slowStartWindow time.Duration // for which a send in slow start is drawn; 0: sends are not drawn
