--- a/admission.go
+++ b/admission.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"piernotch/internal/decision/estimate"
+	"piernotch/internal/decision/workload"
 )
 
 const (
@@ -17,10 +18,9 @@
 	r := b.openRequest(in)
 	r.objective = min(now+r.class.LatencyObjective, r.Deadline)
 	r.queueDeadline = now + (r.Deadline-now)/2
-	r.lane, r.work = smallLane, in.CostHint
-	if !r.hasCostHint() {
-		r.work = b.workWithoutHint(in.Class)
-	} else if b.hintCount > 0 && in.CostHint > b.medianHint {
+	expected := b.workload.Expect(in.Class, in.CostHint)
+	r.work, r.lane = expected.Work, smallLane
+	if expected.Large {
 		r.lane = largeLane
 	}
 	r.priority = 2 * in.Class
@@ -30,6 +30,13 @@
 	return r
 }
 
+// observeArrival counts a request in the expected work of all, and in that of its priority.
+func (b *Balancer) observeArrival(r *request) {
+	expected := workload.Expectation{Work: r.work, Large: r.lane == largeLane}
+	b.workload.ObserveArrival(r.CostHint, expected)
+	b.priorities[r.priority].arrived += r.work
+}
+
 // dispatchOrQueue dispatches a request, lets it wait, or rejects it if it would have to wait too long.
 func (b *Balancer) dispatchOrQueue(now time.Duration, r *request) {
 	if b.dispatch(now, r) {
@@ -82,7 +89,7 @@
 	for i := range b.priorities {
 		p := &b.priorities[i]
 		p.precedence = p.weight
-		if work := b.workWithoutHint(i / 2); b.settings.WeightPerRequest && work > 0 {
+		if work := b.workload.WithoutHint(i / 2); b.settings.WeightPerRequest && work > 0 {
 			p.precedence /= work
 		}
 	}
--- a/admission_test.go
+++ b/admission_test.go
@@ -110,10 +110,13 @@
 		set.Classes[idempotentClass].PriorityWeight = 2
 		set.Classes[nonIdempotentClass].PriorityWeight = 3
 		b, _ := newTestBalancer(t, set, testEndpoints(2, 1))
-		for i := range b.fastAnswers {
-			b.fastAnswers[i] = 20
+		for class := range set.Classes { // the first answer sets the work without a hint
+			took := 20 * ms
+			if class == nonIdempotentClass {
+				took = 80 * ms
+			}
+			b.workload.ObserveAnswer(class, took)
 		}
-		b.fastAnswers[nonIdempotentClass] = 80
 		b.priorities[2*idempotentClass].arrived = 100
 		b.priorities[2*nonIdempotentClass].arrived = 100
 		b.shedShare = 0.5
--- a/attempts.go
+++ b/attempts.go
@@ -133,7 +133,7 @@
 	case o.Status == Timeout:
 		b.recordLatency(now, r, target, o.Latency)
 	case o.Status == OK:
-		b.learnWorkWithoutHint(r.Class, o.Latency)
+		b.workload.ObserveAnswer(r.Class, o.Latency)
 		b.recordLatency(now, r, target, o.Latency)
 		b.endEjection(now, target)
 	case o.Status == Full:
--- a/balancer.go
+++ b/balancer.go
@@ -4,6 +4,8 @@
 	"math"
 	"math/rand/v2"
 	"time"
+
+	"piernotch/internal/decision/workload"
 )
 
 const (
@@ -21,7 +23,7 @@
 	b := &Balancer{
 		settings: s, host: host, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		servers: map[ServerID]*server{}, excluded: map[ServerID]bool{},
-		requests: map[RequestID]*request{}, zonePaths: map[int]*zonePath{}, largeWorkShare: 0.5,
+		requests: map[RequestID]*request{}, zonePaths: map[int]*zonePath{}, workload: workload.New(),
 	}
 	if b.manyBalancers() {
 		b.windowSeed = b.rng.Uint64()
--- a/doc.go
+++ b/doc.go
@@ -43,6 +43,7 @@
 //   - internal/decision/quota: which requests are over their tenant's quota
 //   - internal/decision/retrybudget: how many retries and hedged requests may be sent
 //   - internal/decision/subscription: when to subscribe to the endpoint list
+//   - internal/decision/workload: how much work requests probably mean
 //
 // Beside them stand the interface (piernotch.go, settings.go), the records (state.go), estimators.go,
 // load_reports.go, queue.go with the length of the queue, and what operators ask for while the program runs
--- a/estimators.go
+++ b/estimators.go
@@ -8,10 +8,8 @@
 )
 
 const (
-	pathMinAnswers   = 64       // answers from which the latency of the path to a zone is known
-	pathMaxShare     = 0.75     // of the requests in flight that count as in transit, at most
-	fastQuantile     = 1.0 / 8  // quantile of a class's latencies that replaces missing cost hints
-	fastQuantileStep = 1.0 / 16 // relative change of that estimate by one answer
+	pathMinAnswers = 64   // answers from which the latency of the path to a zone is known
+	pathMaxShare   = 0.75 // of the requests in flight that count as in transit, at most
 )
 
 // rendezvousMember returns the member with the highest hash for the key. There must be one.
@@ -27,67 +25,13 @@
 	return best
 }
 
-// workWithoutHint returns the work that replaces a missing cost hint of a class, in ms: a low quantile
-// of its latencies, which includes no queueing, or the mean work until there is an answer. Without it a
-// site that gives no hints would have no measure of work at all.
-func (b *Balancer) workWithoutHint(class int) float64 {
-	if b.fastAnswers[class] > 0 {
-		return b.fastAnswers[class]
-	}
-	return b.meanWork
-}
-
-// learnWorkWithoutHint moves the low quantile of a class's latencies.
-func (b *Balancer) learnWorkWithoutHint(class int, took time.Duration) {
-	ms := took.Seconds() * 1000
-	quantile := &b.fastAnswers[class]
-	switch {
-	case *quantile == 0:
-		*quantile = ms
-	case ms < *quantile:
-		*quantile *= 1 - fastQuantileStep*(1-fastQuantile)
-	default:
-		*quantile *= 1 + fastQuantileStep*fastQuantile
-	}
-}
-
-// observeArrival updates the estimates of what arrives: the median hint, the mean work, and the
-// work in each lane and priority.
-func (b *Balancer) observeArrival(r *request) {
-	if r.hasCostHint() {
-		b.observeHint(r.CostHint)
-	}
-	if r.work > 0 {
-		b.workSamples++
-		gain := max(1/b.workSamples, estimate.GroupSmoothing/8)
-		b.meanWork += gain * (r.work - b.meanWork)
-		b.largeWorkShare += gain * (r.work / b.meanWork) * (estimate.Indicator(r.lane == largeLane) - b.largeWorkShare)
-		b.largeWorkShare = min(max(b.largeWorkShare, 0), 1)
-	}
-	b.priorities[r.priority].arrived += r.work
-}
-
-// observeHint moves the running median towards a cost hint.
-func (b *Balancer) observeHint(hint float64) {
-	b.hintCount++
-	step := 1 + max(1/b.hintCount, estimate.GroupSmoothing/2)
-	switch {
-	case b.hintCount == 1:
-		b.medianHint = hint
-	case hint > b.medianHint:
-		b.medianHint *= step
-	default:
-		b.medianHint /= step
-	}
-}
-
 // observeLatency updates the latency estimates of all, of the group and of the server by one answer, and
 // returns its latency beyond the request's work in ms, at most the objective. Estimates of latency are for
 // a request of mean work, so that the lanes compare.
 func (b *Balancer) observeLatency(r *request, target *server, took time.Duration) (queueing float64) {
 	ms := took.Seconds() * 1000
 	queueing = min(max(ms-r.work, 0), r.class.LatencyObjective.Seconds()*1000)
-	typical := max(ms-r.work, -b.meanWork/2) + b.meanWork
+	typical := max(ms-r.work, -b.workload.Mean()/2) + b.workload.Mean()
 	g := &b.groups[target.locality]
 	if g.latency == 0 {
 		g.latency, g.queueingMean, g.queueingDeviation = typical, queueing, queueing/2
@@ -100,8 +44,8 @@
 	}
 	target.path.answerCount++
 	target.latency += estimate.ServerSmoothing * (typical - target.latency)
-	b.latencyPerWork = estimate.FollowRatio(b.latencyPerWork, ms, r.work, estimate.GroupSmoothing*r.work/b.meanWork)
-	target.latencyPerWork = estimate.FollowRatio(target.latencyPerWork, ms, r.work, estimate.ServerSmoothing*r.work/b.meanWork)
+	b.latencyPerWork = estimate.FollowRatio(b.latencyPerWork, ms, r.work, estimate.GroupSmoothing*r.work/b.workload.Mean())
+	target.latencyPerWork = estimate.FollowRatio(target.latencyPerWork, ms, r.work, estimate.ServerSmoothing*r.work/b.workload.Mean())
 	g.latency += estimate.GroupSmoothing * (typical - g.latency)
 	g.queueingDeviation += estimate.GroupSmoothing * (math.Abs(queueing-g.queueingMean) - g.queueingDeviation)
 	g.queueingMean += estimate.GroupSmoothing * (queueing - g.queueingMean)
@@ -173,8 +117,8 @@
 // of a zone is its fastest answer's latency less a light request's work. It never rises, so that a jam
 // does not look like a long path. A request that is mostly in transit makes no room for another.
 func (b *Balancer) effectiveLoad(target *server) float64 {
-	transit := target.path.fastestAnswer - b.meanWork/4
-	if target.path.answerCount < pathMinAnswers || transit <= b.meanWork/4 || target.latency <= 0 {
+	transit := target.path.fastestAnswer - b.workload.Mean()/4
+	if target.path.answerCount < pathMinAnswers || transit <= b.workload.Mean()/4 || target.latency <= 0 {
 		return float64(target.inflight)
 	}
 	return float64(target.inflight)*(1-min(transit/target.latency, pathMaxShare)) + 0.25
--- a/estimators_test.go
+++ b/estimators_test.go
@@ -18,7 +18,7 @@
 		r := &request{class: &set.Classes[idempotentClass], work: 10}
 		b.recordOutcome(now, r, &attempt{server: remote}, Outcome{Status: OK, Latency: took})
 	}
-	b.medianHint, b.meanWork, b.hintCount = 10, 10, 1
+	setMeanWork(t, b, 10)
 	for range pathMinAnswers {
 		answer(50 * ms)
 	}
@@ -56,10 +56,10 @@
 			t.Errorf("class %d: work %.1f, want about %.0f", class, got, want)
 		}
 	}
-	if b.meanWork < 30 || b.meanWork > 75 {
-		t.Errorf("mean work %.1f", b.meanWork)
+	if mean := b.workload.Mean(); mean < 30 || mean > 75 {
+		t.Errorf("mean work %.1f", mean)
 	}
-	if b.largeWorkShare > 0.05 || b.latencyPerWork < 1 {
-		t.Errorf("share of large work %.2f, latency per work %.2f", b.largeWorkShare, b.latencyPerWork)
+	if b.workload.LargeShare() > 0.05 || b.latencyPerWork < 1 {
+		t.Errorf("share of large work %.2f, latency per work %.2f", b.workload.LargeShare(), b.latencyPerWork)
 	}
 }
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"piernotch/internal/decision/workload"
 )
 
 const ms = time.Millisecond
@@ -149,3 +151,11 @@
 		b.retryBudget.RequestArrived()
 	}
 }
+
+// setMeanWork sets the mean work and the median hint in ms, as a process that takes over does.
+func setMeanWork(t *testing.T, b *Balancer, work float64) {
+	t.Helper()
+	if !b.workload.Restore(workload.Snapshot{MedianHint: work, Mean: work, LargeShare: 0.5}) {
+		t.Fatal("the balancer has cost hints of its own")
+	}
+}
--- a/outlier_ejection.go
+++ b/outlier_ejection.go
@@ -41,7 +41,7 @@
 func (b *Balancer) eject(now time.Duration, target *server) {
 	target.ejections++
 	target.consecutiveFailures, target.healthCheckPassed = 0, false
-	base := max(b.silenceTimeout(&b.groups[target.locality], b.meanWork), b.shortestObjective)
+	base := max(b.silenceTimeout(&b.groups[target.locality], b.workload.Mean()), b.shortestObjective)
 	pause := base << min(target.ejections, 4)
 	target.trialAt = now + pause/2 + estimate.Jitter(b.rng, pause)
 	b.groupsStale = true
--- a/outlier_ejection_test.go
+++ b/outlier_ejection_test.go
@@ -96,7 +96,7 @@
 			r := &request{class: &b.settings.Classes[idempotentClass], work: 10}
 			b.recordOutcome(time.Second, r, &attempt{server: to}, Outcome{Status: s})
 		}
-		b.meanWork = 10
+		setMeanWork(t, b, 10)
 		record(status)
 		record(status)
 		if to.ejections > 0 {
--- a/selection.go
+++ b/selection.go
@@ -171,7 +171,7 @@
 func (b *Balancer) balanceLanes(step float64, lane int, late float64) {
 	b.lateByLane[lane] += estimate.GroupSmoothing * (late - b.lateByLane[lane])
 	b.laneOffset += step * (b.lateByLane[largeLane] - b.lateByLane[smallLane])
-	small := 1 - b.largeWorkShare
+	small := 1 - b.workload.LargeShare()
 	b.laneOffset = min(max(b.laneOffset, -small), small/2)
 }
 
@@ -189,7 +189,7 @@
 	}
 	for i := range b.groups {
 		b.updateWeights(now, &b.groups[i])
-		b.groups[i].splitLanes(b.largeWorkShare + b.laneOffset)
+		b.groups[i].splitLanes(b.workload.LargeShare() + b.laneOffset)
 	}
 }
 
--- a/selection_test.go
+++ b/selection_test.go
@@ -103,7 +103,7 @@
 	for _, to := range b.sorted {
 		to.spillRank = 0.9
 	}
-	b.hintCount, b.workSamples, b.medianHint, b.meanWork = 100, 100, 10, 10
+	setMeanWork(t, b, 10)
 	b.HandleRequest(time.Second, newTestRequest(1, idempotentClass, 100))
 	if len(h.attempts) != 1 || h.last().to == 1 {
 		t.Fatalf("sent %v", h.attempts)
@@ -133,7 +133,8 @@
 // A regression: round robin sent a heavy request to a slow server, where it was certainly late.
 func TestHeavyRequestsGoToFastEnoughServer(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), testEndpoints(4, 1))
-	b.hintCount, b.medianHint, b.meanWork, b.latencyPerWork = 100, 10, 10, 1
+	setMeanWork(t, b, 10)
+	b.latencyPerWork = 1
 	for _, to := range b.sorted {
 		to.latencyPerWork = 3
 	}
--- a/settings.go
+++ b/settings.go
@@ -113,9 +113,7 @@
 		b.slowStartWindow = s.Rules.OverloadWindow / slowStartWindows
 	}
 	b.levels = selectionLevels(s.BalancerCount)
-	for len(b.fastAnswers) < len(s.Classes) {
-		b.fastAnswers = append(b.fastAnswers, 0)
-	}
+	b.workload.EnsureClasses(len(s.Classes))
 	b.retryBudget.Configure(s.Limits.MaxAttempts)
 	b.quotas.Configure(quota.Options{PerSecond: s.quotasPerSecond(), BalancerCount: s.BalancerCount})
 	b.buildPriorities()
--- a/slow_start.go
+++ b/slow_start.go
@@ -39,7 +39,7 @@
 // slowStartAllows reports whether a server in slow start may get the request: one at a time, no heavy one,
 // as one from each balancer would overload it, and none from other zones while its own has balancers.
 func (b *Balancer) slowStartAllows(now time.Duration, r *request, target *server) bool {
-	if r.work > b.meanWork || b.spills(target) && !b.zonesWithoutBalancer() {
+	if r.work > b.workload.Mean() || b.spills(target) && !b.zonesWithoutBalancer() {
 		return false
 	}
 	due := now >= target.nextSlowStartSend && target.inflight == 0
@@ -82,7 +82,7 @@
 	case perSec <= 0: // unknown yet: many balancers would all try at once
 		return longest
 	}
-	return time.Duration(min(b.meanWork/perSec, longest.Seconds()) * float64(time.Second))
+	return time.Duration(min(b.workload.Mean()/perSec, longest.Seconds()) * float64(time.Second))
 }
 
 // slowStartRate is the work per second that this balancer may send to the server: its share of what a warm
@@ -90,7 +90,7 @@
 // overload limit beyond it leaves room for uneven zones, weights and hints.
 func (b *Balancer) slowStartRate(now time.Duration, target *server) float64 {
 	senders, growth := b.sendersTo(target), 1.0
-	perSec := b.peakCompletionRate * b.meanWork / senders
+	perSec := b.peakCompletionRate * b.workload.Mean() / senders
 	switch {
 	case b.slowStartWindow == 0:
 		growth = slowStartGrowth
@@ -103,7 +103,7 @@
 	}
 	perSec *= b.capacityShare(now, target) * target.Size
 	if target.reports.reportedAt > 0 && target.reports.others < idleInflight {
-		perSec = max(perSec, growth*target.reports.completionRate*b.meanWork/senders)
+		perSec = max(perSec, growth*target.reports.completionRate*b.workload.Mean()/senders)
 	}
 	return perSec
 }
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -75,7 +75,7 @@
 			}
 		}
 		b.reviewServers(time.Second)
-		b.meanWork = 25
+		setMeanWork(t, b, 25)
 		b.sendRate.Add(time.Second, 100)
 		to := b.servers[1]
 		b.startSlowStart(2*time.Second, to, 2*time.Second)
@@ -89,7 +89,7 @@
 // A server warms up by its work, sooner than the rule promises.
 func TestIdleServerInSlowStartGetsMore(t *testing.T) {
 	b, _ := newTestBalancer(t, manyBalancersSettings(), testEndpoints(2, 1))
-	b.meanWork = 25
+	setMeanWork(t, b, 25)
 	b.sendRate.Add(time.Second, 50)
 	to := b.servers[1]
 	b.startSlowStart(time.Second, to, time.Second)
@@ -123,7 +123,7 @@
 				b.LoadReported(time.Second, id+1, LoadReport{Inflight: 2, CompletedPerSecond: completions})
 			}
 			b.reviewServers(time.Second)
-			b.meanWork = work
+			setMeanWork(t, b, work)
 			to := b.servers[1]
 			b.startSlowStart(startedAt, to, startedAt)
 			for now := startedAt + 3*time.Second; now < startedAt+5*time.Second; now += 20 * ms {
--- a/state.go
+++ b/state.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"fmt"
-	"math"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -12,6 +11,7 @@
 	"piernotch/internal/decision/quota"
 	"piernotch/internal/decision/retrybudget"
 	"piernotch/internal/decision/subscription"
+	"piernotch/internal/decision/workload"
 )
 
 // The records that the decision files keep. Nothing here decides.
@@ -61,17 +61,12 @@
 	windowSeed      uint64        // makes this balancer's slow start draws differ from others'
 	slowStartWindow time.Duration // for which a send in slow start is drawn; 0: sends are not drawn
 
-	medianHint         float64       // running median of the cost hints, ms
-	hintCount          float64       // hints that it is from
-	meanWork           float64       // mean work of a request, ms
-	workSamples        float64       // requests that it is from
-	fastAnswers        []float64     // low quantile of each class's latency, ms; 0: not known
-	latencyPerWork     float64       // latency for each ms of work, queueing included; 0: not known
-	largeWorkShare     float64       // share of the work that is above the median hint
-	laneOffset         float64       // added to that share, by the lateness in the lanes
-	lateByLane         [2]float64    // share of late answers in each lane
-	sendRate           estimate.Rate // work sent per second
-	peakCompletionRate float64       // most answers per second of a warm server of size 1; 0: not known
+	workload           workload.Model // the expected work of requests
+	latencyPerWork     float64        // latency for each ms of work, queueing included; 0: not known
+	laneOffset         float64        // added to the share of large work, by the lateness in the lanes
+	lateByLane         [2]float64     // share of late answers in each lane
+	sendRate           estimate.Rate  // work sent per second
+	peakCompletionRate float64        // most answers per second of a warm server of size 1; 0: not known
 
 	subscription subscription.Schedule // to the endpoint list
 }
@@ -193,9 +188,6 @@
 	streaming     bool          // a response is being forwarded
 }
 
-// hasCostHint reports whether the request's cost hint can be used.
-func (r *request) hasCostHint() bool { return r.CostHint > 0 && !math.IsInf(r.CostHint, 0) }
-
 // waiting reports whether the request waits to be dispatched.
 func (r *request) waiting() bool { return !r.done && !r.streaming && r.inflight == 0 }
 
@@ -336,7 +328,7 @@
 // String describes the state in one line, for a log.
 func (b *Balancer) String() string {
 	text := fmt.Sprintf("open=%d shed=%.2f pace=%.2f budget=%.1f median=%.1f mean=%.1f usual=%.1f",
-		len(b.openRequests), b.shedShare, b.latencyPerWork, b.retryBudget.Left(), b.medianHint, b.meanWork, b.peakCompletionRate)
+		len(b.openRequests), b.shedShare, b.latencyPerWork, b.retryBudget.Left(), b.workload.MedianHint(), b.workload.Mean(), b.peakCompletionRate)
 	for i := range b.groups {
 		g := &b.groups[i]
 		inSlowStart := 0
