--- a/admission_test.go
+++ b/admission_test.go
@@ -1,12 +1,12 @@
 package piernotch
 
 import (
-	"math"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
 
+	"piernotch/internal/decision/admission"
 	"piernotch/internal/decision/estimate"
 )
 
@@ -38,13 +38,13 @@
 	if low < 100 || high > low {
 		t.Fatalf("rejected %d of low weight and %d of high weight", low, high)
 	}
-	b.shedShare = 1 // nothing is sent, so there are no answers
+	shedAll(t, b, now) // nothing is sent, so there are no answers
 	for range int(20 * time.Second / b.tickInterval) {
 		now += b.tickInterval
 		b.Timer(now, tickToken)
 	}
-	if b.shedShare > 0.5 {
-		t.Fatalf("shedding stays at %.2f without late answers", b.shedShare)
+	if share := b.admission.ShedShare(); share > 0.5 {
+		t.Fatalf("shedding stays at %.2f without late answers", share)
 	}
 }
 
@@ -57,7 +57,7 @@
 	for i := range 40 {
 		now := time.Second + time.Duration(i)*25*ms
 		r := b.newRequest(now, Request{ID: RequestID(i), CostHint: 5, Deadline: 9 * time.Second})
-		if b.priorities[r.priority].weight < 1 {
+		if r.priority == admission.BandOf(idempotentClass, admission.OverQuota) {
 			over++
 		}
 	}
@@ -65,74 +65,11 @@
 		t.Errorf("%d of 40 were over the quota", over)
 	}
 	r := b.newRequest(time.Second, Request{ID: 99, Tenant: 1, CostHint: 5})
-	if b.priorities[r.priority].weight < 1 {
+	if r.priority != admission.BandOf(idempotentClass, admission.WithinQuota) {
 		t.Error("a tenant without a quota was over it")
 	}
 }
 
-// Of two classes of equal weight, the one whose clients wait for longer must not take the other's part of the
-// capacity, and both have the same share rejected.
-func TestClassesOfEqualWeightShareCapacityEqually(t *testing.T) {
-	set := testSettings()
-	set.BalancerCount = 100
-	b, _ := newTestBalancer(t, set, testEndpoints(2, 1))
-	x, y := &b.priorities[2*idempotentClass], &b.priorities[2*nonIdempotentClass]
-	if x.precedence != y.precedence {
-		t.Fatalf("bands %+v and %+v", x, y)
-	}
-	x.arrived, x.forwarded = 100, 20
-	y.arrived, y.forwarded = 100, 80
-	b.shedShare = 0.5
-	b.updatePriorities()
-	if !x.starved || y.starved {
-		t.Errorf("starved: %v and %v, though a fifth of the first's work was forwarded and four of the other's", x.starved, y.starved)
-	}
-	if math.Abs(x.rejectShare-y.rejectShare) > 1e-9 || x.rejectShare < 0.4 || x.rejectShare > 0.6 {
-		t.Errorf("rejected shares %.2f and %.2f", x.rejectShare, y.rejectShare)
-	}
-	first := &request{Request: Request{ID: 1}, priority: 2 * nonIdempotentClass}
-	second := &request{Request: Request{ID: 2}, priority: 2 * idempotentClass}
-	if b.precedes(first, second) || !b.precedes(second, first) {
-		t.Error("a starved band does not go first")
-	}
-	x.starved = false
-	if !b.precedes(first, second) || b.precedes(second, first) {
-		t.Error("the first arrival does not go first")
-	}
-}
-
-// If the weight is per request, two light requests precede a heavy one of somewhat more weight; if it is per
-// work, they do not.
-func TestWeightPerRequestAndPerWork(t *testing.T) {
-	for _, perRequest := range []bool{false, true} {
-		set := testSettings()
-		set.BalancerCount, set.WeightPerRequest = 100, perRequest
-		set.Classes[idempotentClass].PriorityWeight = 2
-		set.Classes[nonIdempotentClass].PriorityWeight = 3
-		b, _ := newTestBalancer(t, set, testEndpoints(2, 1))
-		for class := range set.Classes { // the first answer sets the work without a hint
-			took := 20 * ms
-			if class == nonIdempotentClass {
-				took = 80 * ms
-			}
-			b.workload.ObserveAnswer(class, took)
-		}
-		b.priorities[2*idempotentClass].arrived = 100
-		b.priorities[2*nonIdempotentClass].arrived = 100
-		b.shedShare = 0.5
-		b.updatePriorities()
-		light := &request{Request: Request{ID: 2}, priority: 2 * idempotentClass}
-		heavy := &request{Request: Request{ID: 1}, priority: 2 * nonIdempotentClass}
-		if got := b.precedes(light, heavy); got != perRequest {
-			t.Errorf("per request %v: the light one goes first: %v", perRequest, got)
-		}
-		got := b.priorities[heavy.priority].rejectShare > b.priorities[light.priority].rejectShare
-		if got != perRequest {
-			t.Errorf("per request %v: more of the heavy ones is rejected: %v", perRequest, got)
-		}
-	}
-}
-
 // Twice as much arrives as one server completes, in two classes. By weight alone, the lower one would get
 // nothing for as long as that lasts.
 func TestNoClassStarvesUnderSustainedOverload(t *testing.T) {
--- a/attempts.go
+++ b/attempts.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"piernotch/internal/decision/admission"
 	"piernotch/internal/decision/estimate"
 )
 
@@ -68,7 +69,7 @@
 	target.lastSentAt[r.Class] = now
 	b.sendRate.Add(now, r.work)
 	if len(r.attempts) == 0 {
-		b.priorities[r.priority].forwarded += r.work
+		b.admission.RequestForwarded(r.priority, r.work)
 	}
 	warm := target.warm()
 	if warm {
@@ -85,7 +86,7 @@
 
 // attemptDeadline is when an answer is no longer worth the server's work.
 func (b *Balancer) attemptDeadline(r *request) time.Duration {
-	if r.class.LateWeightShare > 0 && b.shedShare == 0 {
+	if r.class.LateWeightShare > 0 && !b.admission.Shedding() {
 		return r.Deadline
 	}
 	return r.objective
@@ -110,7 +111,7 @@
 
 // hedge starts a second attempt of a request whose first is overdue, once and not while shedding.
 func (b *Balancer) hedge(now time.Duration, r *request) {
-	if !r.hedged && b.shedShare == 0 && b.mayRetry(now, r) && b.dispatch(now, r) {
+	if !r.hedged && !b.admission.Shedding() && b.mayRetry(now, r) && b.dispatch(now, r) {
 		r.hedged = true
 		b.retryBudget.Spend()
 	}
@@ -127,8 +128,7 @@
 	switch {
 	case o.Status == Timeout && target.lastAnswerAt < t.sentAt:
 		// Its server was silent, which no tick has noticed yet: late, but no reason to shed.
-		g := &b.groups[target.locality]
-		g.lateShare += estimate.GroupSmoothing * (1 - g.lateShare)
+		b.admission.ObserveSilence(target.locality)
 		b.recordFailure(now, target, maxSilentTimeouts)
 	case o.Status == Timeout:
 		b.recordLatency(now, r, target, o.Latency)
@@ -139,7 +139,7 @@
 	case o.Status == Full:
 		// A server that rejects everything must neither attract requests nor make the group look late.
 		b.recordFailure(now, target, maxFailures)
-		b.adjustShedding(b.shedStep(now), target.locality, 1)
+		b.observeAnswer(b.admission.Step(now), admission.Answer{Locality: target.locality, Late: true})
 	case o.Status == ConnectFailed, o.Status == Error, o.Status == Reset:
 		target.connectFailures += estimate.Indicator(o.Status == ConnectFailed)
 		b.recordFailure(now, target, maxFailures)
@@ -150,9 +150,11 @@
 func (b *Balancer) recordLatency(now time.Duration, r *request, target *server, took time.Duration) {
 	objective := r.class.LatencyObjective.Seconds() * 1000
 	queueing := b.observeLatency(r, target, took)
-	step := b.shedStep(now)
+	step := b.admission.Step(now)
 	b.balanceLanes(step, r.lane, estimate.Indicator(queueing > objective/2))
 	if r.work < objective/4 { // a heavy request is late on an idle server, too
-		b.adjustShedding(step, target.locality, estimate.Indicator(took > r.class.LatencyObjective/2))
+		b.observeAnswer(step, admission.Answer{
+			Locality: target.locality, Late: took > r.class.LatencyObjective/2,
+		})
 	}
 }
--- a/balancer.go
+++ b/balancer.go
@@ -60,7 +60,7 @@
 	r := b.newRequest(now, in)
 	b.observeArrival(r)
 	b.retryBudget.RequestArrived()
-	if b.rng.Float64() < b.priorities[r.priority].rejectShare {
+	if b.admission.ShedsArrival(r.priority, b.rng.Float64()) {
 		b.rejectOrFail(r)
 		return
 	}
@@ -113,7 +113,8 @@
 	if b.ticks%reviewEvery == 0 {
 		b.reviewServers(now)
 	}
-	b.updatePriorities()
+	b.updateExpectedWork()
+	b.admission.Tick()
 	for i := len(b.openRequests) - 1; i >= 0; i = min(i, len(b.openRequests)) - 1 { // reviews release some
 		b.reviewRequest(now, b.openRequests[i])
 	}
@@ -128,12 +129,9 @@
 	b.rebuildGroups(now)
 	b.updatePeakCompletionRate()
 	for i := range b.groups {
-		g := &b.groups[i]
-		b.adjustInflightLimit(now, g)
-		if now-g.lateUpdatedAt > b.shortestObjective*ticksPerObjective { // no answers to learn from
-			g.lateShare -= g.lateShare / (ticksPerObjective * ticksPerObjective)
-		}
+		b.adjustInflightLimit(now, &b.groups[i])
 	}
+	b.admission.ReviewLateness(now)
 }
 
 // reviewRequest dispatches a waiting request, and hedges one with an overdue attempt.
@@ -151,7 +149,7 @@
 	c := r.class
 	deduplicated := c.RetrySafety == IdempotencyKey && c.DedupScope == DedupEverywhere
 	if r.firstMaybeExecuted() == nil || c.RetrySafety == Idempotent || deduplicated {
-		b.host.Reject(r.ID, b.retryAfter())
+		b.host.Reject(r.ID, b.admission.RetryAfter())
 	} else {
 		b.host.Fail(r.ID)
 	}
--- a/doc.go
+++ b/doc.go
@@ -18,9 +18,9 @@
 //
 // On arrival a request gets a priority (its class, within or over its tenant's quota) and a lane (its cost
 // hint, below or above the median). While answers come late everywhere, a share of the requests is rejected,
-// lowest precedence first (admission.go). The others go to a server (selection.go): the own zone up to a
-// small load on each server, then other zones; in each, the server that rendezvous hashing picks for the
-// request's key, or else the next in weighted round robin that is expected to answer in time. If none has
+// lowest precedence first (internal/decision/admission). The others go to a server (selection.go): the own
+// zone up to a small load on each server, then other zones; in each, the server that rendezvous hashing picks
+// for the request's key, or else the next in weighted round robin that is expected to answer in time. If none has
 // capacity, the request waits for the next tick or the next answer.
 //
 // One guard, mayStartAttempt, allows or denies every attempt (attempts.go): the class's retry safety, the
@@ -33,19 +33,20 @@
 // The decisions are in the files that `policy` in deploy/balancer.toml lists:
 //
 //   - balancer.go: construction, events and the tick
-//   - admission.go: quotas, priorities, shedding and the waiting requests
+//   - admission.go: what is known of a request on arrival, and the waiting requests
 //   - selection.go: which server a request gets, weights and lanes
 //   - attempts.go: the guard, retries, hedging and what outcomes lead to
 //   - outlier_ejection.go: ejection, health checks and trials
 //   - slow_start.go: the pace of requests to a server that has started lately
 //   - concurrency_limits.go: bounds by load reports on what all balancers send
 //   - endpoints.go: the list of servers
+//   - internal/decision/admission: shedding, priorities and the bound on the queue
 //   - internal/decision/quota: which requests are over their tenant's quota
 //   - internal/decision/retrybudget: how many retries and hedged requests may be sent
 //   - internal/decision/subscription: when to subscribe to the endpoint list
 //   - internal/decision/workload: how much work requests probably mean
 //
 // Beside them stand the interface (piernotch.go, settings.go), the records (state.go), estimators.go,
-// load_reports.go, queue.go with the length of the queue, and what operators ask for while the program runs
-// (exclusion.go, snapshot.go).
+// load_reports.go, and what operators ask for while the program runs (exclusion.go, snapshot.go).
+// internal/decision/estimate has the arithmetic that several of the components share.
 package piernotch
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"piernotch/internal/decision/admission"
 	"piernotch/internal/decision/workload"
 )
 
@@ -159,3 +160,15 @@
 		t.Fatal("the balancer has cost hints of its own")
 	}
 }
+
+// shedAll lets answers come late until all work is shed.
+func shedAll(t *testing.T, b *Balancer, now time.Duration) {
+	t.Helper()
+	for range 100 {
+		now += b.shortestObjective
+		b.admission.ObserveAnswer(b.admission.Step(now), admission.Answer{Late: true, OnlyLocality: true})
+	}
+	if share := b.admission.ShedShare(); share != 1 {
+		t.Fatalf("shed share %v", share)
+	}
+}
--- a/settings.go
+++ b/settings.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"piernotch/internal/decision/admission"
 	"piernotch/internal/decision/quota"
 	"piernotch/internal/decision/subscription"
 )
@@ -116,7 +117,26 @@
 	b.workload.EnsureClasses(len(s.Classes))
 	b.retryBudget.Configure(s.Limits.MaxAttempts)
 	b.quotas.Configure(quota.Options{PerSecond: s.quotasPerSecond(), BalancerCount: s.BalancerCount})
-	b.buildPriorities()
+	b.admission.Configure(b.admissionOptions())
+	b.updateExpectedWork()
+}
+
+// admissionOptions returns what the settings say of admission.
+func (b *Balancer) admissionOptions() admission.Options {
+	s := &b.settings
+	options := admission.Options{
+		ShortestObjective: b.shortestObjective,
+		TickInterval:      b.tickInterval,
+		OverQuotaWeight:   s.OverQuotaWeight,
+		WeightPerRequest:  s.WeightPerRequest,
+		PreventStarvation: b.manyBalancers(),
+		AdviseRetryAfter:  s.Limits.RetryAfter,
+		MaxRetryAfter:     s.Limits.MaxRetryAfter,
+	}
+	for _, class := range s.Classes {
+		options.ClassWeights = append(options.ClassWeights, class.PriorityWeight)
+	}
+	return options
 }
 
 // quotasPerSecond returns the quotas of all tenants.
--- a/state.go
+++ b/state.go
@@ -7,6 +7,7 @@
 	"slices"
 	"time"
 
+	"piernotch/internal/decision/admission"
 	"piernotch/internal/decision/estimate"
 	"piernotch/internal/decision/quota"
 	"piernotch/internal/decision/retrybudget"
@@ -52,11 +53,9 @@
 	requests     map[RequestID]*request
 	freeRequests []*request // for reuse
 
-	retryBudget    retrybudget.Budget
-	shedShare      float64 // share of the work, lowest precedence first, that is rejected
-	shedAdjustedAt time.Duration
-	priorities     []priorityBand // two of each class: within its tenants' quotas and over them
-	quotas         quota.Limiter
+	retryBudget retrybudget.Budget
+	admission   admission.Controller // shedding, priorities and the bound on the queue
+	quotas      quota.Limiter
 
 	windowSeed      uint64        // makes this balancer's slow start draws differ from others'
 	slowStartWindow time.Duration // for which a send in slow start is drawn; 0: sends are not drawn
@@ -71,16 +70,6 @@
 	subscription subscription.Schedule // to the endpoint list
 }
 
-// priorityBand is the requests of one class, within or over their tenants' quotas.
-type priorityBand struct {
-	weight      float64
-	precedence  float64 // the weight, for its work if the weight is per request
-	arrived     float64 // recent work, decaying
-	forwarded   float64 // what of it was sent, decaying
-	rejectShare float64 // share of its requests that is rejected on arrival
-	starved     bool    // much less than its part of what is forwarded
-}
-
 // group is the servers of one locality that may get requests.
 type group struct {
 	members       []*server  // by id
@@ -93,8 +82,6 @@
 	maxLaneWeight [2]float64 // greatest weight in each lane
 
 	sendRate          estimate.Rate // work sent to its warm members per second
-	lateShare         float64       // share of answers that took over half of their objective
-	lateUpdatedAt     time.Duration // when an answer last counted in it
 	latency           float64       // mean latency of a request of mean work, ms
 	queueingMean      float64       // mean latency beyond the work itself, ms
 	queueingDeviation float64       // its mean deviation, ms
@@ -175,7 +162,7 @@
 type request struct {
 	Request
 	class         *Class
-	priority      int           // index of its band in Balancer.priorities
+	priority      admission.Band
 	openIndex     int           // in Balancer.openRequests
 	work          float64       // expected, ms
 	lane          int           // smallLane or largeLane
@@ -188,6 +175,11 @@
 	streaming     bool          // a response is being forwarded
 }
 
+// place returns the request's place in the order of dispatch.
+func (r *request) place() admission.Place {
+	return admission.Place{Band: r.priority, Arrival: uint64(r.ID)}
+}
+
 // waiting reports whether the request waits to be dispatched.
 func (r *request) waiting() bool { return !r.done && !r.streaming && r.inflight == 0 }
 
@@ -328,7 +320,8 @@
 // String describes the state in one line, for a log.
 func (b *Balancer) String() string {
 	text := fmt.Sprintf("open=%d shed=%.2f pace=%.2f budget=%.1f median=%.1f mean=%.1f usual=%.1f",
-		len(b.openRequests), b.shedShare, b.latencyPerWork, b.retryBudget.Left(), b.workload.MedianHint(), b.workload.Mean(), b.peakCompletionRate)
+		len(b.openRequests), b.admission.ShedShare(), b.latencyPerWork, b.retryBudget.Left(),
+		b.workload.MedianHint(), b.workload.Mean(), b.peakCompletionRate)
 	for i := range b.groups {
 		g := &b.groups[i]
 		inSlowStart := 0
@@ -338,7 +331,8 @@
 			}
 		}
 		text += fmt.Sprintf(" | members=%d cold=%d out=%d limit=%.1f held=%.1f late=%.2f wait=%.0f latency=%.0f",
-			len(g.members), inSlowStart, g.inflight, g.inflightLimit, g.meanOthers, g.lateShare, g.queueingMean, g.latency)
+			len(g.members), inSlowStart, g.inflight, g.inflightLimit, g.meanOthers, b.admission.LateShare(i),
+			g.queueingMean, g.latency)
 	}
 	return text
 }
