--- a/internal/decision/admission/admission.go
+++ b/internal/decision/admission/admission.go
@@ -1,21 +1,21 @@
-// Package admission decides which requests are let in while there is more work than capacity, and in which
-// order those that wait go.
+// Package admission decides which requests are let in while there is more work than capacity, and in
+// which order those that wait go.
 //
 // It prevents that an overloaded service completes nothing in time: work that would be late is shed on
-// arrival, lowest priority first, so that what is let in is served within its objective. Three parts
-// work together:
+// arrival, lowest priority first, so that what is let in is served within its objective. It has three
+// parts:
 //
 //   - Shedding (shedding.go): a share of the work that is rejected on arrival. It grows while answers come
-//     late in all localities and decays otherwise, as in Envoy's admission control filter, but it is steered by
-//     latency and not by failures.
+//     late in all localities and decays otherwise, as in Envoy's admission control filter, but it is steered
+//     by latency and not by failures.
 //   - Priority bands (bands.go): the classes of requests, each within and over the quotas of its
 //     tenants, in an order of precedence. Shedding takes the bands from the lowest up: criticality, in the
-//     chapter "Handling Overload" of Google's Site Reliability Engineering book. A band that gets much less than
-//     its part of what is forwarded goes first for a while, so that none starves.
+//     chapter "Handling Overload" of Google's Site Reliability Engineering book. A band that gets much less
+//     than its part of what is forwarded goes first for a while, so that none starves.
 //   - A bound on the queue (queue.go): a request that would wait for too long is rejected at once.
 //
-// The Controller decides from what its caller reports: arrivals, forwarded requests, and whether answers were
-// late. It knows nothing of servers or of single requests. It must not be used concurrently.
+// The Controller decides from what its caller reports: arrivals, forwarded requests, and whether answers
+// were late. It knows nothing of servers or of single requests. It must not be used concurrently.
 package admission
 
 import "time"
@@ -59,13 +59,14 @@
 	c.updateBands()
 }
 
-// ShedsArrival reports whether a request that arrives in the band is rejected, by a random draw in [0, 1).
+// ShedsArrival reports whether a request that arrives in the band is rejected, by a random draw in [0,
+// 1).
 func (c *Controller) ShedsArrival(band Band, draw float64) bool {
 	return draw < c.bands[band].rejectShare
 }
 
-// RetryAfter returns the delay that a rejection advises; 0 is no advice. Without shedding, a rejection is due
-// to a short fault and trying again soon is right.
+// RetryAfter returns the delay that a rejection advises; 0 is no advice. Without shedding, a rejection is
+// due to a short fault and trying again soon is right.
 func (c *Controller) RetryAfter() time.Duration {
 	if !c.options.AdviseRetryAfter || !c.Shedding() {
 		return 0
--- a/internal/decision/quota/quota.go
+++ b/internal/decision/quota/quota.go
@@ -1,16 +1,17 @@
 // Package quota decides whether a request is within its tenant's quota, by this balancer's share of it.
 //
-// It prevents that one tenant's surge takes the capacity of all: requests over a quota still are served, but
-// with a lower priority, so that they are the first to be shed. Each tenant has a token bucket (as in
-// RFC 2697 and Envoy's local rate limit filter). Balancers do not talk to each other about quotas: clients
-// spread over them evenly enough that each enforces an equal share.
+// It prevents that one tenant's surge takes the capacity of all: requests over a quota still are served,
+// but with a lower priority, so that they are the first to be shed. Each tenant has a token bucket (as in
+// RFC 2697 and Envoy's local rate limit filter). Balancers do not talk to each other about quotas:
+// clients spread over them evenly enough that each enforces an equal share.
 //
 // A Limiter must not be used concurrently.
 package quota
 
 import "time"
 
-// burstSeconds is the depth of a bucket, in seconds of its rate: a tenant may use what it left unused for so long.
+// burstSeconds is the depth of a bucket, in seconds of its rate: a tenant may use what it left unused for
+// so long.
 const burstSeconds = 1
 
 // Options is what the operators set.
@@ -44,8 +45,8 @@
 	}
 }
 
-// Take counts a request of a tenant, and reports whether it is within the quota. A request of a tenant that
-// is not known, or has no quota, always is.
+// Take counts a request of a tenant, and reports whether it is within the quota. A request of a tenant
+// that is not known, or has no quota, always is.
 func (l *Limiter) Take(now time.Duration, tenant int) bool {
 	if tenant < 0 || tenant >= len(l.buckets) || l.buckets[tenant].unlimited {
 		return true
--- a/internal/decision/subscription/subscription.go
+++ b/internal/decision/subscription/subscription.go
@@ -1,10 +1,11 @@
-// Package subscription decides when to subscribe to the endpoint list, where discovery gives it only then.
+// Package subscription decides when to subscribe to the endpoint list, where discovery gives it only
+// then.
 //
 // It prevents that all balancers subscribe at once, and again and again, to a discovery service that was
-// overloaded or has just restarted: the first subscription has a random delay, and each failure doubles the backoff before
-// the next, with jitter (exponential backoff with jitter, as in the AWS Architecture Blog of 2015 and gRPC's
-// connection backoff). The backoff is bounded by the poll interval, so that the list does not get older
-// than the operators allow.
+// overloaded or has just restarted: the first subscription has a random delay, and each failure doubles
+// the backoff before the next, with jitter (exponential backoff with jitter, as in the AWS Architecture
+// Blog of 2015 and gRPC's connection backoff). The backoff is bounded by the poll interval, so that the
+// list does not get older than the operators allow.
 //
 // A Schedule must not be used concurrently.
 package subscription
@@ -16,8 +17,8 @@
 	"piernotch/internal/decision/estimate"
 )
 
-// backoffsPerPollInterval sets the first backoff, as a fraction of the poll interval: some attempts fail and
-// their backoffs grow within the interval before the list is older than it.
+// backoffsPerPollInterval sets the first backoff, as a fraction of the poll interval: some attempts fail
+// and their backoffs grow within the interval before the list is older than it.
 const backoffsPerPollInterval = 8
 
 // Options is what the operators set.
@@ -54,8 +55,8 @@
 	return true
 }
 
-// Failed records that the subscription has failed or ended. The next is due after half of the backoff up to
-// one and a half of it, and the backoff doubles.
+// Failed records that the subscription has failed or ended. The next is due after half of the backoff up
+// to one and a half of it, and the backoff doubles.
 func (s *Schedule) Failed(now time.Duration, rng *rand.Rand) {
 	s.subscribed = false
 	s.nextAt = now + s.backoff/2 + estimate.Jitter(rng, s.backoff)
--- a/internal/decision/workload/workload.go
+++ b/internal/decision/workload/workload.go
@@ -3,13 +3,13 @@
 //
 // All other components measure load in this work (ms of a server's time) and not in requests: a balancer
 // that counts requests takes a few heavy ones for a light load, and sends light ones behind them
-// (head-of-line blocking). The median of the hints parts light requests from heavy ones; the share of the work
-// that is heavy says how many servers to reserve for it, as in size-based task assignment (Harchol-Balter,
-// Crovella and Murta, "On Choosing a Task Assignment Policy for a Distributed Server System", 1999). Both
-// follow by small steps, without a history of samples.
+// (head-of-line blocking). The median of the hints parts light requests from heavy ones; the share of the
+// work that is heavy says how many servers to reserve for it, as in size-based task assignment
+// (Harchol-Balter, Crovella and Murta, "On Choosing a Task Assignment Policy for a Distributed Server
+// System", 1999). Both follow by small steps, without a history of samples.
 //
-// Where clients send no hints, a low quantile of a class's latencies replaces them: the fastest answers met no
-// queue, so that their latency is about their work.
+// Where clients send no hints, a low quantile of a class's latencies replaces them: the fastest answers
+// met no queue, so that their latency is about their work.
 //
 // A Model must not be used concurrently.
 package workload
@@ -27,11 +27,11 @@
 	workGain = estimate.GroupSmoothing / 8
 	// medianStep is the least relative change of the median hint by one hint.
 	medianStep = estimate.GroupSmoothing / 2
-	// fastQuantile is the quantile of a class's latencies that replaces missing hints: low enough to include
-	// no queueing, and not the minimum, which a single odd answer would set.
+	// fastQuantile is the quantile of a class's latencies that replaces missing hints: low enough to
+	// include no queueing, and not the minimum, which a single odd answer would set.
 	fastQuantile = 1.0 / 8
-	// fastQuantileStep is the relative change of that quantile by one answer. It is multiplied by the share
-	// of answers on the other side, so that the steps up and down balance at the quantile.
+	// fastQuantileStep is the relative change of that quantile by one answer. It is multiplied by the
+	// share of answers on the other side, so that the steps up and down balance at the quantile.
 	fastQuantileStep = 1.0 / 16
 	// initialLargeShare is the share of large work before there was any: half.
 	initialLargeShare = 0.5
@@ -77,8 +77,8 @@
 	return Expectation{Work: hint, Large: m.hints > 0 && hint > m.medianHint}
 }
 
-// WithoutHint returns the work that replaces a missing cost hint of a class, in ms: the low quantile of its
-// latencies, or the mean work until there is an answer. It is 0 while nothing is known at all.
+// WithoutHint returns the work that replaces a missing cost hint of a class, in ms: the low quantile of
+// its latencies, or the mean work until there is an answer. It is 0 while nothing is known at all.
 func (m *Model) WithoutHint(class int) float64 {
 	if m.fastAnswers[class] > 0 {
 		return m.fastAnswers[class]
