--- a/settings.go
+++ b/settings.go
@@ -39,7 +39,7 @@
 	case s.Rules.SlowStartDuration < 0 || s.Rules.PollInterval < 0 || s.Rules.OverloadWindow < 0:
 		return settingsError("Rules", "rules: negative time")
 	case !(s.Rules.SlowStartCapacity >= 0 && s.Rules.SlowStartCapacity <= 1):
-		return settingsError("Rules.SlowStartCapacity", "rules: cold from is %v", s.Rules.SlowStartCapacity)
+		return settingsError("Rules.SlowStartCapacity", "rules: slow start capacity is %v", s.Rules.SlowStartCapacity)
 	}
 	for i, c := range s.Classes {
 		if err := c.validate(i); err != nil {
@@ -58,11 +58,11 @@
 func (c Class) validate(i int) error {
 	setting := fmt.Sprintf("Classes[%d]", i)
 	if c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.DedupWindow < 0 {
-		return settingsError(setting, "classes[%d]: aim %v, deadline %v, window %v",
+		return settingsError(setting, "classes[%d]: latency objective %v, deadline %v, deduplication window %v",
 			i, c.LatencyObjective, c.Deadline, c.DedupWindow)
 	}
 	if !(c.PriorityWeight >= 0) || !(c.LateWeightShare >= 0) {
-		return settingsError(setting, "classes[%d]: worth %v, late worth %v", i, c.PriorityWeight, c.LateWeightShare)
+		return settingsError(setting, "classes[%d]: priority weight %v, late weight share %v", i, c.PriorityWeight, c.LateWeightShare)
 	}
 	return nil
 }
