--- a/admission.go
+++ b/admission.go
@@ -5,6 +5,7 @@
 
 	"piernotch/internal/decision/admission"
 	"piernotch/internal/decision/estimate"
+	"piernotch/internal/decision/lanes"
 	"piernotch/internal/decision/workload"
 )
 
@@ -14,9 +15,9 @@
 	r.objective = min(now+r.class.LatencyObjective, r.Deadline)
 	r.queueDeadline = now + (r.Deadline-now)/2
 	expected := b.workload.Expect(in.Class, in.CostHint)
-	r.work, r.lane = expected.Work, smallLane
+	r.work, r.lane = expected.Work, lanes.Small
 	if expected.Large {
-		r.lane = largeLane
+		r.lane = lanes.Large
 	}
 	standing := admission.WithinQuota
 	if !b.quotas.Take(now, in.Tenant) {
@@ -28,7 +29,7 @@
 
 // observeArrival counts a request in the expected work of all, and in that of its priority.
 func (b *Balancer) observeArrival(r *request) {
-	expected := workload.Expectation{Work: r.work, Large: r.lane == largeLane}
+	expected := workload.Expectation{Work: r.work, Large: r.lane == lanes.Large}
 	b.workload.ObserveArrival(r.CostHint, expected)
 	b.admission.RequestArrived(r.priority, r.work)
 }
--- a/attempts.go
+++ b/attempts.go
@@ -5,6 +5,7 @@
 
 	"piernotch/internal/decision/admission"
 	"piernotch/internal/decision/estimate"
+	"piernotch/internal/decision/lanes"
 )
 
 // mayStartAttempt is the guard that every attempt passes. No other function knows these rules.
@@ -151,7 +152,9 @@
 	objective := r.class.LatencyObjective.Seconds() * 1000
 	queueing := b.observeLatency(r, target, took)
 	step := b.admission.Step(now)
-	b.balanceLanes(step, r.lane, estimate.Indicator(queueing > objective/2))
+	b.laneBalance.Observe(lanes.Answer{
+		Lane: r.lane, Late: queueing > objective/2, MaxStep: step, LargeWorkShare: b.workload.LargeShare(),
+	})
 	if r.work < objective/4 { // a heavy request is late on an idle server, too
 		b.observeAnswer(step, admission.Answer{
 			Locality: target.locality, Late: took > r.class.LatencyObjective/2,
--- a/balancer.go
+++ b/balancer.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"time"
 
+	"piernotch/internal/decision/lanes"
 	"piernotch/internal/decision/workload"
 )
 
@@ -28,9 +29,9 @@
 	if b.manyBalancers() {
 		b.windowSeed = b.rng.Uint64()
 	}
-	for i := range b.groups { // balancers that start together must not pick servers in step
+	for i := range b.groups {
 		b.groups[i].inflightLimit = math.Inf(1)
-		b.groups[i].nextTurn = [2]int{b.rng.IntN(math.MaxInt32), b.rng.IntN(math.MaxInt32)}
+		b.groups[i].lanes = lanes.NewGroup(b.rng)
 	}
 	b.deriveFromSettings()
 	return b, nil
--- a/estimators.go
+++ b/estimators.go
@@ -12,19 +12,6 @@
 	pathMaxShare   = 0.75 // of the requests in flight that count as in transit, at most
 )
 
-// rendezvousMember returns the member with the highest hash for the key. There must be one.
-func rendezvousMember(members []*server, key uint64) *server {
-	var best *server
-	var highest uint64
-	for _, target := range members {
-		hash := estimate.MixBits(key ^ target.idHash)
-		if best == nil || hash > highest {
-			best, highest = target, hash
-		}
-	}
-	return best
-}
-
 // observeLatency updates the latency estimates of all, of the group and of the server by one answer, and
 // returns its latency beyond the request's work in ms, at most the objective. Estimates of latency are for
 // a request of mean work, so that the lanes compare.
--- a/selection.go
+++ b/selection.go
@@ -3,17 +3,20 @@
 import (
 	"time"
 
-	"piernotch/internal/decision/estimate"
+	"piernotch/internal/decision/lanes"
 )
 
 const (
-	objectiveShare         = 0.9  // the expected latency is within this share of the time left
-	failsClassShare        = 0.3  // failure share from which a class avoids a server that serves others
-	minSpillers            = 3.0  // balancers of other zones that may spill to one server, at least
-	spillerShare           = 0.1  // the same as a share of all balancers
-	totalInflightBound     = 6.0  // all balancers' requests at a server, for each unit of maxLoad
-	totalInflightBoundKey  = 8.0  // all balancers' requests, if the request's key may be cached there
-	totalInflightBoundLast = 10.0 // all balancers' requests, if no other server has capacity
+	objectiveShare         = 0.9     // the expected latency is within this share of the time left
+	failsClassShare        = 0.3     // failure share from which a class avoids a server that serves others
+	minSpillers            = 3.0     // balancers of other zones that may spill to one server, at least
+	spillerShare           = 0.1     // the same as a share of all balancers
+	totalInflightBound     = 6.0     // all balancers' requests at a server, for each unit of maxLoad
+	totalInflightBoundKey  = 8.0     // all balancers' requests, if the request's key may be cached there
+	totalInflightBoundLast = 10.0    // all balancers' requests, if no other server has capacity
+	turnRounds             = 3       // of a lane's members, in search of one with the credit for a turn
+	minLatencyFactor       = 1.0 / 8 // on the weight of a server that is slower than its group
+	maxLatencyFactor       = 2.0     // on the weight of one that is faster
 )
 
 // search is the choice of a server in one lane of a group.
@@ -21,7 +24,7 @@
 	now     time.Duration
 	request *request
 	group   *group
-	lane    int
+	lane    lanes.Lane
 	maxLoad float64 // exclusive bound on the effective load
 }
 
@@ -57,7 +60,7 @@
 		if len(g.members) == 0 {
 			continue
 		}
-		for _, lane := range [2]int{r.lane, 1 - r.lane} {
+		for _, lane := range [2]lanes.Lane{r.lane, r.lane.Other()} {
 			s := search{now: now, request: r, group: g, lane: lane, maxLoad: level.maxLoad}
 			if target := b.rendezvousPick(s); target != nil {
 				return target
@@ -73,24 +76,22 @@
 // weightedRoundRobin takes turns within the lane. A server of less weight misses some of its turns. One
 // without capacity misses all of them, and they are neither given to its neighbour nor made up for later.
 func (b *Balancer) weightedRoundRobin(s search) *server {
-	g, members := s.group, s.group.laneMembers(s.lane)
+	group, laneLength := s.group, s.group.lanes.Len(s.lane)
 	var fallback *server // has capacity, but not yet the credit for a turn
-	for i := range 3 * len(members) {
-		turn := (g.nextTurn[s.lane] + 1) % len(members)
-		g.nextTurn[s.lane] = turn
-		target := members[turn]
-		target.credit = min(target.credit+g.laneWeight(s.lane, turn)/g.maxLaneWeight[s.lane], 1)
-		noneHasCapacity := i >= len(members) && fallback == nil
+	for i := range turnRounds * laneLength {
+		index, lacksCredit := group.lanes.NextTurn(s.lane)
+		target := group.members[index]
+		noneHasCapacity := i >= laneLength && fallback == nil
 		if noneHasCapacity || !b.canServeInTime(s, target, totalInflightBound*s.maxLoad) {
 			continue
 		}
-		if target.credit < 1 {
+		if lacksCredit {
 			if fallback == nil {
 				fallback = target
 			}
 			continue
 		}
-		target.credit--
+		group.lanes.TakeTurn(index)
 		return target
 	}
 	return fallback
@@ -102,7 +103,7 @@
 	if !b.settings.KeyAffinity || s.request.Key == 0 {
 		return nil
 	}
-	target := rendezvousMember(s.group.laneMembers(s.lane), s.request.Key)
+	target := s.group.members[s.group.lanes.MemberForKey(s.lane, s.request.Key)]
 	if target.latency > 2*s.group.latency || !b.canServeInTime(s, target, totalInflightBoundKey) {
 		return nil
 	}
@@ -167,14 +168,6 @@
 	return b.spills(target) && target.spillRank*float64(b.settings.BalancerCount-1) > b.maxSpillers
 }
 
-// balanceLanes moves the split towards equal lateness: the small lane gets half to twice its share by hints.
-func (b *Balancer) balanceLanes(step float64, lane int, late float64) {
-	b.lateByLane[lane] += estimate.GroupSmoothing * (late - b.lateByLane[lane])
-	b.laneOffset += step * (b.lateByLane[largeLane] - b.lateByLane[smallLane])
-	small := 1 - b.workload.LargeShare()
-	b.laneOffset = min(max(b.laneOffset, -small), small/2)
-}
-
 // rebuildGroups assigns the servers that may get requests to the local and the remote group.
 func (b *Balancer) rebuildGroups(now time.Duration) {
 	b.groupsStale = false
@@ -189,43 +182,23 @@
 	}
 	for i := range b.groups {
 		b.updateWeights(now, &b.groups[i])
-		b.groups[i].splitLanes(b.workload.LargeShare() + b.laneOffset)
+		b.groups[i].lanes.Split(b.laneBalance.LargeShare(b.workload.LargeShare()))
 	}
 }
 
-// updateWeights weighs a group's members by size, slow start and latency, and sums them up.
+// updateWeights weighs a group's members by size, slow start and latency.
 func (b *Balancer) updateWeights(now time.Duration, g *group) {
-	g.weight, g.warmSize, g.meanOthers = 0, 0, 0
+	g.warmSize, g.meanOthers = 0, 0
+	g.lanes.Reset()
 	for _, target := range g.members {
-		target.weight = target.Size * b.capacityShare(now, target)
+		weight := target.Size * b.capacityShare(now, target)
 		if target.latency > 0 && g.latency > 0 {
-			target.weight *= min(max(g.latency/target.latency, 1.0/8), 2)
+			weight *= min(max(g.latency/target.latency, minLatencyFactor), maxLatencyFactor)
 		}
-		g.weight += target.weight
+		g.lanes.Add(&target.member, weight)
 		g.meanOthers += target.reports.meanOthers / float64(len(g.members))
 		if target.warm() {
 			g.warmSize += target.Size
 		}
 	}
 }
-
-// splitLanes gives the large lane the first members, up to its share of the weight. The member at the
-// split point serves both lanes, each with a part of its weight.
-func (g *group) splitLanes(largeShare float64) {
-	if len(g.members) == 0 {
-		return
-	}
-	left := largeShare * g.weight
-	g.laneSplit = 0
-	for g.laneSplit < len(g.members)-1 && left > g.members[g.laneSplit].weight {
-		left -= g.members[g.laneSplit].weight
-		g.laneSplit++
-	}
-	g.largeLanePart = min(left/g.members[g.laneSplit].weight, 1)
-	for lane := range g.maxLaneWeight {
-		g.maxLaneWeight[lane] = 0
-		for i := range g.laneMembers(lane) {
-			g.maxLaneWeight[lane] = max(g.maxLaneWeight[lane], g.laneWeight(lane, i))
-		}
-	}
-}
--- a/state.go
+++ b/state.go
@@ -9,6 +9,7 @@
 
 	"piernotch/internal/decision/admission"
 	"piernotch/internal/decision/estimate"
+	"piernotch/internal/decision/lanes"
 	"piernotch/internal/decision/quota"
 	"piernotch/internal/decision/retrybudget"
 	"piernotch/internal/decision/subscription"
@@ -23,12 +24,6 @@
 	remoteZones = 1 // all other zones
 )
 
-// The lanes part a group's servers by the work of the requests that they get first.
-const (
-	smallLane = 0 // requests up to the median cost hint, or without one
-	largeLane = 1 // requests above it
-)
-
 // Balancer makes the decisions of one process. Its methods must not be called concurrently, nor
 // from within a call of its Host.
 type Balancer struct {
@@ -62,24 +57,19 @@
 
 	workload           workload.Model // the expected work of requests
 	latencyPerWork     float64        // latency for each ms of work, queueing included; 0: not known
-	laneOffset         float64        // added to the share of large work, by the lateness in the lanes
-	lateByLane         [2]float64     // share of late answers in each lane
-	sendRate           estimate.Rate  // work sent per second
-	peakCompletionRate float64        // most answers per second of a warm server of size 1; 0: not known
+	laneBalance        lanes.Balance
+	sendRate           estimate.Rate // work sent per second
+	peakCompletionRate float64       // most answers per second of a warm server of size 1; 0: not known
 
 	subscription subscription.Schedule // to the endpoint list
 }
 
 // group is the servers of one locality that may get requests.
 type group struct {
-	members       []*server  // by id
-	weight        float64    // sum of the members'
-	fullSize      float64    // greatest sum of listed sizes so far
-	warmSize      float64    // sum of the sizes of its warm members
-	laneSplit     int        // the last member of the large lane and the first of the small one
-	largeLanePart float64    // share of that member's weight that is the large lane's
-	nextTurn      [2]int     // round robin position in each lane
-	maxLaneWeight [2]float64 // greatest weight in each lane
+	members  []*server   // by id
+	lanes    lanes.Group // of the members, in the same order
+	fullSize float64     // greatest sum of listed sizes so far
+	warmSize float64     // sum of the sizes of its warm members
 
 	sendRate          estimate.Rate // work sent to its warm members per second
 	latency           float64       // mean latency of a request of mean work, ms
@@ -112,8 +102,7 @@
 	locality            int             // localZone or remoteZones
 	spillRank           float64         // random in [0, 1): shares out the spill of balancers
 	path                *zonePath       // to its zone
-	weight              float64         // in round robin: from size, latency and slow start
-	credit              float64         // towards its next turn in round robin, 1 at most
+	member              lanes.Member    // of its locality's group
 	inflight            int             // this balancer's attempts
 	backlog             float64         // work of these, ms
 	latency             float64         // mean latency of a request of mean work, ms; 0: not known
@@ -163,9 +152,9 @@
 	Request
 	class         *Class
 	priority      admission.Band
-	openIndex     int           // in Balancer.openRequests
-	work          float64       // expected, ms
-	lane          int           // smallLane or largeLane
+	openIndex     int     // in Balancer.openRequests
+	work          float64 // expected, ms
+	lane          lanes.Lane
 	objective     time.Duration // clock time: the class's objective, or the deadline if that is sooner
 	queueDeadline time.Duration // clock time of the last dispatch: half of its client's patience
 	attempts      []attempt     // in sending order
@@ -259,7 +248,8 @@
 	}
 	target := &server{
 		Endpoint: e, excluded: b.excluded[e.ID], idHash: estimate.MixBits(uint64(e.ID)),
-		spillRank: b.rng.Float64(), path: b.zonePaths[e.Zone], slowStartSince: -1,
+		member: lanes.NewMember(uint64(e.ID)), spillRank: b.rng.Float64(),
+		path: b.zonePaths[e.Zone], slowStartSince: -1,
 		lastSentAt:   make([]time.Duration, len(b.settings.Classes)),
 		failureShare: make([]float64, len(b.settings.Classes)),
 	}
@@ -296,30 +286,10 @@
 	}
 }
 
-// laneMembers returns the members of a lane. The one at the split point is in both.
-func (g *group) laneMembers(lane int) []*server {
-	if lane == largeLane {
-		return g.members[:g.laneSplit+1]
-	}
-	return g.members[g.laneSplit:]
-}
-
-// laneWeight returns the weight in a lane of the lane's member i.
-func (g *group) laneWeight(lane, i int) float64 {
-	switch {
-	case lane == smallLane && i == 0:
-		return g.members[g.laneSplit].weight * (1 - g.largeLanePart)
-	case lane == largeLane && i == g.laneSplit:
-		return g.members[i].weight * g.largeLanePart
-	case lane == largeLane:
-		return g.members[i].weight
-	}
-	return g.members[g.laneSplit+i].weight
-}
-
 // String describes the state in one line, for a log.
 func (b *Balancer) String() string {
-	text := fmt.Sprintf("open=%d shed=%.2f pace=%.2f budget=%.1f median=%.1f mean=%.1f usual=%.1f",
+	text := fmt.Sprintf("open=%d shed_share=%.2f latency_per_work=%.2f retry_budget=%.1f "+
+		"median_cost_hint=%.1f mean_work=%.1f peak_completion_rate=%.1f",
 		len(b.openRequests), b.admission.ShedShare(), b.latencyPerWork, b.retryBudget.Left(),
 		b.workload.MedianHint(), b.workload.Mean(), b.peakCompletionRate)
 	for i := range b.groups {
@@ -330,7 +300,8 @@
 				inSlowStart++
 			}
 		}
-		text += fmt.Sprintf(" | members=%d cold=%d out=%d limit=%.1f held=%.1f late=%.2f wait=%.0f latency=%.0f",
+		text += fmt.Sprintf(" | members=%d slow_start=%d inflight=%d inflight_limit=%.1f others_inflight=%.1f "+
+			"late_share=%.2f queueing_delay=%.0f latency=%.0f",
 			len(g.members), inSlowStart, g.inflight, g.inflightLimit, g.meanOthers, b.admission.LateShare(i),
 			g.queueingMean, g.latency)
 	}
