--- a/admission.go
+++ b/admission.go
@@ -11,7 +11,7 @@
 
 // newRequest opens a request: its deadlines, its expected work with the lane for it, its priority.
 func (b *Balancer) newRequest(now time.Duration, in Request) *request {
-	r := b.openRequest(in)
+	r := b.requests.add(in, &b.settings.Classes[in.Class])
 	r.objective = min(now+r.class.LatencyObjective, r.Deadline)
 	r.queueDeadline = now + (r.Deadline-now)/2
 	expected := b.workload.Expect(in.Class, in.CostHint)
@@ -50,7 +50,7 @@
 func (b *Balancer) dispatchWaiting(now time.Duration) {
 	for {
 		var first *request
-		for _, r := range b.openRequests {
+		for _, r := range b.requests.open {
 			if r.waiting() && (first == nil || b.precedes(r, first)) {
 				first = r
 			}
@@ -70,7 +70,7 @@
 // rate at which work was sent lately.
 func (b *Balancer) queueTooLong(now time.Duration, r *request) bool {
 	var ahead admission.Queue
-	for _, other := range b.openRequests {
+	for _, other := range b.requests.open {
 		if other != r && other.waiting() && b.precedes(other, r) {
 			ahead.Add(other.work)
 		}
--- a/admission_test.go
+++ b/admission_test.go
@@ -134,7 +134,7 @@
 		}
 		h.attempts = h.attempts[:0]
 		waiting := 0
-		for _, r := range b.openRequests {
+		for _, r := range b.requests.open {
 			waiting += int(estimate.Indicator(r.inflight == 0))
 		}
 		mostWaiting = max(mostWaiting, waiting)
--- a/attempts.go
+++ b/attempts.go
@@ -10,7 +10,7 @@
 
 // mayStartAttempt is the guard that every attempt passes. No other function knows these rules.
 func (b *Balancer) mayStartAttempt(now time.Duration, r *request, target *server) bool {
-	if r.done || r.streaming || now >= r.Deadline || len(r.attempts) >= b.settings.Limits.MaxAttempts {
+	if !r.answerable() || now >= r.Deadline || len(r.attempts) >= b.settings.Limits.MaxAttempts {
 		return false
 	}
 	mayHedge := b.settings.Limits.HedgedRequests && r.class.RetrySafety != NonIdempotent
@@ -31,36 +31,13 @@
 
 // AttemptAllowed reports whether an attempt may still be written now that it has a connection. Meanwhile its
 // request may have been answered, its server be draining, or the class's deduplication window have closed.
-func (b *Balancer) AttemptAllowed(now time.Duration, id RequestID, try int) bool {
-	r := b.requests[id]
-	if r == nil || r.done || try < 0 || try >= len(r.attempts) || now >= r.Deadline {
+func (b *Balancer) AttemptAllowed(now time.Duration, id RequestID, attemptNumber int) bool {
+	r := b.requests.find(id)
+	if r == nil || r.done || now >= r.Deadline {
 		return false
 	}
-	target := r.attempts[try].server
-	for i := range r.attempts { // later ones, too: the one that waited for a connection is then the repeat
-		other := &r.attempts[i]
-		if i != try && other.mayHaveExecuted() && !r.mayRepeatOn(now, other, target) {
-			return false
-		}
-	}
-	return target.available()
-}
-
-// mayRepeatOn reports whether a request that may have executed in the attempt first may also go to the
-// server. The transit there, half of the fastest answer's latency, must end within the deduplication window.
-func (r *request) mayRepeatOn(now time.Duration, first *attempt, target *server) bool {
-	transit := estimate.Milliseconds(target.path.fastestAnswer / 2)
-	switch {
-	case r.class.RetrySafety == Idempotent:
-		return true
-	case r.class.RetrySafety == NonIdempotent, now+transit > first.sentAt+r.class.DedupWindow:
-		return false
-	case r.class.DedupScope == DedupInZone:
-		return target.Zone == first.server.Zone
-	case r.class.DedupScope == DedupInCell:
-		return target.Cell == first.server.Cell
-	}
-	return true
+	started := r.findAttempt(attemptNumber)
+	return started != nil && started.server.available() && r.mayWriteAttempt(now, attemptNumber)
 }
 
 // startAttempt sends the request to the server. The guard has allowed it.
@@ -72,19 +49,29 @@
 	if len(r.attempts) == 0 {
 		b.admission.RequestForwarded(r.priority, r.work)
 	}
-	warm := target.warm()
-	if warm {
+	if target.warm() {
 		b.groups[target.locality].inflight++
 		b.groups[target.locality].sendRate.Add(now, r.work)
 	} else {
 		target.nextSlowStartSend = max(target.nextSlowStartSend, now) + b.slowStartPause(now, target)
 	}
 	target.trialInflight = target.trialInflight || target.ejections > 0
-	r.attempts = append(r.attempts, attempt{server: target, sentAt: now, warm: warm})
-	r.inflight++
+	r.attemptStarted(now, target)
 	b.host.StartAttempt(r.ID, target.ID, b.attemptDeadline(r)-now)
 }
 
+// endAttempt records the end of an attempt and takes it off the counts of what is in flight.
+func (b *Balancer) endAttempt(r *request, outcome Outcome) *attempt {
+	ended := r.attemptEnded(outcome.Attempt, outcome.Status)
+	target := ended.server
+	target.inflight--
+	if ended.warm {
+		b.groups[target.locality].inflight--
+	}
+	target.backlog = max(target.backlog-r.work, 0)
+	return ended
+}
+
 // attemptDeadline is when an answer is no longer worth the server's work.
 func (b *Balancer) attemptDeadline(r *request) time.Duration {
 	if r.class.LateWeightShare > 0 && !b.admission.Shedding() {
@@ -102,7 +89,7 @@
 func (b *Balancer) retryOrAnswer(now time.Duration, r *request, status Status) {
 	switch {
 	case r.done:
-		b.release(r)
+		b.requests.releaseIfFinished(r)
 	case status != Timeout && b.mayRetry(now, r) && b.dispatch(now, r):
 		b.retryBudget.Spend()
 	case r.inflight == 0:
--- a/attempts_test.go
+++ b/attempts_test.go
@@ -67,7 +67,7 @@
 	if len(h.attempts) != 3 || len(h.rejected) != 1 {
 		t.Fatalf("%d attempts, rejected %v", len(h.attempts), h.rejected)
 	}
-	if len(b.openRequests) != 0 || len(b.requests) != 0 {
+	if len(b.requests.open) != 0 || len(b.requests.byID) != 0 {
 		t.Fatal("the record of a finished request is kept")
 	}
 }
@@ -116,7 +116,7 @@
 		t.Fatal("the attempt was not cancelled, or a client that has left was answered")
 	}
 	completeAttempt(b, time.Second+2*ms, 1, 0, h.last().to, Cancelled)
-	if len(b.openRequests) != 0 {
+	if len(b.requests.open) != 0 {
 		t.Fatal("the record of a closed request is kept")
 	}
 }
@@ -142,7 +142,7 @@
 	b, h := newTestBalancer(t, set, testEndpoints(2, 1))
 	now := time.Second
 	b.HandleRequest(now, Request{ID: 1, Class: dedupEverywhereClass, Deadline: now + 3*time.Second, CostHint: 10})
-	r := b.requests[1]
+	r := b.requests.find(1)
 	fillRetryBudget(b)
 	now += 100 * ms
 	if !b.dispatch(now, r) || len(h.attempts) != 2 {
--- a/balancer.go
+++ b/balancer.go
@@ -24,7 +24,7 @@
 	b := &Balancer{
 		settings: s, host: host, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		servers: map[ServerID]*server{}, excluded: map[ServerID]bool{},
-		requests: map[RequestID]*request{}, zonePaths: map[int]*zonePath{}, workload: workload.New(),
+		requests: newRequestTable(), zonePaths: map[int]*zonePath{}, workload: workload.New(),
 	}
 	if b.manyBalancers() {
 		b.windowSeed = b.rng.Uint64()
@@ -55,7 +55,7 @@
 // a request with an unknown class or the id of an open one.
 func (b *Balancer) HandleRequest(now time.Duration, in Request) {
 	b.ensureStarted(now)
-	if in.Class < 0 || in.Class >= len(b.settings.Classes) || b.requests[in.ID] != nil {
+	if in.Class < 0 || in.Class >= len(b.settings.Classes) || b.requests.find(in.ID) != nil {
 		return
 	}
 	r := b.newRequest(now, in)
@@ -71,12 +71,11 @@
 // HandleOutcome takes the end of an attempt. One that is unknown or has ended already is ignored.
 func (b *Balancer) HandleOutcome(now time.Duration, o Outcome) {
 	b.ensureStarted(now)
-	r := b.requests[o.ID]
-	if r == nil || !r.attemptOpen(o.Attempt) {
+	r := b.requests.find(o.ID)
+	if r == nil || r.findOpenAttempt(o.Attempt) == nil {
 		return
 	}
-	t := b.endAttempt(r, o)
-	b.recordOutcome(now, r, t, o)
+	b.recordOutcome(now, r, b.endAttempt(r, o), o)
 	r.done = r.done || o.Closed
 	b.retryOrAnswer(now, r, o.Status)
 	b.dispatchWaiting(now)
@@ -85,17 +84,21 @@
 // ClientDisconnected closes a request whose client has left.
 func (b *Balancer) ClientDisconnected(now time.Duration, id RequestID) {
 	b.ensureStarted(now)
-	if r := b.requests[id]; r != nil && !r.done {
+	if r := b.requests.find(id); r != nil && !r.done {
 		b.closeRequest(r)
 	}
 }
 
 // ResponseStarted records that an attempt's response goes to the client: no retry or cancel from then on.
-func (b *Balancer) ResponseStarted(now time.Duration, id RequestID, try int) {
+func (b *Balancer) ResponseStarted(now time.Duration, id RequestID, attemptNumber int) {
 	b.ensureStarted(now)
-	if r := b.requests[id]; r != nil && r.attemptOpen(try) {
+	r := b.requests.find(id)
+	if r == nil {
+		return
+	}
+	if responding := r.findOpenAttempt(attemptNumber); responding != nil {
 		r.streaming = true
-		r.attempts[try].server.lastAnswerAt = now
+		responding.server.lastAnswerAt = now
 	}
 }
 
@@ -116,8 +119,8 @@
 	}
 	b.updateExpectedWork()
 	b.admission.Tick()
-	for i := len(b.openRequests) - 1; i >= 0; i = min(i, len(b.openRequests)) - 1 { // reviews release some
-		b.reviewRequest(now, b.openRequests[i])
+	for i := len(b.requests.open) - 1; i >= 0; i = min(i, len(b.requests.open)) - 1 { // reviews release some
+		b.reviewRequest(now, b.requests.open[i])
 	}
 }
 
@@ -140,16 +143,14 @@
 	switch {
 	case r.waiting():
 		b.dispatchOrQueue(now, r)
-	case !r.done && !r.streaming && b.ejectSilent(now, r):
+	case r.answerable() && b.ejectSilent(now, r):
 		b.hedge(now, r)
 	}
 }
 
 // rejectOrFail gives the final answer: rejected if trying again is certain to do no harm, else failed.
 func (b *Balancer) rejectOrFail(r *request) {
-	c := r.class
-	deduplicated := c.RetrySafety == IdempotencyKey && c.DedupScope == DedupEverywhere
-	if r.firstMaybeExecuted() == nil || c.RetrySafety == Idempotent || deduplicated {
+	if r.repeatIsHarmless() {
 		b.host.Reject(r.ID, b.admission.RetryAfter())
 	} else {
 		b.host.Fail(r.ID)
@@ -167,5 +168,5 @@
 			}
 		}
 	}
-	b.release(r)
+	b.requests.releaseIfFinished(r)
 }
--- a/selection_test.go
+++ b/selection_test.go
@@ -172,7 +172,7 @@
 	b, h := newTestBalancer(t, set, testEndpoints(2, 1))
 	now := time.Second
 	send := func(class int) ServerID {
-		id := RequestID(len(b.requests)) + RequestID(now)
+		id := RequestID(len(b.requests.byID)) + RequestID(now)
 		b.HandleRequest(now, newTestRequest(id, class, 10))
 		return h.last().to
 	}
--- a/state.go
+++ b/state.go
@@ -44,9 +44,7 @@
 	zonePaths   map[int]*zonePath // by zone
 	maxSpillers float64           // balancers of other zones that may spill to one server
 
-	openRequests []*request // that need a final answer or have attempts in flight
-	requests     map[RequestID]*request
-	freeRequests []*request // for reuse
+	requests requestTable
 
 	retryBudget retrybudget.Budget
 	admission   admission.Controller // shedding, priorities and the bound on the queue
@@ -135,112 +133,6 @@
 	target.trialInflight, target.healthCheckPassed = false, false
 }
 
-// attempt is one sending of a request to a server.
-type attempt struct {
-	server *server
-	sentAt time.Duration
-	warm   bool // the server was, at sentAt
-	ended  bool
-	status Status // once ended
-}
-
-// mayHaveExecuted reports whether nothing proves that the server did not execute the attempt.
-func (t *attempt) mayHaveExecuted() bool { return !t.ended || !t.status.NeverExecuted() }
-
-// request is a client's request until it has its final answer and no attempt is in flight.
-type request struct {
-	Request
-	class         *Class
-	priority      admission.Band
-	openIndex     int     // in Balancer.openRequests
-	work          float64 // expected, ms
-	lane          lanes.Lane
-	objective     time.Duration // clock time: the class's objective, or the deadline if that is sooner
-	queueDeadline time.Duration // clock time of the last dispatch: half of its client's patience
-	attempts      []attempt     // in sending order
-	inflight      int           // attempts that have not ended
-	hedged        bool          // a hedged attempt has been sent
-	done          bool          // needs no answer any more
-	streaming     bool          // a response is being forwarded
-}
-
-// place returns the request's place in the order of dispatch.
-func (r *request) place() admission.Place {
-	return admission.Place{Band: r.priority, Arrival: uint64(r.ID)}
-}
-
-// waiting reports whether the request waits to be dispatched.
-func (r *request) waiting() bool { return !r.done && !r.streaming && r.inflight == 0 }
-
-// attemptOpen reports whether there is an attempt of that number and it has not ended.
-func (r *request) attemptOpen(try int) bool {
-	return try >= 0 && try < len(r.attempts) && !r.attempts[try].ended
-}
-
-// attemptedOn reports whether an attempt has gone to the server.
-func (r *request) attemptedOn(target *server) bool {
-	for i := range r.attempts {
-		if r.attempts[i].server == target {
-			return true
-		}
-	}
-	return false
-}
-
-// firstMaybeExecuted returns the first attempt that may have executed, or nil.
-func (r *request) firstMaybeExecuted() *attempt {
-	for i := range r.attempts {
-		if t := &r.attempts[i]; t.mayHaveExecuted() {
-			return t
-		}
-	}
-	return nil
-}
-
-// openRequest adds a record for a request.
-func (b *Balancer) openRequest(in Request) *request {
-	var r *request
-	if n := len(b.freeRequests); n > 0 {
-		r = b.freeRequests[n-1]
-		b.freeRequests = b.freeRequests[:n-1]
-	} else {
-		r = &request{}
-	}
-	*r = request{
-		Request: in, class: &b.settings.Classes[in.Class],
-		openIndex: len(b.openRequests), attempts: r.attempts[:0],
-	}
-	b.openRequests = append(b.openRequests, r)
-	b.requests[in.ID] = r
-	return r
-}
-
-// endAttempt records the end of an attempt and takes it off the counts of what is in flight.
-func (b *Balancer) endAttempt(r *request, o Outcome) *attempt {
-	t := &r.attempts[o.Attempt]
-	target := t.server
-	t.ended, t.status = true, o.Status
-	r.inflight--
-	target.inflight--
-	if t.warm {
-		b.groups[target.locality].inflight--
-	}
-	target.backlog = max(target.backlog-r.work, 0)
-	return t
-}
-
-// release drops a request's record once it is done and has no attempt in flight.
-func (b *Balancer) release(r *request) {
-	if !r.done || r.inflight > 0 {
-		return
-	}
-	last := b.openRequests[len(b.openRequests)-1]
-	b.openRequests[r.openIndex], last.openIndex = last, r.openIndex
-	b.openRequests = b.openRequests[:len(b.openRequests)-1]
-	delete(b.requests, r.ID)
-	b.freeRequests = append(b.freeRequests, r)
-}
-
 // addServer adds a record for a server that is new in the list.
 func (b *Balancer) addServer(e Endpoint) *server {
 	if b.zonePaths[e.Zone] == nil {
@@ -290,7 +182,7 @@
 func (b *Balancer) String() string {
 	text := fmt.Sprintf("open=%d shed_share=%.2f latency_per_work=%.2f retry_budget=%.1f "+
 		"median_cost_hint=%.1f mean_work=%.1f peak_completion_rate=%.1f",
-		len(b.openRequests), b.admission.ShedShare(), b.latencyPerWork, b.retryBudget.Left(),
+		len(b.requests.open), b.admission.ShedShare(), b.latencyPerWork, b.retryBudget.Left(),
 		b.workload.MedianHint(), b.workload.Mean(), b.peakCompletionRate)
 	for i := range b.groups {
 		g := &b.groups[i]
