--- a/attempts.go
+++ b/attempts.go
@@ -116,7 +116,7 @@
 	switch {
 	case o.Status == Timeout && target.lastAnswerAt < t.sentAt:
 		// Its server was silent, which no tick has noticed yet: late, but no reason to shed.
-		b.admission.ObserveSilence(target.locality)
+		b.admission.ObserveSilence(int(target.locality))
 		b.recordFailure(now, target, maxSilentTimeouts)
 	case o.Status == Timeout:
 		b.recordLatency(now, r, target, o.Latency)
@@ -127,7 +127,7 @@
 	case o.Status == Full:
 		// A server that rejects everything must neither attract requests nor make the group look late.
 		b.recordFailure(now, target, maxFailures)
-		b.observeAnswer(b.admission.Step(now), admission.Answer{Locality: target.locality, Late: true})
+		b.observeAnswer(b.admission.Step(now), admission.Answer{Locality: int(target.locality), Late: true})
 	case o.Status == ConnectFailed, o.Status == Error, o.Status == Reset:
 		target.connectFailures += estimate.Indicator(o.Status == ConnectFailed)
 		b.recordFailure(now, target, maxFailures)
@@ -144,7 +144,7 @@
 	})
 	if r.work < objective/4 { // a heavy request is late on an idle server, too
 		b.observeAnswer(step, admission.Answer{
-			Locality: target.locality, Late: took > r.class.LatencyObjective/2,
+			Locality: int(target.locality), Late: took > r.class.LatencyObjective/2,
 		})
 	}
 }
--- a/balancer.go
+++ b/balancer.go
@@ -23,8 +23,8 @@
 	}
 	b := &Balancer{
 		settings: s, host: host, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		servers: map[ServerID]*server{}, excluded: map[ServerID]bool{},
-		requests: newRequestTable(), zonePaths: map[int]*zonePath{}, workload: workload.New(),
+		endpoints: newEndpointSet(s.Zone),
+		requests:  newRequestTable(), workload: workload.New(),
 	}
 	if b.manyBalancers() {
 		b.windowSeed = b.rng.Uint64()
@@ -113,7 +113,7 @@
 		b.host.WatchEndpoints()
 	}
 	b.ticks++
-	reviewEvery := 1 + len(b.sorted)/serversPerTick // a pass over a large fleet takes long
+	reviewEvery := 1 + len(b.endpoints.sorted)/serversPerTick // a pass over a large fleet takes long
 	if b.ticks%reviewEvery == 0 {
 		b.reviewServers(now)
 	}
@@ -126,7 +126,7 @@
 
 // reviewServers ends slow starts, starts health checks and updates weights and limits.
 func (b *Balancer) reviewServers(now time.Duration) {
-	for _, target := range b.sorted {
+	for _, target := range b.endpoints.sorted {
 		b.endSlowStartIfDue(now, target)
 		b.startHealthCheckIfDue(now, target)
 	}
--- a/concurrency_limits.go
+++ b/concurrency_limits.go
@@ -13,7 +13,7 @@
 
 // LoadReported takes a server's load report. It ignores unknown servers, negative figures and NaN.
 func (b *Balancer) LoadReported(now time.Duration, id ServerID, load LoadReport) {
-	if target := b.servers[id]; target != nil && load.Inflight >= 0 && load.CompletedPerSecond >= 0 {
+	if target := b.endpoints.find(id); target != nil && load.Inflight >= 0 && load.CompletedPerSecond >= 0 {
 		target.reports.record(now, load, target.inflight)
 	}
 }
--- a/concurrency_limits_test.go
+++ b/concurrency_limits_test.go
@@ -31,7 +31,7 @@
 func TestInvalidLoadReportsAreIgnored(t *testing.T) {
 	b, _ := newTestBalancer(t, manyBalancersSettings(), testEndpoints(2, 1))
 	b.LoadReported(time.Second, 1, LoadReport{Inflight: 3, CompletedPerSecond: 20})
-	before := b.servers[1].reports
+	before := b.endpoints.find(1).reports
 	for _, invalid := range []LoadReport{
 		{Inflight: -1},
 		{Inflight: math.NaN()},
@@ -40,7 +40,7 @@
 		b.LoadReported(2*time.Second, 1, invalid)
 	}
 	b.LoadReported(2*time.Second, 77, LoadReport{Inflight: 3})
-	require.Equal(t, before, b.servers[1].reports)
+	require.Equal(t, before, b.endpoints.find(1).reports)
 }
 
 // Each of eighty balancers keeps its own bounds, and all together overload the fleet. The mean of what its
--- a/endpoints.go
+++ b/endpoints.go
@@ -3,6 +3,9 @@
 import (
 	"math"
 	"time"
+
+	"piernotch/internal/decision/estimate"
+	"piernotch/internal/decision/lanes"
 )
 
 // UpdateEndpoints takes an event of the endpoint list. A size that is not a positive number counts as 1.
@@ -18,16 +21,12 @@
 		b.applyEndpoint(now, e)
 	}
 	if kind != UpdateDelta {
-		for _, target := range b.sorted {
-			if !named[target.ID] {
-				target.State = Gone
-			}
-		}
+		b.endpoints.markGone(named)
 	}
 	if kind != UpdateCached {
 		b.subscription.Succeeded()
 	}
-	b.reindexServers()
+	b.endpoints.settle()
 	b.rebuildGroups(now)
 }
 
@@ -36,7 +35,7 @@
 	if !(e.Size > 0) || math.IsInf(e.Size, 0) {
 		e.Size = 1
 	}
-	target := b.servers[e.ID]
+	target := b.endpoints.find(e.ID)
 	if target == nil {
 		if e.State != Gone {
 			b.slowStartIfYoung(now, b.addServer(e))
@@ -50,3 +49,16 @@
 		b.slowStartIfYoung(now, target)
 	}
 }
+
+// addServer adds a server that is new in the list. Its rank among those that balancers spill to is drawn.
+func (b *Balancer) addServer(entry Endpoint) *server {
+	added := &server{
+		Endpoint: entry, idHash: estimate.MixBits(uint64(entry.ID)),
+		member: lanes.NewMember(uint64(entry.ID)), spillRank: b.rng.Float64(),
+		slowStartSince: -1,
+		lastSentAt:     make([]time.Duration, len(b.settings.Classes)),
+		failureShare:   make([]float64, len(b.settings.Classes)),
+	}
+	b.endpoints.add(added)
+	return added
+}
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -7,11 +7,11 @@
 
 func TestRestartUnderSameIDStartsSlowStart(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
-	b.eject(time.Second, b.sorted[0])
+	b.eject(time.Second, b.endpoints.sorted[0])
 	e := testEndpoints(2, 1)[0]
 	e.StartedAt = 1500 * ms
 	b.UpdateEndpoints(2*time.Second, UpdateDelta, []Endpoint{e})
-	if to := b.servers[1]; to.ejections != 0 || to.slowStartSince != e.StartedAt {
+	if to := b.endpoints.find(1); to.ejections != 0 || to.slowStartSince != e.StartedAt {
 		t.Fatalf("%d ejections, slow start since %v", to.ejections, to.slowStartSince)
 	}
 }
@@ -31,7 +31,7 @@
 		t.Fatalf("%d subscriptions within the poll interval", h.watches)
 	}
 	b.UpdateEndpoints(now, UpdateFailed, nil)
-	if len(b.sorted) != 2 {
+	if len(b.endpoints.sorted) != 2 {
 		t.Fatal("a failed update emptied the list")
 	}
 	b.Timer(now, tickToken)
--- a/estimators.go
+++ b/estimators.go
@@ -67,11 +67,11 @@
 	most := 0.0
 	for i := range b.groups {
 		g := &b.groups[i]
-		if g.fullSize > 0 {
-			most = max(most, g.sendRate.PerSecond(now)/max(g.warmSize, g.fullSize/2))
+		if fullSize := b.endpoints.fullSize[i]; fullSize > 0 {
+			most = max(most, g.sendRate.PerSecond(now)/max(g.warmSize, fullSize/2))
 		}
 	}
-	return max(most, b.sendRate.PerSecond(now)/max(b.groups[localZone].fullSize+b.groups[remoteZones].fullSize, 1))
+	return max(most, b.sendRate.PerSecond(now)/max(b.endpoints.fullSize[localZone]+b.endpoints.fullSize[remoteZones], 1))
 }
 
 // expectedLatency returns how long the server will probably take for the request, in ms: by this balancer's
--- a/estimators_test.go
+++ b/estimators_test.go
@@ -13,7 +13,7 @@
 	set.BalancerCount = 4
 	b, _ := newTestBalancer(t, set, testEndpoints(1, 2))
 	now := time.Second
-	remote := b.servers[2]
+	remote := b.endpoints.find(2)
 	answer := func(took time.Duration) {
 		r := &request{class: &set.Classes[idempotentClass], work: 10}
 		b.recordOutcome(now, r, &attempt{server: remote}, Outcome{Status: OK, Latency: took})
--- a/exclusion.go
+++ b/exclusion.go
@@ -6,9 +6,7 @@
 // whether or not it is listed. Attempts in flight there may end. To exclude it again changes nothing.
 func (b *Balancer) Exclude(now time.Duration, id ServerID) {
 	b.ensureStarted(now)
-	b.excluded[id] = true
-	if target := b.servers[id]; target != nil {
-		target.excluded = true
+	if b.endpoints.exclude(id) != nil {
 		b.rebuildGroups(now)
 	}
 }
@@ -17,12 +15,10 @@
 // list may not show yet: its slow start counts from since, or from a later start in the list.
 func (b *Balancer) Include(now time.Duration, id ServerID, since time.Duration) {
 	b.ensureStarted(now)
-	delete(b.excluded, id)
-	target := b.servers[id]
+	target := b.endpoints.include(id)
 	if target == nil {
 		return
 	}
-	target.excluded = false
 	target.resetEjection()
 	since = max(since, target.StartedAt)
 	if now < since+b.settings.Rules.SlowStartDuration {
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -242,7 +242,7 @@
 		t.Error("retries of requests that are not idempotent went unnoticed")
 	}
 	sendToDraining := func(b *Balancer) {
-		for _, to := range b.sorted {
+		for _, to := range b.endpoints.sorted {
 			to.State = Ready
 		}
 		b.groupsStale = true
--- a/load_reports.go
+++ b/load_reports.go
@@ -59,7 +59,7 @@
 // balancers. It decays slowly, because an overloaded fleet completes less than it can.
 func (b *Balancer) updatePeakCompletionRate() {
 	var rate, size float64
-	for _, target := range b.sorted {
+	for _, target := range b.endpoints.sorted {
 		if target.warm() && target.reports.reportedAt > 0 && target.State == Ready {
 			rate += target.reports.meanCompletionRate
 			size += target.Size
--- a/outlier_ejection.go
+++ b/outlier_ejection.go
@@ -64,7 +64,7 @@
 // HealthCheckCompleted takes a health check's result: OK allows the trial, any other status ejects again.
 func (b *Balancer) HealthCheckCompleted(now time.Duration, id ServerID, status Status) {
 	b.ensureStarted(now)
-	target := b.servers[id]
+	target := b.endpoints.find(id)
 	if target == nil || !target.healthCheckInflight {
 		return
 	}
--- a/outlier_ejection_test.go
+++ b/outlier_ejection_test.go
@@ -10,7 +10,7 @@
 // A hung server accepts requests and does not answer; the list says that it is ready.
 func TestSilentServerIsEjectedAndReturnsAfterOneTrial(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
-	hung := b.sorted[0]
+	hung := b.endpoints.sorted[0]
 	now, id := time.Second, RequestID(0)
 	step := func() {
 		id++
@@ -67,7 +67,7 @@
 	s := testSettings()
 	s.Limits.HealthChecks = true
 	b, h := newTestBalancer(t, s, testEndpoints(2, 1))
-	to := b.sorted[0]
+	to := b.endpoints.sorted[0]
 	b.eject(time.Second, to)
 	for now := to.trialAt; now < to.trialAt+time.Second; now += b.tickInterval {
 		b.Timer(now, tickToken)
@@ -91,7 +91,7 @@
 func TestOnlyConnectFailuresEndEjectionInSlowStart(t *testing.T) {
 	for status, slowStart := range map[Status]bool{Error: false, Reset: false, ConnectFailed: true} {
 		b, _ := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
-		to := b.servers[1]
+		to := b.endpoints.find(1)
 		record := func(s Status) {
 			r := &request{class: &b.settings.Classes[idempotentClass], work: 10}
 			b.recordOutcome(time.Second, r, &attempt{server: to}, Outcome{Status: s})
--- a/selection.go
+++ b/selection.go
@@ -174,7 +174,7 @@
 	for i := range b.groups {
 		b.groups[i].members = b.groups[i].members[:0]
 	}
-	for _, target := range b.sorted {
+	for _, target := range b.endpoints.sorted {
 		if target.available() && (target.ejections == 0 || b.trialDue(now, target)) {
 			g := &b.groups[target.locality]
 			g.members = append(g.members, target)
--- a/selection_test.go
+++ b/selection_test.go
@@ -100,7 +100,7 @@
 	list := append(testEndpoints(1, 1), Endpoint{ID: 8, Zone: 1, Size: 1}, Endpoint{ID: 9, Zone: 1, Size: 1})
 	list[0].StartedAt = 900 * ms
 	b, h := newTestBalancer(t, testSettings(), list)
-	for _, to := range b.sorted {
+	for _, to := range b.endpoints.sorted {
 		to.spillRank = 0.9
 	}
 	setMeanWork(t, b, 10)
@@ -135,10 +135,10 @@
 	b, h := newTestBalancer(t, testSettings(), testEndpoints(4, 1))
 	setMeanWork(t, b, 10)
 	b.latencyPerWork = 1
-	for _, to := range b.sorted {
+	for _, to := range b.endpoints.sorted {
 		to.latencyPerWork = 3
 	}
-	b.sorted[2].latencyPerWork = 0.5
+	b.endpoints.sorted[2].latencyPerWork = 0.5
 	b.HandleRequest(time.Second, newTestRequest(1, nonIdempotentClass, 300))
 	if h.last().to != 3 {
 		t.Fatalf("300 ms of work within 500 ms went to server %d", h.last().to)
@@ -176,7 +176,7 @@
 		b.HandleRequest(now, newTestRequest(id, class, 10))
 		return h.last().to
 	}
-	failing := b.servers[1]
+	failing := b.endpoints.find(1)
 	served := &request{class: &set.Classes[idempotentClass], work: 10}
 	hung := &request{
 		Request: Request{Class: nonIdempotentClass}, class: &set.Classes[nonIdempotentClass], work: 10,
--- a/settings.go
+++ b/settings.go
@@ -88,7 +88,7 @@
 	s.Classes = slices.Clone(s.Classes) // open requests point to theirs
 	b.settings = s
 	b.deriveFromSettings()
-	for _, target := range b.sorted {
+	for _, target := range b.endpoints.sorted {
 		for len(target.failureShare) < len(s.Classes) {
 			target.failureShare = append(target.failureShare, 0)
 			target.lastSentAt = append(target.lastSentAt, 0)
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -29,7 +29,7 @@
 		t.Error("a server in slow start in another zone got work that its own zone can send")
 	}
 	// A regression: heavy requests of many balancers at once overloaded one.
-	starting := b.servers[1]
+	starting := b.endpoints.find(1)
 	r := b.newRequest(7*time.Second, Request{ID: 5000, Deadline: 9 * time.Second, CostHint: 500})
 	starting.nextSlowStartSend = 0
 	if b.mayStartAttempt(7*time.Second, r, starting) {
@@ -77,7 +77,7 @@
 		b.reviewServers(time.Second)
 		setMeanWork(t, b, 25)
 		b.sendRate.Add(time.Second, 100)
-		to := b.servers[1]
+		to := b.endpoints.find(1)
 		b.startSlowStart(2*time.Second, to, 2*time.Second)
 		return b.slowStartInterval(2*time.Second, to)
 	}
@@ -91,7 +91,7 @@
 	b, _ := newTestBalancer(t, manyBalancersSettings(), testEndpoints(2, 1))
 	setMeanWork(t, b, 25)
 	b.sendRate.Add(time.Second, 50)
-	to := b.servers[1]
+	to := b.endpoints.find(1)
 	b.startSlowStart(time.Second, to, time.Second)
 	interval := b.slowStartInterval(time.Second, to)
 	b.LoadReported(time.Second, 1, LoadReport{Inflight: 9, CompletedPerSecond: 200})
@@ -124,7 +124,7 @@
 			}
 			b.reviewServers(time.Second)
 			setMeanWork(t, b, work)
-			to := b.servers[1]
+			to := b.endpoints.find(1)
 			b.startSlowStart(startedAt, to, startedAt)
 			for now := startedAt + 3*time.Second; now < startedAt+5*time.Second; now += 20 * ms {
 				r := b.newRequest(now, Request{
--- a/state.go
+++ b/state.go
@@ -1,10 +1,8 @@
 package piernotch
 
 import (
-	"cmp"
 	"fmt"
 	"math/rand/v2"
-	"slices"
 	"time"
 
 	"piernotch/internal/decision/admission"
@@ -18,12 +16,6 @@
 
 // The records that the decision files keep. Nothing here decides.
 
-// The localities of a server are indices of Balancer.groups.
-const (
-	localZone   = 0 // the balancer's own zone
-	remoteZones = 1 // all other zones
-)
-
 // Balancer makes the decisions of one process. Its methods must not be called concurrently, nor
 // from within a call of its Host.
 type Balancer struct {
@@ -35,14 +27,11 @@
 	ticks             int
 	shortestObjective time.Duration // the least LatencyObjective of all classes
 
-	servers     map[ServerID]*server
-	excluded    map[ServerID]bool // excluded by operators, listed or not
-	sorted      []*server         // all that are not gone, by id
-	groups      [2]group          // localZone, remoteZones
-	groupsStale bool              // the groups no longer match the list and the ejections
-	levels      []selectionLevel  // tried in turn
-	zonePaths   map[int]*zonePath // by zone
-	maxSpillers float64           // balancers of other zones that may spill to one server
+	endpoints   endpointSet
+	groups      [localityCount]group
+	groupsStale bool             // the groups no longer match the list and the ejections
+	levels      []selectionLevel // tried in turn
+	maxSpillers float64          // balancers of other zones that may spill to one server
 
 	requests requestTable
 
@@ -66,7 +55,6 @@
 type group struct {
 	members  []*server   // by id
 	lanes    lanes.Group // of the members, in the same order
-	fullSize float64     // greatest sum of listed sizes so far
 	warmSize float64     // sum of the sizes of its warm members
 
 	sendRate          estimate.Rate // work sent to its warm members per second
@@ -82,7 +70,7 @@
 
 // selectionLevel is a group whose members may get a request up to a load of this balancer's.
 type selectionLevel struct {
-	locality int
+	locality locality
 	maxLoad  float64 // exclusive
 }
 
@@ -95,9 +83,9 @@
 // server is one listed server.
 type server struct {
 	Endpoint
-	excluded            bool            // by operators
-	idHash              uint64          // for rendezvous hashing and slow start draws
-	locality            int             // localZone or remoteZones
+	excluded            bool   // by operators
+	idHash              uint64 // for rendezvous hashing and slow start draws
+	locality            locality
 	spillRank           float64         // random in [0, 1): shares out the spill of balancers
 	path                *zonePath       // to its zone
 	member              lanes.Member    // of its locality's group
@@ -133,51 +121,6 @@
 	target.trialInflight, target.healthCheckPassed = false, false
 }
 
-// addServer adds a record for a server that is new in the list.
-func (b *Balancer) addServer(e Endpoint) *server {
-	if b.zonePaths[e.Zone] == nil {
-		b.zonePaths[e.Zone] = &zonePath{}
-	}
-	target := &server{
-		Endpoint: e, excluded: b.excluded[e.ID], idHash: estimate.MixBits(uint64(e.ID)),
-		member: lanes.NewMember(uint64(e.ID)), spillRank: b.rng.Float64(),
-		path: b.zonePaths[e.Zone], slowStartSince: -1,
-		lastSentAt:   make([]time.Duration, len(b.settings.Classes)),
-		failureShare: make([]float64, len(b.settings.Classes)),
-	}
-	if e.Zone != b.settings.Zone {
-		target.locality = remoteZones
-	}
-	b.servers[e.ID] = target
-	b.sorted = append(b.sorted, target)
-	return target
-}
-
-// reindexServers drops the servers that are gone, updates the groups' full sizes and sorts.
-func (b *Balancer) reindexServers() {
-	b.sorted = slices.DeleteFunc(b.sorted, func(target *server) bool {
-		if target.State != Gone {
-			return false
-		}
-		delete(b.servers, target.ID)
-		return true
-	})
-	b.updateFullSizes()
-	slices.SortFunc(b.sorted, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
-}
-
-// updateFullSizes keeps the greatest size that each group had: a zone of which only one server
-// in slow start is left must not be taken for a small zone.
-func (b *Balancer) updateFullSizes() {
-	var size [2]float64
-	for _, target := range b.sorted {
-		size[target.locality] += target.Size
-	}
-	for i := range b.groups {
-		b.groups[i].fullSize = max(b.groups[i].fullSize, size[i])
-	}
-}
-
 // String describes the state in one line, for a log.
 func (b *Balancer) String() string {
 	text := fmt.Sprintf("open=%d shed_share=%.2f latency_per_work=%.2f retry_budget=%.1f "+
