--- a/attempts.go
+++ b/attempts.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"piernotch/internal/decision/admission"
-	"piernotch/internal/decision/estimate"
 	"piernotch/internal/decision/lanes"
+	"piernotch/internal/decision/outlier"
 )
 
 // mayStartAttempt is the guard that every attempt passes. No other function knows these rules.
@@ -20,7 +20,7 @@
 	if first := r.firstMaybeExecuted(); first != nil && !r.mayRepeatOn(now, first, target) {
 		return false
 	}
-	if target.ejections > 0 && (target.trialInflight || !b.trialDue(now, target)) {
+	if !target.outlier.AllowsAttempt(now, b.outlierOptions()) {
 		return false
 	}
 	if target.warm() {
@@ -55,7 +55,7 @@
 	} else {
 		target.nextSlowStartSend = max(target.nextSlowStartSend, now) + b.slowStartPause(now, target)
 	}
-	target.trialInflight = target.trialInflight || target.ejections > 0
+	target.outlier.AttemptStarted()
 	r.attemptStarted(now, target)
 	b.host.StartAttempt(r.ID, target.ID, b.attemptDeadline(r)-now)
 }
@@ -108,7 +108,7 @@
 // recordOutcome updates what the outcome shows of the server and its group.
 func (b *Balancer) recordOutcome(now time.Duration, r *request, t *attempt, o Outcome) {
 	target := t.server
-	target.trialInflight = false
+	target.outlier.AttemptEnded()
 	if o.Status == OK || o.Status == Full || o.Status == Error {
 		target.lastAnswerAt = now
 	}
@@ -117,20 +117,21 @@
 	case o.Status == Timeout && target.lastAnswerAt < t.sentAt:
 		// Its server was silent, which no tick has noticed yet: late, but no reason to shed.
 		b.admission.ObserveSilence(int(target.locality))
-		b.recordFailure(now, target, maxSilentTimeouts)
+		b.recordFailure(now, target, outlier.SilentTimeout)
 	case o.Status == Timeout:
 		b.recordLatency(now, r, target, o.Latency)
 	case o.Status == OK:
 		b.workload.ObserveAnswer(r.Class, o.Latency)
 		b.recordLatency(now, r, target, o.Latency)
-		b.endEjection(now, target)
+		b.recordGoodResponse(now, target)
 	case o.Status == Full:
 		// A server that rejects everything must neither attract requests nor make the group look late.
-		b.recordFailure(now, target, maxFailures)
+		b.recordFailure(now, target, outlier.BadResponse)
 		b.observeAnswer(b.admission.Step(now), admission.Answer{Locality: int(target.locality), Late: true})
-	case o.Status == ConnectFailed, o.Status == Error, o.Status == Reset:
-		target.connectFailures += estimate.Indicator(o.Status == ConnectFailed)
-		b.recordFailure(now, target, maxFailures)
+	case o.Status == ConnectFailed:
+		b.recordFailure(now, target, outlier.ConnectFailure)
+	case o.Status == Error, o.Status == Reset:
+		b.recordFailure(now, target, outlier.BadResponse)
 	}
 }
 
--- a/doc.go
+++ b/doc.go
@@ -41,6 +41,7 @@
 //   - concurrency_limits.go: bounds by load reports on what all balancers send
 //   - endpoints.go: the list of servers
 //   - internal/decision/admission: shedding, priorities and the bound on the queue
+//   - internal/decision/outlier: when a failing server is ejected and when it may return
 //   - internal/decision/quota: which requests are over their tenant's quota
 //   - internal/decision/retrybudget: how many retries and hedged requests may be sent
 //   - internal/decision/subscription: when to subscribe to the endpoint list
--- a/endpoints.go
+++ b/endpoints.go
@@ -45,7 +45,7 @@
 	restarted := e.StartedAt != target.StartedAt
 	target.Endpoint = e
 	if restarted {
-		target.resetEjection()
+		target.outlier.Reset()
 		b.slowStartIfYoung(now, target)
 	}
 }
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -11,8 +11,8 @@
 	e := testEndpoints(2, 1)[0]
 	e.StartedAt = 1500 * ms
 	b.UpdateEndpoints(2*time.Second, UpdateDelta, []Endpoint{e})
-	if to := b.endpoints.find(1); to.ejections != 0 || to.slowStartSince != e.StartedAt {
-		t.Fatalf("%d ejections, slow start since %v", to.ejections, to.slowStartSince)
+	if to := b.endpoints.find(1); to.outlier.Ejected() || to.slowStartSince != e.StartedAt {
+		t.Fatalf("%d ejections, slow start since %v", to.outlier.Ejections(), to.slowStartSince)
 	}
 }
 
--- a/exclusion.go
+++ b/exclusion.go
@@ -19,7 +19,7 @@
 	if target == nil {
 		return
 	}
-	target.resetEjection()
+	target.outlier.Reset()
 	since = max(since, target.StartedAt)
 	if now < since+b.settings.Rules.SlowStartDuration {
 		b.startSlowStart(now, target, since)
--- a/layers_test.go
+++ b/layers_test.go
@@ -26,6 +26,7 @@
 	{"estimate", nil},
 	{"admission", []string{"estimate"}},
 	{"lanes", []string{"estimate"}},
+	{"outlier", []string{"estimate"}},
 	{"quota", nil},
 	{"retrybudget", nil},
 	{"subscription", []string{"estimate"}},
--- a/outlier_ejection.go
+++ b/outlier_ejection.go
@@ -3,19 +3,15 @@
 import (
 	"time"
 
-	"piernotch/internal/decision/estimate"
+	"piernotch/internal/decision/outlier"
 )
 
-const (
-	maxSilentTimeouts = 2   // consecutive timeouts without any answer that eject a server
-	maxFailures       = 3   // other consecutive failures that do; a healthy one has some now and then
-	silenceDeviations = 4.0 // mean deviations beyond the mean from which silence counts, as in TCP
-)
+// silenceDeviations is the number of mean deviations beyond the mean from which silence counts, as in TCP.
+const silenceDeviations = 4.0
 
-// recordFailure counts a failure; so many in a row eject. A failed trial ejects again at once.
-func (b *Balancer) recordFailure(now time.Duration, target *server, most int) {
-	target.consecutiveFailures++
-	if target.ejections > 0 || target.consecutiveFailures >= most {
+// recordFailure counts a failed attempt, and ejects the server if that is due.
+func (b *Balancer) recordFailure(now time.Duration, target *server, failure outlier.Failure) {
+	if target.outlier.RecordFailure(failure) == outlier.Eject {
 		b.eject(now, target)
 	}
 }
@@ -30,33 +26,28 @@
 			continue
 		}
 		overdue = true
-		if target.lastAnswerAt < t.sentAt && target.ejections == 0 {
+		if target.lastAnswerAt < t.sentAt && !target.outlier.Ejected() {
 			b.eject(now, target)
 		}
 	}
 	return overdue
 }
 
-// eject takes a server out of its group, for longer each time in a row; a single trial brings it back.
+// eject takes a server out of its group. The pause grows from the time after which silence counts.
 func (b *Balancer) eject(now time.Duration, target *server) {
-	target.ejections++
-	target.consecutiveFailures, target.healthCheckPassed = 0, false
-	base := max(b.silenceTimeout(&b.groups[target.locality], b.workload.Mean()), b.shortestObjective)
-	pause := base << min(target.ejections, 4)
-	target.trialAt = now + pause/2 + estimate.Jitter(b.rng, pause)
+	basePause := max(b.silenceTimeout(&b.groups[target.locality], b.workload.Mean()), b.shortestObjective)
+	target.outlier.Eject(now, basePause, b.rng)
 	b.groupsStale = true
 }
 
-// trialDue reports whether an ejected server may get its trial: after the pause and any health check.
-func (b *Balancer) trialDue(now time.Duration, target *server) bool {
-	return now >= target.trialAt && (target.healthCheckPassed || !b.settings.Limits.HealthChecks)
+// outlierOptions returns what the settings permit the outlier detection.
+func (b *Balancer) outlierOptions() outlier.Options {
+	return outlier.Options{HealthChecks: b.settings.Limits.HealthChecks}
 }
 
 // startHealthCheckIfDue starts the health check that precedes the trial of an ejected server.
 func (b *Balancer) startHealthCheckIfDue(now time.Duration, target *server) {
-	due := target.ejections > 0 && now >= target.trialAt && target.available()
-	if due && b.settings.Limits.HealthChecks && !target.healthCheckPassed && !target.healthCheckInflight {
-		target.healthCheckInflight = true
+	if target.available() && target.outlier.StartHealthCheckIfDue(now, b.outlierOptions()) {
 		b.host.HealthCheck(target.ID)
 	}
 }
@@ -65,28 +56,36 @@
 func (b *Balancer) HealthCheckCompleted(now time.Duration, id ServerID, status Status) {
 	b.ensureStarted(now)
 	target := b.endpoints.find(id)
-	if target == nil || !target.healthCheckInflight {
+	if target == nil {
 		return
 	}
-	target.healthCheckInflight = false
-	target.connectFailures += estimate.Indicator(status == ConnectFailed)
-	if status == OK {
-		target.healthCheckPassed, b.groupsStale = true, true
-		return
+	switch target.outlier.CompleteHealthCheck(healthCheckResult(status)) {
+	case outlier.TrialAllowed:
+		b.groupsStale = true
+	case outlier.StillUnusable:
+		b.eject(now, target)
+	}
+}
+
+// healthCheckResult returns what the status of a health check shows of the server.
+func healthCheckResult(status Status) outlier.HealthCheckResult {
+	switch status {
+	case OK:
+		return outlier.HealthCheckPassed
+	case ConnectFailed:
+		return outlier.HealthCheckNoConnect
 	}
-	b.eject(now, target)
+	return outlier.HealthCheckFailed
 }
 
-// endEjection follows a good answer. If connects kept failing, the process may be a new one: the server
-// is in slow start until the list has had time to name a restart. Otherwise it is as warm as before.
-func (b *Balancer) endEjection(now time.Duration, target *server) {
-	mayHaveRestarted := target.connectFailures >= 2
-	target.consecutiveFailures, target.connectFailures = 0, 0
-	if target.ejections == 0 {
+// recordGoodResponse ends an ejection. If the process may be a new one, the server is in slow start until
+// the list has had time to name a restart. Otherwise it is as warm as before.
+func (b *Balancer) recordGoodResponse(now time.Duration, target *server) {
+	recovery := target.outlier.RecordGoodResponse()
+	if recovery == outlier.NotEjected {
 		return
 	}
-	target.ejections = 0
-	if target.warm() && mayHaveRestarted {
+	if recovery == outlier.ReturnedMaybeAfterRestart && target.warm() {
 		b.startSlowStart(now, target, now)
 		target.assumedRestartUntil = now + b.settings.Rules.SlowStartDuration/4
 	}
--- a/outlier_ejection_test.go
+++ b/outlier_ejection_test.go
@@ -23,10 +23,10 @@
 		now += 25 * ms
 		b.Timer(now, tickToken)
 	}
-	for hung.ejections == 0 && id < 100 {
+	for !hung.outlier.Ejected() && id < 100 {
 		step()
 	}
-	if hung.ejections == 0 {
+	if !hung.outlier.Ejected() {
 		t.Fatal("never ejected")
 	}
 	before := len(h.attempts)
@@ -35,7 +35,7 @@
 			completeAttempt(b, now, a.id, 0, a.to, Timeout)
 		}
 	}
-	for now < hung.trialAt {
+	for now < hung.outlier.PauseEnd() {
 		step()
 	}
 	for _, a := range h.attempts[before : len(h.attempts)-1] {
@@ -43,7 +43,7 @@
 			t.Fatal("an ejected server got a request before its trial")
 		}
 	}
-	now = hung.trialAt + ms
+	now = hung.outlier.PauseEnd() + ms
 	b.Timer(now, tickToken)
 	trials := 0
 	for range 20 {
@@ -58,7 +58,7 @@
 	for i := range h.attempts {
 		completeAttempt(b, now, h.attempts[i].id, 0, h.attempts[i].to, OK)
 	}
-	if hung.ejections != 0 {
+	if hung.outlier.Ejected() {
 		t.Fatal("an answered trial did not end the ejection")
 	}
 }
@@ -69,19 +69,19 @@
 	b, h := newTestBalancer(t, s, testEndpoints(2, 1))
 	to := b.endpoints.sorted[0]
 	b.eject(time.Second, to)
-	for now := to.trialAt; now < to.trialAt+time.Second; now += b.tickInterval {
+	for now := to.outlier.PauseEnd(); now < to.outlier.PauseEnd()+time.Second; now += b.tickInterval {
 		b.Timer(now, tickToken)
 	}
 	if len(h.healthChecks) != 1 {
 		t.Fatalf("%d health checks", len(h.healthChecks)) // a regression: one at every tick
 	}
-	b.HealthCheckCompleted(to.trialAt+ms, to.ID, Timeout)
-	if to.ejections != 2 {
+	b.HealthCheckCompleted(to.outlier.PauseEnd()+ms, to.ID, Timeout)
+	if to.outlier.Ejections() != 2 {
 		t.Fatal("a failed health check must prolong the ejection")
 	}
-	b.Timer(to.trialAt+ms, tickToken)
-	b.HealthCheckCompleted(to.trialAt+2*ms, to.ID, OK)
-	if !b.trialDue(to.trialAt+3*ms, to) {
+	b.Timer(to.outlier.PauseEnd()+ms, tickToken)
+	b.HealthCheckCompleted(to.outlier.PauseEnd()+2*ms, to.ID, OK)
+	if !to.outlier.AllowsAttempt(to.outlier.PauseEnd()+3*ms, b.outlierOptions()) {
 		t.Fatal("no trial after a passed health check")
 	}
 }
@@ -99,16 +99,16 @@
 		setMeanWork(t, b, 10)
 		record(status)
 		record(status)
-		if to.ejections > 0 {
+		if to.outlier.Ejected() {
 			t.Errorf("status %v: ejected after two", status)
 		}
 		record(status)
-		if to.ejections == 0 {
+		if !to.outlier.Ejected() {
 			t.Errorf("status %v: not ejected after three", status)
 		}
 		record(OK)
-		if (to.slowStartSince >= 0) != slowStart || to.ejections > 0 {
-			t.Errorf("status %v: slow start since %v, %d ejections", status, to.slowStartSince, to.ejections)
+		if (to.slowStartSince >= 0) != slowStart || to.outlier.Ejected() {
+			t.Errorf("status %v: slow start since %v, %d ejections", status, to.slowStartSince, to.outlier.Ejections())
 		}
 	}
 }
--- a/selection.go
+++ b/selection.go
@@ -174,8 +174,9 @@
 	for i := range b.groups {
 		b.groups[i].members = b.groups[i].members[:0]
 	}
+	options := b.outlierOptions()
 	for _, target := range b.endpoints.sorted {
-		if target.available() && (target.ejections == 0 || b.trialDue(now, target)) {
+		if target.available() && target.outlier.Eligible(now, options) {
 			g := &b.groups[target.locality]
 			g.members = append(g.members, target)
 		}
--- a/state.go
+++ b/state.go
@@ -8,6 +8,7 @@
 	"piernotch/internal/decision/admission"
 	"piernotch/internal/decision/estimate"
 	"piernotch/internal/decision/lanes"
+	"piernotch/internal/decision/outlier"
 	"piernotch/internal/decision/quota"
 	"piernotch/internal/decision/retrybudget"
 	"piernotch/internal/decision/subscription"
@@ -100,13 +101,7 @@
 	slowStartSince      time.Duration   // negative: warm
 	nextSlowStartSend   time.Duration   // nothing is sent before, in slow start
 	assumedRestartUntil time.Duration   // end of a slow start unless the list names a restart; 0: none
-	consecutiveFailures int
-	connectFailures     float64       // since its last good answer
-	ejections           int           // in a row; 0: not ejected
-	trialAt             time.Duration // an ejected server gets one trial request from here on
-	trialInflight       bool
-	healthCheckInflight bool
-	healthCheckPassed   bool // since its ejection
+	outlier             outlier.Monitor // its failures and ejections
 }
 
 // warm reports whether the server is not in slow start.
@@ -115,12 +110,6 @@
 // available reports whether the list and the operators allow new requests to the server.
 func (target *server) available() bool { return target.State == Ready && !target.excluded }
 
-// resetEjection forgets the failures of a process that has been replaced.
-func (target *server) resetEjection() {
-	target.ejections, target.consecutiveFailures = 0, 0
-	target.trialInflight, target.healthCheckPassed = false, false
-}
-
 // String describes the state in one line, for a log.
 func (b *Balancer) String() string {
 	text := fmt.Sprintf("open=%d shed_share=%.2f latency_per_work=%.2f retry_budget=%.1f "+
