--- a/attempts.go
+++ b/attempts.go
@@ -53,7 +53,7 @@
 		b.groups[target.locality].inflight++
 		b.groups[target.locality].sendRate.Add(now, r.work)
 	} else {
-		target.nextSlowStartSend = max(target.nextSlowStartSend, now) + b.slowStartPause(now, target)
+		b.slowStart.RecordSend(now, &target.slowStart, b.slowStartLoad(now, target))
 	}
 	target.outlier.AttemptStarted()
 	r.attemptStarted(now, target)
--- a/balancer.go
+++ b/balancer.go
@@ -127,7 +127,7 @@
 // reviewServers ends slow starts, starts health checks and updates weights and limits.
 func (b *Balancer) reviewServers(now time.Duration) {
 	for _, target := range b.endpoints.sorted {
-		b.endSlowStartIfDue(now, target)
+		b.slowStart.EndIfDue(now, &target.slowStart)
 		b.startHealthCheckIfDue(now, target)
 	}
 	b.rebuildGroups(now)
--- a/doc.go
+++ b/doc.go
@@ -44,6 +44,7 @@
 //   - internal/decision/outlier: when a failing server is ejected and when it may return
 //   - internal/decision/quota: which requests are over their tenant's quota
 //   - internal/decision/retrybudget: how many retries and hedged requests may be sent
+//   - internal/decision/slowstart: how much work a server gets that started lately
 //   - internal/decision/subscription: when to subscribe to the endpoint list
 //   - internal/decision/workload: how much work requests probably mean
 //
--- a/endpoints.go
+++ b/endpoints.go
@@ -55,9 +55,8 @@
 	added := &server{
 		Endpoint: entry, idHash: estimate.MixBits(uint64(entry.ID)),
 		member: lanes.NewMember(uint64(entry.ID)), spillRank: b.rng.Float64(),
-		slowStartSince: -1,
-		lastSentAt:     make([]time.Duration, len(b.settings.Classes)),
-		failureShare:   make([]float64, len(b.settings.Classes)),
+		lastSentAt:   make([]time.Duration, len(b.settings.Classes)),
+		failureShare: make([]float64, len(b.settings.Classes)),
 	}
 	b.endpoints.add(added)
 	return added
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -11,8 +11,10 @@
 	e := testEndpoints(2, 1)[0]
 	e.StartedAt = 1500 * ms
 	b.UpdateEndpoints(2*time.Second, UpdateDelta, []Endpoint{e})
-	if to := b.endpoints.find(1); to.outlier.Ejected() || to.slowStartSince != e.StartedAt {
-		t.Fatalf("%d ejections, slow start since %v", to.outlier.Ejections(), to.slowStartSince)
+	to := b.endpoints.find(1)
+	since, inSlowStart := to.slowStart.Since()
+	if to.outlier.Ejected() || !inSlowStart || since != e.StartedAt {
+		t.Fatalf("%d ejections, in slow start: %v, since %v", to.outlier.Ejections(), inSlowStart, since)
 	}
 }
 
--- a/estimators.go
+++ b/estimators.go
@@ -51,15 +51,6 @@
 	}
 }
 
-// capacityShare returns the share of its capacity that the server has now, in slow start.
-func (b *Balancer) capacityShare(now time.Duration, target *server) float64 {
-	if target.warm() || b.settings.Rules.SlowStartDuration <= 0 {
-		return 1
-	}
-	age := float64(now-target.slowStartSince) / float64(b.settings.Rules.SlowStartDuration)
-	return b.settings.Rules.SlowStartCapacity + (1-b.settings.Rules.SlowStartCapacity)*min(max(age, 0), 1)
-}
-
 // warmSendRate returns the work per second that this balancer sends to a warm server of size 1. What
 // arrives is no measure of that: by clients' retries it is a multiple of any capacity. A few servers left
 // warm in a zone may be overloaded: they count as half of the zone. If none is warm, the mean counts.
--- a/exclusion.go
+++ b/exclusion.go
@@ -21,7 +21,7 @@
 	}
 	target.outlier.Reset()
 	since = max(since, target.StartedAt)
-	if now < since+b.settings.Rules.SlowStartDuration {
+	if b.slowStart.Covers(now, since) {
 		b.startSlowStart(now, target, since)
 	}
 	b.rebuildGroups(now)
--- a/exclusion_test.go
+++ b/exclusion_test.go
@@ -36,7 +36,7 @@
 	require.Equal(t, list[1].ID, serve(ms))
 
 	b.Include(time.Second, list[0].ID, time.Second)
-	require.GreaterOrEqual(t, b.endpoints.find(list[0].ID).slowStartSince, time.Duration(0))
+	require.False(t, b.endpoints.find(list[0].ID).warm())
 	used := false
 	for now := time.Second; now < 6*time.Second; now += 100 * ms {
 		b.Timer(now, tickToken)
--- a/layers_test.go
+++ b/layers_test.go
@@ -29,6 +29,7 @@
 	{"outlier", []string{"estimate"}},
 	{"quota", nil},
 	{"retrybudget", nil},
+	{"slowstart", []string{"estimate"}},
 	{"subscription", []string{"estimate"}},
 	{"workload", []string{"estimate"}},
 }
--- a/outlier_ejection.go
+++ b/outlier_ejection.go
@@ -86,8 +86,7 @@
 		return
 	}
 	if recovery == outlier.ReturnedMaybeAfterRestart && target.warm() {
-		b.startSlowStart(now, target, now)
-		target.assumedRestartUntil = now + b.settings.Rules.SlowStartDuration/4
+		b.assumeRestart(now, target)
 	}
 	b.groupsStale = true
 }
--- a/outlier_ejection_test.go
+++ b/outlier_ejection_test.go
@@ -107,8 +107,8 @@
 			t.Errorf("status %v: not ejected after three", status)
 		}
 		record(OK)
-		if (to.slowStartSince >= 0) != slowStart || to.outlier.Ejected() {
-			t.Errorf("status %v: slow start since %v, %d ejections", status, to.slowStartSince, to.outlier.Ejections())
+		if to.warm() == slowStart || to.outlier.Ejected() {
+			t.Errorf("status %v: warm: %v, %d ejections", status, to.warm(), to.outlier.Ejections())
 		}
 	}
 }
--- a/selection.go
+++ b/selection.go
@@ -192,7 +192,7 @@
 	g.warmSize, g.meanOthers = 0, 0
 	g.lanes.Reset()
 	for _, target := range g.members {
-		weight := target.Size * b.capacityShare(now, target)
+		weight := target.Size * b.slowStart.CapacityShare(now, &target.slowStart)
 		if target.latency > 0 && g.latency > 0 {
 			weight *= min(max(g.latency/target.latency, minLatencyFactor), maxLatencyFactor)
 		}
--- a/settings.go
+++ b/settings.go
@@ -109,10 +109,7 @@
 		Subscribe: s.PollDiscovery, PollInterval: s.Rules.PollInterval,
 	})
 	b.maxSpillers = max(minSpillers, spillerShare*float64(s.BalancerCount))
-	b.slowStartWindow = 0
-	if b.manyBalancers() {
-		b.slowStartWindow = s.Rules.OverloadWindow / slowStartWindows
-	}
+	b.slowStart = b.newSlowStart()
 	b.levels = selectionLevels(s.BalancerCount)
 	b.workload.EnsureClasses(len(s.Classes))
 	b.retryBudget.Configure(s.Limits.MaxAttempts)
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -31,7 +31,6 @@
 	// A regression: heavy requests of many balancers at once overloaded one.
 	starting := b.endpoints.find(1)
 	r := b.newRequest(7*time.Second, Request{ID: 5000, Deadline: 9 * time.Second, CostHint: 500})
-	starting.nextSlowStartSend = 0
 	if b.mayStartAttempt(7*time.Second, r, starting) {
 		t.Error("a server in slow start may get a heavy request")
 	}
@@ -45,6 +44,12 @@
 	}
 }
 
+// allowedInterval returns the time in which a server in slow start may get one request of mean work.
+func allowedInterval(b *Balancer, now time.Duration, target *server) time.Duration {
+	rate := b.slowStart.AllowedRate(now, &target.slowStart, b.slowStartLoad(now, target))
+	return time.Duration(b.workload.Mean() / rate * float64(time.Second))
+}
+
 // A zone of which only the server in slow start is left is not a small zone.
 func TestSlowStartRateDoesNotGrowWhenEndpointsLeave(t *testing.T) {
 	list := testEndpoints(4, 2)
@@ -79,7 +84,7 @@
 		b.sendRate.Add(time.Second, 100)
 		to := b.endpoints.find(1)
 		b.startSlowStart(2*time.Second, to, 2*time.Second)
-		return b.slowStartInterval(2*time.Second, to)
+		return allowedInterval(b, 2*time.Second, to)
 	}
 	// 30 per second, three times a fifth of them, for 40 balancers of the zone.
 	require.InDelta(t, 40/(30*0.2*3), interval(true).Seconds(), 0.1)
@@ -93,11 +98,11 @@
 	b.sendRate.Add(time.Second, 50)
 	to := b.endpoints.find(1)
 	b.startSlowStart(time.Second, to, time.Second)
-	interval := b.slowStartInterval(time.Second, to)
+	interval := allowedInterval(b, time.Second, to)
 	b.LoadReported(time.Second, 1, LoadReport{Inflight: 9, CompletedPerSecond: 200})
-	require.Equal(t, interval, b.slowStartInterval(time.Second, to), "with a queue it gets no more")
+	require.Equal(t, interval, allowedInterval(b, time.Second, to), "with a queue it gets no more")
 	b.LoadReported(time.Second, 1, LoadReport{Inflight: 0, CompletedPerSecond: 200})
-	require.Less(t, b.slowStartInterval(time.Second, to), interval)
+	require.Less(t, allowedInterval(b, time.Second, to), interval)
 }
 
 // What each of many balancers was allowed to send, and did not while it was idle, must not come from all of
--- a/state.go
+++ b/state.go
@@ -11,6 +11,7 @@
 	"piernotch/internal/decision/outlier"
 	"piernotch/internal/decision/quota"
 	"piernotch/internal/decision/retrybudget"
+	"piernotch/internal/decision/slowstart"
 	"piernotch/internal/decision/subscription"
 	"piernotch/internal/decision/workload"
 )
@@ -40,8 +41,8 @@
 	admission   admission.Controller // shedding, priorities and the bound on the queue
 	quotas      quota.Limiter
 
-	windowSeed      uint64        // makes this balancer's slow start draws differ from others'
-	slowStartWindow time.Duration // for which a send in slow start is drawn; 0: sends are not drawn
+	windowSeed uint64 // makes this balancer's slow start draws differ from others'
+	slowStart  slowstart.Controller
 
 	workload           workload.Model // the expected work of requests
 	latencyPerWork     float64        // latency for each ms of work, queueing included; 0: not known
@@ -84,28 +85,26 @@
 // server is one listed server.
 type server struct {
 	Endpoint
-	excluded            bool   // by operators
-	idHash              uint64 // for rendezvous hashing and slow start draws
-	locality            locality
-	spillRank           float64         // random in [0, 1): shares out the spill of balancers
-	path                *zonePath       // to its zone
-	member              lanes.Member    // of its locality's group
-	inflight            int             // this balancer's attempts
-	backlog             float64         // work of these, ms
-	latency             float64         // mean latency of a request of mean work, ms; 0: not known
-	latencyPerWork      float64         // latency for each ms of work; 0: not known
-	reports             loadReports     // by which it holds requests of other balancers
-	lastAnswerAt        time.Duration   // when it last answered anything
-	lastSentAt          []time.Duration // when a request was last sent, by class
-	failureShare        []float64       // share of failed requests while it answers others, by class
-	slowStartSince      time.Duration   // negative: warm
-	nextSlowStartSend   time.Duration   // nothing is sent before, in slow start
-	assumedRestartUntil time.Duration   // end of a slow start unless the list names a restart; 0: none
-	outlier             outlier.Monitor // its failures and ejections
+	excluded       bool   // by operators
+	idHash         uint64 // for rendezvous hashing and slow start draws
+	locality       locality
+	spillRank      float64         // random in [0, 1): shares out the spill of balancers
+	path           *zonePath       // to its zone
+	member         lanes.Member    // of its locality's group
+	inflight       int             // this balancer's attempts
+	backlog        float64         // work of these, ms
+	latency        float64         // mean latency of a request of mean work, ms; 0: not known
+	latencyPerWork float64         // latency for each ms of work; 0: not known
+	reports        loadReports     // by which it holds requests of other balancers
+	lastAnswerAt   time.Duration   // when it last answered anything
+	lastSentAt     []time.Duration // when a request was last sent, by class
+	failureShare   []float64       // share of failed requests while it answers others, by class
+	slowStart      slowstart.Progress
+	outlier        outlier.Monitor // its failures and ejections
 }
 
 // warm reports whether the server is not in slow start.
-func (target *server) warm() bool { return target.slowStartSince < 0 }
+func (target *server) warm() bool { return target.slowStart.Warm() }
 
 // available reports whether the list and the operators allow new requests to the server.
 func (target *server) available() bool { return target.State == Ready && !target.excluded }
