--- a/concurrency_limits.go
+++ b/concurrency_limits.go
@@ -11,20 +11,6 @@
 	fewBalancersPerZone = 4.0  // up to so many, each one's own bounds suffice
 )
 
-// LoadReported takes a server's load report. It ignores unknown servers, negative figures and NaN.
-func (b *Balancer) LoadReported(now time.Duration, id ServerID, load LoadReport) {
-	if target := b.endpoints.find(id); target != nil && load.Inflight >= 0 && load.CompletedPerSecond >= 0 {
-		target.reports.record(now, load, target.inflight)
-	}
-}
-
-// totalInflightReaches reports whether all balancers together have so many requests at a server, by its load
-// reports: with many balancers, a bound on each one's own requests would not bound the sum.
-func (b *Balancer) totalInflightReaches(now time.Duration, target *server, most float64) bool {
-	prior := min(target.reports.meanOthers, b.groups[target.locality].meanOthers)
-	return target.reports.estimateOthers(now, prior)+float64(target.inflight) >= most
-}
-
 // manyBalancers reports whether there are too many balancers for each one's own bounds to suffice.
 func (b *Balancer) manyBalancers() bool {
 	return float64(b.settings.BalancerCount) > fewBalancersPerZone*float64(len(b.settings.Zones))
--- a/doc.go
+++ b/doc.go
@@ -38,9 +38,11 @@
 //   - attempts.go: the guard, retries, hedging and what outcomes lead to
 //   - outlier_ejection.go: ejection, health checks and trials
 //   - slow_start.go: the pace of requests to a server that has started lately
-//   - concurrency_limits.go: bounds by load reports on what all balancers send
+//   - concurrency_limits.go: the limit on attempts in flight in a group
 //   - endpoints.go: the list of servers
+//   - load_reports.go: bounds by load reports on what all balancers send
 //   - internal/decision/admission: shedding, priorities and the bound on the queue
+//   - internal/decision/loadreport: what all balancers have at the servers, by their load reports
 //   - internal/decision/outlier: when a failing server is ejected and when it may return
 //   - internal/decision/quota: which requests are over their tenant's quota
 //   - internal/decision/retrybudget: how many retries and hedged requests may be sent
@@ -49,6 +51,6 @@
 //   - internal/decision/workload: how much work requests probably mean
 //
 // Beside them stand the interface (piernotch.go, settings.go), the records (state.go), estimators.go,
-// load_reports.go, and what operators ask for while the program runs (exclusion.go, snapshot.go).
+// and what operators ask for while the program runs (exclusion.go, snapshot.go).
 // internal/decision/estimate has the arithmetic that several of the components share.
 package piernotch
--- a/estimators.go
+++ b/estimators.go
@@ -75,8 +75,8 @@
 	}
 	ms := (target.backlog + r.work) * perWork
 	c := &target.reports
-	if b.manyBalancers() && c.fresh(now) && c.meanCompletionRate > 0 {
-		ms = max(ms, 1000*(c.meanOthers+float64(target.inflight))/c.meanCompletionRate)
+	if b.manyBalancers() && c.Fresh(now) && c.MeanCompletionRate() > 0 {
+		ms = max(ms, 1000*(c.MeanOthers()+float64(target.inflight))/c.MeanCompletionRate())
 	}
 	return ms
 }
--- a/layers_test.go
+++ b/layers_test.go
@@ -26,6 +26,7 @@
 	{"estimate", nil},
 	{"admission", []string{"estimate"}},
 	{"lanes", []string{"estimate"}},
+	{"loadreport", nil},
 	{"outlier", []string{"estimate"}},
 	{"quota", nil},
 	{"retrybudget", nil},
--- a/selection.go
+++ b/selection.go
@@ -197,7 +197,7 @@
 			weight *= min(max(g.latency/target.latency, minLatencyFactor), maxLatencyFactor)
 		}
 		g.lanes.Add(&target.member, weight)
-		g.meanOthers += target.reports.meanOthers / float64(len(g.members))
+		g.meanOthers += target.reports.MeanOthers() / float64(len(g.members))
 		if target.warm() {
 			g.warmSize += target.Size
 		}
--- a/slow_start.go
+++ b/slow_start.go
@@ -66,10 +66,11 @@
 func (b *Balancer) slowStartLoad(now time.Duration, target *server) slowstart.Load {
 	reports := &target.reports
 	load := slowstart.Load{
-		MeanWork: b.workload.Mean(), PeakCompletionRate: b.peakCompletionRate,
+		MeanWork: b.workload.Mean(), PeakCompletionRate: b.peakCompletionRate.PerSecond(),
 		Senders: b.sendersTo(target), Size: target.Size,
 		Report: slowstart.Report{
-			Known: reports.reportedAt > 0, Others: reports.others, CompletionRate: reports.completionRate,
+			Known: reports.Received(), Others: reports.LastOthers(),
+			CompletionRate: reports.LastCompletionRate(),
 		},
 	}
 	if b.spills(target) {
--- a/snapshot.go
+++ b/snapshot.go
@@ -20,7 +20,7 @@
 	learnt := b.workload.Snapshot()
 	return Snapshot{
 		MedianHint: learnt.MedianHint, MeanWork: learnt.Mean, LargeWorkShare: learnt.LargeShare,
-		PeakCompletionRate: b.peakCompletionRate,
+		PeakCompletionRate: b.peakCompletionRate.PerSecond(),
 	}
 }
 
@@ -30,6 +30,6 @@
 	peakPossible := l.PeakCompletionRate >= 0 && !math.IsInf(l.PeakCompletionRate, 0)
 	learnt := workload.Snapshot{MedianHint: l.MedianHint, Mean: l.MeanWork, LargeShare: l.LargeWorkShare}
 	if peakPossible && b.workload.Restore(learnt) {
-		b.peakCompletionRate = max(b.peakCompletionRate, l.PeakCompletionRate)
+		b.peakCompletionRate.Restore(l.PeakCompletionRate)
 	}
 }
--- a/state.go
+++ b/state.go
@@ -8,6 +8,7 @@
 	"piernotch/internal/decision/admission"
 	"piernotch/internal/decision/estimate"
 	"piernotch/internal/decision/lanes"
+	"piernotch/internal/decision/loadreport"
 	"piernotch/internal/decision/outlier"
 	"piernotch/internal/decision/quota"
 	"piernotch/internal/decision/retrybudget"
@@ -48,7 +49,7 @@
 	latencyPerWork     float64        // latency for each ms of work, queueing included; 0: not known
 	laneBalance        lanes.Balance
 	sendRate           estimate.Rate // work sent per second
-	peakCompletionRate float64       // most answers per second of a warm server of size 1; 0: not known
+	peakCompletionRate loadreport.PeakRate
 
 	subscription subscription.Schedule // to the endpoint list
 }
@@ -88,17 +89,17 @@
 	excluded       bool   // by operators
 	idHash         uint64 // for rendezvous hashing and slow start draws
 	locality       locality
-	spillRank      float64         // random in [0, 1): shares out the spill of balancers
-	path           *zonePath       // to its zone
-	member         lanes.Member    // of its locality's group
-	inflight       int             // this balancer's attempts
-	backlog        float64         // work of these, ms
-	latency        float64         // mean latency of a request of mean work, ms; 0: not known
-	latencyPerWork float64         // latency for each ms of work; 0: not known
-	reports        loadReports     // by which it holds requests of other balancers
-	lastAnswerAt   time.Duration   // when it last answered anything
-	lastSentAt     []time.Duration // when a request was last sent, by class
-	failureShare   []float64       // share of failed requests while it answers others, by class
+	spillRank      float64            // random in [0, 1): shares out the spill of balancers
+	path           *zonePath          // to its zone
+	member         lanes.Member       // of its locality's group
+	inflight       int                // this balancer's attempts
+	backlog        float64            // work of these, ms
+	latency        float64            // mean latency of a request of mean work, ms; 0: not known
+	latencyPerWork float64            // latency for each ms of work; 0: not known
+	reports        loadreport.Reports // by which it holds requests of other balancers
+	lastAnswerAt   time.Duration      // when it last answered anything
+	lastSentAt     []time.Duration    // when a request was last sent, by class
+	failureShare   []float64          // share of failed requests while it answers others, by class
 	slowStart      slowstart.Progress
 	outlier        outlier.Monitor // its failures and ejections
 }
@@ -114,7 +115,7 @@
 	text := fmt.Sprintf("open=%d shed_share=%.2f latency_per_work=%.2f retry_budget=%.1f "+
 		"median_cost_hint=%.1f mean_work=%.1f peak_completion_rate=%.1f",
 		len(b.requests.open), b.admission.ShedShare(), b.latencyPerWork, b.retryBudget.Left(),
-		b.workload.MedianHint(), b.workload.Mean(), b.peakCompletionRate)
+		b.workload.MedianHint(), b.workload.Mean(), b.peakCompletionRate.PerSecond())
 	for i := range b.groups {
 		g := &b.groups[i]
 		inSlowStart := 0
