--- a/attempts.go
+++ b/attempts.go
@@ -24,7 +24,7 @@
 		return false
 	}
 	if target.warm() {
-		return !b.groups[target.locality].atInflightLimit()
+		return !b.groups[target.locality].concurrency.Reached()
 	}
 	return b.slowStartAllows(now, r, target)
 }
@@ -50,7 +50,7 @@
 		b.admission.RequestForwarded(r.priority, r.work)
 	}
 	if target.warm() {
-		b.groups[target.locality].inflight++
+		b.groups[target.locality].concurrency.Started()
 		b.groups[target.locality].sendRate.Add(now, r.work)
 	} else {
 		b.slowStart.RecordSend(now, &target.slowStart, b.slowStartLoad(now, target))
@@ -66,7 +66,7 @@
 	target := ended.server
 	target.inflight--
 	if ended.warm {
-		b.groups[target.locality].inflight--
+		b.groups[target.locality].concurrency.Ended()
 	}
 	target.backlog = max(target.backlog-r.work, 0)
 	return ended
--- a/balancer.go
+++ b/balancer.go
@@ -1,10 +1,10 @@
 package piernotch
 
 import (
-	"math"
 	"math/rand/v2"
 	"time"
 
+	"piernotch/internal/decision/concurrency"
 	"piernotch/internal/decision/lanes"
 	"piernotch/internal/decision/workload"
 )
@@ -30,7 +30,7 @@
 		b.windowSeed = b.rng.Uint64()
 	}
 	for i := range b.groups {
-		b.groups[i].inflightLimit = math.Inf(1)
+		b.groups[i].concurrency = concurrency.New()
 		b.groups[i].lanes = lanes.NewGroup(b.rng)
 	}
 	b.deriveFromSettings()
@@ -133,7 +133,7 @@
 	b.rebuildGroups(now)
 	b.updatePeakCompletionRate()
 	for i := range b.groups {
-		b.adjustInflightLimit(now, &b.groups[i])
+		b.adjustConcurrencyLimit(now, &b.groups[i])
 	}
 	b.admission.ReviewLateness(now)
 }
--- a/concurrency_limits_test.go
+++ b/concurrency_limits_test.go
@@ -47,12 +47,12 @@
 // servers report makes each of them reduce its limit.
 func TestInflightLimitHoldsGroupToTarget(t *testing.T) {
 	b, h := runTicks(t, manyBalancersSettings(), 5)
-	require.True(t, b.groups[0].atInflightLimit(), "limit %v", b.groups[0].inflightLimit)
+	require.True(t, b.groups[0].concurrency.Reached(), "limit %v", b.groups[0].concurrency.Bound())
 	b.HandleRequest(4*time.Second, Request{ID: 100, Class: idempotentClass, Deadline: time.Minute, CostHint: 10})
 	require.Greater(t, h.last().to, ServerID(6), "a full zone counts as empty")
 
 	b, _ = runTicks(t, manyBalancersSettings(), 0.1)
-	require.False(t, b.groups[0].atInflightLimit(), "idle servers: limit %v", b.groups[0].inflightLimit)
+	require.False(t, b.groups[0].concurrency.Reached(), "idle servers: limit %v", b.groups[0].concurrency.Bound())
 	b, _ = runTicks(t, testSettings(), 5)
-	require.False(t, b.groups[0].atInflightLimit(), "few balancers: their own bounds suffice")
+	require.False(t, b.groups[0].concurrency.Reached(), "few balancers: their own bounds suffice")
 }
--- a/doc.go
+++ b/doc.go
@@ -42,6 +42,7 @@
 //   - endpoints.go: the list of servers
 //   - load_reports.go: bounds by load reports on what all balancers send
 //   - internal/decision/admission: shedding, priorities and the bound on the queue
+//   - internal/decision/concurrency: how many attempts this balancer has in flight in a group
 //   - internal/decision/loadreport: what all balancers have at the servers, by their load reports
 //   - internal/decision/outlier: when a failing server is ejected and when it may return
 //   - internal/decision/quota: which requests are over their tenant's quota
--- a/layers_test.go
+++ b/layers_test.go
@@ -25,6 +25,7 @@
 }{
 	{"estimate", nil},
 	{"admission", []string{"estimate"}},
+	{"concurrency", nil},
 	{"lanes", []string{"estimate"}},
 	{"loadreport", nil},
 	{"outlier", []string{"estimate"}},
--- a/state.go
+++ b/state.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"piernotch/internal/decision/admission"
+	"piernotch/internal/decision/concurrency"
 	"piernotch/internal/decision/estimate"
 	"piernotch/internal/decision/lanes"
 	"piernotch/internal/decision/loadreport"
@@ -65,10 +66,8 @@
 	queueingMean      float64       // mean latency beyond the work itself, ms
 	queueingDeviation float64       // its mean deviation, ms
 
-	inflight      int     // this balancer's attempts at its warm members
-	inflightLimit float64 // bound on that
-	peakInflight  float64 // the recent maximum of it, decaying
-	meanOthers    float64 // mean over its members of other balancers' requests
+	concurrency concurrency.Limit // on this balancer's attempts at its warm members
+	meanOthers  float64           // mean over its members of other balancers' requests
 }
 
 // selectionLevel is a group whose members may get a request up to a load of this balancer's.
@@ -126,7 +125,7 @@
 		}
 		text += fmt.Sprintf(" | members=%d slow_start=%d inflight=%d inflight_limit=%.1f others_inflight=%.1f "+
 			"late_share=%.2f queueing_delay=%.0f latency=%.0f",
-			len(g.members), inSlowStart, g.inflight, g.inflightLimit, g.meanOthers, b.admission.LateShare(i),
+			len(g.members), inSlowStart, g.concurrency.Inflight(), g.concurrency.Bound(), g.meanOthers, b.admission.LateShare(i),
 			g.queueingMean, g.latency)
 	}
 	return text
