--- a/attempts.go
+++ b/attempts.go
@@ -44,7 +44,7 @@
 func (b *Balancer) startAttempt(now time.Duration, r *request, target *server) {
 	target.inflight++
 	target.backlog += r.work
-	target.lastSentAt[r.Class] = now
+	target.classFailures.RecordSend(now, r.Class)
 	b.sendRate.Add(now, r.work)
 	if len(r.attempts) == 0 {
 		b.admission.RequestForwarded(r.priority, r.work)
@@ -112,7 +112,7 @@
 	if o.Status == OK || o.Status == Full || o.Status == Error {
 		target.lastAnswerAt = now
 	}
-	b.observeClassFailure(r, t, o)
+	recordClassOutcome(r, t, o)
 	switch {
 	case o.Status == Timeout && target.lastAnswerAt < t.sentAt:
 		// Its server was silent, which no tick has noticed yet: late, but no reason to shed.
--- /dev/null
+++ b/class_failures.go
@@ -0,0 +1,26 @@
+package piernotch
+
+import "piernotch/internal/decision/classfailure"
+
+// recordClassOutcome updates what the outcome shows of the server for the request's class.
+func recordClassOutcome(r *request, t *attempt, o Outcome) {
+	t.server.classFailures.RecordAttempt(r.Class, classfailure.Attempt{
+		Result: classResult(o.Status), Latency: o.Latency, Objective: r.class.LatencyObjective,
+		AnswersOthers: t.server.lastAnswerAt >= t.sentAt,
+	})
+}
+
+// classResult returns what the status of an attempt shows of the server for a class.
+func classResult(status Status) classfailure.Result {
+	switch status {
+	case OK:
+		return classfailure.GoodResponse
+	case Error:
+		return classfailure.ErrorResponse
+	case Timeout:
+		return classfailure.TimedOut
+	case Cancelled:
+		return classfailure.Cancelled
+	}
+	return classfailure.Other
+}
--- a/doc.go
+++ b/doc.go
@@ -40,8 +40,10 @@
 //   - slow_start.go: the pace of requests to a server that has started lately
 //   - concurrency_limits.go: the limit on attempts in flight in a group
 //   - endpoints.go: the list of servers
+//   - class_failures.go: what attempts show of a server for one class
 //   - load_reports.go: bounds by load reports on what all balancers send
 //   - internal/decision/admission: shedding, priorities and the bound on the queue
+//   - internal/decision/classfailure: which classes one server fails while it serves others
 //   - internal/decision/concurrency: how many attempts this balancer has in flight in a group
 //   - internal/decision/loadreport: what all balancers have at the servers, by their load reports
 //   - internal/decision/outlier: when a failing server is ejected and when it may return
--- a/endpoints.go
+++ b/endpoints.go
@@ -4,6 +4,7 @@
 	"math"
 	"time"
 
+	"piernotch/internal/decision/classfailure"
 	"piernotch/internal/decision/estimate"
 	"piernotch/internal/decision/lanes"
 )
@@ -55,8 +56,7 @@
 	added := &server{
 		Endpoint: entry, idHash: estimate.MixBits(uint64(entry.ID)),
 		member: lanes.NewMember(uint64(entry.ID)), spillRank: b.rng.Float64(),
-		lastSentAt:   make([]time.Duration, len(b.settings.Classes)),
-		failureShare: make([]float64, len(b.settings.Classes)),
+		classFailures: classfailure.New(len(b.settings.Classes)),
 	}
 	b.endpoints.add(added)
 	return added
--- a/estimators.go
+++ b/estimators.go
@@ -39,18 +39,6 @@
 	return queueing
 }
 
-// observeClassFailure updates the share of a class's requests that fail on a server which answers
-// others. A cancelled attempt counts as failed if it had taken half of the objective.
-func (b *Balancer) observeClassFailure(r *request, t *attempt, o Outcome) {
-	target := t.server
-	tookLong := o.Status == Timeout || o.Status == Cancelled && o.Latency > r.class.LatencyObjective/2
-	answersOthers := target.lastAnswerAt >= t.sentAt
-	if tookLong && answersOthers || o.Status == OK || o.Status == Error {
-		failed := estimate.Indicator(o.Status != OK)
-		target.failureShare[r.Class] += estimate.ServerSmoothing * (failed - target.failureShare[r.Class])
-	}
-}
-
 // warmSendRate returns the work per second that this balancer sends to a warm server of size 1. What
 // arrives is no measure of that: by clients' retries it is a multiple of any capacity. A few servers left
 // warm in a zone may be overloaded: they count as half of the zone. If none is warm, the mean counts.
--- a/layers_test.go
+++ b/layers_test.go
@@ -25,6 +25,7 @@
 }{
 	{"estimate", nil},
 	{"admission", []string{"estimate"}},
+	{"classfailure", nil},
 	{"concurrency", nil},
 	{"lanes", []string{"estimate"}},
 	{"loadreport", nil},
--- a/selection.go
+++ b/selection.go
@@ -8,7 +8,6 @@
 
 const (
 	objectiveShare         = 0.9     // the expected latency is within this share of the time left
-	failsClassShare        = 0.3     // failure share from which a class avoids a server that serves others
 	minSpillers            = 3.0     // balancers of other zones that may spill to one server, at least
 	spillerShare           = 0.1     // the same as a share of all balancers
 	totalInflightBound     = 6.0     // all balancers' requests at a server, for each unit of maxLoad
@@ -140,16 +139,9 @@
 		!b.totalInflightReaches(now, target, maxTotal)
 }
 
-// failsClass reports whether the server fails this class but serves others. It lapses if nothing is sent.
+// failsClass reports whether the server fails this class but serves others.
 func (b *Balancer) failsClass(now time.Duration, r *request, target *server) bool {
-	own, least := target.failureShare[r.Class], 1.0
-	for class, share := range target.failureShare {
-		if class != r.Class {
-			least = min(least, share)
-		}
-	}
-	sentLately := now < target.lastSentAt[r.Class]+4*r.class.LatencyObjective
-	return own > failsClassShare && own > 3*least && sentLately
+	return target.classFailures.Avoid(now, r.Class, r.class.LatencyObjective)
 }
 
 // meetsObjective reports whether the server is likely to answer in time, with what is queued there.
--- a/selection_test.go
+++ b/selection_test.go
@@ -188,7 +188,7 @@
 		timedOut := &attempt{server: failing, sentAt: now - 50*ms}
 		b.recordOutcome(now, hung, timedOut, Outcome{Status: Timeout, Latency: 50 * ms})
 	}
-	failing.lastSentAt[nonIdempotentClass] = now
+	failing.classFailures.RecordSend(now, nonIdempotentClass)
 	for range 2 {
 		if to := send(nonIdempotentClass); to == 1 {
 			t.Error("sent to the server that fails its class")
--- a/settings.go
+++ b/settings.go
@@ -89,10 +89,7 @@
 	b.settings = s
 	b.deriveFromSettings()
 	for _, target := range b.endpoints.sorted {
-		for len(target.failureShare) < len(s.Classes) {
-			target.failureShare = append(target.failureShare, 0)
-			target.lastSentAt = append(target.lastSentAt, 0)
-		}
+		target.classFailures.Grow(len(s.Classes))
 	}
 	return nil
 }
--- a/state.go
+++ b/state.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"piernotch/internal/decision/admission"
+	"piernotch/internal/decision/classfailure"
 	"piernotch/internal/decision/concurrency"
 	"piernotch/internal/decision/estimate"
 	"piernotch/internal/decision/lanes"
@@ -97,8 +98,7 @@
 	latencyPerWork float64            // latency for each ms of work; 0: not known
 	reports        loadreport.Reports // by which it holds requests of other balancers
 	lastAnswerAt   time.Duration      // when it last answered anything
-	lastSentAt     []time.Duration    // when a request was last sent, by class
-	failureShare   []float64          // share of failed requests while it answers others, by class
+	classFailures  classfailure.Shares
 	slowStart      slowstart.Progress
 	outlier        outlier.Monitor // its failures and ejections
 }
