--- a/admission.go
+++ b/admission.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"piernotch/internal/decision/admission"
-	"piernotch/internal/decision/estimate"
 	"piernotch/internal/decision/lanes"
 	"piernotch/internal/decision/workload"
 )
@@ -39,7 +38,7 @@
 	if b.dispatch(now, r) {
 		return
 	}
-	needs := min(estimate.Milliseconds(r.work*b.latencyPerWork), r.class.LatencyObjective/2)
+	needs := min(b.latency.Needed(r.work), r.class.LatencyObjective/2)
 	latest := min(b.attemptDeadline(r)-needs, r.queueDeadline)
 	if now+2*b.tickInterval >= latest || b.queueTooLong(now, r) {
 		b.rejectOrFail(r)
--- a/doc.go
+++ b/doc.go
@@ -41,10 +41,12 @@
 //   - concurrency_limits.go: the limit on attempts in flight in a group
 //   - endpoints.go: the list of servers
 //   - class_failures.go: what attempts show of a server for one class
+//   - latencies.go: what answers show of servers, and what a request probably takes
 //   - load_reports.go: bounds by load reports on what all balancers send
 //   - internal/decision/admission: shedding, priorities and the bound on the queue
 //   - internal/decision/classfailure: which classes one server fails while it serves others
 //   - internal/decision/concurrency: how many attempts this balancer has in flight in a group
+//   - internal/decision/latency: how long servers take, and from when on their silence counts
 //   - internal/decision/loadreport: what all balancers have at the servers, by their load reports
 //   - internal/decision/outlier: when a failing server is ejected and when it may return
 //   - internal/decision/quota: which requests are over their tenant's quota
@@ -53,7 +55,7 @@
 //   - internal/decision/subscription: when to subscribe to the endpoint list
 //   - internal/decision/workload: how much work requests probably mean
 //
-// Beside them stand the interface (piernotch.go, settings.go), the records (state.go), estimators.go,
-// and what operators ask for while the program runs (exclusion.go, snapshot.go).
+// Beside them stand the interface (piernotch.go, settings.go), the records (state.go), and
+// what operators ask for while the program runs (exclusion.go, snapshot.go).
 // internal/decision/estimate has the arithmetic that several of the components share.
 package piernotch
--- a/endpoint_set.go
+++ b/endpoint_set.go
@@ -3,6 +3,8 @@
 import (
 	"cmp"
 	"slices"
+
+	"piernotch/internal/decision/latency"
 )
 
 // locality is where a server is, as seen from this balancer. There is a group of servers for each.
@@ -24,16 +26,16 @@
 type endpointSet struct {
 	ownZone  int
 	byID     map[ServerID]*server
-	sorted   []*server         // by id
-	excluded map[ServerID]bool // by operators, listed or not
-	paths    map[int]*zonePath // by zone
+	sorted   []*server             // by id
+	excluded map[ServerID]bool     // by operators, listed or not
+	paths    map[int]*latency.Path // by zone
 	fullSize [localityCount]float64
 }
 
 func newEndpointSet(ownZone int) endpointSet {
 	return endpointSet{
 		ownZone: ownZone, byID: map[ServerID]*server{}, excluded: map[ServerID]bool{},
-		paths: map[int]*zonePath{},
+		paths: map[int]*latency.Path{},
 	}
 }
 
@@ -43,7 +45,7 @@
 // add adds a server that is new in the list. Until settle it stands last.
 func (s *endpointSet) add(added *server) {
 	if s.paths[added.Zone] == nil {
-		s.paths[added.Zone] = &zonePath{}
+		s.paths[added.Zone] = &latency.Path{}
 	}
 	added.path = s.paths[added.Zone]
 	added.excluded = s.excluded[added.ID]
--- a/estimators_test.go
+++ b/latencies_test.go
@@ -19,7 +19,7 @@
 		b.recordOutcome(now, r, &attempt{server: remote}, Outcome{Status: OK, Latency: took})
 	}
 	setMeanWork(t, b, 10)
-	for range pathMinAnswers {
+	for range 64 { // from so many the path is known
 		answer(50 * ms)
 	}
 	remote.inflight = 2
@@ -59,7 +59,7 @@
 	if mean := b.workload.Mean(); mean < 30 || mean > 75 {
 		t.Errorf("mean work %.1f", mean)
 	}
-	if b.workload.LargeShare() > 0.05 || b.latencyPerWork < 1 {
-		t.Errorf("share of large work %.2f, latency per work %.2f", b.workload.LargeShare(), b.latencyPerWork)
+	if b.workload.LargeShare() > 0.05 || b.latency.PerWork() < 1 {
+		t.Errorf("share of large work %.2f, latency per work %.2f", b.workload.LargeShare(), b.latency.PerWork())
 	}
 }
--- a/layers_test.go
+++ b/layers_test.go
@@ -28,6 +28,7 @@
 	{"classfailure", nil},
 	{"concurrency", nil},
 	{"lanes", []string{"estimate"}},
+	{"latency", []string{"estimate"}},
 	{"loadreport", nil},
 	{"outlier", []string{"estimate"}},
 	{"quota", nil},
--- a/load_reports.go
+++ b/load_reports.go
@@ -52,7 +52,7 @@
 	inflight, known = mean.Inflight()
 	neverReported := !known && b.peakCompletionRate.PerSecond() == 0
 	if neverReported {
-		return b.latencyPerWork, b.latencyPerWork > 0
+		return b.latency.PerWork(), b.latency.PerWork() > 0
 	}
 	return inflight, known
 }
--- a/outlier_ejection.go
+++ b/outlier_ejection.go
@@ -6,9 +6,6 @@
 	"piernotch/internal/decision/outlier"
 )
 
-// silenceDeviations is the number of mean deviations beyond the mean from which silence counts, as in TCP.
-const silenceDeviations = 4.0
-
 // recordFailure counts a failed attempt, and ejects the server if that is due.
 func (b *Balancer) recordFailure(now time.Duration, target *server, failure outlier.Failure) {
 	if target.outlier.RecordFailure(failure) == outlier.Eject {
--- a/outlier_ejection_test.go
+++ b/outlier_ejection_test.go
@@ -131,6 +131,6 @@
 		completeAttempt(b, now, RequestID(i), try, h.last().to, OK)
 	}
 	require.LessOrEqual(t, rejections, 3)
-	require.Less(t, b.latencyPerWork, 3.0, "a rejection counted as a slow answer")
+	require.Less(t, b.latency.PerWork(), 3.0, "a rejection counted as a slow answer")
 	require.Empty(t, h.rejected)
 }
--- a/policy_size_test.go
+++ b/policy_size_test.go
@@ -19,13 +19,12 @@
 
 // Every file at the root decides something, except for these.
 var rootFilesThatDoNotDecide = []string{
-	"doc.go",        // package comment
-	"estimators.go", // running estimates
-	"exclusion.go",  // what operators exclude
-	"piernotch.go",  // types of the interface
-	"settings.go",   // validation of settings
-	"snapshot.go",   // what a balancer hands to its successor
-	"state.go",      // records
+	"doc.go",       // package comment
+	"exclusion.go", // what operators exclude
+	"piernotch.go", // types of the interface
+	"settings.go",  // validation of settings
+	"snapshot.go",  // what a balancer hands to its successor
+	"state.go",     // records
 }
 
 // The operators review the files that decide by the list `policy` in deploy/balancer.toml. The list is
--- a/requests.go
+++ b/requests.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"piernotch/internal/decision/admission"
-	"piernotch/internal/decision/estimate"
 	"piernotch/internal/decision/lanes"
 )
 
@@ -146,8 +145,7 @@
 // mayRepeatOn reports whether a request that may have executed in an earlier attempt may also go to the
 // server. The transit there, half of the fastest answer's latency, must end within the deduplication window.
 func (r *request) mayRepeatOn(now time.Duration, earlier *attempt, target *server) bool {
-	transit := estimate.Milliseconds(target.path.fastestAnswer / 2)
-	windowClosed := now+transit > earlier.sentAt+r.class.DedupWindow
+	windowClosed := now+target.path.Transit() > earlier.sentAt+r.class.DedupWindow
 	switch {
 	case r.class.RetrySafety == Idempotent:
 		return true
--- a/selection.go
+++ b/selection.go
@@ -7,15 +7,13 @@
 )
 
 const (
-	objectiveShare         = 0.9     // the expected latency is within this share of the time left
-	minSpillers            = 3.0     // balancers of other zones that may spill to one server, at least
-	spillerShare           = 0.1     // the same as a share of all balancers
-	totalInflightBound     = 6.0     // all balancers' requests at a server, for each unit of maxLoad
-	totalInflightBoundKey  = 8.0     // all balancers' requests, if the request's key may be cached there
-	totalInflightBoundLast = 10.0    // all balancers' requests, if no other server has capacity
-	turnRounds             = 3       // of a lane's members, in search of one with the credit for a turn
-	minLatencyFactor       = 1.0 / 8 // on the weight of a server that is slower than its group
-	maxLatencyFactor       = 2.0     // on the weight of one that is faster
+	objectiveShare         = 0.9  // the expected latency is within this share of the time left
+	minSpillers            = 3.0  // balancers of other zones that may spill to one server, at least
+	spillerShare           = 0.1  // the same as a share of all balancers
+	totalInflightBound     = 6.0  // all balancers' requests at a server, for each unit of maxLoad
+	totalInflightBoundKey  = 8.0  // all balancers' requests, if the request's key may be cached there
+	totalInflightBoundLast = 10.0 // all balancers' requests, if no other server has capacity
+	turnRounds             = 3    // of a lane's members, in search of one with the credit for a turn
 )
 
 // search is the choice of a server in one lane of a group.
@@ -103,7 +101,7 @@
 		return nil
 	}
 	target := s.group.members[s.group.lanes.MemberForKey(s.lane, s.request.Key)]
-	if target.latency > 2*s.group.latency || !b.canServeInTime(s, target, totalInflightBoundKey) {
+	if target.latency.Slow(&s.group.latency) || !b.canServeInTime(s, target, totalInflightBoundKey) {
 		return nil
 	}
 	return target
@@ -185,9 +183,7 @@
 	g.lanes.Reset()
 	for _, target := range g.members {
 		weight := target.Size * b.slowStart.CapacityShare(now, &target.slowStart)
-		if target.latency > 0 && g.latency > 0 {
-			weight *= min(max(g.latency/target.latency, minLatencyFactor), maxLatencyFactor)
-		}
+		weight *= target.latency.WeightFactor(&g.latency)
 		g.lanes.Add(&target.member, weight)
 		g.meanOthers += target.reports.MeanOthers() / float64(len(g.members))
 		if target.warm() {
--- a/selection_test.go
+++ b/selection_test.go
@@ -134,11 +134,13 @@
 func TestHeavyRequestsGoToFastEnoughServer(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), testEndpoints(4, 1))
 	setMeanWork(t, b, 10)
-	b.latencyPerWork = 1
-	for _, to := range b.endpoints.sorted {
-		to.latencyPerWork = 3
+	for _, to := range b.endpoints.sorted { // three times its work, on the third server half of it
+		took := 30 * ms
+		if to.ID == 3 {
+			took = 5 * ms
+		}
+		b.observeLatency(&request{class: &b.settings.Classes[nonIdempotentClass], work: 10}, to, took)
 	}
-	b.endpoints.sorted[2].latencyPerWork = 0.5
 	b.HandleRequest(time.Second, newTestRequest(1, nonIdempotentClass, 300))
 	if h.last().to != 3 {
 		t.Fatalf("300 ms of work within 500 ms went to server %d", h.last().to)
--- a/slow_start.go
+++ b/slow_start.go
@@ -31,13 +31,13 @@
 
 // startSlowStart counts a slow start from since.
 func (b *Balancer) startSlowStart(now time.Duration, target *server, since time.Duration) {
-	target.latency = 0
+	target.latency.ForgetMean()
 	b.slowStart.Start(now, since, &target.slowStart, b.slowStartLoad(now, target), b.rng)
 }
 
 // assumeRestart starts a slow start that ends soon, unless the list names a restart.
 func (b *Balancer) assumeRestart(now time.Duration, target *server) {
-	target.latency = 0
+	target.latency.ForgetMean()
 	b.slowStart.Assume(now, &target.slowStart, b.slowStartLoad(now, target), b.rng)
 }
 
@@ -81,3 +81,18 @@
 	}
 	return load
 }
+
+// warmSendRate returns the work per second that this balancer sends to a warm server of size 1. What
+// arrives is no measure of that: by clients' retries it is a multiple of any capacity. A few servers left
+// warm in a zone may be overloaded: they count as half of the zone. If none is warm, the mean counts.
+func (b *Balancer) warmSendRate(now time.Duration) float64 {
+	most := 0.0
+	for i := range b.groups {
+		g := &b.groups[i]
+		if fullSize := b.endpoints.fullSize[i]; fullSize > 0 {
+			most = max(most, g.sendRate.PerSecond(now)/max(g.warmSize, fullSize/2))
+		}
+	}
+	size := b.endpoints.fullSize[localZone] + b.endpoints.fullSize[remoteZones]
+	return max(most, b.sendRate.PerSecond(now)/max(size, 1))
+}
--- a/state.go
+++ b/state.go
@@ -10,6 +10,7 @@
 	"piernotch/internal/decision/concurrency"
 	"piernotch/internal/decision/estimate"
 	"piernotch/internal/decision/lanes"
+	"piernotch/internal/decision/latency"
 	"piernotch/internal/decision/loadreport"
 	"piernotch/internal/decision/outlier"
 	"piernotch/internal/decision/quota"
@@ -48,7 +49,7 @@
 	slowStart  slowstart.Controller
 
 	workload           workload.Model // the expected work of requests
-	latencyPerWork     float64        // latency for each ms of work, queueing included; 0: not known
+	latency            latency.Overall
 	laneBalance        lanes.Balance
 	sendRate           estimate.Rate // work sent per second
 	peakCompletionRate loadreport.PeakRate
@@ -62,10 +63,8 @@
 	lanes    lanes.Group // of the members, in the same order
 	warmSize float64     // sum of the sizes of its warm members
 
-	sendRate          estimate.Rate // work sent to its warm members per second
-	latency           float64       // mean latency of a request of mean work, ms
-	queueingMean      float64       // mean latency beyond the work itself, ms
-	queueingDeviation float64       // its mean deviation, ms
+	sendRate estimate.Rate // work sent to its warm members per second
+	latency  latency.Group
 
 	concurrency concurrency.Limit // on this balancer's attempts at its warm members
 	meanOthers  float64           // mean over its members of other balancers' requests
@@ -77,30 +76,23 @@
 	maxLoad  float64 // exclusive
 }
 
-// zonePath is the network path to a zone.
-type zonePath struct {
-	fastestAnswer float64 // least latency of an answer from there, ms
-	answerCount   int     // answers that it is from
-}
-
 // server is one listed server.
 type server struct {
 	Endpoint
-	excluded       bool   // by operators
-	idHash         uint64 // for rendezvous hashing and slow start draws
-	locality       locality
-	spillRank      float64            // random in [0, 1): shares out the spill of balancers
-	path           *zonePath          // to its zone
-	member         lanes.Member       // of its locality's group
-	inflight       int                // this balancer's attempts
-	backlog        float64            // work of these, ms
-	latency        float64            // mean latency of a request of mean work, ms; 0: not known
-	latencyPerWork float64            // latency for each ms of work; 0: not known
-	reports        loadreport.Reports // by which it holds requests of other balancers
-	lastAnswerAt   time.Duration      // when it last answered anything
-	classFailures  classfailure.Shares
-	slowStart      slowstart.Progress
-	outlier        outlier.Monitor // its failures and ejections
+	excluded      bool   // by operators
+	idHash        uint64 // for rendezvous hashing and slow start draws
+	locality      locality
+	spillRank     float64       // random in [0, 1): shares out the spill of balancers
+	path          *latency.Path // to its zone
+	member        lanes.Member  // of its locality's group
+	inflight      int           // this balancer's attempts
+	backlog       float64       // work of these, ms
+	latency       latency.Server
+	reports       loadreport.Reports // by which it holds requests of other balancers
+	lastAnswerAt  time.Duration      // when it last answered anything
+	classFailures classfailure.Shares
+	slowStart     slowstart.Progress
+	outlier       outlier.Monitor // its failures and ejections
 }
 
 // warm reports whether the server is not in slow start.
@@ -113,7 +105,7 @@
 func (b *Balancer) String() string {
 	text := fmt.Sprintf("open=%d shed_share=%.2f latency_per_work=%.2f retry_budget=%.1f "+
 		"median_cost_hint=%.1f mean_work=%.1f peak_completion_rate=%.1f",
-		len(b.requests.open), b.admission.ShedShare(), b.latencyPerWork, b.retryBudget.Left(),
+		len(b.requests.open), b.admission.ShedShare(), b.latency.PerWork(), b.retryBudget.Left(),
 		b.workload.MedianHint(), b.workload.Mean(), b.peakCompletionRate.PerSecond())
 	for i := range b.groups {
 		g := &b.groups[i]
@@ -126,7 +118,7 @@
 		text += fmt.Sprintf(" | members=%d slow_start=%d inflight=%d inflight_limit=%.1f others_inflight=%.1f "+
 			"late_share=%.2f queueing_delay=%.0f latency=%.0f",
 			len(g.members), inSlowStart, g.concurrency.Inflight(), g.concurrency.Bound(), g.meanOthers, b.admission.LateShare(i),
-			g.queueingMean, g.latency)
+			g.latency.QueueingMean(), g.latency.Mean())
 	}
 	return text
 }
