--- a/internal/decision/quota/quota_test.go
+++ b/internal/decision/quota/quota_test.go
@@ -15,8 +15,9 @@
 		interval  time.Duration // between 100 requests
 		want      int
 	}{
-		"below the quota":           {perSecond: 50, balancers: 1, interval: 25 * time.Millisecond, want: 100},
-		"twice the quota":           {perSecond: 20, balancers: 1, interval: 25 * time.Millisecond, want: 69}, // 20 + 2.475 s of 20
+		"below the quota": {perSecond: 50, balancers: 1, interval: 25 * time.Millisecond, want: 100},
+		// A full bucket of 20, and 20 per second for 2.475 seconds.
+		"twice the quota":           {perSecond: 20, balancers: 1, interval: 25 * time.Millisecond, want: 69},
 		"a share of the quota":      {perSecond: 40, balancers: 2, interval: 25 * time.Millisecond, want: 69},
 		"a burst":                   {perSecond: 20, balancers: 1, interval: 0, want: 20},
 		"one request for low rates": {perSecond: 0.1, balancers: 1, interval: 0, want: 1},
--- a/internal/decision/retrybudget/retrybudget.go
+++ b/internal/decision/retrybudget/retrybudget.go
@@ -2,9 +2,8 @@
 //
 // It prevents the retry storm: when servers fail, retries multiply the load on those that are left, which
 // then fail, too. A budget that only arriving requests fill bounds the extra attempts to a fixed share of
-// them, whatever fails. The idea is in Google's Site Reliability Engineering book, chapter "Addressing
-// Cascading Failures" (a budget of retries per client and process), and in Envoy's and Finagle's retry
-// budgets.
+// them, whatever fails. Such budgets are described in the chapters "Handling Overload" and "Addressing
+// Cascading Failures" of Google's Site Reliability Engineering book, and built into Envoy and Finagle.
 //
 // A Budget must not be used concurrently.
 package retrybudget
@@ -21,8 +20,8 @@
 }
 
 // Configure sets the most attempts that a request may have, the first included. The budget holds at most
-// what so many divided by sharePerRequest attempts cost: a burst of failures after a calm time is
-// bounded, too. What has been collected stays.
+// maxAttempts/sharePerRequest retries, so that a burst of failures after a calm time is bounded, too. What
+// has been collected stays.
 func (b *Budget) Configure(maxAttempts int) {
 	b.most = float64(maxAttempts) / sharePerRequest
 }
