--- a/internal/decision/lanes/lanes.go
+++ b/internal/decision/lanes/lanes.go
@@ -89,13 +89,19 @@
 		left -= g.members[g.split].weight
 		g.split++
 	}
-	g.largePart = min(left/g.members[g.split].weight, 1)
-	for lane := range Lane(laneCount) {
-		g.maxLaneWeight[lane] = 0
-		for i := range g.Len(lane) {
-			g.maxLaneWeight[lane] = max(g.maxLaneWeight[lane], g.laneWeight(lane, i))
-		}
+	shared := g.members[g.split].weight
+	g.largePart = min(left/shared, 1)
+	g.maxLaneWeight[Large] = max(greatestWeight(g.members[:g.split]), shared*g.largePart)
+	g.maxLaneWeight[Small] = max(greatestWeight(g.members[g.split+1:]), shared*(1-g.largePart))
+}
+
+// greatestWeight returns the greatest weight of the members, or 0 if there is none.
+func greatestWeight(members []*Member) float64 {
+	greatest := 0.0
+	for _, member := range members {
+		greatest = max(greatest, member.weight)
 	}
+	return greatest
 }
 
 // Len returns the number of members in a lane.
