--- a/admission.go
+++ b/admission.go
@@ -9,20 +9,20 @@
 )
 
 // newRequest opens a request: its deadlines, its expected work with the lane for it, its priority.
-func (b *Balancer) newRequest(now time.Duration, in Request) *request {
-	r := b.requests.add(in, &b.settings.Classes[in.Class])
+func (b *Balancer) newRequest(now time.Duration, arrival Request) *request {
+	r := b.requests.add(arrival, &b.settings.Classes[arrival.Class])
 	r.objective = min(now+r.class.LatencyObjective, r.Deadline)
 	r.queueDeadline = now + (r.Deadline-now)/2
-	expected := b.workload.Expect(in.Class, in.CostHint)
+	expected := b.workload.Expect(arrival.Class, arrival.CostHint)
 	r.work, r.lane = expected.Work, lanes.Small
 	if expected.Large {
 		r.lane = lanes.Large
 	}
 	standing := admission.WithinQuota
-	if !b.quotas.Take(now, in.Tenant) {
+	if !b.quotas.Take(now, arrival.Tenant) {
 		standing = admission.OverQuota
 	}
-	r.priority = admission.BandOf(in.Class, standing)
+	r.priority = admission.BandOf(arrival.Class, standing)
 	return r
 }
 
@@ -33,33 +33,6 @@
 	b.admission.RequestArrived(r.priority, r.work)
 }
 
-// dispatchOrQueue dispatches a request, lets it wait, or rejects it if it would have to wait too long.
-func (b *Balancer) dispatchOrQueue(now time.Duration, r *request) {
-	if b.dispatch(now, r) {
-		return
-	}
-	needs := min(b.latency.Needed(r.work), r.class.LatencyObjective/2)
-	latest := min(b.attemptDeadline(r)-needs, r.queueDeadline)
-	if now+2*b.tickInterval >= latest || b.queueTooLong(now, r) {
-		b.rejectOrFail(r)
-	}
-}
-
-// dispatchWaiting gives the capacity that has become free to the waiting requests.
-func (b *Balancer) dispatchWaiting(now time.Duration) {
-	for {
-		var first *request
-		for _, r := range b.requests.open {
-			if r.waiting() && (first == nil || b.precedes(r, first)) {
-				first = r
-			}
-		}
-		if first == nil || !b.dispatch(now, first) {
-			return
-		}
-	}
-}
-
 // precedes reports whether a waiting request is dispatched before another.
 func (b *Balancer) precedes(r, other *request) bool {
 	return b.admission.Precedes(r.place(), other.place())
--- a/balancer.go
+++ b/balancer.go
@@ -4,8 +4,17 @@
 	"math/rand/v2"
 	"time"
 
+	"piernotch/internal/decision/admission"
 	"piernotch/internal/decision/concurrency"
+	"piernotch/internal/decision/estimate"
 	"piernotch/internal/decision/lanes"
+	"piernotch/internal/decision/latency"
+	"piernotch/internal/decision/loadreport"
+	"piernotch/internal/decision/outlier"
+	"piernotch/internal/decision/quota"
+	"piernotch/internal/decision/retrybudget"
+	"piernotch/internal/decision/slowstart"
+	"piernotch/internal/decision/subscription"
 	"piernotch/internal/decision/workload"
 )
 
@@ -13,17 +22,62 @@
 	ticksPerObjective = 16.0 // ticks within the shortest latency objective
 	serversPerTick    = 256  // servers that can be reviewed at every tick
 	tickToken         = 1    // of the timer that ticks
+	ticksToDispatch   = 2    // within which a waiting request is looked at again for certain
+
+	// lightWorkShare is the share of its objective below which a request's work is light: only such
+	// requests show by their latency whether there is too much load.
+	lightWorkShare = 1.0 / 4
+	// seedMix makes the two halves of the generator's seed differ: 2^64 divided by the golden ratio.
+	seedMix = 0x9e3779b97f4a7c15
 )
 
+// Balancer makes the decisions of one process. Its methods must not be called concurrently, nor
+// from within a call of its Host.
+type Balancer struct {
+	settings          Settings
+	host              Host
+	rng               *rand.Rand
+	started           bool          // the first event has come
+	tickInterval      time.Duration // time between ticks
+	ticks             int
+	shortestObjective time.Duration // the least LatencyObjective of all classes
+
+	// What there is: servers, the groups of them that may get requests, and requests.
+	endpoints   endpointSet
+	groups      [localityCount]group
+	groupsStale bool             // the groups no longer match the list and the ejections
+	levels      []selectionLevel // tried in turn
+	maxSpillers float64          // balancers of other zones that may spill to one server
+
+	requests requestTable
+
+	// What limits requests and attempts.
+	retryBudget retrybudget.Budget
+	admission   admission.Controller // shedding, priorities and the bound on the queue
+	quotas      quota.Limiter
+
+	windowSeed uint64 // makes this balancer's slow start draws differ from others'
+	slowStart  slowstart.Controller
+
+	// What is known of all traffic.
+	workload           workload.Model // the expected work of requests
+	latency            latency.Overall
+	laneBalance        lanes.Balance
+	sendRate           estimate.Rate // work sent per second
+	peakCompletionRate loadreport.PeakRate
+
+	subscription subscription.Schedule // to the endpoint list
+}
+
 // New returns a Balancer that acts through host, or an error that names the setting it cannot use. The
 // seed determines every random draw: equal seeds and events give equal actions.
-func New(s Settings, seed uint64, host Host) (*Balancer, error) {
-	if err := s.Validate(); err != nil {
+func New(settings Settings, seed uint64, host Host) (*Balancer, error) {
+	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
 	b := &Balancer{
-		settings: s, host: host, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		endpoints: newEndpointSet(s.Zone),
+		settings: settings, host: host, rng: rand.New(rand.NewPCG(seed, seed^seedMix)),
+		endpoints: newEndpointSet(settings.Zone),
 		requests:  newRequestTable(), workload: workload.New(),
 	}
 	if b.manyBalancers() {
@@ -53,12 +107,13 @@
 
 // HandleRequest takes a client's request, which gets one final answer unless its client leaves. It ignores
 // a request with an unknown class or the id of an open one.
-func (b *Balancer) HandleRequest(now time.Duration, in Request) {
+func (b *Balancer) HandleRequest(now time.Duration, arrival Request) {
 	b.ensureStarted(now)
-	if in.Class < 0 || in.Class >= len(b.settings.Classes) || b.requests.find(in.ID) != nil {
+	unknownClass := arrival.Class < 0 || arrival.Class >= len(b.settings.Classes)
+	if unknownClass || b.requests.find(arrival.ID) != nil {
 		return
 	}
-	r := b.newRequest(now, in)
+	r := b.newRequest(now, arrival)
 	b.observeArrival(r)
 	b.retryBudget.RequestArrived()
 	if b.admission.ShedsArrival(r.priority, b.rng.Float64()) {
@@ -69,15 +124,18 @@
 }
 
 // HandleOutcome takes the end of an attempt. One that is unknown or has ended already is ignored.
-func (b *Balancer) HandleOutcome(now time.Duration, o Outcome) {
+func (b *Balancer) HandleOutcome(now time.Duration, outcome Outcome) {
 	b.ensureStarted(now)
-	r := b.requests.find(o.ID)
-	if r == nil || r.findOpenAttempt(o.Attempt) == nil {
+	r := b.requests.find(outcome.ID)
+	if r == nil || r.findOpenAttempt(outcome.Attempt) == nil {
 		return
 	}
-	b.recordOutcome(now, r, b.endAttempt(r, o), o)
-	r.done = r.done || o.Closed
-	b.retryOrAnswer(now, r, o.Status)
+	ended := b.endAttempt(r, outcome)
+	b.recordOutcome(now, r, ended, outcome)
+	if outcome.Closed {
+		r.markDone()
+	}
+	b.retryOrAnswer(now, r, outcome.Status)
 	b.dispatchWaiting(now)
 }
 
@@ -97,11 +155,22 @@
 		return
 	}
 	if responding := r.findOpenAttempt(attemptNumber); responding != nil {
-		r.streaming = true
+		r.markStreaming()
 		responding.server.lastAnswerAt = now
 	}
 }
 
+// AttemptAllowed reports whether an attempt may still be written now that it has a connection. Meanwhile its
+// request may have been answered, its server be draining, or the class's deduplication window have closed.
+func (b *Balancer) AttemptAllowed(now time.Duration, id RequestID, attemptNumber int) bool {
+	r := b.requests.find(id)
+	if r == nil || r.done || now >= r.Deadline {
+		return false
+	}
+	started := r.findAttempt(attemptNumber)
+	return started != nil && started.server.available() && r.mayWriteAttempt(now, attemptNumber)
+}
+
 // Timer runs a tick: it reviews the servers, the shedding and every open request.
 func (b *Balancer) Timer(now time.Duration, token uint32) {
 	b.ensureStarted(now)
@@ -148,6 +217,179 @@
 	}
 }
 
+// dispatchOrQueue dispatches a request, lets it wait, or rejects it if it would have to wait too long.
+func (b *Balancer) dispatchOrQueue(now time.Duration, r *request) {
+	if b.dispatch(now, r) {
+		return
+	}
+	timeNeeded := min(b.latency.Needed(r.work), r.class.LatencyObjective/2)
+	latestDispatch := min(b.attemptDeadline(r)-timeNeeded, r.queueDeadline)
+	missesLatest := now+ticksToDispatch*b.tickInterval >= latestDispatch
+	if missesLatest || b.queueTooLong(now, r) {
+		b.rejectOrFail(r)
+	}
+}
+
+// dispatchWaiting gives the capacity that has become free to the waiting requests.
+func (b *Balancer) dispatchWaiting(now time.Duration) {
+	for {
+		var first *request
+		for _, r := range b.requests.open {
+			if r.waiting() && (first == nil || b.precedes(r, first)) {
+				first = r
+			}
+		}
+		if first == nil || !b.dispatch(now, first) {
+			return
+		}
+	}
+}
+
+// dispatch starts an attempt of the request, or returns false if no server can take it now.
+func (b *Balancer) dispatch(now time.Duration, r *request) bool {
+	if b.groupsStale {
+		b.rebuildGroups(now)
+	}
+	target := b.selectServer(now, r)
+	if target == nil {
+		return false
+	}
+	b.startAttempt(now, r, target)
+	return true
+}
+
+// mayStartAttempt is the guard that every attempt passes. No other function knows these rules.
+func (b *Balancer) mayStartAttempt(now time.Duration, r *request, target *server) bool {
+	limits := &b.settings.Limits
+	if !r.answerable() || now >= r.Deadline || len(r.attempts) >= limits.MaxAttempts {
+		return false
+	}
+	mayHedge := limits.HedgedRequests && r.class.RetrySafety != NonIdempotent
+	if !target.available() || r.inflight > 0 && !mayHedge {
+		return false
+	}
+	if first := r.firstMaybeExecuted(); first != nil && !r.mayRepeatOn(now, first, target) {
+		return false
+	}
+	if !target.outlier.AllowsAttempt(now, b.outlierOptions()) {
+		return false
+	}
+	if target.warm() {
+		return !b.groups[target.locality].concurrency.Reached()
+	}
+	return b.slowStartAllows(now, r, target)
+}
+
+// startAttempt sends the request to the server. The guard has allowed it.
+func (b *Balancer) startAttempt(now time.Duration, r *request, target *server) {
+	target.attemptStarted(r.work)
+	target.classFailures.RecordSend(now, r.Class)
+	b.sendRate.Add(now, r.work)
+	if len(r.attempts) == 0 {
+		b.admission.RequestForwarded(r.priority, r.work)
+	}
+	if target.warm() {
+		b.groups[target.locality].concurrency.Started()
+		b.groups[target.locality].sendRate.Add(now, r.work)
+	} else {
+		b.slowStart.RecordSend(now, &target.slowStart, b.slowStartLoad(now, target))
+	}
+	target.outlier.AttemptStarted()
+	r.attemptStarted(now, target)
+	b.host.StartAttempt(r.ID, target.ID, b.attemptDeadline(r)-now)
+}
+
+// attemptDeadline is when an answer is no longer worth the server's work.
+func (b *Balancer) attemptDeadline(r *request) time.Duration {
+	if r.class.LateWeightShare > 0 && !b.admission.Shedding() {
+		return r.Deadline
+	}
+	return r.objective
+}
+
+// endAttempt records the end of an attempt and takes it off the counts of what is in flight.
+func (b *Balancer) endAttempt(r *request, outcome Outcome) *attempt {
+	ended := r.attemptEnded(outcome.Attempt, outcome.Status)
+	target := ended.server
+	target.attemptEnded(r.work)
+	if ended.warm {
+		b.groups[target.locality].concurrency.Ended()
+	}
+	return ended
+}
+
+// recordOutcome updates what the outcome shows of the server and its group.
+func (b *Balancer) recordOutcome(now time.Duration, r *request, ended *attempt, outcome Outcome) {
+	target := ended.server
+	target.outlier.AttemptEnded()
+	serverAnswered := outcome.Status == OK || outcome.Status == Full || outcome.Status == Error
+	if serverAnswered {
+		target.lastAnswerAt = now
+	}
+	recordClassOutcome(r, ended, outcome)
+	serverSilent := target.lastAnswerAt < ended.sentAt
+	switch {
+	case outcome.Status == Timeout && serverSilent:
+		// Its server was silent, which no tick has noticed yet: late, but no reason to shed.
+		b.admission.ObserveSilence(int(target.locality))
+		b.recordFailure(now, target, outlier.SilentTimeout)
+	case outcome.Status == Timeout:
+		b.recordLatency(now, r, target, outcome.Latency)
+	case outcome.Status == OK:
+		b.workload.ObserveAnswer(r.Class, outcome.Latency)
+		b.recordLatency(now, r, target, outcome.Latency)
+		b.recordGoodResponse(now, target)
+	case outcome.Status == Full:
+		// A server that rejects everything must neither attract requests nor make the group look late.
+		b.recordFailure(now, target, outlier.BadResponse)
+		b.observeAnswer(b.admission.Step(now), admission.Answer{Locality: int(target.locality), Late: true})
+	case outcome.Status == ConnectFailed:
+		b.recordFailure(now, target, outlier.ConnectFailure)
+	case outcome.Status == Error, outcome.Status == Reset:
+		b.recordFailure(now, target, outlier.BadResponse)
+	}
+}
+
+// recordLatency updates the latency estimates, and moves the lanes and shedding by what is late.
+func (b *Balancer) recordLatency(now time.Duration, r *request, target *server, took time.Duration) {
+	objective := r.class.LatencyObjective.Seconds() * 1000
+	queueing := b.observeLatency(r, target, took)
+	step := b.admission.Step(now)
+	b.laneBalance.Observe(lanes.Answer{
+		Lane: r.lane, Late: queueing > objective/2, MaxStep: step, LargeWorkShare: b.workload.LargeShare(),
+	})
+	if r.work < lightWorkShare*objective { // a heavy request is late on an idle server, too
+		b.observeAnswer(step, admission.Answer{
+			Locality: int(target.locality), Late: took > r.class.LatencyObjective/2,
+		})
+	}
+}
+
+// retryOrAnswer retries a request after an attempt, or gives the final answer if none is in flight.
+func (b *Balancer) retryOrAnswer(now time.Duration, r *request, status Status) {
+	switch {
+	case r.done:
+		b.requests.releaseIfFinished(r)
+	case status != Timeout && b.mayRetry(now, r) && b.dispatch(now, r):
+		b.retryBudget.Spend()
+	case r.inflight == 0:
+		b.rejectOrFail(r)
+	}
+}
+
+// hedge starts a second attempt of a request whose first is overdue, once and not while shedding.
+func (b *Balancer) hedge(now time.Duration, r *request) {
+	if !r.hedged && !b.admission.Shedding() && b.mayRetry(now, r) && b.dispatch(now, r) {
+		r.markHedged()
+		b.retryBudget.Spend()
+	}
+}
+
+// mayRetry reports whether the budget has a retry left and the request can still be in time.
+func (b *Balancer) mayRetry(now time.Duration, r *request) bool {
+	return b.retryBudget.Available() && now < r.objective
+}
+
 // rejectOrFail gives the final answer: rejected if trying again is certain to do no harm, else failed.
 func (b *Balancer) rejectOrFail(r *request) {
 	if r.repeatIsHarmless() {
@@ -160,7 +402,7 @@
 
 // closeRequest ends a request that needs no further answer, and cancels its open attempts.
 func (b *Balancer) closeRequest(r *request) {
-	r.done = true
+	r.markDone()
 	if b.settings.Limits.CancelAttempts && !r.streaming {
 		for i := range r.attempts {
 			if !r.attempts[i].ended {
--- a/class_failures.go
+++ b/class_failures.go
@@ -3,10 +3,10 @@
 import "piernotch/internal/decision/classfailure"
 
 // recordClassOutcome updates what the outcome shows of the server for the request's class.
-func recordClassOutcome(r *request, t *attempt, o Outcome) {
-	t.server.classFailures.RecordAttempt(r.Class, classfailure.Attempt{
-		Result: classResult(o.Status), Latency: o.Latency, Objective: r.class.LatencyObjective,
-		AnswersOthers: t.server.lastAnswerAt >= t.sentAt,
+func recordClassOutcome(r *request, ended *attempt, outcome Outcome) {
+	ended.server.classFailures.RecordAttempt(r.Class, classfailure.Attempt{
+		Result: classResult(outcome.Status), Latency: outcome.Latency, Objective: r.class.LatencyObjective,
+		AnswersOthers: ended.server.lastAnswerAt >= ended.sentAt,
 	})
 }
 
--- a/doc.go
+++ b/doc.go
@@ -20,42 +20,46 @@
 // hint, below or above the median). While answers come late everywhere, a share of the requests is rejected,
 // lowest precedence first (internal/decision/admission). The others go to a server (selection.go): the own
 // zone up to a small load on each server, then other zones; in each, the server that rendezvous hashing picks
-// for the request's key, or else the next in weighted round robin that is expected to answer in time. If none has
-// capacity, the request waits for the next tick or the next answer.
+// for the request's key, or else the next in weighted round robin that is expected to answer in time. If none
+// has capacity, the request waits for the next tick or the next answer.
 //
-// One guard, mayStartAttempt, allows or denies every attempt (attempts.go): the class's retry safety, the
+// One guard, mayStartAttempt, allows or denies every attempt (balancer.go): the class's retry safety, the
 // number of attempts, draining, ejection, slow start and the concurrency limit. Retries and hedged requests
 // spend a budget. A timer ticks a few times within the shortest latency objective, finds overdue attempts and
 // reviews the servers.
 //
 // # Files
 //
-// The decisions are in the files that `policy` in deploy/balancer.toml lists:
-//
-//   - balancer.go: construction, events and the tick
-//   - admission.go: what is known of a request on arrival, and the waiting requests
-//   - selection.go: which server a request gets, weights and lanes
-//   - attempts.go: the guard, retries, hedging and what outcomes lead to
-//   - outlier_ejection.go: ejection, health checks and trials
-//   - slow_start.go: the pace of requests to a server that has started lately
-//   - concurrency_limits.go: the limit on attempts in flight in a group
-//   - endpoints.go: the list of servers
-//   - class_failures.go: what attempts show of a server for one class
-//   - latencies.go: what answers show of servers, and what a request probably takes
-//   - load_reports.go: bounds by load reports on what all balancers send
-//   - internal/decision/admission: shedding, priorities and the bound on the queue
-//   - internal/decision/classfailure: which classes one server fails while it serves others
-//   - internal/decision/concurrency: how many attempts this balancer has in flight in a group
-//   - internal/decision/latency: how long servers take, and from when on their silence counts
-//   - internal/decision/loadreport: what all balancers have at the servers, by their load reports
-//   - internal/decision/outlier: when a failing server is ejected and when it may return
-//   - internal/decision/quota: which requests are over their tenant's quota
-//   - internal/decision/retrybudget: how many retries and hedged requests may be sent
-//   - internal/decision/slowstart: how much work a server gets that started lately
-//   - internal/decision/subscription: when to subscribe to the endpoint list
-//   - internal/decision/workload: how much work requests probably mean
-//
-// Beside them stand the interface (piernotch.go, settings.go), the records (state.go), and
-// what operators ask for while the program runs (exclusion.go, snapshot.go).
-// internal/decision/estimate has the arithmetic that several of the components share.
+// balancer.go is the place to start: the Balancer coordinates, from an event to what its host is asked to do.
+// It calls, in the order of a request's life,
+//
+//   - requests.go: the records of open requests, and whether one may be repeated
+//   - admission.go: what is known of a request on arrival, and which waiting request is next
+//   - selection.go: which server a request gets
+//   - groups.go: the servers that may get requests, their weights and the limit on attempts there
+//   - class_failures.go, latencies.go, load_reports.go, outlier_ejection.go, slow_start.go: what attempts and
+//     reports show of a server, and what follows from it; each is the border to a component
+//   - endpoints.go, endpoint_set.go: the endpoint list, and what operators exclude from it
+//   - configure.go: what follows from the settings, on construction and when they change
+//
+// The components are packages under internal/decision. Each alone owns its state, and none imports this
+// package:
+//
+//   - admission: shedding, priorities and the bound on the queue
+//   - classfailure: which classes one server fails while it serves others
+//   - concurrency: how many attempts this balancer has in flight in a group
+//   - estimate: the arithmetic that several components share
+//   - lanes: turns of servers, for light and for heavy requests, and the server for a key
+//   - latency: how long servers take, and from when on their silence counts
+//   - loadreport: what all balancers have at the servers, by their load reports
+//   - outlier: when a failing server is ejected and when it may return
+//   - quota: which requests are over their tenant's quota
+//   - retrybudget: how many retries and hedged requests may be sent
+//   - slowstart: how much work a server gets that started lately
+//   - subscription: when to subscribe to the endpoint list
+//   - workload: how much work requests probably mean
+//
+// Beside them stand the interface (piernotch.go), the settings (settings.go), what a balancer hands to its
+// successor (snapshot.go) and the line for the log (state_line.go). `policy` in deploy/balancer.toml lists
+// the files that decide; docs/design/decisions.md says what each part decides and which state it owns.
 package piernotch
--- a/endpoint_set.go
+++ b/endpoint_set.go
@@ -3,8 +3,14 @@
 import (
 	"cmp"
 	"slices"
+	"time"
 
+	"piernotch/internal/decision/classfailure"
+	"piernotch/internal/decision/lanes"
 	"piernotch/internal/decision/latency"
+	"piernotch/internal/decision/loadreport"
+	"piernotch/internal/decision/outlier"
+	"piernotch/internal/decision/slowstart"
 )
 
 // locality is where a server is, as seen from this balancer. There is a group of servers for each.
@@ -18,9 +24,6 @@
 
 const localityCount = 2
 
-// other returns the other locality.
-func (l locality) other() locality { return remoteZones - l }
-
 // endpointSet owns which servers there are: what the endpoint list says, what operators exclude, and what
 // follows from both for a group of servers. Its methods are the only ones that change it.
 type endpointSet struct {
@@ -57,6 +60,13 @@
 	s.sorted = append(s.sorted, added)
 }
 
+// update takes the new entry of a listed server, and reports whether its process is a new one.
+func (s *endpointSet) update(target *server, entry Endpoint) (restarted bool) {
+	restarted = entry.StartedAt != target.StartedAt
+	target.Endpoint = entry
+	return restarted
+}
+
 // markGone marks the servers that a full list does not name.
 func (s *endpointSet) markGone(named map[ServerID]bool) {
 	for _, target := range s.sorted {
@@ -110,3 +120,40 @@
 	}
 	return target
 }
+
+// server is one listed server.
+type server struct {
+	Endpoint
+	excluded      bool   // by operators
+	idHash        uint64 // for rendezvous hashing and slow start draws
+	locality      locality
+	spillRank     float64       // random in [0, 1): shares out the spill of balancers
+	path          *latency.Path // to its zone
+	member        lanes.Member  // of its locality's group
+	inflight      int           // this balancer's attempts
+	backlog       float64       // work of these, ms
+	latency       latency.Server
+	reports       loadreport.Reports // by which it holds requests of other balancers
+	lastAnswerAt  time.Duration      // when it last answered anything
+	classFailures classfailure.Shares
+	slowStart     slowstart.Progress
+	outlier       outlier.Monitor // its failures and ejections
+}
+
+// warm reports whether the server is not in slow start.
+func (target *server) warm() bool { return target.slowStart.Warm() }
+
+// attemptStarted counts an attempt of so much work, in ms, that goes to the server.
+func (target *server) attemptStarted(work float64) {
+	target.inflight++
+	target.backlog += work
+}
+
+// attemptEnded takes an attempt off what the server has of this balancer's.
+func (target *server) attemptEnded(work float64) {
+	target.inflight--
+	target.backlog = max(target.backlog-work, 0)
+}
+
+// available reports whether the list and the operators allow new requests to the server.
+func (target *server) available() bool { return target.State == Ready && !target.excluded }
--- a/endpoints.go
+++ b/endpoints.go
@@ -17,9 +17,9 @@
 		return
 	}
 	named := make(map[ServerID]bool, len(entries))
-	for _, e := range entries {
-		named[e.ID] = true
-		b.applyEndpoint(now, e)
+	for _, entry := range entries {
+		named[entry.ID] = true
+		b.applyEndpoint(now, entry)
 	}
 	if kind != UpdateDelta {
 		b.endpoints.markGone(named)
@@ -32,20 +32,19 @@
 }
 
 // applyEndpoint adds or updates one server. A new start time is a new process, which has not failed yet.
-func (b *Balancer) applyEndpoint(now time.Duration, e Endpoint) {
-	if !(e.Size > 0) || math.IsInf(e.Size, 0) {
-		e.Size = 1
+func (b *Balancer) applyEndpoint(now time.Duration, entry Endpoint) {
+	sizeUsable := entry.Size > 0 && !math.IsInf(entry.Size, 0)
+	if !sizeUsable {
+		entry.Size = 1
 	}
-	target := b.endpoints.find(e.ID)
+	target := b.endpoints.find(entry.ID)
 	if target == nil {
-		if e.State != Gone {
-			b.slowStartIfYoung(now, b.addServer(e))
+		if entry.State != Gone {
+			b.slowStartIfYoung(now, b.addServer(entry))
 		}
 		return
 	}
-	restarted := e.StartedAt != target.StartedAt
-	target.Endpoint = e
-	if restarted {
+	if b.endpoints.update(target, entry) {
 		target.outlier.Reset()
 		b.slowStartIfYoung(now, target)
 	}
@@ -61,3 +60,28 @@
 	b.endpoints.add(added)
 	return added
 }
+
+// Exclude keeps new requests from a server until Include, whatever the list says of it meanwhile and
+// whether or not it is listed. Attempts in flight there may end. To exclude it again changes nothing.
+func (b *Balancer) Exclude(now time.Duration, id ServerID) {
+	b.ensureStarted(now)
+	if b.endpoints.exclude(id) != nil {
+		b.rebuildGroups(now)
+	}
+}
+
+// Include ends an exclusion at the clock time since. The server was excluded to be restarted, which the
+// list may not show yet: its slow start counts from since, or from a later start in the list.
+func (b *Balancer) Include(now time.Duration, id ServerID, since time.Duration) {
+	b.ensureStarted(now)
+	target := b.endpoints.include(id)
+	if target == nil {
+		return
+	}
+	target.outlier.Reset()
+	since = max(since, target.StartedAt)
+	if b.slowStart.Covers(now, since) {
+		b.startSlowStart(now, target, since)
+	}
+	b.rebuildGroups(now)
+}
--- /dev/null
+++ b/groups.go
@@ -0,0 +1,76 @@
+package piernotch
+
+import (
+	"time"
+
+	"piernotch/internal/decision/concurrency"
+	"piernotch/internal/decision/estimate"
+	"piernotch/internal/decision/lanes"
+	"piernotch/internal/decision/latency"
+)
+
+// fewBalancersPerZone is the number of balancers for each zone up to which each one's own bounds suffice.
+const fewBalancersPerZone = 4.0
+
+// manyBalancers reports whether there are too many balancers for each one's own bounds to suffice.
+func (b *Balancer) manyBalancers() bool {
+	return float64(b.settings.BalancerCount) > fewBalancersPerZone*float64(len(b.settings.Zones))
+}
+
+// group is the servers of one locality that may get requests.
+type group struct {
+	members  []*server   // by id
+	lanes    lanes.Group // of the members, in the same order
+	warmSize float64     // sum of the sizes of its warm members
+
+	sendRate estimate.Rate // work sent to its warm members per second
+	latency  latency.Group
+
+	concurrency concurrency.Limit // on this balancer's attempts at its warm members
+	meanOthers  float64           // mean over its members of other balancers' requests
+}
+
+// rebuildGroups assigns the servers that may get requests to the local and the remote group.
+func (b *Balancer) rebuildGroups(now time.Duration) {
+	b.groupsStale = false
+	for i := range b.groups {
+		b.groups[i].members = b.groups[i].members[:0]
+	}
+	options := b.outlierOptions()
+	for _, target := range b.endpoints.sorted {
+		if target.available() && target.outlier.Eligible(now, options) {
+			g := &b.groups[target.locality]
+			g.members = append(g.members, target)
+		}
+	}
+	for i := range b.groups {
+		b.updateWeights(now, &b.groups[i])
+		b.groups[i].lanes.Split(b.laneBalance.LargeShare(b.workload.LargeShare()))
+	}
+}
+
+// updateWeights weighs a group's members by size, slow start and latency.
+func (b *Balancer) updateWeights(now time.Duration, g *group) {
+	g.warmSize, g.meanOthers = 0, 0
+	g.lanes.Reset()
+	for _, target := range g.members {
+		weight := target.Size * b.slowStart.CapacityShare(now, &target.slowStart)
+		weight *= target.latency.WeightFactor(&g.latency)
+		g.lanes.Add(&target.member, weight)
+		g.meanOthers += target.reports.MeanOthers() / float64(len(g.members))
+		if target.warm() {
+			g.warmSize += target.Size
+		}
+	}
+}
+
+// adjustConcurrencyLimit moves the limit on this balancer's requests in a group by the mean of all balancers'
+// requests at its servers. Few balancers need no limit.
+func (b *Balancer) adjustConcurrencyLimit(now time.Duration, g *group) {
+	meanInflight, known := b.meanInflight(now, g)
+	if known && b.manyBalancers() {
+		g.concurrency.Adjust(b.tickInterval, meanInflight)
+	} else {
+		g.concurrency.Remove(b.tickInterval)
+	}
+}
--- a/outlier_ejection.go
+++ b/outlier_ejection.go
@@ -17,13 +17,13 @@
 // answered nothing since they got it. One that answered others is only slow with this one.
 func (b *Balancer) ejectSilent(now time.Duration, r *request) (overdue bool) {
 	for i := range r.attempts {
-		t := &r.attempts[i]
-		target := t.server
-		if t.ended || now-t.sentAt < b.silenceTimeout(&b.groups[target.locality], r.work) {
+		sent := &r.attempts[i]
+		target := sent.server
+		if sent.ended || now-sent.sentAt < b.silenceTimeout(&b.groups[target.locality], r.work) {
 			continue
 		}
 		overdue = true
-		if target.lastAnswerAt < t.sentAt && !target.outlier.Ejected() {
+		if target.lastAnswerAt < sent.sentAt && !target.outlier.Ejected() {
 			b.eject(now, target)
 		}
 	}
--- a/policy_size_test.go
+++ b/policy_size_test.go
@@ -19,12 +19,11 @@
 
 // Every file at the root decides something, except for these.
 var rootFilesThatDoNotDecide = []string{
-	"doc.go",       // package comment
-	"exclusion.go", // what operators exclude
-	"piernotch.go", // types of the interface
-	"settings.go",  // validation of settings
-	"snapshot.go",  // what a balancer hands to its successor
-	"state.go",     // records
+	"doc.go",        // package comment
+	"piernotch.go",  // types of the interface
+	"settings.go",   // validation of settings
+	"snapshot.go",   // what a balancer hands to its successor
+	"state_line.go", // text for the log
 }
 
 // The operators review the files that decide by the list `policy` in deploy/balancer.toml. The list is
--- a/requests.go
+++ b/requests.go
@@ -91,6 +91,15 @@
 // answerable reports whether the request still needs an answer and none is being forwarded.
 func (r *request) answerable() bool { return !r.done && !r.streaming }
 
+// markDone records that the request needs no answer any more.
+func (r *request) markDone() { r.done = true }
+
+// markStreaming records that a response is being forwarded.
+func (r *request) markStreaming() { r.streaming = true }
+
+// markHedged records that a hedged attempt has been sent.
+func (r *request) markHedged() { r.hedged = true }
+
 // attemptStarted records an attempt that goes to the server now.
 func (r *request) attemptStarted(now time.Duration, target *server) {
 	r.attempts = append(r.attempts, attempt{server: target, sentAt: now, warm: target.warm()})
--- a/selection.go
+++ b/selection.go
@@ -16,13 +16,10 @@
 	turnRounds             = 3    // of a lane's members, in search of one with the credit for a turn
 )
 
-// search is the choice of a server in one lane of a group.
-type search struct {
-	now     time.Duration
-	request *request
-	group   *group
-	lane    lanes.Lane
-	maxLoad float64 // exclusive bound on the effective load
+// selectionLevel is a group whose members may get a request up to a load of this balancer's.
+type selectionLevel struct {
+	locality locality
+	maxLoad  float64 // exclusive
 }
 
 // selectionLevels returns the levels that are tried in turn: the own zone, up to a small load, and then the
@@ -37,17 +34,13 @@
 	return levels
 }
 
-// dispatch starts an attempt of the request, or returns false if no server can take it now.
-func (b *Balancer) dispatch(now time.Duration, r *request) bool {
-	if b.groupsStale {
-		b.rebuildGroups(now)
-	}
-	target := b.selectServer(now, r)
-	if target == nil {
-		return false
-	}
-	b.startAttempt(now, r, target)
-	return true
+// search is the choice of a server in one lane of a group.
+type search struct {
+	now     time.Duration
+	request *request
+	group   *group
+	lane    lanes.Lane
+	maxLoad float64 // exclusive bound on the effective load
 }
 
 // selectServer tries the levels in turn, in each of them the request's own lane first.
@@ -157,37 +150,3 @@
 func (b *Balancer) reservedForOtherZones(target *server) bool {
 	return b.spills(target) && target.spillRank*float64(b.settings.BalancerCount-1) > b.maxSpillers
 }
-
-// rebuildGroups assigns the servers that may get requests to the local and the remote group.
-func (b *Balancer) rebuildGroups(now time.Duration) {
-	b.groupsStale = false
-	for i := range b.groups {
-		b.groups[i].members = b.groups[i].members[:0]
-	}
-	options := b.outlierOptions()
-	for _, target := range b.endpoints.sorted {
-		if target.available() && target.outlier.Eligible(now, options) {
-			g := &b.groups[target.locality]
-			g.members = append(g.members, target)
-		}
-	}
-	for i := range b.groups {
-		b.updateWeights(now, &b.groups[i])
-		b.groups[i].lanes.Split(b.laneBalance.LargeShare(b.workload.LargeShare()))
-	}
-}
-
-// updateWeights weighs a group's members by size, slow start and latency.
-func (b *Balancer) updateWeights(now time.Duration, g *group) {
-	g.warmSize, g.meanOthers = 0, 0
-	g.lanes.Reset()
-	for _, target := range g.members {
-		weight := target.Size * b.slowStart.CapacityShare(now, &target.slowStart)
-		weight *= target.latency.WeightFactor(&g.latency)
-		g.lanes.Add(&target.member, weight)
-		g.meanOthers += target.reports.MeanOthers() / float64(len(g.members))
-		if target.warm() {
-			g.warmSize += target.Size
-		}
-	}
-}
--- a/settings.go
+++ b/settings.go
@@ -1,14 +1,6 @@
 package piernotch
 
-import (
-	"fmt"
-	"slices"
-	"time"
-
-	"piernotch/internal/decision/admission"
-	"piernotch/internal/decision/quota"
-	"piernotch/internal/decision/subscription"
-)
+import "fmt"
 
 // SettingsError is a setting that cannot be used.
 type SettingsError struct {
@@ -39,7 +31,8 @@
 	case s.Rules.SlowStartDuration < 0 || s.Rules.PollInterval < 0 || s.Rules.OverloadWindow < 0:
 		return settingsError("Rules", "rules: negative time")
 	case !(s.Rules.SlowStartCapacity >= 0 && s.Rules.SlowStartCapacity <= 1):
-		return settingsError("Rules.SlowStartCapacity", "rules: slow start capacity is %v", s.Rules.SlowStartCapacity)
+		return settingsError("Rules.SlowStartCapacity", "rules: slow start capacity is %v",
+			s.Rules.SlowStartCapacity)
 	}
 	for i, c := range s.Classes {
 		if err := c.validate(i); err != nil {
@@ -58,86 +51,12 @@
 func (c Class) validate(i int) error {
 	setting := fmt.Sprintf("Classes[%d]", i)
 	if c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.DedupWindow < 0 {
-		return settingsError(setting, "classes[%d]: latency objective %v, deadline %v, deduplication window %v",
-			i, c.LatencyObjective, c.Deadline, c.DedupWindow)
+		return settingsError(setting,
+			"classes[%d]: latency objective %v, deadline %v, deduplication window %v", i, c.LatencyObjective, c.Deadline, c.DedupWindow)
 	}
 	if !(c.PriorityWeight >= 0) || !(c.LateWeightShare >= 0) {
-		return settingsError(setting, "classes[%d]: priority weight %v, late weight share %v", i, c.PriorityWeight, c.LateWeightShare)
+		return settingsError(setting, "classes[%d]: priority weight %v, late weight share %v",
+			i, c.PriorityWeight, c.LateWeightShare)
 	}
 	return nil
 }
-
-// UpdateSettings replaces the settings while requests are open, or returns a *SettingsError and changes
-// nothing. A class keeps its index: those in use must stay in their places, and
-// new ones follow them. Zones and the number of tenants cannot change. Open requests keep the class that they
-// came with.
-func (b *Balancer) UpdateSettings(now time.Duration, s Settings) error {
-	if err := s.Validate(); err != nil {
-		return err
-	}
-	inUse := len(b.settings.Classes)
-	switch {
-	case len(s.Classes) < inUse:
-		return settingsError("Classes", "%d classes, the %d in use must keep their places", len(s.Classes), inUse)
-	case s.Zone != b.settings.Zone || !slices.Equal(s.Zones, b.settings.Zones):
-		return settingsError("Zones", "zones cannot change while the program runs")
-	case len(s.Tenants) != len(b.settings.Tenants):
-		return settingsError("Tenants", "tenants cannot change while the program runs")
-	}
-	b.ensureStarted(now)
-	s.Classes = slices.Clone(s.Classes) // open requests point to theirs
-	b.settings = s
-	b.deriveFromSettings()
-	for _, target := range b.endpoints.sorted {
-		target.classFailures.Grow(len(s.Classes))
-	}
-	return nil
-}
-
-// deriveFromSettings sets what the balancer derives from its settings.
-func (b *Balancer) deriveFromSettings() {
-	s := &b.settings
-	b.shortestObjective = s.Classes[0].LatencyObjective
-	for _, c := range s.Classes {
-		b.shortestObjective = min(b.shortestObjective, c.LatencyObjective)
-	}
-	b.tickInterval = max(s.Tick, time.Duration(float64(b.shortestObjective)/ticksPerObjective))
-	b.subscription.Configure(subscription.Options{
-		Subscribe: s.PollDiscovery, PollInterval: s.Rules.PollInterval,
-	})
-	b.maxSpillers = max(minSpillers, spillerShare*float64(s.BalancerCount))
-	b.slowStart = b.newSlowStart()
-	b.levels = selectionLevels(s.BalancerCount)
-	b.workload.EnsureClasses(len(s.Classes))
-	b.retryBudget.Configure(s.Limits.MaxAttempts)
-	b.quotas.Configure(quota.Options{PerSecond: s.quotasPerSecond(), BalancerCount: s.BalancerCount})
-	b.admission.Configure(b.admissionOptions())
-	b.updateExpectedWork()
-}
-
-// admissionOptions returns what the settings say of admission.
-func (b *Balancer) admissionOptions() admission.Options {
-	s := &b.settings
-	options := admission.Options{
-		ShortestObjective: b.shortestObjective,
-		TickInterval:      b.tickInterval,
-		OverQuotaWeight:   s.OverQuotaWeight,
-		WeightPerRequest:  s.WeightPerRequest,
-		PreventStarvation: b.manyBalancers(),
-		AdviseRetryAfter:  s.Limits.RetryAfter,
-		MaxRetryAfter:     s.Limits.MaxRetryAfter,
-	}
-	for _, class := range s.Classes {
-		options.ClassWeights = append(options.ClassWeights, class.PriorityWeight)
-	}
-	return options
-}
-
-// quotasPerSecond returns the quotas of all tenants.
-func (s *Settings) quotasPerSecond() []float64 {
-	var quotas []float64
-	for _, tenant := range s.Tenants {
-		quotas = append(quotas, tenant.QuotaPerSec)
-	}
-	return quotas
-}
--- /dev/null
+++ b/state_line.go
@@ -0,0 +1,25 @@
+package piernotch
+
+import "fmt"
+
+// String describes the state in one line, for a log.
+func (b *Balancer) String() string {
+	text := fmt.Sprintf("open=%d shed_share=%.2f latency_per_work=%.2f retry_budget=%.1f "+
+		"median_cost_hint=%.1f mean_work=%.1f peak_completion_rate=%.1f",
+		len(b.requests.open), b.admission.ShedShare(), b.latency.PerWork(), b.retryBudget.Left(),
+		b.workload.MedianHint(), b.workload.Mean(), b.peakCompletionRate.PerSecond())
+	for i := range b.groups {
+		g := &b.groups[i]
+		inSlowStart := 0
+		for _, target := range g.members {
+			if !target.warm() {
+				inSlowStart++
+			}
+		}
+		text += fmt.Sprintf(" | members=%d slow_start=%d inflight=%d inflight_limit=%.1f "+
+			"others_inflight=%.1f late_share=%.2f queueing_delay=%.0f latency=%.0f",
+			len(g.members), inSlowStart, g.concurrency.Inflight(), g.concurrency.Bound(), g.meanOthers,
+			b.admission.LateShare(i), g.latency.QueueingMean(), g.latency.Mean())
+	}
+	return text
+}
