--- a/settings_test.go
+++ b/settings_test.go
@@ -33,6 +33,22 @@
 	}
 }
 
+func TestSettingsErrorsNameSettingInOperatorsTerms(t *testing.T) {
+	for text, change := range map[string]func(*Settings){
+		"rules: slow start capacity is 2": func(s *Settings) { s.Rules.SlowStartCapacity = 2 },
+		"classes[1]: latency objective 0s, deadline 2s, deduplication window 1s": func(s *Settings) {
+			s.Classes[1].LatencyObjective = 0
+		},
+		"classes[0]: priority weight -1, late weight share 0": func(s *Settings) {
+			s.Classes[0].PriorityWeight = -1
+		},
+	} {
+		s := testSettings()
+		change(&s)
+		require.EqualError(t, s.Validate(), "settings: "+text)
+	}
+}
+
 func TestUpdateSettingsWithRequestsInFlight(t *testing.T) {
 	s := testSettings()
 	b, h := newTestBalancer(t, s, testEndpoints(3, 1))
--- /dev/null
+++ b/state_line_test.go
@@ -0,0 +1,21 @@
+package piernotch
+
+import (
+	"os"
+	"regexp"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// The operators read the line with the table of its keys in docs/ONCALL.md.
+func TestEachKeyOfStateLineIsExplainedToOperators(t *testing.T) {
+	b, _ := newTestBalancer(t, testSettings(), testEndpoints(2, 2))
+	pages, err := os.ReadFile("docs/ONCALL.md")
+	require.NoError(t, err)
+	keys := regexp.MustCompile(`(\w+)=`).FindAllStringSubmatch(b.String(), -1)
+	require.Len(t, keys, 7+2*8, "of all and of each locality")
+	for _, key := range keys {
+		require.Contains(t, string(pages), "\n| `"+key[1]+"` | ")
+	}
+}
