--- a/admission.go
+++ b/admission.go
@@ -8,42 +8,46 @@
 	"piernotch/internal/decision/workload"
 )
 
+// queueDivisor is the part of the time until its client gives up that a request may wait for a server: half,
+// so that the client can still go elsewhere.
+const queueDivisor = 2
+
 // newRequest opens a request: its deadlines, its expected work with the lane for it, its priority.
-func (b *Balancer) newRequest(now time.Duration, arrival Request) *request {
-	r := b.requests.add(arrival, &b.settings.Classes[arrival.Class])
-	r.objective = min(now+r.class.LatencyObjective, r.Deadline)
-	r.queueDeadline = now + (r.Deadline-now)/2
+func (b *Balancer) newRequest(now time.Duration, arrival Request) *openRequest {
+	request := b.requests.add(arrival, &b.settings.Classes[arrival.Class])
+	request.objective = min(now+request.class.LatencyObjective, request.Deadline)
+	request.queueDeadline = now + (request.Deadline-now)/queueDivisor
 	expected := b.workload.Expect(arrival.Class, arrival.CostHint)
-	r.work, r.lane = expected.Work, lanes.Small
+	request.work, request.lane = expected.Work, lanes.Small
 	if expected.Large {
-		r.lane = lanes.Large
+		request.lane = lanes.Large
 	}
 	standing := admission.WithinQuota
 	if !b.quotas.Take(now, arrival.Tenant) {
 		standing = admission.OverQuota
 	}
-	r.priority = admission.BandOf(arrival.Class, standing)
-	return r
+	request.priority = admission.BandOf(arrival.Class, standing)
+	return request
 }
 
 // observeArrival counts a request in the expected work of all, and in that of its priority.
-func (b *Balancer) observeArrival(r *request) {
-	expected := workload.Expectation{Work: r.work, Large: r.lane == lanes.Large}
-	b.workload.ObserveArrival(r.CostHint, expected)
-	b.admission.RequestArrived(r.priority, r.work)
+func (b *Balancer) observeArrival(request *openRequest) {
+	expected := workload.Expectation{Work: request.work, Large: request.lane == lanes.Large}
+	b.workload.ObserveArrival(request.CostHint, expected)
+	b.admission.RequestArrived(request.priority, request.work)
 }
 
 // precedes reports whether a waiting request is dispatched before another.
-func (b *Balancer) precedes(r, other *request) bool {
-	return b.admission.Precedes(r.place(), other.place())
+func (b *Balancer) precedes(request, other *openRequest) bool {
+	return b.admission.Precedes(request.place(), other.place())
 }
 
 // queueTooLong reports whether a waiting request would wait for too long behind those that precede it, at the
 // rate at which work was sent lately.
-func (b *Balancer) queueTooLong(now time.Duration, r *request) bool {
+func (b *Balancer) queueTooLong(now time.Duration, request *openRequest) bool {
 	var ahead admission.Queue
 	for _, other := range b.requests.open {
-		if other != r && other.waiting() && b.precedes(other, r) {
+		if other != request && other.waiting() && b.precedes(other, request) {
 			ahead.Add(other.work)
 		}
 	}
--- a/balancer.go
+++ b/balancer.go
@@ -27,6 +27,15 @@
 	// lightWorkShare is the share of its objective below which a request's work is light: only such
 	// requests show by their latency whether there is too much load.
 	lightWorkShare = 1.0 / 4
+	// lateDivisor is the part of its objective from which a latency, or its queueing alone, counts as late:
+	// half, so that there is time to act before the objective is missed.
+	lateDivisor = 2
+	// maxNeededDivisor bounds the time that a request is assumed to need, to half of its objective: what
+	// is known of it is from other requests, and a waiting one must not be given up for that alone.
+	maxNeededDivisor = 2
+
+	millisecondsPerSecond = 1000
+
 	// seedMix makes the two halves of the generator's seed differ: 2^64 divided by the golden ratio.
 	seedMix = 0x9e3779b97f4a7c15
 )
@@ -44,7 +53,7 @@
 
 	// What there is: servers, the groups of them that may get requests, and requests.
 	endpoints   endpointSet
-	groups      [localityCount]group
+	groups      [localityCount]serverGroup
 	groupsStale bool             // the groups no longer match the list and the ejections
 	levels      []selectionLevel // tried in turn
 	maxSpillers float64          // balancers of other zones that may spill to one server
@@ -113,49 +122,49 @@
 	if unknownClass || b.requests.find(arrival.ID) != nil {
 		return
 	}
-	r := b.newRequest(now, arrival)
-	b.observeArrival(r)
+	request := b.newRequest(now, arrival)
+	b.observeArrival(request)
 	b.retryBudget.RequestArrived()
-	if b.admission.ShedsArrival(r.priority, b.rng.Float64()) {
-		b.rejectOrFail(r)
+	if b.admission.ShedsArrival(request.priority, b.rng.Float64()) {
+		b.rejectOrFail(request)
 		return
 	}
-	b.dispatchOrQueue(now, r)
+	b.dispatchOrQueue(now, request)
 }
 
 // HandleOutcome takes the end of an attempt. One that is unknown or has ended already is ignored.
 func (b *Balancer) HandleOutcome(now time.Duration, outcome Outcome) {
 	b.ensureStarted(now)
-	r := b.requests.find(outcome.ID)
-	if r == nil || r.findOpenAttempt(outcome.Attempt) == nil {
+	request := b.requests.find(outcome.ID)
+	if request == nil || request.findOpenAttempt(outcome.Attempt) == nil {
 		return
 	}
-	ended := b.endAttempt(r, outcome)
-	b.recordOutcome(now, r, ended, outcome)
+	ended := b.endAttempt(request, outcome)
+	b.recordOutcome(now, request, ended, outcome)
 	if outcome.Closed {
-		r.markDone()
+		request.markDone()
 	}
-	b.retryOrAnswer(now, r, outcome.Status)
+	b.retryOrAnswer(now, request, outcome.Status)
 	b.dispatchWaiting(now)
 }
 
 // ClientDisconnected closes a request whose client has left.
 func (b *Balancer) ClientDisconnected(now time.Duration, id RequestID) {
 	b.ensureStarted(now)
-	if r := b.requests.find(id); r != nil && !r.done {
-		b.closeRequest(r)
+	if request := b.requests.find(id); request != nil && !request.done {
+		b.closeRequest(request)
 	}
 }
 
 // ResponseStarted records that an attempt's response goes to the client: no retry or cancel from then on.
 func (b *Balancer) ResponseStarted(now time.Duration, id RequestID, attemptNumber int) {
 	b.ensureStarted(now)
-	r := b.requests.find(id)
-	if r == nil {
+	request := b.requests.find(id)
+	if request == nil {
 		return
 	}
-	if responding := r.findOpenAttempt(attemptNumber); responding != nil {
-		r.markStreaming()
+	if responding := request.findOpenAttempt(attemptNumber); responding != nil {
+		request.markStreaming()
 		responding.server.lastAnswerAt = now
 	}
 }
@@ -163,12 +172,12 @@
 // AttemptAllowed reports whether an attempt may still be written now that it has a connection. Meanwhile its
 // request may have been answered, its server be draining, or the class's deduplication window have closed.
 func (b *Balancer) AttemptAllowed(now time.Duration, id RequestID, attemptNumber int) bool {
-	r := b.requests.find(id)
-	if r == nil || r.done || now >= r.Deadline {
+	request := b.requests.find(id)
+	if request == nil || request.done || now >= request.Deadline {
 		return false
 	}
-	started := r.findAttempt(attemptNumber)
-	return started != nil && started.server.available() && r.mayWriteAttempt(now, attemptNumber)
+	started := request.findAttempt(attemptNumber)
+	return started != nil && started.server.available() && request.mayWriteAttempt(now, attemptNumber)
 }
 
 // Timer runs a tick: it reviews the servers, the shedding and every open request.
@@ -208,35 +217,35 @@
 }
 
 // reviewRequest dispatches a waiting request, and hedges one with an overdue attempt.
-func (b *Balancer) reviewRequest(now time.Duration, r *request) {
+func (b *Balancer) reviewRequest(now time.Duration, request *openRequest) {
 	switch {
-	case r.waiting():
-		b.dispatchOrQueue(now, r)
-	case r.answerable() && b.ejectSilent(now, r):
-		b.hedge(now, r)
+	case request.waiting():
+		b.dispatchOrQueue(now, request)
+	case request.answerable() && b.ejectSilent(now, request):
+		b.hedge(now, request)
 	}
 }
 
 // dispatchOrQueue dispatches a request, lets it wait, or rejects it if it would have to wait too long.
-func (b *Balancer) dispatchOrQueue(now time.Duration, r *request) {
-	if b.dispatch(now, r) {
+func (b *Balancer) dispatchOrQueue(now time.Duration, request *openRequest) {
+	if b.dispatch(now, request) {
 		return
 	}
-	timeNeeded := min(b.latency.Needed(r.work), r.class.LatencyObjective/2)
-	latestDispatch := min(b.attemptDeadline(r)-timeNeeded, r.queueDeadline)
+	timeNeeded := min(b.latency.Needed(request.work), request.class.LatencyObjective/maxNeededDivisor)
+	latestDispatch := min(b.attemptDeadline(request)-timeNeeded, request.queueDeadline)
 	missesLatest := now+ticksToDispatch*b.tickInterval >= latestDispatch
-	if missesLatest || b.queueTooLong(now, r) {
-		b.rejectOrFail(r)
+	if missesLatest || b.queueTooLong(now, request) {
+		b.rejectOrFail(request)
 	}
 }
 
 // dispatchWaiting gives the capacity that has become free to the waiting requests.
 func (b *Balancer) dispatchWaiting(now time.Duration) {
 	for {
-		var first *request
-		for _, r := range b.requests.open {
-			if r.waiting() && (first == nil || b.precedes(r, first)) {
-				first = r
+		var first *openRequest
+		for _, request := range b.requests.open {
+			if request.waiting() && (first == nil || b.precedes(request, first)) {
+				first = request
 			}
 		}
 		if first == nil || !b.dispatch(now, first) {
@@ -246,29 +255,29 @@
 }
 
 // dispatch starts an attempt of the request, or returns false if no server can take it now.
-func (b *Balancer) dispatch(now time.Duration, r *request) bool {
+func (b *Balancer) dispatch(now time.Duration, request *openRequest) bool {
 	if b.groupsStale {
 		b.rebuildGroups(now)
 	}
-	target := b.selectServer(now, r)
+	target := b.selectServer(now, request)
 	if target == nil {
 		return false
 	}
-	b.startAttempt(now, r, target)
+	b.startAttempt(now, request, target)
 	return true
 }
 
 // mayStartAttempt is the guard that every attempt passes. No other function knows these rules.
-func (b *Balancer) mayStartAttempt(now time.Duration, r *request, target *server) bool {
+func (b *Balancer) mayStartAttempt(now time.Duration, request *openRequest, target *server) bool {
 	limits := &b.settings.Limits
-	if !r.answerable() || now >= r.Deadline || len(r.attempts) >= limits.MaxAttempts {
+	if !request.answerable() || now >= request.Deadline || len(request.attempts) >= limits.MaxAttempts {
 		return false
 	}
-	mayHedge := limits.HedgedRequests && r.class.RetrySafety != NonIdempotent
-	if !target.available() || r.inflight > 0 && !mayHedge {
+	mayHedge := limits.HedgedRequests && request.class.RetrySafety != NonIdempotent
+	if !target.available() || request.inflight > 0 && !mayHedge {
 		return false
 	}
-	if first := r.firstMaybeExecuted(); first != nil && !r.mayRepeatOn(now, first, target) {
+	if first := request.firstMaybeExecuted(); first != nil && !request.mayRepeatOn(now, first, target) {
 		return false
 	}
 	if !target.outlier.AllowsAttempt(now, b.outlierOptions()) {
@@ -277,41 +286,41 @@
 	if target.warm() {
 		return !b.groups[target.locality].concurrency.Reached()
 	}
-	return b.slowStartAllows(now, r, target)
+	return b.slowStartAllows(now, request, target)
 }
 
 // startAttempt sends the request to the server. The guard has allowed it.
-func (b *Balancer) startAttempt(now time.Duration, r *request, target *server) {
-	target.attemptStarted(r.work)
-	target.classFailures.RecordSend(now, r.Class)
-	b.sendRate.Add(now, r.work)
-	if len(r.attempts) == 0 {
-		b.admission.RequestForwarded(r.priority, r.work)
+func (b *Balancer) startAttempt(now time.Duration, request *openRequest, target *server) {
+	target.attemptStarted(request.work)
+	target.classFailures.RecordSend(now, request.Class)
+	b.sendRate.Add(now, request.work)
+	if len(request.attempts) == 0 {
+		b.admission.RequestForwarded(request.priority, request.work)
 	}
 	if target.warm() {
 		b.groups[target.locality].concurrency.Started()
-		b.groups[target.locality].sendRate.Add(now, r.work)
+		b.groups[target.locality].sendRate.Add(now, request.work)
 	} else {
 		b.slowStart.RecordSend(now, &target.slowStart, b.slowStartLoad(now, target))
 	}
 	target.outlier.AttemptStarted()
-	r.attemptStarted(now, target)
-	b.host.StartAttempt(r.ID, target.ID, b.attemptDeadline(r)-now)
+	request.attemptStarted(now, target)
+	b.host.StartAttempt(request.ID, target.ID, b.attemptDeadline(request)-now)
 }
 
 // attemptDeadline is when an answer is no longer worth the server's work.
-func (b *Balancer) attemptDeadline(r *request) time.Duration {
-	if r.class.LateWeightShare > 0 && !b.admission.Shedding() {
-		return r.Deadline
+func (b *Balancer) attemptDeadline(request *openRequest) time.Duration {
+	if request.class.LateWeightShare > 0 && !b.admission.Shedding() {
+		return request.Deadline
 	}
-	return r.objective
+	return request.objective
 }
 
 // endAttempt records the end of an attempt and takes it off the counts of what is in flight.
-func (b *Balancer) endAttempt(r *request, outcome Outcome) *attempt {
-	ended := r.attemptEnded(outcome.Attempt, outcome.Status)
+func (b *Balancer) endAttempt(request *openRequest, outcome Outcome) *attempt {
+	ended := request.attemptEnded(outcome.Attempt, outcome.Status)
 	target := ended.server
-	target.attemptEnded(r.work)
+	target.attemptEnded(request.work)
 	if ended.warm {
 		b.groups[target.locality].concurrency.Ended()
 	}
@@ -319,14 +328,14 @@
 }
 
 // recordOutcome updates what the outcome shows of the server and its group.
-func (b *Balancer) recordOutcome(now time.Duration, r *request, ended *attempt, outcome Outcome) {
+func (b *Balancer) recordOutcome(now time.Duration, request *openRequest, ended *attempt, outcome Outcome) {
 	target := ended.server
 	target.outlier.AttemptEnded()
 	serverAnswered := outcome.Status == OK || outcome.Status == Full || outcome.Status == Error
 	if serverAnswered {
 		target.lastAnswerAt = now
 	}
-	recordClassOutcome(r, ended, outcome)
+	recordClassOutcome(request, ended, outcome)
 	serverSilent := target.lastAnswerAt < ended.sentAt
 	switch {
 	case outcome.Status == Timeout && serverSilent:
@@ -334,10 +343,10 @@
 		b.admission.ObserveSilence(int(target.locality))
 		b.recordFailure(now, target, outlier.SilentTimeout)
 	case outcome.Status == Timeout:
-		b.recordLatency(now, r, target, outcome.Latency)
+		b.recordLatency(now, request, target, outcome.Latency)
 	case outcome.Status == OK:
-		b.workload.ObserveAnswer(r.Class, outcome.Latency)
-		b.recordLatency(now, r, target, outcome.Latency)
+		b.workload.ObserveAnswer(request.Class, outcome.Latency)
+		b.recordLatency(now, request, target, outcome.Latency)
 		b.recordGoodResponse(now, target)
 	case outcome.Status == Full:
 		// A server that rejects everything must neither attract requests nor make the group look late.
@@ -351,64 +360,68 @@
 }
 
 // recordLatency updates the latency estimates, and moves the lanes and shedding by what is late.
-func (b *Balancer) recordLatency(now time.Duration, r *request, target *server, took time.Duration) {
-	objective := r.class.LatencyObjective.Seconds() * 1000
-	queueing := b.observeLatency(r, target, took)
+func (b *Balancer) recordLatency(
+	now time.Duration, request *openRequest, target *server, took time.Duration,
+) {
+	objective := request.class.LatencyObjective
+	objectiveMs := objective.Seconds() * millisecondsPerSecond
+	queueing := b.observeLatency(request, target, took)
 	step := b.admission.Step(now)
 	b.laneBalance.Observe(lanes.Answer{
-		Lane: r.lane, Late: queueing > objective/2, MaxStep: step, LargeWorkShare: b.workload.LargeShare(),
+		Lane: request.lane, Late: queueing > objectiveMs/lateDivisor,
+		MaxStep: step, LargeWorkShare: b.workload.LargeShare(),
 	})
-	if r.work < lightWorkShare*objective { // a heavy request is late on an idle server, too
+	if request.work < lightWorkShare*objectiveMs { // a heavy request is late on an idle server, too
 		b.observeAnswer(step, admission.Answer{
-			Locality: int(target.locality), Late: took > r.class.LatencyObjective/2,
+			Locality: int(target.locality), Late: took > objective/lateDivisor,
 		})
 	}
 }
 
 // retryOrAnswer retries a request after an attempt, or gives the final answer if none is in flight.
-func (b *Balancer) retryOrAnswer(now time.Duration, r *request, status Status) {
+func (b *Balancer) retryOrAnswer(now time.Duration, request *openRequest, status Status) {
 	switch {
-	case r.done:
-		b.requests.releaseIfFinished(r)
-	case status != Timeout && b.mayRetry(now, r) && b.dispatch(now, r):
+	case request.done:
+		b.requests.releaseIfFinished(request)
+	case status != Timeout && b.mayRetry(now, request) && b.dispatch(now, request):
 		b.retryBudget.Spend()
-	case r.inflight == 0:
-		b.rejectOrFail(r)
+	case request.inflight == 0:
+		b.rejectOrFail(request)
 	}
 }
 
 // hedge starts a second attempt of a request whose first is overdue, once and not while shedding.
-func (b *Balancer) hedge(now time.Duration, r *request) {
-	if !r.hedged && !b.admission.Shedding() && b.mayRetry(now, r) && b.dispatch(now, r) {
-		r.markHedged()
+func (b *Balancer) hedge(now time.Duration, request *openRequest) {
+	if !request.hedged && !b.admission.Shedding() && b.mayRetry(now, request) && b.dispatch(now, request) {
+		request.markHedged()
 		b.retryBudget.Spend()
 	}
 }
 
 // mayRetry reports whether the budget has a retry left and the request can still be in time.
-func (b *Balancer) mayRetry(now time.Duration, r *request) bool {
-	return b.retryBudget.Available() && now < r.objective
+func (b *Balancer) mayRetry(now time.Duration, request *openRequest) bool {
+	return b.retryBudget.Available() && now < request.objective
 }
 
 // rejectOrFail gives the final answer: rejected if trying again is certain to do no harm, else failed.
-func (b *Balancer) rejectOrFail(r *request) {
-	if r.repeatIsHarmless() {
-		b.host.Reject(r.ID, b.admission.RetryAfter())
+func (b *Balancer) rejectOrFail(request *openRequest) {
+	if request.repeatIsHarmless() {
+		b.host.Reject(request.ID, b.admission.RetryAfter())
 	} else {
-		b.host.Fail(r.ID)
+		b.host.Fail(request.ID)
 	}
-	b.closeRequest(r)
+	b.closeRequest(request)
 }
 
 // closeRequest ends a request that needs no further answer, and cancels its open attempts.
-func (b *Balancer) closeRequest(r *request) {
-	r.markDone()
-	if b.settings.Limits.CancelAttempts && !r.streaming {
-		for i := range r.attempts {
-			if !r.attempts[i].ended {
-				b.host.CancelAttempt(r.ID, i)
+func (b *Balancer) closeRequest(request *openRequest) {
+	request.markDone()
+	if b.settings.Limits.CancelAttempts && !request.streaming {
+		for i := range request.attempts {
+			if !request.attempts[i].ended {
+				b.host.CancelAttempt(request.ID, i)
 			}
 		}
 	}
-	b.requests.releaseIfFinished(r)
+	b.requests.releaseIfFinished(request)
 }
--- a/class_failures.go
+++ b/class_failures.go
@@ -3,9 +3,10 @@
 import "piernotch/internal/decision/classfailure"
 
 // recordClassOutcome updates what the outcome shows of the server for the request's class.
-func recordClassOutcome(r *request, ended *attempt, outcome Outcome) {
-	ended.server.classFailures.RecordAttempt(r.Class, classfailure.Attempt{
-		Result: classResult(outcome.Status), Latency: outcome.Latency, Objective: r.class.LatencyObjective,
+func recordClassOutcome(request *openRequest, ended *attempt, outcome Outcome) {
+	ended.server.classFailures.RecordAttempt(request.Class, classfailure.Attempt{
+		Result: classResult(outcome.Status), Latency: outcome.Latency,
+		Objective:     request.class.LatencyObjective,
 		AnswersOthers: ended.server.lastAnswerAt >= ended.sentAt,
 	})
 }
--- a/groups.go
+++ b/groups.go
@@ -17,8 +17,8 @@
 	return float64(b.settings.BalancerCount) > fewBalancersPerZone*float64(len(b.settings.Zones))
 }
 
-// group is the servers of one locality that may get requests.
-type group struct {
+// serverGroup is the servers of one locality that may get requests.
+type serverGroup struct {
 	members  []*server   // by id
 	lanes    lanes.Group // of the members, in the same order
 	warmSize float64     // sum of the sizes of its warm members
@@ -39,8 +39,8 @@
 	options := b.outlierOptions()
 	for _, target := range b.endpoints.sorted {
 		if target.available() && target.outlier.Eligible(now, options) {
-			g := &b.groups[target.locality]
-			g.members = append(g.members, target)
+			group := &b.groups[target.locality]
+			group.members = append(group.members, target)
 		}
 	}
 	for i := range b.groups {
@@ -50,27 +50,27 @@
 }
 
 // updateWeights weighs a group's members by size, slow start and latency.
-func (b *Balancer) updateWeights(now time.Duration, g *group) {
-	g.warmSize, g.meanOthers = 0, 0
-	g.lanes.Reset()
-	for _, target := range g.members {
+func (b *Balancer) updateWeights(now time.Duration, group *serverGroup) {
+	group.warmSize, group.meanOthers = 0, 0
+	group.lanes.Reset()
+	for _, target := range group.members {
 		weight := target.Size * b.slowStart.CapacityShare(now, &target.slowStart)
-		weight *= target.latency.WeightFactor(&g.latency)
-		g.lanes.Add(&target.member, weight)
-		g.meanOthers += target.reports.MeanOthers() / float64(len(g.members))
+		weight *= target.latency.WeightFactor(&group.latency)
+		group.lanes.Add(&target.member, weight)
+		group.meanOthers += target.reports.MeanOthers() / float64(len(group.members))
 		if target.warm() {
-			g.warmSize += target.Size
+			group.warmSize += target.Size
 		}
 	}
 }
 
 // adjustConcurrencyLimit moves the limit on this balancer's requests in a group by the mean of all balancers'
 // requests at its servers. Few balancers need no limit.
-func (b *Balancer) adjustConcurrencyLimit(now time.Duration, g *group) {
-	meanInflight, known := b.meanInflight(now, g)
+func (b *Balancer) adjustConcurrencyLimit(now time.Duration, group *serverGroup) {
+	meanInflight, known := b.meanInflight(now, group)
 	if known && b.manyBalancers() {
-		g.concurrency.Adjust(b.tickInterval, meanInflight)
+		group.concurrency.Adjust(b.tickInterval, meanInflight)
 	} else {
-		g.concurrency.Remove(b.tickInterval)
+		group.concurrency.Remove(b.tickInterval)
 	}
 }
--- a/latencies_test.go
+++ b/latencies_test.go
@@ -15,7 +15,7 @@
 	now := time.Second
 	remote := b.endpoints.find(2)
 	answer := func(took time.Duration) {
-		r := &request{class: &set.Classes[idempotentClass], work: 10}
+		r := &openRequest{class: &set.Classes[idempotentClass], work: 10}
 		b.recordOutcome(now, r, &attempt{server: remote}, Outcome{Status: OK, Latency: took})
 	}
 	setMeanWork(t, b, 10)
--- a/load_reports.go
+++ b/load_reports.go
@@ -42,9 +42,9 @@
 // meanInflight returns how many requests of all balancers a warm member of the group holds on the mean, by
 // fresh reports; known is false if there is none. Where there never was one, latencies are the measure: an
 // answer that takes twice as long as its work found as much work before it.
-func (b *Balancer) meanInflight(now time.Duration, g *group) (inflight float64, known bool) {
+func (b *Balancer) meanInflight(now time.Duration, group *serverGroup) (inflight float64, known bool) {
 	var mean loadreport.GroupMean
-	for _, target := range g.members {
+	for _, target := range group.members {
 		if target.warm() {
 			mean.Add(now, &target.reports, target.inflight)
 		}
--- a/outlier_ejection.go
+++ b/outlier_ejection.go
@@ -15,11 +15,11 @@
 
 // ejectSilent reports whether an attempt of the request is overdue, and ejects the servers that have
 // answered nothing since they got it. One that answered others is only slow with this one.
-func (b *Balancer) ejectSilent(now time.Duration, r *request) (overdue bool) {
-	for i := range r.attempts {
-		sent := &r.attempts[i]
+func (b *Balancer) ejectSilent(now time.Duration, request *openRequest) (overdue bool) {
+	for i := range request.attempts {
+		sent := &request.attempts[i]
 		target := sent.server
-		if sent.ended || now-sent.sentAt < b.silenceTimeout(&b.groups[target.locality], r.work) {
+		if sent.ended || now-sent.sentAt < b.silenceTimeout(&b.groups[target.locality], request.work) {
 			continue
 		}
 		overdue = true
--- a/outlier_ejection_test.go
+++ b/outlier_ejection_test.go
@@ -93,7 +93,7 @@
 		b, _ := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
 		to := b.endpoints.find(1)
 		record := func(s Status) {
-			r := &request{class: &b.settings.Classes[idempotentClass], work: 10}
+			r := &openRequest{class: &b.settings.Classes[idempotentClass], work: 10}
 			b.recordOutcome(time.Second, r, &attempt{server: to}, Outcome{Status: s})
 		}
 		setMeanWork(t, b, 10)
--- a/requests.go
+++ b/requests.go
@@ -10,26 +10,26 @@
 // requestTable owns the records of the open requests: those that need a final answer or have attempts in
 // flight. It reuses the records of finished ones, so that a request costs no allocation.
 type requestTable struct {
-	open []*request // in no particular order
-	byID map[RequestID]*request
-	free []*request // for reuse
+	open []*openRequest // in no particular order
+	byID map[RequestID]*openRequest
+	free []*openRequest // for reuse
 }
 
-func newRequestTable() requestTable { return requestTable{byID: map[RequestID]*request{}} }
+func newRequestTable() requestTable { return requestTable{byID: map[RequestID]*openRequest{}} }
 
 // find returns the record of an open request, or nil.
-func (t *requestTable) find(id RequestID) *request { return t.byID[id] }
+func (t *requestTable) find(id RequestID) *openRequest { return t.byID[id] }
 
 // add opens a record for a request. Its id must not be that of an open one.
-func (t *requestTable) add(arrival Request, class *Class) *request {
-	var added *request
+func (t *requestTable) add(arrival Request, class *Class) *openRequest {
+	var added *openRequest
 	if count := len(t.free); count > 0 {
 		added = t.free[count-1]
 		t.free = t.free[:count-1]
 	} else {
-		added = &request{}
+		added = &openRequest{}
 	}
-	*added = request{
+	*added = openRequest{
 		Request: arrival, class: class, openIndex: len(t.open), attempts: added.attempts[:0],
 	}
 	t.open = append(t.open, added)
@@ -38,7 +38,7 @@
 }
 
 // releaseIfFinished drops a request's record once it is done and has no attempt in flight.
-func (t *requestTable) releaseIfFinished(r *request) {
+func (t *requestTable) releaseIfFinished(r *openRequest) {
 	if !r.done || r.inflight > 0 {
 		return
 	}
@@ -49,9 +49,9 @@
 	t.free = append(t.free, r)
 }
 
-// request is a client's request until it has its final answer and no attempt is in flight. Only its methods
-// and the request table change the fields from attempts on.
-type request struct {
+// openRequest is a client's request until it has its final answer and no attempt is in flight. Only its
+// methods and the request table change the fields from attempts on.
+type openRequest struct {
 	Request
 	class         *Class
 	priority      admission.Band
@@ -81,33 +81,33 @@
 func (a *attempt) mayHaveExecuted() bool { return !a.ended || !a.status.NeverExecuted() }
 
 // place returns the request's place in the order of dispatch.
-func (r *request) place() admission.Place {
+func (r *openRequest) place() admission.Place {
 	return admission.Place{Band: r.priority, Arrival: uint64(r.ID)}
 }
 
 // waiting reports whether the request waits to be dispatched.
-func (r *request) waiting() bool { return !r.done && !r.streaming && r.inflight == 0 }
+func (r *openRequest) waiting() bool { return !r.done && !r.streaming && r.inflight == 0 }
 
 // answerable reports whether the request still needs an answer and none is being forwarded.
-func (r *request) answerable() bool { return !r.done && !r.streaming }
+func (r *openRequest) answerable() bool { return !r.done && !r.streaming }
 
 // markDone records that the request needs no answer any more.
-func (r *request) markDone() { r.done = true }
+func (r *openRequest) markDone() { r.done = true }
 
 // markStreaming records that a response is being forwarded.
-func (r *request) markStreaming() { r.streaming = true }
+func (r *openRequest) markStreaming() { r.streaming = true }
 
 // markHedged records that a hedged attempt has been sent.
-func (r *request) markHedged() { r.hedged = true }
+func (r *openRequest) markHedged() { r.hedged = true }
 
 // attemptStarted records an attempt that goes to the server now.
-func (r *request) attemptStarted(now time.Duration, target *server) {
+func (r *openRequest) attemptStarted(now time.Duration, target *server) {
 	r.attempts = append(r.attempts, attempt{server: target, sentAt: now, warm: target.warm()})
 	r.inflight++
 }
 
 // attemptEnded records the end of an open attempt.
-func (r *request) attemptEnded(attemptNumber int, status Status) *attempt {
+func (r *openRequest) attemptEnded(attemptNumber int, status Status) *attempt {
 	ended := &r.attempts[attemptNumber]
 	ended.ended, ended.status = true, status
 	r.inflight--
@@ -115,7 +115,7 @@
 }
 
 // findAttempt returns the attempt of that number, or nil.
-func (r *request) findAttempt(attemptNumber int) *attempt {
+func (r *openRequest) findAttempt(attemptNumber int) *attempt {
 	if attemptNumber < 0 || attemptNumber >= len(r.attempts) {
 		return nil
 	}
@@ -123,7 +123,7 @@
 }
 
 // findOpenAttempt returns the attempt of that number unless it has ended, or nil.
-func (r *request) findOpenAttempt(attemptNumber int) *attempt {
+func (r *openRequest) findOpenAttempt(attemptNumber int) *attempt {
 	found := r.findAttempt(attemptNumber)
 	if found == nil || found.ended {
 		return nil
@@ -132,7 +132,7 @@
 }
 
 // attemptedOn reports whether an attempt has gone to the server.
-func (r *request) attemptedOn(target *server) bool {
+func (r *openRequest) attemptedOn(target *server) bool {
 	for i := range r.attempts {
 		if r.attempts[i].server == target {
 			return true
@@ -142,7 +142,7 @@
 }
 
 // firstMaybeExecuted returns the first attempt that may have executed, or nil.
-func (r *request) firstMaybeExecuted() *attempt {
+func (r *openRequest) firstMaybeExecuted() *attempt {
 	for i := range r.attempts {
 		if candidate := &r.attempts[i]; candidate.mayHaveExecuted() {
 			return candidate
@@ -153,7 +153,7 @@
 
 // mayRepeatOn reports whether a request that may have executed in an earlier attempt may also go to the
 // server. The transit there, half of the fastest answer's latency, must end within the deduplication window.
-func (r *request) mayRepeatOn(now time.Duration, earlier *attempt, target *server) bool {
+func (r *openRequest) mayRepeatOn(now time.Duration, earlier *attempt, target *server) bool {
 	windowClosed := now+target.path.Transit() > earlier.sentAt+r.class.DedupWindow
 	switch {
 	case r.class.RetrySafety == Idempotent:
@@ -170,7 +170,7 @@
 
 // mayWriteAttempt reports whether no other attempt that may have executed forbids that this one is written
 // now. Later ones count, too: the one that waited for a connection is then the repeat.
-func (r *request) mayWriteAttempt(now time.Duration, attemptNumber int) bool {
+func (r *openRequest) mayWriteAttempt(now time.Duration, attemptNumber int) bool {
 	target := r.attempts[attemptNumber].server
 	for i := range r.attempts {
 		other := &r.attempts[i]
@@ -183,7 +183,7 @@
 
 // repeatIsHarmless reports whether the client may send the request again to any balancer and server: it was
 // not executed, or executing it again has no effect.
-func (r *request) repeatIsHarmless() bool {
+func (r *openRequest) repeatIsHarmless() bool {
 	deduplicated := r.class.RetrySafety == IdempotencyKey && r.class.DedupScope == DedupEverywhere
 	return r.firstMaybeExecuted() == nil || r.class.RetrySafety == Idempotent || deduplicated
 }
--- a/selection_test.go
+++ b/selection_test.go
@@ -139,7 +139,7 @@
 		if to.ID == 3 {
 			took = 5 * ms
 		}
-		b.observeLatency(&request{class: &b.settings.Classes[nonIdempotentClass], work: 10}, to, took)
+		b.observeLatency(&openRequest{class: &b.settings.Classes[nonIdempotentClass], work: 10}, to, took)
 	}
 	b.HandleRequest(time.Second, newTestRequest(1, nonIdempotentClass, 300))
 	if h.last().to != 3 {
@@ -179,8 +179,8 @@
 		return h.last().to
 	}
 	failing := b.endpoints.find(1)
-	served := &request{class: &set.Classes[idempotentClass], work: 10}
-	hung := &request{
+	served := &openRequest{class: &set.Classes[idempotentClass], work: 10}
+	hung := &openRequest{
 		Request: Request{Class: nonIdempotentClass}, class: &set.Classes[nonIdempotentClass], work: 10,
 	}
 	for range 4 {
--- a/settings.go
+++ b/settings.go
@@ -52,7 +52,8 @@
 	setting := fmt.Sprintf("Classes[%d]", i)
 	if c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.DedupWindow < 0 {
 		return settingsError(setting,
-			"classes[%d]: latency objective %v, deadline %v, deduplication window %v", i, c.LatencyObjective, c.Deadline, c.DedupWindow)
+			"classes[%d]: latency objective %v, deadline %v, deduplication window %v",
+			i, c.LatencyObjective, c.Deadline, c.DedupWindow)
 	}
 	if !(c.PriorityWeight >= 0) || !(c.LateWeightShare >= 0) {
 		return settingsError(setting, "classes[%d]: priority weight %v, late weight share %v",
--- a/slow_start.go
+++ b/slow_start.go
@@ -42,9 +42,9 @@
 }
 
 // slowStartAllows reports whether a server in slow start may get the request.
-func (b *Balancer) slowStartAllows(now time.Duration, r *request, target *server) bool {
+func (b *Balancer) slowStartAllows(now time.Duration, request *openRequest, target *server) bool {
 	candidate := slowstart.Request{
-		Work: r.work, MeanWork: b.workload.Mean(), ServerInflight: target.inflight,
+		Work: request.work, MeanWork: b.workload.Mean(), ServerInflight: target.inflight,
 		OthersWarmItUp: b.spills(target) && !b.zonesWithoutBalancer(),
 	}
 	if !b.slowStart.Admits(now, &target.slowStart, candidate) {
@@ -88,9 +88,9 @@
 func (b *Balancer) warmSendRate(now time.Duration) float64 {
 	most := 0.0
 	for i := range b.groups {
-		g := &b.groups[i]
+		group := &b.groups[i]
 		if fullSize := b.endpoints.fullSize[i]; fullSize > 0 {
-			most = max(most, g.sendRate.PerSecond(now)/max(g.warmSize, fullSize/2))
+			most = max(most, group.sendRate.PerSecond(now)/max(group.warmSize, fullSize/2))
 		}
 	}
 	size := b.endpoints.fullSize[localZone] + b.endpoints.fullSize[remoteZones]
--- a/state_line.go
+++ b/state_line.go
@@ -9,17 +9,17 @@
 		len(b.requests.open), b.admission.ShedShare(), b.latency.PerWork(), b.retryBudget.Left(),
 		b.workload.MedianHint(), b.workload.Mean(), b.peakCompletionRate.PerSecond())
 	for i := range b.groups {
-		g := &b.groups[i]
+		group := &b.groups[i]
 		inSlowStart := 0
-		for _, target := range g.members {
+		for _, target := range group.members {
 			if !target.warm() {
 				inSlowStart++
 			}
 		}
 		text += fmt.Sprintf(" | members=%d slow_start=%d inflight=%d inflight_limit=%.1f "+
 			"others_inflight=%.1f late_share=%.2f queueing_delay=%.0f latency=%.0f",
-			len(g.members), inSlowStart, g.concurrency.Inflight(), g.concurrency.Bound(), g.meanOthers,
-			b.admission.LateShare(i), g.latency.QueueingMean(), g.latency.Mean())
+			len(group.members), inSlowStart, group.concurrency.Inflight(), group.concurrency.Bound(),
+			group.meanOthers, b.admission.LateShare(i), group.latency.QueueingMean(), group.latency.Mean())
 	}
 	return text
 }
