--- a/load_reports.go
+++ b/load_reports.go
@@ -45,7 +45,8 @@
 func (b *Balancer) meanInflight(now time.Duration, group *serverGroup) (inflight float64, known bool) {
 	var mean loadreport.GroupMean
 	for _, target := range group.members {
-		if target.warm() {
+		counts := target.warm() && target.reports.Fresh(now)
+		if counts {
 			mean.Add(now, &target.reports, target.inflight)
 		}
 	}
--- a/outlier_ejection.go
+++ b/outlier_ejection.go
@@ -44,7 +44,8 @@
 
 // startHealthCheckIfDue starts the health check that precedes the trial of an ejected server.
 func (b *Balancer) startHealthCheckIfDue(now time.Duration, target *server) {
-	if target.available() && target.outlier.StartHealthCheckIfDue(now, b.outlierOptions()) {
+	mayBeDue := target.outlier.Ejected() && target.available()
+	if mayBeDue && target.outlier.StartHealthCheckIfDue(now, b.outlierOptions()) {
 		b.host.HealthCheck(target.ID)
 	}
 }
