--- a/internal/decision/slowstart/slowstart_test.go
+++ b/internal/decision/slowstart/slowstart_test.go
@@ -138,7 +138,7 @@
 	c := NewController(options)
 	p := started(&c)
 	load := testLoad
-	load.Senders = 50 // a fifth of 10 of work per second: 25 ms in 12.5 s, which is 50 windows
+	load.Senders = 2 // a fifth of 250 ms of work per second: 25 ms in 500 ms, which is two windows
 	wins := 0
 	const windows = 20000
 	for i := range windows {
@@ -149,5 +149,5 @@
 			wins++
 		}
 	}
-	require.InEpsilon(t, windows/50, wins, 0.15)
+	require.InEpsilon(t, windows/2, wins, 0.02)
 }
