--- a/admission.go
+++ b/admission.go
@@ -1,159 +1,68 @@
 package piernotch
 
 import (
-	"math"
 	"time"
-)
 
-const (
-	shedGain     = 1.0 / 4 // change of the shed share in one shortest objective while all is late
-	starvedBelow = 0.8     // of the mean share that is forwarded: a band below it is starved
+	"piernotch/internal/decision/admission"
+	"piernotch/internal/decision/lanes"
+	"piernotch/internal/decision/workload"
 )
 
-// newRequest opens a request: its deadlines, its expected work with the lane for it, its priority.
-func (b *Balancer) newRequest(now time.Duration, in Request) *request {
-	r := b.openRequest(in)
-	r.objective = min(now+r.class.LatencyObjective, r.Deadline)
-	r.queueDeadline = now + (r.Deadline-now)/2
-	r.lane, r.work = smallLane, in.CostHint
-	if !r.hasCostHint() {
-		r.work = b.workWithoutHint(in.Class)
-	} else if b.hintCount > 0 && in.CostHint > b.medianHint {
-		r.lane = largeLane
-	}
-	r.priority = 2 * in.Class
-	if b.overQuota(now, in.Tenant) {
-		r.priority++
-	}
-	return r
-}
+// queueDivisor is the part of the time until its client gives up that a request may wait for a server: half,
+// so that the client can still go elsewhere.
+const queueDivisor = 2
 
-// overQuota takes a request from this balancer's part of a tenant's quota and reports if none was left.
-func (b *Balancer) overQuota(now time.Duration, tenant int) bool {
-	if tenant < 0 || tenant >= len(b.quotas) || b.settings.Tenants[tenant].QuotaPerSec == 0 {
-		return false
-	}
-	part := b.settings.Tenants[tenant].QuotaPerSec / float64(b.settings.BalancerCount)
-	return !b.quotas[tenant].take(now, part)
-}
-
-// dispatchOrQueue dispatches a request, lets it wait, or rejects it if it would have to wait too long.
-func (b *Balancer) dispatchOrQueue(now time.Duration, r *request) {
-	if b.dispatch(now, r) {
-		return
-	}
-	needs := min(milliseconds(r.work*b.latencyPerWork), r.class.LatencyObjective/2)
-	latest := min(b.attemptDeadline(r)-needs, r.queueDeadline)
-	if now+2*b.tickInterval >= latest || b.queueTooLong(now, r) {
-		b.rejectOrFail(r)
-	}
-}
-
-// dispatchWaiting gives the capacity that has become free to the waiting requests.
-func (b *Balancer) dispatchWaiting(now time.Duration) {
-	for {
-		var first *request
-		for _, r := range b.openRequests {
-			if r.waiting() && (first == nil || b.precedes(r, first)) {
-				first = r
-			}
-		}
-		if first == nil || !b.dispatch(now, first) {
-			return
-		}
+// newRequest opens a request: its deadlines, its expected work with the lane for it, its priority.
+func (b *Balancer) newRequest(now time.Duration, arrival Request) *openRequest {
+	request := b.requests.add(arrival, &b.settings.Classes[arrival.Class])
+	request.objective = min(now+request.class.LatencyObjective, request.Deadline)
+	request.queueDeadline = now + (request.Deadline-now)/queueDivisor
+	expected := b.workload.Expect(arrival.Class, arrival.CostHint)
+	request.work, request.lane = expected.Work, lanes.Small
+	if expected.Large {
+		request.lane = lanes.Large
 	}
-}
-
-// precedes orders waiting requests: starved bands first, then by precedence, then by arrival.
-func (b *Balancer) precedes(r, other *request) bool {
-	x, y := &b.priorities[r.priority], &b.priorities[other.priority]
-	if x.starved != y.starved {
-		return x.starved
+	standing := admission.WithinQuota
+	if !b.quotas.Take(now, arrival.Tenant) {
+		standing = admission.OverQuota
 	}
-	return x.precedence > y.precedence || x.precedence == y.precedence && r.ID < other.ID
+	request.priority = admission.BandOf(arrival.Class, standing)
+	return request
 }
 
-// buildPriorities makes two bands of each class: within its tenants' quotas and over them.
-func (b *Balancer) buildPriorities() {
-	b.priorities = nil
-	for _, c := range b.settings.Classes {
-		within := priorityBand{weight: c.PriorityWeight}
-		over := priorityBand{weight: c.PriorityWeight * b.settings.OverQuotaWeight}
-		b.priorities = append(b.priorities, within, over)
-	}
-	b.updatePrecedence()
+// observeArrival counts a request in the expected work of all, and in that of its priority.
+func (b *Balancer) observeArrival(request *openRequest) {
+	expected := workload.Expectation{Work: request.work, Large: request.lane == lanes.Large}
+	b.workload.ObserveArrival(request.CostHint, expected)
+	b.admission.RequestArrived(request.priority, request.work)
 }
 
-// updatePrecedence sets each band's weight for its work: light requests first, if the weight is per request.
-func (b *Balancer) updatePrecedence() {
-	for i := range b.priorities {
-		p := &b.priorities[i]
-		p.precedence = p.weight
-		if work := b.workWithoutHint(i / 2); b.settings.WeightPerRequest && work > 0 {
-			p.precedence /= work
-		}
-	}
+// precedes reports whether a waiting request is dispatched before another.
+func (b *Balancer) precedes(request, other *openRequest) bool {
+	return b.admission.Precedes(request.place(), other.place())
 }
 
-// updatePriorities decays the sums of work at a tick, and sets which bands are starved and what is rejected.
-func (b *Balancer) updatePriorities() {
-	// A balancer that rejects everything sees nothing improve, so shedding decays.
-	b.shedShare -= b.shedShare / (ticksPerObjective * ticksPerObjective)
-	keep := math.Exp(-b.tickInterval.Seconds())
-	var arrived, forwarded float64
-	for i := range b.priorities {
-		p := &b.priorities[i]
-		p.arrived *= keep
-		p.forwarded *= keep
-		arrived += p.arrived
-		forwarded += p.forwarded
-	}
-	b.updatePrecedence()
-	for i := range b.priorities {
-		p := &b.priorities[i]
-		lower, equal := 0.0, 0.0 // work that is rejected before this band's, and along with it
-		for _, other := range b.priorities {
-			switch {
-			case other.precedence < p.precedence:
-				lower += other.arrived
-			case other.precedence == p.precedence:
-				equal += other.arrived
-			}
-		}
-		p.starved = b.manyBalancers() && p.forwarded*arrived < starvedBelow*p.arrived*forwarded
-		p.rejectShare = 0
-		if equal > 0 {
-			p.rejectShare = min(max(b.shedShare*arrived-lower, 0)/equal, 1)
+// queueTooLong reports whether a waiting request would wait for too long behind those that precede it, at the
+// rate at which work was sent lately.
+func (b *Balancer) queueTooLong(now time.Duration, request *openRequest) bool {
+	var ahead admission.Queue
+	for _, other := range b.requests.open {
+		if other != request && other.waiting() && b.precedes(other, request) {
+			ahead.Add(other.work)
 		}
 	}
+	return b.admission.QueueTooLong(ahead, b.sendRate.PerSecond(now))
 }
 
-// shedStep is how far one answer may move the shed share. It grows with the time since the last answer: a
-// change shows late, and a busy balancer would oscillate. The bound makes a quiet one wait for more answers.
-func (b *Balancer) shedStep(now time.Duration) float64 {
-	elapsed := (now - b.shedAdjustedAt).Seconds()
-	b.shedAdjustedAt = now
-	return min(elapsed/b.shortestObjective.Seconds()*shedGain, groupSmoothing)
-}
-
-// adjustShedding moves the shed share by one answer: late is 1 if it took over half of its objective, so that
-// there is time to act. Work is shed only while the other group is late, too: spilling costs less.
-func (b *Balancer) adjustShedding(step float64, locality int, late float64) {
-	g, other := &b.groups[locality], &b.groups[1-locality]
-	g.lateShare += groupSmoothing * (late - g.lateShare)
-	g.lateUpdatedAt = b.shedAdjustedAt
-	lateElsewhere := len(other.members) == 0 || other.lateShare > 2*groupSmoothing
-	change := -step / 2
-	if late > 0 && lateElsewhere {
-		change = step
+// updateExpectedWork tells admission what the requests of each class probably take.
+func (b *Balancer) updateExpectedWork() {
+	for class := range b.settings.Classes {
+		b.admission.SetExpectedWork(class, b.workload.WithoutHint(class))
 	}
-	b.shedShare = min(max(b.shedShare+change, 0), 1)
 }
 
-// retryAfter is the delay that a rejection advises; 0 is no advice.
-func (b *Balancer) retryAfter() time.Duration {
-	if !b.settings.Limits.RetryAfter || b.shedShare == 0 {
-		return 0
-	}
-	return min(b.shortestObjective, b.settings.Limits.MaxRetryAfter)
+// observeAnswer lets an answer move the shed share by up to the step.
+func (b *Balancer) observeAnswer(step float64, answer admission.Answer) {
+	answer.OnlyLocality = len(b.groups[1-answer.Locality].members) == 0
+	b.admission.ObserveAnswer(step, answer)
 }
--- /dev/null
+++ b/class_failures.go
@@ -0,0 +1,27 @@
+package piernotch
+
+import "piernotch/internal/decision/classfailure"
+
+// recordClassOutcome updates what the outcome shows of the server for the request's class.
+func recordClassOutcome(request *openRequest, ended *attempt, outcome Outcome) {
+	ended.server.classFailures.RecordAttempt(request.Class, classfailure.Attempt{
+		Result: classResult(outcome.Status), Latency: outcome.Latency,
+		Objective:     request.class.LatencyObjective,
+		AnswersOthers: ended.server.lastAnswerAt >= ended.sentAt,
+	})
+}
+
+// classResult returns what the status of an attempt shows of the server for a class.
+func classResult(status Status) classfailure.Result {
+	switch status {
+	case OK:
+		return classfailure.GoodResponse
+	case Error:
+		return classfailure.ErrorResponse
+	case Timeout:
+		return classfailure.TimedOut
+	case Cancelled:
+		return classfailure.Cancelled
+	}
+	return classfailure.Other
+}
--- a/concurrency_limits_test.go
+++ b/concurrency_limits_test.go
@@ -31,7 +31,7 @@
 func TestInvalidLoadReportsAreIgnored(t *testing.T) {
 	b, _ := newTestBalancer(t, manyBalancersSettings(), testEndpoints(2, 1))
 	b.LoadReported(time.Second, 1, LoadReport{Inflight: 3, CompletedPerSecond: 20})
-	before := b.servers[1].reports
+	before := b.endpoints.find(1).reports
 	for _, invalid := range []LoadReport{
 		{Inflight: -1},
 		{Inflight: math.NaN()},
@@ -40,19 +40,19 @@
 		b.LoadReported(2*time.Second, 1, invalid)
 	}
 	b.LoadReported(2*time.Second, 77, LoadReport{Inflight: 3})
-	require.Equal(t, before, b.servers[1].reports)
+	require.Equal(t, before, b.endpoints.find(1).reports)
 }
 
 // Each of eighty balancers keeps its own bounds, and all together overload the fleet. The mean of what its
 // servers report makes each of them reduce its limit.
 func TestInflightLimitHoldsGroupToTarget(t *testing.T) {
 	b, h := runTicks(t, manyBalancersSettings(), 5)
-	require.True(t, b.groups[0].atInflightLimit(), "limit %v", b.groups[0].inflightLimit)
+	require.True(t, b.groups[0].concurrency.Reached(), "limit %v", b.groups[0].concurrency.Bound())
 	b.HandleRequest(4*time.Second, Request{ID: 100, Class: idempotentClass, Deadline: time.Minute, CostHint: 10})
 	require.Greater(t, h.last().to, ServerID(6), "a full zone counts as empty")
 
 	b, _ = runTicks(t, manyBalancersSettings(), 0.1)
-	require.False(t, b.groups[0].atInflightLimit(), "idle servers: limit %v", b.groups[0].inflightLimit)
+	require.False(t, b.groups[0].concurrency.Reached(), "idle servers: limit %v", b.groups[0].concurrency.Bound())
 	b, _ = runTicks(t, testSettings(), 5)
-	require.False(t, b.groups[0].atInflightLimit(), "few balancers: their own bounds suffice")
+	require.False(t, b.groups[0].concurrency.Reached(), "few balancers: their own bounds suffice")
 }
--- a/endpoints.go
+++ b/endpoints.go
@@ -3,66 +3,85 @@
 import (
 	"math"
 	"time"
+
+	"piernotch/internal/decision/classfailure"
+	"piernotch/internal/decision/estimate"
+	"piernotch/internal/decision/lanes"
 )
 
 // UpdateEndpoints takes an event of the endpoint list. A size that is not a positive number counts as 1.
 func (b *Balancer) UpdateEndpoints(now time.Duration, kind UpdateKind, entries []Endpoint) {
 	b.ensureStarted(now)
 	if kind == UpdateFailed {
-		b.backOffWatch(now)
+		b.subscription.Failed(now, b.rng)
 		return
 	}
 	named := make(map[ServerID]bool, len(entries))
-	for _, e := range entries {
-		named[e.ID] = true
-		b.applyEndpoint(now, e)
+	for _, entry := range entries {
+		named[entry.ID] = true
+		b.applyEndpoint(now, entry)
 	}
 	if kind != UpdateDelta {
-		for _, target := range b.sorted {
-			if !named[target.ID] {
-				target.State = Gone
-			}
-		}
+		b.endpoints.markGone(named)
 	}
 	if kind != UpdateCached {
-		b.watchBackoff = b.settings.Rules.PollInterval / 8
+		b.subscription.Succeeded()
 	}
-	b.reindexServers()
+	b.endpoints.settle()
 	b.rebuildGroups(now)
 }
 
 // applyEndpoint adds or updates one server. A new start time is a new process, which has not failed yet.
-func (b *Balancer) applyEndpoint(now time.Duration, e Endpoint) {
-	if !(e.Size > 0) || math.IsInf(e.Size, 0) {
-		e.Size = 1
+func (b *Balancer) applyEndpoint(now time.Duration, entry Endpoint) {
+	sizeUsable := entry.Size > 0 && !math.IsInf(entry.Size, 0)
+	if !sizeUsable {
+		entry.Size = 1
 	}
-	target := b.servers[e.ID]
+	target := b.endpoints.find(entry.ID)
 	if target == nil {
-		if e.State != Gone {
-			b.slowStartIfYoung(now, b.addServer(e))
+		if entry.State != Gone {
+			b.slowStartIfYoung(now, b.addServer(entry))
 		}
 		return
 	}
-	restarted := e.StartedAt != target.StartedAt
-	target.Endpoint = e
-	if restarted {
-		target.resetEjection()
+	if b.endpoints.update(target, entry) {
+		target.outlier.Reset()
 		b.slowStartIfYoung(now, target)
 	}
 }
 
-// watchIfDue subscribes to the endpoint list, where it has to be asked for.
-func (b *Balancer) watchIfDue(now time.Duration) {
-	if !b.settings.PollDiscovery || b.watching || now < b.nextWatchAt {
-		return
+// addServer adds a server that is new in the list. Its rank among those that balancers spill to is drawn.
+func (b *Balancer) addServer(entry Endpoint) *server {
+	added := &server{
+		Endpoint: entry, idHash: estimate.MixBits(uint64(entry.ID)),
+		member: lanes.NewMember(uint64(entry.ID)), spillRank: b.rng.Float64(),
+		classFailures: classfailure.New(len(b.settings.Classes)),
+	}
+	b.endpoints.add(added)
+	return added
+}
+
+// Exclude keeps new requests from a server until Include, whatever the list says of it meanwhile and
+// whether or not it is listed. Attempts in flight there may end. To exclude it again changes nothing.
+func (b *Balancer) Exclude(now time.Duration, id ServerID) {
+	b.ensureStarted(now)
+	if b.endpoints.exclude(id) != nil {
+		b.rebuildGroups(now)
 	}
-	b.watching = true
-	b.host.WatchEndpoints()
 }
 
-// backOffWatch puts off the next subscription after one that failed, for longer each time.
-func (b *Balancer) backOffWatch(now time.Duration) {
-	b.watching = false
-	b.nextWatchAt = now + b.watchBackoff/2 + jitter(b.rng, b.watchBackoff)
-	b.watchBackoff = min(2*b.watchBackoff, max(b.settings.Rules.PollInterval, b.watchBackoff))
+// Include ends an exclusion at the clock time since. The server was excluded to be restarted, which the
+// list may not show yet: its slow start counts from since, or from a later start in the list.
+func (b *Balancer) Include(now time.Duration, id ServerID, since time.Duration) {
+	b.ensureStarted(now)
+	target := b.endpoints.include(id)
+	if target == nil {
+		return
+	}
+	target.outlier.Reset()
+	since = max(since, target.StartedAt)
+	if b.slowStart.Covers(now, since) {
+		b.startSlowStart(now, target, since)
+	}
+	b.rebuildGroups(now)
 }
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -7,12 +7,14 @@
 
 func TestRestartUnderSameIDStartsSlowStart(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
-	b.eject(time.Second, b.sorted[0])
+	b.eject(time.Second, b.endpoints.sorted[0])
 	e := testEndpoints(2, 1)[0]
 	e.StartedAt = 1500 * ms
 	b.UpdateEndpoints(2*time.Second, UpdateDelta, []Endpoint{e})
-	if to := b.servers[1]; to.ejections != 0 || to.slowStartSince != e.StartedAt {
-		t.Fatalf("%d ejections, slow start since %v", to.ejections, to.slowStartSince)
+	to := b.endpoints.find(1)
+	since, inSlowStart := to.slowStart.Since()
+	if to.outlier.Ejected() || !inSlowStart || since != e.StartedAt {
+		t.Fatalf("%d ejections, in slow start: %v, since %v", to.outlier.Ejections(), inSlowStart, since)
 	}
 }
 
@@ -31,20 +33,25 @@
 		t.Fatalf("%d subscriptions within the poll interval", h.watches)
 	}
 	b.UpdateEndpoints(now, UpdateFailed, nil)
-	backoff := b.watchBackoff
-	if len(b.sorted) != 2 {
+	if len(b.endpoints.sorted) != 2 {
 		t.Fatal("a failed update emptied the list")
 	}
 	b.Timer(now, tickToken)
 	if h.watches != 1 {
 		t.Fatal("subscribed again without a backoff")
 	}
-	run(backoff)
+	firstBackoff := s.Rules.PollInterval / 8
+	run(firstBackoff * 3 / 2)
 	if h.watches != 2 {
 		t.Fatal("did not subscribe again")
 	}
 	b.UpdateEndpoints(now, UpdateFailed, nil)
-	if b.watchBackoff <= backoff {
+	run(firstBackoff) // half of twice the first backoff: the least that the jitter leaves of it
+	if h.watches != 2 {
 		t.Fatal("the backoff did not grow")
 	}
+	run(firstBackoff*2 + b.tickInterval)
+	if h.watches != 3 {
+		t.Fatal("did not subscribe after the second backoff")
+	}
 }
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -3,6 +3,9 @@
 import (
 	"testing"
 	"time"
+
+	"piernotch/internal/decision/admission"
+	"piernotch/internal/decision/workload"
 )
 
 const ms = time.Millisecond
@@ -142,3 +145,30 @@
 	}
 	return b, h
 }
+
+// fillRetryBudget fills the retry budget to its bound.
+func fillRetryBudget(b *Balancer) {
+	for range 1000 {
+		b.retryBudget.RequestArrived()
+	}
+}
+
+// setMeanWork sets the mean work and the median hint in ms, as a process that takes over does.
+func setMeanWork(t *testing.T, b *Balancer, work float64) {
+	t.Helper()
+	if !b.workload.Restore(workload.Snapshot{MedianHint: work, Mean: work, LargeShare: 0.5}) {
+		t.Fatal("the balancer has cost hints of its own")
+	}
+}
+
+// shedAll lets answers come late until all work is shed.
+func shedAll(t *testing.T, b *Balancer, now time.Duration) {
+	t.Helper()
+	for range 100 {
+		now += b.shortestObjective
+		b.admission.ObserveAnswer(b.admission.Step(now), admission.Answer{Late: true, OnlyLocality: true})
+	}
+	if share := b.admission.ShedShare(); share != 1 {
+		t.Fatalf("shed share %v", share)
+	}
+}
--- a/outlier_ejection.go
+++ b/outlier_ejection.go
@@ -1,58 +1,51 @@
 package piernotch
 
-import "time"
+import (
+	"time"
 
-const (
-	maxSilentTimeouts = 2   // consecutive timeouts without any answer that eject a server
-	maxFailures       = 3   // other consecutive failures that do; a healthy one has some now and then
-	silenceDeviations = 4.0 // mean deviations beyond the mean from which silence counts, as in TCP
+	"piernotch/internal/decision/outlier"
 )
 
-// recordFailure counts a failure; so many in a row eject. A failed trial ejects again at once.
-func (b *Balancer) recordFailure(now time.Duration, target *server, most int) {
-	target.consecutiveFailures++
-	if target.ejections > 0 || target.consecutiveFailures >= most {
+// recordFailure counts a failed attempt, and ejects the server if that is due.
+func (b *Balancer) recordFailure(now time.Duration, target *server, failure outlier.Failure) {
+	if target.outlier.RecordFailure(failure) == outlier.Eject {
 		b.eject(now, target)
 	}
 }
 
 // ejectSilent reports whether an attempt of the request is overdue, and ejects the servers that have
 // answered nothing since they got it. One that answered others is only slow with this one.
-func (b *Balancer) ejectSilent(now time.Duration, r *request) (overdue bool) {
-	for i := range r.attempts {
-		t := &r.attempts[i]
-		target := t.server
-		if t.ended || now-t.sentAt < b.silenceTimeout(&b.groups[target.locality], r.work) {
+func (b *Balancer) ejectSilent(now time.Duration, request *openRequest) (overdue bool) {
+	for i := range request.attempts {
+		sent := &request.attempts[i]
+		target := sent.server
+		if sent.ended || now-sent.sentAt < b.silenceTimeout(&b.groups[target.locality], request.work) {
 			continue
 		}
 		overdue = true
-		if target.lastAnswerAt < t.sentAt && target.ejections == 0 {
+		if target.lastAnswerAt < sent.sentAt && !target.outlier.Ejected() {
 			b.eject(now, target)
 		}
 	}
 	return overdue
 }
 
-// eject takes a server out of its group, for longer each time in a row; a single trial brings it back.
+// eject takes a server out of its group. The pause grows from the time after which silence counts.
 func (b *Balancer) eject(now time.Duration, target *server) {
-	target.ejections++
-	target.consecutiveFailures, target.healthCheckPassed = 0, false
-	base := max(b.silenceTimeout(&b.groups[target.locality], b.meanWork), b.shortestObjective)
-	pause := base << min(target.ejections, 4)
-	target.trialAt = now + pause/2 + jitter(b.rng, pause)
+	basePause := max(b.silenceTimeout(&b.groups[target.locality], b.workload.Mean()), b.shortestObjective)
+	target.outlier.Eject(now, basePause, b.rng)
 	b.groupsStale = true
 }
 
-// trialDue reports whether an ejected server may get its trial: after the pause and any health check.
-func (b *Balancer) trialDue(now time.Duration, target *server) bool {
-	return now >= target.trialAt && (target.healthCheckPassed || !b.settings.Limits.HealthChecks)
+// outlierOptions returns what the settings permit the outlier detection.
+func (b *Balancer) outlierOptions() outlier.Options {
+	return outlier.Options{HealthChecks: b.settings.Limits.HealthChecks}
 }
 
 // startHealthCheckIfDue starts the health check that precedes the trial of an ejected server.
 func (b *Balancer) startHealthCheckIfDue(now time.Duration, target *server) {
-	due := target.ejections > 0 && now >= target.trialAt && target.available()
-	if due && b.settings.Limits.HealthChecks && !target.healthCheckPassed && !target.healthCheckInflight {
-		target.healthCheckInflight = true
+	mayBeDue := target.outlier.Ejected() && target.available()
+	if mayBeDue && target.outlier.StartHealthCheckIfDue(now, b.outlierOptions()) {
 		b.host.HealthCheck(target.ID)
 	}
 }
@@ -60,31 +53,38 @@
 // HealthCheckCompleted takes a health check's result: OK allows the trial, any other status ejects again.
 func (b *Balancer) HealthCheckCompleted(now time.Duration, id ServerID, status Status) {
 	b.ensureStarted(now)
-	target := b.servers[id]
-	if target == nil || !target.healthCheckInflight {
+	target := b.endpoints.find(id)
+	if target == nil {
 		return
 	}
-	target.healthCheckInflight = false
-	target.connectFailures += indicator(status == ConnectFailed)
-	if status == OK {
-		target.healthCheckPassed, b.groupsStale = true, true
-		return
+	switch target.outlier.CompleteHealthCheck(healthCheckResult(status)) {
+	case outlier.TrialAllowed:
+		b.groupsStale = true
+	case outlier.StillUnusable:
+		b.eject(now, target)
+	}
+}
+
+// healthCheckResult returns what the status of a health check shows of the server.
+func healthCheckResult(status Status) outlier.HealthCheckResult {
+	switch status {
+	case OK:
+		return outlier.HealthCheckPassed
+	case ConnectFailed:
+		return outlier.HealthCheckNoConnect
 	}
-	b.eject(now, target)
+	return outlier.HealthCheckFailed
 }
 
-// endEjection follows a good answer. If connects kept failing, the process may be a new one: the server
-// is in slow start until the list has had time to name a restart. Otherwise it is as warm as before.
-func (b *Balancer) endEjection(now time.Duration, target *server) {
-	mayHaveRestarted := target.connectFailures >= 2
-	target.consecutiveFailures, target.connectFailures = 0, 0
-	if target.ejections == 0 {
+// recordGoodResponse ends an ejection. If the process may be a new one, the server is in slow start until
+// the list has had time to name a restart. Otherwise it is as warm as before.
+func (b *Balancer) recordGoodResponse(now time.Duration, target *server) {
+	recovery := target.outlier.RecordGoodResponse()
+	if recovery == outlier.NotEjected {
 		return
 	}
-	target.ejections = 0
-	if target.warm() && mayHaveRestarted {
-		b.startSlowStart(now, target, now)
-		target.assumedRestartUntil = now + b.settings.Rules.SlowStartDuration/4
+	if recovery == outlier.ReturnedMaybeAfterRestart && target.warm() {
+		b.assumeRestart(now, target)
 	}
 	b.groupsStale = true
 }
--- a/outlier_ejection_test.go
+++ b/outlier_ejection_test.go
@@ -10,7 +10,7 @@
 // A hung server accepts requests and does not answer; the list says that it is ready.
 func TestSilentServerIsEjectedAndReturnsAfterOneTrial(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
-	hung := b.sorted[0]
+	hung := b.endpoints.sorted[0]
 	now, id := time.Second, RequestID(0)
 	step := func() {
 		id++
@@ -23,10 +23,10 @@
 		now += 25 * ms
 		b.Timer(now, tickToken)
 	}
-	for hung.ejections == 0 && id < 100 {
+	for !hung.outlier.Ejected() && id < 100 {
 		step()
 	}
-	if hung.ejections == 0 {
+	if !hung.outlier.Ejected() {
 		t.Fatal("never ejected")
 	}
 	before := len(h.attempts)
@@ -35,7 +35,7 @@
 			completeAttempt(b, now, a.id, 0, a.to, Timeout)
 		}
 	}
-	for now < hung.trialAt {
+	for now < hung.outlier.PauseEnd() {
 		step()
 	}
 	for _, a := range h.attempts[before : len(h.attempts)-1] {
@@ -43,7 +43,7 @@
 			t.Fatal("an ejected server got a request before its trial")
 		}
 	}
-	now = hung.trialAt + ms
+	now = hung.outlier.PauseEnd() + ms
 	b.Timer(now, tickToken)
 	trials := 0
 	for range 20 {
@@ -58,7 +58,7 @@
 	for i := range h.attempts {
 		completeAttempt(b, now, h.attempts[i].id, 0, h.attempts[i].to, OK)
 	}
-	if hung.ejections != 0 {
+	if hung.outlier.Ejected() {
 		t.Fatal("an answered trial did not end the ejection")
 	}
 }
@@ -67,21 +67,21 @@
 	s := testSettings()
 	s.Limits.HealthChecks = true
 	b, h := newTestBalancer(t, s, testEndpoints(2, 1))
-	to := b.sorted[0]
+	to := b.endpoints.sorted[0]
 	b.eject(time.Second, to)
-	for now := to.trialAt; now < to.trialAt+time.Second; now += b.tickInterval {
+	for now := to.outlier.PauseEnd(); now < to.outlier.PauseEnd()+time.Second; now += b.tickInterval {
 		b.Timer(now, tickToken)
 	}
 	if len(h.healthChecks) != 1 {
 		t.Fatalf("%d health checks", len(h.healthChecks)) // a regression: one at every tick
 	}
-	b.HealthCheckCompleted(to.trialAt+ms, to.ID, Timeout)
-	if to.ejections != 2 {
+	b.HealthCheckCompleted(to.outlier.PauseEnd()+ms, to.ID, Timeout)
+	if to.outlier.Ejections() != 2 {
 		t.Fatal("a failed health check must prolong the ejection")
 	}
-	b.Timer(to.trialAt+ms, tickToken)
-	b.HealthCheckCompleted(to.trialAt+2*ms, to.ID, OK)
-	if !b.trialDue(to.trialAt+3*ms, to) {
+	b.Timer(to.outlier.PauseEnd()+ms, tickToken)
+	b.HealthCheckCompleted(to.outlier.PauseEnd()+2*ms, to.ID, OK)
+	if !to.outlier.AllowsAttempt(to.outlier.PauseEnd()+3*ms, b.outlierOptions()) {
 		t.Fatal("no trial after a passed health check")
 	}
 }
@@ -91,24 +91,24 @@
 func TestOnlyConnectFailuresEndEjectionInSlowStart(t *testing.T) {
 	for status, slowStart := range map[Status]bool{Error: false, Reset: false, ConnectFailed: true} {
 		b, _ := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
-		to := b.servers[1]
+		to := b.endpoints.find(1)
 		record := func(s Status) {
-			r := &request{class: &b.settings.Classes[idempotentClass], work: 10}
+			r := &openRequest{class: &b.settings.Classes[idempotentClass], work: 10}
 			b.recordOutcome(time.Second, r, &attempt{server: to}, Outcome{Status: s})
 		}
-		b.meanWork = 10
+		setMeanWork(t, b, 10)
 		record(status)
 		record(status)
-		if to.ejections > 0 {
+		if to.outlier.Ejected() {
 			t.Errorf("status %v: ejected after two", status)
 		}
 		record(status)
-		if to.ejections == 0 {
+		if !to.outlier.Ejected() {
 			t.Errorf("status %v: not ejected after three", status)
 		}
 		record(OK)
-		if (to.slowStartSince >= 0) != slowStart || to.ejections > 0 {
-			t.Errorf("status %v: slow start since %v, %d ejections", status, to.slowStartSince, to.ejections)
+		if to.warm() == slowStart || to.outlier.Ejected() {
+			t.Errorf("status %v: warm: %v, %d ejections", status, to.warm(), to.outlier.Ejections())
 		}
 	}
 }
@@ -117,7 +117,7 @@
 // its rejections counted as late answers of the whole fleet.
 func TestServerRejectingAllRequestsIsEjected(t *testing.T) {
 	b, h := newTestBalancer(t, manyBalancersSettings(), testEndpoints(6, 1))
-	b.retryBudget = 100
+	fillRetryBudget(b)
 	rejections := 0
 	for i := range 200 {
 		now := time.Second + time.Duration(i)*ms
@@ -131,6 +131,6 @@
 		completeAttempt(b, now, RequestID(i), try, h.last().to, OK)
 	}
 	require.LessOrEqual(t, rejections, 3)
-	require.Less(t, b.latencyPerWork, 3.0, "a rejection counted as a slow answer")
+	require.Less(t, b.latency.PerWork(), 3.0, "a rejection counted as a slow answer")
 	require.Empty(t, h.rejected)
 }
--- a/selection.go
+++ b/selection.go
@@ -1,80 +1,94 @@
 package piernotch
 
-import "time"
+import (
+	"time"
+
+	"piernotch/internal/decision/lanes"
+)
 
 const (
 	objectiveShare         = 0.9  // the expected latency is within this share of the time left
-	failsClassShare        = 0.3  // failure share from which a class avoids a server that serves others
 	minSpillers            = 3.0  // balancers of other zones that may spill to one server, at least
 	spillerShare           = 0.1  // the same as a share of all balancers
 	totalInflightBound     = 6.0  // all balancers' requests at a server, for each unit of maxLoad
 	totalInflightBoundKey  = 8.0  // all balancers' requests, if the request's key may be cached there
 	totalInflightBoundLast = 10.0 // all balancers' requests, if no other server has capacity
+	turnRounds             = 3    // of a lane's members, in search of one with the credit for a turn
 )
 
-// search is the choice of a server in one lane of a group.
-type search struct {
-	now     time.Duration
-	request *request
-	group   *group
-	lane    int
-	maxLoad float64 // exclusive bound on the effective load
+// Loads below which a server may get a request at a level: this balancer's requests there, without those in
+// transit.
+const (
+	idle      = 1.0 // it has none
+	lightLoad = 2.0 // it has one at most: the next is there when that one ends
+)
+
+// selectionLevel is a group whose members may get a request up to a load of this balancer's.
+type selectionLevel struct {
+	locality locality
+	maxLoad  float64 // exclusive
 }
 
-// dispatch starts an attempt of the request, or returns false if no server can take it now.
-func (b *Balancer) dispatch(now time.Duration, r *request) bool {
-	if b.groupsStale {
-		b.rebuildGroups(now)
+// selectionLevels returns the levels that are tried in turn: the own zone, up to a small load, and then the
+// others. Requests beyond that load wait here and not in a server's queue, so that they can still go to
+// whichever server is free first. The loads are small because all balancers' requests add up at a server:
+// the fewer balancers may spill to one, the more requests each of them may.
+func selectionLevels(balancers int) []selectionLevel {
+	levels := []selectionLevel{{localZone, idle}, {localZone, lightLoad}, {remoteZones, idle}}
+	for load := lightLoad; load*float64(balancers-1) <= minSpillers && load < minSpillers; load++ {
+		levels = append(levels, selectionLevel{remoteZones, load})
 	}
-	target := b.selectServer(now, r)
-	if target == nil {
-		return false
-	}
-	b.startAttempt(now, r, target)
-	return true
+	return levels
+}
+
+// laneSearch is the choice of a server in one lane of a group.
+type laneSearch struct {
+	now     time.Duration
+	request *openRequest
+	group   *serverGroup
+	lane    lanes.Lane
+	maxLoad float64 // exclusive bound on the effective load
 }
 
 // selectServer tries the levels in turn, in each of them the request's own lane first.
-func (b *Balancer) selectServer(now time.Duration, r *request) *server {
+func (b *Balancer) selectServer(now time.Duration, request *openRequest) *server {
 	for _, level := range b.levels {
-		g := &b.groups[level.locality]
-		if len(g.members) == 0 {
+		group := &b.groups[level.locality]
+		if len(group.members) == 0 {
 			continue
 		}
-		for _, lane := range [2]int{r.lane, 1 - r.lane} {
-			s := search{now: now, request: r, group: g, lane: lane, maxLoad: level.maxLoad}
-			if target := b.rendezvousPick(s); target != nil {
+		for _, lane := range [2]lanes.Lane{request.lane, request.lane.Other()} {
+			search := laneSearch{now: now, request: request, group: group, lane: lane, maxLoad: level.maxLoad}
+			if target := b.rendezvousPick(search); target != nil {
 				return target
 			}
-			if target := b.weightedRoundRobin(s); target != nil {
+			if target := b.weightedRoundRobin(search); target != nil {
 				return target
 			}
 		}
 	}
-	return b.leastExpectedLatency(now, r)
+	return b.leastExpectedLatency(now, request)
 }
 
 // weightedRoundRobin takes turns within the lane. A server of less weight misses some of its turns. One
 // without capacity misses all of them, and they are neither given to its neighbour nor made up for later.
-func (b *Balancer) weightedRoundRobin(s search) *server {
-	g, members := s.group, s.group.laneMembers(s.lane)
+func (b *Balancer) weightedRoundRobin(search laneSearch) *server {
+	group, laneLength := search.group, search.group.lanes.Len(search.lane)
 	var fallback *server // has capacity, but not yet the credit for a turn
-	for i := range 3 * len(members) {
-		turn := (g.nextTurn[s.lane] + 1) % len(members)
-		g.nextTurn[s.lane] = turn
-		target := members[turn]
-		target.credit = min(target.credit+g.laneWeight(s.lane, turn)/g.maxLaneWeight[s.lane], 1)
-		noneHasCapacity := i >= len(members) && fallback == nil
-		if noneHasCapacity || !b.canServeInTime(s, target, totalInflightBound*s.maxLoad) {
+	for i := range turnRounds * laneLength {
+		index, lacksCredit := group.lanes.NextTurn(search.lane)
+		target := group.members[index]
+		noneHasCapacity := i >= laneLength && fallback == nil
+		if noneHasCapacity || !b.canServeInTime(search, target, totalInflightBound*search.maxLoad) {
 			continue
 		}
-		if target.credit < 1 {
+		if lacksCredit {
 			if fallback == nil {
 				fallback = target
 			}
 			continue
 		}
-		target.credit--
+		group.lanes.TakeTurn(index)
 		return target
 	}
 	return fallback
@@ -82,29 +96,32 @@
 
 // rendezvousPick returns the server that probably has the request's key cached: from the ids alone, all
 // balancers agree on it. It returns nil if there is no key, or that server is slow or has no capacity.
-func (b *Balancer) rendezvousPick(s search) *server {
-	if !b.settings.KeyAffinity || s.request.Key == 0 {
+func (b *Balancer) rendezvousPick(search laneSearch) *server {
+	if !b.settings.KeyAffinity || search.request.Key == 0 {
 		return nil
 	}
-	target := rendezvousMember(s.group.laneMembers(s.lane), s.request.Key)
-	if target.latency > 2*s.group.latency || !b.canServeInTime(s, target, totalInflightBoundKey) {
+	target := search.group.members[search.group.lanes.MemberForKey(search.lane, search.request.Key)]
+	slow := target.latency.Slow(&search.group.latency)
+	if slow || !b.canServeInTime(search, target, totalInflightBoundKey) {
 		return nil
 	}
 	return target
 }
 
 // leastExpectedLatency is the last resort, if no server with capacity is likely to meet the objective.
-func (b *Balancer) leastExpectedLatency(now time.Duration, r *request) *server {
+func (b *Balancer) leastExpectedLatency(now time.Duration, request *openRequest) *server {
 	var best *server
+	least := 0.0 // expected latency of the best, ms
 	for _, level := range b.levels[1:] {
 		for _, target := range b.groups[level.locality].members {
-			if !b.hasCapacity(now, target, level.maxLoad, totalInflightBoundLast) ||
-				b.failsClass(now, r, target) || r.attemptedOn(target) || !b.mayStartAttempt(now, r, target) {
+			allowed := b.hasCapacity(now, target, level.maxLoad, totalInflightBoundLast) &&
+				!b.failsClass(now, request, target) && !request.attemptedOn(target) &&
+				b.mayStartAttempt(now, request, target)
+			if !allowed || b.manyBalancers() && !b.meetsObjective(now, request, target) {
 				continue
 			}
-			late := b.manyBalancers() && !b.meetsObjective(now, r, target)
-			if !late && (best == nil || b.expectedLatency(now, r, target) < b.expectedLatency(now, r, best)) {
-				best = target
+			if expected := b.expectedLatency(now, request, target); best == nil || expected < least {
+				best, least = target, expected
 			}
 		}
 	}
@@ -112,9 +129,10 @@
 }
 
 // canServeInTime reports whether the server may get the request and is likely to meet its objective.
-func (b *Balancer) canServeInTime(s search, target *server, maxTotal float64) bool {
-	return b.hasCapacity(s.now, target, s.maxLoad, maxTotal) && b.meetsObjective(s.now, s.request, target) &&
-		!s.request.attemptedOn(target) && b.mayStartAttempt(s.now, s.request, target)
+func (b *Balancer) canServeInTime(search laneSearch, target *server, maxTotal float64) bool {
+	now, request := search.now, search.request
+	return b.hasCapacity(now, target, search.maxLoad, maxTotal) && b.meetsObjective(now, request, target) &&
+		!request.attemptedOn(target) && b.mayStartAttempt(now, request, target)
 }
 
 // hasCapacity reports whether the server is below the bounds on this balancer's load and on all requests.
@@ -123,22 +141,15 @@
 		!b.totalInflightReaches(now, target, maxTotal)
 }
 
-// failsClass reports whether the server fails this class but serves others. It lapses if nothing is sent.
-func (b *Balancer) failsClass(now time.Duration, r *request, target *server) bool {
-	own, least := target.failureShare[r.Class], 1.0
-	for class, share := range target.failureShare {
-		if class != r.Class {
-			least = min(least, share)
-		}
-	}
-	sentLately := now < target.lastSentAt[r.Class]+4*r.class.LatencyObjective
-	return own > failsClassShare && own > 3*least && sentLately
+// failsClass reports whether the server fails this class but serves others.
+func (b *Balancer) failsClass(now time.Duration, request *openRequest, target *server) bool {
+	return target.classFailures.Avoid(now, request.Class, request.class.LatencyObjective)
 }
 
 // meetsObjective reports whether the server is likely to answer in time, with what is queued there.
-func (b *Balancer) meetsObjective(now time.Duration, r *request, target *server) bool {
-	left := objectiveShare * float64(r.objective-now) / float64(time.Millisecond)
-	return !b.failsClass(now, r, target) && b.expectedLatency(now, r, target) <= left
+func (b *Balancer) meetsObjective(now time.Duration, request *openRequest, target *server) bool {
+	left := objectiveShare * float64(request.objective-now) / float64(time.Millisecond)
+	return !b.failsClass(now, request, target) && b.expectedLatency(now, request, target) <= left
 }
 
 // spills reports whether a request to the server leaves this zone though it has servers.
@@ -150,66 +161,3 @@
 func (b *Balancer) reservedForOtherZones(target *server) bool {
 	return b.spills(target) && target.spillRank*float64(b.settings.BalancerCount-1) > b.maxSpillers
 }
-
-// balanceLanes moves the split towards equal lateness: the small lane gets half to twice its share by hints.
-func (b *Balancer) balanceLanes(step float64, lane int, late float64) {
-	b.lateByLane[lane] += groupSmoothing * (late - b.lateByLane[lane])
-	b.laneOffset += step * (b.lateByLane[largeLane] - b.lateByLane[smallLane])
-	small := 1 - b.largeWorkShare
-	b.laneOffset = min(max(b.laneOffset, -small), small/2)
-}
-
-// rebuildGroups assigns the servers that may get requests to the local and the remote group.
-func (b *Balancer) rebuildGroups(now time.Duration) {
-	b.groupsStale = false
-	for i := range b.groups {
-		b.groups[i].members = b.groups[i].members[:0]
-	}
-	for _, target := range b.sorted {
-		if target.available() && (target.ejections == 0 || b.trialDue(now, target)) {
-			g := &b.groups[target.locality]
-			g.members = append(g.members, target)
-		}
-	}
-	for i := range b.groups {
-		b.updateWeights(now, &b.groups[i])
-		b.groups[i].splitLanes(b.largeWorkShare + b.laneOffset)
-	}
-}
-
-// updateWeights weighs a group's members by size, slow start and latency, and sums them up.
-func (b *Balancer) updateWeights(now time.Duration, g *group) {
-	g.weight, g.warmSize, g.meanOthers = 0, 0, 0
-	for _, target := range g.members {
-		target.weight = target.Size * b.capacityShare(now, target)
-		if target.latency > 0 && g.latency > 0 {
-			target.weight *= min(max(g.latency/target.latency, 1.0/8), 2)
-		}
-		g.weight += target.weight
-		g.meanOthers += target.reports.meanOthers / float64(len(g.members))
-		if target.warm() {
-			g.warmSize += target.Size
-		}
-	}
-}
-
-// splitLanes gives the large lane the first members, up to its share of the weight. The member at the
-// split point serves both lanes, each with a part of its weight.
-func (g *group) splitLanes(largeShare float64) {
-	if len(g.members) == 0 {
-		return
-	}
-	left := largeShare * g.weight
-	g.laneSplit = 0
-	for g.laneSplit < len(g.members)-1 && left > g.members[g.laneSplit].weight {
-		left -= g.members[g.laneSplit].weight
-		g.laneSplit++
-	}
-	g.largeLanePart = min(left/g.members[g.laneSplit].weight, 1)
-	for lane := range g.maxLaneWeight {
-		g.maxLaneWeight[lane] = 0
-		for i := range g.laneMembers(lane) {
-			g.maxLaneWeight[lane] = max(g.maxLaneWeight[lane], g.laneWeight(lane, i))
-		}
-	}
-}
--- a/selection_test.go
+++ b/selection_test.go
@@ -100,10 +100,10 @@
 	list := append(testEndpoints(1, 1), Endpoint{ID: 8, Zone: 1, Size: 1}, Endpoint{ID: 9, Zone: 1, Size: 1})
 	list[0].StartedAt = 900 * ms
 	b, h := newTestBalancer(t, testSettings(), list)
-	for _, to := range b.sorted {
+	for _, to := range b.endpoints.sorted {
 		to.spillRank = 0.9
 	}
-	b.hintCount, b.workSamples, b.medianHint, b.meanWork = 100, 100, 10, 10
+	setMeanWork(t, b, 10)
 	b.HandleRequest(time.Second, newTestRequest(1, idempotentClass, 100))
 	if len(h.attempts) != 1 || h.last().to == 1 {
 		t.Fatalf("sent %v", h.attempts)
@@ -133,11 +133,14 @@
 // A regression: round robin sent a heavy request to a slow server, where it was certainly late.
 func TestHeavyRequestsGoToFastEnoughServer(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), testEndpoints(4, 1))
-	b.hintCount, b.medianHint, b.meanWork, b.latencyPerWork = 100, 10, 10, 1
-	for _, to := range b.sorted {
-		to.latencyPerWork = 3
+	setMeanWork(t, b, 10)
+	for _, to := range b.endpoints.sorted { // three times its work, on the third server half of it
+		took := 30 * ms
+		if to.ID == 3 {
+			took = 5 * ms
+		}
+		b.observeLatency(&openRequest{class: &b.settings.Classes[nonIdempotentClass], work: 10}, to, took)
 	}
-	b.sorted[2].latencyPerWork = 0.5
 	b.HandleRequest(time.Second, newTestRequest(1, nonIdempotentClass, 300))
 	if h.last().to != 3 {
 		t.Fatalf("300 ms of work within 500 ms went to server %d", h.last().to)
@@ -171,13 +174,13 @@
 	b, h := newTestBalancer(t, set, testEndpoints(2, 1))
 	now := time.Second
 	send := func(class int) ServerID {
-		id := RequestID(len(b.requests)) + RequestID(now)
+		id := RequestID(len(b.requests.byID)) + RequestID(now)
 		b.HandleRequest(now, newTestRequest(id, class, 10))
 		return h.last().to
 	}
-	failing := b.servers[1]
-	served := &request{class: &set.Classes[idempotentClass], work: 10}
-	hung := &request{
+	failing := b.endpoints.find(1)
+	served := &openRequest{class: &set.Classes[idempotentClass], work: 10}
+	hung := &openRequest{
 		Request: Request{Class: nonIdempotentClass}, class: &set.Classes[nonIdempotentClass], work: 10,
 	}
 	for range 4 {
@@ -187,7 +190,7 @@
 		timedOut := &attempt{server: failing, sentAt: now - 50*ms}
 		b.recordOutcome(now, hung, timedOut, Outcome{Status: Timeout, Latency: 50 * ms})
 	}
-	failing.lastSentAt[nonIdempotentClass] = now
+	failing.classFailures.RecordSend(now, nonIdempotentClass)
 	for range 2 {
 		if to := send(nonIdempotentClass); to == 1 {
 			t.Error("sent to the server that fails its class")
--- a/settings.go
+++ b/settings.go
@@ -1,10 +1,6 @@
 package piernotch
 
-import (
-	"fmt"
-	"slices"
-	"time"
-)
+import "fmt"
 
 // SettingsError is a setting that cannot be used.
 type SettingsError struct {
@@ -35,7 +31,8 @@
 	case s.Rules.SlowStartDuration < 0 || s.Rules.PollInterval < 0 || s.Rules.OverloadWindow < 0:
 		return settingsError("Rules", "rules: negative time")
 	case !(s.Rules.SlowStartCapacity >= 0 && s.Rules.SlowStartCapacity <= 1):
-		return settingsError("Rules.SlowStartCapacity", "rules: cold from is %v", s.Rules.SlowStartCapacity)
+		return settingsError("Rules.SlowStartCapacity", "rules: slow start capacity is %v",
+			s.Rules.SlowStartCapacity)
 	}
 	for i, c := range s.Classes {
 		if err := c.validate(i); err != nil {
@@ -54,74 +51,13 @@
 func (c Class) validate(i int) error {
 	setting := fmt.Sprintf("Classes[%d]", i)
 	if c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.DedupWindow < 0 {
-		return settingsError(setting, "classes[%d]: aim %v, deadline %v, window %v",
+		return settingsError(setting,
+			"classes[%d]: latency objective %v, deadline %v, deduplication window %v",
 			i, c.LatencyObjective, c.Deadline, c.DedupWindow)
 	}
 	if !(c.PriorityWeight >= 0) || !(c.LateWeightShare >= 0) {
-		return settingsError(setting, "classes[%d]: worth %v, late worth %v", i, c.PriorityWeight, c.LateWeightShare)
+		return settingsError(setting, "classes[%d]: priority weight %v, late weight share %v",
+			i, c.PriorityWeight, c.LateWeightShare)
 	}
 	return nil
 }
-
-// UpdateSettings replaces the settings while requests are open, or returns a *SettingsError and changes
-// nothing. A class keeps its index: those in use must stay in their places, and
-// new ones follow them. Zones and the number of tenants cannot change. Open requests keep the class that they
-// came with.
-func (b *Balancer) UpdateSettings(now time.Duration, s Settings) error {
-	if err := s.Validate(); err != nil {
-		return err
-	}
-	inUse := len(b.settings.Classes)
-	switch {
-	case len(s.Classes) < inUse:
-		return settingsError("Classes", "%d classes, the %d in use must keep their places", len(s.Classes), inUse)
-	case s.Zone != b.settings.Zone || !slices.Equal(s.Zones, b.settings.Zones):
-		return settingsError("Zones", "zones cannot change while the program runs")
-	case len(s.Tenants) != len(b.settings.Tenants):
-		return settingsError("Tenants", "tenants cannot change while the program runs")
-	}
-	b.ensureStarted(now)
-	s.Classes = slices.Clone(s.Classes) // open requests point to theirs
-	b.settings = s
-	b.deriveFromSettings()
-	for _, target := range b.sorted {
-		for len(target.failureShare) < len(s.Classes) {
-			target.failureShare = append(target.failureShare, 0)
-			target.lastSentAt = append(target.lastSentAt, 0)
-		}
-	}
-	return nil
-}
-
-// deriveFromSettings sets what the balancer derives from its settings.
-func (b *Balancer) deriveFromSettings() {
-	s := &b.settings
-	b.shortestObjective = s.Classes[0].LatencyObjective
-	for _, c := range s.Classes {
-		b.shortestObjective = min(b.shortestObjective, c.LatencyObjective)
-	}
-	b.tickInterval = max(s.Tick, time.Duration(float64(b.shortestObjective)/ticksPerObjective))
-	b.watchBackoff = s.Rules.PollInterval / 8
-	b.maxSpillers = max(minSpillers, spillerShare*float64(s.BalancerCount))
-	b.slowStartWindow = 0
-	if b.manyBalancers() {
-		b.slowStartWindow = s.Rules.OverloadWindow / slowStartWindows
-	}
-	b.levels = selectionLevels(s.BalancerCount)
-	for len(b.fastAnswers) < len(s.Classes) {
-		b.fastAnswers = append(b.fastAnswers, 0)
-	}
-	b.buildPriorities()
-}
-
-// selectionLevels returns the levels that are tried in turn: the own zone, up to a small load, and then the
-// others. Requests beyond that load wait here and not in a server's queue, so that they can still go to
-// whichever server is free first. The loads are small because all balancers' requests add up at a server:
-// the fewer balancers may spill to one, the more requests each of them may.
-func selectionLevels(balancers int) []selectionLevel {
-	levels := []selectionLevel{{localZone, 1}, {localZone, 2}, {remoteZones, 1}}
-	for load := 2.0; load*float64(balancers-1) <= minSpillers && load < minSpillers; load++ {
-		levels = append(levels, selectionLevel{remoteZones, load})
-	}
-	return levels
-}
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -29,9 +29,8 @@
 		t.Error("a server in slow start in another zone got work that its own zone can send")
 	}
 	// A regression: heavy requests of many balancers at once overloaded one.
-	starting := b.servers[1]
+	starting := b.endpoints.find(1)
 	r := b.newRequest(7*time.Second, Request{ID: 5000, Deadline: 9 * time.Second, CostHint: 500})
-	starting.nextSlowStartSend = 0
 	if b.mayStartAttempt(7*time.Second, r, starting) {
 		t.Error("a server in slow start may get a heavy request")
 	}
@@ -45,13 +44,19 @@
 	}
 }
 
+// allowedInterval returns the time in which a server in slow start may get one request of mean work.
+func allowedInterval(b *Balancer, now time.Duration, target *server) time.Duration {
+	rate := b.slowStart.AllowedRate(now, &target.slowStart, b.slowStartLoad(now, target))
+	return time.Duration(b.workload.Mean() / rate * float64(time.Second))
+}
+
 // A zone of which only the server in slow start is left is not a small zone.
 func TestSlowStartRateDoesNotGrowWhenEndpointsLeave(t *testing.T) {
 	list := testEndpoints(4, 2)
 	list[0].StartedAt = 900 * ms
 	b, _ := newTestBalancer(t, testSettings(), list)
 	for i := range 100 {
-		b.groups[0].sendRate.add(time.Second+time.Duration(i)*10*ms, 10)
+		b.groups[0].sendRate.Add(time.Second+time.Duration(i)*10*ms, 10)
 	}
 	now := 2 * time.Second
 	before := b.warmSendRate(now)
@@ -75,11 +80,11 @@
 			}
 		}
 		b.reviewServers(time.Second)
-		b.meanWork = 25
-		b.sendRate.add(time.Second, 100)
-		to := b.servers[1]
+		setMeanWork(t, b, 25)
+		b.sendRate.Add(time.Second, 100)
+		to := b.endpoints.find(1)
 		b.startSlowStart(2*time.Second, to, 2*time.Second)
-		return b.slowStartInterval(2*time.Second, to)
+		return allowedInterval(b, 2*time.Second, to)
 	}
 	// 30 per second, three times a fifth of them, for 40 balancers of the zone.
 	require.InDelta(t, 40/(30*0.2*3), interval(true).Seconds(), 0.1)
@@ -89,15 +94,15 @@
 // A server warms up by its work, sooner than the rule promises.
 func TestIdleServerInSlowStartGetsMore(t *testing.T) {
 	b, _ := newTestBalancer(t, manyBalancersSettings(), testEndpoints(2, 1))
-	b.meanWork = 25
-	b.sendRate.add(time.Second, 50)
-	to := b.servers[1]
+	setMeanWork(t, b, 25)
+	b.sendRate.Add(time.Second, 50)
+	to := b.endpoints.find(1)
 	b.startSlowStart(time.Second, to, time.Second)
-	interval := b.slowStartInterval(time.Second, to)
+	interval := allowedInterval(b, time.Second, to)
 	b.LoadReported(time.Second, 1, LoadReport{Inflight: 9, CompletedPerSecond: 200})
-	require.Equal(t, interval, b.slowStartInterval(time.Second, to), "with a queue it gets no more")
+	require.Equal(t, interval, allowedInterval(b, time.Second, to), "with a queue it gets no more")
 	b.LoadReported(time.Second, 1, LoadReport{Inflight: 0, CompletedPerSecond: 200})
-	require.Less(t, b.slowStartInterval(time.Second, to), interval)
+	require.Less(t, allowedInterval(b, time.Second, to), interval)
 }
 
 // What each of many balancers was allowed to send, and did not while it was idle, must not come from all of
@@ -123,8 +128,8 @@
 				b.LoadReported(time.Second, id+1, LoadReport{Inflight: 2, CompletedPerSecond: completions})
 			}
 			b.reviewServers(time.Second)
-			b.meanWork = work
-			to := b.servers[1]
+			setMeanWork(t, b, work)
+			to := b.endpoints.find(1)
 			b.startSlowStart(startedAt, to, startedAt)
 			for now := startedAt + 3*time.Second; now < startedAt+5*time.Second; now += 20 * ms {
 				r := b.newRequest(now, Request{
