--- a/internal/controlgroup/consensus/announcement.go
+++ b/internal/controlgroup/consensus/announcement.go
@@ -3,7 +3,6 @@
 import (
 	"go.etcd.io/raft/v3/raftpb"
 
-	"piernotch/internal/controlgroup/failpoint"
 	"piernotch/internal/controlgroup/protocol"
 )
 
@@ -34,7 +33,7 @@
 		}
 	}
 	// A voter that is being added knows no voters yet: nothing stands in its log, and the leader fills it.
-	m.admitted = accepted > len(voters)/2 || failpoint.Enabled("disk-unchecked")
+	m.admitted = accepted > len(voters)/2
 	return m.admitted
 }
 
--- a/internal/controlgroup/consensus/machine.go
+++ b/internal/controlgroup/consensus/machine.go
@@ -11,7 +11,6 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"piernotch/internal/controlgroup/failpoint"
 	"piernotch/internal/controlgroup/lease"
 	"piernotch/internal/controlgroup/protocol"
 )
@@ -231,11 +230,16 @@
 		return nil
 	}
 	m.recordProgress(msg.From, msg.Raft)
-	if m.isAheadOfStore(msg.Raft) && !failpoint.Enabled("disk-unchecked") {
+	if m.isAheadOfStore(msg.Raft) {
 		m.outdated = true
 		return ErrStaleStore
 	}
-	err := m.node.Step(msg.Raft)
+	return m.stepRaft(msg.Raft)
+}
+
+// stepRaft passes a message to raft.
+func (m *Machine) stepRaft(msg *raftpb.Message) error {
+	err := m.node.Step(msg)
 	if errors.Is(err, raft.ErrProposalDropped) || errors.Is(err, raft.ErrStepPeerNotFound) {
 		return nil
 	}
--- a/internal/controlgroup/consensus/requests.go
+++ b/internal/controlgroup/consensus/requests.go
@@ -9,7 +9,6 @@
 	"github.com/fxamacker/cbor/v2"
 	"go.etcd.io/raft/v3"
 
-	"piernotch/internal/controlgroup/failpoint"
 	"piernotch/internal/controlgroup/lease"
 	"piernotch/internal/controlgroup/protocol"
 )
@@ -42,19 +41,14 @@
 // Only the leader serves requests; other voters respond with protocol.ErrNotLeader.
 func (m *Machine) Propose(now time.Duration, request protocol.Request) {
 	switch {
-	case m.expiry == nil && !m.servesStaleRead(request):
+	case m.expiry == nil:
 		m.respond(request, lease.Grant{}, protocol.ErrNotLeader)
 	case len(m.pendingProposals)+len(m.pendingReads) >= maxPendingRequests:
 		m.respond(request, lease.Grant{}, protocol.ErrOverloaded)
 	case request.Kind == protocol.Propose && !m.heldByAnother(request.Command):
-		if failpoint.Enabled("answered-too-early") {
-			m.respondUncommitted(request)
-		}
 		m.proposeCommand(request.Command, m.addPendingProposal(request))
 	case request.Kind == protocol.AddVoter:
 		m.addVoter(request)
-	case skipsReadIndex(request.Kind):
-		m.serveRead(now, request)
 	default:
 		m.lastSeq++
 		m.pendingReads[m.lastSeq] = pendingRequest{request: request}
@@ -62,25 +56,6 @@
 	}
 }
 
-// servesStaleRead is a fault for tests: a leader answers reads before it has applied what was committed.
-func (m *Machine) servesStaleRead(request protocol.Request) bool {
-	return failpoint.Enabled("stale-reads") && request.Kind == protocol.Read && m.raftLeader
-}
-
-// skipsReadIndex is a fault for tests: a leader serves requests without confirming that it still leads.
-func skipsReadIndex(kind protocol.Kind) bool {
-	return kind == protocol.Read && failpoint.Enabled("stale-reads") ||
-		kind == protocol.Renew && failpoint.Enabled("unconfirmed-renewals")
-}
-
-// respondUncommitted is a fault for tests: a command is answered before it is committed.
-func (m *Machine) respondUncommitted(request protocol.Request) {
-	var table lease.Table
-	table.Restore(m.table.Snapshot())
-	grant, err := table.Apply(request.Command)
-	m.respond(request, grant, err)
-}
-
 // heldByAnother reports whether a command asks for a duty that another process holds. Contenders ask for that
 // all the time; it is answered like a read, without an entry in the log.
 func (m *Machine) heldByAnother(command lease.Command) bool {
--- a/internal/controlgroup/failpoint/doc.go
+++ b/internal/controlgroup/failpoint/doc.go
@@ -1,9 +1,35 @@
-// Package failpoint enables deliberate faults, which show that the tests and the simulation of the control group
-// find the faults that they are for.
+// Package failpoint names deliberate faults, which show that the simulation of the control group (package
+// clustersim) finds what it is for. A build with the tag "planted" can enable one of them. Any other build has
+// neither the faults nor the package: it holds nothing then but this comment.
 //
-// A fault is known by its name. Code that has one asks Enabled; the faults and what each breaks are listed in
-// package clustersim (Plants). Only a build with the tag "planted" can enable a fault. In all others Enabled is
-// constant, and the compiler removes what depends on it.
+// # Seams
 //
-// The packages of the control group call Enabled, tests call Enable. The package must not know its callers.
+// The source without the tag has no branch for a fault. It calls a few small functions, the seams, whose correct
+// bodies it holds; files *_planted.go wrap these and call the correct body unless their fault is enabled. Each
+// package with seams has them as the methods of one type. The variable through which they are called has that
+// type in safety_default.go or seams_default.go, and with the tag a type that embeds it.
+//
+//	seam                     faults
+//	lease/safety.go
+//	  nextToken              TokenReused
+//	  inheritedDeadline      TimersForgotten
+//	  mayRenew               RenewedAfterExpiry
+//	  mayConfirm             GrantedWhileExpiring
+//	clustersim/seams.go
+//	  admitAct               NoFence
+//	  restoreFence           FenceForgotten
+//	  tokenToActUnder        NoLeaseCheck
+//	  monotonicTime          WallClock
+//	  handleResponse         CountedFromResponse, DriftIgnored
+//	  propose                UnconfirmedRenewals, StaleReads, AnsweredTooEarly
+//	  step                   DiskUnchecked
+//	  newMachine             DiskUnchecked
+//	  replaceLostDisk        DiskUnchecked
+//	  writeAndSend           SentBeforeWritten
+//
+// The faults of a process that the simulation drives (what a holder, a receiver or a voter's event loop does) are
+// planted where the simulation drives it. What they need from packages lease and consensus is in the files
+// lease/holder_planted.go and consensus/machine_planted.go, which no other build has.
+//
+// The files *_planted.go ask Enabled, tests call Enable. The package must not know its callers.
 package failpoint
--- a/internal/controlgroup/lease/expiry_clock.go
+++ b/internal/controlgroup/lease/expiry_clock.go
@@ -4,8 +4,6 @@
 	"maps"
 	"slices"
 	"time"
-
-	"piernotch/internal/controlgroup/failpoint"
 )
 
 // ExpiryClock expires leases that are not renewed. The leader of the group runs one, from when it begins to lead.
@@ -28,10 +26,7 @@
 func NewExpiryClock(timing Timing, now time.Duration, grants []Grant) *ExpiryClock {
 	c := &ExpiryClock{timing: timing, deadlines: map[Duty]deadline{}}
 	for _, g := range grants {
-		_ = c.Start(now, g) // nothing is expiring yet
-		if failpoint.Enabled("timers-forgotten") {
-			c.deadlines[g.Duty] = deadline{token: g.Token, at: now}
-		}
+		c.deadlines[g.Duty] = deadline{token: g.Token, at: rules.inheritedDeadline(timing, now)}
 	}
 	return c
 }
@@ -40,8 +35,7 @@
 // has been proposed: the table still has the grant, but it must not be answered with.
 func (c *ExpiryClock) Start(now time.Duration, g Grant) error {
 	current := c.deadlines[g.Duty]
-	isExpiring := current.token == g.Token && current.expiring
-	if isExpiring && !failpoint.Enabled("granted-while-lapsing") {
+	if current.token == g.Token && !rules.mayConfirm(current) {
 		return ErrNotHeld
 	}
 	c.deadlines[g.Duty] = deadline{token: g.Token, at: now + c.timing.Duration}
@@ -55,10 +49,7 @@
 // held under that token, or where its expiry has been proposed.
 func (c *ExpiryClock) Renew(now time.Duration, d Duty, token uint64) error {
 	current, held := c.deadlines[d]
-	if !held || current.token != token {
-		return ErrNotHeld
-	}
-	if current.expiring && !failpoint.Enabled("renewed-after-expiry") {
+	if !held || current.token != token || !rules.mayRenew(current) {
 		return ErrNotHeld
 	}
 	current.at = now + c.timing.Duration
--- a/internal/controlgroup/lease/fence.go
+++ b/internal/controlgroup/lease/fence.go
@@ -1,7 +1,5 @@
 package lease
 
-import "piernotch/internal/controlgroup/failpoint"
-
 // Fence rejects acts under outdated tokens. Whoever receives acts has one. What it has seen must outlive its
 // process: the receiver stores Tokens before it carries out an act whose token Admit calls fresh. The
 // zero value has seen nothing.
@@ -11,7 +9,7 @@
 // before it, and has to be stored first.
 func (f *Fence) Admit(d Duty, token uint64) (ok, fresh bool) {
 	highest := f.highest[d]
-	if token < highest && !failpoint.Enabled("no-fence") {
+	if token < highest {
 		return false, false
 	}
 	if token <= highest {
--- a/internal/controlgroup/lease/holder.go
+++ b/internal/controlgroup/lease/holder.go
@@ -1,10 +1,6 @@
 package lease
 
-import (
-	"time"
-
-	"piernotch/internal/controlgroup/failpoint"
-)
+import "time"
 
 // Request is what a Holder asks of the group: a command, or the renewal of what it holds.
 type Request struct {
@@ -131,17 +127,10 @@
 		h.held = false
 		return
 	}
-	from := h.sentAt
-	if failpoint.Enabled("counted-from-answer") {
-		from = now
-	}
 	h.grant = g
 	h.held = true
-	h.renewDeadline = from + h.timing.HolderDuration()
-	if failpoint.Enabled("drift-ignored") {
-		h.renewDeadline = from + h.timing.Duration + h.timing.Duration/8
-	}
-	h.nextRequest = from + h.timing.retryPeriod()
+	h.renewDeadline = h.sentAt + h.timing.HolderDuration()
+	h.nextRequest = h.sentAt + h.timing.retryPeriod()
 	h.checkDeadline(now)
 }
 
--- a/internal/controlgroup/lease/table.go
+++ b/internal/controlgroup/lease/table.go
@@ -5,8 +5,6 @@
 	"errors"
 	"maps"
 	"slices"
-
-	"piernotch/internal/controlgroup/failpoint"
 )
 
 // Duty names what at most one process may do at a time.
@@ -88,10 +86,7 @@
 	if t.grants == nil {
 		t.grants = map[Duty]Grant{}
 	}
-	t.lastToken++
-	if failpoint.Enabled("token-reused") {
-		t.lastToken = 1
-	}
+	t.lastToken = rules.nextToken(t.lastToken)
 	g := Grant{Duty: d, Holder: holder, Token: t.lastToken}
 	t.grants[d] = g
 	return g
--- a/internal/lab/clustersim/doc.go
+++ b/internal/lab/clustersim/doc.go
@@ -9,6 +9,8 @@
 //
 // The package owns the model of processes, clocks, disks and network. It must not use sockets, files or the
 // real clock. Callers are piernotch-lab's group commands and package clustertest, which plays the same
-// schedules on real processes. With the build tag "planted" the group has defects that the checks have
-// to find; see Failpoints.
+// schedules on real processes.
+//
+// A build with the tag "planted" can have faults in the group that the checks have to find. They are listed in
+// package failpoint, and are planted in files *_planted.go; seams.go has the correct steps that those replace.
 package clustersim
--- a/internal/lab/clustersim/member.go
+++ b/internal/lab/clustersim/member.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"time"
 
-	"piernotch/internal/controlgroup/failpoint"
 	"piernotch/internal/controlgroup/lease"
 	"piernotch/internal/controlgroup/protocol"
 )
@@ -25,7 +24,6 @@
 	*node
 	process lease.Process
 	holders []*lease.Holder // by duty
-	tokens  []uint64        // of the last response, by duty; for the defect "no-look"
 	leader  int             // the voter that calls go to
 }
 
@@ -42,16 +40,14 @@
 // wantDuties begins to ask for all duties.
 func (m *member) wantDuties() {
 	m.holders = nil
-	m.tokens = make([]uint64, m.sim.size.Duties)
 	for i := range m.sim.size.Duties {
 		m.holders = append(m.holders, lease.NewHolder(LeaseTiming, m.process, duty(i)))
 	}
 }
 
 func (m *member) releaseDuties() {
-	for i, h := range m.holders {
+	for _, h := range m.holders {
 		h.Release()
-		m.tokens[i] = 0
 	}
 }
 
@@ -60,7 +56,6 @@
 	successor := m.sim.nodes[m.sim.size.Voters+m.sim.rng.IntN(m.sim.size.Members)].member
 	for i, h := range m.holders {
 		if request, held := h.Transfer(m.now(), successor.process); held {
-			m.tokens[i] = 0
 			m.sendLeaseRequest(i, request)
 		}
 	}
@@ -97,11 +92,7 @@
 
 // checkLease returns the token to act under now, and whether the duty is held.
 func (m *member) checkLease(i int) (token uint64, held bool) {
-	token, held = m.holders[i].Token(m.now())
-	if failpoint.Enabled("no-look") {
-		token = m.tokens[i]
-		held = token > 0
-	}
+	token, held = steps.tokenToActUnder(m, m.holders[i])
 	if held {
 		m.sim.checkExclusive(m, i)
 		m.sim.recordHeld(duty(i), token, m.process.Name)
@@ -133,11 +124,7 @@
 			h.RequestLost(request.Seq)
 			return
 		}
-		h.HandleResponse(m.now(), request.Seq, r.Grant, r.Err)
-		granted := request.Renew || request.Command.Op == lease.Acquire
-		if r.Err == nil && granted {
-			m.tokens[i] = r.Grant.Token
-		}
+		steps.handleResponse(m, h, request.Seq, r)
 	})
 }
 
--- a/internal/lab/clustersim/node.go
+++ b/internal/lab/clustersim/node.go
@@ -1,10 +1,8 @@
 package clustersim
 
 import (
-	"maps"
 	"time"
 
-	"piernotch/internal/controlgroup/failpoint"
 	"piernotch/internal/controlgroup/lease"
 )
 
@@ -30,13 +28,7 @@
 }
 
 // now returns the time of the node's monotonic clock.
-func (n *node) now() time.Duration {
-	t := time.Duration(float64(n.sim.now)*n.clockRate) + time.Duration(n.id)*time.Hour
-	if failpoint.Enabled("wall-clock") {
-		t += n.wallOffset
-	}
-	return t
-}
+func (n *node) now() time.Duration { return steps.monotonicTime(n) }
 
 // execute runs f in the node's process: now, when the process is resumed, or not at all if it is down or
 // ends before.
@@ -77,9 +69,7 @@
 		n.member.started()
 	default:
 		n.fence = &lease.Fence{}
-		if !failpoint.Enabled("fence-forgotten") {
-			n.fence.Restore(maps.Clone(n.persistedTokens))
-		}
+		steps.restoreFence(n)
 	}
 }
 
@@ -113,7 +103,7 @@
 // receive handles an act at a receiver: it does the act, or rejects its token.
 func (n *node) receive(d lease.Duty, token uint64, from nodeID) {
 	s := n.sim
-	admitted, isNewest := n.fence.Admit(d, token)
+	admitted, isNewest := steps.admitAct(n, d, token)
 	if !admitted {
 		s.result.Fenced++
 		return
--- a/internal/lab/clustersim/planted_test.go
+++ b/internal/lab/clustersim/planted_test.go
@@ -10,14 +10,14 @@
 	"piernotch/internal/controlgroup/failpoint"
 )
 
-// Each planted defect is found; the log says by which seed and after how long. Run it with -tags planted -v.
+// Each planted fault is found; the log says by which seed and after how long. Run it with -tags planted -v.
 func TestPlantedDefectsAreFound(t *testing.T) {
-	defer failpoint.Enable("")
-	for _, name := range Failpoints {
-		t.Run(name, func(t *testing.T) {
+	defer failpoint.Enable(failpoint.None)
+	for _, fault := range failpoint.All {
+		t.Run(string(fault), func(t *testing.T) {
 			startedAt := time.Now()
 			for seed := range uint64(4000) {
-				failpoint.Enable(name)
+				failpoint.Enable(fault)
 				if violation := firstViolation(seed); violation != "" {
 					t.Logf("seed %d, %v: %s", seed, time.Since(startedAt).Round(time.Millisecond), violation)
 					return
--- a/internal/lab/clustersim/voter.go
+++ b/internal/lab/clustersim/voter.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"piernotch/internal/controlgroup/consensus"
-	"piernotch/internal/controlgroup/failpoint"
 	"piernotch/internal/controlgroup/protocol"
 )
 
@@ -44,7 +43,7 @@
 	v.inbox = nil
 	v.responses = map[uint64]func(protocol.Response){}
 	var err error
-	v.machine, err = consensus.New(consensus.Config{
+	v.machine, err = steps.newMachine(consensus.Config{
 		ID:          v.disk.id,
 		Incarnation: v.sim.rng.Uint64(),
 		StartCount:  v.disk.startCount,
@@ -71,15 +70,7 @@
 		v.disk = v.backups[v.sim.rng.IntN(len(v.backups))]
 		return
 	}
-	if failpoint.Enabled("disk-unchecked") {
-		var voters []protocol.Voter
-		for i := range v.sim.size.Voters {
-			voters = append(voters, protocol.Voter{ID: uint64(i + 1), Name: voterName(i)})
-		}
-		v.disk = disk{id: v.disk.id, startCount: v.disk.startCount, state: consensus.Bootstrap(voters)}
-		return
-	}
-	v.newIdentity()
+	steps.replaceLostDisk(v)
 }
 
 // newIdentity makes the disk that of another voter, which the group has to add.
@@ -135,11 +126,8 @@
 			v.sendResponses()
 			return
 		}
-		if failpoint.Enabled("sent-before-written") {
-			v.sendMessages(work)
-		}
 		if !work.Empty() {
-			v.sync(work)
+			steps.writeAndSend(v, work)
 			return
 		}
 		v.written(work)
@@ -171,9 +159,7 @@
 
 // written sends what may be sent once work is durable.
 func (v *voter) written(work consensus.Ready) {
-	if !failpoint.Enabled("sent-before-written") {
-		v.sendMessages(work)
-	}
+	v.sendMessages(work)
 	if err := v.machine.Advance(v.now(), work); err != nil {
 		v.sim.violation("%s: %v", v.name, err)
 	}
@@ -194,7 +180,7 @@
 		if msg.To != v.disk.id { // this voter has got another identity meanwhile
 			return
 		}
-		if err := v.machine.Step(msg); err != nil && !errors.Is(err, consensus.ErrStaleStore) {
+		if err := steps.step(v, msg); err != nil && !errors.Is(err, consensus.ErrStaleStore) {
 			v.sim.violation("%s: %v", v.name, err)
 		}
 	})
@@ -206,7 +192,7 @@
 		v.lastKey++
 		request.Key = v.lastKey
 		v.responses[request.Key] = respond
-		v.machine.Propose(v.now(), request)
+		steps.propose(v, request)
 	})
 }
 
