--- a/cmd/piernotch-lab/cluster.go
+++ b/cmd/piernotch-lab/cluster.go
@@ -38,13 +38,18 @@
 	if err != nil {
 		return err
 	}
-	clustersim.DrawTimeline(f, fmt.Sprintf("seed %d", seed), c.size().Duration, faults, spans)
+	clustersim.DrawTimeline(f, clustersim.Timeline{
+		Title:    fmt.Sprintf("seed %d", seed),
+		Duration: c.size().Duration,
+		Faults:   faults,
+		Spans:    spans,
+	})
 	return f.Close()
 }
 
 func (c *clusterOptions) size() clustersim.Size {
 	return clustersim.Size{
-		Voters: c.Voters, Members: c.Members, Receivers: 2, Duties: c.Duties,
+		Voters: c.Voters, Clients: c.Members, Receivers: 2, Duties: c.Duties,
 		Duration: time.Duration(c.Length) * time.Second, Faults: c.Faults,
 	}
 }
--- a/cmd/piernotch-lab/golden_test.go
+++ b/cmd/piernotch-lab/golden_test.go
@@ -42,8 +42,8 @@
 func TestSchedulesGoldenFile(t *testing.T) {
 	checkGolden(t, "group-schedule.json", clusterSchedule{
 		Seed:   7,
-		Size:   clustersim.Size{Voters: 3, Members: 4, Receivers: 2, Duties: 5, Duration: 90 * time.Second, Faults: 6},
-		Faults: []clustersim.Fault{{At: time.Second, Duration: 2 * time.Second, Kind: clustersim.FaultCutLink, Node: 1, Other: 2, OneWay: true}},
+		Size:   clustersim.Size{Voters: 3, Clients: 4, Receivers: 2, Duties: 5, Duration: 90 * time.Second, Faults: 6},
+		Faults: []clustersim.Fault{{At: time.Second, Duration: 2 * time.Second, Kind: clustersim.FaultCutLink, Process: 1, Other: 2, OneWay: true}},
 		Broken: "two holders at once",
 	})
 	checkGolden(t, "chaos-schedule.json", chaosRun{
--- a/internal/lab/clustersim/checks.go
+++ b/internal/lab/clustersim/checks.go
@@ -24,7 +24,7 @@
 	spans := s.result.Spans
 	for i := len(spans) - 1; i >= 0; i-- {
 		span := &spans[i]
-		if span.Duty == string(d) && span.Token == token && span.Member == name {
+		if span.Duty == string(d) && span.Token == token && span.Holder == name {
 			span.To = s.now
 			return
 		}
@@ -91,7 +91,7 @@
 type Span struct {
 	Duty   string        `json:"duty"`
 	Token  uint64        `json:"token"`
-	Member string        `json:"member"`
+	Holder string        `json:"member"`
 	From   time.Duration `json:"from_ns"`
 	To     time.Duration `json:"to_ns"`
 }
--- a/internal/lab/clustersim/fault_test.go
+++ b/internal/lab/clustersim/fault_test.go
@@ -10,7 +10,7 @@
 
 // Schedules in files were written by the names that the fields had before they had tags.
 func TestScheduleJSONKeepsItsKeys(t *testing.T) {
-	fault, err := json.Marshal(Fault{At: time.Second, Duration: 2 * time.Second, Kind: FaultPartition, Node: 1, Other: 2, OneWay: true})
+	fault, err := json.Marshal(Fault{At: time.Second, Duration: 2 * time.Second, Kind: FaultPartition, Process: 1, Other: 2, OneWay: true})
 	require.NoError(t, err)
 	require.Equal(t, `{"At":1000000000,"For":2000000000,"Kind":"split","Node":1,"Other":2,"OneWay":true}`, string(fault))
 	size, err := json.Marshal(DefaultSize)
--- a/internal/lab/clustersim/injection.go
+++ b/internal/lab/clustersim/injection.go
@@ -11,7 +11,7 @@
 
 // inject begins a fault, and schedules its end.
 func (s *simulation) inject(f Fault) {
-	n := s.nodes[f.Node]
+	n := s.nodes[f.Process]
 	end := f.At + f.Duration
 	switch f.Kind {
 	case FaultCutLink, FaultIsolate, FaultPartition:
@@ -47,7 +47,7 @@
 
 // linksOf returns the links that a fault of the network cuts.
 func (s *simulation) linksOf(f Fault) []link {
-	node := nodeID(f.Node)
+	node := nodeID(f.Process)
 	switch {
 	case f.Kind == FaultPartition:
 		return s.linksAcross(f)
@@ -64,7 +64,7 @@
 	var links []link
 	for a := range s.nodes {
 		for b := range s.nodes {
-			if f.OnNodeSide(s.size, a) != f.OnNodeSide(s.size, b) {
+			if f.OnSameSide(s.size, a) != f.OnSameSide(s.size, b) {
 				links = append(links, link{nodeID(a), nodeID(b)})
 			}
 		}
--- a/internal/lab/clustersim/member.go
+++ b/internal/lab/clustersim/member.go
@@ -53,7 +53,7 @@
 
 // transferDuties gives the duties that are held to a random member, and wants them again later.
 func (m *member) transferDuties() {
-	successor := m.sim.nodes[m.sim.size.Voters+m.sim.rng.IntN(m.sim.size.Members)].member
+	successor := m.sim.nodes[m.sim.size.Voters+m.sim.rng.IntN(m.sim.size.Clients)].member
 	for i, h := range m.holders {
 		if request, held := h.Transfer(m.now(), successor.process); held {
 			m.sendLeaseRequest(i, request)
--- a/internal/lab/clustersim/node.go
+++ b/internal/lab/clustersim/node.go
@@ -6,7 +6,7 @@
 	"piernotch/internal/controlgroup/lease"
 )
 
-// nodeID is the number of a node: voters first, then members, then receivers, as in Fault.Node.
+// nodeID is the number of a node: voters first, then members, then receivers, as in Fault.Process.
 type nodeID int
 
 // node is a process with its own monotonic clock: a voter, a member or a receiver.
--- a/internal/lab/clustersim/schedule.go
+++ b/internal/lab/clustersim/schedule.go
@@ -65,14 +65,14 @@
 	f.At = time.Duration(s.rng.Int64N(int64(s.end - f.Duration)))
 	f.OneWay = s.rng.IntN(3) == 0
 	voter := s.rng.IntN(s.size.Voters)
-	member := s.size.Voters + s.rng.IntN(s.size.Members)
-	f.Node = voter
-	f.Other = s.rng.IntN(s.size.Voters + s.size.Members + s.size.Receivers)
+	member := s.size.Voters + s.rng.IntN(s.size.Clients)
+	f.Process = voter
+	f.Other = s.rng.IntN(s.size.Voters + s.size.Clients + s.size.Receivers)
 	switch f.Kind {
 	case FaultPause, FaultCrash, FaultClockStep, FaultIsolate, FaultFlap:
-		f.Node = s.anyNode(voter, member)
+		f.Process = s.anyNode(voter, member)
 	case FaultReleaseDuties, FaultTransferDuties:
-		f.Node = member
+		f.Process = member
 	case FaultDiskLoss, FaultDiskRollback:
 		s.delayDiskFault(&f)
 	}
@@ -85,7 +85,7 @@
 	case 0, 1:
 		return member
 	case 2:
-		return s.size.Voters + s.size.Members + s.rng.IntN(s.size.Receivers)
+		return s.size.Voters + s.size.Clients + s.rng.IntN(s.size.Receivers)
 	}
 	return voter
 }
--- a/internal/lab/clustersim/simulation.go
+++ b/internal/lab/clustersim/simulation.go
@@ -86,13 +86,13 @@
 		s.lastVoterID++
 		voters = append(voters, protocol.Voter{ID: s.lastVoterID, Name: voterName(i)})
 	}
-	for i := range size.Voters + size.Members + size.Receivers {
+	for i := range size.Voters + size.Clients + size.Receivers {
 		n := &node{sim: s, id: nodeID(i), up: true, clockRate: 1 + (s.rng.Float64()*2-1)*LeaseTiming.MaxClockDrift}
 		s.nodes = append(s.nodes, n)
 		switch {
 		case i < size.Voters:
 			n.voter = &voter{node: n, name: voters[i].Name, disk: disk{id: voters[i].ID, state: consensus.Bootstrap(voters)}}
-		case i < size.Voters+size.Members:
+		case i < size.Voters+size.Clients:
 			n.member = &member{node: n}
 		}
 	}
@@ -116,7 +116,7 @@
 func (s *simulation) voters() []*node { return s.nodes[:s.size.Voters] }
 
 func (s *simulation) members() []*node {
-	return s.nodes[s.size.Voters : s.size.Voters+s.size.Members]
+	return s.nodes[s.size.Voters : s.size.Voters+s.size.Clients]
 }
 
-func (s *simulation) receivers() []*node { return s.nodes[s.size.Voters+s.size.Members:] }
+func (s *simulation) receivers() []*node { return s.nodes[s.size.Voters+s.size.Clients:] }
--- a/internal/lab/clustersim/timeline.go
+++ b/internal/lab/clustersim/timeline.go
@@ -23,20 +23,31 @@
 	textStyle   = "font-family:sans-serif;font-size:11px"
 )
 
-// DrawTimeline draws an SVG of what went wrong when, and of who held which duty under which token. It sorts spans
-// by their token.
-func DrawTimeline(out io.Writer, title string, length time.Duration, faults []Fault, spans []Span) {
-	rows := spanRows(spans)
-	spansTop := headHeight + rowHeight*len(faults) + faultsGap
-	t := &timeline{canvas: svg.New(out), length: length, height: spansTop + rowHeight*len(rows) + footHeight}
-	t.drawAxis(title)
-	t.drawFaults(faults)
-	t.drawSpans(spans, rows, spansTop)
-	t.canvas.End()
+// Timeline is what DrawTimeline draws of a run.
+type Timeline struct {
+	Title    string
+	Duration time.Duration // of the run: the length of the axis
+	Faults   []Fault       // one row each
+	Spans    []Span        // one row for each duty and holder
+}
+
+// DrawTimeline draws an SVG of what went wrong when, and of who held which duty under which token.
+func DrawTimeline(out io.Writer, timeline Timeline) {
+	rows := spanRows(timeline.Spans)
+	spansTop := headHeight + rowHeight*len(timeline.Faults) + faultsGap
+	d := &drawing{
+		canvas:   svg.New(out),
+		duration: timeline.Duration,
+		height:   spansTop + rowHeight*len(rows) + footHeight,
+	}
+	d.drawAxis(timeline.Title)
+	d.drawFaults(timeline.Faults)
+	d.drawSpans(timeline.Spans, rows, spansTop)
+	d.canvas.End()
 }
 
 // spanRow is the label of a row of spans.
-func spanRow(s Span) string { return s.Duty + " " + s.Member }
+func spanRow(s Span) string { return s.Duty + " " + s.Holder }
 
 // spanRows returns the labels of the rows, in order.
 func spanRows(spans []Span) []string {
@@ -47,56 +58,58 @@
 	return slices.Sorted(maps.Keys(labels))
 }
 
-type timeline struct {
-	canvas *svg.SVG
-	length time.Duration
-	height int
+// drawing is a timeline that is being drawn.
+type drawing struct {
+	canvas   *svg.SVG
+	duration time.Duration
+	height   int // in pixels
 }
 
-func (t *timeline) x(at time.Duration) int {
-	return labelWidth + int(float64(chartWidth)*at.Seconds()/t.length.Seconds())
+func (d *drawing) x(at time.Duration) int {
+	return labelWidth + int(float64(chartWidth)*at.Seconds()/d.duration.Seconds())
 }
 
 // bar draws a bar in the row that begins at y.
-func (t *timeline) bar(from, to time.Duration, y int, style string) {
-	width := max(t.x(to)-t.x(from), 2)
-	t.canvas.Rect(t.x(from), y, width, rowHeight-4, style)
+func (d *drawing) bar(from, to time.Duration, y int, style string) {
+	width := max(d.x(to)-d.x(from), 2)
+	d.canvas.Rect(d.x(from), y, width, rowHeight-4, style)
 }
 
 // label draws the text to the left of the row that begins at y.
-func (t *timeline) label(y int, text string) {
-	t.canvas.Text(labelWidth-6, y+rowHeight-6, text, textStyle+";text-anchor:end")
+func (d *drawing) label(y int, text string) {
+	d.canvas.Text(labelWidth-6, y+rowHeight-6, text, textStyle+";text-anchor:end")
 }
 
-func (t *timeline) drawAxis(title string) {
+func (d *drawing) drawAxis(title string) {
 	width := labelWidth + chartWidth + rightMargin
-	t.canvas.Start(width, t.height)
-	t.canvas.Rect(0, 0, width, t.height, "fill:white")
-	t.canvas.Text(labelWidth, 18, title, textStyle+";font-weight:bold")
-	for at := time.Duration(0); at <= t.length; at += 5 * time.Second {
-		t.canvas.Line(t.x(at), 26, t.x(at), t.height-20, "stroke:#ddd")
-		t.canvas.Text(t.x(at), t.height-6, fmt.Sprintf("%.0f s", at.Seconds()), textStyle+";text-anchor:middle")
+	d.canvas.Start(width, d.height)
+	d.canvas.Rect(0, 0, width, d.height, "fill:white")
+	d.canvas.Text(labelWidth, 18, title, textStyle+";font-weight:bold")
+	for at := time.Duration(0); at <= d.duration; at += 5 * time.Second {
+		d.canvas.Line(d.x(at), 26, d.x(at), d.height-20, "stroke:#ddd")
+		d.canvas.Text(d.x(at), d.height-6, fmt.Sprintf("%.0f s", at.Seconds()), textStyle+";text-anchor:middle")
 	}
 }
 
-func (t *timeline) drawFaults(faults []Fault) {
-	for i, f := range faults {
+func (d *drawing) drawFaults(faults []Fault) {
+	for i, fault := range faults {
 		y := headHeight + rowHeight*i
-		t.bar(f.At, f.At+f.Duration, y, "fill:#d9534f;fill-opacity:0.6")
-		t.label(y, fmt.Sprintf("%s of %d", f.Kind, f.Node))
+		d.bar(fault.At, fault.At+fault.Duration, y, "fill:#d9534f;fill-opacity:0.6")
+		d.label(y, fmt.Sprintf("%s of %d", fault.Kind, fault.Process))
 	}
 }
 
-func (t *timeline) drawSpans(spans []Span, rows []string, top int) {
-	y := map[string]int{}
+func (d *drawing) drawSpans(spans []Span, rows []string, top int) {
+	rowTops := map[string]int{}
 	for i, row := range rows {
-		y[row] = top + rowHeight*i
-		t.label(y[row], row)
+		rowTops[row] = top + rowHeight*i
+		d.label(rowTops[row], row)
 	}
-	slices.SortFunc(spans, func(a, b Span) int { return cmp.Compare(a.Token, b.Token) })
+	byToken := slices.SortedFunc(slices.Values(spans), func(a, b Span) int { return cmp.Compare(a.Token, b.Token) })
 	fills := []string{"fill:#337ab7", "fill:#5cb85c"}
-	for i, s := range spans {
-		t.bar(s.From, s.To, y[spanRow(s)], fills[i%2])
-		t.canvas.Text(t.x(s.From)+2, y[spanRow(s)]+rowHeight-6, fmt.Sprint(s.Token), textStyle+";fill:white;font-size:9px")
+	for i, span := range byToken {
+		row := rowTops[spanRow(span)]
+		d.bar(span.From, span.To, row, fills[i%len(fills)])
+		d.canvas.Text(d.x(span.From)+2, row+rowHeight-6, fmt.Sprint(span.Token), textStyle+";fill:white;font-size:9px")
 	}
 }
--- a/internal/lab/clustersim/voter.go
+++ b/internal/lab/clustersim/voter.go
@@ -199,7 +199,7 @@
 // sendResponses sends what the machine has answered, and notifies one member of each duty that came free.
 func (v *voter) sendResponses() {
 	for _, d := range v.machine.FreedDuties() {
-		to := v.sim.nodes[v.sim.size.Voters+v.sim.rng.IntN(v.sim.size.Members)]
+		to := v.sim.nodes[v.sim.size.Voters+v.sim.rng.IntN(v.sim.size.Clients)]
 		v.sim.send(v.id, to.id, func() { to.member.retryNow(d) })
 	}
 	for _, r := range v.machine.Responses() {
--- a/internal/lab/clustertest/checks.go
+++ b/internal/lab/clustertest/checks.go
@@ -107,7 +107,7 @@
 	for i, token := range tokens {
 		use := uses[token]
 		h.result.Spans = append(h.result.Spans, clustersim.Span{
-			Duty: string(d), Token: token, Member: use.holder, From: h.sinceStart(use.first), To: h.sinceStart(use.last),
+			Duty: string(d), Token: token, Holder: use.holder, From: h.sinceStart(use.first), To: h.sinceStart(use.last),
 		})
 		if i == 0 {
 			continue
--- a/internal/lab/clustertest/injection.go
+++ b/internal/lab/clustertest/injection.go
@@ -21,7 +21,7 @@
 	if h.affectsReceiver(f) {
 		return
 	}
-	p := h.processes[f.Node]
+	p := h.processes[f.Process]
 	switch f.Kind {
 	case clustersim.FaultCutLink, clustersim.FaultIsolate, clustersim.FaultPartition, clustersim.FaultLossyNetwork:
 		h.breakLinks(f)
@@ -52,7 +52,7 @@
 func (h *harness) affectsReceiver(f clustersim.Fault) bool {
 	size := h.opts.Size
 	cutsOtherLink := f.Kind == clustersim.FaultCutLink && f.Other >= size.Voters
-	return f.Node >= size.Voters+size.Members || cutsOtherLink
+	return f.Process >= size.Voters+size.Clients || cutsOtherLink
 }
 
 func (h *harness) sleepUntilEnd(ctx context.Context, f clustersim.Fault) {
--- a/internal/lab/clustertest/links.go
+++ b/internal/lab/clustertest/links.go
@@ -28,38 +28,38 @@
 func (h *harness) restoreLinks(f clustersim.Fault) { h.setLinks(f, faultproxy.Fault{}) }
 
 // setLinks sets the state of the links, and directions of links, that a fault affects.
-func (h *harness) setLinks(f clustersim.Fault, state faultproxy.Fault) {
-	bothWays := !f.OneWay || f.Kind == clustersim.FaultLossyNetwork || f.Kind == clustersim.FaultPartition
-	affected := func(name string) bool { return h.affectsLink(f, name) }
-	h.proxies.Each(affected, func(l *faultproxy.Link) {
-		fromNode := faultproxy.ToTarget // on a link that the node has opened
-		if strings.HasSuffix(l.Name, linksTo(f.Node)) {
-			fromNode = faultproxy.FromTarget
+func (h *harness) setLinks(fault clustersim.Fault, state faultproxy.Fault) {
+	bothWays := !fault.OneWay || fault.Kind == clustersim.FaultLossyNetwork || fault.Kind == clustersim.FaultPartition
+	affected := func(name string) bool { return h.affectsLink(fault, name) }
+	h.proxies.Each(affected, func(link *faultproxy.Link) {
+		fromProcess := faultproxy.ToTarget // on a link that the process has opened
+		if strings.HasSuffix(link.Name, linksTo(fault.Process)) {
+			fromProcess = faultproxy.FromTarget
 		}
-		for _, d := range []faultproxy.Direction{faultproxy.ToTarget, faultproxy.FromTarget} {
-			if bothWays || d == fromNode {
-				l.SetFault(d, state)
+		for _, direction := range []faultproxy.Direction{faultproxy.ToTarget, faultproxy.FromTarget} {
+			if bothWays || direction == fromProcess {
+				link.SetFault(direction, state)
 			}
 		}
 	})
 }
 
 // linksFrom is how the names of a process' links to voters begin, and linksTo how those to a voter end.
-func linksFrom(node int) string { return fmt.Sprintf("%d>", node) }
-func linksTo(node int) string   { return fmt.Sprintf(">%d", node) }
+func linksFrom(process int) string { return fmt.Sprintf("%d>", process) }
+func linksTo(process int) string   { return fmt.Sprintf(">%d", process) }
 
 // affectsLink reports whether a fault affects the link of that name.
-func (h *harness) affectsLink(f clustersim.Fault, name string) bool {
-	switch f.Kind {
+func (h *harness) affectsLink(fault clustersim.Fault, name string) bool {
+	switch fault.Kind {
 	case clustersim.FaultLossyNetwork:
 		return true
 	case clustersim.FaultCutLink:
-		return name == linkName(f.Node, f.Other)
+		return name == linkName(fault.Process, fault.Other)
 	case clustersim.FaultPartition:
 		var from, to int
 		_, err := fmt.Sscanf(name, "%d>%d", &from, &to)
 		ofHarness := from == harnessNumber
-		return err == nil && !ofHarness && f.OnNodeSide(h.opts.Size, from) != f.OnNodeSide(h.opts.Size, to)
+		return err == nil && !ofHarness && fault.OnSameSide(h.opts.Size, from) != fault.OnSameSide(h.opts.Size, to)
 	}
-	return strings.HasPrefix(name, linksFrom(f.Node)) || strings.HasSuffix(name, linksTo(f.Node))
+	return strings.HasPrefix(name, linksFrom(fault.Process)) || strings.HasSuffix(name, linksTo(fault.Process))
 }
--- a/internal/lab/clustertest/process.go
+++ b/internal/lab/clustertest/process.go
@@ -42,7 +42,7 @@
 		}
 		addresses = append(addresses, a)
 	}
-	for i := range h.opts.Size.Voters + h.opts.Size.Members {
+	for i := range h.opts.Size.Voters + h.opts.Size.Clients {
 		p, err := h.prepareProcess(i, addresses)
 		if err != nil {
 			return err
