--- a/cmd/piernotch-voter/main.go
+++ b/cmd/piernotch-voter/main.go
@@ -20,7 +20,7 @@
 
 // commandLine holds the command's flags.
 type commandLine struct {
-	Group string       `required:"" placeholder:"FILE" help:"The group's file; it names this voter and its disk."`
+	Group string       `required:"" placeholder:"FILE" help:"The group's file; it names this voter and its store."`
 	Log   logs.Options `embed:"" prefix:"log-"`
 }
 
@@ -36,8 +36,8 @@
 	}
 }
 
-// errVoterEnded is returned by run when the voter ended without a signal.
-var errVoterEnded = errors.New("ended by itself; the log says why")
+// errVoterEnded is returned by run when the voter stopped without a signal.
+var errVoterEnded = errors.New("the voter stopped by itself; the log has the cause")
 
 // run runs the voter until SIGTERM or SIGINT, or until it ends by itself.
 func run(flags commandLine) error {
--- a/internal/controlgroup/client/client.go
+++ b/internal/controlgroup/client/client.go
@@ -17,7 +17,7 @@
 const (
 	tickInterval    = 50 * time.Millisecond
 	maxDialPause    = 200 * time.Millisecond // between two connections; the pause is drawn up to this
-	responseTimeout = time.Second            // a voter that has not answered for so long is left for another
+	responseTimeout = time.Second            // a voter that has not responded for so long is left for another
 	listRetry       = responseTimeout / 2
 	releasePoll     = tickInterval / 5
 )
@@ -34,7 +34,7 @@
 
 	mu           sync.Mutex
 	holders      map[lease.Duty]*lease.Holder
-	loggedTokens map[lease.Duty]uint64 // the token that was logged last; 0: none
+	loggedTokens map[lease.Duty]lease.Token // the token that was logged last; 0: none
 	pending      map[uint64]pendingRequest
 	lastKey      uint64          // of requests
 	conn         *transport.Conn // nil: not connected
@@ -45,28 +45,28 @@
 // Start begins a member that acquires the duties of its configuration. The configuration has to be
 // valid. observer may be nil. The caller has to call Close.
 func Start(cfg controlgroup.Config, observer RequestObserver) *Client {
-	c := &Client{
+	client := &Client{
 		cfg:          cfg,
-		process:      lease.Process{Name: cfg.Self, Incarnation: rand.Uint64()},
+		process:      lease.Process{Name: cfg.Self, Incarnation: lease.Incarnation(rand.Uint64())},
 		timing:       lease.Timing{Duration: cfg.LeaseDuration, MaxClockDrift: cfg.MaxClockDrift},
 		startedAt:    time.Now(),
 		observer:     observer,
 		done:         make(chan struct{}),
 		holders:      map[lease.Duty]*lease.Holder{},
-		loggedTokens: map[lease.Duty]uint64{},
+		loggedTokens: map[lease.Duty]lease.Token{},
 		pending:      map[uint64]pendingRequest{},
 	}
-	for _, d := range cfg.Duties {
-		c.acquire(lease.Duty(d))
+	for _, duty := range cfg.Duties {
+		client.acquire(lease.Duty(duty))
 	}
 	if cfg.WatchDuty != "" {
-		c.sharedWatch = newSharedWatch(c, lease.Duty(cfg.WatchDuty))
-		c.acquire(c.sharedWatch.duty)
+		client.sharedWatch = newSharedWatch(client, lease.Duty(cfg.WatchDuty))
+		client.acquire(client.sharedWatch.duty)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	c.stop = stop
-	go c.run(ctx) // until Close, which waits for done
-	return c
+	client.stop = stop
+	go client.run(ctx) // until Close, which waits for done
+	return client
 }
 
 // run owns both of the client's goroutines: it ticks itself and waits for the other.
@@ -78,7 +78,7 @@
 	connections.Wait()
 }
 
-// acquire begins to want a duty.
+// acquire begins to request a duty.
 func (c *Client) acquire(d lease.Duty) {
 	c.holders[d] = lease.NewHolder(c.timing, c.process, d)
 }
@@ -88,12 +88,12 @@
 func (c *Client) now() time.Duration { return time.Since(c.startedAt) }
 
 // Token returns the token to act under, and whether the duty is held now. Call it before each act: its
-// answer is valid only at this moment.
-func (c *Client) Token(d lease.Duty) (token uint64, held bool) {
+// result is valid only at this moment.
+func (c *Client) Token(duty lease.Duty) (token lease.Token, held bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if h := c.holders[d]; h != nil {
-		return h.Token(c.now())
+	if holder := c.holders[duty]; holder != nil {
+		return holder.Token(c.now())
 	}
 	return 0, false
 }
@@ -113,15 +113,15 @@
 	}
 }
 
-// tickLocked sends the requests that are due, and leaves a voter that does not answer.
+// tickLocked sends the requests that are due, and leaves a voter that does not respond.
 func (c *Client) tickLocked() {
 	now := c.now()
-	for d, h := range c.holders {
-		c.logChangeLocked(d, h, now)
+	for duty, holder := range c.holders {
+		c.logChangeLocked(duty, holder, now)
 		// The group announces when a duty comes free. The pause is for an announcement that was lost.
 		pause := c.timing.Duration/2 + rand.N(c.timing.Duration/2)
-		if request, due := h.NextRequest(now, pause); due {
-			c.sendLeaseRequestLocked(h, request)
+		if request, due := holder.NextRequest(now, pause); due {
+			c.sendLeaseRequestLocked(holder, request)
 		}
 	}
 	if c.sharedWatch != nil {
@@ -131,51 +131,51 @@
 }
 
 // logChangeLocked logs when a duty was acquired or lost.
-func (c *Client) logChangeLocked(d lease.Duty, h *lease.Holder, now time.Duration) {
-	token, _ := h.Token(now)
-	last := c.loggedTokens[d]
+func (c *Client) logChangeLocked(duty lease.Duty, holder *lease.Holder, now time.Duration) {
+	token, _ := holder.Token(now)
+	last := c.loggedTokens[duty]
 	if token == last {
 		return
 	}
 	if token == 0 {
-		slog.Info("group: duty lost", "duty", d, "token", last)
+		slog.Info("group: duty lost", "duty", duty, "token", last)
 	} else {
-		slog.Info("group: duty acquired", "duty", d, "token", token)
+		slog.Info("group: duty acquired", "duty", duty, "token", token)
 	}
-	c.loggedTokens[d] = token
+	c.loggedTokens[duty] = token
 }
 
-// List asks the leader for all leases and all voters. It waits for a leader until ctx is done, whose error it
+// List requests from the leader all leases and all voters. It waits for a leader until ctx is done, whose error it
 // then wraps.
 func (c *Client) List(ctx context.Context) (protocol.Snapshot, error) {
 	for {
 		responses := make(chan protocol.Response, 1)
 		c.mu.Lock()
-		c.sendLocked(protocol.Request{Kind: protocol.List}, func(r protocol.Response) { responses <- r })
+		c.sendLocked(protocol.Request{Kind: protocol.List}, func(response protocol.Response) { responses <- response })
 		c.mu.Unlock()
 		select {
-		case r := <-responses:
-			if r.Err == nil {
-				return r.Snapshot, nil
+		case response := <-responses:
+			if response.Err == nil {
+				return response.Snapshot, nil
 			}
 		case <-time.After(listRetry):
 		case <-ctx.Done():
-			return protocol.Snapshot{}, fmt.Errorf("no voter that leads was found: %w", ctx.Err())
+			return protocol.Snapshot{}, fmt.Errorf("no leader found: %w", ctx.Err())
 		}
 	}
 }
 
 // Close releases all duties and ends the client: no duty is held from its call on. It tries for up
-// to patience to notify the group, so that other members need not wait until the leases expire. It
+// to releaseTimeout to notify the group, so that other members need not wait until the leases expire. It
 // returns when the client's goroutines have ended.
-func (c *Client) Close(patience time.Duration) {
+func (c *Client) Close(releaseTimeout time.Duration) {
 	c.mu.Lock()
-	for _, h := range c.holders {
-		h.Release()
+	for _, holder := range c.holders {
+		holder.Release()
 	}
 	c.tickLocked()
 	c.mu.Unlock()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(releaseTimeout)
 	for time.Now().Before(deadline) && c.releasePending() {
 		time.Sleep(releasePoll)
 	}
@@ -187,8 +187,8 @@
 func (c *Client) releasePending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, h := range c.holders {
-		if h.ReleasePending(c.now()) {
+	for _, holder := range c.holders {
+		if holder.ReleasePending(c.now()) {
 			return true
 		}
 	}
--- a/internal/controlgroup/client/connection.go
+++ b/internal/controlgroup/client/connection.go
@@ -34,9 +34,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	target := c.cfg.Voters[next%len(c.cfg.Voters)]
-	for _, v := range c.cfg.Voters {
-		if v.Name == c.leader {
-			target = v
+	for _, voter := range c.cfg.Voters {
+		if voter.Name == c.leader {
+			target = voter
 		}
 	}
 	c.leader = ""
@@ -80,27 +80,27 @@
 	}
 }
 
-// handleResponseLocked handles the answer to a request, or what the voter sends without one: that a
+// handleResponseLocked handles the response to a request, or what the voter sends without one: that a
 // duty may have come free, and events of the shared watch.
-func (c *Client) handleResponseLocked(conn *transport.Conn, r *transport.Response) {
-	unsolicited := r.Key == 0
-	if h := c.holders[r.FreedDuty]; unsolicited && h != nil {
-		h.RetryNow()
+func (c *Client) handleResponseLocked(conn *transport.Conn, received *transport.Response) {
+	unsolicited := received.Key == 0
+	if holder := c.holders[received.FreedDuty]; unsolicited && holder != nil {
+		holder.RetryNow()
 		c.tickLocked()
 	}
-	if r.Event != nil && c.sharedWatch != nil && r.Duty == c.sharedWatch.duty {
-		c.sharedWatch.handleEventLocked(r.Token, *r.Event)
+	if received.Event != nil && c.sharedWatch != nil && received.Duty == c.sharedWatch.duty {
+		c.sharedWatch.handleEventLocked(received.Token, *received.Event)
 	}
-	p, found := c.pending[r.Key]
+	pending, found := c.pending[received.Key]
 	if !found {
 		return
 	}
-	delete(c.pending, r.Key)
-	response := protocol.Response{Key: r.Key, Grant: r.Grant, Snapshot: r.Snapshot, Err: r.Code.Err()}
-	c.observeLocked(p, response, nil)
-	p.handle(response)
+	delete(c.pending, received.Key)
+	response := protocol.Response{Key: received.Key, Grant: received.Grant, Snapshot: received.Snapshot, Err: received.Code.Err()}
+	c.observeLocked(pending, response, nil)
+	pending.handle(response)
 	if errors.Is(response.Err, protocol.ErrNotLeader) {
-		c.leader = r.Leader
+		c.leader = received.Leader
 		conn.Close()
 	}
 }
--- a/internal/controlgroup/client/doc.go
+++ b/internal/controlgroup/client/doc.go
@@ -3,7 +3,7 @@
 // and releases them at its end. It also carries the group's shared watch of discovery.
 //
 // A client sends requests over one connection to one voter at a time. Only the voter that leads the group
-// answers them; any other names the leader, and the client connects there. A client holds a duty only
+// responds to them; any other names the leader, and the client connects there. A client holds a duty only
 // for as long as its own monotonic clock says that the lease is valid, so a client without a
 // connection ends up holding nothing, and Token says so.
 //
--- a/internal/controlgroup/client/request.go
+++ b/internal/controlgroup/client/request.go
@@ -24,7 +24,7 @@
 // responseHandler takes the response to a request. It is called with the client's lock held.
 type responseHandler func(protocol.Response)
 
-// pendingRequest is a request that was sent and not answered yet.
+// pendingRequest is a request that was sent and has no response yet.
 type pendingRequest struct {
 	request protocol.Request
 	sentAt  time.Time
@@ -32,16 +32,16 @@
 }
 
 // sendLeaseRequestLocked sends a request of a holder, which gets its outcome.
-func (c *Client) sendLeaseRequestLocked(h *lease.Holder, request lease.Request) {
-	sent := c.sendLocked(protocol.RequestFor(request), func(r protocol.Response) {
-		if protocol.IsFinal(r.Err) {
-			h.HandleResponse(c.now(), request.Seq, r.Grant, r.Err)
+func (c *Client) sendLeaseRequestLocked(holder *lease.Holder, request lease.Request) {
+	sent := c.sendLocked(protocol.RequestFor(request), func(response protocol.Response) {
+		if protocol.IsFinal(response.Err) {
+			holder.HandleResponse(c.now(), request.Seq, response.Grant, response.Err)
 		} else {
-			h.RequestLost(request.Seq)
+			holder.RequestLost(request.Seq)
 		}
 	})
 	if !sent {
-		h.RequestLost(request.Seq)
+		holder.RequestLost(request.Seq)
 	}
 }
 
@@ -64,13 +64,13 @@
 	return true
 }
 
-// leaveUnresponsiveVoterLocked closes the connection to a voter that has not answered in time.
+// leaveUnresponsiveVoterLocked closes the connection to a voter that has not responded in time.
 func (c *Client) leaveUnresponsiveVoterLocked() {
 	if c.conn == nil {
 		return
 	}
-	for _, p := range c.pending {
-		if time.Since(p.sentAt) > responseTimeout {
+	for _, pending := range c.pending {
+		if time.Since(pending.sentAt) > responseTimeout {
 			c.conn.Close()
 			c.leader = ""
 			return
@@ -80,16 +80,16 @@
 
 // failPendingLocked ends all requests whose connection has ended.
 func (c *Client) failPendingLocked() {
-	for key, p := range c.pending {
-		c.observeLocked(p, protocol.Response{}, transport.ErrClosed)
-		p.handle(protocol.Response{Err: protocol.ErrOutcomeUnknown})
+	for key, pending := range c.pending {
+		c.observeLocked(pending, protocol.Response{}, transport.ErrClosed)
+		pending.handle(protocol.Response{Err: protocol.ErrOutcomeUnknown})
 		delete(c.pending, key)
 	}
 }
 
-func (c *Client) observeLocked(p pendingRequest, response protocol.Response, err error) {
+func (c *Client) observeLocked(pending pendingRequest, response protocol.Response, err error) {
 	if c.observer == nil {
 		return
 	}
-	c.observer(RequestRecord{Request: p.request, SentAt: p.sentAt, ReceivedAt: time.Now(), Response: response, Err: err})
+	c.observer(RequestRecord{Request: pending.request, SentAt: pending.sentAt, ReceivedAt: time.Now(), Response: response, Err: err})
 }
--- a/internal/controlgroup/client/shared_watch.go
+++ b/internal/controlgroup/client/shared_watch.go
@@ -24,22 +24,22 @@
 	follower *watch.Follower
 	holder   *watch.Holder
 
-	publishedToken   uint64        // the token under which log was published last; 0: it has to be published again
+	publishedToken   lease.Token   // the token under which log was published last; 0: it has to be published again
 	publishedVersion uint64        // how far log was published
 	currentSource    string        // the discovery that this balancer uses now
 	knownSource      string        // of knownVersion
 	knownVersion     uint64        // the last version that this balancer is known to have
 	independent      bool          // as logged last: polls although it does not hold the duty
-	reacquireAt      time.Duration // > 0: the duty was released because discovery did not answer, and is wanted again from then on
-	lastSubscribe    time.Duration // when missing events were asked for last
+	reacquireAt      time.Duration // > 0: the duty was released because discovery did not respond, and is acquired again from then on
+	lastSubscribe    time.Duration // when missing events were requested last
 }
 
-func newSharedWatch(c *Client, d lease.Duty) *sharedWatch {
-	now := c.now()
+func newSharedWatch(client *Client, duty lease.Duty) *sharedWatch {
+	now := client.now()
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &sharedWatch{
-		client:   c,
-		duty:     d,
+		client:   client,
+		duty:     duty,
 		onUpdate: func(controlgroup.WatchEvent) {},
 		holder:   watch.NewHolder(watch.DefaultTiming, now),
 		follower: watch.NewFollower(watch.DefaultTiming, rng, now),
@@ -100,7 +100,7 @@
 }
 
 // tokenLocked returns the token of the duty, and whether this balancer holds it.
-func (w *sharedWatch) tokenLocked(now time.Duration) (token uint64, held bool) {
+func (w *sharedWatch) tokenLocked(now time.Duration) (token lease.Token, held bool) {
 	return w.client.holders[w.duty].Token(now)
 }
 
@@ -108,7 +108,11 @@
 	w.currentSource = w.commonName(source)
 	now := w.client.now()
 	_, held := w.tokenLocked(now)
-	poll = w.follower.ShouldPoll(now, held)
+	role := watch.RoleFollower
+	if held {
+		role = watch.RoleHolder
+	}
+	poll = w.follower.ShouldPoll(now, role)
 	if independent := w.follower.Independent() && !held; independent != w.independent {
 		w.independent = independent
 		slog.Info("group: polling discovery", "independent", independent, "duty", w.duty)
@@ -119,13 +123,13 @@
 	return poll, held && needsCompleteList
 }
 
-func (w *sharedWatch) appendLocked(e controlgroup.WatchEvent) {
-	e.Source = w.commonName(e.Source)
-	w.knownSource = e.Source
-	w.knownVersion = e.ToVersion
+func (w *sharedWatch) appendLocked(event controlgroup.WatchEvent) {
+	event.Source = w.commonName(event.Source)
+	w.knownSource = event.Source
+	w.knownVersion = event.ToVersion
 	w.holder.PollSucceeded(w.client.now())
-	if err := w.log.Append(0, e); errors.Is(err, watch.ErrVersionGap) {
-		w.log = watch.EventLog{} // shouldPollLocked asks for a complete list next
+	if err := w.log.Append(0, event); errors.Is(err, watch.ErrVersionGap) {
+		w.log = watch.EventLog{} // shouldPollLocked requests a complete list next
 		return
 	}
 	w.publishLocked()
@@ -135,14 +139,14 @@
 	w.knownSource = w.commonName(source)
 	w.knownVersion = version
 	now := w.client.now()
-	// Until the answer is here, each further event shows the same gap.
+	// Until the response is here, each further event shows the same gap.
 	if now >= w.lastSubscribe+watch.DefaultTiming.HeartbeatInterval {
 		w.lastSubscribe = now
 		w.subscribeLocked()
 	}
 }
 
-// subscribeLocked asks the leader for all events after the known version, from now on.
+// subscribeLocked requests from the leader all events after the known version, from now on.
 func (w *sharedWatch) subscribeLocked() {
 	w.client.sendLocked(protocol.Request{
 		Kind:    protocol.Subscribe,
@@ -158,7 +162,7 @@
 }
 
 // tickLocked publishes heartbeats while this balancer holds the duty, and releases the duty while discovery
-// does not answer it, so that another member may try.
+// does not respond to it, so that another member may try.
 func (w *sharedWatch) tickLocked(now time.Duration) {
 	token, held := w.tokenLocked(now)
 	switch {
@@ -198,20 +202,20 @@
 	w.publishedToken = token
 	w.knownSource = source
 	w.knownVersion = version
-	for _, e := range events {
-		w.publishEventLocked(token, e)
+	for _, event := range events {
+		w.publishEventLocked(token, event)
 	}
 	w.publishedVersion = version
 }
 
 // publishEventLocked publishes one event. If the leader lacks what precedes it, all is published again.
-func (w *sharedWatch) publishEventLocked(token uint64, e controlgroup.WatchEvent) {
+func (w *sharedWatch) publishEventLocked(token lease.Token, event controlgroup.WatchEvent) {
 	w.client.sendLocked(protocol.Request{
 		Kind:    protocol.Publish,
 		Command: lease.Command{Duty: w.duty, Process: w.client.process, Token: token},
-		Event:   &e,
-	}, func(r protocol.Response) {
-		if errors.Is(r.Err, watch.ErrVersionGap) || errors.Is(r.Err, watch.ErrStaleToken) {
+		Event:   &event,
+	}, func(response protocol.Response) {
+		if errors.Is(response.Err, watch.ErrVersionGap) || errors.Is(response.Err, watch.ErrStaleToken) {
 			w.publishedToken = 0
 		}
 	})
@@ -219,16 +223,16 @@
 
 // handleEventLocked passes an event of the holder on to the balancer. It ignores a holder that polls
 // another discovery, one that has been replaced, and this balancer's own events.
-func (w *sharedWatch) handleEventLocked(token uint64, e controlgroup.WatchEvent) {
-	if e.Source != w.currentSource {
+func (w *sharedWatch) handleEventLocked(token lease.Token, event controlgroup.WatchEvent) {
+	if event.Source != w.currentSource {
 		return
 	}
 	now := w.client.now()
 	if _, held := w.tokenLocked(now); held || !w.follower.Heartbeat(now, token) {
 		return
 	}
-	if e.Source == w.commonName(w.address) {
-		e.Source = w.address
+	if event.Source == w.commonName(w.address) {
+		event.Source = w.address
 	}
-	w.onUpdate(e)
+	w.onUpdate(event)
 }
--- a/internal/controlgroup/config.go
+++ b/internal/controlgroup/config.go
@@ -22,9 +22,9 @@
 
 // Voter returns this balancer's own entry among the voters, and whether there is one.
 func (c *Config) Voter() (Voter, bool) {
-	for _, v := range c.Voters {
-		if v.Name == c.Self {
-			return v, true
+	for _, voter := range c.Voters {
+		if voter.Name == c.Self {
+			return voter, true
 		}
 	}
 	return Voter{}, false
--- a/internal/controlgroup/config_test.go
+++ b/internal/controlgroup/config_test.go
@@ -65,8 +65,8 @@
 		},
 		{
 			name: "unset.toml", content: "name = \"g\"\nself = \"a\"\n",
-			want: FieldError{Key: "voter", Err: errors.New("0 voters: three or five are expected, an even number bears no more losses than one less")},
-			text: "unset.toml: voter: 0 voters: three or five are expected, an even number bears no more losses than one less",
+			want: FieldError{Key: "voter", Err: errors.New("0 voters: 1, 3, 5 or 7 are expected; an even number tolerates no more failures than one voter less")},
+			text: "unset.toml: voter: 0 voters: 1, 3, 5 or 7 are expected; an even number tolerates no more failures than one voter less",
 		},
 	} {
 		path := filepath.Join(dir, c.name)
--- a/internal/controlgroup/consensus/announcement.go
+++ b/internal/controlgroup/consensus/announcement.go
@@ -8,17 +8,17 @@
 
 // peerProgress is what another voter's messages have shown of its store.
 type peerProgress struct {
-	term      uint64
+	term      protocol.Term
 	lastIndex uint64 // the highest that it acknowledged in term
 	voted     bool   // it voted, or was a candidate, in term
 }
 
-// Outdated reports whether the group has seen a newer state of this voter's store. The machine then takes no
+// Outdated reports whether the group has seen a newer state of this voter's store. The state machine then takes no
 // part any more, and the store must not be used again under its ID.
-func (m *Machine) Outdated() bool { return m.outdated }
+func (m *StateMachine) Outdated() bool { return m.outdated }
 
 // checkAdmitted reports whether a majority has found the store new enough, and remembers it once it has.
-func (m *Machine) checkAdmitted() bool {
+func (m *StateMachine) checkAdmitted() bool {
 	if m.outdated {
 		return false
 	}
@@ -28,17 +28,17 @@
 	voters := m.confState.GetVoters()
 	accepted := 1 // this voter
 	for _, id := range voters {
-		if m.acceptedBy[id] {
+		if m.acceptedBy[protocol.VoterID(id)] {
 			accepted++
 		}
 	}
-	// A voter that is being added knows no voters yet: nothing stands in its log, and the leader fills it.
+	// A voter that is being added knows no voters yet: its log is empty, and the leader fills it.
 	m.admitted = accepted > len(voters)/2
 	return m.admitted
 }
 
-// announce tells the voters that have not accepted the store yet how new it is.
-func (m *Machine) announce() {
+// announce sends how new the store is to the voters that have not accepted it yet.
+func (m *StateMachine) announce() {
 	if m.outdated {
 		return
 	}
@@ -48,63 +48,65 @@
 	announcement := &protocol.Announcement{
 		StartCount:  m.config.StartCount,
 		Incarnation: m.config.Incarnation,
-		Term:        hardState.GetTerm(),
-		Vote:        hardState.GetVote(),
+		Term:        protocol.Term(hardState.GetTerm()),
+		Vote:        protocol.VoterID(hardState.GetVote()),
 		LastIndex:   lastIndex,
 	}
-	for _, id := range m.confState.GetVoters() {
+	for _, number := range m.confState.GetVoters() {
+		id := protocol.VoterID(number)
 		if id != m.config.ID && !m.acceptedBy[id] {
 			m.outbox = append(m.outbox, Message{From: m.config.ID, To: id, Announcement: announcement})
 		}
 	}
 }
 
-// handleAnnouncement answers whether another voter's store is as new as what has been seen of it.
-func (m *Machine) handleAnnouncement(from uint64, a *protocol.Announcement) {
-	incarnation := Incarnation{Count: a.StartCount, ID: a.Incarnation}
-	known := m.incarnations[from]
-	isNewStart := incarnation.Count > known.Count
-	isSameStart := incarnation == known
-	accepted := (isNewStart || isSameStart) && m.peers[from].isCoveredBy(a)
+// handleAnnouncement responds whether another voter's store is as new as what has been seen of it.
+func (m *StateMachine) handleAnnouncement(from protocol.VoterID, announcement *protocol.Announcement) {
+	start := Start{Count: announcement.StartCount, Incarnation: announcement.Incarnation}
+	known := m.starts[from]
+	isNewStart := start.Count > known.Count
+	isSameStart := start == known
+	accepted := (isNewStart || isSameStart) && m.peers[from].isCoveredBy(announcement)
 	if accepted && !isSameStart {
-		m.incarnations[from] = incarnation
-		m.incarnationsChanged = true
+		m.starts[from] = start
+		m.startsChanged = true
 	}
 	m.outbox = append(m.outbox, Message{From: m.config.ID, To: from, Accepted: &accepted})
 }
 
 // isCoveredBy reports whether an announced store holds everything that p shows it to have held.
-func (p peerProgress) isCoveredBy(a *protocol.Announcement) bool {
-	if a.Term != p.term {
-		return a.Term > p.term
+func (p peerProgress) isCoveredBy(announcement *protocol.Announcement) bool {
+	if announcement.Term != p.term {
+		return announcement.Term > p.term
 	}
-	hasVote := a.Vote != 0 || !p.voted
-	return a.LastIndex >= p.lastIndex && hasVote
+	hasVote := announcement.Vote != 0 || !p.voted
+	return announcement.LastIndex >= p.lastIndex && hasVote
 }
 
-// handleAccepted takes another voter's answer to an announcement. One rejection ends this voter's part, unless a
-// majority has accepted before it arrives.
-func (m *Machine) handleAccepted(from uint64, accepted bool) {
-	switch {
-	case accepted:
-		m.acceptedBy[from] = true
-	case !m.admitted:
+// handleAcceptance notes that another voter found the announced store new enough.
+func (m *StateMachine) handleAcceptance(from protocol.VoterID) { m.acceptedBy[from] = true }
+
+// handleRejection ends this voter's part because another voter has seen a newer state of its store, unless a
+// majority has accepted the store before.
+func (m *StateMachine) handleRejection() {
+	if !m.admitted {
 		m.outdated = true
 	}
 }
 
 // recordProgress notes what a voter's message shows of its store.
-func (m *Machine) recordProgress(from uint64, msg *raftpb.Message) {
+func (m *StateMachine) recordProgress(from protocol.VoterID, msg *raftpb.Message) {
 	kind := msg.GetType()
 	if kind == raftpb.MsgPreVote || kind == raftpb.MsgPreVoteResp {
 		return // these name a term that no voter has entered yet
 	}
 	progress := m.peers[from]
-	if msg.GetTerm() < progress.term {
+	term := protocol.Term(msg.GetTerm())
+	if term < progress.term {
 		return
 	}
-	if msg.GetTerm() > progress.term {
-		progress = peerProgress{term: msg.GetTerm()}
+	if term > progress.term {
+		progress = peerProgress{term: term}
 	}
 	switch kind {
 	case raftpb.MsgAppResp:
@@ -123,7 +125,7 @@
 
 // isAheadOfStore reports whether a leader's heartbeat names a commit index beyond this voter's log: the store
 // has lost entries that it acknowledged. Raft itself would panic over such a message.
-func (m *Machine) isAheadOfStore(msg *raftpb.Message) bool {
+func (m *StateMachine) isAheadOfStore(msg *raftpb.Message) bool {
 	lastIndex, _ := m.storage.LastIndex() // MemoryStorage returns no error here
 	return msg.GetType() == raftpb.MsgHeartbeat &&
 		msg.GetCommit() > lastIndex &&
--- a/internal/controlgroup/consensus/apply.go
+++ b/internal/controlgroup/consensus/apply.go
@@ -9,6 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
 )
 
 // EntryError is returned by Advance for a committed log entry that this program cannot apply.
@@ -21,7 +22,7 @@
 // Error names the entry and what is wrong with it.
 func (e *EntryError) Error() string {
 	if e.Err == nil {
-		return fmt.Sprintf("entry %d is of an unknown kind, %v", e.Index, e.Type)
+		return fmt.Sprintf("entry %d has the unknown type %v", e.Index, e.Type)
 	}
 	return fmt.Sprintf("entry %d: %v", e.Index, e.Err)
 }
@@ -30,52 +31,53 @@
 func (e *EntryError) Unwrap() error { return e.Err }
 
 // apply applies a committed entry.
-func (m *Machine) apply(now time.Duration, e *raftpb.Entry) error {
-	m.applied = e.GetIndex()
+func (m *StateMachine) apply(now time.Duration, entry *raftpb.Entry) error {
+	m.applied = entry.GetIndex()
 	// The first entry of this leader's term comes after everything that earlier leaders committed.
-	if m.raftLeader && m.expiry == nil && e.GetTerm() == m.term {
+	if m.raftLeader && m.expiry == nil && protocol.Term(entry.GetTerm()) == m.term {
 		m.expiry = lease.NewExpiryClock(m.config.Timing, now, m.table.Snapshot().Grants)
 	}
-	switch e.GetType() {
+	switch entry.GetType() {
 	case raftpb.EntryNormal:
-		if len(e.GetData()) == 0 {
+		if len(entry.GetData()) == 0 {
 			return nil // a new leader's first entry
 		}
 		var command commandEntry
-		if err := cbor.Unmarshal(e.GetData(), &command); err != nil {
-			return entryError(e, err)
+		if err := cbor.Unmarshal(entry.GetData(), &command); err != nil {
+			return entryError(entry, err)
 		}
 		m.applyCommand(now, command)
 		return nil
 	case raftpb.EntryConfChange:
 		var change raftpb.ConfChange
-		if err := proto.Unmarshal(e.GetData(), &change); err != nil {
-			return entryError(e, err)
+		if err := proto.Unmarshal(entry.GetData(), &change); err != nil {
+			return entryError(entry, err)
 		}
 		return m.applyConfChange(&change)
 	default:
-		return entryError(e, nil)
+		return entryError(entry, nil)
 	}
 }
 
-func entryError(e *raftpb.Entry, err error) error {
-	return &EntryError{Index: e.GetIndex(), Type: e.GetType(), Err: err}
+func entryError(entry *raftpb.Entry, err error) error {
+	return &EntryError{Index: entry.GetIndex(), Type: entry.GetType(), Err: err}
 }
 
-// applyCommand applies a lease command, and answers the request that it came from.
-func (m *Machine) applyCommand(now time.Duration, e commandEntry) {
-	grant, err := m.table.Apply(e.Command)
+// applyCommand applies a lease command, and responds to the request that it came from.
+func (m *StateMachine) applyCommand(now time.Duration, entry commandEntry) {
+	grant, err := m.table.Apply(entry.Command)
 	if err == nil && m.expiry != nil {
-		err = m.updateExpiry(now, e.Command, grant)
+		err = m.updateExpiry(now, entry.Command, grant)
 	}
-	if request, found := m.takePendingProposal(e.Incarnation, e.Seq); found {
+	if request, found := m.takePendingProposal(entry.Incarnation, entry.Seq); found {
 		m.respond(request, grant, err)
 	}
 }
 
 // updateExpiry has the leader's clock follow a command that changed the table or confirmed a grant, and notes
-// duties that came free. It fails if the grant is about to expire, and must not be answered with.
-func (m *Machine) updateExpiry(now time.Duration, command lease.Command, grant lease.Grant) error {
+// duties that came free. It fails if the expiry of the grant is proposed, so that no response
+// may confirm it.
+func (m *StateMachine) updateExpiry(now time.Duration, command lease.Command, grant lease.Grant) error {
 	switch command.Op {
 	case lease.Acquire, lease.Transfer:
 		if err := m.expiry.Start(now, grant); err != nil {
--- a/internal/controlgroup/consensus/doc.go
+++ b/internal/controlgroup/consensus/doc.go
@@ -5,29 +5,29 @@
 //
 // # Shape
 //
-// [Machine] is pure, as etcd's raft.RawNode is: it does no input or output, starts no goroutine and reads
+// [StateMachine] is pure, as etcd's raft.RawNode is: it does no input or output, starts no goroutine and reads
 // no clock. Messages, client requests and ticks go in; what has to be done outside comes out:
 //
 //	for each event {
-//		machine.Step(message) | machine.Propose(now, request) | machine.Tick(now)
-//		for ready, any := machine.Ready(); any; ready, any = machine.Ready() {
+//		stateMachine.Step(message) | stateMachine.Propose(now, request) | stateMachine.Tick(now)
+//		for ready, any := stateMachine.Ready(); any; ready, any = stateMachine.Ready() {
 //			store.Write(ready)          // durable before anything is sent
 //			send(ready.Messages)
-//			machine.Advance(now, ready) // applies what was committed
+//			stateMachine.Advance(now, ready) // applies what was committed
 //		}
-//		answer(machine.Responses())
-//		notify(machine.FreedDuties())
+//		answer(stateMachine.Responses())
+//		notify(stateMachine.FreedDuties())
 //	}
 //
-// The caller owns the disk, the network, the clock and the one goroutine that may use a Machine, so the
+// The caller owns the disk, the network, the clock and the one goroutine that may use a StateMachine, so the
 // same code runs in service (package voter, with [Store] as the disk) and under thousands of seeds in
 // simulated time (package clustersim). It must not know connections, configuration files or the
 // balancer.
 //
 // # Commands
 //
-// [Machine.Propose] at the leader appends a lease command to the log, together with the proposer's
-// incarnation and a sequence number. When the entry is committed, [Machine.Advance] applies it to the lease
+// [StateMachine.Propose] at the leader appends a lease command to the log, together with the proposer's
+// incarnation and a sequence number. When the entry is committed, [StateMachine.Advance] applies it to the lease
 // table of every voter; the voter that proposed it recognises both numbers and answers the request. A
 // voter that loses leadership answers all it has pending with protocol.ErrOutcomeUnknown, since its entries may
 // still be committed. Proposals are never forwarded to another leader: one that arrived late could end a
@@ -36,7 +36,7 @@
 // # Lease expiry
 //
 // The table holds no time. The leader alone runs a lease.ExpiryClock, started when the first entry of its own
-// term is applied: everything earlier leaders committed is in the table by then. [Machine.IsLeader] and
+// term is applied: everything earlier leaders committed is in the table by then. [StateMachine.IsLeader] and
 // every answer depend on that clock, not on raft's role alone. Each tick proposes Expire commands for the
 // leases that were not renewed. A new leader's clock counts from when it starts, because its predecessor may
 // have renewed a lease a moment ago.
@@ -61,7 +61,7 @@
 // acknowledged. Each voter therefore announces its incarnation, term, vote and last index before it takes part.
 // The others compare the announcement with what they have received from that voter, and accept or
 // reject it. Its raft node handles nothing until a majority (itself included) accepted; one rejection makes
-// the machine [Machine.Outdated], and the caller has to quarantine the store. The same happens when a
+// the state machine [StateMachine.Outdated], and the caller has to quarantine the store. The same happens when a
 // leader's heartbeat names a commit index beyond this store's log.
 //
 // # Compaction
--- a/internal/controlgroup/consensus/golden_test.go
+++ b/internal/controlgroup/consensus/golden_test.go
@@ -37,7 +37,7 @@
 		Op: lease.Transfer, Duty: "watch/addis", Process: lease.Process{Name: "n1", Incarnation: 23}, Token: 24, Successor: lease.Process{Name: "n2", Incarnation: 26},
 	}}
 	goldenAdmission = membershipChange{Incarnation: 33, Seq: 34, Voter: protocol.Voter{ID: 0x1122334455667705, Name: "n3", Address: "127.0.0.1:18703"}}
-	goldenStarts    = map[uint64]Incarnation{0x1122334455667703: {Count: 41, ID: 42}} // one: the order of more is not fixed
+	goldenStarts    = map[protocol.VoterID]Start{0x1122334455667703: {Count: 41, Incarnation: 42}} // one: the order of more is not fixed
 	goldenHard      = &raftpb.HardState{Term: proto.Uint64(5), Vote: proto.Uint64(goldenID), Commit: proto.Uint64(8)}
 )
 
@@ -56,7 +56,7 @@
 
 func goldenEntries(t *testing.T) []*raftpb.Entry {
 	change, err := proto.Marshal(&raftpb.ConfChange{
-		Type: raftpb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(goldenAdmission.Voter.ID), Context: inCBOR(t, goldenAdmission),
+		Type: raftpb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(uint64(goldenAdmission.Voter.ID)), Context: inCBOR(t, goldenAdmission),
 	})
 	require.NoError(t, err)
 	return []*raftpb.Entry{
@@ -72,7 +72,7 @@
 	require.NoError(t, err)
 	disk.identity.ID = goldenID
 	require.NoError(t, disk.Bootstrap(PersistentState{HardState: goldenHard, Snapshot: goldenSnapshot(t)}))
-	require.NoError(t, disk.Write(Ready{Entries: goldenEntries(t), Incarnations: goldenStarts}))
+	require.NoError(t, disk.Write(Ready{Entries: goldenEntries(t), Starts: goldenStarts}))
 	require.NoError(t, disk.Close())
 }
 
@@ -122,7 +122,7 @@
 	t.Cleanup(func() { _ = disk.Close() })
 	require.Equal(t, Identity{Version: 1, Group: "example", Name: "n1", ID: goldenID, StartCount: 2, Bootstrapped: true}, disk.Identity())
 	require.True(t, proto.Equal(goldenHard, log.HardState))
-	require.Equal(t, goldenStarts, log.Incarnations)
+	require.Equal(t, goldenStarts, log.Starts)
 	require.True(t, proto.Equal(goldenSnapshot(t), log.Snapshot))
 	var image protocol.Snapshot
 	require.NoError(t, cbor.Unmarshal(log.Snapshot.GetData(), &image))
--- a/internal/controlgroup/consensus/ready.go
+++ b/internal/controlgroup/consensus/ready.go
@@ -6,17 +6,19 @@
 
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
+
+	"piernotch/internal/controlgroup/protocol"
 )
 
 // Ready is what the caller has to do, in this order: make everything but Messages durable (Store.Write does),
 // send Messages, call Advance.
 type Ready struct {
-	HardState    *raftpb.HardState      // nil: unchanged
-	Entries      []*raftpb.Entry        // to append; they replace entries of the same and of higher indexes
-	Snapshot     *raftpb.Snapshot       // from the leader; it replaces snapshot and log. nil: none
-	Compaction   *raftpb.Snapshot       // of this voter's state; it replaces the entries up to its index. nil: none
-	Incarnations map[uint64]Incarnation // the last announced one of each other voter; nil: unchanged
-	Messages     []Message              // for other voters; losing some is safe
+	HardState  *raftpb.HardState          // nil: unchanged
+	Entries    []*raftpb.Entry            // to append; they replace entries of the same and of higher indexes
+	Snapshot   *raftpb.Snapshot           // from the leader; it replaces snapshot and log. nil: none
+	Compaction *raftpb.Snapshot           // of this voter's state; it replaces the entries up to its index. nil: none
+	Starts     map[protocol.VoterID]Start // the last that each other voter announced; nil: unchanged
+	Messages   []Message                  // for other voters; losing some is safe
 
 	raft    raft.Ready
 	hasRaft bool // raft is set, and expects to be advanced
@@ -28,104 +30,105 @@
 		len(r.Entries) == 0 &&
 		r.Snapshot == nil &&
 		r.Compaction == nil &&
-		r.Incarnations == nil
+		r.Starts == nil
 }
 
 // Ready returns what the caller has to do next, and whether there is anything. Each Ready is returned once;
 // the one after it may be requested only when it has been passed to Advance.
-func (m *Machine) Ready() (Ready, bool) {
-	r := Ready{Messages: m.outbox, Compaction: m.pendingCompaction}
+func (m *StateMachine) Ready() (Ready, bool) {
+	ready := Ready{Messages: m.outbox, Compaction: m.pendingCompaction}
 	m.outbox = nil
 	m.pendingCompaction = nil
-	if m.incarnationsChanged {
-		r.Incarnations = maps.Clone(m.incarnations)
-		m.incarnationsChanged = false
+	if m.startsChanged {
+		ready.Starts = maps.Clone(m.starts)
+		m.startsChanged = false
 	}
 	if m.readIndexNeeded {
 		m.readIndexNeeded = false
 		m.node.ReadIndex(readContext(m.lastSeq))
 	}
 	if m.admitted && m.node.HasReady() {
-		m.addRaftReady(&r)
+		m.addRaftReady(&ready)
 	}
-	return r, r.hasRaft || len(r.Messages) > 0 || !r.Empty()
+	return ready, ready.hasRaft || len(ready.Messages) > 0 || !ready.Empty()
 }
 
 // addRaftReady adds what raft wants written and sent.
-func (m *Machine) addRaftReady(r *Ready) {
-	rd := m.node.Ready()
-	r.raft = rd
-	r.hasRaft = true
-	r.Entries = rd.Entries
-	if !raft.IsEmptyHardState(rd.HardState) {
-		r.HardState = rd.HardState
+func (m *StateMachine) addRaftReady(ready *Ready) {
+	fromRaft := m.node.Ready()
+	ready.raft = fromRaft
+	ready.hasRaft = true
+	ready.Entries = fromRaft.Entries
+	if !raft.IsEmptyHardState(fromRaft.HardState) {
+		ready.HardState = fromRaft.HardState
 	}
-	if !raft.IsEmptySnap(rd.Snapshot) {
-		r.Snapshot = rd.Snapshot
+	if !raft.IsEmptySnap(fromRaft.Snapshot) {
+		ready.Snapshot = fromRaft.Snapshot
 	}
-	for _, msg := range rd.Messages {
-		r.Messages = append(r.Messages, Message{From: m.config.ID, To: msg.GetTo(), Raft: msg})
+	for _, msg := range fromRaft.Messages {
+		ready.Messages = append(ready.Messages, Message{From: m.config.ID, To: protocol.VoterID(msg.GetTo()), Raft: msg})
 	}
 }
 
 // Advance takes note that a Ready has been written and sent: committed entries are applied, and the requests
-// that waited for them are answered (see Responses). An error means that committed data cannot be applied;
+// that waited for them get their responses (see Responses). An error means that committed data cannot be applied;
 // the voter must stop.
-func (m *Machine) Advance(now time.Duration, r Ready) error {
-	if !r.hasRaft {
+func (m *StateMachine) Advance(now time.Duration, ready Ready) error {
+	if !ready.hasRaft {
 		return nil
 	}
-	if err := m.saveToStorage(r); err != nil {
+	if err := m.saveToStorage(ready); err != nil {
 		return err
 	}
-	rd := r.raft
-	m.updateRole(rd.SoftState)
-	for _, e := range rd.CommittedEntries {
-		if err := m.apply(now, e); err != nil {
+	fromRaft := ready.raft
+	m.updateRole(fromRaft.SoftState)
+	for _, entry := range fromRaft.CommittedEntries {
+		if err := m.apply(now, entry); err != nil {
 			return err
 		}
 	}
-	for _, state := range rd.ReadStates {
+	for _, state := range fromRaft.ReadStates {
 		m.confirmReads(state)
 	}
-	for _, msg := range rd.Messages {
+	for _, msg := range fromRaft.Messages {
 		if msg.GetType() == raftpb.MsgSnap {
-			m.snapshotsSent = append(m.snapshotsSent, msg.GetTo())
+			m.snapshotsSent = append(m.snapshotsSent, protocol.VoterID(msg.GetTo()))
 		}
 	}
-	m.node.Advance(rd)
+	m.node.Advance(fromRaft)
 	m.serveReads(now)
 	return m.compactLog()
 }
 
 // saveToStorage gives raft's in-memory storage what has been made durable.
-func (m *Machine) saveToStorage(r Ready) error {
-	if r.Snapshot != nil {
-		if err := m.storage.ApplySnapshot(r.Snapshot); err != nil {
+func (m *StateMachine) saveToStorage(ready Ready) error {
+	if ready.Snapshot != nil {
+		if err := m.storage.ApplySnapshot(ready.Snapshot); err != nil {
 			return err
 		}
-		if err := m.restore(r.Snapshot); err != nil {
+		if err := m.restore(ready.Snapshot); err != nil {
 			return err
 		}
 	}
-	if r.HardState != nil {
-		_ = m.storage.SetHardState(r.HardState) // MemoryStorage returns no error here
+	if ready.HardState != nil {
+		_ = m.storage.SetHardState(ready.HardState) // MemoryStorage returns no error here
 	}
-	return m.storage.Append(r.Entries)
+	return m.storage.Append(ready.Entries)
 }
 
 // updateRole follows changes of the leader and of this voter's own role. A new term ends this voter's
 // leadership of the last one, though it may lead again.
-func (m *Machine) updateRole(soft *raft.SoftState) {
+func (m *StateMachine) updateRole(soft *raft.SoftState) {
 	if soft != nil {
-		m.leader = soft.Lead
+		m.leader = protocol.VoterID(soft.Lead)
 	}
 	status := m.node.BasicStatus()
+	term := protocol.Term(status.GetTerm())
 	isLeader := status.RaftState == raft.StateLeader
-	if isLeader == m.raftLeader && status.GetTerm() == m.term {
+	if isLeader == m.raftLeader && term == m.term {
 		return
 	}
 	m.raftLeader = isLeader
-	m.term = status.GetTerm()
+	m.term = term
 	m.abortPending()
 }
--- a/internal/controlgroup/consensus/requests.go
+++ b/internal/controlgroup/consensus/requests.go
@@ -13,19 +13,19 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// maxPendingRequests bounds the requests that wait at one leader; more are refused with ErrOverloaded.
+// maxPendingRequests bounds the requests that wait at one leader; more are rejected with ErrOverloaded.
 const maxPendingRequests = 4096
 
 // requestSeq numbers the requests of one incarnation of a voter, from 1 on. 0 stands for none: the leader's own
-// proposals, which nobody waits for.
+// proposals, for which no client waits.
 type requestSeq uint64
 
 // commandEntry is a lease command in the log, with the incarnation of the voter that proposed it and the
-// request it answers there. Other voters apply the command and ignore the rest.
+// request it came from there. Other voters apply the command and ignore the rest.
 type commandEntry struct {
-	Incarnation uint64        `cbor:"1,keyasint"`
-	Seq         requestSeq    `cbor:"2,keyasint"`
-	Command     lease.Command `cbor:"3,keyasint"`
+	Incarnation lease.Incarnation `cbor:"1,keyasint"`
+	Seq         requestSeq        `cbor:"2,keyasint"`
+	Command     lease.Command     `cbor:"3,keyasint"`
 }
 
 // pendingRequest is a request that has no response yet.
@@ -39,7 +39,7 @@
 // Propose takes a client's request; now is as for Tick. Its response comes from Responses, at once or later, or
 // never where this voter loses its connection to the others: the client has to limit how long it waits.
 // Only the leader serves requests; other voters respond with protocol.ErrNotLeader.
-func (m *Machine) Propose(now time.Duration, request protocol.Request) {
+func (m *StateMachine) Propose(now time.Duration, request protocol.Request) {
 	switch {
 	case m.expiry == nil:
 		m.respond(request, lease.Grant{}, protocol.ErrNotLeader)
@@ -57,41 +57,41 @@
 }
 
 // heldByAnother reports whether a command asks for a duty that another process holds. Contenders ask for that
-// all the time; it is answered like a read, without an entry in the log.
-func (m *Machine) heldByAnother(command lease.Command) bool {
+// all the time; it is served like a read, without an entry in the log.
+func (m *StateMachine) heldByAnother(command lease.Command) bool {
 	grant, held := m.table.Holder(command.Duty)
 	return command.Op == lease.Acquire && held && grant.Holder != command.Process
 }
 
 // FreedDuties returns the duties that were released, expired or transferred since the last call, so that the caller
 // can notify processes that wait for them. Only the leader knows any.
-func (m *Machine) FreedDuties() []lease.Duty {
+func (m *StateMachine) FreedDuties() []lease.Duty {
 	freed := m.freedDuties
 	m.freedDuties = nil
 	return freed
 }
 
 // Responses returns the responses to requests since the last call, in the order in which they came about.
-func (m *Machine) Responses() []protocol.Response {
+func (m *StateMachine) Responses() []protocol.Response {
 	responses := m.responses
 	m.responses = nil
 	return responses
 }
 
-func (m *Machine) respond(request protocol.Request, grant lease.Grant, err error) {
+func (m *StateMachine) respond(request protocol.Request, grant lease.Grant, err error) {
 	m.responses = append(m.responses, protocol.Response{Key: request.Key, Grant: grant, Err: err})
 }
 
-// addPendingProposal registers a request that is answered when its entry is applied.
-func (m *Machine) addPendingProposal(request protocol.Request) requestSeq {
+// addPendingProposal registers a request whose response is sent when its entry is applied.
+func (m *StateMachine) addPendingProposal(request protocol.Request) requestSeq {
 	m.lastSeq++
 	m.pendingProposals[m.lastSeq] = pendingRequest{request: request}
 	return m.lastSeq
 }
 
-// takePendingProposal removes the pending request that an applied entry answers, if this incarnation of this
+// takePendingProposal removes the pending request that an applied entry came from, if this incarnation of this
 // voter proposed it.
-func (m *Machine) takePendingProposal(incarnation uint64, seq requestSeq) (protocol.Request, bool) {
+func (m *StateMachine) takePendingProposal(incarnation lease.Incarnation, seq requestSeq) (protocol.Request, bool) {
 	pending, found := m.pendingProposals[seq]
 	if !found || incarnation != m.config.Incarnation {
 		return protocol.Request{}, false
@@ -101,7 +101,7 @@
 }
 
 // proposeCommand appends a command to the log.
-func (m *Machine) proposeCommand(command lease.Command, seq requestSeq) {
+func (m *StateMachine) proposeCommand(command lease.Command, seq requestSeq) {
 	data, err := cbor.Marshal(commandEntry{Incarnation: m.config.Incarnation, Seq: seq, Command: command})
 	if err == nil {
 		err = m.node.Propose(data)
@@ -111,8 +111,8 @@
 	}
 }
 
-// failProposal answers a request whose entry raft did not take.
-func (m *Machine) failProposal(seq requestSeq, err error) {
+// failProposal responds to a request whose entry raft rejected.
+func (m *StateMachine) failProposal(seq requestSeq, err error) {
 	request, found := m.takePendingProposal(m.config.Incarnation, seq)
 	if found {
 		m.respond(request, lease.Grant{}, fmt.Errorf("%w: %w", protocol.ErrNotLeader, err))
@@ -120,7 +120,7 @@
 }
 
 // abortPending ends this voter's leadership of a term. What has been proposed may still be committed.
-func (m *Machine) abortPending() {
+func (m *StateMachine) abortPending() {
 	m.expiry = nil
 	for _, seq := range slices.Sorted(maps.Keys(m.pendingProposals)) {
 		m.respond(m.pendingProposals[seq].request, lease.Grant{}, protocol.ErrOutcomeUnknown)
@@ -137,7 +137,7 @@
 
 // confirmReads notes that a majority confirmed this voter's leadership after the reads up to the one in the
 // state's context had arrived.
-func (m *Machine) confirmReads(state raft.ReadState) {
+func (m *StateMachine) confirmReads(state raft.ReadState) {
 	var last requestSeq
 	if _, err := fmt.Sscanf(string(state.RequestCtx), "%x", &last); err != nil {
 		return
@@ -150,8 +150,8 @@
 	}
 }
 
-// serveReads answers the confirmed reads and renewals for which enough of the log is applied.
-func (m *Machine) serveReads(now time.Duration) {
+// serveReads responds to the confirmed reads and renewals for which enough of the log is applied.
+func (m *StateMachine) serveReads(now time.Duration) {
 	for _, seq := range slices.Sorted(maps.Keys(m.pendingReads)) {
 		pending := m.pendingReads[seq]
 		isConfirmed := pending.readIndex > 0
@@ -163,8 +163,8 @@
 	}
 }
 
-// serveRead answers a request from the table as it is now.
-func (m *Machine) serveRead(now time.Duration, request protocol.Request) {
+// serveRead responds to a request from the table as it is now.
+func (m *StateMachine) serveRead(now time.Duration, request protocol.Request) {
 	command := request.Command
 	grant, held := m.table.Holder(command.Duty)
 	switch request.Kind {
--- a/internal/controlgroup/consensus/snapshot.go
+++ b/internal/controlgroup/consensus/snapshot.go
@@ -7,32 +7,34 @@
 	"github.com/fxamacker/cbor/v2"
 	"go.etcd.io/raft/v3/raftpb"
 
+	"piernotch/internal/controlgroup/lease"
 	"piernotch/internal/controlgroup/protocol"
 )
 
 // compactionInterval is how many entries are applied between two snapshots of the state.
 const compactionInterval = 1000
 
-// Incarnation identifies one start of a voter.
-type Incarnation struct {
-	Count uint64 `cbor:"1,keyasint"` // how often the store was opened, this start included
-	ID    uint64 `cbor:"2,keyasint"` // drawn at random for this start
+// Start identifies one start of a voter. Two copies of a store that were opened equally often differ in the
+// incarnation.
+type Start struct {
+	Count       uint64            `cbor:"1,keyasint"` // how often the store was opened, this start included
+	Incarnation lease.Incarnation `cbor:"2,keyasint"`
 }
 
 // PersistentState is what a store holds of a voter. The zero value is that of a new store.
 type PersistentState struct {
-	HardState    *raftpb.HardState
-	Snapshot     *raftpb.Snapshot
-	Entries      []*raftpb.Entry        // those behind Snapshot, without gaps
-	Incarnations map[uint64]Incarnation // the last one that each other voter announced, by its store's ID
+	HardState *raftpb.HardState
+	Snapshot  *raftpb.Snapshot
+	Entries   []*raftpb.Entry            // those behind Snapshot, without gaps
+	Starts    map[protocol.VoterID]Start // the last that each other voter announced
 }
 
 // Bootstrap returns the state that every store of a new group starts with. Equal arguments give equal
 // states: all voters of the group must pass the same voters in the same order.
 func Bootstrap(voters []protocol.Voter) PersistentState {
 	confState := &raftpb.ConfState{}
-	for _, v := range voters {
-		confState.Voters = append(confState.Voters, v.ID)
+	for _, voter := range voters {
+		confState.Voters = append(confState.Voters, uint64(voter.ID))
 	}
 	slices.Sort(confState.Voters)
 	data, err := cbor.Marshal(protocol.Snapshot{Voters: voters})
@@ -48,10 +50,10 @@
 }
 
 // restore replaces the replicated state by a snapshot's.
-func (m *Machine) restore(s *raftpb.Snapshot) error {
-	metadata := s.GetMetadata()
+func (m *StateMachine) restore(snapshot *raftpb.Snapshot) error {
+	metadata := snapshot.GetMetadata()
 	var state protocol.Snapshot
-	if err := cbor.Unmarshal(s.GetData(), &state); err != nil {
+	if err := cbor.Unmarshal(snapshot.GetData(), &state); err != nil {
 		return fmt.Errorf("snapshot at %d: %w", metadata.GetIndex(), err)
 	}
 	m.table.Restore(state.Leases)
@@ -63,13 +65,13 @@
 }
 
 // replicatedState returns a copy of the state that all voters agree on.
-func (m *Machine) replicatedState() protocol.Snapshot {
+func (m *StateMachine) replicatedState() protocol.Snapshot {
 	return protocol.Snapshot{Leases: m.table.Snapshot(), Voters: slices.Clone(m.voters)}
 }
 
 // compactLog replaces the log by a snapshot of the state that it led to, when it has grown long, or when the
 // voters have changed: a new voter cannot use a snapshot in which it is none.
-func (m *Machine) compactLog() error {
+func (m *StateMachine) compactLog() error {
 	isDue := m.membershipChanged || m.applied >= m.snapshotIndex+compactionInterval
 	if !isDue || m.applied == m.snapshotIndex {
 		return nil
--- a/internal/controlgroup/consensus/machine_planted.go
+++ b/internal/controlgroup/consensus/state_machine_planted.go
@@ -12,7 +12,7 @@
 
 // RespondEarly has the enabled fault respond to a request before Propose would. It reports whether that response is
 // the only one, so that the request must not be passed to Propose.
-func (m *Machine) RespondEarly(now time.Duration, request protocol.Request) bool {
+func (m *StateMachine) RespondEarly(now time.Duration, request protocol.Request) bool {
 	if m.answersUnconfirmed(request.Kind) {
 		m.serveRead(now, request)
 		return true
@@ -25,7 +25,7 @@
 }
 
 // answersUnconfirmed reports whether the enabled fault answers requests of a kind from the table as it is now.
-func (m *Machine) answersUnconfirmed(kind protocol.Kind) bool {
+func (m *StateMachine) answersUnconfirmed(kind protocol.Kind) bool {
 	switch kind {
 	case protocol.Read: // even before a new leader has applied what was committed
 		return m.raftLeader && failpoint.Enabled(failpoint.StaleReads)
@@ -37,7 +37,7 @@
 }
 
 // respondUncommitted answers a command with what it would give if it were committed next.
-func (m *Machine) respondUncommitted(request protocol.Request) {
+func (m *StateMachine) respondUncommitted(request protocol.Request) {
 	var table lease.Table
 	table.Restore(m.table.Snapshot())
 	grant, err := table.Apply(request.Command)
@@ -45,7 +45,7 @@
 }
 
 // StepUnchecked is Step, but does not notice that the store lacks entries that it acknowledged.
-func (m *Machine) StepUnchecked(msg Message) error {
+func (m *StateMachine) StepUnchecked(msg Message) error {
 	if msg.Raft == nil || !m.admitted || !m.isAheadOfStore(msg.Raft) {
 		return m.Step(msg)
 	}
@@ -53,5 +53,5 @@
 	return m.stepRaft(msg.Raft)
 }
 
-// SkipAdmission has the machine take part without the others' acceptance of its store.
-func (m *Machine) SkipAdmission() { m.admitted = true }
+// SkipAdmission has the state machine take part without the others' acceptance of its store.
+func (m *StateMachine) SkipAdmission() { m.admitted = true }
--- a/internal/controlgroup/consensus/machine_test.go
+++ b/internal/controlgroup/consensus/state_machine_test.go
@@ -11,8 +11,8 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// newSingleVoter returns the machine of a group of one voter, with ID 1.
-func newSingleVoter(t *testing.T) *Machine {
+// newSingleVoter returns the state machine of a group of one voter, with ID 1.
+func newSingleVoter(t *testing.T) *StateMachine {
 	t.Helper()
 	m, err := New(Config{
 		ID:          1,
@@ -25,23 +25,23 @@
 	return m
 }
 
-// advance does all that the machine wants done, without a store.
-func advance(t *testing.T, m *Machine, now time.Duration) {
+// advance does all that the state machine wants done, without a store.
+func advance(t *testing.T, m *StateMachine, now time.Duration) {
 	t.Helper()
 	for ready, any := m.Ready(); any; ready, any = m.Ready() {
 		require.NoError(t, m.Advance(now, ready))
 	}
 }
 
-func TestMachineReportsMisroutedAndEmptyMessages(t *testing.T) {
+func TestStateMachineReportsMisroutedAndEmptyMessages(t *testing.T) {
 	m := newSingleVoter(t)
 	for _, c := range []struct {
 		name string
 		msg  Message
 		text string
 	}{
-		{name: "misrouted", msg: Message{From: 2, To: 3}, text: "a message for voter 3 came to voter 1"},
-		{name: "empty", msg: Message{From: 2, To: 1}, text: "a message from voter 2 holds nothing of it"},
+		{name: "misrouted", msg: Message{From: 2, To: 3}, text: "message for voter 3 was received by voter 1"},
+		{name: "empty", msg: Message{From: 2, To: 1}, text: "message from voter 2 has no content from that voter"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			err := m.Step(c.msg)
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestMachineReportsCommittedEntryItCannotApply(t *testing.T) {
+func TestStateMachineReportsCommittedEntryItCannotApply(t *testing.T) {
 	m := newSingleVoter(t)
 	broken := entryAt(2, 1, "no CBOR")
 	err := m.apply(0, broken)
@@ -63,10 +63,10 @@
 
 	unknown := entryAt(3, 1, "")
 	unknown.Type = raftpb.EntryConfChangeV2.Enum()
-	require.EqualError(t, m.apply(0, unknown), "entry 3 is of an unknown kind, EntryConfChangeV2")
+	require.EqualError(t, m.apply(0, unknown), "entry 3 has the unknown type EntryConfChangeV2")
 }
 
-func TestMachineAnswersOnlyAsLeader(t *testing.T) {
+func TestStateMachineAnswersOnlyAsLeader(t *testing.T) {
 	m := newSingleVoter(t)
 	process := lease.Process{Name: "a", Incarnation: 5}
 	acquire := protocol.Request{
--- a/internal/controlgroup/consensus/store.go
+++ b/internal/controlgroup/consensus/store.go
@@ -13,9 +13,11 @@
 	"github.com/fxamacker/cbor/v2"
 	"go.etcd.io/bbolt"
 	bolterrors "go.etcd.io/bbolt/errors"
+
+	"piernotch/internal/controlgroup/protocol"
 )
 
-// storeVersion is the version of a voter file's format. A file of another version is refused as a whole.
+// storeVersion is the version of a voter file's format. A file of another version is rejected as a whole.
 const storeVersion = 1
 
 // lockTimeout is how long OpenStore waits for another process to close the file.
@@ -23,19 +25,19 @@
 
 // Identity is how a voter's file describes itself.
 type Identity struct {
-	Version      int    `cbor:"1,keyasint"`
-	Group        string `cbor:"2,keyasint"`
-	Name         string `cbor:"3,keyasint"` // of the voter
-	ID           uint64 `cbor:"4,keyasint"` // drawn at random when the file was created; never 0
-	StartCount   uint64 `cbor:"5,keyasint"` // how often the file was opened
-	Bootstrapped bool   `cbor:"6,keyasint"` // it has been part of a group
+	Version      int              `cbor:"1,keyasint"`
+	Group        string           `cbor:"2,keyasint"`
+	Name         string           `cbor:"3,keyasint"` // of the voter
+	ID           protocol.VoterID `cbor:"4,keyasint"` // drawn at random when the file was created; never 0
+	StartCount   uint64           `cbor:"5,keyasint"` // how often the file was opened
+	Bootstrapped bool             `cbor:"6,keyasint"` // it has been part of a group
 }
 
 // Errors of OpenStore, wrapped in a *StoreError. After ErrCorrupt the caller may Quarantine the file and open
 // a new one.
 var (
 	ErrCorrupt    = errors.New("corrupt")
-	ErrStoreInUse = errors.New("another process uses it")
+	ErrStoreInUse = errors.New("in use by another process")
 )
 
 // StoreError says which voter file, and which part of it, could not be used.
@@ -61,7 +63,7 @@
 
 // Error names both versions.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("form %d, this program reads %d", e.Found, e.Supported)
+	return fmt.Sprintf("format version %d, this program supports version %d", e.Found, e.Supported)
 }
 
 // OwnerError is the cause of a StoreError for a file of another voter.
@@ -85,7 +87,7 @@
 // OpenStore opens a voter's file, or creates it with a new ID, counts the start, and returns its content. An
 // error about the file's content, owner or lock is a *StoreError; others come from the operating system as they
 // are, and say nothing against the file.
-func OpenStore(path, group, name string) (s *Store, state PersistentState, err error) {
+func OpenStore(path, group, name string) (store *Store, state PersistentState, err error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return nil, PersistentState{}, err
 	}
@@ -96,14 +98,14 @@
 	if err != nil {
 		return nil, PersistentState{}, err
 	}
-	s = &Store{db: db, path: path}
+	store = &Store{db: db, path: path}
 	defer func() {
-		if p := recover(); p != nil { // bbolt panics over inconsistent pages
-			err = s.corrupt("", fmt.Errorf("%v", p))
+		if panicked := recover(); panicked != nil { // bbolt panics over inconsistent pages
+			err = store.corrupt("", fmt.Errorf("%v", panicked))
 		}
 		if err != nil {
 			_ = db.Close()
-			s = nil
+			store = nil
 		}
 	}()
 	err = db.Update(func(tx *bbolt.Tx) error {
@@ -114,13 +116,13 @@
 		if _, err := tx.CreateBucketIfNotExists(logBucket); err != nil {
 			return err
 		}
-		if err := s.identify(metadata, group, name); err != nil {
+		if err := store.identify(metadata, group, name); err != nil {
 			return err
 		}
-		state, err = s.read(tx)
+		state, err = store.read(tx)
 		return err
 	})
-	return s, state, err
+	return store, state, err
 }
 
 // openDatabase opens the file as a bbolt database, and says what kind of error prevented it.
@@ -141,8 +143,8 @@
 // openRecovering turns the panics of bbolt.Open over inconsistent pages into errors.
 func openRecovering(path string) (db *bbolt.DB, err error) {
 	defer func() {
-		if p := recover(); p != nil {
-			err = fmt.Errorf("%v", p)
+		if panicked := recover(); panicked != nil {
+			err = fmt.Errorf("%v", panicked)
 		}
 	}()
 	return bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout})
@@ -182,7 +184,7 @@
 		Version: storeVersion,
 		Group:   group,
 		Name:    name,
-		ID:      binary.LittleEndian.Uint64(id[:]) | 1, // not 0, which raft takes for no voter
+		ID:      protocol.VoterID(binary.LittleEndian.Uint64(id[:]) | 1), // not 0, which raft takes for no voter
 	}, nil
 }
 
--- a/internal/controlgroup/consensus/store_records.go
+++ b/internal/controlgroup/consensus/store_records.go
@@ -21,10 +21,10 @@
 
 // The keys of metadataBucket.
 var (
-	keyIdentity     = []byte("identity") // Identity, as CBOR
-	keyHardState    = []byte("hard")     // raftpb.HardState
-	keySnapshot     = []byte("snapshot") // raftpb.Snapshot
-	keyIncarnations = []byte("starts")   // map[uint64]Incarnation, as CBOR
+	keyIdentity  = []byte("identity") // Identity, as CBOR
+	keyHardState = []byte("hard")     // raftpb.HardState
+	keySnapshot  = []byte("snapshot") // raftpb.Snapshot
+	keyStarts    = []byte("starts")   // map[protocol.VoterID]Start, as CBOR
 )
 
 // checksumSize is the length of the xxHash64 before each value: bbolt has no checksums of its pages.
@@ -33,33 +33,33 @@
 var errChecksum = errors.New("checksum mismatch")
 
 // Write makes a Ready durable, whole or not at all.
-func (s *Store) Write(r Ready) error {
-	if r.Empty() {
+func (s *Store) Write(ready Ready) error {
+	if ready.Empty() {
 		return nil
 	}
-	return s.db.Update(func(tx *bbolt.Tx) error { return s.write(tx, r) })
+	return s.db.Update(func(tx *bbolt.Tx) error { return s.write(tx, ready) })
 }
 
-func (s *Store) write(tx *bbolt.Tx, r Ready) error {
+func (s *Store) write(tx *bbolt.Tx, ready Ready) error {
 	metadata := tx.Bucket(metadataBucket)
 	log := tx.Bucket(logBucket)
-	if err := writeSnapshot(metadata, log, r); err != nil {
+	if err := writeSnapshot(metadata, log, ready); err != nil {
 		return err
 	}
-	if err := writeEntries(log, r.Entries); err != nil {
+	if err := writeEntries(log, ready.Entries); err != nil {
 		return err
 	}
-	if r.HardState != nil {
-		if err := putMessage(metadata, keyHardState, r.HardState); err != nil {
+	if ready.HardState != nil {
+		if err := putMessage(metadata, keyHardState, ready.HardState); err != nil {
 			return err
 		}
 	}
-	if r.Incarnations != nil {
-		if err := putCBOR(metadata, keyIncarnations, r.Incarnations); err != nil {
+	if ready.Starts != nil {
+		if err := putCBOR(metadata, keyStarts, ready.Starts); err != nil {
 			return err
 		}
 	}
-	if r.HardState != nil && !s.identity.Bootstrapped {
+	if ready.HardState != nil && !s.identity.Bootstrapped {
 		s.identity.Bootstrapped = true
 		return s.putIdentity(metadata)
 	}
@@ -68,11 +68,11 @@
 
 // writeSnapshot writes a snapshot and removes the entries that it replaces: all of them where it came from the
 // leader, those up to its index where it is this voter's own.
-func writeSnapshot(metadata, log *bbolt.Bucket, r Ready) error {
-	snapshot := r.Compaction
-	last := r.Compaction.GetMetadata().GetIndex()
-	if r.Snapshot != nil {
-		snapshot = r.Snapshot
+func writeSnapshot(metadata, log *bbolt.Bucket, ready Ready) error {
+	snapshot := ready.Compaction
+	last := ready.Compaction.GetMetadata().GetIndex()
+	if ready.Snapshot != nil {
+		snapshot = ready.Snapshot
 		last = math.MaxUint64
 	}
 	if snapshot == nil {
@@ -92,8 +92,8 @@
 	if err := deleteEntries(log, entries[0].GetIndex(), math.MaxUint64); err != nil {
 		return err
 	}
-	for _, e := range entries {
-		if err := putMessage(log, indexKey(e.GetIndex()), e); err != nil {
+	for _, entry := range entries {
+		if err := putMessage(log, indexKey(entry.GetIndex()), entry); err != nil {
 			return err
 		}
 	}
@@ -134,12 +134,12 @@
 	if found {
 		state.Snapshot = snapshot
 	}
-	incarnations, err := s.get(metadata, keyIncarnations)
+	starts, err := s.get(metadata, keyStarts)
 	if err != nil {
 		return state, err
 	}
-	if incarnations != nil {
-		if err := cbor.Unmarshal(incarnations, &state.Incarnations); err != nil {
+	if starts != nil {
+		if err := cbor.Unmarshal(starts, &state.Starts); err != nil {
 			return state, err
 		}
 	}
@@ -152,15 +152,15 @@
 	var entries []*raftpb.Entry
 	next := first
 	err := log.ForEach(func(key, _ []byte) error {
-		e := &raftpb.Entry{}
-		if _, err := s.getMessage(log, key, e); err != nil {
+		entry := &raftpb.Entry{}
+		if _, err := s.getMessage(log, key, entry); err != nil {
 			return err
 		}
-		if e.GetIndex() != next {
-			return s.corrupt(fmt.Sprintf("entry %d", e.GetIndex()), fmt.Errorf("entry %d was expected", next))
+		if entry.GetIndex() != next {
+			return s.corrupt(fmt.Sprintf("entry %d", entry.GetIndex()), fmt.Errorf("entry %d was expected", next))
 		}
 		next++
-		entries = append(entries, e)
+		entries = append(entries, entry)
 		return nil
 	})
 	return entries, err
--- a/internal/controlgroup/consensus/store_test.go
+++ b/internal/controlgroup/consensus/store_test.go
@@ -35,21 +35,21 @@
 	first := store.Identity()
 	require.False(t, first.Bootstrapped)
 	_, _, err = OpenStore(path, "g", "n1")
-	require.ErrorContains(t, err, "another process uses it")
+	require.ErrorContains(t, err, "in use by another process")
 	require.ErrorIs(t, err, ErrStoreInUse)
 
 	bootstrapped := Bootstrap([]protocol.Voter{{ID: first.ID, Name: "n1", Address: "127.0.0.1:1"}})
 	require.NoError(t, store.Bootstrap(bootstrapped))
 	require.NoError(t, store.Write(Ready{Entries: []*raftpb.Entry{entryAt(2, 1, "a"), entryAt(3, 1, "b"), entryAt(4, 1, "c")}}))
 	require.NoError(t, store.Write(Ready{
-		Entries:      []*raftpb.Entry{entryAt(3, 2, "d")},
-		Incarnations: map[uint64]Incarnation{9: {Count: 4, ID: 7}},
+		Entries: []*raftpb.Entry{entryAt(3, 2, "d")},
+		Starts:  map[protocol.VoterID]Start{9: {Count: 4, Incarnation: 7}},
 	}))
 	store, state = reopen(t, store)
 	require.Equal(t, Identity{storeVersion, "g", "n1", first.ID, 2, true}, store.Identity())
 	require.Len(t, state.Entries, 2, "an entry of a later term replaces all from its index on")
 	require.True(t, proto.Equal(entryAt(3, 2, "d"), state.Entries[1]))
-	require.Equal(t, map[uint64]Incarnation{9: {Count: 4, ID: 7}}, state.Incarnations)
+	require.Equal(t, map[protocol.VoterID]Start{9: {Count: 4, Incarnation: 7}}, state.Starts)
 	require.True(t, proto.Equal(bootstrapped.Snapshot, state.Snapshot))
 
 	three := uint64(3)
--- a/internal/controlgroup/errors.go
+++ b/internal/controlgroup/errors.go
@@ -61,8 +61,8 @@
 		return false
 	}
 	*problems = nil
-	for _, e := range errs {
-		*problems = append(*problems, e.problem())
+	for _, field := range errs {
+		*problems = append(*problems, field.problem())
 	}
 	return true
 }
--- a/internal/controlgroup/failpoint/doc.go
+++ b/internal/controlgroup/failpoint/doc.go
@@ -23,13 +23,13 @@
 //	  handleResponse         CountedFromResponse, DriftIgnored
 //	  propose                UnconfirmedRenewals, StaleReads, AnsweredTooEarly
 //	  step                   DiskUnchecked
-//	  newMachine             DiskUnchecked
+//	  newStateMachine        DiskUnchecked
 //	  replaceLostDisk        DiskUnchecked
 //	  writeAndSend           SentBeforeWritten
 //
 // The faults of a process that the simulation drives (what a holder, a receiver or a voter's event loop does) are
 // planted where the simulation drives it. What they need from packages lease and consensus is in the files
-// lease/holder_planted.go and consensus/machine_planted.go, which no other build has.
+// lease/holder_planted.go and consensus/state_machine_planted.go, which no other build has.
 //
 // The files *_planted.go ask Enabled, tests call Enable. The package must not know its callers.
 package failpoint
--- a/internal/controlgroup/file.go
+++ b/internal/controlgroup/file.go
@@ -41,25 +41,25 @@
 	if err != nil {
 		return Config{}, FieldErrors{{File: name, Err: err}}
 	}
-	f := &fileConfig{LeaseDurationMS: defaultLeaseDurationMS, MaxClockDrift: defaultMaxClockDrift}
-	errs := fieldErrorsOf(tomlfile.Decode(name, data, f))
-	c := f.config()
+	parsed := &fileConfig{LeaseDurationMS: defaultLeaseDurationMS, MaxClockDrift: defaultMaxClockDrift}
+	errs := fieldErrorsOf(tomlfile.Decode(name, data, parsed))
+	config := parsed.config()
 	if len(errs) == 0 { // values of a file that could not be decoded would be reported twice
 		lines := tomlfile.Lines(data)
-		errs = c.Validate()
-		for _, e := range errs {
-			e.File = name
-			e.Line = lines[e.Key]
+		errs = config.Validate()
+		for _, field := range errs {
+			field.File = name
+			field.Line = lines[field.Key]
 		}
 	}
 	if len(errs) > 0 {
-		return c, errs
+		return config, errs
 	}
-	return c, nil
+	return config, nil
 }
 
 func (f *fileConfig) config() Config {
-	c := Config{
+	config := Config{
 		Name:          f.Name,
 		Self:          f.Self,
 		StorePath:     f.StorePath,
@@ -69,25 +69,25 @@
 		WatchDuty:     f.Watch,
 		DiscoveryName: f.Source,
 	}
-	for _, v := range f.Voters {
-		c.Voters = append(c.Voters, Voter(v))
+	for _, voter := range f.Voters {
+		config.Voters = append(config.Voters, Voter(voter))
 	}
-	return c
+	return config
 }
 
 // TOML returns the configuration in the form of a file, which LoadFile reads.
 func (c Config) TOML() string {
-	var s strings.Builder
-	fmt.Fprintf(&s, "name = %q\nself = %q\ndisk = %q\n", c.Name, c.Self, c.StorePath)
-	fmt.Fprintf(&s, "length_ms = %d\ndrift = %v\n", c.LeaseDuration.Milliseconds(), c.MaxClockDrift)
+	var text strings.Builder
+	fmt.Fprintf(&text, "name = %q\nself = %q\ndisk = %q\n", c.Name, c.Self, c.StorePath)
+	fmt.Fprintf(&text, "length_ms = %d\ndrift = %v\n", c.LeaseDuration.Milliseconds(), c.MaxClockDrift)
 	quoted := make([]string, len(c.Duties))
-	for i, d := range c.Duties {
-		quoted[i] = fmt.Sprintf("%q", d)
+	for i, duty := range c.Duties {
+		quoted[i] = fmt.Sprintf("%q", duty)
 	}
-	fmt.Fprintf(&s, "duties = [%s]\n", strings.Join(quoted, ", "))
-	fmt.Fprintf(&s, "watch = %q\nsource = %q\n", c.WatchDuty, c.DiscoveryName)
-	for _, v := range c.Voters {
-		fmt.Fprintf(&s, "\n[[voter]]\nname = %q\naddress = %q\n", v.Name, v.Address)
+	fmt.Fprintf(&text, "duties = [%s]\n", strings.Join(quoted, ", "))
+	fmt.Fprintf(&text, "watch = %q\nsource = %q\n", c.WatchDuty, c.DiscoveryName)
+	for _, voter := range c.Voters {
+		fmt.Fprintf(&text, "\n[[voter]]\nname = %q\naddress = %q\n", voter.Name, voter.Address)
 	}
-	return s.String()
+	return text.String()
 }
--- a/internal/controlgroup/lease/doc.go
+++ b/internal/controlgroup/lease/doc.go
@@ -14,7 +14,7 @@
 //   - [Holder] is the other side's: it stops at the renew deadline, by its own monotonic clock, counted from
 //     when it sent the request. While the rates of both clocks stay within Timing.MaxClockDrift, the deadline
 //     passes before the lease expires, so two holders are never active at once.
-//   - [Fence] protects whoever receives the acts. A process that was suspended between its look at the clock
+//   - [Fence] protects whoever receives the acts. A process that was suspended between its check of the clock
 //     and its act is beyond any clock; the receiver rejects a token below one that it has seen.
 //
 // See Burrows, "The Chubby lock service", section 2.4, and Kleppmann, "How to do distributed locking".
--- a/internal/controlgroup/lease/fence_test.go
+++ b/internal/controlgroup/lease/fence_test.go
@@ -9,7 +9,7 @@
 func TestFenceRejectsLowerTokens(t *testing.T) {
 	var f Fence
 	for _, c := range []struct {
-		token     uint64
+		token     Token
 		ok, fresh bool
 	}{
 		{token: 4, ok: true, fresh: true},
--- a/internal/controlgroup/lease/holder.go
+++ b/internal/controlgroup/lease/holder.go
@@ -2,10 +2,13 @@
 
 import "time"
 
-// Request is what a Holder asks of the group: a command, or the renewal of what it holds.
+// RequestSeq numbers the requests of one Holder, from 1 on.
+type RequestSeq uint64
+
+// Request is what a Holder sends to the group: a command, or the renewal of what it holds.
 type Request struct {
-	Seq     uint64 // numbers the requests of one Holder; the response has to name it
-	Renew   bool   // renew Command.Duty under Command.Token; Command.Op is not set
+	Seq     RequestSeq // the response has to name it
+	Renew   bool       // renew Command.Duty under Command.Token; Command.Op is not set
 	Command Command
 }
 
@@ -22,9 +25,9 @@
 	renewDeadline time.Duration // no act from then on
 	released      bool          // the duty is not wanted any more
 
-	lastSeq     uint64
+	lastSeq     RequestSeq
 	pending     bool          // the request pendingSeq has no response yet
-	pendingSeq  uint64        // of the last request that NextRequest returned
+	pendingSeq  RequestSeq    // of the last request that NextRequest returned
 	sentAt      time.Duration // when that was
 	nextRequest time.Duration // no request before then
 }
@@ -36,7 +39,7 @@
 
 // NextRequest returns the request that has to be sent now, and whether there is one. Where another process
 // holds the duty, the next attempt to acquire it comes after pause; the caller draws it at random, so that
-// contenders do not ask all at once.
+// contenders do not all send at once.
 func (h *Holder) NextRequest(now, pause time.Duration) (Request, bool) {
 	h.checkDeadline(now)
 	// A request without a response is repeated: every command may safely arrive twice.
@@ -86,7 +89,8 @@
 	return request, true
 }
 
-// Release gives the duty up for good. The holder stops acting at once; NextRequest returns what tells the group.
+// Release gives the duty up for good. The holder stops acting at once; NextRequest returns the request that releases
+// the lease at the group.
 func (h *Holder) Release() {
 	h.released = true
 	h.pending = false
@@ -95,7 +99,7 @@
 
 // RequestLost reports that there will be no response to a request: the next one may be sent at once, to another
 // voter.
-func (h *Holder) RequestLost(seq uint64) {
+func (h *Holder) RequestLost(seq RequestSeq) {
 	if h.pending && seq == h.pendingSeq {
 		h.pending = false
 		h.nextRequest = 0
@@ -118,7 +122,7 @@
 // HandleResponse takes the group's response to the request seq; err is nil, ErrHeld or ErrNotHeld. A response
 // to any but the last request is ignored. The renew deadline counts from when that request was sent, since its
 // response may have been long on the way.
-func (h *Holder) HandleResponse(now time.Duration, seq uint64, g Grant, err error) {
+func (h *Holder) HandleResponse(now time.Duration, seq RequestSeq, grant Grant, err error) {
 	if !h.pending || seq != h.pendingSeq {
 		return
 	}
@@ -127,7 +131,7 @@
 		h.held = false
 		return
 	}
-	h.grant = g
+	h.grant = grant
 	h.held = true
 	h.renewDeadline = h.sentAt + h.timing.HolderDuration()
 	h.nextRequest = h.sentAt + h.timing.retryPeriod()
@@ -143,7 +147,7 @@
 
 // Token returns the token under which the process may act at now, and whether it may. It has to be called
 // before each act, not once for several.
-func (h *Holder) Token(now time.Duration) (uint64, bool) {
+func (h *Holder) Token(now time.Duration) (Token, bool) {
 	h.checkDeadline(now)
 	if !h.held || h.released {
 		return 0, false
--- a/internal/controlgroup/lease/holder_planted.go
+++ b/internal/controlgroup/lease/holder_planted.go
@@ -5,18 +5,18 @@
 import "time"
 
 // HandleResponseLate is HandleResponse, but counts the renew deadline from the response.
-func (h *Holder) HandleResponseLate(now time.Duration, seq uint64, g Grant, err error) {
+func (h *Holder) HandleResponseLate(now time.Duration, seq RequestSeq, grant Grant, err error) {
 	if h.pending && seq == h.pendingSeq {
 		h.sentAt = now
 	}
-	h.HandleResponse(now, seq, g, err)
+	h.HandleResponse(now, seq, grant, err)
 }
 
 // HandleResponseWithoutDrift is HandleResponse, but lets the holder act for longer than the lease lasts, as if its
 // clock were slow beyond all bounds.
-func (h *Holder) HandleResponseWithoutDrift(now time.Duration, seq uint64, g Grant, err error) {
+func (h *Holder) HandleResponseWithoutDrift(now time.Duration, seq RequestSeq, grant Grant, err error) {
 	renews := h.pending && seq == h.pendingSeq && !h.released && err == nil
-	h.HandleResponse(now, seq, g, err)
+	h.HandleResponse(now, seq, grant, err)
 	if renews {
 		h.held = true
 		h.renewDeadline = h.sentAt + h.timing.Duration + h.timing.Duration/8
@@ -26,7 +26,7 @@
 
 // GrantedToken returns the token of the last grant, whether its renew deadline has passed or not, until the duty
 // is released.
-func (h *Holder) GrantedToken() (token uint64, granted bool) {
+func (h *Holder) GrantedToken() (token Token, granted bool) {
 	if h.released {
 		return 0, false
 	}
--- a/internal/controlgroup/lease/holder_test.go
+++ b/internal/controlgroup/lease/holder_test.go
@@ -8,7 +8,7 @@
 )
 
 // acquire has a holder send a request at now, and the group grant it under a token.
-func acquire(t *testing.T, h *Holder, now time.Duration, token uint64) {
+func acquire(t *testing.T, h *Holder, now time.Duration, token Token) {
 	t.Helper()
 	request, ok := h.NextRequest(now, time.Second)
 	require.True(t, ok)
@@ -16,7 +16,7 @@
 	requireToken(t, h, now, token)
 }
 
-func requireToken(t *testing.T, h *Holder, now time.Duration, want uint64) {
+func requireToken(t *testing.T, h *Holder, now time.Duration, want Token) {
 	t.Helper()
 	token, mayAct := h.Token(now)
 	require.True(t, mayAct)
--- a/internal/controlgroup/lease/safety.go
+++ b/internal/controlgroup/lease/safety.go
@@ -7,7 +7,7 @@
 type safetyRules struct{}
 
 // nextToken returns the token of a new grant, which is above all tokens before it.
-func (safetyRules) nextToken(last uint64) uint64 { return last + 1 }
+func (safetyRules) nextToken(last Token) Token { return last + 1 }
 
 // inheritedDeadline returns when a new leader expires a lease that an earlier leader granted: that leader may
 // have renewed it just before now.
@@ -19,5 +19,6 @@
 // any moment.
 func (safetyRules) mayRenew(d deadline) bool { return !d.expiring }
 
-// mayConfirm reports whether its holder may be told that a lease is granted, for the same reason.
+// mayConfirm reports whether a response may confirm a lease to its holder: not once its expiry has been proposed
+// either.
 func (safetyRules) mayConfirm(d deadline) bool { return !d.expiring }
--- a/internal/controlgroup/lease/safety_planted.go
+++ b/internal/controlgroup/lease/safety_planted.go
@@ -14,7 +14,7 @@
 // rules are those that Table and ExpiryClock follow.
 var rules faultyRules
 
-func (r faultyRules) nextToken(last uint64) uint64 {
+func (r faultyRules) nextToken(last Token) Token {
 	if failpoint.Enabled(failpoint.TokenReused) {
 		return 1
 	}
--- a/internal/controlgroup/lease/table.go
+++ b/internal/controlgroup/lease/table.go
@@ -10,17 +10,24 @@
 // Duty names what at most one process may do at a time.
 type Duty string
 
+// Token is a fencing token. Tokens rise with every grant of the group, of any duty; the first is 1, and 0 stands
+// for none.
+type Token uint64
+
+// Incarnation identifies one start of a program among all starts of it. It is drawn at random.
+type Incarnation uint64
+
 // Process identifies one run of a program. A process that was restarted does not hold what it held before.
 type Process struct {
-	Name        string `cbor:"1,keyasint"`
-	Incarnation uint64 `cbor:"2,keyasint"` // drawn at random at its start
+	Name        string      `cbor:"1,keyasint"`
+	Incarnation Incarnation `cbor:"2,keyasint"`
 }
 
 // Grant is a lease: one duty, held by one process under one token.
 type Grant struct {
 	Duty   Duty    `cbor:"1,keyasint"`
 	Holder Process `cbor:"2,keyasint"`
-	Token  uint64  `cbor:"3,keyasint"` // the fencing token; it rises with every grant of the group, of any duty
+	Token  Token   `cbor:"3,keyasint"`
 }
 
 // Op is the operation of a Command.
@@ -28,7 +35,7 @@
 
 // Operations. Renewal is none of them: it changes nothing that the group agrees on.
 const (
-	Acquire  Op = iota + 1 // Process takes a duty that nobody holds; if it holds it already, the grant stays
+	Acquire  Op = iota + 1 // Process takes a duty without a lease holder; if it holds it already, the grant stays
 	Release                // Process gives up what it holds under Token
 	Transfer               // Process gives what it holds under Token to Successor, under a new token
 	Expire                 // the leader ends the lease under Token
@@ -38,20 +45,20 @@
 type Command struct {
 	Op        Op      `cbor:"1,keyasint"`
 	Duty      Duty    `cbor:"2,keyasint"`
-	Process   Process `cbor:"3,keyasint"`           // who asks; not set for Expire
-	Token     uint64  `cbor:"4,keyasint,omitempty"` // not set for Acquire
+	Process   Process `cbor:"3,keyasint"`           // the requester; not set for Expire
+	Token     Token   `cbor:"4,keyasint,omitempty"` // not set for Acquire
 	Successor Process `cbor:"5,keyasint,omitempty"` // of Transfer
 }
 
 // Errors of a Command or a renewal. ErrHeld comes with the grant that is in force.
 var (
-	ErrHeld    = errors.New("another process holds the duty")
-	ErrNotHeld = errors.New("the duty is not held under this token")
+	ErrHeld    = errors.New("the lease is held by another process")
+	ErrNotHeld = errors.New("the lease is not held under this token")
 )
 
 // Table is the replicated state: which leases are granted. The zero value is empty.
 type Table struct {
-	lastToken uint64
+	lastToken Token
 	grants    map[Duty]Grant
 }
 
@@ -59,37 +66,37 @@
 // and get the same results. The returned grant is the one in force after Acquire and Transfer, and the one that
 // ended after Release and Expire. With ErrHeld or ErrNotHeld the table is unchanged, and the grant is the
 // one in force, if any.
-func (t *Table) Apply(c Command) (Grant, error) {
-	current, held := t.grants[c.Duty]
-	if c.Op == Acquire {
+func (t *Table) Apply(command Command) (Grant, error) {
+	current, held := t.grants[command.Duty]
+	if command.Op == Acquire {
 		switch {
 		case !held:
-			return t.grant(c.Duty, c.Process), nil
-		case current.Holder == c.Process:
+			return t.grant(command.Duty, command.Process), nil
+		case current.Holder == command.Process:
 			return current, nil
 		default:
 			return current, ErrHeld
 		}
 	}
-	mayEnd := c.Op == Expire || current.Holder == c.Process
-	if !held || current.Token != c.Token || !mayEnd {
+	mayEnd := command.Op == Expire || current.Holder == command.Process
+	if !held || current.Token != command.Token || !mayEnd {
 		return current, ErrNotHeld
 	}
-	if c.Op == Transfer {
-		return t.grant(c.Duty, c.Successor), nil
+	if command.Op == Transfer {
+		return t.grant(command.Duty, command.Successor), nil
 	}
-	delete(t.grants, c.Duty)
+	delete(t.grants, command.Duty)
 	return current, nil
 }
 
-func (t *Table) grant(d Duty, holder Process) Grant {
+func (t *Table) grant(duty Duty, holder Process) Grant {
 	if t.grants == nil {
 		t.grants = map[Duty]Grant{}
 	}
 	t.lastToken = rules.nextToken(t.lastToken)
-	g := Grant{Duty: d, Holder: holder, Token: t.lastToken}
-	t.grants[d] = g
-	return g
+	grant := Grant{Duty: duty, Holder: holder, Token: t.lastToken}
+	t.grants[duty] = grant
+	return grant
 }
 
 // Holder returns the grant of a duty, and whether the duty is held.
@@ -100,7 +107,7 @@
 
 // Snapshot is the content of a Table, as it is stored and sent.
 type Snapshot struct {
-	LastToken uint64  `cbor:"1,keyasint"`
+	LastToken Token   `cbor:"1,keyasint"`
 	Grants    []Grant `cbor:"2,keyasint"` // sorted by duty
 }
 
@@ -113,10 +120,10 @@
 }
 
 // Restore replaces the table's content.
-func (t *Table) Restore(s Snapshot) {
-	t.lastToken = s.LastToken
+func (t *Table) Restore(snapshot Snapshot) {
+	t.lastToken = snapshot.LastToken
 	t.grants = map[Duty]Grant{}
-	for _, g := range s.Grants {
-		t.grants[g.Duty] = g
+	for _, grant := range snapshot.Grants {
+		t.grants[grant.Duty] = grant
 	}
 }
--- a/internal/controlgroup/lease/table_test.go
+++ b/internal/controlgroup/lease/table_test.go
@@ -18,13 +18,13 @@
 func TestTableGrantsEachDutyOnceUnderRisingTokens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
-		var last uint64
+		var last Token
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			c := Command{
 				Op:        Op(rapid.IntRange(1, 4).Draw(t, "op")),
 				Duty:      Duty(rapid.SampledFrom([]string{"x", "y"}).Draw(t, "duty")),
 				Process:   rapid.SampledFrom([]Process{processA, processB, {Name: "a", Incarnation: 2}}).Draw(t, "process"),
-				Token:     uint64(rapid.IntRange(0, 12).Draw(t, "token")),
+				Token:     Token(rapid.IntRange(0, 12).Draw(t, "token")),
 				Successor: processB,
 			}
 			before, held := table.Holder(c.Duty)
--- a/internal/controlgroup/lease/timing.go
+++ b/internal/controlgroup/lease/timing.go
@@ -4,7 +4,7 @@
 
 // Timing is what the leader and all holders have to agree on.
 type Timing struct {
-	// Duration is the lease duration: how long the leader lets a lease stand without a renewal.
+	// Duration is the lease duration: how long a lease is valid at the leader without a renewal.
 	Duration time.Duration
 	// MaxClockDrift bounds how far the rate of any clock may be from true time, as a share: 0.01 is one second in a
 	// hundred. Crystals keep within 0.0002; the rest is for machines that are suspended for moments.
--- a/internal/controlgroup/protocol/request.go
+++ b/internal/controlgroup/protocol/request.go
@@ -10,13 +10,13 @@
 // Errors of a Response, beside lease.ErrHeld and lease.ErrNotHeld. Package transport gives each a code.
 var (
 	// ErrNotLeader: the request had no effect; another voter may lead.
-	ErrNotLeader = errors.New("this member does not lead the group")
+	ErrNotLeader = errors.New("this voter is not the leader")
 	// ErrOutcomeUnknown: the request may have taken effect, or may do so yet.
-	ErrOutcomeUnknown = errors.New("leadership was lost: the change may have been made")
+	ErrOutcomeUnknown = errors.New("leadership was lost: the outcome is unknown")
 	// ErrOverloaded: the request had no effect; too many others are pending.
-	ErrOverloaded = errors.New("too many questions wait")
+	ErrOverloaded = errors.New("too many pending requests")
 	// ErrNameInUse: the group has a voter of this name under another ID, and it is alive.
-	ErrNameInUse = errors.New("another voter of this name is heard")
+	ErrNameInUse = errors.New("another voter of this name is alive")
 )
 
 // Kind is what a Request asks for.
@@ -51,7 +51,7 @@
 	return Request{Kind: kind, Command: r.Command}
 }
 
-// Response is the answer to the Request with the same Key.
+// Response is the response to the Request with the same Key.
 type Response struct {
 	Key      uint64
 	Grant    lease.Grant // the grant in force, where there is one
--- a/internal/controlgroup/shared_watch.go
+++ b/internal/controlgroup/shared_watch.go
@@ -4,13 +4,13 @@
 // watch's duty, polls for all. Its methods do not block and may be called from any goroutine.
 type SharedWatch interface {
 	// ShouldPoll reports whether this balancer, which uses the discovery at source, polls it itself
-	// now (poll), and whether it has to ask for the complete list (complete).
+	// now (poll), and whether it has to request the complete list (complete).
 	ShouldPoll(source string) (poll, complete bool)
 	// Publish passes an update that this balancer's own poll returned on to the group.
 	Publish(WatchEvent)
 	// PollFailed records that this balancer's own poll failed.
 	PollFailed()
-	// RequestUpdate asks the group for what follows the version that is known here.
+	// RequestUpdate requests from the group the events after the version that is known here.
 	RequestUpdate(source string, version uint64)
 }
 
--- a/internal/controlgroup/transport/connection.go
+++ b/internal/controlgroup/transport/connection.go
@@ -27,39 +27,39 @@
 
 // Accept exchanges the handshakes on a new network connection, and closes it if the peer is rejected.
 // handshake returns the local one. The caller has to close the returned connection.
-func Accept(nc net.Conn, handshake func() Handshake) (*Conn, error) {
-	c := &Conn{
-		nc:        nc,
-		reader:    bufio.NewReader(nc),
+func Accept(netConn net.Conn, handshake func() Handshake) (*Conn, error) {
+	conn := &Conn{
+		nc:        netConn,
+		reader:    bufio.NewReader(netConn),
 		sendQueue: make(chan Frame, sendQueueSize),
 		done:      make(chan struct{}),
 	}
-	_ = nc.SetDeadline(time.Now().Add(handshakeTimeout))
-	peer, err := exchangeHandshakes(nc, c.reader, handshake())
+	_ = netConn.SetDeadline(time.Now().Add(handshakeTimeout))
+	peer, err := exchangeHandshakes(netConn, conn.reader, handshake())
 	if err != nil {
-		_ = nc.Close()
+		_ = netConn.Close()
 		return nil, err
 	}
-	c.Peer = peer
-	_ = nc.SetDeadline(time.Time{})
-	go c.writeQueued() // until Close
-	return c, nil
+	conn.Peer = peer
+	_ = netConn.SetDeadline(time.Time{})
+	go conn.writeQueued() // until Close
+	return conn, nil
 }
 
 // Dial connects to the member that listens at a TCP address, and exchanges the handshakes as Accept does.
 func Dial(address string, handshake func() Handshake) (*Conn, error) {
-	nc, err := net.DialTimeout("tcp", address, handshakeTimeout)
+	netConn, err := net.DialTimeout("tcp", address, handshakeTimeout)
 	if err != nil {
 		return nil, err
 	}
-	return Accept(nc, handshake)
+	return Accept(netConn, handshake)
 }
 
 // Send queues a frame and returns at once. It drops the frame if the queue is full or the connection is
-// closed: as with any loss on the network, senders that need an answer send again.
-func (c *Conn) Send(f Frame) {
+// closed: as with any loss on the network, senders that need a response send again.
+func (c *Conn) Send(frame Frame) {
 	select {
-	case c.sendQueue <- f:
+	case c.sendQueue <- frame:
 	default:
 	}
 }
@@ -71,9 +71,9 @@
 		select {
 		case <-c.done:
 			return
-		case f := <-c.sendQueue:
+		case frame := <-c.sendQueue:
 			var err error
-			buf, err = c.write(buf[:0], f)
+			buf, err = c.write(buf[:0], frame)
 			if err != nil {
 				c.Close()
 				return
@@ -83,8 +83,8 @@
 }
 
 // write writes one frame, and returns the buffer for the next.
-func (c *Conn) write(buf []byte, f Frame) ([]byte, error) {
-	buf, err := Append(buf, f)
+func (c *Conn) write(buf []byte, frame Frame) ([]byte, error) {
+	buf, err := Append(buf, frame)
 	if err != nil {
 		return nil, err
 	}
@@ -100,11 +100,11 @@
 
 // Read returns the next frame. It closes the connection if it returns an error.
 func (c *Conn) Read() (Frame, error) {
-	f, err := Read(c.reader)
+	frame, err := Read(c.reader)
 	if err != nil {
 		c.Close()
 	}
-	return f, err
+	return frame, err
 }
 
 // Done returns a channel that is closed when the connection is.
--- a/internal/controlgroup/transport/errors.go
+++ b/internal/controlgroup/transport/errors.go
@@ -10,8 +10,8 @@
 
 // Errors of a connection. They are wrapped with what was received.
 var (
-	ErrInvalidFrame     = errors.New("not a frame of a group")
-	ErrIncompatiblePeer = errors.New("not of this group or version")
+	ErrInvalidFrame     = errors.New("invalid frame")
+	ErrIncompatiblePeer = errors.New("incompatible peer")
 	ErrClosed           = errors.New("connection is closed")
 )
 
--- a/internal/controlgroup/transport/frame.go
+++ b/internal/controlgroup/transport/frame.go
@@ -32,8 +32,8 @@
 
 // VoterMessage is a message between two voters. One of Announcement, Accepted and Raft is set.
 type VoterMessage struct {
-	From         uint64                 `cbor:"1,keyasint"`
-	To           uint64                 `cbor:"2,keyasint"`
+	From         protocol.VoterID       `cbor:"1,keyasint"`
+	To           protocol.VoterID       `cbor:"2,keyasint"`
 	Announcement *protocol.Announcement `cbor:"3,keyasint,omitempty"`
 	Accepted     *bool                  `cbor:"4,keyasint,omitempty"` // whether the announcement was accepted
 	Raft         []byte                 `cbor:"5,keyasint,omitempty"` // a raft message in its own encoding
@@ -48,7 +48,7 @@
 	Event   *controlgroup.WatchEvent `cbor:"5,keyasint,omitempty"`
 }
 
-// Response is the answer to a Request or, with Key 0, what a voter sends on its own.
+// Response is the response to a Request or, with Key 0, what a voter sends on its own.
 type Response struct {
 	Key       uint64                   `cbor:"1,keyasint"`
 	Code      ErrorCode                `cbor:"2,keyasint"`
@@ -57,7 +57,7 @@
 	Leader    string                   `cbor:"5,keyasint,omitempty"` // the name of the voter that leads; "": not known
 	FreedDuty lease.Duty               `cbor:"6,keyasint,omitempty"` // with Key 0: this duty may have come free
 	Duty      lease.Duty               `cbor:"7,keyasint,omitempty"` // with Key 0: the duty of the watch that Event belongs to
-	Token     uint64                   `cbor:"8,keyasint,omitempty"` // the token under which Event was published
+	Token     lease.Token              `cbor:"8,keyasint,omitempty"` // the token under which Event was published
 	Event     *controlgroup.WatchEvent `cbor:"9,keyasint,omitempty"`
 }
 
@@ -74,13 +74,13 @@
 
 // Append appends the encoded frame to a buffer. It fails with ErrInvalidFrame if the frame is over
 // 1 MiB, and then returns the buffer as it was.
-func Append(to []byte, f Frame) ([]byte, error) {
-	data, err := cbor.Marshal(f)
+func Append(to []byte, frame Frame) ([]byte, error) {
+	data, err := cbor.Marshal(frame)
 	if err != nil {
 		return to, err
 	}
 	if len(data) > maxFrameSize {
-		return to, fmt.Errorf("%w: %d bytes, at most %d", ErrInvalidFrame, len(data), maxFrameSize)
+		return to, fmt.Errorf("%w: %d bytes exceed the limit of %d", ErrInvalidFrame, len(data), maxFrameSize)
 	}
 	to = binary.BigEndian.AppendUint32(to, uint32(len(data)))
 	to = binary.BigEndian.AppendUint64(to, xxhash.Sum64(data))
@@ -89,26 +89,26 @@
 
 // Read reads one frame. The error is that of the reader if no whole header came, io.EOF among them, and
 // otherwise wraps ErrInvalidFrame.
-func Read(r io.Reader) (Frame, error) {
-	var f Frame
+func Read(reader io.Reader) (Frame, error) {
+	var frame Frame
 	var header [headerSize]byte
-	if _, err := io.ReadFull(r, header[:]); err != nil {
-		return f, err
+	if _, err := io.ReadFull(reader, header[:]); err != nil {
+		return frame, err
 	}
 	length := binary.BigEndian.Uint32(header[:lengthSize])
 	checksum := binary.BigEndian.Uint64(header[lengthSize:])
 	if length > maxFrameSize {
-		return f, fmt.Errorf("%w: it says %d bytes, at most %d", ErrInvalidFrame, length, maxFrameSize)
+		return frame, fmt.Errorf("%w: its length, %d bytes, exceeds the limit of %d", ErrInvalidFrame, length, maxFrameSize)
 	}
 	data := make([]byte, length)
-	if _, err := io.ReadFull(r, data); err != nil {
-		return f, fmt.Errorf("%w: cut short: %w", ErrInvalidFrame, err)
+	if _, err := io.ReadFull(reader, data); err != nil {
+		return frame, fmt.Errorf("%w: truncated: %w", ErrInvalidFrame, err)
 	}
 	if xxhash.Sum64(data) != checksum {
-		return f, fmt.Errorf("%w: its checksum is another", ErrInvalidFrame)
+		return frame, fmt.Errorf("%w: checksum mismatch", ErrInvalidFrame)
 	}
-	if err := decoder.Unmarshal(data, &f); err != nil {
-		return f, fmt.Errorf("%w: %w", ErrInvalidFrame, err)
+	if err := decoder.Unmarshal(data, &frame); err != nil {
+		return frame, fmt.Errorf("%w: %w", ErrInvalidFrame, err)
 	}
-	return f, nil
+	return frame, nil
 }
--- a/internal/controlgroup/transport/transport_test.go
+++ b/internal/controlgroup/transport/transport_test.go
@@ -48,12 +48,12 @@
 		return data
 	}
 	for want, sent := range map[string][]byte{
-		`"they" is of group "other", this is "g"`:   frame(Handshake{Magic: magic, Version: Version, Group: "other", Name: "they"}),
-		`"they" speaks version 2, this program 1`:   frame(Handshake{Magic: magic, Version: 2, Group: "g", Name: "they"}),
-		"it does not begin with a hail":             frame(Handshake{Magic: "else"}),
-		"it says 1195725856 bytes, at most 1048576": []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
-		"its checksum is another":                   append([]byte{0, 0, 0, 1}, make([]byte, 9)...),
-		"cut short":                                 append([]byte{0, 0, 0, 9}, make([]byte, 9)...),
+		`"they" belongs to group "other", this member to "g"`:        frame(Handshake{Magic: magic, Version: Version, Group: "other", Name: "they"}),
+		`"they" uses version 2, this program version 1`:              frame(Handshake{Magic: magic, Version: 2, Group: "g", Name: "they"}),
+		"the first frame is not a handshake":                         frame(Handshake{Magic: "else"}),
+		"its length, 1195725856 bytes, exceeds the limit of 1048576": []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
+		"checksum mismatch": append([]byte{0, 0, 0, 1}, make([]byte, 9)...),
+		"truncated":         append([]byte{0, 0, 0, 9}, make([]byte, 9)...),
 	} {
 		here, there := net.Pipe()
 		go func() {
--- a/internal/controlgroup/validate.go
+++ b/internal/controlgroup/validate.go
@@ -28,80 +28,80 @@
 // Validate returns all settings that cannot be used; none if the configuration is usable. The errors have no
 // file and no line.
 func (c *Config) Validate() FieldErrors {
-	v := &validation{}
-	c.validateMember(v)
-	c.validateVoters(v)
-	c.validateStore(v)
-	c.validateLease(v)
-	c.validateWatch(v)
-	c.validateDuties(v)
-	return v.errs
+	found := &validation{}
+	c.validateMember(found)
+	c.validateVoters(found)
+	c.validateStore(found)
+	c.validateLease(found)
+	c.validateWatch(found)
+	c.validateDuties(found)
+	return found.errs
 }
 
-func (c *Config) validateMember(v *validation) {
+func (c *Config) validateMember(found *validation) {
 	if !validName(c.Name) {
-		v.addf("name", "%q, a name of up to %d characters is expected", c.Name, MaxNameLength)
+		found.addf("name", "%q, a name of up to %d bytes is expected", c.Name, MaxNameLength)
 	}
 	if !validName(c.Self) {
-		v.addf("self", "%q, this balancer's name in the group is expected", c.Self)
+		found.addf("self", "%q, this balancer's name in the group is expected", c.Self)
 	}
 }
 
-func (c *Config) validateVoters(v *validation) {
+func (c *Config) validateVoters(found *validation) {
 	// A majority of an even number survives no more failures than that of one voter less.
-	n := len(c.Voters)
-	oddMajority := n%2 == 1 && n >= 3 && n <= MaxVoters
-	if n != 1 && !oddMajority {
-		v.addf("voter", "%d voters: three or five are expected, an even number bears no more losses than one less", n)
+	count := len(c.Voters)
+	oddMajority := count%2 == 1 && count >= 3 && count <= MaxVoters
+	if count != 1 && !oddMajority {
+		found.addf("voter", "%d voters: 1, 3, 5 or 7 are expected; an even number tolerates no more failures than one voter less", count)
 	}
 	names := map[string]bool{}
 	addresses := map[string]bool{}
 	for _, voter := range c.Voters {
 		host, _, err := net.SplitHostPort(voter.Address)
 		if err != nil || net.ParseIP(host) == nil {
-			v.addf("voter", "%s: address %q is no IP address and port", voter.Name, voter.Address)
+			found.addf("voter", "%s: address %q is not an IP address and port", voter.Name, voter.Address)
 		}
 		if !validName(voter.Name) || names[voter.Name] || addresses[voter.Address] {
-			v.addf("voter", "%q at %s: each voter has a name and an address of its own", voter.Name, voter.Address)
+			found.addf("voter", "%q at %s: names and addresses must be unique", voter.Name, voter.Address)
 		}
 		names[voter.Name] = true
 		addresses[voter.Address] = true
 	}
 }
 
-func (c *Config) validateStore(v *validation) {
+func (c *Config) validateStore(found *validation) {
 	_, votes := c.Voter()
 	hasStore := c.StorePath != ""
 	if c.Self != "" && votes != hasStore {
-		v.addf("disk", "%q: a voter keeps a file, and only a voter does", c.StorePath)
+		found.addf("disk", "%q: a voter needs a file, and only a voter may name one", c.StorePath)
 	}
 }
 
-func (c *Config) validateLease(v *validation) {
+func (c *Config) validateLease(found *validation) {
 	if c.LeaseDuration < MinLeaseDuration || c.LeaseDuration > MaxLeaseDuration {
-		v.addf("length_ms", "%v, from %v to %v is expected", c.LeaseDuration, MinLeaseDuration, MaxLeaseDuration)
+		found.addf("length_ms", "%v, from %v to %v is expected", c.LeaseDuration, MinLeaseDuration, MaxLeaseDuration)
 	}
 	if c.MaxClockDrift < 0 || c.MaxClockDrift > MaxDrift {
-		v.addf("drift", "%v, a share from 0 to %v is expected", c.MaxClockDrift, MaxDrift)
+		found.addf("drift", "%v, a share from 0 to %v is expected", c.MaxClockDrift, MaxDrift)
 	}
 }
 
-func (c *Config) validateWatch(v *validation) {
+func (c *Config) validateWatch(found *validation) {
 	if c.WatchDuty != "" && !validName(c.WatchDuty) {
-		v.addf("watch", "%q is no name", c.WatchDuty)
+		found.addf("watch", "%q is not a valid name", c.WatchDuty)
 	}
 	if c.DiscoveryName != "" && (!validName(c.DiscoveryName) || c.WatchDuty == "") {
-		v.addf("source", "%q: a name is expected, and none without a watch", c.DiscoveryName)
+		found.addf("source", "%q: a name is expected, and only together with watch", c.DiscoveryName)
 	}
 }
 
-func (c *Config) validateDuties(v *validation) {
+func (c *Config) validateDuties(found *validation) {
 	if len(c.Duties) > MaxDuties {
-		v.addf("duties", "%d, at most %d are expected", len(c.Duties), MaxDuties)
+		found.addf("duties", "%d, at most %d are expected", len(c.Duties), MaxDuties)
 	}
-	for _, d := range c.Duties {
-		if !validName(d) {
-			v.addf("duties", "%q is no name", d)
+	for _, duty := range c.Duties {
+		if !validName(duty) {
+			found.addf("duties", "%q is not a valid name", duty)
 		}
 	}
 }
--- a/internal/controlgroup/voter/connections.go
+++ b/internal/controlgroup/voter/connections.go
@@ -31,16 +31,16 @@
 
 // maintain connects to another voter, and again whenever the connection ends. It runs on a goroutine of its own
 // until ctx is canceled.
-func (v *Voter) maintain(l *link) {
+func (v *Voter) maintain(peer *link) {
 	lastError := ""
 	for v.ctx.Err() == nil {
-		conn, err := v.dial(l)
+		conn, err := v.dial(peer)
 		if err == nil {
 			lastError = ""
-			v.serveLink(l, conn)
+			v.serveLink(peer, conn)
 		} else if err.Error() != lastError {
 			lastError = err.Error()
-			slog.Warn("group: voter unreachable", "name", l.to.Name, "address", l.to.Address, "err", err)
+			slog.Warn("group: voter unreachable", "name", peer.to.Name, "address", peer.to.Address, "err", err)
 		}
 		select {
 		case <-v.ctx.Done():
@@ -50,29 +50,29 @@
 }
 
 // dial connects to the other voter, and checks that it is the one.
-func (v *Voter) dial(l *link) (*transport.Conn, error) {
-	conn, err := transport.Dial(l.to.Address, v.ownHandshake)
+func (v *Voter) dial(peer *link) (*transport.Conn, error) {
+	conn, err := transport.Dial(peer.to.Address, v.ownHandshake)
 	if err != nil {
 		return nil, err
 	}
-	if conn.Peer.Name != l.to.Name {
+	if conn.Peer.Name != peer.to.Name {
 		conn.Close()
-		return nil, fmt.Errorf("%q answers there", conn.Peer.Name)
+		return nil, fmt.Errorf("another member, %q, listens there", conn.Peer.Name)
 	}
 	return conn, nil
 }
 
 // serveLink has the event loop use a connection until it ends.
-func (v *Voter) serveLink(l *link, conn *transport.Conn) {
+func (v *Voter) serveLink(peer *link, conn *transport.Conn) {
 	v.post(func() {
-		l.conn = conn
-		v.handshakes[l.to.Name] = conn.Peer
+		peer.conn = conn
+		v.handshakes[peer.to.Name] = conn.Peer
 	})
 	v.readFrames(conn)
 	v.post(func() {
-		if l.conn == conn {
-			l.conn = nil
-			delete(v.handshakes, l.to.Name) // its file may be another by the next connection
+		if peer.conn == conn {
+			peer.conn = nil
+			delete(v.handshakes, peer.to.Name) // its file may be another by the next connection
 		}
 	})
 }
@@ -155,8 +155,8 @@
 			delete(v.waiters, duty)
 		}
 	}
-	for _, s := range v.subscriptions {
-		s.subscribers = slices.DeleteFunc(s.subscribers, isSame)
+	for _, published := range v.subscriptions {
+		published.subscribers = slices.DeleteFunc(published.subscribers, isSame)
 	}
 }
 
@@ -176,17 +176,17 @@
 			return
 		}
 	}
-	for name, l := range v.links {
-		if l.conn != nil && v.handshakes[name].ID == message.To {
-			l.conn.Send(transport.Frame{VoterMessage: encoded})
+	for name, peer := range v.links {
+		if peer.conn != nil && v.handshakes[name].ID == message.To {
+			peer.conn.Send(transport.Frame{VoterMessage: encoded})
 		}
 	}
 }
 
-// receive passes another voter's message to the machine. One for an earlier file of this voter, or not from the
+// receive passes another voter's message to the state machine. One for an earlier file of this voter, or not from the
 // voter at the other end, is ignored.
 func (v *Voter) receive(conn *transport.Conn, encoded *transport.VoterMessage) {
-	if v.machine == nil || encoded.To != v.ownHandshake().ID || encoded.From != conn.Peer.ID {
+	if v.stateMachine == nil || encoded.To != v.ownHandshake().ID || encoded.From != conn.Peer.ID {
 		return
 	}
 	message := consensus.Message{
@@ -203,7 +203,7 @@
 			return
 		}
 	}
-	if err := v.machine.Step(message); err != nil {
+	if err := v.stateMachine.Step(message); err != nil {
 		slog.Warn("group: message rejected", "name", conn.Peer.Name, "err", err)
 	}
 }
--- a/internal/controlgroup/voter/loop.go
+++ b/internal/controlgroup/voter/loop.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	tickInterval = 100 * time.Millisecond // of the machine's logical clock
+	tickInterval = 100 * time.Millisecond // of the state machine's logical clock
 	joinInterval = time.Second            // between two requests to be added to the group
 	maxEvents    = 4096                   // that wait for the event loop; more are dropped
 )
@@ -35,7 +35,7 @@
 		case <-ticker.C:
 			v.tick()
 		}
-		if err := v.advanceMachine(); err != nil {
+		if err := v.advanceStateMachine(); err != nil {
 			slog.Error("group: voter file write failed, voter stopped", "err", err)
 			v.cancel()
 			return
@@ -52,17 +52,17 @@
 }
 
 func (v *Voter) tick() {
-	if v.machine == nil {
+	if v.stateMachine == nil {
 		v.bootstrap()
 		return
 	}
-	v.machine.Tick(v.now())
-	if v.machine.Outdated() {
+	v.stateMachine.Tick(v.now())
+	if v.stateMachine.Outdated() {
 		v.replaceStaleStore()
 		return
 	}
 	v.requestMembership()
-	if !v.machine.IsLeader() { // subscribers and publishers turn to the next leader
+	if !v.stateMachine.IsLeader() { // subscribers and publishers turn to the next leader
 		clear(v.subscriptions)
 	}
 	v.logLeader()
@@ -70,7 +70,7 @@
 
 // logLeader logs a change of the leader, as far as this voter knows it.
 func (v *Voter) logLeader() {
-	leader, _ := v.machine.Leader()
+	leader, _ := v.stateMachine.Leader()
 	if leader.Name == v.leaderName {
 		return
 	}
@@ -78,14 +78,14 @@
 	slog.Info("group: leader changed", "name", leader.Name, "id", fmt.Sprintf("%x", leader.ID))
 }
 
-// advanceMachine does what the machine wants done: it writes, sends, and then answers and notifies clients. An
-// error means that the file cannot be written, or that the machine cannot apply what was committed.
-func (v *Voter) advanceMachine() error {
-	if v.machine == nil {
+// advanceStateMachine does what the state machine wants done: it writes, sends, and then answers and notifies
+// clients. An error means that the file cannot be written, or that the state machine cannot apply what was committed.
+func (v *Voter) advanceStateMachine() error {
+	if v.stateMachine == nil {
 		return nil
 	}
 	for {
-		ready, any := v.machine.Ready()
+		ready, any := v.stateMachine.Ready()
 		if !any {
 			break
 		}
@@ -95,13 +95,13 @@
 		for _, message := range ready.Messages {
 			v.send(message)
 		}
-		if err := v.machine.Advance(v.now(), ready); err != nil {
+		if err := v.stateMachine.Advance(v.now(), ready); err != nil {
 			return err
 		}
 	}
 	v.announceBootstrapped()
 	v.respondAll()
-	for _, duty := range v.machine.FreedDuties() {
+	for _, duty := range v.stateMachine.FreedDuties() {
 		v.notifyWaiters(duty)
 	}
 	return nil
--- a/internal/controlgroup/voter/requests.go
+++ b/internal/controlgroup/voter/requests.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	maxWaiters  = 1024 // for one duty; others find out by asking again
+	maxWaiters  = 1024 // for one duty; others find out when they repeat their request
 	maxNotified = 4    // waiters that are notified when a duty comes free; one of them will get it
 )
 
-// handleRequest has a client's request served, and answered if the client is still connected by then.
+// handleRequest has a client's request served, and responds if the client is still connected by then.
 func (v *Voter) handleRequest(conn *transport.Conn, request *transport.Request) {
-	if v.machine == nil {
+	if v.stateMachine == nil {
 		v.respond(conn, request, protocol.Response{Err: protocol.ErrNotLeader})
 		return
 	}
@@ -27,7 +27,7 @@
 	}
 	v.lastKey++
 	v.pending[v.lastKey] = func(response protocol.Response) { v.respond(conn, request, response) }
-	v.machine.Propose(v.now(), protocol.Request{
+	v.stateMachine.Propose(v.now(), protocol.Request{
 		Key:     v.lastKey,
 		Kind:    request.Kind,
 		Command: request.Command,
@@ -35,7 +35,7 @@
 	})
 }
 
-// respond answers a client's request, and notes a client that was refused a duty as one that waits for it.
+// respond sends the response to a client's request. A client that could not acquire a duty is noted as waiting for it.
 func (v *Voter) respond(conn *transport.Conn, request *transport.Request, response protocol.Response) {
 	conn.Send(transport.Frame{Response: &transport.Response{
 		Key:      request.Key,
@@ -49,9 +49,9 @@
 	}
 }
 
-// respondAll passes on the machine's responses.
+// respondAll passes on the state machine's responses.
 func (v *Voter) respondAll() {
-	for _, response := range v.machine.Responses() {
+	for _, response := range v.stateMachine.Responses() {
 		respond := v.pending[response.Key]
 		if respond != nil {
 			delete(v.pending, response.Key)
@@ -67,13 +67,13 @@
 	}
 }
 
-// notifyWaiters tells a few waiters, drawn at random, that a duty has come free, and in any case the process that
+// notifyWaiters notifies a few waiters, drawn at random, that a duty has come free, and in any case the process that
 // it was transferred to.
 func (v *Voter) notifyWaiters(duty lease.Duty) {
 	waiting := v.waiters[duty]
 	delete(v.waiters, duty)
 	rand.Shuffle(len(waiting), func(i, j int) { waiting[i], waiting[j] = waiting[j], waiting[i] })
-	grant, _ := v.machine.Holder(duty)
+	grant, _ := v.stateMachine.Holder(duty)
 	for i, conn := range waiting {
 		if i < maxNotified || conn.Peer.Name == grant.Holder.Name {
 			conn.Send(transport.Frame{Response: &transport.Response{FreedDuty: duty}})
--- a/internal/controlgroup/voter/store.go
+++ b/internal/controlgroup/voter/store.go
@@ -14,8 +14,8 @@
 	"piernotch/internal/controlgroup/transport"
 )
 
-// openStore opens the voter's file, in place of a corrupt one a new one, and starts the machine if the file is that
-// of a group's voter.
+// openStore opens the voter's file, and starts the state machine if the file is that of a group's voter. A corrupt file
+// is quarantined and replaced by a new one.
 func (v *Voter) openStore() error {
 	store, state, err := consensus.OpenStore(v.config.StorePath, v.config.Name, v.config.Self)
 	if errors.Is(err, consensus.ErrCorrupt) {
@@ -43,20 +43,20 @@
 		"group", v.config.Name,
 		"name", v.config.Self,
 		"id", fmt.Sprintf("%x", identity.ID),
-		"starts", identity.StartCount,
+		"start_count", identity.StartCount,
 		"bootstrapped", identity.Bootstrapped)
 	if !identity.Bootstrapped {
 		return nil
 	}
-	return v.startMachine(state)
+	return v.startStateMachine(state)
 }
 
-func (v *Voter) startMachine(state consensus.PersistentState) error {
+func (v *Voter) startStateMachine(state consensus.PersistentState) error {
 	identity := v.store.Identity()
 	var err error
-	v.machine, err = consensus.New(consensus.Config{
+	v.stateMachine, err = consensus.New(consensus.Config{
 		ID:          identity.ID,
-		Incarnation: rand.Uint64(),
+		Incarnation: lease.Incarnation(rand.Uint64()),
 		StartCount:  identity.StartCount,
 		State:       state,
 		Timing:      lease.Timing{Duration: v.config.LeaseDuration, MaxClockDrift: v.config.MaxClockDrift},
@@ -64,9 +64,9 @@
 	return err
 }
 
-// bootstrap starts the machine of a voter with a new file. If all configured voters are connected and none has been
-// part of the group, a new group is made; if one has, this voter starts empty and asks to be added. While a voter
-// is missing nothing happens: an empty file is no proof that there is no group.
+// bootstrap starts the state machine of a voter with a new file. If all configured voters are connected and none has
+// been part of a group, it bootstraps a new group. If one has, this voter starts empty and asks to be added. While a
+// voter is missing it does nothing: an empty file does not prove that there is no group.
 func (v *Voter) bootstrap() {
 	self := v.ownHandshake()
 	voters := []protocol.Voter{{ID: self.ID, Name: self.Name}}
@@ -81,7 +81,7 @@
 	var err error
 	switch {
 	case groupExists:
-		err = v.startMachine(consensus.PersistentState{})
+		err = v.startStateMachine(consensus.PersistentState{})
 	case len(voters) == len(v.config.Voters):
 		err = v.bootstrapGroup(voters)
 	default:
@@ -101,21 +101,21 @@
 		return err
 	}
 	slog.Info("group: bootstrapped", "group", v.config.Name, "voters", len(voters))
-	return v.startMachine(state)
+	return v.startStateMachine(state)
 }
 
-// requestMembership asks all connected voters, one of which leads, to add this one, as long as it does not vote.
+// requestMembership sends AddVoter to all connected voters, one of which leads, as long as this one does not vote.
 func (v *Voter) requestMembership() {
 	id := v.ownHandshake().ID
-	isVoter := slices.ContainsFunc(v.machine.Voters(), func(o protocol.Voter) bool { return o.ID == id })
+	isVoter := slices.ContainsFunc(v.stateMachine.Voters(), func(other protocol.Voter) bool { return other.ID == id })
 	if v.now() < v.nextJoin || isVoter {
 		return
 	}
 	v.nextJoin = v.now() + joinInterval
 	request := &transport.Request{Kind: protocol.AddVoter, Voter: protocol.Voter{ID: id, Name: v.config.Self}}
-	for _, l := range v.links {
-		if l.conn != nil {
-			l.conn.Send(transport.Frame{Request: request})
+	for _, link := range v.links {
+		if link.conn != nil {
+			link.conn.Send(transport.Frame{Request: request})
 		}
 	}
 }
@@ -126,7 +126,7 @@
 	_ = v.store.Close()
 	quarantined, err := consensus.Quarantine(v.config.StorePath)
 	slog.Error("group: voter file stale, quarantined", "quarantined", quarantined)
-	v.machine = nil
+	v.stateMachine = nil
 	if err == nil {
 		err = v.openStore()
 	}
@@ -136,9 +136,9 @@
 		return
 	}
 	// The others learn the new ID from the handshake of a new connection.
-	for _, l := range v.links {
-		if l.conn != nil {
-			l.conn.Close()
+	for _, link := range v.links {
+		if link.conn != nil {
+			link.conn.Close()
 		}
 	}
 }
--- a/internal/controlgroup/voter/subscriptions.go
+++ b/internal/controlgroup/voter/subscriptions.go
@@ -20,7 +20,7 @@
 // the holder may publish, under the token in force. A voter that lost leadership and does not know it yet may
 // pass on what a former holder publishes; subscribers check versions, and check-quorum ends it soon.
 func (v *Voter) publishOrSubscribe(conn *transport.Conn, request *transport.Request) error {
-	if !v.machine.IsLeader() {
+	if !v.stateMachine.IsLeader() {
 		return protocol.ErrNotLeader
 	}
 	if request.Event == nil {
@@ -30,24 +30,24 @@
 	if request.Kind == protocol.Publish && !v.isInForce(request.Command) {
 		return lease.ErrNotHeld
 	}
-	s := v.subscriptions[duty]
-	if s == nil {
+	published := v.subscriptions[duty]
+	if published == nil {
 		if len(v.subscriptions) >= controlgroup.MaxDuties {
 			return protocol.ErrOverloaded
 		}
-		s = &subscription{}
-		v.subscriptions[duty] = s
+		published = &subscription{}
+		v.subscriptions[duty] = published
 	}
 	if request.Kind == protocol.Subscribe {
-		s.subscribe(conn, duty, request.Event)
+		published.subscribe(conn, duty, request.Event)
 		return nil
 	}
-	return s.publish(conn, duty, request.Command.Token, request.Event)
+	return published.publish(conn, duty, request.Command.Token, request.Event)
 }
 
 // isInForce reports whether a command names the grant of its duty as the lease table has it.
 func (v *Voter) isInForce(command lease.Command) bool {
-	grant, held := v.machine.Holder(command.Duty)
+	grant, held := v.stateMachine.Holder(command.Duty)
 	return held && grant.Token == command.Token && grant.Holder == command.Process
 }
 
@@ -62,7 +62,7 @@
 }
 
 // publish adds an event, and sends it to all subscribers but the publisher.
-func (s *subscription) publish(conn *transport.Conn, duty lease.Duty, token uint64, event *controlgroup.WatchEvent) error {
+func (s *subscription) publish(conn *transport.Conn, duty lease.Duty, token lease.Token, event *controlgroup.WatchEvent) error {
 	if err := s.Append(token, *event); err != nil {
 		return err
 	}
--- a/internal/controlgroup/voter/voter.go
+++ b/internal/controlgroup/voter/voter.go
@@ -39,19 +39,19 @@
 
 	mu        sync.Mutex
 	handshake transport.Handshake // what this voter says of itself; guarded by mu
-	accepted  int                 // connections that were accepted and stand; guarded by mu
+	accepted  int                 // connections that were accepted and are open; guarded by mu
 
 	// Owned by the event loop.
-	store      *consensus.Store
-	machine    *consensus.Machine // nil until the group is known
-	links      map[string]*link   // to the other voters, by name
-	handshakes map[string]transport.Handshake
-	nextJoin   time.Duration // no AddVoter request before then
-	leaderName string        // as last logged
-
-	lastKey       uint64 // of the machine's requests
+	store        *consensus.Store
+	stateMachine *consensus.StateMachine // nil until the group is known
+	links        map[string]*link        // to the other voters, by name
+	handshakes   map[string]transport.Handshake
+	nextJoin     time.Duration // no AddVoter request before then
+	leaderName   string        // as last logged
+
+	lastKey       uint64 // of the state machine's requests
 	pending       map[uint64]func(protocol.Response)
-	waiters       map[lease.Duty][]*transport.Conn // that were refused a duty, to be notified when it comes free
+	waiters       map[lease.Duty][]*transport.Conn // whose Acquire of a duty failed, to be notified when it comes free
 	subscriptions map[lease.Duty]*subscription     // filled only while this voter leads
 }
 
@@ -61,9 +61,9 @@
 func Start(cfg controlgroup.Config) (*Voter, error) {
 	self, isVoter := cfg.Voter()
 	if !isVoter {
-		return nil, &StartError{Setting: "self", Err: fmt.Errorf("%q is none of the voters", cfg.Self)}
+		return nil, &StartError{Setting: "self", Err: fmt.Errorf("%q is not one of the voters", cfg.Self)}
 	}
-	v := &Voter{
+	voter := &Voter{
 		config:        cfg,
 		startedAt:     time.Now(),
 		events:        make(chan func(), maxEvents),
@@ -73,18 +73,18 @@
 		waiters:       map[lease.Duty][]*transport.Conn{},
 		subscriptions: map[lease.Duty]*subscription{},
 	}
-	if err := v.openStore(); err != nil {
+	if err := voter.openStore(); err != nil {
 		return nil, err
 	}
 	var err error
-	v.listener, err = net.Listen("tcp", self.Address)
+	voter.listener, err = net.Listen("tcp", self.Address)
 	if err != nil {
-		_ = v.store.Close()
+		_ = voter.store.Close()
 		return nil, &StartError{Setting: "voter", Err: err}
 	}
-	v.ctx, v.cancel = context.WithCancel(context.Background())
-	v.startGoroutines()
-	return v, nil
+	voter.ctx, voter.cancel = context.WithCancel(context.Background())
+	voter.startGoroutines()
+	return voter, nil
 }
 
 // startGoroutines starts one dialer for each other voter, the accept loop and the event loop. All end when ctx is
@@ -92,9 +92,9 @@
 func (v *Voter) startGoroutines() {
 	for _, other := range v.config.Voters {
 		if other.Name != v.config.Self {
-			l := &link{to: other}
-			v.links[other.Name] = l
-			v.goroutines.Go(func() { v.maintain(l) })
+			peer := &link{to: other}
+			v.links[other.Name] = peer
+			v.goroutines.Go(func() { v.maintain(peer) })
 		}
 	}
 	v.goroutines.Go(v.acceptConnections)
--- a/internal/controlgroup/voter/voter_test.go
+++ b/internal/controlgroup/voter/voter_test.go
@@ -60,7 +60,7 @@
 }
 
 // awaitToken waits until a client holds a duty, and returns its token.
-func awaitToken(t *testing.T, c *client.Client, duty lease.Duty) (token uint64) {
+func awaitToken(t *testing.T, c *client.Client, duty lease.Duty) (token lease.Token) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		var mayAct bool
--- a/internal/controlgroup/watch/event_log.go
+++ b/internal/controlgroup/watch/event_log.go
@@ -4,6 +4,7 @@
 	"errors"
 
 	"piernotch/internal/controlgroup"
+	"piernotch/internal/controlgroup/lease"
 )
 
 // Bounds of an EventLog.
@@ -14,16 +15,16 @@
 
 // Errors of EventLog.Append.
 var (
-	ErrStaleToken = errors.New("a later holder has spoken")
-	ErrVersionGap = errors.New("a whole list is needed first")
-	ErrTooLarge   = errors.New("a list of over 512 KiB is not passed on")
+	ErrStaleToken = errors.New("stale token: a later lease holder has published")
+	ErrVersionGap = errors.New("version gap: a complete list is required first")
+	ErrTooLarge   = errors.New("event exceeds 512 KiB")
 )
 
 // EventLog is a complete list and the changes since, with the token of the holder that published them last. The
 // zero value is empty. The leader of a group keeps one for each duty, and each balancer that polls discovery
 // one of its own polls.
 type EventLog struct {
-	token   uint64
+	token   lease.Token
 	source  string
 	version uint64
 	events  []controlgroup.WatchEvent // the first is a complete list
@@ -32,38 +33,38 @@
 // Append adds an event that was published under a token. A complete list replaces the log; a change has to
 // apply to the log's version. The error is ErrStaleToken for an event older than the log, ErrVersionGap if
 // a complete list has to come first, and ErrTooLarge over MaxBodySize; the log is then as before.
-func (l *EventLog) Append(token uint64, e controlgroup.WatchEvent) error {
+func (l *EventLog) Append(token lease.Token, event controlgroup.WatchEvent) error {
 	if token < l.token {
 		return ErrStaleToken
 	}
-	if len(e.Body) > MaxBodySize {
+	if len(event.Body) > MaxBodySize {
 		return ErrTooLarge
 	}
-	if e.Complete {
-		return l.replace(token, e)
+	if event.Complete {
+		return l.replace(token, event)
 	}
-	follows := len(l.events) > 0 && e.Source == l.source && e.FromVersion == l.version
+	follows := len(l.events) > 0 && event.Source == l.source && event.FromVersion == l.version
 	full := len(l.events) > maxChanges
-	if !follows || full && !e.IsHeartbeat() {
+	if !follows || full && !event.IsHeartbeat() {
 		return ErrVersionGap
 	}
 	l.token = token
-	l.version = e.ToVersion
-	if !e.IsHeartbeat() {
-		l.events = append(l.events, e)
+	l.version = event.ToVersion
+	if !event.IsHeartbeat() {
+		l.events = append(l.events, event)
 	}
 	return nil
 }
 
 // replace begins the log anew with a complete list, which a holder may not publish for an older version.
-func (l *EventLog) replace(token uint64, e controlgroup.WatchEvent) error {
-	if token == l.token && e.Source == l.source && e.ToVersion < l.version {
+func (l *EventLog) replace(token lease.Token, event controlgroup.WatchEvent) error {
+	if token == l.token && event.Source == l.source && event.ToVersion < l.version {
 		return ErrStaleToken
 	}
 	l.token = token
-	l.source = e.Source
-	l.version = e.ToVersion
-	l.events = []controlgroup.WatchEvent{e} // not the old array, of which Since has returned parts
+	l.source = event.Source
+	l.version = event.ToVersion
+	l.events = []controlgroup.WatchEvent{event} // not the old array, of which Since has returned parts
 	return nil
 }
 
@@ -71,8 +72,8 @@
 // version. The caller must not change them.
 func (l *EventLog) Since(source string, version uint64) []controlgroup.WatchEvent {
 	if source == l.source {
-		for i, e := range l.events {
-			if e.ToVersion == version {
+		for i, event := range l.events {
+			if event.ToVersion == version {
 				return l.events[i+1:]
 			}
 		}
@@ -81,7 +82,7 @@
 }
 
 // Token returns the token under which the last event was published.
-func (l *EventLog) Token() uint64 { return l.token }
+func (l *EventLog) Token() lease.Token { return l.token }
 
 // Version returns the source and version that the log leads to, and whether it holds any event.
 func (l *EventLog) Version() (source string, version uint64, hasEvents bool) {
--- a/internal/controlgroup/watch/event_log_test.go
+++ b/internal/controlgroup/watch/event_log_test.go
@@ -7,12 +7,13 @@
 	"pgregory.net/rapid"
 
 	"piernotch/internal/controlgroup"
+	"piernotch/internal/controlgroup/lease"
 )
 
 func TestEventLogLeadsEveryFollowerToTheLastVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log EventLog
-		version, token := uint64(0), uint64(1)
+		version, token := uint64(0), lease.Token(1)
 		followerVersions := map[int]uint64{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			e := controlgroup.WatchEvent{Source: "d", FromVersion: version, ToVersion: version + 1}
--- a/internal/controlgroup/watch/follower.go
+++ b/internal/controlgroup/watch/follower.go
@@ -3,6 +3,8 @@
 import (
 	"math/rand/v2"
 	"time"
+
+	"piernotch/internal/controlgroup/lease"
 )
 
 // Follower decides whether a balancer polls discovery itself or relies on the holder. Times are those of
@@ -10,7 +12,7 @@
 type Follower struct {
 	timing      Timing
 	rng         *rand.Rand
-	token       uint64        // the highest that was received
+	token       lease.Token   // the highest that was received
 	deadline    time.Duration // the holder is relied on until then
 	independent bool
 }
@@ -29,7 +31,7 @@
 
 // Heartbeat records that an event of the holder with that token was received, and reports whether the
 // event counts. An event of a holder that has been replaced does not: it must not be applied.
-func (f *Follower) Heartbeat(now time.Duration, token uint64) bool {
+func (f *Follower) Heartbeat(now time.Duration, token lease.Token) bool {
 	if token < f.token {
 		return false
 	}
@@ -38,11 +40,20 @@
 	return true
 }
 
+// Role is a balancer's part in the shared watch.
+type Role uint8
+
+// Roles.
+const (
+	RoleFollower Role = iota // another balancer may hold the watch's duty
+	RoleHolder               // this balancer holds it
+)
+
 // ShouldPoll reports whether this balancer polls discovery itself: because it is the holder, or because
 // there is no holder to rely on.
-func (f *Follower) ShouldPoll(now time.Duration, isHolder bool) bool {
+func (f *Follower) ShouldPoll(now time.Duration, role Role) bool {
 	f.independent = now >= f.deadline
-	return isHolder || f.independent
+	return role == RoleHolder || f.independent
 }
 
 // Independent reports whether there was no holder to rely on when ShouldPoll was called last.
--- a/internal/controlgroup/watch/follower_test.go
+++ b/internal/controlgroup/watch/follower_test.go
@@ -20,7 +20,7 @@
 	}
 	polling := func(now time.Duration) (count int) {
 		for _, f := range followers {
-			if f.ShouldPoll(now, false) {
+			if f.ShouldPoll(now, RoleFollower) {
 				count++
 			}
 		}
@@ -37,7 +37,7 @@
 	require.Equal(t, n, polling(20*time.Second))
 	for _, f := range followers {
 		require.True(t, f.Heartbeat(20*time.Second, 8))
-		require.True(t, f.ShouldPoll(20*time.Second, true), "the holder polls")
+		require.True(t, f.ShouldPoll(20*time.Second, RoleHolder), "the holder polls")
 	}
 	require.Zero(t, polling(20*time.Second))
 }
--- a/internal/controlgroup/watch/holder.go
+++ b/internal/controlgroup/watch/holder.go
@@ -16,7 +16,7 @@
 	return &Holder{timing: timing, lastSuccess: now}
 }
 
-// PollSucceeded records an answer of discovery, even one without a change.
+// PollSucceeded records a response of discovery, even one without a change.
 func (h *Holder) PollSucceeded(now time.Duration) {
 	h.lastSuccess = now
 	h.failed = false
--- a/internal/controlgroup/watch/timing.go
+++ b/internal/controlgroup/watch/timing.go
@@ -12,7 +12,7 @@
 
 // DefaultTiming is what the members of every group use. Followers poll for a change that the holder received
 // and could not publish within HeartbeatTimeout and TimeoutJitter. Together these stay below six seconds,
-// after which what discovery has answered counts as known to the balancers.
+// after which the balancers are taken to know what discovery has returned.
 var DefaultTiming = Timing{
 	HeartbeatInterval: 500 * time.Millisecond,
 	HeartbeatTimeout:  2 * time.Second,
--- a/internal/lab/clustersim/checks.go
+++ b/internal/lab/clustersim/checks.go
@@ -20,47 +20,47 @@
 }
 
 // recordHeld extends the span of a duty that is held now.
-func (s *simulation) recordHeld(d lease.Duty, token uint64, name string) {
+func (s *simulation) recordHeld(duty lease.Duty, token lease.Token, name string) {
 	spans := s.result.Spans
 	for i := len(spans) - 1; i >= 0; i-- {
 		span := &spans[i]
-		if span.Duty == string(d) && span.Token == token && span.Holder == name {
+		if span.Duty == string(duty) && span.Token == token && span.Holder == name {
 			span.To = s.now
 			return
 		}
 	}
-	s.result.Spans = append(spans, Span{string(d), token, name, s.now, s.now})
+	s.result.Spans = append(spans, Span{string(duty), token, name, s.now, s.now})
 }
 
-// checkExclusive checks, while a member holds a duty by its own clock, that no other member does. It also
-// adds up how long nobody held the duty.
-func (s *simulation) checkExclusive(m *member, i int) {
+// checkExclusive checks, while a client holds a duty by its own clock, that no other client does. It also
+// adds up how long the duty had no lease holder.
+func (s *simulation) checkExclusive(holder *client, i int) {
 	if gap := s.now - s.lastHeld[duty(i)]; gap > 2*actInterval {
 		s.result.UnheldShare += gap.Seconds()
 	}
 	s.lastHeld[duty(i)] = s.now
-	for _, n := range s.members() {
-		other := n.member
-		if other == m || !n.up {
+	for _, process := range s.clients() {
+		other := process.client
+		if other == holder || !process.up {
 			continue
 		}
 		if token, held := other.holders[i].Token(other.now()); held {
-			s.violation("duty %d is held by m%d and, under token %d, by m%d", i, m.id, token, other.id)
+			s.violation("duty %d is held by c%d and, under token %d, by c%d", i, holder.id, token, other.id)
 		}
 	}
 }
 
-// recordAct records an act that a receiver did, and checks that only one member acts under each token.
-func (s *simulation) recordAct(d lease.Duty, token uint64, from nodeID) {
-	if s.actors[d] == nil {
-		s.actors[d] = map[uint64]nodeID{}
+// recordAct records an act that a receiver did, and checks that only one client acts under each token.
+func (s *simulation) recordAct(duty lease.Duty, token lease.Token, from processID) {
+	if s.actors[duty] == nil {
+		s.actors[duty] = map[lease.Token]processID{}
 	}
-	if other, found := s.actors[d][token]; found && other != from {
-		s.violation("token %d of %s was acted under by m%d and m%d", token, d, other, from)
+	if other, found := s.actors[duty][token]; found && other != from {
+		s.violation("c%d and c%d both acted under token %d of %s", other, from, token, duty)
 	}
-	s.actors[d][token] = from
+	s.actors[duty][token] = from
 	s.result.Acts++
-	s.addToDigest(uint64(s.now), token, uint64(from))
+	s.addToDigest(uint64(s.now), uint64(token), uint64(from))
 }
 
 // addToDigest makes what happens part of the run's digest: the same seed has to give the same digest.
@@ -73,24 +73,24 @@
 // checkEnd checks the run as a whole, at its end.
 func (s *simulation) checkEnd() {
 	for i := range s.size.Duties {
-		isHeld := func(n *node) bool {
-			_, held := n.member.holders[i].Token(n.now())
+		isHeld := func(process *process) bool {
+			_, held := process.client.holders[i].Token(process.now())
 			return held
 		}
-		if !slices.ContainsFunc(s.members(), isHeld) {
-			s.violation("duty %d is held by nobody, %v after the last fault", i, QuietPeriod)
+		if !slices.ContainsFunc(s.clients(), isHeld) {
+			s.violation("duty %d has no lease holder %v after the last fault", i, QuietPeriod)
 		}
 		s.result.Grants += len(s.actors[duty(i)])
 	}
 	s.result.UnheldShare /= s.size.Duration.Seconds() * float64(s.size.Duties)
-	final := slices.DeleteFunc(slices.Clone(s.calls), func(c Call) bool { return !c.completed || !protocol.IsFinal(c.Err) })
+	final := slices.DeleteFunc(slices.Clone(s.calls), func(call Call) bool { return !call.completed || !protocol.IsFinal(call.Err) })
 	s.result.Violations = append(s.result.Violations, CheckLinearizability(final)...)
 }
 
-// Span is how long a member held a duty under a token, as its acts or its checks of the lease show.
+// Span is how long a client held a duty under a token, as its acts or its checks of the lease show.
 type Span struct {
 	Duty   string        `json:"duty"`
-	Token  uint64        `json:"token"`
+	Token  lease.Token   `json:"token"`
 	Holder string        `json:"member"`
 	From   time.Duration `json:"from_ns"`
 	To     time.Duration `json:"to_ns"`
--- /dev/null
+++ b/internal/lab/clustersim/client.go
@@ -0,0 +1,157 @@
+package clustersim
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
+)
+
+const (
+	actInterval     = 150 * time.Millisecond // how often a client considers each duty
+	minRetryPause   = 200 * time.Millisecond // before a duty that another process holds is requested again
+	retryJitter     = 500 * time.Millisecond
+	maxActDelay     = 5 * time.Millisecond // between the check of the lease and the act
+	maxLongActDelay = 6 * time.Second      // the same for one act in twelve: longer than a lease
+	callTimeout     = time.Second          // a voter that has not responded by then is left for another
+	transferPause   = 5 * time.Second      // how long a client that transferred its duties does not want them
+)
+
+// client is a process that wants all duties, and acts under those that it holds.
+type client struct {
+	*process
+	identity lease.Process
+	holders  []*lease.Holder // by duty
+	leader   int             // the voter that calls go to
+}
+
+func duty(i int) lease.Duty { return lease.Duty(fmt.Sprintf("d%d", i)) }
+
+// started begins a new incarnation.
+func (c *client) started() {
+	c.identity = lease.Process{Name: fmt.Sprintf("c%d", c.id), Incarnation: lease.Incarnation(c.incarnation)}
+	c.leader = c.sim.rng.IntN(c.sim.size.Voters)
+	c.wantDuties()
+	c.after(time.Duration(c.sim.rng.Int64N(int64(actInterval))), c.tick)
+}
+
+// wantDuties begins to request all duties.
+func (c *client) wantDuties() {
+	c.holders = nil
+	for i := range c.sim.size.Duties {
+		c.holders = append(c.holders, lease.NewHolder(LeaseTiming, c.identity, duty(i)))
+	}
+}
+
+func (c *client) releaseDuties() {
+	for _, h := range c.holders {
+		h.Release()
+	}
+}
+
+// transferDuties gives the duties that are held to a random client, and wants them again later.
+func (c *client) transferDuties() {
+	successor := c.sim.processes[c.sim.size.Voters+c.sim.rng.IntN(c.sim.size.Clients)].client
+	for i, holder := range c.holders {
+		if request, held := holder.Transfer(c.now(), successor.identity); held {
+			c.sendLeaseRequest(i, request)
+		}
+	}
+	c.after(transferPause, c.wantDuties)
+}
+
+// retryNow requests a duty that came free.
+func (c *client) retryNow(freed lease.Duty) {
+	for i, holder := range c.holders {
+		if duty(i) == freed {
+			holder.RetryNow()
+		}
+	}
+}
+
+// tick sends the requests that are due, acts under the duties that are held, and reads one now and then.
+func (c *client) tick() {
+	c.after(actInterval, c.tick)
+	rng := c.sim.rng
+	for i, holder := range c.holders {
+		pause := minRetryPause + time.Duration(rng.Int64N(int64(retryJitter)))
+		if request, due := holder.NextRequest(c.now(), pause); due {
+			c.sendLeaseRequest(i, request)
+		}
+		if token, held := c.checkLease(i); held && rng.IntN(3) == 0 {
+			c.actLater(duty(i), token)
+		}
+	}
+	if rng.IntN(6) == 0 {
+		i := rng.IntN(c.sim.size.Duties)
+		c.call(protocol.Request{Kind: protocol.Read, Command: lease.Command{Duty: duty(i)}}, func(protocol.Response) {})
+	}
+}
+
+// checkLease returns the token to act under now, and whether the duty is held.
+func (c *client) checkLease(i int) (token lease.Token, held bool) {
+	token, held = steps.tokenToActUnder(c, c.holders[i])
+	if held {
+		c.sim.checkExclusive(c, i)
+		c.sim.recordHeld(duty(i), token, c.identity.Name)
+	}
+	return token, held
+}
+
+// actLater acts some time after the check of the lease: a real process may be busy or suspended in between.
+func (c *client) actLater(d lease.Duty, token lease.Token) {
+	maxDelay := maxActDelay
+	if c.sim.rng.IntN(12) == 0 {
+		maxDelay = maxLongActDelay
+	}
+	c.after(time.Duration(c.sim.rng.Int64N(int64(maxDelay))), func() { c.act(d, token) })
+}
+
+// act has all receivers do something under a token.
+func (c *client) act(d lease.Duty, token lease.Token) {
+	for _, r := range c.sim.receivers() {
+		c.sim.send(c.id, r.id, func() { r.receive(d, token, c.id) })
+	}
+}
+
+// sendLeaseRequest sends a request of a holder, which gets its outcome.
+func (c *client) sendLeaseRequest(i int, request lease.Request) {
+	holder := c.holders[i]
+	c.call(protocol.RequestFor(request), func(response protocol.Response) {
+		if !protocol.IsFinal(response.Err) {
+			holder.RequestLost(request.Seq)
+			return
+		}
+		steps.handleResponse(c, holder, request.Seq, response)
+	})
+}
+
+// call sends a request to the voter that is believed to lead, and records it in the history. handle is called
+// with each response that arrives.
+func (c *client) call(request protocol.Request, handle func(protocol.Response)) {
+	sim := c.sim
+	index := len(sim.calls)
+	sim.calls = append(sim.calls, Call{Request: request, SentAt: sim.now})
+	to := processID(c.leader)
+	responded := false
+	c.after(callTimeout, func() {
+		if !responded {
+			c.leader = sim.rng.IntN(sim.size.Voters)
+		}
+	})
+	receive := func(response protocol.Response) {
+		responded = true
+		if errors.Is(response.Err, protocol.ErrNotLeader) {
+			c.leader = sim.rng.IntN(sim.size.Voters)
+		}
+		sim.calls[index].complete(sim.now, response)
+		handle(response)
+	}
+	sim.send(c.id, to, func() {
+		sim.processes[to].voter.propose(request, func(response protocol.Response) {
+			sim.send(to, c.id, func() { receive(response) })
+		})
+	})
+}
--- a/internal/lab/clustersim/disk.go
+++ b/internal/lab/clustersim/disk.go
@@ -6,11 +6,12 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"piernotch/internal/controlgroup/consensus"
+	"piernotch/internal/controlgroup/protocol"
 )
 
 // disk is what survives the end of a voter's process.
 type disk struct {
-	id         uint64 // the voter's identity
+	id         protocol.VoterID
 	startCount uint64
 	state      consensus.PersistentState
 }
@@ -35,8 +36,8 @@
 		state.Entries = entriesWithout(state.Entries, func(index uint64) bool { return index >= first })
 		state.Entries = append(state.Entries, work.Entries...)
 	}
-	if work.Incarnations != nil {
-		state.Incarnations = work.Incarnations
+	if work.Starts != nil {
+		state.Starts = work.Starts
 	}
 }
 
--- a/internal/lab/clustersim/injection.go
+++ b/internal/lab/clustersim/injection.go
@@ -10,62 +10,62 @@
 )
 
 // inject begins a fault, and schedules its end.
-func (s *simulation) inject(f Fault) {
-	n := s.nodes[f.Process]
-	end := f.At + f.Duration
-	switch f.Kind {
+func (s *simulation) inject(fault Fault) {
+	affected := s.processes[fault.Process]
+	end := fault.At + fault.Duration
+	switch fault.Kind {
 	case FaultCutLink, FaultIsolate, FaultPartition:
-		links := s.linksOf(f)
+		links := s.linksOf(fault)
 		s.cut(links)
 		s.at(end, func() { s.restore(links) })
 	case FaultFlap:
-		s.flap(s.linksOf(f), f.At, end)
+		s.flap(s.linksOf(fault), fault.At, end)
 	case FaultCrash, FaultDiskLoss, FaultDiskRollback, FaultDiskFull:
-		s.crash(n, f.Kind, end)
+		s.crash(affected, fault.Kind, end)
 	case FaultCrashAllVoters:
-		for _, v := range s.voters() {
-			s.crash(v, f.Kind, end)
+		for _, voter := range s.voters() {
+			s.crash(voter, fault.Kind, end)
 		}
 	case FaultPause:
-		n.pause(end)
+		affected.pause(end)
 	case FaultSlowDisk:
-		n.voter.slowDisk++
-		s.at(end, func() { n.voter.slowDisk-- })
+		affected.voter.slowDisk++
+		s.at(end, func() { affected.voter.slowDisk-- })
 	case FaultLossyNetwork:
 		s.lossyNetwork++
 		s.at(end, func() { s.lossyNetwork-- })
 	case FaultClockStep:
 		direction := time.Duration(2*s.rng.IntN(2) - 1)
-		n.wallOffset += clockStep * direction
+		affected.wallOffset += clockStep * direction
 	case FaultReleaseDuties:
-		n.execute(func() { n.member.releaseDuties() })
-		s.at(end, func() { n.execute(func() { n.member.wantDuties() }) })
+		affected.execute(func() { affected.client.releaseDuties() })
+		s.at(end, func() { affected.execute(func() { affected.client.wantDuties() }) })
 	case FaultTransferDuties:
-		n.execute(func() { n.member.transferDuties() })
+		affected.execute(func() { affected.client.transferDuties() })
 	}
 }
 
 // linksOf returns the links that a fault of the network cuts.
-func (s *simulation) linksOf(f Fault) []link {
-	node := nodeID(f.Process)
+func (s *simulation) linksOf(fault Fault) []link {
+	process := processID(fault.Process)
 	switch {
-	case f.Kind == FaultPartition:
-		return s.linksAcross(f)
-	case f.Kind == FaultCutLink:
-		return []link{{node, nodeID(f.Other)}}
-	case f.OneWay:
-		return []link{{node, anyNode}}
+	case fault.Kind == FaultPartition:
+		return s.linksAcross(fault)
+	case fault.Kind == FaultCutLink:
+		return []link{{process, processID(fault.Other)}}
+	case fault.OneWay:
+		return []link{{process, anyProcess}}
 	}
-	return []link{{node, anyNode}, {anyNode, node}}
+	return []link{{process, anyProcess}, {anyProcess, process}}
 }
 
 // linksAcross returns the links between the two sides of a partition.
-func (s *simulation) linksAcross(f Fault) []link {
+func (s *simulation) linksAcross(fault Fault) []link {
 	var links []link
-	for a := range s.nodes {
-		for b := range s.nodes {
-			if f.OnSameSide(s.size, a) != f.OnSameSide(s.size, b) {
-				links = append(links, link{nodeID(a), nodeID(b)})
+	for from := range s.processes {
+		for to := range s.processes {
+			if fault.OnSameSide(s.size, from) != fault.OnSameSide(s.size, to) {
+				links = append(links, link{processID(from), processID(to)})
 			}
 		}
 	}
@@ -94,20 +94,20 @@
 
 // crash ends a process that is up, and starts it again at the fault's end, unless it has been started otherwise
 // by then. A disk is lost only while the group can bear it.
-func (s *simulation) crash(n *node, kind FaultKind, end time.Duration) {
-	if !n.up {
+func (s *simulation) crash(crashed *process, kind FaultKind, end time.Duration) {
+	if !crashed.up {
 		return
 	}
-	n.stop()
-	incarnation := n.incarnation
+	crashed.stop()
+	incarnation := crashed.incarnation
 	affectsDisk := kind == FaultDiskLoss || kind == FaultDiskRollback
 	s.at(end, func() {
-		if n.incarnation != incarnation {
+		if crashed.incarnation != incarnation {
 			return
 		}
-		if n.voter != nil && affectsDisk && s.allDisksVote() {
-			n.voter.loseDisk(kind)
+		if crashed.voter != nil && affectsDisk && s.allDisksVote() {
+			crashed.voter.loseDisk(kind)
 		}
-		n.start()
+		crashed.start()
 	})
 }
--- a/internal/lab/clustersim/linearizability.go
+++ b/internal/lab/clustersim/linearizability.go
@@ -25,13 +25,13 @@
 }
 
 // complete records the first response.
-func (c *Call) complete(now time.Duration, r protocol.Response) {
+func (c *Call) complete(now time.Duration, response protocol.Response) {
 	if c.completed {
 		return
 	}
 	c.ReceivedAt = now
-	c.Grant = r.Grant
-	c.Err = r.Err
+	c.Grant = response.Grant
+	c.Err = response.Err
 	c.completed = true
 }
 
@@ -43,7 +43,7 @@
 	longCheckTimeout = 20 * time.Second // for what is left without slow reads
 
 	// A call that changes nothing and took longer than maxReadDuration is left out of a history that cannot be
-	// checked in time: many calls that a paused voter answers at once can have taken effect in any order,
+	// checked in time: many calls that a paused voter responds to at once can have taken effect in any order,
 	// and the number of orders to try grows without bounds.
 	maxReadDuration = 3 * time.Second
 )
@@ -53,17 +53,17 @@
 // response must not be in the history: what they may have done shows in later responses.
 func CheckLinearizability(calls []Call) []string {
 	byDuty := map[lease.Duty][]porcupine.Operation{}
-	for i, c := range calls {
-		d := c.Request.Command.Duty
-		byDuty[d] = append(byDuty[d], porcupine.Operation{ClientId: i, Input: c, Call: int64(c.SentAt), Return: int64(c.ReceivedAt)})
+	for i, call := range calls {
+		duty := call.Request.Command.Duty
+		byDuty[duty] = append(byDuty[duty], porcupine.Operation{ClientId: i, Input: call, Call: int64(call.SentAt), Return: int64(call.ReceivedAt)})
 	}
 	var violations []string
-	for _, d := range slices.Sorted(maps.Keys(byDuty)) {
-		switch checkHistory(byDuty[d]) {
+	for _, duty := range slices.Sorted(maps.Keys(byDuty)) {
+		switch checkHistory(byDuty[duty]) {
 		case porcupine.Illegal:
-			violations = append(violations, fmt.Sprintf("the calls about %s cannot have happened one after the other", d))
+			violations = append(violations, fmt.Sprintf("the history of calls for %s is not linearizable", duty))
 		case porcupine.Unknown:
-			violations = append(violations, fmt.Sprintf("the calls about %s could not be judged in time", d))
+			violations = append(violations, fmt.Sprintf("the history of calls for %s could not be checked in time", duty))
 		}
 	}
 	return violations
@@ -74,27 +74,27 @@
 	if verdict != porcupine.Unknown {
 		return verdict
 	}
-	withoutSlowReads := slices.DeleteFunc(operations, func(o porcupine.Operation) bool {
-		c := o.Input.(Call)
-		return c.changesNothing() && c.ReceivedAt-c.SentAt > maxReadDuration
+	withoutSlowReads := slices.DeleteFunc(operations, func(operation porcupine.Operation) bool {
+		call := operation.Input.(Call)
+		return call.changesNothing() && call.ReceivedAt-call.SentAt > maxReadDuration
 	})
 	return porcupine.CheckOperationsTimeout(leaseModel, withoutSlowReads, longCheckTimeout)
 }
 
 // leaseState is what the calls so far show of one duty.
 type leaseState struct {
-	token  uint64 // the highest
+	token  lease.Token // the highest
 	holder lease.Process
-	ended  bool // the lease of that token has ended, whoever asks
+	ended  bool // the lease of that token has ended, whichever process asked
 }
 
 // observe returns whether a response may show a grant, and the state after it. Grants that no call shows may lie
 // between, and each may expire at any time; but tokens rise, each has one holder, and a lease that
 // has ended does not come back.
-func (s leaseState) observe(g lease.Grant) (bool, leaseState) {
-	isNewer := g.Token > s.token
-	isCurrent := g.Token == s.token && g.Holder == s.holder && !s.ended
-	return isNewer || isCurrent, leaseState{token: g.Token, holder: g.Holder}
+func (s leaseState) observe(grant lease.Grant) (bool, leaseState) {
+	isNewer := grant.Token > s.token
+	isCurrent := grant.Token == s.token && grant.Holder == s.holder && !s.ended
+	return isNewer || isCurrent, leaseState{token: grant.Token, holder: grant.Holder}
 }
 
 // leaseModel is the sequential specification of one duty.
@@ -107,18 +107,18 @@
 }
 
 // step returns whether a call may take effect in a state, and the state after it.
-func (s leaseState) step(c *Call) (bool, leaseState) {
-	command := &c.Request.Command
-	succeeded := c.Err == nil
+func (s leaseState) step(call *Call) (bool, leaseState) {
+	command := &call.Request.Command
+	succeeded := call.Err == nil
 	switch {
 	case succeeded && command.Op == lease.Release:
 		ok, next := s.observe(lease.Grant{Holder: command.Process, Token: command.Token})
 		next.ended = true
 		return ok, next
-	case succeeded, errors.Is(c.Err, lease.ErrHeld):
-		return s.observe(c.Grant)
-	case c.Request.Kind == protocol.Read: // nobody holds the duty
+	case succeeded, errors.Is(call.Err, lease.ErrHeld):
+		return s.observe(call.Grant)
+	case call.Request.Kind == protocol.Read: // the duty has no lease holder
 		s.ended = true
 	}
-	return true, s // rejected: the lease that was asked about may be valid for a moment longer
+	return true, s // rejected: the lease that the request named may be valid for a moment longer
 }
--- a/internal/lab/clustersim/network.go
+++ b/internal/lab/clustersim/network.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// link is one direction between two nodes. anyNode on either side stands for all nodes.
-type link struct{ from, to nodeID }
+// link is one direction between two processes. anyProcess on either side stands for all processes.
+type link struct{ from, to processID }
 
-const anyNode nodeID = -1
+const anyProcess processID = -1
 
 // The network's delays are exponentially distributed, on top of a minimum.
 const (
@@ -16,18 +16,18 @@
 	lossOrCopyShare = 0.25                   // lost, or delivered twice
 )
 
-// send delivers a message from one node to another, unless the network loses it. A message to a member or
+// send delivers a message from one process to another, unless the network loses it. A message to a client or
 // receiver that restarts meanwhile is lost too; voters take messages over a restart, as from a peer that
 // sends again.
-func (s *simulation) send(from, to nodeID, deliver func()) {
+func (s *simulation) send(from, to processID, deliver func()) {
 	if s.isCut(from, to) {
 		return
 	}
 	for range s.copies(from, to) {
 		delay := s.delay()
-		incarnation := s.nodes[to].incarnation
+		incarnation := s.processes[to].incarnation
 		s.at(s.now+delay, func() {
-			receiver := s.nodes[to]
+			receiver := s.processes[to]
 			sameProcess := receiver.incarnation == incarnation
 			if sameProcess || receiver.voter != nil {
 				receiver.execute(deliver)
@@ -36,31 +36,31 @@
 	}
 }
 
-func (s *simulation) isCut(from, to nodeID) bool {
-	return s.cuts[link{from, to}] > 0 || s.cuts[link{from, anyNode}] > 0 || s.cuts[link{anyNode, to}] > 0
+func (s *simulation) isCut(from, to processID) bool {
+	return s.cuts[link{from, to}] > 0 || s.cuts[link{from, anyProcess}] > 0 || s.cuts[link{anyProcess, to}] > 0
 }
 
 // copies returns how often a message is delivered. Only messages between voters are duplicated: calls of
-// members use streams.
-func (s *simulation) copies(from, to nodeID) int {
+// clients use streams.
+func (s *simulation) copies(from, to processID) int {
 	if s.lossyNetwork == 0 {
 		return 1
 	}
-	r := s.rng.Float64()
-	betweenVoters := s.nodes[from].voter != nil && s.nodes[to].voter != nil
+	drawn := s.rng.Float64()
+	betweenVoters := s.processes[from].voter != nil && s.processes[to].voter != nil
 	switch {
-	case r < lossShare:
+	case drawn < lossShare:
 		return 0
-	case r < lossOrCopyShare && betweenVoters:
+	case drawn < lossOrCopyShare && betweenVoters:
 		return 2
 	}
 	return 1
 }
 
 func (s *simulation) delay() time.Duration {
-	d := minDelay + time.Duration(s.rng.ExpFloat64()*float64(meanDelay))
+	delay := minDelay + time.Duration(s.rng.ExpFloat64()*float64(meanDelay))
 	if s.lossyNetwork > 0 && s.rng.IntN(5) == 0 {
-		d += time.Duration(s.rng.ExpFloat64() * float64(meanLossyDelay))
+		delay += time.Duration(s.rng.ExpFloat64() * float64(meanLossyDelay))
 	}
-	return d
+	return delay
 }
--- a/internal/lab/clustersim/schedule.go
+++ b/internal/lab/clustersim/schedule.go
@@ -58,32 +58,32 @@
 
 // draw draws one fault. The order of the draws is part of what a seed means.
 func (s *scheduler) draw() Fault {
-	var f Fault
-	f.Kind = drawnKinds[s.rng.IntN(len(drawnKinds))]
-	f.Duration = minFaultDuration + time.Duration(s.rng.ExpFloat64()*float64(meanFaultDuration))
-	f.Duration = min(f.Duration, s.end/2)
-	f.At = time.Duration(s.rng.Int64N(int64(s.end - f.Duration)))
-	f.OneWay = s.rng.IntN(3) == 0
+	var fault Fault
+	fault.Kind = drawnKinds[s.rng.IntN(len(drawnKinds))]
+	fault.Duration = minFaultDuration + time.Duration(s.rng.ExpFloat64()*float64(meanFaultDuration))
+	fault.Duration = min(fault.Duration, s.end/2)
+	fault.At = time.Duration(s.rng.Int64N(int64(s.end - fault.Duration)))
+	fault.OneWay = s.rng.IntN(3) == 0
 	voter := s.rng.IntN(s.size.Voters)
-	member := s.size.Voters + s.rng.IntN(s.size.Clients)
-	f.Process = voter
-	f.Other = s.rng.IntN(s.size.Voters + s.size.Clients + s.size.Receivers)
-	switch f.Kind {
+	client := s.size.Voters + s.rng.IntN(s.size.Clients)
+	fault.Process = voter
+	fault.Other = s.rng.IntN(s.size.Voters + s.size.Clients + s.size.Receivers)
+	switch fault.Kind {
 	case FaultPause, FaultCrash, FaultClockStep, FaultIsolate, FaultFlap:
-		f.Process = s.anyNode(voter, member)
+		fault.Process = s.choose(voter, client)
 	case FaultReleaseDuties, FaultTransferDuties:
-		f.Process = member
+		fault.Process = client
 	case FaultDiskLoss, FaultDiskRollback:
-		s.delayDiskFault(&f)
+		s.delayDiskFault(&fault)
 	}
-	return f
+	return fault
 }
 
-// anyNode chooses between a voter (two times in five), a member (two) and a receiver (one).
-func (s *scheduler) anyNode(voter, member int) int {
+// choose draws a voter (two times in five), a client (two) and a receiver (one).
+func (s *scheduler) choose(voter, client int) int {
 	switch s.rng.IntN(5) {
 	case 0, 1:
-		return member
+		return client
 	case 2:
 		return s.size.Voters + s.size.Clients + s.rng.IntN(s.size.Receivers)
 	}
@@ -92,13 +92,13 @@
 
 // delayDiskFault moves a disk fault behind the replacement of the disk before it, or makes it a crash if
 // there is no time left for that.
-func (s *scheduler) delayDiskFault(f *Fault) {
-	at := max(f.At, s.diskReplacedFrom)
-	replacedFrom := at + f.Duration + replacementTime
+func (s *scheduler) delayDiskFault(fault *Fault) {
+	at := max(fault.At, s.diskReplacedFrom)
+	replacedFrom := at + fault.Duration + replacementTime
 	if replacedFrom > s.end {
-		f.Kind = FaultCrash
+		fault.Kind = FaultCrash
 		return
 	}
-	f.At = at
+	fault.At = at
 	s.diskReplacedFrom = replacedFrom
 }
--- a/internal/lab/clustersim/seams.go
+++ b/internal/lab/clustersim/seams.go
@@ -9,47 +9,47 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// correctSteps is what voters, members and receivers do at the points where a process of the simulation can
+// correctSteps is what voters, clients and receivers do at the points where a process of the simulation can
 // be made wrong; package failpoint has the list. It is called through the variable steps.
 type correctSteps struct{}
 
-// monotonicTime returns the time of a node's monotonic clock. Each node's has another zero.
-func (correctSteps) monotonicTime(n *node) time.Duration {
-	return time.Duration(float64(n.sim.now)*n.clockRate) + time.Duration(n.id)*time.Hour
+// monotonicTime returns the time of a process's monotonic clock. Each process's has another zero.
+func (correctSteps) monotonicTime(p *process) time.Duration {
+	return time.Duration(float64(p.sim.now)*p.clockRate) + time.Duration(p.id)*time.Hour
 }
 
 // admitAct has a receiver's fence judge an act.
-func (correctSteps) admitAct(n *node, d lease.Duty, token uint64) (admitted, isNewest bool) {
-	return n.fence.Admit(d, token)
+func (correctSteps) admitAct(p *process, d lease.Duty, token lease.Token) (admitted, isNewest bool) {
+	return p.fence.Admit(d, token)
 }
 
 // restoreFence gives a receiver that starts the tokens on its disk.
-func (correctSteps) restoreFence(n *node) {
-	n.fence.Restore(maps.Clone(n.persistedTokens))
+func (correctSteps) restoreFence(p *process) {
+	p.fence.Restore(maps.Clone(p.persistedTokens))
 }
 
 // tokenToActUnder returns the token of a holder's lease, and whether the lease is valid now.
-func (correctSteps) tokenToActUnder(m *member, h *lease.Holder) (token uint64, held bool) {
-	return h.Token(m.now())
+func (correctSteps) tokenToActUnder(c *client, holder *lease.Holder) (token lease.Token, held bool) {
+	return holder.Token(c.now())
 }
 
 // handleResponse gives a holder the response to its request.
-func (correctSteps) handleResponse(m *member, h *lease.Holder, seq uint64, r protocol.Response) {
-	h.HandleResponse(m.now(), seq, r.Grant, r.Err)
+func (correctSteps) handleResponse(c *client, holder *lease.Holder, seq lease.RequestSeq, response protocol.Response) {
+	holder.HandleResponse(c.now(), seq, response.Grant, response.Err)
 }
 
-// newMachine starts a voter's machine on what its disk holds.
-func (correctSteps) newMachine(cfg consensus.Config) (*consensus.Machine, error) {
+// newStateMachine starts a voter's state machine on what its disk holds.
+func (correctSteps) newStateMachine(cfg consensus.Config) (*consensus.StateMachine, error) {
 	return consensus.New(cfg)
 }
 
-// propose hands a request to a voter's machine.
+// propose hands a request to a voter's state machine.
 func (correctSteps) propose(v *voter, request protocol.Request) {
-	v.machine.Propose(v.now(), request)
+	v.stateMachine.Propose(v.now(), request)
 }
 
-// step hands another voter's message to a voter's machine.
-func (correctSteps) step(v *voter, msg consensus.Message) error { return v.machine.Step(msg) }
+// step hands another voter's message to a voter's state machine.
+func (correctSteps) step(v *voter, msg consensus.Message) error { return v.stateMachine.Step(msg) }
 
 // writeAndSend writes work to a voter's disk, and afterwards sends its messages.
 func (correctSteps) writeAndSend(v *voter, work consensus.Ready) { v.sync(work) }
--- a/internal/lab/clustersim/seams_planted.go
+++ b/internal/lab/clustersim/seams_planted.go
@@ -17,60 +17,60 @@
 // steps are those of the simulation.
 var steps faultySteps
 
-func (s faultySteps) monotonicTime(n *node) time.Duration {
-	t := s.correctSteps.monotonicTime(n)
+func (s faultySteps) monotonicTime(p *process) time.Duration {
+	t := s.correctSteps.monotonicTime(p)
 	if failpoint.Enabled(failpoint.WallClock) {
-		t += n.wallOffset
+		t += p.wallOffset
 	}
 	return t
 }
 
-func (s faultySteps) admitAct(n *node, d lease.Duty, token uint64) (admitted, isNewest bool) {
-	admitted, isNewest = s.correctSteps.admitAct(n, d, token)
+func (s faultySteps) admitAct(p *process, d lease.Duty, token lease.Token) (admitted, isNewest bool) {
+	admitted, isNewest = s.correctSteps.admitAct(p, d, token)
 	return admitted || failpoint.Enabled(failpoint.NoFence), isNewest
 }
 
-func (s faultySteps) restoreFence(n *node) {
+func (s faultySteps) restoreFence(p *process) {
 	if !failpoint.Enabled(failpoint.FenceForgotten) {
-		s.correctSteps.restoreFence(n)
+		s.correctSteps.restoreFence(p)
 	}
 }
 
-func (s faultySteps) tokenToActUnder(m *member, h *lease.Holder) (token uint64, held bool) {
+func (s faultySteps) tokenToActUnder(c *client, holder *lease.Holder) (token lease.Token, held bool) {
 	if failpoint.Enabled(failpoint.NoLeaseCheck) {
-		return h.GrantedToken()
+		return holder.GrantedToken()
 	}
-	return s.correctSteps.tokenToActUnder(m, h)
+	return s.correctSteps.tokenToActUnder(c, holder)
 }
 
-func (s faultySteps) handleResponse(m *member, h *lease.Holder, seq uint64, r protocol.Response) {
+func (s faultySteps) handleResponse(c *client, holder *lease.Holder, seq lease.RequestSeq, response protocol.Response) {
 	switch {
 	case failpoint.Enabled(failpoint.CountedFromResponse):
-		h.HandleResponseLate(m.now(), seq, r.Grant, r.Err)
+		holder.HandleResponseLate(c.now(), seq, response.Grant, response.Err)
 	case failpoint.Enabled(failpoint.DriftIgnored):
-		h.HandleResponseWithoutDrift(m.now(), seq, r.Grant, r.Err)
+		holder.HandleResponseWithoutDrift(c.now(), seq, response.Grant, response.Err)
 	default:
-		s.correctSteps.handleResponse(m, h, seq, r)
+		s.correctSteps.handleResponse(c, holder, seq, response)
 	}
 }
 
-func (s faultySteps) newMachine(cfg consensus.Config) (*consensus.Machine, error) {
-	machine, err := s.correctSteps.newMachine(cfg)
+func (s faultySteps) newStateMachine(cfg consensus.Config) (*consensus.StateMachine, error) {
+	stateMachine, err := s.correctSteps.newStateMachine(cfg)
 	if err == nil && failpoint.Enabled(failpoint.DiskUnchecked) {
-		machine.SkipAdmission()
+		stateMachine.SkipAdmission()
 	}
-	return machine, err
+	return stateMachine, err
 }
 
 func (s faultySteps) propose(v *voter, request protocol.Request) {
-	if !v.machine.RespondEarly(v.now(), request) {
+	if !v.stateMachine.RespondEarly(v.now(), request) {
 		s.correctSteps.propose(v, request)
 	}
 }
 
 func (s faultySteps) step(v *voter, msg consensus.Message) error {
 	if failpoint.Enabled(failpoint.DiskUnchecked) {
-		return v.machine.StepUnchecked(msg)
+		return v.stateMachine.StepUnchecked(msg)
 	}
 	return s.correctSteps.step(v, msg)
 }
@@ -90,7 +90,7 @@
 	}
 	var voters []protocol.Voter
 	for i := range v.sim.size.Voters {
-		voters = append(voters, protocol.Voter{ID: uint64(i + 1), Name: voterName(i)})
+		voters = append(voters, protocol.Voter{ID: protocol.VoterID(i + 1), Name: voterName(i)})
 	}
 	v.disk = disk{id: v.disk.id, startCount: v.disk.startCount, state: consensus.Bootstrap(voters)}
 }
--- a/internal/lab/clustersim/simulation.go
+++ b/internal/lab/clustersim/simulation.go
@@ -28,7 +28,7 @@
 	Fenced      int      `json:"fenced"` // acts that receivers rejected by their token
 	Calls       int      `json:"calls"`
 	Grants      int      `json:"grants"` // tokens under which something was done
-	UnheldShare float64  `json:"unheld"` // the share of the time that a duty was held by nobody
+	UnheldShare float64  `json:"unheld"` // the share of the time that a duty had no lease holder
 	Digest      uint64   `json:"digest"` // of all acts
 }
 
@@ -38,14 +38,14 @@
 	rng          *rand.Rand
 	now          time.Duration // true time
 	events       eventQueue
-	nodes        []*node      // by nodeID
+	processes    []*process   // by processID
 	cuts         map[link]int // how many faults cut a link
 	lossyNetwork int          // how many faults make the network lossy
-	lastVoterID  uint64
+	lastVoterID  protocol.VoterID
 
 	result   Result
 	digest   uint64
-	actors   map[lease.Duty]map[uint64]nodeID // who acted under a token
+	actors   map[lease.Duty]map[lease.Token]processID // who acted under a token
 	lastHeld map[lease.Duty]time.Duration
 	calls    []Call
 }
@@ -53,11 +53,11 @@
 // simulate plays a seed with a schedule. The caller has made raft's random source that of the seed.
 func simulate(seed uint64, size Size, faults []Fault) Result {
 	s := newSimulation(seed, size)
-	for _, n := range s.nodes {
-		n.start()
+	for _, started := range s.processes {
+		started.start()
 	}
-	for _, f := range faults {
-		s.at(f.At, func() { s.inject(f) })
+	for _, fault := range faults {
+		s.at(fault.At, func() { s.inject(fault) })
 	}
 	s.runEvents()
 	if !s.violated() {
@@ -77,7 +77,7 @@
 		rng:      rand.New(rand.NewPCG(seed, 0x90de)),
 		cuts:     map[link]int{},
 		digest:   digestOffset,
-		actors:   map[lease.Duty]map[uint64]nodeID{},
+		actors:   map[lease.Duty]map[lease.Token]processID{},
 		lastHeld: map[lease.Duty]time.Duration{},
 		result:   Result{Seed: seed},
 	}
@@ -87,13 +87,13 @@
 		voters = append(voters, protocol.Voter{ID: s.lastVoterID, Name: voterName(i)})
 	}
 	for i := range size.Voters + size.Clients + size.Receivers {
-		n := &node{sim: s, id: nodeID(i), up: true, clockRate: 1 + (s.rng.Float64()*2-1)*LeaseTiming.MaxClockDrift}
-		s.nodes = append(s.nodes, n)
+		added := &process{sim: s, id: processID(i), up: true, clockRate: 1 + (s.rng.Float64()*2-1)*LeaseTiming.MaxClockDrift}
+		s.processes = append(s.processes, added)
 		switch {
 		case i < size.Voters:
-			n.voter = &voter{node: n, name: voters[i].Name, disk: disk{id: voters[i].ID, state: consensus.Bootstrap(voters)}}
+			added.voter = &voter{process: added, name: voters[i].Name, disk: disk{id: voters[i].ID, state: consensus.Bootstrap(voters)}}
 		case i < size.Voters+size.Clients:
-			n.member = &member{node: n}
+			added.client = &client{process: added}
 		}
 	}
 	return s
@@ -102,9 +102,9 @@
 // runEvents plays events until the run's length is reached or something is violated.
 func (s *simulation) runEvents() {
 	for !s.events.empty() && s.now < s.size.Duration && !s.violated() {
-		e := s.events.next()
-		s.now = e.at
-		e.do()
+		next := s.events.next()
+		s.now = next.at
+		next.do()
 	}
 }
 
@@ -113,10 +113,10 @@
 // at schedules something for a moment of true time.
 func (s *simulation) at(t time.Duration, do func()) { s.events.schedule(t, do) }
 
-func (s *simulation) voters() []*node { return s.nodes[:s.size.Voters] }
+func (s *simulation) voters() []*process { return s.processes[:s.size.Voters] }
 
-func (s *simulation) members() []*node {
-	return s.nodes[s.size.Voters : s.size.Voters+s.size.Clients]
+func (s *simulation) clients() []*process {
+	return s.processes[s.size.Voters : s.size.Voters+s.size.Clients]
 }
 
-func (s *simulation) receivers() []*node { return s.nodes[s.size.Voters+s.size.Clients:] }
+func (s *simulation) receivers() []*process { return s.processes[s.size.Voters+s.size.Clients:] }
--- a/internal/lab/clustersim/voter.go
+++ b/internal/lab/clustersim/voter.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"piernotch/internal/controlgroup/consensus"
+	"piernotch/internal/controlgroup/lease"
 	"piernotch/internal/controlgroup/protocol"
 )
 
@@ -17,19 +18,19 @@
 	slowDiskSync = 2 * time.Second
 )
 
-// voter is the process of a voter: the real consensus machine on a simulated disk.
+// voter is the process of a voter: the real consensus state machine on a simulated disk.
 type voter struct {
-	*node
-	name      string
-	disk      disk
-	backups   []disk // the disk as it was at earlier starts
-	machine   *consensus.Machine
-	syncing   bool             // the disk is
-	writing   *consensus.Ready // what the disk is syncing
-	inbox     []func()         // what the machine takes after that
-	slowDisk  int              // how many faults slow the disk down
-	responses map[uint64]func(protocol.Response)
-	lastKey   uint64 // of responses
+	*process
+	name         string
+	disk         disk
+	backups      []disk // the disk as it was at earlier starts
+	stateMachine *consensus.StateMachine
+	syncing      bool             // the disk is
+	writing      *consensus.Ready // what the disk is syncing
+	inbox        []func()         // what the state machine takes after that
+	slowDisk     int              // how many faults slow the disk down
+	responses    map[uint64]func(protocol.Response)
+	lastKey      uint64 // of responses
 }
 
 func voterName(i int) string { return fmt.Sprintf("v%d", i) }
@@ -43,9 +44,9 @@
 	v.inbox = nil
 	v.responses = map[uint64]func(protocol.Response){}
 	var err error
-	v.machine, err = steps.newMachine(consensus.Config{
+	v.stateMachine, err = steps.newStateMachine(consensus.Config{
 		ID:          v.disk.id,
-		Incarnation: v.sim.rng.Uint64(),
+		Incarnation: lease.Incarnation(v.sim.rng.Uint64()),
 		StartCount:  v.disk.startCount,
 		Timing:      LeaseTiming,
 		State:       v.disk.state,
@@ -82,8 +83,8 @@
 
 func (v *voter) tick() {
 	v.after(tickInterval, v.tick)
-	v.submit(func() { v.machine.Tick(v.now()) })
-	if v.machine.Outdated() {
+	v.submit(func() { v.stateMachine.Tick(v.now()) })
+	if v.stateMachine.Outdated() {
 		v.stop()
 		v.newIdentity()
 		v.start()
@@ -97,18 +98,18 @@
 // votes reports whether this voter's identity is among the voters, as far as it knows itself.
 func (v *voter) votes() bool { return v.knowsVoter(v.disk.id) }
 
-func (v *voter) knowsVoter(id uint64) bool {
-	return slices.ContainsFunc(v.machine.Voters(), func(o protocol.Voter) bool { return o.ID == id })
+func (v *voter) knowsVoter(id protocol.VoterID) bool {
+	return slices.ContainsFunc(v.stateMachine.Voters(), func(o protocol.Voter) bool { return o.ID == id })
 }
 
-// requestAddition asks some voter, which may lead, to add this one to the group.
+// requestAddition sends some voter, which may lead, a request to add this one to the group.
 func (v *voter) requestAddition() {
 	request := protocol.Request{Kind: protocol.AddVoter, Voter: protocol.Voter{ID: v.disk.id, Name: v.name}}
-	to := v.sim.nodes[v.sim.rng.IntN(v.sim.size.Voters)]
+	to := v.sim.processes[v.sim.rng.IntN(v.sim.size.Voters)]
 	v.sim.send(v.id, to.id, func() { to.voter.propose(request, func(protocol.Response) {}) })
 }
 
-// submit hands something to the machine, after the disk has what came before.
+// submit hands something to the state machine, after the disk has what came before.
 func (v *voter) submit(work func()) {
 	if v.syncing {
 		v.inbox = append(v.inbox, work)
@@ -118,10 +119,10 @@
 	v.processReady()
 }
 
-// processReady does what the machine has ready, until there is no more or the disk has to sync.
+// processReady does what the state machine has ready, until there is no more or the disk has to sync.
 func (v *voter) processReady() {
 	for {
-		work, ready := v.machine.Ready()
+		work, ready := v.stateMachine.Ready()
 		if !ready {
 			v.sendResponses()
 			return
@@ -138,11 +139,11 @@
 func (v *voter) sync(work consensus.Ready) {
 	v.syncing = true
 	v.writing = &work
-	d := minDiskSync + time.Duration(v.sim.rng.ExpFloat64()*float64(meanDiskSync))
+	duration := minDiskSync + time.Duration(v.sim.rng.ExpFloat64()*float64(meanDiskSync))
 	if v.slowDisk > 0 {
-		d = slowDiskSync
+		duration = slowDiskSync
 	}
-	v.after(d, func() {
+	v.after(duration, func() {
 		v.syncing = false
 		v.writing = nil
 		v.disk.write(work)
@@ -160,16 +161,16 @@
 // written sends what may be sent once work is durable.
 func (v *voter) written(work consensus.Ready) {
 	v.sendMessages(work)
-	if err := v.machine.Advance(v.now(), work); err != nil {
+	if err := v.stateMachine.Advance(v.now(), work); err != nil {
 		v.sim.violation("%s: %v", v.name, err)
 	}
 }
 
 func (v *voter) sendMessages(work consensus.Ready) {
 	for _, msg := range work.Messages {
-		for _, n := range v.sim.voters() {
-			if n.voter.disk.id == msg.To {
-				v.sim.send(v.id, n.id, func() { n.voter.receiveMessage(msg) })
+		for _, receiver := range v.sim.voters() {
+			if receiver.voter.disk.id == msg.To {
+				v.sim.send(v.id, receiver.id, func() { receiver.voter.receiveMessage(msg) })
 			}
 		}
 	}
@@ -196,16 +197,16 @@
 	})
 }
 
-// sendResponses sends what the machine has answered, and notifies one member of each duty that came free.
+// sendResponses sends the state machine's responses, and notifies one client of each duty that came free.
 func (v *voter) sendResponses() {
-	for _, d := range v.machine.FreedDuties() {
-		to := v.sim.nodes[v.sim.size.Voters+v.sim.rng.IntN(v.sim.size.Clients)]
-		v.sim.send(v.id, to.id, func() { to.member.retryNow(d) })
+	for _, freed := range v.stateMachine.FreedDuties() {
+		to := v.sim.processes[v.sim.size.Voters+v.sim.rng.IntN(v.sim.size.Clients)]
+		v.sim.send(v.id, to.id, func() { to.client.retryNow(freed) })
 	}
-	for _, r := range v.machine.Responses() {
-		if respond := v.responses[r.Key]; respond != nil {
-			delete(v.responses, r.Key)
-			respond(r)
+	for _, response := range v.stateMachine.Responses() {
+		if respond := v.responses[response.Key]; respond != nil {
+			delete(v.responses, response.Key)
+			respond(response)
 		}
 	}
 }
@@ -213,11 +214,14 @@
 // allDisksVote reports whether some leader counts the identity of every voter's disk among the voters. While a
 // disk that was lost has not been replaced, losing another may lose the majority, which no group survives.
 func (s *simulation) allDisksVote() bool {
-	return slices.ContainsFunc(s.voters(), func(n *node) bool {
-		if !n.up || !n.voter.machine.IsLeader() {
+	return slices.ContainsFunc(s.voters(), func(process *process) bool {
+		if !process.up || !process.voter.stateMachine.IsLeader() {
 			return false
 		}
-		unknown := func(o *node) bool { return !n.voter.knowsVoter(o.voter.disk.id) }
-		return !slices.ContainsFunc(s.voters(), unknown)
+		knowsAll := true
+		for _, other := range s.voters() {
+			knowsAll = knowsAll && process.voter.knowsVoter(other.voter.disk.id)
+		}
+		return knowsAll
 	})
 }
--- a/internal/lab/clustertest/checks.go
+++ b/internal/lab/clustertest/checks.go
@@ -24,90 +24,90 @@
 // collectReports takes the connections of holders until the listener is closed.
 func (h *harness) collectReports() {
 	for {
-		nc, err := h.listener.Accept()
+		conn, err := h.listener.Accept()
 		if err != nil {
 			return
 		}
-		go h.readReports(nc) // until the holder ends
+		go h.readReports(conn) // until the holder ends
 	}
 }
 
-func (h *harness) readReports(nc net.Conn) {
-	defer func() { _ = nc.Close() }()
-	decoder := json.NewDecoder(bufio.NewReader(nc))
+func (h *harness) readReports(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	decoder := json.NewDecoder(bufio.NewReader(conn))
 	for {
-		var r report
-		if decoder.Decode(&r) != nil { // the holder has ended, perhaps within a line
+		var received report
+		if decoder.Decode(&received) != nil { // the holder has ended, perhaps within a line
 			return
 		}
-		h.record(r)
+		h.record(received)
 	}
 }
 
 // record adds a report to the history.
-func (h *harness) record(r report) {
+func (h *harness) record(received report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if c := r.Call; c != nil {
+	if completed := received.Call; completed != nil {
 		h.calls = append(h.calls, clustersim.Call{
-			Request:    protocol.Request{Kind: c.Kind, Command: c.Command},
-			SentAt:     time.Duration(c.SentAt),
-			ReceivedAt: time.Duration(c.ReceivedAt),
-			Grant:      c.Grant,
-			Err:        errorOf(c.Err),
+			Request:    protocol.Request{Kind: completed.Kind, Command: completed.Command},
+			SentAt:     time.Duration(completed.SentAt),
+			ReceivedAt: time.Duration(completed.ReceivedAt),
+			Grant:      completed.Grant,
+			Err:        errorOf(completed.Err),
 		})
 	}
-	if r.Act != nil {
-		h.recordActLocked(r.Name, r.Act)
+	if received.Act != nil {
+		h.recordActLocked(received.Name, received.Act)
 	}
 }
 
 // recordActLocked receives an act: it fences it, and checks that only one holder acts under each token.
-func (h *harness) recordActLocked(holder string, a *act) {
-	if admitted, _ := h.fence.Admit(a.Duty, a.Token); admitted {
+func (h *harness) recordActLocked(holder string, done *act) {
+	if admitted, _ := h.fence.Admit(done.Duty, done.Token); admitted {
 		h.result.Acts++
 	} else {
 		h.result.Fenced++
 	}
-	uses := h.uses[a.Duty]
+	uses := h.uses[done.Duty]
 	if uses == nil {
-		uses = map[uint64]*tokenUse{}
-		h.uses[a.Duty] = uses
+		uses = map[lease.Token]*tokenUse{}
+		h.uses[done.Duty] = uses
 	}
-	use := uses[a.Token]
+	use := uses[done.Token]
 	if use == nil {
-		use = &tokenUse{holder: holder, first: a.CheckedAt, last: a.CheckedAt}
-		uses[a.Token] = use
+		use = &tokenUse{holder: holder, first: done.CheckedAt, last: done.CheckedAt}
+		uses[done.Token] = use
 	}
 	if use.holder != holder {
-		h.result.Violations = append(h.result.Violations, fmt.Sprintf("token %d of %s was acted under by %s and %s", a.Token, a.Duty, use.holder, holder))
+		h.result.Violations = append(h.result.Violations, fmt.Sprintf("%s and %s both acted under token %d of %s", use.holder, holder, done.Token, done.Duty))
 	}
-	use.first = min(use.first, a.CheckedAt)
-	use.last = max(use.last, a.CheckedAt)
+	use.first = min(use.first, done.CheckedAt)
+	use.last = max(use.last, done.CheckedAt)
 }
 
 // checkEnd checks the run as a whole, at its end.
 func (h *harness) checkEnd(ctx context.Context) {
 	if err := h.waitUntilHeld(ctx, endTimeout); err != nil {
-		h.violation("not every duty is held, %v after the last fault: %v", clustersim.QuietPeriod, err)
+		h.violation("not every duty has a lease holder %v after the last fault: %v", clustersim.QuietPeriod, err)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for d, uses := range h.uses {
-		h.checkUsesLocked(d, uses)
+	for duty, uses := range h.uses {
+		h.checkUsesLocked(duty, uses)
 	}
 	h.result.Calls = len(h.calls)
 	h.result.Violations = append(h.result.Violations, clustersim.CheckLinearizability(h.calls)...)
 }
 
-// checkUsesLocked checks that nobody acted under a token of the duty after someone acted under the next.
-func (h *harness) checkUsesLocked(d lease.Duty, uses map[uint64]*tokenUse) {
+// checkUsesLocked checks that no process acted under a token of the duty after another acted under the next.
+func (h *harness) checkUsesLocked(duty lease.Duty, uses map[lease.Token]*tokenUse) {
 	tokens := slices.Sorted(maps.Keys(uses))
 	h.result.Grants += len(tokens)
 	for i, token := range tokens {
 		use := uses[token]
 		h.result.Spans = append(h.result.Spans, clustersim.Span{
-			Duty: string(d), Token: token, Holder: use.holder, From: h.sinceStart(use.first), To: h.sinceStart(use.last),
+			Duty: string(duty), Token: token, Holder: use.holder, From: h.sinceStart(use.first), To: h.sinceStart(use.last),
 		})
 		if i == 0 {
 			continue
@@ -115,8 +115,8 @@
 		previousToken := tokens[i-1]
 		previous := uses[previousToken]
 		if previous.last >= use.first {
-			h.result.Violations = append(h.result.Violations, fmt.Sprintf("%s: %s looked under token %d up to %.3f s, and %s under %d from %.3f s",
-				d, previous.holder, previousToken, h.sinceStart(previous.last).Seconds(), use.holder, token, h.sinceStart(use.first).Seconds()))
+			h.result.Violations = append(h.result.Violations, fmt.Sprintf("%s: %s checked its lease under token %d until %.3f s, and %s under token %d from %.3f s",
+				duty, previous.holder, previousToken, h.sinceStart(previous.last).Seconds(), use.holder, token, h.sinceStart(use.first).Seconds()))
 		}
 		h.result.Gaps = append(h.result.Gaps, time.Duration(use.first-previous.last).Seconds())
 	}
--- a/internal/lab/clustertest/failover.go
+++ b/internal/lab/clustertest/failover.go
@@ -16,9 +16,9 @@
 	failoverPoll    = time.Millisecond
 )
 
-var errNoFailover = errors.New("nobody holds the duty for a minute")
+var errNoFailover = errors.New("the duty had no lease holder for a minute")
 
-// FailoverTimes are how long a duty was held by nobody, in seconds, from the signal that ended its holder to the
+// FailoverTimes are how long a duty had no lease holder, in seconds, from the signal that ended its holder to the
 // first act under the next token.
 type FailoverTimes struct {
 	Planned   []float64 `json:"planned_s"`   // SIGTERM
@@ -64,32 +64,32 @@
 	if err != nil {
 		return 0, err
 	}
-	p, err := h.processNamed(name)
+	holder, err := h.processNamed(name)
 	if err != nil {
 		return 0, err
 	}
 	signalledAt := time.Now()
-	done := h.signalEnd(p, signal)
+	done := h.signalEnd(holder, signal)
 	if _, _, err := h.waitForHolder(ctx, token); err != nil {
 		return 0, err
 	}
 	took = time.Since(signalledAt)
 	<-done
-	return took, h.startProcess(ctx, p)
+	return took, h.startProcess(ctx, holder)
 }
 
 // processNamed returns the process of a name that a report has given.
 func (h *harness) processNamed(name string) (*process, error) {
-	for _, p := range h.processes {
-		if p.name == name {
-			return p, nil
+	for _, process := range h.processes {
+		if process.name == name {
+			return process, nil
 		}
 	}
-	return nil, fmt.Errorf("a report of an unknown process: %q", name)
+	return nil, fmt.Errorf("report from an unknown process: %q", name)
 }
 
 // waitForHolder waits until a holder acts under a token above one, and returns the highest such token.
-func (h *harness) waitForHolder(ctx context.Context, above uint64) (name string, token uint64, err error) {
+func (h *harness) waitForHolder(ctx context.Context, above lease.Token) (name string, token lease.Token, err error) {
 	for startedAt := time.Now(); time.Since(startedAt) < failoverTimeout; time.Sleep(failoverPoll) {
 		name, token = h.latestHolder("d0")
 		if token > above {
@@ -102,13 +102,13 @@
 	return "", 0, errNoFailover
 }
 
-// latestHolder returns who acted under the duty's highest token so far; 0 if nobody did.
-func (h *harness) latestHolder(d lease.Duty) (name string, token uint64) {
+// latestHolder returns the process that acted under the duty's highest token so far, and that token; 0: none.
+func (h *harness) latestHolder(duty lease.Duty) (name string, token lease.Token) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for t, use := range h.uses[d] {
-		if t > token {
-			name, token = use.holder, t
+	for candidate, use := range h.uses[duty] {
+		if candidate > token {
+			name, token = use.holder, candidate
 		}
 	}
 	return name, token
--- a/internal/lab/clustertest/harness.go
+++ b/internal/lab/clustertest/harness.go
@@ -11,6 +11,7 @@
 
 	"piernotch/internal/controlgroup/client"
 	"piernotch/internal/controlgroup/lease"
+	"piernotch/internal/controlgroup/protocol"
 	"piernotch/internal/lab/clustersim"
 	"piernotch/internal/lab/faultproxy"
 )
@@ -56,15 +57,15 @@
 	opts      Options
 	proxies   *faultproxy.Network
 	rng       *rand.Rand // under mu
-	processes []*process // voters first, then holders: by the numbers of a schedule's nodes
+	processes []*process // voters first, then holders: by the numbers of a schedule's processes
 	listener  net.Listener
 	observer  *client.Client // without duties: shows leases and voters
 	startedAt time.Time      // of the schedule
 
 	mu         sync.Mutex
-	knownDisks map[string]uint64 // the identity of each voter's disk, by its name, when allDisksVote was called last
-	lostDisks  map[string]uint64 // the identity of the disk that each voter lost last
-	uses       map[lease.Duty]map[uint64]*tokenUse
+	knownDisks map[string]protocol.VoterID // the identity of each voter's disk, by its name, when allDisksVote was called last
+	lostDisks  map[string]protocol.VoterID // the identity of the disk that each voter lost last
+	uses       map[lease.Duty]map[lease.Token]*tokenUse
 	fence      lease.Fence
 	calls      []clustersim.Call
 	result     Result
@@ -75,9 +76,9 @@
 		opts:       opts,
 		proxies:    faultproxy.New(opts.Seed),
 		rng:        rand.New(rand.NewPCG(opts.Seed, 0x916)),
-		knownDisks: map[string]uint64{},
-		lostDisks:  map[string]uint64{},
-		uses:       map[lease.Duty]map[uint64]*tokenUse{},
+		knownDisks: map[string]protocol.VoterID{},
+		lostDisks:  map[string]protocol.VoterID{},
+		uses:       map[lease.Duty]map[lease.Token]*tokenUse{},
 		result:     Result{Seed: opts.Seed},
 	}
 }
@@ -95,10 +96,10 @@
 	h.beginSchedule()
 	faults := clustersim.GenerateSchedule(opts.Seed, opts.Size)
 	var injections sync.WaitGroup
-	for _, f := range faults {
+	for _, fault := range faults {
 		injections.Go(func() {
-			if sleep(ctx, f.At-h.elapsed()) {
-				h.inject(ctx, f)
+			if sleep(ctx, fault.At-h.elapsed()) {
+				h.inject(ctx, fault)
 			}
 		})
 	}
@@ -124,8 +125,8 @@
 	if err := h.prepare(); err != nil {
 		return err
 	}
-	for _, p := range h.processes {
-		if err := h.startProcess(ctx, p); err != nil {
+	for _, process := range h.processes {
+		if err := h.startProcess(ctx, process); err != nil {
 			return err
 		}
 	}
@@ -137,8 +138,8 @@
 	if h.observer != nil {
 		h.observer.Close(0)
 	}
-	for _, p := range h.processes {
-		if done := h.signalEnd(p, syscall.SIGKILL); done != nil {
+	for _, process := range h.processes {
+		if done := h.signalEnd(process, syscall.SIGKILL); done != nil {
 			<-done
 		}
 	}
@@ -155,7 +156,7 @@
 	for {
 		list, err := h.observer.List(ctx)
 		if err != nil {
-			return fmt.Errorf("the group does not begin: %w", err)
+			return fmt.Errorf("the group has no leader: %w", err)
 		}
 		if len(list.Leases.Grants) == h.opts.Size.Duties {
 			return nil
@@ -189,11 +190,11 @@
 }
 
 // sleep waits, and reports whether ctx was not done before.
-func sleep(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(d):
+	case <-time.After(duration):
 		return true
 	}
 }
--- a/internal/lab/clustertest/holder.go
+++ b/internal/lab/clustertest/holder.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	actInterval     = 20 * time.Millisecond
-	releasePatience = 500 * time.Millisecond // for releasing the duties at the end
+	actInterval    = 20 * time.Millisecond
+	releaseTimeout = 500 * time.Millisecond // for releasing the duties at the end
 )
 
 // RunHolder is the program of a holder: it acquires the duties of a group's file and acts under those that it
@@ -25,26 +25,26 @@
 	if err != nil {
 		return err
 	}
-	nc, err := net.Dial("tcp", harness)
+	conn, err := net.Dial("tcp", harness)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = nc.Close() }()
-	reports := &reporter{name: cfg.Self, encoder: json.NewEncoder(nc)}
+	defer func() { _ = conn.Close() }()
+	reports := &reporter{name: cfg.Self, encoder: json.NewEncoder(conn)}
 	member := client.Start(cfg, reports.observe)
 	ticker := time.NewTicker(actInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			member.Close(releasePatience)
+			member.Close(releaseTimeout)
 			return nil
 		case <-ticker.C:
 		}
-		for _, d := range cfg.Duties {
+		for _, duty := range cfg.Duties {
 			checkedAt := time.Now().UnixNano()
-			if token, held := member.Token(lease.Duty(d)); held {
-				reports.send(report{Act: &act{Duty: lease.Duty(d), Token: token, CheckedAt: checkedAt}})
+			if token, held := member.Token(lease.Duty(duty)); held {
+				reports.send(report{Act: &act{Duty: lease.Duty(duty), Token: token, CheckedAt: checkedAt}})
 			}
 		}
 	}
@@ -69,7 +69,7 @@
 	if record.Err != nil || !protocol.IsFinal(record.Response.Err) {
 		return
 	}
-	c := &call{
+	completed := &call{
 		Kind:       record.Request.Kind,
 		Command:    record.Request.Command,
 		SentAt:     record.SentAt.UnixNano(),
@@ -77,7 +77,7 @@
 		Grant:      record.Response.Grant,
 	}
 	if record.Response.Err != nil {
-		c.Err = record.Response.Err.Error()
+		completed.Err = record.Response.Err.Error()
 	}
-	r.send(report{Call: c})
+	r.send(report{Call: completed})
 }
--- a/internal/lab/clustertest/injection.go
+++ b/internal/lab/clustertest/injection.go
@@ -17,60 +17,60 @@
 )
 
 // inject begins a fault, and returns when it is over.
-func (h *harness) inject(ctx context.Context, f clustersim.Fault) {
-	if h.affectsReceiver(f) {
+func (h *harness) inject(ctx context.Context, fault clustersim.Fault) {
+	if h.affectsReceiver(fault) {
 		return
 	}
-	p := h.processes[f.Process]
-	switch f.Kind {
+	target := h.processes[fault.Process]
+	switch fault.Kind {
 	case clustersim.FaultCutLink, clustersim.FaultIsolate, clustersim.FaultPartition, clustersim.FaultLossyNetwork:
-		h.breakLinks(f)
-		h.sleepUntilEnd(ctx, f)
-		h.restoreLinks(f)
+		h.breakLinks(fault)
+		h.sleepUntilEnd(ctx, fault)
+		h.restoreLinks(fault)
 	case clustersim.FaultFlap:
-		h.flap(ctx, f)
+		h.flap(ctx, fault)
 	case clustersim.FaultPause:
-		paused := h.pause(p)
-		h.sleepUntilEnd(ctx, f)
-		h.resume(p, paused)
+		paused := h.pause(target)
+		h.sleepUntilEnd(ctx, fault)
+		h.resume(target, paused)
 	case clustersim.FaultCrash, clustersim.FaultDiskLoss, clustersim.FaultDiskRollback,
 		clustersim.FaultReleaseDuties, clustersim.FaultTransferDuties:
-		h.restart(ctx, f, p)
+		h.restart(ctx, fault, target)
 	case clustersim.FaultCrashAllVoters:
 		var restarts sync.WaitGroup
 		for _, voter := range h.processes[:h.opts.Size.Voters] {
-			restarts.Go(func() { h.restart(ctx, f, voter) })
+			restarts.Go(func() { h.restart(ctx, fault, voter) })
 		}
 		restarts.Wait()
 	default:
-		h.recordUnsupported(f.Kind)
+		h.recordUnsupported(fault.Kind)
 	}
 }
 
 // affectsReceiver reports whether a fault is one of a receiver, or of a link that is not to a voter: there
 // are no such processes and links.
-func (h *harness) affectsReceiver(f clustersim.Fault) bool {
+func (h *harness) affectsReceiver(fault clustersim.Fault) bool {
 	size := h.opts.Size
-	cutsOtherLink := f.Kind == clustersim.FaultCutLink && f.Other >= size.Voters
-	return f.Process >= size.Voters+size.Clients || cutsOtherLink
+	cutsOtherLink := fault.Kind == clustersim.FaultCutLink && fault.Other >= size.Voters
+	return fault.Process >= size.Voters+size.Clients || cutsOtherLink
 }
 
-func (h *harness) sleepUntilEnd(ctx context.Context, f clustersim.Fault) {
-	sleep(ctx, f.At+f.Duration-h.elapsed())
+func (h *harness) sleepUntilEnd(ctx context.Context, fault clustersim.Fault) {
+	sleep(ctx, fault.At+fault.Duration-h.elapsed())
 }
 
 // flap breaks and restores the fault's links in turn until its end.
-func (h *harness) flap(ctx context.Context, f clustersim.Fault) {
+func (h *harness) flap(ctx context.Context, fault clustersim.Fault) {
 	broken := false
-	for h.elapsed() < f.At+f.Duration && sleep(ctx, flapInterval) {
+	for h.elapsed() < fault.At+fault.Duration && sleep(ctx, flapInterval) {
 		broken = !broken
 		if broken {
-			h.breakLinks(f)
+			h.breakLinks(fault)
 		} else {
-			h.restoreLinks(f)
+			h.restoreLinks(fault)
 		}
 	}
-	h.restoreLinks(f)
+	h.restoreLinks(fault)
 }
 
 func (h *harness) recordUnsupported(kind clustersim.FaultKind) {
@@ -82,27 +82,27 @@
 }
 
 // restart ends a process, loses its disk if that is the fault, and starts it again at the fault's end.
-func (h *harness) restart(ctx context.Context, f clustersim.Fault, p *process) {
+func (h *harness) restart(ctx context.Context, fault clustersim.Fault, target *process) {
 	signal := syscall.SIGKILL
-	if f.Kind == clustersim.FaultReleaseDuties || f.Kind == clustersim.FaultTransferDuties {
+	if fault.Kind == clustersim.FaultReleaseDuties || fault.Kind == clustersim.FaultTransferDuties {
 		signal = syscall.SIGTERM
 	}
-	affectsDisk := f.Kind == clustersim.FaultDiskLoss || f.Kind == clustersim.FaultDiskRollback
+	affectsDisk := fault.Kind == clustersim.FaultDiskLoss || fault.Kind == clustersim.FaultDiskRollback
 	losesDisk := affectsDisk && h.allDisksVote(ctx)
-	done := h.signalEnd(p, signal)
+	done := h.signalEnd(target, signal)
 	if done == nil {
 		return
 	}
 	<-done
 	if losesDisk {
-		h.loseDisk(f.Kind, p)
+		h.loseDisk(fault.Kind, target)
 	}
-	h.sleepUntilEnd(ctx, f)
+	h.sleepUntilEnd(ctx, fault)
 	if ctx.Err() != nil {
 		return
 	}
-	if err := h.startProcess(ctx, p); err != nil {
-		h.violation("%s does not start: %v", p.name, err)
+	if err := h.startProcess(ctx, target); err != nil {
+		h.violation("%s does not start: %v", target.name, err)
 	}
 }
 
@@ -117,30 +117,30 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, v := range list.Voters {
-		if h.lostDisks[v.Name] == v.ID {
+	for _, voter := range list.Voters {
+		if h.lostDisks[voter.Name] == voter.ID {
 			return false
 		}
 	}
-	for _, v := range list.Voters {
-		h.knownDisks[v.Name] = v.ID
+	for _, voter := range list.Voters {
+		h.knownDisks[voter.Name] = voter.ID
 	}
 	return true
 }
 
 // loseDisk removes the store of a process that is down, or replaces it by a backup.
-func (h *harness) loseDisk(kind clustersim.FaultKind, p *process) {
+func (h *harness) loseDisk(kind clustersim.FaultKind, target *process) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if kind == clustersim.FaultDiskRollback {
-		if len(p.backups) == 0 {
+		if len(target.backups) == 0 {
 			return
 		}
-		if data, err := os.ReadFile(p.backups[h.rng.IntN(len(p.backups))]); err == nil {
-			_ = os.WriteFile(p.store, data, 0o600)
+		if data, err := os.ReadFile(target.backups[h.rng.IntN(len(target.backups))]); err == nil {
+			_ = os.WriteFile(target.store, data, 0o600)
 		}
 	} else {
-		_ = os.Remove(p.store)
+		_ = os.Remove(target.store)
 	}
-	h.lostDisks[p.name] = h.knownDisks[p.name]
+	h.lostDisks[target.name] = h.knownDisks[target.name]
 }
--- a/internal/lab/clustertest/process.go
+++ b/internal/lab/clustertest/process.go
@@ -36,18 +36,18 @@
 func (h *harness) prepare() error {
 	var addresses []string
 	for range h.opts.Size.Voters {
-		a, err := faultproxy.FreeAddress()
+		address, err := faultproxy.FreeAddress()
 		if err != nil {
 			return err
 		}
-		addresses = append(addresses, a)
+		addresses = append(addresses, address)
 	}
 	for i := range h.opts.Size.Voters + h.opts.Size.Clients {
-		p, err := h.prepareProcess(i, addresses)
+		prepared, err := h.prepareProcess(i, addresses)
 		if err != nil {
 			return err
 		}
-		h.processes = append(h.processes, p)
+		h.processes = append(h.processes, prepared)
 	}
 	cfg, err := h.groupConfig(harnessNumber, "rig", addresses)
 	if err != nil {
@@ -58,23 +58,23 @@
 }
 
 func (h *harness) prepareProcess(i int, addresses []string) (*process, error) {
-	p := &process{name: processName(i), voter: i < h.opts.Size.Voters}
-	cfg, err := h.groupConfig(i, p.name, addresses)
+	prepared := &process{name: processName(i), voter: i < h.opts.Size.Voters}
+	cfg, err := h.groupConfig(i, prepared.name, addresses)
 	if err != nil {
 		return nil, err
 	}
-	file := filepath.Join(h.opts.Dir, p.name+"-group.toml")
-	if p.voter {
-		p.store = filepath.Join(h.opts.Dir, p.name+".voter")
-		cfg.StorePath = p.store
-		p.command = []string{h.opts.VoterProgram, "--group", file}
+	file := filepath.Join(h.opts.Dir, prepared.name+"-group.toml")
+	if prepared.voter {
+		prepared.store = filepath.Join(h.opts.Dir, prepared.name+".voter")
+		cfg.StorePath = prepared.store
+		prepared.command = []string{h.opts.VoterProgram, "--group", file}
 	} else {
-		for d := range h.opts.Size.Duties {
-			cfg.Duties = append(cfg.Duties, fmt.Sprintf("d%d", d))
+		for duty := range h.opts.Size.Duties {
+			cfg.Duties = append(cfg.Duties, fmt.Sprintf("d%d", duty))
 		}
-		p.command = []string{h.opts.HolderProgram, "hold", file, h.listener.Addr().String()}
+		prepared.command = []string{h.opts.HolderProgram, "hold", file, h.listener.Addr().String()}
 	}
-	return p, os.WriteFile(file, []byte(cfg.TOML()), 0o600)
+	return prepared, os.WriteFile(file, []byte(cfg.TOML()), 0o600)
 }
 
 // groupConfig returns the configuration of process i, and starts its proxies to the voters.
@@ -82,11 +82,11 @@
 	cfg := controlgroup.Config{Name: "rig", Self: name, LeaseDuration: LeaseDuration, MaxClockDrift: maxClockDrift}
 	for voter, address := range addresses {
 		if voter != i {
-			l, err := h.proxies.Link(linkName(i, voter), address)
+			link, err := h.proxies.Link(linkName(i, voter), address)
 			if err != nil {
 				return cfg, err
 			}
-			address = l.Address()
+			address = link.Address()
 		}
 		cfg.Voters = append(cfg.Voters, controlgroup.Voter{Name: processName(voter), Address: address})
 	}
@@ -95,16 +95,16 @@
 
 // startProcess starts a process that is down. An end that signalEnd did not cause is a violation, unless
 // ctx is done.
-func (h *harness) startProcess(ctx context.Context, p *process) error {
-	if p.voter {
-		h.backUpStore(p)
+func (h *harness) startProcess(ctx context.Context, target *process) error {
+	if target.voter {
+		h.backUpStore(target)
 	}
-	log, err := os.OpenFile(filepath.Join(h.opts.Dir, p.name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	log, err := os.OpenFile(filepath.Join(h.opts.Dir, target.name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = log.Close() }() // the process has its own descriptor
-	cmd := exec.Command(p.command[0], p.command[1:]...)
+	cmd := exec.Command(target.command[0], target.command[1:]...)
 	cmd.Stdout = log
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
@@ -112,16 +112,16 @@
 	}
 	done := make(chan struct{})
 	h.mu.Lock()
-	p.cmd = cmd
-	p.done = done
+	target.cmd = cmd
+	target.done = done
 	h.mu.Unlock()
 	go func() { // until the process ends
 		err := cmd.Wait()
 		h.mu.Lock()
-		unexpected := p.cmd == cmd
+		unexpected := target.cmd == cmd
 		h.mu.Unlock()
 		if unexpected && ctx.Err() == nil {
-			h.violation("%s ended by itself: %v", p.name, err)
+			h.violation("%s ended by itself: %v", target.name, err)
 		}
 		close(done)
 	}()
@@ -129,48 +129,48 @@
 }
 
 // backUpStore copies a voter's store as it is before a start.
-func (h *harness) backUpStore(p *process) {
-	data, err := os.ReadFile(p.store)
+func (h *harness) backUpStore(target *process) {
+	data, err := os.ReadFile(target.store)
 	if err != nil { // there is none before the first start
 		return
 	}
-	name := fmt.Sprintf("%s.copy-%d", p.store, len(p.backups))
+	name := fmt.Sprintf("%s.copy-%d", target.store, len(target.backups))
 	if os.WriteFile(name, data, 0o600) == nil {
-		p.backups = append(p.backups, name)
+		target.backups = append(target.backups, name)
 	}
 }
 
 // signalEnd signals a process to end, and returns what is closed when it has; nil if it is down.
-func (h *harness) signalEnd(p *process, s syscall.Signal) <-chan struct{} {
+func (h *harness) signalEnd(target *process, signal syscall.Signal) <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if p.cmd == nil {
+	if target.cmd == nil {
 		return nil
 	}
-	cmd := p.cmd
-	p.cmd = nil
+	cmd := target.cmd
+	target.cmd = nil
 	_ = cmd.Process.Signal(syscall.SIGCONT)
-	_ = cmd.Process.Signal(s)
-	return p.done
+	_ = cmd.Process.Signal(signal)
+	return target.done
 }
 
 // pause suspends a process, if it is up and not paused, and returns what was running.
-func (h *harness) pause(p *process) *exec.Cmd {
+func (h *harness) pause(target *process) *exec.Cmd {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if p.cmd != nil && !p.paused {
-		p.paused = true
-		_ = p.cmd.Process.Signal(syscall.SIGSTOP)
+	if target.cmd != nil && !target.paused {
+		target.paused = true
+		_ = target.cmd.Process.Signal(syscall.SIGSTOP)
 	}
-	return p.cmd
+	return target.cmd
 }
 
 // resume resumes a process, unless it has ended since it was paused.
-func (h *harness) resume(p *process, paused *exec.Cmd) {
+func (h *harness) resume(target *process, paused *exec.Cmd) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if paused != nil && p.cmd == paused {
+	if paused != nil && target.cmd == paused {
 		_ = paused.Process.Signal(syscall.SIGCONT)
 	}
-	p.paused = false
+	target.paused = false
 }
