--- a/internal/lab/clustertest/report.go
+++ b/internal/lab/clustertest/report.go
@@ -14,9 +14,9 @@
 
 // act is something done under a token. CheckedAt is when the holder checked its lease, in Unix nanoseconds.
 type act struct {
-	Duty      lease.Duty `json:"duty"`
-	Token     uint64     `json:"token"`
-	CheckedAt int64      `json:"looked"`
+	Duty      lease.Duty  `json:"duty"`
+	Token     lease.Token `json:"token"`
+	CheckedAt int64       `json:"looked"`
 }
 
 // call is a request that got a final response. Times are in Unix nanoseconds.
