--- a/cmd/piernotch-voter/main.go
+++ b/cmd/piernotch-voter/main.go
@@ -50,16 +50,16 @@
 	if err := logs.Start(flags.Log); err != nil {
 		return err
 	}
-	v, err := voter.Start(cfg)
+	running, err := voter.Start(cfg)
 	if err != nil {
 		return err
 	}
-	defer v.Close()
+	defer running.Close()
 	select {
 	case <-signals:
 		slog.Info("group: voter stopped")
 		return nil
-	case <-v.Done():
+	case <-running.Done():
 		return errVoterEnded
 	}
 }
--- a/internal/controlgroup/consensus/state_machine.go
+++ b/internal/controlgroup/consensus/state_machine.go
@@ -110,7 +110,7 @@
 // New returns a voter that resumes from what its store holds. An error means that the store's content is not
 // consistent.
 func New(cfg Config) (*StateMachine, error) {
-	m := &StateMachine{
+	stateMachine := &StateMachine{
 		config:           cfg,
 		storage:          raft.NewMemoryStorage(),
 		pendingProposals: map[requestSeq]pendingRequest{},
@@ -119,18 +119,18 @@
 		starts:           maps.Clone(cfg.State.Starts),
 		peers:            map[protocol.VoterID]peerProgress{},
 	}
-	if m.starts == nil {
-		m.starts = map[protocol.VoterID]Start{}
+	if stateMachine.starts == nil {
+		stateMachine.starts = map[protocol.VoterID]Start{}
 	}
-	if err := m.load(cfg.State); err != nil {
+	if err := stateMachine.load(cfg.State); err != nil {
 		return nil, err
 	}
 	node, err := raft.NewRawNode(&raft.Config{
 		ID:              uint64(cfg.ID),
 		ElectionTick:    electionTicks,
 		HeartbeatTick:   1,
-		Storage:         m.storage,
-		Applied:         m.applied,
+		Storage:         stateMachine.storage,
+		Applied:         stateMachine.applied,
 		Logger:          discardLogger,
 		MaxSizePerMsg:   maxMessageBytes,
 		MaxInflightMsgs: maxInflightMessages,
@@ -143,8 +143,8 @@
 	if err != nil {
 		return nil, err
 	}
-	m.node = node
-	return m, nil
+	stateMachine.node = node
+	return stateMachine, nil
 }
 
 // load fills raft's storage and the replicated state with what the store held.
--- a/internal/controlgroup/voter/store.go
+++ b/internal/controlgroup/voter/store.go
@@ -95,7 +95,7 @@
 
 // bootstrapGroup makes the file that of a voter of a new group, as every other voter does with its own.
 func (v *Voter) bootstrapGroup(voters []protocol.Voter) error {
-	slices.SortFunc(voters, func(a, b protocol.Voter) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(voters, func(first, second protocol.Voter) int { return cmp.Compare(first.Name, second.Name) })
 	state := consensus.Bootstrap(voters)
 	if err := v.store.Bootstrap(state); err != nil {
 		return err
--- a/internal/lab/clustersim/schedule.go
+++ b/internal/lab/clustersim/schedule.go
@@ -47,10 +47,10 @@
 // Disks are lost or rolled back one at a time, and only after the group has had the time to replace those
 // lost before.
 func GenerateSchedule(seed uint64, size Size) []Fault {
-	s := &scheduler{rng: rand.New(rand.NewPCG(seed, 0xfa17)), size: size, end: size.Duration - QuietPeriod}
+	source := &scheduler{rng: rand.New(rand.NewPCG(seed, 0xfa17)), size: size, end: size.Duration - QuietPeriod}
 	var faults []Fault
 	for range size.Faults {
-		faults = append(faults, s.draw())
+		faults = append(faults, source.draw())
 	}
 	slices.SortStableFunc(faults, func(a, b Fault) int { return int(a.At - b.At) })
 	return faults
--- a/internal/lab/clustersim/simulation.go
+++ b/internal/lab/clustersim/simulation.go
@@ -52,27 +52,27 @@
 
 // simulate plays a seed with a schedule. The caller has made raft's random source that of the seed.
 func simulate(seed uint64, size Size, faults []Fault) Result {
-	s := newSimulation(seed, size)
-	for _, started := range s.processes {
+	sim := newSimulation(seed, size)
+	for _, started := range sim.processes {
 		started.start()
 	}
 	for _, fault := range faults {
-		s.at(fault.At, func() { s.inject(fault) })
+		sim.at(fault.At, func() { sim.inject(fault) })
 	}
-	s.runEvents()
-	if !s.violated() {
-		s.checkEnd()
+	sim.runEvents()
+	if !sim.violated() {
+		sim.checkEnd()
 	}
-	if s.violated() {
-		s.result.Faults = faults
+	if sim.violated() {
+		sim.result.Faults = faults
 	}
-	s.result.Digest = s.digest
-	s.result.Calls = len(s.calls)
-	return s.result
+	sim.result.Digest = sim.digest
+	sim.result.Calls = len(sim.calls)
+	return sim.result
 }
 
 func newSimulation(seed uint64, size Size) *simulation {
-	s := &simulation{
+	sim := &simulation{
 		size:     size,
 		rng:      rand.New(rand.NewPCG(seed, 0x90de)),
 		cuts:     map[link]int{},
@@ -83,12 +83,12 @@
 	}
 	var voters []protocol.Voter
 	for i := range size.Voters {
-		s.lastVoterID++
-		voters = append(voters, protocol.Voter{ID: s.lastVoterID, Name: voterName(i)})
+		sim.lastVoterID++
+		voters = append(voters, protocol.Voter{ID: sim.lastVoterID, Name: voterName(i)})
 	}
 	for i := range size.Voters + size.Clients + size.Receivers {
-		added := &process{sim: s, id: processID(i), up: true, clockRate: 1 + (s.rng.Float64()*2-1)*LeaseTiming.MaxClockDrift}
-		s.processes = append(s.processes, added)
+		added := &process{sim: sim, id: processID(i), up: true, clockRate: 1 + (sim.rng.Float64()*2-1)*LeaseTiming.MaxClockDrift}
+		sim.processes = append(sim.processes, added)
 		switch {
 		case i < size.Voters:
 			added.voter = &voter{process: added, name: voters[i].Name, disk: disk{id: voters[i].ID, state: consensus.Bootstrap(voters)}}
@@ -96,7 +96,7 @@
 			added.client = &client{process: added}
 		}
 	}
-	return s
+	return sim
 }
 
 // runEvents plays events until the run's length is reached or something is violated.
--- a/internal/lab/clustersim/timeline.go
+++ b/internal/lab/clustersim/timeline.go
@@ -35,15 +35,15 @@
 func DrawTimeline(out io.Writer, timeline Timeline) {
 	rows := spanRows(timeline.Spans)
 	spansTop := headHeight + rowHeight*len(timeline.Faults) + faultsGap
-	d := &drawing{
+	picture := &drawing{
 		canvas:   svg.New(out),
 		duration: timeline.Duration,
 		height:   spansTop + rowHeight*len(rows) + footHeight,
 	}
-	d.drawAxis(timeline.Title)
-	d.drawFaults(timeline.Faults)
-	d.drawSpans(timeline.Spans, rows, spansTop)
-	d.canvas.End()
+	picture.drawAxis(timeline.Title)
+	picture.drawFaults(timeline.Faults)
+	picture.drawSpans(timeline.Spans, rows, spansTop)
+	picture.canvas.End()
 }
 
 // spanRow is the label of a row of spans.
--- a/internal/lab/clustertest/failover.go
+++ b/internal/lab/clustertest/failover.go
@@ -29,11 +29,11 @@
 // processes without other faults. With an error it returns what was measured before.
 func MeasureFailover(ctx context.Context, opts Options, times int) (FailoverTimes, error) {
 	opts.Size.Duties = 1
-	h := newHarness(opts)
-	defer h.close()
+	harness := newHarness(opts)
+	defer harness.close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // runs before close, whose end of the processes is then no violation
-	if err := h.start(ctx); err != nil {
+	if err := harness.start(ctx); err != nil {
 		return FailoverTimes{}, err
 	}
 	var measured FailoverTimes
@@ -42,7 +42,7 @@
 		if i%2 == 1 {
 			signal, results = syscall.SIGKILL, &measured.Unplanned
 		}
-		took, err := h.failOver(ctx, signal)
+		took, err := harness.failOver(ctx, signal)
 		if took > 0 {
 			*results = append(*results, took.Seconds())
 		}
@@ -51,7 +51,7 @@
 		}
 		sleep(ctx, rejoinPause)
 	}
-	if violations := h.snapshot().Violations; len(violations) > 0 {
+	if violations := harness.snapshot().Violations; len(violations) > 0 {
 		return measured, errors.New(violations[0])
 	}
 	return measured, ctx.Err()
--- a/internal/lab/clustertest/harness.go
+++ b/internal/lab/clustertest/harness.go
@@ -86,29 +86,29 @@
 // Run plays the schedule of one seed. Violations are in the result; the error says why a run could not be
 // played or was ended by ctx.
 func Run(ctx context.Context, opts Options) (Result, error) {
-	h := newHarness(opts)
-	defer h.close()
+	harness := newHarness(opts)
+	defer harness.close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // runs before close, whose end of the processes is then no violation
-	if err := h.start(ctx); err != nil {
-		return h.snapshot(), err
+	if err := harness.start(ctx); err != nil {
+		return harness.snapshot(), err
 	}
-	h.beginSchedule()
+	harness.beginSchedule()
 	faults := clustersim.GenerateSchedule(opts.Seed, opts.Size)
 	var injections sync.WaitGroup
 	for _, fault := range faults {
 		injections.Go(func() {
-			if sleep(ctx, fault.At-h.elapsed()) {
-				h.inject(ctx, fault)
+			if sleep(ctx, fault.At-harness.elapsed()) {
+				harness.inject(ctx, fault)
 			}
 		})
 	}
 	injections.Wait()
-	sleep(ctx, opts.Size.Duration-h.elapsed())
+	sleep(ctx, opts.Size.Duration-harness.elapsed())
 	if ctx.Err() == nil {
-		h.checkEnd(ctx)
+		harness.checkEnd(ctx)
 	}
-	result := h.snapshot()
+	result := harness.snapshot()
 	if len(result.Violations) > 0 {
 		result.Faults = faults
 	}
