--- a/internal/lab/clustersim/simulation.go
+++ b/internal/lab/clustersim/simulation.go
@@ -28,7 +28,7 @@
 	Fenced      int      `json:"fenced"` // acts that receivers rejected by their token
 	Calls       int      `json:"calls"`
 	Grants      int      `json:"grants"` // tokens under which something was done
-	UnheldShare float64  `json:"unheld"` // the share of the time that a duty was held by nobody
+	UnheldShare float64  `json:"unheld"` // the share of the time that a duty had no lease holder
 	Digest      uint64   `json:"digest"` // of all acts
 }
 
@@ -38,73 +38,73 @@
 	rng          *rand.Rand
 	now          time.Duration // true time
 	events       eventQueue
-	nodes        []*node      // by nodeID
+	processes    []*process   // by processID
 	cuts         map[link]int // how many faults cut a link
 	lossyNetwork int          // how many faults make the network lossy
-	lastVoterID  uint64
+	lastVoterID  protocol.VoterID
 
 	result   Result
 	digest   uint64
-	actors   map[lease.Duty]map[uint64]nodeID // who acted under a token
+	actors   map[lease.Duty]map[lease.Token]processID // who acted under a token
 	lastHeld map[lease.Duty]time.Duration
 	calls    []Call
 }
 
 // simulate plays a seed with a schedule. The caller has made raft's random source that of the seed.
 func simulate(seed uint64, size Size, faults []Fault) Result {
-	s := newSimulation(seed, size)
-	for _, n := range s.nodes {
-		n.start()
+	sim := newSimulation(seed, size)
+	for _, started := range sim.processes {
+		started.start()
 	}
-	for _, f := range faults {
-		s.at(f.At, func() { s.inject(f) })
+	for _, fault := range faults {
+		sim.at(fault.At, func() { sim.inject(fault) })
 	}
-	s.runEvents()
-	if !s.violated() {
-		s.checkEnd()
+	sim.runEvents()
+	if !sim.violated() {
+		sim.checkEnd()
 	}
-	if s.violated() {
-		s.result.Faults = faults
+	if sim.violated() {
+		sim.result.Faults = faults
 	}
-	s.result.Digest = s.digest
-	s.result.Calls = len(s.calls)
-	return s.result
+	sim.result.Digest = sim.digest
+	sim.result.Calls = len(sim.calls)
+	return sim.result
 }
 
 func newSimulation(seed uint64, size Size) *simulation {
-	s := &simulation{
+	sim := &simulation{
 		size:     size,
 		rng:      rand.New(rand.NewPCG(seed, 0x90de)),
 		cuts:     map[link]int{},
 		digest:   digestOffset,
-		actors:   map[lease.Duty]map[uint64]nodeID{},
+		actors:   map[lease.Duty]map[lease.Token]processID{},
 		lastHeld: map[lease.Duty]time.Duration{},
 		result:   Result{Seed: seed},
 	}
 	var voters []protocol.Voter
 	for i := range size.Voters {
-		s.lastVoterID++
-		voters = append(voters, protocol.Voter{ID: s.lastVoterID, Name: voterName(i)})
+		sim.lastVoterID++
+		voters = append(voters, protocol.Voter{ID: sim.lastVoterID, Name: voterName(i)})
 	}
-	for i := range size.Voters + size.Members + size.Receivers {
-		n := &node{sim: s, id: nodeID(i), up: true, clockRate: 1 + (s.rng.Float64()*2-1)*LeaseTiming.MaxClockDrift}
-		s.nodes = append(s.nodes, n)
+	for i := range size.Voters + size.Clients + size.Receivers {
+		added := &process{sim: sim, id: processID(i), up: true, clockRate: 1 + (sim.rng.Float64()*2-1)*LeaseTiming.MaxClockDrift}
+		sim.processes = append(sim.processes, added)
 		switch {
 		case i < size.Voters:
-			n.voter = &voter{node: n, name: voters[i].Name, disk: disk{id: voters[i].ID, state: consensus.Bootstrap(voters)}}
-		case i < size.Voters+size.Members:
-			n.member = &member{node: n}
+			added.voter = &voter{process: added, name: voters[i].Name, disk: disk{id: voters[i].ID, state: consensus.Bootstrap(voters)}}
+		case i < size.Voters+size.Clients:
+			added.client = &client{process: added}
 		}
 	}
-	return s
+	return sim
 }
 
 // runEvents plays events until the run's length is reached or something is violated.
 func (s *simulation) runEvents() {
 	for !s.events.empty() && s.now < s.size.Duration && !s.violated() {
-		e := s.events.next()
-		s.now = e.at
-		e.do()
+		next := s.events.next()
+		s.now = next.at
+		next.do()
 	}
 }
 
@@ -113,10 +113,10 @@
 // at schedules something for a moment of true time.
 func (s *simulation) at(t time.Duration, do func()) { s.events.schedule(t, do) }
 
-func (s *simulation) voters() []*node { return s.nodes[:s.size.Voters] }
+func (s *simulation) voters() []*process { return s.processes[:s.size.Voters] }
 
-func (s *simulation) members() []*node {
-	return s.nodes[s.size.Voters : s.size.Voters+s.size.Members]
+func (s *simulation) clients() []*process {
+	return s.processes[s.size.Voters : s.size.Voters+s.size.Clients]
 }
 
-func (s *simulation) receivers() []*node { return s.nodes[s.size.Voters+s.size.Members:] }
+func (s *simulation) receivers() []*process { return s.processes[s.size.Voters+s.size.Clients:] }
