--- a/internal/serve/admin/api.go
+++ b/internal/serve/admin/api.go
@@ -22,7 +22,7 @@
 // maxNameLength is the longest name of a server, in bytes.
 const maxNameLength = 256
 
-// serve answers a call, or has it executed.
+// serve responds to a call, or has it executed.
 func (c *connection) serve(request *http1.Message) {
 	path := request.Path()
 	c.operation = path
--- a/internal/serve/admin/connection.go
+++ b/internal/serve/admin/connection.go
@@ -7,6 +7,7 @@
 
 	"piernotch/internal/http1"
 	"piernotch/internal/serve/eventloop"
+	"piernotch/internal/serve/overrides"
 )
 
 // connection is the connection of one caller. It is the event loop's handler of the connection.
@@ -14,16 +15,16 @@
 	server      *Server
 	conn        *eventloop.Conn
 	parser      *http1.Parser
-	operation   string        // path and server of the call, for the log
-	since       time.Duration // when it was accepted; once it is answered, when that was
-	call        uint64        // being executed, or last executed; 0: none so far
-	answered    bool
+	operation   string           // path and server of the call, for the log
+	since       time.Duration    // when it was accepted; after the response, when that was sent
+	call        overrides.CallID // being executed, or last executed; 0: none so far
+	responded   bool
 	writeClosed bool
 }
 
 // Data implements eventloop.Handler.
 func (c *connection) Data(data []byte) {
-	if c.answered || c.call != 0 {
+	if c.responded || c.call != 0 {
 		return // one call for each connection: whatever follows it is ignored
 	}
 	c.parser.Feed(data)
@@ -47,7 +48,7 @@
 // checkTimeouts ends a connection whose time is over. A call that is being executed has no timeout.
 func (c *connection) checkTimeouts(now time.Duration) {
 	switch {
-	case c.answered:
+	case c.responded:
 		c.linger(now)
 	case c.call == 0 && now-c.since > requestTimeout:
 		c.respond(http1.StatusRequestTimeout, "the call did not come to its end")
@@ -57,7 +58,7 @@
 // respond sends the response, of one line of text, and starts closing the connection.
 func (c *connection) respond(status int, text string, extra ...http1.Field) {
 	slog.Info("admin response", "action", c.operation, "status", status, "text", text)
-	c.answered = true
+	c.responded = true
 	c.since = c.server.Now()
 	// Unread input would have the kernel reset the connection, and the response with it.
 	c.conn.DiscardInput()
@@ -91,8 +92,8 @@
 
 // shedBefore reports whether c is to be closed rather than other.
 func (c *connection) shedBefore(other *connection) bool {
-	if c.answered != other.answered {
-		return c.answered
+	if c.responded != other.responded {
+		return c.responded
 	}
 	return c.since < other.since
 }
--- a/internal/serve/admin/golden_test.go
+++ b/internal/serve/admin/golden_test.go
@@ -35,7 +35,7 @@
 	server = Server{
 		Now:   func() time.Duration { return time.Since(startedAt) },
 		Ready: func() bool { ready = !ready; return ready },
-		Execute: func(call uint64, action overrides.Action, name string) {
+		Execute: func(call overrides.CallID, action overrides.Action, name string) {
 			err, known := answers[action.String()+" "+name]
 			if !known {
 				err = errors.New("another call was made")
--- a/internal/serve/admin/server.go
+++ b/internal/serve/admin/server.go
@@ -1,5 +1,6 @@
-// Package admin serves the operators' HTTP/1.1 API: one call for each connection, answered by a 2xx
-// status if it was carried out, and otherwise by a 4xx or 5xx status and a sentence that says why.
+// Package admin serves the operators' HTTP/1.1 API: one call for each connection. The response has a
+// 2xx status if the call was carried out, and otherwise a 4xx or 5xx status and a sentence that says
+// why.
 //
 // Its connections are few and counted apart from the clients', so that neither can exhaust the
 // other's. The package translates calls into an [overrides.Action] and results into responses. It
@@ -32,34 +33,34 @@
 	lingerTimeout = time.Second
 )
 
-// Server answers operators' calls. Its fields must be set before the first connection is accepted.
+// Server responds to operators' calls. Its fields must be set before the first connection is accepted.
 // It must be used from the event loop's goroutine and not be copied while in use.
 type Server struct {
 	// Execute carries out an action. Complete must follow with the same call, at once or later. server
 	// is the name of a server, or empty if the action concerns none.
-	Execute func(call uint64, action overrides.Action, server string)
+	Execute func(call overrides.CallID, action overrides.Action, server string)
 	// Ready reports whether this process can serve clients.
 	Ready func() bool
 	// Now is a monotonic clock.
 	Now func() time.Duration
 
 	connections map[*connection]struct{}
-	executing   map[uint64]*connection // by call
-	lastCall    uint64
+	executing   map[overrides.CallID]*connection
+	lastCall    overrides.CallID
 }
 
 // Accepted takes over a connection that the listener has accepted.
 func (s *Server) Accepted(conn *eventloop.Conn) eventloop.Handler {
 	if s.connections == nil {
 		s.connections = map[*connection]struct{}{}
-		s.executing = map[uint64]*connection{}
+		s.executing = map[overrides.CallID]*connection{}
 	}
 	c := &connection{server: s, conn: conn, parser: http1.NewRequestParser(), since: s.Now()}
 	s.connections[c] = struct{}{}
 	return c
 }
 
-// Shed closes one connection: the one that has waited longest, answered ones first.
+// Shed closes one connection: the one that has waited longest, those that had their response first.
 func (s *Server) Shed() {
 	var victim *connection
 	for c := range s.connections {
@@ -82,7 +83,7 @@
 
 // Complete reports the result of a call that Execute has been given; err is nil if it was carried
 // out. If the caller is gone, nothing happens.
-func (s *Server) Complete(call uint64, err error) {
+func (s *Server) Complete(call overrides.CallID, err error) {
 	c := s.executing[call]
 	if c == nil {
 		return
--- a/internal/serve/core/admin.go
+++ b/internal/serve/core/admin.go
@@ -7,9 +7,12 @@
 	"piernotch/internal/serve/overrides"
 )
 
-// pruneMargin is added to twice the slow start before an override that no longer has an effect is
-// removed.
-const pruneMargin = time.Minute
+// An override that was undone is kept until the server that it was about has long had its full
+// capacity again: for pruneSlowStarts times the slow start, and pruneMargin more.
+const (
+	pruneSlowStarts = 2
+	pruneMargin     = time.Minute
+)
 
 // ClientsDrained reports whether clients are being sent to other balancers.
 func (c *Core) ClientsDrained() bool { return c.overrides.Drain.Active }
@@ -20,31 +23,31 @@
 // PruneOverrides removes old overrides that have no effect any more. It must not be called while
 // another process of this balancer is alive, which could still hold what they replaced.
 func (c *Core) PruneOverrides() {
-	c.overrides.Prune(c.now - 2*c.settings.Rules.SlowStartDuration - pruneMargin)
+	c.overrides.Prune(c.now - pruneSlowStarts*c.settings.Rules.SlowStartDuration - pruneMargin)
 }
 
-// handleAdminCommand applies an operator's command. The overrides are persisted before the command
-// is answered.
-func (c *Core) handleAdminCommand(ev AdminCommand) {
+// handleAdminCommand applies an operator's command. The overrides are persisted before the result
+// is reported.
+func (c *Core) handleAdminCommand(event AdminCommand) {
 	changed, err := c.overrides.Apply(overrides.Command{
-		At: c.now, Process: c.processID, Action: ev.Action,
-		Server: ev.Server, Listed: c.serversByName[ev.Server] != nil,
+		At: c.now, Process: c.processID, Action: event.Action,
+		Server: event.Server, Listed: c.serversByName[event.Server] != nil,
 	})
 	if changed {
-		slog.Info("admin command", "action", ev.Action, "server", ev.Server)
-		if ev.Action.ConcernsServer() {
-			c.applyOverride(ev.Server)
+		slog.Info("admin command", "action", event.Action, "server", event.Server)
+		if event.Action.ConcernsServer() {
+			c.applyOverride(event.Server)
 		} else {
 			c.emit(DrainClients{c.overrides.Drain.Active})
 		}
 		c.emit(PersistOverrides{})
 	}
-	c.emit(AdminResult{ev.Call, err})
+	c.emit(AdminResult{event.Call, err})
 }
 
 // handlePeerOverrides merges the overrides of another process of this balancer.
-func (c *Core) handlePeerOverrides(ev PeerOverrides) {
-	servers, drainChanged := c.overrides.Merge(ev.Overrides)
+func (c *Core) handlePeerOverrides(event PeerOverrides) {
+	servers, drainChanged := c.overrides.Merge(event.Overrides)
 	for _, name := range servers {
 		slog.Info("peer override applied", "server", name, "excluded", c.overrides.Excluded(name))
 		c.applyOverride(name)
@@ -61,16 +64,16 @@
 // applyOverride has the module follow the override of a server. If it is not listed, that happens
 // when it is listed again.
 func (c *Core) applyOverride(name string) {
-	b := c.serversByName[name]
-	if b == nil {
+	server := c.serversByName[name]
+	if server == nil {
 		return
 	}
 	override := c.overrides.Servers[name]
-	b.excluded = override.Active
-	if b.excluded {
-		c.emit(CloseIdle{b.endpoint()})
-		c.balancer.Exclude(c.now, b.id)
+	server.excluded = override.Active
+	if server.excluded {
+		c.emit(CloseIdle{server.endpoint()})
+		c.balancer.Exclude(c.now, server.id)
 	} else {
-		c.balancer.Include(c.now, b.id, override.SetAt)
+		c.balancer.Include(c.now, server.id, override.SetAt)
 	}
 }
--- a/internal/serve/core/attempts.go
+++ b/internal/serve/core/attempts.go
@@ -19,111 +19,112 @@
 
 // findAttempt returns an attempt that has not completed, with its request, or nil.
 func (c *Core) findAttempt(ref AttemptRef) (*request, *attempt) {
-	r := c.requests[ref.Request]
-	if r == nil || ref.Attempt < 0 || ref.Attempt >= len(r.attempts) {
+	request := c.requests[ref.Request]
+	if request == nil || ref.Number < 0 || int(ref.Number) >= len(request.attempts) {
 		return nil, nil
 	}
-	a := r.attempts[ref.Attempt]
-	if a.completed {
+	attempt := request.attempts[ref.Number]
+	if attempt.completed {
 		return nil, nil
 	}
-	return r, a
+	return request, attempt
 }
 
 // startAttempt starts the next attempt of a request. If the request is closed or has had all its
 // attempts, the attempt completes as not sent. A timeout of 0 means the request's deadline.
-func (c *Core) startAttempt(r *request, b *server, timeout time.Duration) {
-	n := len(r.attempts)
-	a := &attempt{server: b, startedAt: c.now}
-	r.attempts = append(r.attempts, a)
-	r.inflight++
-	if r.closed || n >= c.settings.Limits.MaxAttempts {
-		c.deferCall(func() { c.completeAttempt(r, n, piernotch.NotSent, nil) })
+func (c *Core) startAttempt(request *request, server *server, timeout time.Duration) {
+	number := AttemptNumber(len(request.attempts))
+	attempt := &attempt{server: server, startedAt: c.now}
+	request.attempts = append(request.attempts, attempt)
+	request.inflight++
+	if request.closed || int(number) >= c.settings.Limits.MaxAttempts {
+		c.deferCall(func() { c.completeAttempt(request, number, piernotch.NotSent, nil) })
 		return
 	}
 	c.Counts.Attempts++
-	wait := r.deadline - c.now
+	wait := request.deadline - c.now
 	if timeout != 0 {
 		wait = min(wait, timeout)
 	}
 	if c.debug {
-		slog.Debug("attempt started", "id", r.clientID, "attempt", n, "server", b.name, "timeout_ms", wait.Milliseconds())
+		slog.Debug("attempt started", "id", request.clientID, "attempt", int(number), "server", server.name,
+			"timeout_ms", wait.Milliseconds())
 	}
-	a.timer = c.timers.At(c.now+wait, func() { c.handleAttemptTimeout(r, n) })
-	c.emit(StartAttempt{Ref: AttemptRef{r.id, n}, To: b.endpoint(), Message: r.message, Timeout: wait})
+	attempt.timer = c.timers.At(c.now+wait, func() { c.handleAttemptTimeout(request, number) })
+	c.emit(StartAttempt{Ref: AttemptRef{request.id, number}, To: server.endpoint(), Message: request.message, Timeout: wait})
 }
 
 // handleAttemptConnected has an attempt written if that is still allowed: one that waited for its
 // connection must not be sent to a server that is draining by now, nor retry a request outside of
 // its deduplication window.
-func (c *Core) handleAttemptConnected(ev AttemptConnected) {
-	ref := ev.Ref
-	r, a := c.findAttempt(ref)
-	if a == nil || a.written {
+func (c *Core) handleAttemptConnected(event AttemptConnected) {
+	ref := event.Ref
+	request, attempt := c.findAttempt(ref)
+	if attempt == nil || attempt.written {
 		return
 	}
-	if !c.balancer.AttemptAllowed(c.now, ref.Request, ref.Attempt) {
-		c.cancelAttempt(r, ref.Attempt, piernotch.NotSent)
+	if !c.balancer.AttemptAllowed(c.now, ref.Request, int(ref.Number)) {
+		c.cancelAttempt(request, ref.Number, piernotch.NotSent)
 		return
 	}
 	if c.debug {
-		slog.Debug("attempt written", "id", r.clientID, "attempt", ref.Attempt, "server", a.server.name,
-			"elapsed_ms", (c.now - a.startedAt).Milliseconds())
+		slog.Debug("attempt written", "id", request.clientID, "attempt", int(ref.Number), "server", attempt.server.name,
+			"elapsed_ms", (c.now - attempt.startedAt).Milliseconds())
 	}
-	a.written = true
+	attempt.written = true
 	c.emit(WriteAttempt{ref})
 }
 
-func (c *Core) handleAttemptCompleted(ev AttemptCompleted) {
-	if r, a := c.findAttempt(ev.Ref); a != nil {
-		c.completeAttempt(r, ev.Ref.Attempt, ev.Status, ev.Answer)
+func (c *Core) handleAttemptCompleted(event AttemptCompleted) {
+	if request, attempt := c.findAttempt(event.Ref); attempt != nil {
+		c.completeAttempt(request, event.Ref.Number, event.Status, event.Response)
 	}
 }
 
-func (c *Core) handleAttemptTimeout(r *request, n int) {
-	a := r.attempts[n]
-	if a.completed {
+func (c *Core) handleAttemptTimeout(request *request, number AttemptNumber) {
+	attempt := request.attempts[number]
+	if attempt.completed {
 		return
 	}
-	c.emit(CancelAttempt{AttemptRef{r.id, n}})
+	c.emit(CancelAttempt{AttemptRef{request.id, number}})
 	status := piernotch.Timeout
-	if !a.written { // there was no connection: it cannot have run
+	if !attempt.written { // there was no connection: it cannot have run
 		status = piernotch.ConnectFailed
 	}
-	c.completeAttempt(r, n, status, nil)
+	c.completeAttempt(request, number, status, nil)
 }
 
-// cancelAttempt abandons attempt n of a request. The module learns of it, with the given status,
-// after its present call.
-func (c *Core) cancelAttempt(r *request, n int, status piernotch.Status) {
-	c.emit(CancelAttempt{AttemptRef{r.id, n}})
+// cancelAttempt abandons an attempt. The module learns of it, with the given status, after its present
+// call.
+func (c *Core) cancelAttempt(request *request, number AttemptNumber, status piernotch.Status) {
+	c.emit(CancelAttempt{AttemptRef{request.id, number}})
 	c.deferCall(func() {
-		if !r.attempts[n].completed {
-			c.completeAttempt(r, n, status, nil)
+		if !request.attempts[number].completed {
+			c.completeAttempt(request, number, status, nil)
 		}
 	})
 }
 
-// completeAttempt records the end of attempt n of a request, responds to the client if the attempt
-// was successful, and reports the outcome to the module.
-func (c *Core) completeAttempt(r *request, n int, status piernotch.Status, answer any) {
-	a := r.attempts[n]
-	a.completed = true
-	a.timer.Stop()
-	r.inflight--
+// completeAttempt records the end of an attempt, responds to the client if the attempt was successful,
+// and reports the outcome to the module.
+func (c *Core) completeAttempt(request *request, number AttemptNumber, status piernotch.Status, response *ResponseMessage) {
+	attempt := request.attempts[number]
+	attempt.completed = true
+	attempt.timer.Stop()
+	request.inflight--
 	if c.debug {
-		slog.Debug("attempt completed", "id", r.clientID, "attempt", n, "server", a.server.name, "status", status,
-			"written", a.written, "elapsed_ms", (c.now - a.startedAt).Milliseconds())
+		slog.Debug("attempt completed", "id", request.clientID, "attempt", int(number), "server", attempt.server.name, "status", status,
+			"written", attempt.written, "elapsed_ms", (c.now - attempt.startedAt).Milliseconds())
 	}
 	c.Counts.countAttempt(status)
 	if status != piernotch.Cancelled {
-		r.lastStatus = status
+		request.lastStatus = status
 	}
 	if status == piernotch.OK {
-		c.respond(r, Respond{Result: Served, Answer: answer})
+		c.respond(request, Respond{Result: Served, Response: response})
 	}
 	c.balancer.HandleOutcome(c.now, piernotch.Outcome{
-		ID: r.id, Attempt: n, Server: a.server.id, Status: status, Latency: c.now - a.startedAt, Closed: r.closed,
+		ID: request.id, Attempt: int(number), Server: attempt.server.id, Status: status, Latency: c.now - attempt.startedAt, Closed: request.closed,
 	})
-	c.release(r)
+	c.release(request)
 }
--- a/internal/serve/core/attempts_test.go
+++ b/internal/serve/core/attempts_test.go
@@ -25,7 +25,7 @@
 }
 
 // An attempt that waited for its connection while its server was excluded must not be sent. The
-// command is answered after the overrides were persisted.
+// command's result is reported after the overrides were persisted.
 func TestAttemptIsNotWrittenToExcludedServer(t *testing.T) {
 	c := newCore(t)
 	attempt := receive(c, 1)[0].(StartAttempt)
--- a/internal/serve/core/core.go
+++ b/internal/serve/core/core.go
@@ -34,12 +34,12 @@
 	healthChecks   map[piernotch.ServerID]*timingwheel.Timer
 
 	overrides overrides.Overrides
-	processID uint64 // of this process, in the overrides' timestamps
+	processID overrides.ProcessID // of this process, in the overrides' timestamps
 	routes    []Route
 
 	shuttingDown     bool
 	stoppedListening bool
-	answerBy         time.Duration // while shutting down: the latest deadline of a request
+	respondBy        time.Duration // while shutting down: the latest deadline of a request
 
 	debug bool // log every request
 
@@ -50,10 +50,10 @@
 // Options is what a reducer starts from.
 type Options struct {
 	Settings  piernotch.Settings
-	Seed      uint64        // of the module's random choices
-	Now       time.Duration // the first reading of the clock
-	Discovery string        // address of the discovery service
-	ProcessID uint64        // distinguishes this process from others of the same balancer
+	Seed      uint64              // of the module's random choices
+	Now       time.Duration       // the first reading of the clock
+	Discovery string              // address of the discovery service
+	ProcessID overrides.ProcessID // distinguishes this process from others of the same balancer
 }
 
 // New returns a reducer without endpoints. An error means that the settings cannot be used.
@@ -84,10 +84,10 @@
 // Handle processes an event that happened at now and returns the effects to carry out, in order. A
 // time before that of an earlier call counts as that call's time. The slice is valid until the next
 // call.
-func (c *Core) Handle(now time.Duration, ev Event) []Effect {
+func (c *Core) Handle(now time.Duration, event Event) []Effect {
 	c.now = max(c.now, now)
 	c.effects = c.effects[:0]
-	c.reduce(ev)
+	c.reduce(event)
 	c.runDeferred()
 	if c.stoppedListening && len(c.exchanges) == 0 {
 		c.emit(Exit{})
@@ -95,39 +95,39 @@
 	return c.effects
 }
 
-func (c *Core) reduce(ev Event) {
-	switch ev := ev.(type) {
+func (c *Core) reduce(event Event) {
+	switch event := event.(type) {
 	case RequestReceived:
-		c.handleRequestReceived(ev)
+		c.handleRequestReceived(event)
 	case ClientDisconnected:
-		c.handleClientDisconnected(ev)
+		c.handleClientDisconnected(event)
 	case AttemptConnected:
-		c.handleAttemptConnected(ev)
+		c.handleAttemptConnected(event)
 	case AttemptCompleted:
-		c.handleAttemptCompleted(ev)
+		c.handleAttemptCompleted(event)
 	case HealthCheckCompleted:
-		c.handleHealthCheckCompleted(ev)
+		c.handleHealthCheckCompleted(event)
 	case LoadReported:
-		c.handleLoadReported(ev)
+		c.handleLoadReported(event)
 	case EndpointUpdate:
-		c.handleEndpointUpdate(ev)
+		c.handleEndpointUpdate(event)
 	case Tick:
 		c.timers.Advance(c.now)
 	case SettingsChanged:
-		c.handleSettingsChanged(ev)
+		c.handleSettingsChanged(event)
 	case AdminCommand:
-		c.handleAdminCommand(ev)
+		c.handleAdminCommand(event)
 	case PeerOverrides:
-		c.handlePeerOverrides(ev)
+		c.handlePeerOverrides(event)
 	case PeerSnapshot:
-		c.balancer.Restore(ev.Snapshot)
+		c.balancer.Restore(event.Snapshot)
 	case Shutdown:
 		c.handleShutdown()
 	}
 }
 
 // emit appends an effect to those of the event being handled.
-func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
+func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
 // deferCall has call run after the module's present call has returned.
 func (c *Core) deferCall(call func()) { c.deferred = append(c.deferred, call) }
--- a/internal/serve/core/counters.go
+++ b/internal/serve/core/counters.go
@@ -24,29 +24,29 @@
 }
 
 // countResponse counts a request by its result.
-func (n *Counts) countResponse(result Result) {
+func (c *Counts) countResponse(result Result) {
 	switch result {
 	case Served:
-		n.Served++
+		c.Served++
 	case Rejected:
-		n.Rejected++
+		c.Rejected++
 	case Failed:
-		n.Failed++
+		c.Failed++
 	}
 }
 
 // countAttempt counts a completed attempt by its status.
-func (n *Counts) countAttempt(status piernotch.Status) {
+func (c *Counts) countAttempt(status piernotch.Status) {
 	switch status {
 	case piernotch.Timeout:
-		n.Timeouts++
+		c.Timeouts++
 	case piernotch.Reset:
-		n.Resets++
+		c.Resets++
 	case piernotch.ConnectFailed:
-		n.ConnectFailed++
+		c.ConnectFailed++
 	case piernotch.Full:
-		n.Full++
+		c.Full++
 	case piernotch.Error:
-		n.Errors++
+		c.Errors++
 	}
 }
--- a/internal/serve/core/doc.go
+++ b/internal/serve/core/doc.go
@@ -3,12 +3,13 @@
 // Every change of state is made by [Core.Handle], which takes one [Event] (a request was received,
 // an attempt completed, time has passed) and returns the [Effect] values that follow from it, in
 // the order in which they have to be carried out (start an attempt, respond to a client). The
-// package owns the life of requests and attempts, the table of endpoints, the operators' overrides
+// package owns the state of requests and attempts, from their start to their end, the table of endpoints, the operators' overrides
 // and the settings in force. Load-balancing decisions are made by the module, [piernotch.Balancer],
 // which core drives; a [host] translates the module's decisions into effects.
 //
-// The package does no I/O, reads no clock and knows no message format: a request's message and its
-// answer pass through it unread, as values of type any, so another protocol can use it unchanged.
+// The package does no I/O, reads no clock and interprets no message: a [RequestMessage] and its
+// [ResponseMessage] pass through it unread, on their way between the connections of clients and those
+// of servers. It knows neither HTTP nor sockets.
 // It must not import any package that does. The time is an argument of Handle.
 //
 // internal/serve/runtime is the caller: it collects events from the sockets, from discovery and
@@ -16,14 +17,14 @@
 // out the effects. Nothing in this package may be called from another goroutine, and the package
 // starts none.
 //
-// # Life of a request
+// # From a request to its response
 //
 // A [RequestReceived] event opens an exchange, which is closed by exactly one [Respond] effect, or
 // by [ClientDisconnected] without one. In between the module starts attempts. For each attempt there is a
-// [StartAttempt] effect; once [AttemptConnected] reports a connection, the module is asked again
+// [StartAttempt] effect; once [AttemptConnected] reports a connection, the module decides again
 // whether the attempt may still be sent, and only then [WriteAttempt] follows. An attempt ends with
-// [AttemptCompleted], by its timeout, or by [CancelAttempt]. A request is released when it has been
-// answered and no attempt is in flight any more.
+// [AttemptCompleted], by its timeout, or by [CancelAttempt]. A request is released when its
+// exchange is closed and no attempt is in flight any more.
 //
 // # Reentrancy
 //
--- a/internal/serve/core/effects.go
+++ b/internal/serve/core/effects.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"piernotch"
+	"piernotch/internal/serve/overrides"
 )
 
 // Effect is something that has to be done outside of the reducer.
@@ -16,7 +17,7 @@
 	StartAttempt struct {
 		Ref     AttemptRef
 		To      Endpoint
-		Message any
+		Message *RequestMessage
 		Timeout time.Duration // from now; the core enforces it, too
 	}
 	// WriteAttempt sends an attempt on the connection that was reported by AttemptConnected.
@@ -27,7 +28,7 @@
 	Respond struct {
 		Exchange   ExchangeID
 		Result     Result
-		Answer     any              // if Result is Served
+		Response   *ResponseMessage // if Result is Served
 		LastStatus piernotch.Status // if Result is Failed: how the last attempt ended
 		RetryAfter time.Duration    // if Result is Rejected
 		Close      bool             // close the client's connection after the response
@@ -47,9 +48,9 @@
 	Exit struct{}
 	// PersistOverrides writes the operators' overrides to disk before any effect that follows.
 	PersistOverrides struct{}
-	// AdminResult answers an operator's command; Err is nil if it was carried out.
+	// AdminResult is the result of an operator's command; Err is nil if it was carried out.
 	AdminResult struct {
-		Call uint64
+		Call overrides.CallID
 		Err  error
 	}
 	// DrainClients starts (On) or stops sending clients to other balancers.
@@ -82,7 +83,7 @@
 
 // Results.
 const (
-	// Served means that a server answered.
+	// Served means that a server has responded.
 	Served Result = iota
 	// Rejected means that the request did not run; it is safe to send it again.
 	Rejected
--- a/internal/serve/core/endpoints.go
+++ b/internal/serve/core/endpoints.go
@@ -21,7 +21,7 @@
 	listed    DiscoveredEndpoint // as discovery listed it last
 }
 
-func (b *server) endpoint() Endpoint { return Endpoint{b.id, b.address} }
+func (s *server) endpoint() Endpoint { return Endpoint{s.id, s.address} }
 
 // EndpointsKnown reports whether a usable endpoint list has been received.
 func (c *Core) EndpointsKnown() bool { return c.endpointsKnown }
@@ -29,78 +29,79 @@
 // Endpoints returns all endpoints as discovery listed them last, sorted by name.
 func (c *Core) Endpoints() []DiscoveredEndpoint {
 	list := make([]DiscoveredEndpoint, 0, len(c.serversByName))
-	for _, b := range c.serversByName {
-		list = append(list, b.listed)
+	for _, server := range c.serversByName {
+		list = append(list, server.listed)
 	}
 	slices.SortFunc(list, func(a, b DiscoveredEndpoint) int { return cmp.Compare(a.Name, b.Name) })
 	return list
 }
 
 // handleEndpointUpdate applies an update from discovery to the endpoint table and to the module.
-func (c *Core) handleEndpointUpdate(ev EndpointUpdate) {
-	if ev.Kind == piernotch.UpdateFailed {
-		c.balancer.UpdateEndpoints(c.now, ev.Kind, nil)
+func (c *Core) handleEndpointUpdate(event EndpointUpdate) {
+	if event.Kind == piernotch.UpdateFailed {
+		c.balancer.UpdateEndpoints(c.now, event.Kind, nil)
 		return
 	}
 	c.endpointsKnown = true
-	entries := make([]piernotch.Endpoint, 0, len(ev.Endpoints))
-	listed := make(map[string]bool, len(ev.Endpoints))
-	for _, e := range ev.Endpoints {
-		listed[e.Name] = true
-		entries = append(entries, c.updateServer(e))
+	entries := make([]piernotch.Endpoint, 0, len(event.Endpoints))
+	listed := make(map[string]bool, len(event.Endpoints))
+	for _, endpoint := range event.Endpoints {
+		listed[endpoint.Name] = true
+		entries = append(entries, c.updateServer(endpoint))
 	}
-	if ev.Kind != piernotch.UpdateDelta {
+	if event.Kind != piernotch.UpdateDelta {
 		c.markUnlistedGone(listed)
 	}
 	gone := c.removeGone()
-	c.balancer.UpdateEndpoints(c.now, ev.Kind, entries)
-	// The module forgets that these were excluded. The overrides remain, as they apply to the name,
-	// should it be listed again.
-	for _, b := range gone {
-		if b.excluded {
-			c.balancer.Include(c.now, b.id, 0)
+	c.balancer.UpdateEndpoints(c.now, event.Kind, entries)
+	// The module need not keep excluding a server that is gone. The override remains: it applies to
+	// the name, which may be listed again.
+	for _, server := range gone {
+		if server.excluded {
+			c.balancer.Include(c.now, server.id, 0)
 		}
 	}
 }
 
 // updateServer enters a listed endpoint into the table and returns it as the module takes it.
-func (c *Core) updateServer(e DiscoveredEndpoint) piernotch.Endpoint {
-	b := c.serversByName[e.Name]
-	if b == nil {
-		b = c.addServer(e.Name)
+func (c *Core) updateServer(listed DiscoveredEndpoint) piernotch.Endpoint {
+	server := c.serversByName[listed.Name]
+	if server == nil {
+		server = c.addServer(listed.Name)
 	}
-	// Of a server that has moved, has restarted or is draining, idle connections are of no use, and
-	// a machine that vanished never closes its own.
-	replaced := b.address != e.Address || b.startedAt != e.Endpoint.StartedAt
-	if b.address != "" && (replaced || e.Endpoint.State != piernotch.Ready) {
-		c.emit(CloseIdle{b.endpoint()})
+	// Idle connections to a server that has moved, has restarted or is draining are of no use, and a
+	// machine that has failed does not close them.
+	isNew := server.address == ""
+	replaced := server.address != listed.Address || server.startedAt != listed.Endpoint.StartedAt
+	if !isNew && (replaced || listed.Endpoint.State != piernotch.Ready) {
+		c.emit(CloseIdle{server.endpoint()})
 	}
-	b.listed = e
-	b.address = e.Address
-	b.state = e.Endpoint.State
-	b.startedAt = e.Endpoint.StartedAt
-	entry := e.Endpoint
-	entry.ID = b.id
+	server.listed = listed
+	server.address = listed.Address
+	server.state = listed.Endpoint.State
+	server.startedAt = listed.Endpoint.StartedAt
+	entry := listed.Endpoint
+	entry.ID = server.id
 	return entry
 }
 
 // addServer adds a server to the table, excluded if operators have excluded its name.
 func (c *Core) addServer(name string) *server {
-	b := &server{id: c.newServerID(name), name: name}
-	c.serversByName[name] = b
-	c.servers[b.id] = b
-	b.excluded = c.overrides.Excluded(name)
-	if b.excluded {
-		c.balancer.Exclude(c.now, b.id)
+	server := &server{id: c.newServerID(name), name: name}
+	c.serversByName[name] = server
+	c.servers[server.id] = server
+	server.excluded = c.overrides.Excluded(name)
+	if server.excluded {
+		c.balancer.Exclude(c.now, server.id)
 	}
-	return b
+	return server
 }
 
 // newServerID derives an ID from the name alone, so that all balancers arrive at the same.
 func (c *Core) newServerID(name string) piernotch.ServerID {
-	h := fnv.New32a()
-	_, _ = h.Write([]byte(name))
-	id := piernotch.ServerID(h.Sum32())
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(name))
+	id := piernotch.ServerID(hash.Sum32())
 	for c.servers[id] != nil {
 		id++
 	}
@@ -109,10 +110,10 @@
 
 // markUnlistedGone marks the servers that a complete list does not contain as gone.
 func (c *Core) markUnlistedGone(listed map[string]bool) {
-	for name, b := range c.serversByName {
-		if !listed[name] && b.state != piernotch.Gone {
-			b.state = piernotch.Gone
-			c.emit(CloseIdle{b.endpoint()})
+	for name, server := range c.serversByName {
+		if !listed[name] && server.state != piernotch.Gone {
+			server.state = piernotch.Gone
+			c.emit(CloseIdle{server.endpoint()})
 		}
 	}
 }
@@ -121,46 +122,51 @@
 // keep their reference.
 func (c *Core) removeGone() []*server {
 	var gone []*server
-	for name, b := range c.serversByName {
-		if b.state == piernotch.Gone {
+	for name, server := range c.serversByName {
+		if server.state == piernotch.Gone {
 			delete(c.serversByName, name)
-			delete(c.servers, b.id)
-			gone = append(gone, b)
+			delete(c.servers, server.id)
+			gone = append(gone, server)
 		}
 	}
 	return gone
 }
 
-// HealthCheckTimeout is how long a server may take to answer a health check.
-const HealthCheckTimeout = 500 * time.Millisecond
+const (
+	// HealthCheckTimeout is how long a server may take to respond to a health check.
+	HealthCheckTimeout = 500 * time.Millisecond
+	// healthCheckMargin is how much later the core ends a health check by itself: two ticks, so that
+	// a response in the last moment counts.
+	healthCheckMargin = 2 * TickInterval
+)
 
 // startHealthCheck checks a server, unless a check of it is running.
-func (c *Core) startHealthCheck(b *server) {
-	if c.healthChecks[b.id] != nil {
+func (c *Core) startHealthCheck(server *server) {
+	if c.healthChecks[server.id] != nil {
 		return
 	}
-	id := b.id
-	c.healthChecks[id] = c.timers.At(c.now+HealthCheckTimeout+2*TickInterval, func() {
+	id := server.id
+	c.healthChecks[id] = c.timers.At(c.now+HealthCheckTimeout+healthCheckMargin, func() {
 		delete(c.healthChecks, id)
 		c.balancer.HealthCheckCompleted(c.now, id, piernotch.Timeout)
 	})
-	c.emit(HealthCheck{b.endpoint()})
+	c.emit(HealthCheck{server.endpoint()})
 }
 
-func (c *Core) handleHealthCheckCompleted(ev HealthCheckCompleted) {
-	timer := c.healthChecks[ev.Server]
+func (c *Core) handleHealthCheckCompleted(event HealthCheckCompleted) {
+	timer := c.healthChecks[event.Server]
 	if timer == nil {
 		return
 	}
 	timer.Stop()
-	delete(c.healthChecks, ev.Server)
-	c.balancer.HealthCheckCompleted(c.now, ev.Server, ev.Status)
+	delete(c.healthChecks, event.Server)
+	c.balancer.HealthCheckCompleted(c.now, event.Server, event.Status)
 }
 
-func (c *Core) handleLoadReported(ev LoadReported) {
-	if b := c.servers[ev.Server]; c.debug && b != nil {
-		slog.Debug("load report", "server", b.name, "inflight", ev.Load.Inflight,
-			"completed_per_s", ev.Load.CompletedPerSecond)
+func (c *Core) handleLoadReported(event LoadReported) {
+	if server := c.servers[event.Server]; c.debug && server != nil {
+		slog.Debug("load report", "server", server.name, "inflight", event.Load.Inflight,
+			"completed_per_s", event.Load.CompletedPerSecond)
 	}
-	c.balancer.LoadReported(c.now, ev.Server, ev.Load)
+	c.balancer.LoadReported(c.now, event.Server, event.Load)
 }
--- a/internal/serve/core/endpoints_test.go
+++ b/internal/serve/core/endpoints_test.go
@@ -9,7 +9,7 @@
 	"piernotch"
 )
 
-// Connections to a machine that vanished stay open and silent. When the endpoint list says that its
+// Connections to a machine that has failed stay open and silent. When the endpoint list says that its
 // process is a new one, they must not be used again.
 func TestServerRestartClosesIdleConnections(t *testing.T) {
 	c := newCore(t)
--- a/internal/serve/core/events.go
+++ b/internal/serve/core/events.go
@@ -10,11 +10,13 @@
 // ExchangeID identifies one exchange with a client: a request and its single response.
 type ExchangeID uint64
 
-// AttemptRef identifies an attempt by its request and its index, from 0, among the request's
-// attempts.
+// AttemptNumber is the index, from 0, of an attempt among those of its request.
+type AttemptNumber int
+
+// AttemptRef identifies an attempt by its request and its number.
 type AttemptRef struct {
 	Request piernotch.RequestID
-	Attempt int
+	Number  AttemptNumber
 }
 
 // Endpoint is a server together with its address. A new server may come up at the address of one
@@ -37,11 +39,11 @@
 // The events. Times are durations on the clock that Core.Handle is given.
 type (
 	// RequestReceived reports a client's request. It obliges the core to send exactly one final
-	// response, unless the client leaves first.
+	// response, unless the client disconnects first.
 	RequestReceived struct {
 		Exchange ExchangeID
 		ID       string // the client's identifier of the request, unique while it is open; may be empty
-		Message  any
+		Message  *RequestMessage
 		Class    int           // index into the settings' classes
 		Tenant   int           // index into the settings' tenants; -1: none of them
 		Key      uint64        // what the request is about, for key affinity; 0: nothing
@@ -52,18 +54,18 @@
 	ClientDisconnected struct{ Exchange ExchangeID }
 	// AttemptConnected reports that an attempt has a connection and can be written.
 	AttemptConnected struct{ Ref AttemptRef }
-	// AttemptCompleted reports the end of an attempt. Answer is set if Status is OK.
+	// AttemptCompleted reports the end of an attempt. Response is set if Status is OK.
 	AttemptCompleted struct {
-		Ref    AttemptRef
-		Status piernotch.Status
-		Answer any
+		Ref      AttemptRef
+		Status   piernotch.Status
+		Response *ResponseMessage
 	}
 	// HealthCheckCompleted reports the result of a health check.
 	HealthCheckCompleted struct {
 		Server piernotch.ServerID
 		Status piernotch.Status
 	}
-	// LoadReported carries the load report that a server attached to an answer.
+	// LoadReported carries the load report that a server attached to a response.
 	LoadReported struct {
 		Server piernotch.ServerID
 		Load   piernotch.LoadReport
@@ -81,9 +83,9 @@
 		Settings  piernotch.Settings
 		Discovery string
 	}
-	// AdminCommand is an operator's command. AdminResult answers it.
+	// AdminCommand is an operator's command. AdminResult reports its result.
 	AdminCommand struct {
-		Call   uint64 // identifies the command in AdminResult
+		Call   overrides.CallID // identifies the command in AdminResult
 		Action overrides.Action
 		Server string // name of the server concerned; unused by Evacuate and Rejoin
 	}
--- a/internal/serve/core/host.go
+++ b/internal/serve/core/host.go
@@ -15,46 +15,47 @@
 
 // StartAttempt implements piernotch.Host.
 func (h host) StartAttempt(id piernotch.RequestID, to piernotch.ServerID, timeout time.Duration) {
-	r := h.core.requests[id]
-	b := h.core.servers[to]
-	if r == nil || b == nil {
-		slog.Error("attempt for unknown request or backend", "request", id, "backend", to)
+	request := h.core.requests[id]
+	server := h.core.servers[to]
+	if request == nil || server == nil {
+		slog.Error("attempt for unknown request or server", "request", id, "server", to)
 		return
 	}
-	h.core.startAttempt(r, b, timeout)
+	h.core.startAttempt(request, server, timeout)
 }
 
 // CancelAttempt implements piernotch.Host.
-func (h host) CancelAttempt(id piernotch.RequestID, attempt int) {
-	if r, a := h.core.findAttempt(AttemptRef{id, attempt}); a != nil {
-		h.core.cancelAttempt(r, attempt, piernotch.Cancelled)
+func (h host) CancelAttempt(id piernotch.RequestID, attemptNumber int) {
+	number := AttemptNumber(attemptNumber)
+	if request, attempt := h.core.findAttempt(AttemptRef{id, number}); attempt != nil {
+		h.core.cancelAttempt(request, number, piernotch.Cancelled)
 	}
 }
 
 // Reject implements piernotch.Host.
 func (h host) Reject(id piernotch.RequestID, retryAfter time.Duration) {
-	if r := h.core.requests[id]; r != nil {
-		h.finish(r, Respond{Result: Rejected, RetryAfter: retryAfter})
+	if request := h.core.requests[id]; request != nil {
+		h.finish(request, Respond{Result: Rejected, RetryAfter: retryAfter})
 	}
 }
 
 // Fail implements piernotch.Host.
 func (h host) Fail(id piernotch.RequestID) {
-	if r := h.core.requests[id]; r != nil {
-		h.finish(r, Respond{Result: Failed, LastStatus: r.lastStatus})
+	if request := h.core.requests[id]; request != nil {
+		h.finish(request, Respond{Result: Failed, LastStatus: request.lastStatus})
 	}
 }
 
 // finish responds to a request and releases it after the module's present call.
-func (h host) finish(r *request, response Respond) {
-	h.core.respond(r, response)
-	h.core.deferCall(func() { h.core.release(r) })
+func (h host) finish(request *request, response Respond) {
+	h.core.respond(request, response)
+	h.core.deferCall(func() { h.core.release(request) })
 }
 
 // HealthCheck implements piernotch.Host.
 func (h host) HealthCheck(id piernotch.ServerID) {
-	if b := h.core.servers[id]; b != nil {
-		h.core.startHealthCheck(b)
+	if server := h.core.servers[id]; server != nil {
+		h.core.startHealthCheck(server)
 	}
 }
 
@@ -62,6 +63,6 @@
 func (h host) WatchEndpoints() { h.core.emit(WatchDiscovery{}) }
 
 // SetTimer implements piernotch.Host.
-func (h host) SetTimer(d time.Duration, token uint32) {
-	h.core.timers.At(h.core.now+d, func() { h.core.balancer.Timer(h.core.now, token) })
+func (h host) SetTimer(delay time.Duration, token uint32) {
+	h.core.timers.At(h.core.now+delay, func() { h.core.balancer.Timer(h.core.now, token) })
 }
--- a/internal/serve/core/requests.go
+++ b/internal/serve/core/requests.go
@@ -8,13 +8,17 @@
 	"piernotch/internal/timingwheel"
 )
 
+// overdueMargin is how long after a request's deadline the core responds in the module's place: two
+// ticks, so that timers of the module that are due at the deadline have fired before.
+const overdueMargin = 2 * TickInterval
+
 // request is a request from its receipt until it is released.
 type request struct {
 	id            piernotch.RequestID
 	clientID      string // the client's identifier of it
 	class         int
 	exchange      ExchangeID
-	message       any
+	message       *RequestMessage
 	deadline      time.Duration
 	attempts      []*attempt
 	inflight      int  // attempts that have not completed
@@ -26,111 +30,112 @@
 // PendingRequests returns the number of requests without a response.
 func (c *Core) PendingRequests() int { return len(c.exchanges) }
 
-func (c *Core) handleRequestReceived(ev RequestReceived) {
-	// Two open requests with one ID would be a single request to the servers: a hedged copy that
-	// nobody asked for, and an answer that could belong to either.
-	if _, open := c.openClientIDs[ev.ID]; open && ev.ID != "" {
-		c.emit(Respond{Exchange: ev.Exchange, Result: DuplicateID, Close: c.shuttingDown})
+func (c *Core) handleRequestReceived(event RequestReceived) {
+	// Servers tell requests apart by their ID. They would take two open requests with one ID for a
+	// request and its hedged attempt, and a response could belong to either.
+	_, idInUse := c.openClientIDs[event.ID]
+	if idInUse && event.ID != "" {
+		c.emit(Respond{Exchange: event.Exchange, Result: DuplicateID, Close: c.shuttingDown})
 		return
 	}
 	if c.shuttingDown {
-		ev.Deadline = min(ev.Deadline, c.answerBy)
+		event.Deadline = min(event.Deadline, c.respondBy)
 	}
-	r := c.openRequest(ev)
+	request := c.openRequest(event)
 	if c.debug {
-		slog.Debug("request received", "id", r.clientID, "class", ev.Class, "cost_hint", ev.CostHint,
-			"deadline_ms", (ev.Deadline - c.now).Milliseconds())
+		slog.Debug("request received", "id", request.clientID, "class", event.Class, "cost_hint", event.CostHint,
+			"deadline_ms", (event.Deadline - c.now).Milliseconds())
 	}
-	// The module's own timeouts end at the deadline. This timer fires after them, for a request that
-	// the module has left without a response even so.
-	r.deadlineTimer = c.timers.At(ev.Deadline+2*TickInterval, func() { c.failOverdue(r) })
+	// The module's own timeouts end at the deadline. This timer fires after them, in case the module
+	// has left the request without a response.
+	request.deadlineTimer = c.timers.At(event.Deadline+overdueMargin, func() { c.failOverdue(request) })
 	c.balancer.HandleRequest(c.now, piernotch.Request{
-		ID: r.id, Class: ev.Class, Tenant: ev.Tenant, Key: ev.Key, Deadline: ev.Deadline, CostHint: ev.CostHint,
+		ID: request.id, Class: event.Class, Tenant: event.Tenant, Key: event.Key, Deadline: event.Deadline, CostHint: event.CostHint,
 	})
 }
 
 // openRequest enters a request into the tables.
-func (c *Core) openRequest(ev RequestReceived) *request {
+func (c *Core) openRequest(event RequestReceived) *request {
 	c.lastRequestID++
 	c.Counts.Accepted++
-	r := &request{
+	request := &request{
 		id:         c.lastRequestID,
-		clientID:   ev.ID,
-		class:      ev.Class,
-		exchange:   ev.Exchange,
-		message:    ev.Message,
-		deadline:   ev.Deadline,
+		clientID:   event.ID,
+		class:      event.Class,
+		exchange:   event.Exchange,
+		message:    event.Message,
+		deadline:   event.Deadline,
 		lastStatus: piernotch.NotSent,
 	}
-	c.openClientIDs[ev.ID] = struct{}{}
-	c.requests[r.id] = r
-	c.exchanges[r.exchange] = r
-	return r
+	c.openClientIDs[event.ID] = struct{}{}
+	c.requests[request.id] = request
+	c.exchanges[request.exchange] = request
+	return request
 }
 
-func (c *Core) handleClientDisconnected(ev ClientDisconnected) {
-	r := c.exchanges[ev.Exchange]
-	if r == nil {
+func (c *Core) handleClientDisconnected(event ClientDisconnected) {
+	request := c.exchanges[event.Exchange]
+	if request == nil {
 		return
 	}
 	c.Counts.ClientsGone++
 	if c.debug {
-		slog.Debug("client disconnected", "id", r.clientID, "attempts", len(r.attempts),
-			"remaining_ms", (r.deadline - c.now).Milliseconds())
+		slog.Debug("client disconnected", "id", request.clientID, "attempts", len(request.attempts),
+			"remaining_ms", (request.deadline - c.now).Milliseconds())
 	}
-	c.close(r)
-	c.balancer.ClientDisconnected(c.now, r.id)
-	c.release(r)
+	c.close(request)
+	c.balancer.ClientDisconnected(c.now, request.id)
+	c.release(request)
 }
 
 // failOverdue fails a request that the module has left without a response past its deadline.
 // Rejecting it instead would promise that it never ran, which is not known here.
-func (c *Core) failOverdue(r *request) {
-	if r.closed {
+func (c *Core) failOverdue(request *request) {
+	if request.closed {
 		return
 	}
 	c.Counts.DeadlineExceeded++
-	slog.Warn("request deadline exceeded", "request", r.id, "attempts", len(r.attempts))
-	c.respond(r, Respond{Result: Failed, LastStatus: r.lastStatus})
-	c.balancer.ClientDisconnected(c.now, r.id)
-	c.release(r)
+	slog.Warn("request deadline exceeded", "request", request.id, "attempts", len(request.attempts))
+	c.respond(request, Respond{Result: Failed, LastStatus: request.lastStatus})
+	c.balancer.ClientDisconnected(c.now, request.id)
+	c.release(request)
 }
 
 // respond sends the response of a request that has none yet, and closes it. The exchange and whether
 // to close the connection are filled in here.
-func (c *Core) respond(r *request, response Respond) {
-	if r.closed {
+func (c *Core) respond(request *request, response Respond) {
+	if request.closed {
 		return
 	}
 	c.Counts.countResponse(response.Result)
-	response.Exchange = r.exchange
+	response.Exchange = request.exchange
 	response.Close = c.shuttingDown || c.overrides.Drain.Active
 	if c.debug {
-		slog.Debug("request completed", "id", r.clientID, "result", response.Result, "attempts", len(r.attempts),
-			"remaining_ms", (r.deadline - c.now).Milliseconds())
+		slog.Debug("request completed", "id", request.clientID, "result", response.Result, "attempts", len(request.attempts),
+			"remaining_ms", (request.deadline - c.now).Milliseconds())
 	}
 	c.emit(response)
-	c.close(r)
+	c.close(request)
 }
 
-// close ends the exchange of a request. Attempts that have not been written are cancelled, whatever
-// the settings say about cancelling: the module may let the others run to their end, or may have
-// to, but these never began.
-func (c *Core) close(r *request) {
-	r.closed = true
-	r.deadlineTimer.Stop()
-	delete(c.exchanges, r.exchange)
-	delete(c.openClientIDs, r.clientID)
-	for n, a := range r.attempts {
-		if !a.completed && !a.written {
-			c.cancelAttempt(r, n, piernotch.NotSent)
+// close ends the exchange of a request. Attempts that have not been written are cancelled, even if
+// the settings allow no attempt to be cancelled: that limit is about attempts that a server may have
+// begun to execute.
+func (c *Core) close(request *request) {
+	request.closed = true
+	request.deadlineTimer.Stop()
+	delete(c.exchanges, request.exchange)
+	delete(c.openClientIDs, request.clientID)
+	for number, attempt := range request.attempts {
+		if !attempt.completed && !attempt.written {
+			c.cancelAttempt(request, AttemptNumber(number), piernotch.NotSent)
 		}
 	}
 }
 
 // release removes a request that is closed and has no attempt in flight.
-func (c *Core) release(r *request) {
-	if r.closed && r.inflight == 0 {
-		delete(c.requests, r.id)
+func (c *Core) release(request *request) {
+	if request.closed && request.inflight == 0 {
+		delete(c.requests, request.id)
 	}
 }
--- a/internal/serve/core/settings.go
+++ b/internal/serve/core/settings.go
@@ -34,24 +34,24 @@
 // routesOf returns the routes of classes whose indexes are their positions.
 func routesOf(classes []piernotch.Class) []Route {
 	var routes []Route
-	for i, class := range classes {
-		routes = append(routes, newRoute(class, i))
+	for index, class := range classes {
+		routes = append(routes, newRoute(class, index))
 	}
 	return routes
 }
 
 // handleSettingsChanged applies new settings completely or not at all.
-func (c *Core) handleSettingsChanged(ev SettingsChanged) {
-	routes, err := c.applySettings(ev.Settings)
+func (c *Core) handleSettingsChanged(event SettingsChanged) {
+	routes, err := c.applySettings(event.Settings)
 	if err != nil {
 		c.emit(SettingsApplied{Err: err})
 		return
 	}
 	c.emit(SettingsApplied{Routes: routes})
 	// The known endpoints remain until the new address has sent its complete list.
-	if ev.Discovery != c.discovery {
-		c.discovery = ev.Discovery
-		c.emit(MoveDiscovery{ev.Discovery})
+	if event.Discovery != c.discovery {
+		c.discovery = event.Discovery
+		c.emit(MoveDiscovery{event.Discovery})
 	}
 }
 
@@ -79,28 +79,28 @@
 
 // assignClasses finds an index for each of the new classes. A class that stays keeps its own. If its
 // retry safety changes it becomes another class, and the old one is accepted a little longer, since
-// requests that were sent as idempotent remain so. An index is used again once no request under way
-// has it; until then it holds a placeholder, to which no route leads.
+// requests that were sent as idempotent remain so. An index is used again once no open request has it;
+// until then it holds a placeholder, to which no route leads.
 func (c *Core) assignClasses(next []piernotch.Class) *classAssignment {
 	assigned := &classAssignment{
 		classes:  slices.Clone(c.settings.Classes),
 		reserved: make([]bool, len(c.settings.Classes)),
 		current:  make([]bool, len(c.settings.Classes)),
 	}
-	for _, r := range c.requests {
-		assigned.reserved[r.class] = true
+	for _, request := range c.requests {
+		assigned.reserved[request.class] = true
 	}
 	indexes := c.classIndexes()
 	var added []piernotch.Class
 	for _, class := range next {
-		i, known := indexes[class.Name]
+		index, known := indexes[class.Name]
 		delete(indexes, class.Name)
-		if known && assigned.classes[i].RetrySafety == class.RetrySafety {
-			assigned.set(i, class)
+		if known && assigned.classes[index].RetrySafety == class.RetrySafety {
+			assigned.set(index, class)
 			continue
 		}
 		if known {
-			assigned.retire(i, class.Name, c.now+routeGrace)
+			assigned.retire(index, class.Name, c.now+routeGrace)
 		}
 		added = append(added, class)
 	}
@@ -124,18 +124,18 @@
 }
 
 // set gives an index to a class.
-func (a *classAssignment) set(i int, class piernotch.Class) {
-	a.classes[i] = class
-	a.reserved[i] = true
-	a.current[i] = true
-	a.routes = append(a.routes, newRoute(class, i))
+func (a *classAssignment) set(index int, class piernotch.Class) {
+	a.classes[index] = class
+	a.reserved[index] = true
+	a.current[index] = true
+	a.routes = append(a.routes, newRoute(class, index))
 }
 
 // retire leaves the class at an index as it is and has its route expire.
-func (a *classAssignment) retire(i int, name string, expiresAt time.Duration) {
-	a.reserved[i] = true
-	a.current[i] = true
-	route := newRoute(a.classes[i], i)
+func (a *classAssignment) retire(index int, name string, expiresAt time.Duration) {
+	a.reserved[index] = true
+	a.current[index] = true
+	route := newRoute(a.classes[index], index)
 	route.Name = name
 	route.ExpiresAt = expiresAt
 	a.routes = append(a.routes, route)
@@ -143,21 +143,21 @@
 
 // add gives a class the first free index, or a new one.
 func (a *classAssignment) add(class piernotch.Class) {
-	i := slices.Index(a.reserved, false)
-	if i < 0 {
-		i = len(a.classes)
+	index := slices.Index(a.reserved, false)
+	if index < 0 {
+		index = len(a.classes)
 		a.classes = append(a.classes, class)
 		a.reserved = append(a.reserved, true)
 		a.current = append(a.current, true)
 	}
-	a.set(i, class)
+	a.set(index, class)
 }
 
 // fillPlaceholders replaces the classes that the new settings do not use.
 func (a *classAssignment) fillPlaceholders(class piernotch.Class) {
-	for i := range a.classes {
-		if !a.current[i] {
-			a.classes[i] = class
+	for index := range a.classes {
+		if !a.current[index] {
+			a.classes[index] = class
 		}
 	}
 }
--- a/internal/serve/core/shutdown.go
+++ b/internal/serve/core/shutdown.go
@@ -6,10 +6,13 @@
 // some time later.
 const ShutdownGrace = 700 * time.Millisecond
 
-// After ShutdownGrace the platform gives a process the longest deadline of a request, but
-// maxDrainTime at most, before it may kill it. All responses are sent responseMargin before that.
 const (
-	maxDrainTime   = 3 * time.Second
+	// maxDrainTime bounds the time between the end of ShutdownGrace and the moment from which the
+	// platform may kill the process: it waits for the longest deadline of a request, but no longer
+	// than this.
+	maxDrainTime = 3 * time.Second
+	// responseMargin is how long before that moment the last response is sent, so that it reaches
+	// its client.
 	responseMargin = 200 * time.Millisecond
 )
 
@@ -23,7 +26,7 @@
 		return
 	}
 	c.shuttingDown = true
-	c.answerBy = c.now + ShutdownGrace + min(c.longestDeadline(), maxDrainTime) - responseMargin
+	c.respondBy = c.now + ShutdownGrace + min(c.longestDeadline(), maxDrainTime) - responseMargin
 	c.timers.At(c.now+ShutdownGrace, func() {
 		c.stoppedListening = true
 		c.emit(StopListening{})
--- a/internal/serve/core/shutdown_test.go
+++ b/internal/serve/core/shutdown_test.go
@@ -25,13 +25,13 @@
 		request := RequestReceived{Exchange: 1, ID: "1", CostHint: 1, Deadline: now + tc.deadline}
 		attempt := c.Handle(now, request)[0].(StartAttempt)
 		c.Handle(now, AttemptConnected{attempt.Ref})
-		answered := false
-		for ; now < kill && !answered; now += TickInterval {
+		responded := false
+		for ; now < kill && !responded; now += TickInterval {
 			for _, e := range c.Handle(now, Tick{}) {
 				_, isResponse := e.(Respond)
-				answered = answered || isResponse
+				responded = responded || isResponse
 			}
 		}
-		require.True(t, answered, tc.deadline)
+		require.True(t, responded, tc.deadline)
 	}
 }
--- a/internal/serve/downstream/connection.go
+++ b/internal/serve/downstream/connection.go
@@ -85,15 +85,15 @@
 	return http1.StatusBadRequest
 }
 
-// rejectMalformed answers what cannot be parsed. Nothing behind it can be, so the
-// connection ends.
+// rejectMalformed responds to what cannot be parsed. Nothing behind it can be
+// parsed either, so the connection ends.
 func (c *connection) rejectMalformed(status int, reason string) {
 	slog.Info("bad request", "status", status, "err", reason)
 	c.closeAfterResponse = true
 	c.respondText(status, reason)
 }
 
-// serve answers a request, or passes it to the core.
+// serve responds to a request, or passes it to the core.
 func (c *connection) serve(message *http1.Message) {
 	if message.Path() == healthPath {
 		c.serveHealth(message)
@@ -105,7 +105,7 @@
 		c.respondInvalid(invalid)
 		return
 	}
-	if c.socket.PeerClosed() { // the client sent its request and left
+	if c.socket.PeerClosed() { // the client has disconnected after its request
 		return
 	}
 	d.lastExchange++
@@ -115,7 +115,7 @@
 	d.emit(request)
 }
 
-// abandonExchange tells the core that the client cannot be answered any more.
+// abandonExchange lets the core know that the client cannot get a response any more.
 func (c *connection) abandonExchange() {
 	if c.exchange == 0 {
 		return
--- a/internal/serve/downstream/doc.go
+++ b/internal/serve/downstream/doc.go
@@ -1,10 +1,10 @@
 // Package downstream owns the clients' connections: it parses their requests,
-// answers invalid ones itself, and writes exactly one final response to each.
+// rejects invalid ones itself, and writes exactly one final response to each.
 //
 // A valid request becomes a core.RequestReceived event with an exchange ID of its
-// own, and the core answers by Respond. If the client goes first, the core is
-// sent core.ClientDisconnected and must not respond any more; a response to an unknown
-// exchange is ignored. A connection serves one request at a time: pipelined
+// own, to which the core responds by Respond. If the client disconnects first, the
+// core is sent core.ClientDisconnected and must not respond any more; a response to
+// an unknown exchange is ignored. A connection serves one request at a time: pipelined
 // requests are rejected.
 //
 // A connection ends in two steps. First the sending side is closed, once all
@@ -13,7 +13,7 @@
 // timeout has passed. Closing at once over unread bytes would reset the
 // connection and could destroy a response on its way.
 //
-// The package must not know feed servers, retries or admission. It knows classes
+// The package must not know servers, retries or admission control. It knows classes
 // and tenants only by the index that the core uses.
 //
 // The runtime package is the only caller. Downstream is not safe for concurrent
--- a/internal/serve/downstream/downstream.go
+++ b/internal/serve/downstream/downstream.go
@@ -41,7 +41,7 @@
 		ready:        ready,
 		connections:  map[*connection]struct{}{},
 		pending:      map[core.ExchangeID]*connection{},
-		crowdedAbove: maxDescriptors / 4,
+		crowdedAbove: maxDescriptors / 4, // see crowdedIdleTimeout
 	}
 }
 
@@ -57,14 +57,12 @@
 	}
 }
 
-// SetDraining starts or stops draining. While draining, each response closes its
-// connection, and connections that stay idle are closed after drainIdleGrace.
-func (d *Downstream) SetDraining(on bool) {
-	d.drainingSince = 0
-	if on {
-		d.drainingSince = d.now()
-	}
-}
+// StartDraining starts draining: from now on each response closes its connection,
+// and connections that stay idle are closed after drainIdleGrace.
+func (d *Downstream) StartDraining() { d.drainingSince = d.now() }
+
+// StopDraining ends draining: connections are kept again.
+func (d *Downstream) StopDraining() { d.drainingSince = 0 }
 
 // Shutdown has every further response close its connection. It cannot be undone.
 func (d *Downstream) Shutdown() { d.shuttingDown = true }
--- a/internal/serve/downstream/request.go
+++ b/internal/serve/downstream/request.go
@@ -12,7 +12,6 @@
 	"piernotch"
 	"piernotch/internal/http1"
 	"piernotch/internal/serve/core"
-	"piernotch/internal/serve/upstream"
 )
 
 const (
@@ -61,7 +60,7 @@
 		Key:      parseKey(message.Query("k")),
 		CostHint: parseCostHint(message.Fields.Get("x-cost-hint")),
 		Deadline: d.arrivalTime() + wait - deadlineMargin,
-		Message: &upstream.Request{
+		Message: &core.RequestMessage{
 			Method:         message.Method,
 			Target:         message.Target,
 			ID:             id,
@@ -104,7 +103,7 @@
 
 // parseHeaders validates a request's header fields and body framing. It returns
 // the request's ID and how long the client waits: maxWait, or less if the client
-// names a shorter deadline. What a feed server could not use, or could interpret
+// names a shorter deadline. What a server could not use, or could interpret
 // differently, is rejected.
 func parseHeaders(message *http1.Message, maxWait time.Duration) (id string, wait time.Duration, invalid *invalidRequest) {
 	idCount, deadlineCount, keyCount := 0, 0, 0
--- a/internal/serve/downstream/request_test.go
+++ b/internal/serve/downstream/request_test.go
@@ -11,7 +11,6 @@
 	"piernotch"
 	"piernotch/internal/http1"
 	"piernotch/internal/serve/core"
-	"piernotch/internal/serve/upstream"
 )
 
 func newTestDownstream() *Downstream {
@@ -42,7 +41,7 @@
 	require.Equal(t, core.RequestReceived{
 		ID: "r-1", Class: 1, Tenant: 1, Key: 0x7f, CostHint: 1.5,
 		Deadline: time.Minute + 300*time.Millisecond - deadlineMargin,
-		Message: &upstream.Request{
+		Message: &core.RequestMessage{
 			Method: http1.MethodPost, Target: "/write/any?k=7f", ID: "r-1", IdempotencyKey: "key",
 			ContentType: "text/csv", Body: []byte("body"),
 		},
--- a/internal/serve/downstream/response.go
+++ b/internal/serve/downstream/response.go
@@ -7,13 +7,13 @@
 	"piernotch"
 	"piernotch/internal/http1"
 	"piernotch/internal/serve/core"
-	"piernotch/internal/serve/upstream"
 )
 
-// healthPath is where this process answers health checks.
+// healthPath is where this process responds to health checks.
 const healthPath = "/_health"
 
-// The bodies of the final responses that are not a feed server's.
+// The bodies of the final responses that are not a server's. Clients may depend on
+// them, so they stay as they are, old words included.
 const (
 	bodyRejected    = "refused: trying again is harmless\n"
 	bodyDuplicateID = "another open request has this X-Request-Id\n"
@@ -32,7 +32,7 @@
 	c.closeAfterResponse = c.closeAfterResponse || effect.Close
 	switch effect.Result {
 	case core.Served:
-		c.respondServed(effect.Answer.(*upstream.Response))
+		c.respondServed(effect.Response)
 	case core.Rejected:
 		c.respondRejected(effect.RetryAfter)
 	case core.DuplicateID:
@@ -46,8 +46,8 @@
 	}
 }
 
-// respondServed forwards a feed server's response.
-func (c *connection) respondServed(response *upstream.Response) {
+// respondServed forwards a server's response.
+func (c *connection) respondServed(response *core.ResponseMessage) {
 	var fields http1.Fields
 	if response.ContentType != "" {
 		fields = append(fields, http1.Field{Name: "Content-Type", Value: response.ContentType})
@@ -55,8 +55,8 @@
 	c.respond(http1.StatusOK, fields, response.Body)
 }
 
-// respondRejected tells the client that its request was not executed, and after
-// what time a retry makes sense; 0: at any time.
+// respondRejected responds that the request was not executed, and after what time a
+// retry makes sense; 0: at any time.
 func (c *connection) respondRejected(retryAfter time.Duration) {
 	var fields http1.Fields
 	if retryAfter > 0 {
@@ -66,7 +66,7 @@
 	c.respond(http1.StatusServiceUnavailable, fields, []byte(bodyRejected))
 }
 
-// serveHealth answers a health check of this process.
+// serveHealth responds to a health check of this process.
 func (c *connection) serveHealth(message *http1.Message) {
 	switch {
 	case message.Method != http1.MethodGet:
@@ -78,7 +78,7 @@
 	}
 }
 
-// respondInvalid answers a request that cannot be served.
+// respondInvalid responds to a request that cannot be served.
 func (c *connection) respondInvalid(invalid *invalidRequest) {
 	if invalid.allow == "" {
 		c.respondText(invalid.status, invalid.reason)
--- a/internal/serve/downstream/stall.go
+++ b/internal/serve/downstream/stall.go
@@ -21,10 +21,10 @@
 }
 
 // arrivalTime returns the earliest time at which the request that is read now may
-// have arrived. A client counts its deadline from its sending: a process that
-// stalled would take old requests for new ones, and answer too late. If a request
-// is taken for older than it is, it is rejected at worst, which is safe: it has
-// not been forwarded.
+// have arrived. The client's deadline runs from when it sent the request; without
+// this correction a process that has stalled would take old requests for new ones,
+// and respond too late. A request that is taken for older than it is may be
+// rejected, which is safe: it has not been forwarded.
 func (d *Downstream) arrivalTime() time.Duration {
 	now := d.now()
 	if now >= d.stall.until {
--- a/internal/serve/downstream/timeouts.go
+++ b/internal/serve/downstream/timeouts.go
@@ -8,8 +8,8 @@
 
 const (
 	// firstByteTimeout is how long a new connection may send nothing at all.
-	// Together with requestTimeout it bounds what attackers gain who open
-	// connections by hundreds.
+	// Together with requestTimeout it bounds how long an attacker can hold a
+	// descriptor without a request.
 	firstByteTimeout = 2 * time.Second
 
 	// requestTimeout is how long a request may take from its first byte to its
@@ -21,8 +21,8 @@
 
 	// idleTimeout is how long a connection is kept between two requests.
 	// crowdedIdleTimeout applies while clients hold more than a quarter of all
-	// descriptors: some clients send one request and stay for good, and what they
-	// hold is not available for the others' requests.
+	// descriptors: clients that send one request and keep their connection would
+	// otherwise use up the descriptors that other clients' requests need.
 	idleTimeout        = 2 * time.Second
 	crowdedIdleTimeout = 300 * time.Millisecond
 
@@ -31,8 +31,9 @@
 	// reset, which would destroy a response that is still on its way.
 	lingerTimeout = 2 * time.Second
 
-	// drainIdleGrace is how long after the start of draining a connection may stay
-	// idle. It may be in use a moment later, and then its response closes it.
+	// drainIdleGrace is how long after the start of draining connections may stay
+	// idle. The response to the next request closes a connection anyway, and a client
+	// whose idle connection is closed may just have sent a request on it.
 	drainIdleGrace = 2500 * time.Millisecond
 
 	// newConnectionGrace is how long CloseIdle waits for the first request of a
--- a/internal/serve/overrides/overrides.go
+++ b/internal/serve/overrides/overrides.go
@@ -51,11 +51,17 @@
 // MaxExcluded bounds the number of servers that may be excluded at a time.
 const MaxExcluded = 4096
 
+// CallID identifies an operator's command from its receipt to its result, within a process.
+type CallID uint64
+
+// ProcessID distinguishes the processes of a balancer.
+type ProcessID uint64
+
 // Timestamp is a Lamport timestamp: Counter is above that of every override that was known when it
 // was made. Process breaks the tie of two processes that receive commands at the same time.
 type Timestamp struct {
-	Counter uint64 `json:"count"`
-	Process uint64 `json:"by"`
+	Counter uint64    `json:"count"`
+	Process ProcessID `json:"by"`
 }
 
 // before reports whether t is older than other.
@@ -91,7 +97,7 @@
 // Command is an operator's command as a process receives it.
 type Command struct {
 	At      time.Duration // Unix time
-	Process uint64        // the receiving process, for the timestamp
+	Process ProcessID     // the receiving process, for the timestamp
 	Action  Action
 	Server  string // name of the server, if the action concerns one
 	Listed  bool   // that server is in the endpoint list
@@ -99,29 +105,29 @@
 
 // Apply carries out a command and reports whether anything has changed: a repeated command changes
 // nothing and is no error. The errors are ErrUnknownServer and ErrTooManyExcluded.
-func (o *Overrides) Apply(cmd Command) (changed bool, err error) {
+func (o *Overrides) Apply(command Command) (changed bool, err error) {
 	next := Override{
-		Timestamp: Timestamp{Counter: o.maxCounter() + 1, Process: cmd.Process},
-		Active:    cmd.Action.activates(),
-		SetAt:     cmd.At,
+		Timestamp: Timestamp{Counter: o.maxCounter() + 1, Process: command.Process},
+		Active:    command.Action.activates(),
+		SetAt:     command.At,
 	}
-	if !cmd.Action.ConcernsServer() {
+	if !command.Action.ConcernsServer() {
 		if o.Drain.Active == next.Active {
 			return false, nil
 		}
 		o.Drain = next
 		return true, nil
 	}
-	current := o.Servers[cmd.Server]
+	current := o.Servers[command.Server]
 	switch {
-	case !cmd.Listed && !current.Active:
+	case !command.Listed && !current.Active:
 		return false, ErrUnknownServer
 	case current.Active == next.Active:
 		return false, nil
 	case next.Active && o.countExcluded() >= MaxExcluded:
 		return false, ErrTooManyExcluded
 	}
-	o.setServer(cmd.Server, next)
+	o.setServer(command.Server, next)
 	return true, nil
 }
 
@@ -172,11 +178,11 @@
 
 // countExcluded returns the number of excluded servers.
 func (o *Overrides) countExcluded() int {
-	n := 0
+	count := 0
 	for _, override := range o.Servers {
 		if override.Active {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/internal/serve/overrides/overrides_test.go
+++ b/internal/serve/overrides/overrides_test.go
@@ -57,7 +57,7 @@
 			action := Action(rapid.IntRange(0, 3).Draw(t, "action"))
 			server := rapid.SampledFrom(names).Draw(t, "server")
 			_, err := all[k].Apply(Command{
-				At: time.Duration(i), Process: uint64(k), Action: action, Server: server, Listed: true,
+				At: time.Duration(i), Process: ProcessID(k), Action: action, Server: server, Listed: true,
 			})
 			require.NoError(t, err)
 		}
--- a/internal/serve/runtime/balancer.go
+++ b/internal/serve/runtime/balancer.go
@@ -78,7 +78,7 @@
 		Seed:      cfg.Seed,
 		Now:       b.now(),
 		Discovery: cfg.Discovery,
-		ProcessID: uint64(b.unixAtStart),
+		ProcessID: overrides.ProcessID(b.unixAtStart),
 	})
 	if err != nil {
 		return nil, err
@@ -195,7 +195,7 @@
 	return !b.core.ShuttingDown() || b.siblings.hasSuccessor
 }
 
-func (b *Balancer) executeAdminCommand(call uint64, action overrides.Action, server string) {
+func (b *Balancer) executeAdminCommand(call overrides.CallID, action overrides.Action, server string) {
 	b.emit(core.AdminCommand{Call: call, Action: action, Server: server})
 }
 
--- a/internal/serve/runtime/effects.go
+++ b/internal/serve/runtime/effects.go
@@ -1,9 +1,6 @@
 package runtime
 
-import (
-	"piernotch/internal/serve/core"
-	"piernotch/internal/serve/upstream"
-)
+import "piernotch/internal/serve/core"
 
 // emit passes an event to the reducer and performs the effects. Effects may bring further events,
 // which wait in the queue: the reducer is never entered twice.
@@ -31,26 +28,26 @@
 
 // perform carries out one effect.
 func (b *Balancer) perform(effect core.Effect) {
-	switch e := effect.(type) {
+	switch effect := effect.(type) {
 	case core.StartAttempt:
-		b.upstream.StartAttempt(e, e.Message.(*upstream.Request))
+		b.upstream.StartAttempt(effect)
 	case core.WriteAttempt:
-		b.upstream.WriteAttempt(e.Ref)
+		b.upstream.WriteAttempt(effect.Ref)
 	case core.CancelAttempt:
-		b.upstream.CancelAttempt(e.Ref)
+		b.upstream.CancelAttempt(effect.Ref)
 	case core.Respond:
 		if b.recorder != nil {
-			b.recorder.responseSent(b.now(), e)
+			b.recorder.responseSent(b.now(), effect)
 		}
-		b.downstream.Respond(e)
+		b.downstream.Respond(effect)
 	case core.HealthCheck:
-		b.upstream.HealthCheck(e)
+		b.upstream.HealthCheck(effect)
 	case core.WatchDiscovery:
 		b.watcher.Watch()
 	case core.MoveDiscovery:
-		b.watcher.Move(e.Address)
+		b.watcher.Move(effect.Address)
 	case core.CloseIdle:
-		b.upstream.CloseIdle(e.To)
+		b.upstream.CloseIdle(effect.To)
 	case core.StopListening:
 		b.stopListening()
 		b.downstream.CloseIdle()
@@ -59,10 +56,14 @@
 	case core.PersistOverrides:
 		b.siblings.writeRecord()
 	case core.AdminResult:
-		b.admin.Complete(e.Call, e.Err)
+		b.admin.Complete(effect.Call, effect.Err)
 	case core.DrainClients:
-		b.downstream.SetDraining(e.On)
+		if effect.On {
+			b.downstream.StartDraining()
+		} else {
+			b.downstream.StopDraining()
+		}
 	case core.SettingsApplied:
-		b.settingsApplied(e)
+		b.settingsApplied(effect)
 	}
 }
--- a/internal/serve/upstream/attempt.go
+++ b/internal/serve/upstream/attempt.go
@@ -9,86 +9,85 @@
 	"piernotch/internal/serve/core"
 )
 
-// stallTimeout is how long a response that has begun may make no progress. Feed
-// servers write a response at once, so one that stalls never ends, and its
-// request has nothing to wait for.
+// stallTimeout is how long a response that has begun may make no progress. Servers
+// write a response at once: one that stalls is not expected to be completed.
 const stallTimeout = 250 * time.Millisecond
 
-// attempt is one request to a feed server, from its wait for a connection to its
+// attempt is one request to a server, from its wait for a connection to its
 // response: an attempt of a client's request, or a health check.
 type attempt struct {
 	ref         core.AttemptRef // zero for a health check
 	healthCheck bool
 	pool        *pool
-	request     *Request
+	request     *core.RequestMessage
 	deadline    time.Duration
-	conn        *connection // nil while it waits for one
+	connection  *connection // nil while it waits for one
 	waiting     bool        // it is in its pool's waiting list
 }
 
 // cancel ends an attempt without an event.
-func (u *Upstream) cancel(a *attempt) {
-	u.forget(a)
-	if a.waiting {
-		a.pool.removeWaiting(a)
+func (u *Upstream) cancel(attempt *attempt) {
+	u.forget(attempt)
+	if attempt.waiting {
+		attempt.pool.removeWaiting(attempt)
 	}
-	c := a.conn
-	if c == nil {
+	connection := attempt.connection
+	if connection == nil {
 		return
 	}
-	c.attempt = nil
-	a.conn = nil
-	if c.requestWritten || !c.socket.InputEmpty() {
-		c.closeAndReplace()
+	connection.attempt = nil
+	attempt.connection = nil
+	if connection.requestWritten || !connection.socket.InputEmpty() {
+		connection.closeAndReplace()
 	} else {
-		c.pool.release(c)
+		connection.pool.release(connection)
 	}
 }
 
 // forget removes an attempt from the table. Its connection is left to the caller.
-func (u *Upstream) forget(a *attempt) {
-	if a.healthCheck {
-		delete(u.healthChecks, a)
+func (u *Upstream) forget(attempt *attempt) {
+	if attempt.healthCheck {
+		delete(u.healthChecks, attempt)
 	} else {
-		delete(u.attempts, a.ref)
+		delete(u.attempts, attempt.ref)
 	}
 }
 
 // fail ends an attempt without a response. Its connection, if it had one, must
 // have been closed.
-func (u *Upstream) fail(a *attempt, cause *AttemptError) {
-	u.forget(a)
-	a.conn = nil
+func (u *Upstream) fail(attempt *attempt, cause *AttemptError) {
+	u.forget(attempt)
+	attempt.connection = nil
 	slog.Info("attempt failed", "server", cause.Address, "stage", cause.Stage, "idle_ms", cause.IdleFor.Milliseconds(),
-		"health_check", a.healthCheck, "err", cause.Err)
-	if a.healthCheck {
-		u.emit(core.HealthCheckCompleted{Server: a.pool.endpoint.Server, Status: cause.Status()})
+		"health_check", attempt.healthCheck, "err", cause.Err)
+	if attempt.healthCheck {
+		u.emit(core.HealthCheckCompleted{Server: attempt.pool.endpoint.Server, Status: cause.Status()})
 		return
 	}
-	u.emit(core.AttemptCompleted{Ref: a.ref, Status: cause.Status()})
+	u.emit(core.AttemptCompleted{Ref: attempt.ref, Status: cause.Status()})
 }
 
 // complete ends an attempt with a response. Its connection must have been
 // detached from it.
-func (u *Upstream) complete(a *attempt, response *http1.Message) {
-	endpoint := a.pool.endpoint
+func (u *Upstream) complete(attempt *attempt, response *http1.Message) {
+	endpoint := attempt.pool.endpoint
 	status := responseStatus(response)
 	u.loadReportReceived(endpoint, response.Fields.Get("x-load"))
-	if a.healthCheck {
+	if attempt.healthCheck {
 		u.emit(core.HealthCheckCompleted{Server: endpoint.Server, Status: status})
 		return
 	}
-	completed := core.AttemptCompleted{Ref: a.ref, Status: status}
+	completed := core.AttemptCompleted{Ref: attempt.ref, Status: status}
 	if status == piernotch.OK {
-		completed.Answer = &Response{ContentType: response.Fields.Get("content-type"), Body: response.Body}
+		completed.Response = &core.ResponseMessage{ContentType: response.Fields.Get("content-type"), Body: response.Body}
 	} else {
 		slog.Info("attempt unsuccessful", "server", endpoint.Address, "status", response.Status, "executed", status != piernotch.Full)
 	}
 	u.emit(completed)
 }
 
-// responseStatus classifies a response. X-Not-Run on a 503 or 504 is the feed
-// server's promise that it did not execute the request.
+// responseStatus classifies a response. X-Not-Run on a 503 or 504 is the server's
+// promise that it did not execute the request.
 func responseStatus(response *http1.Message) piernotch.Status {
 	switch response.Status {
 	case http1.StatusOK:
@@ -103,10 +102,10 @@
 
 // failStalledAttempts fails the attempts whose response has stopped half-way.
 func (u *Upstream) failStalledAttempts(now time.Duration) {
-	for _, a := range u.attempts {
-		c := a.conn
-		if c != nil && c.responseStarted && now-c.lastActivity > stallTimeout {
-			c.fail(Malformed, errResponseStalled)
+	for _, attempt := range u.attempts {
+		connection := attempt.connection
+		if connection != nil && connection.responseStarted && now-connection.lastActivity > stallTimeout {
+			connection.fail(Malformed, errResponseStalled)
 		}
 	}
 }
--- a/internal/serve/upstream/connection.go
+++ b/internal/serve/upstream/connection.go
@@ -11,7 +11,7 @@
 	"piernotch/internal/serve/eventloop"
 )
 
-// connection is one connection to a feed server. It carries one attempt at a
+// connection is one connection to a server. It carries one attempt at a
 // time. It implements eventloop.Handler, whose methods run on the loop's owning
 // goroutine.
 type connection struct {
@@ -46,7 +46,7 @@
 	_ = c.socket.Write(http1.AppendRequest(nil, request.Method, request.Target, fields, request.Body))
 }
 
-// Data implements eventloop.Handler: bytes from the feed server.
+// Data implements eventloop.Handler: bytes from the server.
 func (c *connection) Data(data []byte) {
 	if c.attempt == nil || !c.requestWritten {
 		c.disconnected(fmt.Errorf("%w: %d bytes", errUnsolicitedData, len(data)))
@@ -97,14 +97,14 @@
 
 // fail closes the connection and fails its attempt, if it has one.
 func (c *connection) fail(stage Stage, err error) {
-	a := c.attempt
+	attempt := c.attempt
 	c.attempt = nil
 	c.socket.Close()
 	c.pool.remove(c)
-	if a == nil {
+	if attempt == nil {
 		return
 	}
-	c.pool.upstream.fail(a, &AttemptError{
+	c.pool.upstream.fail(attempt, &AttemptError{
 		Stage:   stage,
 		Address: c.pool.endpoint.Address,
 		IdleFor: c.idleFor,
@@ -119,19 +119,19 @@
 	c.pool.dialForWaiting()
 }
 
-// responseReceived ends the attempt with the feed server's response, and frees
+// responseReceived ends the attempt with the server's response, and frees
 // the connection.
 func (c *connection) responseReceived(response *http1.Message) {
-	a := c.attempt
+	attempt := c.attempt
 	c.attempt = nil
-	a.conn = nil
-	c.pool.upstream.forget(a)
+	attempt.connection = nil
+	c.pool.upstream.forget(attempt)
 	if c.reusableAfter(response) {
 		c.pool.settle(c)
 	} else {
 		c.closeAndReplace()
 	}
-	c.pool.upstream.complete(a, response)
+	c.pool.upstream.complete(attempt, response)
 }
 
 // reusableAfter reports whether the connection can carry another request. It
--- a/internal/serve/upstream/doc.go
+++ b/internal/serve/upstream/doc.go
@@ -1,6 +1,5 @@
-// Package upstream owns the connections to feed servers: one pool for each
-// endpoint, and the attempts and health checks that wait for a connection or
-// use one.
+// Package upstream owns the connections to servers: one pool for each endpoint, and
+// the attempts and health checks that wait for a connection or use one.
 //
 // An attempt goes through these steps:
 //
@@ -16,7 +15,7 @@
 // core.HealthCheckCompleted.
 //
 // The package must not know which endpoint to choose, when to retry or what a
-// client is sent: those decisions are the core's and the balancer's. It does not
+// client is sent: those decisions are the core's and the decision module's. It does not
 // time attempts out either, except responses that stall.
 //
 // The runtime package is the only caller. Upstream is not safe for concurrent
--- a/internal/serve/upstream/errors.go
+++ b/internal/serve/upstream/errors.go
@@ -11,7 +11,7 @@
 // Causes of an AttemptError that are found here, not by the event loop.
 var (
 	errUnsolicitedData = errors.New("data received while no response was due")
-	errClosedByServer  = errors.New("closed by the feed server")
+	errClosedByServer  = errors.New("closed by the server")
 	errResponseStalled = errors.New("response stalled")
 )
 
@@ -37,7 +37,7 @@
 // response. Its stage decides whether the request may have run.
 type AttemptError struct {
 	Stage   Stage
-	Address string        // of the feed server
+	Address string        // of the server
 	IdleFor time.Duration // how long the connection had been idle before the attempt
 	Err     error
 }
--- a/internal/serve/upstream/health_check.go
+++ b/internal/serve/upstream/health_check.go
@@ -7,30 +7,30 @@
 	"piernotch/internal/serve/core"
 )
 
-// healthCheckTarget is where feed servers answer health checks.
+// healthCheckTarget is where servers respond to health checks.
 const healthCheckTarget = "/ping"
 
 // HealthCheck sends a health check to an endpoint. The core receives
 // HealthCheckCompleted, unless none comes within core.HealthCheckTimeout, which the
 // core times itself.
 func (u *Upstream) HealthCheck(effect core.HealthCheck) {
-	a := &attempt{
+	check := &attempt{
 		healthCheck: true,
 		pool:        u.poolFor(effect.To),
 		deadline:    u.now() + core.HealthCheckTimeout,
-		request:     &Request{Method: http1.MethodGet, Target: healthCheckTarget},
+		request:     &core.RequestMessage{Method: http1.MethodGet, Target: healthCheckTarget},
 	}
-	u.healthChecks[a] = struct{}{}
-	a.pool.acquire(a)
+	u.healthChecks[check] = struct{}{}
+	check.pool.acquire(check)
 }
 
-// endOverdueHealthChecks cancels the health checks that were not answered in
-// time. The core has timed them out by itself; what is ended here is the silent
-// server's hold on the connection.
+// endOverdueHealthChecks cancels the health checks that were not responded to in
+// time. The core has timed them out by itself; what is ended here is their use of
+// a connection.
 func (u *Upstream) endOverdueHealthChecks(now time.Duration) {
-	for a := range u.healthChecks {
-		if now > a.deadline {
-			u.cancel(a)
+	for check := range u.healthChecks {
+		if now > check.deadline {
+			u.cancel(check)
 		}
 	}
 }
--- a/internal/serve/upstream/pool.go
+++ b/internal/serve/upstream/pool.go
@@ -15,9 +15,8 @@
 	// next response.
 	settleTime = 2 * core.TickInterval
 
-	// maxConcurrentDials is how many connections to one endpoint may be in the
-	// making at once. Accepting costs the feed server, so a burst waits for
-	// connections in use.
+	// maxConcurrentDials is how many connections to one endpoint may be dialed
+	// at once. Accepting costs the server, so in a burst attempts wait for connections in use.
 	maxConcurrentDials = 8
 )
 
@@ -27,44 +26,44 @@
 	endpoint core.Endpoint
 	idle     []*connection // most recently used last
 	settling []*connection // after a response, earliest first; not to be used yet
-	waiting  []*attempt    // longest wait first
+	waiting  []*attempt    // longest waiting first
 	dials    int           // dials in progress
 	draining bool          // the server drains or is gone: free connections are closed
 }
 
 // acquire gives an attempt the most recently used idle connection, or queues it
 // and dials.
-func (p *pool) acquire(a *attempt) {
+func (p *pool) acquire(attempt *attempt) {
 	p.draining = false
 	for len(p.idle) > 0 {
 		last := len(p.idle) - 1
-		c := p.idle[last]
+		connection := p.idle[last]
 		p.idle = p.idle[:last]
-		if c.socket.InputEmpty() {
-			p.assign(c, a)
+		if connection.socket.InputEmpty() {
+			p.assign(connection, attempt)
 			return
 		}
-		c.socket.Close() // the server closed it or sent unsolicited data
+		connection.socket.Close() // the server closed it or sent unsolicited data
 	}
-	a.waiting = true
-	p.waiting = append(p.waiting, a)
+	attempt.waiting = true
+	p.waiting = append(p.waiting, attempt)
 	p.dialForWaiting()
 }
 
 // assign hands a free connection to an attempt.
-func (p *pool) assign(c *connection, a *attempt) {
+func (p *pool) assign(connection *connection, attempt *attempt) {
 	now := p.upstream.now()
-	c.attempt = a
-	c.requestWritten = false
-	c.responseStarted = false
-	c.idleFor = now - c.lastActivity
-	a.conn = c
-	a.waiting = false
-	if a.healthCheck {
-		c.writeRequest(now)
+	connection.attempt = attempt
+	connection.requestWritten = false
+	connection.responseStarted = false
+	connection.idleFor = now - connection.lastActivity
+	attempt.connection = connection
+	attempt.waiting = false
+	if attempt.healthCheck {
+		connection.writeRequest(now)
 		return
 	}
-	p.upstream.emit(core.AttemptConnected{Ref: a.ref})
+	p.upstream.emit(core.AttemptConnected{Ref: attempt.ref})
 }
 
 // dialForWaiting opens connections for waiting attempts: no more than will be
@@ -79,10 +78,10 @@
 func (p *pool) dial() {
 	p.dials++
 	p.upstream.ConnectionsOpened++
-	c := &connection{pool: p, parser: http1.NewResponseParser(http1.MaxBody)}
+	connection := &connection{pool: p, parser: http1.NewResponseParser(http1.MaxBody)}
 	opened := func(socket *eventloop.Conn) eventloop.Handler {
-		c.socket = socket
-		return c
+		connection.socket = socket
+		return connection
 	}
 	done := func(_ *eventloop.Conn, err error) {
 		p.dials--
@@ -90,16 +89,16 @@
 			p.dialFailed(err)
 			return
 		}
-		c.lastActivity = p.upstream.now()
-		p.release(c)
+		connection.lastActivity = p.upstream.now()
+		p.release(connection)
 	}
 	p.upstream.loop.Dial(p.endpoint.Address, p.upstream.dialTimeout, opened, done)
 }
 
 // dialFailed fails the attempt that has waited longest: the dial was for it.
 func (p *pool) dialFailed(err error) {
-	if a := p.nextWaiting(); a != nil {
-		p.upstream.fail(a, &AttemptError{Stage: Connecting, Address: p.endpoint.Address, Err: err})
+	if attempt := p.nextWaiting(); attempt != nil {
+		p.upstream.fail(attempt, &AttemptError{Stage: Connecting, Address: p.endpoint.Address, Err: err})
 	}
 	p.dialForWaiting()
 }
@@ -110,53 +109,53 @@
 	if len(p.waiting) == 0 {
 		return nil
 	}
-	a := p.waiting[0]
+	attempt := p.waiting[0]
 	p.waiting = slices.Delete(p.waiting, 0, 1)
-	a.waiting = false
-	return a
+	attempt.waiting = false
+	return attempt
 }
 
 // removeWaiting takes an attempt out of the waiting list, so that no connection
 // is opened for it any more.
-func (p *pool) removeWaiting(a *attempt) {
-	a.waiting = false
-	p.waiting = slices.DeleteFunc(p.waiting, func(other *attempt) bool { return other == a })
+func (p *pool) removeWaiting(cancelled *attempt) {
+	cancelled.waiting = false
+	p.waiting = slices.DeleteFunc(p.waiting, func(other *attempt) bool { return other == cancelled })
 }
 
 // release gives a free connection to the longest waiting attempt, or makes it
 // idle.
-func (p *pool) release(c *connection) {
-	if a := p.nextWaiting(); a != nil {
-		p.assign(c, a)
+func (p *pool) release(connection *connection) {
+	if attempt := p.nextWaiting(); attempt != nil {
+		p.assign(connection, attempt)
 		return
 	}
 	if p.draining {
-		c.socket.Close()
+		connection.socket.Close()
 		return
 	}
-	c.lastActivity = p.upstream.now()
-	p.idle = append(p.idle, c)
+	connection.lastActivity = p.upstream.now()
+	p.idle = append(p.idle, connection)
 }
 
 // settle holds back a connection that has just carried a response.
-func (p *pool) settle(c *connection) {
+func (p *pool) settle(connection *connection) {
 	if p.draining {
-		c.socket.Close()
+		connection.socket.Close()
 		return
 	}
-	c.lastActivity = p.upstream.now()
-	p.settling = append(p.settling, c)
+	connection.lastActivity = p.upstream.now()
+	p.settling = append(p.settling, connection)
 }
 
 // releaseSettled releases the connections whose settle time is over.
 func (p *pool) releaseSettled(now time.Duration) {
 	for len(p.settling) > 0 && now-p.settling[0].lastActivity >= settleTime {
-		c := p.settling[0]
+		connection := p.settling[0]
 		p.settling = slices.Delete(p.settling, 0, 1)
-		if c.socket.InputEmpty() {
-			p.release(c)
+		if connection.socket.InputEmpty() {
+			p.release(connection)
 		} else {
-			c.closeAndReplace()
+			connection.closeAndReplace()
 		}
 	}
 }
@@ -170,12 +169,12 @@
 	p.closeOldestIdle(expired)
 }
 
-// closeOldestIdle closes the n connections that have been idle longest.
-func (p *pool) closeOldestIdle(n int) {
-	for _, c := range p.idle[:n] {
-		c.socket.Close()
+// closeOldestIdle closes the given number of connections: those that have been idle longest.
+func (p *pool) closeOldestIdle(count int) {
+	for _, connection := range p.idle[:count] {
+		connection.socket.Close()
 	}
-	p.idle = slices.Delete(p.idle, 0, n)
+	p.idle = slices.Delete(p.idle, 0, count)
 }
 
 // startDraining closes all free connections and has those in use closed once
@@ -183,8 +182,8 @@
 func (p *pool) startDraining() {
 	p.draining = true
 	p.closeOldestIdle(len(p.idle))
-	for _, c := range p.settling {
-		c.socket.Close()
+	for _, connection := range p.settling {
+		connection.socket.Close()
 	}
 	p.settling = nil
 	p.dialForWaiting()
@@ -192,8 +191,8 @@
 
 // remove takes a closed connection out of the pool and replaces it for the
 // attempts that wait.
-func (p *pool) remove(c *connection) {
-	same := func(other *connection) bool { return other == c }
+func (p *pool) remove(closed *connection) {
+	same := func(other *connection) bool { return other == closed }
 	p.idle = slices.DeleteFunc(p.idle, same)
 	p.settling = slices.DeleteFunc(p.settling, same)
 	p.dialForWaiting()
--- a/internal/serve/upstream/pool_test.go
+++ b/internal/serve/upstream/pool_test.go
@@ -28,7 +28,7 @@
 }
 
 // requireAllAttemptsConnect starts more attempts than may be dialled at once, and calls onConnected for each one
-// that got a connection and wrote its request. The server answers each with response.
+// that got a connection and wrote its request. The server responds to each with response.
 func requireAllAttemptsConnect(t *testing.T, response string, onConnected func(*Upstream, core.AttemptRef)) {
 	const attempts = maxConcurrentDials + 4
 	address := startServer(t, response)
@@ -63,8 +63,9 @@
 			u.StartAttempt(core.StartAttempt{
 				Ref:     core.AttemptRef{Request: piernotch.RequestID(i)},
 				To:      core.Endpoint{Server: 1, Address: address},
+				Message: &core.RequestMessage{Method: "GET", Target: "/", ID: "1"},
 				Timeout: time.Minute,
-			}, &Request{Method: "GET", Target: "/", ID: "1"})
+			})
 		}
 	})
 
@@ -83,7 +84,7 @@
 	<-loopEnded
 }
 
-// startServer accepts connections until the test ends. On each it answers the first line with response, and then
+// startServer accepts connections until the test ends. On each it responds to the first line, and then
 // discards what comes until the client closes.
 func startServer(t *testing.T, response string) (address string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/serve/upstream/upstream.go
+++ b/internal/serve/upstream/upstream.go
@@ -7,24 +7,6 @@
 	"piernotch/internal/serve/eventloop"
 )
 
-// Response is a feed server's response with status 200. Any other response is
-// only a status to the core.
-type Response struct {
-	ContentType string // "": the feed server named none
-	Body        []byte
-}
-
-// Request is the HTTP request that an attempt sends. It is not modified, so that
-// several attempts of one client request may share it.
-type Request struct {
-	Method         string
-	Target         string // path and query
-	ID             string // sent as X-Request-Id; "": no such field
-	IdempotencyKey string // sent as Idempotency-Key, by which feed servers recognise a repeat; "": no such field
-	ContentType    string // "": no such field
-	Body           []byte
-}
-
 // Upstream holds the connection pools of all endpoints. It must be used on the
 // event loop's owning goroutine only.
 type Upstream struct {
@@ -66,10 +48,10 @@
 	return u
 }
 
-// SetTimeouts sets after what time a feed server closes an idle connection
-// (keepAlive), and how long a connection may take to be established. Idle
-// connections are closed here at three quarters of keepAlive: a request that
-// crosses the feed server's close is lost.
+// SetTimeouts sets after what time a server closes an idle connection (keepAlive),
+// and how long a connection may take to be established. Idle connections are
+// closed here after three quarters of keepAlive: a request that is written while the
+// server closes its side is lost.
 func (u *Upstream) SetTimeouts(keepAlive, dialTimeout time.Duration) {
 	u.idleTimeout = keepAlive * 3 / 4
 	u.dialTimeout = dialTimeout
@@ -78,30 +60,31 @@
 // StartAttempt takes a connection for an attempt, or queues the attempt until
 // one is free. The core receives AttemptConnected, or AttemptCompleted if no
 // connection can be established.
-func (u *Upstream) StartAttempt(effect core.StartAttempt, request *Request) {
-	a := &attempt{
+func (u *Upstream) StartAttempt(effect core.StartAttempt) {
+	attempt := &attempt{
 		ref:      effect.Ref,
 		pool:     u.poolFor(effect.To),
-		request:  request,
+		request:  effect.Message,
 		deadline: u.now() + effect.Timeout,
 	}
-	u.attempts[effect.Ref] = a
-	a.pool.acquire(a)
+	u.attempts[effect.Ref] = attempt
+	attempt.pool.acquire(attempt)
 }
 
 // WriteAttempt sends an attempt's request on the connection that it was given.
 // It does nothing for an attempt that has ended or has no connection.
 func (u *Upstream) WriteAttempt(ref core.AttemptRef) {
-	if a := u.attempts[ref]; a != nil && a.conn != nil {
-		a.conn.writeRequest(u.now())
+	attempt := u.attempts[ref]
+	if attempt != nil && attempt.connection != nil {
+		attempt.connection.writeRequest(u.now())
 	}
 }
 
 // CancelAttempt ends an attempt without an event. If its request was written, its
 // connection is closed, so that a late response cannot reach another request.
 func (u *Upstream) CancelAttempt(ref core.AttemptRef) {
-	if a := u.attempts[ref]; a != nil {
-		u.cancel(a)
+	if attempt := u.attempts[ref]; attempt != nil {
+		u.cancel(attempt)
 	}
 }
 
@@ -109,16 +92,16 @@
 // Connections in use are closed when they become free. The next attempt on the
 // endpoint ends this state.
 func (u *Upstream) CloseIdle(endpoint core.Endpoint) {
-	if p := u.pools[endpoint]; p != nil {
-		p.startDraining()
+	if pool := u.pools[endpoint]; pool != nil {
+		pool.startDraining()
 	}
 }
 
 // Shed closes the idle connections of all endpoints to free descriptors.
 // Connections that are settling stay.
 func (u *Upstream) Shed() {
-	for _, p := range u.pools {
-		p.closeOldestIdle(len(p.idle))
+	for _, pool := range u.pools {
+		pool.closeOldestIdle(len(pool.idle))
 	}
 }
 
@@ -130,20 +113,22 @@
 	now := u.now()
 	u.endOverdueHealthChecks(now)
 	u.failStalledAttempts(now)
-	for endpoint, p := range u.pools {
-		p.releaseSettled(now)
-		p.closeExpiredIdle(now)
-		if p.draining && p.unused() {
+	for endpoint, pool := range u.pools {
+		pool.releaseSettled(now)
+		pool.closeExpiredIdle(now)
+		if pool.draining && pool.unused() {
 			delete(u.pools, endpoint)
 		}
 	}
 }
 
+// poolFor returns the pool of an endpoint, a new one if there is none.
 func (u *Upstream) poolFor(endpoint core.Endpoint) *pool {
-	p := u.pools[endpoint]
-	if p == nil {
-		p = &pool{upstream: u, endpoint: endpoint}
-		u.pools[endpoint] = p
+	existing := u.pools[endpoint]
+	if existing != nil {
+		return existing
 	}
-	return p
+	created := &pool{upstream: u, endpoint: endpoint}
+	u.pools[endpoint] = created
+	return created
 }
