--- a/internal/serve/eventloop/connection.go
+++ b/internal/serve/eventloop/connection.go
@@ -31,7 +31,7 @@
 
 	writtenBytes atomic.Int64 // that the kernel has taken
 	unhandled    atomic.Int32 // pieces of data on their way to the handler
-	discardInput atomic.Bool  // what still comes is thrown away
+	discardInput atomic.Bool  // what still arrives is discarded
 	prioritized  atomic.Bool  // handled before others after a stall
 	peerClosed   atomic.Bool  // or broke it; Handler.Closed may be still to come
 }
@@ -50,7 +50,7 @@
 // Prioritize makes the loop handle what comes on the connection before anything else after a stall.
 func (c *Conn) Prioritize() { c.prioritized.Store(true) }
 
-// DiscardInput throws away whatever the peer still sends, as it is read.
+// DiscardInput discards whatever the peer still sends, as it is read.
 func (c *Conn) DiscardInput() { c.discardInput.Store(true) }
 
 // PeerClosed reports whether the peer has closed or broken the connection, also where
@@ -85,8 +85,8 @@
 	}
 }
 
-// CloseWrite ends the sending side alone, so that what was sent is read even if the peer is still
-// sending: a close with bytes unread would be a reset, which takes it away.
+// CloseWrite closes the sending side alone, so that the peer receives what was sent even if it is
+// still sending: closing a socket with unread bytes is a reset, which discards what is on its way.
 func (c *Conn) CloseWrite() {
 	if c.closed {
 		return
@@ -102,8 +102,8 @@
 		return
 	}
 	defer func() {
-		if p := recover(); p != nil {
-			slog.Error("connection handler panic", "panic", p, "stack", string(debug.Stack()))
+		if cause := recover(); cause != nil {
+			slog.Error("connection handler panic", "panic", cause, "stack", string(debug.Stack()))
 			_ = c.socket.Close()
 		}
 	}()
--- a/internal/serve/eventloop/doc.go
+++ b/internal/serve/eventloop/doc.go
@@ -13,7 +13,7 @@
 //
 // What happens on one connection is handled in its order. After a stall, that is when the owner did
 // not run for some time, messages of connections that were prioritized, and closes by clients, are
-// handled before the rest, and the rest before the clock goes on.
+// handled before the rest, and the rest before the clock advances.
 //
 // The package knows nothing of HTTP, requests or servers. Packages downstream, upstream, discovery
 // and admin are its users; package runtime owns the Loop.
--- a/internal/serve/eventloop/listener.go
+++ b/internal/serve/eventloop/listener.go
@@ -13,6 +13,9 @@
 const (
 	// limitRetry is the time after which a listener at its limit looks for room again.
 	limitRetry = 5 * time.Millisecond
+	// clientShareQuarters is the part of the descriptor limit, in quarters, up to which clients are
+	// accepted. The rest is kept for connections to servers.
+	clientShareQuarters = 3
 	// acceptRetry is the time after which a failed accept is repeated.
 	acceptRetry = 20 * time.Millisecond
 )
@@ -40,8 +43,8 @@
 		loop:       l,
 		newHandler: newHandler,
 		open:       &l.open,
-		limit:      func() int64 { return l.descriptorLimit.Load() * 3 / 4 },
-		shed:       func() { l.Shed(true) },
+		limit:      func() int64 { return l.descriptorLimit.Load() * clientShareQuarters / 4 },
+		shed:       func() { l.ShedClients() },
 	}
 }
 
@@ -108,7 +111,7 @@
 // Addr returns the address of the socket, "" before Listen or Inherit.
 func (l *Listener) Addr() string { return l.address }
 
-// Stop ends accepting. A connection that has been accepted is still handed over.
+// Stop ends accepting. A connection that has been accepted still gets its handler.
 func (l *Listener) Stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,7 +137,7 @@
 			l.loop.Post(l.shed)
 			time.Sleep(limitRetry)
 		}
-		nc, err := listener.Accept()
+		accepted, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -144,19 +147,19 @@
 			time.Sleep(acceptRetry)
 			continue
 		}
-		l.handOver(nc)
+		l.handOff(accepted)
 	}
 }
 
-// handOver passes an accepted connection to the owning goroutine.
-func (l *Listener) handOver(nc net.Conn) {
+// handOff passes an accepted connection to the owning goroutine.
+func (l *Listener) handOff(accepted net.Conn) {
 	l.open.Add(1)
-	c := &Conn{openCount: l.open}
+	connection := &Conn{openCount: l.open}
 	l.loop.Post(func() {
-		c.handler = l.newHandler(c)
-		if err := l.loop.register(nc, c); err != nil {
+		connection.handler = l.newHandler(connection)
+		if err := l.loop.register(accepted, connection); err != nil {
 			slog.Warn("connection registration failed", "err", err)
-			c.reportClosed(err)
+			connection.reportClosed(err)
 		}
 	})
 }
--- a/internal/serve/eventloop/loop.go
+++ b/internal/serve/eventloop/loop.go
@@ -22,10 +22,11 @@
 	// stallThreshold is how long the loop may take over one batch without that being a stall:
 	// responses may be as late as this.
 	stallThreshold = 40 * time.Millisecond
-	// LongStallThreshold is the length of a stall after which the loop lets the poller read what waits
-	// in the sockets, for longStallReadTime, before it handles anything. The update that a server
-	// drains must not be behind a request that would be sent to it: the time given for that may be
-	// over. The protocol has a slack of half as much on every time limit.
+	// LongStallThreshold is the length of a stall after which the loop first gives the poller
+	// longStallReadTime to read what waits in the sockets, and only then handles messages. Otherwise a
+	// request could be handled before the update that a server drains, and be sent to that server when
+	// the time in which that is still allowed has passed. The threshold may be as high as this because
+	// the protocol tolerates a delay of half as much on every time limit.
 	LongStallThreshold = 100 * time.Millisecond
 	longStallReadTime  = 20 * time.Millisecond
 
@@ -35,9 +36,11 @@
 
 // Loop runs the sockets. New makes it.
 type Loop struct {
-	// Shed is called on the owning goroutine when descriptors are short. It should close what can be
-	// spared: for a new client, or else for a connection to a server. It is set before Run.
-	Shed func(client bool)
+	// ShedClients and ShedAll are called on the owning goroutine when descriptors are short, and should
+	// close connections that can be spared. ShedClients is called for a new client, which must not cost
+	// the servers' side its connections; it closes connections of clients alone. ShedAll is called for
+	// a connection to a server and when the limit was lowered. They are set before Run.
+	ShedClients, ShedAll func()
 	// Stalled is called on the owning goroutine after a stall, before what came meanwhile is handled:
 	// that may have been waiting for the whole gap. It is set before Run.
 	Stalled func(gap time.Duration)
@@ -53,28 +56,29 @@
 // not included. Its poller runs until the process ends.
 func New(descriptors int) (*Loop, error) {
 	prepareEngines(descriptors)
-	l := &Loop{
-		Shed:       func(bool) {},
-		Stalled:    func(time.Duration) {},
-		readBuffer: make([]byte, readSize),
+	loop := &Loop{
+		ShedClients: func() {},
+		ShedAll:     func() {},
+		Stalled:     func(time.Duration) {},
+		readBuffer:  make([]byte, readSize),
 		engine: nbio.NewEngine(nbio.Config{
 			Name: "piernotch", NPoller: 1, ReadBufferSize: readSize, MaxWriteBufferSize: maxWriteBuffer,
 		}),
 	}
-	l.mailbox.init()
-	l.SetDescriptorLimit(descriptors)
-	l.engine.OnOpen(func(*nbio.Conn) {})
-	l.engine.OnRead(l.read)
-	l.engine.OnClose(l.connectionClosed)
-	l.engine.OnWrittenSize(func(nc *nbio.Conn, _ []byte, n int) {
-		if c, ok := nc.Session().(*Conn); ok {
-			c.writtenBytes.Add(int64(n))
+	loop.mailbox.init()
+	loop.SetDescriptorLimit(descriptors)
+	loop.engine.OnOpen(func(*nbio.Conn) {})
+	loop.engine.OnRead(loop.read)
+	loop.engine.OnClose(loop.connectionClosed)
+	loop.engine.OnWrittenSize(func(socket *nbio.Conn, _ []byte, written int) {
+		if connection, ok := socket.Session().(*Conn); ok {
+			connection.writtenBytes.Add(int64(written))
 		}
 	})
-	if err := l.engine.Start(); err != nil {
+	if err := loop.engine.Start(); err != nil {
 		return nil, fmt.Errorf("start of the socket engine: %w", err)
 	}
-	return l, nil
+	return loop, nil
 }
 
 var engineTable struct {
@@ -139,39 +143,39 @@
 // handle handles a batch and clears it: its array is used again and must keep nothing alive.
 func (l *Loop) handle(batch []message) {
 	for i := range batch {
-		m := &batch[i]
-		if m.conn == nil {
-			guard(m.f)
+		next := &batch[i]
+		if next.conn == nil {
+			guard(next.call)
 		} else {
-			m.conn.unhandled.Add(-1)
-			m.conn.deliver(*m.data)
-			l.mailbox.release(m.data)
+			next.conn.unhandled.Add(-1)
+			next.conn.deliver(*next.data)
+			l.mailbox.release(next.data)
 		}
-		*m = message{}
+		*next = message{}
 	}
 }
 
 // guard keeps a panic in one event from ending the program.
-func guard(f func()) {
+func guard(call func()) {
 	defer func() {
-		if p := recover(); p != nil {
-			slog.Error("event handler panic", "panic", p, "stack", string(debug.Stack()))
+		if cause := recover(); cause != nil {
+			slog.Error("event handler panic", "panic", cause, "stack", string(debug.Stack()))
 		}
 	}()
-	f()
+	call()
 }
 
-// Post runs f on the owning goroutine, after what was posted before. It never blocks and may be
+// Post runs call on the owning goroutine, after what was posted before. It never blocks and may be
 // called from any goroutine.
-func (l *Loop) Post(f func()) { l.mailbox.post(message{f: f}) }
+func (l *Loop) Post(call func()) { l.mailbox.post(message{call: call}) }
 
 // SetDescriptorLimit changes the number of descriptors that the engine may hold. Connections that
-// are open stay open, but for those that Shed can spare. It may be called from any goroutine.
+// are open stay open, but for those that ShedAll can spare. It may be called from any goroutine.
 func (l *Loop) SetDescriptorLimit(descriptors int) {
 	limit := int64(descriptors - ReservedDescriptors)
 	l.descriptorLimit.Store(limit)
 	if l.open.Load() > limit {
-		l.Post(func() { l.Shed(false) })
+		l.Post(func() { l.ShedAll() })
 	}
 }
 
--- a/internal/serve/eventloop/mailbox.go
+++ b/internal/serve/eventloop/mailbox.go
@@ -10,17 +10,18 @@
 // and so do the peers: a few that send at full speed must not fill the memory.
 const maxPendingData = 256 << 10
 
-// message is one thing that has happened: f, or else data on a connection.
+// message is one thing that has happened: call, or else data on a connection.
 type message struct {
-	f           func()
+	call        func()
 	conn        *Conn
 	data        *[]byte
-	prioritized bool // of f: handled before others after a stall
+	prioritized bool // of call: handled before others after a stall
 }
 
 // priority is 1 for what is handled first after a stall.
 func (m message) priority() int {
-	if m.prioritized || m.conn != nil && m.conn.prioritized.Load() {
+	onPrioritizedConnection := m.conn != nil && m.conn.prioritized.Load()
+	if m.prioritized || onPrioritizedConnection {
 		return 1
 	}
 	return 0
@@ -57,17 +58,17 @@
 
 // postData adds a copy of data that was read on a connection, unless the connection discards its
 // input. It blocks while too much data is pending; only the poller may call it.
-func (m *mailbox) postData(c *Conn, data []byte) {
+func (m *mailbox) postData(connection *Conn, data []byte) {
 	m.mu.Lock()
 	for m.dataSize > maxPendingData {
 		m.taken.Wait()
 	}
-	if !c.discardInput.Load() {
+	if !connection.discardInput.Load() {
 		buffer := m.buffers.Get().(*[]byte)
 		*buffer = append((*buffer)[:0], data...)
-		c.unhandled.Add(1)
+		connection.unhandled.Add(1)
 		m.dataSize += len(data)
-		m.messages = append(m.messages, message{conn: c, data: buffer})
+		m.messages = append(m.messages, message{conn: connection, data: buffer})
 	}
 	m.mu.Unlock()
 	m.signal()
--- a/internal/serve/eventloop/poller.go
+++ b/internal/serve/eventloop/poller.go
@@ -19,75 +19,76 @@
 
 // register passes a connection to the poller. The handler must be set before, and it runs on the
 // owning goroutine.
-func (l *Loop) register(nc net.Conn, c *Conn) error {
-	socket, err := nbio.NBConn(nc)
+func (l *Loop) register(accepted net.Conn, connection *Conn) error {
+	socket, err := nbio.NBConn(accepted)
 	if err != nil {
-		_ = nc.Close()
-		c.release()
+		_ = accepted.Close()
+		connection.release()
 		return err
 	}
-	c.socket = socket
-	socket.SetSession(c)
+	connection.socket = socket
+	socket.SetSession(connection)
 	if err := socket.SetNoDelay(true); err != nil {
 		slog.Debug("no TCP_NODELAY", "err", err)
 	}
 	if _, err := l.engine.AddConn(socket); err != nil {
-		c.release() // nbio has closed it, but does not always report that
+		connection.release() // nbio has closed it, but does not always report that
 		return err
 	}
 	return nil
 }
 
-// read takes what a connection holds; the poller calls it. The poller's own reading closes behind a
-// few pieces as soon as the end has come, whatever is left, and calls a reset an orderly end; a
-// response whose length its end gives would pass for complete where it was cut short. So what a
-// server sends is read up to its end or to nothing; its handler closes what sends too much. A client
-// may have a few pieces at a time.
-func (l *Loop) read(nc *nbio.Conn) {
-	c := nc.Session().(*Conn)
-	l.mailbox.mu.Lock() // makes the fields of a new connection visible here
-	c.unhandled.Add(1)  // what is read here is neither in the kernel nor in the mailbox
+// read reads what a connection holds; the poller calls it. It replaces nbio's own reading, which has
+// two faults: it closes a connection after a few reads once the peer has closed it, even if more data
+// is left, and it reports a reset as an orderly end. A response that is delimited by the end of the
+// connection would then pass for complete although it was cut short. So a connection to a server is
+// read until it is empty or has ended; its handler closes one that sends too much. A client's
+// connection is read maxClientReads times, and then others have their turn.
+func (l *Loop) read(socket *nbio.Conn) {
+	connection := socket.Session().(*Conn)
+	l.mailbox.mu.Lock()         // makes the fields of a new connection visible here
+	connection.unhandled.Add(1) // what is read here is neither in the kernel nor in the mailbox
 	l.mailbox.mu.Unlock()
-	defer c.unhandled.Add(-1)
+	defer connection.unhandled.Add(-1)
 	for reads := 1; ; reads++ {
-		n, err := nc.Read(l.readBuffer)
+		size, err := socket.Read(l.readBuffer)
 		switch {
 		case errors.Is(err, syscall.EINTR):
 			continue
 		case errors.Is(err, syscall.EAGAIN):
 			return
-		case err == nil && n == 0:
+		case err == nil && size == 0:
 			err = errPeerClosed
 		}
 		if err != nil {
-			_ = nc.CloseWithError(err)
+			_ = socket.CloseWithError(err)
 			return
 		}
-		l.mailbox.postData(c, l.readBuffer[:n])
-		emptied := n < len(l.readBuffer)
-		if !c.dialed && (emptied || reads >= maxClientReads) {
+		l.mailbox.postData(connection, l.readBuffer[:size])
+		emptied := size < len(l.readBuffer)
+		if !connection.dialed && (emptied || reads >= maxClientReads) {
 			return
 		}
 	}
 }
 
 // connectionClosed posts the end of a connection; the poller calls it.
-func (l *Loop) connectionClosed(nc *nbio.Conn, err error) {
+func (l *Loop) connectionClosed(socket *nbio.Conn, err error) {
 	if errors.Is(err, errPeerClosed) {
 		err = io.EOF
 	} else if errors.Is(err, io.EOF) {
 		err = errBroken
 	}
-	c, ok := nc.Session().(*Conn)
+	connection, ok := socket.Session().(*Conn)
 	if !ok {
 		return
 	}
 	l.mailbox.mu.Lock() // as in read
-	c.peerClosed.Store(true)
+	connection.peerClosed.Store(true)
 	l.mailbox.mu.Unlock()
 	// That a client has left is handled first after a stall; what a server sent before its end counts.
-	l.mailbox.post(message{prioritized: !c.dialed, f: func() {
-		c.release()
-		c.reportClosed(err)
+	l.mailbox.post(message{prioritized: !connection.dialed, call: func() {
+		connection.release()
+		connection.reportClosed(err)
 	}})
 }
--- a/internal/serve/runtime/balancer.go
+++ b/internal/serve/runtime/balancer.go
@@ -13,7 +13,6 @@
 	"piernotch/internal/serve/discovery"
 	"piernotch/internal/serve/downstream"
 	"piernotch/internal/serve/eventloop"
-	"piernotch/internal/serve/handover"
 	"piernotch/internal/serve/overrides"
 	"piernotch/internal/serve/upstream"
 )
@@ -109,7 +108,8 @@
 		Version: cfg.KnownEndpoints.Generation,
 	})
 	b.loop.Stalled = b.stalled
-	b.loop.Shed = b.shed
+	b.loop.ShedClients = b.shedClients
+	b.loop.ShedAll = b.shedAll
 	return b, nil
 }
 
@@ -141,8 +141,8 @@
 	if !b.cfg.Settings.PollDiscovery {
 		b.watcher.SetPush()
 	}
-	b.siblings.merge(peers) // after the list: overrides name servers that it holds
-	b.siblings.writeRecord()
+	b.mergePeers(peers) // after the list: overrides name servers that it holds
+	b.writeRecord()
 	if err := b.listen(); err != nil {
 		return err
 	}
@@ -161,7 +161,7 @@
 	if b.adminListener != nil {
 		b.adminListener.Stop()
 	}
-	b.siblings.leave()
+	b.leaveSiblings()
 	b.logTotals("shutdown completed")
 	if b.recorder != nil {
 		b.recorder.close()
@@ -192,7 +192,7 @@
 	if !b.core.EndpointsKnown() || b.core.ClientsDrained() {
 		return false
 	}
-	return !b.core.ShuttingDown() || b.siblings.hasSuccessor
+	return !b.core.ShuttingDown() || b.siblings.hasSuccessor()
 }
 
 func (b *Balancer) executeAdminCommand(call overrides.CallID, action overrides.Action, server string) {
@@ -208,18 +208,11 @@
 	b.admin.Tick()
 	now := b.now()
 	b.advanceWhenReady()
-	b.siblings.tick(now)
+	b.tickSiblings(now)
 	b.exitWhenDrained()
 	b.logPeriodically(now)
 }
 
-// advanceWhenReady lets sibling processes know once this process can serve.
-func (b *Balancer) advanceWhenReady() {
-	if b.ready() {
-		b.siblings.advance(handover.Ready)
-	}
-}
-
 // stalled runs after the event loop did not run for the duration of gap.
 func (b *Balancer) stalled(gap time.Duration) {
 	if gap > loggedStall {
@@ -228,14 +221,17 @@
 	b.downstream.Stalled(gap)
 }
 
-// shed closes idle connections where descriptors are short.
-func (b *Balancer) shed(client bool) {
+// shedClients closes idle connections of clients where descriptors are short.
+func (b *Balancer) shedClients() {
 	if now := b.now(); now-b.shedLogged > shedLogInterval {
 		b.shedLogged = now
 		slog.Warn("descriptor limit reached", "open", b.loop.OpenConnections())
 	}
 	b.downstream.Shed()
-	if !client { // a new client must not cost the servers' side its connections
-		b.upstream.Shed()
-	}
+}
+
+// shedAll closes idle connections of clients and to servers where descriptors are short.
+func (b *Balancer) shedAll() {
+	b.shedClients()
+	b.upstream.Shed()
 }
--- a/internal/serve/runtime/client_request_test.go
+++ b/internal/serve/runtime/client_request_test.go
@@ -100,7 +100,7 @@
 	require.Empty(t, forwarded)
 }
 
-// A client that still sends a body that is too large must be able to, or its kernel may throw the response
+// A client that still sends a body that is too large must be able to, or its kernel may discard the response
 // away.
 func TestBodyTooLargeIsRejected(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t))
--- a/internal/serve/runtime/effects.go
+++ b/internal/serve/runtime/effects.go
@@ -54,7 +54,7 @@
 	case core.Exit:
 		b.requestExit()
 	case core.PersistOverrides:
-		b.siblings.writeRecord()
+		b.writeRecord()
 	case core.AdminResult:
 		b.admin.Complete(effect.Call, effect.Err)
 	case core.DrainClients:
--- /dev/null
+++ b/internal/serve/runtime/handover.go
@@ -0,0 +1,181 @@
+package runtime
+
+import (
+	"log/slog"
+	"slices"
+	"time"
+
+	"piernotch"
+	"piernotch/internal/serve/core"
+	"piernotch/internal/serve/discovery"
+	"piernotch/internal/serve/handover"
+)
+
+// joinSiblings makes this process known to its siblings, takes over the endpoint list of one, and
+// returns all of them.
+func (b *Balancer) joinSiblings() ([]handover.Peer, error) {
+	siblings, peers, err := enterSiblings(b.cfg.StateDir, b.cfg.Name)
+	if err != nil {
+		return nil, err
+	}
+	b.siblings = siblings
+	var predecessor *handover.Record
+	for i := range peers {
+		peer := &peers[i]
+		if b.canTakeOver(peer) && (predecessor == nil || peer.Epoch > predecessor.Epoch) {
+			predecessor = &peer.Record
+		}
+	}
+	if predecessor != nil {
+		b.takeOver(predecessor)
+	}
+	return peers, nil
+}
+
+// canTakeOver reports whether a process's record holds a list that is better than what this
+// process was configured with. That of a process which has ended may be old.
+func (b *Balancer) canTakeOver(peer *handover.Peer) bool {
+	if peer.Err != nil || peer.Endpoints == nil {
+		return false
+	}
+	if peer.Alive {
+		return true
+	}
+	return peer.Discovery == b.cfg.Discovery && peer.Generation >= b.cfg.KnownEndpoints.Generation
+}
+
+// takeOver starts from the endpoint list and the estimates of another process.
+func (b *Balancer) takeOver(from *handover.Record) {
+	known := discovery.EndpointList{Generation: from.Generation, Reset: true}
+	for i := range from.Endpoints {
+		stored := &from.Endpoints[i]
+		known.Endpoints = append(known.Endpoints, core.DiscoveredEndpoint{
+			Name:    stored.Name,
+			Address: stored.Address,
+			Endpoint: piernotch.Endpoint{
+				Zone:      slices.Index(b.cfg.Settings.Zones, stored.Zone),
+				Cell:      stored.Cell,
+				State:     stored.State,
+				Size:      stored.Size,
+				StartedAt: stored.StartedAt,
+			},
+		})
+	}
+	b.cfg.KnownEndpoints = known
+	b.cfg.HasKnownEndpoints = true
+	sameService := from.Discovery == b.cfg.Discovery
+	b.watcher.Resume(from.Generation, sameService)
+	b.emit(core.PeerSnapshot{Snapshot: from.Snapshot})
+	slog.Info("handover started", "from_pid", from.PID, "epoch", from.Epoch, "generation", from.Generation, "servers", len(known.Endpoints))
+}
+
+// tickSiblings reads the siblings' records and writes the own one, each at its interval.
+func (b *Balancer) tickSiblings(now time.Duration) {
+	if peers, due := b.siblings.poll(now); due {
+		b.mergePeers(peers)
+		b.updateAccepting()
+		b.applyResourceLimits()
+	}
+	if b.siblings.recordDue(now) {
+		b.writeRecord()
+	}
+}
+
+// mergePeers applies the operator overrides that sibling processes were given, and notes which of
+// them are alive.
+func (b *Balancer) mergePeers(peers []handover.Peer) {
+	for i := range peers {
+		if peer := &peers[i]; peer.Err == nil {
+			b.emit(core.PeerOverrides{Overrides: &peer.Overrides})
+		}
+	}
+	b.siblings.update(peers)
+	if b.siblings.alone {
+		b.core.PruneOverrides()
+	}
+}
+
+// advance lets the siblings know of a new phase of this process.
+func (b *Balancer) advance(to handover.Phase) {
+	if b.siblings.advance(to) {
+		b.writeRecord()
+		b.updateAccepting()
+	}
+}
+
+// advanceWhenReady lets the siblings know once this process can serve.
+func (b *Balancer) advanceWhenReady() {
+	if b.ready() {
+		b.advance(handover.Ready)
+	}
+}
+
+// updateAccepting accepts clients on an inherited socket, or leaves them to another process.
+func (b *Balancer) updateAccepting() {
+	inherited := b.cfg.ListenFD != 0
+	if !inherited || b.stopped {
+		return
+	}
+	accept := b.siblings.accepts()
+	if accept == b.listener.Accepting() {
+		return
+	}
+	event := "listener stopped"
+	if accept {
+		event = "listener started"
+	}
+	slog.Info(event, "pid", b.siblings.self.PID, "others", len(b.siblings.others))
+	if err := b.listener.SetAccepting(accept); err != nil {
+		slog.Error("inherited listener failed", "err", err)
+	}
+}
+
+// leaveSiblings writes the last record and lets the siblings know that this process has ended.
+func (b *Balancer) leaveSiblings() {
+	b.writeRecord()
+	b.siblings.leave()
+}
+
+// writeRecord writes this process's record, if there is a directory for it.
+func (b *Balancer) writeRecord() {
+	if b.siblings.directory != nil {
+		b.siblings.write(b.record(b.now()))
+	}
+}
+
+// record returns what a successor needs to know. Endpoints is nil as long as no list is known.
+func (b *Balancer) record(now time.Duration) handover.Record {
+	record := handover.Record{
+		ProcessState: b.siblings.self,
+		WrittenAt:    now,
+		Discovery:    b.cfg.Discovery,
+		Generation:   b.watcher.Version(),
+		Overrides:    b.core.Overrides(),
+		Snapshot:     b.core.Snapshot(),
+	}
+	if b.core.EndpointsKnown() {
+		record.Endpoints = []handover.Endpoint{}
+	}
+	for _, known := range b.core.Endpoints() {
+		record.Endpoints = append(record.Endpoints, b.storedEndpoint(known))
+	}
+	return record
+}
+
+// storedEndpoint returns an endpoint in the form of a record, with its zone by name.
+func (b *Balancer) storedEndpoint(known core.DiscoveredEndpoint) handover.Endpoint {
+	zone := ""
+	zones := b.cfg.Settings.Zones
+	if index := known.Endpoint.Zone; index >= 0 && index < len(zones) {
+		zone = zones[index]
+	}
+	return handover.Endpoint{
+		Name:      known.Name,
+		Address:   known.Address,
+		Zone:      zone,
+		Cell:      known.Endpoint.Cell,
+		State:     known.Endpoint.State,
+		Size:      known.Endpoint.Size,
+		StartedAt: known.Endpoint.StartedAt,
+	}
+}
--- a/internal/serve/runtime/health_check_test.go
+++ b/internal/serve/runtime/health_check_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A server that does not respond is ejected, and a health check that it does not answer gives its connection
+// A server that does not respond is ejected, and a health check without a response gives its connection
 // back.
 func TestUnansweredHealthCheckClosesItsConnection(t *testing.T) {
 	closed := make(chan string, 64)
--- a/internal/serve/runtime/helpers_test.go
+++ b/internal/serve/runtime/helpers_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// startIdleDiscovery starts a discovery that answers no watch.
+// startIdleDiscovery starts a discovery that responds to no poll.
 func startIdleDiscovery(t *testing.T) string {
 	return startPeer(t, func(_ net.Conn, r *bufio.Reader) { readMessage(r); readMessage(r) })
 }
--- a/internal/serve/runtime/reload.go
+++ b/internal/serve/runtime/reload.go
@@ -19,9 +19,9 @@
 }
 
 // settingsApplied applies the rest of a configuration whose settings the core has accepted.
-func (b *Balancer) settingsApplied(e core.SettingsApplied) {
-	if e.Err != nil {
-		slog.Error("configuration rejected", "err", e.Err)
+func (b *Balancer) settingsApplied(applied core.SettingsApplied) {
+	if applied.Err != nil {
+		slog.Error("configuration rejected", "err", applied.Err)
 		return
 	}
 	next := &b.reloaded
@@ -33,7 +33,7 @@
 	b.cfg.MemoryMB = next.MemoryMB
 	b.upstream.SetTimeouts(next.KeepAlive, next.DialTimeout)
 	b.applyResourceLimits()
-	b.setRoutes(e.Routes)
+	b.setRoutes(applied.Routes)
 }
 
 // setRoutes passes the routes and what belongs to them to the clients' side.
--- a/internal/serve/runtime/resource_limits.go
+++ b/internal/serve/runtime/resource_limits.go
@@ -11,6 +11,9 @@
 	// claimSlack is how far this process's limit may exceed the descriptors that it claims from its
 	// siblings before the claim is corrected: a record for each descriptor would be too many.
 	claimSlack = 8
+	// goMemoryTenths is the part of the memory limit, in tenths, that the Go runtime may use. Stacks,
+	// the runtime's own data and the kernel's share come on top.
+	goMemoryTenths = 6
 )
 
 // applyResourceLimits keeps all processes of the balancer within its limits.
@@ -24,10 +27,10 @@
 		b.memoryLimit = memory
 		b.LimitMemory(memory)
 	}
-	s := &b.siblings
-	if grown := descriptors - s.self.DescriptorClaim; grown < 0 || grown > claimSlack {
-		s.self.DescriptorClaim = descriptors
-		s.writeRecord()
+	excess := descriptors - b.siblings.self.DescriptorClaim
+	if excess < 0 || excess > claimSlack {
+		b.siblings.self.DescriptorClaim = descriptors
+		b.writeRecord()
 	}
 }
 
@@ -38,15 +41,14 @@
 		descriptors -= admin.ReservedDescriptors
 	}
 	memory = int64(b.cfg.MemoryMB) << 20
-	memory = memory * 6 / 10 // stacks, the runtime's own data and the kernel's share come on top
-	s := &b.siblings
+	memory = memory * goMemoryTenths / 10
 	switch {
-	case s.alone:
+	case b.siblings.alone:
 		return descriptors, memory
-	case len(s.others) == 0: // nothing is known of the processes that are alive
+	case len(b.siblings.others) == 0: // nothing is known of the processes that are alive
 		return descriptors / 2, memory / 2
 	default:
 		open := b.loop.OpenConnections() + eventloop.ReservedDescriptors
-		return s.self.DescriptorShare(s.others, descriptors, open), memory / 2
+		return b.siblings.self.DescriptorShare(b.siblings.others, descriptors, open), memory / 2
 	}
 }
--- a/internal/serve/runtime/shutdown.go
+++ b/internal/serve/runtime/shutdown.go
@@ -24,7 +24,7 @@
 		slog.Info("shutdown started", "pending", b.core.PendingRequests(), "clients", b.downstream.ConnectionCount())
 		b.downstream.Shutdown()
 		b.emit(core.Shutdown{})
-		b.siblings.advance(handover.ShuttingDown)
+		b.advance(handover.ShuttingDown)
 	})
 }
 
--- a/internal/serve/runtime/trace_recorder.go
+++ b/internal/serve/runtime/trace_recorder.go
@@ -37,17 +37,17 @@
 	return &traceRecorder{out: out, startedAt: now, pending: map[core.ExchangeID]trafficrecording.Record{}}, nil
 }
 
-// eventReceived notes a request, or that its client has gone. Other events are ignored.
+// eventReceived notes a request, or that its client has disconnected. Other events are ignored.
 func (r *traceRecorder) eventReceived(now time.Duration, event core.Event) {
-	switch e := event.(type) {
+	switch event := event.(type) {
 	case core.RequestReceived:
-		record := trafficrecording.Record{At: now - r.startedAt, Class: uint16(e.Class), Key: e.Key, Deadline: e.Deadline - now}
-		if e.CostHint > 0 && !math.IsInf(e.CostHint, 0) {
-			record.CostHint = e.CostHint
+		record := trafficrecording.Record{At: now - r.startedAt, Class: uint16(event.Class), Key: event.Key, Deadline: event.Deadline - now}
+		if event.CostHint > 0 && !math.IsInf(event.CostHint, 0) {
+			record.CostHint = event.CostHint
 		}
-		r.pending[e.Exchange] = record
+		r.pending[event.Exchange] = record
 	case core.ClientDisconnected:
-		r.complete(now, e.Exchange, trafficrecording.ClientGone)
+		r.complete(now, event.Exchange, trafficrecording.ClientGone)
 	}
 }
 
@@ -66,12 +66,12 @@
 }
 
 // complete writes the record of a request, if it is pending.
-func (r *traceRecorder) complete(now time.Duration, client core.ExchangeID, outcome trafficrecording.Outcome) {
-	record, ok := r.pending[client]
-	if !ok {
+func (r *traceRecorder) complete(now time.Duration, exchange core.ExchangeID, outcome trafficrecording.Outcome) {
+	record, pending := r.pending[exchange]
+	if !pending {
 		return
 	}
-	delete(r.pending, client)
+	delete(r.pending, exchange)
 	record.Outcome = outcome
 	record.Latency = now - r.startedAt - record.At
 	r.out.Add(record)
