--- a/cmd/piernotch/check.go
+++ b/cmd/piernotch/check.go
@@ -11,7 +11,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("good: %s listens on %s, asks %s, %d classes, %d servers known\n",
+	fmt.Printf("valid: %s listens on %s, polls discovery at %s, %d classes, %d servers known\n",
 		cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.Settings.Classes), len(cfg.KnownEndpoints.Endpoints))
 	return nil
 }
--- a/cmd/piernotch/duties.go
+++ b/cmd/piernotch/duties.go
@@ -14,13 +14,13 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// dutiesCmd shows which balancer of a group holds which duty.
+// dutiesCmd shows the lease holder of each duty of a control group.
 type dutiesCmd struct {
-	Group string        `required:"" placeholder:"FILE" help:"The group's file."`
-	Wait  time.Duration `default:"5s" help:"How long to look for a voter that leads."`
+	Group string        `required:"" placeholder:"FILE" help:"The control group's file."`
+	Wait  time.Duration `default:"5s" help:"How long to look for the leader."`
 }
 
-// Run prints the holders of all duties and the voters. It fails if no voter leads.
+// Run prints the lease holders of all duties, and the voters. It fails if there is no leader.
 func (c *dutiesCmd) Run() error {
 	cfg, err := controlgroup.LoadFile(c.Group)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return printDuties(os.Stdout, snapshot)
 }
 
-// printDuties prints two tables, of duties and of voters.
+// printDuties prints two tables: of the duties' leases, and of the voters.
 func printDuties(out io.Writer, snapshot protocol.Snapshot) error {
 	var rows strings.Builder
 	rows.WriteString("duty\tholder\tprocess\ttoken\n")
--- a/cmd/piernotch/main.go
+++ b/cmd/piernotch/main.go
@@ -1,9 +1,9 @@
-// Command piernotch is the balancer: it takes clients' requests on a socket and forwards them to
-// feed servers as the decision module decides.
+// Command piernotch is the balancer: it accepts clients' requests on a socket and forwards them to
+// servers as the decision module decides.
 //
 // The command reads flags and signals and wires the packages together: config for the
-// configuration, logs for the log, runtime for the balancer, and group for the balancers that share
-// duties with this one. Each subcommand has a file of its own.
+// configuration, logs for the log, runtime for the balancer, and controlgroup for the leases that it
+// shares with other balancers. Each subcommand has a file of its own.
 package main
 
 import (
@@ -17,19 +17,19 @@
 
 // cli holds the subcommands, by their names.
 type cli struct {
-	Serve   serveCmd   `cmd:"" default:"withargs" help:"Serve (what happens without a command)."`
-	Check   checkCmd   `cmd:"" help:"Check a configuration: all that is wrong is told, and nothing started."`
-	Duties  dutiesCmd  `cmd:"" help:"Show which balancer of a group holds which duty."`
-	Version versionCmd `cmd:"" help:"Say what was built."`
+	Serve   serveCmd   `cmd:"" default:"withargs" help:"Serve; the default command."`
+	Check   checkCmd   `cmd:"" help:"Check a configuration: report all errors, start nothing."`
+	Duties  dutiesCmd  `cmd:"" help:"Show the lease holder of each duty of a control group, and the voters."`
+	Version versionCmd `cmd:"" help:"Print the revision and the toolchain of this build."`
 }
 
-const description = `A balancer for HTTP/1.1 feed servers. Without a command it serves, from the TOML file that
---config names, or else from the platform's JSON file that ROUTER_CONFIG names.`
+const description = `A load balancer for HTTP/1.1 servers. Without a command it serves, configured by the TOML file
+that --config names, or else by the platform's JSON file that ROUTER_CONFIG names.`
 
 func main() {
-	var c cli
-	k := kong.Parse(&c, kong.Name("piernotch"), kong.Description(description), kong.UsageOnError())
-	if err := k.Run(); err != nil {
+	var commands cli
+	parsed := kong.Parse(&commands, kong.Name("piernotch"), kong.Description(description), kong.UsageOnError())
+	if err := parsed.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "piernotch:", err)
 		os.Exit(1)
 	}
@@ -37,7 +37,7 @@
 
 // configSource says where the configuration comes from.
 type configSource struct {
-	Config string `short:"c" placeholder:"FILE" env:"PIERNOTCH_CONFIG" help:"Configuration in TOML; goes before ROUTER_CONFIG."`
+	Config string `short:"c" placeholder:"FILE" env:"PIERNOTCH_CONFIG" help:"Configuration in TOML; takes precedence over ROUTER_CONFIG."`
 }
 
 // load reads the configuration at the start.
--- a/cmd/piernotch/serve.go
+++ b/cmd/piernotch/serve.go
@@ -18,22 +18,25 @@
 	"piernotch/internal/serve/runtime"
 )
 
-// leaveTimeout is how long a shutdown waits for the group to take note of it.
+// leaveTimeout is how long a shutdown waits for the control group to confirm it.
 const leaveTimeout = 500 * time.Millisecond
 
+// signalBuffer is how many signals may wait: a reload must not lose a SIGTERM behind it.
+const signalBuffer = 16
+
 // serveCmd runs the balancer.
 type serveCmd struct {
 	configSource
-	Group string `placeholder:"FILE" help:"Take part in the group that the file tells of; without it, in none."`
+	Group string `placeholder:"FILE" help:"Join the control group that this file describes; without it, none."`
 }
 
 // Run serves until SIGTERM or SIGINT and the graceful shutdown that follows. SIGHUP reloads the
 // configuration.
 func (c *serveCmd) Run() error {
 	// Before anything else: by default a SIGHUP or SIGTERM ends the program.
-	signals := make(chan os.Signal, 16)
+	signals := make(chan os.Signal, signalBuffer)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, os.Interrupt)
-	signal.Ignore(syscall.SIGPIPE) // the process that reads the log may end; the service stays
+	signal.Ignore(syscall.SIGPIPE) // the process that reads the log may end; this one continues
 	cfg, err := c.load()
 	if err != nil {
 		return err
@@ -55,7 +58,7 @@
 	if err := balancer.Start(); err != nil {
 		return err
 	}
-	// Owned by Run; it ends with the process, which Run's return ends.
+	// Owned by Run; it ends with the process, when Run returns.
 	go c.handleSignals(signals, cfg, balancer, leaveGroup)
 	balancer.Run(context.Background())
 	return nil
@@ -63,10 +66,12 @@
 
 // handleSignals reloads the configuration or shuts the balancer down, as signals ask.
 func (c *serveCmd) handleSignals(signals <-chan os.Signal, cfg config.Config, balancer *runtime.Balancer, leaveGroup func()) {
-	for s := range signals {
-		if s != syscall.SIGHUP {
+	for received := range signals {
+		if received != syscall.SIGHUP {
 			balancer.Shutdown()
-			go leaveGroup() // within leaveTimeout: a duty passes on while clients are still served
+			// Owned by the process; it ends within leaveTimeout. A lease passes to another member while
+			// clients are still served.
+			go leaveGroup()
 			continue
 		}
 		next, err := c.reload(cfg)
@@ -78,7 +83,7 @@
 	}
 }
 
-// joinGroup makes the balancer a member of the group in a file, and returns the function that leaves
+// joinGroup makes the balancer a member of the control group in a file, and returns the function that leaves
 // it, which may be called more than once and from any goroutine. Without a file there is no group,
 // and nothing is opened.
 func joinGroup(file string, balancer *runtime.Balancer) (leave func(), err error) {
--- a/cmd/piernotch/version.go
+++ b/cmd/piernotch/version.go
@@ -14,15 +14,15 @@
 func (*versionCmd) Run() error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return errors.New("this build says nothing of itself")
+		return errors.New("this build holds no build information")
 	}
 	revision, modified := "unknown", ""
-	for _, s := range info.Settings {
+	for _, setting := range info.Settings {
 		switch {
-		case s.Key == "vcs.revision":
-			revision = s.Value
-		case s.Key == "vcs.modified" && s.Value == "true":
-			modified = ", changed since"
+		case setting.Key == "vcs.revision":
+			revision = setting.Value
+		case setting.Key == "vcs.modified" && setting.Value == "true":
+			modified = ", modified"
 		}
 	}
 	fmt.Printf("piernotch %s%s, %s %s/%s\n", revision, modified, info.GoVersion, runtime.GOOS, runtime.GOARCH)
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Lines a second that are written at the most.
+// The most lines a second that are written.
 const (
 	// DefaultLines is the limit at levels info, warn and error.
 	DefaultLines = 200
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	core := zapcore.NewCore(newEncoder(o.Format), out, levels[o.Level])
-	never := slog.Level(100) // stack traces are attributes of their own here
+	never := slog.Level(100) // a level that no line has: stack traces are attributes here
 	return &limiter{
 		Handler:  zapslog.NewHandler(core, zapslog.AddStacktraceAt(never)),
 		maxLines: o.maxLines(),
--- a/internal/serve/config/config.go
+++ b/internal/serve/config/config.go
@@ -23,7 +23,7 @@
 	// Listen, Discovery and AdminAddress are IP addresses with a port: where clients are accepted,
 	// where discovery is polled, and where admin commands are accepted, "" for nowhere.
 	Listen, Discovery, AdminAddress string
-	// ListenFD is a listening socket that was handed down, of 3 or more; 0: none, Listen is bound.
+	// ListenFD is the descriptor of an inherited listening socket, 3 or more; 0: none, Listen is bound.
 	ListenFD int
 	// StateDir is where sibling processes of this balancer exchange records; "": there are none.
 	StateDir string
--- a/internal/serve/config/doc.go
+++ b/internal/serve/config/doc.go
@@ -3,7 +3,7 @@
 // platform's JSON file with the environment variables beside it (Load and Config.Reload).
 //
 // The package owns the keys, defaults and ranges of both forms. The JSON of settings and endpoint
-// lists belongs to packages wire and discovery, which it calls. It changes nothing outside itself
+// lists belongs to packages simprotocol and discovery, which it calls. It changes nothing outside itself
 // and knows neither sockets nor the decision module's state. Command piernotch calls it, at the
 // start and for each reload; package runtime takes its Config. All functions may be called from any
 // goroutine.
--- a/internal/serve/config/errors.go
+++ b/internal/serve/config/errors.go
@@ -19,7 +19,7 @@
 	// Line is the line of the key in File, counted from 1; 0: not known.
 	Line int
 	// Key is the dotted key or the name of the environment variable. It is "" where Err concerns the
-	// whole file or names the key itself, as the errors of packages wire and piernotch do.
+	// whole file or names the key itself, as the errors of packages simprotocol and piernotch do.
 	Key string
 	// Err says what is wrong or what is expected.
 	Err error
--- a/internal/serve/config/platform.go
+++ b/internal/serve/config/platform.go
@@ -24,6 +24,9 @@
 	logLevelVariable  = "PIERNOTCH_LOG" // the platform's file has no key for it
 )
 
+// firstInheritedFD is the lowest descriptor that can be inherited beside the standard streams.
+const firstInheritedFD = 3
+
 // fileJSON is the platform's file. Its type name is part of encoding/json's errors, which operators
 // may search for: a new one would change them.
 type fileJSON struct {
@@ -76,52 +79,52 @@
 // parsePlatform reads the platform's file and the environment. The order of the checks decides which
 // error is reported.
 func parsePlatform(data []byte, getenv func(string) string) (Config, error) {
-	var in fileJSON
-	if err := json.Unmarshal(data, &in); err != nil {
+	var file fileJSON
+	if err := json.Unmarshal(data, &file); err != nil {
 		return Config{}, &FieldError{Key: configVariable, Err: err}
 	}
 	override := func(variable, value string) string {
-		if v := getenv(variable); v != "" {
-			return v
+		if fromEnvironment := getenv(variable); fromEnvironment != "" {
+			return fromEnvironment
 		}
 		return value
 	}
-	c := Config{
-		Name:           override(nameVariable, in.Name),
-		Listen:         override(listenVariable, in.Listen),
-		Discovery:      override(discoveryVariable, in.Discovery),
-		AdminAddress:   override(adminVariable, in.AdminAddress),
-		MemoryMB:       in.Limits.MemoryMB,
-		MaxDescriptors: in.Limits.MaxDescriptors,
+	config := Config{
+		Name:           override(nameVariable, file.Name),
+		Listen:         override(listenVariable, file.Listen),
+		Discovery:      override(discoveryVariable, file.Discovery),
+		AdminAddress:   override(adminVariable, file.AdminAddress),
+		MemoryMB:       file.Limits.MemoryMB,
+		MaxDescriptors: file.Limits.MaxDescriptors,
 		Log:            logs.Options{Level: getenv(logLevelVariable)},
 		raw:            data,
 	}
-	if err := c.Log.Check(); err != nil {
-		return c, &FieldError{Key: logLevelVariable, Err: err}
+	if err := config.Log.Check(); err != nil {
+		return config, &FieldError{Key: logLevelVariable, Err: err}
 	}
-	if err := c.inheritListener(getenv); err != nil {
-		return c, err
+	if err := config.inheritListener(getenv); err != nil {
+		return config, err
 	}
-	if err := c.checkAddresses(); err != nil {
-		return c, err
+	if err := config.checkAddresses(); err != nil {
+		return config, err
 	}
 	var err error
-	if c.Seed, err = parseSeed(in.Seed); err != nil {
-		return c, &FieldError{Key: "seed", Err: err}
+	if config.Seed, err = parseSeed(file.Seed); err != nil {
+		return config, &FieldError{Key: "seed", Err: err}
 	}
-	if err := c.checkLimits(); err != nil {
-		return c, err
+	if err := config.checkLimits(); err != nil {
+		return config, err
 	}
-	if err := c.readSettings(in.Settings); err != nil {
-		return c, &FieldError{Err: err}
+	if err := config.readSettings(file.Settings); err != nil {
+		return config, &FieldError{Err: err}
 	}
-	if err := c.readKnownEndpoints(in.KnownEndpoints); err != nil {
-		return c, err
+	if err := config.readKnownEndpoints(file.KnownEndpoints); err != nil {
+		return config, err
 	}
-	return c, nil
+	return config, nil
 }
 
-// inheritListener reads the descriptor of a socket that was handed down, and where the processes that
+// inheritListener reads the descriptor of an inherited listening socket, and where the processes that
 // share it exchange records.
 func (c *Config) inheritListener(getenv func(string) string) error {
 	text := getenv(listenFDVariable)
@@ -129,7 +132,7 @@
 		return nil
 	}
 	fd, err := strconv.Atoi(text)
-	if err != nil || fd < 3 {
+	if err != nil || fd < firstInheritedFD {
 		return &FieldError{Key: listenFDVariable, Err: fmt.Errorf("%q is not a descriptor of 3 or more", text)}
 	}
 	c.ListenFD = fd
--- a/internal/serve/config/toml.go
+++ b/internal/serve/config/toml.go
@@ -64,6 +64,14 @@
 	} `toml:"class"`
 }
 
+const (
+	// tick is the resolution of the decision module's clock, that of core.TickInterval.
+	tick = 5 * time.Millisecond
+	// overQuotaWeight is the factor on the weight of requests over their tenant's quota. This form of
+	// the configuration has no tenants, so it has no effect yet.
+	overQuotaWeight = 0.1
+)
+
 // retrySafeties are the values of a class's effect.
 var retrySafeties = map[string]piernotch.RetrySafety{"safe": piernotch.Idempotent, "unsafe": piernotch.NonIdempotent}
 
@@ -99,23 +107,23 @@
 }
 
 func parseTOML(name string, data []byte) (Config, error) {
-	f := defaults()
+	values := defaults()
 	check := newChecker(name, tomlfile.Lines(data))
-	check.addProblems(tomlfile.Decode(name, data, f))
-	c := f.config(check)
+	check.addProblems(tomlfile.Decode(name, data, values))
+	config := values.config(check)
 	if len(check.errs) > 0 {
-		return c, check.errs
+		return config, check.errs
 	}
-	if err := c.Settings.Validate(); err != nil { // what the checks here do not know
-		return c, FieldErrors{{File: name, Err: err}}
+	if err := config.Settings.Validate(); err != nil { // what the checks here do not know
+		return config, FieldErrors{{File: name, Err: err}}
 	}
-	return c, nil
+	return config, nil
 }
 
 // config checks the values and returns them as a Config. The order of the checks is that of the
 // errors.
 func (f *file) config(check *checker) Config {
-	c := Config{
+	config := Config{
 		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, AdminAddress: f.Management,
 		MemoryMB: f.Limits.MemoryMB, MaxDescriptors: f.Limits.Sockets,
 		KeepAlive:   milliseconds(f.Servers.KeepAliveMS),
@@ -129,16 +137,16 @@
 		check.address("management", f.Management)
 	}
 	var err error
-	if c.Seed, err = parseSeed(f.Seed); err != nil {
+	if config.Seed, err = parseSeed(f.Seed); err != nil {
 		check.addf("seed", "%q, up to 16 hexadecimal digits are expected", f.Seed)
 	}
 	f.checkProcess(check)
 	zones, zone := f.zones(check)
 	f.checkRequests(check)
-	c.Settings = f.settings(zones, zone)
-	c.Settings.Classes = f.classes(check)
-	f.readKnownEndpoints(&c, check)
-	return c
+	config.Settings = f.settings(zones, zone)
+	config.Settings.Classes = f.classes(check)
+	f.readKnownEndpoints(&config, check)
+	return config
 }
 
 // checkProcess checks what concerns the process and its log.
@@ -189,7 +197,7 @@
 		BalancerCount: f.Balancers.Count,
 		Zone:          zone,
 		Zones:         zones,
-		Tick:          5 * time.Millisecond,
+		Tick:          tick,
 		PollDiscovery: true,
 		KeyAffinity:   f.Servers.WarmKeys,
 		Limits: piernotch.Limits{
@@ -206,13 +214,13 @@
 			SlowStartDuration: milliseconds(f.Rules.ColdMS),
 			OverloadWindow:    milliseconds(f.Rules.OverloadMS),
 		},
-		OverQuotaWeight: 0.1,
+		OverQuotaWeight: overQuotaWeight,
 	}
 }
 
 // readKnownEndpoints reads the endpoint list to start with, if a file is named. Its name is relative
 // to the configuration file.
-func (f *file) readKnownEndpoints(c *Config, check *checker) {
+func (f *file) readKnownEndpoints(config *Config, check *checker) {
 	if f.Known == "" {
 		return
 	}
@@ -222,13 +230,13 @@
 	}
 	data, err := os.ReadFile(path)
 	if err == nil {
-		c.KnownEndpoints, err = discovery.Parse(data, c.Settings.Zones)
+		config.KnownEndpoints, err = discovery.Parse(data, config.Settings.Zones)
 	}
 	if err != nil {
 		check.add("known_file", err)
 		return
 	}
-	c.HasKnownEndpoints = true
+	config.HasKnownEndpoints = true
 }
 
 func milliseconds(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/internal/serve/config/toml_check.go
+++ b/internal/serve/config/toml_check.go
@@ -27,8 +27,8 @@
 
 // addProblems adds what could not be decoded.
 func (c *checker) addProblems(problems tomlfile.Problems) {
-	for _, p := range problems {
-		c.errs = append(c.errs, &FieldError{File: p.File, Line: p.Line, Key: p.Key, Err: errors.New(p.What)})
+	for _, problem := range problems {
+		c.errs = append(c.errs, &FieldError{File: problem.File, Line: problem.Line, Key: problem.Key, Err: errors.New(problem.What)})
 	}
 }
 
@@ -71,29 +71,29 @@
 	}
 	var classes []piernotch.Class
 	names := map[string]bool{}
-	for i, in := range f.Classes {
-		prefix := fmt.Sprintf("class[%d].", i)
-		safety, ok := retrySafeties[in.Effect]
+	for index, class := range f.Classes {
+		prefix := fmt.Sprintf("class[%d].", index)
+		safety, ok := retrySafeties[class.Effect]
 		if !ok {
-			check.addf(prefix+"effect", "%q, safe or unsafe is expected", in.Effect)
+			check.addf(prefix+"effect", "%q, safe or unsafe is expected", class.Effect)
 		}
-		if in.Name == "" || names[in.Name] {
-			check.addf(prefix+"name", "%q, a name of its own is expected", in.Name)
+		if class.Name == "" || names[class.Name] {
+			check.addf(prefix+"name", "%q, a name of its own is expected", class.Name)
 		}
-		names[in.Name] = true
-		check.inRange(prefix+"aim_ms", in.AimMS, 1, maxMS)
-		check.inRange(prefix+"deadline_ms", in.DeadlineMS, max(in.AimMS, 1), maxMS)
-		validWeight := in.Worth >= 0 && !math.IsInf(in.Worth, 0)
+		names[class.Name] = true
+		check.inRange(prefix+"aim_ms", class.AimMS, 1, maxMS)
+		check.inRange(prefix+"deadline_ms", class.DeadlineMS, max(class.AimMS, 1), maxMS)
+		validWeight := class.Worth >= 0 && !math.IsInf(class.Worth, 0)
 		if !validWeight {
-			check.addf(prefix+"worth", "%v, 0 or more is expected", in.Worth)
+			check.addf(prefix+"worth", "%v, 0 or more is expected", class.Worth)
 		}
-		check.share(prefix+"late_worth", in.LateWorth)
+		check.share(prefix+"late_worth", class.LateWorth)
 		classes = append(classes, piernotch.Class{
-			Name:             in.Name,
-			LatencyObjective: milliseconds(in.AimMS),
-			Deadline:         milliseconds(in.DeadlineMS),
-			PriorityWeight:   in.Worth,
-			LateWeightShare:  in.LateWorth,
+			Name:             class.Name,
+			LatencyObjective: milliseconds(class.AimMS),
+			Deadline:         milliseconds(class.DeadlineMS),
+			PriorityWeight:   class.Worth,
+			LateWeightShare:  class.LateWorth,
 			RetrySafety:      safety,
 		})
 	}
--- a/internal/serve/discovery/connection.go
+++ b/internal/serve/discovery/connection.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// listPath is where the discovery service answers polls.
+	// listPath is where the discovery service responds to polls.
 	listPath = "/catalog/members"
 
 	// maxListSize is the largest list accepted, in bytes.
@@ -28,7 +28,7 @@
 }
 
 // writePoll writes the request for a change of the list since version, or for the
-// complete list, which is answered at once.
+// complete list, to which the service responds at once.
 func (c *connection) writePoll(host string, version uint64, complete bool) {
 	target := listPath
 	if !complete {
--- a/internal/serve/discovery/doc.go
+++ b/internal/serve/discovery/doc.go
@@ -1,4 +1,4 @@
-// Package discovery follows the service that lists the feed servers: the form of
+// Package discovery follows the service that lists the servers: the form of
 // the endpoint list on the wire, and the watch that receives its changes.
 //
 // A watch is a long poll. Each poll names the generation that is known, and the
@@ -6,8 +6,8 @@
 // follows a response at once, because the service counts a later one as a new
 // watch.
 //
-// One balancer may poll for many (see group.SharedWatch): the others receive the
-// lists that it publishes, and poll only while nobody does it for them.
+// One balancer may poll for many (see controlgroup.SharedWatch): the others receive
+// the lists that it publishes, and poll only while no balancer polls for them.
 //
 // The package must not know what endpoints are used for, nor decide when a failed
 // watch is started again: the balancer does, unless SetPush says that the watch
--- a/internal/serve/discovery/endpoint_list.go
+++ b/internal/serve/discovery/endpoint_list.go
@@ -12,7 +12,7 @@
 	"piernotch/internal/serve/core"
 )
 
-// EndpointList is the complete list of feed servers, or a change of it.
+// EndpointList is the complete list of servers, or a change of it.
 type EndpointList struct {
 	Generation uint64
 	Reset      bool // the list is complete: what it does not name is gone
@@ -45,12 +45,13 @@
 type listJSON struct {
 	Generation *uint64        `json:"generation"`
 	Reset      bool           `json:"reset"`
-	Instances  []instanceJSON `json:"instances"`
+	Endpoints  []endpointJSON `json:"instances"`
 }
 
-type instanceJSON struct {
-	InstanceID  string  `json:"instanceId"`
-	HostPort    string  `json:"hostPort"`
+// endpointJSON is the entry of a server in the endpoint list, on the wire.
+type endpointJSON struct {
+	Name        string  `json:"instanceId"`
+	Address     string  `json:"hostPort"`
 	Zone        string  `json:"zone"`
 	Cell        int     `json:"cell"`
 	Lifecycle   string  `json:"lifecycle"`
@@ -68,16 +69,16 @@
 // Parse parses an endpoint list. An endpoint's zone becomes its index in zones,
 // -1 for one that is not among them. Errors are of type *ListError.
 func Parse(data []byte, zones []string) (EndpointList, error) {
-	var in listJSON
-	if err := json.Unmarshal(data, &in); err != nil {
+	var decoded listJSON
+	if err := json.Unmarshal(data, &decoded); err != nil {
 		return EndpointList{}, &ListError{Err: err}
 	}
-	if in.Generation == nil {
+	if decoded.Generation == nil {
 		return EndpointList{}, &ListError{Err: errNoGeneration}
 	}
-	list := EndpointList{Generation: *in.Generation, Reset: in.Reset}
-	for i := range in.Instances {
-		endpoint, err := parseInstance(i, &in.Instances[i], zones)
+	list := EndpointList{Generation: *decoded.Generation, Reset: decoded.Reset}
+	for index := range decoded.Endpoints {
+		endpoint, err := parseEndpoint(index, &decoded.Endpoints[index], zones)
 		if err != nil {
 			return EndpointList{}, err
 		}
@@ -86,33 +87,34 @@
 	return list, nil
 }
 
-// parseInstance converts the instance at an index of the list.
-func parseInstance(index int, in *instanceJSON, zones []string) (core.DiscoveredEndpoint, error) {
-	state, known := states[in.Lifecycle]
+// parseEndpoint converts the entry at an index of the list.
+func parseEndpoint(index int, entry *endpointJSON, zones []string) (core.DiscoveredEndpoint, error) {
+	state, known := states[entry.Lifecycle]
 	if !known {
-		return core.DiscoveredEndpoint{}, instanceError(index, "lifecycle", fmt.Errorf("is %q", in.Lifecycle))
+		return core.DiscoveredEndpoint{}, endpointError(index, "lifecycle", fmt.Errorf("is %q", entry.Lifecycle))
 	}
-	if in.InstanceID == "" {
-		return core.DiscoveredEndpoint{}, instanceError(index, "instanceId", errMissing)
+	if entry.Name == "" {
+		return core.DiscoveredEndpoint{}, endpointError(index, "instanceId", errMissing)
 	}
 	// Nothing is sent to a server that is gone, so its address is not needed.
-	if state != piernotch.Gone && !validAddress(in.HostPort) {
-		return core.DiscoveredEndpoint{}, instanceError(index, "hostPort", fmt.Errorf("is %q", in.HostPort))
+	if state != piernotch.Gone && !validAddress(entry.Address) {
+		return core.DiscoveredEndpoint{}, endpointError(index, "hostPort", fmt.Errorf("is %q", entry.Address))
 	}
 	return core.DiscoveredEndpoint{
-		Name:    in.InstanceID,
-		Address: in.HostPort,
+		Name:    entry.Name,
+		Address: entry.Address,
 		Endpoint: piernotch.Endpoint{
-			Zone:      slices.Index(zones, in.Zone),
-			Cell:      in.Cell,
+			Zone:      slices.Index(zones, entry.Zone),
+			Cell:      entry.Cell,
 			State:     state,
-			Size:      in.Weight,
-			StartedAt: time.Duration(in.StartedAtMs * float64(time.Millisecond)),
+			Size:      entry.Weight,
+			StartedAt: time.Duration(entry.StartedAtMs * float64(time.Millisecond)),
 		},
 	}, nil
 }
 
-func instanceError(index int, field string, err error) *ListError {
+// endpointError is an error in a field of the entry at an index, named as on the wire.
+func endpointError(index int, field string, err error) *ListError {
 	return &ListError{Field: fmt.Sprintf("instances[%d].%s", index, field), Err: err}
 }
 
--- a/internal/serve/discovery/shared_watch.go
+++ b/internal/serve/discovery/shared_watch.go
@@ -6,7 +6,7 @@
 	"piernotch/internal/controlgroup"
 )
 
-// UseSharedWatch has the watcher poll only when the group asks it to, and publish
+// UseSharedWatch has the watcher poll only when the group has it do so, and publish
 // what its polls bring. nil: it polls for itself alone.
 func (w *Watcher) UseSharedWatch(shared controlgroup.SharedWatch) { w.shared = shared }
 
@@ -15,16 +15,16 @@
 // makes the watcher request an update from the group. UseSharedWatch must have
 // been called with a group.
 func (w *Watcher) ReceiveShared(event controlgroup.WatchEvent) {
-	take, missing := event.Follows(w.address, w.version)
+	apply, missing := event.Follows(w.address, w.version)
 	if w.needsReset && event.Source == w.address {
-		// The known version means nothing here: only a complete list can be taken.
-		take = event.Complete
+		// The known version is one of another service: only a complete list can be applied.
+		apply = event.Complete
 		missing = !event.Complete
 	}
 	if missing {
 		w.requestUpdate()
 	}
-	if !take {
+	if !apply {
 		return
 	}
 	list, err := Parse(event.Body, w.zones)
@@ -35,7 +35,7 @@
 	w.apply(list)
 }
 
-// requestUpdate asks the group for what follows the known version.
+// requestUpdate requests from the group what follows the known version.
 func (w *Watcher) requestUpdate() {
 	known := w.version
 	if w.needsReset {
--- a/internal/serve/discovery/shared_watch_test.go
+++ b/internal/serve/discovery/shared_watch_test.go
@@ -25,7 +25,7 @@
 	failures  int
 }
 
-func (f *fakeSharedWatch) ShouldPoll(string) (ask, whole bool) { return false, false }
+func (f *fakeSharedWatch) ShouldPoll(string) (poll, complete bool) { return false, false }
 func (f *fakeSharedWatch) Publish(event controlgroup.WatchEvent) {
 	f.published = append(f.published, event)
 }
--- a/internal/serve/discovery/watcher.go
+++ b/internal/serve/discovery/watcher.go
@@ -17,14 +17,15 @@
 	// watchWait is how long the service may hold a poll without a change.
 	watchWait = 5 * time.Second
 
-	// silenceGrace is how much longer than watchWait the service may be silent.
-	// What a silent watch misses counts as delivered two seconds after the wait, so the
-	// next poll must be answered by then.
+	// silenceGrace is how much longer than watchWait the service may be silent. The
+	// service counts a change as delivered two seconds after the wait of the poll that
+	// should have brought it, so the poll that replaces a silent one must have its
+	// response by then.
 	silenceGrace = time.Second
 
 	dialTimeout = time.Second
 
-	// minPollInterval is the least time between two polls: a service that answers
+	// minPollInterval is the least time between two polls: a service that responds
 	// at once without a change must not be polled in a busy loop. It stays well
 	// under the 200 ms within which the service counts a watch as continuing.
 	minPollInterval = 100 * time.Millisecond
@@ -35,7 +36,7 @@
 
 	// restartDelay is the time from a failure to the next poll of a watch that
 	// restarts by itself. It is short: the service that pushes the list is near,
-	// and what it has to send counts as delivered.
+	// and counts a change as delivered when it was sent.
 	restartDelay = 200 * time.Millisecond
 )
 
@@ -57,13 +58,13 @@
 	version      uint64 // the last generation that is known
 	needsReset   bool   // the next poll requests the complete list: the known version cannot be continued
 	restarts     bool   // a failed watch restarts by itself; the balancer does not call Watch
-	active       bool   // a poll is in flight, is being dialled or is scheduled
+	active       bool   // a poll is in flight, is being dialed or is scheduled
 	redialled    bool   // the poll in flight replaces one that timed out
 	lastPollAt   time.Duration
 	nextPollAt   time.Duration // 0: no poll is scheduled
 	pollDeadline time.Duration // when the poll in flight times out
 
-	connection *connection // nil: there is none, or it is being dialled
+	connection *connection // nil: there is none, or it is being dialed
 	epoch      int         // counts moves, to ignore dials of an earlier address
 
 	shared controlgroup.SharedWatch // nil: this balancer polls for itself alone
@@ -138,10 +139,11 @@
 }
 
 // Tick must be called once per core.TickInterval. It makes scheduled polls and
-// handles polls that time out: a service that vanished sends nothing, and its
-// connection stays open. Only the connection may have been lost, and what the
-// watch misses counts as delivered soon, so a poll that times out is repeated at once
-// on a new connection. The watch fails if that times out, too.
+// handles polls that time out: if the machine of the service fails, the connection
+// stays open and silent. It may also be that only the connection was lost, and the
+// service soon counts changes as delivered that the watch has missed. So a poll that
+// times out is repeated at once on a new connection. The watch fails if that times
+// out, too.
 func (w *Watcher) Tick() {
 	if w.nextPollAt > 0 && w.now() >= w.nextPollAt {
 		w.poll()
@@ -189,12 +191,12 @@
 
 // dial opens a connection and makes the poll on it.
 func (w *Watcher) dial() {
-	c := &connection{watcher: w, parser: http1.NewResponseParser(maxListSize)}
+	dialed := &connection{watcher: w, parser: http1.NewResponseParser(maxListSize)}
 	epoch := w.epoch
 	opened := func(socket *eventloop.Conn) eventloop.Handler {
-		c.socket = socket
+		dialed.socket = socket
 		socket.Prioritize()
-		return c
+		return dialed
 	}
 	done := func(socket *eventloop.Conn, err error) {
 		switch {
@@ -205,7 +207,7 @@
 		case err != nil:
 			w.fail(err)
 		default:
-			w.connection = c
+			w.connection = dialed
 			w.writePoll()
 		}
 	}
--- a/internal/serve/handover/directory.go
+++ b/internal/serve/handover/directory.go
@@ -59,7 +59,7 @@
 	}
 	lock, err := acquireLock(d.file(d.ownStem, lockSuffix), d.file(d.ownStem, tempSuffix))
 	if err != nil {
-		return nil, fmt.Errorf("hand-over: %w", err)
+		return nil, fmt.Errorf("handover: %w", err)
 	}
 	d.lock = lock
 	return d, nil
@@ -72,11 +72,11 @@
 func (d *Directory) file(stem, suffix string) string { return filepath.Join(d.path, stem+suffix) }
 
 // Write replaces this process's record atomically. The balancer's name in it is filled in here.
-func (d *Directory) Write(r Record) error {
-	r.Name = d.name
-	data, err := Encode(r)
+func (d *Directory) Write(record Record) error {
+	record.Name = d.name
+	data, err := Encode(record)
 	if err != nil {
-		return fmt.Errorf("hand-over: %w", err)
+		return fmt.Errorf("handover: %w", err)
 	}
 	temporary := d.file(d.ownStem, tempSuffix)
 	err = os.WriteFile(temporary, data, 0o600)
@@ -85,7 +85,7 @@
 	}
 	if err != nil {
 		_ = os.Remove(temporary)
-		return fmt.Errorf("hand-over: %w", err)
+		return fmt.Errorf("handover: %w", err)
 	}
 	return nil
 }
@@ -95,7 +95,7 @@
 func (d *Directory) Peers() ([]Peer, error) {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
-		return nil, fmt.Errorf("hand-over: %w", err)
+		return nil, fmt.Errorf("handover: %w", err)
 	}
 	var peers []Peer
 	for _, entry := range entries {
@@ -154,12 +154,12 @@
 	if err != nil {
 		return Record{}, err
 	}
-	r, err := Decode(data)
+	record, err := Decode(data)
 	if err != nil {
 		return Record{}, err
 	}
-	if r.Name != d.name {
-		return Record{}, fmt.Errorf("%w, %q", ErrOtherBalancer, r.Name)
+	if record.Name != d.name {
+		return Record{}, fmt.Errorf("%w, %q", ErrOtherBalancer, record.Name)
 	}
-	return r, nil
+	return record, nil
 }
--- a/internal/serve/handover/directory_test.go
+++ b/internal/serve/handover/directory_test.go
@@ -44,8 +44,8 @@
 		err     error
 		text    string
 	}{
-		{"piernotch-handover 1 00 5\nhello", ErrTruncated, "torn"},
-		{"", ErrTruncated, "torn"},
+		{"piernotch-handover 1 00 5\nhello", ErrTruncated, "truncated"},
+		{"", ErrTruncated, "truncated"},
 		{string(foreign), ErrOtherBalancer, "another balancer"},
 	} {
 		third, err := Enter(path, "n1")
--- a/internal/serve/handover/doc.go
+++ b/internal/serve/handover/doc.go
@@ -3,13 +3,13 @@
 //
 // Each process keeps a [Record] in a directory that both can read: its [ProcessState], the endpoint
 // list as it knows it, the operators' overrides, and what its module has learnt about the traffic.
-// Beside each record lies a lock file that its writer holds for as long as it lives. The kernel
+// Beside each record lies a lock file that its writer holds until it ends. The kernel
 // releases the lock whichever way the process ends, so a record whose lock is free is that of a
 // process that has ended. [Directory] reads and writes these files.
 //
 // Which process accepts clients, and how many descriptors each may hold, follows from the records
 // alone and is decided without I/O by [ProcessState.Accepts] and [ProcessState.DescriptorShare].
-// Every process arrives at the same answer on its own.
+// Every process comes to the same result on its own.
 //
 // The package knows neither sockets nor the core; internal/serve/runtime calls it, from the event
 // loop's goroutine. The form of a record is stored on disk between versions of the program: golden
--- a/internal/serve/handover/process.go
+++ b/internal/serve/handover/process.go
@@ -1,6 +1,6 @@
 package handover
 
-// Phase is a stage in the life of a process.
+// Phase is a stage of a process, from its start to its end.
 type Phase string
 
 // Phases, in their order.
@@ -9,7 +9,7 @@
 	Starting Phase = "starting"
 	// Ready means that it can serve.
 	Ready Phase = "ready"
-	// ShuttingDown means that it was asked to end and completes the requests that it has.
+	// ShuttingDown means that it was told to end and completes its pending requests.
 	ShuttingDown Phase = "ending"
 )
 
@@ -31,7 +31,7 @@
 
 // Accepts reports whether a process accepts clients, given the others that are alive: the newest of
 // those that are ready does. A process that is shutting down leaves it to any that is ready, and
-// goes on accepting if there is none.
+// continues to accept if there is none.
 func (s ProcessState) Accepts(others []ProcessState) bool {
 	for _, other := range others {
 		if other.Phase == Ready && (s.Phase != Ready || other.newerThan(s)) {
--- a/internal/serve/handover/record.go
+++ b/internal/serve/handover/record.go
@@ -49,7 +49,7 @@
 // Errors of records that cannot be used. Such a record is ignored.
 var (
 	// ErrTruncated means that a record is incomplete, corrupt or too large.
-	ErrTruncated = errors.New("record is torn")
+	ErrTruncated = errors.New("record is truncated")
 	// ErrVersion means that a record is of a version that this program does not read.
 	ErrVersion = errors.New("record is of another version")
 	// ErrOtherBalancer means that a record was written by a process of another balancer.
@@ -57,8 +57,8 @@
 )
 
 // Encode returns the stored form of a record.
-func Encode(r Record) ([]byte, error) {
-	body, err := json.Marshal(r)
+func Encode(record Record) ([]byte, error) {
+	body, err := json.Marshal(record)
 	if err != nil {
 		return nil, err
 	}
@@ -75,11 +75,11 @@
 	if err := checkHeader(string(line)+"\n", body); err != nil {
 		return Record{}, err
 	}
-	var r Record
-	if err := json.Unmarshal(body, &r); err != nil {
+	var record Record
+	if err := json.Unmarshal(body, &record); err != nil {
 		return Record{}, fmt.Errorf("%w: %w", ErrTruncated, err)
 	}
-	return r, nil
+	return record, nil
 }
 
 // checkHeader returns an error if a header line is not of this version or does not match the body.
@@ -87,7 +87,7 @@
 	var version, length int
 	var checksum uint64
 	if _, err := fmt.Sscanf(line, versionFormat, &version); err != nil {
-		return fmt.Errorf("%w: the first line is no record's", ErrTruncated)
+		return fmt.Errorf("%w: the first line is not that of a record", ErrTruncated)
 	}
 	if version != recordVersion {
 		return fmt.Errorf("%w: %d, this program reads %d", ErrVersion, version, recordVersion)
@@ -96,7 +96,7 @@
 		return fmt.Errorf("%w: %w", ErrTruncated, err)
 	}
 	if length != len(body) || checksum != xxhash.Sum64(body) {
-		return fmt.Errorf("%w: %d bytes of %d, or others", ErrTruncated, len(body), length)
+		return fmt.Errorf("%w: %d of %d bytes, or a wrong checksum", ErrTruncated, len(body), length)
 	}
 	return nil
 }
--- a/internal/timingwheel/wheel.go
+++ b/internal/timingwheel/wheel.go
@@ -41,10 +41,10 @@
 // an Advance of the present tick, however early that time is.
 func (w *Wheel) At(at time.Duration, callback func()) *Timer {
 	atTick := int64((at + w.tick - 1) / w.tick)
-	t := &Timer{dueTick: max(atTick, w.lastTick+1), callback: callback}
-	slot := t.dueTick % slotCount
-	w.slots[slot] = append(w.slots[slot], t)
-	return t
+	timer := &Timer{dueTick: max(atTick, w.lastTick+1), callback: callback}
+	slot := timer.dueTick % slotCount
+	w.slots[slot] = append(w.slots[slot], timer)
+	return timer
 }
 
 // Advance runs the callbacks of all timers that are due at now, tick by tick; callbacks may start
@@ -70,12 +70,12 @@
 	}
 	later, due := split(timers, target)
 	w.slots[slot] = later
-	for _, t := range due {
-		callback := t.callback
+	for _, timer := range due {
+		callback := timer.callback
 		if callback == nil {
-			continue // a callback before it has stopped it
+			continue // stopped by the callback of an earlier timer
 		}
-		t.callback = nil
+		timer.callback = nil
 		callback()
 	}
 }
@@ -84,13 +84,14 @@
 // again, and those that are due by then. Stopped ones are dropped.
 func split(timers []*Timer, target int64) (later, due []*Timer) {
 	later = timers[:0]
-	for _, t := range timers {
+	for _, timer := range timers {
+		stopped := timer.callback == nil
 		switch {
-		case t.callback == nil:
-		case t.dueTick <= target:
-			due = append(due, t)
+		case stopped:
+		case timer.dueTick <= target:
+			due = append(due, timer)
 		default:
-			later = append(later, t)
+			later = append(later, timer)
 		}
 	}
 	return later, due
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -3,7 +3,7 @@
 //
 // It knows the syntax and the types of values alone. Ranges and meanings are the caller's to check;
 // Lines gives it the line of each key, and Problem the form in which to report. Packages config,
-// group and scenario call it. All functions may be called from any goroutine.
+// controlgroup and scenario call it. All functions may be called from any goroutine.
 package tomlfile
 
 import (
@@ -63,8 +63,8 @@
 	return errs
 }
 
-// maxAttempts bounds how many values of one file are reported as unreadable.
-const maxAttempts = 100
+// maxUnreadable bounds how many values of one file are reported as unreadable.
+const maxUnreadable = 100
 
 // Decode reads a document into v, a pointer: keys that the document lacks keep the values that v
 // holds. A value that cannot be read is reported and blanked out, so that the rest is checked, too.
@@ -72,7 +72,7 @@
 func Decode(file string, data []byte, v any) Problems {
 	var problems Problems
 	data = bytes.Clone(data)
-	for range maxAttempts {
+	for range maxUnreadable {
 		decoder := toml.NewDecoder(bytes.NewReader(data))
 		decoder.DisallowUnknownFields().EnableUnmarshalerInterface()
 		err := decoder.Decode(v)
@@ -103,9 +103,9 @@
 func unknownKeys(file string, err *toml.StrictMissingError) Problems {
 	var problems Problems
 	for i := range err.Errors {
-		e := &err.Errors[i]
-		line, _ := e.Position()
-		problems = append(problems, Problem{File: file, Line: line, Key: strings.Join(e.Key(), "."), What: "no such key"})
+		missing := &err.Errors[i]
+		line, _ := missing.Position()
+		problems = append(problems, Problem{File: file, Line: line, Key: strings.Join(missing.Key(), "."), What: "no such key"})
 	}
 	return problems
 }
--- a/internal/trafficrecording/reader.go
+++ b/internal/trafficrecording/reader.go
@@ -32,16 +32,16 @@
 
 // Open opens a recording. An error is a *FileError.
 func Open(name string) (*Reader, error) {
-	f, err := os.Open(name)
+	file, err := os.Open(name)
 	if err != nil {
 		return nil, &FileError{Err: err}
 	}
-	r := &Reader{name: name, file: f, in: bufio.NewReaderSize(f, readBufferSize)}
-	if err := r.readHeader(); err != nil {
-		_ = f.Close() // it was only read
+	reader := &Reader{name: name, file: file, in: bufio.NewReaderSize(file, readBufferSize)}
+	if err := reader.readHeader(); err != nil {
+		_ = file.Close() // it was only read
 		return nil, &FileError{Name: name, Err: err}
 	}
-	return r, nil
+	return reader, nil
 }
 
 func (r *Reader) readHeader() error {
@@ -120,8 +120,8 @@
 
 func (r *Reader) readBlockHeader() (blockHeader, error) {
 	var encoded [blockHeaderSize]byte
-	n, err := io.ReadFull(r.in, encoded[:])
-	if n == 0 && errors.Is(err, io.EOF) {
+	size, err := io.ReadFull(r.in, encoded[:])
+	if size == 0 && errors.Is(err, io.EOF) {
 		return blockHeader{}, io.EOF
 	}
 	if err != nil {
--- a/internal/trafficrecording/writer.go
+++ b/internal/trafficrecording/writer.go
@@ -37,8 +37,8 @@
 }
 
 // Create begins a recording in a new file and replaces one that exists. An error is a *FileError.
-func Create(name string, h Header, limits Limits) (*Writer, error) {
-	f, err := os.Create(name)
+func Create(name string, header Header, limits Limits) (*Writer, error) {
+	file, err := os.Create(name)
 	if err != nil {
 		return nil, &FileError{Err: err}
 	}
@@ -48,37 +48,37 @@
 	if limits.Pending == 0 {
 		limits.Pending = defaultMaxPending
 	}
-	if err := writeHeader(f, h); err != nil {
-		_ = f.Close() // the first error says more
+	if err := writeHeader(file, header); err != nil {
+		_ = file.Close() // the first error says more
 		return nil, &FileError{Name: name, Err: err}
 	}
-	w := &Writer{limits: limits, wake: make(chan struct{}, 1), done: make(chan error, 1)}
+	writer := &Writer{limits: limits, wake: make(chan struct{}, 1), done: make(chan error, 1)}
 	// Owned by the Writer; it ends when Close has closed wake and all is written.
-	go w.run(f)
-	return w, nil
+	go writer.run(file)
+	return writer, nil
 }
 
-func writeHeader(f *os.File, h Header) error {
-	h.Version = formatVersion
-	header, err := cbor.Marshal(h)
+func writeHeader(file *os.File, header Header) error {
+	header.Version = formatVersion
+	encoded, err := cbor.Marshal(header)
 	if err != nil {
 		return err
 	}
-	out := binary.LittleEndian.AppendUint32([]byte(magic), uint32(len(header)))
-	_, err = f.Write(append(out, header...))
+	out := binary.LittleEndian.AppendUint32([]byte(magic), uint32(len(encoded)))
+	_, err = file.Write(append(out, encoded...))
 	return err
 }
 
 // Add records a request, or drops it if the disk is behind, the file full or the Writer closed. It
 // never waits for the disk.
-func (w *Writer) Add(r Record) {
+func (w *Writer) Add(record Record) {
 	w.mu.Lock()
 	if w.closed || len(w.pending) >= w.limits.Pending {
 		w.dropped++
 		w.mu.Unlock()
 		return
 	}
-	w.pending = append(w.pending, r)
+	w.pending = append(w.pending, record)
 	blockComplete := len(w.pending)%blockRecords == 0
 	w.mu.Unlock()
 	if blockComplete {
@@ -117,22 +117,21 @@
 }
 
 // run writes blocks until the Writer is closed.
-func (w *Writer) run(f *os.File) {
-	out := &blockFile{file: f}
+func (w *Writer) run(file *os.File) {
+	out := &blockFile{file: file}
 	for range w.wake {
-		w.flush(out, false)
+		w.flush(out, w.takeCompleteBlocks())
 	}
-	w.flush(out, true)
-	if err := f.Close(); out.err == nil {
+	w.flush(out, w.takeAll())
+	if err := file.Close(); out.err == nil {
 		out.err = err
 	}
 	w.done <- out.err
 }
 
-// flush writes the complete blocks that are pending, and with all the rest, too. After an error or
-// at the limit of bytes it only drops records.
-func (w *Writer) flush(out *blockFile, all bool) {
-	batch := w.takePending(all)
+// flush writes a batch of records in blocks. After an error or at the limit of bytes it only drops
+// records.
+func (w *Writer) flush(out *blockFile, batch []Record) {
 	for start := 0; start < len(batch); start += blockRecords {
 		records := batch[start:min(start+blockRecords, len(batch))]
 		if out.err != nil || out.written >= w.limits.Bytes {
@@ -144,15 +143,24 @@
 	w.spare = batch
 }
 
-// takePending returns the records of complete blocks, or all of them, and leaves the rest pending.
-func (w *Writer) takePending(all bool) []Record {
+// takeCompleteBlocks returns the pending records of complete blocks and leaves the rest pending.
+func (w *Writer) takeCompleteBlocks() []Record {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	batch := w.pending
-	if !all {
-		batch = batch[:len(batch)/blockRecords*blockRecords]
-	}
-	w.pending = append(w.spare[:0], w.pending[len(batch):]...)
+	return w.take(len(w.pending) / blockRecords * blockRecords)
+}
+
+// takeAll returns all pending records.
+func (w *Writer) takeAll() []Record {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.take(len(w.pending))
+}
+
+// take returns the first of the pending records and leaves the rest pending. The mutex must be held.
+func (w *Writer) take(count int) []Record {
+	batch := w.pending[:count]
+	w.pending = append(w.spare[:0], w.pending[count:]...)
 	return batch
 }
 
@@ -169,7 +177,7 @@
 		f.err = err
 		return
 	}
-	n, err := f.file.Write(block)
-	f.written += int64(n)
+	written, err := f.file.Write(block)
+	f.written += int64(written)
 	f.err = err
 }
