--- a/cmd/piernotch-lab/logs.go
+++ b/cmd/piernotch-lab/logs.go
@@ -62,7 +62,7 @@
 	t.Render()
 	for _, s := range report.Servers[:min(c.Top, len(report.Servers))] {
 		o.out.Printf("%s: %d sends in %gs until %.1f from %d balancers; first in a change at %.1f; ends %v\n",
-			s.Name, s.PeakAttempts, c.Span, s.PeakTime, s.PeakBalancers, s.FirstUpdate, s.AttemptStatuses)
+			s.Name, s.PeakAttempts, c.Span, s.PeakTime, s.PeakBalancers, s.FirstUpdate, loganalysis.PrintedStatuses(s.AttemptStatuses))
 	}
 	o.out.Printf("%d balancers, %d lines that could not be read\n", report.Balancers, report.Skipped)
 }
--- a/internal/lab/loganalysis/loganalysis_test.go
+++ b/internal/lab/loganalysis/loganalysis_test.go
@@ -62,3 +62,24 @@
 	require.ErrorIs(t, err, ErrNoLogs)
 	require.ErrorContains(t, err, "no *.log files")
 }
+
+// Logs of all versions count an attempt that was not sent under one status, by whichever word. The stored
+// report keeps the old word, and the new one is printed.
+func TestNotSentHasOneStatusInLogsOfAllVersions(t *testing.T) {
+	dir := writeLogs(t, map[string]string{
+		"old": `time=2026-12-01T20:00:03.000Z level=DEBUG msg="attempt started" id=aa attempt=0 server=s-1
+time=2026-12-01T20:00:03.200Z level=DEBUG msg="attempt completed" id=aa attempt=0 server=s-1 status=moot written=false
+`,
+		"new": `time=2026-12-01T20:00:03.000Z level=DEBUG msg="attempt started" id=bb attempt=0 server=s-1
+time=2026-12-01T20:00:03.200Z level=DEBUG msg="attempt completed" id=bb attempt=0 server=s-1 status=not_sent written=false
+time=2026-12-01T20:00:03.300Z level=DEBUG msg="attempt completed" id=cc attempt=0 server=s-1 status=ok written=true
+`,
+	})
+	report, err := Summarize(dir, 2)
+	require.NoError(t, err)
+	stored := map[string]int{"moot": 2, "ok": 1}
+	require.Equal(t, stored, report.Seconds[0].AttemptStatuses)
+	require.Equal(t, stored, report.Servers[0].AttemptStatuses)
+	require.Equal(t, map[string]int{"not_sent": 2, "ok": 1}, PrintedStatuses(stored))
+	require.Equal(t, map[string]int{"moot": 2, "ok": 1}, stored, "it is left as it was")
+}
--- a/internal/lab/loganalysis/summarize.go
+++ b/internal/lab/loganalysis/summarize.go
@@ -15,7 +15,7 @@
 	Failed            int            `json:"failed"`
 	ClientDisconnects int            `json:"given_up"`
 	Attempts          int            `json:"sends"`                       // started
-	AttemptStatuses   map[string]int `json:"ends"`                        // completed attempts, by status
+	AttemptStatuses   map[string]int `json:"ends"`                        // completed attempts, by stored status
 	UnwrittenAttempts int            `json:"attempts_without_connection"` // completed before they were written
 	DiscoveryFailures int            `json:"list_failures"`
 }
@@ -24,7 +24,7 @@
 type Server struct {
 	Name            string         `json:"name"`
 	Attempts        int            `json:"sends"`
-	AttemptStatuses map[string]int `json:"ends"`      // completed attempts, by status
+	AttemptStatuses map[string]int `json:"ends"`      // completed attempts, by stored status
 	FirstUpdate     float64        `json:"listed"`    // seconds, of its first endpoint update; 0: never
 	PeakAttempts    int            `json:"most"`      // most attempts within any span
 	PeakTime        float64        `json:"most_at"`   // seconds, the end of that span
@@ -90,7 +90,7 @@
 		server := c.server(line)
 		server.attempts = append(server.attempts, attempt{line.Time, line.Balancer})
 	case eventAttemptCompleted:
-		status := line.Fields[keyStatus]
+		status := storedStatus(line.Fields[keyStatus])
 		second.AttemptStatuses[status]++
 		c.server(line).AttemptStatuses[status]++
 		if line.Fields[keyWritten] == "false" {
--- a/piernotch.go
+++ b/piernotch.go
@@ -136,7 +136,7 @@
 	NotSent                     // given up before it was written
 )
 
-var statuses = [...]string{"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"}
+var statuses = [...]string{"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "not_sent"}
 
 // String returns the status's name in logs and traces. The status must be one of the constants.
 func (s Status) String() string { return statuses[s] }
