--- /dev/null
+++ b/internal/serve/discovery/watcher_test.go
@@ -0,0 +1,205 @@
+package discovery
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"piernotch"
+	"piernotch/internal/serve/core"
+	"piernotch/internal/serve/eventloop"
+)
+
+const (
+	// testTimeout bounds every wait for a socket; no test depends on how long one takes.
+	testTimeout = 20 * time.Second
+	// shortTime is less than any timeout.
+	shortTime = time.Millisecond
+)
+
+// fixture is a Watcher on an event loop of its own, whose clock the test sets, and the discovery service,
+// which the test plays.
+type fixture struct {
+	t       *testing.T
+	loop    *eventloop.Loop
+	watcher *Watcher
+	clock   atomic.Int64
+	events  chan core.Event
+	service net.Listener
+}
+
+// newFixture starts a Watcher that knows version 5, and the service. Both run until the test ends.
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	loop, err := eventloop.New(256)
+	require.NoError(t, err)
+	service, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = service.Close() })
+	f := &fixture{t: t, loop: loop, service: service, events: make(chan core.Event, 64)}
+	f.clock.Store(int64(time.Hour))
+	f.watcher = New(Options{
+		Loop:    loop,
+		Emit:    func(event core.Event) { f.events <- event },
+		Now:     func() time.Duration { return time.Duration(f.clock.Load()) },
+		Address: service.Addr().String(),
+		Version: 5,
+	})
+	ctx, stop := context.WithCancel(context.Background())
+	ended := make(chan struct{})
+	go func() { // ends with ctx, which the cleanup awaits
+		loop.Run(ctx, core.TickInterval, func() {})
+		close(ended)
+	}()
+	t.Cleanup(func() {
+		stop()
+		<-ended
+	})
+	return f
+}
+
+// do runs a function on the loop's owning goroutine and waits for it.
+func (f *fixture) do(call func()) {
+	done := make(chan struct{})
+	f.loop.Post(func() {
+		call()
+		close(done)
+	})
+	<-done
+}
+
+// advance lets time pass, and then has the Watcher do what is due.
+func (f *fixture) advance(by time.Duration) {
+	f.clock.Add(int64(by))
+	f.do(f.watcher.Tick)
+}
+
+// serviceConnection is the service's side of a connection.
+type serviceConnection struct {
+	net.Conn
+	*fixture
+	reader *bufio.Reader
+}
+
+// accept accepts the connection that the Watcher opens next.
+func (f *fixture) accept() *serviceConnection {
+	f.t.Helper()
+	conn, err := f.service.Accept()
+	require.NoError(f.t, err)
+	f.t.Cleanup(func() { _ = conn.Close() })
+	require.NoError(f.t, conn.SetDeadline(time.Now().Add(testTimeout)))
+	return &serviceConnection{Conn: conn, fixture: f, reader: bufio.NewReader(conn)}
+}
+
+// poll reads a poll and returns its target.
+func (c *serviceConnection) poll() string {
+	c.t.Helper()
+	first, err := c.reader.ReadString('\n')
+	require.NoError(c.t, err)
+	for line := first; line != "\r\n"; {
+		line, err = c.reader.ReadString('\n')
+		require.NoError(c.t, err)
+	}
+	return strings.Fields(first)[1]
+}
+
+// respond sends a list without endpoints and waits until it was applied.
+func (c *serviceConnection) respond(generation uint64) {
+	c.t.Helper()
+	body := emptyList(generation, false)
+	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	require.NoError(c.t, err)
+	require.Equal(c.t, core.EndpointUpdate{Kind: piernotch.UpdateDelta}, <-c.events)
+	c.do(func() {}) // the next poll is scheduled behind the event
+}
+
+// requireClosed waits until the Watcher has closed the connection.
+func (c *serviceConnection) requireClosed() {
+	c.t.Helper()
+	_, err := c.reader.ReadByte()
+	require.ErrorIs(c.t, err, io.EOF)
+}
+
+// pollOf returns the target of a poll for what follows a version.
+func pollOf(version int) string {
+	return fmt.Sprintf("%s?index=%d&wait=%d", listPath, version, watchWait.Milliseconds())
+}
+
+// The next poll follows a response, on the same connection and for the version of the response, but not
+// within minPollInterval of the poll before.
+func TestPollFollowsResponseAfterMinPollInterval(t *testing.T) {
+	f := newFixture(t)
+	f.do(f.watcher.Watch)
+	connection := f.accept()
+	require.Equal(t, pollOf(5), connection.poll())
+	connection.respond(6)
+	f.advance(minPollInterval - 1)
+	scheduled := false
+	f.do(func() { scheduled = f.watcher.nextPollAt > 0 })
+	require.True(t, scheduled)
+	f.advance(1)
+	require.Equal(t, pollOf(6), connection.poll())
+}
+
+// A poll that times out is repeated at once on a new connection. The watch fails if that one times out,
+// too, and is started again by the balancer.
+func TestSilentPollIsRepeatedOnceBeforeTheWatchFails(t *testing.T) {
+	f := newFixture(t)
+	f.do(f.watcher.Watch)
+	first := f.accept()
+	first.poll()
+	f.advance(watchWait + silenceGrace)
+	require.Empty(t, f.events)
+	f.advance(shortTime)
+	first.requireClosed()
+
+	second := f.accept()
+	require.Equal(t, pollOf(5), second.poll())
+	f.advance(watchWait + silenceGrace)
+	require.Empty(t, f.events)
+	f.advance(shortTime)
+	require.Equal(t, core.EndpointUpdate{Kind: piernotch.UpdateFailed}, <-f.events)
+	second.requireClosed()
+
+	f.advance(time.Hour)
+	f.do(f.watcher.Watch)
+	third := f.accept()
+	require.Equal(t, pollOf(5), third.poll())
+}
+
+// A watch that restarts by itself makes the next poll restartDelay after a failure.
+func TestPushWatchRestartsAfterFailure(t *testing.T) {
+	f := newFixture(t)
+	f.do(f.watcher.SetPush)
+	first := f.accept()
+	first.poll()
+	require.NoError(t, first.Close())
+	require.Equal(t, core.EndpointUpdate{Kind: piernotch.UpdateFailed}, <-f.events)
+	f.do(func() {}) // the restart is scheduled behind the event
+	f.advance(restartDelay - 1)
+	active := false
+	f.do(func() { active = f.watcher.responseDue() })
+	require.False(t, active)
+	f.advance(1)
+	require.Equal(t, pollOf(5), f.accept().poll())
+}
+
+// A watch that moves requests the complete list at the new address, and ignores what the old one sends.
+func TestMovedWatchRequestsCompleteList(t *testing.T) {
+	f, other := newFixture(t), newFixture(t)
+	f.do(f.watcher.Watch)
+	old := f.accept()
+	old.poll()
+	f.do(func() { f.watcher.Move(other.service.Addr().String()) })
+	old.requireClosed()
+	require.Equal(t, listPath, other.accept().poll())
+	require.Empty(t, f.events)
+}
--- /dev/null
+++ b/internal/serve/downstream/fixture_test.go
@@ -0,0 +1,176 @@
+package downstream
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"piernotch"
+	"piernotch/internal/serve/core"
+	"piernotch/internal/serve/eventloop"
+)
+
+// testTimeout bounds every wait for a socket; no test depends on how long one takes.
+const testTimeout = 20 * time.Second
+
+// fixture is a Downstream on an event loop of its own, whose clock the test sets.
+type fixture struct {
+	t          *testing.T
+	loop       *eventloop.Loop
+	listener   *eventloop.Listener
+	downstream *Downstream
+	clock      atomic.Int64
+	accepted   chan *observedHandler
+	events     chan core.Event
+}
+
+// observedHandler reports when its connection has received data.
+type observedHandler struct {
+	eventloop.Handler
+	received chan int // bytes
+}
+
+func (h *observedHandler) Data(data []byte) {
+	h.Handler.Data(data)
+	h.received <- len(data)
+}
+
+// newFixture starts a Downstream that accepts clients until the test ends.
+func newFixture(t *testing.T, maxDescriptors int) *fixture {
+	t.Helper()
+	loop, err := eventloop.New(256)
+	require.NoError(t, err)
+	f := &fixture{t: t, loop: loop, accepted: make(chan *observedHandler, 64), events: make(chan core.Event, 64)}
+	f.clock.Store(int64(time.Hour))
+	now := func() time.Duration { return time.Duration(f.clock.Load()) }
+	f.downstream = New(func(event core.Event) { f.events <- event }, now, func() bool { return true }, maxDescriptors)
+	f.downstream.SetRoutes([]core.Route{{Name: "read", Idempotent: true}}, []time.Duration{time.Minute}, []piernotch.Tenant{})
+	f.listener = loop.ClientListener(func(socket *eventloop.Conn) eventloop.Handler {
+		handler := &observedHandler{Handler: f.downstream.Accepted(socket), received: make(chan int, 64)}
+		f.accepted <- handler
+		return handler
+	})
+	require.NoError(t, f.listener.Listen("127.0.0.1:0"))
+	ctx, stop := context.WithCancel(context.Background())
+	ended := make(chan struct{})
+	go func() { // ends with ctx, which the cleanup awaits
+		loop.Run(ctx, core.TickInterval, func() {})
+		close(ended)
+	}()
+	t.Cleanup(func() {
+		f.listener.Stop()
+		stop()
+		<-ended
+	})
+	return f
+}
+
+// do runs a function on the loop's owning goroutine and waits for it.
+func (f *fixture) do(call func()) {
+	done := make(chan struct{})
+	f.loop.Post(func() {
+		call()
+		close(done)
+	})
+	<-done
+}
+
+// awaitRead waits until the poller, which reads the sockets, is done with what the clients have sent: until
+// then a connection counts as one with unread input, also where its data was handled.
+func (f *fixture) awaitRead() {
+	f.t.Helper()
+	done := func() bool {
+		empty := true
+		f.do(func() {
+			for c := range f.downstream.connections {
+				empty = empty && c.socket.InputEmpty()
+			}
+		})
+		return empty
+	}
+	require.Eventually(f.t, done, testTimeout, time.Millisecond)
+}
+
+// advance lets time pass, and then has the Downstream enforce its timeouts.
+func (f *fixture) advance(by time.Duration) {
+	f.t.Helper()
+	f.awaitRead()
+	f.clock.Add(int64(by))
+	f.do(f.downstream.Tick)
+}
+
+// connectionCount returns how many connections are open.
+func (f *fixture) connectionCount() (count int) {
+	f.do(func() { count = f.downstream.ConnectionCount() })
+	return count
+}
+
+// testClient is a client's connection.
+type testClient struct {
+	*fixture
+	net.Conn
+	reader  *bufio.Reader
+	handler *observedHandler
+}
+
+// connect opens a connection and waits until it was accepted.
+func (f *fixture) connect() *testClient {
+	f.t.Helper()
+	conn, err := net.Dial("tcp", f.listener.Addr())
+	require.NoError(f.t, err)
+	f.t.Cleanup(func() { _ = conn.Close() })
+	require.NoError(f.t, conn.SetDeadline(time.Now().Add(testTimeout)))
+	client := &testClient{fixture: f, Conn: conn, reader: bufio.NewReader(conn), handler: <-f.accepted}
+	f.do(func() {}) // the connection is registered behind the call of the handler's constructor
+	return client
+}
+
+// send sends text and waits until the Downstream has received it.
+func (c *testClient) send(text string) {
+	c.t.Helper()
+	_, err := io.WriteString(c.Conn, text)
+	require.NoError(c.t, err)
+	for received := 0; received < len(text); {
+		received += <-c.handler.received
+	}
+}
+
+// status reads a response and returns its status.
+func (c *testClient) status() int {
+	c.t.Helper()
+	response, err := http.ReadResponse(c.reader, nil)
+	require.NoError(c.t, err)
+	_, err = io.Copy(io.Discard, response.Body)
+	require.NoError(c.t, err)
+	require.NoError(c.t, response.Body.Close())
+	return response.StatusCode
+}
+
+// requireOpen checks that the sending side of the connection is open on the Downstream's side.
+func (c *testClient) requireOpen() {
+	c.t.Helper()
+	closing := true
+	c.do(func() { closing = c.handler.Handler.(*connection).closing })
+	require.False(c.t, closing)
+}
+
+// requireClosed checks that the end of the connection has arrived, and nothing before it.
+func (c *testClient) requireClosed() {
+	c.t.Helper()
+	_, err := c.reader.ReadByte()
+	require.ErrorIs(c.t, err, io.EOF)
+}
+
+// checkHealth makes a request that the Downstream responds to itself.
+func (c *testClient) checkHealth() {
+	c.t.Helper()
+	c.send("GET " + healthPath + " HTTP/1.1\r\nHost: b\r\n\r\n")
+	require.Equal(c.t, http.StatusOK, c.status())
+}
