--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -88,25 +88,25 @@
 }
 
 // Start makes a log on standard error the default of log/slog. An error is an *OptionError.
-func Start(o Options) error {
-	h, err := newHandler(zapcore.Lock(os.Stderr), o)
+func Start(options Options) error {
+	handler, err := newHandler(zapcore.Lock(os.Stderr), options)
 	if err != nil {
 		return err
 	}
-	slog.SetDefault(slog.New(h))
+	slog.SetDefault(slog.New(handler))
 	return nil
 }
 
 // newHandler returns a handler that writes to out.
-func newHandler(out zapcore.WriteSyncer, o Options) (slog.Handler, error) {
-	if err := o.Check(); err != nil {
+func newHandler(out zapcore.WriteSyncer, options Options) (slog.Handler, error) {
+	if err := options.Check(); err != nil {
 		return nil, err
 	}
-	core := zapcore.NewCore(newEncoder(o.Format), out, levels[o.Level])
+	core := zapcore.NewCore(newEncoder(options.Format), out, levels[options.Level])
 	never := slog.Level(100) // a level that no line has: stack traces are attributes here
 	return &limiter{
 		Handler:  zapslog.NewHandler(core, zapslog.AddStacktraceAt(never)),
-		maxLines: o.maxLines(),
+		maxLines: options.maxLines(),
 		counter:  &counter{},
 	}, nil
 }
--- a/internal/serve/admin/server.go
+++ b/internal/serve/admin/server.go
@@ -55,17 +55,17 @@
 		s.connections = map[*connection]struct{}{}
 		s.executing = map[overrides.CallID]*connection{}
 	}
-	c := &connection{server: s, conn: conn, parser: http1.NewRequestParser(), since: s.Now()}
-	s.connections[c] = struct{}{}
-	return c
+	accepted := &connection{server: s, conn: conn, parser: http1.NewRequestParser(), since: s.Now()}
+	s.connections[accepted] = struct{}{}
+	return accepted
 }
 
 // Shed closes one connection: the one that has waited longest, those that had their response first.
 func (s *Server) Shed() {
 	var victim *connection
-	for c := range s.connections {
-		if victim == nil || c.shedBefore(victim) {
-			victim = c
+	for candidate := range s.connections {
+		if victim == nil || candidate.shedBefore(victim) {
+			victim = candidate
 		}
 	}
 	if victim != nil {
@@ -84,16 +84,16 @@
 // Complete reports the result of a call that Execute has been given; err is nil if it was carried
 // out. If the caller is gone, nothing happens.
 func (s *Server) Complete(call overrides.CallID, err error) {
-	c := s.executing[call]
-	if c == nil {
+	caller := s.executing[call]
+	if caller == nil {
 		return
 	}
 	delete(s.executing, call)
 	if err != nil {
-		c.respond(statusOf(err), err.Error())
+		caller.respond(statusOf(err), err.Error())
 		return
 	}
-	c.respond(http1.StatusOK, "yes")
+	caller.respond(http1.StatusOK, "yes")
 }
 
 // execute has an action carried out for a connection.
--- a/internal/serve/config/toml.go
+++ b/internal/serve/config/toml.go
@@ -77,23 +77,23 @@
 
 // defaults returns the values of keys that a file leaves out.
 func defaults() *file {
-	f := &file{Name: "piernotch", Listen: "127.0.0.1:18000"}
-	f.Limits.MemoryMB = 192
-	f.Limits.Sockets = 1024
-	f.Trace.MaxMB = 64
-	f.Balancers.Count = 1
-	f.Requests.MaxAttempts = 4
-	f.Requests.SecondCopies = true
-	f.Requests.Cancel = true
-	f.Requests.Probes = true
-	f.Requests.RetryMostMS = 2000
-	f.Servers.KeepAliveMS = 60000
-	f.Servers.DialMS = 250
-	f.Rules.AskWithinMS = 10000
-	f.Rules.ColdFrom = 0.12
-	f.Rules.ColdMS = 24000
-	f.Rules.OverloadMS = 2000
-	return f
+	values := &file{Name: "piernotch", Listen: "127.0.0.1:18000"}
+	values.Limits.MemoryMB = 192
+	values.Limits.Sockets = 1024
+	values.Trace.MaxMB = 64
+	values.Balancers.Count = 1
+	values.Requests.MaxAttempts = 4
+	values.Requests.SecondCopies = true
+	values.Requests.Cancel = true
+	values.Requests.Probes = true
+	values.Requests.RetryMostMS = 2000
+	values.Servers.KeepAliveMS = 60000
+	values.Servers.DialMS = 250
+	values.Rules.AskWithinMS = 10000
+	values.Rules.ColdFrom = 0.12
+	values.Rules.ColdMS = 24000
+	values.Rules.OverloadMS = 2000
+	return values
 }
 
 // LoadFile reads the product's own configuration, in TOML. An error is of type FieldErrors and holds
--- a/internal/serve/core/core.go
+++ b/internal/serve/core/core.go
@@ -58,7 +58,7 @@
 
 // New returns a reducer without endpoints. An error means that the settings cannot be used.
 func New(options Options) (*Core, error) {
-	c := &Core{
+	core := &Core{
 		settings:      options.Settings,
 		now:           options.Now,
 		timers:        timingwheel.New(TickInterval, options.Now),
@@ -72,13 +72,13 @@
 		processID:     options.ProcessID,
 		routes:        routesOf(options.Settings.Classes),
 	}
-	balancer, err := piernotch.New(options.Settings, options.Seed, host{c})
+	balancer, err := piernotch.New(options.Settings, options.Seed, host{core})
 	if err != nil {
 		return nil, err
 	}
-	c.balancer = balancer
-	c.debug = slog.Default().Enabled(context.Background(), slog.LevelDebug)
-	return c, nil
+	core.balancer = balancer
+	core.debug = slog.Default().Enabled(context.Background(), slog.LevelDebug)
+	return core, nil
 }
 
 // Handle processes an event that happened at now and returns the effects to carry out, in order. A
--- a/internal/serve/discovery/connection.go
+++ b/internal/serve/discovery/connection.go
@@ -42,21 +42,21 @@
 
 // Data implements eventloop.Handler: bytes from the discovery service.
 func (c *connection) Data(data []byte) {
-	w := c.watcher
-	if w.connection != c {
+	watcher := c.watcher
+	if watcher.connection != c {
 		return
 	}
-	if !w.responseDue() {
-		w.fail(fmt.Errorf("%w: %d bytes", errUnsolicitedData, len(data)))
+	if !watcher.responseDue() {
+		watcher.fail(fmt.Errorf("%w: %d bytes", errUnsolicitedData, len(data)))
 		return
 	}
 	c.parser.Feed(data)
 	response, err := c.parser.Next()
 	switch {
 	case err != nil:
-		w.fail(err)
+		watcher.fail(err)
 	case response != nil:
-		w.responseReceived(response)
+		watcher.responseReceived(response)
 	}
 }
 
@@ -64,8 +64,8 @@
 // may complete a response whose length it gives. Any other error must not: the
 // response was cut short.
 func (c *connection) Closed(err error) {
-	w := c.watcher
-	if w.connection != c {
+	watcher := c.watcher
+	if watcher.connection != c {
 		return
 	}
 	var response *http1.Message
@@ -77,10 +77,10 @@
 	}
 	switch {
 	case response != nil:
-		w.responseReceived(response)
-	case w.responseDue():
-		w.fail(fmt.Errorf("connection ended: %w", err))
+		watcher.responseReceived(response)
+	case watcher.responseDue():
+		watcher.fail(fmt.Errorf("connection ended: %w", err))
 	default:
-		w.connection = nil
+		watcher.connection = nil
 	}
 }
--- a/internal/serve/downstream/connection.go
+++ b/internal/serve/downstream/connection.go
@@ -99,8 +99,8 @@
 		c.serveHealth(message)
 		return
 	}
-	d := c.downstream
-	request, invalid := d.parseRequest(message)
+	downstream := c.downstream
+	request, invalid := downstream.parseRequest(message)
 	if invalid != nil {
 		c.respondInvalid(invalid)
 		return
@@ -108,11 +108,11 @@
 	if c.socket.PeerClosed() { // the client has disconnected after its request
 		return
 	}
-	d.lastExchange++
-	c.exchange = d.lastExchange
-	d.pending[c.exchange] = c
+	downstream.lastExchange++
+	c.exchange = downstream.lastExchange
+	downstream.pending[c.exchange] = c
 	request.Exchange = c.exchange
-	d.emit(request)
+	downstream.emit(request)
 }
 
 // abandonExchange lets the core know that the client cannot get a response any more.
--- a/internal/serve/downstream/downstream.go
+++ b/internal/serve/downstream/downstream.go
@@ -69,14 +69,14 @@
 
 // Accepted registers a new connection and returns its handler.
 func (d *Downstream) Accepted(socket *eventloop.Conn) eventloop.Handler {
-	c := &connection{
+	accepted := &connection{
 		downstream: d,
 		socket:     socket,
 		parser:     http1.NewRequestParser(),
 		phaseStart: d.now(),
 	}
-	d.connections[c] = struct{}{}
-	return c
+	d.connections[accepted] = struct{}{}
+	return accepted
 }
 
 // ConnectionCount returns how many client connections are open.
--- a/internal/serve/downstream/response.go
+++ b/internal/serve/downstream/response.go
@@ -23,26 +23,26 @@
 // Respond writes the final response of an exchange. It does nothing if the
 // exchange is unknown, because its client has gone.
 func (d *Downstream) Respond(effect core.Respond) {
-	c := d.pending[effect.Exchange]
-	if c == nil {
+	client := d.pending[effect.Exchange]
+	if client == nil {
 		return
 	}
 	delete(d.pending, effect.Exchange)
-	c.exchange = 0
-	c.closeAfterResponse = c.closeAfterResponse || effect.Close
+	client.exchange = 0
+	client.closeAfterResponse = client.closeAfterResponse || effect.Close
 	switch effect.Result {
 	case core.Served:
-		c.respondServed(effect.Response)
+		client.respondServed(effect.Response)
 	case core.Rejected:
-		c.respondRejected(effect.RetryAfter)
+		client.respondRejected(effect.RetryAfter)
 	case core.DuplicateID:
-		c.respond(http1.StatusConflict, nil, []byte(bodyDuplicateID))
+		client.respond(http1.StatusConflict, nil, []byte(bodyDuplicateID))
 	default:
 		status := http1.StatusBadGateway
 		if effect.LastStatus == piernotch.Timeout {
 			status = http1.StatusGatewayTimeout
 		}
-		c.respond(status, nil, []byte(bodyFailed))
+		client.respond(status, nil, []byte(bodyFailed))
 	}
 }
 
--- a/internal/serve/downstream/shedding.go
+++ b/internal/serve/downstream/shedding.go
@@ -37,16 +37,16 @@
 func (d *Downstream) Shed() {
 	now := d.now()
 	var candidates [shedClassCount][]*connection
-	for c := range d.connections {
-		if class := c.shedClass(now); class != shedNever {
-			candidates[class] = append(candidates[class], c)
+	for client := range d.connections {
+		if class := client.shedClass(now); class != shedNever {
+			candidates[class] = append(candidates[class], client)
 		}
 	}
 	remaining := maxShedPerCall
 	for _, connections := range candidates {
 		slices.SortFunc(connections, func(a, b *connection) int { return cmp.Compare(a.phaseStart, b.phaseStart) })
-		for _, c := range connections[:min(remaining, len(connections))] {
-			c.closeNow()
+		for _, client := range connections[:min(remaining, len(connections))] {
+			client.closeNow()
 			remaining--
 		}
 	}
--- a/internal/serve/handover/directory.go
+++ b/internal/serve/handover/directory.go
@@ -50,19 +50,19 @@
 func Enter(path, name string) (*Directory, error) {
 	prefix := fmt.Sprintf("piernotch-%016x-", xxhash.Sum64String(name))
 	startedAt := strconv.FormatInt(time.Now().UnixNano(), 36)
-	d := &Directory{
+	directory := &Directory{
 		path:    path,
 		name:    name,
 		prefix:  prefix,
 		ownStem: prefix + strconv.Itoa(os.Getpid()) + "-" + startedAt,
 		cache:   map[string]cachedRecord{},
 	}
-	lock, err := acquireLock(d.file(d.ownStem, lockSuffix), d.file(d.ownStem, tempSuffix))
+	lock, err := acquireLock(directory.file(directory.ownStem, lockSuffix), directory.file(directory.ownStem, tempSuffix))
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	d.lock = lock
-	return d, nil
+	directory.lock = lock
+	return directory, nil
 }
 
 // Leave releases the lock, as the end of the process would. The record stays for the other
--- a/internal/serve/runtime/balancer.go
+++ b/internal/serve/runtime/balancer.go
@@ -69,48 +69,48 @@
 // New returns a balancer that does not listen yet. It fails where the settings are not valid, the
 // event loop does not start or the trace file cannot be created.
 func New(cfg config.Config) (*Balancer, error) {
-	b := &Balancer{cfg: cfg, clockStart: time.Now()}
-	b.unixAtStart = time.Duration(b.clockStart.UnixNano())
+	balancer := &Balancer{cfg: cfg, clockStart: time.Now()}
+	balancer.unixAtStart = time.Duration(balancer.clockStart.UnixNano())
 	var err error
-	b.core, err = core.New(core.Options{
+	balancer.core, err = core.New(core.Options{
 		Settings:  cfg.Settings,
 		Seed:      cfg.Seed,
-		Now:       b.now(),
+		Now:       balancer.now(),
 		Discovery: cfg.Discovery,
-		ProcessID: overrides.ProcessID(b.unixAtStart),
+		ProcessID: overrides.ProcessID(balancer.unixAtStart),
 	})
 	if err != nil {
 		return nil, err
 	}
-	if b.loop, err = eventloop.New(cfg.MaxDescriptors); err != nil {
+	if balancer.loop, err = eventloop.New(cfg.MaxDescriptors); err != nil {
 		return nil, err
 	}
-	if b.recorder, err = newTraceRecorder(&cfg, b.now()); err != nil {
+	if balancer.recorder, err = newTraceRecorder(&cfg, balancer.now()); err != nil {
 		return nil, err
 	}
-	b.upstream = upstream.New(upstream.Options{
-		Loop:        b.loop,
-		Emit:        b.emit,
-		Now:         b.now,
+	balancer.upstream = upstream.New(upstream.Options{
+		Loop:        balancer.loop,
+		Emit:        balancer.emit,
+		Now:         balancer.now,
 		KeepAlive:   cfg.KeepAlive,
 		DialTimeout: cfg.DialTimeout,
 	})
-	b.downstream = downstream.New(b.emit, b.now, b.healthy, cfg.MaxDescriptors)
-	b.setRoutes(b.core.Routes())
-	b.listener = b.loop.ClientListener(b.downstream.Accepted)
-	b.admin = admin.Server{Now: b.now, Ready: b.ready, Execute: b.executeAdminCommand}
-	b.watcher = discovery.New(discovery.Options{
-		Loop:    b.loop,
-		Emit:    b.emit,
-		Now:     b.now,
+	balancer.downstream = downstream.New(balancer.emit, balancer.now, balancer.healthy, cfg.MaxDescriptors)
+	balancer.setRoutes(balancer.core.Routes())
+	balancer.listener = balancer.loop.ClientListener(balancer.downstream.Accepted)
+	balancer.admin = admin.Server{Now: balancer.now, Ready: balancer.ready, Execute: balancer.executeAdminCommand}
+	balancer.watcher = discovery.New(discovery.Options{
+		Loop:    balancer.loop,
+		Emit:    balancer.emit,
+		Now:     balancer.now,
 		Address: cfg.Discovery,
 		Zones:   cfg.Settings.Zones,
 		Version: cfg.KnownEndpoints.Generation,
 	})
-	b.loop.Stalled = b.stalled
-	b.loop.ShedClients = b.shedClients
-	b.loop.ShedAll = b.shedAll
-	return b, nil
+	balancer.loop.Stalled = balancer.stalled
+	balancer.loop.ShedClients = balancer.shedClients
+	balancer.loop.ShedAll = balancer.shedAll
+	return balancer, nil
 }
 
 // ShareWatch makes the watch of discovery part of a group in which one balancer polls for many. It
--- a/internal/serve/upstream/upstream.go
+++ b/internal/serve/upstream/upstream.go
@@ -36,7 +36,7 @@
 
 // New returns an Upstream without connections.
 func New(options Options) *Upstream {
-	u := &Upstream{
+	upstream := &Upstream{
 		loop:         options.Loop,
 		emit:         options.Emit,
 		now:          options.Now,
@@ -44,8 +44,8 @@
 		attempts:     map[core.AttemptRef]*attempt{},
 		healthChecks: map[*attempt]struct{}{},
 	}
-	u.SetTimeouts(options.KeepAlive, options.DialTimeout)
-	return u
+	upstream.SetTimeouts(options.KeepAlive, options.DialTimeout)
+	return upstream
 }
 
 // SetTimeouts sets after what time a server closes an idle connection (keepAlive),
