--- a/cmd/piernotch-lab/logs.go
+++ b/cmd/piernotch-lab/logs.go
@@ -62,7 +62,7 @@
 	resultTable.Render()
 	for _, server := range report.Servers[:min(c.Top, len(report.Servers))] {
 		std.out.Printf("%s: peak of %d attempts in %g s until %.1f s from %d balancers; first endpoint update at %.1f s; statuses %v\n",
-			server.Name, server.PeakAttempts, c.Window, server.PeakTime, server.PeakBalancers, server.FirstUpdate, server.AttemptStatuses)
+			server.Name, server.PeakAttempts, c.Window, server.PeakTime, server.PeakBalancers, server.FirstUpdate, loganalysis.PrintedStatuses(server.AttemptStatuses))
 	}
 	std.out.Printf("%d balancers, %d lines that could not be read\n", report.Balancers, report.Skipped)
 }
--- a/internal/serve/handover/directory.go
+++ b/internal/serve/handover/directory.go
@@ -50,19 +50,19 @@
 func Enter(path, name string) (*Directory, error) {
 	prefix := fmt.Sprintf("piernotch-%016x-", xxhash.Sum64String(name))
 	startedAt := strconv.FormatInt(time.Now().UnixNano(), 36)
-	d := &Directory{
+	directory := &Directory{
 		path:    path,
 		name:    name,
 		prefix:  prefix,
 		ownStem: prefix + strconv.Itoa(os.Getpid()) + "-" + startedAt,
 		cache:   map[string]cachedRecord{},
 	}
-	lock, err := acquireLock(d.file(d.ownStem, lockSuffix), d.file(d.ownStem, tempSuffix))
+	lock, err := acquireLock(directory.file(directory.ownStem, lockSuffix), directory.file(directory.ownStem, tempSuffix))
 	if err != nil {
-		return nil, fmt.Errorf("hand-over: %w", err)
+		return nil, fmt.Errorf("handover: %w", err)
 	}
-	d.lock = lock
-	return d, nil
+	directory.lock = lock
+	return directory, nil
 }
 
 // Leave releases the lock, as the end of the process would. The record stays for the other
@@ -72,11 +72,11 @@
 func (d *Directory) file(stem, suffix string) string { return filepath.Join(d.path, stem+suffix) }
 
 // Write replaces this process's record atomically. The balancer's name in it is filled in here.
-func (d *Directory) Write(r Record) error {
-	r.Name = d.name
-	data, err := Encode(r)
+func (d *Directory) Write(record Record) error {
+	record.Name = d.name
+	data, err := Encode(record)
 	if err != nil {
-		return fmt.Errorf("hand-over: %w", err)
+		return fmt.Errorf("handover: %w", err)
 	}
 	temporary := d.file(d.ownStem, tempSuffix)
 	err = os.WriteFile(temporary, data, 0o600)
@@ -85,7 +85,7 @@
 	}
 	if err != nil {
 		_ = os.Remove(temporary)
-		return fmt.Errorf("hand-over: %w", err)
+		return fmt.Errorf("handover: %w", err)
 	}
 	return nil
 }
@@ -95,7 +95,7 @@
 func (d *Directory) Peers() ([]Peer, error) {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
-		return nil, fmt.Errorf("hand-over: %w", err)
+		return nil, fmt.Errorf("handover: %w", err)
 	}
 	var peers []Peer
 	for _, entry := range entries {
@@ -154,12 +154,12 @@
 	if err != nil {
 		return Record{}, err
 	}
-	r, err := Decode(data)
+	record, err := Decode(data)
 	if err != nil {
 		return Record{}, err
 	}
-	if r.Name != d.name {
-		return Record{}, fmt.Errorf("%w, %q", ErrOtherBalancer, r.Name)
+	if record.Name != d.name {
+		return Record{}, fmt.Errorf("%w, %q", ErrOtherBalancer, record.Name)
 	}
-	return r, nil
+	return record, nil
 }
--- a/internal/serve/runtime/balancer.go
+++ b/internal/serve/runtime/balancer.go
@@ -13,7 +13,6 @@
 	"piernotch/internal/serve/discovery"
 	"piernotch/internal/serve/downstream"
 	"piernotch/internal/serve/eventloop"
-	"piernotch/internal/serve/handover"
 	"piernotch/internal/serve/overrides"
 	"piernotch/internal/serve/upstream"
 )
@@ -70,47 +69,48 @@
 // New returns a balancer that does not listen yet. It fails where the settings are not valid, the
 // event loop does not start or the trace file cannot be created.
 func New(cfg config.Config) (*Balancer, error) {
-	b := &Balancer{cfg: cfg, clockStart: time.Now()}
-	b.unixAtStart = time.Duration(b.clockStart.UnixNano())
+	balancer := &Balancer{cfg: cfg, clockStart: time.Now()}
+	balancer.unixAtStart = time.Duration(balancer.clockStart.UnixNano())
 	var err error
-	b.core, err = core.New(core.Options{
+	balancer.core, err = core.New(core.Options{
 		Settings:  cfg.Settings,
 		Seed:      cfg.Seed,
-		Now:       b.now(),
+		Now:       balancer.now(),
 		Discovery: cfg.Discovery,
-		ProcessID: uint64(b.unixAtStart),
+		ProcessID: overrides.ProcessID(balancer.unixAtStart),
 	})
 	if err != nil {
 		return nil, err
 	}
-	if b.loop, err = eventloop.New(cfg.MaxDescriptors); err != nil {
+	if balancer.loop, err = eventloop.New(cfg.MaxDescriptors); err != nil {
 		return nil, err
 	}
-	if b.recorder, err = newTraceRecorder(&cfg, b.now()); err != nil {
+	if balancer.recorder, err = newTraceRecorder(&cfg, balancer.now()); err != nil {
 		return nil, err
 	}
-	b.upstream = upstream.New(upstream.Options{
-		Loop:        b.loop,
-		Emit:        b.emit,
-		Now:         b.now,
+	balancer.upstream = upstream.New(upstream.Options{
+		Loop:        balancer.loop,
+		Emit:        balancer.emit,
+		Now:         balancer.now,
 		KeepAlive:   cfg.KeepAlive,
 		DialTimeout: cfg.DialTimeout,
 	})
-	b.downstream = downstream.New(b.emit, b.now, b.healthy, cfg.MaxDescriptors)
-	b.setRoutes(b.core.Routes())
-	b.listener = b.loop.ClientListener(b.downstream.Accepted)
-	b.admin = admin.Server{Now: b.now, Ready: b.ready, Execute: b.executeAdminCommand}
-	b.watcher = discovery.New(discovery.Options{
-		Loop:    b.loop,
-		Emit:    b.emit,
-		Now:     b.now,
+	balancer.downstream = downstream.New(balancer.emit, balancer.now, balancer.healthy, cfg.MaxDescriptors)
+	balancer.setRoutes(balancer.core.Routes())
+	balancer.listener = balancer.loop.ClientListener(balancer.downstream.Accepted)
+	balancer.admin = admin.Server{Now: balancer.now, Ready: balancer.ready, Execute: balancer.executeAdminCommand}
+	balancer.watcher = discovery.New(discovery.Options{
+		Loop:    balancer.loop,
+		Emit:    balancer.emit,
+		Now:     balancer.now,
 		Address: cfg.Discovery,
 		Zones:   cfg.Settings.Zones,
 		Version: cfg.KnownEndpoints.Generation,
 	})
-	b.loop.Stalled = b.stalled
-	b.loop.Shed = b.shed
-	return b, nil
+	balancer.loop.Stalled = balancer.stalled
+	balancer.loop.ShedClients = balancer.shedClients
+	balancer.loop.ShedAll = balancer.shedAll
+	return balancer, nil
 }
 
 // ShareWatch makes the watch of discovery part of a group in which one balancer polls for many. It
@@ -141,8 +141,8 @@
 	if !b.cfg.Settings.PollDiscovery {
 		b.watcher.SetPush()
 	}
-	b.siblings.merge(peers) // after the list: overrides name servers that it holds
-	b.siblings.writeRecord()
+	b.mergePeers(peers) // after the list: overrides name servers that it holds
+	b.writeRecord()
 	if err := b.listen(); err != nil {
 		return err
 	}
@@ -161,7 +161,7 @@
 	if b.adminListener != nil {
 		b.adminListener.Stop()
 	}
-	b.siblings.leave()
+	b.leaveSiblings()
 	b.logTotals("shutdown completed")
 	if b.recorder != nil {
 		b.recorder.close()
@@ -192,10 +192,10 @@
 	if !b.core.EndpointsKnown() || b.core.ClientsDrained() {
 		return false
 	}
-	return !b.core.ShuttingDown() || b.siblings.hasSuccessor
+	return !b.core.ShuttingDown() || b.siblings.hasSuccessor()
 }
 
-func (b *Balancer) executeAdminCommand(call uint64, action overrides.Action, server string) {
+func (b *Balancer) executeAdminCommand(call overrides.CallID, action overrides.Action, server string) {
 	b.emit(core.AdminCommand{Call: call, Action: action, Server: server})
 }
 
@@ -208,18 +208,11 @@
 	b.admin.Tick()
 	now := b.now()
 	b.advanceWhenReady()
-	b.siblings.tick(now)
+	b.tickSiblings(now)
 	b.exitWhenDrained()
 	b.logPeriodically(now)
 }
 
-// advanceWhenReady lets sibling processes know once this process can serve.
-func (b *Balancer) advanceWhenReady() {
-	if b.ready() {
-		b.siblings.advance(handover.Ready)
-	}
-}
-
 // stalled runs after the event loop did not run for the duration of gap.
 func (b *Balancer) stalled(gap time.Duration) {
 	if gap > loggedStall {
@@ -228,14 +221,17 @@
 	b.downstream.Stalled(gap)
 }
 
-// shed closes idle connections where descriptors are short.
-func (b *Balancer) shed(client bool) {
+// shedClients closes idle connections of clients where descriptors are short.
+func (b *Balancer) shedClients() {
 	if now := b.now(); now-b.shedLogged > shedLogInterval {
 		b.shedLogged = now
 		slog.Warn("descriptor limit reached", "open", b.loop.OpenConnections())
 	}
 	b.downstream.Shed()
-	if !client { // a new client must not cost the servers' side its connections
-		b.upstream.Shed()
-	}
+}
+
+// shedAll closes idle connections of clients and to servers where descriptors are short.
+func (b *Balancer) shedAll() {
+	b.shedClients()
+	b.upstream.Shed()
 }
