--- a/internal/simprotocol/batch_reader.go
+++ b/internal/simprotocol/batch_reader.go
@@ -120,7 +120,11 @@
 	record := b.records[i*eventSize : (i+1)*eventSize]
 	*event = Event{Code: EventCode(record[0]), Balancer: BalancerNumber(u32(record[1:]))}
 	if err := b.decode(record, event); err != nil {
-		return &FrameError{Seq: b.Seq, Record: i, Err: fmt.Errorf("batch %d, event %d (code %d): %w", b.Seq, i, record[0], err)}
+		return &FrameError{
+			Seq:    b.Seq,
+			Record: i,
+			Err:    fmt.Errorf("batch %d, event %d (code %d): %w", b.Seq, i, record[0], err),
+		}
 	}
 	return nil
 }
@@ -141,14 +145,16 @@
 	case EventRequest:
 		event.decodeRequest(record)
 	case EventAttemptCompleted:
-		event.ID, event.AttemptNumber, event.Server, event.Status = u64(record[5:]), record[13], piernotch.ServerID(u32(record[14:])), record[18]
+		event.ID, event.AttemptNumber = u64(record[5:]), record[13]
+		event.Server, event.Status = piernotch.ServerID(u32(record[14:])), record[18]
 		event.LatencyMS, event.Closed = f64(record[19:]), record[27] != 0
 		err = event.decodeLoad(record[28:])
 	case EventHealthCheckCompleted:
 		event.Server, event.Status, event.LatencyMS = piernotch.ServerID(u32(record[5:])), record[9], f64(record[10:])
 		err = event.decodeLoad(record[18:])
 	case EventResponseStarted:
-		event.ID, event.LatencyMS, event.Server, event.AttemptNumber = u64(record[5:]), f64(record[13:]), piernotch.ServerID(u32(record[21:])), record[25]
+		event.ID, event.LatencyMS = u64(record[5:]), f64(record[13:])
+		event.Server, event.AttemptNumber = piernotch.ServerID(u32(record[21:])), record[25]
 	case EventClientGone:
 		event.ID = u64(record[5:])
 	case EventTimerFired:
--- a/internal/simprotocol/frame_test.go
+++ b/internal/simprotocol/frame_test.go
@@ -13,11 +13,11 @@
 	"piernotch"
 )
 
-func unhex(t testing.TB, s string) []byte {
-	t.Helper()
+func unhex(tb testing.TB, s string) []byte {
+	tb.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return b
 }
@@ -42,8 +42,9 @@
 		"f211902c 01 00 0000 02 0000c03f 0000000000d4b740"
 )
 
-func frame(t testing.TB, record, tail string) []byte {
-	body := append(unhex(t, record), unhex(t, tail)...)
+func frame(tb testing.TB, record, tail string) []byte {
+	tb.Helper()
+	body := append(unhex(tb, record), unhex(tb, tail)...)
 	head := make([]byte, batchHeaderSize)
 	binary.LittleEndian.PutUint32(head, 1)
 	binary.LittleEndian.PutUint32(head[4:], uint32(batchHeaderSize+len(body)))
@@ -61,7 +62,13 @@
 	}
 	var e Event
 	want := Event{
-		Code: EventRequest, Balancer: 3, ID: 0xfbadb5d3a91c4, CostHintMS: 12, Flags: FlagCostHint, DeadlineMS: 8652.25, Key: 0x91f03b7c55d20a64,
+		Code:       EventRequest,
+		Balancer:   3,
+		ID:         0xfbadb5d3a91c4,
+		CostHintMS: 12,
+		Flags:      FlagCostHint,
+		DeadlineMS: 8652.25,
+		Key:        0x91f03b7c55d20a64,
 	}
 	if err := b.Event(0, &e); err != nil || !reflect.DeepEqual(e, want) {
 		t.Errorf("%+v, %v", e, err)
@@ -108,7 +115,11 @@
 	if err != nil || kind != piernotch.UpdateCached || len(list) != 2 {
 		t.Fatalf("%v %v %v", kind, list, err)
 	}
-	if l := list[1]; l.ID != 0x2c9011f2 || l.Zone != 1 || l.Size != 1.5 || l.StartedAt != Duration(6100) || l.State != piernotch.Ready {
+	if l := list[1]; l.ID != 0x2c9011f2 ||
+		l.Zone != 1 ||
+		l.Size != 1.5 ||
+		l.StartedAt != Duration(6100) ||
+		l.State != piernotch.Ready {
 		t.Errorf("%+v", l)
 	}
 }
@@ -141,7 +152,8 @@
 }
 
 func TestAttemptCompletedCarriesLoadReport(t *testing.T) {
-	rec := "09 03000000 c4913a5ddbba0f00 00 074a1203 00 0000000000803240 01 02 0000003f 0000803f 00000000 00000000 000000"
+	rec := "09 03000000 c4913a5ddbba0f00 00 074a1203 00 0000000000803240 01 02 " +
+		"0000003f 0000803f 00000000 00000000 000000"
 	b, err := NewReader(bytes.NewReader(frame(t, rec, ""))).Next()
 	if err != nil {
 		t.Fatal(err)
@@ -177,8 +189,9 @@
 	}
 }
 
-func malformed(t testing.TB) map[string][]byte {
-	list := frame(t, endpointListRecord, endpointListTail)
+func malformed(tb testing.TB) map[string][]byte {
+	tb.Helper()
+	list := frame(tb, endpointListRecord, endpointListTail)
 	far := bytes.Clone(list)
 	binary.LittleEndian.PutUint32(far[batchHeaderSize+14:], 1<<31)
 	many := bytes.Clone(list)
@@ -186,11 +199,11 @@
 	unknown := bytes.Clone(list)
 	unknown[batchHeaderSize] = 99
 	return map[string][]byte{
-		"cut header":   unhex(t, emptyBatch)[:7],
+		"cut header":   unhex(tb, emptyBatch)[:7],
 		"cut body":     list[:60],
-		"short length": unhex(t, "05000000 14000000 00000000206ec040 01000000"),
-		"huge length":  unhex(t, "00000000 ffffffff 00000000206ec040 01000000"),
-		"nan clock":    unhex(t, "00000000 14000000 000000000000f87f 01000000"),
+		"short length": unhex(tb, "05000000 14000000 00000000206ec040 01000000"),
+		"huge length":  unhex(tb, "00000000 ffffffff 00000000206ec040 01000000"),
+		"nan clock":    unhex(tb, "00000000 14000000 000000000000f87f 01000000"),
 		"far offset":   far,
 		"many entries": many,
 		"unknown code": unknown,
@@ -259,19 +272,28 @@
 		"classes": [{"name": "c", "goal_time_ms": 750, "deadline_ms": 2500, "points": 3, "effect": "keyed",
 			"dedup_scope": "cell", "dedup_window_ms": 1200}],
 		"limits": {"most_tries": 3, "second_copies": true, "may_probe": true},
-		"rules": {"ask_within_ms": 10000, "cold_from": 0.13, "cold_ms": 23000, "fall_multiple": 2.5, "overload_for_ms": 1000},
+		"rules": {"ask_within_ms": 10000, "cold_from": 0.13, "cold_ms": 23000, "fall_multiple": 2.5,
+			"overload_for_ms": 1000},
 		"tenants": [{"name": "t", "quota_per_s": 104}], "over_share_worth": 0.1}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := s.Classes[0]
-	if c.RetrySafety != piernotch.IdempotencyKey || c.DedupScope != piernotch.DedupInCell || c.DedupWindow != Duration(1200) || c.PriorityWeight != 3 {
+	if c.RetrySafety != piernotch.IdempotencyKey ||
+		c.DedupScope != piernotch.DedupInCell ||
+		c.DedupWindow != Duration(1200) ||
+		c.PriorityWeight != 3 {
 		t.Errorf("%+v", c)
 	}
 	if !s.PollDiscovery || !s.KeyAffinity || s.Zone != 1 || s.Rules.SlowStartDuration != Duration(23000) {
 		t.Errorf("%+v", s)
 	}
-	for _, bad := range []string{"", "nonsense", `{"classes":[{"effect":"odd"}]}`, `{"classes":[{"effect":"safe","dedup_scope":"moon"}]}`} {
+	for _, bad := range []string{
+		"",
+		"nonsense",
+		`{"classes":[{"effect":"odd"}]}`,
+		`{"classes":[{"effect":"safe","dedup_scope":"moon"}]}`,
+	} {
 		_, err := ParseSettings([]byte(bad))
 		var settingsErr *SettingsError
 		if !errors.As(err, &settingsErr) {
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -43,14 +43,28 @@
 	b.Start(1, 0x0102030405060708, []byte(`{"group_size":1}`))
 	b.TimerFired(2, 77)
 	b.Request(3, &RequestEvent{
-		ID: 0x1112131415161718, Class: 4, Tenant: 0x0506, Key: 0x2122232425262728, DeadlineMS: 8652.25, CostHintMS: 12.5,
-		Flags: FlagCostHint | FlagRetry | FlagWrite,
+		ID:         0x1112131415161718,
+		Class:      4,
+		Tenant:     0x0506,
+		Key:        0x2122232425262728,
+		DeadlineMS: 8652.25,
+		CostHintMS: 12.5,
+		Flags:      FlagCostHint | FlagRetry | FlagWrite,
 	})
 	b.ClientGone(4, 0x3132333435363738)
-	b.HealthCheckCompleted(5, &HealthCheckEvent{Server: 0x2c9011f2, Status: 14, LatencyMS: 3.5, Load: []float32{1, 2.5, 3, 4}})
+	b.HealthCheckCompleted(
+		5,
+		&HealthCheckEvent{Server: 0x2c9011f2, Status: 14, LatencyMS: 3.5, Load: []float32{1, 2.5, 3, 4}},
+	)
 	b.EndpointList(6, 3, 41, lines)
 	b.AttemptCompleted(7, &AttemptEvent{
-		ID: 0x4142434445464748, AttemptNumber: 2, Server: 0x03124a07, Status: 13, LatencyMS: 18.5, Closed: true, Load: []float32{5, 6.5},
+		ID:            0x4142434445464748,
+		AttemptNumber: 2,
+		Server:        0x03124a07,
+		Status:        13,
+		LatencyMS:     18.5,
+		Closed:        true,
+		Load:          []float32{5, 6.5},
 	})
 	b.Stop(8)
 	require.NoError(t, b.WriteTo(&out, 8412.25, 0x0a0b0c0d))
@@ -65,19 +79,51 @@
 	b.tail = append(b.tail, "hi 7"...)
 	require.NoError(t, b.WriteTo(&out, 8413.5, 0x0a0b0c0e))
 
-	want := [][]Event{{
-		{Code: 1, Balancer: 1, Seed: 0x0102030405060708, Data: []byte(`{"group_size":1}`)},
-		{Code: 2, Balancer: 2, Token: 77},
-		{Code: 3, Balancer: 3, ID: 0x1112131415161718, Class: 4, Tenant: 0x0506, Key: 0x2122232425262728, DeadlineMS: 8652.25, CostHintMS: 12.5, Flags: 7},
-		{Code: 4, Balancer: 4, ID: 0x3132333435363738},
-		{Code: 5, Balancer: 5, Server: 0x2c9011f2, Status: 14, LatencyMS: 3.5, Load: [4]float64{1, 2.5, 3, 4}, LoadCount: 4},
-		{Code: 6, Balancer: 6, ListKind: 3},
-		{Code: 9, Balancer: 7, ID: 0x4142434445464748, AttemptNumber: 2, Server: 0x03124a07, Status: 13, LatencyMS: 18.5, Closed: true, Load: [4]float64{5, 6.5}, LoadCount: 2},
-		{Code: 8, Balancer: 8},
-	}, {
-		{Code: 7, Balancer: 9, ID: 0x5152535455565758, LatencyMS: 9.75, Server: 0x03124a07, AttemptNumber: 3},
-		{Code: 0, Balancer: 10, From: 11, Data: []byte("hi 7")},
-	}}
+	want := [][]Event{
+		{
+			{Code: 1, Balancer: 1, Seed: 0x0102030405060708, Data: []byte(`{"group_size":1}`)},
+			{Code: 2, Balancer: 2, Token: 77},
+			{
+				Code:       3,
+				Balancer:   3,
+				ID:         0x1112131415161718,
+				Class:      4,
+				Tenant:     0x0506,
+				Key:        0x2122232425262728,
+				DeadlineMS: 8652.25,
+				CostHintMS: 12.5,
+				Flags:      7,
+			},
+			{Code: 4, Balancer: 4, ID: 0x3132333435363738},
+			{
+				Code:      5,
+				Balancer:  5,
+				Server:    0x2c9011f2,
+				Status:    14,
+				LatencyMS: 3.5,
+				Load:      [4]float64{1, 2.5, 3, 4},
+				LoadCount: 4,
+			},
+			{Code: 6, Balancer: 6, ListKind: 3},
+			{
+				Code:          9,
+				Balancer:      7,
+				ID:            0x4142434445464748,
+				AttemptNumber: 2,
+				Server:        0x03124a07,
+				Status:        13,
+				LatencyMS:     18.5,
+				Closed:        true,
+				Load:          [4]float64{5, 6.5},
+				LoadCount:     2,
+			},
+			{Code: 8, Balancer: 8},
+		},
+		{
+			{Code: 7, Balancer: 9, ID: 0x5152535455565758, LatencyMS: 9.75, Server: 0x03124a07, AttemptNumber: 3},
+			{Code: 0, Balancer: 10, From: 11, Data: []byte("hi 7")},
+		},
+	}
 	r := NewReader(bytes.NewReader(checkGolden(t, "batches.bin", out.Bytes())))
 	for i, events := range want {
 		batch, err := r.Next()
@@ -141,21 +187,67 @@
 // TestSettingsGoldenFile guards the settings of a Start event: every key with a value of its own.
 func TestSettingsGoldenFile(t *testing.T) {
 	want := piernotch.Settings{
-		BalancerCount: 3, Zone: 1, Zones: []string{"addis", "afar"}, Tick: 5 * time.Millisecond, PollDiscovery: true, KeyAffinity: true,
+		BalancerCount: 3,
+		Zone:          1,
+		Zones:         []string{"addis", "afar"},
+		Tick:          5 * time.Millisecond,
+		PollDiscovery: true,
+		KeyAffinity:   true,
 		Classes: []piernotch.Class{
-			{Name: "read", LatencyObjective: 1200 * time.Millisecond, Deadline: 5 * time.Second, PriorityWeight: 5, LateWeightShare: 0.25, RetrySafety: piernotch.Idempotent},
-			{Name: "submit", LatencyObjective: 2500 * time.Millisecond, Deadline: 6 * time.Second, PriorityWeight: 8, LateWeightShare: 0.5, RetrySafety: piernotch.IdempotencyKey,
-				DedupScope: piernotch.DedupInZone, DedupWindow: 4500 * time.Millisecond},
-			{Name: "store", LatencyObjective: 2600 * time.Millisecond, Deadline: 7 * time.Second, PriorityWeight: 9, LateWeightShare: 0.125, RetrySafety: piernotch.IdempotencyKey,
-				DedupScope: piernotch.DedupInCell, DedupWindow: 4250 * time.Millisecond},
-			{Name: "append", LatencyObjective: 2700 * time.Millisecond, Deadline: 8 * time.Second, PriorityWeight: 3, LateWeightShare: 0.75, RetrySafety: piernotch.NonIdempotent},
+			{
+				Name:             "read",
+				LatencyObjective: 1200 * time.Millisecond,
+				Deadline:         5 * time.Second,
+				PriorityWeight:   5,
+				LateWeightShare:  0.25,
+				RetrySafety:      piernotch.Idempotent,
+			},
+			{
+				Name:             "submit",
+				LatencyObjective: 2500 * time.Millisecond,
+				Deadline:         6 * time.Second,
+				PriorityWeight:   8,
+				LateWeightShare:  0.5,
+				RetrySafety:      piernotch.IdempotencyKey,
+				DedupScope:       piernotch.DedupInZone,
+				DedupWindow:      4500 * time.Millisecond,
+			},
+			{
+				Name:             "store",
+				LatencyObjective: 2600 * time.Millisecond,
+				Deadline:         7 * time.Second,
+				PriorityWeight:   9,
+				LateWeightShare:  0.125,
+				RetrySafety:      piernotch.IdempotencyKey,
+				DedupScope:       piernotch.DedupInCell,
+				DedupWindow:      4250 * time.Millisecond,
+			},
+			{
+				Name:             "append",
+				LatencyObjective: 2700 * time.Millisecond,
+				Deadline:         8 * time.Second,
+				PriorityWeight:   3,
+				LateWeightShare:  0.75,
+				RetrySafety:      piernotch.NonIdempotent,
+			},
 		},
 		Tenants: []piernotch.Tenant{{Name: "survey", QuotaPerSec: 12.5}, {Name: "school", QuotaPerSec: 7}},
 		Limits: piernotch.Limits{
-			MaxAttempts: 4, HedgedRequests: true, CancelAttempts: true, HealthChecks: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
+			MaxAttempts:    4,
+			HedgedRequests: true,
+			CancelAttempts: true,
+			HealthChecks:   true,
+			RetryAfter:     true,
+			MaxRetryAfter:  2 * time.Second,
+		},
+		Rules: piernotch.Rules{
+			PollInterval:      10 * time.Second,
+			SlowStartCapacity: 0.12,
+			SlowStartDuration: 24 * time.Second,
+			OverloadWindow:    2250 * time.Millisecond,
 		},
-		Rules:           piernotch.Rules{PollInterval: 10 * time.Second, SlowStartCapacity: 0.12, SlowStartDuration: 24 * time.Second, OverloadWindow: 2250 * time.Millisecond},
-		OverQuotaWeight: 0.1, WeightPerRequest: true,
+		OverQuotaWeight:  0.1,
+		WeightPerRequest: true,
 	}
 	data, err := MarshalSettings(&want, ExtraSettings{
 		Balancer: 2, ServerKinds: []string{"fast", "mid"}, KeepAliveMS: 60000, DialMS: 250, SlackMS: 20, GraceMS: 2100,
@@ -179,16 +271,29 @@
 // TestCodesGolden guards the numbers that stand for statuses, states and kinds of lists, both ways.
 func TestCodesGolden(t *testing.T) {
 	for status, code := range map[piernotch.Status]uint8{
-		piernotch.OK: 0, piernotch.Cancelled: 1, piernotch.Timeout: 4, piernotch.Full: 8, piernotch.NotSent: 9, piernotch.Reset: 10,
-		piernotch.Error: 13, piernotch.ConnectFailed: 14,
+		piernotch.OK:            0,
+		piernotch.Cancelled:     1,
+		piernotch.Timeout:       4,
+		piernotch.Full:          8,
+		piernotch.NotSent:       9,
+		piernotch.Reset:         10,
+		piernotch.Error:         13,
+		piernotch.ConnectFailed: 14,
 	} {
 		require.Equal(t, code, StatusCode(status))
 		got, err := ParseStatus(code)
 		require.NoError(t, err)
 		require.Equal(t, status, got)
 	}
-	require.Equal(t, []uint8{0, 1, 2}, []uint8{StateCode(piernotch.Draining), StateCode(piernotch.Gone), StateCode(piernotch.Ready)})
+	require.Equal(
+		t,
+		[]uint8{0, 1, 2},
+		[]uint8{StateCode(piernotch.Draining), StateCode(piernotch.Gone), StateCode(piernotch.Ready)},
+	)
 	require.Equal(t, []uint8{0, 1, 2, 3}, []uint8{
-		ListKindCode(piernotch.UpdateFailed), ListKindCode(piernotch.UpdateCached), ListKindCode(piernotch.UpdateFull), ListKindCode(piernotch.UpdateDelta),
+		ListKindCode(piernotch.UpdateFailed),
+		ListKindCode(piernotch.UpdateCached),
+		ListKindCode(piernotch.UpdateFull),
+		ListKindCode(piernotch.UpdateDelta),
 	})
 }
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -104,7 +104,10 @@
 		settings.Classes = append(settings.Classes, class)
 	}
 	for _, tenant := range parsed.Tenants {
-		settings.Tenants = append(settings.Tenants, piernotch.Tenant{Name: tenant.Name, QuotaPerSec: tenant.QuotaPerSec})
+		settings.Tenants = append(settings.Tenants, piernotch.Tenant{
+			Name:        tenant.Name,
+			QuotaPerSec: tenant.QuotaPerSec,
+		})
 	}
 	return settings, nil
 }
