--- a/internal/lab/experiment/bound.go
+++ b/internal/lab/experiment/bound.go
@@ -33,7 +33,11 @@
 		}
 		return Bound{Figure: figure, AtLeast: operator == ">=", Value: threshold}, nil
 	}
-	return Bound{}, &FlagError{Flag: "--threshold", Value: text, Err: errors.New("FIGURE>=VALUE or FIGURE<=VALUE is expected")}
+	return Bound{}, &FlagError{
+		Flag:  "--threshold",
+		Value: text,
+		Err:   errors.New("FIGURE>=VALUE or FIGURE<=VALUE is expected"),
+	}
 }
 
 // Missed reports whether a summary misses the bound.
--- a/internal/lab/experiment/chart.go
+++ b/internal/lab/experiment/chart.go
@@ -19,11 +19,25 @@
 const pngDPI = 160
 
 // sweepCharts are the figures of a sweep that are drawn.
-var sweepCharts = []string{"service", "worst_window", "refused_rate", "retry_rate", "choked_share", "p99_ms", "cold_peak", "falls"}
+var sweepCharts = []string{
+	"service",
+	"worst_window",
+	"refused_rate",
+	"retry_rate",
+	"choked_share",
+	"p99_ms",
+	"cold_peak",
+	"falls",
+}
 
 // palette has the colors of lines.
 var palette = []color.RGBA{
-	{31, 119, 180, 255}, {214, 39, 40, 255}, {44, 160, 44, 255}, {148, 103, 189, 255}, {255, 127, 14, 255}, {140, 86, 75, 255},
+	{31, 119, 180, 255},
+	{214, 39, 40, 255},
+	{44, 160, 44, 255},
+	{148, 103, 189, 255},
+	{255, 127, 14, 255},
+	{140, 86, 75, 255},
 }
 
 func lineColor(i int) color.RGBA { return palette[i%len(palette)] }
@@ -81,7 +95,10 @@
 func Charts(file *ResultFile) ([]*Chart, error) {
 	switch {
 	case file.Kind == kindCompare && file.Compare != nil:
-		return runCharts([]series{{"a: " + file.Compare.A.Name, file.Compare.RunsA}, {"b: " + file.Compare.B.Name, file.Compare.RunsB}})
+		return runCharts([]series{
+			{"a: " + file.Compare.A.Name, file.Compare.RunsA},
+			{"b: " + file.Compare.B.Name, file.Compare.RunsB},
+		})
 	case file.Kind == kindRun:
 		return runCharts([]series{{file.Scenario, file.Runs}})
 	case file.Kind == kindSweep:
--- a/internal/lab/experiment/chart_lines.go
+++ b/internal/lab/experiment/chart_lines.go
@@ -12,7 +12,11 @@
 
 // serviceChart draws service over time.
 func serviceChart(all []series) (*Chart, error) {
-	chart := newChart("service", labels{title: "Service over time, mean and 95% band over seeds", x: "second of the run", y: "share of priority weight served within the latency objective"})
+	chart := newChart("service", labels{
+		title: "Service over time, mean and 95% band over seeds",
+		x:     "second of the run",
+		y:     "share of priority weight served within the latency objective",
+	})
 	chart.Plot.Y.Min = 0
 	chart.Plot.Y.Max = 1.02
 	for i, drawn := range all {
@@ -25,7 +29,11 @@
 
 // latencyChart draws latency over percentiles.
 func latencyChart(all []series) (*Chart, error) {
-	chart := newChart("latency", labels{title: "Latency of served requests, mean and 95% band over seeds", x: "percentile", y: "ms"})
+	chart := newChart("latency", labels{
+		title: "Latency of served requests, mean and 95% band over seeds",
+		x:     "percentile",
+		y:     "ms",
+	})
 	for i, drawn := range all {
 		if err := addBand(chart.Plot, latencyBand(drawn), i); err != nil {
 			return nil, err
@@ -153,6 +161,10 @@
 }
 
 var tailTicks = []plot.Tick{
-	{Value: tailScale(0), Label: "0"}, {Value: tailScale(50), Label: "50"}, {Value: tailScale(90), Label: "90"}, {Value: tailScale(99), Label: "99"},
-	{Value: tailScale(99.9), Label: "99.9"}, {Value: tailScale(99.99), Label: "99.99"},
+	{Value: tailScale(0), Label: "0"},
+	{Value: tailScale(50), Label: "50"},
+	{Value: tailScale(90), Label: "90"},
+	{Value: tailScale(99), Label: "99"},
+	{Value: tailScale(99.9), Label: "99.9"},
+	{Value: tailScale(99.99), Label: "99.99"},
 }
--- a/internal/lab/experiment/chart_servers.go
+++ b/internal/lab/experiment/chart_servers.go
@@ -47,7 +47,12 @@
 			}
 			left := toX(float64(i))
 			right := toX(float64(i + 1))
-			canvas.FillPolygon(cell, []vg.Point{{X: left, Y: bottom}, {X: right, Y: bottom}, {X: right, Y: top}, {X: left, Y: top}})
+			canvas.FillPolygon(cell, []vg.Point{
+				{X: left, Y: bottom},
+				{X: right, Y: bottom},
+				{X: right, Y: top},
+				{X: left, Y: top},
+			})
 		}
 	}
 }
@@ -62,12 +67,20 @@
 
 // serversChart draws the servers of one run.
 func serversChart(name string, run *simulation.Result) *Chart {
-	title := fmt.Sprintf("%s, seed %d: servers (green: busy, blue: in slow start, yellow: draining, red: overloaded,\ngrey: down, black: silent, violet: collapsed)", name, run.Seed)
+	title := fmt.Sprintf(
+		"%s, seed %d: servers (green: busy, blue: in slow start, yellow: draining, red: overloaded,\n"+
+			"grey: down, black: silent, violet: collapsed)",
+		name,
+		run.Seed,
+	)
 	chart := newChart("servers", labels{title: title, x: "second of the run"})
 	chart.Plot.Add(serverStrips{run.Servers})
 	var ticks []plot.Tick
 	for i, track := range run.Servers {
-		ticks = append(ticks, plot.Tick{Value: float64(i) + stripHeight/2, Label: fmt.Sprintf("%d %s z%d", track.Server, track.Kind, track.Zone)})
+		ticks = append(ticks, plot.Tick{
+			Value: float64(i) + stripHeight/2,
+			Label: fmt.Sprintf("%d %s z%d", track.Server, track.Kind, track.Zone),
+		})
 	}
 	chart.Plot.Y.Tick.Marker = plot.ConstantTicks(ticks)
 	chart.Plot.Y.Tick.Label.Font.Size = vg.Points(6)
--- a/internal/lab/experiment/compare_test.go
+++ b/internal/lab/experiment/compare_test.go
@@ -14,7 +14,12 @@
 	require.Equal(t, Inconclusive, comparison.Verdict)
 	require.Zero(t, comparison.Difference["service"].Mean)
 	// Slower servers under more traffic are worse.
-	comparison, err = Compare(context.Background(), plan, Variant{}, Variant{Set: []string{"kind.*.speed=0.4", "traffic.rate_per_s=90"}})
+	comparison, err = Compare(
+		context.Background(),
+		plan,
+		Variant{},
+		Variant{Set: []string{"kind.*.speed=0.4", "traffic.rate_per_s=90"}},
+	)
 	require.NoError(t, err)
 	require.Equal(t, Worse, comparison.Verdict)
 	_, err = Run(context.Background(), plan, Variant{Set: []string{"no.such=1"}})
--- a/internal/lab/experiment/render_test.go
+++ b/internal/lab/experiment/render_test.go
@@ -27,7 +27,9 @@
 	comparison, err := Compare(context.Background(), plan, Variant{Name: "x"}, Variant{Name: "y"})
 	require.NoError(t, err)
 	broken := points[0].Runs[0]
-	broken.SlowStartCollapses, broken.Violations = 1, []invariants.Violation{{Rule: invariants.SlowStart, Server: 3, Message: "pushed over", Steps: []string{"a step"}}}
+	broken.SlowStartCollapses, broken.Violations = 1, []invariants.Violation{
+		{Rule: invariants.SlowStart, Server: 3, Message: "pushed over", Steps: []string{"a step"}},
+	}
 	for _, file := range []*ResultFile{
 		{Kind: "sweep", Scenario: "s", Dimensions: dimensions, Points: points},
 		{Kind: "run", Scenario: "s", Runs: runs, Summary: SummarizeRuns(runs)},
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -20,11 +20,14 @@
 <html lang="en"><head><meta charset="utf-8"><title>{{.File.Scenario}} - piernotch-lab</title>
 <style>body{font:15px/1.5 sans-serif;max-width:60em;margin:2em auto;padding:0 1em;color:#222}
 table{border-collapse:collapse;margin:1em 0}td,th{padding:.2em .8em;border-bottom:1px solid #ddd;text-align:right}
-th:first-child,td:first-child{text-align:left}svg{max-width:100%;height:auto}.bad{color:#b00;font-weight:bold}pre{background:#f4f4f4;padding:.6em;overflow:auto}</style></head><body>
+th:first-child,td:first-child{text-align:left}svg{max-width:100%;height:auto}` +
+	`.bad{color:#b00;font-weight:bold}pre{background:#f4f4f4;padding:.6em;overflow:auto}</style></head><body>
 <h1>{{.File.Scenario}}</h1><p>{{.File.Description}} Kind: {{.File.Kind}}, first seed {{.File.Seed}}.</p>
 {{if .Verdict}}<p>b against a: <b>{{.Verdict}}</b></p>{{end}}
-{{if .Violations}}<p class="bad">Invariants were violated {{.Violations}} times.</p>{{else}}<p>No invariant was violated.</p>{{end}}
-<table><tr>{{range .Head}}<th>{{.}}</th>{{end}}</tr>{{range .Rows}}<tr>{{range .}}<td>{{.}}</td>{{end}}</tr>{{end}}</table>
+{{if .Violations}}<p class="bad">Invariants were violated {{.Violations}} times.</p>` +
+	`{{else}}<p>No invariant was violated.</p>{{end}}
+<table><tr>{{range .Head}}<th>{{.}}</th>{{end}}</tr>` +
+	`{{range .Rows}}<tr>{{range .}}<td>{{.}}</td>{{end}}</tr>{{end}}</table>
 {{range .Charts}}{{.}}{{end}}
 {{range .Details}}<pre>{{.}}</pre>{{end}}
 </body></html>
@@ -73,7 +76,12 @@
 	d.Verdict = comparison.Verdict
 	d.Head = []string{"figure", "a", "b", "b less a"}
 	for _, name := range FigureNames() {
-		d.Rows = append(d.Rows, []string{storednames.Display(storednames.Figures, name), comparison.SummaryA[name].String(), comparison.SummaryB[name].String(), comparison.Difference[name].String()})
+		d.Rows = append(d.Rows, []string{
+			storednames.Display(storednames.Figures, name),
+			comparison.SummaryA[name].String(),
+			comparison.SummaryB[name].String(),
+			comparison.Difference[name].String(),
+		})
 	}
 	d.addViolations(comparison.RunsA)
 	d.addViolations(comparison.RunsB)
@@ -110,7 +118,10 @@
 	for _, run := range runs {
 		for _, violation := range run.Violations {
 			if len(d.Details) < maxReportedViolations {
-				d.Details = append(d.Details, fmt.Sprintf("seed %d: %s\n%s", run.Seed, violation, strings.Join(violation.Steps, "\n")))
+				d.Details = append(
+					d.Details,
+					fmt.Sprintf("seed %d: %s\n%s", run.Seed, violation, strings.Join(violation.Steps, "\n")),
+				)
 			}
 		}
 	}
--- a/internal/lab/experiment/variant.go
+++ b/internal/lab/experiment/variant.go
@@ -11,9 +11,10 @@
 
 // Variant is what decides, and under which settings. The zero value is the module in this process.
 type Variant struct {
-	Name    string   `json:"name"`
-	Adapter string   `json:"adapter,omitempty"` // a program that speaks the simulator's protocol; "": the module in this process
-	Set     []string `json:"set,omitempty"`     // KEY=VALUE on top of the scenario
+	Name string `json:"name"`
+	// Adapter is a program that speaks the simulator's protocol; "" is the module in this process.
+	Adapter string   `json:"adapter,omitempty"`
+	Set     []string `json:"set,omitempty"` // KEY=VALUE on top of the scenario
 }
 
 // ParseVariant reads a variant from a command line: "builtin" or nothing for the module in this process, an
