--- a/internal/lab/loganalysis/doc.go
+++ b/internal/lab/loganalysis/doc.go
@@ -6,5 +6,6 @@
 // a start that all balancers have in common, and counts instead of the line's own time.
 //
 // The package owns the names and keys of the balancers' log events that it reads (events.go), and those that
-// older programs logged (oldnames.go). It must not know anything else of the balancer. It is called by piernotch-lab logs. All its functions may be called from any goroutine.
+// older programs logged (oldnames.go). It must not know anything else of the balancer. It is called by
+// piernotch-lab logs. All its functions may be called from any goroutine.
 package loganalysis
