--- a/internal/lab/chaos/doc.go
+++ b/internal/lab/chaos/doc.go
@@ -3,6 +3,6 @@
 // is played on: equal arguments give equal schedules.
 //
 // The package owns the form of stored schedules. It does no I/O, and must know neither processes nor sockets:
-// loadtest plays the schedules, and piernotch-lab chaos draws, shrinks and stores them. Its functions keep no state and may be called from
-// any goroutine.
+// loadtest plays the schedules, and piernotch-lab chaos draws, shrinks and stores them. Its functions keep no
+// state and may be called from any goroutine.
 package chaos
--- a/internal/lab/chaos/schedule.go
+++ b/internal/lab/chaos/schedule.go
@@ -67,7 +67,13 @@
 	}
 	available := size.Length - leadTime - RecoveryTime
 	if size.Balancers < 1 || size.Servers < 1 || available <= 0 {
-		return nil, fmt.Errorf("%d balancers, %d servers and %v are %w", size.Balancers, size.Servers, size.Length, ErrTooSmall)
+		return nil, fmt.Errorf(
+			"%d balancers, %d servers and %v are %w",
+			size.Balancers,
+			size.Servers,
+			size.Length,
+			ErrTooSmall,
+		)
 	}
 	rng := rand.New(rand.NewPCG(seed, xxhash.Sum64String(kind)))
 	var steps []Step
