--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -13,6 +13,7 @@
 
 // startEchoServer starts a server that echoes line by line, and returns its address.
 func startEchoServer(t *testing.T) string {
+	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -43,6 +44,7 @@
 }
 
 func dial(t *testing.T, l *Link) *peer {
+	t.Helper()
 	c, err := net.Dial("tcp", l.Address())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
@@ -79,7 +81,8 @@
 	require.NoError(t, err)
 	require.Equal(t, "one\n", got)
 
-	for _, direction := range []Direction{ToTarget, FromTarget} { // a cut of either direction delays the response, and loses nothing
+	// A cut of either direction delays the response, and loses nothing.
+	for _, direction := range []Direction{ToTarget, FromTarget} {
 		link.SetFault(direction, Fault{Cut: Blackhole})
 		_, err = client.exchange("held", short)
 		require.ErrorContains(t, err, "timeout")
--- a/internal/lab/faultproxy/network.go
+++ b/internal/lab/faultproxy/network.go
@@ -39,8 +39,12 @@
 		return nil, err
 	}
 	link := &Link{
-		Name: name, target: target, listener: listener, changed: make(chan struct{}), connections: map[*connection]struct{}{},
-		rng: rand.New(rand.NewPCG(n.seed, xxhash.Sum64String(name))),
+		Name:        name,
+		target:      target,
+		listener:    listener,
+		changed:     make(chan struct{}),
+		connections: map[*connection]struct{}{},
+		rng:         rand.New(rand.NewPCG(n.seed, xxhash.Sum64String(name))),
 	}
 	n.links[name] = link
 	go link.accept() // ends when the link is closed
