--- a/cmd/simulator-adapter/adapter_test.go
+++ b/cmd/simulator-adapter/adapter_test.go
@@ -25,9 +25,10 @@
 	return out
 }
 
-func startRecord(inst byte, settings string) []byte {
+// startRecord starts balancer 7.
+func startRecord(settings string) []byte {
 	r := make([]byte, 21)
-	r[0], r[1] = 1, inst
+	r[0], r[1] = 1, 7
 	binary.LittleEndian.PutUint32(r[17:], uint32(len(settings)))
 	return r
 }
@@ -37,7 +38,7 @@
 	request[0], request[1], request[5] = 3, 7, 9
 	binary.LittleEndian.PutUint64(request[24:], math.Float64bits(1001)) // it cannot be met
 	var out bytes.Buffer
-	in := append(batch(1, "", nil...), batch(2, settingsText, startRecord(7, settingsText))...)
+	in := append(batch(1, "", nil...), batch(2, settingsText, startRecord(settingsText))...)
 	in = append(in, batch(3, "", request)...)
 	if err := serve(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
@@ -53,7 +54,7 @@
 }
 
 func TestServeRejectsMalformedEvents(t *testing.T) {
-	start := startRecord(7, settingsText)
+	start := startRecord(settingsText)
 	for name, c := range map[string]struct {
 		in   []byte
 		want string
@@ -74,7 +75,7 @@
 func TestUnusableSettingsAreReportedAsFault(t *testing.T) {
 	for _, text := range []string{"nonsense", `{"group_size":1,"classes":[{"goal_time_ms":-1,"effect":"safe"}]}`} {
 		var out bytes.Buffer
-		in := append(batch(1, text, startRecord(7, text)), batch(2, "", []byte{2, 7})...)
+		in := append(batch(1, text, startRecord(text)), batch(2, "", []byte{2, 7})...)
 		if err := serve(bytes.NewReader(in), &out); err != nil {
 			t.Fatal(err)
 		}
@@ -85,7 +86,7 @@
 }
 
 func TestBalancerMayStartAgainAfterStop(t *testing.T) {
-	start := startRecord(7, settingsText)
+	start := startRecord(settingsText)
 	in := batch(1, settingsText, start, []byte{8, 7}, start)
 	if err := serve(bytes.NewReader(in), &bytes.Buffer{}); err != nil {
 		t.Fatal(err)
