--- a/cmd/piernotch/main.go
+++ b/cmd/piernotch/main.go
@@ -37,7 +37,7 @@
 
 // configSource says where the configuration comes from.
 type configSource struct {
-	Config string `short:"c" placeholder:"FILE" env:"PIERNOTCH_CONFIG" help:"Configuration in TOML; takes precedence over ROUTER_CONFIG."`
+	Config string `short:"c" placeholder:"FILE" env:"PIERNOTCH_CONFIG" help:"Configuration in TOML; takes precedence over ROUTER_CONFIG."` //nolint:lll // struct tags cannot be wrapped
 }
 
 // load reads the configuration at the start.
--- a/cmd/piernotch/serve.go
+++ b/cmd/piernotch/serve.go
@@ -65,7 +65,12 @@
 }
 
 // handleSignals reloads the configuration or shuts the balancer down, as signals ask.
-func (c *serveCmd) handleSignals(signals <-chan os.Signal, cfg config.Config, balancer *runtime.Balancer, leaveGroup func()) {
+func (c *serveCmd) handleSignals(
+	signals <-chan os.Signal,
+	cfg config.Config,
+	balancer *runtime.Balancer,
+	leaveGroup func(),
+) {
 	for received := range signals {
 		if received != syscall.SIGHUP {
 			balancer.Shutdown()
