--- a/cmd/piernotch-lab/chaos.go
+++ b/cmd/piernotch-lab/chaos.go
@@ -14,7 +14,7 @@
 )
 
 type chaosCmd struct {
-	Kind         string   `arg:"" name:"kind" optional:"" default:"mixed" help:"A kind of schedule; --list prints them."`
+	Kind         string   `arg:"" name:"kind" optional:"" default:"mixed" help:"A kind of schedule; --list prints them."` //nolint:lll // struct tags cannot be wrapped
 	List         bool     `help:"Only list the kinds."`
 	Seed         uint64   `default:"1" help:"Of the first run: its realization of the scenario and its faults."`
 	Runs         int      `default:"1" help:"Seeds to play, one after the other, in real time."`
@@ -22,11 +22,11 @@
 	Scenario     string   `default:"chaos" help:"A scenario file, or the name of a shipped one."`
 	Balancers    int      `help:"Number of balancers, instead of the scenario's."`
 	Set          []string `sep:"none" placeholder:"KEY=VALUE" help:"Replace a value of the scenario; may be repeated."`
-	MinRecovered float64  `name:"min-recovered" aliases:"back" default:"0.9" help:"Share that has to be served within its latency objective at the end, when all faults are over."`
+	MinRecovered float64  `name:"min-recovered" aliases:"back" default:"0.9" help:"Share that has to be served within its latency objective at the end, when all faults are over."` //nolint:lll // struct tags cannot be wrapped
 	Shrink       int      `default:"0" help:"Runs that may be spent on leaving out faults of a run that fails."`
 	Replay       string   `placeholder:"FILE" help:"Play the schedule in the file."`
 	Program      string   `placeholder:"FILE" help:"The balancer; piernotch beside this program is the default."`
-	SharedWatch  bool     `name:"shared-watch" aliases:"group" help:"The balancers share one watch of discovery, through a control group of three voters (piernotch-voter beside this program); for schedules without links."`
+	SharedWatch  bool     `name:"shared-watch" aliases:"group" help:"The balancers share one watch of discovery, through a control group of three voters (piernotch-voter beside this program); for schedules without links."` //nolint:lll // struct tags cannot be wrapped
 	Logs         string   `placeholder:"DIR" help:"Keep the balancers' configurations and logs there."`
 	JSON         string   `name:"json" placeholder:"FILE" help:"Keep the results there."`
 	voterProgram string
@@ -119,7 +119,12 @@
 	if err != nil {
 		return nil, err
 	}
-	size := chaos.Size{Balancers: len(realization.Balancers), Servers: len(realization.Servers), Length: realization.Length, Steps: c.Faults}
+	size := chaos.Size{
+		Balancers: len(realization.Balancers),
+		Servers:   len(realization.Servers),
+		Length:    realization.Length,
+		Steps:     c.Faults,
+	}
 	run.Steps, err = chaos.Draw(run.Kind, seed, size)
 	return run, err
 }
@@ -133,7 +138,12 @@
 	}
 	run.Failed = ""
 	run.describe()
-	report, err := loadtest.Run(ctx, realization, loadtest.Options{Program: c.Program, LogDir: c.Logs, Faults: run.Steps, VoterProgram: c.voterProgram})
+	report, err := loadtest.Run(ctx, realization, loadtest.Options{
+		Program:      c.Program,
+		LogDir:       c.Logs,
+		Faults:       run.Steps,
+		VoterProgram: c.voterProgram,
+	})
 	run.Report = report
 	switch {
 	case report == nil:
@@ -147,7 +157,13 @@
 		run.Failed = err.Error()
 	case report.ViolationCount() > 0:
 		first := report.Violations[0]
-		run.Failed = fmt.Sprintf("%d violations of invariants, the first %s at %.2f s: %s", report.ViolationCount(), first.Rule, first.At.Seconds(), first.Message)
+		run.Failed = fmt.Sprintf(
+			"%d violations of invariants, the first %s at %.2f s: %s",
+			report.ViolationCount(),
+			first.Rule,
+			first.At.Seconds(),
+			first.Message,
+		)
 	default:
 		run.Failed = c.checkRecovery(report, realization.Length)
 	}
@@ -163,7 +179,12 @@
 		served += second.ServedWeight
 	}
 	if asked > 0 && served/asked < c.MinRecovered {
-		return fmt.Sprintf("%.3f served within the latency objective from %d s on, after all faults; at least %.3f is required", served/asked, from, c.MinRecovered)
+		return fmt.Sprintf(
+			"%.3f served within the latency objective from %d s on, after all faults; at least %.3f is required",
+			served/asked,
+			from,
+			c.MinRecovered,
+		)
 	}
 	return ""
 }
@@ -178,8 +199,20 @@
 
 func (c *chaosCmd) print(std *streams, run *chaosRun) {
 	counts := run.Report.Counts
-	std.out.Printf("%s, seed %d: %d attempts, %d served, %d rejected, %d failed, %d timed out, %d disconnected, %d unreachable, %d polls of discovery\n",
-		storednames.Display(storednames.ScheduleKinds, run.Kind), run.Seed, counts.Attempts, counts.Served, counts.Rejected, counts.Failed, counts.TimedOut, counts.Disconnected, counts.Unreachable, run.Report.DiscoveryCalls)
+	std.out.Printf(
+		"%s, seed %d: %d attempts, %d served, %d rejected, %d failed, %d timed out, %d disconnected, "+
+			"%d unreachable, %d polls of discovery\n",
+		storednames.Display(storednames.ScheduleKinds, run.Kind),
+		run.Seed,
+		counts.Attempts,
+		counts.Served,
+		counts.Rejected,
+		counts.Failed,
+		counts.TimedOut,
+		counts.Disconnected,
+		counts.Unreachable,
+		run.Report.DiscoveryCalls,
+	)
 	if run.Failed == "" {
 		return
 	}
@@ -188,7 +221,12 @@
 		std.out.Println(" ", description)
 	}
 	printRunViolations(std, []*simulation.Result{&run.Report.Result})
-	std.out.Printf("replay: piernotch-lab chaos %s --seed %d --faults %d\n", storednames.Display(storednames.ScheduleKinds, run.Kind), run.Seed, c.Faults)
+	std.out.Printf(
+		"replay: piernotch-lab chaos %s --seed %d --faults %d\n",
+		storednames.Display(storednames.ScheduleKinds, run.Kind),
+		run.Seed,
+		c.Faults,
+	)
 }
 
 // shrink looks for fewer faults that still fail, and keeps them in a file.
--- a/cmd/piernotch-lab/cluster.go
+++ b/cmd/piernotch-lab/cluster.go
@@ -11,9 +11,9 @@
 )
 
 type clusterCmd struct {
-	Simulate  clusterSimulateCmd  `cmd:"" aliases:"model" help:"Play schedules of faults on the control group in simulated time, thousands of seeds."`
-	Processes clusterProcessesCmd `cmd:"" aliases:"rig" help:"Play the same schedules on real processes with fault proxies between them."`
-	Times     clusterTimesCmd     `cmd:"" help:"Measure how long a duty has no lease holder after its holder ends, planned and unplanned."`
+	Simulate  clusterSimulateCmd  `cmd:"" aliases:"model" help:"Play schedules of faults on the control group in simulated time, thousands of seeds."` //nolint:lll // struct tags cannot be wrapped
+	Processes clusterProcessesCmd `cmd:"" aliases:"rig" help:"Play the same schedules on real processes with fault proxies between them."`             //nolint:lll // struct tags cannot be wrapped
+	Times     clusterTimesCmd     `cmd:"" help:"Measure how long a duty has no lease holder after its holder ends, planned and unplanned."`            //nolint:lll // struct tags cannot be wrapped
 }
 
 // clusterOptions are the arguments that say what a schedule is played on.
@@ -26,7 +26,7 @@
 	Faults  int    `default:"12" help:"Faults of each seed."`
 	Length  int    `default:"60" help:"Seconds of each seed; the last 25 are without faults."`
 	JSON    string `name:"json" placeholder:"FILE" help:"Keep the results there."`
-	SVG     string `name:"svg" placeholder:"FILE" help:"With one seed: draw the lease holders over time, and the violations."`
+	SVG     string `name:"svg" placeholder:"FILE" help:"With one seed: draw the lease holders over time, and the violations."` //nolint:lll // struct tags cannot be wrapped
 }
 
 // draw writes the picture of a seed, if one is asked for.
@@ -69,8 +69,17 @@
 		for _, fault := range failure.faults {
 			std.out.Println(" ", fault)
 		}
-		std.out.Printf("replay: piernotch-lab cluster %s --seed %d --runs 1 --voters %d --members %d --duties %d --faults %d --length %d\n",
-			subcommand, failure.seed, c.Voters, c.Members, c.Duties, c.Faults, c.Length)
+		std.out.Printf(
+			"replay: piernotch-lab cluster %s --seed %d --runs 1 --voters %d --members %d --duties %d --faults %d "+
+				"--length %d\n",
+			subcommand,
+			failure.seed,
+			c.Voters,
+			c.Members,
+			c.Duties,
+			c.Faults,
+			c.Length,
+		)
 	}
 	if c.JSON != "" {
 		if err := writeJSON(c.JSON, results); err != nil {
--- a/cmd/piernotch-lab/cluster_processes.go
+++ b/cmd/piernotch-lab/cluster_processes.go
@@ -39,7 +39,11 @@
 		}
 		defer func() { _ = os.RemoveAll(dir) }() // temporary: what is left does no harm
 	}
-	bar := progressbar.NewOptions(c.Runs, progressbar.OptionSetWriter(std.err.writer), progressbar.OptionClearOnFinish())
+	bar := progressbar.NewOptions(
+		c.Runs,
+		progressbar.OptionSetWriter(std.err.writer),
+		progressbar.OptionClearOnFinish(),
+	)
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(c.Parallel)
 	for i := range c.Runs {
@@ -53,7 +57,14 @@
 			if err := os.MkdirAll(own, 0o700); err != nil {
 				return err
 			}
-			if err := play(clustertest.Options{VoterProgram: c.Program, HolderProgram: self, Seed: seed, Size: c.size(), Dir: own}); err != nil {
+			options := clustertest.Options{
+				VoterProgram:  c.Program,
+				HolderProgram: self,
+				Seed:          seed,
+				Size:          c.size(),
+				Dir:           own,
+			}
+			if err := play(options); err != nil {
 				return fmt.Errorf("seed %d: %w", seed, err)
 			}
 			return nil
@@ -94,9 +105,19 @@
 		}
 	}
 	slices.Sort(gaps)
-	std.out.Printf("%d seeds, %d grants, %d acts, %d rejected by their fencing token", len(results), grants, acts, fenced)
+	std.out.Printf(
+		"%d seeds, %d grants, %d acts, %d rejected by their fencing token",
+		len(results),
+		grants,
+		acts,
+		fenced,
+	)
 	if count := len(gaps); count > 0 {
-		std.out.Printf("; without a lease holder for %.3f s in the median, %.3f s at most", gaps[count/2], gaps[count-1])
+		std.out.Printf(
+			"; without a lease holder for %.3f s in the median, %.3f s at most",
+			gaps[count/2],
+			gaps[count-1],
+		)
 	}
 	std.out.Println()
 	return c.finish(std, "processes", results, failures)
@@ -104,7 +125,7 @@
 
 type clusterTimesCmd struct {
 	clusterProcessesCmd
-	Failovers int `name:"failovers" aliases:"times" default:"10" help:"Failovers of either kind in each control group; --runs groups are measured."`
+	Failovers int `name:"failovers" aliases:"times" default:"10" help:"Failovers of either kind in each control group; --runs groups are measured."` //nolint:lll // struct tags cannot be wrapped
 }
 
 func (c *clusterTimesCmd) Run(ctx context.Context, std *streams) error {
@@ -130,7 +151,14 @@
 		seconds := kind.seconds
 		if count := len(seconds); count > 0 {
 			slices.Sort(seconds)
-			std.out.Printf("%-9s %d times: median %.3f s, p99 %.3f s, longest %.3f s\n", kind.name, count, seconds[count/2], seconds[count*99/100], seconds[count-1])
+			std.out.Printf(
+				"%-9s %d times: median %.3f s, p99 %.3f s, longest %.3f s\n",
+				kind.name,
+				count,
+				seconds[count/2],
+				seconds[count*99/100],
+				seconds[count-1],
+			)
 		}
 	}
 	if c.JSON != "" {
--- a/cmd/piernotch-lab/cluster_simulate.go
+++ b/cmd/piernotch-lab/cluster_simulate.go
@@ -20,7 +20,7 @@
 type clusterSimulateCmd struct {
 	clusterOptions
 	Workers int    `default:"0" help:"Processes at the same time; 0: one a core."`
-	Shrink  int    `default:"0" help:"Runs that may be spent on leaving out faults of a seed that violates an invariant."`
+	Shrink  int    `default:"0" help:"Runs that may be spent on leaving out faults of a seed that violates an invariant."` //nolint:lll // struct tags cannot be wrapped
 	Replay  string `placeholder:"FILE" help:"Play the schedule in the file, on its seed."`
 	Child   bool   `hidden:"" help:"Play the seeds in this process, and print each result."`
 }
@@ -61,8 +61,15 @@
 			failures = append(failures, clusterFailure{result.Seed, result.Violations, result.Faults})
 		}
 	}
-	std.out.Printf("%d seeds, %d grants, %d acts, %d rejected by their fencing token, a duty without a lease holder %.1f%% of the time\n",
-		len(results), grants, acts, fenced, 100*unheld/float64(max(len(results), 1)))
+	std.out.Printf(
+		"%d seeds, %d grants, %d acts, %d rejected by their fencing token, a duty without a lease holder %.1f%% "+
+			"of the time\n",
+		len(results),
+		grants,
+		acts,
+		fenced,
+		100*unheld/float64(max(len(results), 1)),
+	)
 	if c.Shrink > 0 {
 		for _, failure := range failures {
 			if err := c.shrink(std, failure); err != nil {
@@ -87,7 +94,13 @@
 		}
 	}
 	result := clustersim.RunSchedule(schedule.Seed, schedule.Size, schedule.Faults)
-	std.out.Printf("seed %d: %d grants, %d acts, %d rejected by their fencing token\n", result.Seed, result.Grants, result.Acts, result.Fenced)
+	std.out.Printf(
+		"seed %d: %d grants, %d acts, %d rejected by their fencing token\n",
+		result.Seed,
+		result.Grants,
+		result.Acts,
+		result.Fenced,
+	)
 	if err := c.draw(schedule.Seed, schedule.Faults, result.Spans); err != nil {
 		return err
 	}
@@ -109,7 +122,11 @@
 		return len(result.Violations) > 0
 	})
 	name := fmt.Sprintf("group-%d.json", schedule.Seed)
-	std.out.Printf("%d faults still violate an invariant: piernotch-lab cluster simulate --replay %s\n", len(schedule.Faults), name)
+	std.out.Printf(
+		"%d faults still violate an invariant: piernotch-lab cluster simulate --replay %s\n",
+		len(schedule.Faults),
+		name,
+	)
 	return writeJSON(name, schedule)
 }
 
@@ -137,7 +154,11 @@
 	if err != nil {
 		return nil, err
 	}
-	bar := progressbar.NewOptions(c.Runs, progressbar.OptionSetWriter(std.err.writer), progressbar.OptionClearOnFinish())
+	bar := progressbar.NewOptions(
+		c.Runs,
+		progressbar.OptionSetWriter(std.err.writer),
+		progressbar.OptionClearOnFinish(),
+	)
 	var (
 		mu      sync.Mutex // guards results and failed
 		results []clustersim.Result
@@ -181,10 +202,20 @@
 // playChild plays seeds in a process of their own and waits for its end.
 func (c *clusterSimulateCmd) playChild(ctx context.Context, std *streams, child childRun) error {
 	seeds := min(seedsPerChild, c.Runs-child.from)
-	cmd := exec.CommandContext(ctx, child.program, "cluster", "simulate", "--child",
-		fmt.Sprintf("--seed=%d", c.Seed+uint64(child.from)), fmt.Sprintf("--runs=%d", seeds),
-		fmt.Sprintf("--voters=%d", c.Voters), fmt.Sprintf("--members=%d", c.Members), fmt.Sprintf("--duties=%d", c.Duties),
-		fmt.Sprintf("--faults=%d", c.Faults), fmt.Sprintf("--length=%d", c.Length))
+	cmd := exec.CommandContext(
+		ctx,
+		child.program,
+		"cluster",
+		"simulate",
+		"--child",
+		fmt.Sprintf("--seed=%d", c.Seed+uint64(child.from)),
+		fmt.Sprintf("--runs=%d", seeds),
+		fmt.Sprintf("--voters=%d", c.Voters),
+		fmt.Sprintf("--members=%d", c.Members),
+		fmt.Sprintf("--duties=%d", c.Duties),
+		fmt.Sprintf("--faults=%d", c.Faults),
+		fmt.Sprintf("--length=%d", c.Length),
+	)
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
 	cmd.Stderr = std.err.writer
 	out, err := cmd.StdoutPipe()
--- a/cmd/piernotch-lab/faulttest.go
+++ b/cmd/piernotch-lab/faulttest.go
@@ -23,7 +23,7 @@
 	Simulate bool     `name:"simulate" aliases:"model" help:"In simulated time, instead of on sockets."`
 	Program  string   `placeholder:"FILE" help:"The balancer; piernotch beside this program is the default."`
 	List     bool     `help:"Only list the fault tests."`
-	JSON     string   `name:"json" placeholder:"DIR" help:"Keep the results there, one file for each fault test; piernotch-lab plot draws them."`
+	JSON     string   `name:"json" placeholder:"DIR" help:"Keep the results there, one file for each fault test; piernotch-lab plot draws them."` //nolint:lll // struct tags cannot be wrapped
 }
 
 func (c *faulttestCmd) Run(ctx context.Context, std *streams) error {
@@ -41,7 +41,15 @@
 		return err
 	}
 	resultTable := table.NewWriter()
-	resultTable.AppendHeader(table.Row{"fault test", "served, of the control", "worst 3 s", "recovery time, s", "rejected", "failed", "violations"})
+	resultTable.AppendHeader(table.Row{
+		"fault test",
+		"served, of the control",
+		"worst 3 s",
+		"recovery time, s",
+		"rejected",
+		"failed",
+		"violations",
+	})
 	var valid []*simulation.Result // of all tests
 	controls := faulttestControls{}
 	for _, test := range tests {
@@ -77,11 +85,17 @@
 	if len(c.Names) == 0 {
 		return tests, nil
 	}
-	return slices.DeleteFunc(tests, func(test loadtest.FaultTest) bool { return !slices.Contains(c.Names, test.Name) }), nil
+	notNamed := func(test loadtest.FaultTest) bool { return !slices.Contains(c.Names, test.Name) }
+	return slices.DeleteFunc(tests, notNamed), nil
 }
 
 // playTest plays a fault test and its control.
-func (c *faulttestCmd) playTest(ctx context.Context, std *streams, controls faulttestControls, test loadtest.FaultTest) (runs, control []*simulation.Result, err error) {
+func (c *faulttestCmd) playTest(
+	ctx context.Context,
+	std *streams,
+	controls faulttestControls,
+	test loadtest.FaultTest,
+) (runs, control []*simulation.Result, err error) {
 	testScenario, err := test.Scenario()
 	if err != nil {
 		return nil, nil, err
@@ -101,7 +115,12 @@
 type faulttestControls map[string][]*simulation.Result
 
 // control plays the control of a fault test, unless it has been played for another test.
-func (c *faulttestCmd) control(ctx context.Context, std *streams, controls faulttestControls, test loadtest.FaultTest) ([]*simulation.Result, error) {
+func (c *faulttestCmd) control(
+	ctx context.Context,
+	std *streams,
+	controls faulttestControls,
+	test loadtest.FaultTest,
+) ([]*simulation.Result, error) {
 	testScenario, key, err := test.Control()
 	if err != nil {
 		return nil, err
@@ -141,9 +160,17 @@
 }
 
 // play plays all seeds of a scenario, in the order of the seeds; a void run is nil.
-func (c *faulttestCmd) play(ctx context.Context, std *streams, testScenario *scenario.Scenario) ([]*simulation.Result, error) {
+func (c *faulttestCmd) play(
+	ctx context.Context,
+	std *streams,
+	testScenario *scenario.Scenario,
+) ([]*simulation.Result, error) {
 	if c.Simulate {
-		return experiment.Run(ctx, experiment.Plan{Scenario: testScenario, Seed: c.Seed, Runs: c.Runs}, experiment.Variant{})
+		return experiment.Run(
+			ctx,
+			experiment.Plan{Scenario: testScenario, Seed: c.Seed, Runs: c.Runs},
+			experiment.Variant{},
+		)
 	}
 	var runs []*simulation.Result
 	for i := range c.Runs {
@@ -186,5 +213,13 @@
 		return table.Row{test.Name, "void"}
 	}
 	mean := func(values []float64) string { return fmt.Sprintf("%.3f", experiment.Summarize(values).Mean) }
-	return table.Row{test.Name, mean(served), mean(worst), strings.Join(recovered, ", "), mean(rejected), mean(failed), violations}
+	return table.Row{
+		test.Name,
+		mean(served),
+		mean(worst),
+		strings.Join(recovered, ", "),
+		mean(rejected),
+		mean(failed),
+		violations,
+	}
 }
--- a/cmd/piernotch-lab/former_names_test.go
+++ b/cmd/piernotch-lab/former_names_test.go
@@ -35,7 +35,11 @@
 	}{
 		{[]string{"simulate", "run", "quiet"}, "--aim=service>=0.9", "--threshold=service>=0.9"},
 		{[]string{"simulate", "compare", "quiet", "--b=builtin"}, "--aim=service>=0.9", "--threshold=service>=0.9"},
-		{[]string{"simulate", "sweep", "quiet", "--vary=traffic.load=1,2"}, "--aim=service>=0.9", "--threshold=service>=0.9"},
+		{
+			[]string{"simulate", "sweep", "quiet", "--vary=traffic.load=1,2"},
+			"--aim=service>=0.9",
+			"--threshold=service>=0.9",
+		},
 		{[]string{"loadtest", "quiet"}, "--aim=p99_ms<=20", "--threshold=p99_ms<=20"},
 		{[]string{"faulttest"}, "--model", "--simulate"},
 		{[]string{"handover"}, "--times=7", "--handovers=7"},
--- a/cmd/piernotch-lab/load.go
+++ b/cmd/piernotch-lab/load.go
@@ -33,7 +33,10 @@
 	}
 	started := time.Now()
 	clients := &load.Clients{
-		Realization: realization, Arrivals: arrivals, Observer: ignoreRequests{}, Clock: func() time.Duration { return time.Since(started) },
+		Realization: realization,
+		Arrivals:    arrivals,
+		Observer:    ignoreRequests{},
+		Clock:       func() time.Duration { return time.Since(started) },
 		Pick: func(_ int, rng *rand.Rand) (int, string, bool) {
 			balancer := rng.IntN(len(c.To))
 			return balancer, c.To[balancer], true
@@ -42,9 +45,27 @@
 	clients.Run(ctx)
 	parts := clients.Goodput().Parts()
 	counts := clients.Counts()
-	std.out.Printf("%d requests in %d attempts: served %d, rejected %d, failed %d, timed out %d, disconnected %d, unreachable %d\n",
-		len(arrivals), counts.Attempts, counts.Served, counts.Rejected, counts.Failed, counts.TimedOut, counts.Disconnected, counts.Unreachable)
-	std.out.Printf("served within the latency objective: whole run %.3f, worst 10 s %.3f, worst class %.3f; p50 %.1f ms, p99 %.1f ms from the due time; requests sent %v late at the 99th percentile\n",
-		parts.WholeRun, parts.WorstWindow, parts.WorstClass, clients.Goodput().Percentile(50), clients.Goodput().Percentile(99), clients.Lateness(99))
+	std.out.Printf(
+		"%d requests in %d attempts: served %d, rejected %d, failed %d, timed out %d, disconnected %d, "+
+			"unreachable %d\n",
+		len(arrivals),
+		counts.Attempts,
+		counts.Served,
+		counts.Rejected,
+		counts.Failed,
+		counts.TimedOut,
+		counts.Disconnected,
+		counts.Unreachable,
+	)
+	std.out.Printf(
+		"served within the latency objective: whole run %.3f, worst 10 s %.3f, worst class %.3f; p50 %.1f ms, "+
+			"p99 %.1f ms from the due time; requests sent %v late at the 99th percentile\n",
+		parts.WholeRun,
+		parts.WorstWindow,
+		parts.WorstClass,
+		clients.Goodput().Percentile(50),
+		clients.Goodput().Percentile(99),
+		clients.Lateness(99),
+	)
 	return nil
 }
--- a/cmd/piernotch-lab/loadtest.go
+++ b/cmd/piernotch-lab/loadtest.go
@@ -14,7 +14,12 @@
 
 // drawRealization loads a scenario and draws one realization of it, for the commands that play on sockets.
 // A number of balancers above zero replaces the scenario's.
-func drawRealization(name string, set []string, balancers int, seed uint64) (*scenario.Scenario, *scenario.Realization, error) {
+func drawRealization(
+	name string,
+	set []string,
+	balancers int,
+	seed uint64,
+) (*scenario.Scenario, *scenario.Realization, error) {
 	loaded, err := scenario.Load(name)
 	if err != nil {
 		return nil, nil, err
@@ -39,12 +44,12 @@
 	Seed      uint64   `default:"1" help:"The first seed."`
 	Set       []string `sep:"none" placeholder:"KEY=VALUE" help:"Replace a value of the scenario; may be repeated."`
 	Program   string   `placeholder:"FILE" help:"The balancer; piernotch beside this program is the default."`
-	Proxy     bool     `help:"Run net/http/httputil's ReverseProxy in place of the balancer, to compare CPU and memory."`
+	Proxy     bool     `help:"Run net/http/httputil's ReverseProxy in place of the balancer, to compare CPU and memory."` //nolint:lll // struct tags cannot be wrapped
 	MemoryMB  int      `name:"memory-mb" default:"192" help:"Memory limit given to each balancer."`
 	Sockets   int      `default:"1024" help:"Descriptor limit given to each balancer."`
 	Logs      string   `placeholder:"DIR" help:"Keep the balancers' configurations and logs there."`
 	JSON      string   `name:"json" placeholder:"FILE" help:"Keep the result; piernotch-lab plot draws it."`
-	Threshold []string `name:"threshold" aliases:"aim" sep:"none" placeholder:"FIGURE>=X" help:"A threshold for a mean; may be repeated. Missing it exits with 1."`
+	Threshold []string `name:"threshold" aliases:"aim" sep:"none" placeholder:"FIGURE>=X" help:"A threshold for a mean; may be repeated. Missing it exits with 1."` //nolint:lll // struct tags cannot be wrapped
 }
 
 func (c *loadtestCmd) Run(ctx context.Context, std *streams) error {
@@ -70,7 +75,16 @@
 	}
 	summary := experiment.SummarizeRuns(played.runs)
 	if len(played.runs) > 1 {
-		for _, name := range []string{"service", "whole", "worst_window", "worst_class", "refused_rate", "failed_rate", "p50_ms", "p99_ms"} {
+		for _, name := range []string{
+			"service",
+			"whole",
+			"worst_window",
+			"worst_class",
+			"refused_rate",
+			"failed_rate",
+			"p50_ms",
+			"p99_ms",
+		} {
 			std.out.Printf("%s %s\n", storednames.Display(storednames.Figures, name), summary[name])
 		}
 	}
--- a/cmd/piernotch-lab/loadtest_report.go
+++ b/cmd/piernotch-lab/loadtest_report.go
@@ -16,10 +16,22 @@
 
 // printRealization prints the realization of a named scenario that is about to be played.
 func printRealization(std *streams, name string, realization *scenario.Realization) {
-	std.out.Printf("%s, seed %d: %d balancers, %d servers, %.0f requests a second for %.0f s\n",
-		name, realization.Seed, len(realization.Balancers), len(realization.Servers), realization.Traffic.RequestsPerSecond, realization.Length.Seconds())
+	std.out.Printf(
+		"%s, seed %d: %d balancers, %d servers, %.0f requests a second for %.0f s\n",
+		name,
+		realization.Seed,
+		len(realization.Balancers),
+		len(realization.Servers),
+		realization.Traffic.RequestsPerSecond,
+		realization.Length.Seconds(),
+	)
 	for _, fault := range realization.Faults {
-		std.out.Printf("  %s from %.1f s for %.1f s\n", storednames.Display(storednames.FaultKinds, fault.Kind), fault.At.Seconds(), fault.For.Seconds())
+		std.out.Printf(
+			"  %s from %.1f s for %.1f s\n",
+			storednames.Display(storednames.FaultKinds, fault.Kind),
+			fault.At.Seconds(),
+			fault.For.Seconds(),
+		)
 	}
 }
 
@@ -27,7 +39,12 @@
 func printRunViolations(std *streams, runs []*simulation.Result) {
 	for _, result := range runs {
 		for _, violation := range result.Violations[:min(len(result.Violations), maxPrintedViolations)] {
-			std.out.Printf("VIOLATION seed %d: %s\n    %s\n", result.Seed, violation, strings.Join(violation.Steps, "\n    "))
+			std.out.Printf(
+				"VIOLATION seed %d: %s\n    %s\n",
+				result.Seed,
+				violation,
+				strings.Join(violation.Steps, "\n    "),
+			)
 		}
 	}
 }
@@ -52,16 +69,45 @@
 	std.out.Printf("  service %.3f (whole run %.3f, worst 10 s %.3f, worst class %.3f); p50 %.0f ms, p99 %.0f ms\n",
 		report.Service, report.WholeRun, report.WorstWindow, report.WorstClass, report.P50, report.P99)
 	counts := report.Counts
-	std.out.Printf("  %d requests in %d attempts: served %d, rejected %d, failed %d, timed out %d, disconnected %d, unreachable %d\n",
-		report.Requests, counts.Attempts, counts.Served, counts.Rejected, counts.Failed, counts.TimedOut, counts.Disconnected, counts.Unreachable)
+	std.out.Printf(
+		"  %d requests in %d attempts: served %d, rejected %d, failed %d, timed out %d, disconnected %d, "+
+			"unreachable %d\n",
+		report.Requests,
+		counts.Attempts,
+		counts.Served,
+		counts.Rejected,
+		counts.Failed,
+		counts.TimedOut,
+		counts.Disconnected,
+		counts.Unreachable,
+	)
 	for _, class := range report.Classes {
-		std.out.Printf("  %s: %d requests, %.3f of their priority weight served within the latency objective\n", class.Name, class.Requests, class.Service)
+		std.out.Printf(
+			"  %s: %d requests, %.3f of their priority weight served within the latency objective\n",
+			class.Name,
+			class.Requests,
+			class.Service,
+		)
 	}
-	std.out.Printf("  violations: lost %d, repeated %d, drain %d, slow start %d; %.0f us of CPU per request; the test harness was %.1f ms late (p99)\n",
-		report.Lost, report.Repeated, report.DrainViolations, report.SlowStartCollapses, report.CPUPerAnswer, report.LatenessMS)
+	std.out.Printf(
+		"  violations: lost %d, repeated %d, drain %d, slow start %d; %.0f us of CPU per request; the test "+
+			"harness was %.1f ms late (p99)\n",
+		report.Lost,
+		report.Repeated,
+		report.DrainViolations,
+		report.SlowStartCollapses,
+		report.CPUPerAnswer,
+		report.LatenessMS,
+	)
 	for _, kind := range slices.Sorted(maps.Keys(report.Malformed)) {
 		count := report.Malformed[kind]
-		std.out.Printf("  malformed clients, %s: %d, %d got an error or a close in time, %d were served\n", kind, count.Sent, count.Answered, count.Served)
+		std.out.Printf(
+			"  malformed clients, %s: %d, %d got an error or a close in time, %d were served\n",
+			kind,
+			count.Sent,
+			count.Answered,
+			count.Served,
+		)
 	}
 	printBalancerTable(std, report.Balancers)
 }
@@ -78,7 +124,9 @@
 			memory = append(memory, fmt.Sprintf("%.1f", quarter.ResidentMB))
 			descriptors = append(descriptors, fmt.Sprint(quarter.Descriptors))
 		}
-		resultTable.AppendRow(table.Row{i, strings.Join(cpu, " "), strings.Join(memory, " "), strings.Join(descriptors, " ")})
+		resultTable.AppendRow(
+			table.Row{i, strings.Join(cpu, " "), strings.Join(memory, " "), strings.Join(descriptors, " ")},
+		)
 	}
 	resultTable.Render()
 }
--- a/cmd/piernotch-lab/logs.go
+++ b/cmd/piernotch-lab/logs.go
@@ -12,7 +12,7 @@
 type logsCmd struct {
 	Dir     string  `arg:"" help:"Folder with one NAME.log for each balancer."`
 	Request string  `name:"request" aliases:"id" help:"Follow the request with this id instead."`
-	Window  float64 `name:"window" aliases:"span" default:"2" help:"Seconds over which the peak of attempts at a server is counted."`
+	Window  float64 `name:"window" aliases:"span" default:"2" help:"Seconds over which the peak of attempts at a server is counted."` //nolint:lll // struct tags cannot be wrapped
 	Top     int     `default:"10" help:"Number of servers that are printed."`
 	JSON    bool    `name:"json" help:"Print all of it as JSON."`
 }
@@ -55,14 +55,34 @@
 	})
 	for _, second := range report.Seconds {
 		resultTable.AppendRow(table.Row{
-			second.Second, second.Requests, second.Served, second.Rejected, second.RejectedUnsent, second.Failed, second.ClientDisconnects, second.Attempts,
-			second.AttemptStatuses["timeout"], second.AttemptStatuses["full"], second.AttemptStatuses["connect_failed"], second.AttemptStatuses["reset"], second.DiscoveryFailures,
+			second.Second,
+			second.Requests,
+			second.Served,
+			second.Rejected,
+			second.RejectedUnsent,
+			second.Failed,
+			second.ClientDisconnects,
+			second.Attempts,
+			second.AttemptStatuses["timeout"],
+			second.AttemptStatuses["full"],
+			second.AttemptStatuses["connect_failed"],
+			second.AttemptStatuses["reset"],
+			second.DiscoveryFailures,
 		})
 	}
 	resultTable.Render()
 	for _, server := range report.Servers[:min(c.Top, len(report.Servers))] {
-		std.out.Printf("%s: peak of %d attempts in %g s until %.1f s from %d balancers; first endpoint update at %.1f s; statuses %v\n",
-			server.Name, server.PeakAttempts, c.Window, server.PeakTime, server.PeakBalancers, server.FirstUpdate, loganalysis.PrintedStatuses(server.AttemptStatuses))
+		std.out.Printf(
+			"%s: peak of %d attempts in %g s until %.1f s from %d balancers; first endpoint update at %.1f s; "+
+				"statuses %v\n",
+			server.Name,
+			server.PeakAttempts,
+			c.Window,
+			server.PeakTime,
+			server.PeakBalancers,
+			server.FirstUpdate,
+			loganalysis.PrintedStatuses(server.AttemptStatuses),
+		)
 	}
 	std.out.Printf("%d balancers, %d lines that could not be read\n", report.Balancers, report.Skipped)
 }
--- a/cmd/piernotch-lab/main.go
+++ b/cmd/piernotch-lab/main.go
@@ -35,11 +35,11 @@
 // cli holds the subcommands. Those that have been renamed keep their old names as aliases.
 type cli struct {
 	Simulate  simulateCmd  `cmd:"" aliases:"model" help:"Play scenarios in simulated time."`
-	Loadtest  loadtestCmd  `cmd:"" aliases:"rehearse" help:"Play a scenario on real sockets: balancers as processes, emulated servers, discovery and clients."`
-	Faulttest faulttestCmd `cmd:"" aliases:"drill" help:"Play the faults that a service must recover from by itself, and measure its recovery time."`
-	Handover  handoverCmd  `cmd:"" help:"Play handovers of balancers from process to process, under load and with faults."`
-	Chaos     chaosCmd     `cmd:"" help:"Put faults between balancers, servers and discovery by a seeded schedule, and check invariants by what clients and servers observed."`
-	Cluster   clusterCmd   `cmd:"" aliases:"group" help:"Put faults between the voters and lease holders of a control group, in simulated time or on processes."`
+	Loadtest  loadtestCmd  `cmd:"" aliases:"rehearse" help:"Play a scenario on real sockets: balancers as processes, emulated servers, discovery and clients."`                 //nolint:lll // struct tags cannot be wrapped
+	Faulttest faulttestCmd `cmd:"" aliases:"drill" help:"Play the faults that a service must recover from by itself, and measure its recovery time."`                           //nolint:lll // struct tags cannot be wrapped
+	Handover  handoverCmd  `cmd:"" help:"Play handovers of balancers from process to process, under load and with faults."`                                                     //nolint:lll // struct tags cannot be wrapped
+	Chaos     chaosCmd     `cmd:"" help:"Put faults between balancers, servers and discovery by a seeded schedule, and check invariants by what clients and servers observed."` //nolint:lll // struct tags cannot be wrapped
+	Cluster   clusterCmd   `cmd:"" aliases:"group" help:"Put faults between the voters and lease holders of a control group, in simulated time or on processes."`               //nolint:lll // struct tags cannot be wrapped
 	Hold      holdCmd      `cmd:"" hidden:"" help:"A process that competes for duties, for cluster processes."`
 	Emulate   emulateCmd   `cmd:"" help:"Emulate the servers and discovery alone, for any balancer."`
 	Load      loadCmd      `cmd:"" help:"Emulate the clients alone, for any balancer."`
@@ -88,7 +88,12 @@
 
 // newParser returns the parser of the command line, which fills in the commands.
 func newParser(commands *cli, options ...kong.Option) (*kong.Kong, error) {
-	options = append(options, kong.Name("piernotch-lab"), kong.Description(about), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
+	options = append(
+		options,
+		kong.Name("piernotch-lab"),
+		kong.Description(about),
+		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
+	)
 	return kong.New(commands, options...)
 }
 
--- a/cmd/piernotch-lab/main_test.go
+++ b/cmd/piernotch-lab/main_test.go
@@ -42,8 +42,16 @@
 		{[]string{"plot", json, "-o", svg}, 0, ""},
 		{[]string{"plot", json, "-o", filepath.Join(dir, "r.doc")}, 2, ".svg, .png or .html"},
 		{append([]string{simulate, "run", "quiet", "--aim", "service>=1.5"}, short...), 1, "missed: service>=1.5"},
-		{append([]string{simulate, "run", "quiet", "--threshold", "service>=1.5"}, short...), 1, "missed: service>=1.5"},
-		{append([]string{simulate, "run", "quiet", "--threshold", "rejected_rate<=-1"}, short...), 1, "missed: rejected_rate<=-1"},
+		{
+			append([]string{simulate, "run", "quiet", "--threshold", "service>=1.5"}, short...),
+			1,
+			"missed: service>=1.5",
+		},
+		{
+			append([]string{simulate, "run", "quiet", "--threshold", "rejected_rate<=-1"}, short...),
+			1,
+			"missed: rejected_rate<=-1",
+		},
 		{append([]string{simulate, "compare", "quiet", "--b", "balancers.max_attempts=1"}, short...), 0, "can't tell"},
 		{append([]string{simulate, "sweep", "quiet", "--vary", "traffic.load=0.2,0.3"}, short...), 0, "0.3"},
 		{[]string{simulate, "run", "quiet", "--set", "traffic.lod=1"}, 2, "no such key"},
--- a/cmd/piernotch-lab/scenario.go
+++ b/cmd/piernotch-lab/scenario.go
@@ -34,7 +34,13 @@
 			std.err.Println(err)
 			continue
 		}
-		std.out.Printf("%s: valid: %d balancers, %d servers, %d faults\n", file, loaded.Balancers.Count, loaded.Fleet.Servers, len(loaded.Faults))
+		std.out.Printf(
+			"%s: valid: %d balancers, %d servers, %d faults\n",
+			file,
+			loaded.Balancers.Count,
+			loaded.Fleet.Servers,
+			len(loaded.Faults),
+		)
 	}
 	if failed {
 		return errFailed
--- a/cmd/piernotch-lab/simulate.go
+++ b/cmd/piernotch-lab/simulate.go
@@ -19,7 +19,7 @@
 
 type simulateCmd struct {
 	Run     simulateRunCmd     `cmd:"" help:"Play a scenario over seeds: means with 95% intervals."`
-	Compare simulateCompareCmd `cmd:"" help:"Play two variants on the same seeds: differences with 95% intervals and a verdict."`
+	Compare simulateCompareCmd `cmd:"" help:"Play two variants on the same seeds: differences with 95% intervals and a verdict."` //nolint:lll // struct tags cannot be wrapped
 	Sweep   simulateSweepCmd   `cmd:"" help:"Play a scenario for every value of one or two keys."`
 }
 
@@ -32,7 +32,7 @@
 	Workers      int      `default:"0" help:"Runs at the same time; 0: as many as there are cores."`
 	JSON         string   `name:"json" placeholder:"FILE" help:"Keep the result; - is standard output."`
 	Reproducible bool     `help:"Leave out of the result what depends on the machine's speed."`
-	Threshold    []string `name:"threshold" aliases:"aim" sep:"none" placeholder:"FIGURE>=X" help:"A threshold for a mean; may be repeated. Missing it exits with 1."`
+	Threshold    []string `name:"threshold" aliases:"aim" sep:"none" placeholder:"FIGURE>=X" help:"A threshold for a mean; may be repeated. Missing it exits with 1."` //nolint:lll // struct tags cannot be wrapped
 }
 
 // plan reads the scenario and the thresholds of the command line.
@@ -125,8 +125,27 @@
 
 // printedFigures are the figures that are printed, by their stored names; the JSON holds all.
 var printedFigures = []string{
-	"service", "whole", "worst_window", "worst_class", "deducted", "lost", "repeated", "drain_breaks", "cold_falls", "cold_peak", "drain_latest_ms", "falls",
-	"refused_rate", "failed_rate", "retry_rate", "waste_rate", "cross_rate", "probe_rate", "choked_share", "p50_ms", "p99_ms",
+	"service",
+	"whole",
+	"worst_window",
+	"worst_class",
+	"deducted",
+	"lost",
+	"repeated",
+	"drain_breaks",
+	"cold_falls",
+	"cold_peak",
+	"drain_latest_ms",
+	"falls",
+	"refused_rate",
+	"failed_rate",
+	"retry_rate",
+	"waste_rate",
+	"cross_rate",
+	"probe_rate",
+	"choked_share",
+	"p50_ms",
+	"p99_ms",
 }
 
 type simulateRunCmd struct {
@@ -176,6 +195,13 @@
 		wall += result.WallS
 		decisions += result.ModuleS
 	}
-	out.Printf("%d requests, %d events in %.2f core seconds (%.0f requests per core second), %.0f%% of it in the decision module\n",
-		requests, events, wall, float64(requests)/max(wall, 1e-9), 100*decisions/max(wall, 1e-9))
+	out.Printf(
+		"%d requests, %d events in %.2f core seconds (%.0f requests per core second), %.0f%% of it in the "+
+			"decision module\n",
+		requests,
+		events,
+		wall,
+		float64(requests)/max(wall, 1e-9),
+		100*decisions/max(wall, 1e-9),
+	)
 }
--- a/cmd/piernotch-lab/simulate_sweep.go
+++ b/cmd/piernotch-lab/simulate_sweep.go
@@ -11,7 +11,7 @@
 
 type simulateSweepCmd struct {
 	simulateOptions
-	Vary    []string `required:"" sep:"none" placeholder:"KEY=V1,V2,…" help:"A key and its values; twice for two dimensions. Keys that change together are joined by +, as their values are."`
+	Vary    []string `required:"" sep:"none" placeholder:"KEY=V1,V2,…" help:"A key and its values; twice for two dimensions. Keys that change together are joined by +, as their values are."` //nolint:lll // struct tags cannot be wrapped
 	Adapter string   `placeholder:"PROGRAM" help:"Let another program decide."`
 }
 
@@ -64,7 +64,12 @@
 }
 
 // checkPoints prints the violations and missed thresholds of all points, and returns errFailed for these.
-func (c *simulateSweepCmd) checkPoints(out *printer, thresholds bounds, dimensions []experiment.Dimension, points []experiment.Point) error {
+func (c *simulateSweepCmd) checkPoints(
+	out *printer,
+	thresholds bounds,
+	dimensions []experiment.Dimension,
+	points []experiment.Point,
+) error {
 	var failed error
 	for _, point := range points {
 		var set []string
--- a/cmd/piernotch-lab/trace.go
+++ b/cmd/piernotch-lab/trace.go
@@ -33,12 +33,26 @@
 	defer func() { _ = reader.Close() }() // it was only read
 	header := reader.Header()
 	counts, readErr := countTrace(reader)
-	std.out.Printf("%s: balancer %q, zone %q, %d requests, the last at %.3f s\n", c.File, header.Name, header.Zone, counts.requests, counts.last.Seconds())
+	std.out.Printf(
+		"%s: balancer %q, zone %q, %d requests, the last at %.3f s\n",
+		c.File,
+		header.Name,
+		header.Zone,
+		counts.requests,
+		counts.last.Seconds(),
+	)
 	for i, name := range header.Classes {
 		std.out.Printf("  %s: %d\n", name, counts.classes[i])
 	}
 	outcomes := counts.outcomes
-	std.out.Printf("  served %d, rejected %d, failed %d, client disconnected %d; with a cost hint %d\n", outcomes[0], outcomes[1], outcomes[2], outcomes[3], counts.hinted)
+	std.out.Printf(
+		"  served %d, rejected %d, failed %d, client disconnected %d; with a cost hint %d\n",
+		outcomes[0],
+		outcomes[1],
+		outcomes[2],
+		outcomes[3],
+		counts.hinted,
+	)
 	if !errors.Is(readErr, io.EOF) {
 		std.err.Println(strings.TrimSpace(readErr.Error()))
 		return errFailed
