--- a/internal/simprotocol/frame_test.go
+++ b/internal/simprotocol/frame_test.go
@@ -29,9 +29,9 @@
 		"03 03000000 c4913a5ddbba0f00 00 0000 640ad2557c3bf091 0000000020e6c040 0000000000002840 01 00000000000000" +
 		"02 03000000 4d000000" + zeros39 +
 		"04 05000000 192b6f0eb65f0800" + zeros35
-	zeros35 = "0000000000000000000000000000000000000000000000000000000000000000000000"
-	zeros39 = zeros35 + "00000000"
-	reply   = "03000000 7d000000 0c000000" +
+	zeros35         = "0000000000000000000000000000000000000000000000000000000000000000000000"
+	zeros39         = zeros35 + "00000000"
+	documentedReply = "03000000 7d000000 0c000000" +
 		"02 03000000 c4913a5ddbba0f00 074a1203 0000000000005440 00000000000000" +
 		"04 03000000 0000000000407f40 4d000000 000000000000000000000000000000" +
 		"0a 05000000 00000000 11000000 00000000000000000000000000000000000000" +
@@ -52,15 +52,15 @@
 }
 
 func TestReaderDecodesDocumentedBatches(t *testing.T) {
-	r := NewReader(bytes.NewReader(append(unhex(t, emptyBatch), unhex(t, twoBatch)...)))
-	b, err := r.Next()
-	if err != nil || b.Count != 0 || b.Seq != 1 || b.ClockMS != 8412.25 {
-		t.Fatalf("%+v, %v", b, err)
+	reader := NewReader(bytes.NewReader(append(unhex(t, emptyBatch), unhex(t, twoBatch)...)))
+	batch, err := reader.Next()
+	if err != nil || batch.Count != 0 || batch.Seq != 1 || batch.ClockMS != 8412.25 {
+		t.Fatalf("%+v, %v", batch, err)
 	}
-	if b, err = r.Next(); err != nil || b.Count != 3 || b.Seq != 12 {
-		t.Fatalf("%+v, %v", b, err)
+	if batch, err = reader.Next(); err != nil || batch.Count != 3 || batch.Seq != 12 {
+		t.Fatalf("%+v, %v", batch, err)
 	}
-	var e Event
+	var event Event
 	want := Event{
 		Code:       EventRequest,
 		Balancer:   3,
@@ -70,100 +70,100 @@
 		DeadlineMS: 8652.25,
 		Key:        0x91f03b7c55d20a64,
 	}
-	if err := b.Event(0, &e); err != nil || !reflect.DeepEqual(e, want) {
-		t.Errorf("%+v, %v", e, err)
+	if err := batch.Event(0, &event); err != nil || !reflect.DeepEqual(event, want) {
+		t.Errorf("%+v, %v", event, err)
 	}
-	if err := b.Event(1, &e); err != nil || e.Code != EventTimerFired || e.Token != 77 {
-		t.Errorf("%+v, %v", e, err)
+	if err := batch.Event(1, &event); err != nil || event.Code != EventTimerFired || event.Token != 77 {
+		t.Errorf("%+v, %v", event, err)
 	}
-	if err := b.Event(2, &e); err != nil || e.Code != EventClientGone || e.Balancer != 5 {
-		t.Errorf("%+v, %v", e, err)
+	if err := batch.Event(2, &event); err != nil || event.Code != EventClientGone || event.Balancer != 5 {
+		t.Errorf("%+v, %v", event, err)
 	}
-	if _, err := r.Next(); !errors.Is(err, io.EOF) {
+	if _, err := reader.Next(); !errors.Is(err, io.EOF) {
 		t.Errorf("at the end: %v", err)
 	}
 }
 
 func TestReplyEncodesDocumentedFrame(t *testing.T) {
-	var r Reply
+	var reply Reply
 	var out bytes.Buffer
-	r.StartAttempt(3, 0xfbadb5d3a91c4, 0x03124a07, 80)
-	r.SetTimer(3, 500, 77)
-	r.Log(5, "two servers known")
-	if err := r.WriteTo(&out, 12); err != nil {
+	reply.StartAttempt(3, 0xfbadb5d3a91c4, 0x03124a07, 80)
+	reply.SetTimer(3, 500, 77)
+	reply.Log(5, "two servers known")
+	if err := reply.WriteTo(&out, 12); err != nil {
 		t.Fatal(err)
 	}
-	if want := unhex(t, reply); !bytes.Equal(out.Bytes(), want) {
+	if want := unhex(t, documentedReply); !bytes.Equal(out.Bytes(), want) {
 		t.Errorf("got  %x\nwant %x", out.Bytes(), want)
 	}
 	out.Reset()
-	if err := r.WriteTo(&out, 1); err != nil || out.Len() != replyHeaderSize {
+	if err := reply.WriteTo(&out, 1); err != nil || out.Len() != replyHeaderSize {
 		t.Errorf("the reply was not emptied: %x, %v", out.Bytes(), err)
 	}
 }
 
 func TestEndpointListDecodes(t *testing.T) {
-	b, err := NewReader(bytes.NewReader(frame(t, endpointListRecord, endpointListTail))).Next()
+	batch, err := NewReader(bytes.NewReader(frame(t, endpointListRecord, endpointListTail))).Next()
 	if err != nil {
 		t.Fatal(err)
 	}
-	var e Event
-	if err := b.Event(0, &e); err != nil {
+	var event Event
+	if err := batch.Event(0, &event); err != nil {
 		t.Fatal(err)
 	}
-	kind, list, err := ParseEndpointList(&e, nil)
+	kind, list, err := ParseEndpointList(&event, nil)
 	if err != nil || kind != piernotch.UpdateCached || len(list) != 2 {
 		t.Fatalf("%v %v %v", kind, list, err)
 	}
-	if l := list[1]; l.ID != 0x2c9011f2 ||
-		l.Zone != 1 ||
-		l.Size != 1.5 ||
-		l.StartedAt != Duration(6100) ||
-		l.State != piernotch.Ready {
-		t.Errorf("%+v", l)
+	if entry := list[1]; entry.ID != 0x2c9011f2 ||
+		entry.Zone != 1 ||
+		entry.Size != 1.5 ||
+		entry.StartedAt != Duration(6100) ||
+		entry.State != piernotch.Ready {
+		t.Errorf("%+v", entry)
 	}
 }
 
 func TestReplyEncodesEachAction(t *testing.T) {
-	var r Reply
-	for name, c := range map[string]struct {
+	var reply Reply
+	for name, test := range map[string]struct {
 		do   func()
 		want string
 	}{
-		"cancel": {func() { r.CancelAttempt(3, 0xfbadb5d3a91c4, 0) }, "00 03000000 c4913a5ddbba0f00 00"},
-		"close":  {func() { r.CloseIdle(3, 0x2c9011f2) }, "05 03000000 f211902c"},
-		"fail":   {func() { r.Fail(3, 0x85fb60e6f2b19) }, "03 03000000 192b6f0eb65f0800"},
-		"fetch":  {func() { r.FetchEndpoints(3) }, "08 03000000"},
-		"watch":  {func() { r.WatchEndpoints(3) }, "09 03000000 01"},
-		"probe":  {func() { r.HealthCheck(3, 0x2c9011f2) }, "01 03000000 f211902c"},
-		"refuse": {func() { r.Reject(3, 0x85fb60e6f2b19, 250) }, "07 03000000 192b6f0eb65f0800 0000000000406f40"},
-		"fault":  {func() { r.ReportFault(3, "index out of range") }, "06 03000000 00000000 12000000"},
-		"tell":   {func() { r.SendMessage(3, 0xffff, []byte("hi 7")) }, "0b 03000000 ffff 00000000 04000000"},
+		"cancel": {func() { reply.CancelAttempt(3, 0xfbadb5d3a91c4, 0) }, "00 03000000 c4913a5ddbba0f00 00"},
+		"close":  {func() { reply.CloseIdle(3, 0x2c9011f2) }, "05 03000000 f211902c"},
+		"fail":   {func() { reply.Fail(3, 0x85fb60e6f2b19) }, "03 03000000 192b6f0eb65f0800"},
+		"fetch":  {func() { reply.FetchEndpoints(3) }, "08 03000000"},
+		"watch":  {func() { reply.WatchEndpoints(3) }, "09 03000000 01"},
+		"probe":  {func() { reply.HealthCheck(3, 0x2c9011f2) }, "01 03000000 f211902c"},
+		"refuse": {func() { reply.Reject(3, 0x85fb60e6f2b19, 250) }, "07 03000000 192b6f0eb65f0800 0000000000406f40"},
+		"fault":  {func() { reply.ReportFault(3, "index out of range") }, "06 03000000 00000000 12000000"},
+		"tell":   {func() { reply.SendMessage(3, 0xffff, []byte("hi 7")) }, "0b 03000000 ffff 00000000 04000000"},
 	} {
-		c.do()
-		want := append(unhex(t, c.want), make([]byte, actionSize)...)[:actionSize]
-		if !bytes.Equal(r.records, want) {
-			t.Errorf("%s: got %x", name, r.records)
+		test.do()
+		want := append(unhex(t, test.want), make([]byte, actionSize)...)[:actionSize]
+		if !bytes.Equal(reply.records, want) {
+			t.Errorf("%s: got %x", name, reply.records)
 		}
-		if err := r.WriteTo(io.Discard, 0); err != nil {
+		if err := reply.WriteTo(io.Discard, 0); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
 func TestAttemptCompletedCarriesLoadReport(t *testing.T) {
-	rec := "09 03000000 c4913a5ddbba0f00 00 074a1203 00 0000000000803240 01 02 " +
+	record := "09 03000000 c4913a5ddbba0f00 00 074a1203 00 0000000000803240 01 02 " +
 		"0000003f 0000803f 00000000 00000000 000000"
-	b, err := NewReader(bytes.NewReader(frame(t, rec, ""))).Next()
+	batch, err := NewReader(bytes.NewReader(frame(t, record, ""))).Next()
 	if err != nil {
 		t.Fatal(err)
 	}
-	var e Event
-	if err := b.Event(0, &e); err != nil || !e.Closed || e.LatencyMS != 18.5 {
-		t.Errorf("%+v, %v", e, err)
+	var event Event
+	if err := batch.Event(0, &event); err != nil || !event.Closed || event.LatencyMS != 18.5 {
+		t.Errorf("%+v, %v", event, err)
 	}
-	if e.LoadCount != 2 || e.Load[0] != 0.5 || e.Load[1] != 1 {
-		t.Errorf("load report of %d values: %v", e.LoadCount, e.Load)
+	if event.LoadCount != 2 || event.Load[0] != 0.5 || event.Load[1] != 1 {
+		t.Errorf("load report of %d values: %v", event.LoadCount, event.Load)
 	}
 }
 
@@ -176,15 +176,15 @@
 		buf[batchHeaderSize+i*eventSize] = byte(EventTimerFired)
 		binary.LittleEndian.PutUint32(buf[batchHeaderSize+i*eventSize+5:], uint32(i))
 	}
-	b, err := NewReader(bytes.NewReader(buf)).Next()
-	if err != nil || b.Count != n {
+	batch, err := NewReader(bytes.NewReader(buf)).Next()
+	if err != nil || batch.Count != n {
 		t.Fatal(err)
 	}
-	var e Event
-	if err := b.Event(n-1, &e); err != nil || e.Token != n-1 {
-		t.Errorf("%+v, %v", e, err)
+	var event Event
+	if err := batch.Event(n-1, &event); err != nil || event.Token != n-1 {
+		t.Errorf("%+v, %v", event, err)
 	}
-	if allocs := testing.AllocsPerRun(100, func() { _ = b.Event(7, &e) }); allocs > 0 {
+	if allocs := testing.AllocsPerRun(100, func() { _ = batch.Event(7, &event) }); allocs > 0 {
 		t.Errorf("%v allocations a record", allocs)
 	}
 }
@@ -221,22 +221,22 @@
 }
 
 func readAll(data []byte) error {
-	r := NewReader(bytes.NewReader(data))
+	reader := NewReader(bytes.NewReader(data))
 	for {
-		b, err := r.Next()
+		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		var e Event
-		for i := range b.Count {
-			if err := b.Event(i, &e); err != nil {
+		var event Event
+		for i := range batch.Count {
+			if err := batch.Event(i, &event); err != nil {
 				return err
 			}
-			if e.Code == EventEndpointList {
-				if _, _, err := ParseEndpointList(&e, nil); err != nil {
+			if event.Code == EventEndpointList {
+				if _, _, err := ParseEndpointList(&event, nil); err != nil {
 					return err
 				}
 			}
@@ -267,7 +267,7 @@
 }
 
 func TestSettingsParse(t *testing.T) {
-	s, err := ParseSettings([]byte(`{"group_size": 4, "my_zone": 1, "zones": ["x", "y"], "quantum_ms": 5,
+	settings, err := ParseSettings([]byte(`{"group_size": 4, "my_zone": 1, "zones": ["x", "y"], "quantum_ms": 5,
 		"discovery": "on_request", "unheard_of": {"a": [1]}, "specifics": {"warm_keys": true},
 		"classes": [{"name": "c", "goal_time_ms": 750, "deadline_ms": 2500, "points": 3, "effect": "keyed",
 			"dedup_scope": "cell", "dedup_window_ms": 1200}],
@@ -278,15 +278,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := s.Classes[0]
-	if c.RetrySafety != piernotch.IdempotencyKey ||
-		c.DedupScope != piernotch.DedupInCell ||
-		c.DedupWindow != Duration(1200) ||
-		c.PriorityWeight != 3 {
-		t.Errorf("%+v", c)
+	class := settings.Classes[0]
+	if class.RetrySafety != piernotch.IdempotencyKey ||
+		class.DedupScope != piernotch.DedupInCell ||
+		class.DedupWindow != Duration(1200) ||
+		class.PriorityWeight != 3 {
+		t.Errorf("%+v", class)
 	}
-	if !s.PollDiscovery || !s.KeyAffinity || s.Zone != 1 || s.Rules.SlowStartDuration != Duration(23000) {
-		t.Errorf("%+v", s)
+	if !settings.PollDiscovery ||
+		!settings.KeyAffinity ||
+		settings.Zone != 1 ||
+		settings.Rules.SlowStartDuration != Duration(23000) {
+		t.Errorf("%+v", settings)
 	}
 	for _, bad := range []string{
 		"",
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -38,11 +38,11 @@
 		{Server: 0x03124a07, Zone: 1, Kind: 2, Cell: 0x0304, State: 2, Size: 1.5, StartedAtMS: 6100.25},
 		{Server: 0x2c9011f2, Zone: 5, Kind: 6, Cell: 0x0708, State: 0, Size: 0.25, StartedAtMS: 7100.5},
 	}
-	var b BatchWriter
+	var writer BatchWriter
 	var out bytes.Buffer
-	b.Start(1, 0x0102030405060708, []byte(`{"group_size":1}`))
-	b.TimerFired(2, 77)
-	b.Request(3, &RequestEvent{
+	writer.Start(1, 0x0102030405060708, []byte(`{"group_size":1}`))
+	writer.TimerFired(2, 77)
+	writer.Request(3, &RequestEvent{
 		ID:         0x1112131415161718,
 		Class:      4,
 		Tenant:     0x0506,
@@ -51,13 +51,13 @@
 		CostHintMS: 12.5,
 		Flags:      FlagCostHint | FlagRetry | FlagWrite,
 	})
-	b.ClientGone(4, 0x3132333435363738)
-	b.HealthCheckCompleted(
+	writer.ClientGone(4, 0x3132333435363738)
+	writer.HealthCheckCompleted(
 		5,
 		&HealthCheckEvent{Server: 0x2c9011f2, Status: 14, LatencyMS: 3.5, Load: []float32{1, 2.5, 3, 4}},
 	)
-	b.EndpointList(6, 3, 41, lines)
-	b.AttemptCompleted(7, &AttemptEvent{
+	writer.EndpointList(6, 3, 41, lines)
+	writer.AttemptCompleted(7, &AttemptEvent{
 		ID:            0x4142434445464748,
 		AttemptNumber: 2,
 		Server:        0x03124a07,
@@ -66,18 +66,18 @@
 		Closed:        true,
 		Load:          []float32{5, 6.5},
 	})
-	b.Stop(8)
-	require.NoError(t, b.WriteTo(&out, 8412.25, 0x0a0b0c0d))
-	streaming := b.record(EventResponseStarted, 9)
+	writer.Stop(8)
+	require.NoError(t, writer.WriteTo(&out, 8412.25, 0x0a0b0c0d))
+	streaming := writer.record(EventResponseStarted, 9)
 	put64(streaming[5:], 0x5152535455565758)
 	putF64(streaming[13:], 9.75)
 	put32(streaming[21:], 0x03124a07)
 	streaming[25] = 3
-	message := b.record(EventMessage, 10)
+	message := writer.record(EventMessage, 10)
 	put32(message[5:], 11)
 	put32(message[13:], 4)
-	b.tail = append(b.tail, "hi 7"...)
-	require.NoError(t, b.WriteTo(&out, 8413.5, 0x0a0b0c0e))
+	writer.tail = append(writer.tail, "hi 7"...)
+	require.NoError(t, writer.WriteTo(&out, 8413.5, 0x0a0b0c0e))
 
 	want := [][]Event{
 		{
@@ -124,47 +124,47 @@
 			{Code: 0, Balancer: 10, From: 11, Data: []byte("hi 7")},
 		},
 	}
-	r := NewReader(bytes.NewReader(checkGolden(t, "batches.bin", out.Bytes())))
+	reader := NewReader(bytes.NewReader(checkGolden(t, "batches.bin", out.Bytes())))
 	for i, events := range want {
-		batch, err := r.Next()
+		batch, err := reader.Next()
 		require.NoError(t, err)
 		require.Equal(t, []float64{8412.25, 8413.5}[i], batch.ClockMS)
 		require.EqualValues(t, 0x0a0b0c0d+i, batch.Seq)
 		require.Equal(t, len(events), batch.Count)
-		for j, event := range events {
+		for number, event := range events {
 			var got Event
-			require.NoError(t, batch.Event(j, &got))
+			require.NoError(t, batch.Event(number, &got))
 			if got.Code == EventEndpointList {
 				require.Equal(t, lines, []EndpointEntry{got.Entry(0), got.Entry(1)})
 				require.Equal(t, 2, got.EntryCount())
 				got.Entries = nil
 			}
-			require.Equal(t, event, got, "batch %d, event %d", i, j)
+			require.Equal(t, event, got, "batch %d, event %d", i, number)
 		}
 	}
-	_, err := r.Next()
+	_, err := reader.Next()
 	require.ErrorIs(t, err, io.EOF)
 }
 
 // TestReplyGoldenFile guards the frames of actions: every action with every field set. Nobody here
 // reads messages between balancers, so that they have a frame of their own.
 func TestReplyGoldenFile(t *testing.T) {
-	var r Reply
+	var reply Reply
 	var out bytes.Buffer
-	r.CancelAttempt(1, 0x0102030405060708, 2)
-	r.HealthCheck(2, 0x2c9011f2)
-	r.StartAttempt(3, 0x1112131415161718, 0x03124a07, 80.5)
-	r.Fail(4, 0x2122232425262728)
-	r.SetTimer(5, 500.25, 77)
-	r.CloseIdle(6, 0x2c9011f2)
-	r.ReportFault(7, "index out of range")
-	r.Reject(8, 0x3132333435363738, 250.75)
-	r.FetchEndpoints(9)
-	r.WatchEndpoints(10)
-	r.Log(11, "two servers known")
-	require.NoError(t, r.WriteTo(&out, 12))
-	r.SendMessage(12, 0xffff, []byte("hi 7"))
-	require.NoError(t, r.WriteTo(&out, 13))
+	reply.CancelAttempt(1, 0x0102030405060708, 2)
+	reply.HealthCheck(2, 0x2c9011f2)
+	reply.StartAttempt(3, 0x1112131415161718, 0x03124a07, 80.5)
+	reply.Fail(4, 0x2122232425262728)
+	reply.SetTimer(5, 500.25, 77)
+	reply.CloseIdle(6, 0x2c9011f2)
+	reply.ReportFault(7, "index out of range")
+	reply.Reject(8, 0x3132333435363738, 250.75)
+	reply.FetchEndpoints(9)
+	reply.WatchEndpoints(10)
+	reply.Log(11, "two servers known")
+	require.NoError(t, reply.WriteTo(&out, 12))
+	reply.SendMessage(12, 0xffff, []byte("hi 7"))
+	require.NoError(t, reply.WriteTo(&out, 13))
 	golden := bytes.NewReader(checkGolden(t, "replies.bin", out.Bytes()))
 	got, err := ReadReply(golden, 12, nil)
 	require.NoError(t, err)
--- a/internal/simprotocol/reply_writer.go
+++ b/internal/simprotocol/reply_writer.go
@@ -59,7 +59,7 @@
 	record[13] = attemptNumber
 }
 
-// Fail answers a request with a failure.
+// Fail gives a request a failed response.
 func (r *Reply) Fail(balancer BalancerNumber, id uint64) {
 	put64(r.record(ActionFail, balancer)[5:], id)
 }
