--- a/internal/lab/faultproxy/connection.go
+++ b/internal/lab/faultproxy/connection.go
@@ -120,7 +120,7 @@
 // deliver writes a chunk to the other side once the direction is open. It reports whether the direction
 // goes on.
 func (l *Link) deliver(carried *connection, direction Direction, next chunk) bool {
-	to := carried.sockets[1-direction]
+	destination := carried.sockets[1-direction]
 	fault, ok := l.waitUntilOpen(direction)
 	if !ok {
 		return false
@@ -135,14 +135,14 @@
 		time.Sleep(time.Duration(float64(len(next.data)) / float64(fault.BytesPerSecond) * float64(time.Second)))
 	}
 	if len(next.data) > 0 {
-		if _, err := to.Write(next.data); err != nil {
+		if _, err := destination.Write(next.data); err != nil {
 			l.reset(carried)
 			return false
 		}
 	}
 	switch {
 	case errors.Is(next.err, io.EOF):
-		_ = to.CloseWrite()
+		_ = destination.CloseWrite()
 		return false
 	case next.err != nil:
 		l.reset(carried)
