--- a/cmd/simulator-adapter/adapter_test.go
+++ b/cmd/simulator-adapter/adapter_test.go
@@ -55,7 +55,7 @@
 
 func TestServeRejectsMalformedEvents(t *testing.T) {
 	start := startRecord(settingsText)
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		in   []byte
 		want string
 	}{
@@ -65,8 +65,8 @@
 		"after its stop":   {batch(1, settingsText, start, []byte{8, 7}, []byte{2, 7}), "before its start"},
 		"odd disposition":  {batch(1, settingsText, start, append([]byte{9, 7, 18: 77}, 0)), "disposition"},
 	} {
-		err := serve(bytes.NewReader(c.in), &bytes.Buffer{})
-		if err == nil || !strings.Contains(err.Error(), c.want) {
+		err := serve(bytes.NewReader(test.in), &bytes.Buffer{})
+		if err == nil || !strings.Contains(err.Error(), test.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
