--- a/internal/simprotocol/frame_test.go
+++ b/internal/simprotocol/frame_test.go
@@ -169,14 +169,14 @@
 
 func TestLargeBatchDecodesWithoutAllocations(t *testing.T) {
 	const n = 60000
-	buf := make([]byte, batchHeaderSize+n*eventSize)
-	binary.LittleEndian.PutUint32(buf, n)
-	binary.LittleEndian.PutUint32(buf[4:], uint32(len(buf)))
+	data := make([]byte, batchHeaderSize+n*eventSize)
+	binary.LittleEndian.PutUint32(data, n)
+	binary.LittleEndian.PutUint32(data[4:], uint32(len(data)))
 	for i := range n {
-		buf[batchHeaderSize+i*eventSize] = byte(EventTimerFired)
-		binary.LittleEndian.PutUint32(buf[batchHeaderSize+i*eventSize+5:], uint32(i))
+		data[batchHeaderSize+i*eventSize] = byte(EventTimerFired)
+		binary.LittleEndian.PutUint32(data[batchHeaderSize+i*eventSize+5:], uint32(i))
 	}
-	batch, err := NewReader(bytes.NewReader(buf)).Next()
+	batch, err := NewReader(bytes.NewReader(data)).Next()
 	if err != nil || batch.Count != n {
 		t.Fatal(err)
 	}
--- a/internal/simprotocol/reply_reader.go
+++ b/internal/simprotocol/reply_reader.go
@@ -71,26 +71,27 @@
 }
 
 // decodeAction decodes one record of a reply; tail holds the texts.
-func decodeAction(rec, tail []byte) (Action, error) {
-	action := Action{Code: rec[0], Balancer: BalancerNumber(u32(rec[1:]))}
+func decodeAction(record, tail []byte) (Action, error) {
+	action := Action{Code: record[0], Balancer: BalancerNumber(u32(record[1:]))}
 	switch action.Code {
 	case ActionStartAttempt:
-		action.ID, action.Server, action.DurationMS = u64(rec[5:]), piernotch.ServerID(u32(rec[13:])), f64(rec[17:])
+		action.ID, action.Server = u64(record[5:]), piernotch.ServerID(u32(record[13:]))
+		action.DurationMS = f64(record[17:])
 	case ActionCancelAttempt:
-		action.ID, action.AttemptNumber = u64(rec[5:]), rec[13]
+		action.ID, action.AttemptNumber = u64(record[5:]), record[13]
 	case ActionFail:
-		action.ID = u64(rec[5:])
+		action.ID = u64(record[5:])
 	case ActionReject:
-		action.ID, action.DurationMS = u64(rec[5:]), f64(rec[13:])
+		action.ID, action.DurationMS = u64(record[5:]), f64(record[13:])
 	case ActionSetTimer:
-		action.DurationMS, action.Token = f64(rec[5:]), u32(rec[13:])
+		action.DurationMS, action.Token = f64(record[5:]), u32(record[13:])
 	case ActionHealthCheck, ActionCloseIdle:
-		action.Server = piernotch.ServerID(u32(rec[5:]))
+		action.Server = piernotch.ServerID(u32(record[5:]))
 	case ActionWatchEndpoints:
-		action.On = rec[5] != 0
+		action.On = record[5] != 0
 	case ActionFetchEndpoints:
 	case ActionReportFault, ActionLog:
-		offset, length := uint64(u32(rec[5:])), uint64(u32(rec[9:]))
+		offset, length := uint64(u32(record[5:])), uint64(u32(record[9:]))
 		if offset+length > uint64(len(tail)) {
 			return action, errTextOutside
 		}
