--- a/cmd/piernotch-lab/cluster_processes.go
+++ b/cmd/piernotch-lab/cluster_processes.go
@@ -78,15 +78,15 @@
 		mu      sync.Mutex
 		results []clustertest.Result
 	)
-	err := c.playEach(ctx, std, func(opts clustertest.Options) error {
-		result, err := clustertest.Run(ctx, opts)
+	err := c.playEach(ctx, std, func(options clustertest.Options) error {
+		result, err := clustertest.Run(ctx, options)
 		if err != nil {
 			return err
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		results = append(results, result)
-		return c.draw(result.Seed, clustersim.GenerateSchedule(result.Seed, opts.Size), result.Spans)
+		return c.draw(result.Seed, clustersim.GenerateSchedule(result.Seed, options.Size), result.Spans)
 	})
 	if err != nil {
 		return err
@@ -133,8 +133,8 @@
 		mu  sync.Mutex
 		all clustertest.FailoverTimes
 	)
-	err := c.playEach(ctx, std, func(opts clustertest.Options) error {
-		measured, err := clustertest.MeasureFailover(ctx, opts, c.Failovers)
+	err := c.playEach(ctx, std, func(options clustertest.Options) error {
+		measured, err := clustertest.MeasureFailover(ctx, options, c.Failovers)
 		mu.Lock()
 		defer mu.Unlock()
 		all.Planned = append(all.Planned, measured.Planned...)
