--- a/internal/controlgroup/config_test.go
+++ b/internal/controlgroup/config_test.go
@@ -79,7 +79,7 @@
 		require.Equal(t, c.want.Line, field.Line, c.name)
 		require.Equal(t, c.want.Key, field.Key, c.name)
 		require.EqualError(t, field.Err, c.want.Err.Error())
-		var problems tomlfile.Problems
+		var problems tomlfile.Errors
 		require.ErrorAs(t, err, &problems)
 		require.EqualError(t, problems, err.Error())
 	}
--- a/internal/controlgroup/errors.go
+++ b/internal/controlgroup/errors.go
@@ -28,8 +28,8 @@
 // Unwrap returns what is wrong, without its place.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-func (e *FieldError) problem() tomlfile.Problem {
-	return tomlfile.Problem{File: e.File, Line: e.Line, Key: e.Key, What: e.Err.Error()}
+func (e *FieldError) problem() tomlfile.Error {
+	return tomlfile.Error{File: e.File, Line: e.Line, Key: e.Key, What: e.Err.Error()}
 }
 
 // FieldErrors are all settings that cannot be used, in the order in which they were found.
@@ -53,10 +53,10 @@
 	return all
 }
 
-// As converts the errors to a *tomlfile.Problems target: the laboratory's program prints the problems of
+// As converts the errors to a *tomlfile.Errors target: the laboratory's program prints the problems of
 // every kind of file by that type.
 func (errs FieldErrors) As(target any) bool {
-	problems, ok := target.(*tomlfile.Problems)
+	problems, ok := target.(*tomlfile.Errors)
 	if !ok {
 		return false
 	}
@@ -68,7 +68,7 @@
 }
 
 // fieldErrorsOf converts what the reader of TOML files reports.
-func fieldErrorsOf(problems tomlfile.Problems) FieldErrors {
+func fieldErrorsOf(problems tomlfile.Errors) FieldErrors {
 	var errs FieldErrors
 	for _, p := range problems {
 		errs = append(errs, &FieldError{File: p.File, Line: p.Line, Key: p.Key, Err: errors.New(p.What)})
--- a/internal/lab/scenario/load.go
+++ b/internal/lab/scenario/load.go
@@ -18,11 +18,11 @@
 var shipped embed.FS
 
 // Problem is one thing that is wrong with a scenario, with its file, line and key.
-type Problem = tomlfile.Problem
+type Problem = tomlfile.Error
 
 // Problems is all that is wrong with a scenario: what could not be read first, then what is out of its
 // limits. It is the type of the errors of Load, Parse and With; errors.As finds it.
-type Problems = tomlfile.Problems
+type Problems = tomlfile.Errors
 
 // sourceLine is where a key was set.
 type sourceLine struct {
--- a/internal/serve/config/toml_check.go
+++ b/internal/serve/config/toml_check.go
@@ -26,9 +26,14 @@
 }
 
 // addProblems adds what could not be decoded.
-func (c *checker) addProblems(problems tomlfile.Problems) {
+func (c *checker) addProblems(problems tomlfile.Errors) {
 	for _, problem := range problems {
-		c.errs = append(c.errs, &FieldError{File: problem.File, Line: problem.Line, Key: problem.Key, Err: errors.New(problem.What)})
+		c.errs = append(c.errs, &FieldError{
+			File: problem.File,
+			Line: problem.Line,
+			Key:  problem.Key,
+			Err:  errors.New(problem.What),
+		})
 	}
 }
 
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -2,7 +2,7 @@
 // problem with its line.
 //
 // It knows the syntax and the types of values alone. Ranges and meanings are the caller's to check;
-// Lines gives it the line of each key, and Problem the form in which to report. Packages config,
+// Lines gives it the line of each key, and Error the form in which to report. Packages config,
 // controlgroup and scenario call it. All functions may be called from any goroutine.
 package tomlfile
 
@@ -15,8 +15,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Problem is one thing that is wrong with a file. It is an error.
-type Problem struct {
+// Error is one thing that is wrong with a file.
+type Error struct {
 	File string
 	Line int    // from 1; 0: not known
 	Key  string // dotted, elements of arrays of tables by index; "": the whole file
@@ -24,41 +24,41 @@
 }
 
 // String returns "file:line: key: what", without the parts that are not known.
-func (p Problem) String() string {
-	position := p.File
-	if p.Line > 0 {
-		position += ":" + strconv.Itoa(p.Line)
+func (e Error) String() string {
+	position := e.File
+	if e.Line > 0 {
+		position += ":" + strconv.Itoa(e.Line)
 	}
 	if position != "" {
 		position += ": "
 	}
-	if p.Key != "" {
-		position += p.Key + ": "
+	if e.Key != "" {
+		position += e.Key + ": "
 	}
-	return position + p.What
+	return position + e.What
 }
 
 // Error returns the same as String.
-func (p Problem) Error() string { return p.String() }
+func (e Error) Error() string { return e.String() }
 
-// Problems is all that is wrong, in the order in which it was found. It is never empty where it is
+// Errors is all that is wrong, in the order in which it was found. It is never empty where it is
 // returned as an error.
-type Problems []Problem
+type Errors []Error
 
 // Error returns one line for each problem.
-func (p Problems) Error() string {
-	lines := make([]string, len(p))
-	for i := range p {
-		lines[i] = p[i].String()
+func (e Errors) Error() string {
+	lines := make([]string, len(e))
+	for i := range e {
+		lines[i] = e[i].String()
 	}
 	return strings.Join(lines, "\n")
 }
 
 // Unwrap returns each problem: errors.As finds the first.
-func (p Problems) Unwrap() []error {
-	errs := make([]error, len(p))
-	for i := range p {
-		errs[i] = p[i]
+func (e Errors) Unwrap() []error {
+	errs := make([]error, len(e))
+	for i := range e {
+		errs[i] = e[i]
 	}
 	return errs
 }
@@ -69,8 +69,8 @@
 // Decode reads a document into v, a pointer: keys that the document lacks keep the values that v
 // holds. A value that cannot be read is reported and blanked out, so that the rest is checked, too.
 // Types with an UnmarshalTOML method read themselves. The file's name is used in problems alone.
-func Decode(file string, data []byte, v any) Problems {
-	var problems Problems
+func Decode(file string, data []byte, v any) Errors {
+	var problems Errors
 	data = bytes.Clone(data)
 	for range maxUnreadable {
 		decoder := toml.NewDecoder(bytes.NewReader(data))
@@ -85,7 +85,7 @@
 			return append(problems, unknownKeys(file, unknown)...)
 		case errors.As(err, &unreadable):
 			line, _ := unreadable.Position()
-			problems = append(problems, Problem{
+			problems = append(problems, Error{
 				File: file, Line: line, Key: strings.Join(unreadable.Key(), "."),
 				What: strings.TrimPrefix(unreadable.Error(), "toml: "),
 			})
@@ -93,19 +93,24 @@
 				return problems
 			}
 		default:
-			return append(problems, Problem{File: file, What: err.Error()})
+			return append(problems, Error{File: file, What: err.Error()})
 		}
 	}
 	return problems
 }
 
 // unknownKeys returns a problem for each key that no field has.
-func unknownKeys(file string, err *toml.StrictMissingError) Problems {
-	var problems Problems
+func unknownKeys(file string, err *toml.StrictMissingError) Errors {
+	var problems Errors
 	for i := range err.Errors {
 		missing := &err.Errors[i]
 		line, _ := missing.Position()
-		problems = append(problems, Problem{File: file, Line: line, Key: strings.Join(missing.Key(), "."), What: "no such key"})
+		problems = append(problems, Error{
+			File: file,
+			Line: line,
+			Key:  strings.Join(missing.Key(), "."),
+			What: "no such key",
+		})
 	}
 	return problems
 }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -18,20 +18,20 @@
 func TestDecodeReportsAllProblems(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
-		want []Problem // without File and, where it is the decoder's, without What
+		want []Error // without File and, where it is the decoder's, without What
 	}{
 		"valid": {"name = \"n\"\n[[entry]]\nsize = 3\n", nil},
 		"unknown keys": {
 			"name = \"n\"\ncolour = 1\n[size]\nx = 2\n",
-			[]Problem{{Line: 2, Key: "colour", What: "no such key"}, {Line: 3, Key: "size", What: "no such key"}},
+			[]Error{{Line: 2, Key: "colour", What: "no such key"}, {Line: 3, Key: "size", What: "no such key"}},
 		},
 		"wrong types": {
 			"name = \"n\"\ncount = \"many\"\n[[entry]]\nsize = \"\"\"\na\nb\n\"\"\"\n",
-			[]Problem{{Line: 2, Key: "count"}, {Line: 4, Key: "entry.size"}},
+			[]Error{{Line: 2, Key: "count"}, {Line: 4, Key: "entry.size"}},
 		},
 		"wrong type and unknown key": {
 			"count = true\ncolour = 1\nname = \"n\"\n",
-			[]Problem{{Line: 1, Key: "count"}, {Line: 2, Key: "colour", What: "no such key"}},
+			[]Error{{Line: 1, Key: "count"}, {Line: 2, Key: "colour", What: "no such key"}},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -70,11 +70,12 @@
 	require.Equal(t, map[string]int{
 		"name": 1, "limits": 3, "limits.sockets": 4, "limits.deep.key": 5,
 		"class[0]": 7, "class[0].name": 8, "class[1]": 9, "class[1].name": 10,
-	}, Lines([]byte("name = \"n\"\n\n[limits]\nsockets = 3\ndeep.key = [\n]\n[[class]]\nname = \"a\"\n[[class]]\nname = \"b\"\n")))
+	}, Lines([]byte("name = \"n\"\n\n[limits]\nsockets = 3\ndeep.key = [\n]\n"+
+		"[[class]]\nname = \"a\"\n[[class]]\nname = \"b\"\n")))
 }
 
-func TestProblemText(t *testing.T) {
-	for want, p := range map[string]Problem{
+func TestErrorText(t *testing.T) {
+	for want, p := range map[string]Error{
 		"x.toml:3: a.b: wrong": {File: "x.toml", Line: 3, Key: "a.b", What: "wrong"},
 		"x.toml: wrong":        {File: "x.toml", What: "wrong"},
 		"a.b: wrong":           {Key: "a.b", What: "wrong"},
@@ -83,9 +84,9 @@
 		require.Equal(t, want, p.String())
 		require.EqualError(t, p, want)
 	}
-	all := Problems{{File: "x", What: "first"}, {File: "x", What: "second"}}
+	all := Errors{{File: "x", What: "first"}, {File: "x", What: "second"}}
 	require.EqualError(t, all, "x: first\nx: second")
-	var first Problem
+	var first Error
 	require.ErrorAs(t, all, &first)
 	require.Equal(t, all[0], first)
 }
