--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -33,7 +33,8 @@
 }
 
 func TestParseRequests(t *testing.T) {
-	requests := "POST /a/b?x=1&k=7f HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3;e=1\r\nabc\r\n2\r\nde\r\n0\r\nT: 1\r\n\r\n" +
+	requests := "POST /a/b?x=1&k=7f HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" +
+		"3;e=1\r\nabc\r\n2\r\nde\r\n0\r\nT: 1\r\n\r\n" +
 		"GET / HTTP/1.0\r\n\r\n"
 	for _, size := range []int{1, 7, len(requests)} {
 		got, err := parseInPieces(NewRequestParser(), requests, size)
@@ -48,7 +49,8 @@
 }
 
 func TestParseResponses(t *testing.T) {
-	responses := "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 2\r\n\r\nnoHTTP/1.1 200 OK\r\n\r\nto the end"
+	responses := "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 2\r\n\r\nno" +
+		"HTTP/1.1 200 OK\r\n\r\nto the end"
 	got, err := parseInPieces(NewResponseParser(MaxBody), responses, 1)
 	require.NoError(t, err)
 	require.Len(t, got, 2)
--- a/internal/http1/writer_test.go
+++ b/internal/http1/writer_test.go
@@ -19,7 +19,16 @@
 }
 
 func TestAppendResponse(t *testing.T) {
-	got := AppendResponse([]byte("before "), StatusServiceUnavailable, Fields{{Name: "Retry-After", Value: "1.000"}}, []byte("no\n"))
-	require.Equal(t, "before HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1.000\r\nContent-Length: 3\r\n\r\nno\n", string(got))
+	got := AppendResponse(
+		[]byte("before "),
+		StatusServiceUnavailable,
+		Fields{{Name: "Retry-After", Value: "1.000"}},
+		[]byte("no\n"),
+	)
+	require.Equal(
+		t,
+		"before HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1.000\r\nContent-Length: 3\r\n\r\nno\n",
+		string(got),
+	)
 	require.Equal(t, "HTTP/1.1 299 \r\nContent-Length: 0\r\n\r\n", string(AppendResponse(nil, 299, nil, nil)))
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -62,7 +62,11 @@
 // Check returns an *OptionError for the first option that is not valid.
 func (o Options) Check() error {
 	if _, ok := levels[o.Level]; !ok {
-		return &OptionError{Option: "log.level", Value: fmt.Sprintf("%q", o.Level), Want: "one of debug, info, warn, error"}
+		return &OptionError{
+			Option: "log.level",
+			Value:  fmt.Sprintf("%q", o.Level),
+			Want:   "one of debug, info, warn, error",
+		}
 	}
 	switch o.Format {
 	case "", "text", "json":
@@ -70,7 +74,11 @@
 		return &OptionError{Option: "log.format", Value: fmt.Sprintf("%q", o.Format), Want: "text or json"}
 	}
 	if o.Lines < 0 {
-		return &OptionError{Option: "log.lines_per_s", Value: fmt.Sprint(o.Lines), Want: fmt.Sprintf("0 (for %d) or more", DefaultLines)}
+		return &OptionError{
+			Option: "log.lines_per_s",
+			Value:  fmt.Sprint(o.Lines),
+			Want:   fmt.Sprintf("0 (for %d) or more", DefaultLines),
+		}
 	}
 	return nil
 }
