--- a/internal/trafficrecording/golden_test.go
+++ b/internal/trafficrecording/golden_test.go
@@ -18,12 +18,50 @@
 
 // The values of the golden recording, each field of them set but in the last record.
 var (
-	goldenHeader  = Header{Version: 1, Name: "n0", Zone: "addis", Classes: []string{"read", "submit", "append"}, StartedAt: 1_700_000_000_123_456_789}
+	goldenHeader = Header{
+		Version:   1,
+		Name:      "n0",
+		Zone:      "addis",
+		Classes:   []string{"read", "submit", "append"},
+		StartedAt: 1_700_000_000_123_456_789,
+	}
 	goldenRecords = []Record{
-		{At: 11 * time.Millisecond, Class: 1, Key: 0x91f03b7c55d20a64, CostHint: 12.5, Deadline: 5 * time.Second, Outcome: Served, Latency: 210 * time.Millisecond},
-		{At: 12 * time.Millisecond, Class: 2, Key: 13, CostHint: 14.25, Deadline: 6 * time.Second, Outcome: Rejected, Latency: 15 * time.Microsecond},
-		{At: 16 * time.Millisecond, Class: 1, Key: 17, CostHint: 18, Deadline: 7 * time.Second, Outcome: Failed, Latency: 19 * time.Millisecond},
-		{At: 20 * time.Millisecond, Class: 2, Key: 21, CostHint: 22.0625, Deadline: 8 * time.Second, Outcome: ClientGone, Latency: 23 * time.Millisecond},
+		{
+			At:       11 * time.Millisecond,
+			Class:    1,
+			Key:      0x91f03b7c55d20a64,
+			CostHint: 12.5,
+			Deadline: 5 * time.Second,
+			Outcome:  Served,
+			Latency:  210 * time.Millisecond,
+		},
+		{
+			At:       12 * time.Millisecond,
+			Class:    2,
+			Key:      13,
+			CostHint: 14.25,
+			Deadline: 6 * time.Second,
+			Outcome:  Rejected,
+			Latency:  15 * time.Microsecond,
+		},
+		{
+			At:       16 * time.Millisecond,
+			Class:    1,
+			Key:      17,
+			CostHint: 18,
+			Deadline: 7 * time.Second,
+			Outcome:  Failed,
+			Latency:  19 * time.Millisecond,
+		},
+		{
+			At:       20 * time.Millisecond,
+			Class:    2,
+			Key:      21,
+			CostHint: 22.0625,
+			Deadline: 8 * time.Second,
+			Outcome:  ClientGone,
+			Latency:  23 * time.Millisecond,
+		},
 		{},
 	}
 )
--- a/internal/trafficrecording/trace_test.go
+++ b/internal/trafficrecording/trace_test.go
@@ -34,7 +34,10 @@
 	return name, w
 }
 
-func closeReader(t *testing.T, r *Reader) { require.NoError(t, r.Close()) }
+func closeReader(t *testing.T, r *Reader) {
+	t.Helper()
+	require.NoError(t, r.Close())
+}
 
 func TestRecordingReadsBack(t *testing.T) {
 	const n = 3*blockRecords + 17
