--- a/internal/serve/admin/connection.go
+++ b/internal/serve/admin/connection.go
@@ -56,13 +56,14 @@
 }
 
 // respond sends the response, of one line of text, and starts closing the connection.
-func (c *connection) respond(status int, text string, extra ...http1.Field) {
+func (c *connection) respond(status int, text string, fields ...http1.Field) {
 	slog.Info("admin response", "action", c.operation, "status", status, "text", text)
 	c.responded = true
 	c.since = c.server.Now()
 	// Unread input would have the kernel reset the connection, and the response with it.
 	c.conn.DiscardInput()
-	fields := append(extra,
+	fields = append(
+		fields,
 		http1.Field{Name: "Content-Type", Value: "text/plain"},
 		http1.Field{Name: "Connection", Value: "close"},
 	)
--- a/internal/serve/admin/golden_test.go
+++ b/internal/serve/admin/golden_test.go
@@ -20,14 +20,14 @@
 
 var update = flag.Bool("update", false, "write the golden files again; only where the form changes on purpose")
 
-// TestAnswersGoldenFile guards what operators' programs see: the call that each path and body makes,
-// and the bytes of each answer.
-func TestAnswersGoldenFile(t *testing.T) {
+// TestResponsesGoldenFile guards what operators' programs see: the call that each path and body makes,
+// and the bytes of each response.
+func TestResponsesGoldenFile(t *testing.T) {
 	engine, err := eventloop.New(64)
 	require.NoError(t, err)
 	startedAt := time.Now()
 	ready := false // the engine's goroutine reads and writes it
-	answers := map[string]error{
+	results := map[string]error{
 		"exclude s-1": nil, "include s-2": nil, "evacuate ": nil, "rejoin ": errors.New("ending"),
 		"exclude s-9": overrides.ErrUnknownServer, "exclude s-8": overrides.ErrTooManyExcluded,
 	}
@@ -36,7 +36,7 @@
 		Now:   func() time.Duration { return time.Since(startedAt) },
 		Ready: func() bool { ready = !ready; return ready },
 		Execute: func(call overrides.CallID, action overrides.Action, name string) {
-			err, known := answers[action.String()+" "+name]
+			err, known := results[action.String()+" "+name]
 			if !known {
 				err = errors.New("another call was made")
 			}
@@ -59,11 +59,19 @@
 
 	var got bytes.Buffer
 	for _, call := range []struct{ line, body string }{
-		{"GET /api/ready", ""}, {"GET /api/ready", ""}, {"POST /api/ready", ""}, {"GET /api/exclude", ""}, {"POST /api/else", ""},
-		{"POST /api/exclude", `{"name":"s-1"}`}, {"POST /api/include", `{"name":"s-2"}`},
-		{"POST /api/evacuate", ""}, {"POST /api/rejoin", ""},
-		{"POST /api/exclude", `{"name":"s-9"}`}, {"POST /api/exclude", `{"name":"s-8"}`},
-		{"POST /api/exclude", `{"Server":"s-1"}`}, {"POST /api/include", `{"name":""}`},
+		{"GET /api/ready", ""},
+		{"GET /api/ready", ""},
+		{"POST /api/ready", ""},
+		{"GET /api/exclude", ""},
+		{"POST /api/else", ""},
+		{"POST /api/exclude", `{"name":"s-1"}`},
+		{"POST /api/include", `{"name":"s-2"}`},
+		{"POST /api/evacuate", ""},
+		{"POST /api/rejoin", ""},
+		{"POST /api/exclude", `{"name":"s-9"}`},
+		{"POST /api/exclude", `{"name":"s-8"}`},
+		{"POST /api/exclude", `{"Server":"s-1"}`},
+		{"POST /api/include", `{"name":""}`},
 	} {
 		conn, err := net.Dial("tcp", listener.Addr())
 		require.NoError(t, err)
@@ -74,17 +82,17 @@
 		}
 		_, err = io.WriteString(conn, request+"\r\n"+call.body)
 		require.NoError(t, err)
-		answer, err := io.ReadAll(conn)
+		response, err := io.ReadAll(conn)
 		require.NoError(t, err)
 		require.NoError(t, conn.Close())
 		got.WriteString("--- " + call.line + " " + call.body + "\r\n")
-		got.Write(answer)
+		got.Write(response)
 	}
 	if *update {
 		require.NoError(t, os.MkdirAll("testdata", 0o755))
-		require.NoError(t, os.WriteFile("testdata/answers.txt", got.Bytes(), 0o644))
+		require.NoError(t, os.WriteFile("testdata/responses.txt", got.Bytes(), 0o644))
 	}
-	want, err := os.ReadFile("testdata/answers.txt")
+	want, err := os.ReadFile("testdata/responses.txt")
 	require.NoError(t, err)
 	require.Equal(t, string(want), got.String())
 }
