--- a/internal/serve/config/golden_test.go
+++ b/internal/serve/config/golden_test.go
@@ -14,15 +14,41 @@
 
 // goldenKnown is what testdata/known.json and the "known" of testdata/every-key.json list.
 var goldenKnown = discovery.EndpointList{Generation: 42, Reset: true, Endpoints: []core.DiscoveredEndpoint{
-	{Name: "s-1", Address: "127.0.0.1:18001",
-		Endpoint: piernotch.Endpoint{Zone: 0, Cell: 7, State: piernotch.Ready, Size: 1.5, StartedAt: 61000500 * time.Microsecond}},
-	{Name: "s-2", Address: "[::1]:18002",
-		Endpoint: piernotch.Endpoint{Zone: 2, Cell: 8, State: piernotch.Draining, Size: 0.25, StartedAt: 62 * time.Second}},
-	{Name: "s-3", Endpoint: piernotch.Endpoint{Zone: -1, Cell: 9, State: piernotch.Gone, Size: 4, StartedAt: 63 * time.Second}},
+	{
+		Name:    "s-1",
+		Address: "127.0.0.1:18001",
+		Endpoint: piernotch.Endpoint{
+			Zone:      0,
+			Cell:      7,
+			State:     piernotch.Ready,
+			Size:      1.5,
+			StartedAt: 61000500 * time.Microsecond,
+		},
+	},
+	{
+		Name:    "s-2",
+		Address: "[::1]:18002",
+		Endpoint: piernotch.Endpoint{
+			Zone:      2,
+			Cell:      8,
+			State:     piernotch.Draining,
+			Size:      0.25,
+			StartedAt: 62 * time.Second,
+		},
+	},
+	{
+		Name:     "s-3",
+		Endpoint: piernotch.Endpoint{Zone: -1, Cell: 9, State: piernotch.Gone, Size: 4, StartedAt: 63 * time.Second},
+	},
 }}
 
 // goldenRules are the rules of both golden files.
-var goldenRules = piernotch.Rules{PollInterval: 11 * time.Second, SlowStartCapacity: 0.25, SlowStartDuration: 25 * time.Second, OverloadWindow: 2200 * time.Millisecond}
+var goldenRules = piernotch.Rules{
+	PollInterval:      11 * time.Second,
+	SlowStartCapacity: 0.25,
+	SlowStartDuration: 25 * time.Second,
+	OverloadWindow:    2200 * time.Millisecond,
+}
 
 // TestTOMLGoldenFile guards the keys of the product's own configuration: each is set to what is no
 // default.
@@ -33,10 +59,29 @@
 		Name: "n7", Listen: "127.0.0.1:19000", Discovery: "127.0.0.1:19500", Seed: 0x8c1f30d27a5be964,
 		MemoryMB: 384, MaxDescriptors: 2048, KnownEndpoints: goldenKnown, HasKnownEndpoints: true,
 		Settings: piernotch.Settings{
-			BalancerCount: 5, Zone: 1, Zones: []string{"addis", "afar", "awash"}, Tick: 5 * time.Millisecond, PollDiscovery: true, KeyAffinity: true,
+			BalancerCount: 5,
+			Zone:          1,
+			Zones:         []string{"addis", "afar", "awash"},
+			Tick:          5 * time.Millisecond,
+			PollDiscovery: true,
+			KeyAffinity:   true,
 			Classes: []piernotch.Class{
-				{Name: "read", LatencyObjective: 1200 * time.Millisecond, Deadline: 5 * time.Second, PriorityWeight: 5, LateWeightShare: 0.25, RetrySafety: piernotch.Idempotent},
-				{Name: "submit", LatencyObjective: 2500 * time.Millisecond, Deadline: 6 * time.Second, PriorityWeight: 8.5, LateWeightShare: 0.5, RetrySafety: piernotch.NonIdempotent},
+				{
+					Name:             "read",
+					LatencyObjective: 1200 * time.Millisecond,
+					Deadline:         5 * time.Second,
+					PriorityWeight:   5,
+					LateWeightShare:  0.25,
+					RetrySafety:      piernotch.Idempotent,
+				},
+				{
+					Name:             "submit",
+					LatencyObjective: 2500 * time.Millisecond,
+					Deadline:         6 * time.Second,
+					PriorityWeight:   8.5,
+					LateWeightShare:  0.5,
+					RetrySafety:      piernotch.NonIdempotent,
+				},
 			},
 			Limits: piernotch.Limits{MaxAttempts: 6, RetryAfter: true, MaxRetryAfter: 2100 * time.Millisecond},
 			Rules:  goldenRules, OverQuotaWeight: 0.1,
@@ -51,7 +96,10 @@
 // has the keys that this program passes over, too.
 func TestJSONGoldenFile(t *testing.T) {
 	environment := map[string]string{
-		"ROUTER_CONFIG": "testdata/every-key.json", "PIERNOTCH_LOG": "debug", "ROUTER_LISTEN_FD": "5", "TMPDIR": "/run/meet",
+		"ROUTER_CONFIG":    "testdata/every-key.json",
+		"PIERNOTCH_LOG":    "debug",
+		"ROUTER_LISTEN_FD": "5",
+		"TMPDIR":           "/run/meet",
 	}
 	load := func() Config {
 		got, err := Load(func(name string) string { return environment[name] })
@@ -63,15 +111,40 @@
 		Name: "n7", Listen: "127.0.0.1:19000", Discovery: "127.0.0.1:19500", Seed: 0x8c1f30d27a5be964,
 		MemoryMB: 384, MaxDescriptors: 2048, KnownEndpoints: goldenKnown, HasKnownEndpoints: true,
 		Settings: piernotch.Settings{
-			BalancerCount: 5, Zone: 1, Zones: []string{"addis", "afar", "awash"}, Tick: 6500 * time.Microsecond, PollDiscovery: true, KeyAffinity: true,
+			BalancerCount: 5,
+			Zone:          1,
+			Zones:         []string{"addis", "afar", "awash"},
+			Tick:          6500 * time.Microsecond,
+			PollDiscovery: true,
+			KeyAffinity:   true,
 			Classes: []piernotch.Class{
-				{Name: "read", LatencyObjective: 1200 * time.Millisecond, Deadline: 5 * time.Second, PriorityWeight: 5, LateWeightShare: 0.25, RetrySafety: piernotch.Idempotent},
-				{Name: "submit", LatencyObjective: 2500 * time.Millisecond, Deadline: 6 * time.Second, PriorityWeight: 8.5, LateWeightShare: 0.5, RetrySafety: piernotch.IdempotencyKey,
-					DedupScope: piernotch.DedupInCell, DedupWindow: 4500 * time.Millisecond},
+				{
+					Name:             "read",
+					LatencyObjective: 1200 * time.Millisecond,
+					Deadline:         5 * time.Second,
+					PriorityWeight:   5,
+					LateWeightShare:  0.25,
+					RetrySafety:      piernotch.Idempotent,
+				},
+				{
+					Name:             "submit",
+					LatencyObjective: 2500 * time.Millisecond,
+					Deadline:         6 * time.Second,
+					PriorityWeight:   8.5,
+					LateWeightShare:  0.5,
+					RetrySafety:      piernotch.IdempotencyKey,
+					DedupScope:       piernotch.DedupInCell,
+					DedupWindow:      4500 * time.Millisecond,
+				},
 			},
 			Tenants: []piernotch.Tenant{{Name: "survey", QuotaPerSec: 12.5}},
 			Limits: piernotch.Limits{
-				MaxAttempts: 6, HedgedRequests: true, CancelAttempts: true, HealthChecks: true, RetryAfter: true, MaxRetryAfter: 2100 * time.Millisecond,
+				MaxAttempts:    6,
+				HedgedRequests: true,
+				CancelAttempts: true,
+				HealthChecks:   true,
+				RetryAfter:     true,
+				MaxRetryAfter:  2100 * time.Millisecond,
 			},
 			Rules: goldenRules, OverQuotaWeight: 0.2, WeightPerRequest: true,
 		},
@@ -90,16 +163,54 @@
 // TestShippedFilesGolden guards what deploy/example.toml and deploy/example.json mean.
 func TestShippedFilesGolden(t *testing.T) {
 	want := Config{
-		Name: "n0", Listen: "127.0.0.1:18000", Discovery: "127.0.0.1:18500", Seed: 0x8c1f30d27a5be964, MemoryMB: 192, MaxDescriptors: 1024,
+		Name:           "n0",
+		Listen:         "127.0.0.1:18000",
+		Discovery:      "127.0.0.1:18500",
+		Seed:           0x8c1f30d27a5be964,
+		MemoryMB:       192,
+		MaxDescriptors: 1024,
 		Settings: piernotch.Settings{
-			BalancerCount: 1, Zones: []string{"addis"}, Tick: 5 * time.Millisecond, PollDiscovery: true, KeyAffinity: true,
+			BalancerCount: 1,
+			Zones:         []string{"addis"},
+			Tick:          5 * time.Millisecond,
+			PollDiscovery: true,
+			KeyAffinity:   true,
 			Classes: []piernotch.Class{
-				{Name: "segment-read", LatencyObjective: 1200 * time.Millisecond, Deadline: 5 * time.Second, PriorityWeight: 5, RetrySafety: piernotch.Idempotent},
-				{Name: "pick-submit", LatencyObjective: 2500 * time.Millisecond, Deadline: 5 * time.Second, PriorityWeight: 8, RetrySafety: piernotch.NonIdempotent},
-				{Name: "packet-append", LatencyObjective: 2500 * time.Millisecond, Deadline: 6 * time.Second, PriorityWeight: 3, RetrySafety: piernotch.NonIdempotent},
+				{
+					Name:             "segment-read",
+					LatencyObjective: 1200 * time.Millisecond,
+					Deadline:         5 * time.Second,
+					PriorityWeight:   5,
+					RetrySafety:      piernotch.Idempotent,
+				},
+				{
+					Name:             "pick-submit",
+					LatencyObjective: 2500 * time.Millisecond,
+					Deadline:         5 * time.Second,
+					PriorityWeight:   8,
+					RetrySafety:      piernotch.NonIdempotent,
+				},
+				{
+					Name:             "packet-append",
+					LatencyObjective: 2500 * time.Millisecond,
+					Deadline:         6 * time.Second,
+					PriorityWeight:   3,
+					RetrySafety:      piernotch.NonIdempotent,
+				},
+			},
+			Limits: piernotch.Limits{
+				MaxAttempts:    4,
+				HedgedRequests: true,
+				CancelAttempts: true,
+				HealthChecks:   true,
+				MaxRetryAfter:  2 * time.Second,
+			},
+			Rules: piernotch.Rules{
+				PollInterval:      10 * time.Second,
+				SlowStartCapacity: 0.12,
+				SlowStartDuration: 24 * time.Second,
+				OverloadWindow:    2 * time.Second,
 			},
-			Limits:          piernotch.Limits{MaxAttempts: 4, HedgedRequests: true, CancelAttempts: true, HealthChecks: true, MaxRetryAfter: 2 * time.Second},
-			Rules:           piernotch.Rules{PollInterval: 10 * time.Second, SlowStartCapacity: 0.12, SlowStartDuration: 24 * time.Second, OverloadWindow: 2 * time.Second},
 			OverQuotaWeight: 0.1,
 		},
 		KeepAlive: time.Minute, DialTimeout: 250 * time.Millisecond,
--- a/internal/serve/config/platform.go
+++ b/internal/serve/config/platform.go
@@ -167,10 +167,16 @@
 
 func (c *Config) checkLimits() error {
 	if c.MaxDescriptors < minDescriptors {
-		return &FieldError{Key: "limits.sockets", Err: fmt.Errorf("%d, at least %d are needed", c.MaxDescriptors, minDescriptors)}
+		return &FieldError{
+			Key: "limits.sockets",
+			Err: fmt.Errorf("%d, at least %d are needed", c.MaxDescriptors, minDescriptors),
+		}
 	}
 	if c.MemoryMB < minMemoryMB {
-		return &FieldError{Key: "limits.memory_mb", Err: fmt.Errorf("%d, at least %d are needed", c.MemoryMB, minMemoryMB)}
+		return &FieldError{
+			Key: "limits.memory_mb",
+			Err: fmt.Errorf("%d, at least %d are needed", c.MemoryMB, minMemoryMB),
+		}
 	}
 	return nil
 }
--- a/internal/serve/config/toml_test.go
+++ b/internal/serve/config/toml_test.go
@@ -58,7 +58,8 @@
 }
 
 func TestMissingKeysHaveDefaults(t *testing.T) {
-	c, err := parseTOML("x.toml", []byte("discovery = \"127.0.0.1:1\"\n[[class]]\nname = \"read\"\naim_ms = 100\ndeadline_ms = 500\neffect = \"safe\"\n"))
+	c, err := parseTOML("x.toml", []byte("discovery = \"127.0.0.1:1\"\n"+
+		"[[class]]\nname = \"read\"\naim_ms = 100\ndeadline_ms = 500\neffect = \"safe\"\n"))
 	require.NoError(t, err)
 	require.Equal(t, 192, c.MemoryMB)
 	require.Equal(t, 250*time.Millisecond, c.DialTimeout)
