--- a/internal/serve/core/attempts.go
+++ b/internal/serve/core/attempts.go
@@ -51,7 +51,12 @@
 			"timeout_ms", wait.Milliseconds())
 	}
 	attempt.timer = c.timers.At(c.now+wait, func() { c.handleAttemptTimeout(request, number) })
-	c.emit(StartAttempt{Ref: AttemptRef{request.id, number}, To: server.endpoint(), Message: request.message, Timeout: wait})
+	c.emit(StartAttempt{
+		Ref:     AttemptRef{request.id, number},
+		To:      server.endpoint(),
+		Message: request.message,
+		Timeout: wait,
+	})
 }
 
 // handleAttemptConnected has an attempt written if that is still allowed: one that waited for its
@@ -107,14 +112,26 @@
 
 // completeAttempt records the end of an attempt, responds to the client if the attempt was successful,
 // and reports the outcome to the module.
-func (c *Core) completeAttempt(request *request, number AttemptNumber, status piernotch.Status, response *ResponseMessage) {
+func (c *Core) completeAttempt(
+	request *request,
+	number AttemptNumber,
+	status piernotch.Status,
+	response *ResponseMessage,
+) {
 	attempt := request.attempts[number]
 	attempt.completed = true
 	attempt.timer.Stop()
 	request.inflight--
 	if c.debug {
-		slog.Debug("attempt completed", "id", request.clientID, "attempt", int(number), "server", attempt.server.name, "status", status,
-			"written", attempt.written, "elapsed_ms", (c.now - attempt.startedAt).Milliseconds())
+		slog.Debug(
+			"attempt completed",
+			"id", request.clientID,
+			"attempt", int(number),
+			"server", attempt.server.name,
+			"status", status,
+			"written", attempt.written,
+			"elapsed_ms", (c.now - attempt.startedAt).Milliseconds(),
+		)
 	}
 	c.Counts.countAttempt(status)
 	if status != piernotch.Cancelled {
@@ -124,7 +141,12 @@
 		c.respond(request, Respond{Result: Served, Response: response})
 	}
 	c.balancer.HandleOutcome(c.now, piernotch.Outcome{
-		ID: request.id, Attempt: int(number), Server: attempt.server.id, Status: status, Latency: c.now - attempt.startedAt, Closed: request.closed,
+		ID:      request.id,
+		Attempt: int(number),
+		Server:  attempt.server.id,
+		Status:  status,
+		Latency: c.now - attempt.startedAt,
+		Closed:  request.closed,
 	})
 	c.release(request)
 }
--- a/internal/serve/core/attempts_test.go
+++ b/internal/serve/core/attempts_test.go
@@ -14,7 +14,7 @@
 // An attempt that waited for its connection while its server began to drain must not be sent.
 func TestAttemptIsNotWrittenToDrainingServer(t *testing.T) {
 	c := newCore(t)
-	attempt := receive(c, 1)[0].(StartAttempt)
+	attempt := receive(c)[0].(StartAttempt)
 	c.Handle(start, EndpointUpdate{
 		Kind: piernotch.UpdateDelta, Endpoints: []DiscoveredEndpoint{listedServer(piernotch.Draining)},
 	})
@@ -28,7 +28,7 @@
 // command's result is reported after the overrides were persisted.
 func TestAttemptIsNotWrittenToExcludedServer(t *testing.T) {
 	c := newCore(t)
-	attempt := receive(c, 1)[0].(StartAttempt)
+	attempt := receive(c)[0].(StartAttempt)
 	effects := c.Handle(start, AdminCommand{Call: 7, Action: overrides.Exclude, Server: "s-1"})
 	require.Equal(t, []Effect{
 		CloseIdle{Endpoint{attempt.To.Server, "127.0.0.1:1"}}, PersistOverrides{}, AdminResult{Call: 7},
@@ -92,6 +92,7 @@
 			continue
 		}
 		require.NotContains(t, effects, WriteAttempt{retry.Ref})
-		require.Equal(t, Rejected, effects[1].(Respond).Result, "within the window of its own retry, repeats do no harm")
+		result := effects[1].(Respond).Result
+		require.Equal(t, Rejected, result, "within the window of its own retry, repeats do no harm")
 	}
 }
--- a/internal/serve/core/core_test.go
+++ b/internal/serve/core/core_test.go
@@ -66,9 +66,9 @@
 	return c, now
 }
 
-// receive has a request without an ID arrive at the start and returns the effects.
-func receive(c *Core, exchange ExchangeID) []Effect {
-	return slices.Clone(c.Handle(start, RequestReceived{Exchange: exchange, Deadline: start + 2*time.Second}))
+// receive has a request without an ID arrive at the start, as exchange 1, and returns the effects.
+func receive(c *Core) []Effect {
+	return slices.Clone(c.Handle(start, RequestReceived{Exchange: 1, Deadline: start + 2*time.Second}))
 }
 
 // startRequest has a request arrive at now and returns its first attempt.
--- a/internal/serve/core/doc.go
+++ b/internal/serve/core/doc.go
@@ -3,9 +3,10 @@
 // Every change of state is made by [Core.Handle], which takes one [Event] (a request was received,
 // an attempt completed, time has passed) and returns the [Effect] values that follow from it, in
 // the order in which they have to be carried out (start an attempt, respond to a client). The
-// package owns the state of requests and attempts, from their start to their end, the table of endpoints, the operators' overrides
-// and the settings in force. Load-balancing decisions are made by the module, [piernotch.Balancer],
-// which core drives; a [host] translates the module's decisions into effects.
+// package owns the state of requests and attempts, from their start to their end, the table of
+// endpoints, the operators' overrides and the settings in force. Load-balancing decisions are made by
+// the module, [piernotch.Balancer], which core drives; a [host] translates the module's decisions into
+// effects.
 //
 // The package does no I/O, reads no clock and interprets no message: a [RequestMessage] and its
 // [ResponseMessage] pass through it unread, on their way between the connections of clients and those
--- a/internal/serve/core/requests.go
+++ b/internal/serve/core/requests.go
@@ -50,7 +50,12 @@
 	// has left the request without a response.
 	request.deadlineTimer = c.timers.At(event.Deadline+overdueMargin, func() { c.failOverdue(request) })
 	c.balancer.HandleRequest(c.now, piernotch.Request{
-		ID: request.id, Class: event.Class, Tenant: event.Tenant, Key: event.Key, Deadline: event.Deadline, CostHint: event.CostHint,
+		ID:       request.id,
+		Class:    event.Class,
+		Tenant:   event.Tenant,
+		Key:      event.Key,
+		Deadline: event.Deadline,
+		CostHint: event.CostHint,
 	})
 }
 
@@ -111,8 +116,13 @@
 	response.Exchange = request.exchange
 	response.Close = c.shuttingDown || c.overrides.Drain.Active
 	if c.debug {
-		slog.Debug("request completed", "id", request.clientID, "result", response.Result, "attempts", len(request.attempts),
-			"remaining_ms", (request.deadline - c.now).Milliseconds())
+		slog.Debug(
+			"request completed",
+			"id", request.clientID,
+			"result", response.Result,
+			"attempts", len(request.attempts),
+			"remaining_ms", (request.deadline - c.now).Milliseconds(),
+		)
 	}
 	c.emit(response)
 	c.close(request)
--- a/internal/serve/core/requests_test.go
+++ b/internal/serve/core/requests_test.go
@@ -25,10 +25,13 @@
 // A response that arrives after its request was closed must have no effect.
 func TestRequestGetsOneResponse(t *testing.T) {
 	c := newCore(t)
-	attempt := receive(c, 1)[0].(StartAttempt)
+	attempt := receive(c)[0].(StartAttempt)
 	require.Contains(t, c.Handle(start, AttemptConnected{attempt.Ref}), WriteAttempt{attempt.Ref})
 	require.Contains(t, c.Handle(start, ClientDisconnected{1}), CancelAttempt{attempt.Ref})
-	require.Empty(t, c.Handle(start, AttemptCompleted{Ref: attempt.Ref, Status: piernotch.OK, Response: &ResponseMessage{}}))
+	require.Empty(
+		t,
+		c.Handle(start, AttemptCompleted{Ref: attempt.Ref, Status: piernotch.OK, Response: &ResponseMessage{}}),
+	)
 	require.Empty(t, c.requests)
-	require.Len(t, receive(c, 1), 1, "the client may use the ID again")
+	require.Len(t, receive(c), 1, "the client may use the ID again")
 }
--- a/internal/serve/core/settings_test.go
+++ b/internal/serve/core/settings_test.go
@@ -27,11 +27,13 @@
 	}
 	_, err := change()
 	require.Error(t, err)
-	attempt := receive(c, 1)[0].(StartAttempt)
+	attempt := receive(c)[0].(StartAttempt)
 	routes, err := change(newClass("c", piernotch.Idempotent), newClass("d", piernotch.NonIdempotent))
 	require.NoError(t, err)
 	require.Equal(t, []Route{
-		{Name: "c", Class: 0, ExpiresAt: now + routeGrace}, {Name: "c", Idempotent: true, Class: 1}, {Name: "d", Class: 2},
+		{Name: "c", Class: 0, ExpiresAt: now + routeGrace},
+		{Name: "c", Idempotent: true, Class: 1},
+		{Name: "d", Class: 2},
 	}, routes)
 	routes, err = change(newClass("d", piernotch.NonIdempotent), newClass("e", piernotch.NonIdempotent))
 	require.NoError(t, err)
