--- a/internal/serve/discovery/shared_watch_test.go
+++ b/internal/serve/discovery/shared_watch_test.go
@@ -65,23 +65,48 @@
 		requested  []uint64
 	}{
 		"a change of what is known is applied": {
-			event:   controlgroup.WatchEvent{Source: testAddress, FromVersion: 5, ToVersion: 6, Body: emptyList(6, false)},
+			event: controlgroup.WatchEvent{
+				Source:      testAddress,
+				FromVersion: 5,
+				ToVersion:   6,
+				Body:        emptyList(6, false),
+			},
 			version: 6, events: []core.Event{delta},
 		},
 		"a complete list is applied": {
-			event:   controlgroup.WatchEvent{Source: testAddress, ToVersion: 9, Complete: true, Body: emptyList(9, true)},
+			event: controlgroup.WatchEvent{
+				Source:    testAddress,
+				ToVersion: 9,
+				Complete:  true,
+				Body:      emptyList(9, true),
+			},
 			version: 9, events: []core.Event{full},
 		},
 		"an older list is ignored": {
-			event:   controlgroup.WatchEvent{Source: testAddress, FromVersion: 3, ToVersion: 4, Body: emptyList(4, false)},
+			event: controlgroup.WatchEvent{
+				Source:      testAddress,
+				FromVersion: 3,
+				ToVersion:   4,
+				Body:        emptyList(4, false),
+			},
 			version: 5,
 		},
 		"a change of an unknown version is requested anew": {
-			event:   controlgroup.WatchEvent{Source: testAddress, FromVersion: 7, ToVersion: 8, Body: emptyList(8, false)},
+			event: controlgroup.WatchEvent{
+				Source:      testAddress,
+				FromVersion: 7,
+				ToVersion:   8,
+				Body:        emptyList(8, false),
+			},
 			version: 5, requested: []uint64{5},
 		},
 		"a list of another service is ignored": {
-			event:   controlgroup.WatchEvent{Source: otherAddress, FromVersion: 5, ToVersion: 6, Body: emptyList(6, false)},
+			event: controlgroup.WatchEvent{
+				Source:      otherAddress,
+				FromVersion: 5,
+				ToVersion:   6,
+				Body:        emptyList(6, false),
+			},
 			version: 5,
 		},
 		"an invalid list is ignored": {
@@ -89,11 +114,21 @@
 			version: 5,
 		},
 		"a change is not applied to a version of another service": {
-			event:      controlgroup.WatchEvent{Source: testAddress, FromVersion: 5, ToVersion: 6, Body: emptyList(6, false)},
+			event: controlgroup.WatchEvent{
+				Source:      testAddress,
+				FromVersion: 5,
+				ToVersion:   6,
+				Body:        emptyList(6, false),
+			},
 			needsReset: true, version: 5, requested: []uint64{0},
 		},
 		"a complete list replaces a version of another service": {
-			event:      controlgroup.WatchEvent{Source: testAddress, ToVersion: 2, Complete: true, Body: emptyList(2, true)},
+			event: controlgroup.WatchEvent{
+				Source:    testAddress,
+				ToVersion: 2,
+				Complete:  true,
+				Body:      emptyList(2, true),
+			},
 			needsReset: true, version: 2, events: []core.Event{full},
 		},
 	} {
--- a/internal/serve/downstream/fixture_test.go
+++ b/internal/serve/downstream/fixture_test.go
@@ -51,7 +51,11 @@
 	f.clock.Store(int64(time.Hour))
 	now := func() time.Duration { return time.Duration(f.clock.Load()) }
 	f.downstream = New(func(event core.Event) { f.events <- event }, now, func() bool { return true }, maxDescriptors)
-	f.downstream.SetRoutes([]core.Route{{Name: "read", Idempotent: true}}, []time.Duration{time.Minute}, []piernotch.Tenant{})
+	f.downstream.SetRoutes(
+		[]core.Route{{Name: "read", Idempotent: true}},
+		[]time.Duration{time.Minute},
+		[]piernotch.Tenant{},
+	)
 	f.listener = loop.ClientListener(func(socket *eventloop.Conn) eventloop.Handler {
 		handler := &observedHandler{Handler: f.downstream.Accepted(socket), received: make(chan int, 64)}
 		f.accepted <- handler
--- a/internal/serve/downstream/request.go
+++ b/internal/serve/downstream/request.go
@@ -105,7 +105,10 @@
 // the request's ID and how long the client waits: maxWait, or less if the client
 // names a shorter deadline. What a server could not use, or could interpret
 // differently, is rejected.
-func parseHeaders(message *http1.Message, maxWait time.Duration) (id string, wait time.Duration, invalid *invalidRequest) {
+func parseHeaders(
+	message *http1.Message,
+	maxWait time.Duration,
+) (id string, wait time.Duration, invalid *invalidRequest) {
 	idCount, deadlineCount, keyCount := 0, 0, 0
 	wait = maxWait
 	for _, field := range message.Fields {
--- a/internal/serve/downstream/request_test.go
+++ b/internal/serve/downstream/request_test.go
@@ -33,7 +33,10 @@
 	got, invalid := newTestDownstream().parseRequest(&http1.Message{
 		Method: http1.MethodPost, Target: "/write/any?k=7f", Sized: true, Body: []byte("body"),
 		Fields: http1.Fields{
-			requestID, {Name: "x-tenant", Value: "b"}, {Name: "x-cost-hint", Value: "1500"}, {Name: "x-deadline-ms", Value: "300"},
+			requestID,
+			{Name: "x-tenant", Value: "b"},
+			{Name: "x-cost-hint", Value: "1500"},
+			{Name: "x-deadline-ms", Value: "300"},
 			{Name: "idempotency-key", Value: "key"}, {Name: "content-type", Value: "text/csv"},
 		},
 	})
@@ -58,19 +61,66 @@
 		status         int
 		reason, allow  string
 	}{
-		"unknown class":        {target: "/none", status: 404, reason: "no such class"},
-		"expired class":        {target: "/expired", status: 404, reason: "no such class"},
-		"GET of a write":       {target: "/write", status: 405, reason: "use POST", allow: "POST"},
-		"POST of a read":       {method: "POST", target: "/read", status: 405, reason: "use GET", allow: "GET"},
-		"no ID":                {target: "/read", status: 400, reason: "not one X-Request-Id, or more than one X-Deadline-Ms or Idempotency-Key"},
-		"two IDs":              {target: "/read", fields: http1.Fields{requestID, requestID}, status: 400, reason: "not one X-Request-Id, or more than one X-Deadline-Ms or Idempotency-Key"},
-		"two deadlines":        {target: "/read", fields: http1.Fields{requestID, deadline("1"), deadline("1")}, status: 400, reason: "not one X-Request-Id, or more than one X-Deadline-Ms or Idempotency-Key"},
-		"ID with a space":      {target: "/read", fields: http1.Fields{{Name: "x-request-id", Value: "a b"}}, status: 400, reason: "X-Request-Id is not a name"},
-		"ID too long":          {target: "/read", fields: http1.Fields{{Name: "x-request-id", Value: strings.Repeat("a", maxRequestIDLength+1)}}, status: 400, reason: "X-Request-Id is not a name"},
-		"deadline of zero":     {target: "/read", fields: http1.Fields{requestID, deadline("0")}, status: 400, reason: "X-Deadline-Ms is not a number of milliseconds"},
-		"deadline with a sign": {target: "/read", fields: http1.Fields{requestID, deadline("-1")}, status: 400, reason: "X-Deadline-Ms is not a number of milliseconds"},
-		"GET with a body":      {target: "/read", fields: http1.Fields{requestID}, body: "x", status: 400, reason: "GET takes no body"},
-		"POST without length":  {method: "POST", target: "/write", fields: http1.Fields{requestID}, unsized: true, status: 400, reason: "no length"},
+		"unknown class":  {target: "/none", status: 404, reason: "no such class"},
+		"expired class":  {target: "/expired", status: 404, reason: "no such class"},
+		"GET of a write": {target: "/write", status: 405, reason: "use POST", allow: "POST"},
+		"POST of a read": {method: "POST", target: "/read", status: 405, reason: "use GET", allow: "GET"},
+		"no ID": {
+			target: "/read",
+			status: 400,
+			reason: "not one X-Request-Id, or more than one X-Deadline-Ms or Idempotency-Key",
+		},
+		"two IDs": {
+			target: "/read",
+			fields: http1.Fields{requestID, requestID},
+			status: 400,
+			reason: "not one X-Request-Id, or more than one X-Deadline-Ms or Idempotency-Key",
+		},
+		"two deadlines": {
+			target: "/read",
+			fields: http1.Fields{requestID, deadline("1"), deadline("1")},
+			status: 400,
+			reason: "not one X-Request-Id, or more than one X-Deadline-Ms or Idempotency-Key",
+		},
+		"ID with a space": {
+			target: "/read",
+			fields: http1.Fields{{Name: "x-request-id", Value: "a b"}},
+			status: 400,
+			reason: "X-Request-Id is not a name",
+		},
+		"ID too long": {
+			target: "/read",
+			fields: http1.Fields{{Name: "x-request-id", Value: strings.Repeat("a", maxRequestIDLength+1)}},
+			status: 400,
+			reason: "X-Request-Id is not a name",
+		},
+		"deadline of zero": {
+			target: "/read",
+			fields: http1.Fields{requestID, deadline("0")},
+			status: 400,
+			reason: "X-Deadline-Ms is not a number of milliseconds",
+		},
+		"deadline with a sign": {
+			target: "/read",
+			fields: http1.Fields{requestID, deadline("-1")},
+			status: 400,
+			reason: "X-Deadline-Ms is not a number of milliseconds",
+		},
+		"GET with a body": {
+			target: "/read",
+			fields: http1.Fields{requestID},
+			body:   "x",
+			status: 400,
+			reason: "GET takes no body",
+		},
+		"POST without length": {
+			method:  "POST",
+			target:  "/write",
+			fields:  http1.Fields{requestID},
+			unsized: true,
+			status:  400,
+			reason:  "no length",
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			method := test.method
--- a/internal/serve/handover/directory.go
+++ b/internal/serve/handover/directory.go
@@ -57,7 +57,10 @@
 		ownStem: prefix + strconv.Itoa(os.Getpid()) + "-" + startedAt,
 		cache:   map[string]cachedRecord{},
 	}
-	lock, err := acquireLock(directory.file(directory.ownStem, lockSuffix), directory.file(directory.ownStem, tempSuffix))
+	lock, err := acquireLock(
+		directory.file(directory.ownStem, lockSuffix),
+		directory.file(directory.ownStem, tempSuffix),
+	)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
--- a/internal/serve/handover/process.go
+++ b/internal/serve/handover/process.go
@@ -9,7 +9,7 @@
 	Starting Phase = "starting"
 	// Ready means that it can serve.
 	Ready Phase = "ready"
-	// ShuttingDown means that it was told to end and completes its pending requests.
+	// ShuttingDown means that it was asked to end and completes its pending requests.
 	ShuttingDown Phase = "ending"
 )
 
