--- a/internal/serve/eventloop/loop_test.go
+++ b/internal/serve/eventloop/loop_test.go
@@ -25,6 +25,7 @@
 
 // startLoop runs a loop with a tick until the returned function is called.
 func startLoop(t *testing.T, l *Loop, tick func()) (stop func()) {
+	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
--- a/internal/serve/upstream/attempt.go
+++ b/internal/serve/upstream/attempt.go
@@ -79,9 +79,17 @@
 	}
 	completed := core.AttemptCompleted{Ref: attempt.ref, Status: status}
 	if status == piernotch.OK {
-		completed.Response = &core.ResponseMessage{ContentType: response.Fields.Get("content-type"), Body: response.Body}
+		completed.Response = &core.ResponseMessage{
+			ContentType: response.Fields.Get("content-type"),
+			Body:        response.Body,
+		}
 	} else {
-		slog.Info("attempt unsuccessful", "server", endpoint.Address, "status", response.Status, "executed", status != piernotch.Full)
+		slog.Info(
+			"attempt unsuccessful",
+			"server", endpoint.Address,
+			"status", response.Status,
+			"executed", status != piernotch.Full,
+		)
 	}
 	u.emit(completed)
 }
--- a/internal/serve/upstream/pool_test.go
+++ b/internal/serve/upstream/pool_test.go
@@ -30,6 +30,7 @@
 // requireAllAttemptsConnect starts more attempts than may be dialled at once, and calls onConnected for each one
 // that got a connection and wrote its request. The server responds to each with response.
 func requireAllAttemptsConnect(t *testing.T, response string, onConnected func(*Upstream, core.AttemptRef)) {
+	t.Helper()
 	const attempts = maxConcurrentDials + 4
 	address := startServer(t, response)
 	loop, err := eventloop.New(256)
@@ -87,6 +88,7 @@
 // startServer accepts connections until the test ends. On each it responds to the first line, and then
 // discards what comes until the client closes.
 func startServer(t *testing.T, response string) (address string) {
+	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
--- a/internal/serve/upstream/timeouts_test.go
+++ b/internal/serve/upstream/timeouts_test.go
@@ -133,7 +133,10 @@
 	ref := core.AttemptRef{Request: piernotch.RequestID(f.attempts)}
 	f.do(func() {
 		f.upstream.StartAttempt(core.StartAttempt{
-			Ref: ref, To: f.endpoint(), Timeout: time.Hour, Message: &core.RequestMessage{Method: "GET", Target: "/", ID: "1"},
+			Ref:     ref,
+			To:      f.endpoint(),
+			Timeout: time.Hour,
+			Message: &core.RequestMessage{Method: "GET", Target: "/", ID: "1"},
 		})
 	})
 	require.Equal(f.t, core.AttemptConnected{Ref: ref}, <-f.events)
