--- a/internal/serve/runtime/admin_test.go
+++ b/internal/serve/runtime/admin_test.go
@@ -16,7 +16,12 @@
 
 // adminCall makes one call at the admin address and returns the status code.
 func adminCall(t *testing.T, balancer *Balancer, method, path, body string) int {
-	head, _ := exchange(t, balancer.AdminAddr(), fmt.Sprintf("%s %s HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body))
+	t.Helper()
+	head, _ := exchange(
+		t,
+		balancer.AdminAddr(),
+		fmt.Sprintf("%s %s HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body),
+	)
 	var status int
 	_, err := fmt.Sscanf(head, "HTTP/1.1 %d", &status)
 	require.NoError(t, err, head)
@@ -26,6 +31,7 @@
 
 // exchange sends raw bytes on a connection of their own and reads one response.
 func exchange(t *testing.T, address, text string) (head, body string) {
+	t.Helper()
 	c, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	defer func() { _ = c.Close() }()
@@ -62,7 +68,15 @@
 		{"POST", "/api/exclude", excluded, 200},
 		{"POST", "/api/exclude", excluded, 200},
 	} {
-		require.Equal(t, c.status, adminCall(t, balancer, c.method, c.path, c.body), "%s %s %.20s", c.method, c.path, c.body)
+		require.Equal(
+			t,
+			c.status,
+			adminCall(t, balancer, c.method, c.path, c.body),
+			"%s %s %.20s",
+			c.method,
+			c.path,
+			c.body,
+		)
 	}
 	c := connect(t, balancer)
 	for i := range 20 {
--- a/internal/serve/runtime/balancer.go
+++ b/internal/serve/runtime/balancer.go
@@ -146,8 +146,16 @@
 	if err := b.listen(); err != nil {
 		return err
 	}
-	slog.Info("serving", "name", b.cfg.Name, "listen", b.listener.Addr(), "admin", b.cfg.AdminAddress, "discovery", b.cfg.Discovery,
-		"servers", len(b.cfg.KnownEndpoints.Endpoints), "sockets", b.cfg.MaxDescriptors, "memory_mb", b.cfg.MemoryMB)
+	slog.Info(
+		"serving",
+		"name", b.cfg.Name,
+		"listen", b.listener.Addr(),
+		"admin", b.cfg.AdminAddress,
+		"discovery", b.cfg.Discovery,
+		"servers", len(b.cfg.KnownEndpoints.Endpoints),
+		"sockets", b.cfg.MaxDescriptors,
+		"memory_mb", b.cfg.MemoryMB,
+	)
 	return nil
 }
 
--- a/internal/serve/runtime/blocked_peer_test.go
+++ b/internal/serve/runtime/blocked_peer_test.go
@@ -15,6 +15,7 @@
 // startBlockedPeer starts a server to which no connection comes up until unblock is called: its accept
 // queue is full before.
 func startBlockedPeer(t *testing.T, script func(net.Conn, *bufio.Reader)) (address string, unblock func()) {
+	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	require.NoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
--- a/internal/serve/runtime/client_disconnect_test.go
+++ b/internal/serve/runtime/client_disconnect_test.go
@@ -62,7 +62,12 @@
 				c := connect(t, balancer)
 				c.send(fmt.Sprintf("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: busy-%d\r\n\r\n", i))
 				busy = append(busy, c)
-				require.Eventually(t, func() bool { return forwarded.count(fmt.Sprint("busy-", i)) == 1 }, testTimeout, time.Millisecond)
+				require.Eventually(
+					t,
+					func() bool { return forwarded.count(fmt.Sprint("busy-", i)) == 1 },
+					testTimeout,
+					time.Millisecond,
+				)
 			}
 			c := connect(t, balancer)
 			c.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: left\r\n\r\n")
--- a/internal/serve/runtime/client_request_test.go
+++ b/internal/serve/runtime/client_request_test.go
@@ -31,13 +31,21 @@
 	require.Contains(t, echo, "POST /append/x?k=7f&z=%20 HTTP/1.1\r\n")
 	require.Contains(t, echo, "X-Request-Id: id-1\r\n")
 	require.True(t, strings.HasSuffix(echo, "\r\n\r\npayload"))
-	c.send("POST /append HTTP/1.1\r\nHost: b\r\nX-Request-Id: id-1\r\nidempotency-key: 52247c10\r\nContent-Length: 1\r\n\r\nx")
+	c.send(
+		"POST /append HTTP/1.1\r\nHost: b\r\nX-Request-Id: id-1\r\nidempotency-key: 52247c10\r\n" +
+			"Content-Length: 1\r\n\r\nx",
+	)
 	_, echo = readMessage(c.reader)
 	require.Contains(t, echo, "Idempotency-Key: 52247c10\r\n", "by this servers recognize a retry")
 	_, echo = c.request("GET", "/read?k=1", "id-1", "") // an ID may come again
 	require.NotContains(t, echo, "Idempotency-Key")
 	require.Contains(t, echo, "GET /read?k=1 HTTP/1.1\r\n")
-	for target, want := range map[string]string{"GET /_health": "200", "GET /else": "404", "GET /append": "405", "POST /read": "405"} {
+	for target, want := range map[string]string{
+		"GET /_health": "200",
+		"GET /else":    "404",
+		"GET /append":  "405",
+		"POST /read":   "405",
+	} {
 		method, path, _ := strings.Cut(target, " ")
 		head, _ = c.request(method, path, "id-2", "")
 		require.Contains(t, head, "HTTP/1.1 "+want, target)
@@ -136,7 +144,8 @@
 	var forwarded requestLog
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
 	c := connect(t, balancer)
-	for _, b := range []byte("POST /append HTTP/1.1\r\nHost: b\r\nX-Request-Id: slow\r\nContent-Length: 4\r\n\r\nmine") {
+	request := "POST /append HTTP/1.1\r\nHost: b\r\nX-Request-Id: slow\r\nContent-Length: 4\r\n\r\nmine"
+	for _, b := range []byte(request) {
 		_, err := c.Write([]byte{b})
 		require.NoError(t, err)
 		time.Sleep(5 * time.Millisecond)
@@ -158,7 +167,11 @@
 	for _, size := range []int{24 << 10, 60 << 10} { // the kernel holds all of it, or the program some
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
-			balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) { readMessage(r); respond(c, body[:size]) }))
+			balancer, _ := startBalancer(
+				t,
+				startIdleDiscovery(t),
+				startPeer(t, func(c net.Conn, r *bufio.Reader) { readMessage(r); respond(c, body[:size]) }),
+			)
 			c := connectWithSmallBuffer(t, balancer)
 			c.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 1\r\nConnection: close\r\n\r\n")
 			time.Sleep(100 * time.Millisecond)
@@ -174,8 +187,11 @@
 // connectWithSmallBuffer opens a connection whose kernel takes in next to nothing that the client has
 // not read.
 func connectWithSmallBuffer(t *testing.T, balancer *Balancer) *client {
+	t.Helper()
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2<<10) })
+		return raw.Control(func(fd uintptr) {
+			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2<<10)
+		})
 	}}
 	nc, err := d.Dial("tcp", balancer.Addr())
 	require.NoError(t, err)
--- a/internal/serve/runtime/handover.go
+++ b/internal/serve/runtime/handover.go
@@ -66,7 +66,13 @@
 	sameService := from.Discovery == b.cfg.Discovery
 	b.watcher.Resume(from.Generation, sameService)
 	b.emit(core.PeerSnapshot{Snapshot: from.Snapshot})
-	slog.Info("handover started", "from_pid", from.PID, "epoch", from.Epoch, "generation", from.Generation, "servers", len(known.Endpoints))
+	slog.Info(
+		"handover started",
+		"from_pid", from.PID,
+		"epoch", from.Epoch,
+		"generation", from.Generation,
+		"servers", len(known.Endpoints),
+	)
 }
 
 // tickSiblings reads the siblings' records and writes the own one, each at its interval.
--- a/internal/serve/runtime/handover_test.go
+++ b/internal/serve/runtime/handover_test.go
@@ -23,6 +23,7 @@
 
 // newSiblingPair opens the socket.
 func newSiblingPair(t *testing.T) *siblingPair {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	f, err := l.(*net.TCPListener).File()
@@ -49,9 +50,15 @@
 	existing := connect(t, old)
 	require.Equal(t, 200, adminCall(t, old, "POST", "/api/exclude", fmt.Sprintf(`{"name":"s-%s"}`, a)))
 
-	next, _ := startBalancerWith(t, p.configure, startIdleDiscovery(t)) // its own list is empty: it takes over the other's
+	// Its own list is empty: it takes over the other's.
+	next, _ := startBalancerWith(t, p.configure, startIdleDiscovery(t))
 	require.Equal(t, 200, adminCall(t, next, "GET", "/api/ready", ""))
-	require.Eventually(t, func() bool { return accepting(old, false) && accepting(next, true) }, testTimeout, time.Millisecond)
+	require.Eventually(
+		t,
+		func() bool { return accepting(old, false) && accepting(next, true) },
+		testTimeout,
+		time.Millisecond,
+	)
 	for i := range 10 {
 		_, body := existing.request("GET", "/read", fmt.Sprint("h", i), "")
 		require.Equal(t, "b", body, "the old process serves on its connections")
@@ -80,7 +87,8 @@
 	p := newSiblingPair(t)
 	old, _ := startBalancerWith(t, p.configure, startIdleDiscovery(t), startNamedServer(t, "a"))
 	ctx, kill := context.WithCancel(context.Background())
-	next, nextDone := startBalancerContext(t, ctx, p.configure, startIdleDiscovery(t))
+	next := newBalancer(t, p.configure, startIdleDiscovery(t))
+	nextDone := run(ctx, t, next)
 	require.Eventually(t, func() bool { return accepting(old, false) }, testTimeout, time.Millisecond)
 	require.True(t, accepting(next, true))
 	require.Equal(t, 200, adminCall(t, next, "POST", "/api/evacuate", ""))
--- a/internal/serve/runtime/health_check_test.go
+++ b/internal/serve/runtime/health_check_test.go
@@ -12,7 +12,7 @@
 
 // A server that does not respond is ejected, and a health check without a response gives its connection
 // back.
-func TestUnansweredHealthCheckClosesItsConnection(t *testing.T) {
+func TestHealthCheckWithoutResponseClosesItsConnection(t *testing.T) {
 	closed := make(chan string, 64)
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
 		head, _ := readMessage(r)
--- a/internal/serve/runtime/helpers_test.go
+++ b/internal/serve/runtime/helpers_test.go
@@ -24,11 +24,13 @@
 // startPeer starts a scripted server, which passes each connection to its script, and returns its
 // address.
 func startPeer(t *testing.T, script func(c net.Conn, r *bufio.Reader)) string {
+	t.Helper()
 	return startPeerAt(t, "127.0.0.1:0", script)
 }
 
 // startPeerAt is startPeer at an address.
 func startPeerAt(t *testing.T, address string, script func(c net.Conn, r *bufio.Reader)) string {
+	t.Helper()
 	l, err := net.Listen("tcp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -68,6 +70,7 @@
 
 // startIdleDiscovery starts a discovery that responds to no poll.
 func startIdleDiscovery(t *testing.T) string {
+	t.Helper()
 	return startPeer(t, func(_ net.Conn, r *bufio.Reader) { readMessage(r); readMessage(r) })
 }
 
@@ -75,25 +78,40 @@
 func endpointList(generation int, reset bool, lifecycle string, servers ...string) string {
 	var lines []string
 	for _, s := range servers {
-		lines = append(lines, fmt.Sprintf(`{"instanceId":"s-%s","hostPort":%q,"zone":"a","lifecycle":%q,"weight":1}`, s, s, lifecycle))
+		lines = append(
+			lines,
+			fmt.Sprintf(`{"instanceId":"s-%s","hostPort":%q,"zone":"a","lifecycle":%q,"weight":1}`, s, s, lifecycle),
+		)
 	}
 	return fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`, generation, reset, strings.Join(lines, ","))
 }
 
 // startBalancer runs a balancer in front of the servers until the test ends.
 func startBalancer(t *testing.T, discoveryAddress string, servers ...string) (*Balancer, chan struct{}) {
+	t.Helper()
 	return startBalancerWith(t, func(*config.Config) {}, discoveryAddress, servers...)
 }
 
 // startBalancerWith is startBalancer with a configuration that configure may change.
-func startBalancerWith(t *testing.T, configure func(*config.Config), discoveryAddress string, servers ...string) (*Balancer, chan struct{}) {
-	return startBalancerContext(t, context.Background(), configure, discoveryAddress, servers...)
+func startBalancerWith(
+	t *testing.T,
+	configure func(*config.Config),
+	discoveryAddress string,
+	servers ...string,
+) (*Balancer, chan struct{}) {
+	t.Helper()
+	balancer := newBalancer(t, configure, discoveryAddress, servers...)
+	return balancer, run(context.Background(), t, balancer)
 }
 
-// startBalancerContext is startBalancerWith for a balancer that also ends with the context.
-func startBalancerContext(
-	t *testing.T, ctx context.Context, configure func(*config.Config), discoveryAddress string, servers ...string,
-) (*Balancer, chan struct{}) {
+// newBalancer returns a balancer that listens, but does not run yet.
+func newBalancer(
+	t *testing.T,
+	configure func(*config.Config),
+	discoveryAddress string,
+	servers ...string,
+) *Balancer {
+	t.Helper()
 	objective := 2 * time.Second
 	deadline := 5 * time.Second
 	cfg := config.Config{
@@ -102,25 +120,50 @@
 		Settings: piernotch.Settings{
 			BalancerCount: 1, Zones: []string{"a"}, Tick: 5 * time.Millisecond, PollDiscovery: true,
 			Classes: []piernotch.Class{
-				{Name: "read", LatencyObjective: objective, Deadline: deadline, PriorityWeight: 1, RetrySafety: piernotch.Idempotent},
-				{Name: "append", LatencyObjective: objective, Deadline: deadline, PriorityWeight: 1, RetrySafety: piernotch.NonIdempotent},
+				{
+					Name:             "read",
+					LatencyObjective: objective,
+					Deadline:         deadline,
+					PriorityWeight:   1,
+					RetrySafety:      piernotch.Idempotent,
+				},
+				{
+					Name:             "append",
+					LatencyObjective: objective,
+					Deadline:         deadline,
+					PriorityWeight:   1,
+					RetrySafety:      piernotch.NonIdempotent,
+				},
 			},
 			Limits: piernotch.Limits{MaxAttempts: 3, CancelAttempts: true, HealthChecks: true},
-			Rules:  piernotch.Rules{PollInterval: 400 * time.Millisecond, SlowStartCapacity: 0.2, SlowStartDuration: time.Second},
+			Rules: piernotch.Rules{
+				PollInterval:      400 * time.Millisecond,
+				SlowStartCapacity: 0.2,
+				SlowStartDuration: time.Second,
+			},
 		},
 	}
 	var err error
-	cfg.KnownEndpoints, err = discovery.Parse([]byte(endpointList(1, true, "in_service", servers...)), cfg.Settings.Zones)
+	cfg.KnownEndpoints, err = discovery.Parse(
+		[]byte(endpointList(1, true, "in_service", servers...)),
+		cfg.Settings.Zones,
+	)
 	require.NoError(t, err)
 	configure(&cfg)
 	balancer, err := New(cfg)
 	require.NoError(t, err)
 	require.NoError(t, balancer.Start())
+	return balancer
+}
+
+// run runs a balancer until the context or the test ends, and returns what is closed then.
+func run(ctx context.Context, t *testing.T, balancer *Balancer) chan struct{} {
+	t.Helper()
 	ctx, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() { balancer.Run(ctx); close(done) }()
 	t.Cleanup(func() { stop(); <-done })
-	return balancer, done
+	return done
 }
 
 // client is a connection to the balancer.
@@ -132,6 +175,7 @@
 
 // connect opens a connection to the balancer.
 func connect(t *testing.T, balancer *Balancer) *client {
+	t.Helper()
 	c, err := net.Dial("tcp", balancer.Addr())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
@@ -147,7 +191,10 @@
 
 // request sends a request and returns the response.
 func (c *client) request(method, target, id, body string) (head, responseBody string) {
-	c.send(fmt.Sprintf("%s %s HTTP/1.1\r\nHost: b\r\nX-Request-Id: %s\r\nContent-Length: %d\r\n\r\n%s", method, target, id, len(body), body))
+	c.send(fmt.Sprintf(
+		"%s %s HTTP/1.1\r\nHost: b\r\nX-Request-Id: %s\r\nContent-Length: %d\r\n\r\n%s",
+		method, target, id, len(body), body,
+	))
 	return readMessage(c.reader)
 }
 
@@ -196,6 +243,7 @@
 
 // startNamedServer starts a server that responds with its name.
 func startNamedServer(t *testing.T, name string) string {
+	t.Helper()
 	return startPeer(t, func(c net.Conn, r *bufio.Reader) {
 		for head, _ := readMessage(r); head != ""; head, _ = readMessage(r) {
 			respond(c, name)
--- a/internal/serve/runtime/retry_test.go
+++ b/internal/serve/runtime/retry_test.go
@@ -25,8 +25,10 @@
 			t.Parallel()
 			var forwarded requestLog
 			resetServer := func(c net.Conn, r *bufio.Reader) { // the request is read, and may have been executed
-				for head, _ := readMessage(r); head != "" && !strings.Contains(head, "X-Request-Id: again"); head, _ = readMessage(r) {
+				head, _ := readMessage(r)
+				for head != "" && !strings.Contains(head, "X-Request-Id: again") {
 					respond(c, "warm")
+					head, _ = readMessage(r)
 				}
 			}
 			server, unblock := startBlockedPeer(t, forwarded.serveEcho)
@@ -64,9 +66,10 @@
 		status     string
 		executions int
 	}{
-		"idempotent":                      {piernotch.Idempotent, 0, " 200 ", 2},
-		"idempotency key":                 {piernotch.IdempotencyKey, 2 * time.Second, " 200 ", 2},
-		"idempotency key, window is over": {piernotch.IdempotencyKey, 300 * time.Millisecond, " 503 ", 1}, // a retry by the client does no harm
+		"idempotent":      {piernotch.Idempotent, 0, " 200 ", 2},
+		"idempotency key": {piernotch.IdempotencyKey, 2 * time.Second, " 200 ", 2},
+		// A retry by the client does no harm.
+		"idempotency key, window is over": {piernotch.IdempotencyKey, 300 * time.Millisecond, " 503 ", 1},
 		"not idempotent":                  {piernotch.NonIdempotent, 0, " 502 ", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -120,7 +123,10 @@
 		head, _ := readMessage(r)
 		attempts <- head
 		if strings.Contains(head, "full") {
-			_, _ = io.WriteString(c, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+			_, _ = io.WriteString(
+				c,
+				"HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
+			)
 		}
 	}
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, script), startPeer(t, script))
@@ -158,11 +164,18 @@
 				forwarded.record(head)
 				stop(c, r)
 			}))
-			for _, test := range []struct{ method, target, status string }{{"GET", "/read", " 503 "}, {"POST", "/append", " 50"}} {
+			for _, test := range []struct{ method, target, status string }{
+				{"GET", "/read", " 503 "},
+				{"POST", "/append", " 50"},
+			} {
 				c := connect(t, balancer)
 				began := time.Now()
-				c.send(fmt.Sprintf("%s %s HTTP/1.1\r\nHost: b\r\nX-Request-Id: %s\r\nX-Deadline-Ms: 700\r\nContent-Length: 0\r\n\r\n",
-					test.method, test.target, test.method))
+				c.send(fmt.Sprintf(
+					"%s %s HTTP/1.1\r\nHost: b\r\nX-Request-Id: %s\r\nX-Deadline-Ms: 700\r\nContent-Length: 0\r\n\r\n",
+					test.method,
+					test.target,
+					test.method,
+				))
 				head, _ := readMessage(c.reader)
 				require.Contains(t, head, test.status)
 				if test.method == "POST" && forwarded.count("POST") > 0 {
--- a/internal/serve/runtime/server_response_test.go
+++ b/internal/serve/runtime/server_response_test.go
@@ -16,7 +16,11 @@
 func TestResponsesInEveryFramingAreForwarded(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
 		if head, _ := readMessage(r); strings.Contains(head, "chunked") {
-			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n")
+			_, _ = io.WriteString(
+				c,
+				"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n"+
+					"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n",
+			)
 			return
 		}
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nuntil the end")
@@ -85,7 +89,14 @@
 			_, _ = io.WriteString(c, script)
 		}
 	}
-	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, script), startPeer(t, script), startPeer(t, script), startPeer(t, script))
+	balancer, _ := startBalancer(
+		t,
+		startIdleDiscovery(t),
+		startPeer(t, script),
+		startPeer(t, script),
+		startPeer(t, script),
+		startPeer(t, script),
+	)
 	c := connect(t, balancer)
 	status := func(script string) string {
 		head, body := c.request("POST", "/append", "id", script)
@@ -110,7 +121,7 @@
 	}
 }
 
-// The second copy may come when the connection has been given to the next request already: a connection is
+// The duplicate may come when the connection has been given to the next request already: a connection is
 // idle for a moment before it is used again.
 func TestDuplicateResponseIsNotUsedForNextRequest(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
--- a/internal/serve/runtime/shared_watch_test.go
+++ b/internal/serve/runtime/shared_watch_test.go
@@ -69,10 +69,20 @@
 		Settings: piernotch.Settings{
 			BalancerCount: 1, Zones: []string{"a"}, Tick: 5 * time.Millisecond, PollDiscovery: true,
 			Classes: []piernotch.Class{
-				{Name: "read", LatencyObjective: 2 * time.Second, Deadline: 5 * time.Second, PriorityWeight: 1, RetrySafety: piernotch.Idempotent},
+				{
+					Name:             "read",
+					LatencyObjective: 2 * time.Second,
+					Deadline:         5 * time.Second,
+					PriorityWeight:   1,
+					RetrySafety:      piernotch.Idempotent,
+				},
 			},
 			Limits: piernotch.Limits{MaxAttempts: 3, CancelAttempts: true},
-			Rules:  piernotch.Rules{PollInterval: 400 * time.Millisecond, SlowStartCapacity: 0.2, SlowStartDuration: time.Second},
+			Rules: piernotch.Rules{
+				PollInterval:      400 * time.Millisecond,
+				SlowStartCapacity: 0.2,
+				SlowStartDuration: time.Second,
+			},
 		},
 	}
 	var err error
@@ -96,7 +106,13 @@
 	}
 	serves("a")
 	publish := func(from, to uint64, body string) {
-		onUpdate(controlgroup.WatchEvent{Source: discoveryAddress, FromVersion: from, ToVersion: to, Complete: from == 0, Body: []byte(body)})
+		onUpdate(controlgroup.WatchEvent{
+			Source:      discoveryAddress,
+			FromVersion: from,
+			ToVersion:   to,
+			Complete:    from == 0,
+			Body:        []byte(body),
+		})
 	}
 	publish(0, 2, endpointList(2, true, "in_service", b))
 	serves("b")
@@ -116,5 +132,9 @@
 	serves("a")
 	published, _ := w.calls()
 	body := []byte(endpointList(4, true, "in_service", a))
-	require.Equal(t, controlgroup.WatchEvent{Source: discoveryAddress, ToVersion: 4, Complete: true, Body: body}, published[0])
+	require.Equal(
+		t,
+		controlgroup.WatchEvent{Source: discoveryAddress, ToVersion: 4, Complete: true, Body: body},
+		published[0],
+	)
 }
--- a/internal/serve/runtime/shutdown_race_test.go
+++ b/internal/serve/runtime/shutdown_race_test.go
@@ -92,14 +92,23 @@
 // response, or its connection ends and no server ever received it.
 func TestShutdownUnderLoadLosesNoForwardedRequest(t *testing.T) {
 	var forwarded requestLog
-	balancer, done := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho), startPeer(t, forwarded.serveEcho))
+	balancer, done := startBalancer(
+		t,
+		startIdleDiscovery(t),
+		startPeer(t, forwarded.serveEcho),
+		startPeer(t, forwarded.serveEcho),
+	)
 	var clients sync.WaitGroup
 	for i := range 12 {
 		c := connect(t, balancer)
 		clients.Go(func() {
 			for k := 0; ; k++ {
 				id := fmt.Sprintf("%d-%d", i, k)
-				_, err := fmt.Fprintf(c, "POST /append HTTP/1.1\r\nHost: b\r\nX-Request-Id: %s\r\nContent-Length: 4\r\n\r\nmine", id)
+				_, err := fmt.Fprintf(
+					c,
+					"POST /append HTTP/1.1\r\nHost: b\r\nX-Request-Id: %s\r\nContent-Length: 4\r\n\r\nmine",
+					id,
+				)
 				head, body := "", ""
 				if err == nil {
 					head, body = readMessage(c.reader)
--- a/internal/serve/runtime/tenant_quota_test.go
+++ b/internal/serve/runtime/tenant_quota_test.go
@@ -27,7 +27,9 @@
 		}
 	}))
 	send := func(id, tenant string) {
-		connect(t, balancer).send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: " + id + "\r\nX-Tenant: " + tenant + "\r\n\r\n")
+		connect(t, balancer).send(
+			"GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: " + id + "\r\nX-Tenant: " + tenant + "\r\n\r\n",
+		)
 	}
 	send("north-1", "north") // its quota for two seconds
 	require.Equal(t, "north-1", <-forwarded)
--- a/internal/serve/runtime/totals.go
+++ b/internal/serve/runtime/totals.go
@@ -22,9 +22,23 @@
 // logTotals logs what was counted since the start, under an event's name.
 func (b *Balancer) logTotals(event string) {
 	counts := b.core.Counts
-	slog.Info(event, "accepted", counts.Accepted, "served", counts.Served, "rejected", counts.Rejected, "failed", counts.Failed,
-		"clients_gone", counts.ClientsGone, "deadline_exceeded", counts.DeadlineExceeded,
-		"attempts", counts.Attempts, "timeouts", counts.Timeouts, "resets", counts.Resets,
-		"connect_failed", counts.ConnectFailed, "full", counts.Full, "errors", counts.Errors, "connections_opened", b.upstream.ConnectionsOpened,
-		"pending", b.core.PendingRequests(), "clients", b.downstream.ConnectionCount(), "descriptors", b.loop.OpenConnections())
+	slog.Info(
+		event,
+		"accepted", counts.Accepted,
+		"served", counts.Served,
+		"rejected", counts.Rejected,
+		"failed", counts.Failed,
+		"clients_gone", counts.ClientsGone,
+		"deadline_exceeded", counts.DeadlineExceeded,
+		"attempts", counts.Attempts,
+		"timeouts", counts.Timeouts,
+		"resets", counts.Resets,
+		"connect_failed", counts.ConnectFailed,
+		"full", counts.Full,
+		"errors", counts.Errors,
+		"connections_opened", b.upstream.ConnectionsOpened,
+		"pending", b.core.PendingRequests(),
+		"clients", b.downstream.ConnectionCount(),
+		"descriptors", b.loop.OpenConnections(),
+	)
 }
--- a/internal/serve/runtime/trace_recorder.go
+++ b/internal/serve/runtime/trace_recorder.go
@@ -41,7 +41,12 @@
 func (r *traceRecorder) eventReceived(now time.Duration, event core.Event) {
 	switch event := event.(type) {
 	case core.RequestReceived:
-		record := trafficrecording.Record{At: now - r.startedAt, Class: uint16(event.Class), Key: event.Key, Deadline: event.Deadline - now}
+		record := trafficrecording.Record{
+			At:       now - r.startedAt,
+			Class:    uint16(event.Class),
+			Key:      event.Key,
+			Deadline: event.Deadline - now,
+		}
 		if event.CostHint > 0 && !math.IsInf(event.CostHint, 0) {
 			record.CostHint = event.CostHint
 		}
--- a/internal/serve/runtime/watch_test.go
+++ b/internal/serve/runtime/watch_test.go
@@ -20,6 +20,7 @@
 
 // rejectsRequests returns a condition: the balancer has no server to send a request to.
 func rejectsRequests(t *testing.T, balancer *Balancer) func() bool {
+	t.Helper()
 	return func() bool {
 		c := connect(t, balancer)
 		defer func() { _ = c.Close() }()
@@ -53,7 +54,13 @@
 	balancer, _ := startBalancerWith(t, func(cfg *config.Config) {
 		cfg.Settings.PollDiscovery, cfg.Settings.Rules.PollInterval = false, time.Hour
 	}, discoveryAddress, server)
-	require.Eventually(t, rejectsRequests(t, balancer), 1500*time.Millisecond, 20*time.Millisecond, "the list without the server was not polled")
+	require.Eventually(
+		t,
+		rejectsRequests(t, balancer),
+		1500*time.Millisecond,
+		20*time.Millisecond,
+		"the list without the server was not polled",
+	)
 }
 
 // An open watch falls silent, and a server begins to drain. A missed update counts as known two seconds after
@@ -72,7 +79,12 @@
 			}
 		}
 	})
-	balancer, _ := startBalancerWith(t, func(cfg *config.Config) { cfg.Settings.Rules.PollInterval = 40 * time.Second }, discoveryAddress, server)
+	balancer, _ := startBalancerWith(
+		t,
+		func(cfg *config.Config) { cfg.Settings.Rules.PollInterval = 40 * time.Second },
+		discoveryAddress,
+		server,
+	)
 	require.Eventually(t, func() bool { return calls.Load() == 1 }, testTimeout, time.Millisecond)
 	knownBy := time.Now().Add(7 * time.Second)
 	for i := 0; time.Now().Before(knownBy.Add(2 * time.Second)); i++ {
@@ -82,7 +94,12 @@
 		sent := time.Now()
 		readMessage(c.reader)
 		_ = c.Close()
-		require.False(t, forwarded.count(id) > 0 && sent.After(knownBy), "%v after the update counts as known", sent.Sub(knownBy))
+		require.False(
+			t,
+			forwarded.count(id) > 0 && sent.After(knownBy),
+			"%v after the update counts as known",
+			sent.Sub(knownBy),
+		)
 		time.Sleep(20 * time.Millisecond)
 	}
 }
@@ -104,7 +121,12 @@
 		readMessage(r)
 	})
 	limit := 2 * time.Second
-	balancer, _ := startBalancerWith(t, func(cfg *config.Config) { cfg.Settings.Rules.PollInterval = limit }, discoveryAddress, server)
+	balancer, _ := startBalancerWith(
+		t,
+		func(cfg *config.Config) { cfg.Settings.Rules.PollInterval = limit },
+		discoveryAddress,
+		server,
+	)
 	require.Eventually(t, func() bool { return calls.Load() == 2 }, limit, time.Millisecond)
 	require.Eventually(t, rejectsRequests(t, balancer), time.Second, 20*time.Millisecond)
 }
