--- a/cmd/piernotch-lab/main.go
+++ b/cmd/piernotch-lab/main.go
@@ -126,7 +126,7 @@
 
 // exitCode prints a command's error and returns its exit code.
 func exitCode(std *streams, err error) int {
-	var problems scenario.Problems
+	var problems scenario.ProblemsError
 	switch {
 	case err == nil:
 		return exitPassed
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -18,13 +18,18 @@
 // checker collects problems, with the lines where the values were set.
 type checker struct {
 	scenario *Scenario
-	problems Problems
+	problems ProblemsError
 }
 
 // report adds a problem of a key.
 func (c *checker) report(key, format string, args ...any) {
 	at := c.originOf(key)
-	c.problems = append(c.problems, Problem{File: at.file, Line: at.line, Key: key, What: fmt.Sprintf(format, args...)})
+	c.problems = append(c.problems, ProblemError{
+		File: at.file,
+		Line: at.line,
+		Key:  key,
+		What: fmt.Sprintf(format, args...),
+	})
 }
 
 // originOf returns where a key was set: the key itself or, where it is left out, the innermost table
@@ -81,7 +86,7 @@
 }
 
 // Check returns everything that is wrong with a scenario, in the order of the lines.
-func (s *Scenario) Check() Problems {
+func (s *Scenario) Check() ProblemsError {
 	checks := &checker{scenario: s}
 	checks.within("length_s", s.LengthS, 1, MaxLength)
 	checks.within("tick_ms", s.TickMS, 0.1, 1000)
--- a/internal/lab/scenario/check_faults.go
+++ b/internal/lab/scenario/check_faults.go
@@ -20,7 +20,8 @@
 		{"ramp_s", fault.RampS, 0, 3600},
 	})
 	fault.checkRequired(checks, prefix)
-	if fault.Class != "" && !slices.ContainsFunc(s.Classes, func(class Class) bool { return class.Name == fault.Class }) {
+	if fault.Class != "" &&
+		!slices.ContainsFunc(s.Classes, func(class Class) bool { return class.Name == fault.Class }) {
 		checks.report(prefix+"class", "%q is no class", fault.Class)
 	}
 	if fault.Zone != "" && !slices.Contains(s.Zones.Names, fault.Zone) {
--- a/internal/lab/scenario/check_kinds.go
+++ b/internal/lab/scenario/check_kinds.go
@@ -12,7 +12,11 @@
 	}
 	checks.withinAll(prefix, k.limits())
 	if k.OverloadQueuePerCore.upper() > 0 && k.OverloadSlowdown.lower() < 1 {
-		checks.report(prefix+"choke_slower", "%v, 1 or more is expected where choke_at is set", k.OverloadSlowdown.lower())
+		checks.report(
+			prefix+"choke_slower",
+			"%v, 1 or more is expected where choke_at is set",
+			k.OverloadSlowdown.lower(),
+		)
 	}
 	if k.SlowStartS.upper() > 0 && k.SlowStartCapacity.lower() <= 0 {
 		checks.report(prefix+"cold_from", "above 0 is expected where cold_s is set")
--- a/internal/lab/scenario/check_traffic.go
+++ b/internal/lab/scenario/check_traffic.go
@@ -16,7 +16,12 @@
 	checks.within(prefix+"worth", c.PriorityWeight, 0, 1e9)
 	checks.within(prefix+"late_worth", c.LateWeightShare, 0, 1)
 	if c.DeadlineMS.lower() < c.LatencyObjectiveMS.upper() {
-		checks.report(prefix+"deadline_ms", "%v, at least aim_ms (%v) is expected", c.DeadlineMS.lower(), c.LatencyObjectiveMS.upper())
+		checks.report(
+			prefix+"deadline_ms",
+			"%v, at least aim_ms (%v) is expected",
+			c.DeadlineMS.lower(),
+			c.LatencyObjectiveMS.upper(),
+		)
 	}
 	checks.oneOf(prefix+"dist", c.Dist, "fixed", "exponential", "lognormal", "pareto")
 	checks.oneOf(prefix+"effect", c.RetrySafety, "safe", "keyed", "unsafe")
--- a/internal/lab/scenario/draw_classes.go
+++ b/internal/lab/scenario/draw_classes.go
@@ -94,5 +94,8 @@
 		return boundedWork{distuv.Pareto{Xm: mean * (alpha - 1) / alpha, Alpha: alpha, Src: src}, maxWorkFactor * mean}
 	}
 	sigma := math.Sqrt(math.Log1p(variation * variation))
-	return boundedWork{distuv.LogNormal{Mu: math.Log(mean) - sigma*sigma/2, Sigma: sigma, Src: src}, maxWorkFactor * mean}
+	return boundedWork{
+		distuv.LogNormal{Mu: math.Log(mean) - sigma*sigma/2, Sigma: sigma, Src: src},
+		maxWorkFactor * mean,
+	}
 }
--- a/internal/lab/scenario/draw_servers.go
+++ b/internal/lab/scenario/draw_servers.go
@@ -113,7 +113,10 @@
 	inZone := make([]int, len(r.Zones))
 	roughCV := scenario.Fleet.RoughCV.draw(rng)
 	for i := range scenario.Fleet.Servers {
-		server := r.drawServer(serverDraw{kind: kinds[i], zone: zones[i], weights: scenario.Fleet.Weights, roughCV: roughCV}, rng)
+		server := r.drawServer(
+			serverDraw{kind: kinds[i], zone: zones[i], weights: scenario.Fleet.Weights, roughCV: roughCV},
+			rng,
+		)
 		server.Cell = zones[i]*maxCellsPerZone + inZone[server.Zone]/scenario.Fleet.CellSize
 		inZone[server.Zone]++
 		if err := server.Kind.Validate(); err != nil {
--- a/internal/lab/scenario/draw_test.go
+++ b/internal/lab/scenario/draw_test.go
@@ -8,7 +8,11 @@
 )
 
 func TestShippedScenariosDrawSameValuesForSeed(t *testing.T) {
-	require.Subset(t, Shipped(), []string{"quiet", "felt-quake", "report-late-stall", "restart-storm", "long-churn", "wide", "base", "addis"})
+	require.Subset(
+		t,
+		Shipped(),
+		[]string{"quiet", "felt-quake", "report-late-stall", "restart-storm", "long-churn", "wide", "base", "addis"},
+	)
 	for _, name := range Shipped() {
 		s, err := Load(name)
 		require.NoError(t, err, name)
@@ -40,9 +44,9 @@
 			t.Fatalf("%d faults", n)
 		}
 		for _, fault := range d.Faults {
-			trouble := s.Faults[fault.Number]
+			spec := s.Faults[fault.Number]
 			at := fault.At.Seconds()
-			if at < trouble.AtS.lower()-1e-6 || at > trouble.AtS.upper()+1e-6 {
+			if at < spec.AtS.lower()-1e-6 || at > spec.AtS.upper()+1e-6 {
 				t.Fatalf("%s at %v", fault.Kind, fault.At)
 			}
 		}
--- a/internal/lab/scenario/load.go
+++ b/internal/lab/scenario/load.go
@@ -17,12 +17,12 @@
 //go:embed shipped/*.toml
 var shipped embed.FS
 
-// Problem is one thing that is wrong with a scenario, with its file, line and key.
-type Problem = tomlfile.Problem
+// ProblemError is one thing that is wrong with a scenario, with its file, line and key.
+type ProblemError = tomlfile.Problem
 
-// Problems is all that is wrong with a scenario: what could not be read first, then what is out of its
+// ProblemsError is all that is wrong with a scenario: what could not be read first, then what is out of its
 // limits. It is the type of the errors of Load, Parse and With; errors.As finds it.
-type Problems = tomlfile.Problems
+type ProblemsError = tomlfile.Problems
 
 // sourceLine is where a key was set.
 type sourceLine struct {
@@ -44,7 +44,7 @@
 }
 
 // Load reads a scenario by the path of its file, or a shipped one by its name, and checks it. Includes
-// are looked for beside the file and then among the shipped ones. The error is of type Problems and
+// are looked for beside the file and then among the shipped ones. The error is of type ProblemsError and
 // holds everything that is wrong. It may be called from any goroutine.
 func Load(name string) (*Scenario, error) {
 	scenario := defaults()
@@ -65,7 +65,7 @@
 // loader reads a file after its includes, so that the values of the file win.
 type loader struct {
 	scenario *Scenario
-	problems Problems
+	problems ProblemsError
 }
 
 // finish checks what was read, unless no file could be read.
@@ -99,7 +99,7 @@
 		if !errors.Is(err, fs.ErrNotExist) {
 			what = err.Error()
 		}
-		l.problems = append(l.problems, Problem{File: name, What: what})
+		l.problems = append(l.problems, ProblemError{File: name, What: what})
 		return
 	}
 	l.parse(path, data, filepath.Dir(path), depth)
@@ -123,7 +123,7 @@
 	if err := toml.Unmarshal(data, &head); err == nil && head.Include != "" {
 		if depth >= maxIncludes {
 			what := fmt.Sprintf("more than %d deep", maxIncludes)
-			l.problems = append(l.problems, Problem{File: file, Key: "include", What: what})
+			l.problems = append(l.problems, ProblemError{File: file, Key: "include", What: what})
 			return
 		}
 		l.file(head.Include, dir, depth+1)
--- a/internal/lab/scenario/load_test.go
+++ b/internal/lab/scenario/load_test.go
@@ -29,15 +29,21 @@
 zone = "atlantis"
 `), 0o600))
 	_, err := Load(name)
-	var problems Problems
+	var problems ProblemsError
 	require.ErrorAs(t, err, &problems)
 	got := map[string]int{}
 	for _, p := range problems {
 		got[filepath.Base(p.File)+" "+p.Key] = p.Line
 	}
 	require.Equal(t, map[string]int{
-		"under.toml tick_ms": 2, "under.toml wat": 3, "top.toml length_s": 2, "top.toml fleet.servers": 4, "top.toml fleet.weights": 5,
-		"top.toml traffic.load": 7, "top.toml trouble[0].kind": 9, "top.toml trouble[1].zone": 15,
+		"under.toml tick_ms":       2,
+		"under.toml wat":           3,
+		"top.toml length_s":        2,
+		"top.toml fleet.servers":   4,
+		"top.toml fleet.weights":   5,
+		"top.toml traffic.load":    7,
+		"top.toml trouble[0].kind": 9,
+		"top.toml trouble[1].zone": 15,
 	}, got, err)
 	_, err = Load(filepath.Join(dir, "none.toml"))
 	require.ErrorContains(t, err, "no such file")
--- a/internal/lab/scenario/overrides.go
+++ b/internal/lab/scenario/overrides.go
@@ -14,11 +14,11 @@
 
 // With returns a copy in which values have been replaced, and checks it. An override is KEY=VALUE,
 // such as traffic.load=0.8, kind.fast.speed=[1.2,1.4], trouble[0].size=3 or kind.*.choke_at=0; elements
-// of arrays are selected by index, by name or kind, or all with *. The error is of type Problems and
+// of arrays are selected by index, by name or kind, or all with *. The error is of type ProblemsError and
 // holds everything that is wrong.
 func (s *Scenario) With(overrides ...string) (*Scenario, error) {
 	changed := s.clone()
-	var problems Problems
+	var problems ProblemsError
 	for _, override := range overrides {
 		if problem, ok := changed.override(override); !ok {
 			problems = append(problems, problem)
@@ -46,19 +46,19 @@
 }
 
 // override applies one override. It returns the problem where it could not be applied.
-func (s *Scenario) override(override string) (Problem, bool) {
+func (s *Scenario) override(override string) (ProblemError, bool) {
 	key, value, found := strings.Cut(override, "=")
 	key = strings.TrimSpace(key)
 	value = strings.TrimSpace(value)
 	if !found || key == "" || value == "" {
-		return Problem{Key: override, What: "KEY=VALUE is expected"}, false
+		return ProblemError{Key: override, What: "KEY=VALUE is expected"}, false
 	}
 	delete(s.origin, key) // a value set here has no line
 	path := strings.Split(strings.ReplaceAll(key, "[", ".["), ".")
 	if err := assign(reflect.ValueOf(s).Elem(), path, value); err != nil {
-		return Problem{Key: key, What: err.Error()}, false
+		return ProblemError{Key: key, What: err.Error()}, false
 	}
-	return Problem{}, true
+	return ProblemError{}, true
 }
 
 // assign sets the value at a path of TOML keys and element selectors.
--- a/internal/lab/scenario/schema.go
+++ b/internal/lab/scenario/schema.go
@@ -119,9 +119,10 @@
 	DeadlineMS         Range  `toml:"deadline_ms"`
 	PriorityWeight     Range  `toml:"worth"`      // priority weight
 	LateWeightShare    Range  `toml:"late_worth"` // share of it for a response after the objective
-	RetrySafety        string `toml:"effect"`     // safe (idempotent), keyed (idempotent with an idempotency key), unsafe
-	DedupScope         string `toml:"scope"`      // of deduplication by key: all, zone, cell
-	DedupWindowMS      Range  `toml:"window_ms"`  // of deduplication by key
+	// RetrySafety is safe (idempotent), keyed (idempotent with an idempotency key) or unsafe.
+	RetrySafety   string `toml:"effect"`
+	DedupScope    string `toml:"scope"`     // of deduplication by key: all, zone, cell
+	DedupWindowMS Range  `toml:"window_ms"` // of deduplication by key
 }
 
 // Traffic is the arriving requests. Load is their mean work as a share of the capacity of the fleet
--- a/internal/lab/scenario/steps.go
+++ b/internal/lab/scenario/steps.go
@@ -78,7 +78,10 @@
 	case FaultCorruptResponses:
 		return f.during(Step{Action: CorruptResponses, Size: f.Part}, Step{Action: CorruptResponses, Size: -f.Part})
 	case FaultDelistServers:
-		return f.during(Step{Action: DelistServers, Servers: f.Servers}, Step{Action: RelistServers, Servers: f.Servers})
+		return f.during(
+			Step{Action: DelistServers, Servers: f.Servers},
+			Step{Action: RelistServers, Servers: f.Servers},
+		)
 	}
 	return nil
 }
@@ -89,10 +92,16 @@
 	server := f.Servers[position]
 	switch f.Kind {
 	case FaultSlowServers:
-		return f.during(Step{Action: Slow, Server: server, Size: f.Size}, Step{Action: Slow, Server: server, Size: 1 / f.Size})
+		return f.during(
+			Step{Action: Slow, Server: server, Size: f.Size},
+			Step{Action: Slow, Server: server, Size: 1 / f.Size},
+		)
 	case FaultServerPauses:
 		length := time.Duration(f.Size * float64(time.Millisecond))
-		return f.during(Step{Action: Pauses, Server: server, Every: f.Every, Length: length}, Step{Action: Pauses, Server: server})
+		return f.during(
+			Step{Action: Pauses, Server: server, Every: f.Every, Length: length},
+			Step{Action: Pauses, Server: server},
+		)
 	case FaultOverloadServers:
 		return []Step{{At: f.At, Action: Overload, Server: server}}
 	case FaultCrashServers:
