--- a/internal/lab/goodput/counter_test.go
+++ b/internal/lab/goodput/counter_test.go
@@ -14,7 +14,14 @@
 	return New(&scenario.Realization{
 		Length: 4 * time.Second,
 		Classes: []scenario.DrawnClass{
-			{Class: piernotch.Class{Name: "read", PriorityWeight: 1, LatencyObjective: time.Second, LateWeightShare: 0.5}},
+			{
+				Class: piernotch.Class{
+					Name:             "read",
+					PriorityWeight:   1,
+					LatencyObjective: time.Second,
+					LateWeightShare:  0.5,
+				},
+			},
 			{Class: piernotch.Class{Name: "write", PriorityWeight: 3, LatencyObjective: time.Second}},
 			{Class: piernotch.Class{Name: "unused", PriorityWeight: 1}},
 		},
@@ -36,7 +43,11 @@
 	} {
 		counter := newTestCounter()
 		counter.RequestSent(0, 0, 10)
-		require.Equal(t, c.want, counter.RequestFinished(FinishedRequest{Took: c.took, Work: 10, ClientAttempts: 1, End: End(c.served)}))
+		require.Equal(
+			t,
+			c.want,
+			counter.RequestFinished(FinishedRequest{Took: c.took, Work: 10, ClientAttempts: 1, End: End(c.served)}),
+		)
 		require.Equal(t, c.late, counter.LateUnserved)
 	}
 }
--- a/internal/lab/goodput/service.go
+++ b/internal/lab/goodput/service.go
@@ -47,10 +47,10 @@
 }
 
 // worstWindow is the least share served in any window of n whole seconds in which something was asked
-// for, but not above whole. A run shorter than that is one window.
-func (c *Counter) worstWindow(seconds int, whole float64) float64 {
+// for, but not above wholeRun. A run shorter than that is one window.
+func (c *Counter) worstWindow(seconds int, wholeRun float64) float64 {
 	seconds = min(max(seconds, 1), len(c.Seconds))
-	worst := whole
+	worst := wholeRun
 	asked, served := 0.0, 0.0
 	for i, second := range c.Seconds {
 		asked += second.AskedWeight
--- a/internal/lab/load/attempt.go
+++ b/internal/lab/load/attempt.go
@@ -25,7 +25,12 @@
 
 // sendAttempt sends the request once, and once more where a reused connection was closed under it. The
 // duration that it returns is the Retry-After of the response.
-func (c *Clients) sendAttempt(ctx context.Context, arrival *simulation.Arrival, timeout time.Duration, rng *rand.Rand) (outcome Outcome, retryAfter time.Duration) {
+func (c *Clients) sendAttempt(
+	ctx context.Context,
+	arrival *simulation.Arrival,
+	timeout time.Duration,
+	rng *rand.Rand,
+) (outcome Outcome, retryAfter time.Duration) {
 	deadline := c.Clock() + timeout
 	balancer, address, ok := c.Pick(arrival.Zone, rng)
 	if !ok {
@@ -121,7 +126,10 @@
 		{Name: "X-Deadline-Ms", Value: strconv.FormatInt(remaining.Milliseconds(), 10)},
 	}
 	if arrival.Hint > 0 {
-		fields = append(fields, http1.Field{Name: "X-Cost-Hint", Value: strconv.FormatInt(int64(arrival.Hint*1000), 10)})
+		fields = append(
+			fields,
+			http1.Field{Name: "X-Cost-Hint", Value: strconv.FormatInt(int64(arrival.Hint*1000), 10)},
+		)
 	}
 	return http1.AppendRequest(nil, method, target, fields, body)
 }
--- a/internal/lab/load/clients.go
+++ b/internal/lab/load/clients.go
@@ -159,7 +159,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.goodput.RequestSent(arrival.At, arrival.Class, arrival.Work)
-	_ = c.lateness.RecordValue(max(int64((c.Clock()-arrival.At)/time.Microsecond), 1)) // a minute late is out of range, and void anyway
+	// A minute late is out of range, and void anyway.
+	_ = c.lateness.RecordValue(max(int64((c.Clock()-arrival.At)/time.Microsecond), 1))
 }
 
 // countAttempt counts an attempt that has ended.
@@ -182,7 +183,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.goodput.RequestFinished(goodput.FinishedRequest{
-		First: arrival.At, Took: c.Clock() - arrival.At, Class: arrival.Class, Work: arrival.Work, ClientAttempts: attempts, End: end,
+		First:          arrival.At,
+		Took:           c.Clock() - arrival.At,
+		Class:          arrival.Class,
+		Work:           arrival.Work,
+		ClientAttempts: attempts,
+		End:            end,
 	})
 }
 
--- a/internal/lab/load/clients_test.go
+++ b/internal/lab/load/clients_test.go
@@ -32,7 +32,11 @@
 }
 
 // play sends requests to a scripted balancer.
-func play(t *testing.T, arrivals []simulation.Arrival, script func(c net.Conn, req *http.Request, n int) (keep bool)) (*Clients, *outcomeRecorder) {
+func play(
+	t *testing.T,
+	arrivals []simulation.Arrival,
+	script func(c net.Conn, req *http.Request, n int) (keep bool),
+) (*Clients, *outcomeRecorder) {
 	t.Helper()
 	s, err := scenario.Parse("test", []byte(`
 length_s = 5
@@ -95,7 +99,7 @@
 	return clients, e
 }
 
-// respond answers a request as a server would.
+// respond writes the response to a request as a server would.
 func respond(c net.Conn, req *http.Request, status int) bool {
 	body := "s-1 " + req.Header.Get("X-Request-Id")
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
@@ -104,31 +108,49 @@
 
 func TestClientsRetryByClassAndStatus(t *testing.T) {
 	for _, c := range []struct {
-		class, status, tries int
+		class, status, attempts int
 	}{{0, 502, 3}, {1, 502, 1}, {0, 503, 3}, {1, 503, 3}, {0, 200, 1}} {
-		clients, e := play(t, []simulation.Arrival{{Class: c.class, Work: 1, MaxAttempts: 3, Seed: 1}}, func(conn net.Conn, req *http.Request, _ int) bool {
-			require.Equal(t, []string{"GET", "POST"}[c.class], req.Method)
-			require.NotEmpty(t, req.Header.Get("X-Deadline-Ms"))
-			return respond(conn, req, c.status)
-		})
-		require.Equal(t, c.tries, clients.Counts().Attempts, "class %d, status %d", c.class, c.status)
-		require.Len(t, e.outcomes, c.tries)
+		clients, e := play(
+			t,
+			[]simulation.Arrival{{Class: c.class, Work: 1, MaxAttempts: 3, Seed: 1}},
+			func(conn net.Conn, req *http.Request, _ int) bool {
+				require.Equal(t, []string{"GET", "POST"}[c.class], req.Method)
+				require.NotEmpty(t, req.Header.Get("X-Deadline-Ms"))
+				return respond(conn, req, c.status)
+			},
+		)
+		require.Equal(t, c.attempts, clients.Counts().Attempts, "class %d, status %d", c.class, c.status)
+		require.Len(t, e.outcomes, c.attempts)
 	}
 }
 
-func TestWrongOrMissingAnswerIsNotServed(t *testing.T) {
-	clients, _ := play(t, []simulation.Arrival{{Class: 1, Work: 1, MaxAttempts: 1, Seed: 1}}, func(c net.Conn, _ *http.Request, _ int) bool {
-		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nsomeone's")
-		return true
-	})
+func TestWrongOrMissingResponseIsNotServed(t *testing.T) {
+	clients, _ := play(
+		t,
+		[]simulation.Arrival{{Class: 1, Work: 1, MaxAttempts: 1, Seed: 1}},
+		func(c net.Conn, _ *http.Request, _ int) bool {
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nsomeone's")
+			return true
+		},
+	)
 	require.Equal(t, 1, clients.Counts().Failed)
-	clients, _ = play(t, []simulation.Arrival{{Class: 1, Work: 1, MaxAttempts: 1, Seed: 1}}, func(net.Conn, *http.Request, int) bool { return false })
+	clients, _ = play(
+		t,
+		[]simulation.Arrival{{Class: 1, Work: 1, MaxAttempts: 1, Seed: 1}},
+		func(net.Conn, *http.Request, int) bool { return false },
+	)
 	require.Equal(t, 1, clients.Counts().Disconnected)
 }
 
 func TestClosedIdleConnectionIsRetriedOnce(t *testing.T) {
-	clients, e := play(t, []simulation.Arrival{{Class: 1, Work: 1, MaxAttempts: 1, Seed: 1}, {At: 200 * time.Millisecond, Class: 1, Work: 1, MaxAttempts: 1, Seed: 2}},
-		func(c net.Conn, req *http.Request, n int) bool { return n != 2 && respond(c, req, 200) })
+	clients, e := play(
+		t,
+		[]simulation.Arrival{
+			{Class: 1, Work: 1, MaxAttempts: 1, Seed: 1},
+			{At: 200 * time.Millisecond, Class: 1, Work: 1, MaxAttempts: 1, Seed: 2},
+		},
+		func(c net.Conn, req *http.Request, n int) bool { return n != 2 && respond(c, req, 200) },
+	)
 	require.Equal(t, 2, clients.Counts().Served)
 	require.Equal(t, []Outcome{Served, Unreachable, Served}, e.outcomes)
 }
@@ -136,7 +158,10 @@
 func TestLoadIsOpenAndLatencyCountsFromDueTime(t *testing.T) {
 	var arrivals []simulation.Arrival
 	for i := range 20 {
-		arrivals = append(arrivals, simulation.Arrival{At: time.Duration(i) * 10 * time.Millisecond, Work: 1, MaxAttempts: 1, Seed: uint64(i)})
+		arrivals = append(
+			arrivals,
+			simulation.Arrival{At: time.Duration(i) * 10 * time.Millisecond, Work: 1, MaxAttempts: 1, Seed: uint64(i)},
+		)
 	}
 	clients, _ := play(t, arrivals, func(c net.Conn, req *http.Request, _ int) bool {
 		time.Sleep(300 * time.Millisecond)
--- a/internal/lab/load/connection.go
+++ b/internal/lab/load/connection.go
@@ -27,7 +27,12 @@
 
 // connect returns an idle connection or opens one; with fresh it opens one. It fails when the deadline, a
 // time of the run, is over.
-func (c *Clients) connect(ctx context.Context, address string, fresh bool, deadline time.Duration) (*connection, error) {
+func (c *Clients) connect(
+	ctx context.Context,
+	address string,
+	fresh bool,
+	deadline time.Duration,
+) (*connection, error) {
 	if !fresh {
 		if conn := c.takeIdle(address); conn != nil {
 			return conn, nil
--- a/internal/lab/load/doc.go
+++ b/internal/lab/load/doc.go
@@ -1,5 +1,5 @@
 // Package load plays the clients of a run. They are open-loop: each request is sent when it is due, whether
-// or not earlier ones have been answered, and its latency counts from its due time. They keep the protocol:
+// or not earlier ones have their responses, and its latency counts from its due time. They keep the protocol:
 // request ids, deadlines, idempotency keys, cost hints, reused connections, and retries by class.
 // MalformedClients send what is not a valid request.
 //
--- a/internal/lab/load/malformed.go
+++ b/internal/lab/load/malformed.go
@@ -32,7 +32,7 @@
 	outcomes map[string]*MalformedCount // by kind
 }
 
-// MalformedCount is how the clients of one kind were answered. The JSON keys are those of stored results.
+// MalformedCount is what the clients of one kind got. The JSON keys are those of stored results.
 type MalformedCount struct {
 	Sent     int `json:"sent"`
 	Answered int `json:"answered"` // with a 4xx or 5xx, or a close, in time
@@ -85,7 +85,7 @@
 	}
 }
 
-// Counts returns how the clients were answered, by kind.
+// Counts returns what the clients got, by kind.
 func (m *MalformedClients) Counts() map[string]MalformedCount {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/lab/load/malformed_kinds.go
+++ b/internal/lab/load/malformed_kinds.go
@@ -45,18 +45,33 @@
 	{"60 MB", func(id string) []byte {
 		return rawRequest("POST /pick-submit", "X-Request-Id: "+id, "Content-Length: "+strconv.Itoa(largeBodySize))
 	}, moreBody, false},
-	{"no such class", func(id string) []byte { return rawRequest("GET /no-such-class", "X-Request-Id: "+id) }, nothingMore, false},
+	{
+		"no such class",
+		func(id string) []byte { return rawRequest("GET /no-such-class", "X-Request-Id: "+id) },
+		nothingMore,
+		false,
+	},
 	{"deadline that is no number", func(id string) []byte {
 		return rawRequest("GET /segment-read", "X-Request-Id: "+id, "X-Deadline-Ms: soon")
 	}, nothingMore, false},
 	{"no id", func(string) []byte { return rawRequest("GET /segment-read") }, nothingMore, false},
 	{"half a request", func(id string) []byte {
-		return []byte("POST /pick-submit HTTP/1.1\r\nHost: b\r\nX-Request-Id: " + id + "\r\nContent-Length: 100\r\n\r\nhalf")
+		return []byte(
+			"POST /pick-submit HTTP/1.1\r\nHost: b\r\nX-Request-Id: " + id + "\r\nContent-Length: 100\r\n\r\nhalf",
+		)
 	}, nothingMore, true},
 	{"silence", func(string) []byte { return nil }, nothingMore, false},
 	{"a request hidden in a body", func(id string) []byte {
 		hidden := string(rawRequest("POST /pick-submit", "X-Request-Id: "+id+"h", "Content-Length: 0"))
-		return append(rawRequest("POST /pick-submit", "X-Request-Id: "+id, "Content-Length: "+strconv.Itoa(len(hidden)+5), "Transfer-Encoding: chunked"), "0\r\n\r\n"+hidden...)
+		return append(
+			rawRequest(
+				"POST /pick-submit",
+				"X-Request-Id: "+id,
+				"Content-Length: "+strconv.Itoa(len(hidden)+5),
+				"Transfer-Encoding: chunked",
+			),
+			"0\r\n\r\n"+hidden...,
+		)
 	}, nothingMore, false},
 }
 
--- a/internal/lab/load/malformed_test.go
+++ b/internal/lab/load/malformed_test.go
@@ -12,7 +12,7 @@
 
 func TestMalformedClientsDistinguishErrorTimeoutAndService(t *testing.T) {
 	for _, c := range []struct {
-		says             string // what the balancer answers, "" nothing
+		says             string // the response of the balancer, "" none
 		closes           bool
 		answered, served bool
 	}{
@@ -39,7 +39,10 @@
 				}()
 			}
 		}()
-		clients := &MalformedClients{Timeout: 200 * time.Millisecond, Pick: func(int, *rand.Rand) (int, string, bool) { return 0, l.Addr().String(), true }}
+		clients := &MalformedClients{
+			Timeout: 200 * time.Millisecond,
+			Pick:    func(int, *rand.Rand) (int, string, bool) { return 0, l.Addr().String(), true },
+		}
 		for kind := range malformedKinds {
 			answered, served := clients.play(t.Context(), &malformedKinds[kind], l.Addr().String(), "id")
 			require.Equal(t, c.served, served, "%s: %q", malformedKinds[kind].name, c.says)
--- a/internal/lab/servermodel/queue.go
+++ b/internal/lab/servermodel/queue.go
@@ -132,7 +132,10 @@
 func (s *Server) resetJobs() []Completion {
 	s.completions = s.completions[:0]
 	for _, job := range s.running {
-		s.completions = append(s.completions, Completion{ID: job.ID, Outcome: Reset, Started: true, WorkDone: job.workDone})
+		s.completions = append(
+			s.completions,
+			Completion{ID: job.ID, Outcome: Reset, Started: true, WorkDone: job.workDone},
+		)
 	}
 	for _, job := range s.queue {
 		s.completions = append(s.completions, Completion{ID: job.ID, Outcome: Reset})
--- a/internal/lab/servermodel/queue_test.go
+++ b/internal/lab/servermodel/queue_test.go
@@ -13,7 +13,14 @@
 
 // runQueue feeds a server Poisson arrivals and returns each job's time in it, s, and the
 // mean number held by time.
-func runQueue(t *testing.T, kind Kind, perSec float64, work func() float64, jobs int, seed uint64) (sojourn []float64, held float64) {
+func runQueue(
+	t *testing.T,
+	kind Kind,
+	perSec float64,
+	work func() float64,
+	jobs int,
+	seed uint64,
+) (sojourn []float64, held float64) {
 	t.Helper()
 	s, err := New(kind, seed, 0)
 	require.NoError(t, err)
@@ -50,7 +57,13 @@
 
 // batches returns the mean of a figure and its 99.9% half-interval over independent
 // runs: successive waits of one run depend on each other.
-func batches(t *testing.T, kind Kind, perSec float64, work func(*rand.Rand) float64, figure func([]float64) float64) (mean, half float64) {
+func batches(
+	t *testing.T,
+	kind Kind,
+	perSec float64,
+	work func(*rand.Rand) float64,
+	figure func([]float64) float64,
+) (mean, half float64) {
 	t.Helper()
 	const runs, jobs = 12, 12000
 	var values []float64
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -94,7 +94,8 @@
 		noise:      rand.New(rand.NewPCG(seed, noiseStream)),
 	}
 	if kind.Keys.MaxKeys > 0 && kind.Keys.WorkSaved > 0 {
-		server.keys, _ = simplelru.NewLRU[uint64, time.Duration](kind.Keys.MaxKeys, nil) // fails for a size below 1 only
+		// It fails for a size below 1 only.
+		server.keys, _ = simplelru.NewLRU[uint64, time.Duration](kind.Keys.MaxKeys, nil)
 	}
 	server.resetProcess(now)
 	server.nextReport = Never
--- a/internal/lab/servermodel/server_test.go
+++ b/internal/lab/servermodel/server_test.go
@@ -79,9 +79,15 @@
 		busy     time.Duration
 		at, want float64
 	}{
-		{WarmByTime, 0, 5, 0.2 + 0.8*0.5}, {WarmByTime, 0, 10, 1}, {WarmByWork, 0, 5, 0.2 + 0.8*0.5}, {WarmByWork, 10, 5, 0.9},
+		{WarmByTime, 0, 5, 0.2 + 0.8*0.5},
+		{WarmByTime, 0, 10, 1},
+		{WarmByWork, 0, 5, 0.2 + 0.8*0.5},
+		{WarmByWork, 10, 5, 0.9},
 	} {
-		b := newTestServer(t, Kind{SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, WarmUpBy: c.by, Queue: 100})
+		b := newTestServer(
+			t,
+			Kind{SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, WarmUpBy: c.by, Queue: 100},
+		)
 		b.s.Start(0)
 		if c.busy > 0 {
 			for range 100 {
@@ -99,7 +105,14 @@
 }
 
 func TestLongQueueOverloadsServerUntilMostlyIdle(t *testing.T) {
-	overload := Overload{QueuePerCore: 4, After: 2 * time.Second, Slowdown: 3, IdleBelow: 0.3, IdleFor: 3 * time.Second, MaxDuration: 30 * time.Second}
+	overload := Overload{
+		QueuePerCore: 4,
+		After:        2 * time.Second,
+		Slowdown:     3,
+		IdleBelow:    0.3,
+		IdleFor:      3 * time.Second,
+		MaxDuration:  30 * time.Second,
+	}
 	b := newTestServer(t, Kind{Queue: 100, Overload: overload})
 	for range 12 {
 		b.job(0, Job{Work: 400})
@@ -126,7 +139,19 @@
 }
 
 func TestShortBurstDoesNotOverload(t *testing.T) {
-	b := newTestServer(t, Kind{Queue: 100, Overload: Overload{QueuePerCore: 4, After: 2 * time.Second, Slowdown: 3, IdleBelow: 0.3, IdleFor: time.Second}})
+	b := newTestServer(
+		t,
+		Kind{
+			Queue: 100,
+			Overload: Overload{
+				QueuePerCore: 4,
+				After:        2 * time.Second,
+				Slowdown:     3,
+				IdleBelow:    0.3,
+				IdleFor:      time.Second,
+			},
+		},
+	)
 	for i := range 20 { // six wait for 1 s, then two
 		if i%2 == 0 {
 			for range 7 {
@@ -198,7 +223,7 @@
 	b := newTestServer(t, Kind{Queue: 100, Report: ReportTiming{Interval: time.Second, Delay: 200 * ms}})
 	_, ok := b.s.Report(0, 0)
 	require.False(t, ok)
-	for i := range 40 { // 10 a second are answered, then nothing
+	for i := range 40 { // 10 a second get their responses, then nothing
 		b.job(time.Duration(i)*100*ms, Job{Work: 50})
 	}
 	b.until(6 * time.Second)
@@ -210,7 +235,12 @@
 }
 
 func TestServerCollapsesInSlowStartAndStaysDown(t *testing.T) {
-	kind := Kind{Queue: 1000, SlowStartCapacity: 0.2, SlowStartDuration: 20 * time.Second, Collapse: Collapse{Multiple: 2.5, For: 2 * time.Second}}
+	kind := Kind{
+		Queue:             1000,
+		SlowStartCapacity: 0.2,
+		SlowStartDuration: 20 * time.Second,
+		Collapse:          Collapse{Multiple: 2.5, For: 2 * time.Second},
+	}
 	b := newTestServer(t, kind)
 	b.s.Start(0)
 	// 1,000 ms of work in 2 s is the budget at a fifth of one core, 1,100 with slack.
@@ -291,7 +321,10 @@
 }
 
 func TestPausesDuringSlowStart(t *testing.T) {
-	b := newTestServer(t, Kind{Queue: 100, SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, WarmUpBy: WarmByWork})
+	b := newTestServer(
+		t,
+		Kind{Queue: 100, SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, WarmUpBy: WarmByWork},
+	)
 	b.s.Start(0)
 	b.s.SetPauses(0, 500*ms, 300*ms)
 	for i := range 50 {
@@ -306,10 +339,14 @@
 	good := Kind{Name: "k", Cores: 1, Slots: 1, Speed: 1}
 	require.NoError(t, good.Validate())
 	for name, corrupt := range map[string]func(*Kind){
-		"cores": func(k *Kind) { k.Cores = 0 }, "speed": func(k *Kind) { k.Speed = 0 }, "slots": func(k *Kind) { k.Slots = 0 },
-		"slow start capacity": func(k *Kind) { k.SlowStartDuration = time.Second }, "overload slowdown": func(k *Kind) { k.Overload.QueuePerCore = 1 },
-		"pauses": func(k *Kind) { k.PauseFor, k.PauseEvery = time.Second, ms }, "thrash": func(k *Kind) { k.Thrash = 2 },
-		"queue": func(k *Kind) { k.Queue = -1 },
+		"cores":               func(k *Kind) { k.Cores = 0 },
+		"speed":               func(k *Kind) { k.Speed = 0 },
+		"slots":               func(k *Kind) { k.Slots = 0 },
+		"slow start capacity": func(k *Kind) { k.SlowStartDuration = time.Second },
+		"overload slowdown":   func(k *Kind) { k.Overload.QueuePerCore = 1 },
+		"pauses":              func(k *Kind) { k.PauseFor, k.PauseEvery = time.Second, ms },
+		"thrash":              func(k *Kind) { k.Thrash = 2 },
+		"queue":               func(k *Kind) { k.Queue = -1 },
 	} {
 		k := good
 		corrupt(&k)
--- a/internal/lab/servermodel/work.go
+++ b/internal/lab/servermodel/work.go
@@ -92,7 +92,10 @@
 		outcome = CompletedWithError
 		s.reportErrors++
 	}
-	s.completions = append(s.completions, Completion{ID: job.ID, Outcome: outcome, Started: true, WorkDone: job.workDone})
+	s.completions = append(
+		s.completions,
+		Completion{ID: job.ID, Outcome: outcome, Started: true, WorkDone: job.workDone},
+	)
 	s.running = append(s.running[:i], s.running[i+1:]...)
 }
 
