--- a/internal/lab/invariants/attempts.go
+++ b/internal/lab/invariants/attempts.go
@@ -20,7 +20,7 @@
 func (c *Checker) AttemptSent(sent SentAttempt) {
 	c.checkDrain(&sent)
 	request := c.requests.Get(sent.Request)
-	if request == nil || request.answered {
+	if request == nil || request.responded {
 		c.reportAttempt(Lost, &sent, "sent after its final response")
 		if request == nil {
 			return
@@ -49,7 +49,11 @@
 	sinceNotified := sent.At - notifiedAt
 	c.drainLatest = max(c.drainLatest, sinceNotified)
 	if sinceNotified > c.limits.Grace {
-		c.reportAttempt(Drain, sent, fmt.Sprintf("sent %v after the balancer was notified that the server drains or is gone", sinceNotified))
+		c.reportAttempt(
+			Drain,
+			sent,
+			fmt.Sprintf("sent %v after the balancer was notified that the server drains or is gone", sinceNotified),
+		)
 	}
 }
 
@@ -60,7 +64,10 @@
 		return
 	}
 	report := func(message string) {
-		c.reportRequest(request, Violation{Rule: Repeated, At: sent.At, Request: sent.Request, Server: sent.Server, Message: message})
+		c.reportRequest(
+			request,
+			Violation{Rule: Repeated, At: sent.At, Request: sent.Request, Server: sent.Server, Message: message},
+		)
 	}
 	if len(request.attempts) >= c.limits.MaxAttempts {
 		report(fmt.Sprintf("attempt %d of %d allowed", len(request.attempts)+1, c.limits.MaxAttempts))
@@ -145,7 +152,16 @@
 	}
 	for i := range request.attempts {
 		if i != attemptNumber && request.attempts[i].executed {
-			c.reportRequest(request, Violation{Rule: Repeated, At: at, Request: id, Server: attempt.server, Message: "executed a second time"})
+			c.reportRequest(
+				request,
+				Violation{
+					Rule:    Repeated,
+					At:      at,
+					Request: id,
+					Server:  attempt.server,
+					Message: "executed a second time",
+				},
+			)
 			return
 		}
 	}
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -42,14 +42,14 @@
 
 // requestRecord is what was observed of one request.
 type requestRecord struct {
-	balancer   BalancerIndex
-	class      int8
-	answered   bool
-	result     Result
-	receivedAt time.Duration
-	deadline   time.Duration
-	answeredAt time.Duration
-	attempts   []attemptRecord
+	balancer    BalancerIndex
+	class       int8
+	responded   bool
+	result      Result
+	receivedAt  time.Duration
+	deadline    time.Duration
+	respondedAt time.Duration
+	attempts    []attemptRecord
 }
 
 // balancerServer is a balancer and a server.
@@ -119,7 +119,7 @@
 func (c *Checker) PendingRequests() int {
 	pending := 0
 	c.requests.Each(func(_ uint64, request *requestRecord) {
-		if !request.answered {
+		if !request.responded {
 			pending++
 		}
 	})
--- a/internal/lab/invariants/checker_test.go
+++ b/internal/lab/invariants/checker_test.go
@@ -25,18 +25,23 @@
 		Classes: []piernotch.Class{
 			{Name: "read", RetrySafety: piernotch.Idempotent},
 			{Name: "write", RetrySafety: piernotch.NonIdempotent},
-			{Name: "key", RetrySafety: piernotch.IdempotencyKey, DedupScope: piernotch.DedupInZone, DedupWindow: 200 * ms},
+			{
+				Name:        "key",
+				RetrySafety: piernotch.IdempotencyKey,
+				DedupScope:  piernotch.DedupInZone,
+				DedupWindow: 200 * ms,
+			},
 		},
 		Zone: func(server ServerIndex) int { return int(server) / 10 },
 		Cell: func(server ServerIndex) int { return int(server) },
 	})
 }
 
-// failedAttempt records an attempt that was executed and ended without a response.
-func failedAttempt(c *Checker, at time.Duration, id uint64, attemptNumber int, server ServerIndex) {
-	c.AttemptSent(SentAttempt{At: at, Request: id, Server: server})
-	c.AttemptAccepted(id, attemptNumber)
-	c.AttemptCompleted(id, attemptNumber, NeverExecuted(false))
+// failedAttempt records an attempt of request 1 that was executed and ended without a response.
+func failedAttempt(c *Checker, at time.Duration, attemptNumber int, server ServerIndex) {
+	c.AttemptSent(SentAttempt{At: at, Request: 1, Server: server})
+	c.AttemptAccepted(1, attemptNumber)
+	c.AttemptCompleted(1, attemptNumber, NeverExecuted(false))
 }
 
 func TestCheckerCountsViolationsByRule(t *testing.T) {
@@ -49,17 +54,17 @@
 			c.AttemptSent(SentAttempt{At: ms, Request: 1, Server: 3})
 			c.AttemptExecuted(2*ms, 1, 0)
 			c.AttemptCompleted(1, 0, NeverExecuted(false))
-			c.RequestAnswered(3*ms, 1, Served)
+			c.ResponseSent(3*ms, 1, Served)
 		}, nil},
-		"served by nobody": {classIdempotent, func(c *Checker) { c.RequestAnswered(ms, 1, Served) },
+		"served by nobody": {classIdempotent, func(c *Checker) { c.ResponseSent(ms, 1, Served) },
 			map[Rule]string{Lost: "served, but no server executed it"}},
-		"answered late": {classIdempotent, func(c *Checker) { c.RequestAnswered(150*ms, 1, Failed) },
+		"response late": {classIdempotent, func(c *Checker) { c.ResponseSent(150*ms, 1, Failed) },
 			map[Rule]string{Lost: "failed 50ms after its deadline"}},
-		"answered twice": {classIdempotent, func(c *Checker) {
-			c.RequestAnswered(ms, 1, Failed)
-			c.RequestAnswered(2*ms, 1, Failed)
+		"two responses": {classIdempotent, func(c *Checker) {
+			c.ResponseSent(ms, 1, Failed)
+			c.ResponseSent(2*ms, 1, Failed)
 		}, map[Rule]string{Lost: "failed: a second final response, or one to an unknown request"}},
-		"never answered": {classIdempotent, func(c *Checker) { c.CheckOverdue(time.Second) },
+		"no response": {classIdempotent, func(c *Checker) { c.CheckOverdue(time.Second) },
 			map[Rule]string{Lost: "no final response 900ms after its deadline"}},
 		"excused": {classIdempotent, func(c *Checker) {
 			c.RequestExcused(ms, 1)
@@ -68,61 +73,61 @@
 		"dropped": {classIdempotent, func(c *Checker) { c.RequestDropped(ms, 1) },
 			map[Rule]string{Lost: "its connection was closed without a response"}},
 		"idempotent retry": {classIdempotent, func(c *Checker) {
-			failedAttempt(c, ms, 1, 0, 3)
-			failedAttempt(c, 2*ms, 1, 1, 14)
-			c.RequestAnswered(3*ms, 1, Rejected)
+			failedAttempt(c, ms, 0, 3)
+			failedAttempt(c, 2*ms, 1, 14)
+			c.ResponseSent(3*ms, 1, Rejected)
 		}, nil},
 		"too many attempts": {classIdempotent, func(c *Checker) {
 			for n := range 3 {
-				failedAttempt(c, ms, 1, n, 3)
+				failedAttempt(c, ms, n, 3)
 			}
-			c.RequestAnswered(3*ms, 1, Failed)
+			c.ResponseSent(3*ms, 1, Failed)
 		}, map[Rule]string{Repeated: "attempt 3 of 2 allowed"}},
 		"hedged request": {classIdempotent, func(c *Checker) {
 			c.AttemptSent(SentAttempt{At: ms, Request: 1, Server: 3})
 			c.AttemptSent(SentAttempt{At: ms, Request: 1, Server: 4})
-			c.RequestAnswered(3*ms, 1, Failed)
+			c.ResponseSent(3*ms, 1, Failed)
 		}, map[Rule]string{Repeated: "a hedged request, which is not allowed"}},
 		"non-idempotent retry": {classNonIdempotent, func(c *Checker) {
-			failedAttempt(c, ms, 1, 0, 3)
-			failedAttempt(c, 2*ms, 1, 1, 4)
-			c.RequestAnswered(3*ms, 1, Failed)
+			failedAttempt(c, ms, 0, 3)
+			failedAttempt(c, 2*ms, 1, 4)
+			c.ResponseSent(3*ms, 1, Failed)
 		}, map[Rule]string{Repeated: "retried, though an earlier attempt may have been executed"}},
 		"retry of what was never executed": {classNonIdempotent, func(c *Checker) {
 			c.AttemptSent(SentAttempt{At: ms, Request: 1, Server: 3})
 			c.AttemptCompleted(1, 0, NeverExecuted(true))
-			failedAttempt(c, 2*ms, 1, 1, 4)
-			c.RequestAnswered(3*ms, 1, Failed)
+			failedAttempt(c, 2*ms, 1, 4)
+			c.ResponseSent(3*ms, 1, Failed)
 		}, nil},
 		"rejection after an attempt": {classNonIdempotent, func(c *Checker) {
-			failedAttempt(c, ms, 1, 0, 3)
-			c.RequestAnswered(3*ms, 1, Rejected)
+			failedAttempt(c, ms, 0, 3)
+			c.ResponseSent(3*ms, 1, Rejected)
 		}, map[Rule]string{Repeated: "rejected, though an attempt may have been executed"}},
 		"retry with key in its zone": {classZoneKey, func(c *Checker) {
-			failedAttempt(c, ms, 1, 0, 3)
-			failedAttempt(c, 2*ms, 1, 1, 4)
-			c.RequestAnswered(3*ms, 1, Failed)
+			failedAttempt(c, ms, 0, 3)
+			failedAttempt(c, 2*ms, 1, 4)
+			c.ResponseSent(3*ms, 1, Failed)
 		}, nil},
 		"retry with key in another zone": {classZoneKey, func(c *Checker) {
-			failedAttempt(c, ms, 1, 0, 3)
-			failedAttempt(c, 2*ms, 1, 1, 14)
-			c.RequestAnswered(3*ms, 1, Failed)
+			failedAttempt(c, ms, 0, 3)
+			failedAttempt(c, 2*ms, 1, 14)
+			c.ResponseSent(3*ms, 1, Failed)
 		}, map[Rule]string{Repeated: "retried in another zone, outside of the deduplication scope"}},
 		"attempt within the grace of a drain": {classIdempotent, func(c *Checker) {
 			c.EndpointNotified(NotifiedEndpoint{Server: 3, State: piernotch.Draining})
-			failedAttempt(c, 100*ms, 1, 0, 3)
-			c.RequestAnswered(101*ms, 1, Failed)
+			failedAttempt(c, 100*ms, 0, 3)
+			c.ResponseSent(101*ms, 1, Failed)
 		}, nil},
 		"attempt after a drain": {classIdempotent, func(c *Checker) {
 			c.EndpointNotified(NotifiedEndpoint{Server: 3, State: piernotch.Draining})
-			failedAttempt(c, 101*ms, 1, 0, 3)
-			c.RequestAnswered(102*ms, 1, Failed)
+			failedAttempt(c, 101*ms, 0, 3)
+			c.ResponseSent(102*ms, 1, Failed)
 		}, map[Rule]string{Drain: "sent 101ms after the balancer was notified that the server drains or is gone"}},
 		"attempt after a drain and a restart": {classIdempotent, func(c *Checker) {
 			c.EndpointNotified(NotifiedEndpoint{Server: 3, State: piernotch.Draining})
 			c.BalancerRestarted(0)
-			failedAttempt(c, 101*ms, 1, 0, 3)
-			c.RequestAnswered(102*ms, 1, Failed)
+			failedAttempt(c, 101*ms, 0, 3)
+			c.ResponseSent(102*ms, 1, Failed)
 		}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/lab/invariants/requests.go
+++ b/internal/lab/invariants/requests.go
@@ -34,23 +34,50 @@
 	c.due[step] = append(c.due[step], received.ID)
 }
 
-// RequestAnswered records that a final response left for the client.
-func (c *Checker) RequestAnswered(at time.Duration, id uint64, result Result) {
+// ResponseSent records that a final response left for the client.
+func (c *Checker) ResponseSent(at time.Duration, id uint64, result Result) {
 	request := c.requests.Get(id)
-	if request == nil || request.answered {
-		c.reportRequest(request, Violation{Rule: Lost, At: at, Request: id, Server: noServer, Message: result.String() + ": a second final response, or one to an unknown request"})
+	if request == nil || request.responded {
+		c.reportRequest(
+			request,
+			Violation{
+				Rule:    Lost,
+				At:      at,
+				Request: id,
+				Server:  noServer,
+				Message: result.String() + ": a second final response, or one to an unknown request",
+			},
+		)
 		return
 	}
 	if at > request.deadline+c.limits.Slack {
-		c.reportRequest(request, Violation{Rule: Lost, At: at, Request: id, Server: noServer, Message: fmt.Sprintf("%s %v after its deadline", result, at-request.deadline)})
-	}
-	request.answered = true
+		c.reportRequest(
+			request,
+			Violation{
+				Rule:    Lost,
+				At:      at,
+				Request: id,
+				Server:  noServer,
+				Message: fmt.Sprintf("%s %v after its deadline", result, at-request.deadline),
+			},
+		)
+	}
+	request.responded = true
 	request.result = result
-	request.answeredAt = at
+	request.respondedAt = at
 	switch result {
 	case Served:
 		if !slices.ContainsFunc(request.attempts, func(attempt attemptRecord) bool { return attempt.executed }) {
-			c.reportRequest(request, Violation{Rule: Lost, At: at, Request: id, Server: noServer, Message: "served, but no server executed it"})
+			c.reportRequest(
+				request,
+				Violation{
+					Rule:    Lost,
+					At:      at,
+					Request: id,
+					Server:  noServer,
+					Message: "served, but no server executed it",
+				},
+			)
 		}
 	case Rejected:
 		c.checkRejection(at, id, request)
@@ -68,7 +95,16 @@
 	for i := range request.attempts {
 		attempt := &request.attempts[i]
 		if !attempt.neverExecuted {
-			c.reportRequest(request, Violation{Rule: Repeated, At: at, Request: id, Server: attempt.server, Message: "rejected, though an attempt may have been executed"})
+			c.reportRequest(
+				request,
+				Violation{
+					Rule:    Repeated,
+					At:      at,
+					Request: id,
+					Server:  attempt.server,
+					Message: "rejected, though an attempt may have been executed",
+				},
+			)
 			return
 		}
 	}
@@ -88,18 +124,27 @@
 // RequestExcused records that a request needs no response any more: the client left, or its balancer
 // was killed.
 func (c *Checker) RequestExcused(at time.Duration, id uint64) {
-	if request := c.requests.Get(id); request != nil && !request.answered {
-		request.answered = true
+	if request := c.requests.Get(id); request != nil && !request.responded {
+		request.responded = true
 		request.result = Failed
-		request.answeredAt = at
+		request.respondedAt = at
 		c.release(id, request)
 	}
 }
 
 // RequestDropped records that a balancer closed the connection of a request without a response.
 func (c *Checker) RequestDropped(at time.Duration, id uint64) {
-	if request := c.requests.Get(id); request != nil && !request.answered {
-		c.reportRequest(request, Violation{Rule: Lost, At: at, Request: id, Server: noServer, Message: "its connection was closed without a response"})
+	if request := c.requests.Get(id); request != nil && !request.responded {
+		c.reportRequest(
+			request,
+			Violation{
+				Rule:    Lost,
+				At:      at,
+				Request: id,
+				Server:  noServer,
+				Message: "its connection was closed without a response",
+			},
+		)
 		c.RequestExcused(at, id)
 	}
 }
@@ -109,20 +154,29 @@
 	for ; c.checkedSteps <= int64(now/checkInterval); c.checkedSteps++ {
 		for _, id := range c.due[c.checkedSteps] {
 			request := c.requests.Get(id)
-			if request == nil || request.answered {
+			if request == nil || request.responded {
 				continue
 			}
-			c.reportRequest(request, Violation{Rule: Lost, At: now, Request: id, Server: noServer, Message: fmt.Sprintf("no final response %v after its deadline", now-request.deadline)})
+			c.reportRequest(
+				request,
+				Violation{
+					Rule:    Lost,
+					At:      now,
+					Request: id,
+					Server:  noServer,
+					Message: fmt.Sprintf("no final response %v after its deadline", now-request.deadline),
+				},
+			)
 			c.RequestExcused(now, id)
 		}
 		delete(c.due, c.checkedSteps)
 	}
 }
 
-// release deletes a request that is answered and has no attempt in flight.
+// release deletes a request that has its final response and no attempt in flight.
 func (c *Checker) release(id uint64, request *requestRecord) {
 	inflight := slices.ContainsFunc(request.attempts, func(attempt attemptRecord) bool { return !attempt.completed })
-	if !request.answered || inflight {
+	if !request.responded || inflight {
 		return
 	}
 	if request.attempts != nil {
@@ -135,7 +189,9 @@
 func (c *Checker) describe(id uint64) []string {
 	request := c.requests.Get(id)
 	if request == nil {
-		return []string{"nothing is recorded: it was never received, or it had its final response and no attempt in flight"}
+		return []string{
+			"nothing is recorded: it was never received, or it had its final response and no attempt in flight",
+		}
 	}
 	class := fmt.Sprintf("class %d", request.class)
 	if listed := c.classOf(request); listed != nil {
@@ -146,8 +202,8 @@
 	for i := range request.attempts {
 		steps = append(steps, request.attempts[i].describe(i))
 	}
-	if request.answered {
-		steps = append(steps, fmt.Sprintf("%.6f s: %s", request.answeredAt.Seconds(), request.result))
+	if request.responded {
+		steps = append(steps, fmt.Sprintf("%.6f s: %s", request.respondedAt.Seconds(), request.result))
 	}
 	return steps
 }
--- a/internal/lab/invariants/servers.go
+++ b/internal/lab/invariants/servers.go
@@ -104,8 +104,17 @@
 		steps = append(steps, arrivals[i].describe())
 	}
 	c.report(Violation{
-		Rule: SlowStart, At: at, Balancer: last, Server: server, Steps: steps,
-		Message: fmt.Sprintf("collapsed under %.0f ms of work within %v, from %d balancers", total, c.limits.CollapseWindow, len(balancers)),
+		Rule:     SlowStart,
+		At:       at,
+		Balancer: last,
+		Server:   server,
+		Steps:    steps,
+		Message: fmt.Sprintf(
+			"collapsed under %.0f ms of work within %v, from %d balancers",
+			total,
+			c.limits.CollapseWindow,
+			len(balancers),
+		),
 	})
 }
 
--- a/internal/lab/loadtest/observer.go
+++ b/internal/lab/loadtest/observer.go
@@ -34,13 +34,14 @@
 	clock        func() time.Duration
 	crossingTime time.Duration // crossingTime, or crossingTimeWithProxies; set before the run begins
 
-	mu                 sync.Mutex // guards what follows
-	checker            *invariants.Checker
-	lastSequence       uint64
-	requests           map[string]*request // by id
-	ended              []endedRequest      // in the order of time
-	excused            map[int]int         // by balancer: the number of reasons why it need not respond
-	closedUnderRequest int                 // requests whose connection was closed unread by balancers without such a reason
+	mu           sync.Mutex // guards what follows
+	checker      *invariants.Checker
+	lastSequence uint64
+	requests     map[string]*request // by id
+	ended        []endedRequest      // in the order of time
+	excused      map[int]int         // by balancer: the number of reasons why it need not respond
+	// closedUnderRequest counts requests whose connection was closed unread by balancers without such a reason.
+	closedUnderRequest int
 }
 
 // request is one request that clients have sent.
@@ -59,10 +60,19 @@
 }
 
 // newObserver returns an observer of a run. Zone and cell return where a server is.
-func newObserver(realization *scenario.Realization, clock func() time.Duration, zone, cell func(server invariants.ServerIndex) int) *observer {
+func newObserver(
+	realization *scenario.Realization,
+	clock func() time.Duration,
+	zone, cell func(server invariants.ServerIndex) int,
+) *observer {
 	limits := invariants.Limits{
-		Slack: realization.Rules.ResponseSlack + socketTolerance, Grace: realization.Rules.DrainGrace + socketTolerance, CollapseWindow: realization.Rules.Collapse.For,
-		MaxAttempts: realization.Settings.Limits.MaxAttempts, HedgedRequests: realization.Settings.Limits.HedgedRequests, Zone: zone, Cell: cell,
+		Slack:          realization.Rules.ResponseSlack + socketTolerance,
+		Grace:          realization.Rules.DrainGrace + socketTolerance,
+		CollapseWindow: realization.Rules.Collapse.For,
+		MaxAttempts:    realization.Settings.Limits.MaxAttempts,
+		HedgedRequests: realization.Settings.Limits.HedgedRequests,
+		Zone:           zone,
+		Cell:           cell,
 	}
 	for _, class := range realization.Classes {
 		limits.Classes = append(limits.Classes, class.Class)
@@ -113,11 +123,11 @@
 	}
 	switch outcome {
 	case load.Served:
-		o.checker.RequestAnswered(now, sent.sequence, invariants.Served)
+		o.checker.ResponseSent(now, sent.sequence, invariants.Served)
 	case load.Rejected:
-		o.checker.RequestAnswered(now, sent.sequence, invariants.Rejected)
+		o.checker.ResponseSent(now, sent.sequence, invariants.Rejected)
 	case load.Failed:
-		o.checker.RequestAnswered(now, sent.sequence, invariants.Failed)
+		o.checker.ResponseSent(now, sent.sequence, invariants.Failed)
 	case load.Disconnected:
 		o.checker.RequestDropped(now, sent.sequence)
 	default:
@@ -200,7 +210,10 @@
 		return attemptNumber
 	}
 	o.checker.AttemptSent(invariants.SentAttempt{
-		At: now, Balancer: invariants.BalancerIndex(sent.balancer), Request: sent.sequence, Server: invariants.ServerIndex(server),
+		At:       now,
+		Balancer: invariants.BalancerIndex(sent.balancer),
+		Request:  sent.sequence,
+		Server:   invariants.ServerIndex(server),
 	})
 	return attemptNumber
 }
@@ -247,7 +260,11 @@
 	defer o.mu.Unlock()
 	if sent := o.requests[id]; sent != nil {
 		o.checker.SlowStartWork(invariants.SlowStartArrival{
-			At: o.clock(), Balancer: invariants.BalancerIndex(sent.balancer), Server: invariants.ServerIndex(server), StartedAt: started, Work: work,
+			At:        o.clock(),
+			Balancer:  invariants.BalancerIndex(sent.balancer),
+			Server:    invariants.ServerIndex(server),
+			StartedAt: started,
+			Work:      work,
 		})
 	}
 }
@@ -264,7 +281,11 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.checker.EndpointNotified(invariants.NotifiedEndpoint{
-		At: o.clock(), Balancer: invariants.BalancerIndex(balancer), Server: invariants.ServerIndex(server), State: state, StartedAt: startedAt,
+		At:        o.clock(),
+		Balancer:  invariants.BalancerIndex(balancer),
+		Server:    invariants.ServerIndex(server),
+		State:     state,
+		StartedAt: startedAt,
 	})
 }
 
--- a/internal/lab/simulation/attempts.go
+++ b/internal/lab/simulation/attempts.go
@@ -20,10 +20,10 @@
 		return
 	}
 	request := w.requests.Get(id)
-	pending := request != nil && !request.answered && request.balancer == balancerIndex(action.Balancer)
+	pending := request != nil && !request.responded && request.balancer == balancerIndex(action.Balancer)
 	if !pending {
 		// A balancer that was notified of the end in this very turn may not have known of it.
-		knewOfEnd := request == nil || request.answeredByBalancer || request.answeredAt <= w.previousTurn
+		knewOfEnd := request == nil || request.respondedByBalancer || request.respondedAt <= w.previousTurn
 		if knewOfEnd {
 			w.checker.AttemptSent(w.sentAttempt(action, server))
 		}
@@ -49,11 +49,20 @@
 
 // sentAttempt is what the invariants are notified of when an attempt is sent.
 func (w *World) sentAttempt(action *Action, server serverIndex) invariants.SentAttempt {
-	return invariants.SentAttempt{At: w.now, Balancer: balancerIndex(action.Balancer), Request: uint64(action.ID), Server: server}
+	return invariants.SentAttempt{
+		At:       w.now,
+		Balancer: balancerIndex(action.Balancer),
+		Request:  uint64(action.ID),
+		Server:   server,
+	}
 }
 
 // newAttempt adds an attempt of a request to a server, with its network delay and its work.
-func (w *World) newAttempt(requestID uint64, request *requestState, server serverIndex) (attemptID uint64, attempt *attemptState) {
+func (w *World) newAttempt(
+	requestID uint64,
+	request *requestState,
+	server serverIndex,
+) (attemptID uint64, attempt *attemptState) {
 	balancer := &w.balancers[request.balancer]
 	client := w.clientOf(request)
 	w.lastAttempt++
@@ -100,7 +109,11 @@
 	}
 	w.counters.Outcomes[piernotch.NotSent]++
 	w.notify(balancerIndex(action.Balancer), Event{Kind: EventAttemptCompleted, Outcome: piernotch.Outcome{
-		ID: action.ID, Attempt: attemptNumber, Server: action.Server, Status: piernotch.NotSent, Closed: request == nil || request.answered,
+		ID:      action.ID,
+		Attempt: attemptNumber,
+		Server:  action.Server,
+		Status:  piernotch.NotSent,
+		Closed:  request == nil || request.responded,
 	}})
 }
 
@@ -131,7 +144,11 @@
 	slowStart := server.InSlowStart(w.now)
 	if slowStart {
 		w.checker.SlowStartWork(invariants.SlowStartArrival{
-			At: w.now, Balancer: attempt.balancer, Server: attempt.server, StartedAt: server.Started(), Work: attempt.work,
+			At:        w.now,
+			Balancer:  attempt.balancer,
+			Server:    attempt.server,
+			StartedAt: server.Started(),
+			Work:      attempt.work,
 		})
 	}
 	admission, lost := server.Arrive(w.now, servermodel.Job{
@@ -171,7 +188,12 @@
 		w.scheduleOutcome(attemptID, attempt, status, w.now+attempt.delay)
 	case servermodel.NoResponse:
 		if attempt.newConnection {
-			w.scheduleOutcome(attemptID, attempt, piernotch.ConnectFailed, max(attempt.sentAt+w.realization.Rules.DialTimeout, w.now))
+			w.scheduleOutcome(
+				attemptID,
+				attempt,
+				piernotch.ConnectFailed,
+				max(attempt.sentAt+w.realization.Rules.DialTimeout, w.now),
+			)
 		}
 	}
 }
@@ -234,7 +256,7 @@
 	w.checker.AttemptCompleted(attempt.request, int(attempt.number), invariants.NeverExecuted(status.NeverExecuted()))
 	if request := w.requests.Get(attempt.request); request != nil {
 		request.inflight--
-		if status == piernotch.OK && !request.answered {
+		if status == piernotch.OK && !request.responded {
 			w.counters.ServedWork += attempt.workDone
 			w.respondToClient(attempt.request, request, invariants.Served)
 		}
@@ -256,8 +278,12 @@
 		return
 	}
 	event := Event{Kind: EventAttemptCompleted, Outcome: piernotch.Outcome{
-		ID: piernotch.RequestID(attempt.request), Attempt: int(attempt.number), Server: w.servers[attempt.server].id, Status: status,
-		Latency: w.now - attempt.sentAt, Closed: request.answered,
+		ID:      piernotch.RequestID(attempt.request),
+		Attempt: int(attempt.number),
+		Server:  w.servers[attempt.server].id,
+		Status:  status,
+		Latency: w.now - attempt.sentAt,
+		Closed:  request.responded,
 	}}
 	if responded(status) {
 		event.Load, event.HasLoad = attempt.load, attempt.hasLoad
--- a/internal/lab/simulation/balancers.go
+++ b/internal/lab/simulation/balancers.go
@@ -222,9 +222,9 @@
 			w.events.schedule(w.now+attempt.delay, eventCancelArrives, attemptID)
 		}
 	}
-	if !request.answered {
+	if !request.responded {
 		w.checker.RequestExcused(w.now, id)
-		request.answered, request.answeredAt = true, w.now
+		request.responded, request.respondedAt = true, w.now
 		request.result = invariants.Failed
 		request.balancerKilled = true
 		w.events.schedule(w.now+w.realization.ClientDelay, eventResponseArrives, id)
--- a/internal/lab/simulation/bench_test.go
+++ b/internal/lab/simulation/bench_test.go
@@ -16,8 +16,13 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			s, err = s.With("length_s=10", fmt.Sprintf("balancers.count=%d", size[0]), fmt.Sprintf("fleet.servers=%d", size[1]),
-				fmt.Sprintf("traffic.keys=%d", 40*size[1]), fmt.Sprintf("discovery.calls_per_s=%d", size[0]))
+			s, err = s.With(
+				"length_s=10",
+				fmt.Sprintf("balancers.count=%d", size[0]),
+				fmt.Sprintf("fleet.servers=%d", size[1]),
+				fmt.Sprintf("traffic.keys=%d", 40*size[1]),
+				fmt.Sprintf("discovery.calls_per_s=%d", size[0]),
+			)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/lab/simulation/child_frames.go
+++ b/internal/lab/simulation/child_frames.go
@@ -122,7 +122,12 @@
 			StartedAtMS: simprotocol.Milliseconds(entry.StartedAt),
 		})
 	}
-	c.batch.EndpointList(simprotocol.BalancerNumber(event.Balancer), simprotocol.ListKindCode(event.ListKind), event.Version, c.entries)
+	c.batch.EndpointList(
+		simprotocol.BalancerNumber(event.Balancer),
+		simprotocol.ListKindCode(event.ListKind),
+		event.Version,
+		c.entries,
+	)
 }
 
 // actionKinds maps the wire's actions to those of a Tier. Others are not performed.
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -10,7 +10,7 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// responseGrace is how long after the deadline a balancer that has not answered is notified that nobody
+// responseGrace is how long after the deadline a balancer that has not responded is notified that nobody
 // waits any more. The rule is violated long before.
 const responseGrace = time.Second
 
@@ -98,7 +98,11 @@
 		Kind:  EventRequest,
 		Retry: request.retry > 0 && w.realization.Clients.MarksRetry,
 		Request: piernotch.Request{
-			ID: piernotch.RequestID(id), Class: client.class, Key: client.key, Deadline: request.deadline, CostHint: client.costHint,
+			ID:       piernotch.RequestID(id),
+			Class:    client.class,
+			Key:      client.key,
+			Deadline: request.deadline,
+			CostHint: client.costHint,
 		},
 	})
 }
@@ -107,19 +111,19 @@
 // is ignored.
 func (w *World) finalResponse(action *Action, result invariants.Result) {
 	request := w.requests.Get(uint64(action.ID))
-	if request == nil || request.answered || request.balancer != balancerIndex(action.Balancer) {
+	if request == nil || request.responded || request.balancer != balancerIndex(action.Balancer) {
 		return
 	}
 	request.retryAfter = action.Delay
-	request.answeredByBalancer = true
+	request.respondedByBalancer = true
 	w.respondToClient(uint64(action.ID), request, result)
 }
 
 // respondToClient sends a final response on its way to the client.
 func (w *World) respondToClient(id uint64, request *requestState, result invariants.Result) {
-	w.checker.RequestAnswered(w.now, id, result)
-	request.answered = true
-	request.answeredAt = w.now
+	w.checker.ResponseSent(w.now, id, result)
+	request.responded = true
+	request.respondedAt = w.now
 	request.result = result
 	delay := w.networkDelay(w.realization.ClientDelay, mix(id), concernClientDelay)
 	w.events.schedule(w.now+delay, eventResponseArrives, id)
@@ -142,8 +146,8 @@
 	if request == nil || request.clientDone {
 		return
 	}
-	request.answered = true
-	request.answeredAt = w.now
+	request.responded = true
+	request.respondedAt = w.now
 	request.clientDone = true
 	request.expired = request.expired || request.balancer == noBalancer
 	w.counters.Unreachable++
@@ -158,7 +162,7 @@
 		return
 	}
 	request.expired = true
-	if request.received && !request.answered {
+	if request.received && !request.responded {
 		w.events.schedule(w.now+responseGrace, eventResponseOverdue, id)
 	}
 	if !request.clientDone {
@@ -169,15 +173,15 @@
 	w.releaseRequest(id)
 }
 
-// responseOverdue gives up on a balancer that has not answered.
+// responseOverdue gives up on a balancer that has not responded.
 func (w *World) responseOverdue(id uint64) {
 	request := w.requests.Get(id)
-	if request == nil || request.answered {
+	if request == nil || request.responded {
 		return
 	}
 	w.checker.CheckOverdue(w.now)
-	request.answered = true
-	request.answeredAt = w.now
+	request.responded = true
+	request.respondedAt = w.now
 	w.notify(request.balancer, Event{Kind: EventClientGone, ID: piernotch.RequestID(id)})
 	w.releaseRequest(id)
 }
@@ -185,12 +189,12 @@
 // clientDisconnects has a client close its connection before its deadline.
 func (w *World) clientDisconnects(id uint64) {
 	request := w.requests.Get(id)
-	if request == nil || request.clientDone || request.answered || !request.received {
+	if request == nil || request.clientDone || request.responded || !request.received {
 		return
 	}
 	request.clientDone = true
-	request.answered = true
-	request.answeredAt = w.now
+	request.responded = true
+	request.respondedAt = w.now
 	w.counters.Disconnected++
 	w.checker.RequestExcused(w.now, id)
 	w.notify(request.balancer, Event{Kind: EventClientGone, ID: piernotch.RequestID(id)})
@@ -244,7 +248,9 @@
 // jitter, and not below the Retry-After that it honours.
 func (w *World) backoff(client *clientRequest, retryAfter time.Duration) time.Duration {
 	random := w.randFor(mix(client.randomKey+uint64(client.attemptsSent)), concernBackoff)
-	wait := time.Duration(float64(w.realization.Clients.Backoff) * math.Exp2(float64(client.attemptsSent-1)) * (0.5 + random.Float64()))
+	wait := time.Duration(
+		float64(w.realization.Clients.Backoff) * math.Exp2(float64(client.attemptsSent-1)) * (0.5 + random.Float64()),
+	)
 	advised := retryAfter > 0 && w.realization.Settings.Limits.RetryAfter
 	if advised && random.Float64() < w.realization.Clients.RetryAfterShare {
 		wait = max(wait, min(retryAfter, w.realization.Settings.Limits.MaxRetryAfter))
@@ -268,7 +274,7 @@
 // releaseRequest deletes a request once client, balancer and servers are done with it.
 func (w *World) releaseRequest(id uint64) {
 	request := w.requests.Get(id)
-	if request != nil && request.clientDone && request.answered && request.expired && request.inflight == 0 {
+	if request != nil && request.clientDone && request.responded && request.expired && request.inflight == 0 {
 		w.requests.Delete(id)
 	}
 }
--- a/internal/lab/simulation/counters.go
+++ b/internal/lab/simulation/counters.go
@@ -58,7 +58,12 @@
 func (c *counters) finish(world *World, client *clientRequest, end goodput.End) {
 	took := world.now - client.firstSent
 	earned := c.goodput.RequestFinished(goodput.FinishedRequest{
-		First: client.firstSent, Took: took, Class: client.class, Work: client.work, ClientAttempts: client.attemptsSent, End: end,
+		First:          client.firstSent,
+		Took:           took,
+		Class:          client.class,
+		Work:           client.work,
+		ClientAttempts: client.attemptsSent,
+		End:            end,
 	})
 	c.digest = mix(c.digest^mix(client.randomKey^uint64(took)<<1)) + math.Float64bits(earned)
 }
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -9,7 +9,7 @@
 )
 
 // discovery is the service that knows the endpoint list: it learns of changes late, publishes them
-// periodically, and answers calls one after the other.
+// periodically, and responds to calls one after the other.
 type discovery struct {
 	entries     []listEntry
 	notices     []notice
@@ -57,7 +57,10 @@
 		d.entries[i] = listEntry{present: true, state: piernotch.Ready}
 	}
 	d.version = 1
-	d.phase = time.Duration(scenario.Stream(world.realization.Seed, "discovery").Float64() * float64(world.realization.Discovery.PublishInterval))
+	d.phase = time.Duration(
+		scenario.Stream(world.realization.Seed, "discovery").Float64() *
+			float64(world.realization.Discovery.PublishInterval),
+	)
 }
 
 // serverChanged notes a server's new state; discovery learns of it after a while.
@@ -102,7 +105,8 @@
 		entry.present = change.state != piernotch.Gone
 		entry.state = change.state
 		entry.startedAt = change.startedAt
-		unchanged := previous.present == entry.present && previous.state == entry.state && previous.startedAt == entry.startedAt
+		unchanged := previous.present == entry.present && previous.state == entry.state &&
+			previous.startedAt == entry.startedAt
 		if unchanged {
 			continue
 		}
@@ -142,7 +146,12 @@
 func (d *discovery) endpoint(world *World, index serverIndex) piernotch.Endpoint {
 	entry, server := &d.entries[index], &world.servers[index]
 	return piernotch.Endpoint{
-		ID: server.id, Zone: server.spec.Zone, Cell: server.spec.Cell, State: entry.state, Size: server.spec.Size, StartedAt: entry.startedAt,
+		ID:        server.id,
+		Zone:      server.spec.Zone,
+		Cell:      server.spec.Cell,
+		State:     entry.state,
+		Size:      server.spec.Size,
+		StartedAt: entry.startedAt,
 	}
 }
 
--- a/internal/lab/simulation/discovery_delivery.go
+++ b/internal/lab/simulation/discovery_delivery.go
@@ -47,7 +47,7 @@
 	world.events.scheduleFor(at, eventListArrives, uint64(world.balancers[index].epoch)<<8|kind, int32(index))
 }
 
-// call takes a balancer's call. Calls are answered one after the other.
+// call takes a balancer's call. Calls get their responses one after the other.
 func (d *discovery) call(world *World, index balancerIndex, kind callKind) {
 	balancer := &world.balancers[index]
 	balancer.lastPoll = world.now
@@ -97,7 +97,10 @@
 	switch kind {
 	case callFailed:
 		balancer.watching, balancer.pollFailed = world.realization.Discovery.Push, true
-		world.notify(index, Event{Kind: EventEndpointList, ListKind: piernotch.UpdateFailed, Version: balancer.listVersion})
+		world.notify(
+			index,
+			Event{Kind: EventEndpointList, ListKind: piernotch.UpdateFailed, Version: balancer.listVersion},
+		)
 		return
 	case fetchResponse:
 		balancer.pollFailed = false
--- a/internal/lab/simulation/event_order_test.go
+++ b/internal/lab/simulation/event_order_test.go
@@ -10,8 +10,8 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// An answer that arrives in the very microsecond of a time-out is an answer.
-func TestAnswerPrecedesTimeoutInSameMicrosecond(t *testing.T) {
+// A response that arrives in the very microsecond of a time-out is a response.
+func TestResponsePrecedesTimeoutInSameMicrosecond(t *testing.T) {
 	s, err := scenario.Parse("tie.toml", []byte(`
 name = "tie"
 length_s = 1
@@ -38,7 +38,10 @@
 deadline_ms = 1000
 `))
 	require.NoError(t, err)
-	for timeout, want := range map[time.Duration]piernotch.Status{12 * time.Millisecond: piernotch.OK, 12*time.Millisecond - time.Microsecond: piernotch.Timeout} {
+	for timeout, want := range map[time.Duration]piernotch.Status{
+		12 * time.Millisecond:                  piernotch.OK,
+		12*time.Millisecond - time.Microsecond: piernotch.Timeout,
+	} {
 		d, err := s.Draw(1)
 		require.NoError(t, err)
 		w, err := New(d, faultyTier{NewInProcess(), func(_ time.Duration, _ []Event, a []Action) []Action {
--- a/internal/lab/simulation/event_queue.go
+++ b/internal/lab/simulation/event_queue.go
@@ -115,7 +115,13 @@
 // index depends on the kind.
 func (q *eventQueue) scheduleFor(at time.Duration, kind eventKind, id uint64, index int32) {
 	q.scheduled++
-	event := scheduledEvent{at: at, order: uint64(priorityByKind[kind])<<priorityShift | q.scheduled, id: id, index: index, kind: kind}
+	event := scheduledEvent{
+		at:    at,
+		order: uint64(priorityByKind[kind])<<priorityShift | q.scheduled,
+		id:    id,
+		index: index,
+		kind:  kind,
+	}
 	q.heap = append(q.heap, event)
 	place := len(q.heap) - 1
 	for place > 0 {
--- a/internal/lab/simulation/event_queue_test.go
+++ b/internal/lab/simulation/event_queue_test.go
@@ -33,7 +33,10 @@
 	for i := range 5000 {
 		at, kind := time.Duration(rng.IntN(50)), eventKind(rng.IntN(int(eventKinds)))
 		q.schedule(at, kind, uint64(i))
-		want = append(want, scheduledEvent{at: at, order: uint64(priorityByKind[kind])<<56 | uint64(i+1), id: uint64(i)})
+		want = append(
+			want,
+			scheduledEvent{at: at, order: uint64(priorityByKind[kind])<<56 | uint64(i+1), id: uint64(i)},
+		)
 		if rng.IntN(3) == 0 {
 			e, _ := q.pop()
 			want = slices.DeleteFunc(want, func(w scheduledEvent) bool { return w.id == e.id })
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -43,7 +43,7 @@
 		})
 		w.schedule(fault.End(), func() { w.startNextProcess(balancer) })
 	case scenario.FaultRestartBalancers:
-		// No more clients are sent to it, and what it has is answered first.
+		// No more clients are sent to it, and what it has gets its responses first.
 		at := fault.At + fault.Every*time.Duration(position)
 		killedAt := at + w.longestRequest()
 		w.schedule(at, func() { w.stopAdmitting(balancer) })
--- a/internal/lab/simulation/faults_test.go
+++ b/internal/lab/simulation/faults_test.go
@@ -23,7 +23,9 @@
 		{"heavy_tail", []string{"part=0.1", "size=20"}, func(r *Result) bool { return r.P99 > baseline.P99 }},
 		{"burst", []string{"size=3"}, func(r *Result) bool { return r.Requests > baseline.Requests*6/5 }},
 		{"shrink", []string{"size=2"}, func(r *Result) bool { return r.Requests < baseline.Requests*9/10 }},
-		{"balancer_crash", []string{"part=0.5"}, func(r *Result) bool { return r.ClientAttempts > baseline.ClientAttempts }},
+		{"balancer_crash", []string{"part=0.5"}, func(r *Result) bool {
+			return r.ClientAttempts > baseline.ClientAttempts
+		}},
 		{"discovery_outage", nil, func(r *Result) bool { return r.Requests == baseline.Requests }},
 		{"replace", []string{"part=1", "ramp_s=3"}, func(r *Result) bool { return r.Ended["full"] > 0 }},
 		{"join", []string{"part=0.5"}, func(r *Result) bool { return r.Service > baseline.Service-0.05 }},
--- a/internal/lab/simulation/golden_tier_test.go
+++ b/internal/lab/simulation/golden_tier_test.go
@@ -34,7 +34,7 @@
 // combinations occur.
 const (
 	goldenAllowedPeriod   = 3
-	goldenAnswerPeriod    = 23 // of responses that start just before their attempt ends
+	goldenResponsePeriod  = 23 // of responses that start just before their attempt ends
 	goldenStreamPeriod    = 89
 	goldenSnapshotPeriod  = 61
 	goldenLoadPeriod      = 193
@@ -110,7 +110,7 @@
 			e.Request.Tenant = int(mix(uint64(e.Request.ID))%uint64(t.tenants+1)) - 1
 		}
 	case EventAttemptCompleted:
-		if balancer := t.inner.balancers[e.Balancer]; balancer != nil && known.events%goldenAnswerPeriod == 0 {
+		if balancer := t.inner.balancers[e.Balancer]; balancer != nil && known.events%goldenResponsePeriod == 0 {
 			t.responseStarted(balancer, e.Balancer, e.Outcome.ID, e.Outcome.Attempt)
 		}
 	case EventEndpointList:
--- a/internal/lab/simulation/health_checks.go
+++ b/internal/lab/simulation/health_checks.go
@@ -18,7 +18,12 @@
 	w.lastHealthCheck++
 	check := w.healthChecks.Put(w.lastHealthCheck)
 	key := mix(uint64(action.Balancer)<<40 ^ uint64(w.now))
-	*check = healthCheckState{balancer: balancerIndex(action.Balancer), server: server, epoch: balancer.epoch, sentAt: w.now}
+	*check = healthCheckState{
+		balancer: balancerIndex(action.Balancer),
+		server:   server,
+		epoch:    balancer.epoch,
+		sentAt:   w.now,
+	}
 	check.delay = w.networkDelay(w.realization.Delay[balancer.zone][w.servers[server].spec.Zone], key, concernDelay)
 	w.counters.HealthChecks++
 	w.events.schedule(w.now+check.delay, eventHealthCheckArrives, w.lastHealthCheck)
--- a/internal/lab/simulation/invariants_test.go
+++ b/internal/lab/simulation/invariants_test.go
@@ -24,7 +24,12 @@
 }
 
 // runFaultyTier runs restart-storm, in which all rules are at stake.
-func runFaultyTier(t *testing.T, seed uint64, corrupt func(time.Duration, []Event, []Action) []Action, set ...string) *Result {
+func runFaultyTier(
+	t *testing.T,
+	seed uint64,
+	corrupt func(time.Duration, []Event, []Action) []Action,
+	set ...string,
+) *Result {
 	t.Helper()
 	s, err := scenario.Load("restart-storm")
 	require.NoError(t, err)
@@ -101,7 +106,8 @@
 			}
 		}
 		for i := range actions {
-			if to, ok := first[actions[i].Balancer]; ok && actions[i].Kind == ActionStartAttempt && actions[i].ID%10 == 0 {
+			if to, ok := first[actions[i].Balancer]; ok && actions[i].Kind == ActionStartAttempt &&
+				actions[i].ID%10 == 0 {
 				actions[i].Server = to
 			}
 		}
@@ -111,7 +117,7 @@
 	requireViolation(t, r, invariants.Drain, "after the balancer was notified that the server drains or is gone")
 }
 
-func TestCheckerDetectsMissingAnswer(t *testing.T) {
+func TestCheckerDetectsMissingResponse(t *testing.T) {
 	lost := map[piernotch.RequestID]bool{}
 	r := runFaultyTier(t, 1, func(_ time.Duration, _ []Event, actions []Action) []Action {
 		var out []Action
@@ -129,7 +135,7 @@
 	requireViolation(t, r, invariants.Lost, "no final response")
 }
 
-func TestCheckerDetectsAttemptAfterFinalAnswer(t *testing.T) {
+func TestCheckerDetectsAttemptAfterFinalResponse(t *testing.T) {
 	done := map[piernotch.RequestID]int{}
 	var late []Action
 	r := runFaultyTier(t, 1, func(now time.Duration, events []Event, actions []Action) []Action {
--- a/internal/lab/simulation/random.go
+++ b/internal/lab/simulation/random.go
@@ -28,7 +28,7 @@
 const (
 	concernDelay       uint64 = iota + 1 // network delay of an attempt or health check
 	concernWork                          // variation of an attempt's work
-	concernError                         // whether a server answers with an error
+	concernError                         // whether the response of a server is an error
 	concernBackoff                       // a client's backoff
 	concernBalancer                      // which balancer a client reaches
 	concernStart                         // seed of a balancer's process
--- a/internal/lab/simulation/records.go
+++ b/internal/lab/simulation/records.go
@@ -34,22 +34,22 @@
 
 // requestState is one attempt of a client at its request, as a balancer sees it.
 type requestState struct {
-	client             uint64        // ID of its clientRequest
-	balancer           balancerIndex // noBalancer: none could be reached
-	retry              int8          // number of the client's attempt, from 0
-	attempts           int8          // started so far
-	inflight           int8          // of them, not completed yet
-	received           bool          // by the balancer
-	answered           bool          // it has its final response, or needs none
-	clientDone         bool          // the client knows how it ended
-	expired            bool          // its deadline has passed
-	answeredByBalancer bool          // the balancer itself rejected or failed it
-	answeredAt         time.Duration
-	result             invariants.Result
-	balancerKilled     bool          // while it had the request
-	retryAfter         time.Duration // advice of a rejection
-	deadline           time.Duration
-	attemptIDs         [maxAttempts]uint64
+	client              uint64        // ID of its clientRequest
+	balancer            balancerIndex // noBalancer: none could be reached
+	retry               int8          // number of the client's attempt, from 0
+	attempts            int8          // started so far
+	inflight            int8          // of them, not completed yet
+	received            bool          // by the balancer
+	responded           bool          // it has its final response, or needs none
+	clientDone          bool          // the client knows how it ended
+	expired             bool          // its deadline has passed
+	respondedByBalancer bool          // the balancer itself rejected or failed it
+	respondedAt         time.Duration
+	result              invariants.Result
+	balancerKilled      bool          // while it had the request
+	retryAfter          time.Duration // advice of a rejection
+	deadline            time.Duration
+	attemptIDs          [maxAttempts]uint64
 }
 
 // attemptState is one sending of a request by a balancer to a server.
--- a/internal/lab/simulation/servers.go
+++ b/internal/lab/simulation/servers.go
@@ -53,7 +53,8 @@
 func (w *World) respond(index serverIndex, attempt *attemptState, completion servermodel.Completion) {
 	attempt.load, attempt.hasLoad = w.servers[index].Report(w.now, w.reportDelay)
 	status := piernotch.OK
-	if completion.Outcome == servermodel.Completed && w.randFor(attempt.randomKey, concernCorrupt).Float64() < w.corruptShare {
+	if completion.Outcome == servermodel.Completed &&
+		w.randFor(attempt.randomKey, concernCorrupt).Float64() < w.corruptShare {
 		completion.Outcome = servermodel.CompletedWithError
 	}
 	switch completion.Outcome {
--- a/internal/lab/simulation/trace_overload_test.go
+++ b/internal/lab/simulation/trace_overload_test.go
@@ -47,7 +47,14 @@
 			}
 		case EventRequest:
 			h.next[e.Balancer]++
-			do(Action{Kind: ActionStartAttempt, Balancer: e.Balancer, ID: e.Request.ID, Server: (*list)[h.next[e.Balancer]%len(*list)]})
+			do(
+				Action{
+					Kind:     ActionStartAttempt,
+					Balancer: e.Balancer,
+					ID:       e.Request.ID,
+					Server:   (*list)[h.next[e.Balancer]%len(*list)],
+				},
+			)
 		case EventAttemptCompleted:
 			if !e.Outcome.Closed {
 				do(Action{Kind: ActionFail, Balancer: e.Balancer, ID: e.Outcome.ID})
@@ -61,7 +68,11 @@
 // they stay slow long after the burst; the module does not.
 func TestRoundRobinStaysOverloadedAfterRecordedBurst(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "burst.pnt")
-	out, err := trafficrecording.Create(name, trafficrecording.Header{Classes: []string{"segment-read"}}, trafficrecording.Limits{Pending: 1 << 16})
+	out, err := trafficrecording.Create(
+		name,
+		trafficrecording.Header{Classes: []string{"segment-read"}},
+		trafficrecording.Limits{Pending: 1 << 16},
+	)
 	require.NoError(t, err)
 	gap := func(at time.Duration) time.Duration {
 		if at >= 12*time.Second && at < 20*time.Second {
@@ -76,8 +87,14 @@
 	}
 	require.NoError(t, out.Close())
 	set := []string{
-		"traffic.trace=" + name, "trouble.burst.size=1", "clients.retries=0", "kind.*.cancel=queued", "kind.*.queue_per_core=30",
-		"class.segment-read.attempt_cv=0", "trouble.leave.at_s=10", "trouble.leave.for_s=6",
+		"traffic.trace=" + name,
+		"trouble.burst.size=1",
+		"clients.retries=0",
+		"kind.*.cancel=queued",
+		"kind.*.queue_per_core=30",
+		"class.segment-read.attempt_cv=0",
+		"trouble.leave.at_s=10",
+		"trouble.leave.for_s=6",
 	}
 	served := func(r *Result, from, to int) float64 {
 		asked, got := 0.0, 0.0
@@ -101,7 +118,15 @@
 func TestDrainNotifiedInSameTickPrecedesRequest(t *testing.T) {
 	s, err := scenario.Load("quiet")
 	require.NoError(t, err)
-	s, err = s.With("traffic.load=0", "length_s=3", "zones.client_ms=0", "zones.jitter=0", "fleet.servers=2", "balancers.count=1", "zones.servers=[1,0,0,0]")
+	s, err = s.With(
+		"traffic.load=0",
+		"length_s=3",
+		"zones.client_ms=0",
+		"zones.jitter=0",
+		"fleet.servers=2",
+		"balancers.count=1",
+		"zones.servers=[1,0,0,0]",
+	)
 	require.NoError(t, err)
 	d, err := s.Draw(1)
 	require.NoError(t, err)
--- a/internal/lab/simulation/trace_replay_test.go
+++ b/internal/lab/simulation/trace_replay_test.go
@@ -13,11 +13,23 @@
 
 func TestTraceIsReplayedInOrderOfArrival(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "t.pnt")
-	out, err := trafficrecording.Create(name, trafficrecording.Header{Zone: "hawassa", Classes: []string{"pick-submit", "segment-read"}}, trafficrecording.Limits{})
+	out, err := trafficrecording.Create(
+		name,
+		trafficrecording.Header{Zone: "hawassa", Classes: []string{"pick-submit", "segment-read"}},
+		trafficrecording.Limits{},
+	)
 	require.NoError(t, err)
 	for i := range 400 { // in the order in which they ended: pairs stand crosswise
 		at := time.Duration(i^1) * 20 * time.Millisecond
-		out.Add(trafficrecording.Record{At: at, Class: uint16(i % 2), Key: uint64(i%7 + 1), CostHint: 30, Deadline: time.Second})
+		out.Add(
+			trafficrecording.Record{
+				At:       at,
+				Class:    uint16(i % 2),
+				Key:      uint64(i%7 + 1),
+				CostHint: 30,
+				Deadline: time.Second,
+			},
+		)
 	}
 	require.NoError(t, out.Close())
 	r := run(t, NewInProcess(), "quiet", 1, "traffic.trace="+name, "length_s=10", "clients.retries=0")
@@ -29,7 +41,10 @@
 	}
 	s, err := scenario.Load("quiet")
 	require.NoError(t, err)
-	for set, want := range map[string]string{"traffic.trace=/no/such": "no such file", "class.pick-submit.name=other": "is none of the scenario's"} {
+	for set, want := range map[string]string{
+		"traffic.trace=/no/such":       "no such file",
+		"class.pick-submit.name=other": "is none of the scenario's",
+	} {
 		c, err := s.With("traffic.trace="+name, set)
 		require.NoError(t, err)
 		d, err := c.Draw(1)
--- a/internal/lab/simulation/traffic.go
+++ b/internal/lab/simulation/traffic.go
@@ -69,7 +69,9 @@
 	rate := realization.Traffic.RequestsPerSecond
 	switch realization.Traffic.Shape {
 	case "waves":
-		rate *= 1 + realization.Traffic.Amplitude*math.Sin(2*math.Pi*(float64(at)/float64(realization.Traffic.Period)+realization.Traffic.Phase))
+		rate *= 1 + realization.Traffic.Amplitude*math.Sin(
+			2*math.Pi*(float64(at)/float64(realization.Traffic.Period)+realization.Traffic.Phase),
+		)
 	case "bursty":
 		rate *= t.levels[min(int(at/segment(realization)), len(t.levels)-1)]
 	}
@@ -138,7 +140,11 @@
 // drawRequest draws what a client wants.
 func (t *traffic) drawRequest(world *World, client *clientRequest) {
 	realization := world.realization
-	*client = clientRequest{randomKey: mix(realization.Seed ^ world.lastClientRequest*goldenRatio), firstSent: world.now, costHint: math.NaN()}
+	*client = clientRequest{
+		randomKey: mix(realization.Seed ^ world.lastClientRequest*goldenRatio),
+		firstSent: world.now,
+		costHint:  math.NaN(),
+	}
 	if t.replay {
 		t.takeRecorded(world, client)
 	} else {
@@ -181,8 +187,14 @@
 		var client clientRequest
 		world.traffic.drawRequest(world, &client)
 		arrivals = append(arrivals, Arrival{
-			At: client.firstSent, Class: client.class, Zone: client.zone, Work: client.work, Hint: client.costHint, Key: client.key,
-			MaxAttempts: client.maxRetries + 1, Seed: client.randomKey,
+			At:          client.firstSent,
+			Class:       client.class,
+			Zone:        client.zone,
+			Work:        client.work,
+			Hint:        client.costHint,
+			Key:         client.key,
+			MaxAttempts: client.maxRetries + 1,
+			Seed:        client.randomKey,
 		})
 	}
 }
@@ -191,8 +203,9 @@
 func (t *traffic) drawFromScenario(world *World, client *clientRequest) {
 	realization := world.realization
 	draw := t.arrivals.Float64()
-	for client.class = 0; client.class < len(realization.Classes)-1 && draw >= realization.Classes[client.class].Share; client.class++ {
-		draw -= realization.Classes[client.class].Share
+	classes := realization.Classes
+	for client.class = 0; client.class < len(classes)-1 && draw >= classes[client.class].Share; client.class++ {
+		draw -= classes[client.class].Share
 	}
 	client.zone = sort.SearchFloat64s(realization.Traffic.Zones, t.arrivals.Float64())
 	client.zone = min(client.zone, len(realization.Zones)-1)
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -139,7 +139,10 @@
 	}
 	id := w.newServerID(index)
 	w.serverByID[id] = index
-	w.servers = append(w.servers, serverState{Server: model, spec: spec, id: id, nextAdvance: servermodel.Never, slowFactor: 1})
+	w.servers = append(
+		w.servers,
+		serverState{Server: model, spec: spec, id: id, nextAdvance: servermodel.Never, slowFactor: 1},
+	)
 	return index, nil
 }
 
@@ -155,8 +158,8 @@
 	}
 }
 
-// Run plays the scenario to its end: until all requests are answered after the last arrival. An error names
-// the seed and the time; it is of the tier, or of an action that is impossible.
+// Run plays the scenario to its end: until all requests have their final responses after the last arrival.
+// An error names the seed and the time; it is of the tier, or of an action that is impossible.
 func (w *World) Run() (*Result, error) {
 	began := time.Now()
 	for !w.stop {
