--- a/internal/lab/emulator/connection.go
+++ b/internal/lab/emulator/connection.go
@@ -69,7 +69,7 @@
 	_ = connection.Close()
 }
 
-// serve answers one connection until it ends or was idle for too long.
+// serve serves one connection until it ends or was idle for too long.
 func (s *server) serve(connection net.Conn) {
 	defer s.closeConnection(connection)
 	messages := make(chan *http1.Message)
@@ -86,7 +86,7 @@
 	for {
 		select {
 		case message := <-messages:
-			if !s.answer(exchange{conn: connection, request: message, gone: gone}) {
+			if !s.serveExchange(exchange{conn: connection, request: message, gone: gone}) {
 				return
 			}
 			idle.Reset(keepAlive)
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -52,8 +52,13 @@
 
 func newDiscovery(fleet *Fleet, options Options) (*Discovery, error) {
 	service := &Discovery{
-		fleet: fleet, notified: options.Notified, endpoints: map[int]*endpoint{}, changes: map[int]int{}, changed: make(chan struct{}),
-		listeners: make([]*http.Server, options.Balancers), addresses: make([]string, options.Balancers),
+		fleet:     fleet,
+		notified:  options.Notified,
+		endpoints: map[int]*endpoint{},
+		changes:   map[int]int{},
+		changed:   make(chan struct{}),
+		listeners: make([]*http.Server, options.Balancers),
+		addresses: make([]string, options.Balancers),
 	}
 	service.outage, service.beginOutage = context.WithCancel(context.Background())
 	for balancer := range options.Balancers {
@@ -72,7 +77,10 @@
 		return fmt.Errorf("discovery: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /catalog/members", func(w http.ResponseWriter, req *http.Request) { d.serveWatch(w, req, balancer) })
+	mux.HandleFunc(
+		"GET /catalog/members",
+		func(w http.ResponseWriter, req *http.Request) { d.serveWatch(w, req, balancer) },
+	)
 	server := &http.Server{Handler: mux}
 	d.mu.Lock()
 	d.listeners[balancer] = server
@@ -83,15 +91,15 @@
 }
 
 // Move has a balancer's discovery listen at another address, which Address returns from then on. The former
-// one accepts no new connections, and closes the open ones after moveGrace.
-func (d *Discovery) Move(balancer int) error {
+// one accepts no new connections, and closes the open ones after moveGrace, also when the context ends before.
+func (d *Discovery) Move(ctx context.Context, balancer int) error {
 	d.mu.Lock()
 	old := d.listeners[balancer]
 	d.mu.Unlock()
 	if err := d.open(balancer); err != nil {
 		return err
 	}
-	ctx, stop := context.WithTimeout(context.Background(), moveGrace)
+	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), moveGrace)
 	go func() { // ends after moveGrace at the latest
 		defer stop()
 		if old.Shutdown(ctx) != nil {
@@ -182,7 +190,12 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.generation++
-	listed := &endpoint{state: state, startedAt: startedAt, address: d.fleet.servers[server].currentAddress(), generation: d.generation}
+	listed := &endpoint{
+		state:      state,
+		startedAt:  startedAt,
+		address:    d.fleet.servers[server].currentAddress(),
+		generation: d.generation,
+	}
 	previous := d.endpoints[server]
 	switch {
 	case previous != nil && previous.startedAt == startedAt:
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -19,7 +19,7 @@
 	"piernotch/internal/serve/discovery"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // recorder is an observer that keeps its notifications as lines.
 type recorder struct {
@@ -104,7 +104,7 @@
 	c, err := net.Dial("tcp", f.servers[0].address)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	return &peer{c, bufio.NewReader(c)}
 }
 
@@ -113,7 +113,7 @@
 	_, _ = fmt.Fprintf(p, "GET /read?w=%d HTTP/1.1\r\nHost: b\r\nX-Request-Id: %s\r\n\r\n", work, id)
 }
 
-func (p *peer) answer(t *testing.T) (status int, header http.Header, body string) {
+func (p *peer) readResponse(t *testing.T) (status int, header http.Header, body string) {
 	t.Helper()
 	r, err := http.ReadResponse(p.r, nil)
 	require.NoError(t, err)
@@ -126,24 +126,24 @@
 	f, n := openFleet(t, "report_every_ms = 1\n", nil)
 	a, b := dial(t, f), dial(t, f)
 	a.ask("1", 300)
-	require.Eventually(t, func() bool { return n.has("began 1 0") }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return n.has("began 1 0") }, testTimeout, time.Millisecond)
 	b.ask("2", 1)
-	status, header, _ := b.answer(t)
+	status, header, _ := b.readResponse(t)
 	require.Equal(t, 503, status)
 	require.Equal(t, "1", header.Get("X-Not-Run"))
 	require.Contains(t, header.Get("X-Load"), "inflight=")
 	require.True(t, n.has("over 2 0 true"))
-	status, _, body := a.answer(t)
+	status, _, body := a.readResponse(t)
 	require.Equal(t, 200, status)
 	require.True(t, strings.HasSuffix(body, " 1"))
 	require.True(t, n.has("ran 1 0") && n.has("over 1 0 false"))
 	a.ask("stranger", 1)
-	status, _, _ = a.answer(t)
+	status, _, _ = a.readResponse(t)
 	require.Equal(t, 400, status)
 	_, _ = io.WriteString(b, "GET /ping HTTP/1.1\r\nHost: b\r\n\r\nGET /read HTTP/1.1\r\nHost: b\r\n\r\n")
-	status, _, _ = b.answer(t)
+	status, _, _ = b.readResponse(t)
 	require.Equal(t, 200, status)
-	status, _, _ = b.answer(t)
+	status, _, _ = b.readResponse(t)
 	require.Equal(t, 404, status, "no id")
 }
 
@@ -151,12 +151,12 @@
 	f, n := openFleet(t, "cancel = \"all\"\n", nil)
 	a := dial(t, f)
 	a.ask("1", 60000)
-	require.Eventually(t, func() bool { return n.has("began 1 0") }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return n.has("began 1 0") }, testTimeout, time.Millisecond)
 	_ = a.Close()
-	require.Eventually(t, func() bool { return n.has("over 1 0 false") }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return n.has("over 1 0 false") }, testTimeout, time.Millisecond)
 	b := dial(t, f)
 	b.ask("2", 60000) // the slot is free again
-	require.Eventually(t, func() bool { return n.has("began 2 0") }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return n.has("began 2 0") }, testTimeout, time.Millisecond)
 	f.end(f.servers[0])
 	_, err := b.r.ReadByte()
 	require.Error(t, err)
@@ -168,7 +168,7 @@
 	require.Equal(t, address, f.servers[0].address)
 	c := dial(t, f)
 	c.ask("3", 1)
-	status, _, _ := c.answer(t)
+	status, _, _ := c.readResponse(t)
 	require.Equal(t, 200, status)
 }
 
@@ -181,20 +181,20 @@
 		f.servers[1].mu.Lock()
 		defer f.servers[1].mu.Unlock()
 		return f.servers[1].listener != nil
-	}, patience, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 	require.Equal(t, old, f.servers[1].address)
 	c := dial(t, f)
 	c.ask("1", 1)
-	status, _, body := c.answer(t)
+	status, _, body := c.readResponse(t)
 	require.Equal(t, 200, status)
-	require.Equal(t, "s-1 1", body, "it answers under its own name")
+	require.Equal(t, "s-1 1", body, "it responds under its own name")
 }
 
-func TestSilentServerDoesNotAnswer(t *testing.T) {
+func TestSilentServerDoesNotRespond(t *testing.T) {
 	f, n := openFleet(t, "", nil)
 	a := dial(t, f)
 	a.ask("1", 30)
-	require.Eventually(t, func() bool { return n.has("began 1 0") }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return n.has("began 1 0") }, testTimeout, time.Millisecond)
 	f.servers[0].silence()
 	_ = a.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 	_, err := a.r.ReadByte()
@@ -212,7 +212,7 @@
 	f, _ := openFleet(t, "", func(balancer, server int, state piernotch.State, _ time.Duration) {
 		notifications <- notification{server, state}
 	})
-	client := &http.Client{Timeout: patience}
+	client := &http.Client{Timeout: testTimeout}
 	get := func(query string) (discovery.EndpointList, int) {
 		r, err := client.Get("http://" + f.Discovery().Address(0) + "/catalog/members" + query)
 		require.NoError(t, err)
@@ -242,7 +242,7 @@
 	startedAt := change.Endpoints[0].Endpoint.StartedAt
 	require.Positive(t, startedAt)
 	again, _ := get("")
-	require.Equal(t, startedAt, again.Endpoints[0].Endpoint.StartedAt, "one start is told as one")
+	require.Equal(t, startedAt, again.Endpoints[0].Endpoint.StartedAt, "one start is one watch event")
 	f.discovery.setOutage(true)
 	_, status := get("")
 	require.Equal(t, 503, status)
--- a/internal/lab/emulator/exchange.go
+++ b/internal/lab/emulator/exchange.go
@@ -18,7 +18,7 @@
 // notRun is the header of a response that proves that the request has not run.
 var notRun = http1.Field{Name: "X-Not-Run", Value: "1"}
 
-// exchange is a request on a connection and what belongs to its answer.
+// exchange is a request on a connection and what belongs to its response.
 type exchange struct {
 	conn    net.Conn
 	request *http1.Message
@@ -33,12 +33,12 @@
 	return err == nil && !x.request.Close
 }
 
-// answer serves one request. It reports whether the connection goes on.
-func (s *server) answer(received exchange) bool {
+// serveExchange serves one request. It reports whether the connection goes on.
+func (s *server) serveExchange(received exchange) bool {
 	now := s.fleet.clock()
 	path := received.request.Path()
 	if path == "/ping" || path == "/_load" {
-		return s.answerHealthCheck(received, now)
+		return s.respondToHealthCheck(received, now)
 	}
 	received.id = received.request.Fields.Get("x-request-id")
 	if received.id == "" {
@@ -72,14 +72,14 @@
 	}
 }
 
-// writeError answers a request that is not served. The connection goes on whatever the request says.
+// writeError responds to a request that is not served. The connection goes on whatever the request says.
 func (x *exchange) writeError(status int) bool {
 	_, err := x.conn.Write(http1.AppendResponse(nil, status, nil, nil))
 	return err == nil
 }
 
-// answerHealthCheck answers a health check or a call for the load report.
-func (s *server) answerHealthCheck(received exchange, now time.Duration) bool {
+// respondToHealthCheck responds to a health check or a call for the load report.
+func (s *server) respondToHealthCheck(received exchange, now time.Duration) bool {
 	s.mu.Lock()
 	s.model.Charge(now, s.spec.Kind.HealthCheckWork)
 	state := s.model.State()
@@ -113,7 +113,12 @@
 	if !ok {
 		return nil
 	}
-	return http1.Fields{{Name: "X-Load", Value: fmt.Sprintf("eps=%.2f,qps=%.2f,inflight=%.1f", report.ErrorsPerSec, report.PerSec, report.Inflight)}}
+	return http1.Fields{
+		{
+			Name:  "X-Load",
+			Value: fmt.Sprintf("eps=%.2f,qps=%.2f,inflight=%.1f", report.ErrorsPerSec, report.PerSec, report.Inflight),
+		},
+	}
 }
 
 // admit brings a request to the model. The job is nil unless it was accepted.
@@ -175,7 +180,7 @@
 	s.fleet.observer.AttemptCompleted(received.id, received.attempt, NeverExecuted(false))
 }
 
-// respond answers a request whose job has been completed. It reports whether the connection goes on.
+// respond writes the response to a request whose job has been completed. It reports whether the connection goes on.
 func (s *server) respond(received exchange, completion servermodel.Completion) bool {
 	if completion.Started {
 		s.fleet.observer.AttemptExecuted(received.id, received.attempt)
--- a/internal/lab/emulator/malformed.go
+++ b/internal/lab/emulator/malformed.go
@@ -59,7 +59,14 @@
 	case oddInterim:
 		return writeText(connection, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-A: b\r\n\r\n"+valid)
 	case oddLoadReport:
-		return writeText(connection, fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Load: \x7f=,inflight=many,=\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
+		return writeText(
+			connection,
+			fmt.Sprintf(
+				"HTTP/1.1 200 OK\r\nX-Load: \x7f=,inflight=many,=\r\nContent-Length: %d\r\n\r\n%s",
+				len(body),
+				body,
+			),
+		)
 	default:
 		return writeText(connection, valid)
 	}
--- a/internal/lab/emulator/script.go
+++ b/internal/lab/emulator/script.go
@@ -69,7 +69,9 @@
 	case scenario.Slow:
 		f.slow(server, step.Size)
 	case scenario.Pauses:
-		server.withModel(func(model *servermodel.Server, now time.Duration) { model.SetPauses(now, step.Every, step.Length) })
+		server.withModel(
+			func(model *servermodel.Server, now time.Duration) { model.SetPauses(now, step.Every, step.Length) },
+		)
 	case scenario.Overload:
 		server.withModel(func(model *servermodel.Server, now time.Duration) {
 			model.SetOverloaded(now)
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -49,8 +49,15 @@
 		return nil, err
 	}
 	created := &server{
-		fleet: fleet, number: number, name: fmt.Sprintf("s-%d", number), spec: spec, model: model, jobs: map[uint64]*pendingJob{},
-		slowdown: 1, connections: map[net.Conn]struct{}{}, rng: rand.New(rand.NewPCG(seed, serverStream)),
+		fleet:       fleet,
+		number:      number,
+		name:        fmt.Sprintf("s-%d", number),
+		spec:        spec,
+		model:       model,
+		jobs:        map[uint64]*pendingJob{},
+		slowdown:    1,
+		connections: map[net.Conn]struct{}{},
+		rng:         rand.New(rand.NewPCG(seed, serverStream)),
 	}
 	created.timer = time.AfterFunc(time.Hour, created.advance)
 	created.timer.Stop()
--- a/internal/lab/emulator/watch.go
+++ b/internal/lab/emulator/watch.go
@@ -13,16 +13,16 @@
 // maxWatch bounds how long a call may wait for a change.
 const maxWatch = time.Minute
 
-// The list as discovery answers it.
+// The list as it stands in the responses of discovery.
 type (
 	listJSON struct {
 		Generation uint64         `json:"generation"`
 		Reset      bool           `json:"reset"`
-		Instances  []instanceJSON `json:"instances"`
+		Endpoints  []endpointJSON `json:"instances"`
 	}
 
-	instanceJSON struct {
-		InstanceID  string  `json:"instanceId"`
+	endpointJSON struct {
+		ServerID    string  `json:"instanceId"`
 		HostPort    string  `json:"hostPort"`
 		Zone        string  `json:"zone"`
 		MachineType string  `json:"machineType"`
@@ -53,7 +53,7 @@
 // list returns what has changed since the generation of a call, or for a complete one all servers that are
 // not gone, and their numbers. The lock is held.
 func (d *Discovery) list(call watchCall) (listJSON, []int) {
-	list := listJSON{Generation: d.generation, Reset: call.complete, Instances: []instanceJSON{}}
+	list := listJSON{Generation: d.generation, Reset: call.complete, Endpoints: []endpointJSON{}}
 	var servers []int
 	for number, server := range d.fleet.servers {
 		endpoint := d.endpoints[number]
@@ -64,9 +64,15 @@
 		if d.ServerAddress != nil {
 			address = d.ServerAddress(call.balancer, number, address)
 		}
-		list.Instances = append(list.Instances, instanceJSON{
-			InstanceID: server.name, HostPort: address, Zone: d.fleet.realization.Zones[server.spec.Zone], MachineType: server.spec.Kind.Name,
-			Cell: server.spec.Cell, Lifecycle: lifecycles[endpoint.state], Weight: server.spec.Size, StartedAtMs: endpoint.startedUnixMS,
+		list.Endpoints = append(list.Endpoints, endpointJSON{
+			ServerID:    server.name,
+			HostPort:    address,
+			Zone:        d.fleet.realization.Zones[server.spec.Zone],
+			MachineType: server.spec.Kind.Name,
+			Cell:        server.spec.Cell,
+			Lifecycle:   lifecycles[endpoint.state],
+			Weight:      server.spec.Size,
+			StartedAtMs: endpoint.startedUnixMS,
 		})
 		servers = append(servers, number)
 	}
@@ -78,7 +84,7 @@
 	balancer int
 	since    uint64
 	complete bool // no generation was given: the complete list is asked for
-	noWait   bool // it is to be answered at once, also without changes
+	noWait   bool // it is to get its response at once, also without changes
 }
 
 // wants reports whether an endpoint is part of the response to the call.
@@ -89,7 +95,7 @@
 	return listed.generation > c.since
 }
 
-// watchResponse is what a call is answered with now.
+// watchResponse is what the response to a call says now.
 type watchResponse struct {
 	unavailable bool // there is an outage
 	ready       bool // list is the response; else it waits
@@ -100,7 +106,7 @@
 	outage      context.Context
 }
 
-// serveWatch answers a balancer's call: at once with what has changed, or when something changes or its time
+// serveWatch responds to a balancer's call: at once with what has changed, or when something changes or its time
 // is up.
 func (d *Discovery) serveWatch(writer http.ResponseWriter, request *http.Request, balancer int) {
 	d.mu.Lock()
--- a/internal/lab/loadtest/admin.go
+++ b/internal/lab/loadtest/admin.go
@@ -85,6 +85,14 @@
 func (e *environment) expectStatus(ctx context.Context, target *process, call adminCall, status int) {
 	got, err := target.callAdmin(call)
 	if (err != nil || got != status) && ctx.Err() == nil {
-		e.handovers.addProblem("%s %s %q: status %d, %v; expected %d", call.method, call.path, call.server, got, err, status)
+		e.handovers.addProblem(
+			"%s %s %q: status %d, %v; expected %d",
+			call.method,
+			call.path,
+			call.server,
+			got,
+			err,
+			status,
+		)
 	}
 }
--- a/internal/lab/loadtest/balancer.go
+++ b/internal/lab/loadtest/balancer.go
@@ -55,7 +55,7 @@
 	cmd          *exec.Cmd
 	exited       chan struct{} // closed when it has exited
 	adminAddress string        // of its admin calls; "": none
-	stopping     bool          // it was told to end, or killed; guarded by balancer.mu
+	stopping     bool          // it was asked to end, or killed; guarded by balancer.mu
 }
 
 // listener is the listening socket that all processes of a balancer inherit, and the directory that they
@@ -78,27 +78,49 @@
 		return nil, err
 	}
 	return &balancer{
-		number: number, zone: realization.Balancers[number].Zone, program: opts.Program, env: opts.Env, dir: opts.LogDir, address: address,
+		number:     number,
+		zone:       realization.Balancers[number].Zone,
+		program:    opts.Program,
+		env:        opts.Env,
+		dir:        opts.LogDir,
+		address:    address,
 		configFile: filepath.Join(opts.LogDir, fmt.Sprintf("n%d.json", number)),
 	}, nil
 }
 
 // configure writes the platform's JSON.
-func (b *balancer) configure(realization *scenario.Realization, discovery string, known json.RawMessage, allowed limits) error {
+func (b *balancer) configure(
+	realization *scenario.Realization,
+	discovery string,
+	known json.RawMessage,
+	allowed limits,
+) error {
 	balancerSettings := realization.Settings
 	balancerSettings.Zone = b.zone
 	rules := &realization.Rules
 	settings, err := simprotocol.MarshalSettings(&balancerSettings, simprotocol.ExtraSettings{
-		Balancer: simprotocol.BalancerNumber(b.number), KeepAliveMS: simprotocol.Milliseconds(rules.KeepAlive), DialMS: simprotocol.Milliseconds(rules.DialTimeout), SlackMS: simprotocol.Milliseconds(rules.ResponseSlack),
-		GraceMS: simprotocol.Milliseconds(rules.DrainGrace), FallMultiple: rules.Collapse.Multiple, FallMS: simprotocol.Milliseconds(rules.Collapse.For),
-		ServerKinds: realization.KindNames(), Columns: []string{"eps", "qps", "inflight"}, WeightBy: "work",
+		Balancer:     simprotocol.BalancerNumber(b.number),
+		KeepAliveMS:  simprotocol.Milliseconds(rules.KeepAlive),
+		DialMS:       simprotocol.Milliseconds(rules.DialTimeout),
+		SlackMS:      simprotocol.Milliseconds(rules.ResponseSlack),
+		GraceMS:      simprotocol.Milliseconds(rules.DrainGrace),
+		FallMultiple: rules.Collapse.Multiple,
+		FallMS:       simprotocol.Milliseconds(rules.Collapse.For),
+		ServerKinds:  realization.KindNames(),
+		Columns:      []string{"eps", "qps", "inflight"},
+		WeightBy:     "work",
 	})
 	if err != nil {
 		return err
 	}
 	data, err := json.Marshal(map[string]any{
-		"name": fmt.Sprintf("n%d", b.number), "listen": b.address, "discovery": discovery,
-		"seed": fmt.Sprintf("%x", realization.Seed*1000+uint64(b.number)+1), "limits": allowed, "known": known, "settings": json.RawMessage(settings),
+		"name":      fmt.Sprintf("n%d", b.number),
+		"listen":    b.address,
+		"discovery": discovery,
+		"seed":      fmt.Sprintf("%x", realization.Seed*1000+uint64(b.number)+1),
+		"limits":    allowed,
+		"known":     known,
+		"settings":  json.RawMessage(settings),
 	})
 	if err != nil {
 		return err
@@ -123,12 +145,19 @@
 
 // commandEnvironment is the environment of a process, and the address of its admin calls.
 func (b *balancer) commandEnvironment() (env []string, adminAddress string, err error) {
-	env = append(append(os.Environ(), b.env...), "ROUTER_CONFIG="+b.configFile, "PIERNOTCH_CONFIG=", "ROUTER_LISTEN_FD=", "ROUTER_MANAGEMENT=")
+	env = append(
+		append(os.Environ(), b.env...),
+		"ROUTER_CONFIG="+b.configFile,
+		"PIERNOTCH_CONFIG=",
+		"ROUTER_LISTEN_FD=",
+		"ROUTER_MANAGEMENT=",
+	)
 	if b.listener == nil {
 		return env, "", nil
 	}
 	adminAddress, err = faultproxy.FreeAddress()
-	return append(env, "ROUTER_LISTEN_FD=3", "TMPDIR="+b.listener.tempDir, "ROUTER_MANAGEMENT="+adminAddress), adminAddress, err
+	env = append(env, "ROUTER_LISTEN_FD=3", "TMPDIR="+b.listener.tempDir, "ROUTER_MANAGEMENT="+adminAddress)
+	return env, adminAddress, err
 }
 
 // current returns the process that clients are served by.
@@ -138,7 +167,7 @@
 	return b.process
 }
 
-// isStopping reports whether the present process was told to end.
+// isStopping reports whether the present process was asked to end.
 func (b *balancer) isStopping() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/lab/loadtest/errors.go
+++ b/internal/lab/loadtest/errors.go
@@ -8,7 +8,9 @@
 // Errors of Run.
 var (
 	// ErrLinkFaultsWithSharedWatch is returned when faults of links and a shared watch are asked for.
-	ErrLinkFaultsWithSharedWatch = errors.New("faults of links cannot be played on balancers that share a watch: they reach servers at the same addresses")
+	ErrLinkFaultsWithSharedWatch = errors.New(
+		"faults of links cannot be played on balancers that share a watch: they reach servers at the same addresses",
+	)
 	// ErrBalancerExited is a balancer that ended though nobody had stopped it.
 	ErrBalancerExited = errors.New("ended by itself")
 	// ErrBalancerNotStarted is a balancer that ended before it was ready.
--- a/internal/lab/loadtest/fakebalancer_test.go
+++ b/internal/lab/loadtest/fakebalancer_test.go
@@ -29,7 +29,7 @@
 	var config struct {
 		Listen, Discovery string
 		Known             struct {
-			Instances []struct{ HostPort string }
+			Endpoints []struct{ HostPort string } `json:"instances"`
 		}
 	}
 	data, err := os.ReadFile(os.Getenv("ROUTER_CONFIG"))
@@ -40,7 +40,7 @@
 		fmt.Fprintln(os.Stderr, "out of cheese")
 		os.Exit(4)
 	}
-	go func() { // it polls discovery, and ignores the answers
+	go func() { // it polls discovery, and ignores the responses
 		for {
 			if response, err := http.Get("http://" + config.Discovery + "/catalog/members"); err == nil {
 				_, _ = io.Copy(io.Discard, response.Body)
@@ -51,7 +51,7 @@
 	}()
 	var forwarded atomic.Int64
 	forward := func(request *http.Request, body []byte) (*http.Response, error) {
-		to := config.Known.Instances[int(forwarded.Add(1))%len(config.Known.Instances)].HostPort
+		to := config.Known.Endpoints[int(forwarded.Add(1))%len(config.Known.Endpoints)].HostPort
 		copied, err := http.NewRequest(request.Method, "http://"+to+request.URL.RequestURI(), bytes.NewReader(body))
 		if err != nil {
 			return nil, err
@@ -79,13 +79,13 @@
 			return
 		}
 		defer func() { _ = response.Body.Close() }()
-		answer, _ := io.ReadAll(response.Body)
+		responseBody, _ := io.ReadAll(response.Body)
 		if fault == "lies" && response.StatusCode == 200 && odd {
 			writer.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 		writer.WriteHeader(response.StatusCode)
-		_, _ = writer.Write(answer)
+		_, _ = writer.Write(responseBody)
 	}
 	server := &http.Server{Addr: config.Listen, Handler: http.HandlerFunc(serve)}
 	go func() {
--- a/internal/lab/loadtest/faults.go
+++ b/internal/lab/loadtest/faults.go
@@ -48,7 +48,10 @@
 // arrived: a link that is cut delays it.
 func (e *environment) endpointNotified(balancer, server int, state piernotch.State, startedAt time.Duration) {
 	if e.sharedWatch != nil {
-		e.sharedWatch.endpointNotified(e, notification{balancer: balancer, server: server, state: state, startedAt: startedAt})
+		e.sharedWatch.endpointNotified(
+			e,
+			notification{balancer: balancer, server: server, state: state, startedAt: startedAt},
+		)
 		return
 	}
 	if e.proxies == nil {
--- a/internal/lab/loadtest/handover.go
+++ b/internal/lab/loadtest/handover.go
@@ -15,15 +15,17 @@
 // Kinds of handovers. Each ends with one process of the balancer. The values are those of stored
 // results.
 const (
-	HandoverPlain            HandoverKind = "plain"       // the old process is told to end once the new one is ready
+	HandoverPlain            HandoverKind = "plain"       // the old process is asked to end once the new one is ready
 	HandoverLateStop         HandoverKind = "late"        // up to maxStopDelay after that
 	HandoverCrashBeforeReady HandoverKind = "dies-early"  // the new one is killed before it is ready
-	HandoverCrashAfterReady  HandoverKind = "dies-late"   // and after it, before the old one is told to end
+	HandoverCrashAfterReady  HandoverKind = "dies-late"   // and after it, before the old one is asked to end
 	HandoverBothReload       HandoverKind = "both-reload" // both get a SIGHUP meanwhile
-	HandoverStopBeforeReady  HandoverKind = "too-soon"    // the old one is told to end while the new one starts
+	HandoverStopBeforeReady  HandoverKind = "too-soon"    // the old one is asked to end while the new one starts
 	HandoverThirdProcess     HandoverKind = "third"       // a third is started beside the two
-	HandoverExclude          HandoverKind = "exclude"     // a server is excluded at either process meanwhile, and included again
-	HandoverDrain            HandoverKind = "drain"       // the balancer is drained at one process and rejoins at the other
+	// A server is excluded at either process meanwhile, and included again.
+	HandoverExclude HandoverKind = "exclude"
+	// The balancer is drained at one process and rejoins at the other.
+	HandoverDrain HandoverKind = "drain"
 )
 
 // HandoverKinds are all of them.
@@ -37,7 +39,7 @@
 	At        time.Duration // since the run began
 	Balancer  int
 	Kind      HandoverKind
-	StopDelay time.Duration // until the old process is told to end, where that is late
+	StopDelay time.Duration // until the old process is asked to end, where that is late
 }
 
 const (
@@ -50,7 +52,7 @@
 	maxStopDelay = 6 * time.Second
 	// readyTimeout is how long a new process may take to be ready.
 	readyTimeout = 5 * time.Second
-	// killGrace is how long after the longest deadline of a class a process that was told to end
+	// killGrace is how long after the longest deadline of a class a process that was asked to end
 	// is killed.
 	killGrace = 700 * time.Millisecond
 )
@@ -78,13 +80,14 @@
 
 // HandoverReport is the result of the handovers. It is complete when Run has returned.
 type HandoverReport struct {
-	mu                 sync.Mutex
-	Done               map[HandoverKind]int `json:"done"`
-	SlowestReady       time.Duration        `json:"slowest_yes_ns"`
-	Problems           []string             `json:"wrong,omitempty"` // admin calls whose response was late or wrong
-	Exited             int                  `json:"ended"`           // processes that ended when told to
-	Killed             int                  `json:"killed"`          // and that had to be killed after their time
-	ClosedUnderRequest int                  `json:"turned_back"`     // requests whose connection was closed unread, by processes that were not killed
+	mu           sync.Mutex
+	Done         map[HandoverKind]int `json:"done"`
+	SlowestReady time.Duration        `json:"slowest_yes_ns"`
+	Problems     []string             `json:"wrong,omitempty"` // admin calls whose response was late or wrong
+	Exited       int                  `json:"ended"`           // processes that ended when asked to
+	Killed       int                  `json:"killed"`          // and that had to be killed after their time
+	// ClosedUnderRequest counts requests whose connection was closed unread, by processes that were not killed.
+	ClosedUnderRequest int `json:"turned_back"`
 }
 
 func (h *HandoverReport) addProblem(format string, args ...any) {
@@ -107,7 +110,7 @@
 	h.SlowestReady = max(h.SlowestReady, after)
 }
 
-// addExited counts an old process that ended when it was told to.
+// addExited counts an old process that ended when it was asked to.
 func (h *HandoverReport) addExited() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/loadtest/handover_play.go
+++ b/internal/lab/loadtest/handover_play.go
@@ -56,7 +56,14 @@
 	}
 	spawned := time.Now()
 	if err := next.awaitReady(ctx, readyTimeout); err != nil {
-		return target.error(fmt.Sprintf("handover %s at %v", storednames.Display(storednames.HandoverKinds, string(played.Kind)), played.At), err)
+		return target.error(
+			fmt.Sprintf(
+				"handover %s at %v",
+				storednames.Display(storednames.HandoverKinds, string(played.Kind)),
+				played.At,
+			),
+			err,
+		)
 	}
 	e.handovers.addReady(time.Since(spawned))
 	if played.Kind == HandoverCrashAfterReady {
@@ -134,7 +141,7 @@
 	e.handovers.addDone(played.Kind)
 }
 
-// awaitExit waits for a process that was told to end, as long as the platform does, and kills it then.
+// awaitExit waits for a process that was asked to end, as long as the platform does, and kills it then.
 func (e *environment) awaitExit(old *process) {
 	limit := minStopLimit
 	for _, class := range e.realization.Classes {
@@ -161,10 +168,20 @@
 	e.expectStatus(ctx, both.old, exclude, http.StatusOK)
 	e.observer.EndpointNotified(both.balancer.number, server, piernotch.Draining, 0)
 	e.expectStatus(ctx, both.next, exclude, http.StatusOK)
-	e.expectStatus(ctx, both.next, adminCall{method: http.MethodPost, path: "/api/exclude", server: "s-nobody"}, http.StatusNotFound)
+	e.expectStatus(
+		ctx,
+		both.next,
+		adminCall{method: http.MethodPost, path: "/api/exclude", server: "s-nobody"},
+		http.StatusNotFound,
+	)
 	sleep(ctx, e.realization.Rules.DrainGrace+time.Second)
 	e.observer.EndpointNotified(both.balancer.number, server, piernotch.Ready, 0)
-	e.expectStatus(ctx, both.next, adminCall{method: http.MethodPost, path: "/api/include", server: name}, http.StatusOK)
+	e.expectStatus(
+		ctx,
+		both.next,
+		adminCall{method: http.MethodPost, path: "/api/include", server: name},
+		http.StatusOK,
+	)
 }
 
 // drainBalancer drains the balancer at one process and has it rejoin at the other.
--- a/internal/lab/loadtest/loadtest.go
+++ b/internal/lab/loadtest/loadtest.go
@@ -92,7 +92,13 @@
 func (e *environment) play(ctx context.Context, arrivals []simulation.Arrival) (*Report, error) {
 	now := time.Now()
 	e.started.Store(&now)
-	clients := &load.Clients{Realization: e.realization, Arrivals: arrivals, Observer: e.observer, Pick: e.pickBalancer, Clock: e.clock}
+	clients := &load.Clients{
+		Realization: e.realization,
+		Arrivals:    arrivals,
+		Observer:    e.observer,
+		Pick:        e.pickBalancer,
+		Clock:       e.clock,
+	}
 	e.fleet.Play(ctx)
 	e.scheduleScenarioFaults(ctx)
 	e.scheduleLinkAndProcessFaults(ctx)
--- a/internal/lab/loadtest/loadtest_test.go
+++ b/internal/lab/loadtest/loadtest_test.go
@@ -21,8 +21,14 @@
 	loaded, err := scenario.Parse("test", []byte("include = \"base\"\n"+text))
 	require.NoError(t, err)
 	loaded, err = loaded.With(append([]string{
-		"length_s=6", "balancers.count=1", "fleet.servers=6", "traffic.rate_per_s=40", "class.*.work_ms=20", "clients.retries=1",
-		"kind.*.error_rate=0", "kind.*.cold_s=0",
+		"length_s=6",
+		"balancers.count=1",
+		"fleet.servers=6",
+		"traffic.rate_per_s=40",
+		"class.*.work_ms=20",
+		"clients.retries=1",
+		"kind.*.error_rate=0",
+		"kind.*.cold_s=0",
 	}, set...)...)
 	require.NoError(t, err)
 	realization, err := loaded.Draw(2)
@@ -35,14 +41,22 @@
 	t.Helper()
 	self, err := os.Executable()
 	require.NoError(t, err)
-	return Run(context.Background(), testRealization(t, text, set...), Options{Program: self, Env: []string{"FAKE_BALANCER=" + fault}})
+	return Run(
+		context.Background(),
+		testRealization(t, text, set...),
+		Options{Program: self, Env: []string{"FAKE_BALANCER=" + fault}},
+	)
 }
 
 // requireOneOutcomePerAttempt checks that every attempt of a client has one outcome.
 func requireOneOutcomePerAttempt(t *testing.T, report *Report) {
 	t.Helper()
 	counts := report.Counts
-	require.Equal(t, counts.Attempts, counts.Served+counts.Rejected+counts.Failed+counts.TimedOut+counts.Disconnected+counts.Unreachable)
+	require.Equal(
+		t,
+		counts.Attempts,
+		counts.Served+counts.Rejected+counts.Failed+counts.TimedOut+counts.Disconnected+counts.Unreachable,
+	)
 	require.Positive(t, report.Requests)
 	require.GreaterOrEqual(t, counts.Attempts, report.Requests)
 }
@@ -50,23 +64,33 @@
 func TestInvariantViolationsAreDetectedOnSockets(t *testing.T) {
 	drain := "[[trouble]]\nkind = \"leave\"\nat_s = 0.5\nfor_s = 0.1\npart = 0.4\nramp_s = 5\n"
 	for _, test := range []struct {
-		fault, trouble string
-		rule           invariants.Rule
-		what           string
+		fault, scenarioFault string
+		rule                 invariants.Rule
+		what                 string
 	}{
 		{"repeats", "", invariants.Repeated, "though an earlier attempt may have been executed"},
 		{"drops", "", invariants.Lost, "its connection was closed without a response"},
 		{"lies", "", invariants.Repeated, "rejected, though an attempt may have been executed"},
-		{"ignores drains", drain, invariants.Drain, "after the balancer was notified that the server drains or is gone"},
+		{
+			"ignores drains", drain, invariants.Drain,
+			"after the balancer was notified that the server drains or is gone",
+		},
 	} {
 		t.Run(test.fault, func(t *testing.T) {
 			t.Parallel()
-			report, err := runWithFakeBalancer(t, test.fault, test.trouble, "discovery.notice_s=0.2", "discovery.period_ms=100")
+			report, err := runWithFakeBalancer(
+				t,
+				test.fault,
+				test.scenarioFault,
+				"discovery.notice_s=0.2",
+				"discovery.period_ms=100",
+			)
 			require.NoError(t, err)
 			requireOneOutcomePerAttempt(t, report)
 			found := false
 			for _, violation := range report.Violations {
-				found = found || violation.Rule == test.rule && strings.Contains(violation.Message, test.what) && len(violation.Steps) > 0
+				found = found || violation.Rule == test.rule &&
+					strings.Contains(violation.Message, test.what) && len(violation.Steps) > 0
 			}
 			require.True(t, found, "%v", report.Violations)
 		})
@@ -86,7 +110,7 @@
 	program := filepath.Join(t.TempDir(), "piernotch")
 	out, err := exec.Command("go", "build", "-o", program, "piernotch/cmd/piernotch").CombinedOutput()
 	require.NoError(t, err, "%s", out)
-	trouble := `
+	faults := `
 [[trouble]]
 kind = "balancer_crash"
 at_s = 2
@@ -123,7 +147,11 @@
 for_s = 4
 size = 30
 `
-	report, err := Run(context.Background(), testRealization(t, trouble, "balancers.count=2", "length_s=8"), Options{Program: program})
+	report, err := Run(
+		context.Background(),
+		testRealization(t, faults, "balancers.count=2", "length_s=8"),
+		Options{Program: program},
+	)
 	require.NoError(t, err)
 	requireOneOutcomePerAttempt(t, report)
 	require.Zero(t, report.ViolationCount(), "%v", report.Violations)
@@ -145,7 +173,11 @@
 	var once sync.Once
 	time.AfterFunc(2*time.Second, func() { once.Do(stop) })
 	started := time.Now()
-	report, err := Run(ctx, testRealization(t, "", "length_s=120"), Options{Program: self, Env: []string{"FAKE_BALANCER=none"}})
+	report, err := Run(
+		ctx,
+		testRealization(t, "", "length_s=120"),
+		Options{Program: self, Env: []string{"FAKE_BALANCER=none"}},
+	)
 	if err == nil {
 		requireOneOutcomePerAttempt(t, report)
 	}
--- a/internal/lab/loadtest/report.go
+++ b/internal/lab/loadtest/report.go
@@ -42,14 +42,22 @@
 	counts := clients.Counts()
 	lateness := clients.Lateness(99)
 	report := &Report{
-		Result: e.buildResult(clients.Goodput(), counts), Counts: counts, Balancers: usage,
-		LatenessMS: lateness.Seconds() * 1000, Malformed: e.malformed.Counts(), DiscoveryCalls: e.fleet.Discovery().Calls(),
+		Result:         e.buildResult(clients.Goodput(), counts),
+		Counts:         counts,
+		Balancers:      usage,
+		LatenessMS:     lateness.Seconds() * 1000,
+		Malformed:      e.malformed.Counts(),
+		DiscoveryCalls: e.fleet.Discovery().Calls(),
 	}
 	if counts.Attempts > 0 {
 		report.CPUPerAnswer = totalCPUSeconds(usage) / float64(counts.Attempts) * 1e6
 	}
 	if lateness > maxLateness {
-		report.Void = fmt.Sprintf("the test harness sent requests %v late at the 99th percentile, more than %v", lateness.Round(time.Millisecond), maxLateness)
+		report.Void = fmt.Sprintf(
+			"the test harness sent requests %v late at the 99th percentile, more than %v",
+			lateness.Round(time.Millisecond),
+			maxLateness,
+		)
 	}
 	if len(e.opts.Handovers) > 0 {
 		e.handovers.ClosedUnderRequest = e.observer.ClosedUnderRequest()
@@ -69,11 +77,22 @@
 	parts := counter.Parts()
 	checker := e.observer.Finish()
 	result := simulation.Result{
-		Seed: e.realization.Seed, Requests: counter.Requests, ClientAttempts: counts.Attempts, WholeRun: parts.WholeRun, WorstWindow: parts.WorstWindow, WorstClass: parts.WorstClass,
-		Classes: parts.Classes, Seconds: counter.Seconds, Latency: counter.Latency(), WallS: e.clock().Seconds(),
-		Lost: checker.Count(invariants.Lost), Repeated: checker.Count(invariants.Repeated),
-		DrainViolations: checker.Count(invariants.Drain), SlowStartCollapses: checker.Count(invariants.SlowStart),
-		Violations: checker.Violations(), DrainLatest: checker.DrainLatest().Seconds() * 1000,
+		Seed:               e.realization.Seed,
+		Requests:           counter.Requests,
+		ClientAttempts:     counts.Attempts,
+		WholeRun:           parts.WholeRun,
+		WorstWindow:        parts.WorstWindow,
+		WorstClass:         parts.WorstClass,
+		Classes:            parts.Classes,
+		Seconds:            counter.Seconds,
+		Latency:            counter.Latency(),
+		WallS:              e.clock().Seconds(),
+		Lost:               checker.Count(invariants.Lost),
+		Repeated:           checker.Count(invariants.Repeated),
+		DrainViolations:    checker.Count(invariants.Drain),
+		SlowStartCollapses: checker.Count(invariants.SlowStart),
+		Violations:         checker.Violations(),
+		DrainLatest:        checker.DrainLatest().Seconds() * 1000,
 	}
 	if result.Latency != nil {
 		result.P50 = counter.Percentile(50)
--- a/internal/lab/loadtest/scenario_faults.go
+++ b/internal/lab/loadtest/scenario_faults.go
@@ -39,7 +39,7 @@
 			})
 		case faultDiscoveryMove:
 			for _, target := range e.balancers {
-				e.at(ctx, fault.At, func() { e.moveDiscovery(target) })
+				e.at(ctx, fault.At, func() { e.moveDiscovery(ctx, target) })
 			}
 		case faultBalancerCrash:
 			for _, number := range fault.Balancers {
@@ -102,8 +102,8 @@
 
 // moveDiscovery moves a balancer's discovery to another address, and has the balancer reload its
 // configuration.
-func (e *environment) moveDiscovery(target *balancer) {
-	err := e.fleet.Discovery().Move(target.number)
+func (e *environment) moveDiscovery(ctx context.Context, target *balancer) {
+	err := e.fleet.Discovery().Move(ctx, target.number)
 	if err == nil {
 		err = e.configure(target)
 	}
--- a/internal/lab/loadtest/sharedwatch.go
+++ b/internal/lab/loadtest/sharedwatch.go
@@ -25,7 +25,8 @@
 
 // sharedNotifyTimeout is the time after which an endpoint update that one balancer received counts as known to
 // all: by then each has been notified by the group, or watches discovery itself.
-var sharedNotifyTimeout = watch.DefaultTiming.HeartbeatTimeout + watch.DefaultTiming.TimeoutJitter + 500*time.Millisecond
+var sharedNotifyTimeout = watch.DefaultTiming.HeartbeatTimeout + watch.DefaultTiming.TimeoutJitter +
+	500*time.Millisecond
 
 // sharedWatch is one watch of discovery for all balancers, through a control group of voters.
 type sharedWatch struct {
--- a/internal/lab/loadtest/usage.go
+++ b/internal/lab/loadtest/usage.go
@@ -36,7 +36,8 @@
 			return quarters
 		case <-tick.C:
 		}
-		now := min(int(4*e.clock()/e.realization.Length), 3) // what goes on after the realization's length belongs to the last quarter
+		// What goes on after the realization's length belongs to the last quarter.
+		now := min(int(4*e.clock()/e.realization.Length), 3)
 		for i, balancer := range e.balancers {
 			used := balancer.usage()
 			quarter := &quarters[i][now]
