--- a/internal/lab/loadtest/faults.go
+++ b/internal/lab/loadtest/faults.go
@@ -10,6 +10,7 @@
 	"piernotch"
 	"piernotch/internal/lab/chaos"
 	"piernotch/internal/lab/faultproxy"
+	"piernotch/internal/lab/invariants"
 )
 
 // resumePause is how long after a pause a balancer may still respond late: it first responds to what waited.
@@ -47,15 +48,18 @@
 // endpointNotified passes on that discovery has written a server's state to a balancer, once it has
 // arrived: a link that is cut delays it.
 func (e *environment) endpointNotified(balancer, server int, state piernotch.State, startedAt time.Duration) {
+	received := notification{
+		balancer:  invariants.BalancerIndex(balancer),
+		server:    invariants.ServerIndex(server),
+		state:     state,
+		startedAt: startedAt,
+	}
 	if e.sharedWatch != nil {
-		e.sharedWatch.endpointNotified(
-			e,
-			notification{balancer: balancer, server: server, state: state, startedAt: startedAt},
-		)
+		e.sharedWatch.endpointNotified(e, received)
 		return
 	}
 	if e.proxies == nil {
-		e.observer.EndpointNotified(balancer, server, state, startedAt)
+		e.observer.EndpointNotified(received)
 		return
 	}
 	link, err := e.proxies.Link(linkName(balancer, chaos.Discovery), e.fleet.Discovery().Address(balancer))
@@ -64,7 +68,7 @@
 	}
 	go func() { // ends when the link heals, is reset or is closed
 		if link.Delivered(faultproxy.FromTarget) {
-			e.observer.EndpointNotified(balancer, server, state, startedAt)
+			e.observer.EndpointNotified(received)
 		}
 	}()
 }
--- a/internal/lab/loadtest/handover_play.go
+++ b/internal/lab/loadtest/handover_play.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"piernotch"
+	"piernotch/internal/lab/invariants"
 	"piernotch/internal/lab/storednames"
 )
 
@@ -166,7 +167,12 @@
 	}
 	exclude := adminCall{method: http.MethodPost, path: "/api/exclude", server: name}
 	e.expectStatus(ctx, both.old, exclude, http.StatusOK)
-	e.observer.EndpointNotified(both.balancer.number, server, piernotch.Draining, 0)
+	notified := notification{
+		balancer: invariants.BalancerIndex(both.balancer.number),
+		server:   invariants.ServerIndex(server),
+		state:    piernotch.Draining,
+	}
+	e.observer.EndpointNotified(notified)
 	e.expectStatus(ctx, both.next, exclude, http.StatusOK)
 	e.expectStatus(
 		ctx,
@@ -175,7 +181,8 @@
 		http.StatusNotFound,
 	)
 	sleep(ctx, e.realization.Rules.DrainGrace+time.Second)
-	e.observer.EndpointNotified(both.balancer.number, server, piernotch.Ready, 0)
+	notified.state = piernotch.Ready
+	e.observer.EndpointNotified(notified)
 	e.expectStatus(
 		ctx,
 		both.next,
--- a/internal/lab/loadtest/observer.go
+++ b/internal/lab/loadtest/observer.go
@@ -4,7 +4,6 @@
 	"sync"
 	"time"
 
-	"piernotch"
 	"piernotch/internal/lab/emulator"
 	"piernotch/internal/lab/invariants"
 	"piernotch/internal/lab/load"
@@ -277,15 +276,15 @@
 }
 
 // EndpointNotified notes that discovery has notified a balancer of a server.
-func (o *observer) EndpointNotified(balancer, server int, state piernotch.State, startedAt time.Duration) {
+func (o *observer) EndpointNotified(notified notification) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.checker.EndpointNotified(invariants.NotifiedEndpoint{
 		At:        o.clock(),
-		Balancer:  invariants.BalancerIndex(balancer),
-		Server:    invariants.ServerIndex(server),
-		State:     state,
-		StartedAt: startedAt,
+		Balancer:  notified.balancer,
+		Server:    notified.server,
+		State:     notified.state,
+		StartedAt: notified.startedAt,
 	})
 }
 
--- a/internal/lab/loadtest/sharedwatch.go
+++ b/internal/lab/loadtest/sharedwatch.go
@@ -13,6 +13,7 @@
 	"piernotch/internal/controlgroup"
 	"piernotch/internal/controlgroup/watch"
 	"piernotch/internal/lab/faultproxy"
+	"piernotch/internal/lab/invariants"
 )
 
 const (
@@ -38,12 +39,15 @@
 	notifications map[endpointKey]int // how often a balancer was notified of a server
 }
 
-type endpointKey struct{ balancer, server int }
+type endpointKey struct {
+	balancer invariants.BalancerIndex
+	server   invariants.ServerIndex
+}
 
 // notification is that discovery has written a server's state to a balancer.
 type notification struct {
-	balancer  int
-	server    int
+	balancer  invariants.BalancerIndex
+	server    invariants.ServerIndex
 	state     piernotch.State
 	startedAt time.Duration
 }
@@ -125,7 +129,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.notifyLocked(running, received)
-	for balancer := range s.balancers {
+	for balancer := range invariants.BalancerIndex(s.balancers) {
 		if balancer == received.balancer {
 			continue
 		}
@@ -151,5 +155,5 @@
 // notifyLocked notifies the observer for one balancer. The lock is held.
 func (s *sharedWatch) notifyLocked(running *environment, received notification) {
 	s.notifications[endpointKey{balancer: received.balancer, server: received.server}]++
-	running.observer.EndpointNotified(received.balancer, received.server, received.state, received.startedAt)
+	running.observer.EndpointNotified(received)
 }
