--- a/internal/lab/simulation/health_checks.go
+++ b/internal/lab/simulation/health_checks.go
@@ -29,7 +29,7 @@
 	w.events.schedule(w.now+check.delay, eventHealthCheckArrives, w.lastHealthCheck)
 }
 
-// healthCheckArrives has a server answer a health check as its state allows.
+// healthCheckArrives has a server respond to a health check as its state allows.
 func (w *World) healthCheckArrives(id uint64) {
 	check := w.healthChecks.Get(id)
 	server := &w.servers[check.server]
