--- a/internal/lab/simulation/health_checks.go
+++ b/internal/lab/simulation/health_checks.go
@@ -18,13 +18,18 @@
 	w.lastHealthCheck++
 	check := w.healthChecks.Put(w.lastHealthCheck)
 	key := mix(uint64(action.Balancer)<<40 ^ uint64(w.now))
-	*check = healthCheckState{balancer: balancerIndex(action.Balancer), server: server, epoch: balancer.epoch, sentAt: w.now}
+	*check = healthCheckState{
+		balancer: balancerIndex(action.Balancer),
+		server:   server,
+		epoch:    balancer.epoch,
+		sentAt:   w.now,
+	}
 	check.delay = w.networkDelay(w.realization.Delay[balancer.zone][w.servers[server].spec.Zone], key, concernDelay)
 	w.counters.HealthChecks++
 	w.events.schedule(w.now+check.delay, eventHealthCheckArrives, w.lastHealthCheck)
 }
 
-// healthCheckArrives has a server answer a health check as its state allows.
+// healthCheckArrives has a server respond to a health check as its state allows.
 func (w *World) healthCheckArrives(id uint64) {
 	check := w.healthChecks.Get(id)
 	server := &w.servers[check.server]
