--- a/internal/controlgroup/client/client.go
+++ b/internal/controlgroup/client/client.go
@@ -45,6 +45,12 @@
 // Start begins a member that acquires the duties of its configuration. The configuration has to be
 // valid. observer may be nil. The caller has to call Close.
 func Start(cfg controlgroup.Config, observer RequestObserver) *Client {
+	return StartContext(context.Background(), cfg, observer)
+}
+
+// StartContext is Start for a caller with a context: once ctx is done, the member has no connection any more
+// and releases nothing. The caller has to call Close in any case.
+func StartContext(ctx context.Context, cfg controlgroup.Config, observer RequestObserver) *Client {
 	client := &Client{
 		cfg:          cfg,
 		process:      lease.Process{Name: cfg.Self, Incarnation: lease.Incarnation(rand.Uint64())},
@@ -63,7 +69,7 @@
 		client.sharedWatch = newSharedWatch(client, lease.Duty(cfg.WatchDuty))
 		client.acquire(client.sharedWatch.duty)
 	}
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(ctx)
 	client.stop = stop
 	go client.run(ctx) // until Close, which waits for done
 	return client
--- a/internal/controlgroup/client/connection.go
+++ b/internal/controlgroup/client/connection.go
@@ -96,7 +96,12 @@
 		return
 	}
 	delete(c.pending, received.Key)
-	response := protocol.Response{Key: received.Key, Grant: received.Grant, Snapshot: received.Snapshot, Err: received.Code.Err()}
+	response := protocol.Response{
+		Key:      received.Key,
+		Grant:    received.Grant,
+		Snapshot: received.Snapshot,
+		Err:      received.Code.Err(),
+	}
 	c.observeLocked(pending, response, nil)
 	pending.handle(response)
 	if errors.Is(response.Err, protocol.ErrNotLeader) {
--- a/internal/controlgroup/client/request.go
+++ b/internal/controlgroup/client/request.go
@@ -91,5 +91,11 @@
 	if c.observer == nil {
 		return
 	}
-	c.observer(RequestRecord{Request: pending.request, SentAt: pending.sentAt, ReceivedAt: time.Now(), Response: response, Err: err})
+	c.observer(RequestRecord{
+		Request:    pending.request,
+		SentAt:     pending.sentAt,
+		ReceivedAt: time.Now(),
+		Response:   response,
+		Err:        err,
+	})
 }
--- a/internal/controlgroup/client/shared_watch.go
+++ b/internal/controlgroup/client/shared_watch.go
@@ -24,14 +24,16 @@
 	follower *watch.Follower
 	holder   *watch.Holder
 
-	publishedToken   lease.Token   // the token under which log was published last; 0: it has to be published again
-	publishedVersion uint64        // how far log was published
-	currentSource    string        // the discovery that this balancer uses now
-	knownSource      string        // of knownVersion
-	knownVersion     uint64        // the last version that this balancer is known to have
-	independent      bool          // as logged last: polls although it does not hold the duty
-	reacquireAt      time.Duration // > 0: the duty was released because discovery did not respond, and is acquired again from then on
-	lastSubscribe    time.Duration // when missing events were requested last
+	publishedToken   lease.Token // the token under which log was published last; 0: it has to be published again
+	publishedVersion uint64      // how far log was published
+	currentSource    string      // the discovery that this balancer uses now
+	knownSource      string      // of knownVersion
+	knownVersion     uint64      // the last version that this balancer is known to have
+	independent      bool        // as logged last: polls although it does not hold the duty
+	// reacquireAt > 0: the duty was released because discovery did not respond, and is acquired again from
+	// then on.
+	reacquireAt   time.Duration
+	lastSubscribe time.Duration // when missing events were requested last
 }
 
 func newSharedWatch(client *Client, duty lease.Duty) *sharedWatch {
@@ -180,7 +182,11 @@
 		w.client.holders[w.duty].Release()
 	case w.holder.HeartbeatDue(now):
 		if source, version, hasEvents := w.log.Version(); hasEvents {
-			w.publishEventLocked(token, controlgroup.WatchEvent{Source: source, FromVersion: version, ToVersion: version})
+			w.publishEventLocked(token, controlgroup.WatchEvent{
+				Source:      source,
+				FromVersion: version,
+				ToVersion:   version,
+			})
 		}
 	}
 }
--- a/internal/controlgroup/client/shared_watch_test.go
+++ b/internal/controlgroup/client/shared_watch_test.go
@@ -13,7 +13,8 @@
 // A balancer whose settings name another discovery does not rely on a holder that polls the old one.
 func TestHolderPollingAnotherDiscoveryIsIgnored(t *testing.T) {
 	c := Start(controlgroup.Config{
-		Name: "g", Self: "a", LeaseDuration: time.Second, WatchDuty: "watch", Voters: []controlgroup.Voter{{Name: "v", Address: "127.0.0.1:1"}},
+		Name: "g", Self: "a", LeaseDuration: time.Second, WatchDuty: "watch",
+		Voters: []controlgroup.Voter{{Name: "v", Address: "127.0.0.1:1"}},
 	}, nil)
 	defer c.Close(0)
 	updates := 0
--- a/internal/controlgroup/config_test.go
+++ b/internal/controlgroup/config_test.go
@@ -54,7 +54,9 @@
 		text          string     // of the whole error, after the folder's name
 	}{
 		{
-			name: "invalid.toml", content: "name = \"g\"\nself = \"a\"\nlength_ms = 5\n[[voter]]\nname = \"b\"\naddress = \"127.0.0.1:1\"\n",
+			name: "invalid.toml",
+			content: "name = \"g\"\nself = \"a\"\nlength_ms = 5\n" +
+				"[[voter]]\nname = \"b\"\naddress = \"127.0.0.1:1\"\n",
 			want: FieldError{Line: 3, Key: "length_ms", Err: errors.New("5ms, from 1s to 10m0s is expected")},
 			text: "invalid.toml:3: length_ms: 5ms, from 1s to 10m0s is expected",
 		},
@@ -65,8 +67,10 @@
 		},
 		{
 			name: "unset.toml", content: "name = \"g\"\nself = \"a\"\n",
-			want: FieldError{Key: "voter", Err: errors.New("0 voters: 1, 3, 5 or 7 are expected; an even number tolerates no more failures than one voter less")},
-			text: "unset.toml: voter: 0 voters: 1, 3, 5 or 7 are expected; an even number tolerates no more failures than one voter less",
+			want: FieldError{Key: "voter", Err: errors.New("0 voters: 1, 3, 5 or 7 are expected; " +
+				"an even number tolerates no more failures than one voter less")},
+			text: "unset.toml: voter: 0 voters: 1, 3, 5 or 7 are expected; " +
+				"an even number tolerates no more failures than one voter less",
 		},
 	} {
 		path := filepath.Join(dir, c.name)
--- a/internal/controlgroup/consensus/golden_test.go
+++ b/internal/controlgroup/consensus/golden_test.go
@@ -30,15 +30,26 @@
 		{ID: 0x1122334455667703, Name: "n2", Address: "127.0.0.1:18702"},
 	}
 	goldenImage = protocol.Snapshot{
-		Leases: lease.Snapshot{LastToken: 25, Grants: []lease.Grant{{Duty: "watch/addis", Holder: lease.Process{Name: "n1", Incarnation: 23}, Token: 24}}},
+		Leases: lease.Snapshot{LastToken: 25, Grants: []lease.Grant{
+			{Duty: "watch/addis", Holder: lease.Process{Name: "n1", Incarnation: 23}, Token: 24},
+		}},
 		Voters: goldenVoters,
 	}
 	goldenEntry = commandEntry{Incarnation: 31, Seq: 32, Command: lease.Command{
-		Op: lease.Transfer, Duty: "watch/addis", Process: lease.Process{Name: "n1", Incarnation: 23}, Token: 24, Successor: lease.Process{Name: "n2", Incarnation: 26},
+		Op:        lease.Transfer,
+		Duty:      "watch/addis",
+		Process:   lease.Process{Name: "n1", Incarnation: 23},
+		Token:     24,
+		Successor: lease.Process{Name: "n2", Incarnation: 26},
 	}}
-	goldenAdmission = membershipChange{Incarnation: 33, Seq: 34, Voter: protocol.Voter{ID: 0x1122334455667705, Name: "n3", Address: "127.0.0.1:18703"}}
-	goldenStarts    = map[protocol.VoterID]Start{0x1122334455667703: {Count: 41, Incarnation: 42}} // one: the order of more is not fixed
-	goldenHard      = &raftpb.HardState{Term: proto.Uint64(5), Vote: proto.Uint64(goldenID), Commit: proto.Uint64(8)}
+	goldenAdmission = membershipChange{
+		Incarnation: 33,
+		Seq:         34,
+		Voter:       protocol.Voter{ID: 0x1122334455667705, Name: "n3", Address: "127.0.0.1:18703"},
+	}
+	// One start: the order of more is not fixed.
+	goldenStarts = map[protocol.VoterID]Start{0x1122334455667703: {Count: 41, Incarnation: 42}}
+	goldenHard   = &raftpb.HardState{Term: proto.Uint64(5), Vote: proto.Uint64(goldenID), Commit: proto.Uint64(8)}
 )
 
 func inCBOR(t *testing.T, value any) []byte {
@@ -49,14 +60,20 @@
 }
 
 func goldenSnapshot(t *testing.T) *raftpb.Snapshot {
+	t.Helper()
 	return &raftpb.Snapshot{Data: inCBOR(t, goldenImage), Metadata: &raftpb.SnapshotMetadata{
-		ConfState: &raftpb.ConfState{Voters: []uint64{goldenID, 0x1122334455667703}}, Index: proto.Uint64(6), Term: proto.Uint64(4),
+		ConfState: &raftpb.ConfState{Voters: []uint64{goldenID, 0x1122334455667703}},
+		Index:     proto.Uint64(6),
+		Term:      proto.Uint64(4),
 	}}
 }
 
 func goldenEntries(t *testing.T) []*raftpb.Entry {
+	t.Helper()
 	change, err := proto.Marshal(&raftpb.ConfChange{
-		Type: raftpb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(uint64(goldenAdmission.Voter.ID)), Context: inCBOR(t, goldenAdmission),
+		Type:    raftpb.ConfChangeAddNode.Enum(),
+		NodeId:  proto.Uint64(uint64(goldenAdmission.Voter.ID)),
+		Context: inCBOR(t, goldenAdmission),
 	})
 	require.NoError(t, err)
 	return []*raftpb.Entry{
@@ -120,7 +137,14 @@
 	disk, log, err := OpenStore(path, "example", "n1")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = disk.Close() })
-	require.Equal(t, Identity{Version: 1, Group: "example", Name: "n1", ID: goldenID, StartCount: 2, Bootstrapped: true}, disk.Identity())
+	require.Equal(t, Identity{
+		Version:      1,
+		Group:        "example",
+		Name:         "n1",
+		ID:           goldenID,
+		StartCount:   2,
+		Bootstrapped: true,
+	}, disk.Identity())
 	require.True(t, proto.Equal(goldenHard, log.HardState))
 	require.Equal(t, goldenStarts, log.Starts)
 	require.True(t, proto.Equal(goldenSnapshot(t), log.Snapshot))
--- a/internal/controlgroup/consensus/ready.go
+++ b/internal/controlgroup/consensus/ready.go
@@ -66,7 +66,11 @@
 		ready.Snapshot = fromRaft.Snapshot
 	}
 	for _, msg := range fromRaft.Messages {
-		ready.Messages = append(ready.Messages, Message{From: m.config.ID, To: protocol.VoterID(msg.GetTo()), Raft: msg})
+		ready.Messages = append(ready.Messages, Message{
+			From: m.config.ID,
+			To:   protocol.VoterID(msg.GetTo()),
+			Raft: msg,
+		})
 	}
 }
 
--- a/internal/controlgroup/consensus/store_test.go
+++ b/internal/controlgroup/consensus/store_test.go
@@ -40,7 +40,9 @@
 
 	bootstrapped := Bootstrap([]protocol.Voter{{ID: first.ID, Name: "n1", Address: "127.0.0.1:1"}})
 	require.NoError(t, store.Bootstrap(bootstrapped))
-	require.NoError(t, store.Write(Ready{Entries: []*raftpb.Entry{entryAt(2, 1, "a"), entryAt(3, 1, "b"), entryAt(4, 1, "c")}}))
+	require.NoError(t, store.Write(Ready{
+		Entries: []*raftpb.Entry{entryAt(2, 1, "a"), entryAt(3, 1, "b"), entryAt(4, 1, "c")},
+	}))
 	require.NoError(t, store.Write(Ready{
 		Entries: []*raftpb.Entry{entryAt(3, 2, "d")},
 		Starts:  map[protocol.VoterID]Start{9: {Count: 4, Incarnation: 7}},
--- a/internal/controlgroup/golden_test.go
+++ b/internal/controlgroup/golden_test.go
@@ -12,8 +12,13 @@
 // testdata/group.toml is what Config.Text writes.
 func TestGroupFileGoldenFile(t *testing.T) {
 	want := Config{
-		Name: "lakes", Self: "n1", StorePath: "/var/lib/piernotch/n1.voter", LeaseDuration: 7500 * time.Millisecond, MaxClockDrift: 0.02,
-		Voters: []Voter{{Name: "n0", Address: "127.0.0.1:18700"}, {Name: "n1", Address: "127.0.0.1:18701"}, {Name: "n2", Address: "[::1]:18702"}},
+		Name: "lakes", Self: "n1", StorePath: "/var/lib/piernotch/n1.voter",
+		LeaseDuration: 7500 * time.Millisecond, MaxClockDrift: 0.02,
+		Voters: []Voter{
+			{Name: "n0", Address: "127.0.0.1:18700"},
+			{Name: "n1", Address: "127.0.0.1:18701"},
+			{Name: "n2", Address: "[::1]:18702"},
+		},
 		Duties: []string{"sweep", "count"}, WatchDuty: "watch/lakes", DiscoveryName: "discovery-lakes",
 	}
 	got, err := LoadFile("testdata/group.toml")
@@ -29,8 +34,13 @@
 	got, err := LoadFile("../../deploy/group.toml")
 	require.NoError(t, err)
 	require.Equal(t, Config{
-		Name: "example", Self: "n0", StorePath: "/var/lib/piernotch/n0.voter", LeaseDuration: 5 * time.Second, MaxClockDrift: 0.01,
-		Voters: []Voter{{Name: "n0", Address: "127.0.0.1:18700"}, {Name: "n1", Address: "127.0.0.1:18701"}, {Name: "n2", Address: "127.0.0.1:18702"}},
+		Name: "example", Self: "n0", StorePath: "/var/lib/piernotch/n0.voter",
+		LeaseDuration: 5 * time.Second, MaxClockDrift: 0.01,
+		Voters: []Voter{
+			{Name: "n0", Address: "127.0.0.1:18700"},
+			{Name: "n1", Address: "127.0.0.1:18701"},
+			{Name: "n2", Address: "127.0.0.1:18702"},
+		},
 		Duties: []string{}, WatchDuty: "watch/addis",
 	}, got)
 }
--- a/internal/controlgroup/lease/holder_test.go
+++ b/internal/controlgroup/lease/holder_test.go
@@ -40,7 +40,8 @@
 	acquire(t, h, now, 2)
 	request, ok := h.Transfer(now, processB)
 	require.True(t, ok)
-	require.Equal(t, Command{Op: Transfer, Duty: "x", Process: processA, Token: 2, Successor: processB}, request.Command)
+	want := Command{Op: Transfer, Duty: "x", Process: processA, Token: 2, Successor: processB}
+	require.Equal(t, want, request.Command)
 	requireNoToken(t, h, now)
 }
 
--- a/internal/controlgroup/lease/table_test.go
+++ b/internal/controlgroup/lease/table_test.go
@@ -20,10 +20,11 @@
 		var table Table
 		var last Token
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
+			processes := []Process{processA, processB, {Name: "a", Incarnation: 2}}
 			c := Command{
 				Op:        Op(rapid.IntRange(1, 4).Draw(t, "op")),
 				Duty:      Duty(rapid.SampledFrom([]string{"x", "y"}).Draw(t, "duty")),
-				Process:   rapid.SampledFrom([]Process{processA, processB, {Name: "a", Incarnation: 2}}).Draw(t, "process"),
+				Process:   rapid.SampledFrom(processes).Draw(t, "process"),
 				Token:     Token(rapid.IntRange(0, 12).Draw(t, "token")),
 				Successor: processB,
 			}
--- a/internal/controlgroup/protocol/request.go
+++ b/internal/controlgroup/protocol/request.go
@@ -29,7 +29,7 @@
 	Read                      // return who holds Command.Duty
 	AddVoter                  // add Voter, in place of an unreachable one of its name
 	List                      // return all grants and the voters
-	Publish                   // pass Event to the subscribers of Command.Duty, which Command.Process holds under Command.Token
+	Publish                   // pass Event to the subscribers of Command.Duty, held under Command.Token
 	Subscribe                 // send the events published under Command.Duty, from Event.ToVersion on
 )
 
--- a/internal/controlgroup/protocol/voter.go
+++ b/internal/controlgroup/protocol/voter.go
@@ -25,9 +25,10 @@
 // Announcement is what a voter sends to the others about its store before it takes part. A store restored from an older
 // copy could vote twice in one term, or lack entries that it acknowledged; the others would notice here.
 type Announcement struct {
-	StartCount  uint64            `cbor:"Starts"` // how often the store was opened, this time included
-	Incarnation lease.Incarnation `cbor:"Run"`    // drawn at this start; tells two copies apart that were opened equally often
-	Term        Term              `cbor:"Term"`   // as in raft's hard state
-	Vote        VoterID           `cbor:"Vote"`   // the voter's vote in Term; 0: none
-	LastIndex   uint64            `cbor:"Last"`   // of its log
+	StartCount uint64 `cbor:"Starts"` // how often the store was opened, this time included
+	// Incarnation is drawn at this start: it tells two copies apart that were opened equally often.
+	Incarnation lease.Incarnation `cbor:"Run"`
+	Term        Term              `cbor:"Term"` // as in raft's hard state
+	Vote        VoterID           `cbor:"Vote"` // the voter's vote in Term; 0: none
+	LastIndex   uint64            `cbor:"Last"` // of its log
 }
--- a/internal/controlgroup/shared_watch.go
+++ b/internal/controlgroup/shared_watch.go
@@ -25,7 +25,8 @@
 // WatchEvent is a complete endpoint list, a change of one, or a heartbeat. The list itself is as discovery
 // wrote it. The encoding is that of the frames between members: the keys do not change.
 type WatchEvent struct {
-	Source      string `cbor:"1,keyasint"`           // discovery's address or common name: versions are comparable only within one
+	// Source is discovery's address or common name: versions are comparable only within one.
+	Source      string `cbor:"1,keyasint"`
 	FromVersion uint64 `cbor:"2,keyasint,omitempty"` // the version that a change applies to; 0 for a complete list
 	ToVersion   uint64 `cbor:"3,keyasint"`           // the version after the event; equal to FromVersion in a heartbeat
 	Complete    bool   `cbor:"4,keyasint,omitempty"` // Body is a complete list
--- a/internal/controlgroup/transport/frame.go
+++ b/internal/controlgroup/transport/frame.go
@@ -41,7 +41,8 @@
 
 // Request is a member's request to the leader; see protocol.Request.
 type Request struct {
-	Key     uint64                   `cbor:"1,keyasint"` // chosen by the sender, and repeated in the response; 0: no response is expected
+	// Key is chosen by the sender, and repeated in the response; 0: no response is expected.
+	Key     uint64                   `cbor:"1,keyasint"`
 	Kind    protocol.Kind            `cbor:"2,keyasint"`
 	Command lease.Command            `cbor:"3,keyasint"`
 	Voter   protocol.Voter           `cbor:"4,keyasint,omitempty"`
@@ -56,7 +57,7 @@
 	Snapshot  protocol.Snapshot        `cbor:"4,keyasint,omitempty"`
 	Leader    string                   `cbor:"5,keyasint,omitempty"` // the name of the voter that leads; "": not known
 	FreedDuty lease.Duty               `cbor:"6,keyasint,omitempty"` // with Key 0: this duty may have come free
-	Duty      lease.Duty               `cbor:"7,keyasint,omitempty"` // with Key 0: the duty of the watch that Event belongs to
+	Duty      lease.Duty               `cbor:"7,keyasint,omitempty"` // with Key 0: the duty of the watch of Event
 	Token     lease.Token              `cbor:"8,keyasint,omitempty"` // the token under which Event was published
 	Event     *controlgroup.WatchEvent `cbor:"9,keyasint,omitempty"`
 }
@@ -98,7 +99,8 @@
 	length := binary.BigEndian.Uint32(header[:lengthSize])
 	checksum := binary.BigEndian.Uint64(header[lengthSize:])
 	if length > maxFrameSize {
-		return frame, fmt.Errorf("%w: its length, %d bytes, exceeds the limit of %d", ErrInvalidFrame, length, maxFrameSize)
+		return frame, fmt.Errorf("%w: its length, %d bytes, exceeds the limit of %d",
+			ErrInvalidFrame, length, maxFrameSize)
 	}
 	data := make([]byte, length)
 	if _, err := io.ReadFull(reader, data); err != nil {
--- a/internal/controlgroup/transport/golden_test.go
+++ b/internal/controlgroup/transport/golden_test.go
@@ -23,25 +23,63 @@
 // program: every part with every field set, every kind of question, operation and error.
 func TestFramesGoldenFile(t *testing.T) {
 	accepted := true
-	event := &controlgroup.WatchEvent{Source: "127.0.0.1:18500", FromVersion: 6, ToVersion: 7, Complete: true, Body: []byte(`{"generation":7}`)}
+	event := &controlgroup.WatchEvent{
+		Source:      "127.0.0.1:18500",
+		FromVersion: 6,
+		ToVersion:   7,
+		Complete:    true,
+		Body:        []byte(`{"generation":7}`),
+	}
 	voter := protocol.Voter{ID: 0x1122334455667701, Name: "n2", Address: "127.0.0.1:18702"}
 	command := lease.Command{
-		Op: lease.Transfer, Duty: "watch/addis", Process: lease.Process{Name: "n0", Incarnation: 21}, Token: 22, Successor: lease.Process{Name: "n1", Incarnation: 23},
+		Op:        lease.Transfer,
+		Duty:      "watch/addis",
+		Process:   lease.Process{Name: "n0", Incarnation: 21},
+		Token:     22,
+		Successor: lease.Process{Name: "n1", Incarnation: 23},
 	}
 	grant := lease.Grant{Duty: "watch/addis", Holder: lease.Process{Name: "n1", Incarnation: 23}, Token: 24}
 	frames := []Frame{
-		{Handshake: &Handshake{Magic: "piernotch-group", Version: 1, Group: "example", Name: "n0", ID: 0x1122334455667703, Bootstrapped: true}},
+		{Handshake: &Handshake{
+			Magic:        "piernotch-group",
+			Version:      1,
+			Group:        "example",
+			Name:         "n0",
+			ID:           0x1122334455667703,
+			Bootstrapped: true,
+		}},
 		{Handshake: &Handshake{Magic: "piernotch-group", Version: 1, Group: "example", Name: "guest"}},
-		{VoterMessage: &VoterMessage{From: 1, To: 3, Announcement: &protocol.Announcement{StartCount: 4, Incarnation: 5, Term: 6, Vote: 7, LastIndex: 8}, Accepted: &accepted, Raft: []byte{8, 9, 10}}},
+		{VoterMessage: &VoterMessage{
+			From: 1,
+			To:   3,
+			Announcement: &protocol.Announcement{
+				StartCount:  4,
+				Incarnation: 5,
+				Term:        6,
+				Vote:        7,
+				LastIndex:   8,
+			},
+			Accepted: &accepted,
+			Raft:     []byte{8, 9, 10},
+		}},
 		{Request: &Request{Key: 31, Kind: protocol.Publish, Command: command, Voter: voter, Event: event}},
 		{Response: &Response{
 			Key: 32, Code: ErrorCodeOf(lease.ErrHeld), Grant: grant,
-			Snapshot: protocol.Snapshot{Leases: lease.Snapshot{LastToken: 25, Grants: []lease.Grant{grant}}, Voters: []protocol.Voter{voter}},
-			Leader:   "n1", FreedDuty: "watch/afar", Duty: "watch/addis", Token: 26, Event: event,
+			Snapshot: protocol.Snapshot{
+				Leases: lease.Snapshot{LastToken: 25, Grants: []lease.Grant{grant}},
+				Voters: []protocol.Voter{voter},
+			},
+			Leader: "n1", FreedDuty: "watch/afar", Duty: "watch/addis", Token: 26, Event: event,
 		}},
 	}
 	for kind, number := range map[protocol.Kind]int{
-		protocol.Propose: 1, protocol.Renew: 2, protocol.Read: 3, protocol.AddVoter: 4, protocol.List: 5, protocol.Publish: 6, protocol.Subscribe: 7,
+		protocol.Propose:   1,
+		protocol.Renew:     2,
+		protocol.Read:      3,
+		protocol.AddVoter:  4,
+		protocol.List:      5,
+		protocol.Publish:   6,
+		protocol.Subscribe: 7,
 	} {
 		require.EqualValues(t, number, kind)
 	}
--- a/internal/controlgroup/transport/handshake.go
+++ b/internal/controlgroup/transport/handshake.go
@@ -51,9 +51,11 @@
 	case peer == nil || peer.Magic != magic:
 		return fmt.Errorf("%w: the first frame is not a handshake", ErrInvalidFrame)
 	case peer.Version != Version:
-		return fmt.Errorf("%w: %q uses version %d, this program version %d", ErrIncompatiblePeer, peer.Name, peer.Version, Version)
+		return fmt.Errorf("%w: %q uses version %d, this program version %d",
+			ErrIncompatiblePeer, peer.Name, peer.Version, Version)
 	case peer.Group != local.Group:
-		return fmt.Errorf("%w: %q belongs to group %q, this member to %q", ErrIncompatiblePeer, peer.Name, peer.Group, local.Group)
+		return fmt.Errorf("%w: %q belongs to group %q, this member to %q",
+			ErrIncompatiblePeer, peer.Name, peer.Group, local.Group)
 	}
 	return nil
 }
--- a/internal/controlgroup/transport/transport_test.go
+++ b/internal/controlgroup/transport/transport_test.go
@@ -15,9 +15,29 @@
 	accepted := true
 	for _, f := range []Frame{
 		{Handshake: &Handshake{Magic: magic, Version: 1, Group: "g", Name: "n", ID: 7, Bootstrapped: true}},
-		{VoterMessage: &VoterMessage{From: 1, To: 2, Announcement: &protocol.Announcement{StartCount: 3}, Accepted: &accepted, Raft: []byte{1, 2}}},
-		{Request: &Request{Key: 9, Kind: protocol.Propose, Command: lease.Command{Op: lease.Transfer, Duty: "d", Token: 4, Successor: lease.Process{Name: "m", Incarnation: 5}}}},
-		{Response: &Response{Key: 9, Code: ErrorCodeOf(lease.ErrHeld), Grant: lease.Grant{Duty: "d", Token: 3}, Leader: "n1"}},
+		{VoterMessage: &VoterMessage{
+			From:         1,
+			To:           2,
+			Announcement: &protocol.Announcement{StartCount: 3},
+			Accepted:     &accepted,
+			Raft:         []byte{1, 2},
+		}},
+		{Request: &Request{
+			Key:  9,
+			Kind: protocol.Propose,
+			Command: lease.Command{
+				Op:        lease.Transfer,
+				Duty:      "d",
+				Token:     4,
+				Successor: lease.Process{Name: "m", Incarnation: 5},
+			},
+		}},
+		{Response: &Response{
+			Key:    9,
+			Code:   ErrorCodeOf(lease.ErrHeld),
+			Grant:  lease.Grant{Duty: "d", Token: 3},
+			Leader: "n1",
+		}},
 	} {
 		data, err := Append(nil, f)
 		require.NoError(t, err)
@@ -48,12 +68,16 @@
 		return data
 	}
 	for want, sent := range map[string][]byte{
-		`"they" belongs to group "other", this member to "g"`:        frame(Handshake{Magic: magic, Version: Version, Group: "other", Name: "they"}),
-		`"they" uses version 2, this program version 1`:              frame(Handshake{Magic: magic, Version: 2, Group: "g", Name: "they"}),
+		`"they" belongs to group "other", this member to "g"`: frame(
+			Handshake{Magic: magic, Version: Version, Group: "other", Name: "they"},
+		),
+		`"they" uses version 2, this program version 1`: frame(
+			Handshake{Magic: magic, Version: 2, Group: "g", Name: "they"},
+		),
 		"the first frame is not a handshake":                         frame(Handshake{Magic: "else"}),
 		"its length, 1195725856 bytes, exceeds the limit of 1048576": []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
-		"checksum mismatch": append([]byte{0, 0, 0, 1}, make([]byte, 9)...),
-		"truncated":         append([]byte{0, 0, 0, 9}, make([]byte, 9)...),
+		"checksum mismatch":                                          append([]byte{0, 0, 0, 1}, make([]byte, 9)...),
+		"truncated":                                                  append([]byte{0, 0, 0, 9}, make([]byte, 9)...),
 	} {
 		here, there := net.Pipe()
 		go func() {
--- a/internal/controlgroup/validate.go
+++ b/internal/controlgroup/validate.go
@@ -52,7 +52,8 @@
 	count := len(c.Voters)
 	oddMajority := count%2 == 1 && count >= 3 && count <= MaxVoters
 	if count != 1 && !oddMajority {
-		found.addf("voter", "%d voters: 1, 3, 5 or 7 are expected; an even number tolerates no more failures than one voter less", count)
+		found.addf("voter", "%d voters: 1, 3, 5 or 7 are expected; "+
+			"an even number tolerates no more failures than one voter less", count)
 	}
 	names := map[string]bool{}
 	addresses := map[string]bool{}
--- a/internal/controlgroup/voter/subscriptions.go
+++ b/internal/controlgroup/voter/subscriptions.go
@@ -62,7 +62,9 @@
 }
 
 // publish adds an event, and sends it to all subscribers but the publisher.
-func (s *subscription) publish(conn *transport.Conn, duty lease.Duty, token lease.Token, event *controlgroup.WatchEvent) error {
+func (s *subscription) publish(
+	conn *transport.Conn, duty lease.Duty, token lease.Token, event *controlgroup.WatchEvent,
+) error {
 	if err := s.Append(token, *event); err != nil {
 		return err
 	}
