--- a/internal/lab/clustersim/checks.go
+++ b/internal/lab/clustersim/checks.go
@@ -15,21 +15,21 @@
 // violation records that the run broke a property.
 func (s *simulation) violation(format string, args ...any) {
 	if len(s.result.Violations) < maxViolations {
-		s.result.Violations = append(s.result.Violations, fmt.Sprintf("%.3f s: ", s.now.Seconds())+fmt.Sprintf(format, args...))
+		text := fmt.Sprintf("%.3f s: ", s.now.Seconds()) + fmt.Sprintf(format, args...)
+		s.result.Violations = append(s.result.Violations, text)
 	}
 }
 
 // recordHeld extends the span of a duty that is held now.
 func (s *simulation) recordHeld(duty lease.Duty, token lease.Token, name string) {
-	spans := s.result.Spans
-	for i := len(spans) - 1; i >= 0; i-- {
-		span := &spans[i]
+	for i := len(s.result.Spans) - 1; i >= 0; i-- {
+		span := &s.result.Spans[i]
 		if span.Duty == string(duty) && span.Token == token && span.Holder == name {
 			span.To = s.now
 			return
 		}
 	}
-	s.result.Spans = append(spans, Span{string(duty), token, name, s.now, s.now})
+	s.result.Spans = append(s.result.Spans, Span{string(duty), token, name, s.now, s.now})
 }
 
 // checkExclusive checks, while a client holds a duty by its own clock, that no other client does. It also
@@ -83,7 +83,9 @@
 		s.result.Grants += len(s.actors[duty(i)])
 	}
 	s.result.UnheldShare /= s.size.Duration.Seconds() * float64(s.size.Duties)
-	final := slices.DeleteFunc(slices.Clone(s.calls), func(call Call) bool { return !call.completed || !protocol.IsFinal(call.Err) })
+	final := slices.DeleteFunc(slices.Clone(s.calls), func(call Call) bool {
+		return !call.completed || !protocol.IsFinal(call.Err)
+	})
 	s.result.Violations = append(s.result.Violations, CheckLinearizability(final)...)
 }
 
--- a/internal/lab/clustersim/fault.go
+++ b/internal/lab/clustersim/fault.go
@@ -12,7 +12,7 @@
 const (
 	FaultCutLink        FaultKind = "cut"     // nothing gets from Process to Other
 	FaultIsolate        FaultKind = "isolate" // nothing gets from or to Process, or, with OneWay, only from it
-	FaultPartition      FaultKind = "split"   // Process, a voter, and every second client and receiver on one side, the rest on the other
+	FaultPartition      FaultKind = "split"   // of the processes into two sides: see Fault.OnSameSide
 	FaultFlap           FaultKind = "flap"    // Process is isolated and connected again every 200 ms
 	FaultCrash          FaultKind = "crash"   // Process ends, and starts again at the fault's end with its disk
 	FaultDiskLoss       FaultKind = "forget"  // as a crash, with an empty disk
@@ -20,7 +20,7 @@
 	FaultCrashAllVoters FaultKind = "alldown" // all voters end at once, and start again
 	FaultPause          FaultKind = "stall"   // Process is suspended
 	FaultSlowDisk       FaultKind = "slow"    // Process's disk takes two seconds to sync
-	FaultDiskFull       FaultKind = "full"    // Process's disk takes no writes: its voter ends, and starts again at the fault's end
+	FaultDiskFull       FaultKind = "full"    // Process's disk takes no writes: its voter ends until the fault's end
 	FaultLossyNetwork   FaultKind = "lossy"   // messages are lost, duplicated and delayed on all links
 	FaultClockStep      FaultKind = "step"    // Process's wall clock steps by 10 s
 	FaultReleaseDuties  FaultKind = "leave"   // Process releases its duties, and wants them again at the fault's end
@@ -32,9 +32,11 @@
 	At       time.Duration `json:"At"`  // since the start, in true time
 	Duration time.Duration `json:"For"` // how long it lasts
 	Kind     FaultKind     `json:"Kind"`
-	Process  int           `json:"Node"`  // the number of the process that it happens to
-	Other    int           `json:"Other"` // of a cut link; in a partition its parity chooses the clients and receivers on Process's side
-	OneWay   bool          `json:"OneWay"`
+	Process  int           `json:"Node"` // the number of the process that it happens to
+	// Other is the process at the other end of a cut link; in a partition its parity chooses the clients and
+	// receivers on Process's side.
+	Other  int  `json:"Other"`
+	OneWay bool `json:"OneWay"`
 }
 
 // String describes the fault for a person.
@@ -49,7 +51,8 @@
 	return text
 }
 
-// OnSameSide reports whether a process is on the same side of a partition as the fault's Process.
+// OnSameSide reports whether a process is on the same side of a partition as the fault's Process, a voter:
+// every second client and receiver is, all other processes are on the other side.
 func (f Fault) OnSameSide(size Size, process int) bool {
 	if process == f.Process {
 		return true
--- a/internal/lab/clustersim/linearizability.go
+++ b/internal/lab/clustersim/linearizability.go
@@ -55,7 +55,12 @@
 	byDuty := map[lease.Duty][]porcupine.Operation{}
 	for i, call := range calls {
 		duty := call.Request.Command.Duty
-		byDuty[duty] = append(byDuty[duty], porcupine.Operation{ClientId: i, Input: call, Call: int64(call.SentAt), Return: int64(call.ReceivedAt)})
+		byDuty[duty] = append(byDuty[duty], porcupine.Operation{
+			ClientId: i,
+			Input:    call,
+			Call:     int64(call.SentAt),
+			Return:   int64(call.ReceivedAt),
+		})
 	}
 	var violations []string
 	for _, duty := range slices.Sorted(maps.Keys(byDuty)) {
@@ -63,7 +68,8 @@
 		case porcupine.Illegal:
 			violations = append(violations, fmt.Sprintf("the history of calls for %s is not linearizable", duty))
 		case porcupine.Unknown:
-			violations = append(violations, fmt.Sprintf("the history of calls for %s could not be checked in time", duty))
+			violation := fmt.Sprintf("the history of calls for %s could not be checked in time", duty)
+			violations = append(violations, violation)
 		}
 	}
 	return violations
--- a/internal/lab/clustersim/process.go
+++ b/internal/lab/clustersim/process.go
@@ -110,7 +110,8 @@
 		return
 	}
 	if token < p.persistedTokens[duty] {
-		sim.violation("receiver %d carried out an act for %s under token %d after one under %d", p.id, duty, token, p.persistedTokens[duty])
+		sim.violation("receiver %d carried out an act for %s under token %d after one under %d",
+			p.id, duty, token, p.persistedTokens[duty])
 	}
 	if isNewest { // persisted before the act is done
 		if p.persistedTokens == nil {
--- a/internal/lab/clustersim/simulation.go
+++ b/internal/lab/clustersim/simulation.go
@@ -87,11 +87,20 @@
 		voters = append(voters, protocol.Voter{ID: sim.lastVoterID, Name: voterName(i)})
 	}
 	for i := range size.Voters + size.Clients + size.Receivers {
-		added := &process{sim: sim, id: processID(i), up: true, clockRate: 1 + (sim.rng.Float64()*2-1)*LeaseTiming.MaxClockDrift}
+		added := &process{
+			sim:       sim,
+			id:        processID(i),
+			up:        true,
+			clockRate: 1 + (sim.rng.Float64()*2-1)*LeaseTiming.MaxClockDrift,
+		}
 		sim.processes = append(sim.processes, added)
 		switch {
 		case i < size.Voters:
-			added.voter = &voter{process: added, name: voters[i].Name, disk: disk{id: voters[i].ID, state: consensus.Bootstrap(voters)}}
+			added.voter = &voter{
+				process: added,
+				name:    voters[i].Name,
+				disk:    disk{id: voters[i].ID, state: consensus.Bootstrap(voters)},
+			}
 		case i < size.Voters+size.Clients:
 			added.client = &client{process: added}
 		}
--- a/internal/lab/clustertest/checks.go
+++ b/internal/lab/clustertest/checks.go
@@ -80,7 +80,9 @@
 		uses[done.Token] = use
 	}
 	if use.holder != holder {
-		h.result.Violations = append(h.result.Violations, fmt.Sprintf("%s and %s both acted under token %d of %s", use.holder, holder, done.Token, done.Duty))
+		h.result.Violations = append(h.result.Violations, fmt.Sprintf(
+			"%s and %s both acted under token %d of %s", use.holder, holder, done.Token, done.Duty,
+		))
 	}
 	use.first = min(use.first, done.CheckedAt)
 	use.last = max(use.last, done.CheckedAt)
@@ -107,7 +109,11 @@
 	for i, token := range tokens {
 		use := uses[token]
 		h.result.Spans = append(h.result.Spans, clustersim.Span{
-			Duty: string(duty), Token: token, Holder: use.holder, From: h.sinceStart(use.first), To: h.sinceStart(use.last),
+			Duty:   string(duty),
+			Token:  token,
+			Holder: use.holder,
+			From:   h.sinceStart(use.first),
+			To:     h.sinceStart(use.last),
 		})
 		if i == 0 {
 			continue
@@ -115,8 +121,11 @@
 		previousToken := tokens[i-1]
 		previous := uses[previousToken]
 		if previous.last >= use.first {
-			h.result.Violations = append(h.result.Violations, fmt.Sprintf("%s: %s checked its lease under token %d until %.3f s, and %s under token %d from %.3f s",
-				duty, previous.holder, previousToken, h.sinceStart(previous.last).Seconds(), use.holder, token, h.sinceStart(use.first).Seconds()))
+			h.result.Violations = append(h.result.Violations, fmt.Sprintf(
+				"%s: %s checked its lease under token %d until %.3f s, and %s under token %d from %.3f s",
+				duty, previous.holder, previousToken, h.sinceStart(previous.last).Seconds(),
+				use.holder, token, h.sinceStart(use.first).Seconds(),
+			))
 		}
 		h.result.Gaps = append(h.result.Gaps, time.Duration(use.first-previous.last).Seconds())
 	}
--- a/internal/lab/clustertest/harness.go
+++ b/internal/lab/clustertest/harness.go
@@ -43,12 +43,12 @@
 	Violations  []string           `json:"broken,omitempty"` // the violations
 	Faults      []clustersim.Fault `json:"faults,omitempty"` // of a run with violations
 	Spans       []clustersim.Span  `json:"-"`
-	Unsupported []string           `json:"left,omitempty"` // kinds of faults in the schedule that cannot be injected into processes
+	Unsupported []string           `json:"left,omitempty"` // kinds of faults that cannot be injected into processes
 	Acts        int                `json:"acts"`
 	Fenced      int                `json:"fenced"` // acts whose token the harness rejected
 	Calls       int                `json:"calls"`
 	Grants      int                `json:"grants"` // tokens under which something was done
-	Gaps        []float64          `json:"gaps_s"` // seconds from the last act under one token to the first under the next
+	Gaps        []float64          `json:"gaps_s"` // seconds between the acts under one token and the next
 }
 
 // harness is the state of one run. Its goroutines are the collector of reports, which close ends, one for
@@ -63,7 +63,7 @@
 	startedAt time.Time      // of the schedule
 
 	mu         sync.Mutex
-	knownDisks map[string]protocol.VoterID // the identity of each voter's disk, by its name, when allDisksVote was called last
+	knownDisks map[string]protocol.VoterID // the identity of each voter's disk when allDisksVote was called last
 	lostDisks  map[string]protocol.VoterID // the identity of the disk that each voter lost last
 	uses       map[lease.Duty]map[lease.Token]*tokenUse
 	fence      lease.Fence
@@ -122,7 +122,7 @@
 		return err
 	}
 	go h.collectReports() // until close
-	if err := h.prepare(); err != nil {
+	if err := h.prepare(ctx); err != nil {
 		return err
 	}
 	for _, process := range h.processes {
@@ -179,7 +179,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.result.Violations) < maxViolations {
-		h.result.Violations = append(h.result.Violations, fmt.Sprintf("%.3f s: ", h.elapsed().Seconds())+fmt.Sprintf(format, args...))
+		text := fmt.Sprintf("%.3f s: ", h.elapsed().Seconds()) + fmt.Sprintf(format, args...)
+		h.result.Violations = append(h.result.Violations, text)
 	}
 }
 
--- a/internal/lab/clustertest/holder.go
+++ b/internal/lab/clustertest/holder.go
@@ -31,7 +31,8 @@
 	}
 	defer func() { _ = conn.Close() }()
 	reports := &reporter{name: cfg.Self, encoder: json.NewEncoder(conn)}
-	member := client.Start(cfg, reports.observe)
+	// The end of ctx does not end the member: it has still to release its duties, in Close.
+	member := client.StartContext(context.WithoutCancel(ctx), cfg, reports.observe)
 	ticker := time.NewTicker(actInterval)
 	defer ticker.Stop()
 	for {
--- a/internal/lab/clustertest/links_test.go
+++ b/internal/lab/clustertest/links_test.go
@@ -23,10 +23,16 @@
 		want  []string
 	}{
 		{clustersim.Fault{Kind: clustersim.FaultCutLink, Process: 3, Other: 1}, []string{"3>1"}},
-		{clustersim.Fault{Kind: clustersim.FaultIsolate, Process: 1}, []string{"0>1", "1>0", "1>2", "2>1", "3>1", "4>1", "-1>1"}},
+		{
+			clustersim.Fault{Kind: clustersim.FaultIsolate, Process: 1},
+			[]string{"0>1", "1>0", "1>2", "2>1", "3>1", "4>1", "-1>1"},
+		},
 		{clustersim.Fault{Kind: clustersim.FaultFlap, Process: 4}, []string{"4>0", "4>1", "4>2"}},
 		// Holder 3 is on the side of voter 0, holder 4 on the other.
-		{clustersim.Fault{Kind: clustersim.FaultPartition, Process: 0, Other: 1}, []string{"0>1", "0>2", "1>0", "2>0", "3>1", "3>2", "4>0"}},
+		{
+			clustersim.Fault{Kind: clustersim.FaultPartition, Process: 0, Other: 1},
+			[]string{"0>1", "0>2", "1>0", "2>0", "3>1", "3>2", "4>0"},
+		},
 		{clustersim.Fault{Kind: clustersim.FaultLossyNetwork}, links},
 	} {
 		var affected []string
--- a/internal/lab/clustertest/process.go
+++ b/internal/lab/clustertest/process.go
@@ -33,7 +33,8 @@
 func linkName(from, to int) string { return fmt.Sprintf("%d>%d", from, to) }
 
 // prepare writes the configurations: each process reaches each other voter through a proxy of its own.
-func (h *harness) prepare() error {
+// The observer that it starts lives until ctx is done.
+func (h *harness) prepare(ctx context.Context) error {
 	var addresses []string
 	for range h.opts.Size.Voters {
 		address, err := faultproxy.FreeAddress()
@@ -53,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	h.observer = client.Start(cfg, nil)
+	h.observer = client.StartContext(ctx, cfg, nil)
 	return nil
 }
 
