--- a/balancer_test.go
+++ b/balancer_test.go
@@ -11,7 +11,12 @@
 		b, h := newTestBalancer(t, testSettings(), testEndpoints(5, 2))
 		for i := range 300 {
 			now := time.Second + time.Duration(i)*3*ms
-			b.HandleRequest(now, Request{ID: RequestID(i), Class: i % 5, CostHint: float64(i%17 + 1), Deadline: now + time.Second})
+			b.HandleRequest(now, Request{
+				ID:       RequestID(i),
+				Class:    i % 5,
+				CostHint: float64(i%17 + 1),
+				Deadline: now + time.Second,
+			})
 			if i%3 == 0 {
 				completeAttempt(b, now, RequestID(i), 0, h.last().to, OK)
 			}
--- a/benchmark_test.go
+++ b/benchmark_test.go
@@ -12,24 +12,24 @@
 var benchmarkFleets = []int{20, 200, 2000}
 
 // The cost of a request and its outcome must not grow with the fleet.
-func BenchmarkRequest(bench *testing.B) {
-	benchmarkRequests(bench, testSettings(), func(*benchmarkBalancer) {})
+func BenchmarkRequest(b *testing.B) {
+	benchmarkRequests(b, testSettings(), func(*benchmarkBalancer) {})
 }
 
 // With many balancers, load reports bound what goes to a server, and keys lead to servers by hashing over
 // a lane's members. A report comes with each outcome.
-func BenchmarkRequestManyBalancersWithKeys(bench *testing.B) {
+func BenchmarkRequestManyBalancersWithKeys(b *testing.B) {
 	settings := manyBalancersSettings()
 	settings.KeyAffinity = true
-	benchmarkRequests(bench, settings, func(b *benchmarkBalancer) {
-		b.LoadReported(b.now, b.host.to, LoadReport{Inflight: 1, CompletedPerSecond: 20})
+	benchmarkRequests(b, settings, func(balancer *benchmarkBalancer) {
+		balancer.LoadReported(balancer.now, balancer.host.to, LoadReport{Inflight: 1, CompletedPerSecond: 20})
 	})
 }
 
 // A tick reviews the servers, so that its cost grows with the fleet up to serversPerTick. There is one
 // for each request here.
-func BenchmarkRequestAndTick(bench *testing.B) {
-	benchmarkRequests(bench, testSettings(), func(b *benchmarkBalancer) { b.Timer(b.now, tickToken) })
+func BenchmarkRequestAndTick(b *testing.B) {
+	benchmarkRequests(b, testSettings(), func(balancer *benchmarkBalancer) { balancer.Timer(balancer.now, tickToken) })
 }
 
 // benchmarkBalancer is a Balancer with its host and its time.
@@ -42,24 +42,25 @@
 
 // benchmarkRequests measures one request with its outcome and what then calls, for each size of the fleet.
 // Before the measurement twice as many requests pass as there are servers, so that maps and records have grown.
-func benchmarkRequests(bench *testing.B, settings Settings, then func(*benchmarkBalancer)) {
+func benchmarkRequests(b *testing.B, settings Settings, then func(*benchmarkBalancer)) {
+	b.Helper()
 	for _, n := range benchmarkFleets {
-		bench.Run(fmt.Sprintf("%d-servers", n), func(bench *testing.B) {
+		b.Run(fmt.Sprintf("%d-servers", n), func(b *testing.B) {
 			host := &discardHost{}
-			balancer, err := New(settings, 1, host)
+			decider, err := New(settings, 1, host)
 			if err != nil {
-				bench.Fatal(err)
+				b.Fatal(err)
 			}
-			b := &benchmarkBalancer{Balancer: balancer, host: host, now: time.Second}
-			b.UpdateEndpoints(b.now, UpdateFull, testEndpoints(n/2, 2))
+			balancer := &benchmarkBalancer{Balancer: decider, host: host, now: time.Second}
+			balancer.UpdateEndpoints(balancer.now, UpdateFull, testEndpoints(n/2, 2))
 			for range 2 * n {
-				b.decide()
-				then(b)
+				balancer.decide()
+				then(balancer)
 			}
-			bench.ReportAllocs()
-			for bench.Loop() {
-				b.decide()
-				then(b)
+			b.ReportAllocs()
+			for b.Loop() {
+				balancer.decide()
+				then(balancer)
 			}
 		})
 	}
--- a/example_test.go
+++ b/example_test.go
@@ -27,9 +27,14 @@
 func Example() {
 	settings := piernotch.Settings{
 		BalancerCount: 1, Zones: []string{"here", "there"}, Tick: time.Millisecond,
-		Classes: []piernotch.Class{{Name: "read", LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}},
-		Limits:  piernotch.Limits{MaxAttempts: 3},
-		Rules:   piernotch.Rules{SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second},
+		Classes: []piernotch.Class{{
+			Name:             "read",
+			LatencyObjective: 200 * time.Millisecond,
+			Deadline:         time.Second,
+			PriorityWeight:   1,
+		}},
+		Limits: piernotch.Limits{MaxAttempts: 3},
+		Rules:  piernotch.Rules{SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second},
 	}
 	b, err := piernotch.New(settings, 42, printer{})
 	if err != nil {
--- a/snapshot.go
+++ b/snapshot.go
@@ -12,7 +12,7 @@
 	MedianHint         float64 `json:"Median"`     // of the cost hints, ms
 	MeanWork           float64 `json:"MeanWork"`   // of a request, ms
 	LargeWorkShare     float64 `json:"LargeShare"` // of the work, in requests above the median
-	PeakCompletionRate float64 `json:"Usual"`      // peak completions per second of a warm server of size 1; 0: not known
+	PeakCompletionRate float64 `json:"Usual"`      // of a warm server of size 1, peak per second; 0: not known
 }
 
 // Snapshot returns what has been learnt so far.
