--- a/internal/decision/classfailure/classfailure.go
+++ b/internal/decision/classfailure/classfailure.go
@@ -14,11 +14,13 @@
 // Times are durations since the origin of the caller's clock.
 package classfailure
 
-import "time"
+import (
+	"time"
+
+	"piernotch/internal/decision/estimate"
+)
 
 const (
-	// smoothing is the weight of one attempt in a running share: about the last six attempts.
-	smoothing = 1.0 / 6
 	// minShare is the share of failures from which a class is avoided: two failed attempts in a row.
 	minShare = 0.3
 	// minMultiple is how many times the least share of the other classes it has to be.
@@ -90,7 +92,7 @@
 		failed = 0
 	}
 	share := &s.classes[class].failureShare
-	*share += smoothing * (failed - *share)
+	*share += estimate.ServerSmoothing * (failed - *share)
 }
 
 // Avoid reports whether requests of the class are to go to other servers: the server fails the class but
--- a/internal/decision/latency/latency.go
+++ b/internal/decision/latency/latency.go
@@ -25,10 +25,6 @@
 )
 
 const (
-	// groupSmoothing is the weight of one response in a running mean over a group: about the last 16.
-	groupSmoothing = 1.0 / 16
-	// serverSmoothing is the same for one server, which has fewer responses: about the last 6.
-	serverSmoothing = 1.0 / 6
 	// maxFasterByWork bounds how much of a mean request's work a response may have been faster than its own
 	// work: a cost hint that was far too high would else give a latency below zero.
 	maxFasterByWork = 1.0 / 2
@@ -42,7 +38,7 @@
 	msPerSecond = 1000
 )
 
-// Response is a response, or a time-out of a server that answers others.
+// Response is a response, or a time-out of a server that responds to others.
 type Response struct {
 	Latency   time.Duration
 	Objective time.Duration // latency objective of the request's class; queueing counts up to it
@@ -120,7 +116,7 @@
 }
 
 func (o *Overall) record(ms float64, response Response) {
-	gain := groupSmoothing * response.Work / response.MeanWork
+	gain := estimate.GroupSmoothing * response.Work / response.MeanWork
 	o.perWork = estimate.FollowRatio(o.perWork, ms, response.Work, gain)
 }
 
@@ -133,7 +129,7 @@
 }
 
 func (g *Group) record(typical, queueing float64) {
-	g.mean += groupSmoothing * (typical - g.mean)
-	g.queueingDeviation += groupSmoothing * (math.Abs(queueing-g.queueingMean) - g.queueingDeviation)
-	g.queueingMean += groupSmoothing * (queueing - g.queueingMean)
+	g.mean += estimate.GroupSmoothing * (typical - g.mean)
+	g.queueingDeviation += estimate.GroupSmoothing * (math.Abs(queueing-g.queueingMean) - g.queueingDeviation)
+	g.queueingMean += estimate.GroupSmoothing * (queueing - g.queueingMean)
 }
--- a/internal/decision/latency/server.go
+++ b/internal/decision/latency/server.go
@@ -59,8 +59,8 @@
 }
 
 func (s *Server) record(typical, ms float64, response Response) {
-	s.mean += serverSmoothing * (typical - s.mean)
-	gain := serverSmoothing * response.Work / response.MeanWork
+	s.mean += estimate.ServerSmoothing * (typical - s.mean)
+	gain := estimate.ServerSmoothing * response.Work / response.MeanWork
 	s.perWork = estimate.FollowRatio(s.perWork, ms, response.Work, gain)
 }
 
--- a/layers_test.go
+++ b/layers_test.go
@@ -25,7 +25,7 @@
 }{
 	{"estimate", nil},
 	{"admission", []string{"estimate"}},
-	{"classfailure", nil},
+	{"classfailure", []string{"estimate"}},
 	{"concurrency", nil},
 	{"lanes", []string{"estimate"}},
 	{"latency", []string{"estimate"}},
