--- a/admission.go
+++ b/admission.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// observeAnswer lets an answer move the shed share by up to the step.
-func (b *Balancer) observeAnswer(step float64, answer admission.Answer) {
-	answer.OnlyLocality = len(b.groups[1-answer.Locality].members) == 0
-	b.admission.ObserveAnswer(step, answer)
+// observeResponse lets a response move the shed share by up to the step.
+func (b *Balancer) observeResponse(step float64, response admission.Response) {
+	response.OnlyLocality = len(b.groups[1-response.Locality].members) == 0
+	b.admission.ObserveResponse(step, response)
 }
--- a/admission_test.go
+++ b/admission_test.go
@@ -38,13 +38,13 @@
 	if low < 100 || high > low {
 		t.Fatalf("rejected %d of low weight and %d of high weight", low, high)
 	}
-	shedAll(t, b, now) // nothing is sent, so there are no answers
+	shedAll(t, b, now) // nothing is sent, so there are no responses
 	for range int(20 * time.Second / b.tickInterval) {
 		now += b.tickInterval
 		b.Timer(now, tickToken)
 	}
 	if share := b.admission.ShedShare(); share > 0.5 {
-		t.Fatalf("shedding stays at %.2f without late answers", share)
+		t.Fatalf("shedding stays at %.2f without late responses", share)
 	}
 }
 
--- a/attempts_test.go
+++ b/attempts_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestRequestIsAnsweredOnceAndBeforeDeadline(t *testing.T) {
+func TestRequestGetsOneResponseBeforeDeadline(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), nil) // no server at all
 	r := newTestRequest(1, idempotentClass, 10)
 	b.HandleRequest(time.Second, r)
@@ -89,10 +89,10 @@
 	if len(h.rejected) != 2 {
 		t.Fatal("a request waits for a tick that comes after its deadline")
 	}
-	b.ClientDisconnected(2*time.Second, 2) // already answered: ignored
+	b.ClientDisconnected(2*time.Second, 2) // already has its response: ignored
 	b.ClientDisconnected(2*time.Second, 77)
 	if len(h.rejected)+len(h.failed) != 2 {
-		t.Fatal("answered twice")
+		t.Fatal("more than one final response")
 	}
 }
 
@@ -104,7 +104,7 @@
 	}
 	completeAttempt(b, time.Second+h.last().timeout, 1, 0, h.last().to, Timeout)
 	if len(h.failed) != 1 {
-		t.Fatal("no final answer")
+		t.Fatal("no final response")
 	}
 }
 
@@ -113,7 +113,7 @@
 	b.HandleRequest(time.Second, newTestRequest(1, idempotentClass, 10))
 	b.ClientDisconnected(time.Second+ms, 1)
 	if len(h.canceled) != 1 || len(h.failed)+len(h.rejected) != 0 {
-		t.Fatal("the attempt was not cancelled, or a client that has left was answered")
+		t.Fatal("the attempt was not cancelled, or a client that has left got a response")
 	}
 	completeAttempt(b, time.Second+2*ms, 1, 0, h.last().to, Cancelled)
 	if len(b.requests.open) != 0 {
--- a/balancer.go
+++ b/balancer.go
@@ -114,7 +114,7 @@
 	b.host.SetTimer(b.tickInterval, tickToken)
 }
 
-// HandleRequest takes a client's request, which gets one final answer unless its client leaves. It ignores
+// HandleRequest takes a client's request, which gets one final response unless its client leaves. It ignores
 // a request with an unknown class or the id of an open one.
 func (b *Balancer) HandleRequest(now time.Duration, arrival Request) {
 	b.ensureStarted(now)
@@ -144,7 +144,7 @@
 	if outcome.Closed {
 		request.markDone()
 	}
-	b.retryOrAnswer(now, request, outcome.Status)
+	b.retryOrRespond(now, request, outcome.Status)
 	b.dispatchWaiting(now)
 }
 
@@ -165,12 +165,12 @@
 	}
 	if responding := request.findOpenAttempt(attemptNumber); responding != nil {
 		request.markStreaming()
-		responding.server.lastAnswerAt = now
+		responding.server.lastResponseAt = now
 	}
 }
 
 // AttemptAllowed reports whether an attempt may still be written now that it has a connection. Meanwhile its
-// request may have been answered, its server be draining, or the class's deduplication window have closed.
+// request may have got its response, its server be draining, or the class's deduplication window have closed.
 func (b *Balancer) AttemptAllowed(now time.Duration, id RequestID, attemptNumber int) bool {
 	request := b.requests.find(id)
 	if request == nil || request.done || now >= request.Deadline {
@@ -221,7 +221,7 @@
 	switch {
 	case request.waiting():
 		b.dispatchOrQueue(now, request)
-	case request.answerable() && b.ejectSilent(now, request):
+	case request.needsResponse() && b.ejectSilent(now, request):
 		b.hedge(now, request)
 	}
 }
@@ -270,7 +270,7 @@
 // mayStartAttempt is the guard that every attempt passes. No other function knows these rules.
 func (b *Balancer) mayStartAttempt(now time.Duration, request *openRequest, target *server) bool {
 	limits := &b.settings.Limits
-	if !request.answerable() || now >= request.Deadline || len(request.attempts) >= limits.MaxAttempts {
+	if !request.needsResponse() || now >= request.Deadline || len(request.attempts) >= limits.MaxAttempts {
 		return false
 	}
 	mayHedge := limits.HedgedRequests && request.class.RetrySafety != NonIdempotent
@@ -308,7 +308,7 @@
 	b.host.StartAttempt(request.ID, target.ID, b.attemptDeadline(request)-now)
 }
 
-// attemptDeadline is when an answer is no longer worth the server's work.
+// attemptDeadline is when a response is no longer worth the server's work.
 func (b *Balancer) attemptDeadline(request *openRequest) time.Duration {
 	if request.class.LateWeightShare > 0 && !b.admission.Shedding() {
 		return request.Deadline
@@ -331,12 +331,12 @@
 func (b *Balancer) recordOutcome(now time.Duration, request *openRequest, ended *attempt, outcome Outcome) {
 	target := ended.server
 	target.outlier.AttemptEnded()
-	serverAnswered := outcome.Status == OK || outcome.Status == Full || outcome.Status == Error
-	if serverAnswered {
-		target.lastAnswerAt = now
+	serverResponded := outcome.Status == OK || outcome.Status == Full || outcome.Status == Error
+	if serverResponded {
+		target.lastResponseAt = now
 	}
 	recordClassOutcome(request, ended, outcome)
-	serverSilent := target.lastAnswerAt < ended.sentAt
+	serverSilent := target.lastResponseAt < ended.sentAt
 	switch {
 	case outcome.Status == Timeout && serverSilent:
 		// Its server was silent, which no tick has noticed yet: late, but no reason to shed.
@@ -345,13 +345,15 @@
 	case outcome.Status == Timeout:
 		b.recordLatency(now, request, target, outcome.Latency)
 	case outcome.Status == OK:
-		b.workload.ObserveAnswer(request.Class, outcome.Latency)
+		b.workload.ObserveResponse(request.Class, outcome.Latency)
 		b.recordLatency(now, request, target, outcome.Latency)
 		b.recordGoodResponse(now, target)
 	case outcome.Status == Full:
 		// A server that rejects everything must neither attract requests nor make the group look late.
 		b.recordFailure(now, target, outlier.BadResponse)
-		b.observeAnswer(b.admission.Step(now), admission.Answer{Locality: int(target.locality), Late: true})
+		b.observeResponse(b.admission.Step(now), admission.Response{
+			Locality: int(target.locality), Late: true,
+		})
 	case outcome.Status == ConnectFailed:
 		b.recordFailure(now, target, outlier.ConnectFailure)
 	case outcome.Status == Error, outcome.Status == Reset:
@@ -367,19 +369,19 @@
 	objectiveMs := objective.Seconds() * millisecondsPerSecond
 	queueing := b.observeLatency(request, target, took)
 	step := b.admission.Step(now)
-	b.laneBalance.Observe(lanes.Answer{
+	b.laneBalance.Observe(lanes.Response{
 		Lane: request.lane, Late: queueing > objectiveMs/lateDivisor,
 		MaxStep: step, LargeWorkShare: b.workload.LargeShare(),
 	})
 	if request.work < lightWorkShare*objectiveMs { // a heavy request is late on an idle server, too
-		b.observeAnswer(step, admission.Answer{
+		b.observeResponse(step, admission.Response{
 			Locality: int(target.locality), Late: took > objective/lateDivisor,
 		})
 	}
 }
 
-// retryOrAnswer retries a request after an attempt, or gives the final answer if none is in flight.
-func (b *Balancer) retryOrAnswer(now time.Duration, request *openRequest, status Status) {
+// retryOrRespond retries a request after an attempt, or gives the final response if none is in flight.
+func (b *Balancer) retryOrRespond(now time.Duration, request *openRequest, status Status) {
 	switch {
 	case request.done:
 		b.requests.releaseIfFinished(request)
@@ -403,7 +405,7 @@
 	return b.retryBudget.Available() && now < request.objective
 }
 
-// rejectOrFail gives the final answer: rejected if trying again is certain to do no harm, else failed.
+// rejectOrFail gives the final response: rejected if trying again is certain to do no harm, else failed.
 func (b *Balancer) rejectOrFail(request *openRequest) {
 	if request.repeatIsHarmless() {
 		b.host.Reject(request.ID, b.admission.RetryAfter())
@@ -413,7 +415,7 @@
 	b.closeRequest(request)
 }
 
-// closeRequest ends a request that needs no further answer, and cancels its open attempts.
+// closeRequest ends a request that needs no further response, and cancels its open attempts.
 func (b *Balancer) closeRequest(request *openRequest) {
 	request.markDone()
 	if b.settings.Limits.CancelAttempts && !request.streaming {
--- a/class_failures.go
+++ b/class_failures.go
@@ -6,8 +6,8 @@
 func recordClassOutcome(request *openRequest, ended *attempt, outcome Outcome) {
 	ended.server.classFailures.RecordAttempt(request.Class, classfailure.Attempt{
 		Result: classResult(outcome.Status), Latency: outcome.Latency,
-		Objective:     request.class.LatencyObjective,
-		AnswersOthers: ended.server.lastAnswerAt >= ended.sentAt,
+		Objective:        request.class.LatencyObjective,
+		RespondsToOthers: ended.server.lastResponseAt >= ended.sentAt,
 	})
 }
 
--- a/doc.go
+++ b/doc.go
@@ -10,18 +10,18 @@
 // give equal actions. The package must not know of connections, HTTP, configuration files or other processes:
 // they reach it as Settings and events.
 //
-// Each request that HandleRequest accepts gets one final answer: a response that the host forwards, Reject,
+// Each request that HandleRequest accepts gets one final response: one that the host forwards, Reject,
 // or Fail. A request whose client leaves gets none. Reject promises that trying again does no harm, so it is
 // used only where no attempt may have executed or repeats are harmless.
 //
 // # A request's life
 //
 // On arrival a request gets a priority (its class, within or over its tenant's quota) and a lane (its cost
-// hint, below or above the median). While answers come late everywhere, a share of the requests is rejected,
+// hint, below or above the median). While responses come late everywhere, a share of the requests is rejected,
 // lowest precedence first (internal/decision/admission). The others go to a server (selection.go): the own
 // zone up to a small load on each server, then other zones; in each, the server that rendezvous hashing picks
-// for the request's key, or else the next in weighted round robin that is expected to answer in time. If none
-// has capacity, the request waits for the next tick or the next answer.
+// for the request's key, or else the next in weighted round robin that is expected to respond in time. If none
+// has capacity, the request waits for the next tick or the next response.
 //
 // One guard, mayStartAttempt, allows or denies every attempt (balancer.go): the class's retry safety, the
 // number of attempts, draining, ejection, slow start and the concurrency limit. Retries and hedged requests
--- a/endpoint_set.go
+++ b/endpoint_set.go
@@ -124,20 +124,20 @@
 // server is one listed server.
 type server struct {
 	Endpoint
-	excluded      bool   // by operators
-	idHash        uint64 // for rendezvous hashing and slow start draws
-	locality      locality
-	spillRank     float64       // random in [0, 1): shares out the spill of balancers
-	path          *latency.Path // to its zone
-	member        lanes.Member  // of its locality's group
-	inflight      int           // this balancer's attempts
-	backlog       float64       // work of these, ms
-	latency       latency.Server
-	reports       loadreport.Reports // by which it holds requests of other balancers
-	lastAnswerAt  time.Duration      // when it last answered anything
-	classFailures classfailure.Shares
-	slowStart     slowstart.Progress
-	outlier       outlier.Monitor // its failures and ejections
+	excluded       bool   // by operators
+	idHash         uint64 // for rendezvous hashing and slow start draws
+	locality       locality
+	spillRank      float64       // random in [0, 1): shares out the spill of balancers
+	path           *latency.Path // to its zone
+	member         lanes.Member  // of its locality's group
+	inflight       int           // this balancer's attempts
+	backlog        float64       // work of these, ms
+	latency        latency.Server
+	reports        loadreport.Reports // by which it holds requests of other balancers
+	lastResponseAt time.Duration      // when it last responded to anything
+	classFailures  classfailure.Shares
+	slowStart      slowstart.Progress
+	outlier        outlier.Monitor // its failures and ejections
 }
 
 // warm reports whether the server is not in slow start.
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -121,25 +121,32 @@
 	return Request{ID: id, Class: class, Deadline: 3 * time.Second, CostHint: hint}
 }
 
-// completeAttempt ends an attempt after 20 ms; OK is the request's final answer.
-func completeAttempt(b *Balancer, now time.Duration, id RequestID, try int, to ServerID, s Status) {
-	b.HandleOutcome(now, Outcome{ID: id, Attempt: try, Server: to, Status: s, Latency: 20 * ms, Closed: s == OK})
+// completeAttempt ends an attempt after 20 ms; OK is the request's final response.
+func completeAttempt(b *Balancer, now time.Duration, id RequestID, attemptNumber int, to ServerID, s Status) {
+	b.HandleOutcome(now, Outcome{
+		ID:      id,
+		Attempt: attemptNumber,
+		Server:  to,
+		Status:  s,
+		Latency: 20 * ms,
+		Closed:  s == OK,
+	})
 }
 
 // runTicks reviews the servers for three seconds, with some requests in flight in the own zone, where each
 // server reports a few times that it holds so many requests.
-func runTicks(t *testing.T, s Settings, held float64) (*Balancer, *recorder) {
+func runTicks(t *testing.T, s Settings, inflight float64) (*Balancer, *recorder) {
 	t.Helper()
 	b, h := newTestBalancer(t, s, testEndpoints(6, 2))
 	b.tickInterval = 10 * ms
 	now := time.Second
-	for i := range 2 + int(2*held) {
+	for i := range 2 + int(2*inflight) {
 		b.HandleRequest(now, Request{ID: RequestID(1 + i), Class: idempotentClass, Deadline: time.Minute, CostHint: 10})
 	}
 	for i := range 300 {
 		now += b.tickInterval
 		for id := ServerID(1); i%50 == 0 && id <= 6; id++ {
-			b.LoadReported(now, id, LoadReport{Inflight: held, CompletedPerSecond: 20})
+			b.LoadReported(now, id, LoadReport{Inflight: inflight, CompletedPerSecond: 20})
 		}
 		b.reviewServers(now)
 	}
@@ -161,12 +168,12 @@
 	}
 }
 
-// shedAll lets answers come late until all work is shed.
+// shedAll lets responses come late until all work is shed.
 func shedAll(t *testing.T, b *Balancer, now time.Duration) {
 	t.Helper()
 	for range 100 {
 		now += b.shortestObjective
-		b.admission.ObserveAnswer(b.admission.Step(now), admission.Answer{Late: true, OnlyLocality: true})
+		b.admission.ObserveResponse(b.admission.Step(now), admission.Response{Late: true, OnlyLocality: true})
 	}
 	if share := b.admission.ShedShare(); share != 1 {
 		t.Fatalf("shed share %v", share)
--- a/internal/decision/admission/admission.go
+++ b/internal/decision/admission/admission.go
@@ -5,7 +5,7 @@
 // arrival, lowest priority first, so that what is let in is served within its objective. It has three
 // parts:
 //
-//   - Shedding (shedding.go): a share of the work that is rejected on arrival. It grows while answers come
+//   - Shedding (shedding.go): a share of the work that is rejected on arrival. It grows while responses come
 //     late in all localities and decays otherwise, as in Envoy's admission control filter, but it is steered
 //     by latency and not by failures.
 //   - Priority bands (bands.go): the classes of requests, each within and over the quotas of its
@@ -14,7 +14,7 @@
 //     than its part of what is forwarded goes first for a while, so that none starves.
 //   - A bound on the queue (queue.go): a request that would wait for too long is rejected at once.
 //
-// The Controller decides from what its caller reports: arrivals, forwarded requests, and whether answers
+// The Controller decides from what its caller reports: arrivals, forwarded requests, and whether responses
 // were late. It knows nothing of servers or of single requests. It must not be used concurrently.
 package admission
 
@@ -36,8 +36,8 @@
 type Controller struct {
 	options    Options
 	shedShare  float64              // share of the work, lowest precedence first, that is rejected on arrival
-	adjustedAt time.Duration        // when an answer last moved the shed share
-	lateness   [localities]lateness // of the answers of each locality
+	adjustedAt time.Duration        // when a response last moved the shed share
+	lateness   [localities]lateness // of the responses of each locality
 	bands      []bandState          // by Band
 }
 
--- a/internal/decision/admission/admission_test.go
+++ b/internal/decision/admission/admission_test.go
@@ -26,34 +26,34 @@
 	return c
 }
 
-// observe reports so many answers of a locality, one in each objective, and returns the shed share.
-func observe(c *Controller, answer Answer, count int) float64 {
+// observe reports so many responses of a locality, one in each objective, and returns the shed share.
+func observe(c *Controller, response Response, count int) float64 {
 	for range count {
-		c.ObserveAnswer(c.Step(c.adjustedAt+objective), answer)
+		c.ObserveResponse(c.Step(c.adjustedAt+objective), response)
 	}
 	return c.ShedShare()
 }
 
-func TestShedShareFollowsLateAnswers(t *testing.T) {
-	own, elsewhere := Answer{Late: true}, Answer{Locality: 1, Late: true}
+func TestShedShareFollowsLateResponses(t *testing.T) {
+	own, elsewhere := Response{Late: true}, Response{Locality: 1, Late: true}
 	c := newController(nil, 1)
 	require.Zero(t, observe(c, own, 50), "the other locality is in time: spilling costs less")
 	require.Equal(t, 2*maxStep, observe(c, elsewhere, 2), "the first is late, too")
-	require.Equal(t, 1.5*maxStep, observe(c, own, 1), "two late answers do not make the second late")
+	require.Equal(t, 1.5*maxStep, observe(c, own, 1), "two late responses do not make the second late")
 	require.Equal(t, 2.5*maxStep, observe(c, elsewhere, 1))
 	require.Equal(t, 3.5*maxStep, observe(c, own, 1), "three do")
 }
 
 func TestLoneLocalityShedsAndRecovers(t *testing.T) {
 	c := newController(nil, 1)
-	late, inTime := Answer{Late: true, OnlyLocality: true}, Answer{OnlyLocality: true}
+	late, inTime := Response{Late: true, OnlyLocality: true}, Response{OnlyLocality: true}
 	require.Equal(t, 4*maxStep, observe(c, late, 4))
 	require.Equal(t, 3*maxStep, observe(c, inTime, 2), "half as fast down")
 	require.Equal(t, 1.0, observe(c, late, 100), "no more than all")
 	require.Zero(t, observe(c, inTime, 100), "no less than nothing")
 	require.False(t, c.Shedding())
 	now := c.adjustedAt
-	require.InDelta(t, shedGain/40, c.Step(now+objective/40), 1e-12, "by the time since the last answer")
+	require.InDelta(t, shedGain/40, c.Step(now+objective/40), 1e-12, "by the time since the last response")
 	require.Zero(t, c.Step(now+objective/40))
 }
 
@@ -63,7 +63,7 @@
 		c.ObserveSilence(1)
 	}
 	require.Zero(t, c.ShedShare(), "silence is no reason to shed")
-	require.Positive(t, observe(c, Answer{Late: true}, 1), "it makes its locality late")
+	require.Positive(t, observe(c, Response{Late: true}, 1), "it makes its locality late")
 	before := c.LateShare(1)
 	c.ReviewLateness(latenessHolds * objective)
 	require.Equal(t, before, c.LateShare(1))
@@ -161,7 +161,7 @@
 func TestRetryAfterIsAdvisedWhileShedding(t *testing.T) {
 	c := newController(func(o *Options) { o.AdviseRetryAfter, o.MaxRetryAfter = true, time.Second }, 1)
 	require.Zero(t, c.RetryAfter())
-	observe(c, Answer{Late: true, OnlyLocality: true}, 1)
+	observe(c, Response{Late: true, OnlyLocality: true}, 1)
 	require.Equal(t, objective, c.RetryAfter())
 	c.options.MaxRetryAfter = time.Millisecond
 	require.Equal(t, time.Millisecond, c.RetryAfter())
--- a/internal/decision/classfailure/classfailure.go
+++ b/internal/decision/classfailure/classfailure.go
@@ -1,6 +1,6 @@
 // Package classfailure finds the classes of requests that one server fails while it serves others.
 //
-// One kind of request can hang or fail on a server that answers all others: a lock is stuck, or a store
+// One kind of request can hang or fail on a server that responds to all others: a lock is stuck, or a store
 // that only this kind needs is gone. The server is then no outlier, since its other responses are good and
 // end every row of failures. Its requests of that class would use up its capacity for a whole time-out
 // each, and all of them would fail. The caller therefore sends these to other servers.
@@ -44,17 +44,17 @@
 
 // Attempt is an attempt that has ended.
 type Attempt struct {
-	Result        Result
-	Latency       time.Duration
-	Objective     time.Duration // latency objective of its class
-	AnswersOthers bool          // the server has answered something since the attempt was sent
+	Result           Result
+	Latency          time.Duration
+	Objective        time.Duration // latency objective of its class
+	RespondsToOthers bool          // the server has responded to something since the attempt was sent
 }
 
-// hung reports whether the server took too long for this attempt while it answered others. A cancelled
+// hung reports whether the server took too long for this attempt while it responded to others. A cancelled
 // attempt took too long if it had used half of its objective.
 func (a Attempt) hung() bool {
 	tookLong := a.Result == TimedOut || a.Result == Cancelled && a.Latency > a.Objective/2
-	return tookLong && a.AnswersOthers
+	return tookLong && a.RespondsToOthers
 }
 
 // Shares holds the failure shares of one server. New returns a usable one.
--- a/internal/decision/classfailure/classfailure_test.go
+++ b/internal/decision/classfailure/classfailure_test.go
@@ -15,12 +15,12 @@
 )
 
 func attempt(result Result, latency time.Duration) Attempt {
-	return Attempt{Result: result, Latency: latency, Objective: objective, AnswersOthers: true}
+	return Attempt{Result: result, Latency: latency, Objective: objective, RespondsToOthers: true}
 }
 
 func TestOnlyFailuresOfTheClassCount(t *testing.T) {
 	silent := attempt(TimedOut, objective)
-	silent.AnswersOthers = false
+	silent.RespondsToOthers = false
 	for name, c := range map[string]struct {
 		attempt Attempt
 		avoided bool // after two of them
@@ -71,5 +71,5 @@
 	require.True(t, s.Avoid(end-1, hanging, objective))
 	require.False(t, s.Avoid(end, hanging, objective))
 	s.RecordSend(end, hanging)
-	require.True(t, s.Avoid(end+objective, hanging, objective), "it was tried and has not answered")
+	require.True(t, s.Avoid(end+objective, hanging, objective), "it was tried and has not responded")
 }
--- a/internal/decision/lanes/balance.go
+++ b/internal/decision/lanes/balance.go
@@ -9,28 +9,28 @@
 	maxSmallLaneLoss = 1.0 / 2 // what it may lose of it
 )
 
-// Balance moves the split between the lanes until answers are late equally often in both. It prevents that
+// Balance moves the split between the lanes until responses are late equally often in both. It prevents that
 // one lane is overloaded while the other has capacity, which happens where cost hints are wrong by a factor
 // or where the heavy requests are few. The zero value leaves each lane its share of the work.
 type Balance struct {
 	offset float64            // added to the large lane's share of the work
-	late   [laneCount]float64 // share of late answers in each lane
+	late   [laneCount]float64 // share of late responses in each lane
 }
 
-// Answer is one answer as Balance sees it.
-type Answer struct {
+// Response is one response as Balance sees it.
+type Response struct {
 	Lane           Lane
 	Late           bool
 	MaxStep        float64 // how far it may move the split, as a share of the weight
 	LargeWorkShare float64 // share of the work that is of the large lane's requests, in [0, 1]
 }
 
-// Observe counts an answer and moves the split.
-func (b *Balance) Observe(answer Answer) {
-	late := estimate.Indicator(answer.Late)
-	b.late[answer.Lane] += estimate.GroupSmoothing * (late - b.late[answer.Lane])
-	b.offset += answer.MaxStep * (b.late[Large] - b.late[Small])
-	smallWorkShare := 1 - answer.LargeWorkShare
+// Observe counts a response and moves the split.
+func (b *Balance) Observe(response Response) {
+	late := estimate.Indicator(response.Late)
+	b.late[response.Lane] += estimate.GroupSmoothing * (late - b.late[response.Lane])
+	b.offset += response.MaxStep * (b.late[Large] - b.late[Small])
+	smallWorkShare := 1 - response.LargeWorkShare
 	b.offset = min(max(b.offset, -smallWorkShare*maxSmallLaneGain), smallWorkShare*maxSmallLaneLoss)
 }
 
--- a/internal/decision/lanes/lanes.go
+++ b/internal/decision/lanes/lanes.go
@@ -2,7 +2,7 @@
 // servers of a share.
 //
 // It decides which member of a group is next, from the members' weights, and which part of the weight each
-// of the two lanes has, from the share of the work that is heavy and from how often answers are late in
+// of the two lanes has, from the share of the work that is heavy and from how often responses are late in
 // each lane. The caller decides whether the member that is next can take the request.
 //
 // The two lanes prevent head of line blocking: a light request that waits behind a heavy one takes many
--- a/internal/decision/lanes/lanes_test.go
+++ b/internal/decision/lanes/lanes_test.go
@@ -114,7 +114,7 @@
 			require.Equal(t, 0.6, balance.LargeShare(0.6))
 			for range 200 {
 				for lane := range Lane(laneCount) {
-					balance.Observe(Answer{Lane: lane, Late: lane == c.late, MaxStep: 0.05, LargeWorkShare: 0.6})
+					balance.Observe(Response{Lane: lane, Late: lane == c.late, MaxStep: 0.05, LargeWorkShare: 0.6})
 				}
 			}
 			require.InDelta(t, c.want, balance.LargeShare(0.6), 1e-9)
--- a/internal/decision/loadreport/loadreport.go
+++ b/internal/decision/loadreport/loadreport.go
@@ -23,7 +23,7 @@
 	// smoothing is the weight of one report in a running mean: a mean over about the last four.
 	smoothing = 1.0 / 4
 	// decayTime is the time in seconds in which the weight of a report falls by a factor of e. By then most
-	// of the requests that it counted have been answered.
+	// of the requests that it counted have got their responses.
 	decayTime = 1.0
 	// maxAge is the time for which a report counts in a mean over servers.
 	maxAge = 3 * time.Second
--- a/internal/decision/outlier/outlier.go
+++ b/internal/decision/outlier/outlier.go
@@ -31,7 +31,7 @@
 
 const (
 	// maxSilentTimeouts is the number of consecutive failures at which a time-out ejects a server that
-	// has answered nothing since. A hung server costs each request its whole time-out: two show enough.
+	// has responded to nothing since. A hung server costs each request its whole time-out: two show enough.
 	maxSilentTimeouts = 2
 	// maxFailures is the same for all other failures, of which a healthy server has some now and then.
 	maxFailures = 3
@@ -55,7 +55,7 @@
 const (
 	BadResponse    Failure = iota // an error, a rejection by the server or a broken connection
 	ConnectFailure                // no connection
-	SilentTimeout                 // a time-out, while the server answered nothing else either
+	SilentTimeout                 // a time-out, while the server responded to nothing else either
 )
 
 // consecutiveLimit returns the number of failures in a row at which one of this kind ejects.
--- a/internal/decision/subscription/subscription.go
+++ b/internal/decision/subscription/subscription.go
@@ -63,7 +63,7 @@
 	s.backoff = min(2*s.backoff, max(s.options.PollInterval, s.backoff))
 }
 
-// Succeeded records that discovery has answered: the backoff starts from its first value again.
+// Succeeded records that discovery has responded: the backoff starts from its first value again.
 func (s *Schedule) Succeeded() { s.resetBackoff() }
 
 func (s *Schedule) resetBackoff() { s.backoff = s.options.PollInterval / backoffsPerPollInterval }
--- a/internal/decision/workload/workload.go
+++ b/internal/decision/workload/workload.go
@@ -1,5 +1,5 @@
 // Package workload estimates how much work requests mean, from their cost hints and from how fast servers
-// answered earlier ones.
+// responded to earlier ones.
 //
 // All other components measure load in this work (ms of a server's time) and not in requests: a balancer
 // that counts requests takes a few heavy ones for a light load, and sends light ones behind them
@@ -8,7 +8,7 @@
 // (Harchol-Balter, Crovella and Murta, "On Choosing a Task Assignment Policy for a Distributed Server
 // System", 1999). Both follow by small steps, without a history of samples.
 //
-// Where clients send no hints, a low quantile of a class's latencies replaces them: the fastest answers
+// Where clients send no hints, a low quantile of a class's latencies replaces them: the fastest responses
 // met no queue, so that their latency is about their work.
 //
 // A Model must not be used concurrently.
@@ -28,10 +28,10 @@
 	// medianStep is the least relative change of the median hint by one hint.
 	medianStep = estimate.GroupSmoothing / 2
 	// fastQuantile is the quantile of a class's latencies that replaces missing hints: low enough to
-	// include no queueing, and not the minimum, which a single odd answer would set.
+	// include no queueing, and not the minimum, which a single odd response would set.
 	fastQuantile = 1.0 / 8
-	// fastQuantileStep is the relative change of that quantile by one answer. It is multiplied by the
-	// share of answers on the other side, so that the steps up and down balance at the quantile.
+	// fastQuantileStep is the relative change of that quantile by one response. It is multiplied by the
+	// share of responses on the other side, so that the steps up and down balance at the quantile.
 	fastQuantileStep = 1.0 / 16
 	// initialLargeShare is the share of large work before there was any: half.
 	initialLargeShare = 0.5
@@ -41,12 +41,12 @@
 
 // Model is what is known of the work of requests. Create it with New.
 type Model struct {
-	medianHint  float64   // running median of the cost hints, ms
-	hints       float64   // hints that it is from
-	mean        float64   // mean work of a request, ms
-	samples     float64   // requests that it is from
-	largeShare  float64   // share of the work that is in large requests
-	fastAnswers []float64 // low quantile of each class's latencies, ms; 0: not known
+	medianHint    float64   // running median of the cost hints, ms
+	hints         float64   // hints that it is from
+	mean          float64   // mean work of a request, ms
+	samples       float64   // requests that it is from
+	largeShare    float64   // share of the work that is in large requests
+	fastResponses []float64 // low quantile of each class's latencies, ms; 0: not known
 }
 
 // New returns a Model that knows nothing yet.
@@ -54,8 +54,8 @@
 
 // EnsureClasses makes room for so many classes. What is known of earlier ones stays.
 func (m *Model) EnsureClasses(count int) {
-	for len(m.fastAnswers) < count {
-		m.fastAnswers = append(m.fastAnswers, 0)
+	for len(m.fastResponses) < count {
+		m.fastResponses = append(m.fastResponses, 0)
 	}
 }
 
@@ -78,10 +78,10 @@
 }
 
 // WithoutHint returns the work that replaces a missing cost hint of a class, in ms: the low quantile of
-// its latencies, or the mean work until there is an answer. It is 0 while nothing is known at all.
+// its latencies, or the mean work until there is a response. It is 0 while nothing is known at all.
 func (m *Model) WithoutHint(class int) float64 {
-	if m.fastAnswers[class] > 0 {
-		return m.fastAnswers[class]
+	if m.fastResponses[class] > 0 {
+		return m.fastResponses[class]
 	}
 	return m.mean
 }
@@ -128,10 +128,10 @@
 	m.largeShare = min(max(m.largeShare, 0), 1)
 }
 
-// ObserveAnswer learns from the latency of a good answer: it moves the low quantile of its class.
-func (m *Model) ObserveAnswer(class int, latency time.Duration) {
+// ObserveResponse learns from the latency of a good response: it moves the low quantile of its class.
+func (m *Model) ObserveResponse(class int, latency time.Duration) {
 	ms := latency.Seconds() * 1000
-	quantile := &m.fastAnswers[class]
+	quantile := &m.fastResponses[class]
 	switch {
 	case *quantile == 0:
 		*quantile = ms
--- a/internal/decision/workload/workload_test.go
+++ b/internal/decision/workload/workload_test.go
@@ -51,16 +51,16 @@
 	require.Equal(t, Expectation{}, newModel().Expect(0, 0), "nothing is known")
 }
 
-func TestFastAnswersReplaceMissingHints(t *testing.T) {
+func TestFastResponsesReplaceMissingHints(t *testing.T) {
 	m := newModel()
 	for i := range 400 {
 		latency := time.Duration(20+i%3*80) * time.Millisecond // a third meets no queue
-		m.ObserveAnswer(0, latency)
+		m.ObserveResponse(0, latency)
 	}
 	require.InDelta(t, 20, m.WithoutHint(0), 4)
-	require.Zero(t, m.WithoutHint(1), "the other class has neither an answer nor a mean")
+	require.Zero(t, m.WithoutHint(1), "the other class has neither a response nor a mean")
 	arrive(m, 33)
-	require.Equal(t, 33.0, m.WithoutHint(1), "the mean work until there is an answer")
+	require.Equal(t, 33.0, m.WithoutHint(1), "the mean work until there is a response")
 	m.EnsureClasses(3)
 	require.InDelta(t, 20, m.WithoutHint(0), 4)
 	require.Equal(t, 33.0, m.WithoutHint(2))
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -9,7 +9,7 @@
 )
 
 // invariantChecker is a Host that checks every action: no request to a server that is not ready, retries only
-// as the class permits, attempts within the limit, and one final answer in time.
+// as the class permits, attempts within the limit, and one final response in time.
 type invariantChecker struct {
 	t                *testing.T
 	set              Settings
@@ -24,8 +24,8 @@
 // trackedRequest is what the checker knows of a request.
 type trackedRequest struct {
 	Request
-	attempts []trackedAttempt
-	answers  int
+	attempts  []trackedAttempt
+	responses int
 }
 
 // trackedAttempt is what the checker knows of an attempt.
@@ -42,8 +42,8 @@
 
 func (c *invariantChecker) StartAttempt(id RequestID, to ServerID, _ time.Duration) {
 	r := c.requests[id]
-	if r.answers > 0 {
-		c.violate("attempt for %d after its answer", id)
+	if r.responses > 0 {
+		c.violate("attempt for %d after its response", id)
 	}
 	if at, ok := c.unavailableSince[to]; ok && c.now > at {
 		c.violate("sent to %d, which is not ready", to)
@@ -81,16 +81,16 @@
 	if c.mayHaveExecuted(r) && !harmless {
 		c.violate("rejected %d, which may have executed", id)
 	}
-	c.answer(id)
+	c.respond(id)
 }
 
-func (c *invariantChecker) Fail(id RequestID) { c.answer(id) }
+func (c *invariantChecker) Fail(id RequestID) { c.respond(id) }
 
-func (c *invariantChecker) answer(id RequestID) {
+func (c *invariantChecker) respond(id RequestID) {
 	r := c.requests[id]
-	r.answers++
-	if r.answers > 1 || c.now > r.Deadline+20*ms {
-		c.violate("answer %d for %d, %v after its deadline", r.answers, id, c.now-r.Deadline)
+	r.responses++
+	if r.responses > 1 || c.now > r.Deadline+20*ms {
+		c.violate("response %d for %d, %v after its deadline", r.responses, id, c.now-r.Deadline)
 	}
 }
 
@@ -102,7 +102,7 @@
 
 func (c *invariantChecker) SetTimer(d time.Duration, _ uint32) { c.timers = append(c.timers, c.now+d) }
 
-// completeRandomAttempt ends a random attempt. Some servers never answer before the timeout.
+// completeRandomAttempt ends a random attempt. Some servers never respond before the timeout.
 func (c *invariantChecker) completeRandomAttempt(b *Balancer, rng *rand.Rand, live []RequestID) {
 	if len(live) == 0 {
 		return
@@ -123,10 +123,10 @@
 	t := &r.attempts[i]
 	t.done, t.status = true, s
 	if s == OK {
-		r.answers = max(r.answers, 1)
+		r.responses = max(r.responses, 1)
 	}
 	b.HandleOutcome(c.now, Outcome{
-		ID: r.ID, Attempt: i, Server: t.server, Status: s, Latency: c.now - t.startedAt, Closed: r.answers > 0,
+		ID: r.ID, Attempt: i, Server: t.server, Status: s, Latency: c.now - t.startedAt, Closed: r.responses > 0,
 	})
 }
 
@@ -146,11 +146,11 @@
 			}
 			c.complete(b, r, i, Timeout)
 		}
-		if c.now > r.Deadline+20*ms && r.answers == 0 {
-			c.violate("request %d got no answer", id)
+		if c.now > r.Deadline+20*ms && r.responses == 0 {
+			c.violate("request %d got no response", id)
 			return true
 		}
-		return r.answers > 0 && !open
+		return r.responses > 0 && !open
 	})
 }
 
@@ -207,8 +207,8 @@
 			b.UpdateEndpoints(c.now, UpdateDelta, []Endpoint{*e})
 		case k < 11 && len(live) > 0:
 			id := live[rng.IntN(len(live))]
-			if c.requests[id].answers == 0 {
-				c.requests[id].answers++
+			if c.requests[id].responses == 0 {
+				c.requests[id].responses++
 				b.ClientDisconnected(c.now, id)
 			}
 		default:
--- a/latencies.go
+++ b/latencies.go
@@ -7,7 +7,7 @@
 )
 
 // observeLatency updates the latency estimates of all, of the group, of the server and of the path to it by
-// one answer, and returns its latency beyond the request's work in ms, at most the objective.
+// one response, and returns its latency beyond the request's work in ms, at most the objective.
 func (b *Balancer) observeLatency(
 	request *openRequest, target *server, took time.Duration,
 ) (queueing float64) {
@@ -33,7 +33,7 @@
 	return ms
 }
 
-// silenceTimeout returns how long an answer for that much work may take before it is overdue.
+// silenceTimeout returns how long a response for that much work may take before it is overdue.
 func (b *Balancer) silenceTimeout(group *serverGroup, work float64) time.Duration {
 	return group.latency.SilenceTimeout(work, b.shortestObjective)
 }
--- a/latencies_test.go
+++ b/latencies_test.go
@@ -14,27 +14,27 @@
 	b, _ := newTestBalancer(t, set, testEndpoints(1, 2))
 	now := time.Second
 	remote := b.endpoints.find(2)
-	answer := func(took time.Duration) {
+	response := func(took time.Duration) {
 		r := &openRequest{class: &set.Classes[idempotentClass], work: 10}
 		b.recordOutcome(now, r, &attempt{server: remote}, Outcome{Status: OK, Latency: took})
 	}
 	setMeanWork(t, b, 10)
 	for range 64 { // from so many the path is known
-		answer(50 * ms)
+		response(50 * ms)
 	}
 	remote.inflight = 2
 	if got := b.effectiveLoad(remote); got >= 1 {
 		t.Errorf("two requests that are mostly in transit count as %v", got)
 	}
 	for range 100 { // a queue is not a long transit
-		answer(400 * ms)
+		response(400 * ms)
 	}
 	if got := b.effectiveLoad(remote); got < 1.5 {
 		t.Errorf("two requests in a queue count as %v", got)
 	}
 }
 
-// Without hints, the fast answers of each class show its work, and the small lane has the whole group.
+// Without hints, the fast responses of each class show its work, and the small lane has the whole group.
 func TestWorkIsEstimatedPerClassWithoutHints(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), testEndpoints(4, 1))
 	now := time.Second
--- a/load_reports.go
+++ b/load_reports.go
@@ -41,7 +41,7 @@
 
 // meanInflight returns how many requests of all balancers a warm member of the group holds on the mean, by
 // fresh reports; known is false if there is none. Where there never was one, latencies are the measure: an
-// answer that takes twice as long as its work found as much work before it.
+// response that takes twice as long as its work found as much work before it.
 func (b *Balancer) meanInflight(now time.Duration, group *serverGroup) (inflight float64, known bool) {
 	var mean loadreport.GroupMean
 	for _, target := range group.members {
--- a/outlier_ejection.go
+++ b/outlier_ejection.go
@@ -14,7 +14,7 @@
 }
 
 // ejectSilent reports whether an attempt of the request is overdue, and ejects the servers that have
-// answered nothing since they got it. One that answered others is only slow with this one.
+// responded to nothing since they got it. One that responded to others is only slow with this one.
 func (b *Balancer) ejectSilent(now time.Duration, request *openRequest) (overdue bool) {
 	for i := range request.attempts {
 		sent := &request.attempts[i]
@@ -23,7 +23,7 @@
 			continue
 		}
 		overdue = true
-		if target.lastAnswerAt < sent.sentAt && !target.outlier.Ejected() {
+		if target.lastResponseAt < sent.sentAt && !target.outlier.Ejected() {
 			b.eject(now, target)
 		}
 	}
--- a/outlier_ejection_test.go
+++ b/outlier_ejection_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A hung server accepts requests and does not answer; the list says that it is ready.
+// A hung server accepts requests and does not respond; the list says that it is ready.
 func TestSilentServerIsEjectedAndReturnsAfterOneTrial(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
 	hung := b.endpoints.sorted[0]
@@ -59,7 +59,7 @@
 		completeAttempt(b, now, h.attempts[i].id, 0, h.attempts[i].to, OK)
 	}
 	if hung.outlier.Ejected() {
-		t.Fatal("an answered trial did not end the ejection")
+		t.Fatal("a successful trial did not end the ejection")
 	}
 }
 
@@ -86,7 +86,7 @@
 	}
 }
 
-// A regression: bad answers, resets and silence ejected servers, which came back in slow start. Half of the
+// A regression: bad responses, resets and silence ejected servers, which came back in slow start. Half of the
 // fleet was limited to one request at a time, though no process had restarted.
 func TestOnlyConnectFailuresEndEjectionInSlowStart(t *testing.T) {
 	for status, slowStart := range map[Status]bool{Error: false, Reset: false, ConnectFailed: true} {
@@ -113,8 +113,8 @@
 	}
 }
 
-// A regression: a server that rejects everything is idle and answers at once, so it got turn after turn, and
-// its rejections counted as late answers of the whole fleet.
+// A regression: a server that rejects everything is idle and responds at once, so it got turn after turn, and
+// its rejections counted as late responses of the whole fleet.
 func TestServerRejectingAllRequestsIsEjected(t *testing.T) {
 	b, h := newTestBalancer(t, manyBalancersSettings(), testEndpoints(6, 1))
 	fillRetryBudget(b)
@@ -122,15 +122,15 @@
 	for i := range 200 {
 		now := time.Second + time.Duration(i)*ms
 		b.HandleRequest(now, newTestRequest(RequestID(i), idempotentClass, 10))
-		try := 0
+		attemptNumber := 0
 		if h.last().to == 1 {
 			rejections++
 			completeAttempt(b, now, RequestID(i), 0, 1, Full)
-			try++
+			attemptNumber++
 		}
-		completeAttempt(b, now, RequestID(i), try, h.last().to, OK)
+		completeAttempt(b, now, RequestID(i), attemptNumber, h.last().to, OK)
 	}
 	require.LessOrEqual(t, rejections, 3)
-	require.Less(t, b.latency.PerWork(), 3.0, "a rejection counted as a slow answer")
+	require.Less(t, b.latency.PerWork(), 3.0, "a rejection counted as a slow response")
 	require.Empty(t, h.rejected)
 }
--- a/piernotch.go
+++ b/piernotch.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// RequestID identifies a request until it has its final answer and no attempt is in flight.
+// RequestID identifies a request until it has its final response and no attempt is in flight.
 type RequestID uint64
 
 // ServerID identifies a server. It survives a restart of the server's process.
@@ -31,10 +31,10 @@
 // Class describes one kind of request.
 type Class struct {
 	Name             string
-	LatencyObjective time.Duration // an answer within it has its full weight; positive
+	LatencyObjective time.Duration // a response within it has its full weight; positive
 	Deadline         time.Duration // after which clients give up; not below LatencyObjective
-	PriorityWeight   float64       // of an answer; not negative
-	LateWeightShare  float64       // share of the weight that an answer after the objective has
+	PriorityWeight   float64       // of a response; not negative
+	LateWeightShare  float64       // share of the weight that a response after the objective has
 	RetrySafety      RetrySafety
 	DedupScope       DedupScope    // for IdempotencyKey only
 	DedupWindow      time.Duration // for IdempotencyKey only: how long repeats are discarded
@@ -108,7 +108,7 @@
 	UpdateDelta  UpdateKind = iota // changed entries only
 	UpdateFull                     // all entries; a server that is missing is gone
 	UpdateCached                   // all entries that this process last had, maybe stale
-	UpdateFailed                   // no entries: discovery did not answer or closed the connection
+	UpdateFailed                   // no entries: discovery did not respond or closed the connection
 )
 
 // Request is a client's request on arrival.
@@ -153,7 +153,7 @@
 	Server  ServerID
 	Status  Status
 	Latency time.Duration // from the start of the attempt
-	Closed  bool          // the request has its final answer
+	Closed  bool          // the request has its final response
 }
 
 // LoadReport is a server's report of its load, which counts what all balancers sent. It is some
@@ -171,10 +171,10 @@
 	StartAttempt(id RequestID, to ServerID, timeout time.Duration)
 	// CancelAttempt ends an attempt that is in flight.
 	CancelAttempt(id RequestID, attempt int)
-	// Reject answers the request finally: not executed, or trying again does no harm. A retryAfter of
+	// Reject gives the request its final response: not executed, or trying again does no harm. A retryAfter of
 	// 0 is no advice.
 	Reject(id RequestID, retryAfter time.Duration)
-	// Fail answers the request finally, without a promise.
+	// Fail gives the request its final response, without a promise.
 	Fail(id RequestID)
 	// HealthCheck checks a server and reports by HealthCheckCompleted.
 	HealthCheck(b ServerID)
--- a/requests.go
+++ b/requests.go
@@ -7,7 +7,7 @@
 	"piernotch/internal/decision/lanes"
 )
 
-// requestTable owns the records of the open requests: those that need a final answer or have attempts in
+// requestTable owns the records of the open requests: those that need a final response or have attempts in
 // flight. It reuses the records of finished ones, so that a request costs no allocation.
 type requestTable struct {
 	open []*openRequest // in no particular order
@@ -49,7 +49,7 @@
 	t.free = append(t.free, r)
 }
 
-// openRequest is a client's request until it has its final answer and no attempt is in flight. Only its
+// openRequest is a client's request until it has its final response and no attempt is in flight. Only its
 // methods and the request table change the fields from attempts on.
 type openRequest struct {
 	Request
@@ -63,7 +63,7 @@
 	attempts  []attempt // in sending order
 	inflight  int       // attempts that have not ended
 	hedged    bool      // a hedged attempt has been sent
-	done      bool      // needs no answer any more
+	done      bool      // needs no response any more
 	streaming bool      // a response is being forwarded
 	openIndex int       // in requestTable.open
 }
@@ -88,10 +88,10 @@
 // waiting reports whether the request waits to be dispatched.
 func (r *openRequest) waiting() bool { return !r.done && !r.streaming && r.inflight == 0 }
 
-// answerable reports whether the request still needs an answer and none is being forwarded.
-func (r *openRequest) answerable() bool { return !r.done && !r.streaming }
+// needsResponse reports whether the request still needs a response and none is being forwarded.
+func (r *openRequest) needsResponse() bool { return !r.done && !r.streaming }
 
-// markDone records that the request needs no answer any more.
+// markDone records that the request needs no response any more.
 func (r *openRequest) markDone() { r.done = true }
 
 // markStreaming records that a response is being forwarded.
@@ -152,7 +152,8 @@
 }
 
 // mayRepeatOn reports whether a request that may have executed in an earlier attempt may also go to the
-// server. The transit there, half of the fastest answer's latency, must end within the deduplication window.
+// server. The transit there, half of the fastest response's latency, must end within the deduplication
+// window.
 func (r *openRequest) mayRepeatOn(now time.Duration, earlier *attempt, target *server) bool {
 	windowClosed := now+target.path.Transit() > earlier.sentAt+r.class.DedupWindow
 	switch {
--- a/selection.go
+++ b/selection.go
@@ -146,7 +146,7 @@
 	return target.classFailures.Avoid(now, request.Class, request.class.LatencyObjective)
 }
 
-// meetsObjective reports whether the server is likely to answer in time, with what is queued there.
+// meetsObjective reports whether the server is likely to respond in time, with what is queued there.
 func (b *Balancer) meetsObjective(now time.Duration, request *openRequest, target *server) bool {
 	left := objectiveShare * float64(request.objective-now) / float64(time.Millisecond)
 	return !b.failsClass(now, request, target) && b.expectedLatency(now, request, target) <= left
--- a/selection_test.go
+++ b/selection_test.go
@@ -67,7 +67,7 @@
 }
 
 // A regression: queues at the servers had no bound, so all servers were overloaded and most
-// requests were rejected because answers came late.
+// requests were rejected because responses came late.
 func TestFullZoneSpillsAndThenQueues(t *testing.T) {
 	set := testSettings()
 	set.Classes[nonIdempotentClass].PriorityWeight = 2
@@ -167,7 +167,7 @@
 	}
 }
 
-// A regression: one class hung on some servers that answered the others. Its requests used up the
+// A regression: one class hung on some servers that responded to the others. Its requests used up the
 // capacity there for a latency objective each, and all of them failed.
 func TestClassFailingOnServerIsSentElsewhere(t *testing.T) {
 	set := testSettings()
@@ -185,8 +185,8 @@
 	}
 	for range 4 {
 		now += 100 * ms
-		answered := &attempt{server: failing, sentAt: now}
-		b.recordOutcome(now, served, answered, Outcome{Status: OK, Latency: ms})
+		responded := &attempt{server: failing, sentAt: now}
+		b.recordOutcome(now, served, responded, Outcome{Status: OK, Latency: ms})
 		timedOut := &attempt{server: failing, sentAt: now - 50*ms}
 		b.recordOutcome(now, hung, timedOut, Outcome{Status: Timeout, Latency: 50 * ms})
 	}
@@ -205,7 +205,7 @@
 	}
 }
 
-// A server that holds five requests and completes one per second answers late, whatever this balancer has
+// A server that holds five requests and completes one per second responds late, whatever this balancer has
 // there. Its report does not count for long.
 func TestOverloadedServerReceivesNoRequestsPastObjective(t *testing.T) {
 	b, h := newTestBalancer(t, manyBalancersSettings(), testEndpoints(1, 1))
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -137,7 +137,7 @@
 				})
 				if b.mayStartAttempt(now, r, to) {
 					b.startAttempt(now, r, to)
-					to.inflight-- // answered at once
+					to.inflight-- // responded to at once
 					sends++
 				}
 			}
