--- a/balancer.go
+++ b/balancer.go
@@ -22,8 +22,10 @@
 	ticksPerObjective = 16.0 // ticks within the shortest latency objective
 	serversPerTick    = 256  // servers that can be reviewed at every tick
 	tickToken         = 1    // of the timer that ticks
-	ticksToDispatch   = 2    // within which a waiting request is looked at again for certain
 
+	// ticksToDispatch is the number of ticks within which a waiting request is looked at again for certain:
+	// two, so that the next tick may come late by a whole interval.
+	ticksToDispatch = 2
 	// lightWorkShare is the share of its objective below which a request's work is light: only such
 	// requests show by their latency whether there is too much load.
 	lightWorkShare = 1.0 / 4
