--- a/internal/decision/classfailure/classfailure.go
+++ b/internal/decision/classfailure/classfailure.go
@@ -1,6 +1,6 @@
 // Package classfailure finds the classes of requests that one server fails while it serves others.
 //
-// One kind of request can hang or fail on a server that answers all others: a lock is stuck, or a store
+// One kind of request can hang or fail on a server that responds to all others: a lock is stuck, or a store
 // that only this kind needs is gone. The server is then no outlier, since its other responses are good and
 // end every row of failures. Its requests of that class would use up its capacity for a whole time-out
 // each, and all of them would fail. The caller therefore sends these to other servers.
@@ -14,11 +14,13 @@
 // Times are durations since the origin of the caller's clock.
 package classfailure
 
-import "time"
+import (
+	"time"
+
+	"piernotch/internal/decision/estimate"
+)
 
 const (
-	// smoothing is the weight of one attempt in a running share: about the last six attempts.
-	smoothing = 1.0 / 6
 	// minShare is the share of failures from which a class is avoided: two failed attempts in a row.
 	minShare = 0.3
 	// minMultiple is how many times the least share of the other classes it has to be.
@@ -42,17 +44,17 @@
 
 // Attempt is an attempt that has ended.
 type Attempt struct {
-	Result        Result
-	Latency       time.Duration
-	Objective     time.Duration // latency objective of its class
-	AnswersOthers bool          // the server has answered something since the attempt was sent
+	Result           Result
+	Latency          time.Duration
+	Objective        time.Duration // latency objective of its class
+	RespondsToOthers bool          // the server has responded to something since the attempt was sent
 }
 
-// hung reports whether the server took too long for this attempt while it answered others. A cancelled
+// hung reports whether the server took too long for this attempt while it responded to others. A cancelled
 // attempt took too long if it had used half of its objective.
 func (a Attempt) hung() bool {
 	tookLong := a.Result == TimedOut || a.Result == Cancelled && a.Latency > a.Objective/2
-	return tookLong && a.AnswersOthers
+	return tookLong && a.RespondsToOthers
 }
 
 // Shares holds the failure shares of one server. New returns a usable one.
@@ -90,7 +92,7 @@
 		failed = 0
 	}
 	share := &s.classes[class].failureShare
-	*share += smoothing * (failed - *share)
+	*share += estimate.ServerSmoothing * (failed - *share)
 }
 
 // Avoid reports whether requests of the class are to go to other servers: the server fails the class but
