--- a/cmd/piernotch-lab/chaos.go
+++ b/cmd/piernotch-lab/chaos.go
@@ -200,17 +200,11 @@
 func (c *chaosCmd) print(std *streams, run *chaosRun) {
 	counts := run.Report.Counts
 	std.out.Printf(
-		"%s, seed %d: %d attempts, %d served, %d rejected, %d failed, %d timed out, %d disconnected, "+
-			"%d unreachable, %d polls of discovery\n",
+		"%s, seed %d: %d attempts, %s, %d polls of discovery\n",
 		storednames.Display(storednames.ScheduleKinds, run.Kind),
 		run.Seed,
 		counts.Attempts,
-		counts.Served,
-		counts.Rejected,
-		counts.Failed,
-		counts.TimedOut,
-		counts.Disconnected,
-		counts.Unreachable,
+		describeCounts(counts),
 		run.Report.DiscoveryCalls,
 	)
 	if run.Failed == "" {
--- a/cmd/piernotch-lab/handover.go
+++ b/cmd/piernotch-lab/handover.go
@@ -71,18 +71,8 @@
 	std.out.Printf("%d done, slowest to be ready %v; %d processes ended in time, %d had to be killed\n",
 		done, handovers.SlowestReady.Round(time.Millisecond), handovers.Exited, handovers.Killed)
 	counts := report.Counts
-	std.out.Printf(
-		"%d attempts: %d served, %d rejected, %d failed, %d timed out, %d disconnected, %d unreachable, "+
-			"%d closed unread and retried\n",
-		counts.Attempts,
-		counts.Served,
-		counts.Rejected,
-		counts.Failed,
-		counts.TimedOut,
-		counts.Disconnected,
-		counts.Unreachable,
-		counts.RetriedOnClose,
-	)
+	std.out.Printf("%d attempts: %s, %d closed unread and retried\n",
+		counts.Attempts, describeCounts(counts), counts.RetriedOnClose)
 	std.out.Printf("%d requests closed unread by processes that were not killed\n", handovers.ClosedUnderRequest)
 	for _, text := range handovers.Problems {
 		std.out.Println("problem:", text)
--- a/cmd/piernotch-lab/load.go
+++ b/cmd/piernotch-lab/load.go
@@ -45,18 +45,7 @@
 	clients.Run(ctx)
 	parts := clients.Goodput().Parts()
 	counts := clients.Counts()
-	std.out.Printf(
-		"%d requests in %d attempts: served %d, rejected %d, failed %d, timed out %d, disconnected %d, "+
-			"unreachable %d\n",
-		len(arrivals),
-		counts.Attempts,
-		counts.Served,
-		counts.Rejected,
-		counts.Failed,
-		counts.TimedOut,
-		counts.Disconnected,
-		counts.Unreachable,
-	)
+	std.out.Printf("%d requests in %d attempts: %s\n", len(arrivals), counts.Attempts, describeCounts(counts))
 	std.out.Printf(
 		"served within the latency objective: whole run %.3f, worst 10 s %.3f, worst class %.3f; p50 %.1f ms, "+
 			"p99 %.1f ms from the due time; requests sent %v late at the 99th percentile\n",
--- a/cmd/piernotch-lab/loadtest_report.go
+++ b/cmd/piernotch-lab/loadtest_report.go
@@ -8,6 +8,7 @@
 
 	"github.com/jedib0t/go-pretty/v6/table"
 
+	"piernotch/internal/lab/load"
 	"piernotch/internal/lab/loadtest"
 	"piernotch/internal/lab/scenario"
 	"piernotch/internal/lab/simulation"
@@ -63,24 +64,19 @@
 	return out.String()
 }
 
+// describeCounts describes how the clients' attempts ended.
+func describeCounts(counts load.Counts) string {
+	return fmt.Sprintf("%d served, %d rejected, %d failed, %d timed out, %d disconnected, %d unreachable",
+		counts.Served, counts.Rejected, counts.Failed, counts.TimedOut, counts.Disconnected, counts.Unreachable)
+}
+
 // printReport prints what one load test measured.
 func printReport(std *streams, report *loadtest.Report) {
 	std.out.Printf("  |%s| served within the latency objective, by second\n", serviceBars(&report.Result))
 	std.out.Printf("  service %.3f (whole run %.3f, worst 10 s %.3f, worst class %.3f); p50 %.0f ms, p99 %.0f ms\n",
 		report.Service, report.WholeRun, report.WorstWindow, report.WorstClass, report.P50, report.P99)
 	counts := report.Counts
-	std.out.Printf(
-		"  %d requests in %d attempts: served %d, rejected %d, failed %d, timed out %d, disconnected %d, "+
-			"unreachable %d\n",
-		report.Requests,
-		counts.Attempts,
-		counts.Served,
-		counts.Rejected,
-		counts.Failed,
-		counts.TimedOut,
-		counts.Disconnected,
-		counts.Unreachable,
-	)
+	std.out.Printf("  %d requests in %d attempts: %s\n", report.Requests, counts.Attempts, describeCounts(counts))
 	for _, class := range report.Classes {
 		std.out.Printf(
 			"  %s: %d requests, %.3f of their priority weight served within the latency objective\n",
--- a/internal/lab/invariants/attempts.go
+++ b/internal/lab/invariants/attempts.go
@@ -152,16 +152,13 @@
 	}
 	for i := range request.attempts {
 		if i != attemptNumber && request.attempts[i].executed {
-			c.reportRequest(
-				request,
-				Violation{
-					Rule:    Repeated,
-					At:      at,
-					Request: id,
-					Server:  attempt.server,
-					Message: "executed a second time",
-				},
-			)
+			c.reportRequest(request, Violation{
+				Rule:    Repeated,
+				At:      at,
+				Request: id,
+				Server:  attempt.server,
+				Message: "executed a second time",
+			})
 			return
 		}
 	}
--- a/internal/lab/invariants/requests.go
+++ b/internal/lab/invariants/requests.go
@@ -38,29 +38,23 @@
 func (c *Checker) ResponseSent(at time.Duration, id uint64, result Result) {
 	request := c.requests.Get(id)
 	if request == nil || request.responded {
-		c.reportRequest(
-			request,
-			Violation{
-				Rule:    Lost,
-				At:      at,
-				Request: id,
-				Server:  noServer,
-				Message: result.String() + ": a second final response, or one to an unknown request",
-			},
-		)
+		c.reportRequest(request, Violation{
+			Rule:    Lost,
+			At:      at,
+			Request: id,
+			Server:  noServer,
+			Message: result.String() + ": a second final response, or one to an unknown request",
+		})
 		return
 	}
 	if at > request.deadline+c.limits.Slack {
-		c.reportRequest(
-			request,
-			Violation{
-				Rule:    Lost,
-				At:      at,
-				Request: id,
-				Server:  noServer,
-				Message: fmt.Sprintf("%s %v after its deadline", result, at-request.deadline),
-			},
-		)
+		c.reportRequest(request, Violation{
+			Rule:    Lost,
+			At:      at,
+			Request: id,
+			Server:  noServer,
+			Message: fmt.Sprintf("%s %v after its deadline", result, at-request.deadline),
+		})
 	}
 	request.responded = true
 	request.result = result
@@ -68,16 +62,13 @@
 	switch result {
 	case Served:
 		if !slices.ContainsFunc(request.attempts, func(attempt attemptRecord) bool { return attempt.executed }) {
-			c.reportRequest(
-				request,
-				Violation{
-					Rule:    Lost,
-					At:      at,
-					Request: id,
-					Server:  noServer,
-					Message: "served, but no server executed it",
-				},
-			)
+			c.reportRequest(request, Violation{
+				Rule:    Lost,
+				At:      at,
+				Request: id,
+				Server:  noServer,
+				Message: "served, but no server executed it",
+			})
 		}
 	case Rejected:
 		c.checkRejection(at, id, request)
@@ -95,16 +86,13 @@
 	for i := range request.attempts {
 		attempt := &request.attempts[i]
 		if !attempt.neverExecuted {
-			c.reportRequest(
-				request,
-				Violation{
-					Rule:    Repeated,
-					At:      at,
-					Request: id,
-					Server:  attempt.server,
-					Message: "rejected, though an attempt may have been executed",
-				},
-			)
+			c.reportRequest(request, Violation{
+				Rule:    Repeated,
+				At:      at,
+				Request: id,
+				Server:  attempt.server,
+				Message: "rejected, though an attempt may have been executed",
+			})
 			return
 		}
 	}
@@ -135,16 +123,13 @@
 // RequestDropped records that a balancer closed the connection of a request without a response.
 func (c *Checker) RequestDropped(at time.Duration, id uint64) {
 	if request := c.requests.Get(id); request != nil && !request.responded {
-		c.reportRequest(
-			request,
-			Violation{
-				Rule:    Lost,
-				At:      at,
-				Request: id,
-				Server:  noServer,
-				Message: "its connection was closed without a response",
-			},
-		)
+		c.reportRequest(request, Violation{
+			Rule:    Lost,
+			At:      at,
+			Request: id,
+			Server:  noServer,
+			Message: "its connection was closed without a response",
+		})
 		c.RequestExcused(at, id)
 	}
 }
@@ -157,16 +142,13 @@
 			if request == nil || request.responded {
 				continue
 			}
-			c.reportRequest(
-				request,
-				Violation{
-					Rule:    Lost,
-					At:      now,
-					Request: id,
-					Server:  noServer,
-					Message: fmt.Sprintf("no final response %v after its deadline", now-request.deadline),
-				},
-			)
+			c.reportRequest(request, Violation{
+				Rule:    Lost,
+				At:      now,
+				Request: id,
+				Server:  noServer,
+				Message: fmt.Sprintf("no final response %v after its deadline", now-request.deadline),
+			})
 			c.RequestExcused(now, id)
 		}
 		delete(c.due, c.checkedSteps)
