--- a/internal/lab/loganalysis/events.go
+++ b/internal/lab/loganalysis/events.go
@@ -1,6 +1,6 @@
 package loganalysis
 
-import "maps"
+import "piernotch/internal/lab/storednames"
 
 // The log events that are counted. What balancers log under these names is listed in docs/ONCALL.md.
 const (
@@ -27,26 +27,11 @@
 	keyModule   = "module"   // of a state line: the decision module's state, as key=value
 )
 
-// storedStatuses are the statuses of attempts whose name in a stored report differs from that in the
-// log. Logs of versions before the log's name changed have the stored one.
-var storedStatuses = map[string]string{"not_sent": "moot"}
-
-// storedStatus returns the name in a stored report of a status in the log, of any version.
-func storedStatus(logged string) string {
-	if stored, differs := storedStatuses[logged]; differs {
-		return stored
-	}
-	return logged
-}
-
 // PrintedStatuses returns counts by stored status under the names that the log has now.
 func PrintedStatuses(counts map[string]int) map[string]int {
-	printed := maps.Clone(counts)
-	for logged, stored := range storedStatuses {
-		if count, counted := printed[stored]; counted {
-			delete(printed, stored)
-			printed[logged] += count
-		}
+	printed := make(map[string]int, len(counts))
+	for stored, count := range counts {
+		printed[storednames.Display(storednames.AttemptStatuses, stored)] += count
 	}
 	return printed
 }
--- a/internal/lab/loganalysis/summarize.go
+++ b/internal/lab/loganalysis/summarize.go
@@ -3,6 +3,8 @@
 import (
 	"cmp"
 	"slices"
+
+	"piernotch/internal/lab/storednames"
 )
 
 // Second is what all balancers did in one second.
@@ -90,7 +92,7 @@
 		server := c.server(line)
 		server.attempts = append(server.attempts, attempt{line.Time, line.Balancer})
 	case eventAttemptCompleted:
-		status := storedStatus(line.Fields[keyStatus])
+		status := storednames.Stored(storednames.AttemptStatuses, line.Fields[keyStatus])
 		second.AttemptStatuses[status]++
 		c.server(line).AttemptStatuses[status]++
 		if line.Fields[keyWritten] == "false" {
--- a/internal/lab/storednames/names.go
+++ b/internal/lab/storednames/names.go
@@ -5,10 +5,11 @@
 
 // Groups of stored names.
 const (
-	Figures       Group = iota // of a run; keys of result files
-	HandoverKinds              // loadtest.HandoverKinds; keys of result files
-	FaultKinds                 // the kinds of a scenario's [[trouble]]
-	ScheduleKinds              // chaos.Kinds; values of schedule files
+	Figures         Group = iota // of a run; keys of result files
+	HandoverKinds                // loadtest.HandoverKinds; keys of result files
+	FaultKinds                   // the kinds of a scenario's [[trouble]]
+	ScheduleKinds                // chaos.Kinds; values of schedule files
+	AttemptStatuses              // piernotch.Status; keys of reports on logs, and words in old logs
 )
 
 // name is a stored name and the one that people read.
@@ -85,6 +86,16 @@
 		{"flaps", "flaps"},
 		{"mixed", "mixed"},
 	},
+	AttemptStatuses: {
+		{"ok", "ok"},
+		{"error", "error"},
+		{"full", "full"},
+		{"timeout", "timeout"},
+		{"connect_failed", "connect_failed"},
+		{"reset", "reset"},
+		{"cancelled", "cancelled"},
+		{"moot", "not_sent"},
+	},
 }
 
 // Display returns the name that people read for a stored one. A name that the table does not have is returned
