--- a/admission_test.go
+++ b/admission_test.go
@@ -23,7 +23,7 @@
 		before := len(h.attempts)
 		b.HandleRequest(now, r)
 		if len(h.attempts) > before {
-			b.HandleOutcome(now, Outcome{ID: r.ID, Server: h.last().to, Latency: 450 * ms, Closed: true})
+			b.HandleOutcome(now, Outcome{ID: r.ID, Server: h.last().to, Latency: 450 * ms, RequestDone: true})
 		}
 		b.Timer(now, tickToken)
 	}
--- a/balancer.go
+++ b/balancer.go
@@ -148,7 +148,7 @@
 	}
 	ended := b.endAttempt(request, outcome)
 	b.recordOutcome(now, request, ended, outcome)
-	if outcome.Closed {
+	if outcome.RequestDone {
 		request.markDone()
 	}
 	b.retryOrRespond(now, request, outcome.Status)
--- a/benchmark_test.go
+++ b/benchmark_test.go
@@ -74,7 +74,7 @@
 	b.HandleRequest(b.now, Request{
 		ID: id, Key: estimate.MixBits(uint64(id%512)) | 1, CostHint: float64(id%13 + 1), Deadline: b.now + time.Second,
 	})
-	b.HandleOutcome(b.now, Outcome{ID: id, Server: b.host.to, Latency: 20 * ms, Closed: true})
+	b.HandleOutcome(b.now, Outcome{ID: id, Server: b.host.to, Latency: 20 * ms, RequestDone: true})
 }
 
 // discardHost is a Host that remembers only the server of the last attempt.
--- a/cmd/simulator-adapter/adapter.go
+++ b/cmd/simulator-adapter/adapter.go
@@ -164,6 +164,6 @@
 func outcome(event *simprotocol.Event, status piernotch.Status) piernotch.Outcome {
 	return piernotch.Outcome{
 		ID: piernotch.RequestID(event.ID), Attempt: int(event.AttemptNumber), Server: event.Server,
-		Status: status, Latency: simprotocol.Duration(event.LatencyMS), Closed: event.Closed,
+		Status: status, Latency: simprotocol.Duration(event.LatencyMS), RequestDone: event.Closed,
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -47,7 +47,7 @@
 	})
 	b.HandleRequest(now, piernotch.Request{ID: 7, Deadline: now + time.Second})
 	b.HandleOutcome(now+30*time.Millisecond, piernotch.Outcome{
-		ID: 7, Server: 1, Status: piernotch.OK, Latency: 30 * time.Millisecond, Closed: true,
+		ID: 7, Server: 1, Status: piernotch.OK, Latency: 30 * time.Millisecond, RequestDone: true,
 	})
 	b.UpdateEndpoints(now, piernotch.UpdateDelta, []piernotch.Endpoint{{ID: 1, Zone: 0, State: piernotch.Draining}})
 	b.HandleRequest(now+40*time.Millisecond, piernotch.Request{ID: 8, Deadline: now + time.Second})
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -124,12 +124,12 @@
 // completeAttempt ends an attempt after 20 ms; OK is the request's final response.
 func completeAttempt(b *Balancer, now time.Duration, id RequestID, attemptNumber int, to ServerID, s Status) {
 	b.HandleOutcome(now, Outcome{
-		ID:      id,
-		Attempt: attemptNumber,
-		Server:  to,
-		Status:  s,
-		Latency: 20 * ms,
-		Closed:  s == OK,
+		ID:          id,
+		Attempt:     attemptNumber,
+		Server:      to,
+		Status:      s,
+		Latency:     20 * ms,
+		RequestDone: s == OK,
 	})
 }
 
--- a/internal/lab/simulation/attempts.go
+++ b/internal/lab/simulation/attempts.go
@@ -109,11 +109,11 @@
 	}
 	w.counters.Outcomes[piernotch.NotSent]++
 	w.notify(balancerIndex(action.Balancer), Event{Kind: EventAttemptCompleted, Outcome: piernotch.Outcome{
-		ID:      action.ID,
-		Attempt: attemptNumber,
-		Server:  action.Server,
-		Status:  piernotch.NotSent,
-		Closed:  request == nil || request.responded,
+		ID:          action.ID,
+		Attempt:     attemptNumber,
+		Server:      action.Server,
+		Status:      piernotch.NotSent,
+		RequestDone: request == nil || request.responded,
 	}})
 }
 
@@ -278,12 +278,12 @@
 		return
 	}
 	event := Event{Kind: EventAttemptCompleted, Outcome: piernotch.Outcome{
-		ID:      piernotch.RequestID(attempt.request),
-		Attempt: int(attempt.number),
-		Server:  w.servers[attempt.server].id,
-		Status:  status,
-		Latency: w.now - attempt.sentAt,
-		Closed:  request.responded,
+		ID:          piernotch.RequestID(attempt.request),
+		Attempt:     int(attempt.number),
+		Server:      w.servers[attempt.server].id,
+		Status:      status,
+		Latency:     w.now - attempt.sentAt,
+		RequestDone: request.responded,
 	}}
 	if responded(status) {
 		event.Load, event.HasLoad = attempt.load, attempt.hasLoad
--- a/internal/lab/simulation/child_frames.go
+++ b/internal/lab/simulation/child_frames.go
@@ -72,7 +72,7 @@
 		Server:        outcome.Server,
 		Status:        simprotocol.StatusCode(outcome.Status),
 		LatencyMS:     simprotocol.Milliseconds(outcome.Latency),
-		Closed:        outcome.Closed,
+		Closed:        outcome.RequestDone,
 		Load:          loadValues(event),
 	})
 }
--- a/internal/lab/simulation/golden_record_test.go
+++ b/internal/lab/simulation/golden_record_test.go
@@ -177,7 +177,7 @@
 	case EventAttemptCompleted:
 		o := &e.Outcome
 		g.integers(int64(o.ID), int64(o.Attempt), int64(o.Server), int64(o.Status), int64(o.Latency))
-		g.booleans(o.Closed)
+		g.booleans(o.RequestDone)
 	case EventHealthCheckCompleted:
 		g.integers(int64(e.Server), int64(e.Status))
 	case EventEndpointList:
--- a/internal/lab/simulation/trace_overload_test.go
+++ b/internal/lab/simulation/trace_overload_test.go
@@ -56,7 +56,7 @@
 				},
 			)
 		case EventAttemptCompleted:
-			if !e.Outcome.Closed {
+			if !e.Outcome.RequestDone {
 				do(Action{Kind: ActionFail, Balancer: e.Balancer, ID: e.Outcome.ID})
 			}
 		}
--- a/internal/serve/core/attempts.go
+++ b/internal/serve/core/attempts.go
@@ -141,12 +141,12 @@
 		c.respond(request, Respond{Result: Served, Response: response})
 	}
 	c.balancer.HandleOutcome(c.now, piernotch.Outcome{
-		ID:      request.id,
-		Attempt: int(number),
-		Server:  attempt.server.id,
-		Status:  status,
-		Latency: c.now - attempt.startedAt,
-		Closed:  request.closed,
+		ID:          request.id,
+		Attempt:     int(number),
+		Server:      attempt.server.id,
+		Status:      status,
+		Latency:     c.now - attempt.startedAt,
+		RequestDone: request.closed,
 	})
 	c.release(request)
 }
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -126,7 +126,7 @@
 		r.responses = max(r.responses, 1)
 	}
 	b.HandleOutcome(c.now, Outcome{
-		ID: r.ID, Attempt: i, Server: t.server, Status: s, Latency: c.now - t.startedAt, Closed: r.responses > 0,
+		ID: r.ID, Attempt: i, Server: t.server, Status: s, Latency: c.now - t.startedAt, RequestDone: r.responses > 0,
 	})
 }
 
--- a/latencies_test.go
+++ b/latencies_test.go
@@ -48,7 +48,7 @@
 		}
 		b.HandleRequest(now, Request{ID: i, Class: class, Deadline: now + 2*time.Second, CostHint: math.NaN()})
 		now += took
-		b.HandleOutcome(now, Outcome{ID: i, Status: OK, Latency: took, Closed: true})
+		b.HandleOutcome(now, Outcome{ID: i, Status: OK, Latency: took, RequestDone: true})
 	}
 	for class, want := range map[int]float64{idempotentClass: 20, nonIdempotentClass: 80} {
 		r := b.newRequest(now, Request{ID: 1000 + RequestID(class), Class: class, CostHint: math.NaN()})
--- a/piernotch.go
+++ b/piernotch.go
@@ -148,12 +148,12 @@
 
 // Outcome is the end of one attempt.
 type Outcome struct {
-	ID      RequestID
-	Attempt int // attempts of a request are numbered from 0, in sending order
-	Server  ServerID
-	Status  Status
-	Latency time.Duration // from the start of the attempt
-	Closed  bool          // the request has its final response
+	ID          RequestID
+	Attempt     int // attempts of a request are numbered from 0, in sending order
+	Server      ServerID
+	Status      Status
+	Latency     time.Duration // from the start of the attempt
+	RequestDone bool          // the request has its final response
 }
 
 // LoadReport is a server's report of its load, which counts what all balancers sent. It is some
