--- a/admission.go
+++ b/admission.go
@@ -8,11 +8,11 @@
 	"piernotch/internal/decision/workload"
 )
 
-// queueDivisor is the part of the time until its client gives up that a request may wait for a server: half,
-// so that the client can still go elsewhere.
+// queueDivisor sets the longest time that a request waits for a server: half of the time until its client
+// gives up. After a rejection, the client still has time to try elsewhere.
 const queueDivisor = 2
 
-// newRequest opens a request: its deadlines, its expected work with the lane for it, its priority.
+// newRequest opens the record of a request, with its deadlines, expected work, lane and priority.
 func (b *Balancer) newRequest(now time.Duration, arrival Request) *openRequest {
 	request := b.requests.add(arrival, &b.settings.Classes[arrival.Class])
 	request.objective = min(now+request.class.LatencyObjective, request.Deadline)
@@ -30,20 +30,20 @@
 	return request
 }
 
-// observeArrival counts a request in the expected work of all, and in that of its priority.
+// observeArrival updates the workload estimates and the work that has arrived in the request's priority band.
 func (b *Balancer) observeArrival(request *openRequest) {
 	expected := workload.Expectation{Work: request.work, Large: request.lane == lanes.Large}
 	b.workload.ObserveArrival(request.CostHint, expected)
 	b.admission.RequestArrived(request.priority, request.work)
 }
 
-// precedes reports whether a waiting request is dispatched before another.
+// precedes reports whether a waiting request is dispatched before another waiting one.
 func (b *Balancer) precedes(request, other *openRequest) bool {
 	return b.admission.Precedes(request.place(), other.place())
 }
 
-// queueTooLong reports whether a waiting request would wait for too long behind those that precede it, at the
-// rate at which work was sent lately.
+// queueTooLong reports whether a waiting request would wait too long behind the requests that precede it, if
+// work continues to be sent at the recent rate.
 func (b *Balancer) queueTooLong(now time.Duration, request *openRequest) bool {
 	var ahead admission.Queue
 	for _, other := range b.requests.open {
@@ -54,14 +54,14 @@
 	return b.admission.QueueTooLong(ahead, b.sendRate.PerSecond(now))
 }
 
-// updateExpectedWork tells admission what the requests of each class probably take.
+// updateExpectedWork passes to admission the expected work of each class's requests without a cost hint.
 func (b *Balancer) updateExpectedWork() {
 	for class := range b.settings.Classes {
 		b.admission.SetExpectedWork(class, b.workload.WithoutHint(class))
 	}
 }
 
-// observeResponse lets a response move the shed share by up to the step.
+// observeResponse adjusts the shed share by a response, by at most step.
 func (b *Balancer) observeResponse(step float64, response admission.Response) {
 	response.OnlyLocality = len(b.groups[1-response.Locality].members) == 0
 	b.admission.ObserveResponse(step, response)
--- a/balancer.go
+++ b/balancer.go
@@ -20,73 +20,73 @@
 
 const (
 	ticksPerObjective = 16.0 // ticks within the shortest latency objective
-	serversPerTick    = 256  // servers that can be reviewed at every tick
+	serversPerTick    = 256  // a larger fleet is reviewed less often than at every tick
 
-	// maxTickInterval bounds the time between ticks where all objectives are long: what is due at a tick,
-	// like the next subscription to the list, must not come later by more than this.
+	// maxTickInterval bounds the time between ticks if all latency objectives are long: it is the most by
+	// which actions that wait for a tick, such as the next subscription to the endpoint list, are delayed.
 	maxTickInterval = 250 * time.Millisecond
 
-	tickToken = 1 // of the timer that ticks
+	tickToken = 1 // identifies the tick timer in SetTimer and Timer
 
-	// ticksToDispatch is the number of ticks within which a waiting request is looked at again for certain:
-	// two, so that the next tick may come late by a whole interval.
+	// ticksToDispatch is the number of tick intervals within which a waiting request is certain to be tried
+	// again: two, because the next tick may be late by a whole interval.
 	ticksToDispatch = 2
-	// lightWorkShare is the share of its objective below which a request's work is light: only such
-	// requests show by their latency whether there is too much load.
+	// lightWorkShare is the share of the latency objective below which a request's work is light. Only light
+	// requests indicate overload by their latency: a heavy one may be late on an idle server.
 	lightWorkShare = 1.0 / 4
-	// lateDivisor is the part of its objective from which a latency, or its queueing alone, counts as late:
-	// half, so that there is time to act before the objective is missed.
+	// lateDivisor sets when a response counts as late: when its latency, or its queueing delay alone, is
+	// more than half of the objective. This leaves time to act before the objective is missed.
 	lateDivisor = 2
-	// maxNeededDivisor bounds the time that a request is assumed to need, to half of its objective: what
-	// is known of it is from other requests, and a waiting one must not be given up for that alone.
+	// maxNeededDivisor caps the time that a request is expected to need at half of its objective. The
+	// estimate comes from other requests; without the cap, it alone could reject a waiting request.
 	maxNeededDivisor = 2
 
 	millisecondsPerSecond = 1000
 
-	// seedMix makes the two halves of the generator's seed differ: 2^64 divided by the golden ratio.
+	// seedMix makes the two halves of the random generator's seed differ: 2^64 divided by the golden ratio.
 	seedMix = 0x9e3779b97f4a7c15
 )
 
-// Balancer makes the decisions of one process. Its methods must not be called concurrently, nor
-// from within a call of its Host.
+// Balancer makes the decisions of one balancer process. Its methods must not be called concurrently, nor from
+// within a call to its Host. Create it with New.
 type Balancer struct {
 	settings          Settings
 	host              Host
 	rng               *rand.Rand
-	started           bool          // the first event has come
-	tickInterval      time.Duration // time between ticks
+	started           bool // the first event has been handled
+	tickInterval      time.Duration
 	ticks             int
-	shortestObjective time.Duration // the least LatencyObjective of all classes
+	shortestObjective time.Duration // of all classes
 
-	// What there is: servers, the groups of them that may get requests, and requests.
+	// Servers, the groups of those that may get requests, and the open requests.
 	endpoints   endpointSet
 	groups      [localityCount]serverGroup
-	groupsStale bool             // the groups no longer match the list and the ejections
-	levels      []selectionLevel // tried in turn
-	maxSpillers float64          // balancers of other zones that may spill to one server
+	groupsStale bool             // ejections have changed since the groups were built
+	levels      []selectionLevel // in the order in which they are tried
+	maxSpillers float64          // expected number of other zones' balancers that may spill to a server
 
 	requests requestTable
 
-	// What limits requests and attempts.
+	// Limits on requests and attempts.
 	retryBudget retrybudget.Budget
-	admission   admission.Controller // shedding, priorities and the bound on the queue
+	admission   admission.Controller // load shedding, priorities and the limit on the queue
 	quotas      quota.Limiter
 
-	windowSeed uint64 // makes this balancer's slow start draws differ from others'
+	windowSeed uint64 // makes this balancer's slow start draws independent of other balancers'
 	slowStart  slowstart.Controller
 
-	// What is known of all traffic.
-	workload           workload.Model // the expected work of requests
+	// Estimates over all traffic.
+	workload           workload.Model // expected work of requests
 	latency            latency.Overall
 	laneBalance        lanes.Balance
-	sendRate           estimate.Rate // work sent per second
+	sendRate           estimate.Rate // ms of work sent per second
 	peakCompletionRate loadreport.PeakRate
 
 	subscription subscription.Schedule // to the endpoint list
 }
 
-// New returns a Balancer that acts through host, or an error that names the setting it cannot use. The
-// seed determines every random draw: equal seeds and events give equal actions.
+// New returns a Balancer that acts through host, or a *SettingsError if a setting cannot be used. The seed
+// determines all random draws: equal settings, seeds and events give equal actions.
 func New(settings Settings, seed uint64, host Host) (*Balancer, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -107,7 +107,7 @@
 	return b, nil
 }
 
-// ensureStarted starts the ticks at the first event.
+// ensureStarted starts the tick timer and the rate estimates at the first event.
 func (b *Balancer) ensureStarted(now time.Duration) {
 	if b.started {
 		return
@@ -121,8 +121,8 @@
 	b.host.SetTimer(b.tickInterval, tickToken)
 }
 
-// HandleRequest takes a client's request, which gets one final response unless its client leaves. It ignores
-// a request with an unknown class or the id of an open one.
+// HandleRequest handles a client's request, which gets one final response unless its client disconnects. It
+// ignores a request with an unknown class, or with the ID of an open request.
 func (b *Balancer) HandleRequest(now time.Duration, arrival Request) {
 	b.ensureStarted(now)
 	unknownClass := arrival.Class < 0 || arrival.Class >= len(b.settings.Classes)
@@ -139,7 +139,7 @@
 	b.dispatchOrQueue(now, request)
 }
 
-// HandleOutcome takes the end of an attempt. One that is unknown or has ended already is ignored.
+// HandleOutcome handles the end of an attempt. It ignores attempts that are unknown or have already ended.
 func (b *Balancer) HandleOutcome(now time.Duration, outcome Outcome) {
 	b.ensureStarted(now)
 	request := b.requests.find(outcome.ID)
@@ -155,7 +155,7 @@
 	b.dispatchWaiting(now)
 }
 
-// ClientDisconnected closes a request whose client has left.
+// ClientDisconnected closes a request without a response because its client has disconnected.
 func (b *Balancer) ClientDisconnected(now time.Duration, id RequestID) {
 	b.ensureStarted(now)
 	if request := b.requests.find(id); request != nil && !request.done {
@@ -163,7 +163,8 @@
 	}
 }
 
-// ResponseStarted records that an attempt's response goes to the client: no retry or cancel from then on.
+// ResponseStarted records that an attempt's response is being forwarded to the client. From then on the
+// request is neither retried nor are its attempts cancelled.
 func (b *Balancer) ResponseStarted(now time.Duration, id RequestID, attemptNumber int) {
 	b.ensureStarted(now)
 	request := b.requests.find(id)
@@ -176,8 +177,9 @@
 	}
 }
 
-// AttemptAllowed reports whether an attempt may still be written now that it has a connection. Meanwhile its
-// request may have got its response, its server be draining, or the class's deduplication window have closed.
+// AttemptAllowed reports whether an attempt may still be written now that it has a connection. While it
+// waited for the connection, the request may have got its response, the server may have started to drain, or
+// the class's deduplication window may have closed.
 func (b *Balancer) AttemptAllowed(now time.Duration, id RequestID, attemptNumber int) bool {
 	request := b.requests.find(id)
 	if request == nil || request.done || now >= request.Deadline {
@@ -187,7 +189,8 @@
 	return started != nil && started.server.available() && request.mayWriteAttempt(now, attemptNumber)
 }
 
-// Timer runs a tick: it reviews the servers, the shedding and every open request.
+// Timer runs a tick: it reviews the servers, the load shedding and every open request, and sets the timer for
+// the next tick. It ignores other tokens than that of the tick timer.
 func (b *Balancer) Timer(now time.Duration, token uint32) {
 	b.ensureStarted(now)
 	if token != tickToken {
@@ -198,18 +201,20 @@
 		b.host.WatchEndpoints()
 	}
 	b.ticks++
-	reviewEvery := 1 + len(b.endpoints.sorted)/serversPerTick // a pass over a large fleet takes long
+	reviewEvery := 1 + len(b.endpoints.sorted)/serversPerTick // a review of a large fleet takes long
 	if b.ticks%reviewEvery == 0 {
 		b.reviewServers(now)
 	}
 	b.updateExpectedWork()
 	b.admission.Tick()
-	for i := len(b.requests.open) - 1; i >= 0; i = min(i, len(b.requests.open)) - 1 { // reviews release some
+	// Backwards, because a review may remove requests: the last one then moves to the place of a removed one.
+	for i := len(b.requests.open) - 1; i >= 0; i = min(i, len(b.requests.open)) - 1 {
 		b.reviewRequest(now, b.requests.open[i])
 	}
 }
 
-// reviewServers ends slow starts, starts health checks and updates weights and limits.
+// reviewServers ends slow starts and starts health checks that are due, and updates the weights of servers
+// and the concurrency limits.
 func (b *Balancer) reviewServers(now time.Duration) {
 	for _, target := range b.endpoints.sorted {
 		b.slowStart.EndIfDue(now, &target.slowStart)
@@ -223,7 +228,8 @@
 	b.admission.ReviewLateness(now)
 }
 
-// reviewRequest dispatches a waiting request, and hedges one with an overdue attempt.
+// reviewRequest dispatches a waiting request. If an attempt is overdue, it ejects a silent server and starts
+// a hedged request.
 func (b *Balancer) reviewRequest(now time.Duration, request *openRequest) {
 	switch {
 	case request.waiting():
@@ -233,7 +239,8 @@
 	}
 }
 
-// dispatchOrQueue dispatches a request, lets it wait, or rejects it if it would have to wait too long.
+// dispatchOrQueue dispatches a request or, if no server can take it now, leaves it waiting. A request that
+// would wait too long gets its final response instead.
 func (b *Balancer) dispatchOrQueue(now time.Duration, request *openRequest) {
 	if b.dispatch(now, request) {
 		return
@@ -246,7 +253,7 @@
 	}
 }
 
-// dispatchWaiting gives the capacity that has become free to the waiting requests.
+// dispatchWaiting dispatches waiting requests in order of precedence, until no server can take the next one.
 func (b *Balancer) dispatchWaiting(now time.Duration) {
 	for {
 		var first *openRequest
@@ -261,7 +268,7 @@
 	}
 }
 
-// dispatch starts an attempt of the request, or returns false if no server can take it now.
+// dispatch starts an attempt of the request. It returns false if no server can take the request now.
 func (b *Balancer) dispatch(now time.Duration, request *openRequest) bool {
 	if b.groupsStale {
 		b.rebuildGroups(now)
@@ -274,7 +281,8 @@
 	return true
 }
 
-// mayStartAttempt is the guard that every attempt passes. No other function knows these rules.
+// mayStartAttempt reports whether an attempt of the request may start on the server. Every attempt must pass
+// this guard; no other function checks these rules.
 func (b *Balancer) mayStartAttempt(now time.Duration, request *openRequest, target *server) bool {
 	limits := &b.settings.Limits
 	if !request.needsResponse() || now >= request.Deadline || len(request.attempts) >= limits.MaxAttempts {
@@ -296,7 +304,7 @@
 	return b.slowStartAllows(now, request, target)
 }
 
-// startAttempt sends the request to the server. The guard has allowed it.
+// startAttempt sends the request to the server. The caller has checked mayStartAttempt.
 func (b *Balancer) startAttempt(now time.Duration, request *openRequest, target *server) {
 	target.attemptStarted(request.work)
 	target.classFailures.RecordSend(now, request.Class)
@@ -315,7 +323,8 @@
 	b.host.StartAttempt(request.ID, target.ID, b.attemptDeadline(request)-now)
 }
 
-// attemptDeadline is when a response is no longer worth the server's work.
+// attemptDeadline returns the clock time at which a response stops being worth the server's work: the
+// client's deadline if a late response has some weight and no work is shed, otherwise the latency objective.
 func (b *Balancer) attemptDeadline(request *openRequest) time.Duration {
 	if request.class.LateWeightShare > 0 && !b.admission.Shedding() {
 		return request.Deadline
@@ -323,7 +332,7 @@
 	return request.objective
 }
 
-// endAttempt records the end of an attempt and takes it off the counts of what is in flight.
+// endAttempt records the end of an attempt, updates the counts of attempts in flight and returns the attempt.
 func (b *Balancer) endAttempt(request *openRequest, outcome Outcome) *attempt {
 	ended := request.attemptEnded(outcome.Attempt, outcome.Status)
 	target := ended.server
@@ -334,7 +343,7 @@
 	return ended
 }
 
-// recordOutcome updates what the outcome shows of the server and its group.
+// recordOutcome updates the estimates and the failure detection of the server and its group.
 func (b *Balancer) recordOutcome(now time.Duration, request *openRequest, ended *attempt, outcome Outcome) {
 	target := ended.server
 	target.outlier.AttemptEnded()
@@ -346,7 +355,8 @@
 	serverSilent := target.lastResponseAt < ended.sentAt
 	switch {
 	case outcome.Status == Timeout && serverSilent:
-		// Its server was silent, which no tick has noticed yet: late, but no reason to shed.
+		// The server has responded to nothing since the attempt was sent, and no tick has noticed it yet.
+		// This counts as late, but is no reason to shed: other servers may be idle.
 		b.admission.ObserveSilence(int(target.locality))
 		b.recordFailure(now, target, outlier.SilentTimeout)
 	case outcome.Status == Timeout:
@@ -356,7 +366,8 @@
 		b.recordLatency(now, request, target, outcome.Latency)
 		b.recordGoodResponse(now, target)
 	case outcome.Status == Full:
-		// A server that rejects everything must neither attract requests nor make the group look late.
+		// A server that rejects everything must not attract requests by responding fast, so it is ejected.
+		// Its rejections count as late for load shedding, but not in the latency of the group.
 		b.recordFailure(now, target, outlier.BadResponse)
 		b.observeResponse(b.admission.Step(now), admission.Response{
 			Locality: int(target.locality), Late: true,
@@ -368,7 +379,8 @@
 	}
 }
 
-// recordLatency updates the latency estimates, and moves the lanes and shedding by what is late.
+// recordLatency updates the latency estimates, and adjusts the lanes and load shedding by whether the
+// response was late.
 func (b *Balancer) recordLatency(
 	now time.Duration, request *openRequest, target *server, took time.Duration,
 ) {
@@ -380,14 +392,15 @@
 		Lane: request.lane, Late: queueing > objectiveMs/lateDivisor,
 		MaxStep: step, LargeWorkShare: b.workload.LargeShare(),
 	})
-	if request.work < lightWorkShare*objectiveMs { // a heavy request is late on an idle server, too
+	if request.work < lightWorkShare*objectiveMs { // a heavy request may be late on an idle server
 		b.observeResponse(step, admission.Response{
 			Locality: int(target.locality), Late: took > objective/lateDivisor,
 		})
 	}
 }
 
-// retryOrRespond retries a request after an attempt, or gives the final response if none is in flight.
+// retryOrRespond retries a request after an attempt has ended. If it cannot and no other attempt is in
+// flight, it gives the final response.
 func (b *Balancer) retryOrRespond(now time.Duration, request *openRequest, status Status) {
 	switch {
 	case request.done:
@@ -399,7 +412,8 @@
 	}
 }
 
-// hedge starts a second attempt of a request whose first is overdue, once and not while shedding.
+// hedge starts another attempt of a request with an overdue one: once per request, and not while work is
+// shed.
 func (b *Balancer) hedge(now time.Duration, request *openRequest) {
 	if !request.hedged && !b.admission.Shedding() && b.mayRetry(now, request) && b.dispatch(now, request) {
 		request.markHedged()
@@ -407,12 +421,13 @@
 	}
 }
 
-// mayRetry reports whether the budget has a retry left and the request can still be in time.
+// mayRetry reports whether the retry budget allows a retry and the latency objective has not passed yet.
 func (b *Balancer) mayRetry(now time.Duration, request *openRequest) bool {
 	return b.retryBudget.Available() && now < request.objective
 }
 
-// rejectOrFail gives the final response: rejected if trying again is certain to do no harm, else failed.
+// rejectOrFail gives the final response: a rejection if sending the request again is certainly harmless,
+// otherwise a failure.
 func (b *Balancer) rejectOrFail(request *openRequest) {
 	if request.repeatIsHarmless() {
 		b.host.Reject(request.ID, b.admission.RetryAfter())
@@ -422,7 +437,8 @@
 	b.closeRequest(request)
 }
 
-// closeRequest ends a request that needs no further response, and cancels its open attempts.
+// closeRequest closes a request that needs no further response, and cancels its attempts in flight if the
+// settings allow it and no response is being forwarded.
 func (b *Balancer) closeRequest(request *openRequest) {
 	request.markDone()
 	if b.settings.Limits.CancelAttempts && !request.streaming {
--- a/class_failures.go
+++ b/class_failures.go
@@ -2,7 +2,7 @@
 
 import "piernotch/internal/decision/classfailure"
 
-// recordClassOutcome updates what the outcome shows of the server for the request's class.
+// recordClassOutcome updates the share of failures that the server has for the request's class.
 func recordClassOutcome(request *openRequest, ended *attempt, outcome Outcome) {
 	ended.server.classFailures.RecordAttempt(request.Class, classfailure.Attempt{
 		Result: classResult(outcome.Status), Latency: outcome.Latency,
@@ -11,7 +11,7 @@
 	})
 }
 
-// classResult returns what the status of an attempt shows of the server for a class.
+// classResult maps the status of an attempt to what it shows about the class on the server.
 func classResult(status Status) classfailure.Result {
 	switch status {
 	case OK:
--- a/configure.go
+++ b/configure.go
@@ -9,10 +9,10 @@
 	"piernotch/internal/decision/subscription"
 )
 
-// UpdateSettings replaces the settings while requests are open, or returns a *SettingsError and changes
-// nothing. A class keeps its index: those in use must stay in their places, and
-// new ones follow them. Zones and the number of tenants cannot change. Open requests keep the class that they
-// came with.
+// UpdateSettings replaces the settings, also while requests are open. If the new settings cannot be used, it
+// returns a *SettingsError and changes nothing. Classes are identified by index: existing classes keep their
+// index, and new ones are appended. Zones and the number of tenants cannot change. Open requests keep the
+// class settings that they arrived with.
 func (b *Balancer) UpdateSettings(now time.Duration, s Settings) error {
 	if err := s.Validate(); err != nil {
 		return err
@@ -28,7 +28,7 @@
 		return settingsError("Tenants", "tenants cannot change while the program runs")
 	}
 	b.ensureStarted(now)
-	s.Classes = slices.Clone(s.Classes) // open requests point to theirs
+	s.Classes = slices.Clone(s.Classes) // open requests point into this slice
 	b.settings = s
 	b.deriveFromSettings()
 	b.subscription.Hasten(now, b.rng)
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// deriveFromSettings sets what the balancer derives from its settings.
+// deriveFromSettings computes the values that depend on the settings, and configures the components.
 func (b *Balancer) deriveFromSettings() {
 	s := &b.settings
 	b.shortestObjective = s.Classes[0].LatencyObjective
@@ -60,7 +60,8 @@
 	b.updateExpectedWork()
 }
 
-// admissionOptions returns what the settings say of admission.
+// admissionOptions returns the options of admission. It needs the shortest objective and the tick interval to
+// be up to date.
 func (b *Balancer) admissionOptions() admission.Options {
 	s := &b.settings
 	options := admission.Options{
@@ -78,7 +79,7 @@
 	return options
 }
 
-// quotasPerSecond returns the quotas of all tenants.
+// quotasPerSecond returns the quota of each tenant, in requests per second over all balancers.
 func (s *Settings) quotasPerSecond() []float64 {
 	var quotas []float64
 	for _, tenant := range s.Tenants {
--- a/doc.go
+++ b/doc.go
@@ -1,65 +1,66 @@
-// Package piernotch makes the decisions of a reverse proxy that spreads requests over HTTP servers: which
-// server gets a request, when to retry, hedge or reject it, and which servers to eject or warm up.
+// Package piernotch makes the decisions of a reverse proxy that balances requests over HTTP servers: which
+// server gets a request, when to retry, hedge or reject it, and which servers to eject or to warm up.
 //
 // # Contract
 //
 // A Balancer is single-threaded, does no I/O and reads no clock. The program that embeds it (the event loop
-// of cmd/piernotch, the simulator adapter, the tests) calls one method per event, with the present clock
-// time, and carries out what the Balancer asks of its Host before the next call. The clock only has to
-// advance; all times are durations since an origin that the caller chooses. Equal settings, seeds and events
-// give equal actions. The package must not know of connections, HTTP, configuration files or other processes:
-// they reach it as Settings and events.
+// of cmd/piernotch, the simulator adapter, the tests) calls one method per event and passes the current clock
+// time. Before the next call, it carries out the actions that the Balancer has requested from its Host. The
+// clock must not go backwards; all times are durations since an origin that the caller chooses. Equal
+// settings, seeds and events give equal actions. The package must not depend on connections, HTTP,
+// configuration files or other processes: it learns of them only through Settings and events.
 //
-// Each request that HandleRequest accepts gets one final response: one that the host forwards, Reject,
-// or Fail. A request whose client leaves gets none. Reject promises that trying again does no harm, so it is
-// used only where no attempt may have executed or repeats are harmless.
+// Each request that HandleRequest accepts gets one final response: a server's response that the host
+// forwards, a Reject or a Fail. A request whose client disconnects gets none. Reject promises that sending
+// the request again is safe, so it is used only if no attempt may have executed or if repeats are harmless.
 //
-// # A request's life
+// # Life of a request
 //
-// On arrival a request gets a priority (its class, within or over its tenant's quota) and a lane (its cost
-// hint, below or above the median). While responses come late everywhere, a share of the requests is rejected,
-// lowest precedence first (internal/decision/admission). The others go to a server (selection.go): the own
-// zone up to a small load on each server, then other zones; in each, the server that rendezvous hashing picks
-// for the request's key, or else the next in weighted round robin that is expected to respond in time. If none
-// has capacity, the request waits for the next tick or the next response.
+// On arrival, a request gets a priority band (its class, within or over its tenant's quota) and a lane (its
+// cost hint, above the median or not). While responses are late in all localities, part of the work is
+// rejected on arrival, lowest precedence first (internal/decision/admission). The other requests go to a
+// server (selection.go): in the balancer's own zone up to a small load on each server, then in other zones.
+// In each, rendezvous hashing of the request's key selects the server. Without a key, or if that server is
+// slow or has no capacity, the next server in weighted round robin that is expected to respond in time gets
+// the request. If no server has capacity, the request waits until the next tick or the next response.
 //
-// One guard, mayStartAttempt, allows or denies every attempt (balancer.go): the class's retry safety, the
+// Every attempt must pass one guard, mayStartAttempt (balancer.go). It checks the class's retry safety, the
 // number of attempts, draining, ejection, slow start and the concurrency limit. Retries and hedged requests
-// spend a budget. A timer ticks a few times within the shortest latency objective, finds overdue attempts and
-// reviews the servers.
+// use up a retry budget. A timer ticks several times within the shortest latency objective; each tick finds
+// overdue attempts and reviews the servers.
 //
 // # Files
 //
-// balancer.go is the place to start: the Balancer coordinates, from an event to what its host is asked to do.
-// It calls, in the order of a request's life,
+// Start with balancer.go: the Balancer turns each event into actions of its host. It calls, in the order of a
+// request's life,
 //
-//   - requests.go: the records of open requests, and whether one may be repeated
-//   - admission.go: what is known of a request on arrival, and which waiting request is next
+//   - requests.go: the records of open requests, and whether a request may be repeated
+//   - admission.go: the expected work and priority of a new request, and the order of waiting requests
 //   - selection.go: which server a request gets
-//   - groups.go: the servers that may get requests, their weights and the limit on attempts there
+//   - groups.go: the servers that may get requests, their weights and the limit on attempts in flight
 //   - class_failures.go, latencies.go, load_reports.go, outlier_ejection.go, slow_start.go: what attempts and
-//     reports show of a server, and what follows from it; each is the border to a component
-//   - endpoints.go, endpoint_set.go: the endpoint list, and what operators exclude from it
-//   - configure.go: what follows from the settings, on construction and when they change
+//     load reports show about a server, and the consequences; each connects the Balancer to one component
+//   - endpoints.go, endpoint_set.go: the endpoint list, and the servers that operators exclude
+//   - configure.go: values derived from the settings, on construction and at each change
 //
-// The components are packages under internal/decision. Each alone owns its state, and none imports this
-// package:
+// The components are packages under internal/decision. Each owns its state, and none imports this package:
 //
-//   - admission: shedding, priorities and the bound on the queue
-//   - classfailure: which classes one server fails while it serves others
-//   - concurrency: how many attempts this balancer has in flight in a group
-//   - estimate: the arithmetic that several components share
-//   - lanes: turns of servers, for light and for heavy requests, and the server for a key
-//   - latency: how long servers take, and from when on their silence counts
-//   - loadreport: what all balancers have at the servers, by their load reports
-//   - outlier: when a failing server is ejected and when it may return
+//   - admission: load shedding, priorities and the limit on the queue
+//   - classfailure: classes of requests that fail on a server while it serves others
+//   - concurrency: the limit on this balancer's attempts in flight in a group
+//   - estimate: arithmetic that several components share
+//   - lanes: weighted round robin in separate lanes for light and heavy requests, and rendezvous hashing
+//   - latency: how long servers take, and when an attempt is overdue
+//   - loadreport: the requests of all balancers at the servers, from load reports
+//   - outlier: when to eject a failing server and when to let it return
 //   - quota: which requests are over their tenant's quota
 //   - retrybudget: how many retries and hedged requests may be sent
-//   - slowstart: how much work a server gets that started lately
+//   - slowstart: how much work a recently started server gets
 //   - subscription: when to subscribe to the endpoint list
-//   - workload: how much work requests probably mean
+//   - workload: the expected work of requests
 //
-// Beside them stand the interface (piernotch.go), the settings (settings.go), what a balancer hands to its
-// successor (snapshot.go) and the line for the log (state_line.go). `policy` in deploy/balancer.toml lists
-// the files that decide; docs/design/decisions.md says what each part decides and which state it owns.
+// The remaining files define the interface (piernotch.go), validate the settings (settings.go), hand learnt
+// state to a successor process (snapshot.go) and format the state for the log (state_line.go). `policy` in
+// deploy/balancer.toml lists the files that make decisions. docs/design/decisions.md describes what each part
+// decides and which state it owns.
 package piernotch
--- a/endpoint_set.go
+++ b/endpoint_set.go
@@ -13,10 +13,9 @@
 	"piernotch/internal/decision/slowstart"
 )
 
-// locality is where a server is, as seen from this balancer. There is a group of servers for each.
+// locality says whether a server is in this balancer's own zone. The servers of each locality form a group.
 type locality int
 
-// The localities.
 const (
 	localZone   locality = iota // the balancer's own zone
 	remoteZones                 // all other zones
@@ -24,15 +23,15 @@
 
 const localityCount = 2
 
-// endpointSet owns which servers there are: what the endpoint list says, what operators exclude, and what
-// follows from both for a group of servers. Its methods are the only ones that change it.
+// endpointSet holds the listed servers, the servers that operators exclude, and the size of each locality.
+// Only its methods change it.
 type endpointSet struct {
 	ownZone  int
 	byID     map[ServerID]*server
-	sorted   []*server             // by id
-	excluded map[ServerID]bool     // by operators, listed or not
-	paths    map[int]*latency.Path // by zone
-	fullSize [localityCount]float64
+	sorted   []*server              // by ID
+	excluded map[ServerID]bool      // by operators, listed or not
+	paths    map[int]*latency.Path  // by zone
+	peakSize [localityCount]float64 // greatest sum of server sizes so far
 }
 
 func newEndpointSet(ownZone int) endpointSet {
@@ -42,10 +41,10 @@
 	}
 }
 
-// find returns the listed server of that id, or nil.
+// find returns the listed server with that ID, or nil.
 func (s *endpointSet) find(id ServerID) *server { return s.byID[id] }
 
-// add adds a server that is new in the list. Until settle it stands last.
+// add appends a newly listed server to sorted, which finishUpdate puts in order.
 func (s *endpointSet) add(added *server) {
 	if s.paths[added.Zone] == nil {
 		s.paths[added.Zone] = &latency.Path{}
@@ -60,14 +59,14 @@
 	s.sorted = append(s.sorted, added)
 }
 
-// update takes the new entry of a listed server, and reports whether its process is a new one.
+// update replaces the entry of a listed server, and reports whether the server's process has restarted.
 func (s *endpointSet) update(target *server, entry Endpoint) (restarted bool) {
 	restarted = entry.StartedAt != target.StartedAt
 	target.Endpoint = entry
 	return restarted
 }
 
-// markGone marks the servers that a full list does not name.
+// markGone marks the servers that a complete list does not name as gone.
 func (s *endpointSet) markGone(named map[ServerID]bool) {
 	for _, target := range s.sorted {
 		if !named[target.ID] {
@@ -76,8 +75,9 @@
 	}
 }
 
-// settle drops the servers that are gone and sorts the others. It ends each update of the list.
-func (s *endpointSet) settle() {
+// finishUpdate removes the servers that are gone and sorts the others. It must follow each update of the
+// list.
+func (s *endpointSet) finishUpdate() {
 	s.sorted = slices.DeleteFunc(s.sorted, func(target *server) bool {
 		if target.State != Gone {
 			return false
@@ -85,23 +85,23 @@
 		delete(s.byID, target.ID)
 		return true
 	})
-	s.updateFullSizes()
+	s.updatePeakSizes()
 	slices.SortFunc(s.sorted, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
 }
 
-// updateFullSizes keeps the greatest sum of sizes that each locality had: a zone of which only one server
-// in slow start is left must not be taken for a small zone.
-func (s *endpointSet) updateFullSizes() {
+// updatePeakSizes updates the greatest sum of server sizes of each locality. A zone that has lost all servers
+// but one in slow start must not be mistaken for a small zone: that server would get too much work.
+func (s *endpointSet) updatePeakSizes() {
 	var size [localityCount]float64
 	for _, target := range s.sorted {
 		size[target.locality] += target.Size
 	}
-	for i := range s.fullSize {
-		s.fullSize[i] = max(s.fullSize[i], size[i])
+	for i := range s.peakSize {
+		s.peakSize[i] = max(s.peakSize[i], size[i])
 	}
 }
 
-// exclude keeps requests from the server, listed or not, and returns it, or nil if it is not listed.
+// exclude stops new requests to a server, listed or not. It returns the server, or nil if it is not listed.
 func (s *endpointSet) exclude(id ServerID) *server {
 	s.excluded[id] = true
 	target := s.byID[id]
@@ -111,7 +111,7 @@
 	return target
 }
 
-// include ends an exclusion and returns the server, or nil if it is not listed.
+// include ends the exclusion of a server. It returns the server, or nil if it is not listed.
 func (s *endpointSet) include(id ServerID) *server {
 	delete(s.excluded, id)
 	target := s.byID[id]
@@ -121,35 +121,35 @@
 	return target
 }
 
-// server is one listed server.
+// server is a listed server, with what this balancer knows about it.
 type server struct {
 	Endpoint
 	excluded       bool   // by operators
-	idHash         uint64 // for rendezvous hashing and slow start draws
+	idHash         uint64 // for slow start draws
 	locality       locality
-	spillRank      float64       // random in [0, 1): shares out the spill of balancers
+	spillRank      float64       // random in [0, 1): limits how many balancers spill here, staggers draws
 	path           *latency.Path // to its zone
 	member         lanes.Member  // of its locality's group
-	inflight       int           // this balancer's attempts
-	backlog        float64       // work of these, ms
+	inflight       int           // this balancer's attempts in flight
+	backlog        float64       // expected work of these, ms
 	latency        latency.Server
-	reports        loadreport.Reports // by which it holds requests of other balancers
-	lastResponseAt time.Duration      // when it last responded to anything
+	reports        loadreport.Reports // including the requests of other balancers
+	lastResponseAt time.Duration      // when it last responded to any request
 	classFailures  classfailure.Shares
 	slowStart      slowstart.Progress
 	outlier        outlier.Monitor // its failures and ejections
 }
 
-// warm reports whether the server is not in slow start.
+// warm reports whether the server has its full capacity: it is not in slow start.
 func (target *server) warm() bool { return target.slowStart.Warm() }
 
-// attemptStarted counts an attempt of so much work, in ms, that goes to the server.
+// attemptStarted counts an attempt that is sent to the server, with its expected work in ms.
 func (target *server) attemptStarted(work float64) {
 	target.inflight++
 	target.backlog += work
 }
 
-// attemptEnded takes an attempt off what the server has of this balancer's.
+// attemptEnded removes an ended attempt, with its expected work in ms, from the counts.
 func (target *server) attemptEnded(work float64) {
 	target.inflight--
 	target.backlog = max(target.backlog-work, 0)
--- a/endpoints.go
+++ b/endpoints.go
@@ -9,7 +9,7 @@
 	"piernotch/internal/decision/lanes"
 )
 
-// UpdateEndpoints takes an event of the endpoint list. A size that is not a positive number counts as 1.
+// UpdateEndpoints applies an update of the endpoint list. A size that is not positive and finite counts as 1.
 func (b *Balancer) UpdateEndpoints(now time.Duration, kind UpdateKind, entries []Endpoint) {
 	b.ensureStarted(now)
 	if kind == UpdateFailed {
@@ -27,11 +27,12 @@
 	if kind != UpdateCached {
 		b.subscription.Succeeded()
 	}
-	b.endpoints.settle()
+	b.endpoints.finishUpdate()
 	b.rebuildGroups(now)
 }
 
-// applyEndpoint adds or updates one server. A new start time is a new process, which has not failed yet.
+// applyEndpoint adds or updates one server. A changed start time means a new process, which has no failures
+// yet.
 func (b *Balancer) applyEndpoint(now time.Duration, entry Endpoint) {
 	sizeUsable := entry.Size > 0 && !math.IsInf(entry.Size, 0)
 	if !sizeUsable {
@@ -40,17 +41,18 @@
 	target := b.endpoints.find(entry.ID)
 	if target == nil {
 		if entry.State != Gone {
-			b.slowStartIfYoung(now, b.addServer(entry))
+			b.slowStartIfRecent(now, b.addServer(entry))
 		}
 		return
 	}
 	if b.endpoints.update(target, entry) {
 		target.outlier.Reset()
-		b.slowStartIfYoung(now, target)
+		b.slowStartIfRecent(now, target)
 	}
 }
 
-// addServer adds a server that is new in the list. Its rank among those that balancers spill to is drawn.
+// addServer adds a newly listed server. Its spill rank is random, so that balancers spill to different
+// servers.
 func (b *Balancer) addServer(entry Endpoint) *server {
 	added := &server{
 		Endpoint: entry, idHash: estimate.MixBits(uint64(entry.ID)),
@@ -61,8 +63,8 @@
 	return added
 }
 
-// Exclude keeps new requests from a server until Include, whatever the list says of it meanwhile and
-// whether or not it is listed. Attempts in flight there may end. To exclude it again changes nothing.
+// Exclude stops new requests to a server until Include is called, whether or not the server is listed and
+// whatever its listed state is. Attempts in flight may finish. Excluding the server again has no effect.
 func (b *Balancer) Exclude(now time.Duration, id ServerID) {
 	b.ensureStarted(now)
 	if b.endpoints.exclude(id) != nil {
@@ -70,8 +72,9 @@
 	}
 }
 
-// Include ends an exclusion at the clock time since. The server was excluded to be restarted, which the
-// list may not show yet: its slow start counts from since, or from a later start in the list.
+// Include ends an exclusion; since is the clock time at which the operators ended it. Servers are excluded to
+// be restarted, and the list may not show the restart yet. Slow start therefore counts from since, or from a
+// later start time in the list.
 func (b *Balancer) Include(now time.Duration, id ServerID, since time.Duration) {
 	b.ensureStarted(now)
 	target := b.endpoints.include(id)
--- a/groups.go
+++ b/groups.go
@@ -9,28 +9,31 @@
 	"piernotch/internal/decision/latency"
 )
 
-// fewBalancersPerZone is the number of balancers for each zone up to which each one's own bounds suffice.
+// fewBalancersPerZone is the number of balancers per zone up to which limits on each balancer's own requests
+// are enough to protect the servers.
 const fewBalancersPerZone = 4.0
 
-// manyBalancers reports whether there are too many balancers for each one's own bounds to suffice.
+// manyBalancers reports whether there are so many balancers that limits on each one's own requests are not
+// enough to protect the servers.
 func (b *Balancer) manyBalancers() bool {
 	return float64(b.settings.BalancerCount) > fewBalancersPerZone*float64(len(b.settings.Zones))
 }
 
-// serverGroup is the servers of one locality that may get requests.
+// serverGroup holds the servers of one locality that may get requests.
 type serverGroup struct {
-	members  []*server   // by id
+	members  []*server   // by ID
 	lanes    lanes.Group // of the members, in the same order
-	warmSize float64     // sum of the sizes of its warm members
+	warmSize float64     // sum of the sizes of the warm members
 
-	sendRate estimate.Rate // work sent to its warm members per second
+	sendRate estimate.Rate // ms of work sent to the warm members per second
 	latency  latency.Group
 
-	concurrency concurrency.Limit // on this balancer's attempts at its warm members
-	meanOthers  float64           // mean over its members of other balancers' requests
+	concurrency concurrency.Limit // on this balancer's attempts at warm members
+	meanOthers  float64           // mean number of other balancers' requests at a member
 }
 
-// rebuildGroups assigns the servers that may get requests to the local and the remote group.
+// rebuildGroups assigns the servers that may get requests to the groups of their localities, and updates
+// weights and lanes.
 func (b *Balancer) rebuildGroups(now time.Duration) {
 	b.groupsStale = false
 	for i := range b.groups {
@@ -49,7 +52,8 @@
 	}
 }
 
-// updateWeights weighs a group's members by size, slow start and latency.
+// updateWeights sets the weights of a group's members by size, slow start and latency, and updates the
+// group's warm size and its mean of other balancers' requests.
 func (b *Balancer) updateWeights(now time.Duration, group *serverGroup) {
 	group.warmSize, group.meanOthers = 0, 0
 	group.lanes.Reset()
@@ -64,8 +68,9 @@
 	}
 }
 
-// adjustConcurrencyLimit moves the limit on this balancer's requests in a group by the mean of all balancers'
-// requests at its servers. Few balancers need no limit.
+// adjustConcurrencyLimit adjusts the limit on this balancer's requests in a group to keep the mean number of
+// all balancers' requests at its servers near a target. There is no limit if that mean is unknown or if there
+// are few balancers.
 func (b *Balancer) adjustConcurrencyLimit(now time.Duration, group *serverGroup) {
 	meanInflight, known := b.meanInflight(now, group)
 	if known && b.manyBalancers() {
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -156,7 +156,7 @@
 
 // runRandomEvents plays a long random sequence of events and returns the violations. It calls sabotage, unless
 // that is nil, after each event.
-func runRandomEvents(t *testing.T, seed uint64, sabotage func(*Balancer)) []string {
+func runRandomEvents(t *testing.T, seed uint64, breakGuard func(*Balancer)) []string {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 7))
 	s := testSettings()
@@ -215,8 +215,8 @@
 			c.completeRandomAttempt(b, rng, live)
 		}
 		live = c.timeOutOverdue(b, live)
-		if sabotage != nil {
-			sabotage(b)
+		if breakGuard != nil {
+			breakGuard(b)
 		}
 	}
 	return c.violations
--- a/latencies.go
+++ b/latencies.go
@@ -6,8 +6,9 @@
 	"piernotch/internal/decision/latency"
 )
 
-// observeLatency updates the latency estimates of all, of the group, of the server and of the path to it by
-// one response, and returns its latency beyond the request's work in ms, at most the objective.
+// observeLatency updates the latency estimates (overall and of the group, the server and the path to it) from
+// one response. It returns the response's queueing delay in ms: its latency beyond the request's work, at
+// most the objective.
 func (b *Balancer) observeLatency(
 	request *openRequest, target *server, took time.Duration,
 ) (queueing float64) {
@@ -21,8 +22,8 @@
 	})
 }
 
-// expectedLatency returns how long the server will probably take for the request, in ms: by this balancer's
-// own requests there and, if there are many balancers, by its load reports.
+// expectedLatency returns the expected latency of the request at the server, in ms. It is estimated from this
+// balancer's own requests there and, with many balancers, also from load reports; the larger value counts.
 func (b *Balancer) expectedLatency(now time.Duration, request *openRequest, target *server) float64 {
 	ms := target.latency.Expected(target.backlog+request.work, &b.latency)
 	reports := &target.reports
@@ -33,12 +34,13 @@
 	return ms
 }
 
-// silenceTimeout returns how long a response for that much work may take before it is overdue.
+// silenceTimeout returns how long a response to a request of that work, in ms, may take before it is overdue.
 func (b *Balancer) silenceTimeout(group *serverGroup, work float64) time.Duration {
 	return group.latency.SilenceTimeout(work, b.shortestObjective)
 }
 
-// effectiveLoad returns how many of this balancer's requests the server holds, without those in transit.
+// effectiveLoad returns the estimated number of this balancer's requests that are at the server, and not in
+// transit to or from it.
 func (b *Balancer) effectiveLoad(target *server) float64 {
 	return target.latency.EffectiveLoad(target.inflight, b.workload.Mean(), target.path)
 }
--- a/load_reports.go
+++ b/load_reports.go
@@ -6,21 +6,23 @@
 	"piernotch/internal/decision/loadreport"
 )
 
-// LoadReported takes a server's load report. It ignores unknown servers, negative figures and NaN.
+// LoadReported handles a server's load report. It ignores reports of unknown servers and reports with a
+// figure that is negative or NaN.
 func (b *Balancer) LoadReported(now time.Duration, id ServerID, load LoadReport) {
 	if target := b.endpoints.find(id); target != nil && load.Inflight >= 0 && load.CompletedPerSecond >= 0 {
 		target.reports.Record(now, load.Inflight, load.CompletedPerSecond, target.inflight)
 	}
 }
 
-// totalInflightReaches reports whether all balancers together have so many requests at a server, by its load
-// reports: with many balancers, a bound on each one's own requests would not bound the sum.
-func (b *Balancer) totalInflightReaches(now time.Duration, target *server, most float64) bool {
+// totalInflightReaches reports whether the requests of all balancers at a server, estimated from its load
+// reports, reach the limit. With many balancers, limits on each one's own requests would not limit the sum.
+func (b *Balancer) totalInflightReaches(now time.Duration, target *server, limit float64) bool {
 	meanOthers := b.groups[target.locality].meanOthers
-	return target.reports.TotalInflight(now, meanOthers, target.inflight) >= most
+	return target.reports.TotalInflight(now, meanOthers, target.inflight) >= limit
 }
 
-// sendersTo returns how many balancers send to the server, if they are spread evenly over the zones.
+// sendersTo returns how many balancers send to the server, assuming that they are spread evenly over the
+// zones.
 func (b *Balancer) sendersTo(target *server) float64 {
 	if target.locality == remoteZones {
 		return float64(b.settings.BalancerCount)
@@ -28,7 +30,8 @@
 	return max(float64(b.settings.BalancerCount)/float64(max(len(b.settings.Zones), 1)), 1)
 }
 
-// updatePeakCompletionRate updates what a warm server of size 1 completes per second for all balancers.
+// updatePeakCompletionRate updates the peak number of requests per second that a warm server of size 1
+// completes for all balancers.
 func (b *Balancer) updatePeakCompletionRate() {
 	var fleet loadreport.Fleet
 	for _, target := range b.endpoints.sorted {
@@ -39,9 +42,9 @@
 	b.peakCompletionRate.Review(fleet)
 }
 
-// meanInflight returns how many requests of all balancers a warm member of the group holds on the mean, by
-// fresh reports; known is false if there is none. Where there never was one, latencies are the measure: an
-// response that takes twice as long as its work found as much work before it.
+// meanInflight returns the mean number of requests of all balancers at a warm member of the group, from fresh
+// load reports; known is false if there are none. If no server has ever reported, the latency per ms of work
+// replaces it: a response that takes twice as long as its work has waited behind as much work.
 func (b *Balancer) meanInflight(now time.Duration, group *serverGroup) (inflight float64, known bool) {
 	var mean loadreport.GroupMean
 	for _, target := range group.members {
--- a/outlier_ejection.go
+++ b/outlier_ejection.go
@@ -6,15 +6,16 @@
 	"piernotch/internal/decision/outlier"
 )
 
-// recordFailure counts a failed attempt, and ejects the server if that is due.
+// recordFailure counts a failed attempt, and ejects the server after too many failures in a row.
 func (b *Balancer) recordFailure(now time.Duration, target *server, failure outlier.Failure) {
 	if target.outlier.RecordFailure(failure) == outlier.Eject {
 		b.eject(now, target)
 	}
 }
 
-// ejectSilent reports whether an attempt of the request is overdue, and ejects the servers that have
-// responded to nothing since they got it. One that responded to others is only slow with this one.
+// ejectSilent reports whether an attempt of the request is overdue, and ejects each server that has responded
+// to nothing since it got an overdue attempt. A server that has responded to other requests meanwhile is only
+// slow with this one.
 func (b *Balancer) ejectSilent(now time.Duration, request *openRequest) (overdue bool) {
 	for i := range request.attempts {
 		sent := &request.attempts[i]
@@ -30,19 +31,20 @@
 	return overdue
 }
 
-// eject takes a server out of its group. The pause grows from the time after which silence counts.
+// eject removes a server from its group for a pause. The pause is a multiple of the silence timeout, or of
+// the shortest latency objective if that is longer, and grows with each ejection in a row.
 func (b *Balancer) eject(now time.Duration, target *server) {
 	basePause := max(b.silenceTimeout(&b.groups[target.locality], b.workload.Mean()), b.shortestObjective)
 	target.outlier.Eject(now, basePause, b.rng)
 	b.groupsStale = true
 }
 
-// outlierOptions returns what the settings permit the outlier detection.
+// outlierOptions returns the outlier detection options that follow from the current settings.
 func (b *Balancer) outlierOptions() outlier.Options {
 	return outlier.Options{HealthChecks: b.settings.Limits.HealthChecks}
 }
 
-// startHealthCheckIfDue starts the health check that precedes the trial of an ejected server.
+// startHealthCheckIfDue starts the health check that an ejected server must pass before its trial.
 func (b *Balancer) startHealthCheckIfDue(now time.Duration, target *server) {
 	mayBeDue := target.outlier.Ejected() && target.available()
 	if mayBeDue && target.outlier.StartHealthCheckIfDue(now, b.outlierOptions()) {
@@ -50,7 +52,8 @@
 	}
 }
 
-// HealthCheckCompleted takes a health check's result: OK allows the trial, any other status ejects again.
+// HealthCheckCompleted handles the result of a health check. OK allows the trial; any other status ejects the
+// server again. It ignores results of checks that are not in flight.
 func (b *Balancer) HealthCheckCompleted(now time.Duration, id ServerID, status Status) {
 	b.ensureStarted(now)
 	target := b.endpoints.find(id)
@@ -65,7 +68,7 @@
 	}
 }
 
-// healthCheckResult returns what the status of a health check shows of the server.
+// healthCheckResult maps the status of a health check to a result for the outlier detection.
 func healthCheckResult(status Status) outlier.HealthCheckResult {
 	switch status {
 	case OK:
@@ -76,8 +79,8 @@
 	return outlier.HealthCheckFailed
 }
 
-// recordGoodResponse ends an ejection. If the process may be a new one, the server is in slow start until
-// the list has had time to name a restart. Otherwise it is as warm as before.
+// recordGoodResponse ends an ejection. If the server's process may have been replaced, the server is in slow
+// start until the endpoint list has had time to show a restart. Otherwise it stays as warm as before.
 func (b *Balancer) recordGoodResponse(now time.Duration, target *server) {
 	recovery := target.outlier.RecordGoodResponse()
 	if recovery == outlier.NotEjected {
--- a/piernotch.go
+++ b/piernotch.go
@@ -2,143 +2,146 @@
 
 import "time"
 
-// RequestID identifies a request until it has its final response and no attempt is in flight.
+// RequestID identifies a request until it has its final response and no attempt is in flight. Of waiting
+// requests of the same precedence, the one with the lowest ID is dispatched first, so IDs should increase.
 type RequestID uint64
 
-// ServerID identifies a server. It survives a restart of the server's process.
+// ServerID identifies a server. It stays the same when the server's process restarts.
 type ServerID uint32
 
-// RetrySafety is what a class permits once an attempt may have executed.
+// RetrySafety says whether a request of a class may be sent again after an attempt that may have executed.
 type RetrySafety uint8
 
-// The values of RetrySafety.
+// The values of RetrySafety, from the least to the most restrictive.
 const (
 	Idempotent     RetrySafety = iota // may execute any number of times
-	IdempotencyKey                    // repeats are discarded within DedupScope and DedupWindow
+	IdempotencyKey                    // servers discard repeats, within DedupScope and DedupWindow
 	NonIdempotent                     // must not execute twice
 )
 
-// DedupScope is the set of servers that discard each other's repeats.
+// DedupScope is the set of servers that share their idempotency keys: each discards repeats of requests that
+// another one has executed.
 type DedupScope uint8
 
-// The values of DedupScope.
+// The values of DedupScope, from the widest to the narrowest.
 const (
 	DedupEverywhere DedupScope = iota // all servers
 	DedupInZone                       // the servers of one zone
 	DedupInCell                       // the servers of one cell
 )
 
-// Class describes one kind of request.
+// Class describes one kind of request: its time limits, its priority and whether it may be retried.
 type Class struct {
 	Name             string
-	LatencyObjective time.Duration // a response within it has its full weight; positive
-	Deadline         time.Duration // after which clients give up; not below LatencyObjective
-	PriorityWeight   float64       // of a response; not negative
-	LateWeightShare  float64       // share of the weight that a response after the objective has
+	LatencyObjective time.Duration // a response within this time has its full weight; positive
+	Deadline         time.Duration // clients give up after this time; at least LatencyObjective
+	PriorityWeight   float64       // value of a response relative to other classes; not negative
+	LateWeightShare  float64       // share of the weight that is left for a response after the objective
 	RetrySafety      RetrySafety
 	DedupScope       DedupScope    // for IdempotencyKey only
-	DedupWindow      time.Duration // for IdempotencyKey only: how long repeats are discarded
+	DedupWindow      time.Duration // for IdempotencyKey only: time for which repeats are discarded
 }
 
-// Tenant is a customer with a quota.
+// Tenant is a customer. Its requests lose priority while it is over its quota.
 type Tenant struct {
 	Name        string
 	QuotaPerSec float64 // requests per second, over all balancers; 0: unlimited
 }
 
-// Limits is what the deployment permits.
+// Limits bounds retries and enables the optional actions of a Balancer.
 type Limits struct {
-	MaxAttempts    int           // attempts of a request, the first included; at least 1
+	MaxAttempts    int           // attempts per request, including the first; at least 1
 	HedgedRequests bool          // two attempts of a request may be in flight at once
-	CancelAttempts bool          // attempts may be cancelled
-	HealthChecks   bool          // ejected servers may be health checked
-	RetryAfter     bool          // rejections may advise when to come back
-	MaxRetryAfter  time.Duration // bound on that advice
+	CancelAttempts bool          // attempts in flight are cancelled when their request is done
+	HealthChecks   bool          // an ejected server must pass a health check before its trial
+	RetryAfter     bool          // rejections advise when to try again, while work is shed
+	MaxRetryAfter  time.Duration // upper bound on the advised delay
 }
 
 // Rules holds the parameters of discovery and slow start.
 type Rules struct {
-	PollInterval      time.Duration // where discovery has to be polled: at least this often
-	SlowStartCapacity float64       // share of its capacity that a server starts with, in [0, 1]
-	SlowStartDuration time.Duration // time after its start at which it has all of it
-	OverloadWindow    time.Duration // overload that lasts so long fails a server in slow start; 0: unknown
+	PollInterval      time.Duration // longest time between polls, if discovery has to be polled
+	SlowStartCapacity float64       // share of its capacity that a server has right after its start, in [0, 1]
+	SlowStartDuration time.Duration // time from a server's start until it has its full capacity
+	OverloadWindow    time.Duration // a server in slow start fails if overloaded for this long; 0: unknown
 }
 
-// Settings configures a Balancer. Names in it are labels for people: no decision depends on one.
+// Settings configures a Balancer. The names in it are labels for people; no decision depends on them.
 type Settings struct {
-	BalancerCount    int           // balancers of the deployment, this one included; at least 1
-	Zone             int           // this balancer's zone, an index of Zones
+	BalancerCount    int           // number of balancers in the deployment, including this one; at least 1
+	Zone             int           // this balancer's zone, an index into Zones
 	Zones            []string      // names of all zones
 	Classes          []Class       // at least one
-	Tenants          []Tenant      // none: no quotas
-	Tick             time.Duration // resolution of the clock
-	PollDiscovery    bool          // the endpoint list comes only after Host.WatchEndpoints
-	KeyAffinity      bool          // a server serves a key that it served lately with less work
+	Tenants          []Tenant      // empty: no quotas
+	Tick             time.Duration // shortest time between ticks; not negative
+	PollDiscovery    bool          // the endpoint list has to be requested with Host.WatchEndpoints
+	KeyAffinity      bool          // a server needs less work for a Request.Key that it served recently
 	Limits           Limits
 	Rules            Rules
-	OverQuotaWeight  float64 // factor on the weight of a request over its tenant's quota
-	WeightPerRequest bool    // the weight is for each request, whatever its work
+	OverQuotaWeight  float64 // factor on the PriorityWeight of a request over its tenant's quota
+	WeightPerRequest bool    // PriorityWeight is per request, whatever its work; false: per work
 }
 
-// State is the state of a server in the endpoint list.
+// State is the state of a server according to the endpoint list.
 type State uint8
 
-// The values of State.
+// The values of State. Requests are sent only to servers that are Ready.
 const (
 	Ready    State = iota // may get requests
 	Draining              // gets no new requests
-	Gone                  // is not listed any more
+	Gone                  // no longer listed
 )
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID        ServerID
-	Zone      int // an index of Settings.Zones
+	Zone      int // index into Settings.Zones
 	Cell      int // failure domain within the zone
 	State     State
 	Size      float64       // capacity relative to other servers; positive
 	StartedAt time.Duration // clock time of its last start; 0: long ago
 }
 
-// UpdateKind is how an event of the endpoint list is to be read.
+// UpdateKind says how UpdateEndpoints interprets the entries that it gets.
 type UpdateKind uint8
 
-// The values of UpdateKind.
+// The values of UpdateKind. All but UpdateFailed carry entries.
 const (
 	UpdateDelta  UpdateKind = iota // changed entries only
 	UpdateFull                     // all entries; a server that is missing is gone
-	UpdateCached                   // all entries that this process last had, maybe stale
+	UpdateCached                   // all entries last known to this process, possibly stale
 	UpdateFailed                   // no entries: discovery did not respond or closed the connection
 )
 
-// Request is a client's request on arrival.
+// Request describes a client's request on arrival.
 type Request struct {
 	ID       RequestID
-	Class    int           // an index of Settings.Classes
-	Tenant   int           // an index of Settings.Tenants; any other value: no tenant
-	Key      uint64        // of what the request is about; 0: none
+	Class    int           // index into Settings.Classes
+	Tenant   int           // index into Settings.Tenants; any other value: no tenant
+	Key      uint64        // identifies the data that the request needs, for Settings.KeyAffinity; 0: none
 	Deadline time.Duration // clock time at which the client gives up
-	CostHint float64       // expected work in ms; NaN, infinite or not positive: none
+	CostHint float64       // expected work in ms; no hint if NaN, infinite or not positive
 }
 
-// Status is how an attempt ended.
+// Status says how an attempt or a health check ended.
 type Status uint8
 
-// The values of Status.
+// The values of Status. Only Full, ConnectFailed and NotSent prove that the server did not execute the
+// request.
 const (
 	OK            Status = iota // a good response
-	Error                       // any other response, malformed ones included
+	Error                       // any other response, including a malformed one
 	Full                        // rejected by the server before execution
 	Timeout                     // no response within the attempt's timeout
-	ConnectFailed               // no connection
+	ConnectFailed               // no connection was established
 	Reset                       // the connection broke before the response
 	Cancelled                   // cancelled by the balancer or its host
-	NotSent                     // given up before it was written
+	NotSent                     // abandoned before it was written
 )
 
 var statuses = [...]string{"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "not_sent"}
 
-// String returns the status's name in logs and traces. The status must be one of the constants.
+// String returns the name of the status in logs and traces. It panics for values other than the constants.
 func (s Status) String() string { return statuses[s] }
 
 // NeverExecuted reports whether the status proves that the server did not execute the request.
@@ -146,40 +149,41 @@
 	return s == Full || s == ConnectFailed || s == NotSent
 }
 
-// Outcome is the end of one attempt.
+// Outcome describes how one attempt ended.
 type Outcome struct {
 	ID          RequestID
-	Attempt     int // attempts of a request are numbered from 0, in sending order
+	Attempt     int // number of the attempt: the first of a request is 0
 	Server      ServerID
 	Status      Status
 	Latency     time.Duration // from the start of the attempt
-	RequestDone bool          // the request has its final response
+	RequestDone bool          // the request has its final response, or its client is gone
 }
 
-// LoadReport is a server's report of its load, which counts what all balancers sent. It is some
-// time old when it arrives.
+// LoadReport is a server's report of its load from all balancers. It is already somewhat out of date when it
+// arrives.
 type LoadReport struct {
-	Inflight           float64 // requests that the server holds
-	CompletedPerSecond float64 // requests that it completes per second; 0: unknown
+	Inflight           float64 // requests in progress or queued at the server
+	CompletedPerSecond float64 // requests completed per second; 0: unknown
 }
 
-// Host carries out a Balancer's decisions, in the order of the calls. The Balancer calls it on the
-// goroutine of the event, before the event's method returns; a Host must not call the Balancer back.
+// Host carries out a Balancer's decisions, in the order of the calls. The Balancer calls it on the goroutine
+// that delivers an event, before the event's method returns. A Host must not call the Balancer during such a
+// call.
 type Host interface {
-	// StartAttempt starts the next attempt of a request. The attempt ends with an Outcome, after
-	// timeout at the latest; 0 means the client's deadline.
+	// StartAttempt starts the next attempt of a request. The attempt must end with an Outcome, after timeout
+	// at the latest; a timeout of 0 means the client's deadline.
 	StartAttempt(id RequestID, to ServerID, timeout time.Duration)
-	// CancelAttempt ends an attempt that is in flight.
+	// CancelAttempt cancels an attempt that is in flight. The attempt still ends with an Outcome.
 	CancelAttempt(id RequestID, attempt int)
-	// Reject gives the request its final response: not executed, or trying again does no harm. A retryAfter of
-	// 0 is no advice.
+	// Reject gives the request its final response, which tells the client that sending it again is safe.
+	// retryAfter is the delay to advise; 0 advises none.
 	Reject(id RequestID, retryAfter time.Duration)
-	// Fail gives the request its final response, without a promise.
+	// Fail gives the request its final response, which does not tell whether the request was executed.
 	Fail(id RequestID)
-	// HealthCheck checks a server and reports by HealthCheckCompleted.
-	HealthCheck(b ServerID)
-	// WatchEndpoints subscribes to changes of the endpoint list.
+	// HealthCheck starts a health check of a server. Its result goes to Balancer.HealthCheckCompleted.
+	HealthCheck(id ServerID)
+	// WatchEndpoints subscribes to the endpoint list. The updates go to Balancer.UpdateEndpoints.
 	WatchEndpoints()
-	// SetTimer asks for a call of Timer with the token after d.
+	// SetTimer requests one call of Balancer.Timer with the token, after d.
 	SetTimer(d time.Duration, token uint32)
 }
--- a/requests.go
+++ b/requests.go
@@ -7,12 +7,12 @@
 	"piernotch/internal/decision/lanes"
 )
 
-// requestTable owns the records of the open requests: those that need a final response or have attempts in
-// flight. It reuses the records of finished ones, so that a request costs no allocation.
+// requestTable holds the records of the open requests: those that need a final response or have attempts in
+// flight. It reuses the records of finished requests, so that a new request usually needs no allocation.
 type requestTable struct {
 	open []*openRequest // in no particular order
 	byID map[RequestID]*openRequest
-	free []*openRequest // for reuse
+	free []*openRequest // records of finished requests, for reuse
 }
 
 func newRequestTable() requestTable { return requestTable{byID: map[RequestID]*openRequest{}} }
@@ -20,7 +20,7 @@
 // find returns the record of an open request, or nil.
 func (t *requestTable) find(id RequestID) *openRequest { return t.byID[id] }
 
-// add opens a record for a request. Its id must not be that of an open one.
+// add opens a record for a request, whose ID must differ from those of all open requests.
 func (t *requestTable) add(arrival Request, class *Class) *openRequest {
 	var added *openRequest
 	if count := len(t.free); count > 0 {
@@ -37,7 +37,7 @@
 	return added
 }
 
-// releaseIfFinished drops a request's record once it is done and has no attempt in flight.
+// releaseIfFinished removes a request's record if the request is done and has no attempt in flight.
 func (t *requestTable) releaseIfFinished(r *openRequest) {
 	if !r.done || r.inflight > 0 {
 		return
@@ -49,64 +49,66 @@
 	t.free = append(t.free, r)
 }
 
-// openRequest is a client's request until it has its final response and no attempt is in flight. Only its
-// methods and the request table change the fields from attempts on.
+// openRequest is the record of a client's request until it has its final response and no attempt is in
+// flight. Only its methods and requestTable change the fields from attempts to openIndex.
 type openRequest struct {
 	Request
 	class         *Class
 	priority      admission.Band
 	work          float64 // expected, ms
 	lane          lanes.Lane
-	objective     time.Duration // clock time: the class's objective, or the deadline if that is sooner
-	queueDeadline time.Duration // clock time of the last dispatch: half of the time that its client waits
+	objective     time.Duration // clock time of the latency objective, or of the deadline if that is earlier
+	queueDeadline time.Duration // latest clock time of dispatch: halfway from the arrival to the deadline
 
 	attempts  []attempt // in sending order
 	inflight  int       // attempts that have not ended
 	hedged    bool      // a hedged attempt has been sent
-	done      bool      // needs no response any more
+	done      bool      // needs no further response
 	streaming bool      // a response is being forwarded
 	openIndex int       // in requestTable.open
 }
 
-// attempt is one sending of a request to a server.
+// attempt is one attempt of a request, sent to one server.
 type attempt struct {
 	server *server
 	sentAt time.Duration
-	warm   bool // the server was, at sentAt
+	warm   bool // the server was warm at sentAt
 	ended  bool
-	status Status // once ended
+	status Status // valid once ended
 }
 
-// mayHaveExecuted reports whether nothing proves that the server did not execute the attempt.
+// mayHaveExecuted reports whether the server may have executed the attempt: it is in flight, or its status
+// does not rule it out.
 func (a *attempt) mayHaveExecuted() bool { return !a.ended || !a.status.NeverExecuted() }
 
-// place returns the request's place in the order of dispatch.
+// place returns the request's place in the order of dispatch, for admission.Controller.Precedes.
 func (r *openRequest) place() admission.Place {
 	return admission.Place{Band: r.priority, Arrival: uint64(r.ID)}
 }
 
-// waiting reports whether the request waits to be dispatched.
+// waiting reports whether the request waits to be dispatched: it needs a response and has no attempt in
+// flight.
 func (r *openRequest) waiting() bool { return !r.done && !r.streaming && r.inflight == 0 }
 
 // needsResponse reports whether the request still needs a response and none is being forwarded.
 func (r *openRequest) needsResponse() bool { return !r.done && !r.streaming }
 
-// markDone records that the request needs no response any more.
+// markDone records that the request needs no further response. It may still have attempts in flight.
 func (r *openRequest) markDone() { r.done = true }
 
-// markStreaming records that a response is being forwarded.
+// markStreaming records that a response is being forwarded, which rules out retries and cancellation.
 func (r *openRequest) markStreaming() { r.streaming = true }
 
-// markHedged records that a hedged attempt has been sent.
+// markHedged records that a hedged attempt has been sent. A request is not hedged twice.
 func (r *openRequest) markHedged() { r.hedged = true }
 
-// attemptStarted records an attempt that goes to the server now.
+// attemptStarted records an attempt that is sent to the server now.
 func (r *openRequest) attemptStarted(now time.Duration, target *server) {
 	r.attempts = append(r.attempts, attempt{server: target, sentAt: now, warm: target.warm()})
 	r.inflight++
 }
 
-// attemptEnded records the end of an open attempt.
+// attemptEnded records the end of an attempt in flight, and returns the attempt.
 func (r *openRequest) attemptEnded(attemptNumber int, status Status) *attempt {
 	ended := &r.attempts[attemptNumber]
 	ended.ended, ended.status = true, status
@@ -114,7 +116,7 @@
 	return ended
 }
 
-// findAttempt returns the attempt of that number, or nil.
+// findAttempt returns the attempt with that number, or nil.
 func (r *openRequest) findAttempt(attemptNumber int) *attempt {
 	if attemptNumber < 0 || attemptNumber >= len(r.attempts) {
 		return nil
@@ -122,7 +124,7 @@
 	return &r.attempts[attemptNumber]
 }
 
-// findOpenAttempt returns the attempt of that number unless it has ended, or nil.
+// findOpenAttempt returns the attempt with that number, or nil if there is none or it has ended.
 func (r *openRequest) findOpenAttempt(attemptNumber int) *attempt {
 	found := r.findAttempt(attemptNumber)
 	if found == nil || found.ended {
@@ -131,7 +133,7 @@
 	return found
 }
 
-// attemptedOn reports whether an attempt has gone to the server.
+// attemptedOn reports whether an attempt of the request has been sent to the server.
 func (r *openRequest) attemptedOn(target *server) bool {
 	for i := range r.attempts {
 		if r.attempts[i].server == target {
@@ -141,7 +143,7 @@
 	return false
 }
 
-// firstMaybeExecuted returns the first attempt that may have executed, or nil.
+// firstMaybeExecuted returns the earliest attempt that the server may have executed, or nil.
 func (r *openRequest) firstMaybeExecuted() *attempt {
 	for i := range r.attempts {
 		if candidate := &r.attempts[i]; candidate.mayHaveExecuted() {
@@ -151,9 +153,9 @@
 	return nil
 }
 
-// mayRepeatOn reports whether a request that may have executed in an earlier attempt may also go to the
-// server. The transit there, half of the fastest response's latency, must end within the deduplication
-// window.
+// mayRepeatOn reports whether a request that may have executed in an earlier attempt may also be sent to the
+// server. With an idempotency key, it must arrive there within the deduplication window; the transit time is
+// taken as half of the lowest latency from the server's zone.
 func (r *openRequest) mayRepeatOn(now time.Duration, earlier *attempt, target *server) bool {
 	windowClosed := now+target.path.Transit() > earlier.sentAt+r.class.DedupWindow
 	switch {
@@ -169,8 +171,8 @@
 	return true
 }
 
-// mayWriteAttempt reports whether no other attempt that may have executed forbids that this one is written
-// now. Later ones count, too: the one that waited for a connection is then the repeat.
+// mayWriteAttempt reports whether an attempt may be written now, given the other attempts that may have
+// executed. Attempts that started later count, too: if they were written first, this one is the repeat.
 func (r *openRequest) mayWriteAttempt(now time.Duration, attemptNumber int) bool {
 	target := r.attempts[attemptNumber].server
 	for i := range r.attempts {
@@ -182,8 +184,8 @@
 	return true
 }
 
-// repeatIsHarmless reports whether the client may send the request again to any balancer and server: it was
-// not executed, or executing it again has no effect.
+// repeatIsHarmless reports whether the client can safely send the request again, through any balancer to any
+// server: it was not executed, is idempotent, or is deduplicated by all servers.
 func (r *openRequest) repeatIsHarmless() bool {
 	deduplicated := r.class.RetrySafety == IdempotencyKey && r.class.DedupScope == DedupEverywhere
 	return r.firstMaybeExecuted() == nil || r.class.RetrySafety == Idempotent || deduplicated
--- a/selection.go
+++ b/selection.go
@@ -7,50 +7,52 @@
 )
 
 const (
-	objectiveShare         = 0.9  // the expected latency is within this share of the time left
-	minSpillers            = 3.0  // balancers of other zones that may spill to one server, at least
-	spillerShare           = 0.1  // the same as a share of all balancers
-	totalInflightBound     = 6.0  // all balancers' requests at a server, for each unit of maxLoad
-	totalInflightBoundKey  = 8.0  // all balancers' requests, if the request's key may be cached there
-	totalInflightBoundLast = 10.0 // all balancers' requests, if no other server has capacity
-	turnRounds             = 3    // of a lane's members, in search of one with the credit for a turn
+	objectiveShare         = 0.9  // the expected latency must be within this share of the time left
+	minSpillers            = 3.0  // lower limit of Balancer.maxSpillers
+	spillerShare           = 0.1  // maxSpillers as a share of all balancers
+	totalInflightBound     = 6.0  // limit on all balancers' requests at a server, per unit of maxLoad
+	totalInflightBoundKey  = 8.0  // absolute limit, if the request's key may be cached there
+	totalInflightBoundLast = 10.0 // absolute limit, if no other server has capacity
+	maxTurnRounds          = 3    // over a lane's members, in search of one with the credit for a turn
 )
 
-// Loads below which a server may get a request at a level: this balancer's requests there, without those in
-// transit.
+// Load limits of the selection levels. A server may get a request while its load is below the limit. The load
+// is the number of this balancer's requests there, without those in transit.
 const (
-	idle      = 1.0 // it has none
-	lightLoad = 2.0 // it has one at most: the next is there when that one ends
+	idleLoad  = 1.0 // the server has no request
+	lightLoad = 2.0 // it has at most one, so that the next is there when that one ends
 )
 
-// selectionLevel is a group whose members may get a request up to a load of this balancer's.
+// selectionLevel is the group of a locality and the load below which its members may get a request.
 type selectionLevel struct {
 	locality locality
 	maxLoad  float64 // exclusive
 }
 
-// selectionLevels returns the levels that are tried in turn: the own zone, up to a small load, and then the
-// others. Requests beyond that load wait here and not in a server's queue, so that they can still go to
-// whichever server is free first. The loads are small because all balancers' requests add up at a server:
-// the fewer balancers may spill to one, the more requests each of them may.
+// selectionLevels returns the levels in the order in which they are tried: the own zone up to a small load,
+// then the other zones. Requests beyond that load wait in the balancer and not in a server's queue, so that
+// they can go to whichever server is free first. The loads are small because the requests of all balancers
+// add up at a server. The fewer balancers may spill to a server, the more requests each of them may send
+// there.
 func selectionLevels(balancers int) []selectionLevel {
-	levels := []selectionLevel{{localZone, idle}, {localZone, lightLoad}, {remoteZones, idle}}
+	levels := []selectionLevel{{localZone, idleLoad}, {localZone, lightLoad}, {remoteZones, idleLoad}}
 	for load := lightLoad; load*float64(balancers-1) <= minSpillers && load < minSpillers; load++ {
 		levels = append(levels, selectionLevel{remoteZones, load})
 	}
 	return levels
 }
 
-// laneSearch is the choice of a server in one lane of a group.
+// laneSearch holds the parameters of the search for a server in one lane of a group.
 type laneSearch struct {
 	now     time.Duration
 	request *openRequest
 	group   *serverGroup
 	lane    lanes.Lane
-	maxLoad float64 // exclusive bound on the effective load
+	maxLoad float64 // exclusive limit on the effective load
 }
 
-// selectServer tries the levels in turn, in each of them the request's own lane first.
+// selectServer returns the server for the request, or nil if none can take it now. It tries the levels in
+// order, and in each of them the request's own lane before the other lane.
 func (b *Balancer) selectServer(now time.Duration, request *openRequest) *server {
 	for _, level := range b.levels {
 		group := &b.groups[level.locality]
@@ -70,12 +72,13 @@
 	return b.leastExpectedLatency(now, request)
 }
 
-// weightedRoundRobin takes turns within the lane. A server of less weight misses some of its turns. One
-// without capacity misses all of them, and they are neither given to its neighbour nor made up for later.
+// weightedRoundRobin returns the next server of the lane that can serve the request in time, or nil. A server
+// with a lower weight misses some of its turns. A server without capacity misses all of them; these turns are
+// neither given to its neighbour nor made up for later.
 func (b *Balancer) weightedRoundRobin(search laneSearch) *server {
 	group, laneLength := search.group, search.group.lanes.Len(search.lane)
-	var fallback *server // has capacity, but not yet the credit for a turn
-	for i := range turnRounds * laneLength {
+	var fallback *server // has capacity, but not enough credit for a turn
+	for i := range maxTurnRounds * laneLength {
 		index, lacksCredit := group.lanes.NextTurn(search.lane)
 		target := group.members[index]
 		noneHasCapacity := i >= laneLength && fallback == nil
@@ -94,8 +97,9 @@
 	return fallback
 }
 
-// rendezvousPick returns the server that probably has the request's key cached: from the ids alone, all
-// balancers agree on it. It returns nil if there is no key, or that server is slow or has no capacity.
+// rendezvousPick returns the server that probably has the request's key cached. Rendezvous hashing needs only
+// the key and the server IDs, so that all balancers agree on the server. The result is nil if there is no
+// key, or if that server is slow or has no capacity.
 func (b *Balancer) rendezvousPick(search laneSearch) *server {
 	if !b.settings.KeyAffinity || search.request.Key == 0 {
 		return nil
@@ -108,10 +112,12 @@
 	return target
 }
 
-// leastExpectedLatency is the last resort, if no server with capacity is likely to meet the objective.
+// leastExpectedLatency returns the server with the lowest expected latency, or nil. It is the last resort if
+// no server with capacity is likely to meet the objective. With many balancers, servers that are likely to
+// miss the objective are left out here, too.
 func (b *Balancer) leastExpectedLatency(now time.Duration, request *openRequest) *server {
 	var best *server
-	least := 0.0 // expected latency of the best, ms
+	least := 0.0 // expected latency of best, ms
 	for _, level := range b.levels[1:] {
 		for _, target := range b.groups[level.locality].members {
 			allowed := b.hasCapacity(now, target, level.maxLoad, totalInflightBoundLast) &&
@@ -128,36 +134,40 @@
 	return best
 }
 
-// canServeInTime reports whether the server may get the request and is likely to meet its objective.
+// canServeInTime reports whether the server may get the request and is likely to respond within its
+// objective.
 func (b *Balancer) canServeInTime(search laneSearch, target *server, maxTotal float64) bool {
 	now, request := search.now, search.request
 	return b.hasCapacity(now, target, search.maxLoad, maxTotal) && b.meetsObjective(now, request, target) &&
 		!request.attemptedOn(target) && b.mayStartAttempt(now, request, target)
 }
 
-// hasCapacity reports whether the server is below the bounds on this balancer's load and on all requests.
+// hasCapacity reports whether the server can take another request: this balancer may send to it, and the load
+// from this balancer and the requests of all balancers are below their limits.
 func (b *Balancer) hasCapacity(now time.Duration, target *server, maxLoad, maxTotal float64) bool {
-	return b.effectiveLoad(target) < maxLoad && !b.reservedForOtherZones(target) &&
+	return b.effectiveLoad(target) < maxLoad && !b.spillForbidden(target) &&
 		!b.totalInflightReaches(now, target, maxTotal)
 }
 
-// failsClass reports whether the server fails this class but serves others.
+// failsClass reports whether the server fails requests of this class but serves other classes.
 func (b *Balancer) failsClass(now time.Duration, request *openRequest, target *server) bool {
 	return target.classFailures.Avoid(now, request.Class, request.class.LatencyObjective)
 }
 
-// meetsObjective reports whether the server is likely to respond in time, with what is queued there.
+// meetsObjective reports whether the server is likely to respond within the objective, including the wait
+// behind the requests queued there.
 func (b *Balancer) meetsObjective(now time.Duration, request *openRequest, target *server) bool {
 	left := objectiveShare * float64(request.objective-now) / float64(time.Millisecond)
 	return !b.failsClass(now, request, target) && b.expectedLatency(now, request, target) <= left
 }
 
-// spills reports whether a request to the server leaves this zone though it has servers.
+// spills reports whether a request to the server leaves the own zone although that zone has servers.
 func (b *Balancer) spills(target *server) bool {
 	return target.locality == remoteZones && len(b.groups[localZone].members) > 0
 }
 
-// reservedForOtherZones reports whether only others may spill to the server: all together would overload it.
-func (b *Balancer) reservedForOtherZones(target *server) bool {
+// spillForbidden reports whether this balancer must not spill to the server, because others may. If all
+// balancers spilled to one server, they would overload it.
+func (b *Balancer) spillForbidden(target *server) bool {
 	return b.spills(target) && target.spillRank*float64(b.settings.BalancerCount-1) > b.maxSpillers
 }
--- a/settings.go
+++ b/settings.go
@@ -2,24 +2,25 @@
 
 import "fmt"
 
-// SettingsError is a setting that cannot be used.
+// SettingsError reports a setting that cannot be used.
 type SettingsError struct {
-	Setting string // the field of Settings, as in "Limits.MaxAttempts" or "Classes[1]"
-	Problem string // with the offending value
+	Setting string // field of Settings, such as "Limits.MaxAttempts" or "Classes[1]"
+	Problem string // includes the offending value where there is one
 }
 
-// Error returns the problem. It names the setting in the operators' terms.
+// Error returns the problem after the prefix "settings: ". The problem names the setting as operators know
+// it.
 func (e *SettingsError) Error() string { return "settings: " + e.Problem }
 
 func settingsError(setting, problem string, args ...any) error {
 	return &SettingsError{Setting: setting, Problem: fmt.Sprintf(problem, args...)}
 }
 
-// Validate returns a *SettingsError for the first setting that cannot be used, or nil.
+// Validate returns a *SettingsError for the first setting that cannot be used, or nil if there is none.
 func (s Settings) Validate() error {
 	switch {
 	case s.BalancerCount < 1:
-		return settingsError("BalancerCount", "proxies is %d", s.BalancerCount)
+		return settingsError("BalancerCount", "balancer count is %d, at least 1 is needed", s.BalancerCount)
 	case len(s.Classes) == 0:
 		return settingsError("Classes", "no classes")
 	case s.Zone < 0 || s.Zone >= max(1, len(s.Zones)):
@@ -29,7 +30,7 @@
 	case s.Limits.MaxAttempts < 1:
 		return settingsError("Limits.MaxAttempts", "limits: max attempts is %d", s.Limits.MaxAttempts)
 	case s.Rules.SlowStartDuration < 0 || s.Rules.PollInterval < 0 || s.Rules.OverloadWindow < 0:
-		return settingsError("Rules", "rules: negative time")
+		return settingsError("Rules", "rules: a time is negative")
 	case !(s.Rules.SlowStartCapacity >= 0 && s.Rules.SlowStartCapacity <= 1):
 		return settingsError("Rules.SlowStartCapacity", "rules: slow start capacity is %v",
 			s.Rules.SlowStartCapacity)
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// validate checks the class at index i of the settings.
+// validate checks the class at index i of Settings.Classes. It returns a *SettingsError or nil.
 func (c Class) validate(i int) error {
 	setting := fmt.Sprintf("Classes[%d]", i)
 	if c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.DedupWindow < 0 {
--- a/slow_start.go
+++ b/slow_start.go
@@ -6,11 +6,12 @@
 	"piernotch/internal/decision/slowstart"
 )
 
-// slowStartWindows is the number of windows, within the rule's overload window, for each of which a send is
-// drawn: what is drawn in one of them is a small part of what overloads a server.
+// slowStartWindows is the number of draw windows within the overload window. The requests that the
+// balancers draw in one window are a small part of what overloads a server.
 const slowStartWindows = 8
 
-// newSlowStart returns the controller of slow start for the settings. Only many balancers draw.
+// newSlowStart returns the slow start controller for the settings. With many balancers, each one draws
+// whether it may send.
 func (b *Balancer) newSlowStart() slowstart.Controller {
 	rules := b.settings.Rules
 	options := slowstart.Options{
@@ -22,26 +23,28 @@
 	return slowstart.NewController(options)
 }
 
-// slowStartIfYoung starts the slow start of a server that the list says started lately.
-func (b *Balancer) slowStartIfYoung(now time.Duration, target *server) {
+// slowStartIfRecent starts the slow start of a server whose start time in the list is recent.
+func (b *Balancer) slowStartIfRecent(now time.Duration, target *server) {
 	if target.StartedAt > 0 && b.slowStart.Covers(now, target.StartedAt) {
 		b.startSlowStart(now, target, target.StartedAt)
 	}
 }
 
-// startSlowStart counts a slow start from since.
+// startSlowStart starts a slow start that counts from the clock time since. The mean latency of the previous
+// process no longer applies.
 func (b *Balancer) startSlowStart(now time.Duration, target *server, since time.Duration) {
 	target.latency.ForgetMean()
 	b.slowStart.Start(now, since, &target.slowStart, b.slowStartLoad(now, target), b.rng)
 }
 
-// assumeRestart starts a slow start that ends soon, unless the list names a restart.
+// assumeRestart starts a slow start because the server may have restarted. It ends early unless the endpoint
+// list shows a restart.
 func (b *Balancer) assumeRestart(now time.Duration, target *server) {
 	target.latency.ForgetMean()
 	b.slowStart.Assume(now, &target.slowStart, b.slowStartLoad(now, target), b.rng)
 }
 
-// slowStartAllows reports whether a server in slow start may get the request.
+// slowStartAllows reports whether a server in slow start may get the request now.
 func (b *Balancer) slowStartAllows(now time.Duration, request *openRequest, target *server) bool {
 	candidate := slowstart.Request{
 		Work: request.work, MeanWork: b.workload.Mean(), ServerInflight: target.inflight,
@@ -57,12 +60,14 @@
 	return b.slowStart.WinsDraw(now, &target.slowStart, identity, b.slowStartLoad(now, target))
 }
 
-// zonesWithoutBalancer reports whether some zone has no balancer of its own to warm its servers up.
+// zonesWithoutBalancer reports whether there are fewer balancers than zones. Some zone then has no balancer
+// of its own to warm up its servers.
 func (b *Balancer) zonesWithoutBalancer() bool {
 	return b.settings.BalancerCount < len(b.settings.Zones)
 }
 
-// slowStartLoad returns what warm servers get and complete, and what the server reports.
+// slowStartLoad returns the load that decides how much a server in slow start may get: what warm servers get
+// and complete, and what the server itself reports.
 func (b *Balancer) slowStartLoad(now time.Duration, target *server) slowstart.Load {
 	reports := &target.reports
 	load := slowstart.Load{
@@ -74,7 +79,7 @@
 		},
 	}
 	if b.spills(target) {
-		load.Spillers = float64(b.settings.BalancerCount) // all of them may send there
+		load.Spillers = float64(b.settings.BalancerCount) // all of them may spill to it
 	}
 	if b.slowStart.NeedsSendRate(load) {
 		load.SendRate = b.warmSendRate(now)
@@ -82,17 +87,18 @@
 	return load
 }
 
-// warmSendRate returns the work per second that this balancer sends to a warm server of size 1. What
-// arrives is no measure of that: by clients' retries it is a multiple of any capacity. A few servers left
-// warm in a zone may be overloaded: they count as half of the zone. If none is warm, the mean counts.
+// warmSendRate returns the work per second, in ms, that this balancer sends to a warm server of size 1.
+// Arriving work is not used, because client retries can make it a multiple of any capacity. If few warm
+// servers are left in a zone, they may be overloaded, so they count as at least half of the zone's peak size.
+// If none is warm, the mean over all servers is used.
 func (b *Balancer) warmSendRate(now time.Duration) float64 {
 	most := 0.0
 	for i := range b.groups {
 		group := &b.groups[i]
-		if fullSize := b.endpoints.fullSize[i]; fullSize > 0 {
-			most = max(most, group.sendRate.PerSecond(now)/max(group.warmSize, fullSize/2))
+		if peakSize := b.endpoints.peakSize[i]; peakSize > 0 {
+			most = max(most, group.sendRate.PerSecond(now)/max(group.warmSize, peakSize/2))
 		}
 	}
-	size := b.endpoints.fullSize[localZone] + b.endpoints.fullSize[remoteZones]
+	size := b.endpoints.peakSize[localZone] + b.endpoints.peakSize[remoteZones]
 	return max(most, b.sendRate.PerSecond(now)/max(size, 1))
 }
--- a/snapshot.go
+++ b/snapshot.go
@@ -6,16 +6,16 @@
 	"piernotch/internal/decision/workload"
 )
 
-// Snapshot is what a balancer has learnt of its traffic, for the process that takes over from it. The tags
-// are the keys in handover records, which other versions of the program read.
+// Snapshot is what a Balancer has learnt about its traffic, for the process that takes over from it. The tags
+// are the keys in handover records. They must not change, because other versions of the program read them.
 type Snapshot struct {
-	MedianHint         float64 `json:"Median"`     // of the cost hints, ms
-	MeanWork           float64 `json:"MeanWork"`   // of a request, ms
-	LargeWorkShare     float64 `json:"LargeShare"` // of the work, in requests above the median
-	PeakCompletionRate float64 `json:"Usual"`      // of a warm server of size 1, peak per second; 0: not known
+	MedianHint         float64 `json:"Median"`     // median cost hint, ms
+	MeanWork           float64 `json:"MeanWork"`   // mean work of a request, ms
+	LargeWorkShare     float64 `json:"LargeShare"` // share of the work that is in requests above the median hint
+	PeakCompletionRate float64 `json:"Usual"`      // peak requests per second of a warm server of size 1; 0: unknown
 }
 
-// Snapshot returns what has been learnt so far.
+// Snapshot returns what the Balancer has learnt so far. It does not change the Balancer.
 func (b *Balancer) Snapshot() Snapshot {
 	learnt := b.workload.Snapshot()
 	return Snapshot{
@@ -24,8 +24,8 @@
 	}
 }
 
-// Restore starts a balancer from another's snapshot. It does nothing if the balancer has seen a cost hint
-// of its own already, or if a figure is impossible.
+// Restore initializes the Balancer from its predecessor's snapshot. It does nothing if the Balancer has
+// already seen a cost hint, or if a figure in the snapshot is out of range.
 func (b *Balancer) Restore(l Snapshot) {
 	peakPossible := l.PeakCompletionRate >= 0 && !math.IsInf(l.PeakCompletionRate, 0)
 	learnt := workload.Snapshot{MedianHint: l.MedianHint, Mean: l.MeanWork, LargeShare: l.LargeWorkShare}
--- a/state_line.go
+++ b/state_line.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// String describes the state in one line, for a log.
+// String returns the state in one line, for the log. docs/ONCALL.md explains its keys to operators.
 func (b *Balancer) String() string {
 	text := fmt.Sprintf("open=%d shed_share=%.2f latency_per_work=%.2f retry_budget=%.1f "+
 		"median_cost_hint=%.1f mean_work=%.1f peak_completion_rate=%.1f",
