--- a/admission_test.go
+++ b/admission_test.go
@@ -10,7 +10,8 @@
 	"piernotch/internal/decision/estimate"
 )
 
-// Overload rejects the lowest priority first, and shedding decays when everything is rejected.
+// Overload must shed the lowest priority first. If everything is shed, no responses arrive, so the shed share
+// has to decay by itself; otherwise the balancer would reject everything for ever.
 func TestSheddingFollowsPriorityAndRecovers(t *testing.T) {
 	s := testSettings()
 	s.Classes[dedupEverywhereClass].PriorityWeight = 10
@@ -38,7 +39,7 @@
 	if low < 100 || high > low {
 		t.Fatalf("rejected %d of low weight and %d of high weight", low, high)
 	}
-	shedAll(t, b, now) // nothing is sent, so there are no responses
+	shedAll(t, b, now) // from here on nothing is sent, so no responses arrive
 	for range int(20 * time.Second / b.tickInterval) {
 		now += b.tickInterval
 		b.Timer(now, tickToken)
@@ -61,7 +62,7 @@
 			over++
 		}
 	}
-	if over < 15 || over > 30 { // 40 per second against this balancer's half of 20
+	if over < 15 || over > 30 { // 40 requests per second, and a quota of 10: this balancer's half of 20
 		t.Errorf("%d of 40 were over the quota", over)
 	}
 	r := b.newRequest(time.Second, Request{ID: 99, Tenant: 1, CostHint: 5})
@@ -70,8 +71,8 @@
 	}
 }
 
-// Twice as much arrives as one server completes, in two classes. By weight alone, the lower one would get
-// nothing for as long as that lasts.
+// Two classes together send twice as much work as one server completes. If only the priority weight decided,
+// the lower class would get nothing for as long as the overload lasts.
 func TestNoClassStarvesUnderSustainedOverload(t *testing.T) {
 	s := manyBalancersSettings()
 	s.Classes[nonIdempotentClass].PriorityWeight = 3
@@ -98,8 +99,8 @@
 	require.Greater(t, low, high/3, "%d of %d", low, low+high)
 }
 
-// Under steady overload the queue stays short: a request that would wait for long is rejected at once, so
-// that client connections are free for more important ones. A longer queue would send no more.
+// Under sustained overload, a request that would wait too long must be rejected at once. A longer queue would
+// serve no more requests, and would hold client connections that more important requests need.
 func TestTooLongQueueIsRejectedAtOnce(t *testing.T) {
 	s := testSettings()
 	s.Classes[nonIdempotentClass].PriorityWeight = 5
@@ -117,7 +118,7 @@
 			inflight = inflight[1:]
 			completeAttempt(b, now, a.id, 0, a.to, OK)
 		}
-		for range 2 { // 400 per second
+		for range 2 { // 400 requests per second
 			arrived++
 			r := newTestRequest(RequestID(arrived), idempotentClass, 10)
 			if arrived%5 == 0 {
--- a/attempts_test.go
+++ b/attempts_test.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// The second attempt, if there is one, depends on the class and on how the first one ended.
+// Whether a request is retried, and on which servers, depends on its class and on how the first attempt
+// ended.
 func TestRetriesRespectClassRetrySafety(t *testing.T) {
 	for _, c := range []struct {
 		class   int
 		status  Status
 		retried bool
-		allowed func(first, second ServerID) bool // nil: any
+		allowed func(first, second ServerID) bool // nil: any servers
 	}{
 		{idempotentClass, Reset, true, nil},
 		{dedupEverywhereClass, Reset, true, nil},
 		{dedupInZoneClass, Reset, true, func(x, y ServerID) bool { return (x <= 2) == (y <= 2) }},
-		{dedupInCellClass, Reset, false, nil}, // the zone has one server of the cell
+		{dedupInCellClass, Reset, false, nil}, // no other server is in the same cell
 		{nonIdempotentClass, Reset, false, nil},
 		{nonIdempotentClass, ConnectFailed, true, nil},
 		{nonIdempotentClass, Full, true, nil},
@@ -73,7 +74,7 @@
 }
 
 func TestRequestGetsOneResponseBeforeDeadline(t *testing.T) {
-	b, h := newTestBalancer(t, testSettings(), nil) // no server at all
+	b, h := newTestBalancer(t, testSettings(), nil) // no servers
 	r := newTestRequest(1, idempotentClass, 10)
 	b.HandleRequest(time.Second, r)
 	for now := time.Second; now < r.Deadline; now += b.tickInterval {
@@ -82,14 +83,14 @@
 	if len(h.rejected) != 1 {
 		t.Fatalf("rejected %v", h.rejected)
 	}
-	// With less than a tick left it must not wait.
+	// A request with less than a tick left must not wait for the next tick.
 	r = newTestRequest(2, idempotentClass, 10)
 	r.Deadline = time.Second + b.tickInterval/2
 	b.HandleRequest(time.Second, r)
 	if len(h.rejected) != 2 {
 		t.Fatal("a request waits for a tick that comes after its deadline")
 	}
-	b.ClientDisconnected(2*time.Second, 2) // already has its response: ignored
+	b.ClientDisconnected(2*time.Second, 2) // ignored: the request already has its response
 	b.ClientDisconnected(2*time.Second, 77)
 	if len(h.rejected)+len(h.failed) != 2 {
 		t.Fatal("more than one final response")
@@ -134,8 +135,8 @@
 	}
 }
 
-// An attempt may wait for its connection for longer than one that was started later. It is then the
-// repeat, and has to be written within the deduplication window of the other.
+// An attempt may wait longer for its connection than an attempt that started later. It is then the repeat,
+// and must be written within the deduplication window of the other attempt.
 func TestAttemptDelayedBeforeWriteCountsAsRetry(t *testing.T) {
 	set := testSettings()
 	set.Limits.HedgedRequests = true
@@ -149,8 +150,8 @@
 		t.Fatalf("sent %v", h.attempts)
 	}
 	for _, c := range []struct {
-		after         time.Duration // since the start of the first attempt; the window is a second
-		first, second bool          // whether it is allowed
+		after         time.Duration // since the start of the first attempt; the deduplication window is 1 s
+		first, second bool          // whether each attempt is allowed
 	}{
 		{900 * ms, true, true},
 		{1050 * ms, true, false},
--- a/benchmark_test.go
+++ b/benchmark_test.go
@@ -8,16 +8,17 @@
 	"piernotch/internal/decision/estimate"
 )
 
-// benchmarkFleets are the numbers of servers in all that the benchmarks use, half of them in each zone.
+// benchmarkFleets are the fleet sizes of the benchmarks, in servers. Half of each fleet is in each of two
+// zones.
 var benchmarkFleets = []int{20, 200, 2000}
 
-// The cost of a request and its outcome must not grow with the fleet.
+// The cost of a request and its outcome must not grow with the size of the fleet.
 func BenchmarkRequest(b *testing.B) {
 	benchmarkRequests(b, testSettings(), func(*benchmarkBalancer) {})
 }
 
-// With many balancers, load reports bound what goes to a server, and keys lead to servers by hashing over
-// a lane's members. A report comes with each outcome.
+// With many balancers, load reports limit the requests at a server, and rendezvous hashing over a lane's
+// members assigns keys to servers. A load report comes with each outcome.
 func BenchmarkRequestManyBalancersWithKeys(b *testing.B) {
 	settings := manyBalancersSettings()
 	settings.KeyAffinity = true
@@ -26,13 +27,13 @@
 	})
 }
 
-// A tick reviews the servers, so that its cost grows with the fleet up to serversPerTick. There is one
-// for each request here.
+// A tick reviews the servers, so its cost grows with the fleet, up to serversPerTick servers. Here a tick
+// follows each request.
 func BenchmarkRequestAndTick(b *testing.B) {
 	benchmarkRequests(b, testSettings(), func(balancer *benchmarkBalancer) { balancer.Timer(balancer.now, tickToken) })
 }
 
-// benchmarkBalancer is a Balancer with its host and its time.
+// benchmarkBalancer is a Balancer with its host, its clock time and the ID of its last request.
 type benchmarkBalancer struct {
 	*Balancer
 	host  *discardHost
@@ -40,8 +41,8 @@
 	count RequestID
 }
 
-// benchmarkRequests measures one request with its outcome and what then calls, for each size of the fleet.
-// Before the measurement twice as many requests pass as there are servers, so that maps and records have grown.
+// benchmarkRequests measures a request, its outcome and a call of then, for each fleet size. Before that, it
+// handles twice as many requests as there are servers, so that maps and records have reached their full size.
 func benchmarkRequests(b *testing.B, settings Settings, then func(*benchmarkBalancer)) {
 	b.Helper()
 	for _, n := range benchmarkFleets {
@@ -66,7 +67,7 @@
 	}
 }
 
-// decide passes one request and its outcome.
+// decide handles one request and its outcome, 1 ms after the previous one.
 func (b *benchmarkBalancer) decide() {
 	b.now += ms
 	b.count++
@@ -77,7 +78,7 @@
 	b.HandleOutcome(b.now, Outcome{ID: id, Server: b.host.to, Latency: 20 * ms, RequestDone: true})
 }
 
-// discardHost is a Host that remembers only the server of the last attempt.
+// discardHost is a Host that only remembers the server of the last attempt.
 type discardHost struct{ to ServerID }
 
 func (h *discardHost) StartAttempt(_ RequestID, to ServerID, _ time.Duration) { h.to = to }
--- a/concurrency_limits_test.go
+++ b/concurrency_limits_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each of eighty balancers has few requests at one server, which reports all of them. Without a fresh
-// report, it gets its turn.
+// Each of 80 balancers has few requests at a server, so only the server's load report shows that it is
+// overloaded. Once the report is out of date, the server must get requests again.
 func TestServerReportingHighLoadIsSkipped(t *testing.T) {
 	b, h := newTestBalancer(t, manyBalancersSettings(), testEndpoints(4, 1))
 	b.LoadReported(time.Second, 2, LoadReport{Inflight: 15, CompletedPerSecond: 20})
@@ -19,7 +19,7 @@
 		completeAttempt(b, time.Second, RequestID(i), 0, h.last().to, OK)
 	}
 	used := map[ServerID]bool{}
-	for i := range 40 { // the report is old by now
+	for i := range 40 { // the report is out of date by now
 		id, now := RequestID(100+i), 8*time.Second
 		b.HandleRequest(now, Request{ID: id, Class: idempotentClass, Deadline: now + time.Second, CostHint: 10})
 		used[h.last().to] = true
@@ -43,8 +43,8 @@
 	require.Equal(t, before, b.endpoints.find(1).reports)
 }
 
-// Each of eighty balancers keeps its own bounds, and all together overload the fleet. The mean of what its
-// servers report makes each of them reduce its limit.
+// 80 balancers can overload the fleet together although each stays within its own limits. The mean load that
+// the servers report must make each balancer reduce its limit.
 func TestInflightLimitHoldsGroupToTarget(t *testing.T) {
 	b, h := runTicks(t, manyBalancersSettings(), 5)
 	require.True(t, b.groups[0].concurrency.Reached(), "limit %v", b.groups[0].concurrency.Bound())
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -50,7 +50,7 @@
 		t.Fatal("did not subscribe again")
 	}
 	b.UpdateEndpoints(now, UpdateFailed, nil)
-	run(firstBackoff) // half of twice the first backoff: the least that the jitter leaves of it
+	run(firstBackoff) // the second backoff is twice the first, and jitter leaves at least half of it
 	if h.watches != 2 {
 		t.Fatal("the backoff did not grow")
 	}
@@ -60,7 +60,8 @@
 	}
 }
 
-// With objectives of a minute, a subscription that is due still comes within the bound on its backoff.
+// With latency objectives of a minute, ticks without maxTickInterval would be nearly 4 s apart, and a due
+// subscription would come too late. The balancer must subscribe within half of NotifyLimit.
 func TestLongObjectivesDoNotDelaySubscription(t *testing.T) {
 	s := testSettings()
 	s.PollDiscovery = true
--- a/example_test.go
+++ b/example_test.go
@@ -7,7 +7,7 @@
 	"piernotch"
 )
 
-// printer is a Host that prints what a balancer would do.
+// printer is a Host that prints the actions that a Balancer requests.
 type printer struct{}
 
 func (printer) StartAttempt(id piernotch.RequestID, to piernotch.ServerID, timeout time.Duration) {
@@ -19,10 +19,10 @@
 func (printer) Reject(id piernotch.RequestID, _ time.Duration) {
 	fmt.Printf("reject request %d\n", id)
 }
-func (printer) Fail(id piernotch.RequestID)      { fmt.Printf("fail request %d\n", id) }
-func (printer) HealthCheck(b piernotch.ServerID) { fmt.Printf("check server %d\n", b) }
-func (printer) WatchEndpoints()                  { fmt.Println("subscribe to the endpoint list") }
-func (printer) SetTimer(time.Duration, uint32)   {} // call Timer with the token when it is due
+func (printer) Fail(id piernotch.RequestID)       { fmt.Printf("fail request %d\n", id) }
+func (printer) HealthCheck(id piernotch.ServerID) { fmt.Printf("check server %d\n", id) }
+func (printer) WatchEndpoints()                   { fmt.Println("subscribe to the endpoint list") }
+func (printer) SetTimer(time.Duration, uint32)    {} // a real host calls Timer with the token after the delay
 
 func Example() {
 	settings := piernotch.Settings{
@@ -41,7 +41,7 @@
 		fmt.Println(err)
 		return
 	}
-	now := time.Second // any clock that only advances
+	now := time.Second // any clock that does not go backwards
 	b.UpdateEndpoints(now, piernotch.UpdateFull, []piernotch.Endpoint{
 		{ID: 1, Zone: 0, Size: 1}, {ID: 2, Zone: 1, Size: 1},
 	})
--- a/exclusion_test.go
+++ b/exclusion_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An excluded server gets nothing, whatever the list says of it. Once included, it is in slow start like one
-// that has just started, and gets requests again at once.
+// An excluded server must get no requests, whatever the endpoint list says about it. After its inclusion it
+// is in slow start, like a server that has just started, and gets requests again within seconds.
 func TestExcludedServerReceivesNoRequests(t *testing.T) {
 	s := testSettings()
 	list := testEndpoints(2, 1)
@@ -30,8 +30,8 @@
 			require.Equal(t, list[1].ID, serve(ms))
 		}
 	}
-	b.UpdateEndpoints(ms, UpdateFull, list[1:]) // gone
-	b.UpdateEndpoints(ms, UpdateFull, list)     // and back
+	b.UpdateEndpoints(ms, UpdateFull, list[1:]) // no longer listed
+	b.UpdateEndpoints(ms, UpdateFull, list)     // listed again
 	require.Equal(t, list[1].ID, serve(ms))
 	require.Equal(t, list[1].ID, serve(ms))
 
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// recorder is a Host that records what it is asked to do.
+// recorder is a Host that records the calls that it gets.
 type recorder struct {
 	attempts     []startedAttempt
 	canceled     []int
@@ -31,7 +31,7 @@
 
 func (h *recorder) Fail(id RequestID) { h.failed = append(h.failed, id) }
 
-func (h *recorder) HealthCheck(b ServerID) { h.healthChecks = append(h.healthChecks, b) }
+func (h *recorder) HealthCheck(id ServerID) { h.healthChecks = append(h.healthChecks, id) }
 
 func (h *recorder) WatchEndpoints() { h.watches++ }
 
@@ -39,23 +39,23 @@
 	h.timers = append(h.timers, timerCall{d, token})
 }
 
-// startedAttempt is a call of StartAttempt.
+// startedAttempt holds the arguments of a call of StartAttempt.
 type startedAttempt struct {
 	id      RequestID
 	to      ServerID
 	timeout time.Duration
 }
 
-// timerCall is a call of SetTimer.
+// timerCall holds the arguments of a call of SetTimer.
 type timerCall struct {
 	after time.Duration
 	token uint32
 }
 
-// last returns the attempt that was started last.
+// last returns the attempt that was started last. It panics if there is none.
 func (h *recorder) last() startedAttempt { return h.attempts[len(h.attempts)-1] }
 
-// The classes of testSettings.
+// Indexes of the classes in testSettings.
 const (
 	idempotentClass = iota
 	dedupEverywhereClass
@@ -64,7 +64,7 @@
 	nonIdempotentClass
 )
 
-// testSettings returns settings of two zones with a balancer each, and a class of each retry safety.
+// testSettings returns settings with two zones, two balancers and a class for each retry safety and scope.
 func testSettings() Settings {
 	class := func(safety RetrySafety, scope DedupScope) Class {
 		return Class{
@@ -86,14 +86,15 @@
 	}
 }
 
-// manyBalancersSettings returns settings of so many balancers that each sees only a small part of the load.
+// manyBalancersSettings returns testSettings with so many balancers that each sees only a small part of the
+// load.
 func manyBalancersSettings() Settings {
 	s := testSettings()
 	s.BalancerCount = 80
 	return s
 }
 
-// testEndpoints returns n ready, warm servers in each of the zones; ids count from 1.
+// testEndpoints returns n ready, warm servers in each zone. IDs start at 1 and increase zone by zone.
 func testEndpoints(n, zones int) []Endpoint {
 	var all []Endpoint
 	for z := range zones {
@@ -104,7 +105,7 @@
 	return all
 }
 
-// newTestBalancer returns a Balancer that has the list since the first second, and its recorder.
+// newTestBalancer returns a Balancer that got the list at the clock time of 1 s, and its recorder.
 func newTestBalancer(t *testing.T, s Settings, list []Endpoint) (*Balancer, *recorder) {
 	t.Helper()
 	h := &recorder{}
@@ -116,12 +117,13 @@
 	return b, h
 }
 
-// newTestRequest returns a request with a deadline at the third second.
+// newTestRequest returns a request with its deadline at the clock time of 3 s.
 func newTestRequest(id RequestID, class int, hint float64) Request {
 	return Request{ID: id, Class: class, Deadline: 3 * time.Second, CostHint: hint}
 }
 
-// completeAttempt ends an attempt after 20 ms; OK is the request's final response.
+// completeAttempt ends an attempt with a latency of 20 ms. OK is the request's final response, other statuses
+// are not.
 func completeAttempt(b *Balancer, now time.Duration, id RequestID, attemptNumber int, to ServerID, s Status) {
 	b.HandleOutcome(now, Outcome{
 		ID:          id,
@@ -133,8 +135,8 @@
 	})
 }
 
-// runTicks reviews the servers for three seconds, with some requests in flight in the own zone, where each
-// server reports a few times that it holds so many requests.
+// runTicks reviews the servers every 10 ms for 3 s, with some requests in flight. Each server of the own zone
+// reports every 500 ms that it holds the given number of requests.
 func runTicks(t *testing.T, s Settings, inflight float64) (*Balancer, *recorder) {
 	t.Helper()
 	b, h := newTestBalancer(t, s, testEndpoints(6, 2))
@@ -153,14 +155,15 @@
 	return b, h
 }
 
-// fillRetryBudget fills the retry budget to its bound.
+// fillRetryBudget fills the retry budget up to its limit.
 func fillRetryBudget(b *Balancer) {
 	for range 1000 {
 		b.retryBudget.RequestArrived()
 	}
 }
 
-// setMeanWork sets the mean work and the median hint in ms, as a process that takes over does.
+// setMeanWork sets the mean work and the median cost hint, in ms, by restoring a snapshot as a new process
+// does.
 func setMeanWork(t *testing.T, b *Balancer, work float64) {
 	t.Helper()
 	if !b.workload.Restore(workload.Snapshot{MedianHint: work, Mean: work, LargeShare: 0.5}) {
@@ -168,7 +171,7 @@
 	}
 }
 
-// shedAll lets responses come late until all work is shed.
+// shedAll reports late responses until all work is shed.
 func shedAll(t *testing.T, b *Balancer, now time.Duration) {
 	t.Helper()
 	for range 100 {
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// invariantChecker is a Host that checks every action: no request to a server that is not ready, retries only
-// as the class permits, attempts within the limit, and one final response in time.
+// invariantChecker is a Host that checks every action. Requests go only to ready servers, retries respect the
+// class's retry safety, attempts stay within their limit, and each request gets one final response in time.
 type invariantChecker struct {
 	t                *testing.T
 	set              Settings
 	now              time.Duration
 	requests         map[RequestID]*trackedRequest
-	unavailableSince map[ServerID]time.Duration // by the list
+	unavailableSince map[ServerID]time.Duration // according to the endpoint list
 	entries          map[ServerID]Endpoint
 	violations       []string
 	timers           []time.Duration
 }
 
-// trackedRequest is what the checker knows of a request.
+// trackedRequest is the checker's record of a request.
 type trackedRequest struct {
 	Request
 	attempts  []trackedAttempt
 	responses int
 }
 
-// trackedAttempt is what the checker knows of an attempt.
+// trackedAttempt is the checker's record of an attempt.
 type trackedAttempt struct {
 	server    ServerID
 	startedAt time.Duration
@@ -102,7 +102,8 @@
 
 func (c *invariantChecker) SetTimer(d time.Duration, _ uint32) { c.timers = append(c.timers, c.now+d) }
 
-// completeRandomAttempt ends a random attempt. Some servers never respond before the timeout.
+// completeRandomAttempt ends an attempt of a random request. Servers whose ID is a multiple of 5
+// never respond before the timeout.
 func (c *invariantChecker) completeRandomAttempt(b *Balancer, rng *rand.Rand, live []RequestID) {
 	if len(live) == 0 {
 		return
@@ -118,7 +119,7 @@
 	}
 }
 
-// complete ends attempt i of a request.
+// complete ends attempt i of a request with the status s, and reports its outcome to the Balancer.
 func (c *invariantChecker) complete(b *Balancer, r *trackedRequest, i int, s Status) {
 	t := &r.attempts[i]
 	t.done, t.status = true, s
@@ -130,8 +131,8 @@
 	})
 }
 
-// timeOutOverdue times out the attempts of requests past their deadline, and returns the requests that are
-// still open.
+// timeOutOverdue reports a timeout for each attempt that is in flight past its request's deadline. It returns
+// the requests that are still open.
 func (c *invariantChecker) timeOutOverdue(b *Balancer, live []RequestID) []RequestID {
 	return slices.DeleteFunc(live, func(id RequestID) bool {
 		r := c.requests[id]
@@ -154,8 +155,8 @@
 	})
 }
 
-// runRandomEvents plays a long random sequence of events and returns the violations. It calls sabotage, unless
-// that is nil, after each event.
+// runRandomEvents plays 20000 random events and returns the violations. It calls breakGuard, unless that is
+// nil, after each event.
 func runRandomEvents(t *testing.T, seed uint64, breakGuard func(*Balancer)) []string {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 7))
@@ -230,7 +231,8 @@
 	}
 }
 
-// The checker itself must be able to fail.
+// A checker that never fails would hide faults. It must detect a Balancer that retries requests that are not
+// idempotent, or sends to draining servers.
 func TestInvariantCheckDetectsBrokenGuard(t *testing.T) {
 	retryAll := func(b *Balancer) {
 		b.settings.Classes = slices.Clone(b.settings.Classes)
--- a/latencies_test.go
+++ b/latencies_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A regression: where the transit to a zone takes far longer than the work, a bound on all requests in flight
-// left the servers there idle while requests were rejected.
+// Regression: where the transit to a zone takes far longer than the work, most requests in flight are in
+// transit. A limit on all requests in flight left the servers there idle while requests were rejected.
 func TestEffectiveLoadExcludesRequestsInTransit(t *testing.T) {
 	set := testSettings()
 	set.BalancerCount = 4
@@ -19,14 +19,14 @@
 		b.recordOutcome(now, r, &attempt{server: remote}, Outcome{Status: OK, Latency: took})
 	}
 	setMeanWork(t, b, 10)
-	for range 64 { // from so many the path is known
+	for range 64 { // enough responses for an estimate of the path
 		response(50 * ms)
 	}
 	remote.inflight = 2
 	if got := b.effectiveLoad(remote); got >= 1 {
 		t.Errorf("two requests that are mostly in transit count as %v", got)
 	}
-	for range 100 { // a queue is not a long transit
+	for range 100 { // queueing must not be mistaken for a long transit
 		response(400 * ms)
 	}
 	if got := b.effectiveLoad(remote); got < 1.5 {
@@ -34,7 +34,8 @@
 	}
 }
 
-// Without hints, the fast responses of each class show its work, and the small lane has the whole group.
+// Without cost hints, the work of each class is estimated from its fastest responses, and the small lane gets
+// almost the whole group.
 func TestWorkIsEstimatedPerClassWithoutHints(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), testEndpoints(4, 1))
 	now := time.Second
@@ -44,7 +45,7 @@
 			class, took = nonIdempotentClass, 80*ms
 		}
 		if i%3 == 0 {
-			took *= 5 // queueing
+			took *= 5 // responses with queueing
 		}
 		b.HandleRequest(now, Request{ID: i, Class: class, Deadline: now + 2*time.Second, CostHint: math.NaN()})
 		now += took
--- a/layers_test.go
+++ b/layers_test.go
@@ -16,9 +16,9 @@
 
 const componentRoot = "piernotch/internal/decision/"
 
-// The components of the decision module, in the order of their references: a component imports only those
-// that stand before it, and of them exactly the ones named. The root imports them; none imports the root.
-// docs/design/decisions.md shows the same list to readers.
+// componentLayers lists the components of the decision module in dependency order, each with the components
+// that it imports. A component may import only components that are listed before it. The root package imports
+// the components; none imports the root. docs/design/decisions.md shows the same list.
 var componentLayers = []struct {
 	name    string
 	imports []string
@@ -54,8 +54,8 @@
 	}
 }
 
-// componentImports returns the other components that a component imports, sorted. Anything else of this
-// repository, and anything but the standard library, fails the test: a component needs neither.
+// componentImports returns the components that a component imports, sorted. It fails the test if the
+// component imports other packages of this repository or packages from outside the standard library.
 func componentImports(t *testing.T, component string) []string {
 	t.Helper()
 	files, err := filepath.Glob(path.Join("internal/decision", component, "*.go"))
--- a/outlier_ejection_test.go
+++ b/outlier_ejection_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A hung server accepts requests and does not respond; the list says that it is ready.
+// A hung server accepts requests but does not respond, while the endpoint list shows it as ready. It must be
+// ejected, and return after one successful trial.
 func TestSilentServerIsEjectedAndReturnsAfterOneTrial(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
 	hung := b.endpoints.sorted[0]
@@ -73,7 +74,7 @@
 		b.Timer(now, tickToken)
 	}
 	if len(h.healthChecks) != 1 {
-		t.Fatalf("%d health checks", len(h.healthChecks)) // a regression: one at every tick
+		t.Fatalf("%d health checks", len(h.healthChecks)) // regression: a health check at every tick
 	}
 	b.HealthCheckCompleted(to.outlier.PauseEnd()+ms, to.ID, Timeout)
 	if to.outlier.Ejections() != 2 {
@@ -86,8 +87,8 @@
 	}
 }
 
-// A regression: bad responses, resets and silence ejected servers, which came back in slow start. Half of the
-// fleet was limited to one request at a time, though no process had restarted.
+// Regression: servers that were ejected for bad responses, resets or silence returned in slow start. Half of
+// the fleet was limited to one request at a time, although no process had restarted.
 func TestOnlyConnectFailuresEndEjectionInSlowStart(t *testing.T) {
 	for status, slowStart := range map[Status]bool{Error: false, Reset: false, ConnectFailed: true} {
 		b, _ := newTestBalancer(t, testSettings(), testEndpoints(2, 1))
@@ -113,8 +114,8 @@
 	}
 }
 
-// A regression: a server that rejects everything is idle and responds at once, so it got turn after turn, and
-// its rejections counted as late responses of the whole fleet.
+// Regression: a server that rejects everything is idle and responds at once, so it kept getting requests. Its
+// rejections counted as late responses of the whole fleet.
 func TestServerRejectingAllRequestsIsEjected(t *testing.T) {
 	b, h := newTestBalancer(t, manyBalancersSettings(), testEndpoints(6, 1))
 	fillRetryBudget(b)
--- a/policy_size_test.go
+++ b/policy_size_test.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	maxPolicyFileLines = 500 // that are not blank; the linter's limit for every file
-	maxPolicyLineWidth = 110 // characters, a tab counts as four
+	maxPolicyFileLines = 500 // without blank lines; the linter has the same limit for every file
+	maxPolicyLineWidth = 110 // in characters; a tab counts as four
 )
 
-// Every file at the root decides something, except for these.
+// rootFilesThatDoNotDecide lists the files at the root that make no decisions. All others do.
 var rootFilesThatDoNotDecide = []string{
 	"doc.go",        // package comment
-	"piernotch.go",  // types of the interface
+	"piernotch.go",  // types of the public interface
 	"settings.go",   // validation of settings
-	"snapshot.go",   // what a balancer hands to its successor
-	"state_line.go", // text for the log
+	"snapshot.go",   // state for the successor process
+	"state_line.go", // one line of state for the log
 }
 
-// The operators review the files that decide by the list `policy` in deploy/balancer.toml. The list is
-// derived from the tree here, so that a new file is either listed or named as one that does not decide.
+// Operators review the files that make decisions by the list `policy` in deploy/balancer.toml. A new file
+// must not escape the review: it has to be either listed there or named in rootFilesThatDoNotDecide.
 func TestPolicyListsEveryDecidingFile(t *testing.T) {
 	require.ElementsMatch(t, decidingFiles(t), policyFiles(t),
 		"policy in deploy/balancer.toml against the deciding files in the tree")
@@ -52,7 +52,7 @@
 	}
 }
 
-// The tool that reads the list takes one line for a key.
+// The tool that reads the list supports only values on one line.
 func TestPolicyIsOneLine(t *testing.T) {
 	deploy, err := os.ReadFile("deploy/balancer.toml")
 	require.NoError(t, err)
@@ -65,7 +65,7 @@
 	t.Error("deploy/balancer.toml has no line policy = [...]")
 }
 
-// policyFiles returns the files that deploy/balancer.toml lists under policy.
+// policyFiles returns the files that are listed as policy in deploy/balancer.toml.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	deploy, err := os.ReadFile("deploy/balancer.toml")
@@ -77,8 +77,8 @@
 	return listed.Policy
 }
 
-// decidingFiles returns the files of the tree that decide: those at the root, except for the ones named
-// above, and all under internal/decision.
+// decidingFiles returns the files that make decisions: those at the root, without rootFilesThatDoNotDecide,
+// and all under internal/decision. Test files are left out.
 func decidingFiles(t *testing.T) []string {
 	t.Helper()
 	var deciding []string
--- a/selection_test.go
+++ b/selection_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// A regression: queues at the servers had no bound, so all servers were overloaded and most
-// requests were rejected because responses came late.
+// Regression: queues at the servers had no limit. All servers were overloaded, and most requests were
+// rejected because responses were late.
 func TestFullZoneSpillsAndThenQueues(t *testing.T) {
 	set := testSettings()
 	set.Classes[nonIdempotentClass].PriorityWeight = 2
@@ -94,8 +94,8 @@
 	}
 }
 
-// A regression: a zone's only server was in slow start while others were idle in the next zone, and
-// requests were rejected because none of those was among the few this balancer may spill to.
+// Regression: a zone's only server was in slow start, and requests were rejected although servers in the next
+// zone were idle. None of these was among the few servers that this balancer may spill to.
 func TestRequestsDoNotWaitWhileRemoteServersAreIdle(t *testing.T) {
 	list := append(testEndpoints(1, 1), Endpoint{ID: 8, Zone: 1, Size: 1}, Endpoint{ID: 9, Zone: 1, Size: 1})
 	list[0].StartedAt = 900 * ms
@@ -110,7 +110,8 @@
 	}
 }
 
-// A regression: balancers that started together took turns in step, all on the same few servers.
+// Regression: balancers that started together went through the servers in the same order, so that all of them
+// sent to the same few servers at the same time.
 func TestRoundRobinStartsDifferPerSeed(t *testing.T) {
 	first := map[ServerID]int{}
 	for seed := range uint64(100) {
@@ -130,11 +131,11 @@
 	}
 }
 
-// A regression: round robin sent a heavy request to a slow server, where it was certainly late.
+// Regression: round robin sent a heavy request to a slow server, where it was certain to be late.
 func TestHeavyRequestsGoToFastEnoughServer(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), testEndpoints(4, 1))
 	setMeanWork(t, b, 10)
-	for _, to := range b.endpoints.sorted { // three times its work, on the third server half of it
+	for _, to := range b.endpoints.sorted { // latency: three times the work, on server 3 half of it
 		took := 30 * ms
 		if to.ID == 3 {
 			took = 5 * ms
@@ -145,14 +146,15 @@
 	if h.last().to != 3 {
 		t.Fatalf("300 ms of work within 500 ms went to server %d", h.last().to)
 	}
-	// Late everywhere: it is completed first behind the other one.
+	// Server 3 is still the fastest, even behind the first request.
 	b.HandleRequest(time.Second, newTestRequest(2, nonIdempotentClass, 300))
 	if h.last().to != 3 {
 		t.Fatalf("the second request went to server %d", h.last().to)
 	}
 }
 
-// Two balancers may together spill as much to a server as four.
+// The fewer balancers there are, the more requests each may spill to a server, since their requests add up
+// there.
 func TestFewBalancersSpillMoreEach(t *testing.T) {
 	for balancers, want := range map[int]int{2: 4, 4: 3} {
 		set := testSettings()
@@ -167,8 +169,8 @@
 	}
 }
 
-// A regression: one class hung on some servers that responded to the others. Its requests used up the
-// capacity there for a latency objective each, and all of them failed.
+// Regression: requests of one class hung on some servers that responded to the other classes. Each of them
+// used up capacity there for a whole latency objective, and all of them failed.
 func TestClassFailingOnServerIsSentElsewhere(t *testing.T) {
 	set := testSettings()
 	b, h := newTestBalancer(t, set, testEndpoints(2, 1))
@@ -205,8 +207,8 @@
 	}
 }
 
-// A server that holds five requests and completes one per second responds late, whatever this balancer has
-// there. Its report does not count for long.
+// A server that reports five requests in flight and one completion per second will respond late, however few
+// requests this balancer has there. An outdated report must not keep the server out of use.
 func TestOverloadedServerReceivesNoRequestsPastObjective(t *testing.T) {
 	b, h := newTestBalancer(t, manyBalancersSettings(), testEndpoints(1, 1))
 	b.LoadReported(time.Second, 1, LoadReport{Inflight: 5, CompletedPerSecond: 1})
--- a/settings_test.go
+++ b/settings_test.go
@@ -73,9 +73,9 @@
 	require.NoError(t, b.UpdateSettings(0, next))
 	b.HandleRequest(ms, newTestRequest(2, len(next.Classes)-1, 1))
 	require.Equal(t, RequestID(2), h.last().id)
-	// The request may have executed. The class that it came with allows a retry, the new settings do not.
+	// The request may have executed. The class that it arrived with allows a retry; the new settings do not.
 	completeAttempt(b, 2*ms, 1, 0, first, Reset)
 	require.Len(t, h.attempts, 2)
-	require.Equal(t, []RequestID{1}, h.rejected, "it came as idempotent, so that a rejection is true")
+	require.Equal(t, []RequestID{1}, h.rejected, "it arrived as idempotent, so that a rejection is safe")
 	require.Empty(t, h.failed)
 }
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -28,7 +28,7 @@
 	if work[5] > 0 {
 		t.Error("a server in slow start in another zone got work that its own zone can send")
 	}
-	// A regression: heavy requests of many balancers at once overloaded one.
+	// Regression: heavy requests from many balancers at once overloaded a server in slow start.
 	starting := b.endpoints.find(1)
 	r := b.newRequest(7*time.Second, Request{ID: 5000, Deadline: 9 * time.Second, CostHint: 500})
 	if b.mayStartAttempt(7*time.Second, r, starting) {
@@ -44,13 +44,14 @@
 	}
 }
 
-// allowedInterval returns the time in which a server in slow start may get one request of mean work.
+// allowedInterval returns the time between requests of mean work that a server in slow start may get.
 func allowedInterval(b *Balancer, now time.Duration, target *server) time.Duration {
 	rate := b.slowStart.AllowedRate(now, &target.slowStart, b.slowStartLoad(now, target))
 	return time.Duration(b.workload.Mean() / rate * float64(time.Second))
 }
 
-// A zone of which only the server in slow start is left is not a small zone.
+// If all other servers leave a zone, the zone must not be mistaken for a small one: the rate allowed to its
+// last server, which is in slow start, would rise.
 func TestSlowStartRateDoesNotGrowWhenEndpointsLeave(t *testing.T) {
 	list := testEndpoints(4, 2)
 	list[0].StartedAt = 900 * ms
@@ -69,8 +70,8 @@
 	}
 }
 
-// When a zone is lost and comes back in slow start, the rate that this balancer sends fell with the fleet.
-// What warm servers reported to complete for all balancers did not.
+// When a zone fails and returns in slow start, the rate that this balancer sends has fallen with the fleet.
+// The completion rate that warm servers reported has not, so it must decide the allowed rate.
 func TestSlowStartRateFollowsReportedCompletionRate(t *testing.T) {
 	interval := func(report bool) time.Duration {
 		b, _ := newTestBalancer(t, manyBalancersSettings(), testEndpoints(4, 2))
@@ -86,12 +87,13 @@
 		b.startSlowStart(2*time.Second, to, 2*time.Second)
 		return allowedInterval(b, 2*time.Second, to)
 	}
-	// 30 per second, three times a fifth of them, for 40 balancers of the zone.
+	// 30 completions per second, times a capacity share of 0.2 and a loadMultiple of 3, for the zone's 40
+	// balancers.
 	require.InDelta(t, 40/(30*0.2*3), interval(true).Seconds(), 0.1)
 	require.Greater(t, interval(false), interval(true))
 }
 
-// A server warms up by its work, sooner than the rule promises.
+// A server warms up through its work, sooner than the rules say. An idle one may therefore get more work.
 func TestIdleServerInSlowStartGetsMore(t *testing.T) {
 	b, _ := newTestBalancer(t, manyBalancersSettings(), testEndpoints(2, 1))
 	setMeanWork(t, b, 25)
@@ -105,15 +107,15 @@
 	require.Less(t, allowedInterval(b, time.Second, to), interval)
 }
 
-// What each of many balancers was allowed to send, and did not while it was idle, must not come from all of
-// them at the moment at which they get busy.
+// While balancers are idle, they do not use what they may send to a server in slow start. If they could save
+// it up, many balancers would overload the server at the moment at which all of them get busy.
 func TestSlowStartDrawPreventsOverloadByManyBalancers(t *testing.T) {
 	s := manyBalancersSettings()
 	s.Rules.OverloadWindow = 2 * time.Second
 	const (
 		completions = 10.0 // of a warm server, per second
-		work        = 50.0 // of a request, ms
-		overload    = 2.5  // multiple of its capacity that overloads a server
+		work        = 50.0 // ms per request
+		overload    = 2.5  // multiple of a server's capacity that overloads it
 		rounds      = 10
 		startedAt   = 2 * time.Second
 	)
@@ -137,7 +139,7 @@
 				})
 				if b.mayStartAttempt(now, r, to) {
 					b.startAttempt(now, r, to)
-					to.inflight-- // responded to at once
+					to.inflight-- // the response comes at once
 					sends++
 				}
 			}
@@ -146,12 +148,12 @@
 		mean += sends * work / rounds
 	}
 	capacity := completions * work * (0.2 + 0.8*4/20) * 2
-	require.InDelta(t, capacity, mean, capacity/4, "on the mean it gets what it can do")
+	require.InDelta(t, capacity, mean, capacity/4, "on average it gets what its capacity allows")
 	require.Less(t, most, overload*capacity)
 }
 
-// Where there are fewer balancers than zones, all balancers send to a server in slow start in a zone that
-// has none: it would get nothing until it is warm.
+// With fewer balancers than zones, some zone has no balancer of its own. Balancers of other zones must send
+// to its servers in slow start, which would otherwise get nothing until they are warm.
 func TestSlowStartServerInZoneWithoutBalancerIsUsed(t *testing.T) {
 	for _, c := range []struct {
 		zones []string
@@ -171,7 +173,7 @@
 		for i := range 400 {
 			now := time.Second + time.Duration(i)*10*ms
 			first := len(h.attempts)
-			for k := range 4 { // more than the own zone takes at once
+			for k := range 4 { // more than the own zone can take at once
 				r := newTestRequest(RequestID(4*i+k), idempotentClass, 10)
 				r.Deadline = now + time.Second
 				b.HandleRequest(now, r)
--- a/state_line_test.go
+++ b/state_line_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The operators read the line with the table of its keys in docs/ONCALL.md.
+// Operators look up the keys of the state line in a table in docs/ONCALL.md, so each key must have a row
+// there.
 func TestEachKeyOfStateLineIsExplainedToOperators(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), testEndpoints(2, 2))
 	pages, err := os.ReadFile("docs/ONCALL.md")
