--- a/admission.go
+++ b/admission.go
@@ -30,7 +30,7 @@
 	return request
 }
 
-// observeArrival updates the workload estimates and the work that has arrived in the request's priority band.
+// observeArrival counts a new request in the workload estimates and in the arrivals of its priority band.
 func (b *Balancer) observeArrival(request *openRequest) {
 	expected := workload.Expectation{Work: request.work, Large: request.lane == lanes.Large}
 	b.workload.ObserveArrival(request.CostHint, expected)
@@ -61,7 +61,7 @@
 	}
 }
 
-// observeResponse adjusts the shed share by a response, by at most step.
+// observeResponse adjusts the shed share after a response, by at most step.
 func (b *Balancer) observeResponse(step float64, response admission.Response) {
 	response.OnlyLocality = len(b.groups[1-response.Locality].members) == 0
 	b.admission.ObserveResponse(step, response)
--- a/balancer.go
+++ b/balancer.go
@@ -189,8 +189,7 @@
 	return started != nil && started.server.available() && request.mayWriteAttempt(now, attemptNumber)
 }
 
-// Timer runs a tick: it reviews the servers, the load shedding and every open request, and sets the timer for
-// the next tick. It ignores other tokens than that of the tick timer.
+// Timer runs a tick: it reviews the servers, the load shedding and every open request.
 func (b *Balancer) Timer(now time.Duration, token uint32) {
 	b.ensureStarted(now)
 	if token != tickToken {
@@ -412,8 +411,8 @@
 	}
 }
 
-// hedge starts another attempt of a request with an overdue one: once per request, and not while work is
-// shed.
+// hedge starts another attempt of a request with an overdue one: once per request, and never while work
+// is shed.
 func (b *Balancer) hedge(now time.Duration, request *openRequest) {
 	if !request.hedged && !b.admission.Shedding() && b.mayRetry(now, request) && b.dispatch(now, request) {
 		request.markHedged()
@@ -437,8 +436,8 @@
 	b.closeRequest(request)
 }
 
-// closeRequest closes a request that needs no further response, and cancels its attempts in flight if the
-// settings allow it and no response is being forwarded.
+// closeRequest closes a request that needs no further response, and cancels its attempts in flight where this
+// is allowed.
 func (b *Balancer) closeRequest(request *openRequest) {
 	request.markDone()
 	if b.settings.Limits.CancelAttempts && !request.streaming {
--- a/benchmark_test.go
+++ b/benchmark_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// decide handles one request and its outcome, 1 ms after the previous one.
+// decide handles one request and its outcome.
 func (b *benchmarkBalancer) decide() {
 	b.now += ms
 	b.count++
--- a/class_failures.go
+++ b/class_failures.go
@@ -11,7 +11,7 @@
 	})
 }
 
-// classResult maps the status of an attempt to what it shows about the class on the server.
+// classResult returns what the status of an attempt shows about the class on the server.
 func classResult(status Status) classfailure.Result {
 	switch status {
 	case OK:
--- a/endpoint_set.go
+++ b/endpoint_set.go
@@ -127,7 +127,7 @@
 	excluded       bool   // by operators
 	idHash         uint64 // for slow start draws
 	locality       locality
-	spillRank      float64       // random in [0, 1): limits how many balancers spill here, staggers draws
+	spillRank      float64       // random in [0, 1), for the spill limit and the slow start draws
 	path           *latency.Path // to its zone
 	member         lanes.Member  // of its locality's group
 	inflight       int           // this balancer's attempts in flight
--- a/groups.go
+++ b/groups.go
@@ -13,8 +13,7 @@
 // are enough to protect the servers.
 const fewBalancersPerZone = 4.0
 
-// manyBalancers reports whether there are so many balancers that limits on each one's own requests are not
-// enough to protect the servers.
+// manyBalancers reports whether there are more balancers than fewBalancersPerZone for each zone.
 func (b *Balancer) manyBalancers() bool {
 	return float64(b.settings.BalancerCount) > fewBalancersPerZone*float64(len(b.settings.Zones))
 }
@@ -52,8 +51,8 @@
 	}
 }
 
-// updateWeights sets the weights of a group's members by size, slow start and latency, and updates the
-// group's warm size and its mean of other balancers' requests.
+// updateWeights sets the weights of a group's members by size, slow start and latency, and the group's
+// totals.
 func (b *Balancer) updateWeights(now time.Duration, group *serverGroup) {
 	group.warmSize, group.meanOthers = 0, 0
 	group.lanes.Reset()
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -52,7 +52,7 @@
 	token uint32
 }
 
-// last returns the attempt that was started last. It panics if there is none.
+// last returns the attempt that was started last.
 func (h *recorder) last() startedAttempt { return h.attempts[len(h.attempts)-1] }
 
 // Indexes of the classes in testSettings.
@@ -122,8 +122,7 @@
 	return Request{ID: id, Class: class, Deadline: 3 * time.Second, CostHint: hint}
 }
 
-// completeAttempt ends an attempt with a latency of 20 ms. OK is the request's final response, other statuses
-// are not.
+// completeAttempt ends an attempt with a latency of 20 ms. OK is the request's final response.
 func completeAttempt(b *Balancer, now time.Duration, id RequestID, attemptNumber int, to ServerID, s Status) {
 	b.HandleOutcome(now, Outcome{
 		ID:          id,
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -231,8 +231,8 @@
 	}
 }
 
-// A checker that never fails would hide faults. It must detect a Balancer that retries requests that are not
-// idempotent, or sends to draining servers.
+// The checker must detect a Balancer that retries requests that are not idempotent, or sends to draining
+// servers.
 func TestInvariantCheckDetectsBrokenGuard(t *testing.T) {
 	retryAll := func(b *Balancer) {
 		b.settings.Classes = slices.Clone(b.settings.Classes)
--- a/latencies_test.go
+++ b/latencies_test.go
@@ -45,7 +45,7 @@
 			class, took = nonIdempotentClass, 80*ms
 		}
 		if i%3 == 0 {
-			took *= 5 // responses with queueing
+			took *= 5 // a response with queueing
 		}
 		b.HandleRequest(now, Request{ID: i, Class: class, Deadline: now + 2*time.Second, CostHint: math.NaN()})
 		now += took
--- a/outlier_ejection.go
+++ b/outlier_ejection.go
@@ -53,7 +53,7 @@
 }
 
 // HealthCheckCompleted handles the result of a health check. OK allows the trial; any other status ejects the
-// server again. It ignores results of checks that are not in flight.
+// server again.
 func (b *Balancer) HealthCheckCompleted(now time.Duration, id ServerID, status Status) {
 	b.ensureStarted(now)
 	target := b.endpoints.find(id)
@@ -68,7 +68,6 @@
 	}
 }
 
-// healthCheckResult maps the status of a health check to a result for the outlier detection.
 func healthCheckResult(status Status) outlier.HealthCheckResult {
 	switch status {
 	case OK:
--- a/piernotch.go
+++ b/piernotch.go
@@ -79,13 +79,13 @@
 	Limits           Limits
 	Rules            Rules
 	OverQuotaWeight  float64 // factor on the PriorityWeight of a request over its tenant's quota
-	WeightPerRequest bool    // PriorityWeight is per request, whatever its work; false: per work
+	WeightPerRequest bool    // PriorityWeight is per request, whatever its work; false: per ms of work
 }
 
 // State is the state of a server according to the endpoint list.
 type State uint8
 
-// The values of State. Requests are sent only to servers that are Ready.
+// The values of State. The zero value is Ready.
 const (
 	Ready    State = iota // may get requests
 	Draining              // gets no new requests
@@ -126,8 +126,7 @@
 // Status says how an attempt or a health check ended.
 type Status uint8
 
-// The values of Status. Only Full, ConnectFailed and NotSent prove that the server did not execute the
-// request.
+// The values of Status, in the order of statuses.
 const (
 	OK            Status = iota // a good response
 	Error                       // any other response, including a malformed one
@@ -162,7 +161,7 @@
 // LoadReport is a server's report of its load from all balancers. It is already somewhat out of date when it
 // arrives.
 type LoadReport struct {
-	Inflight           float64 // requests in progress or queued at the server
+	Inflight           float64 // requests that the server has not completed yet
 	CompletedPerSecond float64 // requests completed per second; 0: unknown
 }
 
--- a/requests.go
+++ b/requests.go
@@ -93,13 +93,10 @@
 // needsResponse reports whether the request still needs a response and none is being forwarded.
 func (r *openRequest) needsResponse() bool { return !r.done && !r.streaming }
 
-// markDone records that the request needs no further response. It may still have attempts in flight.
 func (r *openRequest) markDone() { r.done = true }
 
-// markStreaming records that a response is being forwarded, which rules out retries and cancellation.
 func (r *openRequest) markStreaming() { r.streaming = true }
 
-// markHedged records that a hedged attempt has been sent. A request is not hedged twice.
 func (r *openRequest) markHedged() { r.hedged = true }
 
 // attemptStarted records an attempt that is sent to the server now.
--- a/selection.go
+++ b/selection.go
@@ -13,14 +13,14 @@
 	totalInflightBound     = 6.0  // limit on all balancers' requests at a server, per unit of maxLoad
 	totalInflightBoundKey  = 8.0  // absolute limit, if the request's key may be cached there
 	totalInflightBoundLast = 10.0 // absolute limit, if no other server has capacity
-	maxTurnRounds          = 3    // over a lane's members, in search of one with the credit for a turn
+	maxTurnRounds          = 3    // passes over a lane's members in search of one with enough credit
 )
 
 // Load limits of the selection levels. A server may get a request while its load is below the limit. The load
 // is the number of this balancer's requests there, without those in transit.
 const (
 	idleLoad  = 1.0 // the server has no request
-	lightLoad = 2.0 // it has at most one, so that the next is there when that one ends
+	lightLoad = 2.0 // the server has at most one, so that the next is there when that one ends
 )
 
 // selectionLevel is the group of a locality and the load below which its members may get a request.
--- a/settings.go
+++ b/settings.go
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// validate checks the class at index i of Settings.Classes. It returns a *SettingsError or nil.
+// validate checks the class at index i of Settings.Classes.
 func (c Class) validate(i int) error {
 	setting := fmt.Sprintf("Classes[%d]", i)
 	if c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.DedupWindow < 0 {
--- a/slow_start.go
+++ b/slow_start.go
@@ -37,8 +37,8 @@
 	b.slowStart.Start(now, since, &target.slowStart, b.slowStartLoad(now, target), b.rng)
 }
 
-// assumeRestart starts a slow start because the server may have restarted. It ends early unless the endpoint
-// list shows a restart.
+// assumeRestart starts a slow start because the server may have restarted. The slow start ends early
+// unless the endpoint list shows a restart.
 func (b *Balancer) assumeRestart(now time.Duration, target *server) {
 	target.latency.ForgetMean()
 	b.slowStart.Assume(now, &target.slowStart, b.slowStartLoad(now, target), b.rng)
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -148,7 +148,7 @@
 		mean += sends * work / rounds
 	}
 	capacity := completions * work * (0.2 + 0.8*4/20) * 2
-	require.InDelta(t, capacity, mean, capacity/4, "on average it gets what its capacity allows")
+	require.InDelta(t, capacity, mean, capacity/4, "on the mean it gets what its capacity allows")
 	require.Less(t, most, overload*capacity)
 }
 
