--- a/balancer.go
+++ b/balancer.go
@@ -38,7 +38,8 @@
 	// more than half of the objective. This leaves time to act before the objective is missed.
 	lateDivisor = 2
 	// maxNeededDivisor caps the time that a request is expected to need at half of its objective. The
-	// estimate comes from other requests; without the cap, it alone could reject a waiting request.
+	// estimate comes from other requests: without the cap, a high one alone would get waiting requests
+	// rejected.
 	maxNeededDivisor = 2
 
 	millisecondsPerSecond = 1000
@@ -163,8 +164,8 @@
 	}
 }
 
-// ResponseStarted records that an attempt's response is being forwarded to the client. From then on the
-// request is neither retried nor are its attempts cancelled.
+// ResponseStarted records that an attempt's response is being forwarded to the client. From then on there
+// is no retry and no cancellation.
 func (b *Balancer) ResponseStarted(now time.Duration, id RequestID, attemptNumber int) {
 	b.ensureStarted(now)
 	request := b.requests.find(id)
@@ -227,7 +228,7 @@
 	b.admission.ReviewLateness(now)
 }
 
-// reviewRequest dispatches a waiting request. If an attempt is overdue, it ejects a silent server and starts
+// reviewRequest dispatches a waiting request. If an attempt is overdue, it ejects silent servers and starts
 // a hedged request.
 func (b *Balancer) reviewRequest(now time.Duration, request *openRequest) {
 	switch {
@@ -398,8 +399,8 @@
 	}
 }
 
-// retryOrRespond retries a request after an attempt has ended. If it cannot and no other attempt is in
-// flight, it gives the final response.
+// retryOrRespond retries a request after an attempt has ended. If no retry is possible and no other attempt is
+// in flight, the request gets its final response.
 func (b *Balancer) retryOrRespond(now time.Duration, request *openRequest, status Status) {
 	switch {
 	case request.done:
--- a/selection.go
+++ b/selection.go
@@ -30,7 +30,7 @@
 }
 
 // selectionLevels returns the levels in the order in which they are tried: the own zone up to a small load,
-// then the other zones. Requests beyond that load wait in the balancer and not in a server's queue, so that
+// then the other zones. Requests beyond these loads wait in the balancer and not in a server's queue, so that
 // they can go to whichever server is free first. The loads are small because the requests of all balancers
 // add up at a server. The fewer balancers may spill to a server, the more requests each of them may send
 // there.
@@ -161,7 +161,7 @@
 	return !b.failsClass(now, request, target) && b.expectedLatency(now, request, target) <= left
 }
 
-// spills reports whether a request to the server leaves the own zone although that zone has servers.
+// spills reports whether a request to the server leaves this balancer's zone although that zone has servers.
 func (b *Balancer) spills(target *server) bool {
 	return target.locality == remoteZones && len(b.groups[localZone].members) > 0
 }
--- a/settings.go
+++ b/settings.go
@@ -8,8 +8,7 @@
 	Problem string // includes the offending value where there is one
 }
 
-// Error returns the problem after the prefix "settings: ". The problem names the setting as operators know
-// it.
+// Error returns "settings: " and the problem, which names the setting as operators know it.
 func (e *SettingsError) Error() string { return "settings: " + e.Problem }
 
 func settingsError(setting, problem string, args ...any) error {
--- a/slow_start.go
+++ b/slow_start.go
@@ -6,12 +6,12 @@
 	"piernotch/internal/decision/slowstart"
 )
 
-// slowStartWindows is the number of draw windows within the overload window. The requests that the
-// balancers draw in one window are a small part of what overloads a server.
+// slowStartWindows is the number of draw windows within the overload window: enough that the requests which
+// balancers draw in one window are only a small part of what overloads a server.
 const slowStartWindows = 8
 
-// newSlowStart returns the slow start controller for the settings. With many balancers, each one draws
-// whether it may send.
+// newSlowStart returns the slow start controller for the settings. Balancers draw whether they may
+// send only if there are many of them.
 func (b *Balancer) newSlowStart() slowstart.Controller {
 	rules := b.settings.Rules
 	options := slowstart.Options{
