--- a/balancer.go
+++ b/balancer.go
@@ -399,8 +399,8 @@
 	}
 }
 
-// retryOrRespond retries a request after an attempt has ended. If no retry is possible and no other attempt is
-// in flight, the request gets its final response.
+// retryOrRespond retries a request after an attempt has ended. If no retry is possible and no other attempt
+// is in flight, the request gets its final response.
 func (b *Balancer) retryOrRespond(now time.Duration, request *openRequest, status Status) {
 	switch {
 	case request.done:
