--- a/internal/serve/handover/directory.go
+++ b/internal/serve/handover/directory.go
@@ -12,26 +12,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Suffixes of the files of a process. They share a stem: the balancer's prefix, the process ID and
-// the time of the start.
+// Suffixes of a process's files. The names of these files share a stem: the balancer's prefix, the
+// process ID and the start time.
 const (
 	lockSuffix   = ".lock"
 	recordSuffix = ".record"
 	tempSuffix   = ".tmp"
 )
 
-// Directory is the directory in which the processes of a balancer keep their records, as one of
-// these processes uses it. It must be used from one goroutine; create it with Enter.
+// Directory is one process's view of the directory in which the processes of a balancer keep their
+// records. Enter creates it. It is not safe for concurrent use.
 type Directory struct {
 	path    string
 	name    string // of the balancer
-	prefix  string // of the files of this balancer's processes
-	ownStem string // of this process's files
+	prefix  string // of the file names of all processes of this balancer
+	ownStem string // of the file names of this process
 	lock    *os.File
 	cache   map[string]cachedRecord // by stem
 }
 
-// cachedRecord is what was read last from a record file.
+// cachedRecord is the result of the last read of a record file.
 type cachedRecord struct {
 	file   os.FileInfo
 	record Record
@@ -41,12 +41,12 @@
 // Peer is another process of the balancer.
 type Peer struct {
 	Record
-	Alive bool  // false: it has ended, and will not be returned again
-	Err   error // its record could not be read; Record is empty then
+	Alive bool  // false: the process has ended and will not be returned again
+	Err   error // why the record could not be read; Record is empty then
 }
 
-// Enter makes this process known in the directory at path to others of the named balancer, and
-// returns the directory. Its first record is published with Write. Leave ends it.
+// Enter announces this process to the other processes of the named balancer, by a lock file in the
+// directory at path that it holds until Leave. The process has no record until the first Write.
 func Enter(path, name string) (*Directory, error) {
 	prefix := fmt.Sprintf("piernotch-%016x-", xxhash.Sum64String(name))
 	startedAt := strconv.FormatInt(time.Now().UnixNano(), 36)
@@ -68,13 +68,13 @@
 	return directory, nil
 }
 
-// Leave releases the lock, as the end of the process would. The record stays for the other
-// processes to read.
+// Leave releases the lock, as the end of the process would, so that the other processes see this
+// one as ended. Its record stays for them to read.
 func (d *Directory) Leave() { _ = d.lock.Close() }
 
 func (d *Directory) file(stem, suffix string) string { return filepath.Join(d.path, stem+suffix) }
 
-// Write replaces this process's record atomically. The balancer's name in it is filled in here.
+// Write atomically replaces this process's record. It sets the balancer's name in the record.
 func (d *Directory) Write(record Record) error {
 	record.Name = d.name
 	data, err := Encode(record)
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// Peers returns the other processes of the balancer. One that has ended is returned once, with its
-// last record, and its files are removed.
+// Peers returns the other processes of the balancer. A process that has ended is returned once, with
+// its last record, and its files are removed.
 func (d *Directory) Peers() ([]Peer, error) {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
@@ -108,9 +108,10 @@
 		}
 		alive, err := isLocked(d.file(stem, lockSuffix))
 		if err != nil {
-			continue // another process has removed it
+			continue // another process has removed the file
 		}
-		// The record is read after the lock was examined: of a process that has ended this is the last.
+		// The lock is tested before the record is read. In the opposite order a process could write its
+		// last record and end in between, and that record would be lost.
 		cached := d.read(stem)
 		if !alive {
 			d.remove(stem)
@@ -120,7 +121,7 @@
 	return peers, nil
 }
 
-// remove removes the files of a process that has ended.
+// remove deletes the files and the cached record of a process that has ended.
 func (d *Directory) remove(stem string) {
 	delete(d.cache, stem)
 	for _, suffix := range []string{recordSuffix, tempSuffix, lockSuffix} {
@@ -128,12 +129,12 @@
 	}
 }
 
-// read returns the record of a process, from the cache if its file has not been replaced.
+// read returns the record of a process, from the cache unless its file has been replaced.
 func (d *Directory) read(stem string) cachedRecord {
 	path := d.file(stem, recordSuffix)
 	info, err := os.Stat(path)
 	if err != nil {
-		return cachedRecord{err: err} // it has just started
+		return cachedRecord{err: err} // the process has not written a record yet
 	}
 	previous, cached := d.cache[stem]
 	if cached && os.SameFile(info, previous.file) && info.ModTime().Equal(previous.file.ModTime()) {
@@ -148,10 +149,11 @@
 	return current
 }
 
-// load reads a record file of the given size in bytes.
+// load reads a record file of the given size in bytes. It rejects a file above maxRecordSize and a
+// record of another balancer.
 func (d *Directory) load(path string, size int64) (Record, error) {
 	if size > maxRecordSize {
-		return Record{}, fmt.Errorf("%w: %d bytes", ErrTruncated, size)
+		return Record{}, fmt.Errorf("%w: file of %d bytes exceeds the limit", ErrTruncated, size)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/serve/handover/directory_test.go
+++ b/internal/serve/handover/directory_test.go
@@ -24,7 +24,7 @@
 	}
 	require.Empty(t, peersOf(otherBalancer))
 	require.Len(t, peersOf(previous), 1)
-	require.Error(t, peersOf(previous)[0].Err, "it has written nothing yet")
+	require.Error(t, peersOf(previous)[0].Err, "the process has not written a record yet")
 	require.True(t, peersOf(previous)[0].Alive)
 	require.EqualValues(t, 7, peersOf(next)[0].Generation)
 	require.NoError(t, previous.Write(Record{ProcessState: ProcessState{1, 10, ShuttingDown, 0}, Generation: 8}))
@@ -36,7 +36,7 @@
 	require.EqualValues(t, 8, last[0].Generation)
 	require.Empty(t, peersOf(next))
 
-	// A record that is corrupt, or of another balancer under this one's name, is rejected.
+	// A corrupt record, or one of another balancer under a file name of this one, is rejected.
 	foreign, err := Encode(Record{Name: "n2"})
 	require.NoError(t, err)
 	for _, tc := range []struct {
@@ -59,5 +59,5 @@
 	}
 	files, err := filepath.Glob(filepath.Join(path, "*"))
 	require.NoError(t, err)
-	require.Len(t, files, 2, "the locks of the two that are alive: %v", files)
+	require.Len(t, files, 2, "the locks of the two live processes: %v", files)
 }
--- a/internal/serve/handover/doc.go
+++ b/internal/serve/handover/doc.go
@@ -1,17 +1,17 @@
 // Package handover lets one process of a balancer take over from another on the same machine, as in
 // a hot restart.
 //
-// Each process keeps a [Record] in a directory that both can read: its [ProcessState], the endpoint
-// list as it knows it, the operators' overrides, and what its module has learnt about the traffic.
-// Beside each record lies a lock file that its writer holds until it ends. The kernel
-// releases the lock whichever way the process ends, so a record whose lock is free is that of a
-// process that has ended. [Directory] reads and writes these files.
+// Each process writes a [Record] to a directory that both can read: its [ProcessState], its current
+// endpoint list, the operators' overrides, and its module's estimates of the traffic. Next to each
+// record is a lock file that the writer holds until it ends. The kernel releases the lock however
+// the process ends, so a record whose lock is free belongs to a process that has ended. [Directory]
+// reads and writes these files.
 //
-// Which process accepts clients, and how many descriptors each may hold, follows from the records
-// alone and is decided without I/O by [ProcessState.Accepts] and [ProcessState.DescriptorShare].
-// Every process comes to the same result on its own.
+// [ProcessState.Accepts] and [ProcessState.DescriptorShare] decide, without I/O, which process
+// accepts clients and how many descriptors each may hold. They depend on the records alone, so all
+// processes reach the same result.
 //
-// The package knows neither sockets nor the core; internal/serve/runtime calls it, from the event
-// loop's goroutine. The form of a record is stored on disk between versions of the program: golden
-// files under testdata guard it.
+// The package depends on neither the sockets nor the core. Package internal/serve/runtime calls it
+// on the event loop's goroutine. Different versions of the program read each other's records from
+// disk: golden files under testdata guard the format.
 package handover
--- a/internal/serve/handover/golden_test.go
+++ b/internal/serve/handover/golden_test.go
@@ -13,9 +13,9 @@
 	"piernotch/internal/serve/overrides"
 )
 
-var update = flag.Bool("update", false, "write the golden files again; only where the form changes on purpose")
+var update = flag.Bool("update", false, "rewrite the golden files; only if the format changes on purpose")
 
-// checkGolden compares bytes with a file under testdata and returns what the file holds.
+// checkGolden compares got with a golden file under testdata and returns the file's content.
 func checkGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -25,12 +25,12 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	require.Equal(t, string(want), string(got), "%s: the form on disk has changed", path)
+	require.Equal(t, string(want), string(got), "%s: the format on disk has changed", path)
 	return want
 }
 
-// TestHandoverRecordGoldenFile guards the form in which a process of an older program reads what one
-// of this program wrote, and the other way round. Every field is set.
+// Processes of an older version of the program read records of this version, and the reverse. The test
+// guards against an unintended change of the format. The full record sets every field.
 func TestHandoverRecordGoldenFile(t *testing.T) {
 	full := Record{
 		ProcessState: ProcessState{Epoch: 3, PID: 4711, Phase: Ready, DescriptorClaim: 129},
@@ -95,7 +95,7 @@
 			PeakCompletionRate: 3.125,
 		},
 	}
-	none := Record{ // no list is known
+	first := Record{ // no endpoint list is known
 		ProcessState: ProcessState{Epoch: 1, PID: 2, Phase: Starting, DescriptorClaim: 3},
 		Name:         "n0",
 	}
@@ -104,7 +104,7 @@
 		Name:         "n0",
 		Endpoints:    []Endpoint{},
 	}
-	for name, record := range map[string]Record{"full.record": full, "starting.record": none, "ending.record": ending} {
+	for name, record := range map[string]Record{"full.record": full, "starting.record": first, "ending.record": ending} {
 		data, err := Encode(record)
 		require.NoError(t, err)
 		got, err := Decode(checkGolden(t, name, data))
--- a/internal/serve/handover/lock.go
+++ b/internal/serve/handover/lock.go
@@ -6,9 +6,9 @@
 	"syscall"
 )
 
-// acquireLock creates a lock file at path and holds its lock until the file is closed or the process
-// ends. The file is created under the temporary name and renamed once the lock is held, because other
-// processes take a lock file that is not locked for that of a process that has ended.
+// acquireLock creates and locks a file at path. The lock is held until the file is closed or the
+// process ends. The file has the temporary name until it is locked: other processes treat an
+// unlocked lock file as that of a process that has ended, and remove it.
 func acquireLock(path, temporary string) (*os.File, error) {
 	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_RDWR|os.O_EXCL, 0o600)
 	if err != nil {
@@ -26,8 +26,8 @@
 	return file, nil
 }
 
-// isLocked reports whether a process that is alive holds the lock file. The error means that there
-// is no such file.
+// isLocked reports whether a live process holds the lock on the file at path. It returns an error if
+// the file cannot be opened, usually because it no longer exists.
 func isLocked(path string) (bool, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/serve/handover/process.go
+++ b/internal/serve/handover/process.go
@@ -1,27 +1,29 @@
 package handover
 
-// Phase is a stage of a process, from its start to its end.
+// Phase is a stage in the life of a process. Records contain its text.
 type Phase string
 
-// Phases, in their order.
+// Phases, in the order in which a process goes through them.
 const (
 	// Starting means that the process cannot serve yet.
 	Starting Phase = "starting"
-	// Ready means that it can serve.
+	// Ready means that the process can serve.
 	Ready Phase = "ready"
-	// ShuttingDown means that it was asked to end and completes its pending requests.
+	// ShuttingDown means that the process was asked to end and is completing its pending requests.
 	ShuttingDown Phase = "ending"
 )
 
-// ProcessState is what the other processes of the balancer need to know of one to share the work.
+// ProcessState is the part of a process's record from which the processes of a balancer determine
+// who accepts clients and how they divide the file descriptors.
 type ProcessState struct {
-	Epoch           uint64 `json:"epoch"` // above that of every other process found at the start
+	Epoch           uint64 `json:"epoch"` // higher than that of any process found at the start
 	PID             int    `json:"pid"`
 	Phase           Phase  `json:"phase"`
-	DescriptorClaim int    `json:"claim"` // file descriptors that it may come to hold
+	DescriptorClaim int    `json:"claim"` // file descriptors that the others leave to this process
 }
 
-// newerThan reports whether s was started after other.
+// newerThan reports whether s started after other. Two processes that started at once may have the
+// same epoch; the one with the higher process ID then counts as newer.
 func (s ProcessState) newerThan(other ProcessState) bool {
 	if s.Epoch != other.Epoch {
 		return s.Epoch > other.Epoch
@@ -29,9 +31,8 @@
 	return s.PID > other.PID
 }
 
-// Accepts reports whether a process accepts clients, given the others that are alive: the newest of
-// those that are ready does. A process that is shutting down leaves it to any that is ready, and
-// continues to accept if there is none.
+// Accepts reports whether a process accepts clients, given the other live processes. The newest ready
+// process does. If no process is ready, those that are shutting down continue to accept.
 func (s ProcessState) Accepts(others []ProcessState) bool {
 	for _, other := range others {
 		if other.Phase == Ready && (s.Phase != Ready || other.newerThan(s)) {
@@ -42,12 +43,12 @@
 }
 
 // descriptorHeadroom is how many file descriptors a process may open beyond those that it holds
-// while another one accepts clients.
+// while another process accepts clients. The accepting process gets at least as many.
 const descriptorHeadroom = 16
 
-// DescriptorShare returns how many of limit file descriptors a process that holds open of them may
-// use, given the others that are alive. The process that accepts clients needs most: the others
-// claim little more than they hold, and it gets whatever they do not claim.
+// DescriptorShare returns how many of the balancer's file descriptors, limit in all, this process may
+// use, given the other live processes. open is the number that it holds now. The process that accepts
+// clients needs the most: the others claim little more than they hold, and it gets the rest.
 func (s ProcessState) DescriptorShare(others []ProcessState, limit, open int) int {
 	if len(others) == 0 {
 		return limit
@@ -61,7 +62,7 @@
 	return max(limit, descriptorHeadroom)
 }
 
-// HasSuccessor reports whether one of the others that are alive can serve in this one's place.
+// HasSuccessor reports whether one of the other live processes can serve in place of this one.
 func (s ProcessState) HasSuccessor(others []ProcessState) bool {
 	for _, other := range others {
 		if other.Phase == Ready {
--- a/internal/serve/handover/process_test.go
+++ b/internal/serve/handover/process_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Of several processes one accepts clients, and there is never none while one of them can serve.
+// The newest ready process alone accepts clients. If no process is ready, those that are shutting down
+// accept, so that no client is refused while a process can serve.
 func TestNewestReadyProcessAccepts(t *testing.T) {
 	state := func(epoch uint64, phase Phase) ProcessState {
 		return ProcessState{Epoch: epoch, PID: int(epoch), Phase: phase}
@@ -22,9 +23,9 @@
 		{[]ProcessState{state(1, Ready), state(2, Ready)}, []bool{false, true}},
 		{[]ProcessState{state(1, ShuttingDown), state(2, Starting)}, []bool{true, false}},
 		{[]ProcessState{state(1, ShuttingDown), state(2, Ready)}, []bool{false, true}},
-		{[]ProcessState{state(1, Ready), state(2, ShuttingDown)}, []bool{true, false}}, // the new one is rolled back
+		{[]ProcessState{state(1, Ready), state(2, ShuttingDown)}, []bool{true, false}}, // a rollback to the old process
 		{[]ProcessState{state(1, Ready), state(2, Ready), state(3, Ready)}, []bool{false, false, true}},
-		{[]ProcessState{state(1, ShuttingDown), state(2, ShuttingDown)}, []bool{true, true}}, // until each is done
+		{[]ProcessState{state(1, ShuttingDown), state(2, ShuttingDown)}, []bool{true, true}}, // each until it exits
 		{[]ProcessState{{2, 7, Ready, 0}, {2, 9, Ready, 0}}, []bool{false, true}},
 	} {
 		for i, s := range tc.all {
@@ -34,13 +35,14 @@
 	}
 }
 
-// Together the processes stay within the limit, and the one that accepts gets what the others leave.
+// The processes together stay within the limit once each has adjusted its claim. The accepting process
+// gets what the others do not claim.
 func TestDescriptorSharesStayWithinLimit(t *testing.T) {
 	previous := ProcessState{Epoch: 1, Phase: Ready, DescriptorClaim: 384}
 	next := ProcessState{Epoch: 2, Phase: Ready}
 	require.Equal(t, 384, previous.DescriptorShare(nil, 384, 100))
 	require.Equal(t, descriptorHeadroom, next.DescriptorShare([]ProcessState{previous}, 384, 0),
-		"the previous one has not lowered its claim yet")
+		"the previous process has not lowered its claim yet")
 	previous.DescriptorClaim = previous.DescriptorShare([]ProcessState{next}, 384, 100)
 	require.Equal(t, 116, previous.DescriptorClaim)
 	require.Equal(t, 384-116, next.DescriptorShare([]ProcessState{previous}, 384, 50))
--- a/internal/serve/handover/record.go
+++ b/internal/serve/handover/record.go
@@ -13,20 +13,20 @@
 	"piernotch/internal/serve/overrides"
 )
 
-// Record is what a process publishes to the others of its balancer.
+// Record is what a process publishes to the other processes of its balancer.
 type Record struct {
 	ProcessState
 	Name       string              `json:"name"`       // of the balancer
 	WrittenAt  time.Duration       `json:"at"`         // Unix time
-	Discovery  string              `json:"discovery"`  // address that Generation belongs to
+	Discovery  string              `json:"discovery"`  // address of the service whose list has Generation
 	Generation uint64              `json:"generation"` // of the endpoint list
 	Endpoints  []Endpoint          `json:"members"`    // nil: no list is known
 	Overrides  overrides.Overrides `json:"words"`
 	Snapshot   piernotch.Snapshot  `json:"learnt"`
 }
 
-// Endpoint is a server as it was listed last. Its zone is stored by name, as the numbers of zones
-// depend on the settings.
+// Endpoint is a server as discovery last listed it. Its zone is stored by name because the index of a
+// zone depends on each process's settings.
 type Endpoint struct {
 	Name      string          `json:"name"`
 	Address   string          `json:"address"`
@@ -37,8 +37,8 @@
 	StartedAt time.Duration   `json:"born"` // Unix time of the last start; 0: long ago
 }
 
-// A record is a header line and a JSON body. The header has a name, the version of the form, the
-// xxHash64 of the body and the body's length in bytes.
+// A record is a header line followed by a JSON body. The header consists of a fixed name, the format
+// version, the body's xxHash64 and the body's length in bytes.
 const (
 	recordVersion = 1
 	versionFormat = "piernotch-handover %d"
@@ -46,17 +46,18 @@
 	maxRecordSize = 8 << 20 // bytes
 )
 
-// Errors of records that cannot be used. Such a record is ignored.
+// Errors for unusable records, which are ignored.
 var (
 	// ErrTruncated means that a record is incomplete, corrupt or too large.
 	ErrTruncated = errors.New("record is truncated")
-	// ErrVersion means that a record is of a version that this program does not read.
+	// ErrVersion means that this program does not read the format version of a record.
 	ErrVersion = errors.New("record is of another version")
 	// ErrOtherBalancer means that a record was written by a process of another balancer.
 	ErrOtherBalancer = errors.New("record of another balancer")
 )
 
-// Encode returns the stored form of a record.
+// Encode returns the stored form of a record, header included. It fails for NaN and infinite numbers,
+// which JSON cannot represent.
 func Encode(record Record) ([]byte, error) {
 	body, err := json.Marshal(record)
 	if err != nil {
@@ -66,11 +67,11 @@
 	return append(data, body...), nil
 }
 
-// Decode reads the stored form of a record. The errors wrap ErrTruncated or ErrVersion.
+// Decode parses the stored form of a record. Its errors wrap ErrTruncated or ErrVersion.
 func Decode(data []byte) (Record, error) {
 	line, body, complete := bytes.Cut(data, []byte("\n"))
 	if !complete {
-		return Record{}, fmt.Errorf("%w: no first line", ErrTruncated)
+		return Record{}, fmt.Errorf("%w: no header line", ErrTruncated)
 	}
 	if err := checkHeader(string(line)+"\n", body); err != nil {
 		return Record{}, err
@@ -82,12 +83,13 @@
 	return record, nil
 }
 
-// checkHeader returns an error if a header line is not of this version or does not match the body.
+// checkHeader returns an error if a header line has another version than recordVersion, or does not
+// match the length or the checksum of the body.
 func checkHeader(line string, body []byte) error {
 	var version, length int
 	var checksum uint64
 	if _, err := fmt.Sscanf(line, versionFormat, &version); err != nil {
-		return fmt.Errorf("%w: the first line is not that of a record", ErrTruncated)
+		return fmt.Errorf("%w: the first line is not a record header", ErrTruncated)
 	}
 	if version != recordVersion {
 		return fmt.Errorf("%w: %d, this program reads %d", ErrVersion, version, recordVersion)
