--- a/internal/serve/handover/golden_test.go
+++ b/internal/serve/handover/golden_test.go
@@ -95,7 +95,7 @@
 			PeakCompletionRate: 3.125,
 		},
 	}
-	first := Record{ // no endpoint list is known
+	none := Record{ // no endpoint list is known
 		ProcessState: ProcessState{Epoch: 1, PID: 2, Phase: Starting, DescriptorClaim: 3},
 		Name:         "n0",
 	}
@@ -104,7 +104,7 @@
 		Name:         "n0",
 		Endpoints:    []Endpoint{},
 	}
-	for name, record := range map[string]Record{"full.record": full, "starting.record": first, "ending.record": ending} {
+	for name, record := range map[string]Record{"full.record": full, "starting.record": none, "ending.record": ending} {
 		data, err := Encode(record)
 		require.NoError(t, err)
 		got, err := Decode(checkGolden(t, name, data))
--- a/internal/serve/runtime/balancer.go
+++ b/internal/serve/runtime/balancer.go
@@ -20,22 +20,23 @@
 const (
 	// totalsInterval is the time between two log lines with totals.
 	totalsInterval = 10 * time.Second
-	// stateInterval is the time between two reports of the module's state to the log.
+	// stateInterval is the time between two log lines with the module's state.
 	stateInterval = time.Second
-	// shedLogInterval limits how often a shortage of descriptors is logged: it may last.
+	// shedLogInterval is the minimum time between two log lines about a shortage of descriptors: a
+	// lasting shortage would flood the log.
 	shedLogInterval = time.Second
-	// loggedStall is the shortest stall that is logged.
-	loggedStall = time.Second
+	// minLoggedStall is the length above which a stall is logged.
+	minLoggedStall = time.Second
 )
 
-// Balancer is one balancer process. New makes it.
+// Balancer is one balancer process. New creates it.
 type Balancer struct {
 	// LimitMemory, if not nil, is called with the number of bytes that the Go runtime may use,
-	// whenever that number changes; debug.SetMemoryLimit fits. It is set before Start.
+	// whenever that number changes. It must be set before Start, usually to debug.SetMemoryLimit.
 	LimitMemory func(bytes int64) int64
 
 	cfg           config.Config
-	reloaded      config.Config // the last one passed to Reload, until the core has accepted its settings
+	reloaded      config.Config // last passed to Reload; in force once the core accepts its settings
 	loop          *eventloop.Loop
 	core          *core.Core
 	downstream    *downstream.Downstream
@@ -43,31 +44,31 @@
 	watcher       *discovery.Watcher
 	listener      *eventloop.Listener
 	admin         admin.Server
-	adminListener *eventloop.Listener // nil: there is no admin address
+	adminListener *eventloop.Listener // nil: no admin address is configured
 	siblings      siblingProcesses
-	recorder      *traceRecorder // nil: nothing is recorded
+	recorder      *traceRecorder // nil: no trace is recorded
 
-	clockStart  time.Time     // when the clock was read
-	unixAtStart time.Duration // what it said, as Unix time
+	clockStart  time.Time     // the only reading of the system clock
+	unixAtStart time.Duration // clockStart as Unix time
 
-	events    []core.Event // in front of the reducer
-	nextEvent int          // index of the first event that was not handled yet
+	events    []core.Event // queue of the reducer
+	nextEvent int          // index of the first event in the queue that is not handled yet
 	handling  bool         // the reducer is running
 
-	descriptorLimit int   // of this process now
-	memoryLimit     int64 // of this process now, in bytes
+	descriptorLimit int   // this process's current share of the balancer's limit
+	memoryLimit     int64 // this process's current share of the balancer's limit, in bytes
 
-	stopped       bool               // clients are no longer accepted
+	stopped       bool               // clients are no longer accepted, and will not be again
 	exit          context.CancelFunc // ends Run
-	exitRequested time.Duration      // when the core had nothing left to do; 0: it has
+	exitRequested time.Duration      // when the core first emitted core.Exit; 0: it has not
 
 	totalsLogged time.Duration // when totals were last logged
 	stateLogged  time.Duration // when the module's state was last reported
 	shedLogged   time.Duration // when a shortage of descriptors was last logged
 }
 
-// New returns a balancer that does not listen yet. It fails where the settings are not valid, the
-// event loop does not start or the trace file cannot be created.
+// New returns a balancer that does not listen yet. It fails if the settings are invalid, the event
+// loop does not start or the trace file cannot be created.
 func New(cfg config.Config) (*Balancer, error) {
 	balancer := &Balancer{cfg: cfg, clockStart: time.Now()}
 	balancer.unixAtStart = time.Duration(balancer.clockStart.UnixNano())
@@ -113,8 +114,8 @@
 	return balancer, nil
 }
 
-// ShareWatch makes the watch of discovery part of a group in which one balancer polls for many. It
-// is called before Start. join may return nil: then the balancer polls by itself.
+// ShareWatch joins a group of balancers in which one polls discovery for the others. It must be called
+// before Start. If join returns nil, the balancer polls discovery itself.
 func (b *Balancer) ShareWatch(join controlgroup.JoinWatch) {
 	onUpdate := func(event controlgroup.WatchEvent) {
 		b.loop.Post(func() { b.watcher.ReceiveShared(event) })
@@ -124,8 +125,8 @@
 	}
 }
 
-// Start joins the sibling processes, starts the watch of discovery and listens; clients are served
-// once Run is called. An error to bind or inherit a socket is a *ListenError.
+// Start joins the sibling processes, starts the discovery watch and listens. Clients are not served
+// before Run. If a socket cannot be bound or inherited, the error is a *ListenError.
 func (b *Balancer) Start() error {
 	peers, err := b.joinSiblings()
 	if err != nil {
@@ -141,7 +142,7 @@
 	if !b.cfg.Settings.PollDiscovery {
 		b.watcher.SetPush()
 	}
-	b.mergePeers(peers) // after the list: overrides name servers that it holds
+	b.mergePeers(peers) // after the endpoint list, because overrides name its servers
 	b.writeRecord()
 	if err := b.listen(); err != nil {
 		return err
@@ -159,8 +160,8 @@
 	return nil
 }
 
-// Run serves until the context ends or, after Shutdown, no request is pending. The calling
-// goroutine owns all state meanwhile.
+// Run serves until the context ends or a Shutdown is complete. The calling goroutine owns all state
+// until Run returns.
 func (b *Balancer) Run(ctx context.Context) {
 	ctx, b.exit = context.WithCancel(ctx)
 	defer b.exit()
@@ -179,7 +180,7 @@
 // Addr returns the address on which clients are accepted. It is valid after Start.
 func (b *Balancer) Addr() string { return b.listener.Addr() }
 
-// AdminAddr returns the address for admin commands, "" if there is none. It is valid after Start.
+// AdminAddr returns the address for admin commands, "" if none is configured. It is valid after Start.
 func (b *Balancer) AdminAddr() string {
 	if b.adminListener == nil {
 		return ""
@@ -187,15 +188,16 @@
 	return b.adminListener.Addr()
 }
 
-// now returns the module's clock: Unix time, as discovery gives the servers' starts in it, read once
-// and advanced by the monotonic clock so that it never jumps.
+// now returns the module's clock, in Unix time because discovery gives the servers' start times in
+// Unix time. The system clock is read once and then advanced by the monotonic clock, so that the
+// result never jumps.
 func (b *Balancer) now() time.Duration { return b.unixAtStart + time.Since(b.clockStart) }
 
-// ready reports whether this process can serve.
+// ready reports whether this process can serve: it has an endpoint list and is not shutting down.
 func (b *Balancer) ready() bool { return b.core.EndpointsKnown() && !b.core.ShuttingDown() }
 
-// healthy reports whether the health check of the clients' side succeeds. Where a successor has
-// taken over, the result is that of both processes: a health check may reach either.
+// healthy reports whether /_health succeeds. During a handover that call may reach either process, so
+// a process that is shutting down stays healthy as long as a successor can serve.
 func (b *Balancer) healthy() bool {
 	if !b.core.EndpointsKnown() || b.core.ClientsDrained() {
 		return false
@@ -207,7 +209,7 @@
 	b.emit(core.AdminCommand{Call: call, Action: action, Server: server})
 }
 
-// tick runs every core.TickInterval.
+// tick does the periodic work of all parts of the process, once every core.TickInterval.
 func (b *Balancer) tick() {
 	b.emit(core.Tick{})
 	b.downstream.Tick()
@@ -221,15 +223,15 @@
 	b.logPeriodically(now)
 }
 
-// stalled runs after the event loop did not run for the duration of gap.
+// stalled is called after the event loop did not run for the duration gap.
 func (b *Balancer) stalled(gap time.Duration) {
-	if gap > loggedStall {
+	if gap > minLoggedStall {
 		slog.Warn("stall detected", "duration_ms", gap.Milliseconds())
 	}
 	b.downstream.Stalled(gap)
 }
 
-// shedClients closes idle connections of clients where descriptors are short.
+// shedClients closes idle connections from clients when descriptors are short.
 func (b *Balancer) shedClients() {
 	if now := b.now(); now-b.shedLogged > shedLogInterval {
 		b.shedLogged = now
@@ -238,7 +240,7 @@
 	b.downstream.Shed()
 }
 
-// shedAll closes idle connections of clients and to servers where descriptors are short.
+// shedAll closes idle connections from clients and to servers when descriptors are short.
 func (b *Balancer) shedAll() {
 	b.shedClients()
 	b.upstream.Shed()
--- a/internal/serve/runtime/doc.go
+++ b/internal/serve/runtime/doc.go
@@ -1,19 +1,18 @@
 // Package runtime runs one balancer process: it connects the reducer (package core) to the sockets
-// (packages eventloop, downstream, upstream, discovery and admin), carrying events one way and
-// effects the other.
+// (packages eventloop, downstream, upstream, discovery and admin). Events go from the sockets to the
+// reducer, and effects from the reducer to the sockets.
 //
-// A [Balancer] owns all parts of the process. Each part gets the functions that it may call when it is
-// made and knows nothing else of the Balancer. The state of the handover, siblingProcesses, calls
-// nothing at all: it reports what follows from the siblings' records, and the Balancer acts on it.
+// A [Balancer] owns all parts of the process. Each part receives its callbacks when it is created and
+// does not depend on the Balancer otherwise. The handover state, siblingProcesses, has no callbacks:
+// it reports what follows from the siblings' records, and the Balancer acts on that.
 //
-// The package owns the clock, the event queue in front of the reducer, the order of start and
-// shutdown, reloads, the limits on descriptors and memory, and the exchange with sibling processes
-// of the same balancer during a handover. It decides nothing about requests: that is the task of
-// core and of the module piernotch. It knows no formats either: HTTP, discovery's JSON, handover
-// records and traces belong to the packages that it calls.
+// The package owns the clock, the reducer's event queue, the order of start and shutdown, reloads,
+// the limits on descriptors and memory, and the exchange with sibling processes of the same balancer
+// during a handover. Decisions about requests belong to package core and the decision module, package
+// piernotch. Formats (HTTP, discovery's JSON, handover records and traces) belong to the packages
+// that this one calls.
 //
-// Command piernotch is the only caller. New, Start and Run are called in this order by one
-// goroutine; Run turns that goroutine into the owner of all state, and everything else in the
-// package runs on it. Only Shutdown and Reload may be called from other goroutines, once Start has
-// returned.
+// Command piernotch is the only caller. One goroutine calls New, Start and Run, in this order. It owns
+// all state while Run runs, and everything else in the package runs on it. Only Shutdown and Reload
+// may be called from other goroutines, once Start has returned.
 package runtime
--- a/internal/serve/runtime/effects.go
+++ b/internal/serve/runtime/effects.go
@@ -2,8 +2,8 @@
 
 import "piernotch/internal/serve/core"
 
-// emit passes an event to the reducer and performs the effects. Effects may bring further events,
-// which wait in the queue: the reducer is never entered twice.
+// emit passes an event to the reducer and performs the resulting effects. An effect may emit further
+// events. These wait in the queue, so that the reducer is never re-entered.
 func (b *Balancer) emit(event core.Event) {
 	b.events = append(b.events, event)
 	if b.handling {
@@ -13,7 +13,7 @@
 	defer func() { b.handling = false }()
 	for b.nextEvent < len(b.events) {
 		next := b.events[b.nextEvent]
-		b.events[b.nextEvent] = nil // the array is used again and must keep no request alive
+		b.events[b.nextEvent] = nil // the array is reused: it would keep the request in memory
 		b.nextEvent++
 		now := b.now()
 		if b.recorder != nil {
@@ -26,7 +26,7 @@
 	b.events, b.nextEvent = b.events[:0], 0
 }
 
-// perform carries out one effect.
+// perform passes one effect to the part of the process that carries it out.
 func (b *Balancer) perform(effect core.Effect) {
 	switch effect := effect.(type) {
 	case core.StartAttempt:
--- a/internal/serve/runtime/handover.go
+++ b/internal/serve/runtime/handover.go
@@ -11,8 +11,8 @@
 	"piernotch/internal/serve/handover"
 )
 
-// joinSiblings makes this process known to its siblings, takes over the endpoint list of one, and
-// returns all of them.
+// joinSiblings announces this process to its siblings and returns them. It takes over the endpoint
+// list of the newest sibling that has a usable one.
 func (b *Balancer) joinSiblings() ([]handover.Peer, error) {
 	siblings, peers, err := enterSiblings(b.cfg.StateDir, b.cfg.Name)
 	if err != nil {
@@ -32,8 +32,9 @@
 	return peers, nil
 }
 
-// canTakeOver reports whether a process's record holds a list that is better than what this
-// process was configured with. That of a process which has ended may be old.
+// canTakeOver reports whether a sibling's record holds a better endpoint list than this process's
+// configuration. The list of a sibling that has ended may be outdated, so it must come from the same
+// discovery service and must not be older than the configured one.
 func (b *Balancer) canTakeOver(peer *handover.Peer) bool {
 	if peer.Err != nil || peer.Endpoints == nil {
 		return false
@@ -44,7 +45,7 @@
 	return peer.Discovery == b.cfg.Discovery && peer.Generation >= b.cfg.KnownEndpoints.Generation
 }
 
-// takeOver starts from the endpoint list and the estimates of another process.
+// takeOver initializes this process with the endpoint list and the estimates of a sibling.
 func (b *Balancer) takeOver(from *handover.Record) {
 	known := discovery.EndpointList{Generation: from.Generation, Reset: true}
 	for i := range from.Endpoints {
@@ -75,7 +76,7 @@
 	)
 }
 
-// tickSiblings reads the siblings' records and writes the own one, each at its interval.
+// tickSiblings reads the siblings' records and writes this process's record, each at its interval.
 func (b *Balancer) tickSiblings(now time.Duration) {
 	if peers, due := b.siblings.poll(now); due {
 		b.mergePeers(peers)
@@ -87,8 +88,8 @@
 	}
 }
 
-// mergePeers applies the operator overrides that sibling processes were given, and notes which of
-// them are alive.
+// mergePeers applies the operator overrides in the siblings' records and updates which siblings are
+// alive.
 func (b *Balancer) mergePeers(peers []handover.Peer) {
 	for i := range peers {
 		if peer := &peers[i]; peer.Err == nil {
@@ -101,7 +102,7 @@
 	}
 }
 
-// advance lets the siblings know of a new phase of this process.
+// advance moves this process to a phase and, if that is new, publishes it to the siblings.
 func (b *Balancer) advance(to handover.Phase) {
 	if b.siblings.advance(to) {
 		b.writeRecord()
@@ -109,14 +110,15 @@
 	}
 }
 
-// advanceWhenReady lets the siblings know once this process can serve.
+// advanceWhenReady publishes the phase Ready once this process can serve.
 func (b *Balancer) advanceWhenReady() {
 	if b.ready() {
 		b.advance(handover.Ready)
 	}
 }
 
-// updateAccepting accepts clients on an inherited socket, or leaves them to another process.
+// updateAccepting starts or stops accepting clients on an inherited socket, so that only one of the
+// processes that share the socket accepts. A socket that this process bound itself is not shared.
 func (b *Balancer) updateAccepting() {
 	inherited := b.cfg.ListenFD != 0
 	if !inherited || b.stopped {
@@ -136,20 +138,20 @@
 	}
 }
 
-// leaveSiblings writes the last record and lets the siblings know that this process has ended.
+// leaveSiblings writes the last record and shows the siblings that this process has ended.
 func (b *Balancer) leaveSiblings() {
 	b.writeRecord()
 	b.siblings.leave()
 }
 
-// writeRecord writes this process's record, if there is a directory for it.
+// writeRecord publishes this process's record, if there is a state directory.
 func (b *Balancer) writeRecord() {
 	if b.siblings.directory != nil {
 		b.siblings.write(b.record(b.now()))
 	}
 }
 
-// record returns what a successor needs to know. Endpoints is nil as long as no list is known.
+// record returns what a successor needs to know. Its Endpoints is nil until an endpoint list is known.
 func (b *Balancer) record(now time.Duration) handover.Record {
 	record := handover.Record{
 		ProcessState: b.siblings.self,
@@ -168,7 +170,7 @@
 	return record
 }
 
-// storedEndpoint returns an endpoint in the form of a record, with its zone by name.
+// storedEndpoint converts an endpoint to the form in a record, with its zone by name, "" if unknown.
 func (b *Balancer) storedEndpoint(known core.DiscoveredEndpoint) handover.Endpoint {
 	zone := ""
 	zones := b.cfg.Settings.Zones
--- a/internal/serve/runtime/listen.go
+++ b/internal/serve/runtime/listen.go
@@ -6,9 +6,9 @@
 	"piernotch/internal/serve/admin"
 )
 
-// ListenError says which address or socket of the configuration could not be listened on.
+// ListenError names the configured address or inherited socket on which the process cannot listen.
 type ListenError struct {
-	// Setting is the key of the configuration file or the environment variable:
+	// Setting is the key in the configuration file, or the environment variable:
 	// "listen", "management" or "ROUTER_LISTEN_FD".
 	Setting string
 	Err     error
@@ -16,10 +16,10 @@
 
 func (e *ListenError) Error() string { return e.Setting + ": " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns Err, for errors.Is and errors.As.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// listen binds the admin address, if there is one, and binds or inherits the clients' socket.
+// listen binds the admin address, if one is configured, and binds or inherits the clients' socket.
 func (b *Balancer) listen() error {
 	if b.cfg.AdminAddress != "" {
 		b.adminListener = b.loop.AdminListener(admin.MaxConnections, b.admin.Accepted, b.admin.Shed)
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// stopListening ends accepting clients for good.
+// stopListening stops accepting clients for good: updateAccepting does not start it again.
 func (b *Balancer) stopListening() {
 	b.stopped = true
 	b.listener.Stop()
--- a/internal/serve/runtime/reload.go
+++ b/internal/serve/runtime/reload.go
@@ -8,9 +8,10 @@
 	"piernotch/internal/serve/core"
 )
 
-// Reload applies what of a new configuration can change while the process runs: the settings, the
-// limits and discovery's address. A configuration that the core rejects is logged and changes
-// nothing. It may be called from any goroutine.
+// Reload applies the parts of a new configuration that can change while the process runs: the
+// settings, the limits, the timeouts of server connections and discovery's address. If the core
+// rejects the configuration, the rejection is logged and nothing changes. Reload may be called from
+// any goroutine.
 func (b *Balancer) Reload(cfg config.Config) {
 	b.loop.Post(func() {
 		b.reloaded = cfg
@@ -18,7 +19,7 @@
 	})
 }
 
-// settingsApplied applies the rest of a configuration whose settings the core has accepted.
+// settingsApplied applies the rest of the reloaded configuration if the core accepted its settings.
 func (b *Balancer) settingsApplied(applied core.SettingsApplied) {
 	if applied.Err != nil {
 		slog.Error("configuration rejected", "err", applied.Err)
@@ -36,7 +37,7 @@
 	b.setRoutes(applied.Routes)
 }
 
-// setRoutes passes the routes and what belongs to them to the clients' side.
+// setRoutes passes the routes, the deadlines of the classes and the tenants to downstream.
 func (b *Balancer) setRoutes(routes []core.Route) {
 	settings := b.core.Settings()
 	var deadlines []time.Duration
--- a/internal/serve/runtime/resource_limits.go
+++ b/internal/serve/runtime/resource_limits.go
@@ -6,17 +6,19 @@
 )
 
 const (
-	// minDescriptors leaves room to serve, whatever sibling processes hold.
+	// minDescriptors is the lower bound of the descriptor limit: the process can serve a few connections
+	// however many descriptors its siblings hold.
 	minDescriptors = eventloop.ReservedDescriptors + 16
-	// claimSlack is how far this process's limit may exceed the descriptors that it claims from its
-	// siblings before the claim is corrected: a record for each descriptor would be too many.
+	// claimSlack is by how many descriptors this process's limit may exceed its published claim before
+	// the claim is raised. Without the slack, each additional descriptor would write a record.
 	claimSlack = 8
-	// goMemoryTenths is the part of the memory limit, in tenths, that the Go runtime may use. Stacks,
-	// the runtime's own data and the kernel's share come on top.
+	// goMemoryTenths is the share of the memory limit, in tenths, that the Go runtime may use. The rest
+	// is for stacks, the runtime's own data and the kernel.
 	goMemoryTenths = 6
 )
 
-// applyResourceLimits keeps all processes of the balancer within its limits.
+// applyResourceLimits sets this process's shares of the balancer's limits on descriptors and memory,
+// and publishes its descriptor claim, so that all processes together stay within the limits.
 func (b *Balancer) applyResourceLimits() {
 	descriptors, memory := b.resourceShare()
 	if descriptors != b.descriptorLimit {
@@ -34,7 +36,7 @@
 	}
 }
 
-// resourceShare returns how many descriptors and how many bytes of memory this process may use now.
+// resourceShare returns this process's current shares: descriptors, and bytes for the Go runtime.
 func (b *Balancer) resourceShare() (descriptors int, memory int64) {
 	descriptors = b.cfg.MaxDescriptors
 	if b.cfg.AdminAddress != "" {
@@ -45,7 +47,7 @@
 	switch {
 	case b.siblings.alone:
 		return descriptors, memory
-	case len(b.siblings.others) == 0: // nothing is known of the processes that are alive
+	case len(b.siblings.others) == 0: // no record of a live sibling could be read
 		return descriptors / 2, memory / 2
 	default:
 		open := b.loop.OpenConnections() + eventloop.ReservedDescriptors
--- a/internal/serve/runtime/shutdown.go
+++ b/internal/serve/runtime/shutdown.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// settleTime is how long the sockets get, once no request is pending, for requests that have
-	// arrived but were not read yet.
+	// settleTime is how long a shutdown waits, once the core has no work left, for requests that have
+	// arrived in a socket but were not read yet.
 	settleTime = 4 * core.TickInterval
-	// lingerTime is how long a shutdown waits, once no request is pending, for clients that are slow
-	// to send or to read.
+	// lingerTime is how long a shutdown waits, once the core has no work left, for clients that send or
+	// read slowly.
 	lingerTime = 5 * time.Second
 )
 
-// Shutdown begins a graceful shutdown, at whose end Run returns. It may be called from any
-// goroutine, and more than once.
+// Shutdown begins a graceful shutdown; Run returns when it is complete. Shutdown may be called from
+// any goroutine, and more than once.
 func (b *Balancer) Shutdown() {
 	b.loop.Post(func() {
 		slog.Info("shutdown started", "pending", b.core.PendingRequests(), "clients", b.downstream.ConnectionCount())
@@ -28,15 +28,15 @@
 	})
 }
 
-// requestExit notes that the core has nothing left to do.
+// requestExit records when the core first had no work left.
 func (b *Balancer) requestExit() {
 	if b.exitRequested == 0 {
 		b.exitRequested = b.now()
 	}
 }
 
-// exitWhenDrained ends Run once the core is done and the sockets are, too: a response that is still
-// in a buffer, or a request of which a part has come, would be lost.
+// exitWhenDrained ends Run once the core has no work left and all client connections are closed, or
+// after lingerTime. Ending earlier would lose responses in a buffer and partially received requests.
 func (b *Balancer) exitWhenDrained() {
 	now := b.now()
 	if b.exitRequested == 0 || b.core.PendingRequests() > 0 || now-b.exitRequested < settleTime {
--- a/internal/serve/runtime/sibling_processes.go
+++ b/internal/serve/runtime/sibling_processes.go
@@ -11,27 +11,28 @@
 const (
 	// siblingPollInterval is the time between two reads of the sibling processes' records.
 	siblingPollInterval = 25 * time.Millisecond
-	// recordInterval is how old this process's own record may grow: the module's estimates and the
-	// endpoint list, which it holds, change all the time.
+	// recordInterval is the age at which this process's record is written again, because the estimates
+	// and the endpoint list in it change all the time.
 	recordInterval = time.Second
 )
 
-// siblingProcesses is this process among others of the same balancer, which share a listening socket
-// during a handover and exchange records in a directory. Without a directory there are no others.
+// siblingProcesses holds the states of this process and its siblings: the other processes of the same
+// balancer, which share a listening socket during a handover and exchange records in a directory.
+// Without a directory there are no siblings.
 //
-// It knows the directory and the states of the processes, and nothing of the Balancer, which owns it,
-// asks it what follows from these states, and acts on that; see handover.go.
+// It does not depend on the Balancer. The Balancer owns it, asks it what follows from the states and
+// acts on the answers; see handover.go.
 type siblingProcesses struct {
-	directory     *handover.Directory // nil: there is none
+	directory     *handover.Directory // nil: none is configured
 	self          handover.ProcessState
-	others        []handover.ProcessState // that are alive and whose records could be read
-	alone         bool                    // no other process is alive
-	polled        time.Duration           // when the others' records were last read
-	recordWritten time.Duration           // when the own record was last written
+	others        []handover.ProcessState // live siblings whose records could be read
+	alone         bool                    // no sibling is alive
+	polled        time.Duration           // when the siblings' records were last read
+	recordWritten time.Duration           // when this process's record was last written
 }
 
-// enterSiblings makes this process known to its siblings in a directory, "" for none, and returns
-// their records as well.
+// enterSiblings announces this process to its siblings in stateDir and also returns their records. If
+// stateDir is "", there are no siblings.
 func enterSiblings(stateDir, balancerName string) (siblingProcesses, []handover.Peer, error) {
 	siblings := siblingProcesses{
 		self:  handover.ProcessState{Epoch: 1, PID: os.Getpid(), Phase: handover.Starting},
@@ -52,7 +53,7 @@
 	return siblings, peers, nil
 }
 
-// read returns the records of the other processes.
+// read returns the siblings' records. If the directory cannot be read, it logs that and returns none.
 func (s *siblingProcesses) read() []handover.Peer {
 	peers, err := s.directory.Peers()
 	if err != nil {
@@ -61,7 +62,7 @@
 	return peers
 }
 
-// poll reads the others' records if it is time to. due reports whether they were read.
+// poll reads the siblings' records if siblingPollInterval has passed. due reports whether it has.
 func (s *siblingProcesses) poll(now time.Duration) (peers []handover.Peer, due bool) {
 	if s.directory == nil || now-s.polled < siblingPollInterval {
 		return nil, false
@@ -70,7 +71,7 @@
 	return s.read(), true
 }
 
-// update notes which processes are alive, and their states.
+// update stores which siblings are alive, and their states.
 func (s *siblingProcesses) update(peers []handover.Peer) {
 	s.others = s.others[:0]
 	alone := true
@@ -90,7 +91,7 @@
 	}
 }
 
-// advance notes a new phase of this process, and reports whether it is one. None follows a shutdown.
+// advance sets the phase of this process and reports whether it changed. ShuttingDown is final.
 func (s *siblingProcesses) advance(to handover.Phase) bool {
 	if s.self.Phase == to || s.self.Phase == handover.ShuttingDown {
 		return false
@@ -100,18 +101,18 @@
 	return true
 }
 
-// accepts reports whether this process is the one that accepts clients.
+// accepts reports whether this process, rather than a sibling, should accept clients.
 func (s *siblingProcesses) accepts() bool { return s.self.Accepts(s.others) }
 
-// hasSuccessor reports whether another process can serve in this one's place.
+// hasSuccessor reports whether a sibling can serve in place of this process.
 func (s *siblingProcesses) hasSuccessor() bool { return s.self.HasSuccessor(s.others) }
 
-// recordDue reports whether this process's record is old enough to be written again.
+// recordDue reports whether this process's record is recordInterval old and must be written again.
 func (s *siblingProcesses) recordDue(now time.Duration) bool {
 	return s.directory != nil && now-s.recordWritten >= recordInterval
 }
 
-// write writes this process's record for its siblings and successors. There must be a directory.
+// write publishes this process's record to siblings and successors. It requires a directory.
 func (s *siblingProcesses) write(record handover.Record) {
 	s.recordWritten = record.WrittenAt
 	if err := s.directory.Write(record); err != nil {
@@ -119,7 +120,7 @@
 	}
 }
 
-// leave lets the others know that this process has ended.
+// leave releases the lock by which the siblings see that this process is alive.
 func (s *siblingProcesses) leave() {
 	if s.directory != nil {
 		s.directory.Leave()
--- a/internal/serve/runtime/totals.go
+++ b/internal/serve/runtime/totals.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// logTotals logs what was counted since the start, under an event's name.
+// logTotals logs the counts since the start of the process. event is the log message.
 func (b *Balancer) logTotals(event string) {
 	counts := b.core.Counts
 	slog.Info(
--- a/internal/serve/runtime/trace_recorder.go
+++ b/internal/serve/runtime/trace_recorder.go
@@ -10,15 +10,15 @@
 	"piernotch/internal/trafficrecording"
 )
 
-// traceRecorder writes clients' requests and their outcomes to a trace. It holds a record for each
-// pending request, and never waits for the disk.
+// traceRecorder writes clients' requests and their outcomes to a trace. It keeps the record of each
+// pending request in memory and never blocks on the disk.
 type traceRecorder struct {
 	out       *trafficrecording.Writer
 	startedAt time.Duration // on the balancer's clock
 	pending   map[core.ExchangeID]trafficrecording.Record
 }
 
-// newTraceRecorder creates the trace file. It returns nil if the configuration names none.
+// newTraceRecorder creates the trace file. It returns nil if none is configured.
 func newTraceRecorder(cfg *config.Config, now time.Duration) (*traceRecorder, error) {
 	if cfg.Trace.File == "" {
 		return nil, nil
@@ -37,7 +37,8 @@
 	return &traceRecorder{out: out, startedAt: now, pending: map[core.ExchangeID]trafficrecording.Record{}}, nil
 }
 
-// eventReceived notes a request, or that its client has disconnected. Other events are ignored.
+// eventReceived starts the record of a received request, and completes it if the client disconnects.
+// Other events are ignored.
 func (r *traceRecorder) eventReceived(now time.Duration, event core.Event) {
 	switch event := event.(type) {
 	case core.RequestReceived:
@@ -56,7 +57,7 @@
 	}
 }
 
-// responseSent notes a final response.
+// responseSent completes the record of a request with the result of its final response.
 func (r *traceRecorder) responseSent(now time.Duration, response core.Respond) {
 	switch response.Result {
 	case core.Served:
@@ -65,12 +66,12 @@
 		r.complete(now, response.Exchange, trafficrecording.Rejected)
 	case core.Failed:
 		r.complete(now, response.Exchange, trafficrecording.Failed)
-	default: // the request was not valid and never accepted
+	default: // the request was invalid and never accepted
 		delete(r.pending, response.Exchange)
 	}
 }
 
-// complete writes the record of a request, if it is pending.
+// complete writes the record of a request to the trace, if the request is pending.
 func (r *traceRecorder) complete(now time.Duration, exchange core.ExchangeID, outcome trafficrecording.Outcome) {
 	record, pending := r.pending[exchange]
 	if !pending {
@@ -82,7 +83,7 @@
 	r.out.Add(record)
 }
 
-// close completes the file. Requests that are pending are not written.
+// close completes the file and logs how many records were dropped. Pending requests are not written.
 func (r *traceRecorder) close() {
 	if err := r.out.Close(); err != nil {
 		slog.Error("trace recording failed", "err", err)
