--- a/internal/serve/runtime/admin_test.go
+++ b/internal/serve/runtime/admin_test.go
@@ -14,7 +14,7 @@
 	"piernotch/internal/serve/config"
 )
 
-// adminCall makes one call at the admin address and returns the status code.
+// adminCall sends one request to the admin address and returns the status code.
 func adminCall(t *testing.T, balancer *Balancer, method, path, body string) int {
 	t.Helper()
 	head, _ := exchange(
@@ -29,7 +29,7 @@
 	return status
 }
 
-// exchange sends raw bytes on a connection of their own and reads one response.
+// exchange sends raw bytes on a new connection and reads one response.
 func exchange(t *testing.T, address, text string) (head, body string) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -40,10 +40,10 @@
 	return readMessage(bufio.NewReader(c))
 }
 
-// withAdminAddress gives a balancer an admin address.
+// withAdminAddress configures an admin address on a free port.
 func withAdminAddress(cfg *config.Config) { cfg.AdminAddress = "127.0.0.1:0" }
 
-// Valid calls take effect, calls that are not valid get a status that says why, and repeats do no harm.
+// Valid calls take effect, repeated ones included. Invalid calls get a status that tells the reason.
 func TestAdminCallsReturnStatusAndTakeEffect(t *testing.T) {
 	a, b := startNamedServer(t, "a"), startNamedServer(t, "b")
 	balancer, _ := startBalancerWith(t, withAdminAddress, startIdleDiscovery(t), a, b)
@@ -90,7 +90,7 @@
 	}, testTimeout, 10*time.Millisecond)
 }
 
-// Callers that hold their connections without a complete call keep no other call from being served.
+// Connections that never send a complete call must not keep other calls from being served.
 func TestIncompleteAdminCallsDoNotBlockOthers(t *testing.T) {
 	balancer, _ := startBalancerWith(t, withAdminAddress, startIdleDiscovery(t), startNamedServer(t, "a"))
 	for range 3 * 16 {
@@ -105,7 +105,8 @@
 	require.Equal(t, "a", body)
 }
 
-// Clients are drained, while the process stays ready, and accepted again.
+// Evacuate moves clients away: it closes their connections and fails their health checks, but leaves the
+// process ready. Rejoin ends this.
 func TestEvacuateDrainsClientsUntilRejoin(t *testing.T) {
 	balancer, _ := startBalancerWith(t, withAdminAddress, startIdleDiscovery(t), startNamedServer(t, "a"))
 	busy, idle := connect(t, balancer), connect(t, balancer)
--- a/internal/serve/runtime/blocked_peer_test.go
+++ b/internal/serve/runtime/blocked_peer_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startBlockedPeer starts a server to which no connection comes up until unblock is called: its accept
-// queue is full before.
+// startBlockedPeer starts a server whose accept queue is full, so that no connection to it is
+// established until unblock is called.
 func startBlockedPeer(t *testing.T, script func(net.Conn, *bufio.Reader)) (address string, unblock func()) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -54,7 +54,7 @@
 	return address, unblock
 }
 
-// descriptorConn is as much of a connection as a script needs, on a bare descriptor.
+// descriptorConn provides the part of net.Conn that scripts use, on a bare file descriptor.
 type descriptorConn struct {
 	net.Conn
 	fd int
--- a/internal/serve/runtime/client_disconnect_test.go
+++ b/internal/serve/runtime/client_disconnect_test.go
@@ -16,8 +16,8 @@
 	"piernotch/internal/serve/config"
 )
 
-// A client leaves while the connection for its request is being dialed: the request is never
-// forwarded, also where the settings let no attempt be canceled.
+// A client disconnects while the connection for its request is being dialed. The request must not be
+// forwarded, even if the settings do not allow attempts to be canceled.
 func TestClientDisconnectDuringDialIsNotForwarded(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancel ", cancel), func(t *testing.T) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// A client leaves while its request is queued: it is never forwarded, also where capacity came and the
-// client left during a stall.
+// A client disconnects while its request is queued. The request must not be forwarded, even if a server
+// becomes free and the client disconnects during the same stall.
 func TestClientDisconnectWhileQueuedIsNotForwarded(t *testing.T) {
 	for _, stalled := range []bool{false, true} {
 		t.Run(fmt.Sprint("stalled ", stalled), func(t *testing.T) {
@@ -58,7 +58,7 @@
 				}
 			}))
 			var busy []*client
-			for i := range 2 { // the most that a server gets of this balancer
+			for i := range 2 { // as many as this balancer sends to a server at a time
 				c := connect(t, balancer)
 				c.send(fmt.Sprintf("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: busy-%d\r\n\r\n", i))
 				busy = append(busy, c)
@@ -95,12 +95,12 @@
 	}
 }
 
-// A client leaves before its request was read: it is never forwarded.
+// A client disconnects before its request is read. The request must not be forwarded.
 func TestClientDisconnectBeforeRequestIsReadIsNotForwarded(t *testing.T) {
 	var forwarded requestLog
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
 	c := connect(t, balancer)
-	for i := range 2 { // there is a connection to the server, which a request would be written to at once
+	for i := range 2 { // opens a connection to the server, so that a request would be written at once
 		_, body := c.request("POST", "/append", fmt.Sprint(i), "mine")
 		require.Equal(t, "mine", body)
 	}
@@ -114,7 +114,7 @@
 	require.Zero(t, forwarded.count("left"))
 }
 
-// A client that leaves while its response is written affects no other.
+// A client that disconnects while its response is being written must not affect other clients.
 func TestClientDisconnectDuringResponseAffectsNoOther(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
 		for head, _ := readMessage(r); head != ""; head, _ = readMessage(r) {
@@ -134,7 +134,7 @@
 	}
 }
 
-// Clients that send much at once and leave cause no leak, and no other client waits for them.
+// Clients that pipeline many requests and disconnect must not leak connections or block other clients.
 func TestPipeliningFloodsDoNotBlockOthers(t *testing.T) {
 	var forwarded requestLog
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
@@ -144,7 +144,7 @@
 		go func() {
 			_, _ = io.WriteString(c, flood)
 			if i%2 == 0 {
-				_ = c.Conn.(*net.TCPConn).SetLinger(0) // a reset
+				_ = c.Conn.(*net.TCPConn).SetLinger(0) // Close sends a reset
 			}
 			_ = c.Close()
 		}()
@@ -154,7 +154,7 @@
 	require.Eventually(t, func() bool { return balancer.loop.OpenConnections() < 40 }, testTimeout, 10*time.Millisecond)
 }
 
-// connectionLost reports whether an error is the end of a connection, orderly or not.
+// connectionLost reports whether an error means that the connection ended, in order or by a reset.
 func connectionLost(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
--- a/internal/serve/runtime/client_request_test.go
+++ b/internal/serve/runtime/client_request_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A request is forwarded with its target, ID, idempotency key and body as they came, and only if its route,
-// method and framing are valid.
+// A valid request is forwarded with its target, ID, idempotency key and body unchanged. A request with an
+// invalid route, method or framing is rejected.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
 		for {
@@ -36,8 +36,8 @@
 			"Content-Length: 1\r\n\r\nx",
 	)
 	_, echo = readMessage(c.reader)
-	require.Contains(t, echo, "Idempotency-Key: 52247c10\r\n", "by this servers recognize a retry")
-	_, echo = c.request("GET", "/read?k=1", "id-1", "") // an ID may come again
+	require.Contains(t, echo, "Idempotency-Key: 52247c10\r\n", "servers recognize a retry by it")
+	_, echo = c.request("GET", "/read?k=1", "id-1", "") // an ID may be used again
 	require.NotContains(t, echo, "Idempotency-Key")
 	require.Contains(t, echo, "GET /read?k=1 HTTP/1.1\r\n")
 	for target, want := range map[string]string{
@@ -54,11 +54,11 @@
 	head, _ = readMessage(c.reader)
 	require.Contains(t, head, "400 Bad Request")
 	_, err := c.reader.ReadByte()
-	require.ErrorIs(t, err, io.EOF, "the connection is of no further use")
+	require.ErrorIs(t, err, io.EOF, "the connection is closed after an error")
 }
 
-// What a server could not use, or could read in another way than this program, gets an error here and is not
-// forwarded.
+// A request that servers cannot use, or could parse differently from the balancer (request smuggling), is
+// rejected and not forwarded.
 func TestMalformedRequestsAreRejected(t *testing.T) {
 	forwarded := make(chan string, 64)
 	release := make(chan struct{})
@@ -108,8 +108,8 @@
 	require.Empty(t, forwarded)
 }
 
-// A client that still sends a body that is too large must be able to, or its kernel may discard the response
-// away.
+// A client must be able to go on sending a body that is too large. Otherwise its connection is reset, and its
+// kernel may discard the response.
 func TestBodyTooLargeIsRejected(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t))
 	c := connect(t, balancer)
@@ -123,8 +123,8 @@
 	}
 }
 
-// A body that is too large is rejected before it has come, and the response arrives though more keeps
-// coming.
+// A body that is too large is rejected before all of it has arrived, and the response reaches the client
+// although the client keeps sending.
 func TestBodyTooLargeResponseArrivesDuringUpload(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(net.Conn, *bufio.Reader) {}))
 	c := connect(t, balancer)
@@ -138,8 +138,8 @@
 	require.Contains(t, string(all), " 413 ")
 }
 
-// A request that comes byte by byte is served. One that never comes to its end gets a 408, and no server
-// receives it.
+// A request that arrives byte by byte is served. A request that is never completed gets a 408 and is not
+// forwarded.
 func TestSlowClientIsServedUntilReadTimeout(t *testing.T) {
 	var forwarded requestLog
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
@@ -159,12 +159,12 @@
 	require.Zero(t, forwarded.count("half"))
 }
 
-// Bytes that come after the last request of a connection must not destroy its response: a close over
-// unread bytes is a reset, and what the client has not received by then is lost. The client reads little
-// at a time, so most of the response is still here when they come.
+// Bytes that arrive after the last request of a connection must not destroy its response: closing a socket
+// with unread bytes sends a reset, and the client loses what it has not received yet. The client's receive
+// buffer is small, so most of the response is still on the balancer's side when the bytes arrive.
 func TestDataAfterLastRequestDoesNotResetResponse(t *testing.T) {
 	body := strings.Repeat("a", 60<<10)
-	for _, size := range []int{24 << 10, 60 << 10} { // the kernel holds all of it, or the program some
+	for _, size := range []int{24 << 10, 60 << 10} { // the response is all in the kernel, or partly in the program
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
 			balancer, _ := startBalancer(
@@ -184,8 +184,8 @@
 	}
 }
 
-// connectWithSmallBuffer opens a connection whose kernel takes in next to nothing that the client has
-// not read.
+// connectWithSmallBuffer opens a connection with a small receive buffer: the client's kernel accepts
+// little more than the client has read.
 func connectWithSmallBuffer(t *testing.T, balancer *Balancer) *client {
 	t.Helper()
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
--- a/internal/serve/runtime/handover_test.go
+++ b/internal/serve/runtime/handover_test.go
@@ -13,7 +13,7 @@
 	"piernotch/internal/serve/config"
 )
 
-// siblingPair starts processes of one balancer on a listening socket that all of them hold.
+// siblingPair configures processes of one balancer that share a listening socket and a state directory.
 type siblingPair struct {
 	t          *testing.T
 	listenerFD int
@@ -21,7 +21,7 @@
 	configure  func(*config.Config)
 }
 
-// newSiblingPair opens the socket.
+// newSiblingPair opens the listening socket on a free port.
 func newSiblingPair(t *testing.T) *siblingPair {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,7 +33,7 @@
 	p := &siblingPair{t: t, stateDir: t.TempDir(), listenerFD: int(f.Fd())}
 	p.configure = func(cfg *config.Config) {
 		withAdminAddress(cfg)
-		fd, err := syscall.Dup(p.listenerFD) // each process has its own
+		fd, err := syscall.Dup(p.listenerFD) // each process owns its descriptor
 		require.NoError(t, err)
 		cfg.ListenFD = fd
 		cfg.StateDir = p.stateDir
@@ -41,8 +41,8 @@
 	return p
 }
 
-// A new process takes over the endpoint list and the operator overrides of the one that runs, accepts in its
-// place, and both serve as one balancer until the old one has shut down.
+// A new process takes over the endpoint list and the operator overrides of the running one and accepts
+// clients in its place. Both serve as one balancer until the old one has shut down.
 func TestSuccessorTakesOverEndpointsAndOverrides(t *testing.T) {
 	p := newSiblingPair(t)
 	a, b := startNamedServer(t, "a"), startNamedServer(t, "b")
@@ -50,7 +50,7 @@
 	existing := connect(t, old)
 	require.Equal(t, 200, adminCall(t, old, "POST", "/api/exclude", fmt.Sprintf(`{"name":"s-%s"}`, a)))
 
-	// Its own list is empty: it takes over the other's.
+	// The configured list is empty: the new process can serve only with the list of the old one.
 	next, _ := startBalancerWith(t, p.configure, startIdleDiscovery(t))
 	require.Equal(t, 200, adminCall(t, next, "GET", "/api/ready", ""))
 	require.Eventually(
@@ -63,9 +63,9 @@
 		_, body := existing.request("GET", "/read", fmt.Sprint("h", i), "")
 		require.Equal(t, "b", body, "the old process serves on its connections")
 		_, body = connect(t, next).request("GET", "/read", fmt.Sprint("n", i), "")
-		require.Equal(t, "b", body, "the exclusion was taken over")
+		require.Equal(t, "b", body, "the new process has taken over the exclusion")
 	}
-	// An override at either process reaches the other.
+	// An override given to one process reaches the other.
 	require.Equal(t, 200, adminCall(t, next, "POST", "/api/include", fmt.Sprintf(`{"name":"s-%s"}`, a)))
 	require.Equal(t, 200, adminCall(t, next, "POST", "/api/exclude", fmt.Sprintf(`{"name":"s-%s"}`, b)))
 	require.Eventually(t, func() bool {
@@ -82,7 +82,7 @@
 	require.Equal(t, "a", body)
 }
 
-// The new process dies after it was ready: the old one accepts clients again.
+// The new process dies after it became ready. The old one must accept clients again.
 func TestPredecessorAcceptsAgainAfterSuccessorDies(t *testing.T) {
 	p := newSiblingPair(t)
 	old, _ := startBalancerWith(t, p.configure, startIdleDiscovery(t), startNamedServer(t, "a"))
@@ -96,8 +96,8 @@
 	<-nextDone
 	require.Eventually(t, func() bool { return accepting(old, true) }, testTimeout, time.Millisecond)
 	head, _ := connect(t, old).request("GET", "/_health", "1", "")
-	require.Contains(t, head, " 503 ", "it has taken over the drain")
+	require.Contains(t, head, " 503 ", "the old process has taken over the drain")
 }
 
-// accepting reports whether a balancer accepts clients as wanted.
+// accepting reports whether the state of a balancer's listener, accepting or not, equals want.
 func accepting(balancer *Balancer, want bool) bool { return balancer.listener.Accepting() == want }
--- a/internal/serve/runtime/health_check_test.go
+++ b/internal/serve/runtime/health_check_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A server that does not respond is ejected, and a health check without a response gives its connection
-// back.
+// An ejected server does not respond to its health check either. The health check must then close its
+// connection, or the descriptor would be held for good.
 func TestHealthCheckWithoutResponseClosesItsConnection(t *testing.T) {
 	closed := make(chan string, 64)
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
@@ -19,11 +19,11 @@
 		if strings.HasPrefix(head, "POST") {
 			return // a failure, which counts against the server
 		}
-		readMessage(r) // returns when the balancer closes the connection
+		readMessage(r) // blocks until the balancer closes the connection
 		closed <- head
 	}))
 	c := connect(t, balancer)
-	for range 3 { // so many failures eject it
+	for range 3 { // three failures eject the server
 		head, _ := c.request("POST", "/append", "i", "x")
 		require.Contains(t, head, "502")
 	}
--- a/internal/serve/runtime/helpers_test.go
+++ b/internal/serve/runtime/helpers_test.go
@@ -18,17 +18,16 @@
 	"piernotch/internal/serve/discovery"
 )
 
-// testTimeout bounds every wait; no test depends on how long one takes.
+// testTimeout bounds every wait whose length is not itself tested.
 const testTimeout = 20 * time.Second
 
-// startPeer starts a scripted server, which passes each connection to its script, and returns its
-// address.
+// startPeer starts a server that passes each connection to script, and returns its address.
 func startPeer(t *testing.T, script func(c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	return startPeerAt(t, "127.0.0.1:0", script)
 }
 
-// startPeerAt is startPeer at an address.
+// startPeerAt is startPeer with an address to listen on.
 func startPeerAt(t *testing.T, address string, script func(c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", address)
@@ -50,7 +49,8 @@
 	return l.Addr().String()
 }
 
-// readMessage reads one message with a sized body: its head and body as they came, "" at the end.
+// readMessage reads one message and returns its head and body unchanged. The body's length is that of
+// Content-Length, or 0. Both results are "" if the connection ends within the head.
 func readMessage(r *bufio.Reader) (head, body string) {
 	length := 0
 	for {
@@ -68,13 +68,13 @@
 	}
 }
 
-// startIdleDiscovery starts a discovery that responds to no poll.
+// startIdleDiscovery starts a discovery service that never responds to a poll.
 func startIdleDiscovery(t *testing.T) string {
 	t.Helper()
 	return startPeer(t, func(_ net.Conn, r *bufio.Reader) { readMessage(r); readMessage(r) })
 }
 
-// endpointList returns discovery's JSON for servers in one lifecycle.
+// endpointList returns discovery's JSON for servers that all have the given lifecycle.
 func endpointList(generation int, reset bool, lifecycle string, servers ...string) string {
 	var lines []string
 	for _, s := range servers {
@@ -86,13 +86,14 @@
 	return fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`, generation, reset, strings.Join(lines, ","))
 }
 
-// startBalancer runs a balancer in front of the servers until the test ends.
+// startBalancer runs a balancer in front of the servers until the test ends. The channel is closed when
+// Run has returned.
 func startBalancer(t *testing.T, discoveryAddress string, servers ...string) (*Balancer, chan struct{}) {
 	t.Helper()
 	return startBalancerWith(t, func(*config.Config) {}, discoveryAddress, servers...)
 }
 
-// startBalancerWith is startBalancer with a configuration that configure may change.
+// startBalancerWith is startBalancer with a configuration that configure may modify.
 func startBalancerWith(
 	t *testing.T,
 	configure func(*config.Config),
@@ -104,7 +105,7 @@
 	return balancer, run(context.Background(), t, balancer)
 }
 
-// newBalancer returns a balancer that listens, but does not run yet.
+// newBalancer returns a balancer after Start and before Run.
 func newBalancer(
 	t *testing.T,
 	configure func(*config.Config),
@@ -156,7 +157,7 @@
 	return balancer
 }
 
-// run runs a balancer until the context or the test ends, and returns what is closed then.
+// run runs a balancer until the context or the test ends. The channel is closed when Run has returned.
 func run(ctx context.Context, t *testing.T, balancer *Balancer) chan struct{} {
 	t.Helper()
 	ctx, stop := context.WithCancel(ctx)
@@ -166,14 +167,14 @@
 	return done
 }
 
-// client is a connection to the balancer.
+// client is a test client's connection to the balancer.
 type client struct {
 	t *testing.T
 	net.Conn
 	reader *bufio.Reader
 }
 
-// connect opens a connection to the balancer.
+// connect opens a connection to the balancer that is closed when the test ends.
 func connect(t *testing.T, balancer *Balancer) *client {
 	t.Helper()
 	c, err := net.Dial("tcp", balancer.Addr())
@@ -183,13 +184,13 @@
 	return &client{t, c, bufio.NewReader(c)}
 }
 
-// send sends raw bytes.
+// send sends raw bytes, which need not form a complete request.
 func (c *client) send(text string) {
 	_, err := io.WriteString(c, text)
 	require.NoError(c.t, err)
 }
 
-// request sends a request and returns the response.
+// request sends a complete request with an ID and a body, and returns the response.
 func (c *client) request(method, target, id, body string) (head, responseBody string) {
 	c.send(fmt.Sprintf(
 		"%s %s HTTP/1.1\r\nHost: b\r\nX-Request-Id: %s\r\nContent-Length: %d\r\n\r\n%s",
@@ -198,18 +199,18 @@
 	return readMessage(c.reader)
 }
 
-// respond writes a response 200 with a sized body.
+// respond writes a response with status 200 and a Content-Length.
 func respond(c net.Conn, body string) {
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// requestLog counts the requests that servers received, by their IDs.
+// requestLog counts the requests that servers received, by request ID.
 type requestLog struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-// record counts a request.
+// record counts the request with the ID in head.
 func (r *requestLog) record(head string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -226,14 +227,14 @@
 	return id
 }
 
-// count returns how often the request with this ID was received.
+// count returns how often servers received the request with this ID.
 func (r *requestLog) count(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.counts[id]
 }
 
-// serveEcho responds to each request with its body, and counts it.
+// serveEcho is a script for startPeer: it counts each request and responds with the request's body.
 func (r *requestLog) serveEcho(c net.Conn, in *bufio.Reader) {
 	for head, body := readMessage(in); head != ""; head, body = readMessage(in) {
 		r.record(head)
@@ -251,7 +252,7 @@
 	})
 }
 
-// pauseLoop keeps the balancer from handling anything until the returned function is called.
+// pauseLoop blocks the balancer's event loop until resume is called.
 func pauseLoop(balancer *Balancer) (resume func()) {
 	paused, resumed := make(chan struct{}), make(chan struct{})
 	balancer.loop.Post(func() {
--- a/internal/serve/runtime/load_shedding_test.go
+++ b/internal/serve/runtime/load_shedding_test.go
@@ -13,17 +13,17 @@
 	"piernotch/internal/serve/config"
 )
 
-// More clients come than there are descriptors: connections that are idle are closed, and all clients are
+// More clients connect than there are descriptors. Idle connections must be closed so that every client is
 // served.
 func TestIdleClientConnectionsAreShed(t *testing.T) {
-	patient := func(cfg *config.Config) { // a machine that stands still for seconds fails no request of this test
+	longTimeouts := func(cfg *config.Config) { // a test machine that pauses for seconds must not fail requests
 		cfg.DialTimeout = time.Minute
 		for i := range cfg.Settings.Classes {
 			cfg.Settings.Classes[i].LatencyObjective = time.Minute
 			cfg.Settings.Classes[i].Deadline = time.Minute
 		}
 	}
-	balancer, _ := startBalancerWith(t, patient, startIdleDiscovery(t), startNamedServer(t, "served"))
+	balancer, _ := startBalancerWith(t, longTimeouts, startIdleDiscovery(t), startNamedServer(t, "served"))
 	for range 400 {
 		_, body := connect(t, balancer).request("GET", "/read", "i", "")
 		require.Equal(t, "served", body)
@@ -31,8 +31,8 @@
 	}
 }
 
-// Where descriptors are short, connections are closed, but none with a response that its client is slow
-// to read.
+// When descriptors are short, connections are closed, but not one with a response that its client is still
+// reading.
 func TestSlowlyReadResponseIsNotShed(t *testing.T) {
 	body := strings.Repeat("a", 60<<10)
 	balancer, _ := startBalancerWith(t, func(cfg *config.Config) { cfg.MaxDescriptors = 64 }, startIdleDiscovery(t),
@@ -40,7 +40,7 @@
 	c := connectWithSmallBuffer(t, balancer)
 	c.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 1\r\nConnection: close\r\n\r\n")
 	time.Sleep(50 * time.Millisecond)
-	for range 40 { // more than there is room for
+	for range 40 { // more than the descriptor limit allows
 		connect(t, balancer)
 	}
 	time.Sleep(100 * time.Millisecond)
@@ -49,12 +49,13 @@
 	require.True(t, strings.HasSuffix(string(all), "\r\n\r\n"+body), "%d bytes", len(all))
 }
 
-// A connection that could be closed for its descriptor has just received a request, which was not read yet.
+// Descriptors are short, and an idle connection has just received a request that is not read yet. The
+// connection must not be closed.
 func TestConnectionWithUnreadRequestIsNotShed(t *testing.T) {
 	var forwarded requestLog
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
 	c := connect(t, balancer)
-	time.Sleep(100 * time.Millisecond) // it could be closed by now
+	time.Sleep(100 * time.Millisecond) // by now it has been idle long enough to be closed
 	resume := pauseLoop(balancer)
 	balancer.loop.Post(balancer.downstream.Shed)
 	c.send("POST /append HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\nContent-Length: 4\r\n\r\nmine")
@@ -64,7 +65,8 @@
 	require.Equal(t, "mine", body)
 }
 
-// Some clients send one request and keep their connection: those must not hold for good what others need.
+// Some clients send one request and leave the connection open. It is closed after a time, or it would hold
+// a descriptor that other clients need.
 func TestIdleClientConnectionIsClosed(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startNamedServer(t, "served"))
 	c := connect(t, balancer)
--- a/internal/serve/runtime/retry_test.go
+++ b/internal/serve/runtime/retry_test.go
@@ -15,7 +15,8 @@
 	"piernotch/internal/serve/config"
 )
 
-// A retry waits for its connection: within the deduplication window it is written, after it not.
+// A retry waits until its connection is established. It is written if that happens within the deduplication
+// window, and not written afterwards.
 func TestRetryWaitsForDialWithinDedupWindow(t *testing.T) {
 	for _, test := range []struct {
 		window     time.Duration
@@ -24,7 +25,7 @@
 		t.Run(test.window.String(), func(t *testing.T) {
 			t.Parallel()
 			var forwarded requestLog
-			resetServer := func(c net.Conn, r *bufio.Reader) { // the request is read, and may have been executed
+			resetServer := func(c net.Conn, r *bufio.Reader) { // reads the request, which may then have been executed
 				head, _ := readMessage(r)
 				for head != "" && !strings.Contains(head, "X-Request-Id: again") {
 					respond(c, "warm")
@@ -38,7 +39,7 @@
 				class.RetrySafety = piernotch.IdempotencyKey
 				class.DedupWindow = test.window
 				class.LatencyObjective = 4 * time.Second
-				// The second server is in another zone: all goes to the first until that one fails.
+				// The second server is in another zone, so all requests go to the first until it fails.
 				cfg.Settings.Zones = []string{"a", "b"}
 				cfg.KnownEndpoints.Endpoints[1].Endpoint.Zone = 1
 			}, startIdleDiscovery(t), startPeer(t, resetServer), server)
@@ -49,7 +50,7 @@
 			}
 			c.send("POST /append HTTP/1.1\r\nHost: b\r\nX-Request-Id: again\r\nContent-Length: 4\r\n\r\nmine")
 			time.Sleep(100 * time.Millisecond)
-			unblock() // the kernel repeats the connect a second after the first one
+			unblock() // the kernel sends the next SYN one second after the first
 			head, _ := readMessage(c.reader)
 			require.Equal(t, test.executions, forwarded.count("again"), head)
 			require.Equal(t, test.executions == 1, strings.Contains(head, " 200 "), head)
@@ -57,8 +58,8 @@
 	}
 }
 
-// A connection is reset long after its request was sent: the request may have been executed, and the retry
-// safety of its class decides.
+// A connection is reset long after its request was sent. The request may have been executed, so the retry
+// safety of its class decides whether it is retried.
 func TestLateResetFollowsRetrySafety(t *testing.T) {
 	for name, test := range map[string]struct {
 		safety     piernotch.RetrySafety
@@ -68,7 +69,7 @@
 	}{
 		"idempotent":      {piernotch.Idempotent, 0, " 200 ", 2},
 		"idempotency key": {piernotch.IdempotencyKey, 2 * time.Second, " 200 ", 2},
-		// A retry by the client does no harm.
+		// Rejected instead of failed, because a retry by the client does no harm.
 		"idempotency key, window is over": {piernotch.IdempotencyKey, 300 * time.Millisecond, " 503 ", 1},
 		"not idempotent":                  {piernotch.NonIdempotent, 0, " 502 ", 1},
 	} {
@@ -105,7 +106,7 @@
 			if test.safety == piernotch.Idempotent {
 				method, target = "GET", "/look"
 			}
-			for i := range 20 { // the retry budget grows with requests, and latencies become known
+			for i := range 20 { // the retry budget grows with requests, and the balancer learns the latency
 				_, _ = c.request("GET", "/read", fmt.Sprint("warm-", i), "")
 			}
 			head, _ := c.request(method, target, "long", "")
@@ -115,8 +116,8 @@
 	}
 }
 
-// What may have been executed is neither retried nor reported as rejected; what a server rejected unread
-// is reported as rejected.
+// A request that may have been executed is neither retried nor reported as rejected. A request that a server
+// rejected without executing it is reported as rejected.
 func TestPossiblyExecutedRequestIsNotRetried(t *testing.T) {
 	attempts := make(chan string, 16)
 	script := func(c net.Conn, r *bufio.Reader) {
@@ -138,10 +139,11 @@
 	require.Contains(t, head, "503 Service Unavailable")
 }
 
-// A server stops in the middle of its response, in every way. The request may have been executed: it is
-// retried where that is safe, fails where it is not, and gets its response in time.
+// A server stops in the middle of its response: it falls silent, closes or resets the connection, or never
+// ends the body. The request may have been executed, so it is retried if that is safe and fails otherwise. In
+// each case the client gets a response in time.
 func TestTruncatedServerResponseIsRetriedOnlyIfSafe(t *testing.T) {
-	dribble := func(c net.Conn, _ *bufio.Reader) {
+	endlessBody := func(c net.Conn, _ *bufio.Reader) {
 		for _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"); err == nil; _, err = io.WriteString(c, "a") {
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -154,7 +156,7 @@
 			time.Sleep(5 * time.Millisecond)
 			_ = c.(*net.TCPConn).SetLinger(0)
 		},
-		"no end": dribble,
+		"no end": endlessBody,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/serve/runtime/server_response_test.go
+++ b/internal/serve/runtime/server_response_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A response whose length is given by chunks or by the end of the connection is forwarded.
+// A response that is chunked or ends with its connection is forwarded with its complete body.
 func TestResponsesInEveryFramingAreForwarded(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
 		if head, _ := readMessage(r); strings.Contains(head, "chunked") {
@@ -32,8 +32,8 @@
 	}
 }
 
-// Where the end of the connection gives the length of a response, a connection that breaks gives none: what
-// came of the response is not forwarded as a complete one.
+// A response without a length ends with its connection, but only if the connection is closed in order. After a
+// reset the response is truncated and must not be forwarded as complete.
 func TestResponseCutByResetIsNotComplete(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
 		head, _ := readMessage(r)
@@ -41,7 +41,7 @@
 		if strings.Contains(head, "later") {
 			time.Sleep(20 * time.Millisecond) // the first part has been read by then
 		}
-		_ = c.(*net.TCPConn).SetLinger(0) // its close is a reset
+		_ = c.(*net.TCPConn).SetLinger(0) // Close sends a reset
 	}))
 	c := connect(t, balancer)
 	for _, id := range []string{"at-once", "later"} {
@@ -50,8 +50,8 @@
 	}
 }
 
-// An attempt that timed out takes its connection along: its late response must not be read as that of the
-// next request.
+// An attempt that times out closes its connection. Otherwise its late response would be read as the response
+// to the next request.
 func TestTimedOutAttemptClosesItsConnection(t *testing.T) {
 	ended := make(chan error, 8)
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
@@ -61,7 +61,7 @@
 				return
 			}
 			if strings.Contains(head, "slow") {
-				_, err := r.ReadByte() // until the balancer closes the connection
+				_, err := r.ReadByte() // blocks until the balancer closes the connection
 				ended <- err
 				return
 			}
@@ -76,9 +76,9 @@
 	require.Equal(t, "mine", body)
 }
 
-// A malformed response may come from any server: its request was executed and is not retried if that is not
-// safe, its connection is of no use, and the server stays in. What follows a good response does not belong
-// to the next request.
+// Any server may send a malformed response. Its request counts as executed and is retried only if that is
+// safe, its connection is not reused, and the server is not ejected. Data after a valid response must not be read
+// as the response to the next request.
 func TestMalformedResponsesAreNotForwarded(t *testing.T) {
 	good, garbage := "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine", "\x00\xffHTTP\r\n\r\n"
 	bad := "HTTP/1.1 200 OK\r\n"
@@ -121,8 +121,8 @@
 	}
 }
 
-// The duplicate may come when the connection has been given to the next request already: a connection is
-// idle for a moment before it is used again.
+// The duplicate of a response could be read as the response to the next request on the connection. A
+// connection therefore stays idle for a moment before it is reused.
 func TestDuplicateResponseIsNotUsedForNextRequest(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
 		for head, body := readMessage(r); head != ""; head, body = readMessage(r) {
@@ -138,7 +138,8 @@
 	}
 }
 
-// What comes on an idle connection from a server belongs to no request: not to the next one there either.
+// Data that arrives on an idle server connection belongs to no request. It must not be read as the response
+// to the next request on that connection.
 func TestUnsolicitedDataOnIdleServerConnectionIsDiscarded(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
 		for head, body := readMessage(r); head != ""; head, body = readMessage(r) {
--- a/internal/serve/runtime/settings_reload_test.go
+++ b/internal/serve/runtime/settings_reload_test.go
@@ -12,7 +12,7 @@
 	"piernotch"
 )
 
-// New settings are in use at once, and pending requests keep the class that they came with.
+// New settings take effect at once, and pending requests keep the class under which they were received.
 func TestReloadKeepsClassOfPendingRequests(t *testing.T) {
 	arrived, release := make(chan struct{}, 8), make(chan struct{})
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
@@ -52,7 +52,7 @@
 
 	bad := cfg
 	bad.Settings.Zones = []string{"a", "b"}
-	balancer.Reload(bad) // it is not valid: nothing of it is applied
+	balancer.Reload(bad) // invalid: no part of it is applied
 	head, _ = c.request("POST", "/extra", "4", "")
 	require.Contains(t, head, " 200 ")
 }
--- a/internal/serve/runtime/shared_watch_test.go
+++ b/internal/serve/runtime/shared_watch_test.go
@@ -16,7 +16,7 @@
 	"piernotch/internal/serve/discovery"
 )
 
-// fakeSharedWatch is a group whose decisions the test makes.
+// fakeSharedWatch is a group of balancers in which the test decides who polls.
 type fakeSharedWatch struct {
 	mu        sync.Mutex
 	poll      bool
@@ -44,15 +44,15 @@
 	w.requested = append(w.requested, version)
 }
 
-// calls returns what was published, and the versions after which an update was requested.
+// calls returns the published events, and the versions after which an update was requested.
 func (w *fakeSharedWatch) calls() (published []controlgroup.WatchEvent, requested []uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.published, w.requested
 }
 
-// Where another balancer polls discovery, its lists are taken, the newer ones alone, and discovery is not
-// polled; it is as soon as no other balancer does.
+// While another balancer polls discovery, this one applies the lists that the other publishes, if they are
+// newer than its own, and does not poll. It polls as soon as no other balancer does.
 func TestSharedWatchReplacesPolling(t *testing.T) {
 	polled := make(chan string, 16)
 	a, b := startNamedServer(t, "a"), startNamedServer(t, "b")
@@ -60,7 +60,7 @@
 		for head, _ := readMessage(r); head != ""; head, _ = readMessage(r) {
 			polled <- head
 			respond(c, endpointList(4, true, "in_service", a))
-			readMessage(r) // the next call waits
+			readMessage(r) // the next poll gets no response
 		}
 	})
 	cfg := config.Config{
@@ -116,7 +116,7 @@
 	}
 	publish(0, 2, endpointList(2, true, "in_service", b))
 	serves("b")
-	publish(0, 1, endpointList(1, true, "in_service", a)) // from a lease holder that was stalled
+	publish(0, 1, endpointList(1, true, "in_service", a)) // outdated: from a lease holder that was stalled
 	publish(4, 5, endpointList(5, false, "in_service", a))
 	require.Eventually(t, func() bool {
 		_, requested := w.calls()
--- a/internal/serve/runtime/shutdown_race_test.go
+++ b/internal/serve/runtime/shutdown_race_test.go
@@ -15,8 +15,8 @@
 	"piernotch/internal/serve/core"
 )
 
-// During a shutdown clients come for some time yet: they are served with "Connection: close", and no request
-// that was accepted is dropped.
+// Clients still connect for some time after a shutdown has begun. They are served with "Connection: close",
+// and no accepted request is dropped.
 func TestShutdownCompletesPendingRequests(t *testing.T) {
 	arrived, release := make(chan struct{}, 8), make(chan struct{})
 	balancer, done := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
@@ -30,7 +30,7 @@
 	early.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 1\r\n\r\n")
 	<-arrived
 	late := connect(t, balancer)
-	late.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\n") // the rest comes after the shutdown began
+	late.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\n") // the rest follows after the shutdown has begun
 	balancer.Shutdown()
 	head, _ := connect(t, balancer).request("GET", "/_health", "", "")
 	require.Contains(t, head, "503")
@@ -48,7 +48,7 @@
 		require.Contains(t, head, "Connection: close")
 		require.Equal(t, "served", body)
 		if c == early {
-			time.Sleep(200 * time.Millisecond) // no request is pending by now, but half of one is here
+			time.Sleep(200 * time.Millisecond) // by now no request is pending, but one is partly received
 			late.send("\r\n")
 		}
 	}
@@ -59,8 +59,8 @@
 	}
 }
 
-// A request that comes as its idle connection is closed is not read: no server receives it, and its client
-// sees an orderly end, not a reset. Two things close it: the idle time-out and a shutdown.
+// A request that arrives while its idle connection is being closed is not read: no server receives it, and
+// its client sees an orderly end, not a reset. Both the idle timeout and a shutdown close idle connections.
 func TestRequestOnClosingIdleConnectionIsNotForwarded(t *testing.T) {
 	for _, shutdown := range []bool{false, true} {
 		t.Run(fmt.Sprint("shutdown ", shutdown), func(t *testing.T) {
@@ -88,8 +88,8 @@
 	}
 }
 
-// Clients go on with every open connection through a shutdown and to its end. Each request gets a complete
-// response, or its connection ends and no server ever received it.
+// Clients keep sending on their connections until a shutdown closes them. Each request gets a complete
+// response, or its connection ends and no server has received it.
 func TestShutdownUnderLoadLosesNoForwardedRequest(t *testing.T) {
 	var forwarded requestLog
 	balancer, done := startBalancer(
@@ -136,7 +136,8 @@
 	}
 }
 
-// A connection that came just before listening ends has its request on the way.
+// A client that connects just before the listener stops sends its request a moment later. The request must
+// be served.
 func TestConnectionAcceptedBeforeListenerStopsIsServed(t *testing.T) {
 	var forwarded requestLog
 	balancer, done := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
--- a/internal/serve/runtime/stall_test.go
+++ b/internal/serve/runtime/stall_test.go
@@ -11,8 +11,8 @@
 	"piernotch/internal/serve/eventloop"
 )
 
-// After a stall, a request that waited in a socket is as old as the stall: it would be served after its
-// deadline otherwise.
+// A request that is read right after a stall may have waited in its socket for the whole stall. That time
+// counts against its deadline; otherwise it would be served too late.
 func TestStallCountsAgainstDeadline(t *testing.T) {
 	forwarded := make(chan string, 8)
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
@@ -41,8 +41,8 @@
 	}, testTimeout, 10*time.Millisecond)
 }
 
-// The update that a server drains may come during a stall, behind a request: after the stall it is handled
-// first, or the request would go there long after the update.
+// During a stall, a request arrives and then the update that its server is draining. The update must be
+// handled first, or the request would go to that server long after the update.
 func TestEndpointUpdateIsHandledFirstAfterStall(t *testing.T) {
 	forwarded := make(chan string, 8)
 	update := make(chan string, 1)
@@ -67,7 +67,7 @@
 	<-watching
 	resume := pauseLoop(balancer)
 	c.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\n\r\n")
-	time.Sleep(eventloop.LongStallThreshold) // and the request is in the mailbox
+	time.Sleep(eventloop.LongStallThreshold) // by then the request is in the mailbox
 	update <- endpointList(2, false, "terminating", server)
 	time.Sleep(100 * time.Millisecond)
 	resume()
--- a/internal/serve/runtime/tenant_quota_test.go
+++ b/internal/serve/runtime/tenant_quota_test.go
@@ -12,8 +12,8 @@
 	"piernotch/internal/serve/config"
 )
 
-// What a tenant sends beyond its quota waits behind what others send within theirs, in whatever order they
-// came.
+// Requests beyond a tenant's quota wait behind other tenants' requests within quota, whatever the order of
+// arrival.
 func TestRequestsOverTenantQuotaWaitBehindOthers(t *testing.T) {
 	forwarded, release := make(chan string, 8), make(chan struct{})
 	balancer, _ := startBalancerWith(t, func(cfg *config.Config) {
@@ -31,10 +31,10 @@
 			"GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: " + id + "\r\nX-Tenant: " + tenant + "\r\n\r\n",
 		)
 	}
-	send("north-1", "north") // its quota for two seconds
+	send("north-1", "north") // uses up the quota of two seconds
 	require.Equal(t, "north-1", <-forwarded)
 	send("south-1", "south")
-	require.Equal(t, "south-1", <-forwarded) // as many as a server gets of this balancer
+	require.Equal(t, "south-1", <-forwarded) // as many as this balancer sends to a server at a time
 	send("north-2", "north")
 	time.Sleep(20 * time.Millisecond)
 	send("south-2", "south")
--- a/internal/serve/runtime/trace_recorder_test.go
+++ b/internal/serve/runtime/trace_recorder_test.go
@@ -12,7 +12,7 @@
 	"piernotch/internal/trafficrecording"
 )
 
-// Requests are recorded with their outcomes, and the trace reads back.
+// Requests are recorded with their outcomes, and the trace can be read after the shutdown.
 func TestTraceHoldsRequestsAndOutcomes(t *testing.T) {
 	balancer, done := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
 		for {
--- a/internal/serve/runtime/watch_test.go
+++ b/internal/serve/runtime/watch_test.go
@@ -18,7 +18,7 @@
 	"piernotch/internal/serve/config"
 )
 
-// rejectsRequests returns a condition: the balancer has no server to send a request to.
+// rejectsRequests returns a condition that holds while the balancer has no server for a request.
 func rejectsRequests(t *testing.T, balancer *Balancer) func() bool {
 	t.Helper()
 	return func() bool {
@@ -30,8 +30,8 @@
 	}
 }
 
-// Where lists are pushed, what the agent has counts as known from the start of a process: it is polled at
-// once, though an older list is known, and again at once when it closes the connection.
+// Where lists are pushed, a process is expected to know the agent's list from its start. It must poll the
+// agent at once, even if it knows an older list, and again at once when the agent closes the connection.
 func TestPushedEndpointListIsRequestedImmediately(t *testing.T) {
 	var mu sync.Mutex
 	polls := 0
@@ -63,8 +63,9 @@
 	)
 }
 
-// An open watch falls silent, and a server begins to drain. A missed update counts as known two seconds after
-// the longest wait of the watch: by then, and the grace period, no request is sent there.
+// An open watch falls silent (a half-open connection), and a server begins to drain. A missed update counts
+// as known two seconds after the longest wait of the watch. After that and the grace period, the server must
+// receive no request.
 func TestSilentWatchIsReopened(t *testing.T) {
 	t.Parallel()
 	var forwarded requestLog
@@ -72,7 +73,7 @@
 	var calls atomic.Int32
 	discoveryAddress := startPeer(t, func(c net.Conn, r *bufio.Reader) {
 		for head, _ := readMessage(r); head != ""; head, _ = readMessage(r) {
-			if calls.Add(1) > 1 { // the first one gets no response
+			if calls.Add(1) > 1 { // the first poll gets no response
 				respond(c, endpointList(2, false, "terminating", server))
 				readMessage(r)
 				return
@@ -104,8 +105,8 @@
 	}
 }
 
-// An open watch is reset, and a server begins to drain at once: discovery is polled again within the time in
-// which a balancer without a watch may use the list that it has.
+// An open watch is reset, and a server begins to drain at once. The balancer must poll discovery again within
+// the time for which it may use its list without a watch.
 func TestResetWatchIsReopened(t *testing.T) {
 	t.Parallel()
 	var forwarded requestLog
@@ -131,7 +132,7 @@
 	require.Eventually(t, rejectsRequests(t, balancer), time.Second, 20*time.Millisecond)
 }
 
-// Lists may come with any white space that JSON allows.
+// Endpoint lists may contain any white space that JSON allows.
 func TestIndentedEndpointListIsAccepted(t *testing.T) {
 	var forwarded requestLog
 	server := startPeer(t, forwarded.serveEcho)
@@ -146,7 +147,7 @@
 	require.Eventually(t, rejectsRequests(t, balancer), testTimeout, 20*time.Millisecond)
 }
 
-// Discovery is down, a server begins to drain, and discovery returns: a balancer that could not poll polls
+// Discovery fails, a server begins to drain, and discovery returns. A balancer that could not poll must poll
 // again within the poll interval of the settings.
 func TestReturningDiscoveryIsPolledInTime(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
@@ -164,13 +165,13 @@
 			require.NoError(t, l.Close()) // the open watch is reset, new ones are refused
 			time.Sleep(500 * time.Millisecond)
 			_, body := connect(t, balancer).request("POST", "/append", "1", "mine")
-			require.Equal(t, "mine", body, "the known list serves meanwhile")
+			require.Equal(t, "mine", body, "the balancer keeps using the known list")
 			startPeerAt(t, l.Addr().String(), func(c net.Conn, r *bufio.Reader) {
 				readMessage(r)
 				respond(c, endpointList(2, true, "terminating", server))
 				readMessage(r)
 			})
-			if pushed { // what the agent receives when discovery returns counts at once
+			if pushed { // a list counts as known as soon as the agent has it
 				limit = 400 * time.Millisecond
 			}
 			require.Eventually(t, rejectsRequests(t, balancer), limit, 10*time.Millisecond)
@@ -178,7 +179,8 @@
 	}
 }
 
-// The watch goes on from the last version, survives a failure, and what a full list leaves out is removed.
+// The watch continues from the last version and survives a failure. A complete list removes the servers that
+// it does not contain.
 func TestWatchResumesFromLastVersion(t *testing.T) {
 	first := startPeer(t, func(c net.Conn, r *bufio.Reader) { readMessage(r); respond(c, "first") })
 	second := startPeer(t, func(c net.Conn, r *bufio.Reader) { readMessage(r); respond(c, "second") })
@@ -197,7 +199,7 @@
 				continue
 			}
 			if !strings.Contains(line, "index=1&") {
-				readMessage(r) // holds the watch
+				readMessage(r) // leaves the poll open
 				return
 			}
 			respond(c, <-responses)
@@ -213,8 +215,8 @@
 	require.Equal(t, "second", body)
 }
 
-// A reload moves the watch: the new address is polled for the full list, the known one serves meanwhile, and
-// what the old address still sends is ignored.
+// A reload moves the watch to another address and polls it for the complete list. Until that list arrives, the
+// known one is used. Late responses from the old address are ignored.
 func TestReloadMovesWatchToNewDiscovery(t *testing.T) {
 	serveOnce := func(name string) string {
 		return startPeer(t, func(c net.Conn, r *bufio.Reader) { readMessage(r); respond(c, name) })
