--- a/internal/serve/handover/directory_test.go
+++ b/internal/serve/handover/directory_test.go
@@ -36,7 +36,7 @@
 	require.EqualValues(t, 8, last[0].Generation)
 	require.Empty(t, peersOf(next))
 
-	// A corrupt record, or one of another balancer under a file name of this one, is rejected.
+	// A corrupt record is rejected, and so is another balancer's record under this balancer's file name.
 	foreign, err := Encode(Record{Name: "n2"})
 	require.NoError(t, err)
 	for _, tc := range []struct {
--- a/internal/serve/handover/doc.go
+++ b/internal/serve/handover/doc.go
@@ -7,9 +7,9 @@
 // the process ends, so a record whose lock is free belongs to a process that has ended. [Directory]
 // reads and writes these files.
 //
-// [ProcessState.Accepts] and [ProcessState.DescriptorShare] decide, without I/O, which process
-// accepts clients and how many descriptors each may hold. They depend on the records alone, so all
-// processes reach the same result.
+// [ProcessState.Accepts] decides which process accepts clients, and [ProcessState.DescriptorShare] how
+// many descriptors each may hold. Both work from the records, without I/O, so that all processes
+// reach the same result.
 //
 // The package depends on neither the sockets nor the core. Package internal/serve/runtime calls it
 // on the event loop's goroutine. Different versions of the program read each other's records from
--- a/internal/serve/handover/process.go
+++ b/internal/serve/handover/process.go
@@ -1,6 +1,6 @@
 package handover
 
-// Phase is a stage in the life of a process. Records contain its text.
+// Phase is a stage in the life of a process. Its text is stored in records.
 type Phase string
 
 // Phases, in the order in which a process goes through them.
--- a/internal/serve/handover/record.go
+++ b/internal/serve/handover/record.go
@@ -18,7 +18,7 @@
 	ProcessState
 	Name       string              `json:"name"`       // of the balancer
 	WrittenAt  time.Duration       `json:"at"`         // Unix time
-	Discovery  string              `json:"discovery"`  // address of the service whose list has Generation
+	Discovery  string              `json:"discovery"`  // address of the service that numbered Generation
 	Generation uint64              `json:"generation"` // of the endpoint list
 	Endpoints  []Endpoint          `json:"members"`    // nil: no list is known
 	Overrides  overrides.Overrides `json:"words"`
--- a/internal/serve/runtime/balancer.go
+++ b/internal/serve/runtime/balancer.go
@@ -160,8 +160,8 @@
 	return nil
 }
 
-// Run serves until the context ends or a Shutdown is complete. The calling goroutine owns all state
-// until Run returns.
+// Run serves until the context ends or, after Shutdown, until no request is pending. The calling
+// goroutine owns all state until Run returns.
 func (b *Balancer) Run(ctx context.Context) {
 	ctx, b.exit = context.WithCancel(ctx)
 	defer b.exit()
--- a/internal/serve/runtime/client_disconnect_test.go
+++ b/internal/serve/runtime/client_disconnect_test.go
@@ -154,7 +154,7 @@
 	require.Eventually(t, func() bool { return balancer.loop.OpenConnections() < 40 }, testTimeout, 10*time.Millisecond)
 }
 
-// connectionLost reports whether an error means that the connection ended, in order or by a reset.
+// connectionLost reports whether an error means that the peer has closed or reset the connection.
 func connectionLost(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
--- a/internal/serve/runtime/client_request_test.go
+++ b/internal/serve/runtime/client_request_test.go
@@ -74,7 +74,7 @@
 	require.Contains(t, <-forwarded, "open")
 	get, post := "GET /read HTTP/1.1\r\nHost: b\r\n", "POST /append HTTP/1.1\r\nHost: b\r\n"
 	for text, want := range map[string]string{
-		get + "\r\n": "400", // no id
+		get + "\r\n": "400", // no X-Request-Id
 		get + "X-Request-Id: 1\r\nX-Request-Id: 2\r\n\r\n":                                                "400",
 		get + "X-Request-Id: open\r\n\r\n":                                                                "409",
 		get + "X-Request-Id: 1\r\nX-Deadline-Ms: soon\r\n\r\n":                                            "400",
@@ -108,8 +108,8 @@
 	require.Empty(t, forwarded)
 }
 
-// A client must be able to go on sending a body that is too large. Otherwise its connection is reset, and its
-// kernel may discard the response.
+// A client must be able to go on sending a body that is too large. Otherwise its connection is reset, and the
+// client's kernel may discard the response.
 func TestBodyTooLargeIsRejected(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t))
 	c := connect(t, balancer)
--- a/internal/serve/runtime/resource_limits.go
+++ b/internal/serve/runtime/resource_limits.go
@@ -10,7 +10,7 @@
 	// however many descriptors its siblings hold.
 	minDescriptors = eventloop.ReservedDescriptors + 16
 	// claimSlack is by how many descriptors this process's limit may exceed its published claim before
-	// the claim is raised. Without the slack, each additional descriptor would write a record.
+	// the claim is raised. Without the slack, each further descriptor would cause a new record.
 	claimSlack = 8
 	// goMemoryTenths is the share of the memory limit, in tenths, that the Go runtime may use. The rest
 	// is for stacks, the runtime's own data and the kernel.
--- a/internal/serve/runtime/watch_test.go
+++ b/internal/serve/runtime/watch_test.go
@@ -63,9 +63,9 @@
 	)
 }
 
-// An open watch falls silent (a half-open connection), and a server begins to drain. A missed update counts
-// as known two seconds after the longest wait of the watch. After that and the grace period, the server must
-// receive no request.
+// An open watch falls silent (a half-open connection), and a server begins to drain. The balancer is expected
+// to know a missed update two seconds after the longest wait of the watch. After that and the grace period,
+// the server must receive no request.
 func TestSilentWatchIsReopened(t *testing.T) {
 	t.Parallel()
 	var forwarded requestLog
@@ -171,7 +171,7 @@
 				respond(c, endpointList(2, true, "terminating", server))
 				readMessage(r)
 			})
-			if pushed { // a list counts as known as soon as the agent has it
+			if pushed { // the balancer is expected to know a list as soon as the agent has it
 				limit = 400 * time.Millisecond
 			}
 			require.Eventually(t, rejectsRequests(t, balancer), limit, 10*time.Millisecond)
