--- a/internal/serve/upstream/attempt.go
+++ b/internal/serve/upstream/attempt.go
@@ -9,23 +9,24 @@
 	"piernotch/internal/serve/core"
 )
 
-// stallTimeout is how long a response that has begun may make no progress. Servers
-// write a response at once: one that stalls is not expected to be completed.
+// stallTimeout is how long a response that has started may go without new data.
+// Servers write a response in one go, so one that stalls will probably not complete.
 const stallTimeout = 250 * time.Millisecond
 
-// attempt is one request to a server, from its wait for a connection to its
-// response: an attempt of a client's request, or a health check.
+// attempt is one request to a server: an attempt of a client's request, or a health
+// check. It lasts from the wait for a connection to the response.
 type attempt struct {
 	ref         core.AttemptRef // zero for a health check
 	healthCheck bool
 	pool        *pool
 	request     *core.RequestMessage
 	deadline    time.Duration
-	connection  *connection // nil while it waits for one
-	waiting     bool        // it is in its pool's waiting list
+	connection  *connection // nil while the attempt waits for one
+	waiting     bool        // the attempt is in its pool's waiting list
 }
 
-// cancel ends an attempt without an event.
+// cancel ends an attempt without an event. Its connection is closed if the request
+// was written or if the server sent something, and is otherwise released for reuse.
 func (u *Upstream) cancel(attempt *attempt) {
 	u.forget(attempt)
 	if attempt.waiting {
@@ -44,7 +45,8 @@
 	}
 }
 
-// forget removes an attempt from the table. Its connection is left to the caller.
+// forget removes an attempt from attempts or healthChecks. The caller must close or
+// release its connection.
 func (u *Upstream) forget(attempt *attempt) {
 	if attempt.healthCheck {
 		delete(u.healthChecks, attempt)
@@ -53,8 +55,8 @@
 	}
 }
 
-// fail ends an attempt without a response. Its connection, if it had one, must
-// have been closed.
+// fail ends an attempt without a response and emits its outcome. The caller must
+// have closed the attempt's connection, if there was one.
 func (u *Upstream) fail(attempt *attempt, cause *AttemptError) {
 	u.forget(attempt)
 	attempt.connection = nil
@@ -68,7 +70,8 @@
 	u.emit(core.AttemptCompleted{Ref: attempt.ref, Status: cause.Status()})
 }
 
-// complete ends an attempt with a response, which came on a connection that was detached from it.
+// complete emits the outcome of an attempt that got a response. The attempt must already have been forgotten and
+// detached from its connection; from is that connection, for the log.
 func (u *Upstream) complete(attempt *attempt, response *http1.Message, from *connection) {
 	endpoint := attempt.pool.endpoint
 	status := responseStatus(response)
@@ -98,8 +101,8 @@
 	u.emit(completed)
 }
 
-// responseStatus classifies a response. X-Not-Run on a 503 or 504 is the server's
-// promise that it did not execute the request.
+// responseStatus classifies a response. With "X-Not-Run: 1" on a 503 or 504 the
+// server guarantees that it did not execute the request.
 func responseStatus(response *http1.Message) piernotch.Status {
 	switch response.Status {
 	case http1.StatusOK:
@@ -112,7 +115,8 @@
 	return piernotch.Error
 }
 
-// failStalledAttempts fails the attempts whose response has stopped half-way.
+// failStalledAttempts fails the attempts whose response is incomplete and has had no
+// new data for stallTimeout.
 func (u *Upstream) failStalledAttempts(now time.Duration) {
 	for _, attempt := range u.attempts {
 		connection := attempt.connection
--- a/internal/serve/upstream/connection.go
+++ b/internal/serve/upstream/connection.go
@@ -12,29 +12,30 @@
 	"piernotch/internal/serve/eventloop"
 )
 
-// minDeadlineMs is what a server is told where less is left: without a deadline it would not stop.
+// minDeadlineMs is sent as X-Deadline-Ms if less time is left. Without a deadline, a server would not stop working on
+// the request.
 const minDeadlineMs = 1
 
-// connection is one connection to a server. It carries one attempt at a
-// time. It implements eventloop.Handler, whose methods run on the loop's owning
-// goroutine.
+// connection is a connection to a server. It carries one attempt at a time. It
+// implements eventloop.Handler, whose methods run on the loop's owning goroutine.
 type connection struct {
-	number          int // of the connections of this process, for the log
+	number          int // in the order of dials of this process, for the log
 	pool            *pool
 	socket          *eventloop.Conn
 	parser          *http1.Parser
 	attempt         *attempt      // nil: the connection is free
-	lastActivity    time.Duration // when it became idle, or when data last arrived
-	idleFor         time.Duration // how long it had been idle when it got its attempt
-	responses       int           // it has carried
-	lastRequestID   string        // of the last one, for the log
+	lastActivity    time.Duration // when the connection became free, or when data last arrived
+	idleFor         time.Duration // idle time before the current attempt
+	responses       int           // number of responses received
+	lastRequestID   string        // ID of the last request with a response, for the log
 	carried         carriedExchanges
-	held            *heldResponse // of the attempt; nil: none
+	held            *heldResponse // response to the attempt that is held back; nil: none
 	requestWritten  bool          // the attempt's request was handed to the socket
 	responseStarted bool          // part of a response has arrived
 }
 
-// writeRequest hands the attempt's request to the socket.
+// writeRequest hands the attempt's request to the socket, with the time left until
+// the attempt's deadline.
 func (c *connection) writeRequest(now time.Duration) {
 	request := c.attempt.request
 	fields := http1.Fields{{Name: "Host", Value: c.pool.endpoint.Address}}
@@ -50,18 +51,18 @@
 	remaining := max((c.attempt.deadline - now).Milliseconds(), minDeadlineMs)
 	fields = append(fields, http1.Field{Name: "X-Deadline-Ms", Value: strconv.FormatInt(remaining, 10)})
 	c.requestWritten = true
-	// An error is reported as a close of the connection, which ends the attempt.
+	// An error also closes the connection, and Closed then ends the attempt.
 	_ = c.socket.Write(http1.AppendRequest(nil, request.Method, request.Target, fields, request.Body))
 }
 
-// Data implements eventloop.Handler: bytes from the server.
+// Data implements eventloop.Handler: it receives bytes from the server.
 func (c *connection) Data(data []byte) {
 	if c.attempt == nil || !c.requestWritten {
 		c.logUnsolicited(len(data))
 		c.disconnected(fmt.Errorf("%w: %d bytes", errUnsolicitedData, len(data)))
 		return
 	}
-	if c.held != nil { // the response to the attempt comes behind it
+	if c.held != nil { // this is the attempt's response, so the held one belongs to an earlier request
 		c.failHeld()
 		return
 	}
@@ -77,7 +78,8 @@
 	}
 }
 
-// responseParsed takes a complete response for the attempt's, unless it may belong to an earlier request.
+// responseParsed handles a complete response: it ends the attempt with it, or holds it if it may belong to an earlier
+// request.
 func (c *connection) responseParsed(response *http1.Message) {
 	now := c.pool.upstream.now()
 	digests := digestExchange(c.attempt.request, response)
@@ -90,9 +92,9 @@
 	c.responseReceived(response)
 }
 
-// Closed implements eventloop.Handler: the connection has ended. An orderly end
-// may complete a response whose length it gives. Any other error must not: the
-// response was cut short.
+// Closed implements eventloop.Handler: the connection has ended. An orderly close
+// completes a response whose body is delimited by the close. After any other error,
+// such a response is truncated and must not count as complete.
 func (c *connection) Closed(err error) {
 	responsePending := c.attempt != nil && c.requestWritten && c.responseStarted
 	if responsePending && errors.Is(err, io.EOF) {
@@ -107,7 +109,7 @@
 	c.disconnected(err)
 }
 
-// disconnected fails the connection at the stage that its attempt had reached.
+// disconnected fails the connection with the stage that its attempt has reached.
 func (c *connection) disconnected(err error) {
 	stage := Connecting
 	switch {
@@ -140,15 +142,15 @@
 	})
 }
 
-// logUnsolicited logs data that came while no response was due: nothing else shows that a connection
-// carries more responses than requests.
+// logUnsolicited logs data that arrived while no response was due, and counts it as a second response. Nothing else
+// shows that a connection carries more responses than requests.
 func (c *connection) logUnsolicited(size int) {
 	slog.Info("unsolicited data from server", "server", c.pool.endpoint.Address, "connection", c.number, "bytes", size,
 		"last_id", c.lastRequestID, "last_response_ms", c.sinceLastResponse().Milliseconds(), "responses", c.responses)
 	c.pool.upstream.repeatReceived(c.pool.endpoint, c.sinceLastResponse())
 }
 
-// logResponse logs which connection a response came on, and data that came right behind it.
+// logResponse logs a response with its connection, and also logs and counts data that arrived directly behind it.
 func (c *connection) logResponse(attempt *attempt, response *http1.Message) {
 	slog.Debug("server response", "id", attempt.request.ID, "attempt", int(attempt.ref.Number),
 		"server", c.pool.endpoint.Address, "status", response.Status, "bytes", len(response.Body),
@@ -161,14 +163,14 @@
 }
 
 // closeAndReplace closes a connection that is in none of its pool's lists, and
-// has another one opened for the attempts that wait.
+// dials another one if attempts wait for it.
 func (c *connection) closeAndReplace() {
 	c.socket.Close()
 	c.pool.dialForWaiting()
 }
 
-// responseReceived ends the attempt with the server's response, and frees
-// the connection.
+// responseReceived ends the attempt with the server's response. The connection
+// settles if it can be reused, and is closed otherwise.
 func (c *connection) responseReceived(response *http1.Message) {
 	attempt := c.attempt
 	c.attempt = nil
@@ -185,11 +187,12 @@
 	c.pool.upstream.complete(attempt, response, c)
 }
 
-// reusableAfter reports whether the connection can carry another request. It
-// cannot behind bytes beyond the response, or a response that came before the
-// request was completely written, or if its server repeats responses late.
+// reusableAfter reports whether the connection can carry another request after a
+// response. It cannot if the response is a rejection or an error, announces the
+// close, was followed by more bytes, or came before the request was completely
+// written. It also cannot while singleUse is active for the endpoint.
 func (c *connection) reusableAfter(response *http1.Message) bool {
-	if response.Status != http1.StatusOK { // rejections and errors are all alike: a second one is not recognized
+	if response.Status != http1.StatusOK { // rejections and errors look alike: a second one would not be recognized
 		return false
 	}
 	singleUse := c.pool.upstream.singleUse.active(c.pool.endpoint, c.pool.upstream.now())
--- a/internal/serve/upstream/health_check.go
+++ b/internal/serve/upstream/health_check.go
@@ -7,12 +7,12 @@
 	"piernotch/internal/serve/core"
 )
 
-// healthCheckTarget is where servers respond to health checks.
+// healthCheckTarget is the path at which servers respond to health checks.
 const healthCheckTarget = "/ping"
 
 // HealthCheck sends a health check to an endpoint. The core receives
-// HealthCheckCompleted, unless none comes within core.HealthCheckTimeout, which the
-// core times itself.
+// HealthCheckCompleted, but no event if the check takes longer than
+// core.HealthCheckTimeout: the core has a timer for that.
 func (u *Upstream) HealthCheck(effect core.HealthCheck) {
 	check := &attempt{
 		healthCheck: true,
@@ -24,9 +24,8 @@
 	check.pool.acquire(check)
 }
 
-// endOverdueHealthChecks cancels the health checks that were not responded to in
-// time. The core has timed them out by itself; what is ended here is their use of
-// a connection.
+// endOverdueHealthChecks cancels the health checks whose deadline has passed, to end
+// their use of a connection. The core has its own timer for their outcome.
 func (u *Upstream) endOverdueHealthChecks(now time.Duration) {
 	for check := range u.healthChecks {
 		if now > check.deadline {
--- a/internal/serve/upstream/load_report.go
+++ b/internal/serve/upstream/load_report.go
@@ -14,7 +14,7 @@
 	"piernotch/internal/simprotocol"
 )
 
-// reportWarningInterval is the least time between two log lines about invalid
+// reportWarningInterval is the minimum time between two log lines about invalid
 // load reports.
 const reportWarningInterval = 10 * time.Second
 
@@ -23,12 +23,12 @@
 	errInvalidLoadValue = errors.New("not a load value")
 )
 
-// parseLoadReport parses a load report: name=value pairs between commas. Names
-// may be any, each at most once, and inflight must be one of them. Values are
-// finite and not negative.
+// parseLoadReport parses a load report: comma-separated name=value pairs. Unknown
+// names are ignored. No name may occur twice, and inflight is required. Values must
+// be finite and not negative.
 func parseLoadReport(text string) (piernotch.LoadReport, error) {
 	var load piernotch.LoadReport
-	seen := make([]string, 0, 4) // stays on the stack: every response may carry a report
+	seen := make([]string, 0, 4) // fixed capacity, so it stays on the stack: every response may carry a report
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(pair), "=")
 		number, err := strconv.ParseFloat(value, 64)
@@ -44,8 +44,8 @@
 	return load, nil
 }
 
-// loadReportReceived passes a response's load report to the core; "" is none.
-// An invalid one changes nothing: the response is as good as without it.
+// loadReportReceived passes a response's load report to the core; "" means none.
+// An invalid report is logged and ignored: the response itself stays valid.
 func (u *Upstream) loadReportReceived(from core.Endpoint, text string) {
 	if text == "" {
 		return
--- a/internal/serve/upstream/pool.go
+++ b/internal/serve/upstream/pool.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	// settleTime is how long a connection is not reused after a response. Bytes
-	// beyond the response may follow right behind it, and must not be read as the
-	// next response.
+	// settleTime is how long a connection is not reused after a response. Surplus
+	// bytes may directly follow the response, and must not be read as the next
+	// response.
 	settleTime = 2 * core.TickInterval
 
-	// maxConcurrentDials is how many connections to one endpoint may be dialed
-	// at once. Accepting costs the server, so in a burst attempts wait for connections in use.
+	// maxConcurrentDials limits the dials to one endpoint that are in progress. To
+	// accept a connection costs the server work, so further attempts of a burst wait
+	// for connections in use.
 	maxConcurrentDials = 8
 )
 
-// pool holds the connections to one endpoint, and the attempts that wait for one.
+// pool holds the free connections to one endpoint, and the attempts that wait for one.
 type pool struct {
 	upstream *Upstream
 	endpoint core.Endpoint
 	idle     []*connection // most recently used last
-	settling []*connection // after a response, earliest first; not to be used yet
+	settling []*connection // not reused until settleTime after their response; earliest first
 	waiting  []*attempt    // longest waiting first
 	dials    int           // dials in progress
-	draining bool          // the server drains or is gone: free connections are closed
+	draining bool          // the server is draining or gone: connections are closed once free
 }
 
-// acquire gives an attempt the most recently used idle connection, or queues it
-// and dials.
+// acquire assigns the most recently used idle connection to an attempt. If there is
+// none, it queues the attempt and dials. It ends draining.
 func (p *pool) acquire(attempt *attempt) {
 	p.draining = false
 	for len(p.idle) > 0 {
@@ -43,14 +44,14 @@
 			p.assign(connection, attempt)
 			return
 		}
-		// The server closed it or sent unsolicited data: its handler is told, and logs which.
+		// The server closed the connection or sent unsolicited data. Its handler will be called, and logs which.
 	}
 	attempt.waiting = true
 	p.waiting = append(p.waiting, attempt)
 	p.dialForWaiting()
 }
 
-// assign hands a free connection to an attempt.
+// assign gives a free connection to an attempt. A health check is written at once; the core is told of other attempts.
 func (p *pool) assign(connection *connection, attempt *attempt) {
 	now := p.upstream.now()
 	connection.attempt = attempt
@@ -66,15 +67,15 @@
 	p.upstream.emit(core.AttemptConnected{Ref: attempt.ref})
 }
 
-// dialForWaiting opens connections for waiting attempts: no more than will be
-// needed besides the settling ones, and no more than maxConcurrentDials at once.
+// dialForWaiting dials for the waiting attempts that will not get a settling
+// connection, with at most maxConcurrentDials dials in progress.
 func (p *pool) dialForWaiting() {
 	for p.dials < maxConcurrentDials && p.dials+len(p.settling) < len(p.waiting) {
 		p.dial()
 	}
 }
 
-// dial opens one connection.
+// dial starts to open a connection, which is released for use once it is up.
 func (p *pool) dial() {
 	p.dials++
 	p.upstream.ConnectionsOpened++
@@ -100,7 +101,8 @@
 	p.upstream.loop.Dial(target, opened, done)
 }
 
-// dialFailed fails the attempt that has waited longest: the dial was for it.
+// dialFailed fails the attempt that has waited longest, because each dial is for one
+// waiting attempt.
 func (p *pool) dialFailed(err error) {
 	if attempt := p.nextWaiting(); attempt != nil {
 		p.upstream.fail(attempt, &AttemptError{Stage: Connecting, Address: p.endpoint.Address, Err: err})
@@ -108,7 +110,7 @@
 	p.dialForWaiting()
 }
 
-// nextWaiting removes and returns the attempt that has waited longest, nil if
+// nextWaiting removes and returns the attempt that has waited longest, or nil if
 // none waits.
 func (p *pool) nextWaiting() *attempt {
 	if len(p.waiting) == 0 {
@@ -120,15 +122,15 @@
 	return attempt
 }
 
-// removeWaiting takes an attempt out of the waiting list, so that no connection
-// is opened for it any more.
+// removeWaiting removes an attempt from the waiting list, so that no connection is
+// dialed for it.
 func (p *pool) removeWaiting(cancelled *attempt) {
 	cancelled.waiting = false
 	p.waiting = slices.DeleteFunc(p.waiting, func(other *attempt) bool { return other == cancelled })
 }
 
-// release gives a free connection to the longest waiting attempt, or makes it
-// idle.
+// release gives a free connection to the attempt that has waited longest. If none
+// waits, the connection becomes idle, or is closed while the pool is draining.
 func (p *pool) release(connection *connection) {
 	if attempt := p.nextWaiting(); attempt != nil {
 		p.assign(connection, attempt)
@@ -142,7 +144,8 @@
 	p.idle = append(p.idle, connection)
 }
 
-// settle holds back a connection that has just carried a response.
+// settle keeps a connection from reuse for settleTime after a response, or closes it
+// while the pool is draining.
 func (p *pool) settle(connection *connection) {
 	if p.draining {
 		connection.socket.Close()
@@ -152,7 +155,8 @@
 	p.settling = append(p.settling, connection)
 }
 
-// releaseSettled releases the connections whose settle time is over.
+// releaseSettled releases the connections whose settleTime has passed, except those
+// on which the server has sent something or closed.
 func (p *pool) releaseSettled(now time.Duration) {
 	for len(p.settling) > 0 && now-p.settling[0].lastActivity >= settleTime {
 		connection := p.settling[0]
@@ -160,12 +164,12 @@
 		if connection.socket.InputEmpty() {
 			p.release(connection)
 		} else {
-			p.dialForWaiting() // in its place; its handler is told what came, and closes it
+			p.dialForWaiting() // as a replacement: the connection's handler will be called, and closes it
 		}
 	}
 }
 
-// closeExpiredIdle closes the connections that were idle beyond the timeout.
+// closeExpiredIdle closes the connections that have been idle for longer than idleTimeout.
 func (p *pool) closeExpiredIdle(now time.Duration) {
 	expired := 0
 	for expired < len(p.idle) && now-p.idle[expired].lastActivity > p.upstream.idleTimeout {
@@ -174,7 +178,7 @@
 	p.closeOldestIdle(expired)
 }
 
-// closeOldestIdle closes the given number of connections: those that have been idle longest.
+// closeOldestIdle closes the count connections that have been idle longest.
 func (p *pool) closeOldestIdle(count int) {
 	for _, connection := range p.idle[:count] {
 		connection.socket.Close()
@@ -182,14 +186,15 @@
 	p.idle = slices.Delete(p.idle, 0, count)
 }
 
-// startDraining closes all free connections and has those in use closed once
-// they are free.
+// startDraining closes the free connections now, and those in use once they become
+// free.
 func (p *pool) startDraining() {
 	p.draining = true
 	p.closeFree()
 }
 
-// closeFree closes all connections that no attempt uses.
+// closeFree closes all connections that no attempt uses. It dials for waiting
+// attempts that would have got a settling one.
 func (p *pool) closeFree() {
 	p.closeOldestIdle(len(p.idle))
 	for _, connection := range p.settling {
@@ -199,8 +204,8 @@
 	p.dialForWaiting()
 }
 
-// remove takes a closed connection out of the pool and replaces it for the
-// attempts that wait.
+// remove removes a closed connection from the pool, and dials a replacement if
+// attempts wait.
 func (p *pool) remove(closed *connection) {
 	same := func(other *connection) bool { return other == closed }
 	p.idle = slices.DeleteFunc(p.idle, same)
@@ -208,8 +213,8 @@
 	p.dialForWaiting()
 }
 
-// unused reports whether the pool has neither free connections nor waiting
-// attempts nor dials in progress. Connections in use do not count.
+// unused reports whether the pool has no free connections, no waiting attempts and
+// no dials in progress. Connections in use do not count.
 func (p *pool) unused() bool {
 	return len(p.idle)+len(p.settling)+len(p.waiting)+p.dials == 0
 }
--- a/internal/serve/upstream/pool_test.go
+++ b/internal/serve/upstream/pool_test.go
@@ -15,8 +15,8 @@
 	"piernotch/internal/serve/eventloop"
 )
 
-// More attempts wait for connections than may be dialled at once, and those that have a connection lose it. The
-// attempts that still wait must be given others.
+// More attempts wait for connections than may be dialed at once, and the attempts that get a connection lose it again.
+// Replacement connections must be dialed, or the remaining attempts would wait forever.
 func TestWaitingAttemptsGetReplacementConnections(t *testing.T) {
 	t.Run("attempt cancelled", func(t *testing.T) {
 		requireAllAttemptsConnect(t, "", func(u *Upstream, ref core.AttemptRef) { u.CancelAttempt(ref) })
@@ -27,8 +27,8 @@
 	})
 }
 
-// requireAllAttemptsConnect starts more attempts than may be dialled at once, and calls onConnected for each one
-// that got a connection and wrote its request. The server responds to each with response.
+// requireAllAttemptsConnect starts more attempts than may be dialed at once, and requires that each gets a connection.
+// It calls onConnected for each one whose request was written. The server responds to each with response.
 func requireAllAttemptsConnect(t *testing.T, response string, onConnected func(*Upstream, core.AttemptRef)) {
 	t.Helper()
 	const attempts = maxConcurrentDials + 4
@@ -72,7 +72,7 @@
 
 	ctx, stop := context.WithCancel(t.Context())
 	loopEnded := make(chan struct{})
-	go func() { // ends with ctx, which is awaited below
+	go func() { // ends with ctx; the end is awaited below
 		loop.Run(ctx, core.TickInterval, func() { u.Tick() })
 		close(loopEnded)
 	}()
@@ -85,8 +85,8 @@
 	<-loopEnded
 }
 
-// startServer accepts connections until the test ends. On each it responds to the first line, and then
-// discards what comes until the client closes.
+// startServer accepts connections until the test ends. On each it responds to the first line, unless response is empty,
+// and discards further input until the client closes.
 func startServer(t *testing.T, response string) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/serve/upstream/repeated_response.go
+++ b/internal/serve/upstream/repeated_response.go
@@ -9,25 +9,28 @@
 	"piernotch/internal/serve/core"
 )
 
-// maxHoldTime bounds how long a response that may belong to an earlier request is held.
+// maxHoldTime is the longest time for which a response is held that may belong to an earlier request.
 const maxHoldTime = 2 * time.Second
 
 var errRepeatedResponse = errors.New("second response to an earlier request")
 
-// heldResponse is a response that may be a second one to an earlier request. HTTP/1.1 says of no response to which
-// request it belongs: only the real one, behind it, shows that it was.
+// heldResponse is a response that may be a second one to an earlier request. An HTTP/1.1 response does not name its
+// request. So only the attempt's own response, if it follows, shows that the held one belongs to an earlier request.
 type heldResponse struct {
 	response *http1.Message
 	digests  exchangeDigests
-	until    time.Duration // nothing came behind it by then: it is the real one
+	until    time.Duration // if nothing has followed by then, the response is the attempt's own
 }
 
-// mayBeRepeat reports whether a response to the connection's attempt may be a second one to an earlier request.
+// mayBeRepeat reports whether a response may be a second one to an earlier request: the connection has recently
+// carried the same response for a different request, and the response is not a common one.
 func (c *connection) mayBeRepeat(digests exchangeDigests, now time.Duration) bool {
 	return !c.attempt.healthCheck && c.carried.hasResponse(digests, now) && !c.pool.upstream.history.common(digests)
 }
 
-// hold keeps a response that may be a second one to an earlier request, or fails the attempt if it is.
+// hold holds back a response that may be a second one to an earlier request, for half of the attempt's remaining time
+// and at most maxHoldTime. It fails the attempt at once if more data has followed, or while singleUse is active for the
+// endpoint.
 func (c *connection) hold(response *http1.Message, digests exchangeDigests, now time.Duration) {
 	remaining := max(c.attempt.deadline-now, 0)
 	c.held = &heldResponse{response: response, digests: digests, until: now + min(remaining/2, maxHoldTime)}
@@ -39,13 +42,14 @@
 		"connection", c.number, "last_id", c.lastRequestID, "until_ms", (c.held.until - now).Milliseconds())
 }
 
-// failHeld fails the attempt whose response belongs to an earlier request. It may have run.
+// failHeld fails the attempt because the held response belongs to an earlier request. The server may have executed the
+// attempt.
 func (c *connection) failHeld() {
 	c.pool.upstream.repeatReceived(c.pool.endpoint, c.sinceLastResponse())
 	c.fail(Malformed, errRepeatedResponse)
 }
 
-// acceptHeld takes a held response for the attempt's: nothing came behind it. The connection is not used again.
+// acceptHeld ends the attempt with the held response, because nothing followed it. The connection is not reused.
 func (c *connection) acceptHeld() {
 	held := c.held
 	c.held = nil
@@ -56,7 +60,7 @@
 	c.responseReceived(held.response)
 }
 
-// acceptHeldResponses accepts the held responses whose time is over.
+// acceptHeldResponses accepts the held responses whose hold time is over.
 func (u *Upstream) acceptHeldResponses(now time.Duration) {
 	for _, attempt := range u.attempts {
 		connection := attempt.connection
@@ -66,12 +70,13 @@
 	}
 }
 
-// sinceLastResponse returns the time since the last response that was read for a request.
+// sinceLastResponse returns the time since the last response on the connection. A held one does not count.
 func (c *connection) sinceLastResponse() time.Duration {
 	return c.pool.upstream.now() - c.carried[0].at
 }
 
-// repeatReceived notes that a server sent more than one response to a request, and how late.
+// repeatReceived records that a server sent a second response to a request, delay after the first one. If single use
+// starts because of it, the free connections to the server, or to all servers, are closed.
 func (u *Upstream) repeatReceived(from core.Endpoint, delay time.Duration) {
 	u.UnsolicitedData++
 	started, everywhere := u.singleUse.repeatReceived(from, delay, u.now())
--- a/internal/serve/upstream/repeated_response_test.go
+++ b/internal/serve/upstream/repeated_response_test.go
@@ -12,12 +12,13 @@
 	"piernotch/internal/serve/servetest"
 )
 
-// responseWith returns a response with a body.
+// responseWith returns a 200 response with the given body.
 func responseWith(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// serveAt has the server respond to an attempt on a connection, nil for a new one, and returns the connection.
+// serveAt starts an attempt and lets the server respond to it on the given connection, or on a new one if it is nil.
+// It returns the connection.
 func (f *fixture) serveAt(target, body string, connection *servetest.Peer) *servetest.Peer {
 	f.t.Helper()
 	ref := f.startAttemptAt(target, time.Hour)
@@ -30,7 +31,7 @@
 	return connection
 }
 
-// requireServed waits for the response to an attempt.
+// requireServed waits until an attempt is completed with the given response body.
 func (f *fixture) requireServed(ref core.AttemptRef, body string) {
 	f.t.Helper()
 	completed := (<-f.Events).(core.AttemptCompleted)
@@ -38,7 +39,7 @@
 	require.Equal(f.t, body, string(completed.Response.Body))
 }
 
-// awaitHeld waits until the response that came for an attempt is held.
+// awaitHeld waits until a response to an attempt is held.
 func (f *fixture) awaitHeld(ref core.AttemptRef) {
 	f.t.Helper()
 	held := func() (held bool) {
@@ -49,7 +50,7 @@
 	f.awaitRead()
 }
 
-func TestSecondResponseIsNotTakenForTheNextRequests(t *testing.T) {
+func TestSecondResponseIsNotMistakenForTheNextOne(t *testing.T) {
 	neverExecuted := "HTTP/1.1 504 Expired\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, behind := range []string{responseWith("second"), neverExecuted} {
 		f := newFixture(t)
@@ -66,7 +67,7 @@
 	}
 }
 
-func TestSecondResponseWithTheNextOneBehindItFailsTheAttempt(t *testing.T) {
+func TestSecondResponseFollowedByTheNextOneFailsTheAttempt(t *testing.T) {
 	f := newFixture(t)
 	connection := f.serveAt("/first", "first", nil)
 	f.advance(settleTime)
@@ -77,7 +78,8 @@
 	connection.RequireClosed()
 }
 
-// A server may give the same response to different requests: then nothing comes behind it.
+// A server may give the same response to different requests. Then nothing follows the held response, and it is the
+// attempt's own.
 func TestEqualResponseIsAcceptedWhenNothingFollows(t *testing.T) {
 	f := newFixture(t)
 	connection := f.serveAt("/first", "same", nil)
@@ -97,7 +99,7 @@
 	f.serveAt("/fourth", "same", connection)
 }
 
-func TestResponseOfSeveralConnectionsIsNotHeld(t *testing.T) {
+func TestResponseSeenOnSeveralConnectionsIsNotHeld(t *testing.T) {
 	f := newFixture(t)
 	f.startAttemptAt("/first", time.Hour)
 	first := f.accept()
@@ -106,7 +108,7 @@
 	first.Send(responseWith("same"))
 	<-f.Events
 	f.advance(settleTime)
-	f.startAttemptAt("/third", time.Hour) // takes the connection that was released last
+	f.startAttemptAt("/third", time.Hour) // takes first, the connection that was released last
 	first.RequestHead()
 	first.Send(responseWith("same"))
 	<-f.Events
@@ -119,7 +121,7 @@
 	f.serveAt("/first", "same", connection)
 }
 
-func TestConnectionIsNotUsedAgainBehindARejection(t *testing.T) {
+func TestConnectionIsNotReusedAfterARejection(t *testing.T) {
 	f := newFixture(t)
 	ref := f.startAttempt()
 	connection := f.accept()
@@ -154,7 +156,7 @@
 	f.serveAt("/third", "third", connection)
 }
 
-func TestLateSecondResponsesOfTwoServersEndReuseEverywhere(t *testing.T) {
+func TestLateSecondResponsesOfTwoServersEndReuseForAllServers(t *testing.T) {
 	use := singleUse{lateRepeats: map[core.Endpoint]time.Duration{}}
 	endpoints := []core.Endpoint{{Server: 1}, {Server: 2}, {Server: 3}}
 	started, everywhere := use.repeatReceived(endpoints[0], settleTime, time.Hour)
--- a/internal/serve/upstream/response_history.go
+++ b/internal/serve/upstream/response_history.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// rememberedPerConnection is how many of its last responses a connection compares a new one with.
+	// rememberedPerConnection is the number of recent responses on a connection that a new one is compared with.
 	rememberedPerConnection = 4
-	// rememberedResponses is how many responses of all servers are remembered, to tell which are given to many
-	// requests.
+	// rememberedResponses is the number of responses, of all servers, that are remembered to recognize those that
+	// servers give to many requests.
 	rememberedResponses = 512
-	// repeatWindow is how long a response is compared with those that come after it on its connection.
+	// repeatWindow is the time after a response in which later ones on its connection are compared with it.
 	repeatWindow = 2 * time.Second
 )
 
-// exchangeDigests stand for a request and the response that was read for it.
+// exchangeDigests holds the hashes of a request and of the response that was read for it.
 type exchangeDigests struct{ request, response uint64 }
 
-// digestExchange digests what makes a request and a response distinct. The load report does not: a server may
-// write another one into a second response.
+// digestExchange hashes the parts that distinguish requests and responses. It leaves out the load report, because a
+// server may write a different one into a second response.
 func digestExchange(request *core.RequestMessage, response *http1.Message) exchangeDigests {
 	var digests exchangeDigests
 	digest := xxhash.New()
@@ -43,23 +43,23 @@
 	return digests
 }
 
-// carriedExchange is one that a connection has carried.
+// carriedExchange is a request and its response that a connection has carried.
 type carriedExchange struct {
 	exchangeDigests
 	at time.Duration // when the response was complete
 }
 
-// carriedExchanges are the last ones of a connection, latest first.
+// carriedExchanges holds the last exchanges of a connection, latest first.
 type carriedExchanges [rememberedPerConnection]carriedExchange
 
-// add remembers an exchange in place of the earliest one.
+// add records an exchange and drops the earliest one.
 func (c *carriedExchanges) add(digests exchangeDigests, now time.Duration) {
 	copy(c[1:], c[:])
 	c[0] = carriedExchange{exchangeDigests: digests, at: now}
 }
 
-// hasResponse reports whether the same response was read a short time ago for a different request. Equal
-// requests are expected to have equal responses.
+// hasResponse reports whether the same response was read within repeatWindow for a different request. Equal requests
+// are expected to get equal responses.
 func (c *carriedExchanges) hasResponse(digests exchangeDigests, now time.Duration) bool {
 	for i := range c {
 		earlier := &c[i]
@@ -71,26 +71,27 @@
 	return false
 }
 
-// responseHistory tells responses that servers give to many requests, such as an empty one, from those that
-// belong to one request. A second response to an earlier request can only come on the same connection; so one that
+// responseHistory recognizes common responses: those that servers give to many requests, such as an empty one. A
+// second response to an earlier request can only come on the connection of the first one. So a response that
 // different requests got on different connections is common.
 type responseHistory struct {
 	responses *simplelru.LRU[uint64, seenResponse]
 }
 
-// seenResponse is where a response was seen last.
+// seenResponse describes the last occurrence of a response.
 type seenResponse struct {
-	request    uint64 // digest
-	connection int    // number
-	common     bool
+	request    uint64 // digest of the request
+	connection int    // number of the connection
+	common     bool   // servers give it to many requests
 }
 
 func newResponseHistory() responseHistory {
-	responses, _ := simplelru.NewLRU[uint64, seenResponse](rememberedResponses, nil) // fails for size 0 alone
+	responses, _ := simplelru.NewLRU[uint64, seenResponse](rememberedResponses, nil) // fails only for a size below 1
 	return responseHistory{responses: responses}
 }
 
-// add notes a response that was read on a connection.
+// add records a response that was read on a connection, and marks it as common if a different request got it on
+// another connection before.
 func (h *responseHistory) add(digests exchangeDigests, connection int) {
 	seen, known := h.responses.Get(digests.response)
 	elsewhere := known && seen.connection != connection && seen.request != digests.request
@@ -101,12 +102,12 @@
 	})
 }
 
-// addCommon notes a response that belongs to different requests.
+// addCommon records a response as common.
 func (h *responseHistory) addCommon(digests exchangeDigests, connection int) {
 	h.responses.Add(digests.response, seenResponse{request: digests.request, connection: connection, common: true})
 }
 
-// common reports whether servers give a response to many requests.
+// common reports whether a response is known to be given to many requests.
 func (h *responseHistory) common(digests exchangeDigests) bool {
 	seen, _ := h.responses.Peek(digests.response)
 	return seen.common
--- a/internal/serve/upstream/single_use.go
+++ b/internal/serve/upstream/single_use.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// lateRepeat is how late behind the first one a second response has to be for its server's connections not to be
-	// used again. Settling is enough for earlier ones.
+	// lateRepeat is the delay after the first response beyond which a second one is late, so that its server's
+	// connections are used once. Earlier ones arrive within settleTime, in which a connection is not reused anyway.
 	lateRepeat = settleTime / 2
-	// singleUseTime is for how long each connection then carries one request.
+	// singleUseTime is how long connections carry only one request each after a late second response.
 	singleUseTime = 5 * time.Minute
-	// widespreadRepeats is the number of servers with late second responses from which on the connections to all
-	// servers are used once.
+	// widespreadRepeats is the number of servers with late second responses at which the connections to all servers
+	// are used once.
 	widespreadRepeats = 2
 )
 
-// singleUse says to which servers a connection carries one request alone: a second response to it then meets no
-// other request.
+// singleUse tracks the servers whose connections carry only one request each. There a second response cannot be
+// mistaken for the response to a later request.
 type singleUse struct {
-	lateRepeats map[core.Endpoint]time.Duration // when a server's second response last came late
+	lateRepeats map[core.Endpoint]time.Duration // time of the last late second response, by server
 }
 
-// repeatReceived notes a second response, which came delay after the first one. It reports whether connections
-// are used once from now on that were not before, and whether that holds for all servers.
+// repeatReceived records a second response, which came delay after the first one. started reports whether it extends
+// single use to more servers than before, and everywhere whether single use now applies to all servers.
 func (s *singleUse) repeatReceived(from core.Endpoint, delay, now time.Duration) (started, everywhere bool) {
-	// Servers may also write a time-out before they close an idle connection: that is later still.
+	// Later than repeatWindow, it may be a time-out response that a server writes before it closes an idle connection.
 	if delay <= lateRepeat || delay > repeatWindow {
 		return false, false
 	}
@@ -36,7 +36,8 @@
 	return !wasActive || !wasEverywhere && s.everywhere(), s.everywhere()
 }
 
-// active reports whether connections to a server are used once.
+// active reports whether connections to a server are used once. It also drops the servers for which singleUseTime has
+// passed.
 func (s *singleUse) active(endpoint core.Endpoint, now time.Duration) bool {
 	for other, at := range s.lateRepeats {
 		if now-at >= singleUseTime {
--- a/internal/serve/upstream/timeouts_test.go
+++ b/internal/serve/upstream/timeouts_test.go
@@ -13,15 +13,14 @@
 )
 
 const (
-	// testKeepAlive is after what time servers are said to close an idle connection.
+	// testKeepAlive is the configured time after which servers close an idle connection.
 	testKeepAlive = 4 * time.Second
 
 	emptyResponse = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	halfResponse  = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"
 )
 
-// fixture is an Upstream on an event loop of its own, whose clock the test sets, and one server, which
-// the test plays.
+// fixture is an Upstream on its own event loop, with a clock that the test sets and one server that the test acts as.
 type fixture struct {
 	*servetest.Loop
 	t        *testing.T
@@ -30,7 +29,7 @@
 	attempts int
 }
 
-// newFixture starts an Upstream, which runs until the test ends, and a server.
+// newFixture starts an Upstream and a server, which run until the test ends.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := &fixture{t: t, server: servetest.Listen(t), Loop: servetest.NewLoop(t)}
@@ -44,8 +43,8 @@
 	return f
 }
 
-// awaitRead waits until the poller, which reads the sockets, is done with what the server has sent: until
-// then a connection counts as one with unread input, also where its data was handled.
+// awaitRead waits until the poller, which reads the sockets, has finished reading what the server has sent. Until then
+// InputEmpty reports unread input, even if the data was already handled.
 func (f *fixture) awaitRead() {
 	f.t.Helper()
 	done := func() bool {
@@ -60,7 +59,7 @@
 	require.Eventually(f.t, done, servetest.Timeout, servetest.ShortTime)
 }
 
-// connections returns the open connections. It is for the loop's owning goroutine.
+// connections returns the open connections. It must be called on the loop's owning goroutine.
 func (f *fixture) connections() []*connection {
 	var open []*connection
 	for _, pool := range f.upstream.pools {
@@ -76,7 +75,7 @@
 	return open
 }
 
-// advance lets time pass, and then has the Upstream enforce its timeouts.
+// advance moves the clock forward, and then calls Tick, which enforces the timeouts.
 func (f *fixture) advance(by time.Duration) {
 	f.t.Helper()
 	f.awaitRead()
@@ -84,24 +83,25 @@
 	f.Do(f.upstream.Tick)
 }
 
-// endpoint returns the server's.
+// endpoint returns the endpoint of the fixture's server.
 func (f *fixture) endpoint() core.Endpoint {
 	return core.Endpoint{Server: 1, Address: f.server.Addr().String()}
 }
 
-// startAttempt starts an attempt, and returns it once it has a connection and its request was written.
+// startAttempt starts an attempt with target "/" and a timeout of one hour. It returns once the attempt has a
+// connection and its request was written.
 func (f *fixture) startAttempt() core.AttemptRef {
 	f.t.Helper()
 	return f.startAttemptWithin(time.Hour)
 }
 
-// startAttemptWithin does so for an attempt with a timeout.
+// startAttemptWithin is startAttempt with the given timeout.
 func (f *fixture) startAttemptWithin(timeout time.Duration) core.AttemptRef {
 	f.t.Helper()
 	return f.startAttemptAt("/", timeout)
 }
 
-// startAttemptAt does so for a target.
+// startAttemptAt is startAttempt with the given target and timeout.
 func (f *fixture) startAttemptAt(target string, timeout time.Duration) core.AttemptRef {
 	f.t.Helper()
 	f.attempts++
@@ -119,13 +119,13 @@
 	return ref
 }
 
-// accept accepts the connection that the Upstream opens next.
+// accept accepts the next connection that the Upstream opens.
 func (f *fixture) accept() *servetest.Peer {
 	f.t.Helper()
 	return servetest.Accept(f.t, f.server)
 }
 
-// awaitResponseStart waits until a part of the response to an attempt was received.
+// awaitResponseStart waits until the Upstream has received part of the response to an attempt.
 func (f *fixture) awaitResponseStart(ref core.AttemptRef) {
 	f.t.Helper()
 	started := func() (started bool) {
@@ -135,7 +135,7 @@
 	require.Eventually(f.t, started, servetest.Timeout, servetest.ShortTime)
 }
 
-// serveOne has the server respond to an attempt, and the connection become idle.
+// serveOne starts an attempt, lets the server respond to it, and returns the connection once it is idle.
 func (f *fixture) serveOne() *servetest.Peer {
 	f.t.Helper()
 	ref := f.startAttempt()
@@ -147,7 +147,7 @@
 	return connection
 }
 
-// idleConnections returns how many connections are ready for another attempt.
+// idleConnections returns the number of connections that are ready for another attempt.
 func (f *fixture) idleConnections() (count int) {
 	f.Do(func() {
 		if pool := f.upstream.pools[f.endpoint()]; pool != nil {
@@ -157,7 +157,8 @@
 	return count
 }
 
-// An idle connection is used again, until three quarters of the server's keep-alive time have passed.
+// A request that is written while the server closes an idle connection is lost. So the Upstream closes an idle
+// connection first, after three quarters of the server's keep-alive time.
 func TestIdleConnectionIsClosedBeforeTheServerClosesIt(t *testing.T) {
 	f := newFixture(t)
 	connection := f.serveOne()
@@ -168,7 +169,7 @@
 	connection.RequireClosed()
 }
 
-// A connection is not used again until the settle time has passed.
+// Surplus bytes behind a response would be read as the next response if its connection were reused at once.
 func TestConnectionSettlesAfterResponse(t *testing.T) {
 	f := newFixture(t)
 	f.startAttempt()
@@ -182,8 +183,8 @@
 	require.Equal(t, 1, f.idleConnections())
 }
 
-// A response that stops half-way fails its attempt, which may have been executed, and the connection is
-// closed.
+// A response that stops before it is complete must fail its attempt, which may have been executed, and close the
+// connection.
 func TestStalledResponseFailsItsAttempt(t *testing.T) {
 	f := newFixture(t)
 	ref := f.startAttempt()
@@ -198,8 +199,8 @@
 	connection.RequireClosed()
 }
 
-// A response that has not begun has no timeout here: that of the attempt is the core's.
-func TestSilentServerIsLeftToTheCore(t *testing.T) {
+// The core enforces the timeout of attempts: the Upstream must not fail one whose response has not started.
+func TestUnansweredAttemptIsNotTimedOut(t *testing.T) {
 	f := newFixture(t)
 	ref := f.startAttempt()
 	connection := f.accept()
@@ -211,7 +212,8 @@
 	require.Empty(t, f.Events)
 }
 
-// A health check without a response is ended after its time, without an event: the core has its own timer.
+// A health check without a response must not keep its connection. It ends without an event, because the core has its
+// own timer.
 func TestOverdueHealthCheckClosesItsConnection(t *testing.T) {
 	f := newFixture(t)
 	f.Do(func() { f.upstream.HealthCheck(core.HealthCheck{To: f.endpoint()}) })
@@ -226,11 +228,11 @@
 	require.Empty(t, f.Events)
 }
 
-// Shed closes idle connections, and none that an attempt uses.
-func TestShedClosesIdleConnectionsAlone(t *testing.T) {
+// Shed must not close a connection that an attempt uses.
+func TestShedClosesOnlyIdleConnections(t *testing.T) {
 	f := newFixture(t)
 	idle := f.serveOne()
-	ref := f.startAttempt() // takes the idle connection
+	ref := f.startAttempt() // uses the idle connection
 	idle.RequestHead()
 	other := f.startAttempt()
 	used := f.accept()
@@ -245,9 +247,9 @@
 	require.Equal(t, core.AttemptCompleted{Ref: other, Response: &core.ResponseMessage{}}, <-f.Events)
 }
 
-// A server that is told no deadline may work on a request for as long as it likes. So one is always told, also
-// where less than the unit of the header is left.
-func TestServerIsAlwaysToldADeadline(t *testing.T) {
+// A server that gets no deadline may work on a request without limit. So X-Deadline-Ms is always sent, even if less
+// than its unit of 1 ms is left.
+func TestRequestAlwaysCarriesADeadline(t *testing.T) {
 	for told, timeout := range map[string]time.Duration{
 		"X-Deadline-Ms: 1":  300 * time.Microsecond,
 		"X-Deadline-Ms: 20": 20*time.Millisecond + 900*time.Microsecond,
--- a/internal/serve/upstream/upstream.go
+++ b/internal/serve/upstream/upstream.go
@@ -21,19 +21,19 @@
 	history      responseHistory
 	singleUse    singleUse
 
-	// ConnectionsOpened counts the connections dialled so far, for the log.
+	// ConnectionsOpened counts the dials so far, including failed ones, for the log.
 	ConnectionsOpened int
-	// UnsolicitedData counts how often a server sent data beyond a response, for the log.
+	// UnsolicitedData counts how often servers sent data beyond a response, for the log.
 	UnsolicitedData int
 
-	lastReportWarning time.Duration // when an invalid load report was last logged; 0: never
+	lastReportWarning time.Duration // time of the last log line about an invalid load report; 0: none yet
 }
 
-// Options is what an Upstream works with. All fields are required.
+// Options configures a new Upstream. All fields are required.
 type Options struct {
 	Loop        *eventloop.Loop
-	Emit        func(core.Event)     // is handed events on the loop's owning goroutine
-	Now         func() time.Duration // the clock of the core
+	Emit        func(core.Event)     // receives the events, on the loop's owning goroutine
+	Now         func() time.Duration // the core's clock
 	KeepAlive   time.Duration        // see SetTimeouts
 	DialTimeout time.Duration        // see SetTimeouts
 }
@@ -54,16 +54,16 @@
 	return upstream
 }
 
-// SetTimeouts sets after what time a server closes an idle connection (keepAlive),
-// and how long a connection may take to be established. Idle connections are
-// closed here after three quarters of keepAlive: a request that is written while the
-// server closes its side is lost.
+// SetTimeouts sets the idle time after which servers close a connection (keepAlive),
+// and the time limit for a dial. Upstream closes idle connections after three
+// quarters of keepAlive: a request that is written while the server closes its side
+// would be lost.
 func (u *Upstream) SetTimeouts(keepAlive, dialTimeout time.Duration) {
 	u.idleTimeout = keepAlive * 3 / 4
 	u.dialTimeout = dialTimeout
 }
 
-// StartAttempt takes a connection for an attempt, or queues the attempt until
+// StartAttempt assigns a connection to an attempt, or queues the attempt until
 // one is free. The core receives AttemptConnected, or AttemptCompleted if no
 // connection can be established.
 func (u *Upstream) StartAttempt(effect core.StartAttempt) {
@@ -77,8 +77,8 @@
 	attempt.pool.acquire(attempt)
 }
 
-// WriteAttempt sends an attempt's request on the connection that it was given.
-// It does nothing for an attempt that has ended or has no connection.
+// WriteAttempt writes an attempt's request to its connection. It does nothing if
+// the attempt has ended or has no connection.
 func (u *Upstream) WriteAttempt(ref core.AttemptRef) {
 	attempt := u.attempts[ref]
 	if attempt != nil && attempt.connection != nil {
@@ -94,17 +94,17 @@
 	}
 }
 
-// CloseIdle closes the idle connections to an endpoint that is draining or gone.
-// Connections in use are closed when they become free. The next attempt on the
-// endpoint ends this state.
+// CloseIdle closes the free connections to an endpoint that is draining or gone.
+// Connections in use are closed when they become free. The next attempt or health
+// check for the endpoint ends this state.
 func (u *Upstream) CloseIdle(endpoint core.Endpoint) {
 	if pool := u.pools[endpoint]; pool != nil {
 		pool.startDraining()
 	}
 }
 
-// Shed closes the idle connections of all endpoints to free descriptors.
-// Connections that are settling stay.
+// Shed closes the idle connections to all endpoints to free descriptors. It leaves
+// connections open for which settleTime has not passed.
 func (u *Upstream) Shed() {
 	for _, pool := range u.pools {
 		pool.closeOldestIdle(len(pool.idle))
@@ -112,9 +112,9 @@
 }
 
 // Tick must be called once per core.TickInterval. It makes settled connections
-// available, closes connections that were idle for too long, accepts responses
-// that were held, fails attempts whose response has stalled and ends overdue health checks. All other time
-// limits of attempts are the core's.
+// available, closes connections that were idle for too long, accepts held responses
+// whose hold time is over, fails attempts whose response has stalled, and ends
+// overdue health checks. The core enforces the timeouts of attempts.
 func (u *Upstream) Tick() {
 	now := u.now()
 	u.endOverdueHealthChecks(now)
@@ -129,7 +129,7 @@
 	}
 }
 
-// poolFor returns the pool of an endpoint, a new one if there is none.
+// poolFor returns the pool of an endpoint, and creates it if there is none.
 func (u *Upstream) poolFor(endpoint core.Endpoint) *pool {
 	existing := u.pools[endpoint]
 	if existing != nil {
