--- a/internal/serve/downstream/close_reason.go
+++ b/internal/serve/downstream/close_reason.go
@@ -2,13 +2,13 @@
 
 import "log/slog"
 
-// closeReason is why this process closes a client's connection, as the log says it.
+// closeReason is why this process closes a client's connection, as logged under the
+// key "reason".
 type closeReason string
 
-// The reasons.
 const (
-	closeLastResponse   closeReason = "last response"        // it said that the connection closes
-	closeLingered       closeReason = "client did not close" // within lingerTimeout of the last response
+	closeLastResponse   closeReason = "last response"        // the response announced the close
+	closeLingered       closeReason = "client did not close" // within lingerTimeout of the close of the sending side
 	closeUnread         closeReason = "response not read"
 	closeSilent         closeReason = "no first byte"
 	closeIdleTooLong    closeReason = "idle"
@@ -16,7 +16,8 @@
 	closeShed           closeReason = "descriptors short"
 )
 
-// logClose logs a close at level debug.
+// logClose logs at level debug why the connection is closed, and how long it has been
+// in its phase.
 func (c *connection) logClose(reason closeReason) {
 	slog.Debug("client connection closed", "reason", reason,
 		"phase_ms", (c.downstream.now() - c.phaseStart).Milliseconds(), "received_data", c.receivedData)
--- a/internal/serve/downstream/connection.go
+++ b/internal/serve/downstream/connection.go
@@ -10,31 +10,32 @@
 	"piernotch/internal/serve/eventloop"
 )
 
-// connection is one client connection. It implements eventloop.Handler, whose
+// connection is a client's connection. It implements eventloop.Handler, whose
 // methods run on the loop's owning goroutine.
 type connection struct {
 	downstream         *Downstream
 	socket             *eventloop.Conn
 	parser             *http1.Parser
-	exchange           core.ExchangeID // of the request without a response; 0: none
+	exchange           core.ExchangeID // of the request that waits for a response; 0: none
 	closeAfterResponse bool            // the response to the current request is the last one
 	receivedData       bool            // the client has sent at least one byte
-	closing            bool            // input is discarded; the sending side closes once all is written
+	closing            bool            // input is discarded; the sending side closes once all output is written
 	writeClosed        bool            // the sending side is closed; the client's side may still be open
 
-	// phaseStart is when the current phase began: the close of the sending side,
-	// else the current request's first byte, else the last response or the accept.
+	// phaseStart is when the current phase began. A phase begins when the connection
+	// is accepted, with a request's first byte, with a response, and when the sending
+	// side is closed.
 	phaseStart time.Duration
 }
 
-// Data implements eventloop.Handler: bytes from the client.
+// Data implements eventloop.Handler: it receives bytes from the client.
 func (c *connection) Data(data []byte) {
 	if c.closing {
 		return
 	}
 	if c.exchange != 0 {
-		// One request at a time: what comes before the response is either a body
-		// longer than announced, or a request smuggled behind one.
+		// A connection serves one request at a time. Data that comes before the response
+		// is a body longer than announced, a pipelined request, or a smuggled one.
 		c.abandonExchange()
 		c.rejectMalformed(http1.StatusBadRequest, reasonTrailingBytes)
 		return
@@ -47,13 +48,15 @@
 	c.serveParsed()
 }
 
-// Closed implements eventloop.Handler: the connection has ended.
+// Closed implements eventloop.Handler: the connection has ended, so a pending
+// request can no longer get a response.
 func (c *connection) Closed(error) {
 	delete(c.downstream.connections, c)
 	c.abandonExchange()
 }
 
-// serveParsed serves the next complete request, if there is one.
+// serveParsed serves the next request if it is complete. It sends 100 Continue to a
+// client that waits for that before it sends the body.
 func (c *connection) serveParsed() {
 	for c.exchange == 0 && !c.closing {
 		message, err := c.parser.Next()
@@ -76,7 +79,7 @@
 	}
 }
 
-// parseErrorStatus returns the HTTP status for an error of the parser.
+// parseErrorStatus returns the HTTP status for a parser error, 400 by default.
 func parseErrorStatus(err error) int {
 	var parseError *http1.Error
 	if errors.As(err, &parseError) {
@@ -85,15 +88,16 @@
 	return http1.StatusBadRequest
 }
 
-// rejectMalformed responds to what cannot be parsed. Nothing behind it can be
-// parsed either, so the connection ends.
+// rejectMalformed responds to malformed or incomplete input and ends the connection,
+// because no further request can be parsed from what follows.
 func (c *connection) rejectMalformed(status int, reason string) {
 	slog.Info("bad request", "status", status, "err", reason)
 	c.closeAfterResponse = true
 	c.respondText(status, reason)
 }
 
-// serve responds to a request, or passes it to the core.
+// serve responds to a health check or an invalid request, and passes any other
+// request to the core.
 func (c *connection) serve(message *http1.Message) {
 	if message.Path() == healthPath {
 		c.serveHealth(message)
@@ -105,7 +109,7 @@
 		c.respondInvalid(invalid)
 		return
 	}
-	if c.socket.PeerClosed() { // the client has disconnected after its request
+	if c.socket.PeerClosed() { // the client has disconnected and cannot get a response
 		return
 	}
 	downstream.lastExchange++
@@ -115,7 +119,8 @@
 	downstream.emit(request)
 }
 
-// abandonExchange lets the core know that the client cannot get a response any more.
+// abandonExchange tells the core that the pending request, if there is one, can no
+// longer get a response.
 func (c *connection) abandonExchange() {
 	if c.exchange == 0 {
 		return
@@ -125,8 +130,8 @@
 	c.exchange = 0
 }
 
-// startClose serves nothing more on the connection: what arrives from now on is
-// discarded, and the sending side closes once all is written.
+// startClose stops serving requests on the connection: further input is discarded,
+// and the sending side is closed once all output is written.
 func (c *connection) startClose(reason closeReason) {
 	c.logClose(reason)
 	c.closing = true
@@ -134,8 +139,8 @@
 	c.closeWriteIfSent()
 }
 
-// closeWriteIfSent closes the sending side if everything has been written. If
-// not, Tick tries again.
+// closeWriteIfSent closes the sending side if all output has been written. Otherwise
+// Tick calls it again.
 func (c *connection) closeWriteIfSent() {
 	if c.writeClosed || c.socket.UnsentBytes() != 0 {
 		return
@@ -145,7 +150,8 @@
 	c.socket.CloseWrite()
 }
 
-// closeNow closes the connection at once.
+// closeNow closes the socket without waiting for unsent output or for the client,
+// and abandons a pending request.
 func (c *connection) closeNow(reason closeReason) {
 	c.logClose(reason)
 	c.socket.Close()
@@ -153,7 +159,7 @@
 	c.abandonExchange()
 }
 
-// idle reports whether nothing is in progress on the connection.
+// idle reports whether no request, response or close is in progress.
 func (c *connection) idle() bool {
 	return c.exchange == 0 && !c.closing && c.parser.Idle() && c.socket.UnsentBytes() == 0
 }
--- a/internal/serve/downstream/downstream.go
+++ b/internal/serve/downstream/downstream.go
@@ -17,23 +17,23 @@
 	ready func() bool
 
 	routes   map[string][]core.Route // by class name
-	maxWaits []time.Duration         // by class: the longest that a client may wait
+	maxWaits []time.Duration         // longest time that a client may wait, by class index
 	tenants  []piernotch.Tenant
 
 	connections  map[*connection]struct{}
-	pending      map[core.ExchangeID]*connection // requests without a response
+	pending      map[core.ExchangeID]*connection // connections whose request waits for a response
 	lastExchange core.ExchangeID
 
 	shuttingDown  bool
 	drainingSince time.Duration // 0: not draining
 	stall         stallWindow
-	crowdedAbove  int // more connections than this shorten the idle timeout
+	crowdedAbove  int // with more connections than this, crowdedIdleTimeout applies
 }
 
-// New returns a Downstream without connections. Events are handed to emit on the
-// loop's owning goroutine; now is the clock of the core, and ready reports
-// whether requests can be served, for health checks of this process.
-// maxDescriptors is the process's limit of descriptors.
+// New returns a Downstream without connections. It calls emit with each event, on
+// the loop's owning goroutine. now is the core's clock. ready reports whether
+// requests can be served, and decides how health checks of this process are answered.
+// maxDescriptors is the limit on the process's file descriptors.
 func New(emit func(core.Event), now func() time.Duration, ready func() bool, maxDescriptors int) *Downstream {
 	return &Downstream{
 		emit:         emit,
@@ -45,9 +45,9 @@
 	}
 }
 
-// SetRoutes replaces the classes and tenants that requests may name. maxWaits is
-// the longest time that a client may wait, by class; tenants are in the order of
-// the settings, whose index the core uses.
+// SetRoutes replaces the classes and tenants that requests may name. maxWaits is the
+// longest time that a client may wait, by class index. tenants must be in the order
+// of the settings, because the core identifies a tenant by its index there.
 func (d *Downstream) SetRoutes(routes []core.Route, maxWaits []time.Duration, tenants []piernotch.Tenant) {
 	d.routes = map[string][]core.Route{}
 	d.maxWaits = maxWaits
@@ -57,14 +57,14 @@
 	}
 }
 
-// StartDraining starts draining: from now on each response closes its connection,
-// and connections that stay idle are closed after drainIdleGrace.
+// StartDraining starts draining: from now on each connection is closed after its next
+// response, and connections that stay idle are closed after drainIdleGrace.
 func (d *Downstream) StartDraining() { d.drainingSince = d.now() }
 
-// StopDraining ends draining: connections are kept again.
+// StopDraining ends draining: connections stay open after a response again.
 func (d *Downstream) StopDraining() { d.drainingSince = 0 }
 
-// Shutdown has every further response close its connection. It cannot be undone.
+// Shutdown makes every further response close its connection. It cannot be undone.
 func (d *Downstream) Shutdown() { d.shuttingDown = true }
 
 // Accepted registers a new connection and returns its handler.
@@ -79,10 +79,12 @@
 	return accepted
 }
 
-// ConnectionCount returns how many client connections are open.
+// ConnectionCount returns the number of open client connections, including those
+// that are being closed.
 func (d *Downstream) ConnectionCount() int { return len(d.connections) }
 
-// closesAfterResponse reports whether all responses close their connection.
+// closesAfterResponse reports whether every response closes its connection, because
+// the process is draining or shutting down.
 func (d *Downstream) closesAfterResponse() bool {
 	return d.shuttingDown || d.drainingSince > 0
 }
--- a/internal/serve/downstream/fixture_test.go
+++ b/internal/serve/downstream/fixture_test.go
@@ -16,7 +16,7 @@
 	"piernotch/internal/serve/servetest"
 )
 
-// fixture is a Downstream on an event loop of its own, whose clock the test sets.
+// fixture is a Downstream on its own event loop, with a clock that the test sets.
 type fixture struct {
 	*servetest.Loop
 	t          *testing.T
@@ -25,10 +25,10 @@
 	accepted   chan *observedHandler
 }
 
-// observedHandler reports when its connection has received data.
+// observedHandler reports the size of the data that the wrapped Handler has handled.
 type observedHandler struct {
 	eventloop.Handler
-	received chan int // bytes
+	received chan int // bytes per call of Data
 }
 
 func (h *observedHandler) Data(data []byte) {
@@ -56,8 +56,8 @@
 	return f
 }
 
-// awaitRead waits until the poller, which reads the sockets, is done with what the clients have sent: until
-// then a connection counts as one with unread input, also where its data was handled.
+// awaitRead waits until the poller, which reads the sockets, has finished reading what the clients have sent. Until
+// then InputEmpty reports unread input, even if the data was already handled.
 func (f *fixture) awaitRead() {
 	f.t.Helper()
 	done := func() bool {
@@ -72,7 +72,7 @@
 	require.Eventually(f.t, done, servetest.Timeout, time.Millisecond)
 }
 
-// advance lets time pass, and then has the Downstream enforce its timeouts.
+// advance moves the clock forward, and then calls Tick, which enforces the timeouts.
 func (f *fixture) advance(by time.Duration) {
 	f.t.Helper()
 	f.awaitRead()
@@ -80,13 +80,13 @@
 	f.Do(f.downstream.Tick)
 }
 
-// connectionCount returns how many connections are open.
+// connectionCount calls ConnectionCount on the loop's owning goroutine.
 func (f *fixture) connectionCount() (count int) {
 	f.Do(func() { count = f.downstream.ConnectionCount() })
 	return count
 }
 
-// testClient is a client's connection.
+// testClient is the client's side of a connection, and the handler of the Downstream's side.
 type testClient struct {
 	*fixture
 	net.Conn
@@ -94,7 +94,7 @@
 	handler *observedHandler
 }
 
-// connect opens a connection and waits until it was accepted.
+// connect opens a connection and waits until the Downstream has accepted it.
 func (f *fixture) connect() *testClient {
 	f.t.Helper()
 	conn, err := net.Dial("tcp", f.listener.Addr())
@@ -102,11 +102,11 @@
 	f.t.Cleanup(func() { _ = conn.Close() })
 	require.NoError(f.t, conn.SetDeadline(time.Now().Add(servetest.Timeout)))
 	client := &testClient{fixture: f, Conn: conn, reader: bufio.NewReader(conn), handler: <-f.accepted}
-	f.Do(func() {}) // the connection is registered behind the call of the handler's constructor
+	f.Do(func() {}) // wait: the loop registers the connection after it has called the handler's constructor
 	return client
 }
 
-// send sends text and waits until the Downstream has received it.
+// send sends text and waits until the Downstream has handled all of it.
 func (c *testClient) send(text string) {
 	c.t.Helper()
 	_, err := io.WriteString(c.Conn, text)
@@ -127,7 +127,7 @@
 	return response.StatusCode
 }
 
-// requireOpen checks that the sending side of the connection is open on the Downstream's side.
+// requireOpen checks that the Downstream has not started to close the connection.
 func (c *testClient) requireOpen() {
 	c.t.Helper()
 	closing := true
@@ -135,14 +135,14 @@
 	require.False(c.t, closing)
 }
 
-// requireClosed checks that the end of the connection has arrived, and nothing before it.
+// requireClosed waits for the Downstream to close its sending side, and checks that no more data comes before that.
 func (c *testClient) requireClosed() {
 	c.t.Helper()
 	_, err := c.reader.ReadByte()
 	require.ErrorIs(c.t, err, io.EOF)
 }
 
-// checkHealth makes a request that the Downstream responds to itself.
+// checkHealth requests healthPath, to which the Downstream responds without the core.
 func (c *testClient) checkHealth() {
 	c.t.Helper()
 	c.send("GET " + healthPath + " HTTP/1.1\r\nHost: b\r\n\r\n")
--- a/internal/serve/downstream/request.go
+++ b/internal/serve/downstream/request.go
@@ -15,31 +15,32 @@
 )
 
 const (
-	// deadlineMargin is how long before the client's own deadline a response must
-	// be on its way: the request took time to arrive, and so will the response.
+	// deadlineMargin is subtracted from the client's deadline, to allow for the
+	// transit times of the request and of the response.
 	deadlineMargin = 10 * time.Millisecond
 
-	// maxRequestIDLength and maxKeyLength bound what a client may send, in bytes.
+	// maxRequestIDLength is the longest accepted X-Request-Id, and maxKeyLength the
+	// longest affinity key that is used, in bytes.
 	maxRequestIDLength = 128
 	maxKeyLength       = 256
 
-	// reasonTrailingBytes is the body of the response to a second request that
-	// came before the first one's response.
+	// reasonTrailingBytes is the body of the response to a client that sends data
+	// beyond its request before it gets the response.
 	reasonTrailingBytes = "bytes beyond the request"
 )
 
-// invalidRequest is the response to a request that cannot be served.
+// invalidRequest is the response to a request that is rejected as invalid.
 type invalidRequest struct {
 	status int
-	reason string
-	allow  string // the method that the path takes, for the Allow field; "": no such field
+	reason string // the body
+	allow  string // value of the Allow field: the method that the path takes; "": no such field
 }
 
 func badRequest(reason string) *invalidRequest {
 	return &invalidRequest{status: http1.StatusBadRequest, reason: reason}
 }
 
-// parseRequest turns a message into the core's event, all but its exchange ID.
+// parseRequest converts a message to the event for the core, without the exchange ID.
 func (d *Downstream) parseRequest(message *http1.Message) (core.RequestReceived, *invalidRequest) {
 	className, _, _ := strings.Cut(strings.TrimPrefix(message.Path(), "/"), "/")
 	class, method := d.route(className, message.Method)
@@ -75,9 +76,9 @@
 	return &invalidRequest{status: http1.StatusMethodNotAllowed, reason: "use " + allowed, allow: allowed}
 }
 
-// route finds the class that a request names and the method that the class takes,
-// "" if there is no such class. A class may have two routes for a while after its
-// retry safety was changed: the one that takes the request's method is preferred.
+// route returns the index of the named class and the method that it takes, or "" if
+// there is no such class. After a change of its retry safety, a class has two routes
+// until one of them expires. The route that takes the request's method is preferred.
 func (d *Downstream) route(className, method string) (class int, allowedMethod string) {
 	for _, route := range d.routes[className] {
 		if route.ExpiresAt > 0 && d.now() >= route.ExpiresAt {
@@ -95,16 +96,16 @@
 	return class, allowedMethod
 }
 
-// tenantIndex returns the index of a tenant in the settings, -1 for one that they
-// do not name: it has no quota of its own, and must not use up another's.
+// tenantIndex returns the index of a tenant in the settings, or -1 for a tenant that
+// is not listed there: it has no quota of its own, and must not use up another's.
 func (d *Downstream) tenantIndex(name string) int {
 	return slices.IndexFunc(d.tenants, func(tenant piernotch.Tenant) bool { return tenant.Name == name })
 }
 
 // parseHeaders validates a request's header fields and body framing. It returns
 // the request's ID and how long the client waits: maxWait, or less if the client
-// names a shorter deadline. What a server could not use, or could interpret
-// differently, is rejected.
+// names a shorter deadline. Requests that a server could not use, or could interpret
+// differently, are rejected.
 func parseHeaders(
 	message *http1.Message,
 	maxWait time.Duration,
@@ -140,8 +141,8 @@
 	return id, wait, nil
 }
 
-// parseDeadline parses a positive number of milliseconds. Numbers too large for a
-// time.Duration count as the largest uint32.
+// parseDeadline parses a positive whole number of milliseconds. Numbers above the
+// largest uint32 count as that, so that none is too large for a time.Duration.
 func parseDeadline(text string) (deadline time.Duration, valid bool) {
 	milliseconds, err := strconv.ParseUint(text, 10, 64)
 	if errors.Is(err, strconv.ErrRange) {
@@ -153,16 +154,16 @@
 	return time.Duration(min(milliseconds, math.MaxUint32)) * time.Millisecond, true
 }
 
-// validRequestID reports whether an ID is of visible ASCII characters alone, and
-// neither empty nor too long.
+// validRequestID reports whether an ID consists of visible ASCII characters only, and
+// is neither empty nor too long.
 func validRequestID(id string) bool {
 	invisible := func(r rune) bool { return r <= ' ' || r > '~' }
 	return id != "" && len(id) <= maxRequestIDLength && !strings.ContainsFunc(id, invisible)
 }
 
-// parseKey turns a request's affinity key into a number, 0 for none. A key is
-// normally hexadecimal; any other is hashed, as only equality matters. One that
-// is too long counts as none.
+// parseKey converts a request's affinity key to a number, 0 for none. Keys are
+// normally hexadecimal numbers of up to 64 bits. Any other key is hashed, because
+// only equality matters. A key that is too long counts as none.
 func parseKey(text string) uint64 {
 	if text == "" || len(text) > maxKeyLength {
 		return 0
@@ -175,8 +176,8 @@
 	return hash.Sum64()
 }
 
-// parseCostHint parses an estimate of the request's work in microseconds and
-// returns it in milliseconds, or NaN if there is no positive, finite one.
+// parseCostHint parses an estimate of the request's work in microseconds and returns
+// it in milliseconds. It returns NaN if the text is not a positive, finite number.
 func parseCostHint(text string) float64 {
 	microseconds, err := strconv.ParseFloat(text, 64)
 	positive := microseconds > 0 // false for NaN
--- a/internal/serve/downstream/request_test.go
+++ b/internal/serve/downstream/request_test.go
@@ -26,7 +26,7 @@
 	return d
 }
 
-// requestID is what every valid request carries besides the fields under test.
+// requestID is the field that every valid request needs besides the fields under test.
 var requestID = http1.Field{Name: "x-request-id", Value: "r-1"}
 
 func TestParseRequestBuildsTheCoreEvent(t *testing.T) {
@@ -165,7 +165,7 @@
 	require.Zero(t, parseKey(""))
 	require.Zero(t, parseKey(strings.Repeat("a", maxKeyLength+1)))
 	require.Equal(t, uint64(0x8762a13b8d7e4149), parseKey("not hexadecimal"))   // FNV-1a of 64 bits
-	require.Equal(t, uint64(0x73b20de4e2ae2de8), parseKey("11112222333344445")) // too long for a number: hashed, too
+	require.Equal(t, uint64(0x73b20de4e2ae2de8), parseKey("11112222333344445")) // more than 64 bits: hashed, too
 }
 
 func TestParseCostHint(t *testing.T) {
--- a/internal/serve/downstream/response.go
+++ b/internal/serve/downstream/response.go
@@ -9,19 +9,20 @@
 	"piernotch/internal/serve/core"
 )
 
-// healthPath is where this process responds to health checks.
+// healthPath is the path at which this process responds to health checks.
 const healthPath = "/_health"
 
-// The bodies of the final responses that are not a server's. Clients may depend on
-// them, so they stay as they are, old words included.
+// Bodies of final responses that this process makes itself. Clients may depend on the
+// exact texts, so they must not change, even though the code now says "rejected" where
+// they say "refused".
 const (
 	bodyRejected    = "refused: trying again is harmless\n"
 	bodyDuplicateID = "another open request has this X-Request-Id\n"
 	bodyFailed      = "failed: the request may have run\n"
 )
 
-// Respond writes the final response of an exchange. It does nothing if the
-// exchange is unknown, because its client has gone.
+// Respond writes the final response of an exchange. It does nothing if the exchange
+// is unknown, because its client has disconnected.
 func (d *Downstream) Respond(effect core.Respond) {
 	client := d.pending[effect.Exchange]
 	if client == nil {
@@ -46,7 +47,8 @@
 	}
 }
 
-// respondServed forwards a server's response.
+// respondServed forwards the content type and body of a server's response with
+// status 200, the only status that counts as served.
 func (c *connection) respondServed(response *core.ResponseMessage) {
 	var fields http1.Fields
 	if response.ContentType != "" {
@@ -55,8 +57,8 @@
 	c.respond(http1.StatusOK, fields, response.Body)
 }
 
-// respondRejected responds that the request was not executed, and after what time a
-// retry makes sense; 0: at any time.
+// respondRejected responds that the request was not executed. A retryAfter above 0 is
+// sent as the time after which a retry makes sense, in seconds.
 func (c *connection) respondRejected(retryAfter time.Duration) {
 	var fields http1.Fields
 	if retryAfter > 0 {
@@ -66,7 +68,8 @@
 	c.respond(http1.StatusServiceUnavailable, fields, []byte(bodyRejected))
 }
 
-// serveHealth responds to a health check of this process.
+// serveHealth responds to a health check of this process: 200 if it is ready to serve
+// requests, otherwise 503.
 func (c *connection) serveHealth(message *http1.Message) {
 	switch {
 	case message.Method != http1.MethodGet:
@@ -78,7 +81,8 @@
 	}
 }
 
-// respondInvalid responds to a request that cannot be served.
+// respondInvalid rejects an invalid request, with an Allow field if its method is
+// wrong.
 func (c *connection) respondInvalid(invalid *invalidRequest) {
 	if invalid.allow == "" {
 		c.respondText(invalid.status, invalid.reason)
@@ -87,21 +91,21 @@
 	c.respondText(invalid.status, invalid.reason, http1.Field{Name: "Allow", Value: invalid.allow})
 }
 
-// respondText writes a response with a line of plain text.
+// respondText writes a response whose body is one line of plain text.
 func (c *connection) respondText(status int, text string, fields ...http1.Field) {
 	fields = append(fields, http1.Field{Name: "Content-Type", Value: "text/plain"})
 	c.respond(status, fields, []byte(text+"\n"))
 }
 
-// respond writes a response, and closes the connection behind it if it is the
-// last one.
+// respond writes a response, and then starts to close the connection if this was the
+// last response.
 func (c *connection) respond(status int, fields http1.Fields, body []byte) {
 	if c.closeAfterResponse {
 		fields = append(fields, http1.Field{Name: "Connection", Value: "close"})
 	}
 	c.phaseStart = c.downstream.now()
 	if c.socket.Write(http1.AppendResponse(nil, status, fields, body)) != nil {
-		return // reported as a close of the connection
+		return // the connection is gone; Closed will be called
 	}
 	if c.closeAfterResponse {
 		c.startClose(closeLastResponse)
--- a/internal/serve/downstream/shedding.go
+++ b/internal/serve/downstream/shedding.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// maxShedPerCall is how many connections one call of Shed closes at most.
+// maxShedPerCall is the maximum number of connections that one call of Shed closes.
 const maxShedPerCall = 16
 
-// How long a connection must have been in its phase before Shed may close it. One
-// that was just accepted, or was just sent a response, is spared: its next
-// request is on its way.
+// Minimum time that a connection must have been in its phase before Shed may close
+// it. New connections, and those that have just been sent a response, stay open
+// because their next request is probably in transit.
 const (
-	shedMinLingering = 100 * time.Millisecond // the client's close is on its way
+	shedMinLingering = 100 * time.Millisecond // until then, the client's close is probably in transit
 	shedMinSilent    = 50 * time.Millisecond
 	shedMinPartial   = 500 * time.Millisecond
 	shedMinIdle      = 100 * time.Millisecond
 )
 
-// shedClass is what a connection costs its client when it is closed, in
-// ascending order.
+// shedClass ranks connections by what it costs the client if they are closed,
+// lowest cost first.
 type shedClass int
 
 const (
 	shedUnused  shedClass = iota // lingering, or silent since it was accepted
-	shedPartial                  // its request has been incomplete for long
+	shedPartial                  // its request has been incomplete for at least shedMinPartial
 	shedIdle                     // between two requests
 	shedClassCount
 
-	shedNever shedClass = -1 // a response is pending, or it is in use
+	shedNever shedClass = -1 // in use, or not yet in its phase for the minimum time
 )
 
-// Shed closes up to maxShedPerCall connections to free descriptors: those of the
-// least use first, and among equals those that have been in their phase longest.
+// Shed closes up to maxShedPerCall connections to free descriptors: the lowest
+// shedClass first, and within a class those that have been in their phase longest.
 func (d *Downstream) Shed() {
 	now := d.now()
 	var candidates [shedClassCount][]*connection
@@ -52,7 +52,8 @@
 	}
 }
 
-// shedClass classifies the connection for Shed.
+// shedClass returns the connection's class at time now, shedNever if Shed must not
+// close it.
 func (c *connection) shedClass(now time.Duration) shedClass {
 	age := now - c.phaseStart
 	switch {
--- a/internal/serve/downstream/shedding_test.go
+++ b/internal/serve/downstream/shedding_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Shed closes the connections of the least use first, and spares those that wait for a response.
+// Under a shortage of descriptors, Shed must first close the connections whose loss costs clients least, and must not
+// close one that waits for a response.
 func TestShedClosesConnectionsOfLeastUseFirst(t *testing.T) {
 	f := newFixture(t, 256)
 	pending := f.connect()
@@ -20,7 +21,7 @@
 	for range maxShedPerCall - 1 {
 		silent = append(silent, f.connect())
 	}
-	f.advance(shedMinPartial) // the longest of the minimum ages
+	f.advance(shedMinPartial) // the longest of the minimum times
 
 	f.Do(f.downstream.Shed)
 	for _, client := range silent {
@@ -36,8 +37,9 @@
 	require.Equal(t, 1, f.connectionCount())
 }
 
-// A connection that was accepted or sent a response a moment ago expects a request.
-func TestShedSparesConnectionsThatExpectARequest(t *testing.T) {
+// A connection that was just accepted or just sent a response must stay open: the client's next request may already be
+// in transit.
+func TestShedLeavesNewAndJustServedConnectionsOpen(t *testing.T) {
 	f := newFixture(t, 256)
 	silent, idle := f.connect(), f.connect()
 	idle.checkHealth()
--- a/internal/serve/downstream/stall.go
+++ b/internal/serve/downstream/stall.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// stallReadTime is how long after a stall it may take until everything that
-// arrived meanwhile has been read.
+// stallReadTime is how long after a stall it may take to read all data that arrived
+// during the stall.
 const stallReadTime = 50 * time.Millisecond
 
-// stallWindow is the time after a stall of the process. What is read before until
-// may have arrived as early as from.
+// stallWindow describes the last stall of the process. Data that is read before until
+// may have arrived as early as from, when the stall began.
 type stallWindow struct{ from, until time.Duration }
 
-// Stalled reports to Downstream that nothing was read for the time gap, up to
-// now.
+// Stalled tells the Downstream that the event loop was stalled for the duration gap
+// until now. Data that arrived in that time may not have been read yet.
 func (d *Downstream) Stalled(gap time.Duration) {
 	now := d.now()
 	if d.stall.until < now {
@@ -20,11 +20,11 @@
 	d.stall.until = now + stallReadTime
 }
 
-// arrivalTime returns the earliest time at which the request that is read now may
-// have arrived. The client's deadline runs from when it sent the request; without
-// this correction a process that has stalled would take old requests for new ones,
-// and respond too late. A request that is taken for older than it is may be
-// rejected, which is safe: it has not been forwarded.
+// arrivalTime returns the earliest time at which a request that is read now may have
+// arrived. A client's deadline runs from the time at which it sent the request.
+// Without this correction, requests that waited during a stall would count as new, and
+// the responses would come too late. To overestimate the age of a request is safe: it
+// may be rejected, but has not been forwarded.
 func (d *Downstream) arrivalTime() time.Duration {
 	now := d.now()
 	if now >= d.stall.until {
--- a/internal/serve/downstream/stall_test.go
+++ b/internal/serve/downstream/stall_test.go
@@ -9,7 +9,7 @@
 	"piernotch/internal/serve/core"
 )
 
-// What is read shortly after a stall may have arrived when it began.
+// A request that waited during a stall of the process must not count as new, or its response would come too late.
 func TestArrivalTimeAfterAStall(t *testing.T) {
 	now := time.Minute
 	d := New(func(core.Event) {}, func() time.Duration { return now }, func() bool { return true }, 256)
@@ -19,7 +19,7 @@
 	require.Equal(t, time.Minute-time.Second, d.arrivalTime())
 
 	now += stallReadTime - 1
-	d.Stalled(10 * time.Millisecond) // what came in the first stall may still not have been read
+	d.Stalled(10 * time.Millisecond) // data that arrived in the first stall may still be unread
 	require.Equal(t, time.Minute-time.Second, d.arrivalTime())
 
 	now += stallReadTime
--- a/internal/serve/downstream/timeouts.go
+++ b/internal/serve/downstream/timeouts.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// firstByteTimeout is how long a new connection may send nothing at all.
-	// Together with requestTimeout it bounds how long an attacker can hold a
-	// descriptor without a request.
+	// firstByteTimeout is how long a new connection may stay silent. Together with
+	// requestTimeout it limits how long an attacker can hold a descriptor without
+	// sending a complete request.
 	firstByteTimeout = 2 * time.Second
 
 	// requestTimeout is how long a request may take from its first byte to its
@@ -19,31 +19,32 @@
 	// responseTimeout is how long a client may take to read its response.
 	responseTimeout = 10 * time.Second
 
-	// idleTimeout is how long a connection is kept between two requests.
+	// idleTimeout is how long a connection is kept open between two requests.
 	// crowdedIdleTimeout applies while clients hold more than a quarter of all
-	// descriptors: clients that send one request and keep their connection would
-	// otherwise use up the descriptors that other clients' requests need.
+	// descriptors. Otherwise clients that send one request and keep their connection
+	// open would use up the descriptors that other clients need.
 	idleTimeout        = 2 * time.Second
 	crowdedIdleTimeout = 300 * time.Millisecond
 
-	// lingerTimeout is how long input is read and discarded after the sending side
-	// was closed, until the client closes its side. A close over unread bytes is a
-	// reset, which would destroy a response that is still on its way.
+	// lingerTimeout is how long input is discarded after the sending side was closed,
+	// unless the client closes its side earlier. Closing a socket with unread input
+	// resets the connection, and could destroy a response in transit.
 	lingerTimeout = 2 * time.Second
 
-	// drainIdleGrace is how long after the start of draining connections may stay
-	// idle. The response to the next request closes a connection anyway, and a client
-	// whose idle connection is closed may just have sent a request on it.
+	// drainIdleGrace is how long connections may stay idle after draining has started.
+	// They are not closed earlier because a client may just have sent a request on an
+	// idle connection. The response to a connection's next request closes it anyway.
 	drainIdleGrace = 2500 * time.Millisecond
 
-	// newConnectionGrace is how long CloseIdle waits for the first request of a
-	// connection that has just been accepted.
+	// newConnectionGrace is the age up to which CloseIdle leaves a connection open that
+	// has not sent its first request yet.
 	newConnectionGrace = 300 * time.Millisecond
 )
 
-// Tick must be called once per core.TickInterval. It closes the connections that
-// are done, that were silent or idle for too long, or whose client is too slow to
-// send its request or to read its response.
+// Tick must be called once per core.TickInterval. It closes connections that were
+// silent or idle for too long, and those whose client is too slow to send its request,
+// to read its response or to close its side. It also continues closes that waited for
+// unsent output.
 func (d *Downstream) Tick() {
 	now := d.now()
 	idleLimit := idleTimeout
@@ -58,7 +59,8 @@
 	}
 }
 
-// enforceTimeouts applies the timeout of the connection's current phase.
+// enforceTimeouts closes or rejects the connection if its current phase has lasted
+// too long. No timeout applies while a response is pending.
 func (c *connection) enforceTimeouts(now, idleLimit time.Duration) {
 	age := now - c.phaseStart
 	switch {
@@ -86,8 +88,8 @@
 	}
 }
 
-// CloseIdle closes all idle connections, except those on which a request has
-// just arrived or is to be expected.
+// CloseIdle closes all idle connections, except those with unread input and new ones
+// whose first request is still expected (see newConnectionGrace).
 func (d *Downstream) CloseIdle() {
 	now := d.now()
 	for c := range d.connections {
--- a/internal/serve/downstream/timeouts_test.go
+++ b/internal/serve/downstream/timeouts_test.go
@@ -10,7 +10,7 @@
 	"piernotch/internal/serve/core"
 )
 
-// shortTime is less than any timeout.
+// shortTime is less than any timeout of this package.
 const shortTime = time.Millisecond
 
 func TestSilentConnectionIsClosedAfterFirstByteTimeout(t *testing.T) {
@@ -38,7 +38,7 @@
 		timeout        time.Duration
 	}{
 		"few connections":  {256, idleTimeout},
-		"many connections": {4, crowdedIdleTimeout}, // two are more than a quarter
+		"many connections": {4, crowdedIdleTimeout}, // two connections are more than a quarter of 4 descriptors
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, test.maxDescriptors)
@@ -54,7 +54,7 @@
 	}
 }
 
-// The core enforces a request's deadline: as long as it owes a response, no timeout applies.
+// The core enforces the deadline of a request. The Downstream must not time out its connection before the response.
 func TestConnectionWithPendingRequestHasNoTimeout(t *testing.T) {
 	client := newFixture(t, 256).connect()
 	client.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 1\r\n\r\n")
@@ -67,12 +67,12 @@
 	require.Equal(t, http.StatusOK, client.status())
 }
 
-// A client that does not close its side is disconnected once the linger timeout has passed.
+// A client that does not close its side must not hold a descriptor beyond the linger timeout.
 func TestLingeringConnectionIsClosedAfterLingerTimeout(t *testing.T) {
 	client := newFixture(t, 256).connect()
 	client.send("no request\r\n\r\n")
 	require.Equal(t, http.StatusBadRequest, client.status())
-	client.advance(0) // closes the sending side, if that was not done with the response
+	client.advance(0) // Tick closes the sending side if part of the response was still unsent
 	client.requireClosed()
 	client.advance(lingerTimeout)
 	require.Equal(t, 1, client.connectionCount())
@@ -80,7 +80,7 @@
 	require.Zero(t, client.connectionCount())
 }
 
-// While the Downstream drains, each response closes its connection.
+// While the Downstream drains, each response closes its connection. An idle connection is not closed at once.
 func TestResponseClosesConnectionWhileDraining(t *testing.T) {
 	client := newFixture(t, 256).connect()
 	client.checkHealth()
@@ -91,8 +91,7 @@
 	client.requireClosed()
 }
 
-// A connection that has sent nothing is closed earlier than by its own timeout once draining has lasted
-// for drainIdleGrace.
+// Once draining has lasted for drainIdleGrace, a new connection without a request is closed before firstByteTimeout.
 func TestIdleConnectionIsClosedAfterDrainGrace(t *testing.T) {
 	f := newFixture(t, 256)
 	f.Do(f.downstream.StartDraining)
