--- a/internal/serve/servetest/doc.go
+++ b/internal/serve/servetest/doc.go
@@ -1,6 +1,6 @@
-// Package servetest holds what the tests of the serving packages have in common: an event loop whose clock the
-// test sets, and a peer on a socket which the test plays.
+// Package servetest contains helpers for the tests of the serving packages: an event loop whose clock the test sets,
+// and a network peer as which the test acts.
 //
-// It is imported by tests alone (internal/serve/discovery, downstream, upstream), and knows none of the packages
-// that they test.
+// Only tests import it (internal/serve/discovery, downstream, upstream). It must not import the packages that they
+// test.
 package servetest
--- a/internal/serve/servetest/loop.go
+++ b/internal/serve/servetest/loop.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// Timeout bounds every wait for a socket; no test depends on how long one takes.
+	// Timeout limits every wait for a socket. It only ends a test that would hang: no result depends on it.
 	Timeout = 20 * time.Second
-	// ShortTime is less than any timeout of the serving packages.
+	// ShortTime is less than any timeout of the serving packages, so that a test can advance the clock just past one.
 	ShortTime = time.Millisecond
 
 	descriptors = 256
 )
 
-// Loop is an event loop without ticks, a clock that only the test advances, and the events that the tested package
-// emits.
+// Loop is an event loop that calls no ticks, with a clock that only the test advances and the events that the tested
+// package emits.
 type Loop struct {
 	*eventloop.Loop
 	Events chan core.Event
 	clock  atomic.Int64
 }
 
-// NewLoop runs a loop until the test ends. Its clock stands at an hour.
+// NewLoop starts a loop that runs until the test ends. Its clock starts at one hour.
 func NewLoop(t *testing.T) *Loop {
 	t.Helper()
 	loop, err := eventloop.New(descriptors)
@@ -38,7 +38,7 @@
 	l.clock.Store(int64(time.Hour))
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { // ends with ctx, which the cleanup awaits
+	go func() { // ends with ctx; the cleanup waits for the end
 		loop.Run(ctx, core.TickInterval, func() {})
 		close(ended)
 	}()
@@ -49,16 +49,16 @@
 	return l
 }
 
-// Now returns the clock's time. It may be called from any goroutine.
+// Now returns the time of the test's clock. It may be called from any goroutine.
 func (l *Loop) Now() time.Duration { return time.Duration(l.clock.Load()) }
 
-// AdvanceClock lets time pass.
+// AdvanceClock moves the clock forward. The tested package notices when the test next calls its Tick.
 func (l *Loop) AdvanceClock(by time.Duration) { l.clock.Add(int64(by)) }
 
-// Emit passes an event on to Events.
+// Emit sends an event to Events. It is the emit function for the tested package, and blocks while Events is full.
 func (l *Loop) Emit(event core.Event) { l.Events <- event }
 
-// Do runs a function on the loop's owning goroutine and waits for it.
+// Do runs call on the loop's owning goroutine and waits until it returns.
 func (l *Loop) Do(call func()) {
 	done := make(chan struct{})
 	l.Post(func() {
--- a/internal/serve/servetest/peer.go
+++ b/internal/serve/servetest/peer.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Listen opens a socket on loopback that is closed when the test ends.
+// Listen opens a loopback listener on a free port. It is closed when the test ends.
 func Listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -20,14 +20,14 @@
 	return listener
 }
 
-// Peer is the test's side of a connection.
+// Peer is the test's side of a connection that the tested package has opened. Reads and writes fail after Timeout.
 type Peer struct {
 	net.Conn
 	t      *testing.T
 	reader *bufio.Reader
 }
 
-// Accept accepts the connection that the tested package opens next.
+// Accept accepts the next connection that the tested package opens. It is closed when the test ends.
 func Accept(t *testing.T, listener net.Listener) *Peer {
 	t.Helper()
 	conn, err := listener.Accept()
@@ -37,7 +37,7 @@
 	return &Peer{Conn: conn, t: t, reader: bufio.NewReader(conn)}
 }
 
-// RequestHead reads a request without a body and returns the lines of its head.
+// RequestHead reads a request that has no body, and returns its request line and header lines.
 func (p *Peer) RequestHead() []string {
 	p.t.Helper()
 	var head []string
@@ -51,14 +51,15 @@
 	}
 }
 
-// Send sends text.
+// Send writes text to the connection as it is, and fails the test if that is not possible.
 func (p *Peer) Send(text string) {
 	p.t.Helper()
 	_, err := io.WriteString(p.Conn, text)
 	require.NoError(p.t, err)
 }
 
-// RequireClosed waits until the tested package has closed the connection.
+// RequireClosed waits until the tested package has closed the connection in order. It fails the test if data arrives
+// first or if the connection is reset.
 func (p *Peer) RequireClosed() {
 	p.t.Helper()
 	_, err := p.reader.ReadByte()
--- a/internal/timingwheel/wheel_test.go
+++ b/internal/timingwheel/wheel_test.go
@@ -12,7 +12,7 @@
 
 func TestTimerFiresOnceAtFirstTickAtOrAfterItsTime(t *testing.T) {
 	for _, tc := range []struct{ at, fires time.Duration }{
-		{0, 5 * time.Millisecond}, // never within the present tick
+		{0, 5 * time.Millisecond}, // not before the next tick
 		{1 * time.Millisecond, 5 * time.Millisecond},
 		{5 * time.Millisecond, 5 * time.Millisecond},
 		{6 * time.Millisecond, 10 * time.Millisecond},
@@ -49,8 +49,8 @@
 	var restart func()
 	restart = func() {
 		fired++
-		w.At(0, restart)                                                    // at the next tick
-		w.At(slotCount*tick, func() { require.Fail(t, "fired too early") }) // in this very slot, next round
+		w.At(0, restart)                                                    // due at the next tick
+		w.At(slotCount*tick, func() { require.Fail(t, "fired too early") }) // due in the next round
 	}
 	w.At(tick, restart)
 	w.Advance(tick)
@@ -59,7 +59,7 @@
 	require.Equal(t, 2, fired)
 }
 
-// However far each call advances the time, a timer fires in the first call that reaches its tick.
+// However far each call advances the time, a timer must fire exactly once, in the first call that reaches its tick.
 func TestAdvanceFiresExactlyWhatIsDue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := rapid.Int64Range(0, 10_000).Draw(t, "start")
