--- a/internal/serve/downstream/request.go
+++ b/internal/serve/downstream/request.go
@@ -78,7 +78,7 @@
 
 // route returns the index of the named class and the method that it takes, or "" if
 // there is no such class. After a change of its retry safety, a class has two routes
-// until one of them expires. The route that takes the request's method is preferred.
+// until the old one expires. The route that takes the request's method is preferred.
 func (d *Downstream) route(className, method string) (class int, allowedMethod string) {
 	for _, route := range d.routes[className] {
 		if route.ExpiresAt > 0 && d.now() >= route.ExpiresAt {
--- a/internal/serve/servetest/peer.go
+++ b/internal/serve/servetest/peer.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// Send writes text to the connection as it is, and fails the test if that is not possible.
+// Send writes text to the connection unchanged. An error fails the test.
 func (p *Peer) Send(text string) {
 	p.t.Helper()
 	_, err := io.WriteString(p.Conn, text)
--- a/internal/serve/upstream/errors.go
+++ b/internal/serve/upstream/errors.go
@@ -38,7 +38,7 @@
 // response. Its stage tells whether the server may have executed the request.
 type AttemptError struct {
 	Stage      Stage
-	Address    string        // of the server
+	Address    string        // address of the server
 	Connection int           // its number in this process; 0: none was established
 	Responses  int           // number of responses that the connection had carried before
 	IdleFor    time.Duration // how long the connection had been idle before the attempt
--- a/internal/serve/upstream/pool.go
+++ b/internal/serve/upstream/pool.go
@@ -28,7 +28,7 @@
 	idle     []*connection // most recently used last
 	settling []*connection // not reused until settleTime after their response; earliest first
 	waiting  []*attempt    // longest waiting first
-	dials    int           // dials in progress
+	dials    int           // number of dials in progress
 	draining bool          // the server is draining or gone: connections are closed once free
 }
 
--- a/internal/serve/upstream/response_history.go
+++ b/internal/serve/upstream/response_history.go
@@ -43,7 +43,7 @@
 	return digests
 }
 
-// carriedExchange is a request and its response that a connection has carried.
+// carriedExchange is a request that a connection has carried, with its response.
 type carriedExchange struct {
 	exchangeDigests
 	at time.Duration // when the response was complete
@@ -102,7 +102,7 @@
 	})
 }
 
-// addCommon records a response as common.
+// addCommon records a response that proved to be common: it was held, and nothing followed it.
 func (h *responseHistory) addCommon(digests exchangeDigests, connection int) {
 	h.responses.Add(digests.response, seenResponse{request: digests.request, connection: connection, common: true})
 }
--- a/internal/serve/upstream/timeouts_test.go
+++ b/internal/serve/upstream/timeouts_test.go
@@ -83,7 +83,7 @@
 	f.Do(f.upstream.Tick)
 }
 
-// endpoint returns the endpoint of the fixture's server.
+// endpoint returns the endpoint at which the test acts as the server.
 func (f *fixture) endpoint() core.Endpoint {
 	return core.Endpoint{Server: 1, Address: f.server.Addr().String()}
 }
