--- a/internal/decision/loadreport/loadreport.go
+++ b/internal/decision/loadreport/loadreport.go
@@ -134,8 +134,8 @@
 // PerSecond returns the peak completion rate; 0 if it is not known.
 func (p *PeakRate) PerSecond() float64 { return p.perSecond }
 
-// Review updates the peak by what the warm servers complete now.
-func (p *PeakRate) Review(warm Fleet) {
+// Update updates the peak by what the warm servers complete now.
+func (p *PeakRate) Update(warm Fleet) {
 	p.perSecond *= peakRetention
 	if warm.size > 0 {
 		p.perSecond = max(p.perSecond, warm.completionRate/warm.size)
--- a/internal/decision/loadreport/loadreport_test.go
+++ b/internal/decision/loadreport/loadreport_test.go
@@ -72,12 +72,12 @@
 	fleet.Add(&large, 2)
 	fleet.Add(&silent, 9)
 	var peak PeakRate
-	peak.Review(Fleet{})
+	peak.Update(Fleet{})
 	require.Zero(t, peak.PerSecond(), "no server has reported")
-	peak.Review(fleet)
+	peak.Update(fleet)
 	require.Equal(t, 20.0, peak.PerSecond())
 	for range 2839 {
-		peak.Review(Fleet{})
+		peak.Update(Fleet{})
 	}
 	require.InDelta(t, 10, peak.PerSecond(), 0.01, "it has halved")
 	peak.Restore(5)
--- a/load_reports.go
+++ b/load_reports.go
@@ -36,7 +36,7 @@
 			fleet.Add(&target.reports, target.Size)
 		}
 	}
-	b.peakCompletionRate.Review(fleet)
+	b.peakCompletionRate.Update(fleet)
 }
 
 // meanInflight returns how many requests of all balancers a warm member of the group holds on the mean, by
