--- a/internal/decision/slowstart/slowstart.go
+++ b/internal/decision/slowstart/slowstart.go
@@ -65,7 +65,7 @@
 	Work           float64 // expected, ms
 	MeanWork       float64 // of all requests, ms
 	ServerInflight int     // this balancer's requests at the server
-	OthersWarmItUp bool    // the server is in another zone, which has balancers of its own
+	WarmedByLocalBalancers bool    // the server is in another zone, which has balancers of its own
 }
 
 // Identity tells the draws for one server from those for others.
@@ -131,7 +131,7 @@
 // pause, and no heavy one, since one from each balancer would overload it.
 func (c *Controller) Admits(now time.Duration, p *Progress, request Request) bool {
 	heavy := request.Work > request.MeanWork
-	if heavy || request.OthersWarmItUp {
+	if heavy || request.WarmedByLocalBalancers {
 		return false
 	}
 	return now >= p.nextSend && request.ServerInflight == 0
--- a/internal/decision/slowstart/slowstart_test.go
+++ b/internal/decision/slowstart/slowstart_test.go
@@ -76,7 +76,7 @@
 	for name, request := range map[string]Request{
 		"heavy":       {Work: 26, MeanWork: 25},
 		"second":      {Work: 25, MeanWork: 25, ServerInflight: 1},
-		"other zones": {Work: 25, MeanWork: 25, OthersWarmItUp: true},
+		"other zones": {Work: 25, MeanWork: 25, WarmedByLocalBalancers: true},
 	} {
 		require.False(t, c.Admits(now, &p, request), name)
 	}
--- a/slow_start.go
+++ b/slow_start.go
@@ -45,7 +45,7 @@
 func (b *Balancer) slowStartAllows(now time.Duration, request *openRequest, target *server) bool {
 	candidate := slowstart.Request{
 		Work: request.work, MeanWork: b.workload.Mean(), ServerInflight: target.inflight,
-		OthersWarmItUp: b.spills(target) && !b.zonesWithoutBalancer(),
+		WarmedByLocalBalancers: b.spills(target) && !b.zonesWithoutBalancer(),
 	}
 	if !b.slowStart.Admits(now, &target.slowStart, candidate) {
 		return false
