--- a/internal/decision/estimate/estimate.go
+++ b/internal/decision/estimate/estimate.go
@@ -45,10 +45,10 @@
 	return time.Duration(count * float64(time.Millisecond))
 }
 
-// FollowRatio moves the running ratio of a latency to its work, both in ms, towards the sample
+// UpdateRatio moves the running ratio of a latency to its work, both in ms, towards the sample
 // latency/work by the gain, and returns the result. A ratio of 0 is not known yet: it becomes the sample.
 // A sample without work or latency, or with a gain that is no finite number, changes nothing.
-func FollowRatio(ratio, latency, work, gain float64) float64 {
+func UpdateRatio(ratio, latency, work, gain float64) float64 {
 	if !(work > 0) || !(latency > 0) || math.IsInf(gain, 0) || math.IsNaN(gain) {
 		return ratio
 	}
--- a/internal/decision/estimate/estimate_test.go
+++ b/internal/decision/estimate/estimate_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestFollowRatio(t *testing.T) {
+func TestUpdateRatio(t *testing.T) {
 	for name, c := range map[string]struct{ ratio, latency, work, gain, want float64 }{
 		"the first sample":  {ratio: 0, latency: 30, work: 10, gain: 0.1, want: 3},
 		"by the gain":       {ratio: 2, latency: 30, work: 10, gain: 0.25, want: 2.25},
@@ -40,7 +40,7 @@
 		"infinite gain":     {ratio: 2, latency: 30, work: 10, gain: math.Inf(1), want: 2},
 		"no number as gain": {ratio: 2, latency: 30, work: 10, gain: math.NaN(), want: 2},
 	} {
-		require.Equal(t, c.want, FollowRatio(c.ratio, c.latency, c.work, c.gain), name)
+		require.Equal(t, c.want, UpdateRatio(c.ratio, c.latency, c.work, c.gain), name)
 	}
 }
 
--- a/internal/decision/latency/latency.go
+++ b/internal/decision/latency/latency.go
@@ -117,7 +117,7 @@
 
 func (o *Overall) record(ms float64, response Response) {
 	gain := estimate.GroupSmoothing * response.Work / response.MeanWork
-	o.perWork = estimate.FollowRatio(o.perWork, ms, response.Work, gain)
+	o.perWork = estimate.UpdateRatio(o.perWork, ms, response.Work, gain)
 }
 
 // startIfUnknown takes the first response as the mean, and half of its queueing as the deviation, as
--- a/internal/decision/latency/server.go
+++ b/internal/decision/latency/server.go
@@ -61,7 +61,7 @@
 func (s *Server) record(typical, ms float64, response Response) {
 	s.mean += estimate.ServerSmoothing * (typical - s.mean)
 	gain := estimate.ServerSmoothing * response.Work / response.MeanWork
-	s.perWork = estimate.FollowRatio(s.perWork, ms, response.Work, gain)
+	s.perWork = estimate.UpdateRatio(s.perWork, ms, response.Work, gain)
 }
 
 // Expected returns how long the server will take for so much work in ms, that of the requests before a new
