--- a/internal/decision/slowstart/slowstart.go
+++ b/internal/decision/slowstart/slowstart.go
@@ -62,9 +62,9 @@
 
 // Request is what a request to a server in slow start means to it.
 type Request struct {
-	Work           float64 // expected, ms
-	MeanWork       float64 // of all requests, ms
-	ServerInflight int     // this balancer's requests at the server
+	Work                   float64 // expected, ms
+	MeanWork               float64 // of all requests, ms
+	ServerInflight         int     // this balancer's requests at the server
 	WarmedByLocalBalancers bool    // the server is in another zone, which has balancers of its own
 }
 
