--- a/internal/decision/estimate/estimate.go
+++ b/internal/decision/estimate/estimate.go
@@ -1,11 +1,11 @@
-// Package estimate holds the arithmetic that several components of the decision module share: running
-// estimates of rates, means and ratios, random delays and a hash.
+// Package estimate provides arithmetic that several components of the decision module share: running rates,
+// means and ratios, random delays and a hash.
 //
-// It decides nothing and keeps no state of its own: each component owns the estimates that it makes with
-// these types. Times are on the caller's clock, as durations since an origin that the caller chooses.
+// It has no state of its own: each component owns the estimates that it makes with these types. Times are
+// durations since an origin that the caller chooses.
 //
-// The running means are exponentially weighted moving averages, as TCP keeps of round trip times (RFC 6298):
-// they need one number each, and follow a change within a known number of samples.
+// The running means are exponentially weighted moving averages (EWMA), as TCP uses for round-trip times (RFC
+// 6298): each needs only one number and follows a change within a known number of samples.
 package estimate
 
 import (
@@ -14,20 +14,21 @@
 	"time"
 )
 
-// Weights of one sample in a running mean: a mean moves by this share of its distance to the sample.
+// Weights of one sample in a running mean: a sample moves the mean by this share of the distance between
+// them.
 const (
-	// GroupSmoothing is for a mean over a group of servers, which has many samples: a mean over about the
-	// last 16 of them.
+	// GroupSmoothing is the weight in a mean over a group of servers: it covers about the last 16 samples.
 	GroupSmoothing = 1.0 / 16
-	// ServerSmoothing is for a mean over one server, which has fewer samples: about the last 6.
+	// ServerSmoothing is the weight in a mean over one server, which has fewer samples: it covers about the
+	// last 6.
 	ServerSmoothing = 1.0 / 6
 )
 
-// maxRatioGain bounds the weight of one sample in a running ratio: no single one may move it by more than
+// maxRatioGain bounds the weight of one sample in a running ratio: no sample moves the ratio by more than
 // half of the distance, however much work it stands for.
 const maxRatioGain = 0.5
 
-// Indicator returns 1 for true and 0 for false, as a sample of a running share.
+// Indicator returns 1 for true and 0 for false: a sample for the running share of events that hold.
 func Indicator(yes bool) float64 {
 	if yes {
 		return 1
@@ -35,19 +36,19 @@
 	return 0
 }
 
-// Jitter returns a random time from 0 up to, but not including, limit. It draws one number.
+// Jitter returns a random time from 0 up to, but not including, limit. It draws one number from rng.
 func Jitter(rng *rand.Rand, limit time.Duration) time.Duration {
 	return time.Duration(rng.Float64() * float64(limit))
 }
 
-// Milliseconds returns the time of so many milliseconds.
+// Milliseconds returns the duration of count milliseconds, which may be fractional.
 func Milliseconds(count float64) time.Duration {
 	return time.Duration(count * float64(time.Millisecond))
 }
 
-// UpdateRatio moves the running ratio of a latency to its work, both in ms, towards the sample
-// latency/work by the gain, and returns the result. A ratio of 0 is not known yet: it becomes the sample.
-// A sample without work or latency, or with a gain that is no finite number, changes nothing.
+// UpdateRatio returns the running ratio of latency to work, both in ms, moved towards the sample
+// latency/work by gain, at most maxRatioGain. A ratio of 0 is unknown and is replaced by the sample. The
+// ratio stays as it is if work or latency is not positive, or if gain is not a finite number.
 func UpdateRatio(ratio, latency, work, gain float64) float64 {
 	if !(work > 0) || !(latency > 0) || math.IsInf(gain, 0) || math.IsNaN(gain) {
 		return ratio
--- a/internal/decision/estimate/rate.go
+++ b/internal/decision/estimate/rate.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// minRateSpan is the least time that a rate is taken over, in seconds: one heavy request in the first
-// moments must not pass for a heavy stream of them.
+// minRateSpan is the shortest time, in seconds, over which a rate is computed: otherwise one heavy request
+// right after the start would look like a high rate.
 const minRateSpan = 0.5
 
-// Rate is a running rate per second over about the last second. The zero value counts from the clock's
-// origin; Start sets a later beginning.
+// Rate is a running rate per second with exponential decay: it covers about the last second. The zero value
+// counts from the origin of the clock; Start sets a later beginning.
 type Rate struct {
-	value float64       // the amounts so far, each decayed by a factor of e per second
+	value float64       // sum of the amounts, decayed by a factor of e per second
 	since time.Duration // when counting began
 	at    time.Duration // when value was last decayed; 0: not yet
 }
 
-// Start says that counting begins now. The rate of the first second is corrected for the time before that.
+// Start sets the time at which counting begins. PerSecond then does not count the time before it as time
+// without additions.
 func (r *Rate) Start(now time.Duration) { r.since = now }
 
-// Add counts an amount at the present time.
+// Add adds an amount at the time now.
 func (r *Rate) Add(now time.Duration, amount float64) {
 	r.decay(now)
 	r.value += amount
@@ -34,7 +35,7 @@
 	r.at = now
 }
 
-// PerSecond returns the rate.
+// PerSecond returns the rate at the time now, corrected for the short time since Start.
 func (r *Rate) PerSecond(now time.Duration) float64 {
 	seen := 1 - math.Exp(-max((now-r.since).Seconds(), minRateSpan))
 	return r.value * math.Exp(-(now - r.at).Seconds()) / seen
