--- a/internal/decision/quota/quota_test.go
+++ b/internal/decision/quota/quota_test.go
@@ -16,7 +16,7 @@
 		want      int
 	}{
 		"below the quota": {perSecond: 50, balancers: 1, interval: 25 * time.Millisecond, want: 100},
-		// A full bucket of 20, and 20 per second for 2.475 seconds.
+		// A full bucket of 20 tokens, and 20 more per second for 2.475 s.
 		"twice the quota":           {perSecond: 20, balancers: 1, interval: 25 * time.Millisecond, want: 69},
 		"a share of the quota":      {perSecond: 40, balancers: 2, interval: 25 * time.Millisecond, want: 69},
 		"a burst":                   {perSecond: 20, balancers: 1, interval: 0, want: 20},
