--- a/internal/decision/concurrency/concurrency_test.go
+++ b/internal/decision/concurrency/concurrency_test.go
@@ -10,7 +10,7 @@
 
 const tick = 10 * time.Millisecond
 
-// newLimit returns a Limit with so many requests in flight, whose bound is finite.
+// newLimit returns a Limit with a finite bound and the given number of requests in flight.
 func newLimit(inflight int) Limit {
 	l := New()
 	for range inflight {
@@ -32,7 +32,7 @@
 	require.True(t, math.IsInf(l.Bound(), 1))
 }
 
-// The limit changes by a factor of e in 0.35 s at most, and not at all at the target.
+// The limit changes by a factor of e in 0.35 s at most, and not at all while the mean is at the target.
 func TestLimitFollowsMean(t *testing.T) {
 	for _, c := range []struct {
 		mean   float64
@@ -65,7 +65,8 @@
 	require.False(t, l.Reached(), "one request keeps going")
 }
 
-// Without requests the limit falls with the recent peak, so that a burst meets a limit that has an effect.
+// Without requests the limit falls with the recent peak. Otherwise it would be too high to hold back the
+// next burst.
 func TestUnusedLimitStaysWithinReach(t *testing.T) {
 	l := newLimit(10)
 	for range 10 {
