--- a/internal/decision/lanes/balance.go
+++ b/internal/decision/lanes/balance.go
@@ -2,30 +2,31 @@
 
 import "piernotch/internal/decision/estimate"
 
-// The small lane's share of the weight stays within half and twice its share of the work: its requests
-// arrive in bursts that need some servers, and those of the large lane need the rest.
+// Bounds on the small lane's share of the weight, which stays between half and twice its share of the work:
+// its bursts of requests need some servers, and the requests of the large lane need the rest.
 const (
-	maxSmallLaneGain = 1.0     // what it may get beyond its share of the work, as a share of that
-	maxSmallLaneLoss = 1.0 / 2 // what it may lose of it
+	maxSmallLaneGain = 1.0     // most that it gains, as a multiple of its share of the work
+	maxSmallLaneLoss = 1.0 / 2 // most that it loses, likewise
 )
 
-// Balance moves the split between the lanes until responses are late equally often in both. It prevents that
-// one lane is overloaded while the other has capacity, which happens where cost hints are wrong by a factor
-// or where the heavy requests are few. The zero value leaves each lane its share of the work.
+// Balance moves the split between the lanes until responses are late equally often in both. Otherwise one
+// lane could be overloaded while the other has capacity, which happens where cost hints are wrong by a
+// factor or where heavy requests are few. The zero value gives each lane its share of the work.
 type Balance struct {
 	offset float64            // added to the large lane's share of the work
-	late   [laneCount]float64 // share of late responses in each lane
+	late   [laneCount]float64 // running share of late responses in each lane
 }
 
-// Response is one response as Balance sees it.
+// Response is what Balance needs to know of one response.
 type Response struct {
 	Lane           Lane
 	Late           bool
-	MaxStep        float64 // how far it may move the split, as a share of the weight
-	LargeWorkShare float64 // share of the work that is of the large lane's requests, in [0, 1]
+	MaxStep        float64 // bound on the move of the split, as a share of the weight
+	LargeWorkShare float64 // share of the work that is in requests of the large lane, in [0, 1]
 }
 
-// Observe counts a response and moves the split.
+// Observe updates the lateness of the response's lane and moves the split towards more weight for the lane
+// that is late more often.
 func (b *Balance) Observe(response Response) {
 	late := estimate.Indicator(response.Late)
 	b.late[response.Lane] += estimate.GroupSmoothing * (late - b.late[response.Lane])
--- a/internal/decision/lanes/lanes.go
+++ b/internal/decision/lanes/lanes.go
@@ -1,18 +1,17 @@
-// Package lanes shares a group of servers out between light and heavy requests, and takes turns among the
-// servers of a share.
+// Package lanes divides a group of servers into two lanes, one for light and one for heavy requests, and
+// chooses the next server of a lane.
 //
-// It decides which member of a group is next, from the members' weights, and which part of the weight each
-// of the two lanes has, from the share of the work that is heavy and from how often responses are late in
-// each lane. The caller decides whether the member that is next can take the request.
+// The lanes prevent head-of-line blocking: a light request that waits behind a heavy one takes many times
+// its own work. Reserving servers by request size is known as size-based task assignment (Harchol-Balter,
+// Crovella and Murta, 1999). Each lane's part of the group's weight follows from the share of the work that
+// is heavy and from how often responses are late in each lane.
 //
-// The two lanes prevent head of line blocking: a light request that waits behind a heavy one takes many
-// times its own work. Servers for requests of a size are known as size-based task assignment (Harchol-Balter,
-// Crovella and Murta, 1999). The turns are weighted round robin with credit, as in deficit round robin
-// (Shreedhar and Varghese, 1996). The member for a key is found by rendezvous hashing (Thaler and
-// Ravishankar, 1996): all balancers find the same one without exchanging anything, and when a member
-// leaves, only its own keys move.
+// Within a lane, servers take turns by weighted round robin with credit, as in deficit round robin
+// (Shreedhar and Varghese, 1996). The caller decides whether the server whose turn it is can take the
+// request. The server for a key is found by rendezvous hashing (Thaler and Ravishankar, 1996): all balancers
+// find the same one without exchanging anything, and when a server leaves, only its own keys move.
 //
-// A member's weight and credit belong to this package alone.
+// Only this package changes a member's weight and credit.
 package lanes
 
 import (
@@ -22,7 +21,7 @@
 	"piernotch/internal/decision/estimate"
 )
 
-// Lane is one of the two shares of a group.
+// Lane is one of the two parts of a group.
 type Lane uint8
 
 // The lanes.
@@ -36,49 +35,52 @@
 // Other returns the other lane.
 func (lane Lane) Other() Lane { return Large - lane }
 
-// fullCredit is the credit that a turn costs, and the most that a member saves up: turns that it missed
-// while it had no capacity are not made up for later.
+// fullCredit is what a turn costs, and the most credit that a member saves up. A member that had no capacity
+// for its turns does not make up for them later.
 const fullCredit = 1.0
 
-// Member is a server as a member of groups. It outlives their rebuilds, so that its credit does.
+// Member is a server in its role as a member of groups. It outlives the rebuilds of a group, so that its
+// credit is kept.
 type Member struct {
 	idHash uint64
 	weight float64
 	credit float64 // towards its next turn
 }
 
-// NewMember returns the member for the server of that id, without credit.
+// NewMember returns the member for the server with the given id, without credit.
 func NewMember(id uint64) Member { return Member{idHash: estimate.MixBits(id)} }
 
-// Group is the members among which a request's server is chosen, in the order in which they were added.
-// The large lane has the first of them, the small lane the last, and the one at the split point is in both
-// with a part of its weight in each. The methods that take turns need a group that is not empty.
+// Group holds the members among which the server of a request is chosen, in the order of their addition. The
+// large lane has the first members and the small lane the last ones. The member at the split point is in
+// both lanes, with a part of its weight in each. NextTurn, TakeTurn and MemberForKey need a group that is
+// not empty.
 type Group struct {
 	members       []*Member
-	weight        float64            // sum of the members'
+	weight        float64            // sum of the members' weights
 	split         int                // the last member of the large lane and the first of the small one
-	largePart     float64            // share of that member's weight that is the large lane's
-	position      [laneCount]int     // in each lane, of its last turn
-	maxLaneWeight [laneCount]float64 // greatest weight in each lane
+	largePart     float64            // share of the weight of the member at split that the large lane has
+	position      [laneCount]int     // index in each lane of the member that had the last turn
+	maxLaneWeight [laneCount]float64 // greatest weight of a member in each lane
 }
 
-// NewGroup returns an empty group. It draws the position of each lane: balancers that start together would
-// otherwise choose the same servers at the same time.
+// NewGroup returns an empty group. It draws the starting position of each lane from rng: balancers that
+// start together would otherwise choose the same servers at the same time.
 func NewGroup(rng *rand.Rand) Group {
 	return Group{position: [laneCount]int{rng.IntN(math.MaxInt32), rng.IntN(math.MaxInt32)}}
 }
 
-// Reset removes all members. Their credit stays.
+// Reset removes all members. They keep their credit.
 func (g *Group) Reset() { g.members, g.weight = g.members[:0], 0 }
 
-// Add appends a member with its weight, which must be positive. Split has to follow the last Add.
+// Add appends a member with its weight, which must be positive. Split must be called after the last Add.
 func (g *Group) Add(member *Member, weight float64) {
 	member.weight = weight
 	g.members = append(g.members, member)
 	g.weight += weight
 }
 
-// Split gives the large lane the first members, up to that share of the weight.
+// Split gives the first members to the large lane, up to largeShare of the group's weight, and the rest to
+// the small lane.
 func (g *Group) Split(largeShare float64) {
 	if len(g.members) == 0 {
 		return
@@ -95,7 +97,7 @@
 	g.maxLaneWeight[Small] = max(greatestWeight(g.members[g.split+1:]), shared*(1-g.largePart))
 }
 
-// greatestWeight returns the greatest weight of the members, or 0 if there is none.
+// greatestWeight returns the greatest weight of the members, or 0 if there are none.
 func greatestWeight(members []*Member) float64 {
 	greatest := 0.0
 	for _, member := range members {
@@ -112,7 +114,7 @@
 	return len(g.members) - g.split
 }
 
-// first returns the index in the group of a lane's first member.
+// first returns the index in the group of the first member of a lane.
 func (g *Group) first(lane Lane) int {
 	if lane == Large {
 		return 0
@@ -120,7 +122,7 @@
 	return g.split
 }
 
-// laneWeight returns the weight in a lane of the lane's member i.
+// laneWeight returns the weight that member i of a lane has in this lane.
 func (g *Group) laneWeight(lane Lane, i int) float64 {
 	member := g.members[g.first(lane)+i]
 	switch {
@@ -132,9 +134,10 @@
 	return member.weight
 }
 
-// NextTurn moves the lane to its next member and gives that member the credit for a turn: all of it for
-// the heaviest in the lane, less for others in proportion. It returns the member's index in the group, and
-// whether its credit is less than a request costs: a member of less weight misses some of its turns.
+// NextTurn moves the lane to its next member and gives that member credit: a full turn for the heaviest
+// member of the lane, less for others in proportion to their weight. It returns the member's index in the
+// group, and whether its credit does not suffice for a request: members of less weight miss some of their
+// turns.
 func (g *Group) NextTurn(lane Lane) (index int, lacksCredit bool) {
 	turn := (g.position[lane] + 1) % g.Len(lane)
 	g.position[lane] = turn
@@ -144,7 +147,7 @@
 	return index, member.credit < fullCredit
 }
 
-// TakeTurn takes the credit of a turn from a member that got a request.
+// TakeTurn charges a member, given by its index in the group, for a request that it got.
 func (g *Group) TakeTurn(index int) { g.members[index].credit -= fullCredit }
 
 // MemberForKey returns the index in the group of the lane's member that rendezvous hashing assigns the
--- a/internal/decision/lanes/lanes_test.go
+++ b/internal/decision/lanes/lanes_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newTestGroup returns a group of members with these weights; their ids count from 1.
+// newTestGroup returns a group of members with these weights and the ids 1, 2, 3 and so on.
 func newTestGroup(largeShare float64, weights ...float64) *Group {
 	group := NewGroup(rand.New(rand.NewPCG(1, 2)))
 	for i, weight := range weights {
