--- a/internal/decision/subscription/subscription_test.go
+++ b/internal/decision/subscription/subscription_test.go
@@ -43,8 +43,8 @@
 	require.Less(t, s.nextAt, now+750*time.Millisecond, "success resets the backoff")
 }
 
-// Whatever the settings are and however often it has failed, two waits and a call that fails by its dial
-// between them end within NotifyLimit, so that a change is known before the grace of a drain begins.
+// With any settings and after any number of failures, two waits and a failed dial between them end within
+// NotifyLimit. Otherwise the grace period of a drain could begin before the balancer knows of the change.
 func TestTwoWaitsEndWithinNotifyLimit(t *testing.T) {
 	const dialTimeout = time.Second
 	rapid.Check(t, func(t *rapid.T) {
