--- a/internal/decision/slowstart/rate.go
+++ b/internal/decision/slowstart/rate.go
@@ -3,53 +3,56 @@
 import "time"
 
 const (
-	// loadMultiple is how many times its share of the load a server may get where sends are not drawn:
-	// few balancers are uneven, and a server is overloaded only by a multiple of its capacity.
+	// loadMultiple is the multiple of its share of the load that a server may get where sends are not drawn:
+	// few balancers send unevenly, and only a multiple of its capacity overloads a server.
 	loadMultiple = 3.0
-	// idleGrowth is how many times the rate that it reported an idle server may get, where sends are not
-	// drawn: it is warming up by its work, sooner than the options say.
+	// idleGrowth is the multiple of its reported completion rate that an idle server may get where sends are
+	// not drawn: such a server is warmed up by the work it does, sooner than the options say.
 	idleGrowth = 2.0
-	// drawnIdleGrowth is the same where sends are drawn: what many balancers draw adds up by chance.
+	// drawnIdleGrowth is the same where sends are drawn. It is lower, because the draws of many balancers
+	// can coincide.
 	drawnIdleGrowth = 1.0
-	// idleInflight is the number of other balancers' requests from which a server is not idle: more than
-	// one waits for another.
+	// idleInflight is the number of other balancers' requests from which a server no longer counts as idle:
+	// with more than one, requests wait for each other.
 	idleInflight = 1.5
 )
 
-// Load is what warm servers get and complete, and what the server in slow start reports.
+// Load describes the load of warm servers and the last report of the server in slow start.
 type Load struct {
-	MeanWork           float64 // of a request, ms
-	PeakCompletionRate float64 // requests per second of a warm server of size 1, at most; 0: not known
-	// SendRate is the work per second, in ms, that this balancer sends to a warm server of size 1. It may
-	// be left out where Controller.NeedsSendRate denies it.
+	MeanWork           float64 // mean work of a request, ms
+	PeakCompletionRate float64 // most requests per second that a warm server of size 1 completes; 0: not known
+	// SendRate is the work per second, in ms, that this balancer sends to a warm server of size 1. It may be
+	// omitted if Controller.NeedsSendRate returns false.
 	SendRate float64
 	Senders  float64 // balancers that send to the server; at least 1
-	// Spillers is the number of balancers that may all spill to the server; 0: this one does not spill.
+	// Spillers is the number of balancers of other zones that may spill to the server; 0 if this balancer
+	// does not spill to it.
 	Spillers float64
-	Size     float64 // of the server
-	Report   Report  // its last load report
+	Size     float64 // size of the server
+	Report   Report  // last load report of the server
 }
 
 // Report is the last load report of a server. Its zero value is a server that has not reported.
 type Report struct {
 	Known          bool
-	Others         float64 // requests of other balancers that it holds
-	CompletionRate float64 // requests that it completes per second
+	Others         float64 // requests of other balancers at the server
+	CompletionRate float64 // requests that the server completes per second
 }
 
-// idle reports whether the server is known to be idle.
+// idle reports whether the server has reported and is idle.
 func (r Report) idle() bool { return r.Known && r.Others < idleInflight }
 
 // completedWork returns this balancer's share of the work per second that a warm server completes.
 func (l Load) completedWork() float64 { return l.PeakCompletionRate * l.MeanWork / l.Senders }
 
-// NeedsSendRate reports whether AllowedRate uses load.SendRate, which takes time to estimate.
+// NeedsSendRate reports whether AllowedRate uses load.SendRate, which is expensive to estimate.
 func (c *Controller) NeedsSendRate(load Load) bool { return !c.Drawn() || load.completedWork() == 0 }
 
 // AllowedRate returns the work per second, in ms, that this balancer may send to the server: its share of
-// what a warm one gets or completes, times the capacity share. Many balancers together send no more than
-// that: the overload limit beyond it leaves room for uneven zones, weights and hints. A completion rate is
-// the better measure, since what is sent falls along with the fleet when a part of it is lost.
+// what a warm server completes or gets, times the capacity share, with some allowance for few balancers and
+// idle servers. Many balancers together send no more than the share itself: the remaining capacity leaves
+// room for uneven zones, weights and hints. The completion rate is the better measure, since the rate of
+// sent work falls along with the fleet when a part of it is lost.
 func (c *Controller) AllowedRate(now time.Duration, p *Progress, load Load) float64 {
 	rate, growth := load.completedWork(), drawnIdleGrowth
 	switch {
--- a/internal/decision/slowstart/slowstart.go
+++ b/internal/decision/slowstart/slowstart.go
@@ -1,24 +1,24 @@
-// Package slowstart decides how much work a server gets that started lately.
+// Package slowstart decides how much work a recently started server gets.
 //
-// A process that has just started has only a part of its capacity: its caches are empty and its code is
-// not compiled yet. With its full share of the requests it would be overloaded, and might fail again. In
-// slow start its capacity is taken to grow linearly with its age, as Envoy's slow start mode and the
-// slow_start of nginx do. These scale a weight. Here the time between requests is controlled instead,
-// because one request of each of many balancers is already more than the server can take:
+// A process that has just started has only a part of its capacity: its caches are empty and its code is not
+// compiled yet. With its full share of the requests it would be overloaded, and might fail again. In slow
+// start its capacity is assumed to grow linearly with its age, as in Envoy's slow start mode and the
+// slow_start of nginx. These scale a weight. Here the time between requests is controlled instead, because
+// one request from each of many balancers already exceeds the server's capacity:
 //
 //   - A balancer sends one request at a time, none heavier than the mean, and none to a zone that has
 //     balancers of its own.
-//   - It leaves a pause between requests, in which its share of the server's present capacity amounts to
-//     one request of mean work (Pause).
-//   - With many balancers that share is less than one request in any reasonable pause. Each of them then
-//     draws, for each window of time, whether it may send in it (WinsDraw). A right to send ends with its
-//     window. If rights could be saved up while a balancer is idle, all balancers would use theirs at
-//     once when traffic rises.
+//   - It leaves a pause between requests, in which its share of the server's present capacity amounts to one
+//     request of mean work (Pause).
+//   - With many balancers that share is less than one request in any reasonable pause. Each balancer then
+//     draws at random, for each window of time, whether it may send in that window (WinsDraw). A permission
+//     to send ends with its window. If an idle balancer could save permissions up, all balancers would use
+//     theirs at once when traffic rises.
 //
-// Progress is the slow start of one server. A Controller holds the options and decides, from a Progress and
-// a Load, which says what a warm server gets or completes. Nothing here knows of the endpoint list or
-// notices a restart: the caller starts a slow start and says since when it counts. Times are durations
-// since the origin of the caller's clock.
+// Progress is the slow start of one server. A Controller holds the options and decides from a Progress and a
+// Load. The package knows nothing of the endpoint list and detects no restarts: the caller starts a slow
+// start and passes the time from which it counts. Times are durations since the origin of the caller's
+// clock.
 package slowstart
 
 import (
@@ -30,67 +30,68 @@
 )
 
 const (
-	// assumedRestartDivisor divides the duration: a restart that the endpoint list has not named is assumed
-	// for a quarter of it. Discovery has that time to name it.
+	// assumedRestartDivisor divides the duration of slow start: if a restart is only assumed, slow start
+	// ends after a quarter of the duration unless the endpoint list has named the restart by then.
 	assumedRestartDivisor = 4
-	// maxDrawnInterval bounds the mean time between one balancer's requests where they are drawn. It is
-	// longer than any slow start: one request of each balancer may be more than the server can take.
+	// maxDrawnInterval bounds the mean time between one balancer's requests where sends are drawn. It is
+	// longer than any slow start, because one request from each balancer may already exceed the server's
+	// capacity.
 	maxDrawnInterval = time.Hour
 )
 
-// Options holds the parameters of slow start. In its zero value a server is never in slow start.
+// Options holds the parameters of slow start. With the zero value, a server has its whole capacity at once.
 type Options struct {
-	InitialCapacity float64       // share of its capacity that a server starts with, in [0, 1]
-	Duration        time.Duration // time after its start at which it has all of it; 0: it has at once
-	DrawWindow      time.Duration // window for which a balancer draws whether it may send; 0: no draws
-	Seed            uint64        // makes the draws of this balancer differ from those of others
+	InitialCapacity float64       // share of its capacity that a server has at its start, in [0, 1]
+	Duration        time.Duration // time from the start to full capacity; 0: full capacity at once
+	DrawWindow      time.Duration // length of the windows for which a balancer draws whether it may send; 0: no draws
+	Seed            uint64        // differs between balancers, so that their draws do, too
 }
 
-// Progress is the slow start of one server. Its zero value is a warm server.
+// Progress is the state of one server's slow start. Its zero value is a warm server.
 type Progress struct {
-	active       bool          // the server is in slow start
+	active       bool          // whether the server is in slow start
 	since        time.Duration // start of the process, while active
-	nextSend     time.Duration // nothing is sent before, while active
-	assumedUntil time.Duration // end of a slow start whose restart is only assumed; 0: it is known
+	nextSend     time.Duration // earliest time of the next request, while active
+	assumedUntil time.Duration // when slow start ends if the restart is only assumed; 0: the restart is known
 }
 
 // Warm reports whether the server is not in slow start.
 func (p *Progress) Warm() bool { return !p.active }
 
-// Since returns the time from which the slow start counts; inSlowStart is false for a warm server.
+// Since returns the time from which the slow start counts. For a warm server inSlowStart is false.
 func (p *Progress) Since() (since time.Duration, inSlowStart bool) { return p.since, p.active }
 
-// Request is what a request to a server in slow start means to it.
+// Request describes a request that might be sent to a server in slow start.
 type Request struct {
-	Work                   float64 // expected, ms
-	MeanWork               float64 // of all requests, ms
-	ServerInflight         int     // this balancer's requests at the server
-	WarmedByLocalBalancers bool    // the server is in another zone, which has balancers of its own
+	Work                   float64 // expected work, ms
+	MeanWork               float64 // mean work of all requests, ms
+	ServerInflight         int     // requests of this balancer at the server
+	WarmedByLocalBalancers bool    // the server is in another zone that has balancers of its own
 }
 
-// Identity tells the draws for one server from those for others.
+// Identity distinguishes the draws for one server from those for others.
 type Identity struct {
-	Hash    uint64  // of the server's id: balancers draw for each server anew
-	Stagger float64 // in [0, 1): shifts the windows, so that not all balancers' begin at once
+	Hash    uint64  // hash of the server's id, so that the draws for servers are independent
+	Stagger float64 // in [0, 1): shifts the windows, so that those of all balancers do not begin at once
 }
 
-// Controller decides by the options. Its zero value is usable and has the zero options.
+// Controller makes the decisions of slow start. Its zero value is usable and has the zero Options.
 type Controller struct {
 	options Options
 }
 
-// NewController returns a Controller with the options.
+// NewController returns a Controller with these options.
 func NewController(options Options) Controller { return Controller{options: options} }
 
-// Drawn reports whether the balancer draws whether it may send.
+// Drawn reports whether the balancer draws at random, for each window, whether it may send.
 func (c *Controller) Drawn() bool { return c.options.DrawWindow > 0 }
 
-// Covers reports whether a process that started at the given time is still in slow start.
+// Covers reports whether a process that started at startedAt would still be in slow start now.
 func (c *Controller) Covers(now, startedAt time.Duration) bool {
 	return now < startedAt+c.options.Duration
 }
 
-// CapacityShare returns the share of its capacity that the server has now.
+// CapacityShare returns the share of its full capacity that the server has now; 1 for a warm server.
 func (c *Controller) CapacityShare(now time.Duration, p *Progress) float64 {
 	if !p.active || c.options.Duration <= 0 {
 		return 1
@@ -100,22 +101,23 @@
 	return initial + (1-initial)*min(max(age, 0), 1)
 }
 
-// Start starts a slow start that counts from the start of the process. The first request waits for a random
-// part of the pause, which keeps many balancers from sending at once. It takes one draw from rng. A start
-// before the clock's origin counts as long ago: the server is warm then.
+// Start starts a slow start that counts from since, the start of the process. The first request waits for a
+// random part of the pause, so that many balancers do not send at once. It takes one draw from rng. If since
+// is negative, before the origin of the clock, the process is old and the server is warm.
 func (c *Controller) Start(now, since time.Duration, p *Progress, load Load, rng *rand.Rand) {
 	*p = Progress{active: since >= 0, since: since}
 	p.nextSend = now + estimate.Jitter(rng, c.Pause(now, p, load))
 }
 
-// Assume starts a slow start because the process may have been replaced. It ends early unless the caller
-// starts it again when the endpoint list names a restart.
+// Assume starts a slow start because the process may have been replaced. It ends after a quarter of the
+// duration unless the caller calls Start when the endpoint list names a restart.
 func (c *Controller) Assume(now time.Duration, p *Progress, load Load, rng *rand.Rand) {
 	c.Start(now, now, p, load, rng)
 	p.assumedUntil = now + c.options.Duration/assumedRestartDivisor
 }
 
-// EndIfDue ends a slow start after its duration, or if an assumed restart has not been confirmed in time.
+// EndIfDue ends a slow start after its duration, or earlier if the restart was only assumed and has not been
+// confirmed in time.
 func (c *Controller) EndIfDue(now time.Duration, p *Progress) {
 	if !p.active {
 		return
@@ -127,8 +129,8 @@
 	}
 }
 
-// Admits reports whether the server may get the request, apart from the draw: one at a time, after the
-// pause, and no heavy one, since one from each balancer would overload it.
+// Admits reports whether the server may get the request, before any draw: one request at a time, after the
+// pause. Heavy requests are not admitted, since one from each balancer would overload the server.
 func (c *Controller) Admits(now time.Duration, p *Progress, request Request) bool {
 	heavy := request.Work > request.MeanWork
 	if heavy || request.WarmedByLocalBalancers {
@@ -138,7 +140,7 @@
 }
 
 // WinsDraw reports whether this balancer may send to the server in the present window. The draw is a hash of
-// the balancer's seed, the window and the server, so that it stays the same for the whole window.
+// the balancer's seed, the window and the server, so that its result stays the same for the whole window.
 func (c *Controller) WinsDraw(now time.Duration, p *Progress, server Identity, load Load) bool {
 	window := uint64(float64(now)/float64(c.options.DrawWindow) + server.Stagger)
 	hash := estimate.MixBits(estimate.MixBits(window^c.options.Seed) ^ server.Hash)
@@ -146,13 +148,13 @@
 	return draw*float64(c.interval(now, p, load)) <= float64(c.options.DrawWindow)
 }
 
-// RecordSend starts the pause after a request that is sent now.
+// RecordSend records that a request is sent now, and starts the pause after it.
 func (c *Controller) RecordSend(now time.Duration, p *Progress, load Load) {
 	p.nextSend = max(p.nextSend, now) + c.Pause(now, p, load)
 }
 
-// Pause returns the least time between this balancer's requests: a window, if they are drawn, and else the
-// time in which its share of the server amounts to a request of mean work.
+// Pause returns the least time between this balancer's requests: one window if they are drawn, otherwise the
+// time in which its share of the server's capacity amounts to a request of mean work.
 func (c *Controller) Pause(now time.Duration, p *Progress, load Load) time.Duration {
 	if c.Drawn() {
 		return c.options.DrawWindow
@@ -160,8 +162,8 @@
 	return c.interval(now, p, load)
 }
 
-// interval returns the mean time between this balancer's requests. Only requests up to the mean work are
-// sent, but a request of mean work is counted: hints that are light are too low as often as not.
+// interval returns the mean time between this balancer's requests. It counts each as a request of mean work,
+// although only requests up to the mean are sent: low cost hints are too low as often as not.
 func (c *Controller) interval(now time.Duration, p *Progress, load Load) time.Duration {
 	longest := c.options.Duration
 	if c.Drawn() {
@@ -172,7 +174,7 @@
 	switch {
 	case unknown && !c.Drawn():
 		return 0
-	case unknown: // many balancers would all try at once
+	case unknown: // otherwise many balancers would all try at once
 		return longest
 	}
 	return time.Duration(min(load.MeanWork/workPerSecond, longest.Seconds()) * float64(time.Second))
--- a/internal/decision/slowstart/slowstart_test.go
+++ b/internal/decision/slowstart/slowstart_test.go
@@ -10,7 +10,7 @@
 
 const startedAt = 10 * time.Second
 
-// testLoad makes a warm server complete 20 requests of 25 ms per second, for five balancers.
+// testLoad is the load where a warm server completes 20 requests of 25 ms per second, from five balancers.
 var testLoad = Load{MeanWork: 25, PeakCompletionRate: 20, Senders: 5, Size: 1}
 
 func testOptions() Options { return Options{InitialCapacity: 0.2, Duration: 20 * time.Second} }
@@ -71,7 +71,7 @@
 func TestRequestsAreLightSingleAndApart(t *testing.T) {
 	c := NewController(testOptions())
 	p := started(&c)
-	now := startedAt + c.Pause(startedAt, &p, testLoad) // the first waits for a part of the pause
+	now := startedAt + c.Pause(startedAt, &p, testLoad) // the first request waits for a random part of the pause
 	light := Request{Work: 25, MeanWork: 25}
 	for name, request := range map[string]Request{
 		"heavy":       {Work: 26, MeanWork: 25},
@@ -87,7 +87,8 @@
 	require.True(t, c.Admits(now+pause, &p, light))
 }
 
-// The rate at the start, at a fifth of the capacity: 20 per second of 25 ms, for five balancers, is 100.
+// The rate at the start of slow start, at a fifth of the capacity. The share of a warm server is 100 ms per
+// second: 20 requests of 25 ms per second, divided among five balancers.
 func TestAllowedRate(t *testing.T) {
 	idle := Report{Known: true, Others: 1, CompletionRate: 40}
 	onlySent := Load{MeanWork: 25, SendRate: 150, Senders: 5, Size: 1}
@@ -131,10 +132,11 @@
 	require.Equal(t, 250*time.Millisecond, c.Pause(startedAt, &p, load), "a window")
 }
 
-// Over many windows a balancer wins as often as its share allows, and always the same within a window.
+// Over many windows a balancer wins as often as its share allows. Within a window the result does not
+// change.
 func TestDrawsFollowShare(t *testing.T) {
 	options := drawnOptions()
-	options.Duration = 1000 * time.Hour // the share stays at a fifth
+	options.Duration = 1000 * time.Hour // keeps the capacity share at a fifth
 	c := NewController(options)
 	p := started(&c)
 	load := testLoad
