--- a/internal/decision/loadreport/loadreport_test.go
+++ b/internal/decision/loadreport/loadreport_test.go
@@ -18,7 +18,7 @@
 	require.Equal(t, 3.0, r.LastOthers())
 	require.Equal(t, 3.0, r.MeanOthers(), "the first report is the mean")
 	require.Equal(t, 20.0, r.MeanCompletionRate())
-	r.Record(2*second, 1, 40, 2) // a report is late: the own requests were sent after it
+	r.Record(2*second, 1, 40, 2) // the report is older than the two own requests
 	require.Equal(t, 0.0, r.LastOthers())
 	require.Equal(t, 40.0, r.LastCompletionRate())
 	require.Equal(t, 2.25, r.MeanOthers())
