--- a/internal/decision/workload/snapshot.go
+++ b/internal/decision/workload/snapshot.go
@@ -2,27 +2,27 @@
 
 import "math"
 
-// Snapshot is what a Model has learnt, for the process that takes over from this one.
+// Snapshot is what a Model has learned; a process passes it to its successor in a handover.
 type Snapshot struct {
-	MedianHint float64 // of the cost hints, ms
-	Mean       float64 // of a request's work, ms
-	LargeShare float64 // of the work, in requests above the median hint
+	MedianHint float64 // median of the cost hints, ms
+	Mean       float64 // mean work of a request, ms
+	LargeShare float64 // share of the work in requests above the median hint
 }
 
-// usable reports whether the figures are possible, and of at least one hint.
+// usable reports whether all figures are in range; this excludes a Model that had no cost hint.
 func (s Snapshot) usable() bool {
 	medianUsable := s.MedianHint > 0 && !math.IsInf(s.MedianHint, 0)
 	meanUsable := s.Mean > 0 && !math.IsInf(s.Mean, 0)
 	return medianUsable && meanUsable && s.LargeShare >= 0 && s.LargeShare <= 1
 }
 
-// Snapshot returns what has been learnt so far.
+// Snapshot returns what the Model has learned so far.
 func (m *Model) Snapshot() Snapshot {
 	return Snapshot{MedianHint: m.medianHint, Mean: m.mean, LargeShare: m.largeShare}
 }
 
-// Restore starts the Model from another's snapshot and reports whether it did. It does nothing if there was a
-// cost hint already, or if a figure is impossible.
+// Restore initializes the Model from a snapshot and reports whether it did. It does nothing if the Model has
+// already seen a cost hint, or if a figure of the snapshot is out of range.
 func (m *Model) Restore(s Snapshot) bool {
 	if m.hints > 0 || !s.usable() {
 		return false
--- a/internal/decision/workload/workload_test.go
+++ b/internal/decision/workload/workload_test.go
@@ -15,12 +15,12 @@
 	return &m
 }
 
-// arrive lets a request of class 0 arrive.
+// arrive has the Model observe the arrival of a request of class 0.
 func arrive(m *Model, hint float64) { m.ObserveArrival(hint, m.Expect(0, hint)) }
 
 func TestHintsMoveMedianMeanAndShare(t *testing.T) {
 	m := newModel()
-	for i := range 2000 { // half is heavy, with three quarters of the work
+	for i := range 2000 { // half of the requests are heavy, with three quarters of the work
 		arrive(m, 10+20*float64(i%2))
 	}
 	require.Greater(t, m.MedianHint(), 10.0)
@@ -54,7 +54,7 @@
 func TestFastResponsesReplaceMissingHints(t *testing.T) {
 	m := newModel()
 	for i := range 400 {
-		latency := time.Duration(20+i%3*80) * time.Millisecond // a third meets no queue
+		latency := time.Duration(20+i%3*80) * time.Millisecond // a third does not queue
 		m.ObserveResponse(0, latency)
 	}
 	require.InDelta(t, 20, m.WithoutHint(0), 4)
