--- a/internal/decision/outlier/outlier_test.go
+++ b/internal/decision/outlier/outlier_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// The pause is within half and one and a half of the base pause, doubled up to four times.
+// The pause lies between half and one and a half of the base pause times a factor, which doubles four times.
 func TestPauseDoublesUpToBound(t *testing.T) {
 	var m Monitor
 	rng := newRand()
@@ -105,7 +105,8 @@
 	require.Equal(t, StillUnusable, m.CompleteHealthCheck(HealthCheckFailed))
 }
 
-// Bad responses and silence are no sign of a new process. Two failed connections are, health checks included.
+// Bad responses and silence do not suggest that the process was replaced. Two failed connections do, and
+// that of a health check counts.
 func TestFailedConnectionsSuggestRestart(t *testing.T) {
 	options := Options{HealthChecks: true}
 	noConnection := []Failure{ConnectFailure, ConnectFailure}
