--- a/internal/decision/classfailure/classfailure.go
+++ b/internal/decision/classfailure/classfailure.go
@@ -1,15 +1,15 @@
-// Package classfailure finds the classes of requests that one server fails while it serves others.
+// Package classfailure detects classes of requests that a server fails while it serves others.
 //
-// One kind of request can hang or fail on a server that responds to all others: a lock is stuck, or a store
-// that only this kind needs is gone. The server is then no outlier, since its other responses are good and
-// end every row of failures. Its requests of that class would use up its capacity for a whole time-out
-// each, and all of them would fail. The caller therefore sends these to other servers.
+// Requests of one class can hang or fail on a server that responds to all others: a lock is stuck, or a
+// store that only this class needs is gone. The server is then no outlier, since its other responses are
+// good and reset the count of consecutive failures. Requests of the class would each use up its capacity for
+// a whole time-out, and all of them would fail. The caller therefore sends them to other servers.
 //
 // Shares keeps, for each class, the running share of failed attempts at one server, and when a request of
-// the class was last sent there. A class is avoided while its share is high in itself and a multiple of the
-// least share of the other classes: where all classes fail, the server is an outlier, or the whole fleet is
-// in trouble, and avoiding it for one class helps nobody. The share cannot fall while nothing is sent, so
-// that the class is tried again after a time without requests.
+// the class was last sent there. A class is avoided while its share is both high and a multiple of the
+// lowest share of the other classes. Where all classes fail, the server is an outlier or the whole fleet is
+// in trouble, and avoiding the server for one class does not help. The share cannot fall while nothing is
+// sent, so that the class is tried again after a time without requests.
 //
 // Times are durations since the origin of the caller's clock.
 package classfailure
@@ -21,12 +21,13 @@
 )
 
 const (
-	// minShare is the share of failures from which a class is avoided: two failed attempts in a row.
+	// minShare is the share of failures above which a class is avoided: two consecutive failed attempts
+	// exceed it.
 	minShare = 0.3
-	// minMultiple is how many times the least share of the other classes it has to be.
+	// minMultiple is the multiple of the lowest share of the other classes that the share must also exceed.
 	minMultiple = 3
-	// retryObjectives is the time without requests, in latency objectives, after which the class is tried
-	// again.
+	// retryObjectives is the time without requests of the class, in latency objectives, after which it is
+	// tried again.
 	retryObjectives = 4
 )
 
@@ -35,43 +36,43 @@
 
 // The values of Result.
 const (
-	Other         Result = iota // says nothing of the class: rejected, not connected or not sent
+	Other         Result = iota // says nothing about the class: rejected, not connected or not sent
 	GoodResponse                // a good response
 	ErrorResponse               // any other response
 	TimedOut                    // no response within the time-out
 	Cancelled                   // cancelled before a response
 )
 
-// Attempt is an attempt that has ended.
+// Attempt describes an attempt that has ended.
 type Attempt struct {
 	Result           Result
 	Latency          time.Duration
 	Objective        time.Duration // latency objective of its class
-	RespondsToOthers bool          // the server has responded to something since the attempt was sent
+	RespondsToOthers bool          // the server has responded to another request since this one was sent
 }
 
 // hung reports whether the server took too long for this attempt while it responded to others. A cancelled
-// attempt took too long if it had used half of its objective.
+// attempt counts as too long if it took more than half of its objective.
 func (a Attempt) hung() bool {
 	tookLong := a.Result == TimedOut || a.Result == Cancelled && a.Latency > a.Objective/2
 	return tookLong && a.RespondsToOthers
 }
 
-// Shares holds the failure shares of one server. New returns a usable one.
+// Shares holds the failure shares of all classes at one server. Create it with New.
 type Shares struct {
 	classes []record // by class
 }
 
-// record is what is known of one class at the server.
+// record is the state of one class at the server.
 type record struct {
 	failureShare float64       // running share of failed attempts
 	lastSentAt   time.Duration // when a request was last sent
 }
 
-// New returns Shares for so many classes, none of which has failed.
+// New returns Shares for the given number of classes, none of which has failed.
 func New(classes int) Shares { return Shares{classes: make([]record, classes)} }
 
-// Grow adds classes up to the number. It never removes one.
+// Grow adds classes until there are at least the given number. It never removes one.
 func (s *Shares) Grow(classes int) {
 	for len(s.classes) < classes {
 		s.classes = append(s.classes, record{})
@@ -81,7 +82,8 @@
 // RecordSend records that a request of the class is sent to the server.
 func (s *Shares) RecordSend(now time.Duration, class int) { s.classes[class].lastSentAt = now }
 
-// RecordAttempt updates the failure share of the class.
+// RecordAttempt updates the failure share of the class with an attempt that ended. An attempt that got no
+// response counts only if it hung.
 func (s *Shares) RecordAttempt(class int, attempt Attempt) {
 	responded := attempt.Result == GoodResponse || attempt.Result == ErrorResponse
 	if !responded && !attempt.hung() {
@@ -96,7 +98,8 @@
 }
 
 // Avoid reports whether requests of the class are to go to other servers: the server fails the class but
-// serves another one, and a request of the class was sent there within the last few latency objectives.
+// serves another one, and a request of the class was sent there within the last retryObjectives latency
+// objectives.
 func (s *Shares) Avoid(now time.Duration, class int, objective time.Duration) bool {
 	own := s.classes[class]
 	if own.failureShare <= minShare {
