--- a/internal/decision/latency/latency_test.go
+++ b/internal/decision/latency/latency_test.go
@@ -31,8 +31,8 @@
 	}{
 		{50 * ms, 20, 30, 50},
 		{50 * ms, 10, 40, 60},    // a light request
-		{80 * ms, 100, 0, 10},    // a hint that was too high: half of the mean work at least
-		{900 * ms, 20, 500, 900}, // up to the objective
+		{80 * ms, 100, 0, 10},    // too high a hint: at least half of the mean work
+		{900 * ms, 20, 500, 900}, // queueing is bounded by the objective
 	} {
 		var f fixture
 		require.InDelta(t, c.queueing, f.record(c.latency, c.work), 1e-9, "%+v", c)
@@ -57,8 +57,9 @@
 	require.InDelta(t, 50, f.server.mean, 1e-9, "it starts from the group's mean, which was 50")
 }
 
-// RFC 6298: the mean and four mean deviations. The first is half of the queueing, 10 ms, of which 15/16 are
-// left after that response.
+// As in RFC 6298, the time-out includes the mean queueing and four mean deviations. The first deviation is
+// half of the queueing, 10 ms. The first response also reduces it to 15/16 of that, as its own distance from
+// the mean is 0.
 func TestSilenceTimeout(t *testing.T) {
 	var f fixture
 	require.Equal(t, 540*ms, f.group.SilenceTimeout(20, 500*ms), "nothing is known but the objective")
--- a/internal/decision/latency/server.go
+++ b/internal/decision/latency/server.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	// minPathResponses is the number of responses from which the latency of a path is known.
+	// minPathResponses is the number of responses from which the latency of a path counts as known.
 	minPathResponses = 64
-	// maxTransitShare is the share of the requests in flight that count as in transit, at most.
+	// maxTransitShare is the largest share of the requests in flight that counts as in transit.
 	maxTransitShare = 0.75
-	// minWorkShare is the work of a light request, as a share of the mean work. A transit below it does not
-	// matter.
+	// minWorkShare is the work of a light request, as a share of the mean work. A transit shorter than that
+	// is ignored.
 	minWorkShare = 1.0 / 4
-	// transitReserve is the load, in requests, that is added where requests in transit are left out: a
-	// request that is mostly in transit makes no room for another.
+	// transitReserve is added to the load, in requests, where requests in transit are left out: a request
+	// that is mostly in transit must not make room for another one.
 	transitReserve = 0.25
-	// maxWeightFactor bounds the weight that a server gets for being faster than its group, as fast servers
-	// would otherwise get all requests at once.
+	// maxWeightFactor bounds the weight factor of a server that is faster than its group. Otherwise fast
+	// servers would get all requests at once.
 	maxWeightFactor = 2
-	// minWeightFactor bounds the weight that a slow server loses: with no requests it could not recover.
+	// minWeightFactor bounds the weight factor of a slow server from below. Without any requests, its
+	// estimate could not recover.
 	minWeightFactor = 1.0 / 8
-	// slowMultiple is how many times its group's mean latency makes a server slow.
+	// slowMultiple is the multiple of its group's mean latency above which a server is slow.
 	slowMultiple = 2
 )
 
-// Path is the estimate of the network path to a zone. Its zero value is not known.
+// Path is the estimate for the network path to a zone. Its zero value is unknown.
 type Path struct {
-	fastest   float64 // least latency of a response from there, ms
-	responses int     // that it is from
+	fastest   float64 // lowest latency of a response from the zone, ms
+	responses int     // number of responses so far
 }
 
 func (p *Path) record(ms float64) {
@@ -39,19 +40,19 @@
 	p.responses++
 }
 
-// Transit returns how long a request takes to a server there: half of the fastest response's latency.
+// Transit estimates the one-way time to the zone as half of the lowest latency; 0 before the first response.
 func (p *Path) Transit() time.Duration { return estimate.Milliseconds(p.fastest / 2) }
 
-// Server is the estimate of one server. Its zero value is not known.
+// Server is the estimate for one server. Its zero value is unknown.
 type Server struct {
-	mean    float64 // latency of a request of mean work, ms; 0: not known
-	perWork float64 // latency for each ms of work; 0: not known
+	mean    float64 // latency of a request of mean work, ms; 0: unknown
+	perWork float64 // latency for each ms of work; 0: unknown
 }
 
-// ForgetMean drops the mean latency of a server whose process is a new one.
+// ForgetMean discards the mean latency because the server has a new process.
 func (s *Server) ForgetMean() { s.mean = 0 }
 
-// startIfUnknown takes a server without a response for as fast as its group.
+// startIfUnknown assumes that a server without a response is as fast as its group.
 func (s *Server) startIfUnknown(g *Group) {
 	if s.mean == 0 {
 		s.mean = g.mean
@@ -64,8 +65,8 @@
 	s.perWork = estimate.UpdateRatio(s.perWork, ms, response.Work, gain)
 }
 
-// Expected returns how long the server will take for so much work in ms, that of the requests before a new
-// one included.
+// Expected returns how long, in ms, the server will take for work in ms. The caller includes the work of the
+// requests that precede a new one.
 func (s *Server) Expected(work float64, overall *Overall) float64 {
 	perWork := s.perWork
 	if perWork == 0 {
@@ -74,14 +75,14 @@
 	return work * perWork
 }
 
-// ByLittlesLaw returns how long a request takes in ms at a server with so many in flight: by Little's law,
-// the requests in flight over the completions per second, which must be positive.
+// ByLittlesLaw returns the latency in ms, by Little's law, of a server with that many requests in flight:
+// their number divided by the completions per second, which must be positive.
 func ByLittlesLaw(inflight, completedPerSecond float64) float64 {
 	return msPerSecond * inflight / completedPerSecond
 }
 
 // WeightFactor returns the factor on the server's weight in its group: above 1 if it is faster than the
-// group's mean, and 1 if either is not known.
+// group's mean, below 1 if it is slower, and 1 if either is unknown.
 func (s *Server) WeightFactor(g *Group) float64 {
 	if s.mean > 0 && g.mean > 0 {
 		return min(max(g.mean/s.mean, minWeightFactor), maxWeightFactor)
@@ -89,13 +90,13 @@
 	return 1
 }
 
-// Slow reports whether the server is much slower than the group's mean.
+// Slow reports whether the server's mean latency is more than slowMultiple times its group's.
 func (s *Server) Slow(g *Group) bool { return s.mean > slowMultiple*g.mean }
 
-// EffectiveLoad returns how many of this balancer's requests in flight the server holds. The others are in
-// transit: where that takes long, a bound on all of them would leave the server idle. The transit time of a
-// zone is its fastest response's latency, less a light request's work. It never rises, so that a queue does
-// not look like a long path.
+// EffectiveLoad estimates how many of this balancer's requests in flight the server holds, as opposed to
+// those in transit. On a long path, a bound on all of them would leave the server idle. The transit time of
+// a zone is the lowest latency of its responses, less the work of a light request. It never rises, so that a
+// queue is not mistaken for a long path.
 func (s *Server) EffectiveLoad(inflight int, meanWork float64, path *Path) float64 {
 	lightWork := meanWork * minWorkShare
 	transit := path.fastest - lightWork
