--- a/internal/decision/admission/admission.go
+++ b/internal/decision/admission/admission.go
@@ -1,17 +1,17 @@
-// Package admission decides which requests are let in while there is more work than capacity, and in
-// which order those that wait go.
+// Package admission decides, while there is more work than capacity, which requests are admitted and in
+// which order waiting requests are sent.
 //
-// It prevents that an overloaded service completes nothing in time: work that would be late is shed on
-// arrival, lowest priority first, so that what is let in is served within its objective. It has three
-// parts:
+// Without it, an overloaded service would complete nothing in time (congestion collapse). Work that would be
+// late is shed on arrival, lowest priority first, so that admitted requests are served within their
+// objective. The package has three parts:
 //
 //   - Shedding (shedding.go): a share of the work that is rejected on arrival. It grows while responses come
-//     late in all localities and decays otherwise, as in Envoy's admission control filter, but it is steered
-//     by latency and not by failures.
-//   - Priority bands (bands.go): the classes of requests, each within and over the quotas of its
-//     tenants, in an order of precedence. Shedding takes the bands from the lowest up: criticality, in the
-//     chapter "Handling Overload" of Google's Site Reliability Engineering book. A band that gets much less
-//     than its part of what is forwarded goes first for a while, so that none starves.
+//     late in all localities and decays otherwise, as in Envoy's admission control filter, but it is
+//     controlled by latency and not by failures.
+//   - Priority bands (bands.go): the classes of requests, each within and over the quotas of its tenants, in
+//     an order of precedence. Shedding rejects the lowest bands first: criticality, in the chapter "Handling
+//     Overload" of Google's Site Reliability Engineering book. A band that gets much less than its part of
+//     the forwarded work temporarily goes first, so that no band starves.
 //   - A bound on the queue (queue.go): a request that would wait for too long is rejected at once.
 //
 // The Controller decides from what its caller reports: arrivals, forwarded requests, and whether responses
@@ -20,19 +20,19 @@
 
 import "time"
 
-// Options is what the operators set, and what follows from it.
+// Options holds the operators' settings and figures that follow from them.
 type Options struct {
 	ShortestObjective time.Duration // the least latency objective of all classes; positive
 	TickInterval      time.Duration // between calls of Tick; positive
 	ClassWeights      []float64     // priority weight of each class
 	OverQuotaWeight   float64       // factor on the weight of a request over its tenant's quota
-	WeightPerRequest  bool          // the weight is for each request, whatever its work; false: for its work
-	PreventStarvation bool          // starved bands go first; false: precedence alone decides
-	AdviseRetryAfter  bool          // rejections may advise when to come back
+	WeightPerRequest  bool          // the weight applies per request; false: per ms of its work
+	PreventStarvation bool          // starved bands go first; false: only precedence counts
+	AdviseRetryAfter  bool          // rejections may advise when to retry
 	MaxRetryAfter     time.Duration // bound on that advice
 }
 
-// Controller makes the decisions. The zero value has no bands: Configure makes them.
+// Controller makes the decisions of admission. The zero value has no bands: Configure creates them.
 type Controller struct {
 	options    Options
 	shedShare  float64              // share of the work, lowest precedence first, that is rejected on arrival
@@ -41,7 +41,7 @@
 	bands      []bandState          // by Band
 }
 
-// Configure sets the options. It makes the bands anew, with no work in them; the shed share stays.
+// Configure sets the options. It creates all bands again, without any work; the shed share stays.
 func (c *Controller) Configure(options Options) {
 	c.options = options
 	c.bands = make([]bandState, 0, bandsPerClass*len(options.ClassWeights))
@@ -52,21 +52,21 @@
 	}
 }
 
-// Tick decays what is known of past work and updates which bands are starved and what is rejected. It is
-// called at every tick, after SetExpectedWork.
+// Tick decays the shed share and the sums of past work, and updates which bands are starved and what share
+// of each is rejected. It is called once per TickInterval, after SetExpectedWork.
 func (c *Controller) Tick() {
 	c.decayShedShare()
 	c.updateBands()
 }
 
-// ShedsArrival reports whether a request that arrives in the band is rejected, by a random draw in [0,
-// 1).
+// ShedsArrival reports whether a request that arrives in the band is rejected. draw is a random number in
+// [0, 1).
 func (c *Controller) ShedsArrival(band Band, draw float64) bool {
 	return draw < c.bands[band].rejectShare
 }
 
-// RetryAfter returns the delay that a rejection advises; 0 is no advice. Without shedding, a rejection is
-// due to a short fault and trying again soon is right.
+// RetryAfter returns the delay that a rejection advises; 0 means no advice. Without shedding, a rejection is
+// due to a short fault, and an early retry is right.
 func (c *Controller) RetryAfter() time.Duration {
 	if !c.options.AdviseRetryAfter || !c.Shedding() {
 		return 0
--- a/internal/decision/admission/admission_test.go
+++ b/internal/decision/admission/admission_test.go
@@ -12,7 +12,8 @@
 	tick      = 25 * time.Millisecond
 )
 
-// newController returns a Controller of two classes with these weights.
+// newController returns a Controller with one class for each of the weights. change, if not nil, adjusts the
+// options.
 func newController(change func(*Options), weights ...float64) *Controller {
 	options := Options{
 		ShortestObjective: objective, TickInterval: tick, ClassWeights: weights, OverQuotaWeight: 0.5,
@@ -26,7 +27,7 @@
 	return c
 }
 
-// observe reports so many responses of a locality, one in each objective, and returns the shed share.
+// observe feeds count responses to the Controller, one per objective, and returns the shed share.
 func observe(c *Controller, response Response, count int) float64 {
 	for range count {
 		c.ObserveResponse(c.Step(c.adjustedAt+objective), response)
@@ -75,7 +76,7 @@
 	for name, c := range map[string]struct {
 		shed    float64
 		weights []float64
-		want    []float64 // of the classes' bands within the quota; the bands over it have no work
+		want    []float64 // share rejected in each class's band within the quota; bands over it have no work
 	}{
 		"nothing":           {shed: 0, weights: []float64{1, 2}, want: []float64{0, 0}},
 		"part of the first": {shed: 0.25, weights: []float64{1, 2}, want: []float64{0.5, 0}},
@@ -87,7 +88,7 @@
 		for class := range c.weights {
 			controller.RequestArrived(BandOf(class, WithinQuota), 100)
 		}
-		controller.shedShare = c.shed * decayTicks / (decayTicks - 1) // the tick's decay takes the rest
+		controller.shedShare = c.shed * decayTicks / (decayTicks - 1) // offsets the decay of the tick
 		controller.Tick()
 		for class, want := range c.want {
 			band := BandOf(class, WithinQuota)
@@ -98,8 +99,8 @@
 	}
 }
 
-// Of two classes of equal weight, the one whose clients wait for longer must not take the other's part of the
-// capacity, and both have the same share rejected.
+// Of two classes of equal weight, the one whose clients wait longer must not take the other's part of the
+// capacity. The same share of both is rejected.
 func TestStarvedBandGoesFirst(t *testing.T) {
 	x, y := BandOf(0, WithinQuota), BandOf(1, WithinQuota)
 	first, second := Place{Band: y, Arrival: 1}, Place{Band: x, Arrival: 2}
@@ -120,8 +121,8 @@
 	}
 }
 
-// If the weight is per request, two light requests precede a heavy one of somewhat more weight, and less of
-// them is rejected; if it is per work, it is the other way round.
+// If the weight is per request, light requests precede a heavy one of somewhat more weight, and a smaller
+// share of them is rejected. If it is per work, the heavy one has precedence.
 func TestWeightPerRequestAndPerWork(t *testing.T) {
 	lightBand, heavyBand := BandOf(0, WithinQuota), BandOf(1, WithinQuota)
 	light, heavy := Place{Band: lightBand, Arrival: 2}, Place{Band: heavyBand, Arrival: 1}
--- a/internal/decision/admission/bands.go
+++ b/internal/decision/admission/bands.go
@@ -3,14 +3,14 @@
 import "math"
 
 const (
-	// bandsPerClass is one band within the tenants' quotas and one over them.
+	// bandsPerClass counts one band within the tenants' quotas and one over them.
 	bandsPerClass = 2
-	// starvedBelow is the share of its part of what is forwarded below which a band is starved: less than
-	// 1, as the parts differ by chance.
+	// starvedBelow is the fraction of its part of the forwarded work below which a band is starved. It is
+	// less than 1, because the parts also differ by chance.
 	starvedBelow = 0.8
 )
 
-// Standing says how a request stands to its tenant's quota.
+// Standing tells whether a request is within its tenant's quota.
 type Standing uint8
 
 // The values of Standing.
@@ -22,23 +22,24 @@
 // Band is a priority band: the requests of one class, within or over their tenants' quotas.
 type Band int
 
-// BandOf returns the band of a class's requests of that standing.
+// BandOf returns the band for requests of a class with that standing.
 func BandOf(class int, standing Standing) Band { return Band(bandsPerClass*class + int(standing)) }
 
-// bandState is what is known of a band.
+// bandState holds the weight, the recent work and the decisions of a band.
 type bandState struct {
 	weight      float64
-	precedence  float64 // the weight, for its work if the weight is per request
-	arrived     float64 // recent work in ms, decaying
-	forwarded   float64 // what of it was forwarded, decaying
+	precedence  float64 // the weight, divided by the expected work if it is per request
+	arrived     float64 // recently arrived work in ms, decaying
+	forwarded   float64 // recently forwarded work in ms, decaying
 	rejectShare float64 // share of its requests that is rejected on arrival
-	starved     bool    // much less than its part of what is forwarded
+	starved     bool    // whether it gets much less than its part of the forwarded work
 }
 
 func newBandState(weight float64) bandState { return bandState{weight: weight, precedence: weight} }
 
-// SetExpectedWork sets the expected work of a class's requests in ms; 0: not known. If the weight is per
-// request, it makes the precedence: light requests give more weight for the same work, and go first.
+// SetExpectedWork sets the expected work of a class's requests in ms; 0 if it is unknown. If the weight is
+// per request, the precedence is the weight divided by that work: light requests yield more weight for the
+// same work, and go first.
 func (c *Controller) SetExpectedWork(class int, work float64) {
 	for _, standing := range [bandsPerClass]Standing{WithinQuota, OverQuota} {
 		band := &c.bands[BandOf(class, standing)]
@@ -49,13 +50,14 @@
 	}
 }
 
-// RequestArrived counts the work of a request in ms on its arrival, whether it is let in or not.
+// RequestArrived counts the work, in ms, of an arriving request, whether it is admitted or not.
 func (c *Controller) RequestArrived(band Band, work float64) { c.bands[band].arrived += work }
 
-// RequestForwarded counts the work of a request in ms when its first attempt starts.
+// RequestForwarded counts the work, in ms, of a request whose first attempt starts.
 func (c *Controller) RequestForwarded(band Band, work float64) { c.bands[band].forwarded += work }
 
-// updateBands decays the sums of work by one tick, and sets which bands are starved and what is rejected.
+// updateBands decays the sums of work by one tick, and updates for each band whether it is starved and what
+// share of it is rejected.
 func (c *Controller) updateBands() {
 	keep := math.Exp(-c.options.TickInterval.Seconds()) // a factor of e per second
 	var arrived, forwarded float64
@@ -74,10 +76,10 @@
 	}
 }
 
-// rejectShareOf returns the share of a band's work that is rejected if so much is shed in all: what is left
-// to shed after all lower bands, out of the work of this band and those of the same precedence.
+// rejectShareOf returns the share of a band's work to reject if shed is the work to reject in all bands.
+// Lower bands are rejected first; the rest is spread evenly over this band and those of the same precedence.
 func (c *Controller) rejectShareOf(band *bandState, shed float64) float64 {
-	lower, equal := 0.0, 0.0 // work that is rejected before this band's, and along with it
+	lower, equal := 0.0, 0.0 // work of the bands below this one, and of those at its precedence
 	for i := range c.bands {
 		other := &c.bands[i]
 		switch {
@@ -93,13 +95,14 @@
 	return min(max(shed-lower, 0)/equal, 1)
 }
 
-// Place is the place of a waiting request in the order of dispatch.
+// Place determines the position of a waiting request in the order of dispatch.
 type Place struct {
 	Band    Band
-	Arrival uint64 // a number that grows from request to request
+	Arrival uint64 // sequence number that grows from request to request
 }
 
-// Precedes orders waiting requests: starved bands first, then by precedence, then by arrival.
+// Precedes reports whether the request at place is sent before the one at other: starved bands first, then
+// by precedence, then by arrival.
 func (c *Controller) Precedes(place, other Place) bool {
 	band, otherBand := &c.bands[place.Band], &c.bands[other.Band]
 	if band.starved != otherBand.starved {
--- a/internal/decision/admission/queue.go
+++ b/internal/decision/admission/queue.go
@@ -3,16 +3,17 @@
 import "time"
 
 const (
-	// queueMinLength is the number of waiting requests below which the queue is never too long: what few
-	// balancers send is no measure of capacity.
+	// queueMinLength is the number of waiting requests below which the queue never counts as too long: so
+	// few requests say nothing about capacity.
 	queueMinLength = 16
-	// queueMaxShare is the longest queueing delay, as a share of the shortest latency objective. Clients that
-	// would wait for longer go elsewhere sooner if they are rejected at once, and each that waits holds a
-	// client connection that more important requests may need. A longer queue would serve no more.
+	// queueMaxShare bounds the queueing delay, as a share of the shortest latency objective. A longer queue
+	// would serve no more requests. Clients that would wait for longer go elsewhere sooner if they are
+	// rejected at once, and each waiting request holds a client connection that more important requests may
+	// need.
 	queueMaxShare = 1.0 / 4
 )
 
-// Queue sums up the waiting requests that precede one. The zero value is empty.
+// Queue sums up the requests that wait ahead of a given one. The zero value is empty.
 type Queue struct {
 	work   float64 // ms
 	length int
@@ -24,8 +25,8 @@
 	q.length++
 }
 
-// Delay returns how long a request behind the queue will probably wait, if work is sent at that rate, in ms
-// per second. It is 0 for a short queue and while the rate is not known.
+// Delay estimates how long a request behind the queue will wait; sendRate is the work sent, in ms per
+// second. It returns 0 for a short queue and for a rate that is not positive, which is unknown.
 func (q *Queue) Delay(sendRate float64) time.Duration {
 	if q.length < queueMinLength || sendRate <= 0 {
 		return 0
@@ -33,7 +34,7 @@
 	return time.Duration(q.work / sendRate * float64(time.Second))
 }
 
-// QueueTooLong reports whether a request behind the queue would wait for longer than the queue may be.
+// QueueTooLong reports whether a request behind the queue would wait for longer than queueMaxShare allows.
 func (c *Controller) QueueTooLong(ahead Queue, sendRate float64) bool {
 	return float64(ahead.Delay(sendRate)) > queueMaxShare*float64(c.options.ShortestObjective)
 }
--- a/internal/decision/admission/shedding.go
+++ b/internal/decision/admission/shedding.go
@@ -7,53 +7,55 @@
 )
 
 const (
-	// localities is the balancer's own zone and all others.
+	// localities counts the balancer's own zone and the rest, which is taken as one.
 	localities = 2
-	// shedGain is the change of the shed share in one shortest objective while all responses are late: from
-	// nothing to everything takes four objectives. A change shows in the responses an objective later.
+	// shedGain is the change of the shed share in one shortest objective while all responses are late. From
+	// nothing to everything takes four objectives. A change shows in the responses one objective later.
 	shedGain = 1.0 / 4
-	// maxStep bounds the change by one response: a quiet balancer waits for more of them.
+	// maxStep bounds the change by one response. Where responses are rare, several of them are needed for a
+	// large change.
 	maxStep = estimate.GroupSmoothing
-	// recovery is the step down of a response in time, relative to the step up of a late one: shedding ends
-	// more slowly than it starts, and holds where a third of the responses is late.
+	// recovery is the step down for a response in time, relative to the step up for a late one: shedding
+	// ends more slowly than it starts, and is steady while a third of the responses are late.
 	recovery = 1.0 / 2
-	// lateElsewhereAbove is the share of late responses above which a locality counts as late: it takes three
-	// in a row, so that a single one does not.
+	// lateElsewhereAbove is the share of late responses above which a locality counts as late. It takes
+	// three consecutive late responses to exceed it, so that a single one has no effect.
 	lateElsewhereAbove = 2 * estimate.GroupSmoothing
-	// decayTicks is the number of ticks in which the shed share falls by a factor of e without responses, and
-	// of reviews in which the lateness of a locality does.
+	// decayTicks is the number of ticks in which the shed share falls by a factor of e without responses.
+	// The lateness of a locality falls likewise, by calls of ReviewLateness.
 	decayTicks = 256
-	// latenessHolds is for how many of the shortest objectives the lateness of a locality that gives no
-	// responses holds before it decays.
+	// latenessHolds is the time, in shortest objectives, after which the lateness of a locality without
+	// responses starts to decay.
 	latenessHolds = 16
 )
 
-// lateness is how late the responses of a locality are.
+// lateness tracks how often the responses of a locality are late.
 type lateness struct {
-	share     float64       // running share of responses that took over half of their objective
-	updatedAt time.Duration // when a response last counted in it
+	share     float64       // running share of responses that took more than half of their objective
+	updatedAt time.Duration // when a response was last counted
 }
 
 func (l *lateness) observe(late float64) { l.share += estimate.GroupSmoothing * (late - l.share) }
 
-// Response is what one response shows.
+// Response describes one response from a server.
 type Response struct {
-	Locality     int  // 0 or 1: of the server that gave it
-	Late         bool // it took over half of its objective, so that there is still time to act
+	Locality     int  // 0 or 1: locality of the server
+	Late         bool // it took more than half of its objective, which leaves time to act
 	OnlyLocality bool // the other locality has no servers
 }
 
-// Step returns how far the next response may move the shed share, and takes that time as used. It grows with
-// the time since the last response: a change shows late, and a busy balancer would oscillate if each response
-// counted in full.
+// Step returns how far the present response may move the shed share. The step grows with the time since the
+// last call, up to maxStep, and Step restarts that time. The effect of a change shows late, so that a busy
+// balancer would oscillate if each response counted in full.
 func (c *Controller) Step(now time.Duration) float64 {
 	elapsed := (now - c.adjustedAt).Seconds()
 	c.adjustedAt = now
 	return min(elapsed/c.options.ShortestObjective.Seconds()*shedGain, maxStep)
 }
 
-// ObserveResponse moves the shed share by a response, up to the step of Step. Work is shed only while the
-// other locality is late, too, or has no servers: spilling costs less than shedding.
+// ObserveResponse moves the shed share up for a late response and down for one in time, by at most the step
+// that Step returned. The share rises only while the other locality is late, too, or has no servers, because
+// spilling costs less than shedding.
 func (c *Controller) ObserveResponse(step float64, response Response) {
 	own, other := &c.lateness[response.Locality], &c.lateness[1-response.Locality]
 	own.observe(estimate.Indicator(response.Late))
@@ -66,12 +68,13 @@
 	c.shedShare = min(max(c.shedShare+change, 0), 1)
 }
 
-// ObserveSilence counts a server's silence as a late response of its locality. It is no reason to shed, as
-// other servers may be idle.
+// ObserveSilence counts a server's silence as a late response of its locality. It does not raise the shed
+// share, as other servers may be idle.
 func (c *Controller) ObserveSilence(locality int) { c.lateness[locality].observe(1) }
 
-// ReviewLateness decays the lateness of localities that have given no responses for long: without responses
-// it would hold for ever, and let the other locality shed though this one may be idle.
+// ReviewLateness decays the lateness of localities that have given no responses for a long time. Otherwise
+// it would stay for ever, and the balancer would shed work of the other locality although this one may be
+// idle.
 func (c *Controller) ReviewLateness(now time.Duration) {
 	for i := range c.lateness {
 		locality := &c.lateness[i]
@@ -81,8 +84,8 @@
 	}
 }
 
-// decayShedShare lets the shed share decay by one tick: a balancer that rejects everything gets no responses,
-// and would see nothing improve.
+// decayShedShare decays the shed share by one tick. Without it, a balancer that rejects everything would get
+// no responses and never notice an improvement.
 func (c *Controller) decayShedShare() { c.shedShare -= c.shedShare / decayTicks }
 
 // ShedShare returns the share of the work that is rejected on arrival.
@@ -91,5 +94,5 @@
 // Shedding reports whether any work is rejected on arrival.
 func (c *Controller) Shedding() bool { return c.shedShare != 0 }
 
-// LateShare returns the share of late responses of a locality.
+// LateShare returns the running share of late responses of a locality.
 func (c *Controller) LateShare(locality int) float64 { return c.lateness[locality].share }
