--- a/internal/decision/slowstart/rate.go
+++ b/internal/decision/slowstart/rate.go
@@ -25,7 +25,7 @@
 	// omitted if Controller.NeedsSendRate returns false.
 	SendRate float64
 	Senders  float64 // balancers that send to the server; at least 1
-	// Spillers is the number of balancers of other zones that may spill to the server; 0 if this balancer
+	// Spillers is the number of balancers that may spill to the server, this one included; 0 if this one
 	// does not spill to it.
 	Spillers float64
 	Size     float64 // size of the server
@@ -49,10 +49,11 @@
 func (c *Controller) NeedsSendRate(load Load) bool { return !c.Drawn() || load.completedWork() == 0 }
 
 // AllowedRate returns the work per second, in ms, that this balancer may send to the server: its share of
-// what a warm server completes or gets, times the capacity share, with some allowance for few balancers and
-// idle servers. Many balancers together send no more than the share itself: the remaining capacity leaves
-// room for uneven zones, weights and hints. The completion rate is the better measure, since the rate of
-// sent work falls along with the fleet when a part of it is lost.
+// what a warm server completes or gets, times the capacity share. Where sends are not drawn, it may be a
+// multiple of that; an idle server may get at least what it reports to complete. Many balancers together
+// send no more than the shares: the margin up to overload leaves room for uneven zones, weights and hints.
+// The completion rate is the better measure, since the rate of sent work falls along with the fleet when a
+// part of it is lost.
 func (c *Controller) AllowedRate(now time.Duration, p *Progress, load Load) float64 {
 	rate, growth := load.completedWork(), drawnIdleGrowth
 	switch {
--- a/internal/decision/slowstart/slowstart.go
+++ b/internal/decision/slowstart/slowstart.go
@@ -39,7 +39,7 @@
 	maxDrawnInterval = time.Hour
 )
 
-// Options holds the parameters of slow start. With the zero value, a server has its whole capacity at once.
+// Options holds the parameters of slow start. With the zero value, a server is never in slow start.
 type Options struct {
 	InitialCapacity float64       // share of its capacity that a server has at its start, in [0, 1]
 	Duration        time.Duration // time from the start to full capacity; 0: full capacity at once
