--- a/internal/decision/admission/admission_test.go
+++ b/internal/decision/admission/admission_test.go
@@ -143,7 +143,7 @@
 func TestQueueTooLong(t *testing.T) {
 	for name, c := range map[string]struct {
 		length   int
-		sendRate float64 // ms of work per second; each request has 10
+		sendRate float64 // ms of work per second; each request has 10 ms
 		want     bool
 	}{
 		"short":         {length: queueMinLength - 1, sendRate: 1, want: false},
--- a/internal/decision/admission/bands.go
+++ b/internal/decision/admission/bands.go
@@ -13,7 +13,7 @@
 // Standing tells whether a request is within its tenant's quota.
 type Standing uint8
 
-// The values of Standing.
+// Standings of a request. They select the band of its class.
 const (
 	WithinQuota Standing = iota
 	OverQuota
@@ -31,7 +31,7 @@
 	precedence  float64 // the weight, divided by the expected work if it is per request
 	arrived     float64 // recently arrived work in ms, decaying
 	forwarded   float64 // recently forwarded work in ms, decaying
-	rejectShare float64 // share of its requests that is rejected on arrival
+	rejectShare float64 // share of its requests to reject on arrival
 	starved     bool    // whether it gets much less than its part of the forwarded work
 }
 
--- a/internal/decision/classfailure/classfailure.go
+++ b/internal/decision/classfailure/classfailure.go
@@ -34,7 +34,8 @@
 // Result is how an attempt ended.
 type Result uint8
 
-// The values of Result.
+// Results of an attempt. Other never changes the failure share; TimedOut and Cancelled do if the server
+// hung.
 const (
 	Other         Result = iota // says nothing about the class: rejected, not connected or not sent
 	GoodResponse                // a good response
@@ -79,7 +80,8 @@
 	}
 }
 
-// RecordSend records that a request of the class is sent to the server.
+// RecordSend records that a request of the class is sent to the server, from which Avoid measures the time
+// without requests.
 func (s *Shares) RecordSend(now time.Duration, class int) { s.classes[class].lastSentAt = now }
 
 // RecordAttempt updates the failure share of the class with an attempt that ended. An attempt that got no
--- a/internal/decision/concurrency/concurrency.go
+++ b/internal/decision/concurrency/concurrency.go
@@ -57,7 +57,7 @@
 // Inflight returns the number of requests that have started and not ended.
 func (l *Limit) Inflight() int { return l.inflight }
 
-// Bound returns the limit, which may be infinite.
+// Bound returns the present limit, which is infinite for a new Limit and after Remove.
 func (l *Limit) Bound() float64 { return l.limit }
 
 // Reached reports whether this balancer has as many requests in flight as the limit allows.
--- a/internal/decision/estimate/estimate.go
+++ b/internal/decision/estimate/estimate.go
@@ -28,7 +28,7 @@
 // half of the distance, however much work it stands for.
 const maxRatioGain = 0.5
 
-// Indicator returns 1 for true and 0 for false: a sample for the running share of events that hold.
+// Indicator returns 1 for true and 0 for false, so that a condition can be a sample of a running share.
 func Indicator(yes bool) float64 {
 	if yes {
 		return 1
--- a/internal/decision/estimate/rate.go
+++ b/internal/decision/estimate/rate.go
@@ -21,7 +21,7 @@
 // without additions.
 func (r *Rate) Start(now time.Duration) { r.since = now }
 
-// Add adds an amount at the time now.
+// Add counts amount towards the rate at the time now.
 func (r *Rate) Add(now time.Duration, amount float64) {
 	r.decay(now)
 	r.value += amount
--- a/internal/decision/lanes/balance.go
+++ b/internal/decision/lanes/balance.go
@@ -35,5 +35,5 @@
 	b.offset = min(max(b.offset, -smallWorkShare*maxSmallLaneGain), smallWorkShare*maxSmallLaneLoss)
 }
 
-// LargeShare returns the large lane's share of a group's weight.
+// LargeShare returns the large lane's share of a group's weight, given its share of the work.
 func (b *Balance) LargeShare(largeWorkShare float64) float64 { return largeWorkShare + b.offset }
--- a/internal/decision/lanes/lanes.go
+++ b/internal/decision/lanes/lanes.go
@@ -24,15 +24,15 @@
 // Lane is one of the two parts of a group.
 type Lane uint8
 
-// The lanes.
+// The lanes of a group, by the requests that they take.
 const (
 	Small Lane = iota // requests up to the median cost hint, or without one
-	Large             // requests above it
+	Large             // requests with a cost hint above the median
 )
 
 const laneCount = 2
 
-// Other returns the other lane.
+// Other returns Large for Small and Small for Large.
 func (lane Lane) Other() Lane { return Large - lane }
 
 // fullCredit is what a turn costs, and the most credit that a member saves up. A member that had no capacity
@@ -106,7 +106,8 @@
 	return greatest
 }
 
-// Len returns the number of members in a lane.
+// Len returns the number of members in a lane of a group that is not empty. The member at the split point
+// counts in both lanes.
 func (g *Group) Len(lane Lane) int {
 	if lane == Large {
 		return g.split + 1
--- a/internal/decision/latency/latency_test.go
+++ b/internal/decision/latency/latency_test.go
@@ -27,7 +27,7 @@
 		latency  time.Duration
 		work     float64
 		queueing float64
-		mean     float64 // of a request of mean work
+		mean     float64 // latency of a request of mean work, ms
 	}{
 		{50 * ms, 20, 30, 50},
 		{50 * ms, 10, 40, 60},    // a light request
--- a/internal/decision/outlier/outlier.go
+++ b/internal/decision/outlier/outlier.go
@@ -52,7 +52,7 @@
 // Failure is the way in which an attempt failed.
 type Failure uint8
 
-// The values of Failure.
+// Kinds of failure. Each is an argument of RecordFailure.
 const (
 	BadResponse    Failure = iota // an error, a rejection by the server or a broken connection
 	ConnectFailure                // no connection was established
@@ -71,7 +71,7 @@
 // Verdict is what the caller has to do after a failure.
 type Verdict uint8
 
-// The values of Verdict.
+// Results of RecordFailure.
 const (
 	Keep  Verdict = iota // do nothing
 	Eject                // call Monitor.Eject
@@ -80,7 +80,7 @@
 // Recovery is the effect of a good response on an ejection.
 type Recovery uint8
 
-// The values of Recovery.
+// Results of RecordGoodResponse.
 const (
 	NotEjected                Recovery = iota // the server was not ejected
 	Returned                                  // its ejection has ended
@@ -90,7 +90,7 @@
 // HealthCheckResult is the outcome of a health check.
 type HealthCheckResult uint8
 
-// The values of HealthCheckResult.
+// Outcomes that the caller passes to CompleteHealthCheck.
 const (
 	HealthCheckFailed    HealthCheckResult = iota // a bad response, or none in time
 	HealthCheckNoConnect                          // no connection was established
@@ -100,7 +100,7 @@
 // HealthCheckEffect is what the caller has to do after a health check.
 type HealthCheckEffect uint8
 
-// The values of HealthCheckEffect.
+// Results of CompleteHealthCheck.
 const (
 	Unexpected    HealthCheckEffect = iota // do nothing: no health check was in flight
 	TrialAllowed                           // the server may be a member of its group again
@@ -118,7 +118,7 @@
 	healthCheckPassed   bool // since the last ejection
 }
 
-// Ejected reports whether the server is ejected.
+// Ejected reports whether the server is ejected. It remains so during its trial.
 func (m *Monitor) Ejected() bool { return m.ejections > 0 }
 
 // Ejections returns the number of consecutive ejections; 0 for a server that is not ejected.
--- a/internal/decision/outlier/outlier_test.go
+++ b/internal/decision/outlier/outlier_test.go
@@ -15,7 +15,7 @@
 func TestConsecutiveFailuresEject(t *testing.T) {
 	for name, c := range map[string]struct {
 		failures []Failure
-		want     Verdict // after the last one; before it none ejects
+		want     Verdict // after the last failure; the earlier ones give Keep
 	}{
 		"one silent time-out":             {[]Failure{SilentTimeout}, Keep},
 		"two silent time-outs":            {[]Failure{SilentTimeout, SilentTimeout}, Eject},
--- a/internal/decision/slowstart/rate.go
+++ b/internal/decision/slowstart/rate.go
@@ -20,7 +20,7 @@
 // Load describes the load of warm servers and the last report of the server in slow start.
 type Load struct {
 	MeanWork           float64 // mean work of a request, ms
-	PeakCompletionRate float64 // most requests per second that a warm server of size 1 completes; 0: not known
+	PeakCompletionRate float64 // most requests per second of a warm server of size 1; 0: unknown
 	// SendRate is the work per second, in ms, that this balancer sends to a warm server of size 1. It may be
 	// omitted if Controller.NeedsSendRate returns false.
 	SendRate float64
@@ -39,7 +39,7 @@
 	CompletionRate float64 // requests that the server completes per second
 }
 
-// idle reports whether the server has reported and is idle.
+// idle reports whether the server has reported, with fewer than idleInflight requests of other balancers.
 func (r Report) idle() bool { return r.Known && r.Others < idleInflight }
 
 // completedWork returns this balancer's share of the work per second that a warm server completes.
--- a/internal/decision/slowstart/slowstart_test.go
+++ b/internal/decision/slowstart/slowstart_test.go
@@ -46,7 +46,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	known, assumed := started(&c), Progress{}
 	c.Assume(startedAt, &assumed, testLoad, rng)
-	for age, want := range map[time.Duration][2]bool{ // warm: known and assumed
+	for age, want := range map[time.Duration][2]bool{ // whether the known and the assumed slow start have ended
 		5*time.Second - 1:  {false, false},
 		5 * time.Second:    {false, true},
 		20*time.Second - 1: {false, true},
--- a/internal/decision/subscription/subscription_test.go
+++ b/internal/decision/subscription/subscription_test.go
@@ -59,7 +59,7 @@
 			s.Failed(now, rng)
 			now = s.nextAt
 		}
-		back := now // discovery is reachable from now on, just after this call
+		back := now // discovery is reachable from here on, just after a failed call
 		for range 2 {
 			s.Failed(now, rng)
 			require.False(t, s.SubscribeIfDue(s.nextAt-1))
--- a/internal/decision/workload/workload.go
+++ b/internal/decision/workload/workload.go
@@ -92,7 +92,8 @@
 // MedianHint returns the median of the cost hints in ms; 0 before the first hint.
 func (m *Model) MedianHint() float64 { return m.medianHint }
 
-// LargeShare returns the share of the work that is in large requests.
+// LargeShare returns the share of the work that is in requests above the median hint, or one half before the
+// first request.
 func (m *Model) LargeShare() float64 { return m.largeShare }
 
 // ObserveArrival updates the model with an arriving request: its cost hint in ms and the result of Expect
