--- a/internal/decision/outlier/outlier.go
+++ b/internal/decision/outlier/outlier.go
@@ -10,15 +10,15 @@
 //   - After the pause, and after a passed health check where these are enabled, one request is sent as a
 //     trial. Its failure ejects the server again at once; a good response ends the ejection. Only one trial
 //     is in flight, so that a server that still hangs costs one request and not a burst of them.
-//   - If connections to an ejected server failed, its process may have been replaced. The result of the
-//     first good response tells the caller so, which then starts a slow start.
+//   - If connections to an ejected server failed, its process may have been replaced. RecordGoodResponse
+//     reports this to the caller, which then starts a slow start.
 //
 // The model is Envoy's outlier detection (consecutive errors, ejection time that grows with the number of
 // ejections), with the trial of a half-open circuit breaker. A Monitor corresponds to Envoy's host monitor.
 //
-// The caller decides what counts as a failure. It also detects overdue attempts, for which it calls Eject
-// directly, and whether the endpoint list allows requests to the server at all. Times are durations since
-// the origin of the caller's clock.
+// The caller decides what counts as a failure, and whether the endpoint list allows requests to the server
+// at all. It also detects overdue attempts, for which it calls Eject directly. Times are durations since the
+// origin of the caller's clock.
 package outlier
 
 import (
@@ -30,8 +30,8 @@
 
 const (
 	// maxSilentTimeouts is the number of consecutive failures at which a time-out ejects a server that has
-	// responded to nothing since. A hung server costs each request its whole time-out, so that the limit is
-	// lower than for other failures.
+	// not responded to anything since the attempt was sent. A hung server costs each request its whole
+	// time-out, so that the limit is lower than for other failures.
 	maxSilentTimeouts = 2
 	// maxFailures is the number of consecutive failures at which any other failure ejects: a healthy server
 	// has some failures now and then.
