--- a/internal/decision/lanes/lanes.go
+++ b/internal/decision/lanes/lanes.go
@@ -59,7 +59,7 @@
 	weight        float64            // sum of the members' weights
 	split         int                // the last member of the large lane and the first of the small one
 	largePart     float64            // share of the weight of the member at split that the large lane has
-	position      [laneCount]int     // index in each lane of the member that had the last turn; random at first
+	position      [laneCount]int     // index in each lane of its last turn; random at first
 	maxLaneWeight [laneCount]float64 // greatest weight of a member in each lane
 }
 
--- a/internal/decision/slowstart/rate.go
+++ b/internal/decision/slowstart/rate.go
@@ -3,11 +3,12 @@
 import "time"
 
 const (
-	// loadMultiple is the multiple of its share of the load that a server may get where sends are not drawn:
-	// few balancers send unevenly, and only a multiple of its capacity overloads a server.
+	// loadMultiple is the multiple of its share of the load that a server may get where sends are not drawn.
+	// With few balancers the load is spread unevenly, and only a multiple of its capacity overloads a
+	// server.
 	loadMultiple = 3.0
 	// idleGrowth is the multiple of its reported completion rate that an idle server may get where sends are
-	// not drawn: such a server is warmed up by the work it does, sooner than the options say.
+	// not drawn: the work that it does warms such a server up sooner than the options say.
 	idleGrowth = 2.0
 	// drawnIdleGrowth is the same where sends are drawn. It is lower, because the draws of many balancers
 	// can coincide.
@@ -50,7 +51,7 @@
 
 // AllowedRate returns the work per second, in ms, that this balancer may send to the server: its share of
 // what a warm server completes or gets, times the capacity share. Where sends are not drawn, it may be a
-// multiple of that; an idle server may get at least what it reports to complete. Many balancers together
+// multiple of that; an idle server may get at least the rate that it reports. Many balancers together
 // send no more than the shares: the margin up to overload leaves room for uneven zones, weights and hints.
 // The completion rate is the better measure, since the rate of sent work falls along with the fleet when a
 // part of it is lost.
--- a/internal/decision/slowstart/slowstart.go
+++ b/internal/decision/slowstart/slowstart.go
@@ -110,7 +110,7 @@
 }
 
 // Assume starts a slow start because the process may have been replaced. It ends after a quarter of the
-// duration unless the caller calls Start when the endpoint list names a restart.
+// duration, unless the endpoint list names a restart and the caller calls Start.
 func (c *Controller) Assume(now time.Duration, p *Progress, load Load, rng *rand.Rand) {
 	c.Start(now, now, p, load, rng)
 	p.assumedUntil = now + c.options.Duration/assumedRestartDivisor
