--- a/load_reports.go
+++ b/load_reports.go
@@ -39,7 +39,7 @@
 			fleet.Add(&target.reports, target.Size)
 		}
 	}
-	b.peakCompletionRate.Review(fleet)
+	b.peakCompletionRate.Update(fleet)
 }
 
 // meanInflight returns the mean number of requests of all balancers at a warm member of the group, from fresh
