--- a/internal/serve/core/admin.go
+++ b/internal/serve/core/admin.go
@@ -14,8 +14,8 @@
 	pruneMargin     = time.Minute
 )
 
-// ClientsDrained reports whether clients are being sent to other balancers.
-func (c *Core) ClientsDrained() bool { return c.overrides.Drain.Active }
+// DrainingClients reports whether clients are being sent to other balancers.
+func (c *Core) DrainingClients() bool { return c.overrides.Drain.Active }
 
 // Overrides returns a copy of the operators' overrides.
 func (c *Core) Overrides() overrides.Overrides { return c.overrides.Clone() }
--- a/internal/serve/runtime/balancer.go
+++ b/internal/serve/runtime/balancer.go
@@ -197,7 +197,7 @@
 // healthy reports whether the health check of the clients' side succeeds. Where a successor has
 // taken over, the result is that of both processes: a health check may reach either.
 func (b *Balancer) healthy() bool {
-	if !b.core.EndpointsKnown() || b.core.ClientsDrained() {
+	if !b.core.EndpointsKnown() || b.core.DrainingClients() {
 		return false
 	}
 	return !b.core.ShuttingDown() || b.siblings.hasSuccessor()
