--- a/internal/serve/core/counters.go
+++ b/internal/serve/core/counters.go
@@ -5,11 +5,11 @@
 // Counts are running totals since the start of the process, for the log.
 type Counts struct {
 	// Requests by how they ended. Accepted is their sum and those that are pending.
-	Accepted    int
-	Served      int
-	Rejected    int
-	Failed      int
-	ClientsGone int
+	Accepted            int
+	Served              int
+	Rejected            int
+	Failed              int
+	ClientsDisconnected int
 
 	// Attempts that were started outside, and the unsuccessful ones by status.
 	Attempts      int
--- a/internal/serve/core/requests.go
+++ b/internal/serve/core/requests.go
@@ -83,7 +83,7 @@
 	if request == nil {
 		return
 	}
-	c.Counts.ClientsGone++
+	c.Counts.ClientsDisconnected++
 	if c.debug {
 		slog.Debug("client disconnected", "id", request.clientID, "attempts", len(request.attempts),
 			"remaining_ms", (request.deadline - c.now).Milliseconds())
--- a/internal/serve/runtime/totals.go
+++ b/internal/serve/runtime/totals.go
@@ -28,7 +28,7 @@
 		"served", counts.Served,
 		"rejected", counts.Rejected,
 		"failed", counts.Failed,
-		"clients_gone", counts.ClientsGone,
+		"clients_gone", counts.ClientsDisconnected,
 		"deadline_exceeded", counts.DeadlineExceeded,
 		"attempts", counts.Attempts,
 		"timeouts", counts.Timeouts,
