--- a/internal/serve/core/admin.go
+++ b/internal/serve/core/admin.go
@@ -7,8 +7,8 @@
 	"piernotch/internal/serve/overrides"
 )
 
-// An override that was undone is kept until the server that it was about has long had its full
-// capacity again: for pruneSlowStarts times the slow start, and pruneMargin more.
+// The entry of a server that was included again is kept until its slow start is long over: for
+// pruneSlowStarts times the duration of slow start, and pruneMargin more.
 const (
 	pruneSlowStarts = 2
 	pruneMargin     = time.Minute
@@ -20,14 +20,15 @@
 // Overrides returns a copy of the operators' overrides.
 func (c *Core) Overrides() overrides.Overrides { return c.overrides.Clone() }
 
-// PruneOverrides removes old overrides that have no effect any more. It must not be called while
-// another process of this balancer is alive, which could still hold what they replaced.
+// PruneOverrides removes the entries of servers that were included again long ago. It must not be
+// called while another process of this balancer is alive: that process may still hold the exclusion,
+// and a merge would restore it.
 func (c *Core) PruneOverrides() {
 	c.overrides.Prune(c.now - pruneSlowStarts*c.settings.Rules.SlowStartDuration - pruneMargin)
 }
 
-// handleAdminCommand applies an operator's command. The overrides are persisted before the result
-// is reported.
+// handleAdminCommand applies an operator's command. PersistOverrides precedes AdminResult, so that
+// the overrides are on disk before the operator gets the result.
 func (c *Core) handleAdminCommand(event AdminCommand) {
 	changed, err := c.overrides.Apply(overrides.Command{
 		At: c.now, Process: c.processID, Action: event.Action,
@@ -61,8 +62,8 @@
 	}
 }
 
-// applyOverride has the module follow the override of a server. If it is not listed, that happens
-// when it is listed again.
+// applyOverride passes the override of a server to the module. It does nothing for a server that is
+// not listed: addServer applies the exclusion when the server is listed again.
 func (c *Core) applyOverride(name string) {
 	server := c.serversByName[name]
 	if server == nil {
--- a/internal/serve/core/attempts.go
+++ b/internal/serve/core/attempts.go
@@ -12,12 +12,13 @@
 type attempt struct {
 	server    *server
 	startedAt time.Duration
-	written   bool // it was sent, in part at least: it may have run
+	written   bool // at least part of it was sent, so the server may have executed it
 	completed bool
-	timer     *timingwheel.Timer // its timeout; nil if it was never started outside
+	timer     *timingwheel.Timer // its timeout; nil if no StartAttempt was emitted for it
 }
 
-// findAttempt returns an attempt that has not completed, with its request, or nil.
+// findAttempt returns an attempt and its request, or nil for both if the attempt is unknown or has
+// completed.
 func (c *Core) findAttempt(ref AttemptRef) (*request, *attempt) {
 	request := c.requests[ref.Request]
 	if request == nil || ref.Number < 0 || int(ref.Number) >= len(request.attempts) {
@@ -30,8 +31,8 @@
 	return request, attempt
 }
 
-// startAttempt starts the next attempt of a request. If the request is closed or has had all its
-// attempts, the attempt completes as not sent. A timeout of 0 means the request's deadline.
+// startAttempt starts the next attempt of a request. If the request is closed or has used up its
+// MaxAttempts, the attempt completes as NotSent. A timeout of 0 means the request's deadline.
 func (c *Core) startAttempt(request *request, server *server, timeout time.Duration) {
 	number := AttemptNumber(len(request.attempts))
 	attempt := &attempt{server: server, startedAt: c.now}
@@ -59,9 +60,9 @@
 	})
 }
 
-// handleAttemptConnected has an attempt written if that is still allowed: one that waited for its
-// connection must not be sent to a server that is draining by now, nor retry a request outside of
-// its deduplication window.
+// handleAttemptConnected emits WriteAttempt if the module still allows the attempt. While the attempt
+// waited for its connection, its server may have started to drain, or the deduplication window for a
+// retry may have closed.
 func (c *Core) handleAttemptConnected(event AttemptConnected) {
 	ref := event.Ref
 	request, attempt := c.findAttempt(ref)
@@ -93,14 +94,14 @@
 	}
 	c.emit(CancelAttempt{AttemptRef{request.id, number}})
 	status := piernotch.Timeout
-	if !attempt.written { // there was no connection: it cannot have run
+	if !attempt.written { // it had no connection, so no server can have executed it
 		status = piernotch.ConnectFailed
 	}
 	c.completeAttempt(request, number, status, nil)
 }
 
-// cancelAttempt abandons an attempt. The module learns of it, with the given status, after its present
-// call.
+// cancelAttempt cancels an attempt. It reports the given status to the module once the module's current
+// call has returned.
 func (c *Core) cancelAttempt(request *request, number AttemptNumber, status piernotch.Status) {
 	c.emit(CancelAttempt{AttemptRef{request.id, number}})
 	c.deferCall(func() {
--- a/internal/serve/core/attempts_test.go
+++ b/internal/serve/core/attempts_test.go
@@ -25,7 +25,7 @@
 }
 
 // An attempt that waited for its connection while its server was excluded must not be sent. The
-// command's result is reported after the overrides were persisted.
+// command's result must follow the persisting of the overrides.
 func TestAttemptIsNotWrittenToExcludedServer(t *testing.T) {
 	c := newCore(t)
 	attempt := receive(c)[0].(StartAttempt)
@@ -57,8 +57,8 @@
 	require.Empty(t, c.requests)
 }
 
-// An attempt whose client disconnects while it waits for its connection must not be sent, also if
-// the settings allow no attempt to be cancelled.
+// An attempt that is still waiting for its connection when its client disconnects must not be sent,
+// even if the settings do not allow attempts to be cancelled.
 func TestAttemptIsNotWrittenAfterClientDisconnected(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		limits := piernotch.Limits{MaxAttempts: 2, CancelAttempts: cancel}
@@ -70,7 +70,8 @@
 	}
 }
 
-// A retry is decided on within the deduplication window, and must be sent within it, too.
+// A retry that is decided within the deduplication window must not be written after the window has
+// closed while the retry waited for its connection.
 func TestRetryIsNotWrittenOutsideDedupWindow(t *testing.T) {
 	class := newClass("c", piernotch.IdempotencyKey)
 	class.DedupWindow = 300 * time.Millisecond
--- a/internal/serve/core/core.go
+++ b/internal/serve/core/core.go
@@ -17,15 +17,15 @@
 type Core struct {
 	settings      piernotch.Settings
 	balancer      *piernotch.Balancer
-	now           time.Duration // never goes back
+	now           time.Duration // latest time given to Handle; never goes back
 	timers        *timingwheel.Wheel
 	effects       []Effect // of the event being handled
-	deferred      []func() // calls into the module to make once its present call has returned
+	deferred      []func() // calls into the module to make once its current call has returned
 	lastRequestID piernotch.RequestID
 
 	requests      map[piernotch.RequestID]*request // not released yet
-	exchanges     map[ExchangeID]*request          // without a response
-	openClientIDs map[string]struct{}              // clients' request IDs without a response
+	exchanges     map[ExchangeID]*request          // requests without a response
+	openClientIDs map[string]struct{}              // client IDs of the requests in exchanges
 
 	servers        map[piernotch.ServerID]*server
 	serversByName  map[string]*server
@@ -35,29 +35,29 @@
 	healthChecks   map[piernotch.ServerID]*timingwheel.Timer
 
 	overrides overrides.Overrides
-	processID overrides.ProcessID // of this process, in the overrides' timestamps
+	processID overrides.ProcessID // of this process, for the timestamps of overrides
 	routes    []Route
 
 	shuttingDown     bool
 	stoppedListening bool
-	respondBy        time.Duration // while shutting down: the latest deadline of a request
+	respondBy        time.Duration // during a shutdown: the latest deadline that a new request gets
 
 	debug bool // log every request
 
-	// Counts are the totals so far.
+	// Counts are the totals since New.
 	Counts Counts
 }
 
-// Options is what a reducer starts from.
+// Options are the arguments of New.
 type Options struct {
 	Settings  piernotch.Settings
 	Seed      uint64              // of the module's random choices
-	Now       time.Duration       // the first reading of the clock
+	Now       time.Duration       // the current time, on the clock of Core.Handle
 	Discovery string              // address of the discovery service
 	ProcessID overrides.ProcessID // distinguishes this process from others of the same balancer
 }
 
-// New returns a reducer without endpoints. An error means that the settings cannot be used.
+// New returns a reducer that knows no endpoints yet. It fails if the settings are not valid.
 func New(options Options) (*Core, error) {
 	core := &Core{
 		settings:      options.Settings,
@@ -83,9 +83,9 @@
 	return core, nil
 }
 
-// Handle processes an event that happened at now and returns the effects to carry out, in order. A
-// time before that of an earlier call counts as that call's time. The slice is valid until the next
-// call.
+// Handle processes an event that happened at now and returns the effects to carry out, in order. If
+// now is before the time of an earlier call, the earlier call's time is used. The slice is valid until
+// the next call.
 func (c *Core) Handle(now time.Duration, event Event) []Effect {
 	c.now = max(c.now, now)
 	c.effects = c.effects[:0]
@@ -131,10 +131,10 @@
 // emit appends an effect to those of the event being handled.
 func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
-// deferCall has call run after the module's present call has returned.
+// deferCall schedules call to run after the module's current call has returned.
 func (c *Core) deferCall(call func()) { c.deferred = append(c.deferred, call) }
 
-// runDeferred runs the deferred calls, and those that they defer in turn, in order.
+// runDeferred runs the deferred calls in order, including those that are deferred meanwhile.
 func (c *Core) runDeferred() {
 	for len(c.deferred) > 0 {
 		call := c.deferred[0]
@@ -143,8 +143,8 @@
 	}
 }
 
-// Snapshot returns what the module has learnt about the traffic, for another process of this
-// balancer.
+// Snapshot returns the module's estimates of the traffic, for another process of this balancer to
+// start from.
 func (c *Core) Snapshot() piernotch.Snapshot { return c.balancer.Snapshot() }
 
 // LogState logs the module's state at level debug.
--- a/internal/serve/core/core_test.go
+++ b/internal/serve/core/core_test.go
@@ -28,7 +28,7 @@
 	return DiscoveredEndpoint{Name: "s-1", Address: "127.0.0.1:1", Endpoint: piernotch.Endpoint{State: state, Size: 1}}
 }
 
-// newCoreWith returns a core with one class that knows the given endpoints.
+// newCoreWith returns a core that has one class and has received the given endpoints.
 func newCoreWith(t *testing.T, class piernotch.Class, limits piernotch.Limits, endpoints ...DiscoveredEndpoint) *Core {
 	t.Helper()
 	settings := piernotch.Settings{
@@ -49,7 +49,7 @@
 }
 
 // newCoreWithHistory returns a core with two endpoints that has served some requests, in 10 ms each,
-// so that the module knows the latency to expect and may retry. It also returns the present time.
+// so that the module can estimate latencies and may retry. It also returns the current time.
 func newCoreWithHistory(t *testing.T, class piernotch.Class, limits piernotch.Limits) (*Core, time.Duration) {
 	t.Helper()
 	c := newCoreWith(t, class, limits,
@@ -66,12 +66,12 @@
 	return c, now
 }
 
-// receive has a request without an ID arrive at the start, as exchange 1, and returns the effects.
+// receive passes the core a request without an ID, received at start as exchange 1, and returns the effects.
 func receive(c *Core) []Effect {
 	return slices.Clone(c.Handle(start, RequestReceived{Exchange: 1, Deadline: start + 2*time.Second}))
 }
 
-// startRequest has a request arrive at now and returns its first attempt.
+// startRequest passes the core a request received at now and returns its first attempt.
 func startRequest(c *Core, now time.Duration, exchange ExchangeID) StartAttempt {
 	effects := c.Handle(now, RequestReceived{
 		Exchange: exchange, ID: fmt.Sprint(exchange), CostHint: 1, Deadline: now + 2*time.Second,
@@ -79,7 +79,8 @@
 	return effects[0].(StartAttempt)
 }
 
-// awaitAttempt lets time pass until another attempt starts, and returns it and the time.
+// awaitAttempt sends Ticks until another attempt starts, for up to 1 s, and returns the attempt and the
+// time.
 func awaitAttempt(t *testing.T, c *Core, now time.Duration) (StartAttempt, time.Duration) {
 	t.Helper()
 	for end := now + time.Second; now < end; {
--- a/internal/serve/core/counters.go
+++ b/internal/serve/core/counters.go
@@ -4,14 +4,14 @@
 
 // Counts are running totals since the start of the process, for the log.
 type Counts struct {
-	// Requests by how they ended. Accepted is their sum and those that are pending.
+	// Requests by outcome. Accepted is the sum of the others and of the pending requests.
 	Accepted            int
 	Served              int
 	Rejected            int
 	Failed              int
 	ClientsDisconnected int
 
-	// Attempts that were started outside, and the unsuccessful ones by status.
+	// Attempts is the number of StartAttempt effects. The others are unsuccessful attempts by status.
 	Attempts      int
 	Timeouts      int
 	Resets        int
@@ -19,7 +19,7 @@
 	Full          int
 	Errors        int
 
-	// DeadlineExceeded are those among Failed that the module had left without a response.
+	// DeadlineExceeded is how many of Failed the module left without a response past their deadline.
 	DeadlineExceeded int
 }
 
--- a/internal/serve/core/doc.go
+++ b/internal/serve/core/doc.go
@@ -8,10 +8,10 @@
 // the module, [piernotch.Balancer], which core drives; a [host] translates the module's decisions into
 // effects.
 //
-// The package does no I/O, reads no clock and interprets no message: a [RequestMessage] and its
-// [ResponseMessage] pass through it unread, on their way between the connections of clients and those
-// of servers. It knows neither HTTP nor sockets.
-// It must not import any package that does. The time is an argument of Handle.
+// The package does no I/O, reads no clock and interprets no message: it passes [RequestMessage] and
+// [ResponseMessage] on between the connections of clients and those of servers without reading them.
+// It depends on neither HTTP nor sockets, and must not import a package that does. The time is an
+// argument of Handle.
 //
 // internal/serve/runtime is the caller: it collects events from the sockets, from discovery and
 // from operators, passes them to Handle one at a time on the event loop's goroutine, and carries
@@ -29,7 +29,7 @@
 //
 // # Reentrancy
 //
-// The module must not be called while one of its own calls is running. What it has to learn as a
-// consequence of its own decision (an attempt that was cancelled before it was written, say) is
-// deferred until that call has returned; see [Core.Handle].
+// The module must not be called while one of its own calls is running. If its decision has a
+// consequence that must be reported to it, such as an attempt that was cancelled before it was
+// written, the report is deferred until the call has returned; see [Core.Handle].
 package core
--- a/internal/serve/core/effects.go
+++ b/internal/serve/core/effects.go
@@ -7,10 +7,10 @@
 	"piernotch/internal/serve/overrides"
 )
 
-// Effect is something that has to be done outside of the reducer.
+// Effect is an action that the caller of Core.Handle has to carry out.
 type Effect interface{ effect() }
 
-// The effects.
+// The effects. They are carried out in the order in which Core.Handle returns them.
 type (
 	// StartAttempt requests a connection for an attempt. Nothing may be sent before WriteAttempt,
 	// which follows AttemptConnected.
@@ -18,13 +18,13 @@
 		Ref     AttemptRef
 		To      Endpoint
 		Message *RequestMessage
-		Timeout time.Duration // from now; the core enforces it, too
+		Timeout time.Duration // counted from now; the core enforces it, too
 	}
 	// WriteAttempt sends an attempt on the connection that was reported by AttemptConnected.
 	WriteAttempt struct{ Ref AttemptRef }
-	// CancelAttempt abandons an attempt. Later events of the attempt are ignored.
+	// CancelAttempt cancels an attempt. The core ignores later events of the attempt.
 	CancelAttempt struct{ Ref AttemptRef }
-	// Respond is the final response of an exchange.
+	// Respond sends the final response of an exchange.
 	Respond struct {
 		Exchange   ExchangeID
 		Result     Result
@@ -44,7 +44,8 @@
 	CloseIdle struct{ To Endpoint }
 	// StopListening stops accepting new connections and requests.
 	StopListening struct{}
-	// Exit ends the process: no response is pending any more.
+	// Exit ends the process. It follows StopListening once no response is pending, and is returned again
+	// with each later event.
 	Exit struct{}
 	// PersistOverrides writes the operators' overrides to disk before any effect that follows.
 	PersistOverrides struct{}
@@ -55,8 +56,8 @@
 	}
 	// DrainClients starts (On) or stops sending clients to other balancers.
 	DrainClients struct{ On bool }
-	// SettingsApplied reports the result of SettingsChanged. Routes are those in force now; they are
-	// nil if Err is set, and the previous ones remain in force then.
+	// SettingsApplied reports the result of SettingsChanged. Routes are the routes now in force. If Err
+	// is set, Routes is nil and the previous routes remain in force.
 	SettingsApplied struct {
 		Routes []Route
 		Err    error
@@ -81,13 +82,14 @@
 // Result is the outcome of a request as its client sees it.
 type Result uint8
 
-// Results.
+// The results. A request has exactly one, unless its client disconnects first.
 const (
 	// Served means that a server has responded.
 	Served Result = iota
-	// Rejected means that the request did not run; it is safe to send it again.
+	// Rejected means that it is safe to send the request again: no server executed it, or a repeat does
+	// no harm.
 	Rejected
-	// Failed promises nothing: the request may have run.
+	// Failed means that a server may or may not have executed the request.
 	Failed
 	// DuplicateID means that the request was not accepted, because its ID is that of another open
 	// request.
@@ -96,5 +98,5 @@
 
 var resultNames = [...]string{"served", "rejected", "failed", "duplicate_id"}
 
-// String returns the name of the result as the log has it.
+// String returns the name of the result as it appears in the log.
 func (r Result) String() string { return resultNames[r] }
--- a/internal/serve/core/endpoints.go
+++ b/internal/serve/core/endpoints.go
@@ -18,15 +18,15 @@
 	state    piernotch.State
 	start    serverStart
 	excluded bool               // by operators
-	listed   DiscoveredEndpoint // as discovery listed it last
+	listed   DiscoveredEndpoint // as discovery last listed it
 }
 
 func (s *server) endpoint() Endpoint { return Endpoint{s.id, s.address} }
 
-// EndpointsKnown reports whether a usable endpoint list has been received.
+// EndpointsKnown reports whether an endpoint update other than UpdateFailed has been received.
 func (c *Core) EndpointsKnown() bool { return c.endpointsKnown }
 
-// Endpoints returns all endpoints as discovery listed them last, sorted by name.
+// Endpoints returns all endpoints as discovery last listed them, sorted by name.
 func (c *Core) Endpoints() []DiscoveredEndpoint {
 	list := make([]DiscoveredEndpoint, 0, len(c.serversByName))
 	for _, server := range c.serversByName {
@@ -55,8 +55,8 @@
 	gone := c.removeGone()
 	c.starts.forgetUnlisted(func(name string) bool { return c.serversByName[name] != nil })
 	c.balancer.UpdateEndpoints(c.now, event.Kind, entries)
-	// The module need not keep excluding a server that is gone. The override remains: it applies to
-	// the name, which may be listed again.
+	// The module can forget that a server is excluded once the server is gone. The operators' override
+	// remains, since it applies to the name, which may be listed again.
 	for _, server := range gone {
 		if server.excluded {
 			c.balancer.Include(c.now, server.id, 0)
@@ -64,15 +64,15 @@
 	}
 }
 
-// updateServer enters a listed endpoint into the table and returns it as the module takes it. The list did not
-// hold the entry at absentAt; 0: that is not known.
+// updateServer enters a listed endpoint into the table and returns it with the ID and the start time for the
+// module. absentAt is a time at which the list did not yet hold this entry; 0: unknown.
 func (c *Core) updateServer(listed DiscoveredEndpoint, absentAt time.Duration) piernotch.Endpoint {
 	server := c.serversByName[listed.Name]
 	if server == nil {
 		server = c.addServer(listed.Name)
 	}
-	// Idle connections to a server that has moved, has restarted or is draining are of no use, and a
-	// machine that has failed does not close them.
+	// Idle connections to a server that has moved, restarted or left the ready state must not be used
+	// again. The server may not close them: a machine that fails leaves them half-open.
 	isNew := server.address == ""
 	replaced := server.address != listed.Address || server.start.listed != listed.Endpoint.StartedAt
 	if !isNew && (replaced || listed.Endpoint.State != piernotch.Ready) {
@@ -100,7 +100,8 @@
 	return server
 }
 
-// newServerID derives an ID from the name alone, so that all balancers arrive at the same.
+// newServerID derives an ID from the name, so that all balancers use the same one. If the IDs of two
+// names collide, the name that is listed later gets the next free ID.
 func (c *Core) newServerID(name string) piernotch.ServerID {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(name))
@@ -122,7 +123,7 @@
 }
 
 // removeGone removes the servers that are gone from the table and returns them. Attempts in flight
-// keep their reference.
+// keep their pointers to them.
 func (c *Core) removeGone() []*server {
 	var gone []*server
 	for name, server := range c.serversByName {
@@ -138,12 +139,12 @@
 const (
 	// HealthCheckTimeout is how long a server may take to respond to a health check.
 	HealthCheckTimeout = 500 * time.Millisecond
-	// healthCheckMargin is how much later the core ends a health check by itself: two ticks, so that
-	// a response in the last moment counts.
+	// healthCheckMargin is how long after HealthCheckTimeout the core counts a health check as timed
+	// out: two ticks, so that a response at the last moment still counts.
 	healthCheckMargin = 2 * TickInterval
 )
 
-// startHealthCheck checks a server, unless a check of it is running.
+// startHealthCheck starts a health check of a server, unless one is running.
 func (c *Core) startHealthCheck(server *server) {
 	if c.healthChecks[server.id] != nil {
 		return
--- a/internal/serve/core/endpoints_test.go
+++ b/internal/serve/core/endpoints_test.go
@@ -10,8 +10,8 @@
 	"piernotch"
 )
 
-// Connections to a machine that has failed stay open and silent. When the endpoint list says that its
-// process is a new one, they must not be used again.
+// A machine that fails leaves half-open connections. When the endpoint list shows that the server's
+// process is a new one, idle connections to the old process must not be used again.
 func TestServerRestartClosesIdleConnections(t *testing.T) {
 	c := newCore(t)
 	restarted := listedServer(piernotch.Ready)
@@ -21,15 +21,11 @@
 	require.Empty(t, c.Handle(start, update), "once is enough")
 }
 
-// What servers saw: one that had just started got its full share of the requests and collapsed.
-//
-// Order of events: the machines' wall clock is stepped back by an hour; a server starts, and discovery lists its
-// start in the new time; the balancer, whose clock runs on from its own start, takes it for an hour old. A step
-// forward had the opposite effect: the server was in slow start for as long as the step was.
-//
-// Cause: the start was compared with the balancer's clock each time, although a start that is listed now, and was
-// not a moment ago, cannot be long ago, whatever the clocks say, nor in the future.
-func TestStartListedBehindStepOfWallClockCountsAsRecent(t *testing.T) {
+// A server that had just started got its full share of the requests and collapsed. The machines' wall clock had
+// been stepped back by an hour before the start, and the balancer's clock does not follow such steps, so the
+// listed start seemed to be an hour old. After a step forward, the server was in slow start for as long as the
+// step. A start that is new in the list is neither long ago nor in the future, whatever the clocks say.
+func TestNewlyListedStartCountsAsRecentDespiteClockStep(t *testing.T) {
 	for name, step := range map[string]time.Duration{"back": -10 * time.Minute, "forward": time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			limits := piernotch.Limits{MaxAttempts: 1, CancelAttempts: true}
@@ -53,7 +49,8 @@
 	}
 }
 
-// concurrentAttempts has requests arrive at once and returns how many of them are forwarded to s-1 together.
+// concurrentAttempts passes the core four requests at the same time, and returns how many of them it forwards at
+// once. Afterwards all their clients disconnect.
 func concurrentAttempts(c *Core, now time.Duration) int {
 	const requests = 4
 	started := 0
--- a/internal/serve/core/events.go
+++ b/internal/serve/core/events.go
@@ -19,8 +19,8 @@
 	Number  AttemptNumber
 }
 
-// Endpoint is a server together with its address. A new server may come up at the address of one
-// that is gone; connections and results of the one must not be attributed to the other.
+// Endpoint is a server and its address. A new server may start at the address of one that is gone, so
+// the address alone does not tell which of them a connection or a result belongs to.
 type Endpoint struct {
 	Server  piernotch.ServerID
 	Address string
@@ -33,20 +33,20 @@
 	Endpoint piernotch.Endpoint // everything but the ID, which core assigns
 }
 
-// Event is something that happened outside of the reducer.
+// Event is something that has happened outside of the reducer; Core.Handle takes one at a time.
 type Event interface{ event() }
 
-// The events. Times are durations on the clock that Core.Handle is given.
+// The events. Times are on the clock whose readings Core.Handle gets as now.
 type (
-	// RequestReceived reports a client's request. It obliges the core to send exactly one final
-	// response, unless the client disconnects first.
+	// RequestReceived reports a client's request. The core sends exactly one Respond for it, unless the
+	// client disconnects first.
 	RequestReceived struct {
 		Exchange ExchangeID
 		ID       string // the client's identifier of the request, unique while it is open; may be empty
 		Message  *RequestMessage
 		Class    int           // index into the settings' classes
 		Tenant   int           // index into the settings' tenants; -1: none of them
-		Key      uint64        // what the request is about, for key affinity; 0: nothing
+		Key      uint64        // for key affinity; 0: none
 		CostHint float64       // expected work in milliseconds; NaN: unknown
 		Deadline time.Duration // the client waits until then
 	}
@@ -74,9 +74,9 @@
 	EndpointUpdate struct {
 		Kind      piernotch.UpdateKind
 		Endpoints []DiscoveredEndpoint
-		Since     time.Duration // of a delta: the list did not hold these changes then; 0: that is not known
+		Since     time.Duration // for a delta: a time at which the list lacked these changes; 0: unknown
 	}
-	// Tick reports that time has passed. It is what makes timers fire.
+	// Tick reports that time has passed. Timers fire only on a Tick.
 	Tick struct{}
 	// SettingsChanged carries new settings and the address of discovery, which may have changed too.
 	// They are applied completely or not at all; SettingsApplied reports which.
@@ -92,7 +92,7 @@
 	}
 	// PeerOverrides carries the overrides held by another process of this balancer.
 	PeerOverrides struct{ Overrides *overrides.Overrides }
-	// PeerSnapshot carries what another process of this balancer has learnt about the traffic.
+	// PeerSnapshot carries the estimates of the traffic by another process of this balancer.
 	PeerSnapshot struct{ Snapshot piernotch.Snapshot }
 	// Shutdown starts a graceful shutdown, which ends with Exit once no response is pending.
 	Shutdown struct{}
--- a/internal/serve/core/host.go
+++ b/internal/serve/core/host.go
@@ -7,8 +7,8 @@
 	"piernotch"
 )
 
-// host carries out the module's decisions; it implements [piernotch.Host]. The module calls it from
-// within its own calls, so whatever the module has to learn in turn is deferred.
+// host carries out the module's decisions; it implements [piernotch.Host]. The module, which is not
+// reentrant, calls it from within its own calls. host therefore defers its calls into the module.
 type host struct{ core *Core }
 
 var _ piernotch.Host = host{}
@@ -46,7 +46,7 @@
 	}
 }
 
-// finish responds to a request and releases it after the module's present call.
+// finish responds to a request and releases it after the module's current call has returned.
 func (h host) finish(request *request, response Respond) {
 	h.core.respond(request, response)
 	h.core.deferCall(func() { h.core.release(request) })
--- a/internal/serve/core/messages.go
+++ b/internal/serve/core/messages.go
@@ -1,7 +1,7 @@
 package core
 
-// RequestMessage is what a client has requested, as it is sent to a server. The core passes it on
-// unread. It is not modified, so that several attempts of one request may share it.
+// RequestMessage is a client's request as it is sent to a server. The core passes it on without
+// reading it. It must not be modified: the attempts of a request share it.
 type RequestMessage struct {
 	Method         string
 	Target         string // path and query
@@ -11,8 +11,8 @@
 	Body           []byte
 }
 
-// ResponseMessage is a server's response with status 200. Any other response is only a
-// [piernotch.Status] to the core.
+// ResponseMessage is a server's response with status 200. The core gets only the [piernotch.Status]
+// of any other response.
 type ResponseMessage struct {
 	ContentType string // "": the server named none
 	Body        []byte
--- a/internal/serve/core/requests.go
+++ b/internal/serve/core/requests.go
@@ -8,21 +8,21 @@
 	"piernotch/internal/timingwheel"
 )
 
-// overdueMargin is how long after a request's deadline the core responds in the module's place: two
-// ticks, so that timers of the module that are due at the deadline have fired before.
+// overdueMargin is how long after a request's deadline the core fails the request if the module has
+// not responded: two ticks, so that the module's timers that are due at the deadline fire first.
 const overdueMargin = 2 * TickInterval
 
 // request is a request from its receipt until it is released.
 type request struct {
 	id            piernotch.RequestID
-	clientID      string // the client's identifier of it
+	clientID      string // the client's identifier of the request; may be empty
 	class         int
 	exchange      ExchangeID
 	message       *RequestMessage
 	deadline      time.Duration
 	attempts      []*attempt
 	inflight      int  // attempts that have not completed
-	closed        bool // it has a response, or its client is gone
+	closed        bool // it has a response, or its client has disconnected
 	lastStatus    piernotch.Status
 	deadlineTimer *timingwheel.Timer
 }
@@ -31,8 +31,8 @@
 func (c *Core) PendingRequests() int { return len(c.exchanges) }
 
 func (c *Core) handleRequestReceived(event RequestReceived) {
-	// Servers tell requests apart by their ID. They would take two open requests with one ID for a
-	// request and its hedged attempt, and a response could belong to either.
+	// Servers identify requests by this ID. They would take two open requests with the same ID for
+	// attempts of one hedged request, and a response could belong to either.
 	_, idInUse := c.openClientIDs[event.ID]
 	if idInUse && event.ID != "" {
 		c.emit(Respond{Exchange: event.Exchange, Result: DuplicateID, Close: c.shuttingDown})
@@ -46,8 +46,8 @@
 		slog.Debug("request received", "id", request.clientID, "class", event.Class, "cost_hint", event.CostHint,
 			"deadline_ms", (event.Deadline - c.now).Milliseconds())
 	}
-	// The module's own timeouts end at the deadline. This timer fires after them, in case the module
-	// has left the request without a response.
+	// The module's own timeouts end by the deadline. This timer fires later, in case the module has not
+	// responded to the request.
 	request.deadlineTimer = c.timers.At(event.Deadline+overdueMargin, func() { c.failOverdue(request) })
 	c.balancer.HandleRequest(c.now, piernotch.Request{
 		ID:       request.id,
@@ -59,7 +59,7 @@
 	})
 }
 
-// openRequest enters a request into the tables.
+// openRequest creates a request and enters it into the tables.
 func (c *Core) openRequest(event RequestReceived) *request {
 	c.lastRequestID++
 	c.Counts.Accepted++
@@ -93,8 +93,8 @@
 	c.release(request)
 }
 
-// failOverdue fails a request that the module has left without a response past its deadline.
-// Rejecting it instead would promise that it never ran, which is not known here.
+// failOverdue fails a request that the module has left without a response past its deadline. It does
+// not reject the request: that would promise that no server executed it, which is not known here.
 func (c *Core) failOverdue(request *request) {
 	if request.closed {
 		return
@@ -104,15 +104,15 @@
 	c.failUnanswered(request, request.lastStatus)
 }
 
-// failUnanswered fails a request in the module's place, which then has nothing more to do for it.
+// failUnanswered fails a request that the module has not responded to, and makes the module drop it.
 func (c *Core) failUnanswered(request *request, lastStatus piernotch.Status) {
 	c.respond(request, Respond{Result: Failed, LastStatus: lastStatus})
 	c.balancer.ClientDisconnected(c.now, request.id)
 	c.release(request)
 }
 
-// respond sends the response of a request that has none yet, and closes it. The exchange and whether
-// to close the connection are filled in here.
+// respond emits the response of a request, with Exchange and Close filled in, and closes the request.
+// It does nothing if the request is closed already.
 func (c *Core) respond(request *request, response Respond) {
 	if request.closed {
 		return
@@ -134,9 +134,9 @@
 	c.close(request)
 }
 
-// close ends the exchange of a request. Attempts that have not been written are cancelled, even if
-// the settings allow no attempt to be cancelled: that limit is about attempts that a server may have
-// begun to execute.
+// close ends the exchange of a request. It cancels attempts that have not been written, even if the
+// settings do not allow attempts to be cancelled: that setting is for attempts that a server may have
+// started to execute.
 func (c *Core) close(request *request) {
 	request.closed = true
 	request.deadlineTimer.Stop()
@@ -149,7 +149,7 @@
 	}
 }
 
-// release removes a request that is closed and has no attempt in flight.
+// release removes a request from the table if it is closed and has no attempt in flight.
 func (c *Core) release(request *request) {
 	if request.closed && request.inflight == 0 {
 		delete(c.requests, request.id)
--- a/internal/serve/core/settings.go
+++ b/internal/serve/core/settings.go
@@ -7,31 +7,31 @@
 	"piernotch"
 )
 
-// Route is how clients name a class: by the first part of the path and by whether retries are safe,
-// which decides the method.
+// Route says which requests belong to a class: Name is the first part of their path, and Idempotent
+// decides their method.
 type Route struct {
 	Name       string
 	Idempotent bool
 	Class      int           // index into the settings' classes
-	ExpiresAt  time.Duration // not accepted from then on; 0: valid while the settings are
+	ExpiresAt  time.Duration // the route is not accepted from then on; 0: valid until the settings change
 }
 
-// routeGrace is how long a class is still accepted in its old form after its retry safety has
-// changed: clients receive new settings at different times.
+// routeGrace is how long the old route of a class is still accepted after its retry safety has
+// changed, since clients receive new settings at different times.
 const routeGrace = 3 * time.Second
 
-// Routes returns the routes in force.
+// Routes returns the routes of the settings in force, including any that have expired since.
 func (c *Core) Routes() []Route { return c.routes }
 
-// Settings returns the settings in force. Among the classes are placeholders, for indexes that no
-// route leads to any more.
+// Settings returns the settings in force. Classes holds placeholders at indexes that no route refers
+// to any more.
 func (c *Core) Settings() piernotch.Settings { return c.settings }
 
 func newRoute(class piernotch.Class, index int) Route {
 	return Route{Name: class.Name, Idempotent: class.RetrySafety == piernotch.Idempotent, Class: index}
 }
 
-// routesOf returns the routes of classes whose indexes are their positions.
+// routesOf returns the routes of classes. The index of a class is its position in the slice.
 func routesOf(classes []piernotch.Class) []Route {
 	var routes []Route
 	for index, class := range classes {
@@ -48,7 +48,7 @@
 		return
 	}
 	c.emit(SettingsApplied{Routes: routes})
-	// The known endpoints remain until the new address has sent its complete list.
+	// The known endpoints stay in use until discovery at the new address has sent its complete list.
 	if event.Discovery != c.discovery {
 		c.discovery = event.Discovery
 		c.emit(MoveDiscovery{event.Discovery})
@@ -69,7 +69,7 @@
 	return assigned.routes, nil
 }
 
-// classAssignment is the assignment of classes to indexes under construction.
+// classAssignment is an assignment of classes to indexes while it is built up.
 type classAssignment struct {
 	classes  []piernotch.Class
 	reserved []bool // the index must not be given to another class
@@ -77,10 +77,10 @@
 	routes   []Route
 }
 
-// assignClasses finds an index for each of the new classes. A class that stays keeps its own. If its
-// retry safety changes it becomes another class, and the old one is accepted a little longer, since
-// requests that were sent as idempotent remain so. An index is used again once no open request has it;
-// until then it holds a placeholder, to which no route leads.
+// assignClasses assigns an index to each of the new classes. A class that remains keeps its index. If
+// its retry safety has changed, it becomes another class with another index, and the old class is
+// accepted for routeGrace longer, since requests that were sent as idempotent remain idempotent. An
+// index is reused once no open request refers to it; until then it holds a placeholder without a route.
 func (c *Core) assignClasses(next []piernotch.Class) *classAssignment {
 	assigned := &classAssignment{
 		classes:  slices.Clone(c.settings.Classes),
@@ -111,8 +111,8 @@
 	return assigned
 }
 
-// classIndexes returns the indexes of the classes in force by name, without those that are accepted
-// only for a while.
+// classIndexes returns the indexes of the classes in force by name, without classes whose route
+// expires.
 func (c *Core) classIndexes() map[string]int {
 	indexes := map[string]int{}
 	for _, route := range c.routes {
@@ -123,7 +123,7 @@
 	return indexes
 }
 
-// set gives an index to a class.
+// set puts a class at an index and adds its route.
 func (a *classAssignment) set(index int, class piernotch.Class) {
 	a.classes[index] = class
 	a.reserved[index] = true
@@ -131,7 +131,7 @@
 	a.routes = append(a.routes, newRoute(class, index))
 }
 
-// retire leaves the class at an index as it is and has its route expire.
+// retire keeps the class at an index and adds a route to it that expires.
 func (a *classAssignment) retire(index int, name string, expiresAt time.Duration) {
 	a.reserved[index] = true
 	a.current[index] = true
@@ -141,7 +141,7 @@
 	a.routes = append(a.routes, route)
 }
 
-// add gives a class the first free index, or a new one.
+// add puts a class at the first index that is not reserved, or at a new one.
 func (a *classAssignment) add(class piernotch.Class) {
 	index := slices.Index(a.reserved, false)
 	if index < 0 {
@@ -153,7 +153,7 @@
 	a.set(index, class)
 }
 
-// fillPlaceholders replaces the classes that the new settings do not use.
+// fillPlaceholders puts class, as a placeholder, at each index that the new settings do not use.
 func (a *classAssignment) fillPlaceholders(class piernotch.Class) {
 	for index := range a.classes {
 		if !a.current[index] {
--- a/internal/serve/core/settings_test.go
+++ b/internal/serve/core/settings_test.go
@@ -10,8 +10,8 @@
 	"piernotch"
 )
 
-// A class keeps its index while requests of it are under way, one whose retry safety changes gets
-// another, and indexes are used again once nothing refers to them.
+// A class keeps its index when the settings change, and gets another one if its retry safety changes.
+// An index is reused once no open request and no route refers to it.
 func TestClassIndexesAcrossSettingsChanges(t *testing.T) {
 	c := newCore(t)
 	now := time.Duration(start)
--- a/internal/serve/core/shutdown.go
+++ b/internal/serve/core/shutdown.go
@@ -9,16 +9,15 @@
 	"piernotch"
 )
 
-// ShutdownGrace is how long new work is still accepted after a Shutdown: clients learn of it only
-// some time later.
+// ShutdownGrace is how long new connections and requests are still accepted after a Shutdown, since
+// clients learn of it with a delay.
 const ShutdownGrace = 700 * time.Millisecond
 
 const (
-	// maxDrainTime bounds the time between the end of ShutdownGrace and the moment from which the
-	// platform may kill the process: it waits for the longest deadline of a request, but no longer
-	// than this.
+	// maxDrainTime is the longest time after ShutdownGrace that the platform waits before it may kill the
+	// process. It waits for the longest deadline of a request, but no longer than this.
 	maxDrainTime = 3 * time.Second
-	// responseMargin is how long before that moment the last response is sent, so that it reaches
+	// responseMargin is how long before the possible kill the last response is sent, so that it reaches
 	// its client.
 	responseMargin = 200 * time.Millisecond
 )
@@ -38,11 +37,11 @@
 		c.stoppedListening = true
 		c.emit(StopListening{})
 	})
-	// Requests that were open before keep their deadline, which may lie behind the kill.
+	// Requests that are open already keep their deadline, which may be later than the kill.
 	c.timers.At(c.respondBy+overdueMargin, c.failPending)
 }
 
-// failPending fails all requests without a response: the platform may kill the process any moment now.
+// failPending fails all requests without a response, shortly before the platform may kill the process.
 func (c *Core) failPending() {
 	for _, exchange := range slices.Sorted(maps.Keys(c.exchanges)) {
 		request := c.exchanges[exchange]
--- a/internal/serve/core/shutdown_test.go
+++ b/internal/serve/core/shutdown_test.go
@@ -9,8 +9,8 @@
 	"piernotch"
 )
 
-// After a Shutdown clients send requests on their open connections for as long as the process lives.
-// These get a response before the platform may kill it, however long their clients would wait.
+// After a Shutdown, clients may send requests on open connections until the process ends. Such a request
+// must get its response before the platform may kill the process, even if its deadline is later.
 func TestRequestsAfterShutdownGetResponseBeforeKill(t *testing.T) {
 	for _, tc := range []struct{ deadline, killAfter time.Duration }{
 		{2 * time.Second, 2700 * time.Millisecond},
@@ -36,9 +36,9 @@
 	}
 }
 
-// What clients saw: a request that was open when its balancer was told to end, and whose server hung, never
-// got a response. The platform waits for the longest deadline, but for no more than 3 s; only requests that
-// came after the shutdown had begun were held to that.
+// A request that was open when the shutdown began, and whose server did not respond, never got a response. The
+// platform waits for the longest deadline, but for no more than 3 s, and the core applied this limit only to
+// requests that it received after the shutdown had begun.
 func TestRequestsOpenAtShutdownGetResponseBeforeKill(t *testing.T) {
 	class := newClass("c", piernotch.NonIdempotent)
 	class.Deadline, class.LatencyObjective = 6*time.Second, 6*time.Second
--- a/internal/serve/core/start_times.go
+++ b/internal/serve/core/start_times.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// maxListingDelay is longer than discovery takes to list the start of a process. A start that seems to
-	// have been listed later shows that the clocks differ.
+	// maxListingDelay is more time than discovery takes to list the start of a process. If a start seems to
+	// have been listed with a longer delay, the clocks differ.
 	maxListingDelay = 6 * time.Second
 
-	// maxRememberedStarts bounds the starts that are remembered, unless so many servers are listed.
+	// maxRememberedStarts is the number of starts above which those of unlisted servers are removed.
 	maxRememberedStarts = 8192
 )
 
@@ -20,15 +20,16 @@
 	at     time.Duration // on the clock of Core.Handle; 0: long ago
 }
 
-// startTimes turns the starts that discovery lists in Unix time into times on the clock of Core.Handle, each
-// once, when it is first listed. Wall clocks may be stepped against that clock at any moment; what is listed
-// already does not move with them.
+// startTimes converts the starts that discovery lists in Unix time to the clock of Core.Handle. It converts each
+// start once, when it is first listed: a wall clock may be stepped relative to that clock at any time, and the
+// starts that are listed already must not move with it.
 type startTimes struct {
 	byName map[string]serverStart // also of servers that are gone: they may be listed again
 }
 
-// convert returns a server's start. The list did not hold it at absentAt; 0: nothing is known of that. Where the
-// clocks differ, a start counts as late as it can have been: a server must not pass for one that has long run.
+// convert returns a server's start. absentAt is a time at which the list did not yet hold the start; 0: unknown.
+// If the clocks differ, a start in the future counts as now, and one that is too old for a new entry as absentAt:
+// otherwise a new server would be taken for one that has run for long, and would get no slow start.
 func (s *startTimes) convert(name string, listed, now, absentAt time.Duration) serverStart {
 	if known, ok := s.byName[name]; ok && known.listed == listed {
 		return known
@@ -47,7 +48,7 @@
 	return start
 }
 
-// forgetUnlisted forgets the starts of servers that are not listed any more, once there are many.
+// forgetUnlisted removes the starts of unlisted servers once there are more than maxRememberedStarts.
 func (s *startTimes) forgetUnlisted(isListed func(name string) bool) {
 	if len(s.byName) <= maxRememberedStarts {
 		return
