--- a/internal/serve/config/errors.go
+++ b/internal/serve/config/errors.go
@@ -6,22 +6,22 @@
 	"strings"
 )
 
-// ErrNoConfiguration says that no configuration file is named.
+// ErrNoConfiguration is returned by Load and Reload if ROUTER_CONFIG names no file.
 var ErrNoConfiguration = errors.New("ROUTER_CONFIG is not set")
 
-// errMissing says that a key which the file in force holds is not in the new one.
+// errMissing is the error for a key that the file in force has and the new one lacks.
 var errMissing = errors.New("missing")
 
-// FieldError is one value of a configuration that is not valid.
+// FieldError reports one invalid value of a configuration.
 type FieldError struct {
 	// File is the name of the TOML file, "" for the platform's file and environment.
 	File string
 	// Line is the line of the key in File, counted from 1; 0: not known.
 	Line int
-	// Key is the dotted key or the name of the environment variable. It is "" where Err concerns the
-	// whole file or names the key itself, as the errors of packages simprotocol and piernotch do.
+	// Key is the dotted key or the name of the environment variable. It is "" if Err concerns the
+	// whole file, or if Err names the key, as the errors of packages simprotocol and piernotch do.
 	Key string
-	// Err says what is wrong or what is expected.
+	// Err says what is wrong or what is expected; it is never nil.
 	Err error
 }
 
@@ -41,14 +41,14 @@
 	return prefix + e.Err.Error()
 }
 
-// Unwrap returns Err.
+// Unwrap returns Err, for errors.Is and errors.As.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// FieldErrors is all that is wrong with a file, in the order of the checks. It is never empty where
-// it is returned as an error.
+// FieldErrors are all errors that were found in a file, in the order of the checks. As an error it is
+// never empty.
 type FieldErrors []*FieldError
 
-// Error returns one line for each.
+// Error returns the texts of all errors, one on each line.
 func (e FieldErrors) Error() string {
 	lines := make([]string, len(e))
 	for i := range e {
@@ -57,7 +57,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns each.
+// Unwrap returns all errors, for errors.Is and errors.As.
 func (e FieldErrors) Unwrap() []error {
 	errs := make([]error, len(e))
 	for i := range e {
--- a/internal/serve/config/golden_test.go
+++ b/internal/serve/config/golden_test.go
@@ -12,7 +12,7 @@
 	"piernotch/internal/serve/discovery"
 )
 
-// goldenKnown is what testdata/known.json and the "known" of testdata/every-key.json list.
+// goldenKnown is the endpoint list in testdata/known.json and under "known" in testdata/every-key.json.
 var goldenKnown = discovery.EndpointList{Generation: 42, Reset: true, Endpoints: []core.DiscoveredEndpoint{
 	{
 		Name:    "s-1",
@@ -42,7 +42,7 @@
 	},
 }}
 
-// goldenRules are the rules of both golden files.
+// goldenRules are the rules that testdata/every-key.toml and testdata/every-key.json both set.
 var goldenRules = piernotch.Rules{
 	PollInterval:      11 * time.Second,
 	SlowStartCapacity: 0.25,
@@ -50,8 +50,8 @@
 	OverloadWindow:    2200 * time.Millisecond,
 }
 
-// TestTOMLGoldenFile guards the keys of the product's own configuration: each is set to what is no
-// default.
+// TestTOMLGoldenFile guards the keys of the product's own configuration: the file sets each key to a
+// value other than its default.
 func TestTOMLGoldenFile(t *testing.T) {
 	got, err := LoadFile("testdata/every-key.toml")
 	require.NoError(t, err)
@@ -92,8 +92,8 @@
 	}, got)
 }
 
-// TestJSONGoldenFile guards the keys of the platform's form and the environment beside it. The file
-// has the keys that this program passes over, too.
+// TestJSONGoldenFile guards the keys of the platform's file and the environment variables. The file
+// also has the keys that this program ignores.
 func TestJSONGoldenFile(t *testing.T) {
 	environment := map[string]string{
 		"ROUTER_CONFIG":    "testdata/every-key.json",
@@ -160,7 +160,7 @@
 	require.Equal(t, want, load())
 }
 
-// TestShippedFilesGolden guards what deploy/example.toml and deploy/example.json mean.
+// TestShippedFilesGolden guards the Config that deploy/example.toml and deploy/example.json result in.
 func TestShippedFilesGolden(t *testing.T) {
 	want := Config{
 		Name:           "n0",
--- a/internal/serve/config/platform.go
+++ b/internal/serve/config/platform.go
@@ -12,23 +12,23 @@
 	"piernotch/internal/simprotocol"
 )
 
-// Environment variables of the platform's form. Where one is set, it overrides the file.
+// Environment variables of the platform's form. One that is set overrides its key in the file.
 const (
-	configVariable    = "ROUTER_CONFIG" // the file's name
+	configVariable    = "ROUTER_CONFIG" // path of the file
 	nameVariable      = "ROUTER_NAME"
 	listenVariable    = "ROUTER_LISTEN"
 	discoveryVariable = "ROUTER_DISCOVERY"
 	adminVariable     = "ROUTER_MANAGEMENT"
 	listenFDVariable  = "ROUTER_LISTEN_FD"
-	stateDirVariable  = "TMPDIR"        // used with ROUTER_LISTEN_FD alone
+	stateDirVariable  = "TMPDIR"        // read only if ROUTER_LISTEN_FD is set
 	logLevelVariable  = "PIERNOTCH_LOG" // the platform's file has no key for it
 )
 
-// firstInheritedFD is the lowest descriptor that can be inherited beside the standard streams.
+// firstInheritedFD is the lowest descriptor after those of the standard streams.
 const firstInheritedFD = 3
 
-// fileJSON is the platform's file. Its type name is part of encoding/json's errors, which operators
-// may search for: a new one would change them.
+// fileJSON is the platform's file. The name of the type must not change: it is part of encoding/json's
+// errors, which operators may search for.
 type fileJSON struct {
 	Name         string `json:"name"`
 	Listen       string `json:"listen"`
@@ -43,8 +43,8 @@
 	Settings       json.RawMessage `json:"settings"`
 }
 
-// Load reads the file that ROUTER_CONFIG names, and the other environment variables. An error is
-// ErrNoConfiguration or a *FieldError, the first that is found.
+// Load reads the file that ROUTER_CONFIG names, and the other environment variables. Its error is
+// ErrNoConfiguration, or a *FieldError for the first invalid value.
 func Load(getenv func(string) string) (Config, error) {
 	name := getenv(configVariable)
 	if name == "" {
@@ -57,9 +57,9 @@
 	return parsePlatform(data, getenv)
 }
 
-// Reload reads the file again for a process that was started with c. ROUTER_DISCOVERY was for the
-// start: a file that names another address now must win over it. The file has to be complete: it
-// holds each key that the one of the start holds. Errors are as for Load.
+// Reload reads the file again for a process that was started with c. It ignores ROUTER_DISCOVERY, which
+// applies to the start only and would hide a new address in the file. The file must be complete: it
+// must have each key that the file had at the start. Errors are as for Load.
 func (c Config) Reload(getenv func(string) string) (Config, error) {
 	next, err := Load(func(name string) string {
 		if name == discoveryVariable {
@@ -76,8 +76,8 @@
 	return next, nil
 }
 
-// parsePlatform reads the platform's file and the environment. The order of the checks decides which
-// error is reported.
+// parsePlatform reads the platform's file and the environment. It returns the error of the first check
+// that fails.
 func parsePlatform(data []byte, getenv func(string) string) (Config, error) {
 	var file fileJSON
 	if err := json.Unmarshal(data, &file); err != nil {
@@ -124,8 +124,8 @@
 	return config, nil
 }
 
-// inheritListener reads the descriptor of an inherited listening socket, and where the processes that
-// share it exchange records.
+// inheritListener reads the descriptor of an inherited listening socket, and the directory in which the
+// processes that share the socket exchange records.
 func (c *Config) inheritListener(getenv func(string) string) error {
 	text := getenv(listenFDVariable)
 	if text == "" {
@@ -153,7 +153,8 @@
 	return checkIPAddress("management", c.AdminAddress)
 }
 
-// checkIPAddress checks that an address has an IP address and a port: there is no DNS.
+// checkIPAddress checks that an address consists of an IP address and a port. A host name is invalid,
+// since there is no DNS.
 func checkIPAddress(key, address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -181,8 +182,8 @@
 	return nil
 }
 
-// readSettings reads the settings, of which those of connections are no part of the module's. Its
-// errors name their keys.
+// readSettings reads the module's settings, and the connection timeouts that the same JSON object
+// holds. Its errors name the keys that they concern.
 func (c *Config) readSettings(data []byte) error {
 	var err error
 	if c.Settings, err = simprotocol.ParseSettings(data); err != nil {
--- a/internal/serve/config/platform_test.go
+++ b/internal/serve/config/platform_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An error names the field that is not valid, and is a *FieldError.
+// The error for an invalid value must name the value's key, and be a *FieldError.
 func TestInvalidValueNamesItsField(t *testing.T) {
 	data, err := os.ReadFile("../../../deploy/example.json")
 	require.NoError(t, err)
--- a/internal/serve/config/reload_test.go
+++ b/internal/serve/config/reload_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A file that is not complete is rejected at a reload: a key that is missing would read as zero.
+// A reload must reject a file that is incomplete: a missing key would read as zero.
 func TestReloadedFileMustBeComplete(t *testing.T) {
 	data, err := os.ReadFile("../../../deploy/example.json")
 	require.NoError(t, err)
@@ -36,7 +36,7 @@
 		_, err := cfg.Reload(env)
 		require.ErrorContains(t, err, c.message, c.new)
 	}
-	// Classes may come and go, and keys may be added.
+	// Classes may be added and removed, and keys may be added.
 	write(strings.Replace(string(data), `{"name": "segment-read",`, `{"name": "other", "x": 1,`, 1))
 	next, err := cfg.Reload(env)
 	require.NoError(t, err)
--- a/internal/serve/config/required_keys.go
+++ b/internal/serve/config/required_keys.go
@@ -8,10 +8,10 @@
 	"slices"
 )
 
-// checkRequiredKeys returns a *FieldError that names the first key which the file in force holds and
-// the new one lacks, or holds with another type. A key that is missing would otherwise read as zero,
-// which for many settings is a value like any other. The elements of a list may change: each object
-// in it needs the keys that all the old ones have.
+// checkRequiredKeys returns a *FieldError for the first key that the file in force has and the new file
+// lacks or has with another type. A missing key would otherwise read as zero, which is a valid value of
+// many settings. The elements of a list may change, but each object in the new list needs the keys that
+// all objects in the old list have.
 func checkRequiredKeys(current, next []byte) error {
 	var currentValue, nextValue any
 	if err := json.Unmarshal(current, &currentValue); err != nil {
@@ -20,14 +20,15 @@
 	if err := json.Unmarshal(next, &nextValue); err != nil {
 		return err
 	}
-	if object, ok := currentValue.(map[string]any); ok { // these are for the start alone
+	if object, ok := currentValue.(map[string]any); ok { // these keys apply to the start only
 		delete(object, "known")
 		delete(object, "seed")
 	}
 	return checkValue(currentValue, nextValue, "")
 }
 
-// checkValue compares two values at a key.
+// checkValue checks that next, the new value of a key, has the type of the current value, and the keys
+// of an object or of the objects in a list.
 func checkValue(current, next any, key string) error {
 	switch current := current.(type) {
 	case map[string]any:
@@ -39,7 +40,7 @@
 			return &FieldError{Key: key, Err: fmt.Errorf("%v is not a %T", next, current)}
 		}
 	}
-	return nil // null fits all
+	return nil // for null, any new value is accepted
 }
 
 func checkObject(current map[string]any, next any, key string) error {
@@ -47,7 +48,7 @@
 	if !ok {
 		return &FieldError{Key: key, Err: errors.New("an object is expected")}
 	}
-	for _, name := range slices.Sorted(maps.Keys(current)) { // the same key is named each time
+	for _, name := range slices.Sorted(maps.Keys(current)) { // sorted, so that the same key is reported each time
 		memberKey := name
 		if key != "" {
 			memberKey = key + "." + name
@@ -77,8 +78,8 @@
 	return nil
 }
 
-// commonMembers returns an object of the members that all of a list's objects have, nil if the list
-// is empty or holds anything else.
+// commonMembers returns an object with the members that all objects of a list have, or nil if the list
+// is empty or has an element that is not an object.
 func commonMembers(list []any) any {
 	var common map[string]any
 	for i, value := range list {
@@ -97,7 +98,7 @@
 		}
 	}
 	if common == nil {
-		return nil // and not a nil map, which would be an object
+		return nil // an untyped nil: a nil map in an any would count as an object
 	}
 	return common
 }
--- a/internal/serve/config/toml.go
+++ b/internal/serve/config/toml.go
@@ -11,9 +11,9 @@
 	"piernotch/internal/tomlfile"
 )
 
-// file is the product's own configuration; docs/CONFIG.md is its reference. The names of this type
-// and of its fields are part of the TOML decoder's errors for a value of the wrong type, which
-// operators may search for: new ones would change them.
+// file is the product's own configuration file; docs/CONFIG.md is its reference. The names of this type
+// and of its fields must not change: they are part of the TOML decoder's errors for a value of the
+// wrong type, which operators may search for.
 type file struct {
 	Name       string `toml:"name"`
 	Listen     string `toml:"listen"`
@@ -65,17 +65,17 @@
 }
 
 const (
-	// tick is the resolution of the decision module's clock, that of core.TickInterval.
+	// tick is the resolution of the decision module's clock. It equals core.TickInterval.
 	tick = 5 * time.Millisecond
 	// overQuotaWeight is the factor on the weight of requests over their tenant's quota. This form of
 	// the configuration has no tenants, so it has no effect yet.
 	overQuotaWeight = 0.1
 )
 
-// retrySafeties are the values of a class's effect.
+// retrySafeties maps the values of the key effect of a class.
 var retrySafeties = map[string]piernotch.RetrySafety{"safe": piernotch.Idempotent, "unsafe": piernotch.NonIdempotent}
 
-// defaults returns the values of keys that a file leaves out.
+// defaults returns a file with the default values of keys that may be left out.
 func defaults() *file {
 	values := &file{Name: "piernotch", Listen: "127.0.0.1:18000"}
 	values.Limits.MemoryMB = 192
@@ -96,8 +96,8 @@
 	return values
 }
 
-// LoadFile reads the product's own configuration, in TOML. An error is of type FieldErrors and holds
-// all that is wrong, with file and line.
+// LoadFile reads the product's own configuration, in TOML. Its error is of type FieldErrors and holds
+// all errors that were found, each with the file and, where it is known, the line.
 func LoadFile(name string) (Config, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -114,14 +114,13 @@
 	if len(check.errs) > 0 {
 		return config, check.errs
 	}
-	if err := config.Settings.Validate(); err != nil { // what the checks here do not know
+	if err := config.Settings.Validate(); err != nil { // what the checks above do not cover
 		return config, FieldErrors{{File: name, Err: err}}
 	}
 	return config, nil
 }
 
-// config checks the values and returns them as a Config. The order of the checks is that of the
-// errors.
+// config checks the values and returns them as a Config. The errors are in the order of the checks.
 func (f *file) config(check *checker) Config {
 	config := Config{
 		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, AdminAddress: f.Management,
@@ -149,7 +148,7 @@
 	return config
 }
 
-// checkProcess checks what concerns the process and its log.
+// checkProcess checks the limits of the process, the log, the trace and the number of balancers.
 func (f *file) checkProcess(check *checker) {
 	check.inRange("limits.memory_mb", f.Limits.MemoryMB, minMemoryMB, 1<<20)
 	check.inRange("limits.sockets", f.Limits.Sockets, minDescriptors, 1<<20)
@@ -191,7 +190,7 @@
 	check.share("rules.cold_from", f.Rules.ColdFrom)
 }
 
-// settings returns the module's settings, but for the classes.
+// settings returns the module's settings without the classes.
 func (f *file) settings(zones []string, zone int) piernotch.Settings {
 	return piernotch.Settings{
 		BalancerCount: f.Balancers.Count,
@@ -218,8 +217,8 @@
 	}
 }
 
-// readKnownEndpoints reads the endpoint list to start with, if a file is named. Its name is relative
-// to the configuration file.
+// readKnownEndpoints reads the endpoint list to start with, if known_file is set. A relative path
+// starts at the directory of the configuration file.
 func (f *file) readKnownEndpoints(config *Config, check *checker) {
 	if f.Known == "" {
 		return
--- a/internal/serve/config/toml_check.go
+++ b/internal/serve/config/toml_check.go
@@ -11,13 +11,13 @@
 	"piernotch/internal/tomlfile"
 )
 
-// maxMS is the longest time of a TOML file, in milliseconds: an hour.
+// maxMS is the longest duration that a TOML file may set, in milliseconds: one hour.
 const maxMS = 3600000
 
-// checker collects what is wrong with the values of a TOML file.
+// checker checks values of a TOML file and collects the errors.
 type checker struct {
 	file  string
-	lines map[string]int // of keys
+	lines map[string]int // line of each key
 	errs  FieldErrors
 }
 
@@ -25,7 +25,7 @@
 	return &checker{file: file, lines: lines}
 }
 
-// addProblems adds what could not be decoded.
+// addProblems adds the errors of the TOML decoder.
 func (c *checker) addProblems(problems tomlfile.Errors) {
 	for _, problem := range problems {
 		c.errs = append(c.errs, &FieldError{
@@ -43,14 +43,14 @@
 
 func (c *checker) addf(key, format string, args ...any) { c.add(key, fmt.Errorf(format, args...)) }
 
-// inRange checks that a value is from low to high.
+// inRange checks that a value is from low to high, both included.
 func (c *checker) inRange(key string, value, low, high int) {
 	if value < low || value > high {
 		c.addf(key, "%d, a whole number from %d to %d is expected", value, low, high)
 	}
 }
 
-// share checks that a value is from 0 to 1, and a number.
+// share checks that a value is from 0 to 1, both included, and not NaN.
 func (c *checker) share(key string, value float64) {
 	inRange := value >= 0 && value <= 1
 	if !inRange {
@@ -58,7 +58,8 @@
 	}
 }
 
-// address checks that a value has an IP address and a port: there is no DNS.
+// address checks that a value consists of an IP address and a port. A host name is invalid, since there
+// is no DNS.
 func (c *checker) address(key, value string) {
 	host, port, err := net.SplitHostPort(value)
 	number, portErr := strconv.Atoi(port)
@@ -69,7 +70,7 @@
 	}
 }
 
-// classes checks the request classes and returns them.
+// classes checks the request classes and returns them as the module's classes.
 func (f *file) classes(check *checker) []piernotch.Class {
 	if len(f.Classes) == 0 {
 		check.addf("class", "one class at least is expected")
@@ -83,7 +84,7 @@
 			check.addf(prefix+"effect", "%q, safe or unsafe is expected", class.Effect)
 		}
 		if class.Name == "" || names[class.Name] {
-			check.addf(prefix+"name", "%q, a name of its own is expected", class.Name)
+			check.addf(prefix+"name", "%q, a unique name is expected", class.Name)
 		}
 		names[class.Name] = true
 		check.inRange(prefix+"aim_ms", class.AimMS, 1, maxMS)
--- a/internal/serve/config/toml_test.go
+++ b/internal/serve/config/toml_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The two example files mean the same.
+// deploy/example.toml and deploy/example.json must result in the same settings, addresses and seed.
 func TestExampleFilesAgree(t *testing.T) {
 	got, err := LoadFile("../../../deploy/example.toml")
 	require.NoError(t, err)
@@ -22,7 +22,7 @@
 	require.Equal(t, want.Seed, got.Seed)
 }
 
-// All errors of a file are reported at once, each with its line.
+// All errors of a file must be reported at once, each with its line, not one per start of the program.
 func TestAllErrorsOfAFileAreReportedWithTheirLines(t *testing.T) {
 	_, err := parseTOML("x.toml", []byte(`listen = "nowhere"
 discovery = "127.0.0.1:18500"
