--- a/cmd/piernotch/duties.go
+++ b/cmd/piernotch/duties.go
@@ -38,7 +38,7 @@
 	return printDuties(os.Stdout, snapshot)
 }
 
-// printDuties prints two tables: of the duties' leases, and of the voters.
+// printDuties prints a table of the duties' leases and a table of the voters.
 func printDuties(out io.Writer, snapshot protocol.Snapshot) error {
 	var rows strings.Builder
 	rows.WriteString("duty\tholder\tprocess\ttoken\n")
--- a/cmd/piernotch/main.go
+++ b/cmd/piernotch/main.go
@@ -15,7 +15,7 @@
 	"piernotch/internal/serve/config"
 )
 
-// cli holds the subcommands, by their names.
+// cli holds the subcommands. Kong derives their names from those of the fields.
 type cli struct {
 	Serve   serveCmd   `cmd:"" default:"withargs" help:"Serve; the default command."`
 	Check   checkCmd   `cmd:"" help:"Check a configuration: report all errors, start nothing."`
@@ -35,12 +35,13 @@
 	}
 }
 
-// configSource says where the configuration comes from.
+// configSource says where the configuration comes from: a TOML file, or the platform's file if Config
+// is empty.
 type configSource struct {
 	Config string `short:"c" placeholder:"FILE" env:"PIERNOTCH_CONFIG" help:"Configuration in TOML; takes precedence over ROUTER_CONFIG."` //nolint:lll // struct tags cannot be wrapped
 }
 
-// load reads the configuration at the start.
+// load reads the configuration when the program starts.
 func (s configSource) load() (config.Config, error) {
 	if s.Config != "" {
 		return config.LoadFile(s.Config)
--- a/cmd/piernotch/serve.go
+++ b/cmd/piernotch/serve.go
@@ -18,25 +18,25 @@
 	"piernotch/internal/serve/runtime"
 )
 
-// leaveTimeout is how long a shutdown waits for the control group to confirm it.
+// leaveTimeout is how long a shutdown tries to notify the control group that its leases are released.
 const leaveTimeout = 500 * time.Millisecond
 
-// signalBuffer is how many signals may wait: a reload must not lose a SIGTERM behind it.
+// signalBuffer is how many signals are queued, so that a SIGTERM during a reload is not lost.
 const signalBuffer = 16
 
 // serveCmd runs the balancer.
 type serveCmd struct {
 	configSource
-	Group string `placeholder:"FILE" help:"Join the control group that this file describes; without it, none."`
+	Group string `placeholder:"FILE" help:"Join the control group that this file describes. Without it, join none."`
 }
 
 // Run serves until SIGTERM or SIGINT and the graceful shutdown that follows. SIGHUP reloads the
 // configuration.
 func (c *serveCmd) Run() error {
-	// Before anything else: by default a SIGHUP or SIGTERM ends the program.
+	// Before anything else, since by default a SIGHUP or SIGTERM ends the program at once.
 	signals := make(chan os.Signal, signalBuffer)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, os.Interrupt)
-	signal.Ignore(syscall.SIGPIPE) // the process that reads the log may end; this one continues
+	signal.Ignore(syscall.SIGPIPE) // if the process that reads the log ends, this one continues
 	cfg, err := c.load()
 	if err != nil {
 		return err
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// handleSignals reloads the configuration or shuts the balancer down, as signals ask.
+// handleSignals reloads the configuration on SIGHUP, and shuts the balancer down on any other signal.
 func (c *serveCmd) handleSignals(
 	signals <-chan os.Signal,
 	cfg config.Config,
@@ -74,8 +74,8 @@
 	for received := range signals {
 		if received != syscall.SIGHUP {
 			balancer.Shutdown()
-			// Owned by the process; it ends within leaveTimeout. A lease passes to another member while
-			// clients are still served.
+			// Owned by the process; it ends within leaveTimeout. The leases pass to other members while
+			// clients are still being served.
 			go leaveGroup()
 			continue
 		}
@@ -88,9 +88,9 @@
 	}
 }
 
-// joinGroup makes the balancer a member of the control group in a file, and returns the function that leaves
-// it, which may be called more than once and from any goroutine. Without a file there is no group,
-// and nothing is opened.
+// joinGroup makes the balancer a member of the control group that a file describes. It returns a function
+// that leaves the group, and that may be called more than once and from any goroutine. If file is "",
+// the balancer joins no group, and nothing is opened.
 func joinGroup(file string, balancer *runtime.Balancer) (leave func(), err error) {
 	if file == "" {
 		return func() {}, nil
--- a/cmd/piernotch/version.go
+++ b/cmd/piernotch/version.go
@@ -10,11 +10,11 @@
 // versionCmd prints the revision and the toolchain of the build.
 type versionCmd struct{}
 
-// Run fails if the build holds no information, as that of a test.
+// Run prints the revision and the toolchain. It fails if the binary contains no build information.
 func (*versionCmd) Run() error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return errors.New("this build holds no build information")
+		return errors.New("this binary holds no build information")
 	}
 	revision, modified := "unknown", ""
 	for _, setting := range info.Settings {
--- a/internal/serve/admin/api.go
+++ b/internal/serve/admin/api.go
@@ -11,7 +11,7 @@
 
 const readyPath = "/api/ready"
 
-// actions are the calls that change something, by path.
+// actions maps the paths of calls that change something to their actions.
 var actions = map[string]overrides.Action{
 	"/api/exclude":  overrides.Exclude,
 	"/api/include":  overrides.Include,
@@ -19,10 +19,10 @@
 	"/api/rejoin":   overrides.Rejoin,
 }
 
-// maxNameLength is the longest name of a server, in bytes.
+// maxNameLength is the maximum length of a server's name, in bytes.
 const maxNameLength = 256
 
-// serve responds to a call, or has it executed.
+// serve handles a call: it responds at once, or passes the call's action to Server.execute.
 func (c *connection) serve(request *http1.Message) {
 	path := request.Path()
 	c.operation = path
@@ -73,8 +73,8 @@
 	c.server.execute(c, action, server)
 }
 
-// parseServerName reads a body of the form {"name":"ID"}. The texts of its errors are sent to the
-// caller.
+// parseServerName reads the name from a body of the form {"name":"ID"}. The texts of its errors are
+// sent to the caller.
 func parseServerName(body []byte) (string, error) {
 	var in struct {
 		Name *string `json:"name"`
--- a/internal/serve/admin/connection.go
+++ b/internal/serve/admin/connection.go
@@ -10,14 +10,14 @@
 	"piernotch/internal/serve/overrides"
 )
 
-// connection is the connection of one caller. It is the event loop's handler of the connection.
+// connection is the connection of one caller. It implements eventloop.Handler.
 type connection struct {
 	server      *Server
 	conn        *eventloop.Conn
 	parser      *http1.Parser
 	operation   string           // path and server of the call, for the log
-	since       time.Duration    // when it was accepted; after the response, when that was sent
-	call        overrides.CallID // being executed, or last executed; 0: none so far
+	since       time.Duration    // when the connection was accepted or, if responded, when the response was sent
+	call        overrides.CallID // the call passed to Server.Execute; 0: none so far
 	responded   bool
 	writeClosed bool
 }
@@ -25,7 +25,7 @@
 // Data implements eventloop.Handler.
 func (c *connection) Data(data []byte) {
 	if c.responded || c.call != 0 {
-		return // one call for each connection: whatever follows it is ignored
+		return // a connection serves one call: whatever follows is ignored
 	}
 	c.parser.Feed(data)
 	request, err := c.parser.Next()
@@ -38,20 +38,21 @@
 	case request != nil:
 		c.serve(request)
 	case c.parser.ExpectsContinue():
-		_ = c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")) // a failure is reported to Closed, too
+		_ = c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")) // an error also leads to a call of Closed
 	}
 }
 
 // Closed implements eventloop.Handler.
 func (c *connection) Closed(error) { c.server.remove(c) }
 
-// checkTimeouts ends a connection whose time is over. A call that is being executed has no timeout.
+// checkTimeouts ends a connection that has exceeded its timeout. A call that is being executed has no
+// timeout.
 func (c *connection) checkTimeouts(now time.Duration) {
 	switch {
 	case c.responded:
 		c.linger(now)
 	case c.call == 0 && now-c.since > requestTimeout:
-		c.respond(http1.StatusRequestTimeout, "the call did not come to its end")
+		c.respond(http1.StatusRequestTimeout, "the call was not received completely in time")
 	}
 }
 
@@ -60,7 +61,8 @@
 	slog.Info("admin response", "action", c.operation, "status", status, "text", text)
 	c.responded = true
 	c.since = c.server.Now()
-	// Unread input would have the kernel reset the connection, and the response with it.
+	// If a socket is closed with unread input, the kernel resets the connection, and the response may be
+	// lost.
 	c.conn.DiscardInput()
 	fields = append(
 		fields,
@@ -73,8 +75,8 @@
 	}
 }
 
-// linger ends the sending side once the response is written, and closes the connection after
-// lingerTimeout if the caller has not done so.
+// linger closes the sending side once the response is written, and the whole connection after
+// lingerTimeout if the caller has not closed it by then.
 func (c *connection) linger(now time.Duration) {
 	if !c.writeClosed && c.conn.UnsentBytes() == 0 {
 		c.writeClosed = true
@@ -85,13 +87,14 @@
 	}
 }
 
-// close closes the connection at once. Closed is not called for it.
+// close closes the connection at once. The event loop does not call Closed afterwards.
 func (c *connection) close() {
 	c.conn.Close()
 	c.server.remove(c)
 }
 
-// shedBefore reports whether c is to be closed rather than other.
+// shedBefore reports whether c should be closed before other. Connections that have had their response
+// come first, and among equals the one that has waited longest.
 func (c *connection) shedBefore(other *connection) bool {
 	if c.responded != other.responded {
 		return c.responded
--- a/internal/serve/admin/golden_test.go
+++ b/internal/serve/admin/golden_test.go
@@ -20,13 +20,13 @@
 
 var update = flag.Bool("update", false, "write the golden files again; only where the form changes on purpose")
 
-// TestResponsesGoldenFile guards what operators' programs see: the call that each path and body makes,
-// and the bytes of each response.
+// TestResponsesGoldenFile guards the interface that operators' programs use: the action that each path
+// and body leads to, and the bytes of each response.
 func TestResponsesGoldenFile(t *testing.T) {
 	engine, err := eventloop.New(64)
 	require.NoError(t, err)
 	startedAt := time.Now()
-	ready := false // the engine's goroutine reads and writes it
+	ready := false // used by the event loop's goroutine only
 	results := map[string]error{
 		"exclude s-1": nil, "include s-2": nil, "evacuate ": nil, "rejoin ": errors.New("ending"),
 		"exclude s-9": overrides.ErrUnknownServer, "exclude s-8": overrides.ErrTooManyExcluded,
--- a/internal/serve/admin/server.go
+++ b/internal/serve/admin/server.go
@@ -2,11 +2,11 @@
 // 2xx status if the call was carried out, and otherwise a 4xx or 5xx status and a sentence that says
 // why.
 //
-// Its connections are few and counted apart from the clients', so that neither can exhaust the
-// other's. The package translates calls into an [overrides.Action] and results into responses. It
-// neither knows nor changes the state of the balancer: internal/serve/runtime, the only caller,
-// connects it to the event loop and to the core by the functions in [Server]. Everything runs on
-// the event loop's goroutine; the package starts none.
+// Its connections are few and counted separately from the clients', so that neither can use up the
+// other's limit. The package translates calls into an [overrides.Action] and results into responses.
+// It has no access to the state of the balancer: internal/serve/runtime, the only caller, connects it
+// to the event loop and to the core by the functions in [Server]. Everything runs on the event loop's
+// goroutine; the package starts none.
 package admin
 
 import (
@@ -19,15 +19,16 @@
 )
 
 const (
-	// MaxConnections is the number of connections that may be open at a time. Beyond it the longest
-	// idle one is closed for a new one.
+	// MaxConnections is the number of connections that may be open at a time. When a further one is
+	// accepted, Server.Shed closes one.
 	MaxConnections = 16
-	// ReservedDescriptors is how many file descriptors the API takes of the process's limit: one for
-	// each connection, the listener, and a few for the second one that a connection has for a moment.
+	// ReservedDescriptors is how many file descriptors of the process's limit are set aside for the API:
+	// one for each connection, one for the listener, and a few more because a connection briefly has a
+	// second one.
 	ReservedDescriptors = MaxConnections + 4
 
-	// requestTimeout is how long a caller may take to send its call. It is generous, since a slow
-	// caller does no harm while there is room.
+	// requestTimeout is how long a caller may take to send its call. It is long, since a slow caller
+	// does no harm: its connection can be shed for a new one.
 	requestTimeout = 5 * time.Second
 	// lingerTimeout is how long a caller may take to read its response and disconnect.
 	lingerTimeout = time.Second
@@ -36,12 +37,12 @@
 // Server responds to operators' calls. Its fields must be set before the first connection is accepted.
 // It must be used from the event loop's goroutine and not be copied while in use.
 type Server struct {
-	// Execute carries out an action. Complete must follow with the same call, at once or later. server
-	// is the name of a server, or empty if the action concerns none.
+	// Execute carries out an action. Complete must be called with the same call, during Execute or later.
+	// server is the name of a server, or empty if the action concerns none.
 	Execute func(call overrides.CallID, action overrides.Action, server string)
 	// Ready reports whether this process can serve clients.
 	Ready func() bool
-	// Now is a monotonic clock.
+	// Now returns the time on a monotonic clock.
 	Now func() time.Duration
 
 	connections map[*connection]struct{}
@@ -49,7 +50,7 @@
 	lastCall    overrides.CallID
 }
 
-// Accepted takes over a connection that the listener has accepted.
+// Accepted returns the handler of a connection that the listener has accepted.
 func (s *Server) Accepted(conn *eventloop.Conn) eventloop.Handler {
 	if s.connections == nil {
 		s.connections = map[*connection]struct{}{}
@@ -60,7 +61,8 @@
 	return accepted
 }
 
-// Shed closes one connection: the one that has waited longest, those that had their response first.
+// Shed closes one connection, to make room for another: the one that has waited longest among those
+// that have had their response, or among all if none has.
 func (s *Server) Shed() {
 	var victim *connection
 	for candidate := range s.connections {
@@ -81,8 +83,8 @@
 	}
 }
 
-// Complete reports the result of a call that Execute has been given; err is nil if it was carried
-// out. If the caller is gone, nothing happens.
+// Complete responds to a call that was passed to Execute; err is nil if the action was carried out. It
+// does nothing if the caller has disconnected.
 func (s *Server) Complete(call overrides.CallID, err error) {
 	caller := s.executing[call]
 	if caller == nil {
@@ -96,7 +98,7 @@
 	caller.respond(http1.StatusOK, "yes")
 }
 
-// execute has an action carried out for a connection.
+// execute gives a connection's call an ID and passes its action to Execute.
 func (s *Server) execute(c *connection, action overrides.Action, server string) {
 	s.lastCall++
 	c.call = s.lastCall
@@ -104,7 +106,7 @@
 	s.Execute(c.call, action, server)
 }
 
-// remove forgets a connection and the call that it waits for.
+// remove removes a connection and the call whose result it is waiting for.
 func (s *Server) remove(c *connection) {
 	delete(s.connections, c)
 	delete(s.executing, c.call)
--- a/internal/serve/config/toml_test.go
+++ b/internal/serve/config/toml_test.go
@@ -22,7 +22,7 @@
 	require.Equal(t, want.Seed, got.Seed)
 }
 
-// All errors of a file must be reported at once, each with its line, not one per start of the program.
+// All errors of a file must be reported at once, each with its line.
 func TestAllErrorsOfAFileAreReportedWithTheirLines(t *testing.T) {
 	_, err := parseTOML("x.toml", []byte(`listen = "nowhere"
 discovery = "127.0.0.1:18500"
--- a/internal/serve/overrides/overrides.go
+++ b/internal/serve/overrides/overrides.go
@@ -6,7 +6,7 @@
 // timestamp, merging takes the later one entry by entry, and the order of merges makes no
 // difference.
 //
-// The package does no I/O, reads no clock and knows neither sockets nor the module; it is not safe
+// The package does no I/O, reads no clock and depends on neither sockets nor the module; it is not safe
 // for concurrent use. internal/serve/core owns the overrides of a running process and applies them,
 // internal/serve/handover stores them in records, and internal/serve/admin translates calls into
 // actions.
@@ -18,10 +18,10 @@
 	"time"
 )
 
-// Action is what an operator requests.
+// Action is the kind of an operator's command.
 type Action uint8
 
-// Actions.
+// The actions, in the order of actionNames.
 const (
 	Exclude  Action = iota // send no requests to a server
 	Include                // undo Exclude
@@ -31,7 +31,7 @@
 
 var actionNames = [...]string{"exclude", "include", "evacuate", "rejoin"}
 
-// String returns the name of the action as the log has it.
+// String returns the name of the action as it appears in the log.
 func (a Action) String() string { return actionNames[a] }
 
 // ConcernsServer reports whether the action is about one server, not about the balancer's clients.
@@ -57,8 +57,8 @@
 // ProcessID distinguishes the processes of a balancer.
 type ProcessID uint64
 
-// Timestamp is a Lamport timestamp: Counter is above that of every override that was known when it
-// was made. Process breaks the tie of two processes that receive commands at the same time.
+// Timestamp is a Lamport timestamp: Counter is higher than that of every override that the process knew
+// when it made this one. Process breaks the tie between two processes whose counters are equal.
 type Timestamp struct {
 	Counter uint64    `json:"count"`
 	Process ProcessID `json:"by"`
@@ -72,7 +72,7 @@
 	return t.Process < other.Process
 }
 
-// Override is the last command on one subject.
+// Override is the state that the last command has set, for one server or for the balancer's clients.
 type Override struct {
 	Timestamp
 	Active bool          `json:"on"`
@@ -100,7 +100,7 @@
 	Process ProcessID     // the receiving process, for the timestamp
 	Action  Action
 	Server  string // name of the server, if the action concerns one
-	Listed  bool   // that server is in the endpoint list
+	Listed  bool   // whether the server is in the endpoint list
 }
 
 // Apply carries out a command and reports whether anything has changed: a repeated command changes
@@ -131,8 +131,9 @@
 	return true, nil
 }
 
-// Merge takes over the later overrides of another process. It returns the names of the servers
-// whose override has changed or is new, in no particular order, and whether Drain has changed.
+// Merge takes over each override of another process that is later than the one held here. It returns
+// the names of the servers whose override is new or has changed Active, in no particular order, and
+// whether Drain.Active has changed.
 func (o *Overrides) Merge(other *Overrides) (servers []string, drainChanged bool) {
 	for name, theirs := range other.Servers {
 		ours, known := o.Servers[name]
@@ -151,9 +152,9 @@
 	return servers, drainChanged
 }
 
-// Prune removes the entries of servers that were included again before the given time (Unix time).
-// It must not be called while another process of the balancer is alive: that one could still hold
-// the exclusion, and a merge would bring it back.
+// Prune removes the entries of servers that were included again before the given Unix time. It must
+// not be called while another process of the balancer is alive: that process could still hold the
+// exclusion, and a merge would restore it.
 func (o *Overrides) Prune(before time.Duration) {
 	maps.DeleteFunc(o.Servers, func(_ string, override Override) bool {
 		return !override.Active && override.SetAt < before
--- a/internal/serve/overrides/overrides_test.go
+++ b/internal/serve/overrides/overrides_test.go
@@ -41,8 +41,8 @@
 	require.Empty(t, o.Servers)
 }
 
-// Processes that merge each other's overrides in any order, any number of times, end up with the
-// same ones, and a command overrides every command that was known when it was received.
+// Processes that merge each other's overrides, in any order and any number of times, must end up with
+// the same overrides. A command must win over every command that its process knew when receiving it.
 func TestMergeOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := make([]Overrides, 3)
