--- a/internal/serve/core/effects.go
+++ b/internal/serve/core/effects.go
@@ -89,7 +89,7 @@
 	// Rejected means that it is safe to send the request again: no server executed it, or a repeat does
 	// no harm.
 	Rejected
-	// Failed means that a server may or may not have executed the request.
+	// Failed means that a server may have executed the request.
 	Failed
 	// DuplicateID means that the request was not accepted, because its ID is that of another open
 	// request.
--- a/internal/serve/core/events.go
+++ b/internal/serve/core/events.go
@@ -46,7 +46,7 @@
 		Message  *RequestMessage
 		Class    int           // index into the settings' classes
 		Tenant   int           // index into the settings' tenants; -1: none of them
-		Key      uint64        // for key affinity; 0: none
+		Key      uint64        // of the data that the request is about, for key affinity; 0: none
 		CostHint float64       // expected work in milliseconds; NaN: unknown
 		Deadline time.Duration // the client waits until then
 	}
--- a/internal/serve/core/start_times.go
+++ b/internal/serve/core/start_times.go
@@ -28,8 +28,8 @@
 }
 
 // convert returns a server's start. absentAt is a time at which the list did not yet hold the start; 0: unknown.
-// If the clocks differ, a start in the future counts as now, and one that is too old for a new entry as absentAt:
-// otherwise a new server would be taken for one that has run for long, and would get no slow start.
+// If the clocks differ, a start in the future counts as now, and one that is too old for a new entry counts as
+// absentAt: otherwise a new server would be taken for one that has run for long, and would get no slow start.
 func (s *startTimes) convert(name string, listed, now, absentAt time.Duration) serverStart {
 	if known, ok := s.byName[name]; ok && known.listed == listed {
 		return known
