--- a/internal/serve/runtime/balancer.go
+++ b/internal/serve/runtime/balancer.go
@@ -199,7 +199,7 @@
 // healthy reports whether /_health succeeds. During a handover that call may reach either process, so
 // a process that is shutting down stays healthy as long as a successor can serve.
 func (b *Balancer) healthy() bool {
-	if !b.core.EndpointsKnown() || b.core.ClientsDrained() {
+	if !b.core.EndpointsKnown() || b.core.DrainingClients() {
 		return false
 	}
 	return !b.core.ShuttingDown() || b.siblings.hasSuccessor()
