--- a/internal/controlgroup/client/client.go
+++ b/internal/controlgroup/client/client.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	tickInterval    = 50 * time.Millisecond
-	maxDialPause    = 200 * time.Millisecond // between two connections; the pause is drawn up to this
-	responseTimeout = time.Second            // a voter that has not responded for so long is left for another
-	listRetry       = responseTimeout / 2
-	releasePoll     = tickInterval / 5
+	tickInterval        = 50 * time.Millisecond
+	maxReconnectPause   = 200 * time.Millisecond // between two connections; the pause is drawn up to this
+	responseTimeout     = time.Second            // a voter that has not responded for so long is left for another
+	listRetryInterval   = responseTimeout / 2
+	releasePollInterval = tickInterval / 5
 )
 
 // Client is a running member of a group. Its methods may be called from any goroutine.
@@ -164,7 +164,7 @@
 			if response.Err == nil {
 				return response.Snapshot, nil
 			}
-		case <-time.After(listRetry):
+		case <-time.After(listRetryInterval):
 		case <-ctx.Done():
 			return protocol.Snapshot{}, fmt.Errorf("no leader found: %w", ctx.Err())
 		}
@@ -183,7 +183,7 @@
 	c.mu.Unlock()
 	deadline := time.Now().Add(releaseTimeout)
 	for time.Now().Before(deadline) && c.releasePending() {
-		time.Sleep(releasePoll)
+		time.Sleep(releasePollInterval)
 	}
 	c.stop()
 	<-c.done
--- a/internal/controlgroup/client/connection.go
+++ b/internal/controlgroup/client/connection.go
@@ -16,7 +16,7 @@
 func (c *Client) keepConnected(ctx context.Context) {
 	next := rand.IntN(len(c.cfg.Voters))
 	for ctx.Err() == nil {
-		voter := c.takeTarget(next)
+		voter := c.nextTarget(next)
 		next++
 		conn, err := transport.Dial(voter.Address, c.handshake)
 		if err == nil {
@@ -24,13 +24,13 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(rand.N(maxDialPause)):
+		case <-time.After(rand.N(maxReconnectPause)):
 		}
 	}
 }
 
-// takeTarget returns the voter to connect to: the leader once after it was named, otherwise the next in turn.
-func (c *Client) takeTarget(next int) controlgroup.Voter {
+// nextTarget returns the voter to connect to: the leader once after it was named, otherwise the next in turn.
+func (c *Client) nextTarget(next int) controlgroup.Voter {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	target := c.cfg.Voters[next%len(c.cfg.Voters)]
--- a/internal/controlgroup/client/shared_watch.go
+++ b/internal/controlgroup/client/shared_watch.go
@@ -32,8 +32,8 @@
 	independent      bool        // as logged last: polls although it does not hold the duty
 	// reacquireAt > 0: the duty was released because discovery did not respond, and is acquired again from
 	// then on.
-	reacquireAt   time.Duration
-	lastSubscribe time.Duration // when missing events were requested last
+	reacquireAt     time.Duration
+	lastSubscribeAt time.Duration // when missing events were requested last
 }
 
 func newSharedWatch(client *Client, duty lease.Duty) *sharedWatch {
@@ -142,8 +142,8 @@
 	w.knownVersion = version
 	now := w.client.now()
 	// Until the response is here, each further event shows the same gap.
-	if now >= w.lastSubscribe+watch.DefaultTiming.HeartbeatInterval {
-		w.lastSubscribe = now
+	if now >= w.lastSubscribeAt+watch.DefaultTiming.HeartbeatInterval {
+		w.lastSubscribeAt = now
 		w.subscribeLocked()
 	}
 }
@@ -234,7 +234,7 @@
 		return
 	}
 	now := w.client.now()
-	if _, held := w.tokenLocked(now); held || !w.follower.Heartbeat(now, token) {
+	if _, held := w.tokenLocked(now); held || !w.follower.EventReceived(now, token) {
 		return
 	}
 	if event.Source == w.commonName(w.address) {
--- a/internal/controlgroup/client/shared_watch_test.go
+++ b/internal/controlgroup/client/shared_watch_test.go
@@ -32,7 +32,7 @@
 	shared.ShouldPoll("new")
 	c.mu.Lock()
 	longAgo := -watch.DefaultTiming.HeartbeatTimeout - watch.DefaultTiming.TimeoutJitter
-	c.sharedWatch.follower.Heartbeat(longAgo, 1)
+	c.sharedWatch.follower.EventReceived(longAgo, 1)
 	c.mu.Unlock()
 	receive(2)
 	polls, _ = shared.ShouldPoll("new")
--- a/internal/controlgroup/watch/follower.go
+++ b/internal/controlgroup/watch/follower.go
@@ -29,9 +29,9 @@
 	f.deadline = now + f.timing.HeartbeatTimeout + jitter
 }
 
-// Heartbeat records that an event of the holder with that token was received, and reports whether the
+// EventReceived records that an event of the holder with that token was received, and reports whether the
 // event counts. An event of a holder that has been replaced does not: it must not be applied.
-func (f *Follower) Heartbeat(now time.Duration, token lease.Token) bool {
+func (f *Follower) EventReceived(now time.Duration, token lease.Token) bool {
 	if token < f.token {
 		return false
 	}
--- a/internal/controlgroup/watch/follower_test.go
+++ b/internal/controlgroup/watch/follower_test.go
@@ -15,7 +15,7 @@
 	var followers []*Follower
 	for i := range n {
 		f := NewFollower(DefaultTiming, rand.New(rand.NewPCG(uint64(i), 1)), 0)
-		require.True(t, f.Heartbeat(time.Second, 7))
+		require.True(t, f.EventReceived(time.Second, 7))
 		followers = append(followers, f)
 	}
 	polling := func(now time.Duration) (count int) {
@@ -32,11 +32,11 @@
 	require.Equal(t, n, polling(lastHeartbeat+DefaultTiming.HeartbeatTimeout+DefaultTiming.TimeoutJitter))
 	require.Less(t, DefaultTiming.HeartbeatTimeout+DefaultTiming.TimeoutJitter, 6*time.Second)
 	for _, f := range followers {
-		require.False(t, f.Heartbeat(20*time.Second, 6), "a holder that has been replaced")
+		require.False(t, f.EventReceived(20*time.Second, 6), "a holder that has been replaced")
 	}
 	require.Equal(t, n, polling(20*time.Second))
 	for _, f := range followers {
-		require.True(t, f.Heartbeat(20*time.Second, 8))
+		require.True(t, f.EventReceived(20*time.Second, 8))
 		require.True(t, f.ShouldPoll(20*time.Second, RoleHolder), "the holder polls")
 	}
 	require.Zero(t, polling(20*time.Second))
