--- a/internal/controlgroup/config_test.go
+++ b/internal/controlgroup/config_test.go
@@ -44,14 +44,14 @@
 	}
 }
 
-// TestLoadFileErrorNamesFileAndLine covers each way in which a file can be unusable, with the text that
-// operators see and the typed error that callers find.
+// TestLoadFileErrorNamesFileAndLine covers an invalid value, an unknown key, a missing key and a missing file.
+// It checks the text that operators see and the typed error that callers find.
 func TestLoadFileErrorNamesFileAndLine(t *testing.T) {
 	dir := t.TempDir()
 	for _, c := range []struct {
 		name, content string
-		want          FieldError // Err is compared by its text
-		text          string     // of the whole error, after the folder's name
+		want          FieldError // Err is compared by its text only
+		text          string     // of the whole error, without the directory
 	}{
 		{
 			name: "invalid.toml",
--- a/internal/controlgroup/errors.go
+++ b/internal/controlgroup/errors.go
@@ -7,17 +7,16 @@
 	"piernotch/internal/tomlfile"
 )
 
-// FieldError is a setting that cannot be used. LoadFile returns it with the file's name and, where the
-// setting is in the file, its line. Callers find it by errors.As, with a *FieldError as the target.
+// FieldError describes an invalid setting. LoadFile adds the file's name and, if the setting is in the
+// file, its line. Callers extract it by errors.As into a *FieldError.
 type FieldError struct {
-	File string // as passed to LoadFile; "": the settings did not come from a file
+	File string // the name passed to LoadFile; "": the settings did not come from a file
 	Line int    // from 1; 0: not known
-	Key  string // the key in the file; "": the file as a whole
-	Err  error  // what is wrong
+	Key  string // the key in the file; "": the error concerns the whole file
+	Err  error  // what is wrong, without the place
 }
 
-// Error returns "file:line: key: what is wrong" for a setting of a file, and "group.key: what is
-// wrong" for any other.
+// Error returns "file:line: key: what is wrong" if File is set, and "group.key: what is wrong" otherwise.
 func (e *FieldError) Error() string {
 	if e.File == "" {
 		return "group." + e.Key + ": " + e.Err.Error()
@@ -25,17 +24,17 @@
 	return e.problem().String()
 }
 
-// Unwrap returns what is wrong, without its place.
+// Unwrap returns Err, for errors.Is and errors.As.
 func (e *FieldError) Unwrap() error { return e.Err }
 
 func (e *FieldError) problem() tomlfile.Error {
 	return tomlfile.Error{File: e.File, Line: e.Line, Key: e.Key, What: e.Err.Error()}
 }
 
-// FieldErrors are all settings that cannot be used, in the order in which they were found.
+// FieldErrors lists all invalid settings, in the order in which they were found.
 type FieldErrors []*FieldError
 
-// Error returns one line for each setting.
+// Error returns one line for each error.
 func (errs FieldErrors) Error() string {
 	lines := make([]string, len(errs))
 	for i, e := range errs {
@@ -53,8 +52,8 @@
 	return all
 }
 
-// As converts the errors to a *tomlfile.Errors target: the laboratory's program prints the problems of
-// every kind of file by that type.
+// As lets errors.As convert the errors to tomlfile.Errors: the laboratory's program prints the problems of
+// every kind of file in that type.
 func (errs FieldErrors) As(target any) bool {
 	problems, ok := target.(*tomlfile.Errors)
 	if !ok {
@@ -67,7 +66,7 @@
 	return true
 }
 
-// fieldErrorsOf converts what the reader of TOML files reports.
+// fieldErrorsOf converts the problems that package tomlfile reports.
 func fieldErrorsOf(problems tomlfile.Errors) FieldErrors {
 	var errs FieldErrors
 	for _, p := range problems {
--- a/internal/controlgroup/file.go
+++ b/internal/controlgroup/file.go
@@ -9,13 +9,13 @@
 	"piernotch/internal/tomlfile"
 )
 
-// Defaults of settings that a file leaves out.
+// Defaults of settings that a file omits.
 const (
 	defaultLeaseDurationMS = 5000
 	defaultMaxClockDrift   = 0.01
 )
 
-// fileConfig is the form of a group's file; docs/DUTIES.md is its reference.
+// fileConfig has the keys of a group's settings file; docs/DUTIES.md is their reference.
 type fileConfig struct {
 	Name            string      `toml:"name"`
 	Self            string      `toml:"self"`
@@ -33,9 +33,9 @@
 	Address string `toml:"address"`
 }
 
-// LoadFile reads a group's file and validates it. The error is of type FieldErrors and names all that is
-// wrong, with file and line where known; errors.As also finds a single *FieldError in it. With an error the
-// returned configuration must not be used.
+// LoadFile reads and validates a group's settings file. Its error is of type FieldErrors and lists everything
+// that is wrong, with file and line where known; errors.As can also extract a single *FieldError. If there is
+// an error, the returned configuration must not be used.
 func LoadFile(name string) (Config, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -44,7 +44,7 @@
 	parsed := &fileConfig{LeaseDurationMS: defaultLeaseDurationMS, MaxClockDrift: defaultMaxClockDrift}
 	errs := fieldErrorsOf(tomlfile.Decode(name, data, parsed))
 	config := parsed.config()
-	if len(errs) == 0 { // values of a file that could not be decoded would be reported twice
+	if len(errs) == 0 { // a value that could not be decoded would be reported twice
 		lines := tomlfile.Lines(data)
 		errs = config.Validate()
 		for _, field := range errs {
@@ -75,7 +75,7 @@
 	return config
 }
 
-// TOML returns the configuration in the form of a file, which LoadFile reads.
+// TOML returns the configuration as the text of a settings file, which LoadFile can read.
 func (c Config) TOML() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "name = %q\nself = %q\ndisk = %q\n", c.Name, c.Self, c.StorePath)
--- a/internal/controlgroup/golden_test.go
+++ b/internal/controlgroup/golden_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestGroupFileGoldenFile guards the keys of a group's file: each is set to what is no default.
-// testdata/group.toml is what Config.Text writes.
+// TestGroupFileGoldenFile fails if a key of the settings file changes its name or meaning. Each key has a
+// value other than its default; testdata/group.toml is the output of Config.TOML.
 func TestGroupFileGoldenFile(t *testing.T) {
 	want := Config{
 		Name: "lakes", Self: "n1", StorePath: "/var/lib/piernotch/n1.voter",
@@ -29,7 +29,7 @@
 	require.Equal(t, string(text), want.TOML())
 }
 
-// TestShippedGroupFile guards what deploy/group.toml means.
+// TestShippedGroupFile fails if the settings that deploy/group.toml results in change.
 func TestShippedGroupFile(t *testing.T) {
 	got, err := LoadFile("../../deploy/group.toml")
 	require.NoError(t, err)
--- a/internal/controlgroup/shared_watch.go
+++ b/internal/controlgroup/shared_watch.go
@@ -1,44 +1,45 @@
 package controlgroup
 
-// SharedWatch is a balancer's part in a watch of discovery that one balancer, the holder of the
-// watch's duty, polls for all. Its methods do not block and may be called from any goroutine.
+// SharedWatch is a balancer's access to a shared watch of discovery: one balancer, the holder of the
+// watch's duty, polls discovery for all. The methods do not block and are safe for concurrent use.
 type SharedWatch interface {
-	// ShouldPoll reports whether this balancer, which uses the discovery at source, polls it itself
-	// now (poll), and whether it has to request the complete list (complete).
+	// ShouldPoll reports whether this balancer must itself poll the discovery at address source now
+	// (poll), and whether that poll must request the complete list (complete).
 	ShouldPoll(source string) (poll, complete bool)
-	// Publish passes an update that this balancer's own poll returned on to the group.
+	// Publish hands the group an update that this balancer's own poll returned.
 	Publish(WatchEvent)
-	// PollFailed records that this balancer's own poll failed.
+	// PollFailed records a failure of this balancer's own poll. A holder then sends no heartbeats
+	// until a poll succeeds.
 	PollFailed()
-	// RequestUpdate requests from the group the events after the version that is known here.
+	// RequestUpdate asks the group for the events after version, which this balancer already has.
 	RequestUpdate(source string, version uint64)
 }
 
-// JoinWatch begins a balancer's part in the shared watch of the discovery at address source. onUpdate
-// receives what other balancers publish. JoinWatch returns nil if the group has no shared watch.
+// JoinWatch joins a balancer to the shared watch of the discovery at address source. onUpdate receives
+// the updates that other balancers publish. JoinWatch returns nil if the group has no shared watch.
 type JoinWatch func(source string, onUpdate OnUpdate) SharedWatch
 
-// OnUpdate receives an update that another balancer has published. It is called from the group's goroutines
-// with locks held: it must neither block nor call the SharedWatch.
+// OnUpdate receives an update that another balancer has published. The group's goroutines call it with
+// locks held: it must not block, and would deadlock if it called the SharedWatch.
 type OnUpdate func(WatchEvent)
 
-// WatchEvent is a complete endpoint list, a change of one, or a heartbeat. The list itself is as discovery
-// wrote it. The encoding is that of the frames between members: the keys do not change.
+// WatchEvent is a complete endpoint list, a change to one, or a heartbeat. It is part of the frames that
+// members exchange, so the CBOR keys must not change.
 type WatchEvent struct {
-	// Source is discovery's address or common name: versions are comparable only within one.
+	// Source is discovery's address or common name. Only versions of the same source can be compared.
 	Source      string `cbor:"1,keyasint"`
 	FromVersion uint64 `cbor:"2,keyasint,omitempty"` // the version that a change applies to; 0 for a complete list
 	ToVersion   uint64 `cbor:"3,keyasint"`           // the version after the event; equal to FromVersion in a heartbeat
 	Complete    bool   `cbor:"4,keyasint,omitempty"` // Body is a complete list
-	Body        []byte `cbor:"5,keyasint,omitempty"` // the list or change in discovery's own form; nil in a heartbeat
+	Body        []byte `cbor:"5,keyasint,omitempty"` // the list or change as discovery wrote it; nil in a heartbeat
 }
 
-// IsHeartbeat reports whether an event says only that the holder's watch is healthy.
+// IsHeartbeat reports whether an event has no update and only shows that the holder's watch is healthy.
 func (e *WatchEvent) IsHeartbeat() bool { return !e.Complete && e.FromVersion == e.ToVersion }
 
-// Follows reports how an event relates to a known version of a source: whether it applies next
-// (apply), or shows that events before it were missed (missing). Both are false for an event of another
-// source, and for one that is not newer than what is known.
+// Follows compares an event with the known version of a source. It reports whether the event is the next
+// one to apply (apply), or shows that earlier events were missed (missing). Both are false for an event of
+// another source and for an outdated one. A complete list of the same version still applies.
 func (e *WatchEvent) Follows(source string, version uint64) (apply, missing bool) {
 	if e.Source != source {
 		return false, false
--- a/internal/controlgroup/validate.go
+++ b/internal/controlgroup/validate.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Bounds of the settings, all inclusive.
+// Inclusive bounds of the settings.
 const (
 	MinLeaseDuration = time.Second
 	MaxLeaseDuration = 10 * time.Minute
@@ -25,8 +25,8 @@
 
 func validName(s string) bool { return s != "" && len(s) <= MaxNameLength }
 
-// Validate returns all settings that cannot be used; none if the configuration is usable. The errors have no
-// file and no line.
+// Validate returns an error for each invalid setting, or none if the configuration is usable. File and Line
+// of the errors are not set.
 func (c *Config) Validate() FieldErrors {
 	found := &validation{}
 	c.validateMember(found)
@@ -48,7 +48,7 @@
 }
 
 func (c *Config) validateVoters(found *validation) {
-	// A majority of an even number survives no more failures than that of one voter less.
+	// An even number of voters tolerates no more failures than one voter less, as its majority is larger.
 	count := len(c.Voters)
 	oddMajority := count%2 == 1 && count >= 3 && count <= MaxVoters
 	if count != 1 && !oddMajority {
