--- a/internal/controlgroup/client/client.go
+++ b/internal/controlgroup/client/client.go
@@ -16,13 +16,13 @@
 
 const (
 	tickInterval        = 50 * time.Millisecond
-	maxReconnectPause   = 200 * time.Millisecond // between two connections; the pause is drawn up to this
-	responseTimeout     = time.Second            // a voter that has not responded for so long is left for another
+	maxReconnectPause   = 200 * time.Millisecond // bound of the random pause before the next connection
+	responseTimeout     = time.Second            // without a response for so long, the client tries another voter
 	listRetryInterval   = responseTimeout / 2
 	releasePollInterval = tickInterval / 5
 )
 
-// Client is a running member of a group. Its methods may be called from any goroutine.
+// Client is a running member of a group. Its methods are safe for concurrent use.
 type Client struct {
 	cfg       controlgroup.Config
 	process   lease.Process
@@ -30,26 +30,26 @@
 	startedAt time.Time
 	observer  RequestObserver // may be nil
 	stop      context.CancelFunc
-	done      chan struct{} // closed when all goroutines of the client have ended
+	done      chan struct{} // closed when both goroutines of the client have ended
 
 	mu           sync.Mutex
 	holders      map[lease.Duty]*lease.Holder
-	loggedTokens map[lease.Duty]lease.Token // the token that was logged last; 0: none
+	loggedTokens map[lease.Duty]lease.Token // as logged last; 0 or absent: not held
 	pending      map[uint64]pendingRequest
-	lastKey      uint64          // of requests
+	lastKey      uint64          // the key of the last request
 	conn         *transport.Conn // nil: not connected
-	leader       string          // the voter that was named as the leader last; "": not known
+	leader       string          // the name of the voter to try as leader next; "": not known
 	sharedWatch  *sharedWatch    // nil: this balancer polls discovery for itself
 }
 
-// Start begins a member that acquires the duties of its configuration. The configuration has to be
-// valid. observer may be nil. The caller has to call Close.
+// Start starts a member that tries to acquire the duties of its configuration. cfg must be valid; observer
+// may be nil. The caller must call Close.
 func Start(cfg controlgroup.Config, observer RequestObserver) *Client {
 	return StartContext(context.Background(), cfg, observer)
 }
 
-// StartContext is Start for a caller with a context: once ctx is done, the member has no connection any more
-// and releases nothing. The caller has to call Close in any case.
+// StartContext does the same as Start. Once ctx is done, the client closes its connection without releasing
+// its duties. The caller must call Close in any case.
 func StartContext(ctx context.Context, cfg controlgroup.Config, observer RequestObserver) *Client {
 	client := &Client{
 		cfg:          cfg,
@@ -75,7 +75,8 @@
 	return client
 }
 
-// run owns both of the client's goroutines: it ticks itself and waits for the other.
+// run is the first of the client's two goroutines. It starts the second, which keeps the connection, and
+// waits for its end.
 func (c *Client) run(ctx context.Context) {
 	defer close(c.done)
 	var connections sync.WaitGroup
@@ -84,17 +85,17 @@
 	connections.Wait()
 }
 
-// acquire begins to request a duty.
+// acquire makes the client request a duty, from the next tick on.
 func (c *Client) acquire(d lease.Duty) {
 	c.holders[d] = lease.NewHolder(c.timing, c.process, d)
 }
 
-// now is the clock of leases. It is monotonic, but does not advance while a whole machine is suspended,
-// which is why receivers of acts check tokens.
+// now returns the monotonic time by which leases are measured. It stands still while the machine is
+// suspended, so a lease may expire unnoticed: the receiver of an act must check its token.
 func (c *Client) now() time.Duration { return time.Since(c.startedAt) }
 
-// Token returns the token to act under, and whether the duty is held now. Call it before each act: its
-// result is valid only at this moment.
+// Token returns the fencing token of a duty, and whether this process holds the duty now. Call it before each
+// act: the lease may expire at any time after the call.
 func (c *Client) Token(duty lease.Duty) (token lease.Token, held bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,12 +120,12 @@
 	}
 }
 
-// tickLocked sends the requests that are due, and leaves a voter that does not respond.
+// tickLocked sends all requests that are due, and disconnects from a voter that does not respond.
 func (c *Client) tickLocked() {
 	now := c.now()
 	for duty, holder := range c.holders {
 		c.logChangeLocked(duty, holder, now)
-		// The group announces when a duty comes free. The pause is for an announcement that was lost.
+		// The group announces when a duty comes free. Retrying after a pause makes up for a lost announcement.
 		pause := c.timing.Duration/2 + rand.N(c.timing.Duration/2)
 		if request, due := holder.NextRequest(now, pause); due {
 			c.sendLeaseRequestLocked(holder, request)
@@ -136,7 +137,7 @@
 	c.leaveUnresponsiveVoterLocked()
 }
 
-// logChangeLocked logs when a duty was acquired or lost.
+// logChangeLocked logs whether a duty was acquired or lost since the last call.
 func (c *Client) logChangeLocked(duty lease.Duty, holder *lease.Holder, now time.Duration) {
 	token, _ := holder.Token(now)
 	last := c.loggedTokens[duty]
@@ -151,8 +152,8 @@
 	c.loggedTokens[duty] = token
 }
 
-// List requests from the leader all leases and all voters. It waits for a leader until ctx is done, whose error it
-// then wraps.
+// List requests all leases and voters from the leader. It retries until the leader responds or ctx is done; then
+// the error wraps that of ctx.
 func (c *Client) List(ctx context.Context) (protocol.Snapshot, error) {
 	for {
 		responses := make(chan protocol.Response, 1)
@@ -171,9 +172,9 @@
 	}
 }
 
-// Close releases all duties and ends the client: no duty is held from its call on. It tries for up
-// to releaseTimeout to notify the group, so that other members need not wait until the leases expire. It
-// returns when the client's goroutines have ended.
+// Close stops the client, which holds no duty from the call on. For up to releaseTimeout, Close waits for the
+// group to confirm the releases, so that other members need not wait until the leases expire. It returns when
+// the client's goroutines have ended.
 func (c *Client) Close(releaseTimeout time.Duration) {
 	c.mu.Lock()
 	for _, holder := range c.holders {
@@ -189,7 +190,7 @@
 	<-c.done
 }
 
-// releasePending reports whether the group has not confirmed the release of a duty yet.
+// releasePending reports whether the group still has to confirm the release of a duty.
 func (c *Client) releasePending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controlgroup/client/connection.go
+++ b/internal/controlgroup/client/connection.go
@@ -11,8 +11,8 @@
 	"piernotch/internal/controlgroup/transport"
 )
 
-// keepConnected keeps a connection to the leader until ctx is done: to the voter that was named as the
-// leader, or else to one voter after the other until one names it.
+// keepConnected keeps the client connected to the leader until ctx is done. While the leader is unknown, it
+// tries the voters in turn until one names it.
 func (c *Client) keepConnected(ctx context.Context) {
 	next := rand.IntN(len(c.cfg.Voters))
 	for ctx.Err() == nil {
@@ -29,7 +29,8 @@
 	}
 }
 
-// nextTarget returns the voter to connect to: the leader once after it was named, otherwise the next in turn.
+// nextTarget returns the voter to connect to: the named leader, or else the next voter in turn. It then forgets
+// the leader, so that an unreachable one is tried only once.
 func (c *Client) nextTarget(next int) controlgroup.Voter {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,7 +48,7 @@
 	return transport.Handshake{Group: c.cfg.Name, Name: c.cfg.Self}
 }
 
-// serve uses a new connection until it ends, or until ctx is done.
+// serve handles a new connection until it ends or ctx is done.
 func (c *Client) serve(ctx context.Context, conn *transport.Conn) {
 	release := context.AfterFunc(ctx, conn.Close)
 	defer release()
@@ -80,8 +81,8 @@
 	}
 }
 
-// handleResponseLocked handles the response to a request, or what the voter sends without one: that a
-// duty may have come free, and events of the shared watch.
+// handleResponseLocked handles the response to a request or an unsolicited message of the voter: a duty may
+// have come free, or the shared watch has an event.
 func (c *Client) handleResponseLocked(conn *transport.Conn, received *transport.Response) {
 	unsolicited := received.Key == 0
 	if holder := c.holders[received.FreedDuty]; unsolicited && holder != nil {
--- a/internal/controlgroup/client/doc.go
+++ b/internal/controlgroup/client/doc.go
@@ -1,16 +1,16 @@
-// Package client is a balancer's side of the control group. It does for duties what a leader elector does for
-// a Kubernetes lease: it acquires the duties of its configuration, renews them while the process runs,
-// and releases them at its end. It also carries the group's shared watch of discovery.
+// Package client is a balancer's side of the control group. It works like a leader elector on a Kubernetes
+// lease: it acquires the duties of its configuration, renews their leases while the process runs, and
+// releases them when the process ends. It also implements the group's shared watch of discovery.
 //
-// A client sends requests over one connection to one voter at a time. Only the voter that leads the group
-// responds to them; any other names the leader, and the client connects there. A client holds a duty only
-// for as long as its own monotonic clock says that the lease is valid, so a client without a
-// connection ends up holding nothing, and Token says so.
+// A client sends requests over one connection to one voter at a time. Only the leader serves them; any other
+// voter names the leader, and the client connects there. A client holds a duty only while the lease is valid
+// by the client's own monotonic clock. A client that loses its connection for long therefore loses all its
+// duties, and Token reports that.
 //
-// The package must not know what a duty is for, nor link the consensus of the voters. Callers are the
+// The package must not depend on what a duty is for, nor link the voters' consensus. Its callers are the
 // balancer's program and the laboratory.
 //
-// Each Client owns two goroutines, which Start begins and Close ends: one calls tickLocked at every
-// tickInterval, the other keeps the connection and reads from it. All state is under Client.mu; methods whose
-// names end in Locked are called with it held, and so are response handlers.
+// Each Client owns two goroutines, which Start starts and Close ends: one calls tickLocked at every
+// tickInterval, the other keeps the connection and reads from it. Client.mu guards all state. Methods whose
+// names end in Locked, and response handlers, are called with it held.
 package client
--- a/internal/controlgroup/client/request.go
+++ b/internal/controlgroup/client/request.go
@@ -8,30 +8,31 @@
 	"piernotch/internal/controlgroup/transport"
 )
 
-// RequestRecord is one request of a client, as the client saw it.
+// RequestRecord is a request that has ended, as the client saw it.
 type RequestRecord struct {
 	Request    protocol.Request
 	SentAt     time.Time
-	ReceivedAt time.Time         // of the response, or when the connection ended
+	ReceivedAt time.Time         // when the response arrived or the connection ended
 	Response   protocol.Response // the zero value if Err is set
-	Err        error             // transport.ErrClosed if there was no response
+	Err        error             // transport.ErrClosed if the connection ended without a response
 }
 
-// RequestObserver is called with every request once it has ended. The laboratory checks the history of
-// requests by it. It is called with the client's lock held: it must neither block nor call the client.
+// RequestObserver is called once for each request that has ended. The laboratory checks the request history
+// with it. It is called with the client's lock held: it must not block, and would deadlock if it called the
+// client.
 type RequestObserver func(RequestRecord)
 
 // responseHandler takes the response to a request. It is called with the client's lock held.
 type responseHandler func(protocol.Response)
 
-// pendingRequest is a request that was sent and has no response yet.
+// pendingRequest is a request that has no response yet.
 type pendingRequest struct {
 	request protocol.Request
 	sentAt  time.Time
 	handle  responseHandler
 }
 
-// sendLeaseRequestLocked sends a request of a holder, which gets its outcome.
+// sendLeaseRequestLocked sends a request of a lease holder, and passes the outcome to the holder.
 func (c *Client) sendLeaseRequestLocked(holder *lease.Holder, request lease.Request) {
 	sent := c.sendLocked(protocol.RequestFor(request), func(response protocol.Response) {
 		if protocol.IsFinal(response.Err) {
@@ -45,8 +46,8 @@
 	}
 }
 
-// sendLocked sends a request and reports whether there is a connection to send it on. If so, handle is
-// called once: with the response, or with ErrOutcomeUnknown when the connection ends without one.
+// sendLocked sends a request, and returns false if there is no connection. Otherwise it calls handle once: with
+// the response, or with ErrOutcomeUnknown if the connection ends first.
 func (c *Client) sendLocked(request protocol.Request, handle responseHandler) bool {
 	if c.conn == nil {
 		return false
@@ -64,7 +65,8 @@
 	return true
 }
 
-// leaveUnresponsiveVoterLocked closes the connection to a voter that has not responded in time.
+// leaveUnresponsiveVoterLocked closes the connection if a request on it has had no response within
+// responseTimeout. The client then tries the next voter in turn.
 func (c *Client) leaveUnresponsiveVoterLocked() {
 	if c.conn == nil {
 		return
@@ -78,7 +80,7 @@
 	}
 }
 
-// failPendingLocked ends all requests whose connection has ended.
+// failPendingLocked ends all pending requests with ErrOutcomeUnknown, because their connection has ended.
 func (c *Client) failPendingLocked() {
 	for key, pending := range c.pending {
 		c.observeLocked(pending, protocol.Response{}, transport.ErrClosed)
--- a/internal/controlgroup/client/shared_watch.go
+++ b/internal/controlgroup/client/shared_watch.go
@@ -12,26 +12,26 @@
 	"piernotch/internal/controlgroup/watch"
 )
 
-// sharedWatch is the duty of polling discovery for all members. The holder of the duty publishes what its
-// polls return; the others apply that, and poll only when no events reach them. All state is
-// under the client's lock.
+// sharedWatch is this balancer's part in the shared watch. The holder of the watch's duty publishes what its
+// polls return. The other members apply those events, and poll only while they receive none. The client's lock
+// guards all state.
 type sharedWatch struct {
 	client   *Client
 	duty     lease.Duty
 	onUpdate controlgroup.OnUpdate
-	address  string         // where this balancer reaches what the group calls cfg.Source
+	address  string         // where this balancer reaches the discovery that DiscoveryName names
 	log      watch.EventLog // what this balancer's own polls returned
 	follower *watch.Follower
 	holder   *watch.Holder
 
-	publishedToken   lease.Token // the token under which log was published last; 0: it has to be published again
-	publishedVersion uint64      // how far log was published
-	currentSource    string      // the discovery that this balancer uses now
-	knownSource      string      // of knownVersion
+	publishedToken   lease.Token // of the last publication; 0: the whole log must be published again
+	publishedVersion uint64      // the last version of log that was published
+	currentSource    string      // the name of the discovery that this balancer uses now
+	knownSource      string      // the source of knownVersion
 	knownVersion     uint64      // the last version that this balancer is known to have
-	independent      bool        // as logged last: polls although it does not hold the duty
-	// reacquireAt > 0: the duty was released because discovery did not respond, and is acquired again from
-	// then on.
+	independent      bool        // as logged last: this balancer polls without holding the duty
+	// reacquireAt is above 0 while the duty is released because discovery did not respond. The client tries to
+	// acquire the duty again from then on.
 	reacquireAt     time.Duration
 	lastSubscribeAt time.Duration // when missing events were requested last
 }
@@ -48,7 +48,7 @@
 	}
 }
 
-// SharedWatch begins the balancer's part in the shared watch; it is a controlgroup.JoinWatch. onUpdate is called
+// SharedWatch joins the balancer to the shared watch; the method is a controlgroup.JoinWatch. onUpdate is called
 // from the client's goroutines.
 func (c *Client) SharedWatch(source string, onUpdate controlgroup.OnUpdate) controlgroup.SharedWatch {
 	if c.sharedWatch == nil {
@@ -62,7 +62,7 @@
 	return lockedSharedWatch{c.sharedWatch}
 }
 
-// lockedSharedWatch is the shared watch as the balancer sees it: each method takes the client's lock.
+// lockedSharedWatch implements controlgroup.SharedWatch for the balancer. Each method takes the client's lock.
 type lockedSharedWatch struct{ w *sharedWatch }
 
 // ShouldPoll implements controlgroup.SharedWatch.
@@ -93,7 +93,8 @@
 	l.w.requestUpdateLocked(source, version)
 }
 
-// commonName returns the name that all members have for the discovery that this one reaches at an address.
+// commonName returns the name that all members use for the discovery at address: the configured DiscoveryName,
+// or else the address.
 func (w *sharedWatch) commonName(address string) string {
 	if w.client.cfg.DiscoveryName != "" && address == w.address {
 		return w.client.cfg.DiscoveryName
@@ -101,7 +102,7 @@
 	return address
 }
 
-// tokenLocked returns the token of the duty, and whether this balancer holds it.
+// tokenLocked returns the fencing token of the watch's duty, and whether this balancer holds the duty.
 func (w *sharedWatch) tokenLocked(now time.Duration) (token lease.Token, held bool) {
 	return w.client.holders[w.duty].Token(now)
 }
@@ -120,7 +121,7 @@
 		slog.Info("group: polling discovery", "independent", independent, "duty", w.duty)
 	}
 	logSource, _, hasEvents := w.log.Version()
-	// What is published begins with a complete list of the current discovery.
+	// The published events must begin with a complete list of the current discovery.
 	needsCompleteList := !hasEvents || logSource != w.currentSource
 	return poll, held && needsCompleteList
 }
@@ -131,7 +132,7 @@
 	w.knownVersion = event.ToVersion
 	w.holder.PollSucceeded(w.client.now())
 	if err := w.log.Append(0, event); errors.Is(err, watch.ErrVersionGap) {
-		w.log = watch.EventLog{} // shouldPollLocked requests a complete list next
+		w.log = watch.EventLog{} // shouldPollLocked then requests a complete list
 		return
 	}
 	w.publishLocked()
@@ -141,14 +142,15 @@
 	w.knownSource = w.commonName(source)
 	w.knownVersion = version
 	now := w.client.now()
-	// Until the response is here, each further event shows the same gap.
+	// Until the missing events arrive, each further event shows the same gap: one request per interval is enough.
 	if now >= w.lastSubscribeAt+watch.DefaultTiming.HeartbeatInterval {
 		w.lastSubscribeAt = now
 		w.subscribeLocked()
 	}
 }
 
-// subscribeLocked requests from the leader all events after the known version, from now on.
+// subscribeLocked asks the leader for all events after the known version, and for each later one as it is
+// published.
 func (w *sharedWatch) subscribeLocked() {
 	w.client.sendLocked(protocol.Request{
 		Kind:    protocol.Subscribe,
@@ -157,14 +159,15 @@
 	}, func(protocol.Response) {})
 }
 
-// connectedLocked starts over with another voter, which may have none of the events.
+// connectedLocked handles a new connection, whose voter may have none of the events: it subscribes, and the next
+// tick publishes the whole log again if this balancer holds the duty.
 func (w *sharedWatch) connectedLocked() {
 	w.publishedToken = 0
 	w.subscribeLocked()
 }
 
-// tickLocked publishes heartbeats while this balancer holds the duty, and releases the duty while discovery
-// does not respond to it, so that another member may try.
+// tickLocked publishes heartbeats while this balancer holds the duty. If discovery does not respond to this
+// balancer, it releases the duty so that another member can try.
 func (w *sharedWatch) tickLocked(now time.Duration) {
 	token, held := w.tokenLocked(now)
 	switch {
@@ -191,8 +194,8 @@
 	}
 }
 
-// publishLocked publishes what own polls returned since the last call. Under a new token it begins with the
-// complete list.
+// publishLocked publishes what this balancer's own polls returned since the last call. Under a new token it
+// publishes the whole log, which begins with the complete list.
 func (w *sharedWatch) publishLocked() {
 	now := w.client.now()
 	token, held := w.tokenLocked(now)
@@ -203,7 +206,7 @@
 	events := w.log.Since(source, w.publishedVersion)
 	if w.publishedToken != token {
 		events = w.log.Since("", 0)
-		w.holder.PollSucceeded(now) // a new holder gets the whole timeout for its first poll
+		w.holder.PollSucceeded(now) // a new holder has the full PollTimeout for its first poll
 	}
 	w.publishedToken = token
 	w.knownSource = source
@@ -214,7 +217,8 @@
 	w.publishedVersion = version
 }
 
-// publishEventLocked publishes one event. If the leader lacks what precedes it, all is published again.
+// publishEventLocked publishes one event. If the leader rejects it because earlier events are missing or the
+// token is stale, the next tick publishes the whole log again.
 func (w *sharedWatch) publishEventLocked(token lease.Token, event controlgroup.WatchEvent) {
 	w.client.sendLocked(protocol.Request{
 		Kind:    protocol.Publish,
@@ -227,8 +231,8 @@
 	})
 }
 
-// handleEventLocked passes an event of the holder on to the balancer. It ignores a holder that polls
-// another discovery, one that has been replaced, and this balancer's own events.
+// handleEventLocked passes a holder's event to the balancer. It ignores events of another discovery, events of
+// a holder that has been replaced, and all events while this balancer holds the duty itself.
 func (w *sharedWatch) handleEventLocked(token lease.Token, event controlgroup.WatchEvent) {
 	if event.Source != w.currentSource {
 		return
--- a/internal/controlgroup/client/shared_watch_test.go
+++ b/internal/controlgroup/client/shared_watch_test.go
@@ -10,7 +10,8 @@
 	"piernotch/internal/controlgroup/watch"
 )
 
-// A balancer whose settings name another discovery does not rely on a holder that polls the old one.
+// A balancer whose settings change to another discovery must poll for itself, and not rely on a holder that
+// still polls the old one.
 func TestHolderPollingAnotherDiscoveryIsIgnored(t *testing.T) {
 	c := Start(controlgroup.Config{
 		Name: "g", Self: "a", LeaseDuration: time.Second, WatchDuty: "watch",
