--- a/internal/controlgroup/transport/connection.go
+++ b/internal/controlgroup/transport/connection.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	handshakeTimeout = 2 * time.Second // for connecting, and again for the handshakes
+	handshakeTimeout = 2 * time.Second // for connecting, and again for exchanging handshakes
 	writeTimeout     = 2 * time.Second // for each frame
-	sendQueueSize    = 256             // frames that wait to be written; more are dropped
+	sendQueueSize    = 256             // frames; further ones are dropped
 	maxIdleBuffer    = 64 << 10        // bytes; a larger write buffer is not reused
 )
 
-// Conn is a connection after its handshakes. Read may be called from one goroutine at a time, all
-// other methods from any.
+// Conn is a connection whose handshakes are done. Only one goroutine at a time may call Read; all other
+// methods are safe for concurrent use.
 type Conn struct {
-	Peer      Handshake // of the other side
+	Peer      Handshake // the peer's handshake
 	nc        net.Conn
 	reader    *bufio.Reader
 	sendQueue chan Frame
@@ -25,8 +25,8 @@
 	done      chan struct{}
 }
 
-// Accept exchanges the handshakes on a new network connection, and closes it if the peer is rejected.
-// handshake returns the local one. The caller has to close the returned connection.
+// Accept exchanges handshakes on a new network connection; handshake returns the local one. If that fails or
+// the peer is rejected, Accept closes netConn. The caller must close the returned connection.
 func Accept(netConn net.Conn, handshake func() Handshake) (*Conn, error) {
 	conn := &Conn{
 		nc:        netConn,
@@ -46,7 +46,7 @@
 	return conn, nil
 }
 
-// Dial connects to the member that listens at a TCP address, and exchanges the handshakes as Accept does.
+// Dial connects to a member's TCP address and then does the same as Accept.
 func Dial(address string, handshake func() Handshake) (*Conn, error) {
 	netConn, err := net.DialTimeout("tcp", address, handshakeTimeout)
 	if err != nil {
@@ -55,8 +55,8 @@
 	return Accept(netConn, handshake)
 }
 
-// Send queues a frame and returns at once. It drops the frame if the queue is full or the connection is
-// closed: as with any loss on the network, senders that need a response send again.
+// Send queues a frame and returns at once. The frame is lost if the queue is full or the connection is closed.
+// A sender that needs a response must send again, as after any loss on the network.
 func (c *Conn) Send(frame Frame) {
 	select {
 	case c.sendQueue <- frame:
@@ -64,7 +64,7 @@
 	}
 }
 
-// writeQueued writes queued frames until the connection is closed, and closes it if it cannot write.
+// writeQueued writes queued frames until the connection is closed. It closes the connection on a write error.
 func (c *Conn) writeQueued() {
 	var buf []byte
 	for {
@@ -82,7 +82,7 @@
 	}
 }
 
-// write writes one frame, and returns the buffer for the next.
+// write writes one frame. It returns the buffer to reuse for the next frame, or nil if the buffer grew too large.
 func (c *Conn) write(buf []byte, frame Frame) ([]byte, error) {
 	buf, err := Append(buf, frame)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return buf, nil
 }
 
-// Read returns the next frame. It closes the connection if it returns an error.
+// Read blocks until it has the next frame. On an error it closes the connection.
 func (c *Conn) Read() (Frame, error) {
 	frame, err := Read(c.reader)
 	if err != nil {
@@ -107,11 +107,11 @@
 	return frame, err
 }
 
-// Done returns a channel that is closed when the connection is.
+// Done returns a channel that is closed together with the connection.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// Close closes the connection and ends its goroutine. Frames that are still queued are dropped. It may be
-// called more than once.
+// Close closes the connection, ends its goroutine and drops the frames that are still queued. It may be called
+// more than once.
 func (c *Conn) Close() {
 	c.closeOnce.Do(func() {
 		close(c.done)
--- a/internal/controlgroup/transport/doc.go
+++ b/internal/controlgroup/transport/doc.go
@@ -1,11 +1,11 @@
 // Package transport carries the protocol of a control group between its members: CBOR frames over TCP,
-// each with its length and its checksum.
+// each with its length and a checksum.
 //
-// A connection begins with one Handshake each way, which names the group, the version of the frames and the
-// member. A peer of another group or version is rejected with an error that names it, and nothing
-// else that it sends is read.
+// A connection begins with one Handshake each way, which names the group, the version of the frame format
+// and the member. A peer of another group or version is rejected with an error that names the peer, and
+// nothing else that it sends is read.
 //
-// The package owns the form of the frames, which members of an older release have to understand: keys and values
-// do not change. It must not know what the frames mean. Callers are the voter, which accepts and
-// dials connections, and the client, which dials them.
+// The package owns the frame format. Members of an older release must understand it, so keys and values must
+// not change. The package does not interpret the frames. Its callers are the voter, which accepts and dials
+// connections, and the client, which dials them.
 package transport
--- a/internal/controlgroup/transport/errors.go
+++ b/internal/controlgroup/transport/errors.go
@@ -8,17 +8,17 @@
 	"piernotch/internal/controlgroup/watch"
 )
 
-// Errors of a connection. They are wrapped with what was received.
+// Errors of a connection. ErrInvalidFrame and ErrIncompatiblePeer are wrapped with what was received.
 var (
 	ErrInvalidFrame     = errors.New("invalid frame")
 	ErrIncompatiblePeer = errors.New("incompatible peer")
 	ErrClosed           = errors.New("connection is closed")
 )
 
-// ErrorCode is the error of a response as it is sent. 0 is no error.
+// ErrorCode encodes the error of a response. 0 means no error.
 type ErrorCode uint8
 
-// errorsByCode has the error of each code. Codes are part of the wire format: new ones go to the end.
+// errorsByCode lists the error of each code. The index is the code on the wire: new errors go to the end.
 var errorsByCode = []error{
 	nil,
 	lease.ErrHeld,
@@ -32,10 +32,11 @@
 	watch.ErrTooLarge,
 }
 
-// codeOutcomeUnknown stands for every error without a code of its own.
+// codeOutcomeUnknown is the index of protocol.ErrOutcomeUnknown. It is also sent for errors without a code.
 const codeOutcomeUnknown ErrorCode = 4
 
-// ErrorCodeOf returns the code of an error, that of protocol.ErrOutcomeUnknown for one without a code.
+// ErrorCodeOf returns the code of an error: 0 for nil, and the code of protocol.ErrOutcomeUnknown for an error
+// without its own.
 func ErrorCodeOf(err error) ErrorCode {
 	if err == nil {
 		return 0
@@ -48,8 +49,8 @@
 	return codeOutcomeUnknown
 }
 
-// Err returns the error of a code: nil for 0, protocol.ErrOutcomeUnknown for a code that this program
-// does not know.
+// Err returns the error of a code: nil for 0, and protocol.ErrOutcomeUnknown for a code that this program does
+// not know.
 func (c ErrorCode) Err() error {
 	if int(c) < len(errorsByCode) {
 		return errorsByCode[c]
--- a/internal/controlgroup/transport/frame.go
+++ b/internal/controlgroup/transport/frame.go
@@ -13,8 +13,8 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// A frame is a header and its CBOR data. The header is the length of the data in bytes (4 bytes, big endian)
-// and the xxHash64 of the data (8 bytes, big endian).
+// A frame is a header followed by CBOR data. The header holds the data's length in bytes (4 bytes, big endian)
+// and the data's xxHash64 (8 bytes, big endian).
 const (
 	lengthSize   = 4
 	checksumSize = 8
@@ -22,7 +22,7 @@
 	maxFrameSize = 1 << 20 // bytes of data
 )
 
-// Frame is what is sent at once. Exactly one of its parts is set.
+// Frame is one message on a connection. Exactly one field is set.
 type Frame struct {
 	Handshake    *Handshake    `cbor:"1,keyasint,omitempty"`
 	VoterMessage *VoterMessage `cbor:"2,keyasint,omitempty"`
@@ -30,7 +30,7 @@
 	Response     *Response     `cbor:"4,keyasint,omitempty"`
 }
 
-// VoterMessage is a message between two voters. One of Announcement, Accepted and Raft is set.
+// VoterMessage is a message between two voters. Exactly one of Announcement, Accepted and Raft is set.
 type VoterMessage struct {
 	From         protocol.VoterID       `cbor:"1,keyasint"`
 	To           protocol.VoterID       `cbor:"2,keyasint"`
@@ -41,7 +41,7 @@
 
 // Request is a member's request to the leader; see protocol.Request.
 type Request struct {
-	// Key is chosen by the sender, and repeated in the response; 0: no response is expected.
+	// Key is the sender's number for this request, which the response repeats; 0: no response is expected.
 	Key     uint64                   `cbor:"1,keyasint"`
 	Kind    protocol.Kind            `cbor:"2,keyasint"`
 	Command lease.Command            `cbor:"3,keyasint"`
@@ -49,20 +49,21 @@
 	Event   *controlgroup.WatchEvent `cbor:"5,keyasint,omitempty"`
 }
 
-// Response is the response to a Request or, with Key 0, what a voter sends on its own.
+// Response is the response to a Request or, with Key 0, an unsolicited message of a voter.
 type Response struct {
 	Key       uint64                   `cbor:"1,keyasint"`
 	Code      ErrorCode                `cbor:"2,keyasint"`
 	Grant     lease.Grant              `cbor:"3,keyasint,omitempty"`
 	Snapshot  protocol.Snapshot        `cbor:"4,keyasint,omitempty"`
-	Leader    string                   `cbor:"5,keyasint,omitempty"` // the name of the voter that leads; "": not known
+	Leader    string                   `cbor:"5,keyasint,omitempty"` // the leader's name; "": not known
 	FreedDuty lease.Duty               `cbor:"6,keyasint,omitempty"` // with Key 0: this duty may have come free
-	Duty      lease.Duty               `cbor:"7,keyasint,omitempty"` // with Key 0: the duty of the watch of Event
+	Duty      lease.Duty               `cbor:"7,keyasint,omitempty"` // with Key 0: the duty that Event belongs to
 	Token     lease.Token              `cbor:"8,keyasint,omitempty"` // the token under which Event was published
 	Event     *controlgroup.WatchEvent `cbor:"9,keyasint,omitempty"`
 }
 
-// decoder bounds what a frame may hold, so that a hostile one takes no more memory than its size allows.
+// decoder limits the elements and nesting of a frame, so that a malicious frame cannot take up far more memory
+// than its size.
 var decoder = newDecoder()
 
 func newDecoder() cbor.DecMode {
@@ -73,8 +74,8 @@
 	return mode
 }
 
-// Append appends the encoded frame to a buffer. It fails with ErrInvalidFrame if the frame is over
-// 1 MiB, and then returns the buffer as it was.
+// Append appends the encoded frame to a buffer. If the frame's data exceeds 1 MiB, it returns ErrInvalidFrame and
+// the buffer unchanged.
 func Append(to []byte, frame Frame) ([]byte, error) {
 	data, err := cbor.Marshal(frame)
 	if err != nil {
@@ -88,8 +89,8 @@
 	return append(to, data...), nil
 }
 
-// Read reads one frame. The error is that of the reader if no whole header came, io.EOF among them, and
-// otherwise wraps ErrInvalidFrame.
+// Read reads one frame. If the header is incomplete, it returns the reader's error, such as io.EOF. All other
+// errors wrap ErrInvalidFrame.
 func Read(reader io.Reader) (Frame, error) {
 	var frame Frame
 	var header [headerSize]byte
--- a/internal/controlgroup/transport/golden_test.go
+++ b/internal/controlgroup/transport/golden_test.go
@@ -17,10 +17,11 @@
 	"piernotch/internal/controlgroup/watch"
 )
 
-var update = flag.Bool("update", false, "write the golden files again; only where the form changes on purpose")
+var update = flag.Bool("update", false, "rewrite the golden files; only for an intended change of the format")
 
-// TestFramesGoldenFile guards the frames between members of a group, of which some may run an older
-// program: every part with every field set, every kind of question, operation and error.
+// TestFramesGoldenFile fails if the encoding of frames changes: members that run an older program could no longer
+// decode them. It covers each part of a frame with every field set, and the number of each request kind,
+// operation and error.
 func TestFramesGoldenFile(t *testing.T) {
 	accepted := true
 	event := &controlgroup.WatchEvent{
--- a/internal/controlgroup/transport/handshake.go
+++ b/internal/controlgroup/transport/handshake.go
@@ -8,23 +8,23 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// Version is the version of the frames. Members of another version are rejected.
+// Version is the version of the frame format. Peers of another version are rejected.
 const Version = 1
 
-// magic begins every handshake of this protocol.
+// magic identifies a handshake of this protocol. A peer that sends another is rejected.
 const magic = "piernotch-group"
 
-// Handshake is the first frame each way. Magic and Version are set by this package.
+// Handshake is the first frame in each direction. This package sets Magic and Version.
 type Handshake struct {
 	Magic        string           `cbor:"1,keyasint"`
 	Version      int              `cbor:"2,keyasint"`
 	Group        string           `cbor:"3,keyasint"`
-	Name         string           `cbor:"4,keyasint"`           // the member's
-	ID           protocol.VoterID `cbor:"5,keyasint,omitempty"` // of a voter's store; 0: not a voter
-	Bootstrapped bool             `cbor:"6,keyasint,omitempty"` // the store has been part of the group
+	Name         string           `cbor:"4,keyasint"`           // the member's name
+	ID           protocol.VoterID `cbor:"5,keyasint,omitempty"` // the ID of a voter's store; 0: not a voter
+	Bootstrapped bool             `cbor:"6,keyasint,omitempty"` // a voter's store has already been part of the group
 }
 
-// exchangeHandshakes sends the local handshake, and reads and checks that of the peer from r.
+// exchangeHandshakes sends the local handshake, and then reads and checks the peer's from reader.
 func exchangeHandshakes(netConn net.Conn, reader io.Reader, local Handshake) (peer Handshake, err error) {
 	local.Magic = magic
 	local.Version = Version
@@ -45,7 +45,8 @@
 	return *frame.Handshake, nil
 }
 
-// checkHandshake returns why a peer is rejected; peer is nil if its first frame was another.
+// checkHandshake returns the reason to reject a peer, or nil to accept it. peer is nil if the first frame was not
+// a handshake.
 func checkHandshake(local Handshake, peer *Handshake) error {
 	switch {
 	case peer == nil || peer.Magic != magic:
--- a/internal/controlgroup/transport/transport_test.go
+++ b/internal/controlgroup/transport/transport_test.go
@@ -59,7 +59,7 @@
 	require.Equal(t, protocol.ErrOutcomeUnknown, ErrorCode(200).Err())
 }
 
-// The error names what came from a peer that does not belong to the group.
+// A peer of another group, version or protocol is rejected, and the error tells what it sent.
 func TestIncompatiblePeerIsRejected(t *testing.T) {
 	local := func() Handshake { return Handshake{Group: "g", Name: "us"} }
 	frame := func(h Handshake) []byte {
