--- a/internal/controlgroup/watch/doc.go
+++ b/internal/controlgroup/watch/doc.go
@@ -1,14 +1,14 @@
-// Package watch has the decisions of the shared watch of discovery: which balancer polls discovery now, and
-// which events each applies. It is pure: the clock is an argument, and the endpoint lists are bytes that
-// it does not read.
+// Package watch decides for the shared watch of discovery which balancer polls discovery now and which events
+// each balancer applies. It is pure: the clock is an argument, and it does not read the endpoint lists, which
+// are opaque bytes.
 //
-// One balancer, the holder of the watch's duty, polls discovery and publishes what it gets (Holder). The
-// leader of the group keeps what was published in an EventLog, from which it serves members that
-// connect or have missed events. All others are followers (Follower). A follower that receives nothing from a
-// holder for Timing.HeartbeatTimeout, and a random time of up to Timing.TimeoutJitter more, polls discovery
-// itself until it receives something again. So without the group, or with a holder that is slow or
-// stopped, every balancer polls for itself, and they do not all begin at the same moment.
+// One balancer, the holder of the watch's duty, polls discovery and publishes the results (Holder). The group's
+// leader keeps them in an EventLog, from which it serves members that connect or have missed events. All other
+// balancers are followers (Follower). A follower that receives nothing from a holder for Timing.HeartbeatTimeout,
+// plus a random time below Timing.TimeoutJitter, polls discovery itself until it receives an event again. Thus
+// every balancer polls for itself if the group is unreachable or the holder is slow or stopped. The jitter
+// avoids a thundering herd: the followers do not all start to poll at the same moment.
 //
-// Callers are the client and the voter. Nothing in this package is safe for concurrent use: they call it
-// under their own locks.
+// The client and the voter call this package. Nothing in it is safe for concurrent use: both call it under
+// their own synchronization.
 package watch
--- a/internal/controlgroup/watch/event_log.go
+++ b/internal/controlgroup/watch/event_log.go
@@ -7,7 +7,7 @@
 	"piernotch/internal/controlgroup/lease"
 )
 
-// Bounds of an EventLog.
+// Limits of an EventLog.
 const (
 	MaxBodySize = 512 << 10 // bytes of one event
 	maxChanges  = 256       // events after the complete list
@@ -20,8 +20,8 @@
 	ErrTooLarge   = errors.New("event exceeds 512 KiB")
 )
 
-// EventLog is a complete list and the changes since, with the token of the holder that published them last. The
-// zero value is empty. The leader of a group keeps one for each duty, and each balancer that polls discovery
+// EventLog is a complete list and the changes to it, with the token under which the last of them was published.
+// The zero value is empty. A group's leader keeps one log for each duty; each balancer that polls discovery keeps
 // one of its own polls.
 type EventLog struct {
 	token   lease.Token
@@ -30,9 +30,9 @@
 	events  []controlgroup.WatchEvent // the first is a complete list
 }
 
-// Append adds an event that was published under a token. A complete list replaces the log; a change has to
-// apply to the log's version. The error is ErrStaleToken for an event older than the log, ErrVersionGap if
-// a complete list has to come first, and ErrTooLarge over MaxBodySize; the log is then as before.
+// Append adds an event that was published under a token. A complete list replaces the log; a change must apply
+// to the log's version. On an error the log is unchanged: ErrStaleToken means that the event is older than the
+// log, ErrVersionGap that a complete list must come first, and ErrTooLarge that the body exceeds MaxBodySize.
 func (l *EventLog) Append(token lease.Token, event controlgroup.WatchEvent) error {
 	if token < l.token {
 		return ErrStaleToken
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// replace begins the log anew with a complete list, which a holder may not publish for an older version.
+// replace starts a new log with a complete list. Under the same token, a list of an older version is rejected.
 func (l *EventLog) replace(token lease.Token, event controlgroup.WatchEvent) error {
 	if token == l.token && event.Source == l.source && event.ToVersion < l.version {
 		return ErrStaleToken
@@ -64,12 +64,12 @@
 	l.token = token
 	l.source = event.Source
 	l.version = event.ToVersion
-	l.events = []controlgroup.WatchEvent{event} // not the old array, of which Since has returned parts
+	l.events = []controlgroup.WatchEvent{event} // not the old array: callers of Since may still use it
 	return nil
 }
 
-// Since returns the events after a version of a source, or the whole log if it does not know that
-// version. The caller must not change them.
+// Since returns the events after a version of a source, or the whole log if that version is not in it. The caller
+// must not modify the result.
 func (l *EventLog) Since(source string, version uint64) []controlgroup.WatchEvent {
 	if source == l.source {
 		for i, event := range l.events {
@@ -81,10 +81,10 @@
 	return l.events
 }
 
-// Token returns the token under which the last event was published.
+// Token returns the token under which the last event was published; 0: none was.
 func (l *EventLog) Token() lease.Token { return l.token }
 
-// Version returns the source and version that the log leads to, and whether it holds any event.
+// Version returns the source and version of the log's last event, and whether there is any event.
 func (l *EventLog) Version() (source string, version uint64, hasEvents bool) {
 	return l.source, l.version, len(l.events) > 0
 }
--- a/internal/controlgroup/watch/event_log_test.go
+++ b/internal/controlgroup/watch/event_log_test.go
@@ -21,11 +21,11 @@
 			case 0:
 				e.Complete, e.FromVersion = true, 0
 			case 1:
-				e.FromVersion, e.ToVersion = version+3, version+4 // a change between was lost
+				e.FromVersion, e.ToVersion = version+3, version+4 // a change before this one was lost
 			case 2:
-				token++ // a new holder begins with a complete list
+				token++ // a new holder starts with a complete list
 				e.Complete, e.FromVersion = true, 0
-			case 3: // the holder before publishes once more
+			case 3: // the previous holder publishes once more
 				err := log.Append(token-1, controlgroup.WatchEvent{Source: "d", Complete: true, ToVersion: version + 9})
 				if log.token == token {
 					require.ErrorIs(t, err, ErrStaleToken)
--- a/internal/controlgroup/watch/follower.go
+++ b/internal/controlgroup/watch/follower.go
@@ -7,17 +7,17 @@
 	"piernotch/internal/controlgroup/lease"
 )
 
-// Follower decides whether a balancer polls discovery itself or relies on the holder. Times are those of
-// one monotonic clock of the caller's choice.
+// Follower decides whether a balancer polls discovery itself or relies on the holder. All times passed to it must
+// come from one monotonic clock.
 type Follower struct {
 	timing      Timing
 	rng         *rand.Rand
-	token       lease.Token   // the highest that was received
-	deadline    time.Duration // the holder is relied on until then
+	token       lease.Token   // the highest token received
+	deadline    time.Duration // until then, the balancer relies on the holder
 	independent bool
 }
 
-// NewFollower returns a follower that waits for a first heartbeat from now on.
+// NewFollower returns a follower that gives a holder the full timeout, from now on, for its first event.
 func NewFollower(timing Timing, rng *rand.Rand, now time.Duration) *Follower {
 	f := &Follower{timing: timing, rng: rng}
 	f.extendDeadline(now)
@@ -29,8 +29,8 @@
 	f.deadline = now + f.timing.HeartbeatTimeout + jitter
 }
 
-// EventReceived records that an event of the holder with that token was received, and reports whether the
-// event counts. An event of a holder that has been replaced does not: it must not be applied.
+// EventReceived records an event that was published under token, and reports whether it is valid. An event of a
+// holder that has been replaced is not: it must not be applied, and does not extend the timeout.
 func (f *Follower) EventReceived(now time.Duration, token lease.Token) bool {
 	if token < f.token {
 		return false
@@ -43,18 +43,18 @@
 // Role is a balancer's part in the shared watch.
 type Role uint8
 
-// Roles.
+// Roles in the shared watch.
 const (
-	RoleFollower Role = iota // another balancer may hold the watch's duty
+	RoleFollower Role = iota // this balancer does not hold the watch's duty; another may
 	RoleHolder               // this balancer holds it
 )
 
-// ShouldPoll reports whether this balancer polls discovery itself: because it is the holder, or because
-// there is no holder to rely on.
+// ShouldPoll reports whether this balancer must poll discovery itself, because it is the holder or because it has
+// received nothing from a holder in time.
 func (f *Follower) ShouldPoll(now time.Duration, role Role) bool {
 	f.independent = now >= f.deadline
 	return role == RoleHolder || f.independent
 }
 
-// Independent reports whether there was no holder to rely on when ShouldPoll was called last.
+// Independent reports whether the holder's timeout had passed at the last call of ShouldPoll.
 func (f *Follower) Independent() bool { return f.independent }
--- a/internal/controlgroup/watch/holder.go
+++ b/internal/controlgroup/watch/holder.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// Holder decides whether the balancer that polls for all may send heartbeats. Times are those of one
-// monotonic clock of the caller's choice.
+// Holder decides whether the balancer that polls for all may send heartbeats. All times passed to it must come
+// from one monotonic clock.
 type Holder struct {
 	timing        Timing
 	lastSuccess   time.Duration // of a poll
-	failed        bool          // the last poll
+	failed        bool          // the last poll failed
 	lastHeartbeat time.Duration
 }
 
-// NewHolder returns the state of a watch that counts as healthy at now.
+// NewHolder returns a Holder that counts now as the time of a successful poll.
 func NewHolder(timing Timing, now time.Duration) *Holder {
 	return &Holder{timing: timing, lastSuccess: now}
 }
 
-// PollSucceeded records a response of discovery, even one without a change.
+// PollSucceeded records that discovery responded to a poll, with or without a change.
 func (h *Holder) PollSucceeded(now time.Duration) {
 	h.lastSuccess = now
 	h.failed = false
 }
 
-// PollFailed records that a poll failed.
+// PollFailed makes the watch unhealthy until a poll succeeds.
 func (h *Holder) PollFailed() { h.failed = true }
 
-// Healthy reports whether others can rely on this balancer's watch.
+// Healthy reports whether others can rely on this balancer's watch: the last poll did not fail, and one
+// succeeded within Timing.PollTimeout.
 func (h *Holder) Healthy(now time.Duration) bool {
 	return !h.failed && now < h.lastSuccess+h.timing.PollTimeout
 }
 
-// HeartbeatDue reports whether to send a heartbeat now, and if so counts it as sent.
+// HeartbeatDue reports whether the caller must send a heartbeat now, and if so records it as sent.
 func (h *Holder) HeartbeatDue(now time.Duration) bool {
 	if !h.Healthy(now) || now < h.lastHeartbeat+h.timing.HeartbeatInterval {
 		return false
--- a/internal/controlgroup/watch/timing.go
+++ b/internal/controlgroup/watch/timing.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Timing is when holders and followers act. All members of a group use the same.
+// Timing has the intervals and timeouts of holders and followers. All members of a group use the same values.
 type Timing struct {
-	HeartbeatInterval time.Duration // how often a holder with a healthy watch says so
-	HeartbeatTimeout  time.Duration // a holder that has sent nothing for so long is not relied on
-	TimeoutJitter     time.Duration // a follower waits longer by a random time below this; it has to be above 0
-	PollTimeout       time.Duration // a holder without a successful poll for so long is not healthy
+	HeartbeatInterval time.Duration // between the heartbeats of a holder with a healthy watch
+	HeartbeatTimeout  time.Duration // without events for so long, followers no longer rely on the holder
+	TimeoutJitter     time.Duration // bound of the random time that a follower adds to the timeout; above 0
+	PollTimeout       time.Duration // without a successful poll for so long, a holder's watch is unhealthy
 }
 
-// DefaultTiming is what the members of every group use. Followers poll for a change that the holder received
-// and could not publish within HeartbeatTimeout and TimeoutJitter. Together these stay below six seconds,
-// after which the balancers are taken to know what discovery has returned.
+// DefaultTiming is the Timing of every group. If the holder receives a change and cannot publish it, followers
+// poll discovery themselves after at most HeartbeatTimeout + TimeoutJitter. This sum must stay below six seconds:
+// from then on, every balancer is assumed to know what discovery has returned.
 var DefaultTiming = Timing{
 	HeartbeatInterval: 500 * time.Millisecond,
 	HeartbeatTimeout:  2 * time.Second,
