--- a/internal/controlgroup/protocol/request.go
+++ b/internal/controlgroup/protocol/request.go
@@ -7,42 +7,42 @@
 	"piernotch/internal/controlgroup/lease"
 )
 
-// Errors of a Response, beside lease.ErrHeld and lease.ErrNotHeld. Package transport gives each a code.
+// Errors of a Response, in addition to lease.ErrHeld and lease.ErrNotHeld. Package transport has a code for each.
 var (
-	// ErrNotLeader: the request had no effect; another voter may lead.
+	// ErrNotLeader: the request had no effect; another voter may be the leader.
 	ErrNotLeader = errors.New("this voter is not the leader")
-	// ErrOutcomeUnknown: the request may have taken effect, or may do so yet.
+	// ErrOutcomeUnknown: the request may have taken effect, or may still do so.
 	ErrOutcomeUnknown = errors.New("leadership was lost: the outcome is unknown")
 	// ErrOverloaded: the request had no effect; too many others are pending.
 	ErrOverloaded = errors.New("too many pending requests")
-	// ErrNameInUse: the group has a voter of this name under another ID, and it is alive.
+	// ErrNameInUse: the group has a live voter with this name and another ID.
 	ErrNameInUse = errors.New("another voter of this name is alive")
 )
 
-// Kind is what a Request asks for.
+// Kind is what a Request asks the group to do.
 type Kind uint8
 
-// Kinds of requests. They are sent as numbers: new kinds go to the end.
+// Kinds of requests. Their numbers are part of the wire format: new kinds go to the end.
 const (
-	Propose   Kind = iota + 1 // carry out Command
-	Renew                     // renew what Command.Process holds of Command.Duty under Command.Token
-	Read                      // return who holds Command.Duty
-	AddVoter                  // add Voter, in place of an unreachable one of its name
-	List                      // return all grants and the voters
-	Publish                   // pass Event to the subscribers of Command.Duty, held under Command.Token
-	Subscribe                 // send the events published under Command.Duty, from Event.ToVersion on
+	Propose   Kind = iota + 1 // agree on Command and apply it
+	Renew                     // renew the lease of Command.Process on Command.Duty under Command.Token
+	Read                      // return the holder of Command.Duty
+	AddVoter                  // add Voter, in place of an unreachable voter of the same name
+	List                      // return all grants and all voters
+	Publish                   // send Event to the subscribers of Command.Duty, held under Command.Token
+	Subscribe                 // send the events published under Command.Duty after Event.ToVersion
 )
 
-// Request is sent to the leader of the group. Command is set for all kinds but AddVoter and List.
+// Request is a request to the group's leader. Command is set for all kinds except AddVoter and List.
 type Request struct {
-	Key     uint64 // the sender's own number; the response repeats it
+	Key     uint64 // the sender's number for this request; the response repeats it
 	Kind    Kind
 	Command lease.Command
-	Voter   Voter                    // of AddVoter
-	Event   *controlgroup.WatchEvent // of Publish and Subscribe
+	Voter   Voter                    // only for AddVoter
+	Event   *controlgroup.WatchEvent // only for Publish and Subscribe
 }
 
-// RequestFor returns the request that a lease holder wants sent, without a Key.
+// RequestFor converts a lease holder's request. The result has no Key yet.
 func RequestFor(r lease.Request) Request {
 	kind := Propose
 	if r.Renew {
@@ -55,12 +55,12 @@
 type Response struct {
 	Key      uint64
 	Grant    lease.Grant // the grant in force, where there is one
-	Snapshot Snapshot    // of List
-	Err      error       // nil, or one of this package's or package lease's
+	Snapshot Snapshot    // only for List
+	Err      error       // nil, or an error of this package or package lease
 }
 
-// IsFinal reports whether a response's error is a decision of the group, and not the lack of one: the request need
-// not be sent again.
+// IsFinal reports whether a response's error (nil included) is the group's decision on a lease request. If it is
+// not, the request must be sent again.
 func IsFinal(err error) bool {
 	return err == nil || errors.Is(err, lease.ErrHeld) || errors.Is(err, lease.ErrNotHeld)
 }
