--- a/internal/controlgroup/failpoint/doc.go
+++ b/internal/controlgroup/failpoint/doc.go
@@ -1,13 +1,13 @@
-// Package failpoint names deliberate faults, which show that the simulation of the control group (package
-// clustersim) finds what it is for. A build with the tag "planted" can enable one of them. Any other build has
-// neither the faults nor the package: it holds nothing then but this comment.
+// Package failpoint names the faults of a mutation test: each is a deliberate error in the control group that its
+// simulation (package clustersim) has to detect. A build with the tag "planted" can enable one fault at a time. In
+// any other build this package is empty and no code for faults exists.
 //
 // # Seams
 //
-// The source without the tag has no branch for a fault. It calls a few small functions, the seams, whose correct
-// bodies it holds; files *_planted.go wrap these and call the correct body unless their fault is enabled. Each
-// package with seams has them as the methods of one type. The variable through which they are called has that
-// type in safety_default.go or seams_default.go, and with the tag a type that embeds it.
+// Code without the tag has no branch for a fault. It calls a few small functions, the seams, in their correct
+// form. Files *_planted.go wrap a seam, and call the correct form unless their fault is enabled. In each package
+// the seams are the methods of one type, called through one variable. That variable has this type in
+// safety_default.go or seams_default.go; with the tag, it has a type that embeds this one.
 //
 //	seam                     faults
 //	lease/safety.go
@@ -27,9 +27,9 @@
 //	  replaceLostDisk        DiskUnchecked
 //	  writeAndSend           SentBeforeWritten
 //
-// The faults of a process that the simulation drives (what a holder, a receiver or a voter's event loop does) are
-// planted where the simulation drives it. What they need from packages lease and consensus is in the files
-// lease/holder_planted.go and consensus/state_machine_planted.go, which no other build has.
+// Some faults concern a process that the simulation drives: a holder, a receiver or a voter's event loop. Their
+// seams are in package clustersim. What these need from packages lease and consensus is in lease/holder_planted.go
+// and consensus/state_machine_planted.go, which only builds with the tag contain.
 //
-// The files *_planted.go ask Enabled, tests call Enable. The package must not know its callers.
+// The files *_planted.go call Enabled; tests call Enable. The package must not depend on its callers.
 package failpoint
