--- a/internal/controlgroup/client/client.go
+++ b/internal/controlgroup/client/client.go
@@ -91,7 +91,7 @@
 }
 
 // now returns the monotonic time by which leases are measured. It stands still while the machine is
-// suspended, so a lease may expire unnoticed: the receiver of an act must check its token.
+// suspended, so a lease may expire unnoticed. Receivers of acts therefore check the fencing token of each act.
 func (c *Client) now() time.Duration { return time.Since(c.startedAt) }
 
 // Token returns the fencing token of a duty, and whether this process holds the duty now. Call it before each
@@ -137,7 +137,7 @@
 	c.leaveUnresponsiveVoterLocked()
 }
 
-// logChangeLocked logs whether a duty was acquired or lost since the last call.
+// logChangeLocked writes a log line if a duty was acquired or lost since the last call.
 func (c *Client) logChangeLocked(duty lease.Duty, holder *lease.Holder, now time.Duration) {
 	token, _ := holder.Token(now)
 	last := c.loggedTokens[duty]
@@ -152,8 +152,8 @@
 	c.loggedTokens[duty] = token
 }
 
-// List requests all leases and voters from the leader. It retries until the leader responds or ctx is done; then
-// the error wraps that of ctx.
+// List requests all leases and voters from the leader. It retries until the leader responds or ctx is done. In the
+// latter case the error wraps ctx.Err().
 func (c *Client) List(ctx context.Context) (protocol.Snapshot, error) {
 	for {
 		responses := make(chan protocol.Response, 1)
--- a/internal/controlgroup/client/connection.go
+++ b/internal/controlgroup/client/connection.go
@@ -12,7 +12,7 @@
 )
 
 // keepConnected keeps the client connected to the leader until ctx is done. While the leader is unknown, it
-// tries the voters in turn until one names it.
+// tries the voters in turn until one names the leader.
 func (c *Client) keepConnected(ctx context.Context) {
 	next := rand.IntN(len(c.cfg.Voters))
 	for ctx.Err() == nil {
--- a/internal/controlgroup/client/request.go
+++ b/internal/controlgroup/client/request.go
@@ -25,7 +25,7 @@
 // responseHandler takes the response to a request. It is called with the client's lock held.
 type responseHandler func(protocol.Response)
 
-// pendingRequest is a request that has no response yet.
+// pendingRequest is a sent request, kept until its response arrives or the connection ends.
 type pendingRequest struct {
 	request protocol.Request
 	sentAt  time.Time
--- a/internal/controlgroup/client/shared_watch.go
+++ b/internal/controlgroup/client/shared_watch.go
@@ -167,7 +167,7 @@
 }
 
 // tickLocked publishes heartbeats while this balancer holds the duty. If discovery does not respond to this
-// balancer, it releases the duty so that another member can try.
+// balancer, tickLocked releases the duty so that another member can try.
 func (w *sharedWatch) tickLocked(now time.Duration) {
 	token, held := w.tokenLocked(now)
 	switch {
--- a/internal/controlgroup/errors.go
+++ b/internal/controlgroup/errors.go
@@ -66,7 +66,7 @@
 	return true
 }
 
-// fieldErrorsOf converts the problems that package tomlfile reports.
+// fieldErrorsOf converts the problems that package tomlfile reports into errors of this package.
 func fieldErrorsOf(problems tomlfile.Errors) FieldErrors {
 	var errs FieldErrors
 	for _, p := range problems {
--- a/internal/controlgroup/failpoint/doc.go
+++ b/internal/controlgroup/failpoint/doc.go
@@ -1,6 +1,6 @@
 // Package failpoint names the faults of a mutation test: each is a deliberate error in the control group that its
 // simulation (package clustersim) has to detect. A build with the tag "planted" can enable one fault at a time. In
-// any other build this package is empty and no code for faults exists.
+// any other build, this comment is all that the package holds, and no code for faults exists.
 //
 // # Seams
 //
@@ -28,7 +28,7 @@
 //	  writeAndSend           SentBeforeWritten
 //
 // Some faults concern a process that the simulation drives: a holder, a receiver or a voter's event loop. Their
-// seams are in package clustersim. What these need from packages lease and consensus is in lease/holder_planted.go
+// seams are in package clustersim. What they need from packages lease and consensus is in lease/holder_planted.go
 // and consensus/state_machine_planted.go, which only builds with the tag contain.
 //
 // The files *_planted.go call Enabled; tests call Enable. The package must not depend on its callers.
--- a/internal/controlgroup/protocol/voter.go
+++ b/internal/controlgroup/protocol/voter.go
@@ -2,7 +2,7 @@
 
 import "piernotch/internal/controlgroup/lease"
 
-// VoterID identifies a voter's store. It is drawn at random when the store is created, and is never 0.
+// VoterID identifies a voter by its store. It is drawn at random when the store is created, and is never 0.
 type VoterID uint64
 
 // Term is a raft term: each has at most one leader.
@@ -13,7 +13,7 @@
 type Voter struct {
 	ID      VoterID `cbor:"1,keyasint"`
 	Name    string  `cbor:"2,keyasint"`
-	Address string  `cbor:"3,keyasint"` // host:port; may be empty, since voters connect by their configuration
+	Address string  `cbor:"3,keyasint"` // host:port; may be empty, as voters connect to the addresses in their settings
 }
 
 // Snapshot is the replicated state that all voters agree on.
@@ -22,13 +22,14 @@
 	Voters []Voter        `cbor:"2,keyasint"`
 }
 
-// Announcement describes a voter's store to the other voters before the voter takes part. With it they detect a
-// store that was restored from an older copy: it could vote twice in one term or lack entries that it acknowledged.
+// Announcement describes a voter's store to the other voters before the voter takes part. It lets them detect a
+// store that was restored from an older copy: such a voter could vote twice in one term, or lack entries that it
+// acknowledged.
 type Announcement struct {
 	StartCount uint64 `cbor:"Starts"` // how often the store was opened, including this time
 	// Incarnation is drawn at random at each start. It distinguishes copies that were opened equally often.
 	Incarnation lease.Incarnation `cbor:"Run"`
-	Term        Term              `cbor:"Term"` // as in raft's hard state
+	Term        Term              `cbor:"Term"` // the term in raft's hard state
 	Vote        VoterID           `cbor:"Vote"` // the voter's vote in Term; 0: none
 	LastIndex   uint64            `cbor:"Last"` // the last index of the voter's log
 }
--- a/internal/controlgroup/transport/connection.go
+++ b/internal/controlgroup/transport/connection.go
@@ -17,7 +17,7 @@
 // Conn is a connection whose handshakes are done. Only one goroutine at a time may call Read; all other
 // methods are safe for concurrent use.
 type Conn struct {
-	Peer      Handshake // the peer's handshake
+	Peer      Handshake // as received from the peer
 	nc        net.Conn
 	reader    *bufio.Reader
 	sendQueue chan Frame
--- a/internal/controlgroup/transport/golden_test.go
+++ b/internal/controlgroup/transport/golden_test.go
@@ -17,7 +17,7 @@
 	"piernotch/internal/controlgroup/watch"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files; only for an intended change of the format")
+var update = flag.Bool("update", false, "rewrite the golden files; only where the format changes on purpose")
 
 // TestFramesGoldenFile fails if the encoding of frames changes: members that run an older program could no longer
 // decode them. It covers each part of a frame with every field set, and the number of each request kind,
--- a/internal/controlgroup/transport/handshake.go
+++ b/internal/controlgroup/transport/handshake.go
@@ -11,7 +11,7 @@
 // Version is the version of the frame format. Peers of another version are rejected.
 const Version = 1
 
-// magic identifies a handshake of this protocol. A peer that sends another is rejected.
+// magic identifies a handshake of this protocol. A peer that sends another value is rejected.
 const magic = "piernotch-group"
 
 // Handshake is the first frame in each direction. This package sets Magic and Version.
@@ -19,7 +19,7 @@
 	Magic        string           `cbor:"1,keyasint"`
 	Version      int              `cbor:"2,keyasint"`
 	Group        string           `cbor:"3,keyasint"`
-	Name         string           `cbor:"4,keyasint"`           // the member's name
+	Name         string           `cbor:"4,keyasint"`           // the member's name in the group's settings
 	ID           protocol.VoterID `cbor:"5,keyasint,omitempty"` // the ID of a voter's store; 0: not a voter
 	Bootstrapped bool             `cbor:"6,keyasint,omitempty"` // a voter's store has already been part of the group
 }
--- a/internal/controlgroup/watch/event_log.go
+++ b/internal/controlgroup/watch/event_log.go
@@ -81,7 +81,7 @@
 	return l.events
 }
 
-// Token returns the token under which the last event was published; 0: none was.
+// Token returns the token under which the last event was published, or 0 if there is no event.
 func (l *EventLog) Token() lease.Token { return l.token }
 
 // Version returns the source and version of the log's last event, and whether there is any event.
