--- a/internal/controlgroup/client/shared_watch_test.go
+++ b/internal/controlgroup/client/shared_watch_test.go
@@ -10,7 +10,8 @@
 	"piernotch/internal/controlgroup/watch"
 )
 
-// A balancer whose settings name another discovery does not rely on a holder that polls the old one.
+// A balancer whose settings change to another discovery must poll for itself, and not rely on a holder that
+// still polls the old one.
 func TestHolderPollingAnotherDiscoveryIsIgnored(t *testing.T) {
 	c := Start(controlgroup.Config{
 		Name: "g", Self: "a", LeaseDuration: time.Second, WatchDuty: "watch",
@@ -32,7 +33,7 @@
 	shared.ShouldPoll("new")
 	c.mu.Lock()
 	longAgo := -watch.DefaultTiming.HeartbeatTimeout - watch.DefaultTiming.TimeoutJitter
-	c.sharedWatch.follower.Heartbeat(longAgo, 1)
+	c.sharedWatch.follower.EventReceived(longAgo, 1)
 	c.mu.Unlock()
 	receive(2)
 	polls, _ = shared.ShouldPoll("new")
