--- a/internal/controlgroup/consensus/announcement.go
+++ b/internal/controlgroup/consensus/announcement.go
@@ -6,18 +6,18 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// peerProgress is what another voter's messages have shown of its store.
+// peerProgress is a lower bound of the state of another voter's store, taken from that voter's messages.
 type peerProgress struct {
 	term      protocol.Term
-	lastIndex uint64 // the highest that it acknowledged in term
-	voted     bool   // it voted, or was a candidate, in term
+	lastIndex uint64 // the highest index that the voter acknowledged in term
+	voted     bool   // the voter voted, or was a candidate, in term
 }
 
-// Outdated reports whether the group has seen a newer state of this voter's store. The state machine then takes no
-// part any more, and the store must not be used again under its ID.
+// Outdated reports whether the group has seen a newer state of this voter's store. The state machine then no longer
+// takes part, and the store must not be used again under its ID.
 func (m *StateMachine) Outdated() bool { return m.outdated }
 
-// checkAdmitted reports whether a majority has found the store new enough, and remembers it once it has.
+// checkAdmitted reports whether a majority has accepted the store, and records it once it has.
 func (m *StateMachine) checkAdmitted() bool {
 	if m.outdated {
 		return false
@@ -32,17 +32,17 @@
 			accepted++
 		}
 	}
-	// A voter that is being added knows no voters yet: its log is empty, and the leader fills it.
+	// A voter that is being added knows no voters yet, so it admits itself: its log is empty, and the leader fills it.
 	m.admitted = accepted > len(voters)/2
 	return m.admitted
 }
 
-// announce sends how new the store is to the voters that have not accepted it yet.
+// announce sends an announcement of the store's state to the voters that have not accepted it yet.
 func (m *StateMachine) announce() {
 	if m.outdated {
 		return
 	}
-	// MemoryStorage returns no error from either.
+	// MemoryStorage returns no error from either call.
 	hardState, _, _ := m.storage.InitialState()
 	lastIndex, _ := m.storage.LastIndex()
 	announcement := &protocol.Announcement{
@@ -60,7 +60,8 @@
 	}
 }
 
-// handleAnnouncement responds whether another voter's store is as new as what has been seen of it.
+// handleAnnouncement accepts another voter's store, unless an earlier start or earlier messages of that voter have
+// shown a newer state of the store. It sends the result to that voter.
 func (m *StateMachine) handleAnnouncement(from protocol.VoterID, announcement *protocol.Announcement) {
 	start := Start{Count: announcement.StartCount, Incarnation: announcement.Incarnation}
 	known := m.starts[from]
@@ -74,7 +75,7 @@
 	m.outbox = append(m.outbox, Message{From: m.config.ID, To: from, Accepted: &accepted})
 }
 
-// isCoveredBy reports whether an announced store holds everything that p shows it to have held.
+// isCoveredBy reports whether an announced store holds at least the state that p has recorded of it.
 func (p peerProgress) isCoveredBy(announcement *protocol.Announcement) bool {
 	if announcement.Term != p.term {
 		return announcement.Term > p.term
@@ -83,18 +84,18 @@
 	return announcement.LastIndex >= p.lastIndex && hasVote
 }
 
-// handleAcceptance notes that another voter found the announced store new enough.
+// handleAcceptance records that another voter has accepted this voter's announcement.
 func (m *StateMachine) handleAcceptance(from protocol.VoterID) { m.acceptedBy[from] = true }
 
-// handleRejection ends this voter's part because another voter has seen a newer state of its store, unless a
-// majority has accepted the store before.
+// handleRejection makes this voter Outdated, since the sender has seen a newer state of its store. A rejection
+// that arrives after a majority has accepted the store has no effect.
 func (m *StateMachine) handleRejection() {
 	if !m.admitted {
 		m.outdated = true
 	}
 }
 
-// recordProgress notes what a voter's message shows of its store.
+// recordProgress updates the recorded state of another voter's store from a message that it sent.
 func (m *StateMachine) recordProgress(from protocol.VoterID, msg *raftpb.Message) {
 	kind := msg.GetType()
 	if kind == raftpb.MsgPreVote || kind == raftpb.MsgPreVoteResp {
@@ -123,8 +124,8 @@
 	m.peers[from] = progress
 }
 
-// isAheadOfStore reports whether a leader's heartbeat names a commit index beyond this voter's log: the store
-// has lost entries that it acknowledged. Raft itself would panic over such a message.
+// isAheadOfStore reports whether msg is a leader's heartbeat with a commit index beyond the end of this voter's
+// log: the store has then lost entries that it acknowledged. Raft itself would panic on such a message.
 func (m *StateMachine) isAheadOfStore(msg *raftpb.Message) bool {
 	lastIndex, _ := m.storage.LastIndex() // MemoryStorage returns no error here
 	return msg.GetType() == raftpb.MsgHeartbeat &&
--- a/internal/controlgroup/consensus/apply.go
+++ b/internal/controlgroup/consensus/apply.go
@@ -16,10 +16,10 @@
 type EntryError struct {
 	Index uint64
 	Type  raftpb.EntryType
-	Err   error // nil: the type is unknown
+	Err   error // the decoding error; nil: the entry's type is unknown
 }
 
-// Error names the entry and what is wrong with it.
+// Error returns the entry's index, and either its unknown type or the decoding error.
 func (e *EntryError) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("entry %d has the unknown type %v", e.Index, e.Type)
@@ -30,10 +30,11 @@
 // Unwrap returns the decoding error, or nil.
 func (e *EntryError) Unwrap() error { return e.Err }
 
-// apply applies a committed entry.
+// apply applies a committed entry to the replicated state. On the first entry of its own term a leader starts the
+// expiry clock, and serves requests from then on.
 func (m *StateMachine) apply(now time.Duration, entry *raftpb.Entry) error {
 	m.applied = entry.GetIndex()
-	// The first entry of this leader's term comes after everything that earlier leaders committed.
+	// This entry follows everything that earlier leaders committed.
 	if m.raftLeader && m.expiry == nil && protocol.Term(entry.GetTerm()) == m.term {
 		m.expiry = lease.NewExpiryClock(m.config.Timing, now, m.table.Snapshot().Grants)
 	}
@@ -63,7 +64,7 @@
 	return &EntryError{Index: entry.GetIndex(), Type: entry.GetType(), Err: err}
 }
 
-// applyCommand applies a lease command, and responds to the request that it came from.
+// applyCommand applies a lease command, and responds to the request behind it if this voter proposed it.
 func (m *StateMachine) applyCommand(now time.Duration, entry commandEntry) {
 	grant, err := m.table.Apply(entry.Command)
 	if err == nil && m.expiry != nil {
@@ -74,9 +75,9 @@
 	}
 }
 
-// updateExpiry has the leader's clock follow a command that changed the table or confirmed a grant, and notes
-// duties that came free. It fails if the expiry of the grant is proposed, so that no response
-// may confirm it.
+// updateExpiry updates the leader's expiry clock after a command that changed the table or confirmed a grant, and
+// records freed duties. It fails if the grant's expiry has been proposed already: a response that confirmed the
+// grant would be wrong as soon as the expiry is applied.
 func (m *StateMachine) updateExpiry(now time.Duration, command lease.Command, grant lease.Grant) error {
 	switch command.Op {
 	case lease.Acquire, lease.Transfer:
--- a/internal/controlgroup/consensus/golden_test.go
+++ b/internal/controlgroup/consensus/golden_test.go
@@ -20,10 +20,10 @@
 
 const goldenID = 0x1122334455667701
 
-// goldenPath is a voter's file of group "example", voter "n1".
+// goldenPath is the file of voter "n1" of group "example".
 var goldenPath = filepath.Join("testdata", "n1.voter")
 
-// The values of the golden file, each field of them set.
+// The values in the golden file. Every field is set, so that a change of any field's encoding shows.
 var (
 	goldenVoters = []protocol.Voter{
 		{ID: goldenID, Name: "n1", Address: "127.0.0.1:18701"},
@@ -47,7 +47,7 @@
 		Seq:         34,
 		Voter:       protocol.Voter{ID: 0x1122334455667705, Name: "n3", Address: "127.0.0.1:18703"},
 	}
-	// One start: the order of more is not fixed.
+	// Only one start: the encoded order of several map entries is not fixed.
 	goldenStarts = map[protocol.VoterID]Start{0x1122334455667703: {Count: 41, Incarnation: 42}}
 	goldenHard   = &raftpb.HardState{Term: proto.Uint64(5), Vote: proto.Uint64(goldenID), Commit: proto.Uint64(8)}
 )
@@ -82,7 +82,7 @@
 	}
 }
 
-// writeVoterFile writes the golden values to a new file, by a voter of a known number.
+// writeVoterFile writes the golden values to a new file, under the fixed voter ID goldenID.
 func writeVoterFile(t *testing.T, path string) {
 	t.Helper()
 	disk, _, err := OpenStore(path, "example", "n1")
@@ -93,7 +93,8 @@
 	require.NoError(t, disk.Close())
 }
 
-// values returns all keys and values of a bbolt file, by bucket. How bbolt lays them out is its own.
+// values returns all values of a bbolt file by bucket and key. Comparing these leaves out bbolt's page layout, which is
+// no concern of this test.
 func values(t *testing.T, path string) map[string]string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, nil)
@@ -111,7 +112,7 @@
 	return all
 }
 
-// copyOfGolden copies the golden file to where it may be written.
+// copyOfGolden copies the golden file to a temporary directory, because opening a store writes to its file.
 func copyOfGolden(t *testing.T) string {
 	t.Helper()
 	if *update {
@@ -126,13 +127,13 @@
 	return path
 }
 
-// TestVoterFileGoldenFile guards what a voter keeps: a file of an older program is read to the same
-// values, and the same values are written to the same bytes, key by key.
+// TestVoterFileGoldenFile guards the format of voter files: an older program's file must decode to the same values,
+// and the same values must encode to the same bytes under each key.
 func TestVoterFileGoldenFile(t *testing.T) {
 	path := copyOfGolden(t)
 	fresh := filepath.Join(t.TempDir(), "fresh.voter")
 	writeVoterFile(t, fresh)
-	require.Equal(t, values(t, path), values(t, fresh), "the form on disk has changed")
+	require.Equal(t, values(t, path), values(t, fresh), "the format on disk has changed")
 
 	disk, log, err := OpenStore(path, "example", "n1")
 	require.NoError(t, err)
--- a/internal/controlgroup/consensus/membership.go
+++ b/internal/controlgroup/consensus/membership.go
@@ -13,16 +13,17 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// membershipChange is the context of a configuration change in the log: who proposed it, which request it
-// is for there, and the voter that requests to be added (also where the change removes another of its name).
+// membershipChange is the context of a configuration change in the log. Incarnation and Seq identify the proposing
+// voter's incarnation and the request behind the change. Voter is the voter to be added, also where this change
+// removes the old voter of the same name.
 type membershipChange struct {
 	Incarnation lease.Incarnation `cbor:"1,keyasint"`
 	Seq         requestSeq        `cbor:"2,keyasint"`
 	Voter       protocol.Voter    `cbor:"3,keyasint"`
 }
 
-// addVoter proposes one step towards the requested voter's membership: first the removal of an unreachable
-// voter of its name, then its addition. The requester repeats the request until it is a voter.
+// addVoter proposes the next of up to two changes: the removal of an unreachable voter of the same name, then the
+// addition of the requested voter. The requester repeats the request until it is a voter.
 func (m *StateMachine) addVoter(request protocol.Request) {
 	added := request.Voter
 	changeType := raftpb.ConfChangeAddNode
@@ -62,7 +63,8 @@
 	return recent || id == m.config.ID
 }
 
-// applyConfChange applies a committed change of the voters, and responds to the request that it came from.
+// applyConfChange applies a committed change of the voters, and responds to the request behind it if this voter
+// proposed it.
 func (m *StateMachine) applyConfChange(change *raftpb.ConfChange) error {
 	var origin membershipChange
 	if err := cbor.Unmarshal(change.GetContext(), &origin); err != nil {
@@ -77,7 +79,7 @@
 	if change.GetType() == raftpb.ConfChangeAddNode {
 		m.voters = append(m.voters, origin.Voter)
 	} else {
-		result = protocol.ErrOutcomeUnknown // the first of two steps: the requester repeats the request
+		result = protocol.ErrOutcomeUnknown // the first of two changes: the requester repeats the request
 	}
 	if request, found := m.takePendingProposal(origin.Incarnation, origin.Seq); found {
 		m.respond(request, lease.Grant{}, result)
--- a/internal/controlgroup/consensus/ready.go
+++ b/internal/controlgroup/consensus/ready.go
@@ -10,21 +10,21 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// Ready is what the caller has to do, in this order: make everything but Messages durable (Store.Write does),
-// send Messages, call Advance.
+// Ready holds the pending output of a StateMachine. The caller has to make everything but Messages durable
+// (Store.Write does), then send Messages, then call Advance.
 type Ready struct {
 	HardState  *raftpb.HardState          // nil: unchanged
-	Entries    []*raftpb.Entry            // to append; they replace entries of the same and of higher indexes
-	Snapshot   *raftpb.Snapshot           // from the leader; it replaces snapshot and log. nil: none
+	Entries    []*raftpb.Entry            // to append; they replace the entries from the first one's index on
+	Snapshot   *raftpb.Snapshot           // from the leader; it replaces the stored snapshot and the log. nil: none
 	Compaction *raftpb.Snapshot           // of this voter's state; it replaces the entries up to its index. nil: none
-	Starts     map[protocol.VoterID]Start // the last that each other voter announced; nil: unchanged
-	Messages   []Message                  // for other voters; losing some is safe
+	Starts     map[protocol.VoterID]Start // the last accepted start of each other voter; nil: unchanged
+	Messages   []Message                  // to other voters; losing some is safe
 
 	raft    raft.Ready
-	hasRaft bool // raft is set, and expects to be advanced
+	hasRaft bool // raft is set, and has to be passed to the raft node's Advance
 }
 
-// Empty reports whether there is nothing to make durable. There may be messages nevertheless.
+// Empty reports whether there is nothing to make durable. Messages may be present all the same.
 func (r *Ready) Empty() bool {
 	return r.HardState == nil &&
 		len(r.Entries) == 0 &&
@@ -33,8 +33,8 @@
 		r.Starts == nil
 }
 
-// Ready returns what the caller has to do next, and whether there is anything. Each Ready is returned once;
-// the one after it may be requested only when it has been passed to Advance.
+// Ready returns the pending output, and whether there is any. Each output is returned once. It must be passed
+// to Advance before Ready is called again.
 func (m *StateMachine) Ready() (Ready, bool) {
 	ready := Ready{Messages: m.outbox, Compaction: m.pendingCompaction}
 	m.outbox = nil
@@ -53,7 +53,7 @@
 	return ready, ready.hasRaft || len(ready.Messages) > 0 || !ready.Empty()
 }
 
-// addRaftReady adds what raft wants written and sent.
+// addRaftReady adds the state to write and the messages to send that raft has ready.
 func (m *StateMachine) addRaftReady(ready *Ready) {
 	fromRaft := m.node.Ready()
 	ready.raft = fromRaft
@@ -74,8 +74,8 @@
 	}
 }
 
-// Advance takes note that a Ready has been written and sent: committed entries are applied, and the requests
-// that waited for them get their responses (see Responses). An error means that committed data cannot be applied;
+// Advance is called when a Ready has been written and sent. It applies committed entries, and adds the responses
+// to the requests that waited for them (see Responses). An error means that committed data cannot be applied;
 // the voter must stop.
 func (m *StateMachine) Advance(now time.Duration, ready Ready) error {
 	if !ready.hasRaft {
@@ -104,7 +104,7 @@
 	return m.compactLog()
 }
 
-// saveToStorage gives raft's in-memory storage what has been made durable.
+// saveToStorage copies what has been made durable to raft's in-memory storage.
 func (m *StateMachine) saveToStorage(ready Ready) error {
 	if ready.Snapshot != nil {
 		if err := m.storage.ApplySnapshot(ready.Snapshot); err != nil {
@@ -120,8 +120,8 @@
 	return m.storage.Append(ready.Entries)
 }
 
-// updateRole follows changes of the leader and of this voter's own role. A new term ends this voter's
-// leadership of the last one, though it may lead again.
+// updateRole records changes of the leader and of this voter's own role. A new term aborts the pending requests of
+// the last one, even where this voter leads again.
 func (m *StateMachine) updateRole(soft *raft.SoftState) {
 	if soft != nil {
 		m.leader = protocol.VoterID(soft.Lead)
--- a/internal/controlgroup/consensus/requests.go
+++ b/internal/controlgroup/consensus/requests.go
@@ -13,31 +13,31 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// maxPendingRequests bounds the requests that wait at one leader; more are rejected with ErrOverloaded.
+// maxPendingRequests bounds the pending requests at a leader; further ones are rejected with ErrOverloaded.
 const maxPendingRequests = 4096
 
-// requestSeq numbers the requests of one incarnation of a voter, from 1 on. 0 stands for none: the leader's own
-// proposals, for which no client waits.
+// requestSeq numbers the requests to one incarnation of a voter, from 1 on. 0 marks the leader's own proposals, which
+// no client waits for.
 type requestSeq uint64
 
-// commandEntry is a lease command in the log, with the incarnation of the voter that proposed it and the
-// request it came from there. Other voters apply the command and ignore the rest.
+// commandEntry is a log entry with a lease command. Incarnation and Seq identify the proposing voter's incarnation
+// and the request behind the command; other voters ignore both.
 type commandEntry struct {
 	Incarnation lease.Incarnation `cbor:"1,keyasint"`
 	Seq         requestSeq        `cbor:"2,keyasint"`
 	Command     lease.Command     `cbor:"3,keyasint"`
 }
 
-// pendingRequest is a request that has no response yet.
+// pendingRequest is a request without a response so far.
 type pendingRequest struct {
 	request protocol.Request
-	// readIndex is, of a read whose leadership is confirmed, the index that has to be applied before it is
-	// served. 0: not confirmed yet.
+	// readIndex is the index that has to be applied before a read may be served. 0: a majority has not confirmed
+	// yet that this voter leads. Not used for proposals.
 	readIndex uint64
 }
 
-// Propose takes a client's request; now is as for Tick. Its response comes from Responses, at once or later, or
-// never where this voter loses its connection to the others: the client has to limit how long it waits.
+// Propose handles a client's request; now is as for Tick. Responses returns the response at once, later, or never
+// if this voter loses its connections to the others: the client needs a timeout.
 // Only the leader serves requests; other voters respond with protocol.ErrNotLeader.
 func (m *StateMachine) Propose(now time.Duration, request protocol.Request) {
 	switch {
@@ -56,22 +56,22 @@
 	}
 }
 
-// heldByAnother reports whether a command asks for a duty that another process holds. Contenders ask for that
-// all the time; it is served like a read, without an entry in the log.
+// heldByAnother reports whether a command is an Acquire of a duty that another process holds. Contenders send these
+// all the time, so they are served like reads, without a log entry.
 func (m *StateMachine) heldByAnother(command lease.Command) bool {
 	grant, held := m.table.Holder(command.Duty)
 	return command.Op == lease.Acquire && held && grant.Holder != command.Process
 }
 
-// FreedDuties returns the duties that were released, expired or transferred since the last call, so that the caller
-// can notify processes that wait for them. Only the leader knows any.
+// FreedDuties returns the duties whose lease was released, expired or transferred since the last call, so that the
+// caller can notify processes that wait for them. Only the leader records them.
 func (m *StateMachine) FreedDuties() []lease.Duty {
 	freed := m.freedDuties
 	m.freedDuties = nil
 	return freed
 }
 
-// Responses returns the responses to requests since the last call, in the order in which they came about.
+// Responses returns the responses since the last call, oldest first.
 func (m *StateMachine) Responses() []protocol.Response {
 	responses := m.responses
 	m.responses = nil
@@ -89,8 +89,8 @@
 	return m.lastSeq
 }
 
-// takePendingProposal removes the pending request that an applied entry came from, if this incarnation of this
-// voter proposed it.
+// takePendingProposal removes and returns the pending request behind an applied entry, if this incarnation of this
+// voter proposed the entry.
 func (m *StateMachine) takePendingProposal(incarnation lease.Incarnation, seq requestSeq) (protocol.Request, bool) {
 	pending, found := m.pendingProposals[seq]
 	if !found || incarnation != m.config.Incarnation {
@@ -100,7 +100,7 @@
 	return pending.request, true
 }
 
-// proposeCommand appends a command to the log.
+// proposeCommand proposes a command to raft. seq is the pending request behind it; 0: none.
 func (m *StateMachine) proposeCommand(command lease.Command, seq requestSeq) {
 	data, err := cbor.Marshal(commandEntry{Incarnation: m.config.Incarnation, Seq: seq, Command: command})
 	if err == nil {
@@ -111,7 +111,7 @@
 	}
 }
 
-// failProposal responds to a request whose entry raft rejected.
+// failProposal responds with ErrNotLeader to a request whose entry raft has rejected.
 func (m *StateMachine) failProposal(seq requestSeq, err error) {
 	request, found := m.takePendingProposal(m.config.Incarnation, seq)
 	if found {
@@ -119,7 +119,8 @@
 	}
 }
 
-// abortPending ends this voter's leadership of a term. What has been proposed may still be committed.
+// abortPending ends this voter's leadership of a term and responds to all pending requests. Proposals get
+// ErrOutcomeUnknown, since their entries may still be committed.
 func (m *StateMachine) abortPending() {
 	m.expiry = nil
 	for _, seq := range slices.Sorted(maps.Keys(m.pendingProposals)) {
@@ -132,11 +133,11 @@
 	clear(m.pendingReads)
 }
 
-// readContext is what a ReadIndex request carries: the last pending read that it covers.
+// readContext returns the context of a ReadIndex request: the last pending read that the request covers.
 func readContext(seq requestSeq) []byte { return fmt.Appendf(nil, "%x", uint64(seq)) }
 
-// confirmReads notes that a majority confirmed this voter's leadership after the reads up to the one in the
-// state's context had arrived.
+// confirmReads sets the read index of the reads that a ReadIndex covers: those up to the one in the context. A
+// majority has confirmed this voter's leadership since these reads arrived.
 func (m *StateMachine) confirmReads(state raft.ReadState) {
 	var last requestSeq
 	if _, err := fmt.Sscanf(string(state.RequestCtx), "%x", &last); err != nil {
@@ -150,7 +151,7 @@
 	}
 }
 
-// serveReads responds to the confirmed reads and renewals for which enough of the log is applied.
+// serveReads responds to the reads and renewals that are confirmed and whose read index has been applied.
 func (m *StateMachine) serveReads(now time.Duration) {
 	for _, seq := range slices.Sorted(maps.Keys(m.pendingReads)) {
 		pending := m.pendingReads[seq]
@@ -163,7 +164,7 @@
 	}
 }
 
-// serveRead responds to a request from the table as it is now.
+// serveRead responds to a request from the current table. An Acquire whose duty came free meanwhile is proposed.
 func (m *StateMachine) serveRead(now time.Duration, request protocol.Request) {
 	command := request.Command
 	grant, held := m.table.Holder(command.Duty)
--- a/internal/controlgroup/consensus/snapshot.go
+++ b/internal/controlgroup/consensus/snapshot.go
@@ -11,26 +11,26 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// compactionInterval is how many entries are applied between two snapshots of the state.
+// compactionInterval is the number of applied entries after which the log is compacted again.
 const compactionInterval = 1000
 
-// Start identifies one start of a voter. Two copies of a store that were opened equally often differ in the
-// incarnation.
+// Start identifies one start of a voter. Incarnation tells apart two copies of one store that were opened equally
+// often.
 type Start struct {
 	Count       uint64            `cbor:"1,keyasint"` // how often the store was opened, this start included
 	Incarnation lease.Incarnation `cbor:"2,keyasint"`
 }
 
-// PersistentState is what a store holds of a voter. The zero value is that of a new store.
+// PersistentState is the state of a voter that its store holds. The zero value is the state of a new store.
 type PersistentState struct {
 	HardState *raftpb.HardState
 	Snapshot  *raftpb.Snapshot
-	Entries   []*raftpb.Entry            // those behind Snapshot, without gaps
-	Starts    map[protocol.VoterID]Start // the last that each other voter announced
+	Entries   []*raftpb.Entry            // the log after Snapshot, without gaps
+	Starts    map[protocol.VoterID]Start // the last accepted start of each other voter
 }
 
-// Bootstrap returns the state that every store of a new group starts with. Equal arguments give equal
-// states: all voters of the group must pass the same voters in the same order.
+// Bootstrap returns the initial state of every store of a new group. All voters of the group must pass the same
+// voters in the same order, because their states have to be equal.
 func Bootstrap(voters []protocol.Voter) PersistentState {
 	confState := &raftpb.ConfState{}
 	for _, voter := range voters {
@@ -39,7 +39,7 @@
 	slices.Sort(confState.Voters)
 	data, err := cbor.Marshal(protocol.Snapshot{Voters: voters})
 	if err != nil {
-		panic(err) // cannot happen: integers and strings
+		panic(err) // cannot happen: the snapshot holds only integers and strings
 	}
 	one := uint64(1)
 	metadata := &raftpb.SnapshotMetadata{ConfState: confState, Index: &one, Term: &one}
@@ -49,7 +49,7 @@
 	}
 }
 
-// restore replaces the replicated state by a snapshot's.
+// restore replaces the replicated state by the state in a snapshot.
 func (m *StateMachine) restore(snapshot *raftpb.Snapshot) error {
 	metadata := snapshot.GetMetadata()
 	var state protocol.Snapshot
@@ -69,8 +69,8 @@
 	return protocol.Snapshot{Leases: m.table.Snapshot(), Voters: slices.Clone(m.voters)}
 }
 
-// compactLog replaces the log by a snapshot of the state that it led to, when it has grown long, or when the
-// voters have changed: a new voter cannot use a snapshot in which it is none.
+// compactLog replaces the log by a snapshot of the replicated state, after compactionInterval entries or a change
+// of the voters. The change needs a new snapshot because a new voter cannot use one that does not list it.
 func (m *StateMachine) compactLog() error {
 	isDue := m.membershipChanged || m.applied >= m.snapshotIndex+compactionInterval
 	if !isDue || m.applied == m.snapshotIndex {
--- a/internal/controlgroup/consensus/state_machine.go
+++ b/internal/controlgroup/consensus/state_machine.go
@@ -15,28 +15,28 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// electionTicks is raft's election timeout in ticks: a voter that hears no leader for that long, and for a
-// random time of up to as much again, becomes a candidate. Leaders send heartbeats each tick.
+// electionTicks is raft's election timeout in ticks. A voter becomes a candidate when it has heard from no leader
+// for a random time between one and two election timeouts. Leaders send heartbeats on each tick.
 const electionTicks = 10
 
-// Limits on the entries that raft sends to one voter at a time.
+// Limits on the entries that raft sends to one voter: bytes of entries in a message, and unacknowledged messages.
 const (
 	maxMessageBytes     = 64 << 10
 	maxInflightMessages = 64
 )
 
-// ErrStaleStore is returned by Step when the group has seen a newer state of this voter's store. The store
-// must not be used any more.
+// ErrStaleStore is returned by Step when the group has seen a newer state of this voter's store, so that the
+// store must no longer be used.
 var ErrStaleStore = errors.New("voter file is stale: the group has seen a newer state of it")
 
 // MessageError is returned by Step for a message that cannot come from a correct voter of the group.
 type MessageError struct {
-	From     protocol.VoterID // the sender, as the message names it
-	To       protocol.VoterID // the voter that it was meant for
-	Receiver protocol.VoterID // the voter that received it
+	From     protocol.VoterID // the sender that the message names
+	To       protocol.VoterID // the addressee that the message names
+	Receiver protocol.VoterID // the voter that received the message
 }
 
-// Error names the voters, and whether the message was misrouted or empty.
+// Error names the voters, and tells a misrouted message from an empty one.
 func (e *MessageError) Error() string {
 	if e.To != e.Receiver {
 		return fmt.Sprintf("message for voter %x was received by voter %x", e.To, e.Receiver)
@@ -48,20 +48,20 @@
 type Message struct {
 	From, To     protocol.VoterID
 	Announcement *protocol.Announcement
-	Accepted     *bool // the response to an Announcement: whether that store is as new as the receiver has seen it
+	Accepted     *bool // the response to an Announcement; false: the sender has seen a newer state of that store
 	Raft         *raftpb.Message
 }
 
-// Config is what a StateMachine starts from. All fields but State are required.
+// Config configures a StateMachine. All fields but State are required.
 type Config struct {
-	ID          protocol.VoterID  // of the store
-	Incarnation lease.Incarnation // drawn at random for this start: tells its log entries from an earlier start's
+	ID          protocol.VoterID  // from the store's Identity
+	Incarnation lease.Incarnation // drawn at random for this start; tells its log entries from those of earlier starts
 	StartCount  uint64            // how often the store was opened, this time included; already durable
-	Timing      lease.Timing      // equal at all voters and lease holders
-	State       PersistentState   // what the store holds; zero: a new store that has to join a group
+	Timing      lease.Timing      // must be equal at all voters and lease holders
+	State       PersistentState   // the store's content; zero: a new store, whose voter has to join a group
 }
 
-// StateMachine is one voter. It must be used from one goroutine.
+// StateMachine is the state machine of one voter. It must be used from one goroutine.
 type StateMachine struct {
 	config Config
 
@@ -70,7 +70,7 @@
 	storage    *raft.MemoryStorage
 	confState  *raftpb.ConfState
 	raftLeader bool             // raft's role; IsLeader requires more
-	leader     protocol.VoterID // as far as this voter knows; 0: none
+	leader     protocol.VoterID // as far as this voter knows; 0: none known
 	term       protocol.Term
 
 	// The replicated state.
@@ -79,17 +79,17 @@
 	applied uint64 // index of the last entry in table and voters
 
 	// Snapshots; see snapshot.go.
-	snapshotIndex     uint64             // of the newest snapshot
-	pendingCompaction *raftpb.Snapshot   // has to be written
+	snapshotIndex     uint64             // index of the last entry in the newest snapshot
+	pendingCompaction *raftpb.Snapshot   // for the next Ready; nil: none
 	membershipChanged bool               // since the newest snapshot
-	snapshotsSent     []protocol.VoterID // the voters that were sent a snapshot since the last tick
+	snapshotsSent     []protocol.VoterID // the receivers of the snapshots that were sent since the last tick
 
 	// Client requests; see requests.go.
-	expiry           *lease.ExpiryClock // nil unless this voter leads and has applied all that was committed before
+	expiry           *lease.ExpiryClock // nil unless IsLeader
 	lastSeq          requestSeq
 	pendingProposals map[requestSeq]pendingRequest
 	pendingReads     map[requestSeq]pendingRequest
-	readIndexNeeded  bool // pendingReads holds some that no ReadIndex was requested for
+	readIndexNeeded  bool // no ReadIndex was requested yet for some of pendingReads
 	freedDuties      []lease.Duty
 	responses        []protocol.Response
 
@@ -97,18 +97,17 @@
 	acceptedBy    map[protocol.VoterID]bool
 	admitted      bool
 	outdated      bool
-	starts        map[protocol.VoterID]Start // the last that each other voter announced
-	startsChanged bool                       // they have to be written
+	starts        map[protocol.VoterID]Start // the last accepted start of each other voter
+	startsChanged bool                       // the next Ready has to contain starts
 	peers         map[protocol.VoterID]peerProgress
 
 	outbox []Message // announcements and the responses to them
 }
 
-// discardLogger silences raft: what matters of its log is logged by the caller of a StateMachine.
+// discardLogger suppresses raft's own log messages. The caller of a StateMachine logs the relevant events.
 var discardLogger = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 
-// New returns a voter that resumes from what its store holds. An error means that the store's content is not
-// consistent.
+// New returns a state machine that resumes from cfg.State. It fails if that state is inconsistent.
 func New(cfg Config) (*StateMachine, error) {
 	stateMachine := &StateMachine{
 		config:           cfg,
@@ -137,7 +136,7 @@
 		PreVote:         true,
 		CheckQuorum:     true,
 		ReadOnlyOption:  raft.ReadOnlySafe,
-		// A proposal that reached the next leader late could end a lease that this one has renewed.
+		// A forwarded proposal that arrived late could end a lease that the new leader has renewed.
 		DisableProposalForwarding: true,
 	})
 	if err != nil {
@@ -147,7 +146,7 @@
 	return stateMachine, nil
 }
 
-// load fills raft's storage and the replicated state with what the store held.
+// load fills raft's storage and the replicated state from the store's content.
 func (m *StateMachine) load(state PersistentState) error {
 	if state.Snapshot != nil {
 		if err := m.storage.ApplySnapshot(state.Snapshot); err != nil {
@@ -165,7 +164,7 @@
 	return m.storage.Append(state.Entries)
 }
 
-// Leader returns the voter that leads, as far as this one knows, and whether it knows one.
+// Leader returns the leader as far as this voter knows, and whether it knows one.
 func (m *StateMachine) Leader() (protocol.Voter, bool) {
 	if m.leader == 0 {
 		return protocol.Voter{}, false
@@ -182,22 +181,23 @@
 // may respond to requests.
 func (m *StateMachine) IsLeader() bool { return m.expiry != nil }
 
-// Voters returns the group's voters as of the last applied entry. The caller must not change them.
+// Voters returns the group's voters as of the last applied entry. The caller must not modify the slice.
 func (m *StateMachine) Voters() []protocol.Voter { return m.voters }
 
-// Holder returns the grant of a duty as of the last applied entry, and whether the duty is held. It may be
-// out of date, at the leader too; a protocol.Read request is not.
+// Holder returns the grant of a duty as of the last applied entry, and whether the duty is held. The result may
+// be out of date, even at the leader; the response to a protocol.Read request is not.
 func (m *StateMachine) Holder(d lease.Duty) (lease.Grant, bool) { return m.table.Holder(d) }
 
-// Tick advances the state machine's logical clock. The caller calls it at a fixed interval; now is monotonic time
-// since a fixed moment of this process.
+// Tick advances the state machine's logical clock. It has to be called at a fixed interval; now is the monotonic
+// time since a fixed moment in the life of this process.
 func (m *StateMachine) Tick(now time.Duration) {
 	if !m.checkAdmitted() {
 		m.announce()
 		return
 	}
 	for _, id := range m.snapshotsSent {
-		// Arrived or lost: raft learns which from the voter's next message.
+		// Raft sends no entries until this report. Whether the snapshot arrived or was lost, raft learns from the
+		// voter's next message.
 		m.node.ReportSnapshot(uint64(id), raft.SnapshotFinish)
 	}
 	m.snapshotsSent = nil
@@ -210,9 +210,9 @@
 	}
 }
 
-// Step takes a message from another voter. It returns a *MessageError for one that is misrouted or empty, and
-// ErrStaleStore for one that shows the store to be out of date: the state machine is Outdated from then on. After any
-// other error it can be used as before.
+// Step handles a message from another voter. It returns a *MessageError for a misrouted or empty message, and
+// ErrStaleStore for a message that shows that the store is out of date: the state machine is Outdated from then on.
+// After any other error the state machine can be used as before.
 func (m *StateMachine) Step(msg Message) error {
 	if msg.To != m.config.ID {
 		return &MessageError{From: msg.From, To: msg.To, Receiver: m.config.ID}
@@ -240,7 +240,7 @@
 	return m.stepRaft(msg.Raft)
 }
 
-// stepRaft passes a message to raft.
+// stepRaft passes a message to raft. Messages from voters that were removed, and dropped proposals, are not errors.
 func (m *StateMachine) stepRaft(msg *raftpb.Message) error {
 	err := m.node.Step(msg)
 	if errors.Is(err, raft.ErrProposalDropped) || errors.Is(err, raft.ErrStepPeerNotFound) {
--- a/internal/controlgroup/consensus/state_machine_planted.go
+++ b/internal/controlgroup/consensus/state_machine_planted.go
@@ -10,8 +10,8 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// RespondEarly has the enabled fault respond to a request before Propose would. It reports whether that response is
-// the only one, so that the request must not be passed to Propose.
+// RespondEarly responds to a request before Propose would, if the enabled fault does so. It reports whether that
+// response is the only one; the request must then not be passed to Propose.
 func (m *StateMachine) RespondEarly(now time.Duration, request protocol.Request) bool {
 	if m.answersUnconfirmed(request.Kind) {
 		m.serveRead(now, request)
@@ -24,10 +24,11 @@
 	return false
 }
 
-// answersUnconfirmed reports whether the enabled fault answers requests of a kind from the table as it is now.
+// answersUnconfirmed reports whether the enabled fault responds to requests of a kind from the current table, without
+// a majority's confirmation of the leadership.
 func (m *StateMachine) answersUnconfirmed(kind protocol.Kind) bool {
 	switch kind {
-	case protocol.Read: // even before a new leader has applied what was committed
+	case protocol.Read: // even before a new leader has applied what earlier leaders committed
 		return m.raftLeader && failpoint.Enabled(failpoint.StaleReads)
 	case protocol.Renew:
 		return m.IsLeader() && failpoint.Enabled(failpoint.UnconfirmedRenewals)
@@ -36,7 +37,7 @@
 	}
 }
 
-// respondUncommitted answers a command with what it would give if it were committed next.
+// respondUncommitted responds to a command with the result it would have if it were the next one to be committed.
 func (m *StateMachine) respondUncommitted(request protocol.Request) {
 	var table lease.Table
 	table.Restore(m.table.Snapshot())
@@ -44,7 +45,7 @@
 	m.respond(request, grant, err)
 }
 
-// StepUnchecked is Step, but does not notice that the store lacks entries that it acknowledged.
+// StepUnchecked is Step without the check that the store has lost entries that it acknowledged.
 func (m *StateMachine) StepUnchecked(msg Message) error {
 	if msg.Raft == nil || !m.admitted || !m.isAheadOfStore(msg.Raft) {
 		return m.Step(msg)
@@ -53,5 +54,5 @@
 	return m.stepRaft(msg.Raft)
 }
 
-// SkipAdmission has the state machine take part without the others' acceptance of its store.
+// SkipAdmission lets the state machine take part before the other voters have accepted its store.
 func (m *StateMachine) SkipAdmission() { m.admitted = true }
--- a/internal/controlgroup/consensus/state_machine_test.go
+++ b/internal/controlgroup/consensus/state_machine_test.go
@@ -25,7 +25,7 @@
 	return m
 }
 
-// advance does all that the state machine wants done, without a store.
+// advance passes every pending Ready to Advance, without a store or other voters.
 func advance(t *testing.T, m *StateMachine, now time.Duration) {
 	t.Helper()
 	for ready, any := m.Ready(); any; ready, any = m.Ready() {
--- a/internal/controlgroup/consensus/store.go
+++ b/internal/controlgroup/consensus/store.go
@@ -17,33 +17,33 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// storeVersion is the version of a voter file's format. A file of another version is rejected as a whole.
+// storeVersion is the format version of voter files. A file of any other version is rejected.
 const storeVersion = 1
 
-// lockTimeout is how long OpenStore waits for another process to close the file.
+// lockTimeout bounds how long OpenStore waits while another process has the file open.
 const lockTimeout = time.Second
 
-// Identity is how a voter's file describes itself.
+// Identity is the record in a voter's file that names the file's owner and format.
 type Identity struct {
 	Version      int              `cbor:"1,keyasint"`
 	Group        string           `cbor:"2,keyasint"`
-	Name         string           `cbor:"3,keyasint"` // of the voter
+	Name         string           `cbor:"3,keyasint"` // the voter's name
 	ID           protocol.VoterID `cbor:"4,keyasint"` // drawn at random when the file was created; never 0
 	StartCount   uint64           `cbor:"5,keyasint"` // how often the file was opened
-	Bootstrapped bool             `cbor:"6,keyasint"` // it has been part of a group
+	Bootstrapped bool             `cbor:"6,keyasint"` // the voter has been part of a group
 }
 
-// Errors of OpenStore, wrapped in a *StoreError. After ErrCorrupt the caller may Quarantine the file and open
-// a new one.
+// Errors of OpenStore, wrapped in a *StoreError. After ErrCorrupt the caller may Quarantine the file and then
+// create a new one.
 var (
 	ErrCorrupt    = errors.New("corrupt")
 	ErrStoreInUse = errors.New("in use by another process")
 )
 
-// StoreError says which voter file, and which part of it, could not be used.
+// StoreError is returned for a voter file that cannot be used.
 type StoreError struct {
 	Path string
-	Item string // "": the file as a whole
+	Item string // the record at fault; "": the file as a whole
 	Err  error
 }
 
@@ -58,41 +58,41 @@
 // Unwrap returns the cause.
 func (e *StoreError) Unwrap() error { return e.Err }
 
-// VersionError is the cause of a StoreError for a file of another format.
+// VersionError is the cause of a StoreError for a file of another format version.
 type VersionError struct{ Found, Supported int }
 
-// Error names both versions.
+// Error returns the file's version and the supported one.
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("format version %d, this program supports version %d", e.Found, e.Supported)
 }
 
 // OwnerError is the cause of a StoreError for a file of another voter.
 type OwnerError struct {
-	Group, Name         string // whose the file is
-	WantGroup, WantName string // who opened it
+	Group, Name         string // the voter that the file belongs to
+	WantGroup, WantName string // the voter that opened it
 }
 
-// Error names both voters.
+// Error names both voters and their groups.
 func (e *OwnerError) Error() string {
 	return fmt.Sprintf("belongs to %q of group %q, not to %q of %q", e.Name, e.Group, e.WantName, e.WantGroup)
 }
 
-// Store is a voter's file. Every write is synced before it returns. It must be used from one goroutine.
+// Store is a voter's file. Every write is synced to disk before it returns. A Store must be used from one goroutine.
 type Store struct {
 	db       *bbolt.DB
 	path     string
 	identity Identity
 }
 
-// OpenStore opens a voter's file, or creates it with a new ID, counts the start, and returns its content. An
-// error about the file's content, owner or lock is a *StoreError; others come from the operating system as they
-// are, and say nothing against the file.
+// OpenStore opens a voter's file, or creates it with a new ID, increments its start count, and returns its content.
+// An error about the file's content, owner or lock is a *StoreError. Any other error comes unchanged from the
+// operating system, and does not mean that the file is damaged.
 func OpenStore(path, group, name string) (store *Store, state PersistentState, err error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return nil, PersistentState{}, err
 	}
-	// The file is memory-mapped: reading beyond the end of a truncated one is a fault, and the panic that this
-	// makes of it is recovered below.
+	// The file is memory-mapped, so a read beyond the end of a truncated file is a memory fault. SetPanicOnFault
+	// turns the fault into a panic, which is recovered below.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	db, err := openDatabase(path)
 	if err != nil {
@@ -100,7 +100,7 @@
 	}
 	store = &Store{db: db, path: path}
 	defer func() {
-		if panicked := recover(); panicked != nil { // bbolt panics over inconsistent pages
+		if panicked := recover(); panicked != nil { // bbolt panics on inconsistent pages
 			err = store.corrupt("", fmt.Errorf("%v", panicked))
 		}
 		if err != nil {
@@ -125,7 +125,8 @@
 	return store, state, err
 }
 
-// openDatabase opens the file as a bbolt database, and says what kind of error prevented it.
+// openDatabase opens the file as a bbolt database. Any error but a lock timeout or a missing permission is taken for
+// corruption of the file.
 func openDatabase(path string) (*bbolt.DB, error) {
 	db, err := openRecovering(path)
 	switch {
@@ -140,7 +141,7 @@
 	}
 }
 
-// openRecovering turns the panics of bbolt.Open over inconsistent pages into errors.
+// openRecovering calls bbolt.Open and returns its panics on inconsistent pages as errors.
 func openRecovering(path string) (db *bbolt.DB, err error) {
 	defer func() {
 		if panicked := recover(); panicked != nil {
@@ -150,7 +151,8 @@
 	return bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout})
 }
 
-// identify reads the file's identity, or makes it if the file is new, checks it and counts the start.
+// identify reads the file's identity, or creates it if the file is new. It checks the version and the owner, and
+// increments the start count.
 func (s *Store) identify(metadata *bbolt.Bucket, group, name string) error {
 	data, err := s.get(metadata, keyIdentity)
 	if err != nil {
@@ -184,19 +186,19 @@
 		Version: storeVersion,
 		Group:   group,
 		Name:    name,
-		ID:      protocol.VoterID(binary.LittleEndian.Uint64(id[:]) | 1), // not 0, which raft takes for no voter
+		ID:      protocol.VoterID(binary.LittleEndian.Uint64(id[:]) | 1), // never 0, which stands for no voter in raft
 	}, nil
 }
 
-// corrupt returns the error for an item of the file that cannot be read.
+// corrupt returns an ErrCorrupt error for one record of the file; item "" is the file as a whole.
 func (s *Store) corrupt(item string, cause error) error {
 	return &StoreError{Path: s.path, Item: item, Err: fmt.Errorf("%w: %w", ErrCorrupt, cause)}
 }
 
-// Identity returns the file's identity, this start counted.
+// Identity returns the file's identity. Its StartCount includes this start.
 func (s *Store) Identity() Identity { return s.identity }
 
-// Bootstrap makes the file that of a voter of a new group; state is what the function Bootstrap returns.
+// Bootstrap writes the initial state of a new group to the file; state is the result of the function Bootstrap.
 func (s *Store) Bootstrap(state PersistentState) error {
 	return s.Write(Ready{HardState: state.HardState, Snapshot: state.Snapshot})
 }
@@ -204,7 +206,7 @@
 // Close closes the file. The Store must not be used afterwards.
 func (s *Store) Close() error { return s.db.Close() }
 
-// Quarantine renames a closed file that must not be used again, and returns its new path: the old one with
+// Quarantine renames a closed file that must not be used again. It returns the new path: the old path followed by
 // ".aside-" and the first free number from 1 on.
 func Quarantine(path string) (string, error) {
 	for i := 1; ; i++ {
--- a/internal/controlgroup/consensus/store_records.go
+++ b/internal/controlgroup/consensus/store_records.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The buckets of a voter's file: single records by key, and log entries by index.
+// The buckets of a voter's file: metadataBucket holds single records by key, logBucket holds log entries by index.
 var (
 	metadataBucket = []byte("voter")
 	logBucket      = []byte("log")
@@ -27,12 +27,13 @@
 	keyStarts    = []byte("starts")   // map[protocol.VoterID]Start, as CBOR
 )
 
-// checksumSize is the length of the xxHash64 before each value: bbolt has no checksums of its pages.
+// checksumSize is the length in bytes of the xxHash64 in front of each value. Without it a damaged value would go
+// unnoticed, since bbolt does not checksum its data pages.
 const checksumSize = 8
 
 var errChecksum = errors.New("checksum mismatch")
 
-// Write makes a Ready durable, whole or not at all.
+// Write makes a Ready durable in one transaction: all of it or, on an error, nothing.
 func (s *Store) Write(ready Ready) error {
 	if ready.Empty() {
 		return nil
@@ -66,8 +67,8 @@
 	return nil
 }
 
-// writeSnapshot writes a snapshot and removes the entries that it replaces: all of them where it came from the
-// leader, those up to its index where it is this voter's own.
+// writeSnapshot writes a snapshot and removes the entries that it replaces. A leader's snapshot replaces all
+// entries, this voter's own compaction those up to its index.
 func writeSnapshot(metadata, log *bbolt.Bucket, ready Ready) error {
 	snapshot := ready.Compaction
 	last := ready.Compaction.GetMetadata().GetIndex()
@@ -84,7 +85,7 @@
 	return putMessage(metadata, keySnapshot, snapshot)
 }
 
-// writeEntries writes entries in place of all from the first one's index on.
+// writeEntries replaces all stored entries from the first new entry's index on.
 func writeEntries(log *bbolt.Bucket, entries []*raftpb.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// deleteEntries removes the entries from index first to index last.
+// deleteEntries removes the entries from index first to index last, both included.
 func deleteEntries(log *bbolt.Bucket, first, last uint64) error {
 	cursor := log.Cursor()
 	for key, _ := cursor.Seek(indexKey(first)); key != nil; key, _ = cursor.Next() {
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// read returns the file's content, every record and the order of the entries checked.
+// read returns the file's content. It verifies the checksum of every record, and that the log has no gaps.
 func (s *Store) read(tx *bbolt.Tx) (PersistentState, error) {
 	var state PersistentState
 	metadata := tx.Bucket(metadataBucket)
@@ -147,7 +148,7 @@
 	return state, err
 }
 
-// readEntries returns the log, which has to start at index first and to have no gaps.
+// readEntries returns the log. It fails if the log does not start at index first or has gaps.
 func (s *Store) readEntries(log *bbolt.Bucket, first uint64) ([]*raftpb.Entry, error) {
 	var entries []*raftpb.Entry
 	next := first
@@ -166,10 +167,11 @@
 	return entries, err
 }
 
-// indexKey returns the key of a log entry: bbolt keeps keys in byte order, so that of the indexes.
+// indexKey returns the key of a log entry. The encoding is big-endian: bbolt sorts keys by their bytes, so entries
+// are stored in the order of their indexes.
 func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// get returns the value of a key, or nil, its checksum checked.
+// get returns the value of a key after verifying its checksum, or nil if there is none.
 func (s *Store) get(bucket *bbolt.Bucket, key []byte) ([]byte, error) {
 	record := bucket.Get(key)
 	if record == nil {
@@ -181,7 +183,7 @@
 	return record[checksumSize:], nil
 }
 
-// getMessage reads a protobuf value into message, and reports whether there is one.
+// getMessage decodes the protobuf value of a key into message, and reports whether the key exists.
 func (s *Store) getMessage(bucket *bbolt.Bucket, key []byte, message proto.Message) (bool, error) {
 	value, err := s.get(bucket, key)
 	if err != nil || value == nil {
--- a/internal/controlgroup/consensus/store_test.go
+++ b/internal/controlgroup/consensus/store_test.go
@@ -17,7 +17,7 @@
 	return &raftpb.Entry{Index: &index, Term: &term, Data: []byte(data)}
 }
 
-// reopen closes a store and returns what its file holds.
+// reopen closes a store and opens its file again.
 func reopen(t *testing.T, s *Store) (*Store, PersistentState) {
 	t.Helper()
 	require.NoError(t, s.Close())
