--- a/cmd/piernotch-voter/main.go
+++ b/cmd/piernotch-voter/main.go
@@ -1,6 +1,6 @@
-// Command piernotch-voter runs one voter of a control group, which agrees on the process that holds each duty and
-// keeps that in a file. It runs beside a balancer in a process of its own, so that a slow disk or a fault here never
-// affects requests. All of its work is package voter's.
+// Command piernotch-voter runs one voter of a control group. The voters agree on which process holds each duty, and
+// each stores the result in its file. A voter runs in its own process beside a balancer, so that a slow disk or a
+// failure of the voter never affects requests. Package voter does the work.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	"piernotch/internal/logs"
 )
 
-// commandLine holds the command's flags.
+// commandLine holds the command's flags, which kong derives from the fields.
 type commandLine struct {
 	Group string       `required:"" placeholder:"FILE" help:"The group's file; it names this voter and its store."`
 	Log   logs.Options `embed:"" prefix:"log-"`
@@ -36,10 +36,10 @@
 	}
 }
 
-// errVoterEnded is returned by run when the voter stopped without a signal.
+// errVoterEnded is returned by run when the voter stops without a signal.
 var errVoterEnded = errors.New("the voter stopped by itself; the log has the cause")
 
-// run runs the voter until SIGTERM or SIGINT, or until it ends by itself.
+// run runs the voter until a SIGTERM or SIGINT, which is no error, or until the voter ends by itself.
 func run(flags commandLine) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
--- a/internal/controlgroup/voter/connections.go
+++ b/internal/controlgroup/voter/connections.go
@@ -19,19 +19,19 @@
 
 const (
 	redialInterval   = 250 * time.Millisecond
-	acceptRetryDelay = 20 * time.Millisecond // after a failed accept, such as one without file descriptors
-	maxAcceptedConns = 1024                  // of clients and voters; more are closed at once
+	acceptRetryDelay = 20 * time.Millisecond // after a failed accept, as when no file descriptors are left
+	maxAcceptedConns = 1024                  // from clients and voters together; further ones are closed at once
 )
 
-// link is the connection to another voter.
+// link is the outgoing connection to another voter.
 type link struct {
 	to   controlgroup.Voter
-	conn *transport.Conn // nil: not connected; owned by the event loop
+	conn *transport.Conn // owned by the event loop; nil: not connected
 }
 
-// maintain connects to another voter, and again whenever the connection ends. It runs on a goroutine of its own
-// until ctx is canceled.
-func (v *Voter) maintain(peer *link) {
+// maintainLink connects to another voter, and reconnects whenever the connection ends. It runs on a goroutine of its
+// own until ctx is canceled. It logs a dial error only when the error text changes.
+func (v *Voter) maintainLink(peer *link) {
 	lastError := ""
 	for v.ctx.Err() == nil {
 		conn, err := v.dial(peer)
@@ -49,7 +49,7 @@
 	}
 }
 
-// dial connects to the other voter, and checks that it is the one.
+// dial connects to the other voter, and checks the name in its handshake.
 func (v *Voter) dial(peer *link) (*transport.Conn, error) {
 	conn, err := transport.Dial(peer.to.Address, v.ownHandshake)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return conn, nil
 }
 
-// serveLink has the event loop use a connection until it ends.
+// serveLink makes a connection available to the event loop until the connection ends.
 func (v *Voter) serveLink(peer *link, conn *transport.Conn) {
 	v.post(func() {
 		peer.conn = conn
@@ -72,13 +72,13 @@
 	v.post(func() {
 		if peer.conn == conn {
 			peer.conn = nil
-			delete(v.handshakes, peer.to.Name) // its file may be another by the next connection
+			delete(v.handshakes, peer.to.Name) // the voter may have a new file, and so a new ID, by the next connection
 		}
 	})
 }
 
-// acceptConnections accepts connections until the listener is closed. Each is served by a goroutine that ends with
-// the connection or with ctx.
+// acceptConnections accepts connections until the voter ends. Each connection is served by its own goroutine, which
+// ends with the connection or when ctx is canceled.
 func (v *Voter) acceptConnections() {
 	for {
 		netConn, err := v.listener.Accept()
@@ -98,7 +98,8 @@
 	}
 }
 
-// countAccepted counts a connection, and reports whether it is within the limit.
+// countAccepted counts a new connection, and reports whether it is within maxAcceptedConns. Either way, the caller
+// has to call releaseAccepted when the connection ends.
 func (v *Voter) countAccepted() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -112,7 +113,7 @@
 	v.accepted--
 }
 
-// serveAccepted serves a client's or another voter's connection until it ends.
+// serveAccepted serves an accepted connection, of a client or another voter, until it ends.
 func (v *Voter) serveAccepted(netConn net.Conn) {
 	defer v.releaseAccepted()
 	conn, err := transport.Accept(netConn, v.ownHandshake)
@@ -121,10 +122,10 @@
 		return
 	}
 	v.readFrames(conn)
-	v.post(func() { v.forget(conn) })
+	v.post(func() { v.removeConn(conn) })
 }
 
-// readFrames hands a connection's frames to the event loop until the connection ends or ctx is canceled.
+// readFrames posts a connection's frames to the event loop until the connection ends or ctx is canceled.
 func (v *Voter) readFrames(conn *transport.Conn) {
 	stopClosing := context.AfterFunc(v.ctx, conn.Close)
 	defer stopClosing()
@@ -146,8 +147,8 @@
 	}
 }
 
-// forget drops what refers to a connection that has ended.
-func (v *Voter) forget(conn *transport.Conn) {
+// removeConn removes a connection that has ended from all waiters and subscribers.
+func (v *Voter) removeConn(conn *transport.Conn) {
 	isSame := func(other *transport.Conn) bool { return other == conn }
 	for duty, waiting := range v.waiters {
 		v.waiters[duty] = slices.DeleteFunc(waiting, isSame)
@@ -160,7 +161,7 @@
 	}
 }
 
-// send sends a message to another voter, if it is connected under the ID that the message is for.
+// send sends a message to another voter. It drops the message if no voter with that ID is connected.
 func (v *Voter) send(message consensus.Message) {
 	encoded := &transport.VoterMessage{
 		From:         message.From,
@@ -183,8 +184,8 @@
 	}
 }
 
-// receive passes another voter's message to the state machine. One for an earlier file of this voter, or not from the
-// voter at the other end, is ignored.
+// receive passes another voter's message to the state machine. It ignores a message to another ID than this voter's,
+// such as the ID of a replaced file, and one that names another sender than the connection's peer.
 func (v *Voter) receive(conn *transport.Conn, encoded *transport.VoterMessage) {
 	if v.stateMachine == nil || encoded.To != v.ownHandshake().ID || encoded.From != conn.Peer.ID {
 		return
--- a/internal/controlgroup/voter/doc.go
+++ b/internal/controlgroup/voter/doc.go
@@ -2,14 +2,14 @@
 // a clock and connections.
 //
 // One goroutine, the event loop (loop.go), owns the state machine, the store and all state that is not marked
-// otherwise. Connection readers and dialers hand it closures through a bounded channel. It takes them in batches, so
-// that what arrived together is written and synced together. After each batch it writes, sends and answers what the
-// state machine has ready.
+// otherwise. Connection readers and dialers send it closures through a bounded channel. It handles them in batches, so
+// that events that arrive together share one write and one sync. After each batch it writes, sends and answers
+// whatever the state machine has ready.
 //
-// The files: voter.go starts and ends a voter; store.go opens, bootstraps and replaces its file; loop.go is the event
-// loop; connections.go keeps the connections to other voters and accepts those of voters and clients;
-// requests.go serves clients at the leader; subscriptions.go passes on what duty holders publish.
+// The files: voter.go starts and stops a voter; store.go opens, bootstraps and replaces its file; loop.go is the event
+// loop; connections.go maintains the connections to other voters and accepts those of voters and clients;
+// requests.go serves clients at the leader; subscriptions.go relays the watch events that lease holders publish.
 //
-// Command piernotch-voter is the only caller outside tests. The package must not know the balancer, and what
-// duties mean.
+// Command piernotch-voter is the only caller outside tests. The package must not depend on the balancer or on the
+// meaning of duties.
 package voter
--- a/internal/controlgroup/voter/loop.go
+++ b/internal/controlgroup/voter/loop.go
@@ -9,10 +9,10 @@
 const (
 	tickInterval = 100 * time.Millisecond // of the state machine's logical clock
 	joinInterval = time.Second            // between two requests to be added to the group
-	maxEvents    = 4096                   // that wait for the event loop; more are dropped
+	maxEvents    = 4096                   // queued for the event loop; further ones are dropped
 )
 
-// post hands an event to the event loop. Where too many wait it is dropped, as a frame on a bad link would be.
+// post queues an event for the event loop. When the queue is full it drops the event, like a frame lost on a bad link.
 func (v *Voter) post(event func()) {
 	select {
 	case v.events <- event:
@@ -21,7 +21,7 @@
 	}
 }
 
-// run is the event loop. It ends with ctx, or ends the voter when the file cannot be written.
+// run is the event loop. It returns when ctx is canceled. When the file cannot be written, it ends the voter.
 func (v *Voter) run() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -43,7 +43,7 @@
 	}
 }
 
-// drainEvents handles the events that wait already, so that what came together is written together.
+// drainEvents handles the events that are already queued, so that all of them share one write.
 func (v *Voter) drainEvents() {
 	for range len(v.events) {
 		event := <-v.events
@@ -62,13 +62,13 @@
 		return
 	}
 	v.requestMembership()
-	if !v.stateMachine.IsLeader() { // subscribers and publishers turn to the next leader
+	if !v.stateMachine.IsLeader() { // subscribers and publishers switch to the next leader
 		clear(v.subscriptions)
 	}
 	v.logLeader()
 }
 
-// logLeader logs a change of the leader, as far as this voter knows it.
+// logLeader logs a change of the leader as far as this voter knows.
 func (v *Voter) logLeader() {
 	leader, _ := v.stateMachine.Leader()
 	if leader.Name == v.leaderName {
@@ -78,8 +78,8 @@
 	slog.Info("group: leader changed", "name", leader.Name, "id", fmt.Sprintf("%x", leader.ID))
 }
 
-// advanceStateMachine does what the state machine wants done: it writes, sends, and then answers and notifies
-// clients. An error means that the file cannot be written, or that the state machine cannot apply what was committed.
+// advanceStateMachine carries out the state machine's output: it writes to the file, sends messages, and then responds
+// to and notifies clients. An error means that the file cannot be written or that a committed entry cannot be applied.
 func (v *Voter) advanceStateMachine() error {
 	if v.stateMachine == nil {
 		return nil
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// announceBootstrapped has later handshakes say that this voter's file has become part of a group.
+// announceBootstrapped sets Bootstrapped in later handshakes once this voter's file has become part of a group.
 func (v *Voter) announceBootstrapped() {
 	if !v.store.Identity().Bootstrapped {
 		return
--- a/internal/controlgroup/voter/requests.go
+++ b/internal/controlgroup/voter/requests.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	maxWaiters  = 1024 // for one duty; others find out when they repeat their request
-	maxNotified = 4    // waiters that are notified when a duty comes free; one of them will get it
+	maxWaiters  = 1024 // per duty; further clients find out by repeating their request
+	maxNotified = 4    // waiters notified when a duty comes free; more would be a thundering herd, since one gets it
 )
 
-// handleRequest has a client's request served, and responds if the client is still connected by then.
+// handleRequest serves a client's request, or passes it to the state machine. In that case the response is sent later.
 func (v *Voter) handleRequest(conn *transport.Conn, request *transport.Request) {
 	if v.stateMachine == nil {
 		v.respond(conn, request, protocol.Response{Err: protocol.ErrNotLeader})
@@ -35,7 +35,7 @@
 	})
 }
 
-// respond sends the response to a client's request. A client that could not acquire a duty is noted as waiting for it.
+// respond sends the response to a client's request. A client that could not acquire a duty becomes a waiter for it.
 func (v *Voter) respond(conn *transport.Conn, request *transport.Request, response protocol.Response) {
 	conn.Send(transport.Frame{Response: &transport.Response{
 		Key:      request.Key,
@@ -49,7 +49,7 @@
 	}
 }
 
-// respondAll passes on the state machine's responses.
+// respondAll sends the state machine's responses to the clients.
 func (v *Voter) respondAll() {
 	for _, response := range v.stateMachine.Responses() {
 		respond := v.pending[response.Key]
@@ -67,8 +67,8 @@
 	}
 }
 
-// notifyWaiters notifies a few waiters, drawn at random, that a duty has come free, and in any case the process that
-// it was transferred to.
+// notifyWaiters notifies up to maxNotified waiters, drawn at random, that a duty has come free. It always notifies the
+// process that the duty was transferred to.
 func (v *Voter) notifyWaiters(duty lease.Duty) {
 	waiting := v.waiters[duty]
 	delete(v.waiters, duty)
--- a/internal/controlgroup/voter/store.go
+++ b/internal/controlgroup/voter/store.go
@@ -14,7 +14,7 @@
 	"piernotch/internal/controlgroup/transport"
 )
 
-// openStore opens the voter's file, and starts the state machine if the file is that of a group's voter. A corrupt file
+// openStore opens the voter's file, and starts the state machine if the file has been part of a group. A corrupt file
 // is quarantined and replaced by a new one.
 func (v *Voter) openStore() error {
 	store, state, err := consensus.OpenStore(v.config.StorePath, v.config.Name, v.config.Self)
@@ -64,9 +64,9 @@
 	return err
 }
 
-// bootstrap starts the state machine of a voter with a new file. If all configured voters are connected and none has
-// been part of a group, it bootstraps a new group. If one has, this voter starts empty and asks to be added. While a
-// voter is missing it does nothing: an empty file does not prove that there is no group.
+// bootstrap starts the state machine of a voter with a new file. If a connected voter has been part of a group, this
+// voter starts empty and requests to be added. Otherwise, if all configured voters are connected, it bootstraps a new
+// group. Otherwise it does nothing: this voter's empty file does not prove that there is no group.
 func (v *Voter) bootstrap() {
 	self := v.ownHandshake()
 	voters := []protocol.Voter{{ID: self.ID, Name: self.Name}}
@@ -93,7 +93,8 @@
 	}
 }
 
-// bootstrapGroup makes the file that of a voter of a new group, as every other voter does with its own.
+// bootstrapGroup writes the initial state of a new group to the file. The other voters write the same state, since all
+// sort the voters by name.
 func (v *Voter) bootstrapGroup(voters []protocol.Voter) error {
 	slices.SortFunc(voters, func(first, second protocol.Voter) int { return cmp.Compare(first.Name, second.Name) })
 	state := consensus.Bootstrap(voters)
@@ -104,7 +105,8 @@
 	return v.startStateMachine(state)
 }
 
-// requestMembership sends AddVoter to all connected voters, one of which leads, as long as this one does not vote.
+// requestMembership sends AddVoter to all connected voters every joinInterval until this voter is a member. Only the
+// leader among them serves the request.
 func (v *Voter) requestMembership() {
 	id := v.ownHandshake().ID
 	isVoter := slices.ContainsFunc(v.stateMachine.Voters(), func(other protocol.Voter) bool { return other.ID == id })
@@ -120,8 +122,7 @@
 	}
 }
 
-// replaceStaleStore quarantines a file that is older than what the group has seen of it, and starts again with an
-// empty one.
+// replaceStaleStore quarantines a file of which the group has seen a newer state, and starts again with an empty file.
 func (v *Voter) replaceStaleStore() {
 	_ = v.store.Close()
 	quarantined, err := consensus.Quarantine(v.config.StorePath)
@@ -135,7 +136,7 @@
 		v.cancel()
 		return
 	}
-	// The others learn the new ID from the handshake of a new connection.
+	// Reconnect, so that the new handshake tells the other voters this voter's new ID.
 	for _, link := range v.links {
 		if link.conn != nil {
 			link.conn.Close()
--- a/internal/controlgroup/voter/subscriptions.go
+++ b/internal/controlgroup/voter/subscriptions.go
@@ -10,15 +10,16 @@
 	"piernotch/internal/controlgroup/watch"
 )
 
-// subscription is what the holder of a duty has published, and who is sent it.
+// subscription holds the watch events that the holder of a duty has published, and the connections that receive them.
 type subscription struct {
 	watch.EventLog
 	subscribers []*transport.Conn
 }
 
-// publishOrSubscribe serves the two kinds of requests that need no agreement. The lease table is the fence: only
-// the holder may publish, under the token in force. A voter that lost leadership and does not know it yet may
-// pass on what a former holder publishes; subscribers check versions, and check-quorum ends it soon.
+// publishOrSubscribe serves Publish and Subscribe, which need no agreement of the voters. The lease table acts as the
+// fence: only the lease holder may publish, under its current token. A voter that does not know yet that it lost
+// leadership may relay events of a former holder. Subscribers check versions, and check-quorum soon ends that voter's
+// leadership.
 func (v *Voter) publishOrSubscribe(conn *transport.Conn, request *transport.Request) error {
 	if !v.stateMachine.IsLeader() {
 		return protocol.ErrNotLeader
@@ -45,13 +46,13 @@
 	return published.publish(conn, duty, request.Command.Token, request.Event)
 }
 
-// isInForce reports whether a command names the grant of its duty as the lease table has it.
+// isInForce reports whether a command's process holds the duty under the command's token, by the lease table.
 func (v *Voter) isInForce(command lease.Command) bool {
 	grant, held := v.stateMachine.Holder(command.Duty)
 	return held && grant.Token == command.Token && grant.Holder == command.Process
 }
 
-// subscribe sends a connection the events after a version, and then each new one.
+// subscribe sends a connection the events after the version from.ToVersion, and adds it to the subscribers.
 func (s *subscription) subscribe(conn *transport.Conn, duty lease.Duty, from *controlgroup.WatchEvent) {
 	if !slices.Contains(s.subscribers, conn) {
 		s.subscribers = append(s.subscribers, conn)
@@ -61,7 +62,7 @@
 	}
 }
 
-// publish adds an event, and sends it to all subscribers but the publisher.
+// publish appends an event to the log, and sends it to all subscribers but the publisher.
 func (s *subscription) publish(
 	conn *transport.Conn, duty lease.Duty, token lease.Token, event *controlgroup.WatchEvent,
 ) error {
--- a/internal/controlgroup/voter/voter.go
+++ b/internal/controlgroup/voter/voter.go
@@ -14,13 +14,13 @@
 	"piernotch/internal/controlgroup/transport"
 )
 
-// StartError is returned by Start for a setting of the group that cannot be used here.
+// StartError is returned by Start when a setting of the group cannot be used on this machine.
 type StartError struct {
-	Setting string // its key in the group's file
+	Setting string // the key in the group's file
 	Err     error
 }
 
-// Error returns the setting and the cause.
+// Error returns the setting, prefixed with "group.", and the cause.
 func (e *StartError) Error() string { return fmt.Sprintf("group.%s: %v", e.Setting, e.Err) }
 
 // Unwrap returns the cause.
@@ -34,30 +34,30 @@
 
 	ctx        context.Context // canceled when the voter ends
 	cancel     context.CancelFunc
-	goroutines sync.WaitGroup // all that Start and its goroutines started
-	events     chan func()    // for the event loop
+	goroutines sync.WaitGroup // all goroutines of this voter
+	events     chan func()    // the queue of the event loop
 
 	mu        sync.Mutex
-	handshake transport.Handshake // what this voter says of itself; guarded by mu
-	accepted  int                 // connections that were accepted and are open; guarded by mu
+	handshake transport.Handshake // sent on every new connection; guarded by mu
+	accepted  int                 // open connections that were accepted; guarded by mu
 
 	// Owned by the event loop.
 	store        *consensus.Store
-	stateMachine *consensus.StateMachine // nil until the group is known
-	links        map[string]*link        // to the other voters, by name
-	handshakes   map[string]transport.Handshake
-	nextJoin     time.Duration // no AddVoter request before then
-	leaderName   string        // as last logged
+	stateMachine *consensus.StateMachine        // nil until the group is known
+	links        map[string]*link               // to the other voters, by name
+	handshakes   map[string]transport.Handshake // of the connected other voters, by name
+	nextJoin     time.Duration                  // time of the next AddVoter request
+	leaderName   string                         // as last logged
 
-	lastKey       uint64 // of the state machine's requests
+	lastKey       uint64 // key of the last request to the state machine
 	pending       map[uint64]func(protocol.Response)
-	waiters       map[lease.Duty][]*transport.Conn // whose Acquire of a duty failed, to be notified when it comes free
+	waiters       map[lease.Duty][]*transport.Conn // clients whose Acquire failed; notified when the duty comes free
 	subscriptions map[lease.Duty]*subscription     // filled only while this voter leads
 }
 
 // Start opens the voter's file, listens, and returns a running voter, which the caller has to Close. A corrupt
-// file is quarantined; the voter then starts with an empty one and a new ID, under which the group has to add it.
-// Errors are a *StartError, or the consensus package's for a file whose content is not consistent.
+// file is quarantined; the voter then starts with an empty file and a new ID, which the group has to add.
+// The error is usually a *StartError. Inconsistent file content gives an error of package consensus.
 func Start(cfg controlgroup.Config) (*Voter, error) {
 	self, isVoter := cfg.Voter()
 	if !isVoter {
@@ -87,35 +87,35 @@
 	return voter, nil
 }
 
-// startGoroutines starts one dialer for each other voter, the accept loop and the event loop. All end when ctx is
+// startGoroutines starts a dialer for each other voter, the accept loop and the event loop. They end when ctx is
 // canceled and the listener is closed; Close waits for them.
 func (v *Voter) startGoroutines() {
 	for _, other := range v.config.Voters {
 		if other.Name != v.config.Self {
 			peer := &link{to: other}
 			v.links[other.Name] = peer
-			v.goroutines.Go(func() { v.maintain(peer) })
+			v.goroutines.Go(func() { v.maintainLink(peer) })
 		}
 	}
 	v.goroutines.Go(v.acceptConnections)
 	v.goroutines.Go(v.run)
 }
 
-// now is the monotonic time of this process.
+// now returns the monotonic time since Start.
 func (v *Voter) now() time.Duration { return time.Since(v.startedAt) }
 
-// ownHandshake returns what this voter says of itself on a new connection. Any goroutine may call it.
+// ownHandshake returns this voter's handshake for a new connection. Any goroutine may call it.
 func (v *Voter) ownHandshake() transport.Handshake {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.handshake
 }
 
-// Done returns a channel that is closed when the voter has ended, by Close or because its file failed. It
-// still has to be closed in the latter case.
+// Done returns a channel that is closed when the voter ends, by Close or because its file failed. The caller has to
+// call Close in both cases.
 func (v *Voter) Done() <-chan struct{} { return v.ctx.Done() }
 
-// Close ends the voter and waits for its goroutines. Everything it has acknowledged is in its file.
+// Close ends the voter and waits for its goroutines. Everything that the voter has acknowledged is in its file.
 func (v *Voter) Close() {
 	v.cancel()
 	_ = v.listener.Close()
--- a/internal/controlgroup/voter/voter_test.go
+++ b/internal/controlgroup/voter/voter_test.go
@@ -17,10 +17,10 @@
 	"piernotch/internal/controlgroup/lease"
 )
 
-// waitLimit bounds every wait; nothing depends on how long one takes.
+// waitLimit bounds every wait. It only turns a hang into a failure; no test depends on how long a wait takes.
 const waitLimit = 30 * time.Second
 
-// threeConfigs returns the configurations of the three voters of a group.
+// threeConfigs returns the configurations of a group's three voters, on free ports of the loopback interface.
 func threeConfigs(t *testing.T) []controlgroup.Config {
 	t.Helper()
 	var voters []controlgroup.Voter
@@ -51,7 +51,7 @@
 	return v
 }
 
-// startClient returns a client of the group that wants a duty.
+// startClient starts a client of the group that contends for a duty.
 func startClient(c controlgroup.Config, name string, duty lease.Duty) *client.Client {
 	c.Self = name
 	c.StorePath = ""
@@ -70,8 +70,8 @@
 	return token
 }
 
-// A duty is acquired by another client when its holder ends, and stays held while a voter is replaced and another
-// ends, under rising tokens.
+// When a duty's holder ends, another client acquires the duty under a higher token. It keeps the duty while one voter
+// is replaced after its file was corrupted and another voter ends.
 func TestDutyMovesOnAcrossHolderExitAndVoterReplacement(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	configs := threeConfigs(t)
@@ -112,7 +112,7 @@
 		}
 		return false
 	}, waitLimit, 20*time.Millisecond, "the voter with the corrupt file is added under its new ID")
-	v0.Close() // the group has a majority only if the new voter votes
+	v0.Close() // from here on, a majority needs the new voter's vote
 	require.Eventually(t, func() bool {
 		_, err := b.List(ctx)
 		return err == nil
@@ -120,7 +120,8 @@
 	require.GreaterOrEqual(t, awaitToken(t, b, "watch"), second)
 }
 
-// A group that may exist elsewhere is not bootstrapped while a voter is missing, and no duty is held.
+// While a voter is missing, the others must not bootstrap a group, because the missing one may belong to an existing
+// group. No duty may be held until then.
 func TestGroupIsNotBootstrappedWhileAVoterIsMissing(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	configs := threeConfigs(t)
