--- a/internal/controlgroup/lease/expiry_clock.go
+++ b/internal/controlgroup/lease/expiry_clock.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// ExpiryClock expires leases that are not renewed. The leader of the group runs one, from when it begins to lead.
-// All times are the leader's monotonic clock's.
+// ExpiryClock expires leases that are not renewed. Each leader of the group creates its own when it begins to lead.
+// All times are readings of the leader's monotonic clock.
 type ExpiryClock struct {
 	timing    Timing
 	deadlines map[Duty]deadline
 }
 
-// deadline is when a lease expires.
+// deadline is the expiry time of a lease, and the state of its expiry.
 type deadline struct {
 	token      Token
 	at         time.Duration
-	expiring   bool          // Expire was proposed: it is too late for a renewal
-	proposedAt time.Duration // when Expire was proposed last
+	expiring   bool          // Expire has been proposed, so the lease can no longer be renewed
+	proposedAt time.Duration // when Expire was last proposed
 }
 
-// NewExpiryClock returns a clock with a full lease duration for each grant: the previous leader may have
+// NewExpiryClock returns a clock that gives each grant a full lease duration, because the previous leader may have
 // renewed any of them just before now.
 func NewExpiryClock(timing Timing, now time.Duration, grants []Grant) *ExpiryClock {
 	clock := &ExpiryClock{timing: timing, deadlines: map[Duty]deadline{}}
@@ -31,9 +31,8 @@
 	return clock
 }
 
-// Start gives a grant, new or confirmed, a full lease duration. It returns ErrNotHeld where the grant's expiry
-// has been proposed: the table still has the grant, but no response may
-// confirm it.
+// Start gives a new or confirmed grant a full lease duration. It returns ErrNotHeld if the grant's expiry has been
+// proposed: the table still holds the grant, but no response may confirm it.
 func (c *ExpiryClock) Start(now time.Duration, grant Grant) error {
 	current := c.deadlines[grant.Duty]
 	if current.token == grant.Token && !rules.mayConfirm(current) {
@@ -43,11 +42,11 @@
 	return nil
 }
 
-// Stop forgets a duty that has no lease holder any more.
+// Stop removes a duty that no longer has a lease holder.
 func (c *ExpiryClock) Stop(d Duty) { delete(c.deadlines, d) }
 
-// Renew gives the grant under a token another lease duration. It returns ErrNotHeld where the duty is not
-// held under that token, or where its expiry has been proposed.
+// Renew extends the lease under a token to a full lease duration from now. It returns ErrNotHeld if the duty is not
+// held under that token, or if the lease's expiry has been proposed.
 func (c *ExpiryClock) Renew(now time.Duration, duty Duty, token Token) error {
 	current, held := c.deadlines[duty]
 	if !held || current.token != token || !rules.mayRenew(current) {
@@ -58,8 +57,8 @@
 	return nil
 }
 
-// Expired returns commands that end the leases whose deadline has passed, sorted by duty. Each is returned
-// again after a lease duration, in case the proposal was lost.
+// Expired returns the Expire commands for the leases whose deadline has passed, sorted by duty. It returns a command
+// again after each lease duration until the lease ends, in case the proposal was lost.
 func (c *ExpiryClock) Expired(now time.Duration) []Command {
 	var commands []Command
 	for _, duty := range slices.Sorted(maps.Keys(c.deadlines)) {
--- a/internal/controlgroup/lease/fence.go
+++ b/internal/controlgroup/lease/fence.go
@@ -1,12 +1,12 @@
 package lease
 
-// Fence rejects acts under outdated tokens. Whoever receives acts has one. What it has seen must outlive its
-// process: the receiver stores Tokens before it carries out an act whose token Admit calls fresh. The
-// zero value has seen nothing.
+// Fence rejects actions under outdated tokens. Each receiver of a holder's actions has one. The tokens it has seen
+// must survive a restart of the receiver: when Admit reports a fresh token, the receiver stores Tokens before it
+// carries out the action. The zero value has seen no token.
 type Fence struct{ highest map[Duty]Token }
 
-// Admit reports whether an act under a token may be carried out. fresh reports that the token is higher than any
-// before it, and has to be stored first.
+// Admit reports whether an action under a token may be carried out. fresh reports that the token is higher than all
+// earlier ones of the duty, and has to be stored first.
 func (f *Fence) Admit(duty Duty, token Token) (ok, fresh bool) {
 	highest := f.highest[duty]
 	if token < highest {
@@ -22,9 +22,9 @@
 	return true, true
 }
 
-// Tokens returns the highest token seen of each duty. The caller must not change the map, and has to copy it where
-// it keeps it beyond the next Admit.
+// Tokens returns the highest token seen for each duty. The caller must not change the map, and has to copy it to keep
+// it beyond the next call of Admit.
 func (f *Fence) Tokens() map[Duty]Token { return f.highest }
 
-// Restore sets what the fence had seen before its process ended. The fence owns the map from then on.
+// Restore sets the tokens that the fence had seen before a restart. The fence owns the map from then on.
 func (f *Fence) Restore(tokens map[Duty]Token) { f.highest = tokens }
--- a/internal/controlgroup/lease/holder_planted.go
+++ b/internal/controlgroup/lease/holder_planted.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// HandleResponseLate is HandleResponse, but counts the renew deadline from the response.
+// HandleResponseLate is HandleResponse, but counts the renew deadline from the response instead of the request.
 func (h *Holder) HandleResponseLate(now time.Duration, seq RequestSeq, grant Grant, err error) {
 	if h.pending && seq == h.pendingSeq {
 		h.sentAt = now
@@ -12,8 +12,8 @@
 	h.HandleResponse(now, seq, grant, err)
 }
 
-// HandleResponseWithoutDrift is HandleResponse, but lets the holder act for longer than the lease lasts, as if its
-// clock were slow beyond all bounds.
+// HandleResponseWithoutDrift is HandleResponse, but lets the holder act for an eighth longer than the lease duration,
+// as if its clock were slow far beyond Timing.MaxClockDrift.
 func (h *Holder) HandleResponseWithoutDrift(now time.Duration, seq RequestSeq, grant Grant, err error) {
 	renews := h.pending && seq == h.pendingSeq && !h.released && err == nil
 	h.HandleResponse(now, seq, grant, err)
@@ -24,8 +24,7 @@
 	}
 }
 
-// GrantedToken returns the token of the last grant, whether its renew deadline has passed or not, until the duty
-// is released.
+// GrantedToken returns the token of the last grant until the duty is released, without checking the renew deadline.
 func (h *Holder) GrantedToken() (token Token, granted bool) {
 	if h.released {
 		return 0, false
--- a/internal/controlgroup/lease/holder_test.go
+++ b/internal/controlgroup/lease/holder_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// acquire has a holder send a request at now, and the group grant it under a token.
+// acquire makes a holder send a request at now, and answers it with a grant under a token.
 func acquire(t *testing.T, h *Holder, now time.Duration, token Token) {
 	t.Helper()
 	request, ok := h.NextRequest(now, time.Second)
--- a/internal/controlgroup/lease/safety_default.go
+++ b/internal/controlgroup/lease/safety_default.go
@@ -2,6 +2,6 @@
 
 package lease
 
-// rules are those that Table and ExpiryClock follow. Only a build with the tag "planted" has others: see package
-// failpoint.
+// rules are the safety rules that Table and ExpiryClock call. A build with the tag "planted" replaces them by
+// faultyRules; see package failpoint.
 var rules safetyRules
--- a/internal/controlgroup/lease/safety_planted.go
+++ b/internal/controlgroup/lease/safety_planted.go
@@ -8,10 +8,10 @@
 	"piernotch/internal/controlgroup/failpoint"
 )
 
-// faultyRules are the safetyRules but for the fault that is enabled.
+// faultyRules are the safetyRules, except for the rule that the enabled fault breaks.
 type faultyRules struct{ safetyRules }
 
-// rules are those that Table and ExpiryClock follow.
+// rules are the safety rules that Table and ExpiryClock call.
 var rules faultyRules
 
 func (r faultyRules) nextToken(last Token) Token {
--- a/internal/controlgroup/lease/table.go
+++ b/internal/controlgroup/lease/table.go
@@ -7,17 +7,17 @@
 	"slices"
 )
 
-// Duty names what at most one process may do at a time.
+// Duty is the name of a task that at most one process may carry out at a time.
 type Duty string
 
-// Token is a fencing token. Tokens rise with every grant of the group, of any duty; the first is 1, and 0 stands
-// for none.
+// Token is a fencing token. Tokens rise with every grant in the group, across all duties. The first is 1; 0 means none.
 type Token uint64
 
-// Incarnation identifies one start of a program among all starts of it. It is drawn at random.
+// Incarnation identifies one start of a program among all its starts. It is drawn at random.
 type Incarnation uint64
 
-// Process identifies one run of a program. A process that was restarted does not hold what it held before.
+// Process identifies one run of a program. After a restart the Incarnation differs, so a restarted process does not
+// hold the leases of its earlier run.
 type Process struct {
 	Name        string      `cbor:"1,keyasint"`
 	Incarnation Incarnation `cbor:"2,keyasint"`
@@ -30,14 +30,14 @@
 	Token  Token   `cbor:"3,keyasint"`
 }
 
-// Op is the operation of a Command.
+// Op is the operation of a Command. It is stored and sent as a number.
 type Op uint8
 
-// Operations. Renewal is none of them: it changes nothing that the group agrees on.
+// Operations. A renewal is not an operation, because it does not change the replicated state.
 const (
-	Acquire  Op = iota + 1 // Process takes a duty without a lease holder; if it holds it already, the grant stays
-	Release                // Process gives up what it holds under Token
-	Transfer               // Process gives what it holds under Token to Successor, under a new token
+	Acquire  Op = iota + 1 // Process acquires a duty without a lease holder; its own grant, if any, stays as it is
+	Release                // Process releases its lease under Token
+	Transfer               // Process hands its lease under Token to Successor, who gets a new token
 	Expire                 // the leader ends the lease under Token
 )
 
@@ -46,26 +46,25 @@
 	Op        Op      `cbor:"1,keyasint"`
 	Duty      Duty    `cbor:"2,keyasint"`
 	Process   Process `cbor:"3,keyasint"`           // the requester; not set for Expire
-	Token     Token   `cbor:"4,keyasint,omitempty"` // not set for Acquire
-	Successor Process `cbor:"5,keyasint,omitempty"` // of Transfer
+	Token     Token   `cbor:"4,keyasint,omitempty"` // of the lease; not set for Acquire
+	Successor Process `cbor:"5,keyasint,omitempty"` // set only for Transfer
 }
 
-// Errors of a Command or a renewal. ErrHeld comes with the grant that is in force.
+// Errors of a Command or a renewal. Together with ErrHeld, the grant in force is returned.
 var (
 	ErrHeld    = errors.New("the lease is held by another process")
 	ErrNotHeld = errors.New("the lease is not held under this token")
 )
 
-// Table is the replicated state: which leases are granted. The zero value is empty.
+// Table holds the granted leases and the last token; it is replicated state. The zero value is empty.
 type Table struct {
 	lastToken Token
 	grants    map[Duty]Grant
 }
 
-// Apply carries out a command. Voters that apply the same commands in the same order have the same table
-// and get the same results. The returned grant is the one in force after Acquire and Transfer, and the one that
-// ended after Release and Expire. With ErrHeld or ErrNotHeld the table is unchanged, and the grant is the
-// one in force, if any.
+// Apply carries out a command. It is deterministic: voters that apply the same commands in the same order have the
+// same table and get the same results. Acquire and Transfer return the grant now in force, Release and Expire the
+// grant that they ended. With ErrHeld or ErrNotHeld the table is unchanged, and the grant is the one in force, if any.
 func (t *Table) Apply(command Command) (Grant, error) {
 	current, held := t.grants[command.Duty]
 	if command.Op == Acquire {
@@ -105,7 +104,7 @@
 	return g, held
 }
 
-// Snapshot is the content of a Table, as it is stored and sent.
+// Snapshot is the content of a Table in the form in which it is stored and sent.
 type Snapshot struct {
 	LastToken Token   `cbor:"1,keyasint"`
 	Grants    []Grant `cbor:"2,keyasint"` // sorted by duty
--- a/internal/controlgroup/lease/table_test.go
+++ b/internal/controlgroup/lease/table_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// What all tests of the package use.
+// Two contending processes and a timing, which the tests of the package share.
 var (
 	processA = Process{Name: "a", Incarnation: 1}
 	processB = Process{Name: "b", Incarnation: 1}
--- a/internal/controlgroup/lease/timing.go
+++ b/internal/controlgroup/lease/timing.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Timing is what the leader and all holders have to agree on.
+// Timing holds the settings that must be equal at all voters and holders.
 type Timing struct {
 	// Duration is the lease duration: how long a lease is valid at the leader without a renewal.
 	Duration time.Duration
-	// MaxClockDrift bounds how far the rate of any clock may be from true time, as a share: 0.01 is one second in a
-	// hundred. Crystals keep within 0.0002; the rest is for machines that are suspended for moments.
+	// MaxClockDrift bounds the deviation of any clock's rate from true time, as a share: 0.01 is one second in a
+	// hundred. Crystal oscillators stay within 0.0002; the rest allows for machines that are briefly suspended.
 	MaxClockDrift float64
 }
 
-// HolderDuration is the renew deadline: how long a holder may act under a lease, from when it sent the request. It
-// is so much shorter than Duration that the fastest leader's clock expires a lease only after the slowest
-// holder's has passed the deadline.
+// HolderDuration returns the renew deadline: how long a holder may act under a lease after it sent the request. It is
+// shorter than Duration, so that even the fastest leader clock expires a lease only after the slowest holder clock has
+// reached the deadline.
 func (t Timing) HolderDuration() time.Duration {
 	return time.Duration(float64(t.Duration) * (1 - t.MaxClockDrift) / (1 + t.MaxClockDrift))
 }
