--- a/cmd/piernotch-voter/main.go
+++ b/cmd/piernotch-voter/main.go
@@ -18,7 +18,7 @@
 	"piernotch/internal/logs"
 )
 
-// commandLine holds the command's flags, which kong derives from the fields.
+// commandLine holds the command's flags.
 type commandLine struct {
 	Group string       `required:"" placeholder:"FILE" help:"The group's file; it names this voter and its store."`
 	Log   logs.Options `embed:"" prefix:"log-"`
--- a/internal/controlgroup/consensus/announcement.go
+++ b/internal/controlgroup/consensus/announcement.go
@@ -99,7 +99,7 @@
 func (m *StateMachine) recordProgress(from protocol.VoterID, msg *raftpb.Message) {
 	kind := msg.GetType()
 	if kind == raftpb.MsgPreVote || kind == raftpb.MsgPreVoteResp {
-		return // these name a term that no voter has entered yet
+		return // pre-vote messages name a term that no voter has entered yet
 	}
 	progress := m.peers[from]
 	term := protocol.Term(msg.GetTerm())
--- a/internal/controlgroup/consensus/golden_test.go
+++ b/internal/controlgroup/consensus/golden_test.go
@@ -29,7 +29,7 @@
 		{ID: goldenID, Name: "n1", Address: "127.0.0.1:18701"},
 		{ID: 0x1122334455667703, Name: "n2", Address: "127.0.0.1:18702"},
 	}
-	goldenImage = protocol.Snapshot{
+	goldenState = protocol.Snapshot{
 		Leases: lease.Snapshot{LastToken: 25, Grants: []lease.Grant{
 			{Duty: "watch/addis", Holder: lease.Process{Name: "n1", Incarnation: 23}, Token: 24},
 		}},
@@ -42,17 +42,17 @@
 		Token:     24,
 		Successor: lease.Process{Name: "n2", Incarnation: 26},
 	}}
-	goldenAdmission = membershipChange{
+	goldenMembershipChange = membershipChange{
 		Incarnation: 33,
 		Seq:         34,
 		Voter:       protocol.Voter{ID: 0x1122334455667705, Name: "n3", Address: "127.0.0.1:18703"},
 	}
 	// Only one start: the encoded order of several map entries is not fixed.
-	goldenStarts = map[protocol.VoterID]Start{0x1122334455667703: {Count: 41, Incarnation: 42}}
-	goldenHard   = &raftpb.HardState{Term: proto.Uint64(5), Vote: proto.Uint64(goldenID), Commit: proto.Uint64(8)}
+	goldenStarts    = map[protocol.VoterID]Start{0x1122334455667703: {Count: 41, Incarnation: 42}}
+	goldenHardState = &raftpb.HardState{Term: proto.Uint64(5), Vote: proto.Uint64(goldenID), Commit: proto.Uint64(8)}
 )
 
-func inCBOR(t *testing.T, value any) []byte {
+func toCBOR(t *testing.T, value any) []byte {
 	t.Helper()
 	data, err := cbor.Marshal(value)
 	require.NoError(t, err)
@@ -61,7 +61,7 @@
 
 func goldenSnapshot(t *testing.T) *raftpb.Snapshot {
 	t.Helper()
-	return &raftpb.Snapshot{Data: inCBOR(t, goldenImage), Metadata: &raftpb.SnapshotMetadata{
+	return &raftpb.Snapshot{Data: toCBOR(t, goldenState), Metadata: &raftpb.SnapshotMetadata{
 		ConfState: &raftpb.ConfState{Voters: []uint64{goldenID, 0x1122334455667703}},
 		Index:     proto.Uint64(6),
 		Term:      proto.Uint64(4),
@@ -72,12 +72,12 @@
 	t.Helper()
 	change, err := proto.Marshal(&raftpb.ConfChange{
 		Type:    raftpb.ConfChangeAddNode.Enum(),
-		NodeId:  proto.Uint64(uint64(goldenAdmission.Voter.ID)),
-		Context: inCBOR(t, goldenAdmission),
+		NodeId:  proto.Uint64(uint64(goldenMembershipChange.Voter.ID)),
+		Context: toCBOR(t, goldenMembershipChange),
 	})
 	require.NoError(t, err)
 	return []*raftpb.Entry{
-		{Index: proto.Uint64(7), Term: proto.Uint64(5), Type: raftpb.EntryNormal.Enum(), Data: inCBOR(t, goldenEntry)},
+		{Index: proto.Uint64(7), Term: proto.Uint64(5), Type: raftpb.EntryNormal.Enum(), Data: toCBOR(t, goldenEntry)},
 		{Index: proto.Uint64(8), Term: proto.Uint64(5), Type: raftpb.EntryConfChange.Enum(), Data: change},
 	}
 }
@@ -85,16 +85,15 @@
 // writeVoterFile writes the golden values to a new file, under the fixed voter ID goldenID.
 func writeVoterFile(t *testing.T, path string) {
 	t.Helper()
-	disk, _, err := OpenStore(path, "example", "n1")
+	store, _, err := OpenStore(path, "example", "n1")
 	require.NoError(t, err)
-	disk.identity.ID = goldenID
-	require.NoError(t, disk.Bootstrap(PersistentState{HardState: goldenHard, Snapshot: goldenSnapshot(t)}))
-	require.NoError(t, disk.Write(Ready{Entries: goldenEntries(t), Starts: goldenStarts}))
-	require.NoError(t, disk.Close())
+	store.identity.ID = goldenID
+	require.NoError(t, store.Bootstrap(PersistentState{HardState: goldenHardState, Snapshot: goldenSnapshot(t)}))
+	require.NoError(t, store.Write(Ready{Entries: goldenEntries(t), Starts: goldenStarts}))
+	require.NoError(t, store.Close())
 }
 
-// values returns all values of a bbolt file by bucket and key. Comparing these leaves out bbolt's page layout, which is
-// no concern of this test.
+// values returns all values of a bbolt file by bucket and key, without bbolt's own page layout.
 func values(t *testing.T, path string) map[string]string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, nil)
@@ -112,8 +111,8 @@
 	return all
 }
 
-// copyOfGolden copies the golden file to a temporary directory, because opening a store writes to its file.
-func copyOfGolden(t *testing.T) string {
+// copyGoldenFile copies the golden file to a temporary directory, because opening a store writes to its file.
+func copyGoldenFile(t *testing.T) string {
 	t.Helper()
 	if *update {
 		require.NoError(t, os.MkdirAll("testdata", 0o755))
@@ -130,14 +129,14 @@
 // TestVoterFileGoldenFile guards the format of voter files: an older program's file must decode to the same values,
 // and the same values must encode to the same bytes under each key.
 func TestVoterFileGoldenFile(t *testing.T) {
-	path := copyOfGolden(t)
+	path := copyGoldenFile(t)
 	fresh := filepath.Join(t.TempDir(), "fresh.voter")
 	writeVoterFile(t, fresh)
 	require.Equal(t, values(t, path), values(t, fresh), "the format on disk has changed")
 
-	disk, log, err := OpenStore(path, "example", "n1")
+	store, state, err := OpenStore(path, "example", "n1")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = disk.Close() })
+	t.Cleanup(func() { _ = store.Close() })
 	require.Equal(t, Identity{
 		Version:      1,
 		Group:        "example",
@@ -145,23 +144,23 @@
 		ID:           goldenID,
 		StartCount:   2,
 		Bootstrapped: true,
-	}, disk.Identity())
-	require.True(t, proto.Equal(goldenHard, log.HardState))
-	require.Equal(t, goldenStarts, log.Starts)
-	require.True(t, proto.Equal(goldenSnapshot(t), log.Snapshot))
-	var image protocol.Snapshot
-	require.NoError(t, cbor.Unmarshal(log.Snapshot.GetData(), &image))
-	require.Equal(t, goldenImage, image)
-	require.Len(t, log.Entries, 2)
+	}, store.Identity())
+	require.True(t, proto.Equal(goldenHardState, state.HardState))
+	require.Equal(t, goldenStarts, state.Starts)
+	require.True(t, proto.Equal(goldenSnapshot(t), state.Snapshot))
+	var replicated protocol.Snapshot
+	require.NoError(t, cbor.Unmarshal(state.Snapshot.GetData(), &replicated))
+	require.Equal(t, goldenState, replicated)
+	require.Len(t, state.Entries, 2)
 	for i, want := range goldenEntries(t) {
-		require.True(t, proto.Equal(want, log.Entries[i]), "entry %d", i)
+		require.True(t, proto.Equal(want, state.Entries[i]), "entry %d", i)
 	}
 	var command commandEntry
-	require.NoError(t, cbor.Unmarshal(log.Entries[0].GetData(), &command))
+	require.NoError(t, cbor.Unmarshal(state.Entries[0].GetData(), &command))
 	require.Equal(t, goldenEntry, command)
 	var change raftpb.ConfChange
-	require.NoError(t, proto.Unmarshal(log.Entries[1].GetData(), &change))
-	var admitted membershipChange
-	require.NoError(t, cbor.Unmarshal(change.GetContext(), &admitted))
-	require.Equal(t, goldenAdmission, admitted)
+	require.NoError(t, proto.Unmarshal(state.Entries[1].GetData(), &change))
+	var membership membershipChange
+	require.NoError(t, cbor.Unmarshal(change.GetContext(), &membership))
+	require.Equal(t, goldenMembershipChange, membership)
 }
--- a/internal/controlgroup/consensus/state_machine.go
+++ b/internal/controlgroup/consensus/state_machine.go
@@ -196,8 +196,7 @@
 		return
 	}
 	for _, id := range m.snapshotsSent {
-		// Raft sends no entries until this report. Whether the snapshot arrived or was lost, raft learns from the
-		// voter's next message.
+		// Raft sends no entries until this report. The next message from the voter shows whether the snapshot arrived.
 		m.node.ReportSnapshot(uint64(id), raft.SnapshotFinish)
 	}
 	m.snapshotsSent = nil
--- a/internal/controlgroup/voter/voter_test.go
+++ b/internal/controlgroup/voter/voter_test.go
@@ -17,7 +17,7 @@
 	"piernotch/internal/controlgroup/lease"
 )
 
-// waitLimit bounds every wait. It only turns a hang into a failure; no test depends on how long a wait takes.
+// waitLimit bounds every wait, so that a hang fails the test. No test depends on how long a wait takes.
 const waitLimit = 30 * time.Second
 
 // threeConfigs returns the configurations of a group's three voters, on free ports of the loopback interface.
