--- a/internal/controlgroup/consensus/doc.go
+++ b/internal/controlgroup/consensus/doc.go
@@ -36,7 +36,7 @@
 //
 // # Lease expiry
 //
-// The table holds no time. Only the leader runs a lease.ExpiryClock. It starts the clock when it applies the
+// The lease table stores no times. Only the leader runs a lease.ExpiryClock. It starts the clock when it applies the
 // first entry of its own term: the table then holds everything that earlier leaders committed.
 // [StateMachine.IsLeader] and every response depend on that clock, not on raft's role alone. Each tick proposes
 // Expire commands for the leases that were not renewed. A new leader gives every lease a full lease duration,
@@ -44,11 +44,10 @@
 //
 // # Reads and renewals
 //
-// Three kinds of requests add nothing to the log: a read, a renewal, and a command that the table shows to be
-// futile (Acquire of a duty that another process holds). They wait for a raft ReadIndex, by which a majority
-// confirms that this voter was still the leader after the request arrived. The request is served from the table
-// once everything committed before the confirmation is applied. Requests that arrive together share one
-// confirmation.
+// Reads, renewals, and commands that the table shows to be futile (Acquire of a duty that another process
+// holds) add nothing to the log. They wait for a raft ReadIndex, by which a majority confirms that this voter
+// was still the leader after the request arrived. The request is served from the table once everything committed
+// before the confirmation is applied. Requests that arrive together share one confirmation.
 //
 // # Membership
 //
--- a/internal/controlgroup/lease/doc.go
+++ b/internal/controlgroup/lease/doc.go
@@ -7,7 +7,7 @@
 //
 // Four types together ensure that a duty never has two active holders:
 //
-//   - [Table] is the state that the control group agrees on. It holds no time. Each token is granted once, and
+//   - [Table] is the state that the control group agrees on. It stores no times. Each token is granted once, and
 //     tokens only rise.
 //   - [ExpiryClock] measures time at the leader. It expires a lease that was not renewed for the lease duration.
 //   - [Holder] measures time at the holder, by the holder's own monotonic clock. It stops acting at the renew
--- a/internal/controlgroup/voter/requests.go
+++ b/internal/controlgroup/voter/requests.go
@@ -15,7 +15,8 @@
 	maxNotified = 4    // waiters notified when a duty comes free; more would be a thundering herd, since one gets it
 )
 
-// handleRequest serves a client's request, or passes it to the state machine. In that case the response is sent later.
+// handleRequest serves a client's request, or passes it to the state machine. The state machine's response is sent
+// later, if the client is still connected.
 func (v *Voter) handleRequest(conn *transport.Conn, request *transport.Request) {
 	if v.stateMachine == nil {
 		v.respond(conn, request, protocol.Response{Err: protocol.ErrNotLeader})
