--- a/internal/controlgroup/consensus/store_records.go
+++ b/internal/controlgroup/consensus/store_records.go
@@ -22,8 +22,8 @@
 // The keys of metadataBucket.
 var (
 	keyIdentity  = []byte("identity") // Identity, as CBOR
-	keyHardState = []byte("hard")     // raftpb.HardState
-	keySnapshot  = []byte("snapshot") // raftpb.Snapshot
+	keyHardState = []byte("hard")     // raftpb.HardState, as protobuf
+	keySnapshot  = []byte("snapshot") // raftpb.Snapshot, as protobuf
 	keyStarts    = []byte("starts")   // map[protocol.VoterID]Start, as CBOR
 )
 
