--- a/internal/serve/discovery/doc.go
+++ b/internal/serve/discovery/doc.go
@@ -10,7 +10,7 @@
 // the lists that it publishes, and poll only while no balancer polls for them.
 //
 // The package must not know what endpoints are used for, nor decide when a failed
-// watch is started again: the balancer does, unless SetPush says that the watch
+// watch is started again: the balancer does, unless WatchWithRestarts says that the watch
 // restarts by itself.
 //
 // The runtime package runs the Watcher and the config package calls Parse. A
--- a/internal/serve/discovery/watcher.go
+++ b/internal/serve/discovery/watcher.go
@@ -127,9 +127,9 @@
 	w.needsReset = !sameService
 }
 
-// SetPush starts the watch, and has it restart by itself from now on when it
+// WatchWithRestarts starts the watch, and has it restart by itself from now on when it
 // fails.
-func (w *Watcher) SetPush() {
+func (w *Watcher) WatchWithRestarts() {
 	w.restarts = true
 	w.Watch()
 }
--- a/internal/serve/discovery/watcher_test.go
+++ b/internal/serve/discovery/watcher_test.go
@@ -258,7 +258,7 @@
 // A watch that restarts by itself makes the next poll restartDelay after a failure.
 func TestPushWatchRestartsAfterFailure(t *testing.T) {
 	f := newFixture(t)
-	f.Do(f.watcher.SetPush)
+	f.Do(f.watcher.WatchWithRestarts)
 	first := f.accept()
 	first.poll()
 	require.NoError(t, first.Close())
--- a/internal/serve/runtime/balancer.go
+++ b/internal/serve/runtime/balancer.go
@@ -139,7 +139,7 @@
 		b.watcher.Watch()
 	}
 	if !b.cfg.Settings.PollDiscovery {
-		b.watcher.SetPush()
+		b.watcher.WatchWithRestarts()
 	}
 	b.mergePeers(peers) // after the list: overrides name servers that it holds
 	b.writeRecord()
