--- a/internal/serve/eventloop/connection.go
+++ b/internal/serve/eventloop/connection.go
@@ -12,36 +12,39 @@
 	"github.com/lesismal/nbio"
 )
 
-// Handler receives what happens on a connection, on the owning goroutine.
+// Handler receives the events of one connection on the owning goroutine.
 type Handler interface {
-	// Data receives bytes in their order. The buffer is used again after the call.
+	// Data receives bytes in the order in which they were sent. The buffer is reused after the
+	// call.
 	Data(data []byte)
-	// Closed is called at most once, after all Data. err is io.EOF if the peer has closed the
-	// connection in order; then Data has received all that it sent. It is not called after Conn.Close.
+	// Closed is called at most once, after all Data, and not after Conn.Close. err is io.EOF if the
+	// peer closed the connection in an orderly way. On a dialed connection, Data has then received
+	// everything that the peer sent; on a client's connection, data that arrived during a stall may
+	// be missing.
 	Closed(err error)
 }
 
-// Conn is one connection. All methods are for the owning goroutine.
+// Conn is a TCP connection. Its methods must be called on the owning goroutine.
 type Conn struct {
 	socket      *nbio.Conn
 	handler     Handler
-	openCount   *atomic.Int64 // where it is counted as open; nil once released
-	queuedBytes int64         // passed to Write
-	closed      bool          // by Close, or Closed was called
-	dialed      bool          // to a server, whose close may be the end of a response
-
-	writtenBytes atomic.Int64 // that the kernel has taken
-	unhandled    atomic.Int32 // pieces of data on their way to the handler
-	discardInput atomic.Bool  // what still arrives is discarded
-	prioritized  atomic.Bool  // handled before others after a stall
-
-	descriptorMutex sync.Mutex  // held while the descriptor is used beside the poller
-	descriptorGone  bool        // it is about to be closed, and its number may then be another connection's
-	peerClosed      atomic.Bool // or broke it; Handler.Closed may be still to come
+	openCount   *atomic.Int64 // counter that includes the connection while it is open; nil once released
+	queuedBytes int64         // total passed to Write
+	closed      bool          // Close or Handler.Closed was called
+	dialed      bool          // opened by this process to a server, whose close may delimit a response
+
+	writtenBytes atomic.Int64 // total that the kernel has accepted
+	unhandled    atomic.Int32 // reads in progress, and pieces of data that the handler has not received yet
+	discardInput atomic.Bool  // further input is discarded
+	prioritized  atomic.Bool  // its data is handled first after a stall
+
+	descriptorMutex sync.Mutex  // held while the descriptor is used outside the poller
+	descriptorGone  bool        // nbio is about to close the descriptor, and the kernel may reuse its number
+	peerClosed      atomic.Bool // the peer closed or broke the connection; Handler.Closed may be pending
 }
 
-// Write sends data; what the kernel does not take at once follows later. An error means that the
-// connection is gone, which is reported by Handler.Closed, too.
+// Write sends data; what the kernel does not accept at once is queued and sent later. An error
+// means that the connection is closed. Unless Close was called, Handler.Closed reports that, too.
 func (c *Conn) Write(data []byte) error {
 	if c.closed {
 		return net.ErrClosed
@@ -51,18 +54,19 @@
 	return err
 }
 
-// Prioritize makes the loop handle what comes on the connection before anything else after a stall.
+// Prioritize makes the loop handle the connection's data before other messages after a stall.
 func (c *Conn) Prioritize() { c.prioritized.Store(true) }
 
-// DiscardInput discards whatever the peer still sends, as it is read.
+// DiscardInput makes the loop discard all further input when it is read.
 func (c *Conn) DiscardInput() { c.discardInput.Store(true) }
 
-// PeerClosed reports whether the peer has closed or broken the connection, also where
-// Handler.Closed was not called yet.
+// PeerClosed reports whether the peer has closed or broken the connection, even if Handler.Closed
+// has not been called yet.
 func (c *Conn) PeerClosed() bool { return c.peerClosed.Load() }
 
-// InputEmpty reports whether nothing from the peer waits to be handled: neither in the kernel nor on
-// its way to the handler, looked at in the order in which bytes come.
+// InputEmpty reports whether the connection is open and no input waits to be handled: neither in
+// the kernel nor between the poller and the handler. Bytes move in this direction, so checking the
+// kernel first cannot miss any.
 func (c *Conn) InputEmpty() bool {
 	if c.closed {
 		return false
@@ -76,10 +80,10 @@
 	return empty && c.unhandled.Load() == 0
 }
 
-// UnsentBytes returns the number of bytes that the kernel has not taken yet.
+// UnsentBytes returns the number of bytes passed to Write that the kernel has not accepted yet.
 func (c *Conn) UnsentBytes() int64 { return c.queuedBytes - c.writtenBytes.Load() }
 
-// Close ends the connection. The handler is not called again.
+// Close closes the connection. The handler is not called again.
 func (c *Conn) Close() {
 	if !c.closed {
 		c.closed = true
@@ -87,8 +91,8 @@
 	}
 }
 
-// CloseWrite closes the sending side alone, so that the peer receives what was sent even if it is
-// still sending: closing a socket with unread bytes is a reset, which discards what is on its way.
+// CloseWrite closes the sending side only, so that a peer that is still sending receives what was
+// sent to it: closing a socket with unread bytes sends a reset, which discards data in transit.
 func (c *Conn) CloseWrite() {
 	if c.closed {
 		return
@@ -96,8 +100,8 @@
 	c.useDescriptor(func(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_WR) })
 }
 
-// useDescriptor calls use with the descriptor, unless the poller has closed the connection: its number may
-// belong to another one by then.
+// useDescriptor calls use with the descriptor, unless the poller has closed the connection: the
+// kernel may have reused the number for another connection by then.
 func (c *Conn) useDescriptor(use func(fd int)) {
 	c.descriptorMutex.Lock()
 	defer c.descriptorMutex.Unlock()
@@ -109,14 +113,15 @@
 	}
 }
 
-// releaseDescriptor ends the use of the descriptor. nbio reports a close before it closes the descriptor.
+// releaseDescriptor makes useDescriptor a no-op. nbio reports a close before it closes the
+// descriptor.
 func (c *Conn) releaseDescriptor() {
 	c.descriptorMutex.Lock()
 	c.descriptorGone = true
 	c.descriptorMutex.Unlock()
 }
 
-// deliver passes data to the handler. A panic ends this connection and no other.
+// deliver passes data to the handler. A panic in the handler closes this connection only.
 func (c *Conn) deliver(data []byte) {
 	if c.closed {
 		return
@@ -130,7 +135,7 @@
 	c.handler.Data(data)
 }
 
-// reportClosed tells the handler that the connection has ended, once.
+// reportClosed calls Handler.Closed, unless the connection is already closed.
 func (c *Conn) reportClosed(err error) {
 	if c.closed {
 		return
@@ -139,7 +144,7 @@
 	c.handler.Closed(err)
 }
 
-// release takes the connection out of the count of open ones, once however it ended.
+// release removes the connection from the count of open ones. Only the first call has an effect.
 func (c *Conn) release() {
 	if c.openCount != nil {
 		c.openCount.Add(-1)
--- a/internal/serve/eventloop/dial.go
+++ b/internal/serve/eventloop/dial.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// dialOvershoot is by how many descriptors a dial may exceed the limit after ShedAll: what ShedAll
-// closes is counted as closed only a moment later, and the reserved descriptors are enough for that.
+// dialOvershoot is the number of descriptors by which a dial may exceed the limit after ShedAll.
+// The connections that ShedAll closes are counted as closed only a moment later; until then the
+// reserved descriptors cover the excess.
 const dialOvershoot = ReservedDescriptors / 4
 
 // DialKind says which descriptors a dial may use.
@@ -14,24 +15,25 @@
 
 // Kinds of dials.
 const (
-	OrdinaryDial DialKind = iota // those within the limit
-	ReservedDial                 // ReservedDescriptors, too: for a connection that the process cannot do without
+	OrdinaryDial DialKind = iota // descriptors within the limit
+	ReservedDial                 // also ReservedDescriptors, for a connection that the process cannot work without
 )
 
-// Target is where a dial goes.
+// Target is the destination of a dial.
 type Target struct {
 	Address string // IP address and port
 	Timeout time.Duration
 	Kind    DialKind
 }
 
-// Dial connects to a target and calls done, on the owning goroutine and never before it returns. newHandler is
-// called there before, once the connection is up; done gets the connection or an error, ErrDescriptorsExhausted
-// among them. Dial is for the owning goroutine.
+// Dial connects to a target. When the connection is up, newHandler returns its handler. Then, or
+// when the dial has failed, done is called with the connection or the error, which is
+// ErrDescriptorsExhausted if the descriptor limit is reached. Both run on the owning goroutine
+// after Dial has returned. Dial must be called on the owning goroutine.
 //
-// The connection is dialed by package net, and passed to nbio once it is up: nbio's own asynchronous
-// dial reports a refused connection as established, and its timeout may fire on a connection that is
-// established.
+// Package net dials, and nbio takes over the established connection: nbio's own asynchronous dial
+// reports a refused connection as established, and its timeout may fire on an established
+// connection.
 func (l *Loop) Dial(target Target, newHandler func(*Conn) Handler, done func(*Conn, error)) {
 	limit := l.descriptorLimit.Load()
 	if target.Kind == OrdinaryDial && l.open.Load() >= limit {
@@ -42,7 +44,7 @@
 		}
 	}
 	l.open.Add(1)
-	// Owned by the Loop; it ends within the timeout, when the dial does.
+	// Owned by the Loop; ends when the dial does, at the latest after its timeout.
 	go func() {
 		dialed, err := net.DialTimeout("tcp", target.Address, target.Timeout)
 		if err != nil {
@@ -51,7 +53,7 @@
 			return
 		}
 		connection := &Conn{openCount: &l.open, dialed: true}
-		l.Post(func() { // set up where the state lives, before a byte is read
+		l.Post(func() { // the handler is set on the owning goroutine before any byte is read
 			connection.handler = newHandler(connection)
 			if err := l.register(dialed, connection); err != nil {
 				connection.closed = true
--- a/internal/serve/eventloop/doc.go
+++ b/internal/serve/eventloop/doc.go
@@ -1,20 +1,20 @@
-// Package eventloop holds the program's TCP sockets: it runs nbio's engine and hands whatever
-// happens on a socket to one goroutine, which owns all state.
+// Package eventloop owns the program's TCP sockets. It runs nbio's engine and passes all events of
+// the sockets to one goroutine, which owns all state.
 //
 // # Goroutines
 //
 // The owning goroutine is the one that calls Loop.Run. Handlers, functions passed to Loop.Post and
-// all other callbacks run there, one at a time; methods of Conn may be called there alone. The other
+// all other callbacks run on it, one at a time; methods of Conn must be called on it. The other
 // goroutines are nbio's poller, which reads sockets and flushes writes, one for each Listener that
-// accepts, and one for each dial. They share no state with the owner but the mailbox and atomic
-// counters.
+// accepts, and one for each dial. They share only the mailbox, atomic fields and a few fields
+// guarded by a mutex with the owning goroutine.
 //
 // # Order
 //
-// What happens on one connection is handled in its order. After a stall, that is when the owner did
-// not run for some time, messages of connections that were prioritized, and closes by clients, are
-// handled before the rest, and the rest before the clock advances.
+// Events of one connection are handled in order. After a stall, in which the owning goroutine did
+// not run for some time, the data of prioritized connections and closes by clients are handled
+// first, then all other messages, and only then does the clock advance.
 //
 // The package knows nothing of HTTP, requests or servers. Packages downstream, upstream, discovery
-// and admin are its users; package runtime owns the Loop.
+// and admin use it; package runtime owns the Loop.
 package eventloop
--- a/internal/serve/eventloop/errors.go
+++ b/internal/serve/eventloop/errors.go
@@ -2,13 +2,14 @@
 
 import "errors"
 
-// ErrDescriptorsExhausted says that the descriptor limit is reached.
+// ErrDescriptorsExhausted is the error of a dial that would exceed the descriptor limit.
 var ErrDescriptorsExhausted = errors.New("descriptor limit reached")
 
 var (
-	// errPeerClosed is the orderly end of a connection, once it was read. The poller itself reports
-	// io.EOF for any end, also where a reset has come and nothing is left to be read.
+	// errPeerClosed marks an orderly close that Loop.read has seen. nbio itself reports io.EOF for
+	// any close, even after a reset with nothing left to read.
 	errPeerClosed = errors.New("end of the connection")
-	// errBroken is passed to the handler for an end of the poller's that was not read.
+	// errBroken is passed to Handler.Closed if nbio reports the end of a connection that Loop.read
+	// has not seen.
 	errBroken = errors.New("connection broken")
 )
--- a/internal/serve/eventloop/listener.go
+++ b/internal/serve/eventloop/listener.go
@@ -11,33 +11,35 @@
 )
 
 const (
-	// limitRetry is the time after which a listener at its limit looks for room again.
+	// limitRetry is the interval at which a listener at its limit checks whether it may accept
+	// again.
 	limitRetry = 5 * time.Millisecond
 	// clientShareQuarters is the part of the descriptor limit, in quarters, up to which clients are
 	// accepted. The rest is kept for connections to servers.
 	clientShareQuarters = 3
-	// acceptRetry is the time after which a failed accept is repeated.
+	// acceptRetry is the delay before a failed accept is retried.
 	acceptRetry = 20 * time.Millisecond
 )
 
-// Listener accepts connections. ClientListener and AdminListener make it. All methods are for one
-// goroutine at a time, but for Accepting and Stop, which any may call.
+// Listener accepts connections. ClientListener and AdminListener create it. Its methods must not be
+// called concurrently, except Accepting and Stop, which any goroutine may call.
 type Listener struct {
 	loop       *Loop
 	newHandler func(*Conn) Handler
-	open       *atomic.Int64 // where its connections are counted
-	limit      func() int64  // no more are accepted while so many are open
-	shed       func()        // called at the limit; closes what can be spared
+	open       *atomic.Int64 // counter of its open connections, perhaps shared with other connections
+	limit      func() int64  // accepting pauses while open has reached it
+	shed       func()        // closes connections that can be spared; called at the limit and after a failed accept
 
 	mu       sync.Mutex
-	file     *os.File     // a socket that other processes hold, too; nil: its own
+	file     *os.File     // inherited socket, which other processes hold, too; nil: not inherited
 	listener net.Listener // nil: not accepting
 	address  string
 }
 
-// ClientListener returns a listener for clients: its connections count toward the loop's descriptor
-// limit, of which a part is kept for connections to servers. A client that is accepted but not
-// served is worse off than one that waits in the listener's queue.
+// ClientListener returns a listener for clients. Its connections count toward the loop's descriptor
+// limit, part of which is kept for connections to servers. Beyond its part the listener leaves
+// clients in the accept queue: a client that is accepted but not served is worse off than one that
+// waits there.
 func (l *Loop) ClientListener(newHandler func(*Conn) Handler) *Listener {
 	return &Listener{
 		loop:       l,
@@ -48,8 +50,8 @@
 	}
 }
 
-// AdminListener returns a listener whose connections are counted on their own; shed has to close one
-// when maxConnections are open.
+// AdminListener returns a listener whose connections are counted separately. shed must close one of
+// them when maxConnections are open.
 func (l *Loop) AdminListener(maxConnections int, newHandler func(*Conn) Handler, shed func()) *Listener {
 	return &Listener{
 		loop:       l,
@@ -60,7 +62,7 @@
 	}
 }
 
-// Listen binds an IP address and port, and accepts.
+// Listen binds to an IP address and port, and starts accepting.
 func (l *Listener) Listen(address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -70,11 +72,11 @@
 	return nil
 }
 
-// Inherit takes over a listening socket, which other processes may hold as well. It does not accept
-// yet.
+// Inherit takes over a listening socket, which other processes may hold as well. It does not start
+// accepting.
 func (l *Listener) Inherit(fd int) error {
 	file := os.NewFile(uintptr(fd), "inherited listener")
-	listener, err := net.FileListener(file) // fails if fd is no descriptor: file is nil then
+	listener, err := net.FileListener(file) // file is nil, which is an error here, if fd is invalid
 	if err != nil {
 		return err
 	}
@@ -83,8 +85,8 @@
 	return listener.Close()
 }
 
-// SetAccepting accepts from an inherited socket, or leaves it to its other holders: connections wait
-// in the kernel until one of them accepts them.
+// SetAccepting starts or stops accepting from an inherited socket. Connections wait in the kernel
+// until a process that holds the socket accepts them.
 func (l *Listener) SetAccepting(accept bool) error {
 	if !accept {
 		l.Stop()
@@ -101,17 +103,17 @@
 	return nil
 }
 
-// Accepting reports whether connections are accepted.
+// Accepting reports whether the listener accepts connections.
 func (l *Listener) Accepting() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.listener != nil
 }
 
-// Addr returns the address of the socket, "" before Listen or Inherit.
+// Addr returns the address of the socket, or "" before Listen or Inherit.
 func (l *Listener) Addr() string { return l.address }
 
-// Stop ends accepting. A connection that has been accepted still gets its handler.
+// Stop ends accepting. Connections that were accepted before still get their handlers.
 func (l *Listener) Stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,7 +128,7 @@
 	l.listener = listener
 	l.address = listener.Addr().String()
 	l.mu.Unlock()
-	// Owned by the Listener; it ends once Stop has closed the socket.
+	// Owned by the Listener; ends once Stop has closed the socket.
 	go l.acceptAll(listener)
 }
 
@@ -141,7 +143,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of descriptors, most likely: others must close first
+		if err != nil { // most likely out of descriptors: other connections must close first
 			slog.Warn("accept failed", "err", err)
 			l.loop.Post(l.shed)
 			time.Sleep(acceptRetry)
--- a/internal/serve/eventloop/loop.go
+++ b/internal/serve/eventloop/loop.go
@@ -13,47 +13,49 @@
 	"github.com/lesismal/nbio/logging"
 )
 
-// ReservedDescriptors is the number of descriptors that are not handed out: standard streams,
-// pollers, the listener, and the second descriptor that a connection has for a moment while nbio
-// takes it over.
+// ReservedDescriptors is the number of descriptors that the limit on connections leaves free: for
+// standard streams, pollers, the listener, and the second descriptor that a connection briefly has
+// while nbio takes it over.
 const ReservedDescriptors = 32
 
 const (
-	// stallThreshold is how long the loop may take over one batch without that being a stall:
-	// responses may be as late as this.
+	// stallThreshold is the longest gap between the starts of two batches that does not count as a
+	// stall. Responses may be delayed by up to this long.
 	stallThreshold = 40 * time.Millisecond
-	// LongStallThreshold is the length of a stall after which the loop first gives the poller
-	// longStallReadTime to read what waits in the sockets, and only then handles messages. Otherwise a
-	// request could be handled before the update that a server drains, and be sent to that server when
-	// the time in which that is still allowed has passed. The threshold may be as high as this because
-	// the protocol tolerates a delay of half as much on every time limit.
+	// LongStallThreshold is the gap above which the loop first gives the poller longStallReadTime
+	// to read the sockets, and only then handles messages. Otherwise it could handle a request
+	// before the update that a server drains, and send the request to that server after the time in
+	// which that is still allowed. The threshold can be this high because the protocol tolerates a
+	// delay of half of it on every time limit.
 	LongStallThreshold = 100 * time.Millisecond
 	longStallReadTime  = 20 * time.Millisecond
 
-	// maxWriteBuffer is how much a connection may queue that the kernel does not take, in bytes.
+	// maxWriteBuffer limits the bytes that a connection queues because the kernel does not accept
+	// them.
 	maxWriteBuffer = 512 << 10
 )
 
-// Loop runs the sockets. New makes it.
+// Loop reads and writes all sockets and calls their handlers. New creates it.
 type Loop struct {
-	// ShedClients and ShedAll are called on the owning goroutine when descriptors are short, and should
-	// close connections that can be spared. ShedClients is called for a new client, which must not cost
-	// the servers' side its connections; it closes connections of clients alone. ShedAll is called for
-	// a connection to a server and when the limit was lowered. They are set before Run.
+	// ShedClients and ShedAll are called on the owning goroutine when descriptors run short. They
+	// should close connections that can be spared. ShedClients makes room for a new client and must
+	// close only connections of clients: a new client must not displace connections to servers.
+	// ShedAll makes room for a connection to a server, and is also called when the limit is
+	// lowered. Both are set before Run.
 	ShedClients, ShedAll func()
-	// Stalled is called on the owning goroutine after a stall, before what came meanwhile is handled:
-	// that may have been waiting for the whole gap. It is set before Run.
+	// Stalled is called on the owning goroutine after a stall, before the messages that arrived
+	// meanwhile are handled: they may have waited for the whole gap. It is set before Run.
 	Stalled func(gap time.Duration)
 
 	engine          *nbio.Engine
 	mailbox         mailbox
-	readBuffer      []byte       // the poller's alone
-	open            atomic.Int64 // connections, those of admin listeners not among them
-	descriptorLimit atomic.Int64 // of open, without ReservedDescriptors
+	readBuffer      []byte       // used by the poller only
+	open            atomic.Int64 // connections open or being dialed, without those of admin listeners
+	descriptorLimit atomic.Int64 // limit on open; ReservedDescriptors are already subtracted
 }
 
-// New starts an engine that holds at most the given number of descriptors, those of admin listeners
-// not included. Its poller runs until the process ends.
+// New starts an engine that holds at most the given number of descriptors, not counting those of
+// admin listeners. Its poller runs until the process ends.
 func New(descriptors int) (*Loop, error) {
 	prepareEngines(descriptors)
 	loop := &Loop{
@@ -83,17 +85,17 @@
 
 var engineTable struct {
 	sync.Mutex
-	size int // 0: no engine was made yet
+	size int // 0: no engine has been created
 }
 
-// prepareEngines sets what nbio has for all engines of a process. It keeps a table by descriptor
-// number and refuses what lies beyond it; the limit is enforced here, the table only has to be
-// large enough.
+// prepareEngines applies the settings that nbio shares between all engines of a process. nbio keeps
+// a table indexed by descriptor number and refuses descriptors beyond it. The Loop enforces the
+// limit itself, so the table only has to be large enough.
 func prepareEngines(descriptors int) {
 	engineTable.Lock()
 	defer engineTable.Unlock()
 	if engineTable.size == 0 {
-		logging.SetLevel(logging.LevelNone) // what matters of nbio's log is logged here
+		logging.SetLevel(logging.LevelNone) // this package logs the errors that matter
 	}
 	if size := max(4*descriptors, 1<<14); size > engineTable.size {
 		engineTable.size = size
@@ -101,8 +103,8 @@
 	}
 }
 
-// Run makes the calling goroutine the owning one and handles events until the context ends. tick is
-// called once a period.
+// Run makes the calling goroutine the owning one and handles events until ctx is canceled. It calls
+// tick once per period.
 func (l *Loop) Run(ctx context.Context, period time.Duration, tick func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -135,12 +137,13 @@
 		}
 		l.handle(batch)
 		if stalled {
-			guard(tick) // after what came before this moment
+			guard(tick) // the clock advances after the messages that arrived before now
 		}
 	}
 }
 
-// handle handles a batch and clears it: its array is used again and must keep nothing alive.
+// handle handles a batch and clears it: the array is reused and must not keep handled messages
+// alive.
 func (l *Loop) handle(batch []message) {
 	for i := range batch {
 		next := &batch[i]
@@ -155,7 +158,7 @@
 	}
 }
 
-// guard keeps a panic in one event from ending the program.
+// guard calls call and recovers from a panic, so that one event cannot end the program.
 func guard(call func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -165,12 +168,13 @@
 	call()
 }
 
-// Post runs call on the owning goroutine, after what was posted before. It never blocks and may be
-// called from any goroutine.
+// Post runs call on the owning goroutine, after all calls that were posted earlier. It never blocks
+// and may be called from any goroutine.
 func (l *Loop) Post(call func()) { l.mailbox.post(message{call: call}) }
 
-// SetDescriptorLimit changes the number of descriptors that the engine may hold. Connections that
-// are open stay open, but for those that ShedAll can spare. It may be called from any goroutine.
+// SetDescriptorLimit changes the number of descriptors that the engine may hold. If more are in
+// use, ShedAll is called; connections that it does not close stay open. It may be called from any
+// goroutine.
 func (l *Loop) SetDescriptorLimit(descriptors int) {
 	limit := int64(descriptors - ReservedDescriptors)
 	l.descriptorLimit.Store(limit)
--- a/internal/serve/eventloop/loop_test.go
+++ b/internal/serve/eventloop/loop_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// recordingHandler counts the bytes that it receives and passes the end on.
+// recordingHandler counts the bytes that it receives and sends the error of Closed to end.
 type recordingHandler struct {
 	bytes int
 	end   chan error
@@ -23,7 +23,7 @@
 func (h *recordingHandler) Data(data []byte) { h.bytes += len(data) }
 func (h *recordingHandler) Closed(err error) { h.end <- err }
 
-// startLoop runs a loop with a tick until the returned function is called.
+// startLoop runs a loop, which calls tick, until the returned function is called.
 func startLoop(t *testing.T, l *Loop, tick func()) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -38,7 +38,7 @@
 	}
 }
 
-// waiting returns the number of messages that the owner has not taken.
+// waiting returns the number of messages that the owning goroutine has not taken yet.
 func (m *mailbox) waiting() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -47,8 +47,8 @@
 
 func (m *mailbox) empty() bool { return m.waiting() == 0 }
 
-// What a server sent before it closed the connection is received completely, and the end is reported as
-// it was, also where all of it waits when the poller first reads.
+// All data that a server sent before it closed the connection is received, and the close is
+// reported as orderly or as a reset, even if all of it arrives before the poller's first read.
 func TestCloseIsReportedAfterAllData(t *testing.T) {
 	for name, c := range map[string]struct {
 		bytes int
@@ -89,10 +89,10 @@
 					h.end <- err
 				}
 			})
-			// The connection is up, and not registered with the poller yet.
+			// The connection is established but not yet registered with the poller.
 			require.Eventually(t, func() bool { return !l.mailbox.empty() }, 10*time.Second, time.Millisecond)
 			close(connected)
-			require.NoError(t, <-sent) // all of it, before a byte is read
+			require.NoError(t, <-sent) // everything is sent before the first byte is read
 
 			stop := startLoop(t, l, func() {})
 			require.ErrorIs(t, <-h.end, c.want)
@@ -102,7 +102,7 @@
 	}
 }
 
-// eventLog is a list of events, of several connections and the clock.
+// eventLog lists the events of several connections and of the clock in order.
 type eventLog struct {
 	mu     sync.Mutex
 	events []string
@@ -120,7 +120,7 @@
 	return e.events
 }
 
-// loggingHandler adds what it receives to a log under a name.
+// loggingHandler adds the events of a connection to a log under a name.
 type loggingHandler struct {
 	log  *eventLog
 	name string
@@ -129,8 +129,9 @@
 func (h loggingHandler) Data(data []byte) { h.log.add(h.name + " " + string(data)) }
 func (h loggingHandler) Closed(error)     { h.log.add(h.name + " closed") }
 
-// After a stall, that a client has left is handled before what came in front of it, and before time goes
-// on: both may forward requests that are queued.
+// After a stall, a client's close is handled before messages that arrived earlier and before the
+// clock advances: both of these may forward queued requests, and the client no longer waits for its
+// own.
 func TestClientCloseIsHandledFirstAfterStall(t *testing.T) {
 	l, err := New(64)
 	require.NoError(t, err)
@@ -152,7 +153,7 @@
 		c, err := net.Dial("tcp", listener.Addr())
 		require.NoError(t, err)
 		peers = append(peers, c)
-		time.Sleep(20 * time.Millisecond) // accepted, in this order
+		time.Sleep(20 * time.Millisecond) // so that connections are accepted in this order
 	}
 	paused, resume := make(chan struct{}), make(chan struct{})
 	l.Post(func() {
@@ -166,7 +167,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	require.NoError(t, peers[1].Close())
-	// Two requests and a close wait for the owner, however long the poller takes to read them.
+	// Waits until the poller has read two requests and a close, however long that takes.
 	require.Eventually(t, func() bool { return l.mailbox.waiting() == 3 }, 10*time.Second, time.Millisecond)
 	time.Sleep(stallThreshold)
 	close(resume)
@@ -177,8 +178,8 @@
 	require.Equal(t, []string{"leaves closed", "stays request", "tick"}, log.all()[:3])
 }
 
-// What the kernel holds back for a fuller packet is lost with a reset: nothing is held back, in either
-// direction.
+// Data that the kernel holds back to fill a packet (Nagle's algorithm) is lost when the connection
+// is reset. Accepted and dialed connections therefore set TCP_NODELAY.
 func TestConnectionsSetNoDelay(t *testing.T) {
 	l, err := New(64)
 	require.NoError(t, err)
@@ -211,8 +212,9 @@
 	listener.Stop()
 }
 
-// Where connections to servers have used up all descriptors, those that are reserved are left for the watch of
-// the endpoint list: without it servers that drain would not be known, and their connections would stay.
+// When connections to servers have used up all other descriptors, the reserved ones remain for the
+// watch of the endpoint list. Without the watch, draining servers would go unnoticed and
+// connections to them would stay open.
 func TestReservedDialConnectsWhereDescriptorsAreShort(t *testing.T) {
 	l, err := New(ReservedDescriptors + 1)
 	require.NoError(t, err)
@@ -237,7 +239,8 @@
 	require.NoError(t, dial(ReservedDial))
 }
 
-// The number of a descriptor belongs to another connection once the poller has closed the first one.
+// Once the poller has closed a connection, the kernel may reuse its descriptor number for another
+// one, so the closed connection must not use the number.
 func TestDescriptorOfAClosedConnectionIsNotUsed(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -258,7 +261,7 @@
 	defer stop()
 	first, firstPeer := dial()
 	entered, leave, used := make(chan struct{}), make(chan struct{}), make(chan bool, 1)
-	l.Post(func() { // meanwhile the owning goroutine does not learn of the close
+	l.Post(func() { // blocks the owning goroutine, so that it does not learn of the close
 		close(entered)
 		<-leave
 		called := false
--- a/internal/serve/eventloop/mailbox.go
+++ b/internal/serve/eventloop/mailbox.go
@@ -6,19 +6,19 @@
 	"sync"
 )
 
-// maxPendingData bounds the bytes that were read and not handled yet. Beyond it the poller waits,
-// and so do the peers: a few that send at full speed must not fill the memory.
+// maxPendingData limits the bytes that were read but not handled yet. Above it the poller waits,
+// which applies backpressure to all peers: a few fast senders must not fill the memory.
 const maxPendingData = 256 << 10
 
-// message is one thing that has happened: call, or else data on a connection.
+// message is an event for the owning goroutine: either a call or data from a connection.
 type message struct {
 	call        func()
 	conn        *Conn
 	data        *[]byte
-	prioritized bool // of call: handled before others after a stall
+	prioritized bool // of a call: it is handled first after a stall
 }
 
-// priority is 1 for what is handled first after a stall.
+// priority returns 1 for a message that is handled first after a stall, and 0 for others.
 func (m message) priority() int {
 	onPrioritizedConnection := m.conn != nil && m.conn.prioritized.Load()
 	if m.prioritized || onPrioritizedConnection {
@@ -27,19 +27,19 @@
 	return 0
 }
 
-// prioritize sorts messages by priority. The order of those of one connection stays.
+// prioritize sorts messages by priority. Messages of the same priority keep their order.
 func prioritize(batch []message) {
 	slices.SortStableFunc(batch, func(a, b message) int { return cmp.Compare(b.priority(), a.priority()) })
 }
 
-// mailbox passes messages to the owning goroutine.
+// mailbox queues messages for the owning goroutine.
 type mailbox struct {
 	mu       sync.Mutex
-	taken    *sync.Cond // signaled when the owner has taken messages
+	taken    *sync.Cond // signaled when the owning goroutine has taken the messages
 	messages []message
-	dataSize int           // bytes of the data in messages
+	dataSize int           // total bytes of data in messages
 	wake     chan struct{} // holds one token if there may be messages
-	buffers  sync.Pool     // of *[]byte, for data
+	buffers  sync.Pool     // of *[]byte, for message.data
 }
 
 func (m *mailbox) init() {
@@ -48,7 +48,7 @@
 	m.buffers.New = func() any { b := make([]byte, 0, 1<<10); return &b }
 }
 
-// post adds a message. It never blocks.
+// post adds a message without blocking.
 func (m *mailbox) post(msg message) {
 	m.mu.Lock()
 	m.messages = append(m.messages, msg)
@@ -57,7 +57,7 @@
 }
 
 // postData adds a copy of data that was read on a connection, unless the connection discards its
-// input. It blocks while too much data is pending; only the poller may call it.
+// input. It blocks while more than maxPendingData is pending. Only the poller may call it.
 func (m *mailbox) postData(connection *Conn, data []byte) {
 	m.mu.Lock()
 	for m.dataSize > maxPendingData {
@@ -74,7 +74,8 @@
 	m.signal()
 }
 
-// take returns all messages. The mailbox uses the array of spare, which must hold none, from now on.
+// take returns all messages. The mailbox reuses the array of spare, whose messages must have been
+// cleared.
 func (m *mailbox) take(spare []message) []message {
 	m.mu.Lock()
 	batch := m.messages
@@ -85,7 +86,7 @@
 	return batch
 }
 
-// release gives the buffer of a message back once its data was handled.
+// release returns the buffer of a message to the pool once its data has been handled.
 func (m *mailbox) release(buffer *[]byte) { m.buffers.Put(buffer) }
 
 func (m *mailbox) signal() {
--- a/internal/serve/eventloop/poller.go
+++ b/internal/serve/eventloop/poller.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// readSize is how many bytes are read from a socket at once.
+	// readSize is the maximum number of bytes per read from a socket.
 	readSize = 16 << 10
-	// maxClientReads is how often a client's connection is read before another has its turn.
+	// maxClientReads is the maximum number of reads from a client's connection before other
+	// connections get their turn.
 	maxClientReads = 4
 )
 
-// register passes a connection to the poller. The handler must be set before, and it runs on the
+// register passes a connection, whose handler must already be set, to the poller. It runs on the
 // owning goroutine.
 func (l *Loop) register(accepted net.Conn, connection *Conn) error {
 	socket, err := nbio.NBConn(accepted)
@@ -32,22 +33,22 @@
 		slog.Debug("no TCP_NODELAY", "err", err)
 	}
 	if _, err := l.engine.AddConn(socket); err != nil {
-		connection.release() // nbio has closed it, but does not always report that
+		connection.release() // nbio has closed the connection, but does not always report that
 		return err
 	}
 	return nil
 }
 
-// read reads what a connection holds; the poller calls it. It replaces nbio's own reading, which has
-// two faults: it closes a connection after a few reads once the peer has closed it, even if more data
-// is left, and it reports a reset as an orderly end. A response that is delimited by the end of the
-// connection would then pass for complete although it was cut short. So a connection to a server is
-// read until it is empty or has ended; its handler closes one that sends too much. A client's
-// connection is read maxClientReads times, and then others have their turn.
+// read reads the available input of a connection. The poller calls it in place of nbio's own
+// reading, which has two faults: it closes a connection after a few reads once the peer has closed
+// it, even if more data is left, and it reports a reset as an orderly close. A truncated response
+// that is delimited by the close of the connection would then be taken as complete. A connection to
+// a server is therefore read until it is empty or has ended; its handler closes one that sends too
+// much. A client's connection is read at most maxClientReads times before others get their turn.
 func (l *Loop) read(socket *nbio.Conn) {
 	connection := socket.Session().(*Conn)
-	l.mailbox.mu.Lock()         // makes the fields of a new connection visible here
-	connection.unhandled.Add(1) // what is read here is neither in the kernel nor in the mailbox
+	l.mailbox.mu.Lock()         // makes the fields of a new connection visible to the poller
+	connection.unhandled.Add(1) // data being read is neither in the kernel nor in the mailbox
 	l.mailbox.mu.Unlock()
 	defer connection.unhandled.Add(-1)
 	for reads := 1; ; reads++ {
@@ -72,7 +73,7 @@
 	}
 }
 
-// connectionClosed posts the end of a connection; the poller calls it.
+// connectionClosed posts the end of a connection to the owning goroutine. nbio calls it.
 func (l *Loop) connectionClosed(socket *nbio.Conn, err error) {
 	if errors.Is(err, errPeerClosed) {
 		err = io.EOF
@@ -87,7 +88,8 @@
 	l.mailbox.mu.Lock() // as in read
 	connection.peerClosed.Store(true)
 	l.mailbox.mu.Unlock()
-	// That a client has left is handled first after a stall; what a server sent before its end counts.
+	// After a stall, the close of a client's connection is handled first. The close of a connection
+	// to a server is not, because the data that the server sent before it still counts.
 	l.mailbox.post(message{prioritized: !connection.dialed, call: func() {
 		connection.release()
 		connection.reportClosed(err)
