--- a/internal/serve/discovery/connection.go
+++ b/internal/serve/discovery/connection.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// listPath is where the discovery service responds to polls.
+	// listPath is the path of a poll's request.
 	listPath = "/catalog/members"
 
-	// maxListSize is the largest list accepted, in bytes.
+	// maxListSize is the size limit of an endpoint list, in bytes.
 	maxListSize = 4 << 20
 )
 
-// connection is a connection to the discovery service. It implements
-// eventloop.Handler, whose methods run on the loop's owning goroutine. Once it is
-// no longer its watcher's connection, it ignores whatever happens to it.
+// connection is a connection to the discovery service. It implements eventloop.Handler, whose
+// methods run on the loop's owning goroutine. It ignores all events once the watcher has dropped
+// it.
 type connection struct {
 	watcher *Watcher
 	socket  *eventloop.Conn
 	parser  *http1.Parser
 }
 
-// query is what a poll asks the service for.
+// query is what a poll requests.
 type query struct {
-	version  uint64        // changes since this generation
-	complete bool          // the complete list instead, to which the service responds at once
-	wait     time.Duration // how long the service may hold the poll without a change
+	version  uint64        // request changes since this generation
+	complete bool          // request the complete list instead, which the service sends at once
+	wait     time.Duration // how long the service may hold the poll if nothing changes
 }
 
-// target returns the query as the target of a request.
+// target returns the request target of the poll: path and query string.
 func (q query) target() string {
 	if q.complete {
 		return listPath
@@ -44,14 +44,15 @@
 	return listPath + "?index=" + strconv.FormatUint(q.version, 10) + "&wait=" + wait
 }
 
-// writePoll writes the request of a poll.
-func (c *connection) writePoll(host string, asked query) {
+// writePoll sends the request of a poll.
+func (c *connection) writePoll(host string, polled query) {
 	fields := http1.Fields{{Name: "Host", Value: host}}
-	// An error is reported as a close of the connection, which fails the poll.
-	_ = c.socket.Write(http1.AppendRequest(nil, http1.MethodGet, asked.target(), fields, nil))
+	// A failed write is also reported to Closed, which fails the poll.
+	_ = c.socket.Write(http1.AppendRequest(nil, http1.MethodGet, polled.target(), fields, nil))
 }
 
-// Data implements eventloop.Handler: bytes from the discovery service.
+// Data implements eventloop.Handler. It parses responses; data that arrives while no response is
+// due fails the watch.
 func (c *connection) Data(data []byte) {
 	watcher := c.watcher
 	if watcher.connection != c {
@@ -71,9 +72,8 @@
 	}
 }
 
-// Closed implements eventloop.Handler: the connection has ended. An orderly end
-// may complete a response whose length it gives. Any other error must not: the
-// response was cut short.
+// Closed implements eventloop.Handler. An orderly close may complete a response that is delimited
+// by it. Any other error must not, because the response was truncated.
 func (c *connection) Closed(err error) {
 	watcher := c.watcher
 	if watcher.connection != c {
--- a/internal/serve/discovery/endpoint_list.go
+++ b/internal/serve/discovery/endpoint_list.go
@@ -12,20 +12,20 @@
 	"piernotch/internal/serve/core"
 )
 
-// EndpointList is the complete list of servers, or a change of it.
+// EndpointList is the complete list of servers, or a change to it.
 type EndpointList struct {
 	Generation uint64
-	Reset      bool // the list is complete: what it does not name is gone
+	Reset      bool // the list is complete: servers that it does not name are gone
 	Endpoints  []core.DiscoveredEndpoint
 }
 
-// ListError is an endpoint list that cannot be used.
+// ListError reports an endpoint list that cannot be used.
 type ListError struct {
-	Field string // path of the invalid JSON field; "": the list itself is invalid
+	Field string // path of the invalid JSON field; "": the list as a whole is invalid
 	Err   error
 }
 
-// Error implements error.
+// Error returns "list:", the field unless it is empty, and the cause.
 func (e *ListError) Error() string {
 	if e.Field == "" {
 		return fmt.Sprintf("list: %v", e.Err)
@@ -41,14 +41,14 @@
 	errMissing      = errors.New("is missing")
 )
 
-// listJSON is an endpoint list on the wire.
+// listJSON is the wire format of an endpoint list.
 type listJSON struct {
 	Generation *uint64        `json:"generation"`
 	Reset      bool           `json:"reset"`
 	Endpoints  []endpointJSON `json:"instances"`
 }
 
-// endpointJSON is the entry of a server in the endpoint list, on the wire.
+// endpointJSON is the wire format of a server's entry in an endpoint list.
 type endpointJSON struct {
 	Name        string  `json:"instanceId"`
 	Address     string  `json:"hostPort"`
@@ -59,15 +59,15 @@
 	StartedAtMs float64 `json:"startedAtMs"`
 }
 
-// states are the endpoint states by their name on the wire.
+// states maps the lifecycle names on the wire to endpoint states.
 var states = map[string]piernotch.State{
 	"in_service":  piernotch.Ready,
 	"terminating": piernotch.Draining,
 	"terminated":  piernotch.Gone,
 }
 
-// Parse parses an endpoint list. An endpoint's zone becomes its index in zones,
-// -1 for one that is not among them. Errors are of type *ListError.
+// Parse parses an endpoint list. The zone of an endpoint becomes its index in zones, or -1 if it is
+// not there. Errors are of type *ListError.
 func Parse(data []byte, zones []string) (EndpointList, error) {
 	var decoded listJSON
 	if err := json.Unmarshal(data, &decoded); err != nil {
@@ -87,7 +87,7 @@
 	return list, nil
 }
 
-// parseEndpoint converts the entry at an index of the list.
+// parseEndpoint converts the list entry at an index.
 func parseEndpoint(index int, entry *endpointJSON, zones []string) (core.DiscoveredEndpoint, error) {
 	state, known := states[entry.Lifecycle]
 	if !known {
@@ -96,7 +96,7 @@
 	if entry.Name == "" {
 		return core.DiscoveredEndpoint{}, endpointError(index, "instanceId", errMissing)
 	}
-	// Nothing is sent to a server that is gone, so its address is not needed.
+	// Requests are not sent to a server that is gone, so its address is not needed.
 	if state != piernotch.Gone && !validAddress(entry.Address) {
 		return core.DiscoveredEndpoint{}, endpointError(index, "hostPort", fmt.Errorf("is %q", entry.Address))
 	}
@@ -113,13 +113,14 @@
 	}, nil
 }
 
-// endpointError is an error in a field of the entry at an index, named as on the wire.
+// endpointError returns an error about a field of the list entry at an index; the field is named as
+// on the wire.
 func endpointError(index int, field string, err error) *ListError {
 	return &ListError{Field: fmt.Sprintf("instances[%d].%s", index, field), Err: err}
 }
 
-// validAddress reports whether an address is an IP address with a port. Names are
-// not resolved.
+// validAddress reports whether an address is an IP address with a port. Host names are not resolved
+// and therefore invalid.
 func validAddress(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	return err == nil && net.ParseIP(host) != nil
--- a/internal/serve/discovery/shared_watch.go
+++ b/internal/serve/discovery/shared_watch.go
@@ -6,18 +6,18 @@
 	"piernotch/internal/controlgroup"
 )
 
-// UseSharedWatch has the watcher poll only when the group has it do so, and publish
-// what its polls bring. nil: it polls for itself alone.
+// UseSharedWatch makes the watcher a part of a control group: it polls only when the group tells it
+// to, and publishes the lists that it receives. If shared is nil, the watcher polls for itself
+// alone.
 func (w *Watcher) UseSharedWatch(shared controlgroup.SharedWatch) { w.shared = shared }
 
-// ReceiveShared takes a list that another balancer polled and published. One that
-// is older than what is known is ignored; one that does not follow what is known
-// makes the watcher request an update from the group. UseSharedWatch must have
-// been called with a group.
+// ReceiveShared applies a list that another balancer polled and published. A list older than the
+// known one is ignored. If changes between the known list and this one are missing, the watcher
+// requests an update from the group. UseSharedWatch must have been called with a group.
 func (w *Watcher) ReceiveShared(event controlgroup.WatchEvent) {
 	apply, missing := event.Follows(w.address, w.version)
 	if w.needsReset && event.Source == w.address {
-		// The known version is one of another service: only a complete list can be applied.
+		// The known version belongs to another service, so only a complete list can be applied.
 		apply = event.Complete
 		missing = !event.Complete
 	}
@@ -35,7 +35,8 @@
 	w.apply(list)
 }
 
-// requestUpdate requests from the group what follows the known version.
+// requestUpdate requests from the group the changes after the known version, or the complete list
+// if the known version cannot be continued.
 func (w *Watcher) requestUpdate() {
 	known := w.version
 	if w.needsReset {
@@ -44,8 +45,8 @@
 	w.shared.RequestUpdate(w.address, known)
 }
 
-// publish passes a list on to the group in the form that it was received in. It
-// must be called before the list is applied.
+// publish publishes a received list to the group in its wire format. It must be called before the
+// list is applied, while version is still the preceding one.
 func (w *Watcher) publish(list EndpointList, body []byte) {
 	event := controlgroup.WatchEvent{
 		Source:      w.address,
--- a/internal/serve/discovery/shared_watch_test.go
+++ b/internal/serve/discovery/shared_watch_test.go
@@ -18,10 +18,10 @@
 	otherAddress = "127.0.0.1:2"
 )
 
-// fakeSharedWatch is a group in which another balancer polls. It records what the watcher calls.
+// fakeSharedWatch is a group in which another balancer polls. It records the watcher's calls.
 type fakeSharedWatch struct {
 	published []controlgroup.WatchEvent
-	requested []uint64 // the known versions that RequestUpdate was called with
+	requested []uint64 // versions passed to RequestUpdate
 	failures  int
 }
 
@@ -34,7 +34,7 @@
 	f.requested = append(f.requested, version)
 }
 
-// newSharedWatcher returns a watcher in a group that knows version 5, and the events that it emits.
+// newSharedWatcher returns a watcher at version 5, its group, and the events that it emits.
 func newSharedWatcher() (*Watcher, *fakeSharedWatch, *[]core.Event) {
 	shared := &fakeSharedWatch{}
 	events := &[]core.Event{}
@@ -49,7 +49,7 @@
 	return w, shared, events
 }
 
-// emptyList is a list without endpoints on the wire.
+// emptyList returns the wire format of a list without endpoints.
 func emptyList(generation uint64, reset bool) []byte {
 	return fmt.Appendf(nil, `{"generation":%d,"reset":%t,"instances":[]}`, generation, reset)
 }
@@ -151,7 +151,7 @@
 	}
 
 	respond(http1.StatusOK, emptyList(6, false))
-	respond(http1.StatusOK, emptyList(4, false)) // older than what is known meanwhile: published, but not applied
+	respond(http1.StatusOK, emptyList(4, false)) // older than the known list: published but not applied
 	respond(http1.StatusOK, emptyList(3, true))
 	respond(http1.StatusServiceUnavailable, nil)
 
--- a/internal/serve/discovery/watcher.go
+++ b/internal/serve/discovery/watcher.go
@@ -14,46 +14,45 @@
 )
 
 const (
-	// watchWait is how long the service may hold a poll without a change.
+	// watchWait is how long the service may hold a poll if nothing changes.
 	watchWait = 5 * time.Second
 
-	// silenceGrace is how much longer than watchWait the service may be silent. The
-	// service counts a change as delivered two seconds after the wait of the poll that
-	// should have brought it, so the polls that replace a silent one must have a
-	// response by then.
+	// silenceGrace is how long the watcher waits for a response beyond watchWait. The service
+	// counts a change as delivered two seconds after the wait of the poll that should have
+	// delivered it. The polls that replace a silent one must have a response by then.
 	silenceGrace = time.Second
 
-	// replacementWait is how long the service may hold a poll that replaces a silent
-	// one: such a poll only has to show whether the service responds.
+	// replacementWait is how long the service may hold a poll that replaces a silent one. Such a
+	// poll only has to show whether the service responds.
 	replacementWait = 250 * time.Millisecond
 
-	// crowdedTimeout bounds a poll to which the service responds at once. One that has
-	// too many callers gives each up after 3 s; to ask again before that would only
-	// add to its callers.
-	crowdedTimeout = 3500 * time.Millisecond
+	// immediateResponseTimeout bounds a poll to which the service responds without holding it. A
+	// service with too many callers abandons each call after 3 s; repeating the poll earlier would
+	// only add to its load.
+	immediateResponseTimeout = 3500 * time.Millisecond
 
 	dialTimeout = time.Second
 
-	// minPollInterval is the least time between two polls: a service that responds
-	// at once without a change must not be polled in a busy loop. It stays well
-	// under the 200 ms within which the service counts a watch as continuing.
+	// minPollInterval is the least time between two polls, so that a service that responds at once
+	// without a change is not polled in a busy loop. It is well below the 200 ms within which the
+	// service counts a watch as continuing.
 	minPollInterval = 100 * time.Millisecond
 
-	// sharedRecheckInterval is how often a balancer for which another one polls
-	// checks whether that is still so.
+	// sharedRecheckInterval is the interval at which a balancer checks whether another one still
+	// polls for it.
 	sharedRecheckInterval = 50 * time.Millisecond
 
-	// restartDelay is the time from a failure to the next poll of a watch that
-	// restarts by itself. It is short: the service that pushes the list is near,
-	// and counts a change as delivered when it was sent.
+	// restartDelay is the time from a failure to the next poll of a watch that restarts by itself.
+	// It is short because the service that pushes the list is near, and counts a change as
+	// delivered when it has sent it.
 	restartDelay = 200 * time.Millisecond
 )
 
-// replacementTimeouts are after what time the polls that replace a silent one, in turn,
-// count as silent, too. Behind the last the watch fails. The first leaves time for
-// another before the service counts a change as delivered; if that one has no response
-// either, the service may be slow and not silent.
-var replacementTimeouts = [...]time.Duration{time.Second, crowdedTimeout}
+// replacementTimeouts are the timeouts of the successive polls that replace a silent one. After the
+// last the watch fails. The first is short enough for another poll before the service counts a
+// change as delivered. The second is longer, because a service that does not respond to either may
+// be slow rather than silent.
+var replacementTimeouts = [...]time.Duration{time.Second, immediateResponseTimeout}
 
 var (
 	errUnsolicitedData = errors.New("data received while no response was due")
@@ -61,8 +60,8 @@
 	errWatchTimeout    = errors.New("watch timed out")
 )
 
-// Watcher watches the endpoint list. It must be used on the event loop's owning
-// goroutine only.
+// Watcher watches the endpoint list. All its methods must be called on the event loop's owning
+// goroutine.
 type Watcher struct {
 	loop    *eventloop.Loop
 	emit    func(core.Event)
@@ -70,36 +69,36 @@
 	address string
 	zones   []string
 
-	version      uint64 // the last generation that is known
-	needsReset   bool   // the next poll requests the complete list: the known version cannot be continued
-	restarts     bool   // a failed watch restarts by itself; the balancer does not call Watch
-	active       bool   // a poll is in flight, is being dialed or is scheduled
-	replacements int    // how many polls in a row were replaced because the service was silent
+	version      uint64 // generation of the last known list
+	needsReset   bool   // the known version cannot be continued, so the next poll requests the complete list
+	restarts     bool   // a failed watch restarts by itself; otherwise the balancer calls Watch
+	active       bool   // a poll is in flight, being dialed or scheduled
+	replacements int    // number of consecutive replacements of a silent poll
 	lastPollAt   time.Duration
-	appliedAt    time.Duration // when a list was last applied; 0: none was
-	respondedAt  time.Duration // when the service last sent a list; until then, when the Watcher was made
-	failures     int           // since then
+	appliedAt    time.Duration // when a list was last applied; 0: never
+	respondedAt  time.Duration // when the service last sent a list; initially the Watcher's creation
+	failures     int           // failures of the watch since respondedAt
 	nextPollAt   time.Duration // 0: no poll is scheduled
 	pollDeadline time.Duration // when the poll in flight times out
-	asked        query         // what the last poll that was written asked for
+	lastQuery    query         // query of the last poll that was sent
 
-	connection *connection // nil: there is none, or it is being dialed
-	epoch      int         // counts moves and replacements, to ignore dials of earlier ones
+	connection *connection // nil: none, or being dialed
+	epoch      int         // counts moves and replacements; dials of earlier epochs are ignored
 
 	shared controlgroup.SharedWatch // nil: this balancer polls for itself alone
 }
 
-// Options is what a Watcher works with. Only Version may be zero.
+// Options configures a Watcher. Only Version may be zero.
 type Options struct {
 	Loop    *eventloop.Loop
-	Emit    func(core.Event)     // is handed events on the loop's owning goroutine
+	Emit    func(core.Event)     // receives events on the loop's owning goroutine
 	Now     func() time.Duration // the clock of the core
 	Address string               // of the discovery service
 	Zones   []string             // see Parse
-	Version uint64               // the generation of the list that is known; 0: none
+	Version uint64               // generation of the known list; 0: none
 }
 
-// New returns a Watcher that does not watch yet.
+// New returns a Watcher that does not poll until Watch or WatchWithRestarts is called.
 func New(options Options) *Watcher {
 	return &Watcher{
 		loop:        options.Loop,
@@ -112,23 +111,22 @@
 	}
 }
 
-// Version returns the last generation of the list that is known.
+// Version returns the generation of the last known list.
 func (w *Watcher) Version() uint64 { return w.version }
 
-// ListAge returns the time since the discovery service last sent a list. While a watch is open and nothing
-// changes, that is up to the time that the service may hold a poll.
+// ListAge returns the time since the discovery service last sent a list. In an open watch without
+// changes it grows to the time that the service may hold a poll.
 func (w *Watcher) ListAge() time.Duration { return w.now() - w.respondedAt }
 
-// Resume continues from the version that another watcher knew. sameService
-// reports whether it was a version of this discovery service; one of another
-// service means nothing here.
+// Resume continues from the version that another watcher knew. sameService tells whether that is a
+// version of this discovery service. Versions of another service are meaningless here, so the next
+// poll then requests the complete list.
 func (w *Watcher) Resume(version uint64, sameService bool) {
 	w.version = version
 	w.needsReset = !sameService
 }
 
-// WatchWithRestarts starts the watch, and has it restart by itself from now on when it
-// fails.
+// WatchWithRestarts starts the watch, and makes it restart by itself whenever it fails.
 func (w *Watcher) WatchWithRestarts() {
 	w.restarts = true
 	w.Watch()
@@ -148,9 +146,8 @@
 	w.poll()
 }
 
-// Move ends the watch and starts one at another address. Its versions are its
-// own, so the complete list is requested. Late responses from the old address are
-// ignored.
+// Move ends the watch and starts one at another address. It requests the complete list, because
+// each service has its own versions. Late responses from the old address are ignored.
 func (w *Watcher) Move(address string) {
 	w.disconnect()
 	w.epoch++
@@ -162,11 +159,10 @@
 	w.Watch()
 }
 
-// Tick must be called once per core.TickInterval. It makes scheduled polls and
-// handles polls that time out: if the machine of the service fails, the connection
-// stays open and silent. It may also be that only the connection was lost, and the
-// service soon counts changes as delivered that the watch has missed. So a poll that
-// times out is repeated at once on a new connection.
+// Tick must be called once per core.TickInterval. It sends scheduled polls and handles polls that
+// time out. If the machine of the service fails, the connection stays half-open and silent. But
+// possibly only the connection was lost, and the service will soon count changes as delivered that
+// the watch has missed. A poll that times out is therefore repeated at once on a new connection.
 func (w *Watcher) Tick() {
 	if w.nextPollAt > 0 && w.now() >= w.nextPollAt {
 		w.poll()
@@ -179,8 +175,8 @@
 	w.replaceOrFail(errWatchTimeout)
 }
 
-// replaceOrFail makes the poll in flight anew on a new connection, or fails the
-// watch if that has been tried often enough.
+// replaceOrFail repeats the poll in flight on a new connection, or fails the watch if all
+// replacements are used up.
 func (w *Watcher) replaceOrFail(err error) {
 	if w.replacements >= len(replacementTimeouts) {
 		w.fail(err)
@@ -188,12 +184,12 @@
 	}
 	w.replacements++
 	w.disconnect()
-	w.epoch++ // a dial that is still in progress is of no use any more
+	w.epoch++ // ignore a dial that is still in progress
 	w.poll()
 }
 
-// connectionFailed takes that the poll in flight has no connection, or none any more.
-// Behind a silence there is no time left to wait before another try.
+// connectionFailed handles the loss of the connection, or a failed dial, for the poll in flight. A
+// replacement is repeated at once: after a silence no time is left to wait.
 func (w *Watcher) connectionFailed(err error) {
 	if w.replacements > 0 {
 		w.replaceOrFail(err)
@@ -202,15 +198,15 @@
 	w.fail(err)
 }
 
-// schedulePoll has Tick make the next poll at a time.
+// schedulePoll makes Tick send the next poll at the given time.
 func (w *Watcher) schedulePoll(at time.Duration) {
 	w.active = true
 	w.nextPollAt = at
 	w.pollDeadline = at + dialTimeout + w.pollTimeout()
 }
 
-// poll makes a poll on the open connection or on a new one. If another balancer
-// polls for this one, that is checked again a little later instead.
+// poll sends a poll on the open connection or on a new one. If another balancer polls for this one,
+// it only schedules the next check of that.
 func (w *Watcher) poll() {
 	if w.shared != nil {
 		pollHere, complete := w.shared.ShouldPoll(w.address)
@@ -234,7 +230,7 @@
 	w.dial()
 }
 
-// dial opens a connection and makes the poll on it.
+// dial opens a connection and sends the poll on it.
 func (w *Watcher) dial() {
 	dialed := &connection{watcher: w, parser: http1.NewResponseParser(maxListSize)}
 	epoch := w.epoch
@@ -245,7 +241,7 @@
 	}
 	done := func(socket *eventloop.Conn, err error) {
 		switch {
-		case w.epoch != epoch: // the watch has moved meanwhile
+		case w.epoch != epoch: // the watch has moved or the poll was replaced
 			if err == nil {
 				socket.Close()
 			}
@@ -260,14 +256,14 @@
 	w.loop.Dial(target, opened, done)
 }
 
-// writePoll writes the poll's request on the open connection.
+// writePoll sends the poll's request on the open connection.
 func (w *Watcher) writePoll() {
 	w.pollDeadline = w.now() + w.pollTimeout()
-	w.asked = w.pollQuery()
-	w.connection.writePoll(w.address, w.asked)
+	w.lastQuery = w.pollQuery()
+	w.connection.writePoll(w.address, w.lastQuery)
 }
 
-// pollQuery returns what the next poll asks for.
+// pollQuery returns the query of the next poll.
 func (w *Watcher) pollQuery() query {
 	wait := watchWait
 	if w.replacements > 0 {
@@ -276,20 +272,18 @@
 	return query{version: w.version, complete: w.needsReset, wait: wait}
 }
 
-// pollTimeout returns after what time without a response the next poll counts as
-// silent.
+// pollTimeout returns the time without a response after which the next poll counts as silent.
 func (w *Watcher) pollTimeout() time.Duration {
 	switch {
 	case w.needsReset:
-		return crowdedTimeout
+		return immediateResponseTimeout
 	case w.replacements > 0:
 		return replacementTimeouts[w.replacements-1]
 	}
 	return watchWait + silenceGrace
 }
 
-// fail ends the watch. The balancer decides when to start it again, unless it
-// restarts by itself.
+// fail ends the watch. The balancer decides when to start it again, unless it restarts by itself.
 func (w *Watcher) fail(err error) {
 	w.failures++
 	slog.Warn("discovery failed", "address", w.address, "generation", w.version, "failures", w.failures,
@@ -318,8 +312,7 @@
 // responseDue reports whether a poll is in flight.
 func (w *Watcher) responseDue() bool { return w.active && w.nextPollAt == 0 }
 
-// responseReceived takes the response to the poll in flight, and makes the next
-// poll.
+// responseReceived handles the response to the poll in flight, and starts the next poll.
 func (w *Watcher) responseReceived(response *http1.Message) {
 	if response.Status != http1.StatusOK {
 		w.fail(fmt.Errorf("status %d", response.Status))
@@ -330,16 +323,16 @@
 		w.fail(err)
 		return
 	}
-	w.noteResponse()
-	if !w.asked.complete && list.Generation < w.asked.version {
+	w.recordResponse()
+	if !w.lastQuery.complete && list.Generation < w.lastQuery.version {
 		w.requestCompleteList(list.Generation)
 		return
 	}
 	if w.shared != nil {
 		w.publish(list, response.Body)
 	}
-	// A poll that was in flight while another balancer's list arrived may bring an
-	// older one.
+	// The response may be older than a list that another balancer published while the poll was in
+	// flight.
 	outdated := w.shared != nil && !list.Reset && list.Generation < w.version
 	if !outdated {
 		w.apply(list)
@@ -352,10 +345,12 @@
 	w.Watch()
 }
 
-// requestCompleteList polls anew, on a new connection, in place of applying a list that is older than the poll
-// asked for: it is a second response to an earlier poll, or the service has lost its versions.
+// requestCompleteList polls for the complete list on a new connection. It is called instead of
+// applying a list that is older than the version in the poll: either the list is a second response
+// to an earlier poll, or the service has lost its versions.
 func (w *Watcher) requestCompleteList(generation uint64) {
-	slog.Warn("outdated list", "address", w.address, "generation", w.asked.version, "received_generation", generation)
+	slog.Warn("outdated list", "address", w.address, "generation", w.lastQuery.version,
+		"received_generation", generation)
 	w.needsReset = true
 	w.disconnect()
 	w.active = false
@@ -363,8 +358,9 @@
 	w.Watch()
 }
 
-// noteResponse notes that the service has sent a list, and logs it if it had failed before.
-func (w *Watcher) noteResponse() {
+// recordResponse records that the service has sent a list, and logs the recovery if the watch had
+// failed.
+func (w *Watcher) recordResponse() {
 	if w.failures > 0 {
 		slog.Info("discovery recovered", "address", w.address, "failures", w.failures,
 			"list_age_ms", w.ListAge().Milliseconds())
@@ -373,7 +369,8 @@
 	w.failures = 0
 }
 
-// apply passes a list to the core. What it changes was not listed when the list before was applied.
+// apply passes a list to the core. Since is when the previous list was applied: the changes in this
+// one were not listed by then.
 func (w *Watcher) apply(list EndpointList) {
 	since := w.appliedAt
 	w.appliedAt = w.now()
--- a/internal/serve/discovery/watcher_test.go
+++ b/internal/serve/discovery/watcher_test.go
@@ -14,11 +14,11 @@
 	"piernotch/internal/serve/servetest"
 )
 
-// drainGrace is the least grace that operators have given a drain.
+// drainGrace is the shortest grace period of a drain that operators have configured.
 const drainGrace = 500 * time.Millisecond
 
-// fixture is a Watcher on an event loop of its own, whose clock the test sets, and the discovery service,
-// which the test plays.
+// fixture is a Watcher on its own event loop, a clock that the test sets, and the listener with
+// which the test plays the discovery service.
 type fixture struct {
 	*servetest.Loop
 	t       *testing.T
@@ -26,7 +26,8 @@
 	service net.Listener
 }
 
-// newFixture starts a Watcher that knows version 5, and the service. Both run until the test ends.
+// newFixture creates a Watcher at version 5 and the service's listener. Both last until the test
+// ends.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := &fixture{t: t, service: servetest.Listen(t), Loop: servetest.NewLoop(t)}
@@ -40,7 +41,7 @@
 	return f
 }
 
-// advance lets time pass, and then has the Watcher do what is due.
+// advance advances the clock and then calls the Watcher's Tick.
 func (f *fixture) advance(by time.Duration) {
 	f.AdvanceClock(by)
 	f.Do(f.watcher.Tick)
@@ -52,40 +53,40 @@
 	*fixture
 }
 
-// accept accepts the connection that the Watcher opens next.
+// accept accepts the next connection that the Watcher opens.
 func (f *fixture) accept() *serviceConnection {
 	f.t.Helper()
 	return &serviceConnection{Peer: servetest.Accept(f.t, f.service), fixture: f}
 }
 
-// poll reads a poll and returns its target.
+// poll reads the request of a poll and returns its target.
 func (c *serviceConnection) poll() string {
 	c.t.Helper()
 	return strings.Fields(c.RequestHead()[0])[1]
 }
 
-// sendList sends a list without endpoints and returns the update that comes of it.
+// sendList sends a list without endpoints and returns the update that it causes.
 func (c *serviceConnection) sendList(generation uint64) core.EndpointUpdate {
 	c.t.Helper()
 	return c.receiveUpdate(emptyList(generation, false))
 }
 
-// sendBody sends a list as it is on the wire.
+// sendBody sends a response with the given body.
 func (c *serviceConnection) sendBody(body []byte) {
 	c.t.Helper()
 	c.Send(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 }
 
-// receiveUpdate sends a list and returns the update that comes of it.
+// receiveUpdate sends a list in its wire format and returns the update that it causes.
 func (c *serviceConnection) receiveUpdate(body []byte) core.EndpointUpdate {
 	c.t.Helper()
 	c.sendBody(body)
 	update := (<-c.Events).(core.EndpointUpdate)
-	c.Do(func() {}) // the next poll is scheduled behind the event
+	c.Do(func() {}) // wait for the next poll, which is scheduled after the event
 	return update
 }
 
-// respond sends a list without endpoints and waits until it was applied.
+// respond sends a list without endpoints and waits until it is applied.
 func (c *serviceConnection) respond(generation uint64) {
 	c.t.Helper()
 	update := c.sendList(generation)
@@ -93,7 +94,7 @@
 	require.Empty(c.t, update.Endpoints)
 }
 
-// pollOf returns the target of a poll for what follows a version.
+// pollOf returns the target of a poll for the changes after a version.
 func pollOf(version int) string {
 	return fmt.Sprintf("%s?index=%d&wait=%d", listPath, version, watchWait.Milliseconds())
 }
@@ -103,7 +104,8 @@
 	return fmt.Sprintf("%s?index=%d&wait=%d", listPath, version, replacementWait.Milliseconds())
 }
 
-// Once the complete list was polled on another connection, the service may have any version.
+// A second response to an earlier poll is outdated. It is not applied; the complete list is polled
+// on a new connection, and may then have any version.
 func TestSecondResponseToAnEarlierPollIsNotApplied(t *testing.T) {
 	f := newFixture(t)
 	f.Do(f.watcher.Watch)
@@ -125,8 +127,8 @@
 	require.Equal(t, pollOf(3), connection.poll())
 }
 
-// The next poll follows a response, on the same connection and for the version of the response, but not
-// within minPollInterval of the poll before.
+// The next poll follows a response on the same connection and names the response's version, but is
+// not sent within minPollInterval of the previous poll.
 func TestPollFollowsResponseAfterMinPollInterval(t *testing.T) {
 	f := newFixture(t)
 	f.Do(f.watcher.Watch)
@@ -141,8 +143,8 @@
 	require.Equal(t, pollOf(6), connection.poll())
 }
 
-// A poll that times out is repeated at once on a new connection. The watch fails if all replacements time out,
-// too, and is started again by the balancer.
+// A poll that times out is repeated at once on a new connection. If all replacements time out as
+// well, the watch fails, and the balancer starts it again.
 func TestSilentPollIsReplacedBeforeTheWatchFails(t *testing.T) {
 	f := newFixture(t)
 	f.Do(f.watcher.Watch)
@@ -169,7 +171,7 @@
 	require.Equal(t, pollOf(5), f.accept().poll())
 }
 
-// What a response brings was not listed when the response before came.
+// The changes in a response were not listed when the previous response arrived.
 func TestUpdateSaysSinceWhenItCanHaveBeenListed(t *testing.T) {
 	f := newFixture(t)
 	f.Do(f.watcher.Watch)
@@ -183,7 +185,8 @@
 	require.Equal(t, before, connection.sendList(6).Since)
 }
 
-// A service that is slow and not silent, as one with many callers is, still gets its response through.
+// A service that is slow rather than silent, for example because of many callers, still delivers
+// its response.
 func TestSlowServiceRespondsToLastReplacement(t *testing.T) {
 	f := newFixture(t)
 	f.Do(f.watcher.Watch)
@@ -198,7 +201,8 @@
 	require.Empty(t, f.Events)
 }
 
-// Once a replacement has its response, the next poll waits as long as any, on the same connection.
+// After the response to a replacement, the next poll has the usual wait and uses the same
+// connection.
 func TestWatchGoesOnAfterReplacedPoll(t *testing.T) {
 	f := newFixture(t)
 	f.Do(f.watcher.Watch)
@@ -213,20 +217,21 @@
 	require.Empty(t, f.Events)
 }
 
-// A poll for the complete list has its response at once, so that silence is noticed sooner than in a watch.
+// The service responds at once to a poll for the complete list, so its silence is noticed sooner
+// than in a watch.
 func TestSilentPollForCompleteListIsReplacedSooner(t *testing.T) {
 	f := newFixture(t)
 	f.Do(func() { f.watcher.Move(f.service.Addr().String()) })
 	first := f.accept()
 	require.Equal(t, listPath, first.poll())
-	f.advance(crowdedTimeout + servetest.ShortTime)
+	f.advance(immediateResponseTimeout + servetest.ShortTime)
 	first.RequireClosed()
 	require.Equal(t, listPath, f.accept().poll())
 	require.Empty(t, f.Events)
 }
 
-// Where the service has gone silent and then refuses connections, the watch fails once the replacements are
-// used up, and does not wait for the timeout of one.
+// If the service has gone silent and then refuses connections, the watch fails as soon as the
+// replacements are used up, without waiting for a timeout.
 func TestRefusedReplacementsFailTheWatch(t *testing.T) {
 	f := newFixture(t)
 	f.Do(f.watcher.Watch)
@@ -236,13 +241,11 @@
 	require.Equal(t, core.EndpointUpdate{Kind: piernotch.UpdateFailed}, <-f.Events)
 }
 
-// What users saw is the same as after an outage: requests go to a server that has long been draining.
-//
-// Order of events: the network drops a watch without a word, and the poll that replaces it, too. The first is
-// noticed 6 s after its poll, the second took as long again, so that a change was known 12 s late. A change
-// counts as notified 2 s after the wait of the poll that should have brought it, and a drain gives 2 s more.
-//
-// Cause: the replacement had the timeout of a watch, though it only has to show that the service responds.
+// Guards against requests to a server that has long been draining. The network silently dropped a
+// watch and also the poll that replaced it. Each was noticed after 6 s, so that a change was known
+// 12 s late. A change counts as notified 2 s after the wait of the poll that should have delivered
+// it, and a drain gives 2 s more. The replacement had the timeout of a watch, although it only has
+// to show that the service responds.
 func TestSilentReplacementOfSilentPollIsNoticedInTime(t *testing.T) {
 	const countsAsNotified = watchWait + 2*time.Second
 	f := newFixture(t)
@@ -255,7 +258,7 @@
 	f.accept().poll()
 }
 
-// A watch that restarts by itself makes the next poll restartDelay after a failure.
+// A watch that restarts by itself sends the next poll restartDelay after a failure.
 func TestPushWatchRestartsAfterFailure(t *testing.T) {
 	f := newFixture(t)
 	f.Do(f.watcher.WatchWithRestarts)
@@ -263,7 +266,7 @@
 	first.poll()
 	require.NoError(t, first.Close())
 	require.Equal(t, core.EndpointUpdate{Kind: piernotch.UpdateFailed}, <-f.Events)
-	f.Do(func() {}) // the restart is scheduled behind the event
+	f.Do(func() {}) // wait for the restart, which is scheduled after the event
 	f.advance(restartDelay - 1)
 	active := false
 	f.Do(func() { active = f.watcher.responseDue() })
@@ -272,7 +275,7 @@
 	require.Equal(t, pollOf(5), f.accept().poll())
 }
 
-// A watch that moves requests the complete list at the new address, and ignores what the old one sends.
+// A watch that moves requests the complete list at the new address, and closes the old connection.
 func TestMovedWatchRequestsCompleteList(t *testing.T) {
 	f, other := newFixture(t), newFixture(t)
 	f.Do(f.watcher.Watch)
