--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// Bounds on the lines of a chunked body, in bytes.
+// Limits on the lines of a chunked body, in bytes.
 const (
-	maxChunkLine = 256 // a line that gives a chunk's size
-	maxTrailer   = 4 << 10
+	maxChunkLine = 256 // line before a chunk, with the chunk's size
+	maxTrailer   = 4 << 10 // all lines of the trailer
 )
 
-// framing is how the end of a body is found.
+// framing is how the end of a body is determined.
 type framing uint8
 
 const (
@@ -21,15 +21,16 @@
 	framingUntilClose
 )
 
-// framingFields is what the header fields say about a message's framing.
+// framingFields is what the header fields say about a message's framing, and the number of Host
+// fields.
 type framingFields struct {
-	lengths int // how many Content-Length fields there are
-	length  int // the last one's value
-	codings int // how many Transfer-Encoding fields there are; all are "chunked"
-	hosts   int // how many Host fields there are
+	lengths int // number of Content-Length fields
+	length  int // value of the last Content-Length field
+	codings int // number of Transfer-Encoding fields; all are "chunked"
+	hosts   int // number of Host fields
 }
 
-// startBody finds how the body ends and has the parser expect it.
+// startBody determines the framing of the body and prepares the parser for it.
 func (p *Parser) startBody(message *Message, minorVersion int) *Error {
 	fields, err := readFramingFields(message.Fields)
 	if err != nil {
@@ -42,7 +43,7 @@
 	switch {
 	case p.responses && message.Status < 200:
 		return p.skipInterim(message)
-	case p.responses && (message.Status == 204 || message.Status == 304): // never a body
+	case p.responses && (message.Status == 204 || message.Status == 304): // these never have a body
 		p.expectSized(0)
 	case fields.codings == 1:
 		p.framing = framingChunked
@@ -61,8 +62,8 @@
 	return nil
 }
 
-// expectsContinue reports whether the sender of a message with a body waits for a
-// 100 Continue.
+// expectsContinue reports whether the sender waits for a 100 Continue before it sends the body of a
+// message.
 func expectsContinue(message *Message, minorVersion int) bool {
 	return minorVersion == 1 && message.Fields.containsToken("expect", "100-continue")
 }
@@ -73,7 +74,7 @@
 	p.state = stateBody
 }
 
-// readFramingFields reads the fields on which the framing depends.
+// readFramingFields reads the fields that determine the framing, and counts Host fields.
 func readFramingFields(all Fields) (framingFields, *Error) {
 	var fields framingFields
 	for _, field := range all {
@@ -97,8 +98,8 @@
 	return fields, nil
 }
 
-// validateFraming rejects messages whose end is ambiguous, and requests that do
-// not name one host.
+// validateFraming rejects messages whose end is ambiguous, requests with several Host fields, and
+// HTTP/1.1 requests without one.
 func (p *Parser) validateFraming(fields framingFields, minorVersion int) *Error {
 	hostRequired := minorVersion == 1
 	switch {
@@ -112,7 +113,8 @@
 	return nil
 }
 
-// skipInterim skips a 1xx response; the final one follows it.
+// skipInterim skips a 1xx response, which precedes the final one. It rejects a 101, because no
+// request asks for a change of protocol.
 func (p *Parser) skipInterim(message *Message) *Error {
 	if message.Status == 101 {
 		return badRequest("unasked change of protocol")
@@ -122,8 +124,8 @@
 	return nil
 }
 
-// parseBody returns the message once its body is complete. One that lasts until
-// the close is completed by End.
+// parseBody returns the message once its body is complete. A body that lasts until the close is
+// completed by End instead.
 func (p *Parser) parseBody() (*Message, *Error) {
 	if p.framing == framingUntilClose {
 		if len(p.buffer) > p.maxBody {
@@ -139,8 +141,7 @@
 	return p.finish(), nil
 }
 
-// parseChunkSize parses the line before a chunk, and reports whether it was
-// complete.
+// parseChunkSize parses the line before a chunk, and reports whether the line was complete.
 func (p *Parser) parseChunkSize() (complete bool, err *Error) {
 	line, err := p.line(maxChunkLine, "chunk size line too long")
 	if err != nil || line == nil {
@@ -163,7 +164,7 @@
 	return true, nil
 }
 
-// chunkSize parses the size in a chunk's first line. Extensions are ignored.
+// chunkSize parses the hexadecimal size in the line before a chunk. Chunk extensions are ignored.
 func chunkSize(line []byte) (size int, valid bool) {
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	digits = bytes.TrimRight(digits, " \t")
@@ -174,8 +175,7 @@
 	return int(number), err == nil
 }
 
-// parseChunk adds a chunk to the body once it is complete, and reports whether it
-// was.
+// parseChunk adds a chunk to the body if it is complete, and reports whether it was.
 func (p *Parser) parseChunk() (complete bool, err *Error) {
 	if len(p.buffer) < p.remaining+2 {
 		return false, nil
@@ -189,8 +189,8 @@
 	return true, nil
 }
 
-// parseTrailerLine discards a line of the trailer. The empty one at its end
-// completes the message.
+// parseTrailerLine discards a line of the trailer. The empty line at the trailer's end completes
+// the message.
 func (p *Parser) parseTrailerLine() (message *Message, complete bool, err *Error) {
 	line, err := p.line(maxTrailer, "trailer too large")
 	if err != nil || line == nil {
--- a/internal/http1/errors.go
+++ b/internal/http1/errors.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// Error is a message that is not accepted. It is the type of all errors that
-// Parser.Next returns.
+// Error reports a message that is not accepted. All errors that Parser.Next returns are of type
+// *Error.
 type Error struct {
-	Status int    // of the response to a request that fails so
-	Reason string // for the log and the response's body
+	Status int    // of the response, if the message is a request
+	Reason string // for the log and the body of the response
 }
 
-// Error implements error.
+// Error returns the reason and the status.
 func (e *Error) Error() string { return fmt.Sprintf("%s (%d)", e.Reason, e.Status) }
 
 func badRequest(reason string) *Error {
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// headEnd is the end of the last header line and the empty line behind it.
+// headEnd is the end of the last header line followed by the empty line.
 const headEnd = "\r\n\r\n"
 
-// parseHead parses the start line and the header fields once they are complete,
-// and reports whether they were.
+// parseHead parses the start line and the header fields if they are complete, and reports whether
+// they were.
 func (p *Parser) parseHead() (complete bool, err *Error) {
 	p.skipEmptyLines()
 	text, complete, err := p.takeHead()
@@ -41,9 +41,9 @@
 	}
 }
 
-// takeHead consumes the head and returns it without its end, if it is complete.
+// takeHead consumes the head and returns it without headEnd, if it is complete.
 func (p *Parser) takeHead() (text string, complete bool, err *Error) {
-	from := max(p.searched-(len(headEnd)-1), 0) // the end may lie across the searched prefix
+	from := max(p.searched-(len(headEnd)-1), 0) // headEnd may straddle the end of the searched prefix
 	end := bytes.Index(p.buffer[from:], []byte(headEnd))
 	if end < 0 {
 		p.searched = len(p.buffer)
@@ -93,7 +93,7 @@
 	return parseVersion(parts[2])
 }
 
-// parseVersion returns the minor version of HTTP/1.
+// parseVersion returns the minor version of an HTTP/1 message.
 func parseVersion(version string) (minorVersion int, err *Error) {
 	switch version {
 	case "HTTP/1.1":
@@ -107,9 +107,9 @@
 	return 0, badRequest("malformed version")
 }
 
-// parseFields parses the header lines. In a response, a field with an invalid
-// value is left out, unless it determines where the response ends: an invalid
-// load report must not invalidate the response.
+// parseFields parses the header lines. In a response, a field with an invalid value is left out, so
+// that an invalid load report does not invalidate the response. Fields that determine where the
+// response ends must be valid.
 func parseFields(lines string, response bool) (Fields, *Error) {
 	if lines == "" {
 		return nil, nil
@@ -117,7 +117,7 @@
 	var fields Fields
 	for line := range strings.SplitSeq(lines, "\r\n") {
 		name, value, found := strings.Cut(line, ":")
-		if !found || !isToken(name) { // folded lines and blanks before the colon, too
+		if !found || !isToken(name) { // true also for folded lines and blanks before the colon
 			return nil, badRequest("malformed header field")
 		}
 		value = strings.Trim(value, " \t")
@@ -135,7 +135,7 @@
 	return fields, nil
 }
 
-// determinesFraming reports whether a field takes part in where a message ends.
+// determinesFraming reports whether a field determines where a message ends.
 func determinesFraming(name string) bool {
 	return strings.EqualFold(name, "content-length") || strings.EqualFold(name, "transfer-encoding")
 }
@@ -144,7 +144,7 @@
 
 func isNotText(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
 
-// isToken reports whether text is a token of RFC 9110.
+// isToken reports whether text is a token as defined in RFC 9110.
 func isToken(text string) bool {
 	if text == "" {
 		return false
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -2,11 +2,11 @@
 
 import "strings"
 
-// Bounds on what a peer may send in one message, in bytes except MaxFields.
+// Limits on one message from a peer, in bytes except MaxFields.
 const (
 	MaxHead   = 16 << 10 // start line and header fields
 	MaxFields = 100      // number of header fields
-	MaxBody   = 64 << 10 // body of a request; of a response see NewResponseParser
+	MaxBody   = 64 << 10 // body of a request; NewResponseParser sets the limit for responses
 )
 
 // Field is one header field. In a parsed message the name is in lower case.
@@ -15,8 +15,8 @@
 // Fields are a message's header fields in the order in which they were sent.
 type Fields []Field
 
-// Get returns the value of the first field of a name, which must be in lower
-// case, or "".
+// Get returns the value of the first field with a name, which must be in lower case, or "" if there
+// is none.
 func (f Fields) Get(name string) string {
 	for i := range f {
 		if f[i].Name == name {
@@ -26,8 +26,8 @@
 	return ""
 }
 
-// containsToken reports whether any field of a name, whose value is a
-// comma-separated list, holds a token. Tokens are compared without case.
+// containsToken reports whether a field with the name, whose value is a comma-separated list,
+// contains the token. The name must be in lower case; the token's case is ignored.
 func (f Fields) containsToken(name, token string) bool {
 	for i := range f {
 		if f[i].Name != name {
@@ -49,7 +49,7 @@
 	Status int    // of a response
 	Fields Fields
 	Body   []byte
-	Close  bool // the sender closes the connection after it
+	Close  bool // the sender closes the connection after this message
 	Sized  bool // it has a Content-Length or is chunked
 }
 
@@ -59,8 +59,8 @@
 	return path
 }
 
-// Query returns the value of the target's first query parameter of a name, as it
-// was sent (no percent-decoding), or "".
+// Query returns the value of the first query parameter with a name, without percent-decoding, or ""
+// if there is none.
 func (m *Message) Query(name string) string {
 	_, query, _ := strings.Cut(m.Target, "?")
 	for parameter := range strings.SplitSeq(query, "&") {
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -2,10 +2,10 @@
 
 import "bytes"
 
-// maxRetainedBuffer is the largest empty buffer that a parser keeps, in bytes.
+// maxRetainedBuffer is the largest capacity of an empty buffer that a parser keeps, in bytes.
 const maxRetainedBuffer = 4 << 10
 
-// state is what a parser expects next.
+// state is the element of a message that a parser expects next.
 type state uint8
 
 const (
@@ -19,43 +19,42 @@
 // Parser parses the bytes of one connection into complete messages. It is not
 // safe for concurrent use.
 type Parser struct {
-	responses       bool // it parses responses, not requests
+	responses       bool // parses responses; false: requests
 	maxBody         int
 	buffer          []byte
-	searched        int // length of the buffer's prefix without the end of the head
+	searched        int // length of the buffer's prefix in which headEnd was not found
 	state           state
 	framing         framing
-	remaining       int // bytes of the body or of the chunk, received or not
+	remaining       int // size of the body or of the chunk in bytes, received or not
 	trailerSize     int
-	message         *Message // its head is parsed; nil: it is not
+	message         *Message // message whose head is parsed; nil: none
 	expectsContinue bool
 	failure         *Error
 }
 
-// NewRequestParser returns a parser of requests, whose body may have up to
-// MaxBody bytes.
+// NewRequestParser returns a parser of requests with bodies of up to MaxBody bytes.
 func NewRequestParser() *Parser { return &Parser{maxBody: MaxBody} }
 
-// NewResponseParser returns a parser of responses, whose body may have up to
-// maxBody bytes. It assumes that no request was a HEAD.
+// NewResponseParser returns a parser of responses with bodies of up to maxBody bytes. It cannot
+// parse responses to HEAD requests, which may have a Content-Length but have no body.
 func NewResponseParser(maxBody int) *Parser { return &Parser{responses: true, maxBody: maxBody} }
 
-// Feed adds bytes that have arrived. It copies them.
+// Feed adds a copy of received bytes.
 func (p *Parser) Feed(data []byte) { p.buffer = append(p.buffer, data...) }
 
-// Idle reports whether no byte of a next message has arrived.
+// Idle reports whether no byte of the next message has arrived.
 func (p *Parser) Idle() bool { return p.state == stateHead && len(p.buffer) == 0 }
 
-// ExpectsContinue reports, once for a request, that its sender waits for a
-// 100 Continue before it sends the body.
+// ExpectsContinue reports whether the sender of the current request waits for a 100 Continue before
+// it sends the body. It is true only once per request.
 func (p *Parser) ExpectsContinue() bool {
 	expected := p.expectsContinue
 	p.expectsContinue = false
 	return expected
 }
 
-// Next returns the next complete message, or nil if more bytes are needed. Errors
-// are of type *Error and final: every further call returns the same one.
+// Next returns the next complete message, or nil if more bytes are needed. Errors are of type
+// *Error and final: further calls return the same error.
 func (p *Parser) Next() (*Message, error) {
 	if p.failure != nil {
 		return nil, p.failure
@@ -68,8 +67,8 @@
 	return message, nil
 }
 
-// End takes the end of the connection. It returns the response that the end
-// completes, nil for anything cut short.
+// End handles the end of the connection. It returns the response that the end completes, or nil if
+// there is none or it was truncated.
 func (p *Parser) End() *Message {
 	if p.failure != nil || p.state != stateBody || p.framing != framingUntilClose || len(p.buffer) > p.maxBody {
 		return nil
@@ -79,7 +78,7 @@
 	return p.finish()
 }
 
-// parse takes steps until a message is complete or more bytes are needed.
+// parse calls step until a message is complete or more bytes are needed.
 func (p *Parser) parse() (*Message, *Error) {
 	for {
 		message, proceed, err := p.step()
@@ -92,8 +91,8 @@
 	}
 }
 
-// step parses the next element: the head, a body, a line or a chunk. proceed is
-// false if that is not complete yet.
+// step parses the next element: the head, a body, a line or a chunk. It returns the message once
+// that is complete. Otherwise proceed is false if more bytes are needed.
 func (p *Parser) step() (message *Message, proceed bool, err *Error) {
 	switch p.state {
 	case stateHead:
@@ -110,7 +109,7 @@
 	return message, proceed, err
 }
 
-// finish returns the message, whose body is complete, and expects the next one.
+// finish returns the message, whose body is complete, and resets the parser for the next one.
 func (p *Parser) finish() *Message {
 	message := p.message
 	p.message = nil
@@ -120,8 +119,8 @@
 	return message
 }
 
-// consume drops bytes from the front of the buffer. A large buffer is released
-// once it is empty, so that idle connections stay small.
+// consume removes n bytes from the front of the buffer. A large buffer is released once it is
+// empty, so that idle connections use little memory.
 func (p *Parser) consume(n int) {
 	rest := copy(p.buffer, p.buffer[n:])
 	p.buffer = p.buffer[:rest]
@@ -130,8 +129,8 @@
 	}
 }
 
-// line returns the next line without its CRLF, nil if it is not complete yet. It
-// may have up to maxLength bytes; reason is the error's for a longer one.
+// line returns the next line without its CRLF, or nil if it is not complete yet. A line longer than
+// maxLength bytes is an error with the given reason.
 func (p *Parser) line(maxLength int, reason string) ([]byte, *Error) {
 	end := bytes.Index(p.buffer[:min(len(p.buffer), maxLength+2)], []byte("\r\n"))
 	if end >= 0 {
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// parseInPieces feeds text in pieces of size bytes, and then the end of the connection. It returns all messages, and
-// the error that ended the parsing.
+// parseInPieces feeds text in pieces of size bytes and then signals the end of the connection. It
+// returns all messages, and the error that ended the parsing.
 func parseInPieces(p *Parser, text string, size int) ([]Message, error) {
 	var messages []Message
 	for len(text) > 0 {
@@ -90,8 +90,8 @@
 	}
 }
 
-// FuzzParser checks that neither parser panics, that what arrives in pieces is parsed
-// as what arrives at once, and that no bound is exceeded.
+// FuzzParser checks that neither parser panics, that the result does not depend on how the input is
+// split, and that no body exceeds MaxBody.
 func FuzzParser(f *testing.F) {
 	f.Add([]byte("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n\r\nrest"))
