--- a/internal/logs/limiter.go
+++ b/internal/logs/limiter.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// limiter passes on a limited number of lines a second, and reports how many it has dropped: a flood
-// of bad requests must not become a flood of lines, each of which the one core has to write. Handlers
-// derived from it (WithAttrs, WithGroup) share its counter.
+// limiter passes on a limited number of lines per second and reports how many it dropped. Without
+// it, a flood of bad requests would become a flood of lines, and writing them would take up the one
+// core of the process. Handlers derived from it (WithAttrs, WithGroup) share its counter.
 type limiter struct {
 	slog.Handler
-	maxLines int // a second
+	maxLines int // per second
 	*counter
 }
 
-// counter counts the lines of a second.
+// counter counts the lines of the current second.
 type counter struct {
 	mu      sync.Mutex
-	second  int64 // Unix time
-	lines   int   // of this second, dropped ones among them
-	dropped int   // of this second
+	second  int64 // the current second, in Unix time
+	lines   int   // in this second, including dropped ones
+	dropped int   // in this second
 }
 
-// count counts a line of a level. It reports whether to drop the line, and how many lines were
-// dropped in the second before, if the line is the first of its second.
+// count counts a line. It reports whether to drop the line, and, if the line is the first of its
+// second, how many lines were dropped in the last second that had lines.
 func (c *counter) count(second int64, level slog.Level, maxLines int) (drop bool, droppedBefore int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,12 +43,12 @@
 	return drop, droppedBefore
 }
 
-// WithAttrs returns a handler with attributes and the same limit.
+// WithAttrs returns a handler that adds attributes and shares the limit.
 func (l *limiter) WithAttrs(attrs []slog.Attr) slog.Handler {
 	return &limiter{Handler: l.Handler.WithAttrs(attrs), maxLines: l.maxLines, counter: l.counter}
 }
 
-// WithGroup returns a handler for a group of attributes and the same limit.
+// WithGroup returns a handler that groups attributes and shares the limit.
 func (l *limiter) WithGroup(name string) slog.Handler {
 	return &limiter{Handler: l.Handler.WithGroup(name), maxLines: l.maxLines, counter: l.counter}
 }
@@ -59,7 +59,7 @@
 	if droppedBefore > 0 {
 		note := slog.NewRecord(time.Now(), slog.LevelWarn, "log lines dropped", 0)
 		note.AddAttrs(slog.Int("lines", droppedBefore))
-		_ = l.Handler.Handle(ctx, note) // the line itself matters more
+		_ = l.Handler.Handle(ctx, note) // a failure here must not prevent the line itself
 	}
 	if drop {
 		return nil
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,9 +1,9 @@
-// Package logs sets up the program's log: log/slog in front, zap behind it, as lines of key=value or
-// of JSON on standard error, with a limit on lines a second.
+// Package logs sets up the program's log: log/slog with zap as its backend. It writes lines of
+// key=value or of JSON to standard error, and limits the lines per second.
 //
-// The package owns the form of a line and the limit. It knows no events: their names and keys belong
-// to the packages that log, which use log/slog alone. The commands call Start once; package config
-// calls Options.Check.
+// The package owns the format of a line and the limit. It knows no events: their names and keys
+// belong to the packages that log, which use log/slog only. The commands call Start once; package
+// config calls Options.Check.
 package logs
 
 import (
@@ -17,34 +17,35 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// The most lines a second that are written.
+// Limits on the lines written per second.
 const (
 	// DefaultLines is the limit at levels info, warn and error.
 	DefaultLines = 200
-	// DebugLines is the limit at level debug: following a request by its ID must not end half-way.
+	// DebugLines is the limit at level debug. It is high so that the lines about one request ID are
+	// not cut off half-way.
 	DebugLines = 20000
 )
 
 // timeFormat is RFC 3339 with milliseconds.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// Options says how the log looks. Zero values are the defaults. The fields' names are those of flags
-// and of configuration keys.
+// Options configures the log. Zero values mean the defaults. The names of the fields are those of
+// flags and of configuration keys.
 type Options struct {
 	// Format is "text" (key=value), the default, or "json".
 	Format string `toml:"format"`
 	// Level is "debug", "info", the default, "warn" or "error".
 	Level string `toml:"level"`
-	// Lines is the limit of lines a second; 0: DefaultLines or, at level debug, DebugLines. Errors are
-	// written even beyond it.
+	// Lines is the limit on lines per second; 0: DefaultLines or, at level debug, DebugLines.
+	// Errors are written even beyond it.
 	Lines int `toml:"lines_per_s"`
 }
 
-// OptionError is an option whose value is not valid.
+// OptionError reports an option with an invalid value.
 type OptionError struct {
-	Option string // its configuration key, as "log.level"
-	Value  string // as it is printed
-	Want   string // what is expected
+	Option string // configuration key, such as "log.level"
+	Value  string // the invalid value in printed form
+	Want   string // description of valid values
 }
 
 func (e *OptionError) Error() string {
@@ -59,7 +60,7 @@
 	"error": zapcore.ErrorLevel,
 }
 
-// Check returns an *OptionError for the first option that is not valid.
+// Check returns an *OptionError for the first invalid option.
 func (o Options) Check() error {
 	if _, ok := levels[o.Level]; !ok {
 		return &OptionError{
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// maxLines returns the limit of lines a second.
+// maxLines returns the limit on lines per second, with the defaults applied.
 func (o Options) maxLines() int {
 	switch {
 	case o.Lines > 0:
@@ -95,7 +96,7 @@
 	}
 }
 
-// Start makes a log on standard error the default of log/slog. An error is an *OptionError.
+// Start sets the default of log/slog to a log on standard error. Errors are of type *OptionError.
 func Start(options Options) error {
 	handler, err := newHandler(zapcore.Lock(os.Stderr), options)
 	if err != nil {
@@ -105,13 +106,13 @@
 	return nil
 }
 
-// newHandler returns a handler that writes to out.
+// newHandler returns a handler that limits the lines and writes them to out.
 func newHandler(out zapcore.WriteSyncer, options Options) (slog.Handler, error) {
 	if err := options.Check(); err != nil {
 		return nil, err
 	}
 	core := zapcore.NewCore(newEncoder(options.Format), out, levels[options.Level])
-	never := slog.Level(100) // a level that no line has: stack traces are attributes here
+	never := slog.Level(100) // above all levels in use: stack traces are logged as attributes here
 	return &limiter{
 		Handler:  zapslog.NewHandler(core, zapslog.AddStacktraceAt(never)),
 		maxLines: options.maxLines(),
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -13,7 +13,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// A flood of lines is cut at the limit, errors pass, and the next second reports what was dropped.
+// Lines beyond the limit are dropped, except errors, and the first line of the next second reports
+// their number.
 func TestLinesBeyondLimitAreDroppedAndCounted(t *testing.T) {
 	var out bytes.Buffer
 	h, err := newHandler(zapcore.AddSync(&out), Options{})
@@ -34,7 +35,7 @@
 	require.Equal(t, 1, strings.Count(out.String(), "msg=after"))
 }
 
-// Both formats hold the same, and options that are not valid are named.
+// Both formats contain the same data, and an error about an invalid option names the option.
 func TestFormatsAndOptions(t *testing.T) {
 	for format, want := range map[string]string{
 		"text": "time=1970-01-01T00:16:40.000Z level=WARN msg=\"a thing\" n=3 err=broken\n",
