--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -8,8 +8,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Lines returns the line of each key of a document, from 1. Keys are dotted, with elements of arrays
-// of tables by index, as in class[1].aim_ms. Of a document that is not valid TOML it returns the keys
+// Lines returns the line number, from 1, of each key in a document. Keys are dotted, and elements
+// of arrays of tables have an index, as in class[1].aim_ms. For invalid TOML it returns the keys
 // before the error.
 func Lines(data []byte) map[string]int {
 	lines := map[string]int{}
@@ -36,7 +36,7 @@
 	return lines
 }
 
-// keyOf returns the dotted key of an expression and the line where it begins.
+// keyOf returns the dotted key of an expression and the line on which it begins.
 func keyOf(parser *unstable.Parser, expression *unstable.Node) (key string, line int) {
 	var parts []string
 	for keys := expression.Key(); keys.Next(); {
@@ -49,7 +49,7 @@
 	return strings.Join(parts, "."), line
 }
 
-// blankExpression overwrites the key and value that cover a line with spaces. It reports whether
+// blankExpression overwrites the key-value pair that covers a line with spaces. It reports whether
 // there was one.
 func blankExpression(data []byte, line int) bool {
 	var parser unstable.Parser
@@ -68,7 +68,7 @@
 	return false
 }
 
-// linesOf returns the first and the last line of a key and its value.
+// linesOf returns the first and the last line of a key-value pair. ok is false if it has no key.
 func linesOf(parser *unstable.Parser, expression *unstable.Node) (first, last int, ok bool) {
 	keys := expression.Key()
 	if !keys.Next() {
@@ -82,7 +82,7 @@
 	return first, last, true
 }
 
-// blankLines overwrites lines with spaces, but for their ends.
+// blankLines overwrites the lines from first to last with spaces, except for their line ends.
 func blankLines(data []byte, first, last int) {
 	lines := bytes.SplitAfter(data, []byte("\n"))
 	for i := first - 1; i < last && i < len(lines); i++ {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,9 +1,9 @@
-// Package tomlfile reads TOML strictly and reports all that is wrong with a file at once, each
-// problem with its line.
+// Package tomlfile reads TOML strictly and reports all problems of a file at once, each with its
+// line.
 //
-// It knows the syntax and the types of values alone. Ranges and meanings are the caller's to check;
-// Lines gives it the line of each key, and Error the form in which to report. Packages config,
-// controlgroup and scenario call it. All functions may be called from any goroutine.
+// It checks only syntax and the types of values. The caller checks ranges and meanings: Lines
+// returns the line of each key, and Error is the form of a report. Packages config, controlgroup
+// and scenario call it. All functions may be called from any goroutine.
 package tomlfile
 
 import (
@@ -15,15 +15,15 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Error is one thing that is wrong with a file.
+// Error is one problem of a file.
 type Error struct {
 	File string
-	Line int    // from 1; 0: not known
-	Key  string // dotted, elements of arrays of tables by index; "": the whole file
+	Line int    // from 1; 0: unknown
+	Key  string // dotted, with indexes for elements of arrays of tables; "": the whole file
 	What string // what is wrong or what is expected
 }
 
-// String returns "file:line: key: what", without the parts that are not known.
+// String returns "file:line: key: what", without the parts that are unknown.
 func (e Error) String() string {
 	position := e.File
 	if e.Line > 0 {
@@ -41,7 +41,7 @@
 // Error returns the same as String.
 func (e Error) Error() string { return e.String() }
 
-// Errors is all that is wrong, in the order in which it was found. It is never empty where it is
+// Errors lists all problems in the order in which they were found. It is never empty where it is
 // returned as an error.
 type Errors []Error
 
@@ -54,7 +54,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns each problem: errors.As finds the first.
+// Unwrap returns the problems, so that errors.As finds the first.
 func (e Errors) Unwrap() []error {
 	errs := make([]error, len(e))
 	for i := range e {
@@ -63,12 +63,12 @@
 	return errs
 }
 
-// maxUnreadable bounds how many values of one file are reported as unreadable.
+// maxUnreadable limits how many unreadable values of one file are reported.
 const maxUnreadable = 100
 
-// Decode reads a document into v, a pointer: keys that the document lacks keep the values that v
-// holds. A value that cannot be read is reported and blanked out, so that the rest is checked, too.
-// Types with an UnmarshalTOML method read themselves. The file's name is used in problems alone.
+// Decode reads a document into v, a pointer. Keys that the document lacks keep their values in v. A
+// value that cannot be read is reported and blanked out, so that the rest is still checked. Types
+// with an UnmarshalTOML method decode themselves. The name of the file is used only in problems.
 func Decode(file string, data []byte, v any) Errors {
 	var problems Errors
 	data = bytes.Clone(data)
@@ -99,7 +99,7 @@
 	return problems
 }
 
-// unknownKeys returns a problem for each key that no field has.
+// unknownKeys returns a problem for each key without a corresponding field.
 func unknownKeys(file string, err *toml.StrictMissingError) Errors {
 	var problems Errors
 	for i := range err.Errors {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -14,11 +14,12 @@
 	} `toml:"entry"`
 }
 
-// Each problem of a file is reported once, with its line and key, and what can be read is read.
+// Each problem of a file is reported once, with its line and key, and all readable values are
+// decoded.
 func TestDecodeReportsAllProblems(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
-		want []Error // without File and, where it is the decoder's, without What
+		want []Error // without File, and without What if the TOML library words it
 	}{
 		"valid": {"name = \"n\"\n[[entry]]\nsize = 3\n", nil},
 		"unknown keys": {
@@ -56,7 +57,7 @@
 	require.Equal(t, 1, problems[0].Line)
 }
 
-// A key that the document lacks keeps its default, and the caller's data is not changed.
+// A key that the document lacks keeps its default, and the caller's data is not modified.
 func TestDecodeKeepsDefaultsAndData(t *testing.T) {
 	d := document{Name: "default", Count: 7}
 	text := "count = \"many\"\n"
