--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -8,7 +8,7 @@
 
 // Limits on the lines of a chunked body, in bytes.
 const (
-	maxChunkLine = 256 // line before a chunk, with the chunk's size
+	maxChunkLine = 256     // line before a chunk, with the chunk's size
 	maxTrailer   = 4 << 10 // all lines of the trailer
 )
 
--- a/internal/serve/discovery/connection.go
+++ b/internal/serve/discovery/connection.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// listPath is the path of a poll's request.
+	// listPath is the path of a poll's request to the discovery service.
 	listPath = "/catalog/members"
 
 	// maxListSize is the size limit of an endpoint list, in bytes.
--- a/internal/serve/discovery/watcher.go
+++ b/internal/serve/discovery/watcher.go
@@ -160,9 +160,9 @@
 }
 
 // Tick must be called once per core.TickInterval. It sends scheduled polls and handles polls that
-// time out. If the machine of the service fails, the connection stays half-open and silent. But
-// possibly only the connection was lost, and the service will soon count changes as delivered that
-// the watch has missed. A poll that times out is therefore repeated at once on a new connection.
+// time out. If the machine of the service fails, the connection stays half-open and silent. If only
+// the connection was lost, the service soon counts changes as delivered that the watch has missed.
+// A poll that times out is therefore repeated at once on a new connection.
 func (w *Watcher) Tick() {
 	if w.nextPollAt > 0 && w.now() >= w.nextPollAt {
 		w.poll()
@@ -206,7 +206,7 @@
 }
 
 // poll sends a poll on the open connection or on a new one. If another balancer polls for this one,
-// it only schedules the next check of that.
+// it only schedules the next check of whether that is still so.
 func (w *Watcher) poll() {
 	if w.shared != nil {
 		pollHere, complete := w.shared.ShouldPoll(w.address)
--- a/internal/serve/eventloop/doc.go
+++ b/internal/serve/eventloop/doc.go
@@ -11,9 +11,9 @@
 //
 // # Order
 //
-// Events of one connection are handled in order. After a stall, in which the owning goroutine did
-// not run for some time, the data of prioritized connections and closes by clients are handled
-// first, then all other messages, and only then does the clock advance.
+// Events of one connection are handled in order, except after a stall, in which the owning
+// goroutine did not run for some time. Then the data of prioritized connections and closes by
+// clients are handled first, all other messages next, and only then does the clock advance.
 //
 // The package knows nothing of HTTP, requests or servers. Packages downstream, upstream, discovery
 // and admin use it; package runtime owns the Loop.
--- a/internal/serve/eventloop/listener.go
+++ b/internal/serve/eventloop/listener.go
@@ -26,8 +26,8 @@
 type Listener struct {
 	loop       *Loop
 	newHandler func(*Conn) Handler
-	open       *atomic.Int64 // counter of its open connections, perhaps shared with other connections
-	limit      func() int64  // accepting pauses while open has reached it
+	open       *atomic.Int64 // counter of open connections: the loop's or the listener's own
+	limit      func() int64  // nothing is accepted while open has reached it
 	shed       func()        // closes connections that can be spared; called at the limit and after a failed accept
 
 	mu       sync.Mutex
--- a/internal/serve/eventloop/loop.go
+++ b/internal/serve/eventloop/loop.go
@@ -24,9 +24,9 @@
 	stallThreshold = 40 * time.Millisecond
 	// LongStallThreshold is the gap above which the loop first gives the poller longStallReadTime
 	// to read the sockets, and only then handles messages. Otherwise it could handle a request
-	// before the update that a server drains, and send the request to that server after the time in
-	// which that is still allowed. The threshold can be this high because the protocol tolerates a
-	// delay of half of it on every time limit.
+	// before the update which says that a server drains, and send the request to that server after
+	// the time in which that is still allowed. The threshold can be this high because the protocol
+	// tolerates a delay of half as long on every time limit.
 	LongStallThreshold = 100 * time.Millisecond
 	longStallReadTime  = 20 * time.Millisecond
 
@@ -54,8 +54,8 @@
 	descriptorLimit atomic.Int64 // limit on open; ReservedDescriptors are already subtracted
 }
 
-// New starts an engine that holds at most the given number of descriptors, not counting those of
-// admin listeners. Its poller runs until the process ends.
+// New returns a Loop and starts its engine, which holds at most the given number of descriptors,
+// not counting those of admin listeners. The engine's poller runs until the process ends.
 func New(descriptors int) (*Loop, error) {
 	prepareEngines(descriptors)
 	loop := &Loop{
--- a/internal/serve/eventloop/mailbox.go
+++ b/internal/serve/eventloop/mailbox.go
@@ -74,8 +74,8 @@
 	m.signal()
 }
 
-// take returns all messages. The mailbox reuses the array of spare, whose messages must have been
-// cleared.
+// take returns all messages. spare is an earlier batch whose messages have been cleared; the
+// mailbox reuses its array.
 func (m *mailbox) take(spare []message) []message {
 	m.mu.Lock()
 	batch := m.messages
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -13,7 +13,7 @@
 // before the error.
 func Lines(data []byte) map[string]int {
 	lines := map[string]int{}
-	elements := map[string]int{} // of arrays of tables, by their keys
+	elements := map[string]int{} // number of elements so far in each array of tables, by key
 	prefix := ""
 	var parser unstable.Parser
 	parser.Reset(data)
@@ -49,8 +49,8 @@
 	return strings.Join(parts, "."), line
 }
 
-// blankExpression overwrites the key-value pair that covers a line with spaces. It reports whether
-// there was one.
+// blankExpression replaces the key-value pair on the given line, with all its lines, by spaces. It
+// reports whether there is such a pair.
 func blankExpression(data []byte, line int) bool {
 	var parser unstable.Parser
 	parser.Reset(data)
