--- a/internal/serve/runtime/balancer.go
+++ b/internal/serve/runtime/balancer.go
@@ -140,7 +140,7 @@
 		b.watcher.Watch()
 	}
 	if !b.cfg.Settings.PollDiscovery {
-		b.watcher.SetPush()
+		b.watcher.WatchWithRestarts()
 	}
 	b.mergePeers(peers) // after the endpoint list, because overrides name its servers
 	b.writeRecord()
