--- a/internal/controlgroup/consensus/announcement.go
+++ b/internal/controlgroup/consensus/announcement.go
@@ -17,7 +17,7 @@
 // takes part, and the store must not be used again under its ID.
 func (m *StateMachine) Outdated() bool { return m.outdated }
 
-// checkAdmitted reports whether a majority has accepted the store, and records it once it has.
+// checkAdmitted reports whether a majority has accepted this voter's store, and records the admission.
 func (m *StateMachine) checkAdmitted() bool {
 	if m.outdated {
 		return false
@@ -60,8 +60,9 @@
 	}
 }
 
-// handleAnnouncement accepts another voter's store, unless an earlier start or earlier messages of that voter have
-// shown a newer state of the store. It sends the result to that voter.
+// handleAnnouncement tells another voter whether its store is accepted. The store is rejected if it was opened less
+// often than at the last accepted start, or equally often under another incarnation (a copy), or if it is behind the
+// messages of that voter.
 func (m *StateMachine) handleAnnouncement(from protocol.VoterID, announcement *protocol.Announcement) {
 	start := Start{Count: announcement.StartCount, Incarnation: announcement.Incarnation}
 	known := m.starts[from]
@@ -75,7 +76,7 @@
 	m.outbox = append(m.outbox, Message{From: m.config.ID, To: from, Accepted: &accepted})
 }
 
-// isCoveredBy reports whether an announced store holds at least the state that p has recorded of it.
+// isCoveredBy reports whether an announced store holds at least the state that p records.
 func (p peerProgress) isCoveredBy(announcement *protocol.Announcement) bool {
 	if announcement.Term != p.term {
 		return announcement.Term > p.term
@@ -84,18 +85,17 @@
 	return announcement.LastIndex >= p.lastIndex && hasVote
 }
 
-// handleAcceptance records that another voter has accepted this voter's announcement.
 func (m *StateMachine) handleAcceptance(from protocol.VoterID) { m.acceptedBy[from] = true }
 
-// handleRejection makes this voter Outdated, since the sender has seen a newer state of its store. A rejection
-// that arrives after a majority has accepted the store has no effect.
+// handleRejection makes this voter Outdated, since the sender has seen a newer state of this voter's store. A
+// rejection that arrives after a majority has accepted the store has no effect.
 func (m *StateMachine) handleRejection() {
 	if !m.admitted {
 		m.outdated = true
 	}
 }
 
-// recordProgress updates the recorded state of another voter's store from a message that it sent.
+// recordProgress updates the recorded state of another voter's store from a message that the voter sent.
 func (m *StateMachine) recordProgress(from protocol.VoterID, msg *raftpb.Message) {
 	kind := msg.GetType()
 	if kind == raftpb.MsgPreVote || kind == raftpb.MsgPreVoteResp {
--- a/internal/controlgroup/consensus/apply.go
+++ b/internal/controlgroup/consensus/apply.go
@@ -34,7 +34,7 @@
 // expiry clock, and serves requests from then on.
 func (m *StateMachine) apply(now time.Duration, entry *raftpb.Entry) error {
 	m.applied = entry.GetIndex()
-	// This entry follows everything that earlier leaders committed.
+	// This entry follows everything that earlier leaders committed, so the table is complete when the clock starts.
 	if m.raftLeader && m.expiry == nil && protocol.Term(entry.GetTerm()) == m.term {
 		m.expiry = lease.NewExpiryClock(m.config.Timing, now, m.table.Snapshot().Grants)
 	}
@@ -64,7 +64,7 @@
 	return &EntryError{Index: entry.GetIndex(), Type: entry.GetType(), Err: err}
 }
 
-// applyCommand applies a lease command, and responds to the request behind it if this voter proposed it.
+// applyCommand applies a lease command. If this voter proposed the command, it responds to the client's request.
 func (m *StateMachine) applyCommand(now time.Duration, entry commandEntry) {
 	grant, err := m.table.Apply(entry.Command)
 	if err == nil && m.expiry != nil {
--- a/internal/controlgroup/consensus/doc.go
+++ b/internal/controlgroup/consensus/doc.go
@@ -40,14 +40,14 @@
 // first entry of its own term: the table then holds everything that earlier leaders committed.
 // [StateMachine.IsLeader] and every response depend on that clock, not on raft's role alone. Each tick proposes
 // Expire commands for the leases that were not renewed. A new leader gives every lease a full lease duration,
-// because its predecessor may have renewed it a moment ago.
+// because its predecessor may have renewed the lease a moment ago.
 //
 // # Reads and renewals
 //
 // Reads, renewals, and commands that the table shows to be futile (Acquire of a duty that another process
 // holds) add nothing to the log. They wait for a raft ReadIndex, by which a majority confirms that this voter
-// was still the leader after the request arrived. The request is served from the table once everything committed
-// before the confirmation is applied. Requests that arrive together share one confirmation.
+// was still the leader after the request arrived. The request is served from the table when all entries
+// that were committed before that ReadIndex are applied. Requests that arrive together share one ReadIndex.
 //
 // # Membership
 //
@@ -61,9 +61,9 @@
 // A voter whose store was restored from an older copy could vote twice in one term, or lack entries that it
 // has acknowledged. Each voter therefore announces its incarnation, term, vote and last index before it takes
 // part. The others compare the announcement with the messages that they have received from that voter, and
-// accept or reject it. Its raft node handles no message until a majority (itself included) has accepted. One
-// rejection before that makes the state machine [StateMachine.Outdated], and the caller has to quarantine the
-// store. The same happens when a leader's heartbeat names a commit index beyond the end of this store's log.
+// accept or reject it. The announcing voter's raft node handles no message until a majority, the voter included,
+// has accepted. One rejection before that makes the state machine [StateMachine.Outdated], and the caller has to
+// quarantine the store. The same happens when a leader's heartbeat names a commit index beyond the store's log.
 //
 // # Compaction
 //
--- a/internal/controlgroup/consensus/golden_test.go
+++ b/internal/controlgroup/consensus/golden_test.go
@@ -93,7 +93,7 @@
 	require.NoError(t, store.Close())
 }
 
-// values returns all values of a bbolt file by bucket and key, without bbolt's own page layout.
+// values returns all values of a bbolt file by bucket and key, so that bbolt's page layout is not compared.
 func values(t *testing.T, path string) map[string]string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, nil)
--- a/internal/controlgroup/consensus/membership.go
+++ b/internal/controlgroup/consensus/membership.go
@@ -13,9 +13,9 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// membershipChange is the context of a configuration change in the log. Incarnation and Seq identify the proposing
-// voter's incarnation and the request behind the change. Voter is the voter to be added, also where this change
-// removes the old voter of the same name.
+// membershipChange is the context of a configuration change in the log. Incarnation and Seq tell the proposing
+// voter which request to respond to. Voter is the voter to be added, even if this change removes the old voter of the
+// same name.
 type membershipChange struct {
 	Incarnation lease.Incarnation `cbor:"1,keyasint"`
 	Seq         requestSeq        `cbor:"2,keyasint"`
@@ -63,8 +63,8 @@
 	return recent || id == m.config.ID
 }
 
-// applyConfChange applies a committed change of the voters, and responds to the request behind it if this voter
-// proposed it.
+// applyConfChange applies a committed change of the voters. If this voter proposed the change, it responds to the
+// requester.
 func (m *StateMachine) applyConfChange(change *raftpb.ConfChange) error {
 	var origin membershipChange
 	if err := cbor.Unmarshal(change.GetContext(), &origin); err != nil {
--- a/internal/controlgroup/consensus/ready.go
+++ b/internal/controlgroup/consensus/ready.go
@@ -14,7 +14,7 @@
 // (Store.Write does), then send Messages, then call Advance.
 type Ready struct {
 	HardState  *raftpb.HardState          // nil: unchanged
-	Entries    []*raftpb.Entry            // to append; they replace the entries from the first one's index on
+	Entries    []*raftpb.Entry            // to append; they replace stored entries from the first new index on
 	Snapshot   *raftpb.Snapshot           // from the leader; it replaces the stored snapshot and the log. nil: none
 	Compaction *raftpb.Snapshot           // of this voter's state; it replaces the entries up to its index. nil: none
 	Starts     map[protocol.VoterID]Start // the last accepted start of each other voter; nil: unchanged
@@ -33,7 +33,7 @@
 		r.Starts == nil
 }
 
-// Ready returns the pending output, and whether there is any. Each output is returned once. It must be passed
+// Ready returns the pending output, and whether there is any. Each output is returned once, and must be passed
 // to Advance before Ready is called again.
 func (m *StateMachine) Ready() (Ready, bool) {
 	ready := Ready{Messages: m.outbox, Compaction: m.pendingCompaction}
@@ -53,7 +53,7 @@
 	return ready, ready.hasRaft || len(ready.Messages) > 0 || !ready.Empty()
 }
 
-// addRaftReady adds the state to write and the messages to send that raft has ready.
+// addRaftReady adds raft's pending writes and messages.
 func (m *StateMachine) addRaftReady(ready *Ready) {
 	fromRaft := m.node.Ready()
 	ready.raft = fromRaft
@@ -74,9 +74,8 @@
 	}
 }
 
-// Advance is called when a Ready has been written and sent. It applies committed entries, and adds the responses
-// to the requests that waited for them (see Responses). An error means that committed data cannot be applied;
-// the voter must stop.
+// Advance is called when a Ready has been written and sent. It applies committed entries, and responds to the requests
+// that waited for them (see Responses). An error means that committed data cannot be applied; the voter must stop.
 func (m *StateMachine) Advance(now time.Duration, ready Ready) error {
 	if !ready.hasRaft {
 		return nil
@@ -104,7 +103,7 @@
 	return m.compactLog()
 }
 
-// saveToStorage copies what has been made durable to raft's in-memory storage.
+// saveToStorage copies the state in a written Ready to raft's in-memory storage, and restores a leader's snapshot.
 func (m *StateMachine) saveToStorage(ready Ready) error {
 	if ready.Snapshot != nil {
 		if err := m.storage.ApplySnapshot(ready.Snapshot); err != nil {
@@ -120,8 +119,8 @@
 	return m.storage.Append(ready.Entries)
 }
 
-// updateRole records changes of the leader and of this voter's own role. A new term aborts the pending requests of
-// the last one, even where this voter leads again.
+// updateRole records changes of the leader and of this voter's own role. A change of the role or of the term ends this
+// voter's leadership and aborts its pending requests, even if this voter leads again in the new term.
 func (m *StateMachine) updateRole(soft *raft.SoftState) {
 	if soft != nil {
 		m.leader = protocol.VoterID(soft.Lead)
--- a/internal/controlgroup/consensus/requests.go
+++ b/internal/controlgroup/consensus/requests.go
@@ -20,25 +20,24 @@
 // no client waits for.
 type requestSeq uint64
 
-// commandEntry is a log entry with a lease command. Incarnation and Seq identify the proposing voter's incarnation
-// and the request behind the command; other voters ignore both.
+// commandEntry is a log entry with a lease command. Incarnation and Seq tell the proposing voter which request to
+// respond to; other voters ignore both.
 type commandEntry struct {
 	Incarnation lease.Incarnation `cbor:"1,keyasint"`
 	Seq         requestSeq        `cbor:"2,keyasint"`
 	Command     lease.Command     `cbor:"3,keyasint"`
 }
 
-// pendingRequest is a request without a response so far.
 type pendingRequest struct {
 	request protocol.Request
 	// readIndex is the index that has to be applied before a read may be served. 0: a majority has not confirmed
-	// yet that this voter leads. Not used for proposals.
+	// yet that this voter leads.
 	readIndex uint64
 }
 
 // Propose handles a client's request; now is as for Tick. Responses returns the response at once, later, or never
-// if this voter loses its connections to the others: the client needs a timeout.
-// Only the leader serves requests; other voters respond with protocol.ErrNotLeader.
+// if this voter loses its connections to the others: the client needs a timeout. Only the leader serves requests;
+// other voters respond with protocol.ErrNotLeader.
 func (m *StateMachine) Propose(now time.Duration, request protocol.Request) {
 	switch {
 	case m.expiry == nil:
@@ -56,15 +55,15 @@
 	}
 }
 
-// heldByAnother reports whether a command is an Acquire of a duty that another process holds. Contenders send these
-// all the time, so they are served like reads, without a log entry.
+// heldByAnother reports whether a command is an Acquire of a duty that another process holds. Contenders send such
+// commands all the time, so these are served like reads, without a log entry.
 func (m *StateMachine) heldByAnother(command lease.Command) bool {
 	grant, held := m.table.Holder(command.Duty)
 	return command.Op == lease.Acquire && held && grant.Holder != command.Process
 }
 
 // FreedDuties returns the duties whose lease was released, expired or transferred since the last call, so that the
-// caller can notify processes that wait for them. Only the leader records them.
+// caller can notify waiting processes. Only the leader records them.
 func (m *StateMachine) FreedDuties() []lease.Duty {
 	freed := m.freedDuties
 	m.freedDuties = nil
@@ -89,8 +88,8 @@
 	return m.lastSeq
 }
 
-// takePendingProposal removes and returns the pending request behind an applied entry, if this incarnation of this
-// voter proposed the entry.
+// takePendingProposal removes and returns the pending request that an entry was proposed for, if this incarnation of
+// this voter proposed the entry.
 func (m *StateMachine) takePendingProposal(incarnation lease.Incarnation, seq requestSeq) (protocol.Request, bool) {
 	pending, found := m.pendingProposals[seq]
 	if !found || incarnation != m.config.Incarnation {
@@ -100,7 +99,7 @@
 	return pending.request, true
 }
 
-// proposeCommand proposes a command to raft. seq is the pending request behind it; 0: none.
+// proposeCommand proposes a command to raft. seq is the number of the pending request; 0: no client waits.
 func (m *StateMachine) proposeCommand(command lease.Command, seq requestSeq) {
 	data, err := cbor.Marshal(commandEntry{Incarnation: m.config.Incarnation, Seq: seq, Command: command})
 	if err == nil {
@@ -133,10 +132,10 @@
 	clear(m.pendingReads)
 }
 
-// readContext returns the context of a ReadIndex request: the last pending read that the request covers.
+// readContext returns the context of a ReadIndex request: the number of the last client request that it covers.
 func readContext(seq requestSeq) []byte { return fmt.Appendf(nil, "%x", uint64(seq)) }
 
-// confirmReads sets the read index of the reads that a ReadIndex covers: those up to the one in the context. A
+// confirmReads sets the read index of the reads that a ReadIndex covers: all up to the number in its context. A
 // majority has confirmed this voter's leadership since these reads arrived.
 func (m *StateMachine) confirmReads(state raft.ReadState) {
 	var last requestSeq
@@ -176,7 +175,6 @@
 			m.respond(request, grant, lease.ErrHeld)
 			return
 		}
-		// The duty came free while the request waited.
 		m.proposeCommand(command, m.addPendingProposal(request))
 	case protocol.Renew:
 		if !held || grant.Token != command.Token || grant.Holder != command.Process {
--- a/internal/controlgroup/consensus/snapshot.go
+++ b/internal/controlgroup/consensus/snapshot.go
@@ -70,7 +70,7 @@
 }
 
 // compactLog replaces the log by a snapshot of the replicated state, after compactionInterval entries or a change
-// of the voters. The change needs a new snapshot because a new voter cannot use one that does not list it.
+// of the voters: a new voter cannot use a snapshot that does not list it.
 func (m *StateMachine) compactLog() error {
 	isDue := m.membershipChanged || m.applied >= m.snapshotIndex+compactionInterval
 	if !isDue || m.applied == m.snapshotIndex {
--- a/internal/controlgroup/consensus/state_machine.go
+++ b/internal/controlgroup/consensus/state_machine.go
@@ -25,18 +25,18 @@
 	maxInflightMessages = 64
 )
 
-// ErrStaleStore is returned by Step when the group has seen a newer state of this voter's store, so that the
-// store must no longer be used.
+// ErrStaleStore is returned by Step when the group has seen a newer state of this voter's store. The store must
+// no longer be used.
 var ErrStaleStore = errors.New("voter file is stale: the group has seen a newer state of it")
 
 // MessageError is returned by Step for a message that cannot come from a correct voter of the group.
 type MessageError struct {
 	From     protocol.VoterID // the sender that the message names
 	To       protocol.VoterID // the addressee that the message names
-	Receiver protocol.VoterID // the voter that received the message
+	Receiver protocol.VoterID
 }
 
-// Error names the voters, and tells a misrouted message from an empty one.
+// Error names the voters, and says whether the message was misrouted or has no content from its sender.
 func (e *MessageError) Error() string {
 	if e.To != e.Receiver {
 		return fmt.Sprintf("message for voter %x was received by voter %x", e.To, e.Receiver)
@@ -48,7 +48,7 @@
 type Message struct {
 	From, To     protocol.VoterID
 	Announcement *protocol.Announcement
-	Accepted     *bool // the response to an Announcement; false: the sender has seen a newer state of that store
+	Accepted     *bool // the response to an Announcement; false: the sender has seen a newer state of the store
 	Raft         *raftpb.Message
 }
 
@@ -85,7 +85,7 @@
 	snapshotsSent     []protocol.VoterID // the receivers of the snapshots that were sent since the last tick
 
 	// Client requests; see requests.go.
-	expiry           *lease.ExpiryClock // nil unless IsLeader
+	expiry           *lease.ExpiryClock // nil unless this voter leads and has applied what earlier leaders committed
 	lastSeq          requestSeq
 	pendingProposals map[requestSeq]pendingRequest
 	pendingReads     map[requestSeq]pendingRequest
@@ -164,7 +164,7 @@
 	return m.storage.Append(state.Entries)
 }
 
-// Leader returns the leader as far as this voter knows, and whether it knows one.
+// Leader returns the leader as far as this voter knows, and whether it knows a leader.
 func (m *StateMachine) Leader() (protocol.Voter, bool) {
 	if m.leader == 0 {
 		return protocol.Voter{}, false
@@ -196,7 +196,7 @@
 		return
 	}
 	for _, id := range m.snapshotsSent {
-		// Raft sends no entries until this report. The next message from the voter shows whether the snapshot arrived.
+		// Raft sends the voter no entries until this report. That voter's next message shows if the snapshot arrived.
 		m.node.ReportSnapshot(uint64(id), raft.SnapshotFinish)
 	}
 	m.snapshotsSent = nil
--- a/internal/controlgroup/consensus/state_machine_planted.go
+++ b/internal/controlgroup/consensus/state_machine_planted.go
@@ -10,7 +10,7 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// RespondEarly responds to a request before Propose would, if the enabled fault does so. It reports whether that
+// RespondEarly responds to a request before Propose would, if the enabled fault requires it. It reports whether that
 // response is the only one; the request must then not be passed to Propose.
 func (m *StateMachine) RespondEarly(now time.Duration, request protocol.Request) bool {
 	if m.answersUnconfirmed(request.Kind) {
@@ -45,7 +45,7 @@
 	m.respond(request, grant, err)
 }
 
-// StepUnchecked is Step without the check that the store has lost entries that it acknowledged.
+// StepUnchecked is Step without the check for acknowledged entries that the store has lost.
 func (m *StateMachine) StepUnchecked(msg Message) error {
 	if msg.Raft == nil || !m.admitted || !m.isAheadOfStore(msg.Raft) {
 		return m.Step(msg)
--- a/internal/controlgroup/consensus/store_records.go
+++ b/internal/controlgroup/consensus/store_records.go
@@ -68,7 +68,7 @@
 }
 
 // writeSnapshot writes a snapshot and removes the entries that it replaces. A leader's snapshot replaces all
-// entries, this voter's own compaction those up to its index.
+// entries; this voter's own compaction replaces the entries up to its index.
 func writeSnapshot(metadata, log *bbolt.Bucket, ready Ready) error {
 	snapshot := ready.Compaction
 	last := ready.Compaction.GetMetadata().GetIndex()
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// read returns the file's content. It verifies the checksum of every record, and that the log has no gaps.
+// read returns the stored state. It verifies the checksum of every record, and that the log has no gaps.
 func (s *Store) read(tx *bbolt.Tx) (PersistentState, error) {
 	var state PersistentState
 	metadata := tx.Bucket(metadataBucket)
@@ -171,7 +171,7 @@
 // are stored in the order of their indexes.
 func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// get returns the value of a key after verifying its checksum, or nil if there is none.
+// get returns the value of a key after verifying its checksum, or nil if the key does not exist.
 func (s *Store) get(bucket *bbolt.Bucket, key []byte) ([]byte, error) {
 	record := bucket.Get(key)
 	if record == nil {
