--- a/cmd/piernotch-voter/main.go
+++ b/cmd/piernotch-voter/main.go
@@ -18,7 +18,6 @@
 	"piernotch/internal/logs"
 )
 
-// commandLine holds the command's flags.
 type commandLine struct {
 	Group string       `required:"" placeholder:"FILE" help:"The group's file; it names this voter and its store."`
 	Log   logs.Options `embed:"" prefix:"log-"`
@@ -39,7 +38,7 @@
 // errVoterEnded is returned by run when the voter stops without a signal.
 var errVoterEnded = errors.New("the voter stopped by itself; the log has the cause")
 
-// run runs the voter until a SIGTERM or SIGINT, which is no error, or until the voter ends by itself.
+// run runs the voter until SIGTERM or SIGINT, and then returns nil, or until the voter ends by itself.
 func run(flags commandLine) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
--- a/internal/controlgroup/voter/connections.go
+++ b/internal/controlgroup/voter/connections.go
@@ -20,7 +20,7 @@
 const (
 	redialInterval   = 250 * time.Millisecond
 	acceptRetryDelay = 20 * time.Millisecond // after a failed accept, as when no file descriptors are left
-	maxAcceptedConns = 1024                  // from clients and voters together; further ones are closed at once
+	maxAcceptedConns = 1024                  // from clients and voters together; further connections are closed at once
 )
 
 // link is the outgoing connection to another voter.
@@ -30,7 +30,7 @@
 }
 
 // maintainLink connects to another voter, and reconnects whenever the connection ends. It runs on a goroutine of its
-// own until ctx is canceled. It logs a dial error only when the error text changes.
+// own until ctx is canceled.
 func (v *Voter) maintainLink(peer *link) {
 	lastError := ""
 	for v.ctx.Err() == nil {
@@ -77,7 +77,7 @@
 	})
 }
 
-// acceptConnections accepts connections until the voter ends. Each connection is served by its own goroutine, which
+// acceptConnections accepts connections until the listener is closed. Each connection is served by a goroutine that
 // ends with the connection or when ctx is canceled.
 func (v *Voter) acceptConnections() {
 	for {
@@ -113,7 +113,7 @@
 	v.accepted--
 }
 
-// serveAccepted serves an accepted connection, of a client or another voter, until it ends.
+// serveAccepted serves the connection of a client or another voter until it ends.
 func (v *Voter) serveAccepted(netConn net.Conn) {
 	defer v.releaseAccepted()
 	conn, err := transport.Accept(netConn, v.ownHandshake)
@@ -185,7 +185,7 @@
 }
 
 // receive passes another voter's message to the state machine. It ignores a message to another ID than this voter's,
-// such as the ID of a replaced file, and one that names another sender than the connection's peer.
+// such as the ID of a replaced file, and a message from another ID than that of the connection's peer.
 func (v *Voter) receive(conn *transport.Conn, encoded *transport.VoterMessage) {
 	if v.stateMachine == nil || encoded.To != v.ownHandshake().ID || encoded.From != conn.Peer.ID {
 		return
--- a/internal/controlgroup/voter/doc.go
+++ b/internal/controlgroup/voter/doc.go
@@ -2,9 +2,8 @@
 // a clock and connections.
 //
 // One goroutine, the event loop (loop.go), owns the state machine, the store and all state that is not marked
-// otherwise. Connection readers and dialers send it closures through a bounded channel. It handles them in batches, so
-// that events that arrive together share one write and one sync. After each batch it writes, sends and answers
-// whatever the state machine has ready.
+// otherwise. Connection readers and dialers send it closures through a bounded channel. It handles them in batches:
+// events that arrive together share one write and one sync. After each batch it carries out the state machine's output.
 //
 // The files: voter.go starts and stops a voter; store.go opens, bootstraps and replaces its file; loop.go is the event
 // loop; connections.go maintains the connections to other voters and accepts those of voters and clients;
--- a/internal/controlgroup/voter/loop.go
+++ b/internal/controlgroup/voter/loop.go
@@ -9,7 +9,7 @@
 const (
 	tickInterval = 100 * time.Millisecond // of the state machine's logical clock
 	joinInterval = time.Second            // between two requests to be added to the group
-	maxEvents    = 4096                   // queued for the event loop; further ones are dropped
+	maxEvents    = 4096                   // queued for the event loop; further events are dropped
 )
 
 // post queues an event for the event loop. When the queue is full it drops the event, like a frame lost on a bad link.
@@ -21,7 +21,8 @@
 	}
 }
 
-// run is the event loop. It returns when ctx is canceled. When the file cannot be written, it ends the voter.
+// run is the event loop. It returns when ctx is canceled. It ends the voter when the file cannot be written or a
+// committed entry cannot be applied.
 func (v *Voter) run() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -68,7 +69,6 @@
 	v.logLeader()
 }
 
-// logLeader logs a change of the leader as far as this voter knows.
 func (v *Voter) logLeader() {
 	leader, _ := v.stateMachine.Leader()
 	if leader.Name == v.leaderName {
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// announceBootstrapped sets Bootstrapped in later handshakes once this voter's file has become part of a group.
+// announceBootstrapped sets Bootstrapped in later handshakes once this voter has become part of a group.
 func (v *Voter) announceBootstrapped() {
 	if !v.store.Identity().Bootstrapped {
 		return
--- a/internal/controlgroup/voter/requests.go
+++ b/internal/controlgroup/voter/requests.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	maxWaiters  = 1024 // per duty; further clients find out by repeating their request
-	maxNotified = 4    // waiters notified when a duty comes free; more would be a thundering herd, since one gets it
+	maxWaiters  = 1024 // per duty; further clients are not notified, and have to repeat their request
+	maxNotified = 4    // waiters notified per freed duty; more would be a thundering herd, since only one gets the duty
 )
 
 // handleRequest serves a client's request, or passes it to the state machine. The state machine's response is sent
@@ -50,7 +50,6 @@
 	}
 }
 
-// respondAll sends the state machine's responses to the clients.
 func (v *Voter) respondAll() {
 	for _, response := range v.stateMachine.Responses() {
 		respond := v.pending[response.Key]
@@ -68,8 +67,8 @@
 	}
 }
 
-// notifyWaiters notifies up to maxNotified waiters, drawn at random, that a duty has come free. It always notifies the
-// process that the duty was transferred to.
+// notifyWaiters notifies up to maxNotified waiters, drawn at random, that a duty has come free. If the process that the
+// duty was transferred to is among the waiters, it is always notified.
 func (v *Voter) notifyWaiters(duty lease.Duty) {
 	waiting := v.waiters[duty]
 	delete(v.waiters, duty)
--- a/internal/controlgroup/voter/store.go
+++ b/internal/controlgroup/voter/store.go
@@ -14,8 +14,8 @@
 	"piernotch/internal/controlgroup/transport"
 )
 
-// openStore opens the voter's file, and starts the state machine if the file has been part of a group. A corrupt file
-// is quarantined and replaced by a new one.
+// openStore opens the voter's file, and starts the state machine if the file's voter has been part of a group. A
+// corrupt file is quarantined and replaced by a new file.
 func (v *Voter) openStore() error {
 	store, state, err := consensus.OpenStore(v.config.StorePath, v.config.Name, v.config.Self)
 	if errors.Is(err, consensus.ErrCorrupt) {
@@ -65,8 +65,8 @@
 }
 
 // bootstrap starts the state machine of a voter with a new file. If a connected voter has been part of a group, this
-// voter starts empty and requests to be added. Otherwise, if all configured voters are connected, it bootstraps a new
-// group. Otherwise it does nothing: this voter's empty file does not prove that there is no group.
+// voter starts empty and requests to be added. Otherwise it bootstraps a new group once all configured voters are
+// connected, not before: this voter's empty file does not prove that there is no group.
 func (v *Voter) bootstrap() {
 	self := v.ownHandshake()
 	voters := []protocol.Voter{{ID: self.ID, Name: self.Name}}
@@ -136,7 +136,7 @@
 		v.cancel()
 		return
 	}
-	// Reconnect, so that the new handshake tells the other voters this voter's new ID.
+	// Reconnect, so that the handshakes of the new connections carry this voter's new ID.
 	for _, link := range v.links {
 		if link.conn != nil {
 			link.conn.Close()
--- a/internal/controlgroup/voter/subscriptions.go
+++ b/internal/controlgroup/voter/subscriptions.go
@@ -52,7 +52,8 @@
 	return held && grant.Token == command.Token && grant.Holder == command.Process
 }
 
-// subscribe sends a connection the events after the version from.ToVersion, and adds it to the subscribers.
+// subscribe adds a connection to the subscribers, and sends it the events after the version from.ToVersion, or the
+// whole log if that version is not in it.
 func (s *subscription) subscribe(conn *transport.Conn, duty lease.Duty, from *controlgroup.WatchEvent) {
 	if !slices.Contains(s.subscribers, conn) {
 		s.subscribers = append(s.subscribers, conn)
--- a/internal/controlgroup/voter/voter.go
+++ b/internal/controlgroup/voter/voter.go
@@ -14,7 +14,7 @@
 	"piernotch/internal/controlgroup/transport"
 )
 
-// StartError is returned by Start when a setting of the group cannot be used on this machine.
+// StartError is returned by Start when a setting of the group's file cannot be used.
 type StartError struct {
 	Setting string // the key in the group's file
 	Err     error
@@ -46,7 +46,7 @@
 	stateMachine *consensus.StateMachine        // nil until the group is known
 	links        map[string]*link               // to the other voters, by name
 	handshakes   map[string]transport.Handshake // of the connected other voters, by name
-	nextJoin     time.Duration                  // time of the next AddVoter request
+	nextJoin     time.Duration                  // earliest time of the next AddVoter request
 	leaderName   string                         // as last logged
 
 	lastKey       uint64 // key of the last request to the state machine
@@ -111,8 +111,8 @@
 	return v.handshake
 }
 
-// Done returns a channel that is closed when the voter ends, by Close or because its file failed. The caller has to
-// call Close in both cases.
+// Done returns a channel that is closed when the voter ends, by Close or by itself after an error. In the latter case
+// the caller still has to call Close.
 func (v *Voter) Done() <-chan struct{} { return v.ctx.Done() }
 
 // Close ends the voter and waits for its goroutines. Everything that the voter has acknowledged is in its file.
--- a/internal/controlgroup/voter/voter_test.go
+++ b/internal/controlgroup/voter/voter_test.go
@@ -70,8 +70,8 @@
 	return token
 }
 
-// When a duty's holder ends, another client acquires the duty under a higher token. It keeps the duty while one voter
-// is replaced after its file was corrupted and another voter ends.
+// When a duty's holder ends, another client acquires the duty under a higher token. That client still holds the duty,
+// under the same or a higher token, after one voter was replaced because of a corrupt file and another voter ended.
 func TestDutyMovesOnAcrossHolderExitAndVoterReplacement(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	configs := threeConfigs(t)
@@ -120,8 +120,8 @@
 	require.GreaterOrEqual(t, awaitToken(t, b, "watch"), second)
 }
 
-// While a voter is missing, the others must not bootstrap a group, because the missing one may belong to an existing
-// group. No duty may be held until then.
+// While a voter is missing, the others must not bootstrap a group, because the missing voter may belong to an existing
+// group. No duty may be held meanwhile.
 func TestGroupIsNotBootstrappedWhileAVoterIsMissing(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	configs := threeConfigs(t)
