--- a/internal/controlgroup/lease/expiry_clock.go
+++ b/internal/controlgroup/lease/expiry_clock.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// ExpiryClock expires leases that are not renewed. Each leader of the group creates its own when it begins to lead.
+// ExpiryClock expires leases that are not renewed. Each leader creates its own clock when it begins to lead.
 // All times are readings of the leader's monotonic clock.
 type ExpiryClock struct {
 	timing    Timing
--- a/internal/controlgroup/lease/fence.go
+++ b/internal/controlgroup/lease/fence.go
@@ -1,12 +1,12 @@
 package lease
 
-// Fence rejects actions under outdated tokens. Each receiver of a holder's actions has one. The tokens it has seen
-// must survive a restart of the receiver: when Admit reports a fresh token, the receiver stores Tokens before it
-// carries out the action. The zero value has seen no token.
+// Fence rejects actions under outdated tokens. Each receiver of a holder's actions has a Fence. The tokens seen must
+// survive a restart of the receiver: when Admit reports a fresh token, the receiver stores Tokens before it carries
+// out the action. The zero value has seen no token.
 type Fence struct{ highest map[Duty]Token }
 
 // Admit reports whether an action under a token may be carried out. fresh reports that the token is higher than all
-// earlier ones of the duty, and has to be stored first.
+// earlier tokens of the duty, and has to be stored first.
 func (f *Fence) Admit(duty Duty, token Token) (ok, fresh bool) {
 	highest := f.highest[duty]
 	if token < highest {
--- a/internal/controlgroup/lease/holder.go
+++ b/internal/controlgroup/lease/holder.go
@@ -97,8 +97,8 @@
 	h.nextRequest = 0
 }
 
-// RequestLost tells the holder that a request will get no response. If that was the pending request, the next one may
-// be sent at once, to another voter.
+// RequestLost tells the holder that a request will get no response. If that was the pending request, the next request
+// may be sent at once, to another voter.
 func (h *Holder) RequestLost(seq RequestSeq) {
 	if h.pending && seq == h.pendingSeq {
 		h.pending = false
--- a/internal/controlgroup/lease/safety.go
+++ b/internal/controlgroup/lease/safety.go
@@ -15,10 +15,10 @@
 	return now + timing.Duration
 }
 
-// mayRenew reports whether a lease may be renewed. Once its expiry has been proposed it may not, because the expiry
-// may be applied at any moment.
+// mayRenew reports whether a lease may be renewed: not after its expiry has been proposed, because the expiry may be
+// applied at any moment.
 func (safetyRules) mayRenew(d deadline) bool { return !d.expiring }
 
-// mayConfirm reports whether a response may confirm a lease to its holder. As with mayRenew, it may not once the
-// expiry has been proposed.
+// mayConfirm reports whether a response may confirm a lease to its holder: as with mayRenew, not after the expiry has
+// been proposed.
 func (safetyRules) mayConfirm(d deadline) bool { return !d.expiring }
--- a/internal/controlgroup/lease/table.go
+++ b/internal/controlgroup/lease/table.go
@@ -35,7 +35,7 @@
 
 // Operations. A renewal is not an operation, because it does not change the replicated state.
 const (
-	Acquire  Op = iota + 1 // Process acquires a duty without a lease holder; its own grant, if any, stays as it is
+	Acquire  Op = iota + 1 // Process acquires a duty without a lease holder; if Process holds the duty, nothing changes
 	Release                // Process releases its lease under Token
 	Transfer               // Process hands its lease under Token to Successor, who gets a new token
 	Expire                 // the leader ends the lease under Token
--- a/internal/controlgroup/lease/table_test.go
+++ b/internal/controlgroup/lease/table_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Two contending processes and a timing, which the tests of the package share.
+// Shared by the tests of the package.
 var (
 	processA = Process{Name: "a", Incarnation: 1}
 	processB = Process{Name: "b", Incarnation: 1}
