--- a/internal/controlgroup/consensus/doc.go
+++ b/internal/controlgroup/consensus/doc.go
@@ -32,7 +32,7 @@
 // table of every voter. The voter that proposed it recognizes the incarnation and sequence number, and responds
 // to the request. A voter that loses leadership responds to its pending proposals with
 // protocol.ErrOutcomeUnknown, since their entries may still be committed. Proposals are never forwarded to
-// another leader: one that arrived late could end a lease that the new leader has renewed.
+// another leader: a late proposal could end a lease that the new leader has renewed.
 //
 // # Lease expiry
 //
@@ -53,7 +53,7 @@
 //
 // A voter is identified by the ID drawn when its store was created, never by its name. AddVoter replaces
 // a voter of the same name by two configuration changes, proposed one at a time. The first removes the old ID,
-// unless the leader has heard from it within the last election timeout; the next request adds the new ID. The
+// unless the leader has heard from it since raft's last quorum check; the next request adds the new ID. The
 // requester repeats AddVoter until it is a voter.
 //
 // # Store admission
--- a/internal/controlgroup/consensus/membership.go
+++ b/internal/controlgroup/consensus/membership.go
@@ -23,7 +23,7 @@
 }
 
 // addVoter proposes the next of up to two changes: the removal of an unreachable voter of the same name, then the
-// addition of the requested voter. The requester repeats the request until it is a voter.
+// addition of the requested voter. The requester repeats the request until it is one of the voters.
 func (m *StateMachine) addVoter(request protocol.Request) {
 	added := request.Voter
 	changeType := raftpb.ConfChangeAddNode
@@ -52,7 +52,8 @@
 	}
 }
 
-// isRecentlyActive reports whether this leader has heard from a voter within the last election timeout.
+// isRecentlyActive reports whether this leader has heard from a voter since raft's last quorum check, at most an
+// election timeout ago.
 func (m *StateMachine) isRecentlyActive(id protocol.VoterID) bool {
 	recent := false
 	m.node.WithProgress(func(other uint64, _ raft.ProgressType, progress tracker.Progress) {
--- a/internal/controlgroup/consensus/requests.go
+++ b/internal/controlgroup/consensus/requests.go
@@ -13,7 +13,7 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// maxPendingRequests bounds the pending requests at a leader; further ones are rejected with ErrOverloaded.
+// maxPendingRequests bounds the pending requests at a leader; further requests are rejected with ErrOverloaded.
 const maxPendingRequests = 4096
 
 // requestSeq numbers the requests to one incarnation of a voter, from 1 on. 0 marks the leader's own proposals, which
--- a/internal/controlgroup/consensus/state_machine_planted.go
+++ b/internal/controlgroup/consensus/state_machine_planted.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// respondUncommitted responds to a command with the result it would have if it were the next one to be committed.
+// respondUncommitted responds to a command with the result that it would have if it were committed next.
 func (m *StateMachine) respondUncommitted(request protocol.Request) {
 	var table lease.Table
 	table.Restore(m.table.Snapshot())
--- a/internal/controlgroup/consensus/store.go
+++ b/internal/controlgroup/consensus/store.go
@@ -34,7 +34,7 @@
 }
 
 // Errors of OpenStore, wrapped in a *StoreError. After ErrCorrupt the caller may Quarantine the file and then
-// create a new one.
+// create a new file.
 var (
 	ErrCorrupt    = errors.New("corrupt")
 	ErrStoreInUse = errors.New("in use by another process")
--- a/internal/controlgroup/lease/holder.go
+++ b/internal/controlgroup/lease/holder.go
@@ -121,7 +121,7 @@
 }
 
 // HandleResponse handles the group's response to the request seq; err is nil, ErrHeld or ErrNotHeld. It ignores a
-// response to any request but the pending one. The renew deadline counts from when that request was sent, because
+// response to any but the pending request. The renew deadline counts from when that request was sent, because
 // the lease may have been granted that early and the response delayed.
 func (h *Holder) HandleResponse(now time.Duration, seq RequestSeq, grant Grant, err error) {
 	if !h.pending || seq != h.pendingSeq {
