--- a/internal/controlgroup/consensus/membership.go
+++ b/internal/controlgroup/consensus/membership.go
@@ -13,9 +13,9 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// membershipChange is the context of a configuration change in the log. Incarnation and Seq identify the proposing
-// voter's incarnation and the request behind the change. Voter is the voter to be added, also where this change
-// removes the old voter of the same name.
+// membershipChange is the context of a configuration change in the log. Incarnation and Seq tell the proposing
+// voter which request to respond to. Voter is the voter to be added, even if this change removes the old voter of the
+// same name.
 type membershipChange struct {
 	Incarnation lease.Incarnation `cbor:"1,keyasint"`
 	Seq         requestSeq        `cbor:"2,keyasint"`
@@ -23,7 +23,7 @@
 }
 
 // addVoter proposes the next of up to two changes: the removal of an unreachable voter of the same name, then the
-// addition of the requested voter. The requester repeats the request until it is a voter.
+// addition of the requested voter. The requester repeats the request until it is one of the voters.
 func (m *StateMachine) addVoter(request protocol.Request) {
 	added := request.Voter
 	changeType := raftpb.ConfChangeAddNode
@@ -52,7 +52,8 @@
 	}
 }
 
-// isRecentlyActive reports whether this leader has heard from a voter within the last election timeout.
+// isRecentlyActive reports whether this leader has heard from a voter since raft's last quorum check, at most an
+// election timeout ago.
 func (m *StateMachine) isRecentlyActive(id protocol.VoterID) bool {
 	recent := false
 	m.node.WithProgress(func(other uint64, _ raft.ProgressType, progress tracker.Progress) {
@@ -63,8 +64,8 @@
 	return recent || id == m.config.ID
 }
 
-// applyConfChange applies a committed change of the voters, and responds to the request behind it if this voter
-// proposed it.
+// applyConfChange applies a committed change of the voters. If this voter proposed the change, it responds to the
+// requester.
 func (m *StateMachine) applyConfChange(change *raftpb.ConfChange) error {
 	var origin membershipChange
 	if err := cbor.Unmarshal(change.GetContext(), &origin); err != nil {
--- a/internal/controlgroup/lease/holder.go
+++ b/internal/controlgroup/lease/holder.go
@@ -97,8 +97,8 @@
 	h.nextRequest = 0
 }
 
-// RequestLost tells the holder that a request will get no response. If that was the pending request, the next one may
-// be sent at once, to another voter.
+// RequestLost tells the holder that a request will get no response. If that was the pending request, the next request
+// may be sent at once, to another voter.
 func (h *Holder) RequestLost(seq RequestSeq) {
 	if h.pending && seq == h.pendingSeq {
 		h.pending = false
@@ -121,7 +121,7 @@
 }
 
 // HandleResponse handles the group's response to the request seq; err is nil, ErrHeld or ErrNotHeld. It ignores a
-// response to any request but the pending one. The renew deadline counts from when that request was sent, because
+// response to any but the pending request. The renew deadline counts from when that request was sent, because
 // the lease may have been granted that early and the response delayed.
 func (h *Holder) HandleResponse(now time.Duration, seq RequestSeq, grant Grant, err error) {
 	if !h.pending || seq != h.pendingSeq {
