--- a/internal/serve/eventloop/connection.go
+++ b/internal/serve/eventloop/connection.go
@@ -40,7 +40,7 @@
 
 	descriptorMutex sync.Mutex  // held while the descriptor is used outside the poller
 	descriptorGone  bool        // nbio is about to close the descriptor, and the kernel may reuse its number
-	peerClosed      atomic.Bool // the peer closed or broke the connection; Handler.Closed may be pending
+	peerClosed      atomic.Bool // the connection ended, by Close or by the peer; Handler.Closed may be pending
 }
 
 // Write sends data; what the kernel does not accept at once is queued and sent later. An error
@@ -61,12 +61,12 @@
 func (c *Conn) DiscardInput() { c.discardInput.Store(true) }
 
 // PeerClosed reports whether the peer has closed or broken the connection, even if Handler.Closed
-// has not been called yet.
+// has not been called yet. After Close it may be true, too.
 func (c *Conn) PeerClosed() bool { return c.peerClosed.Load() }
 
 // InputEmpty reports whether the connection is open and no input waits to be handled: neither in
-// the kernel nor between the poller and the handler. Bytes move in this direction, so checking the
-// kernel first cannot miss any.
+// the kernel nor between the poller and the handler. Bytes move from the kernel to the handler, so
+// checking the kernel first cannot miss any.
 func (c *Conn) InputEmpty() bool {
 	if c.closed {
 		return false
--- a/internal/serve/eventloop/dial.go
+++ b/internal/serve/eventloop/dial.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// dialOvershoot is the number of descriptors by which a dial may exceed the limit after ShedAll.
+// dialOvershoot is the number of descriptors by which ordinary dials may exceed the limit after
+// ShedAll.
 // The connections that ShedAll closes are counted as closed only a moment later; until then the
 // reserved descriptors cover the excess.
 const dialOvershoot = ReservedDescriptors / 4
@@ -28,8 +29,8 @@
 
 // Dial connects to a target. When the connection is up, newHandler returns its handler. Then, or
 // when the dial has failed, done is called with the connection or the error, which is
-// ErrDescriptorsExhausted if the descriptor limit is reached. Both run on the owning goroutine
-// after Dial has returned. Dial must be called on the owning goroutine.
+// ErrDescriptorsExhausted if the descriptor limit is reached. newHandler and done run on the owning
+// goroutine after Dial has returned. Dial must be called on the owning goroutine.
 //
 // Package net dials, and nbio takes over the established connection: nbio's own asynchronous dial
 // reports a refused connection as established, and its timeout may fire on an established
--- a/internal/serve/eventloop/doc.go
+++ b/internal/serve/eventloop/doc.go
@@ -6,14 +6,14 @@
 // The owning goroutine is the one that calls Loop.Run. Handlers, functions passed to Loop.Post and
 // all other callbacks run on it, one at a time; methods of Conn must be called on it. The other
 // goroutines are nbio's poller, which reads sockets and flushes writes, one for each Listener that
-// accepts, and one for each dial. They share only the mailbox, atomic fields and a few fields
-// guarded by a mutex with the owning goroutine.
+// accepts, and one for each dial. With the owning goroutine they share only the mailbox, atomic
+// fields and a few fields guarded by a mutex.
 //
 // # Order
 //
-// Events of one connection are handled in order, except after a stall, in which the owning
-// goroutine did not run for some time. Then the data of prioritized connections and closes by
-// clients are handled first, all other messages next, and only then does the clock advance.
+// Events of one connection are handled in order, except after a stall, which is a long gap between
+// two batches of messages. Then the data of prioritized connections and the closes of client
+// connections are handled first, all other messages next, and only then does the clock advance.
 //
 // The package knows nothing of HTTP, requests or servers. Packages downstream, upstream, discovery
 // and admin use it; package runtime owns the Loop.
--- a/internal/serve/eventloop/listener.go
+++ b/internal/serve/eventloop/listener.go
@@ -37,9 +37,9 @@
 }
 
 // ClientListener returns a listener for clients. Its connections count toward the loop's descriptor
-// limit, part of which is kept for connections to servers. Beyond its part the listener leaves
-// clients in the accept queue: a client that is accepted but not served is worse off than one that
-// waits there.
+// limit. While connections to clients and servers together use clientShareQuarters of the limit, it
+// leaves new clients in the accept queue: a client that is accepted but not served is worse off
+// than one that waits there.
 func (l *Loop) ClientListener(newHandler func(*Conn) Handler) *Listener {
 	return &Listener{
 		loop:       l,
@@ -76,7 +76,7 @@
 // accepting.
 func (l *Listener) Inherit(fd int) error {
 	file := os.NewFile(uintptr(fd), "inherited listener")
-	listener, err := net.FileListener(file) // file is nil, which is an error here, if fd is invalid
+	listener, err := net.FileListener(file) // fails unless fd is an open socket
 	if err != nil {
 		return err
 	}
--- a/internal/serve/eventloop/loop.go
+++ b/internal/serve/eventloop/loop.go
@@ -20,18 +20,18 @@
 
 const (
 	// stallThreshold is the longest gap between the starts of two batches that does not count as a
-	// stall. Responses may be delayed by up to this long.
+	// stall. It needs no special handling, because responses may be late by this much.
 	stallThreshold = 40 * time.Millisecond
 	// LongStallThreshold is the gap above which the loop first gives the poller longStallReadTime
 	// to read the sockets, and only then handles messages. Otherwise it could handle a request
 	// before the update which says that a server drains, and send the request to that server after
-	// the time in which that is still allowed. The threshold can be this high because the protocol
-	// tolerates a delay of half as long on every time limit.
+	// the time in which that is still allowed. The threshold can be as high as 100 ms because the
+	// protocol tolerates a delay of 50 ms, half of it, on every time limit.
 	LongStallThreshold = 100 * time.Millisecond
 	longStallReadTime  = 20 * time.Millisecond
 
-	// maxWriteBuffer limits the bytes that a connection queues because the kernel does not accept
-	// them.
+	// maxWriteBuffer limits the outgoing bytes that a connection queues while the kernel does not
+	// accept them.
 	maxWriteBuffer = 512 << 10
 )
 
@@ -89,8 +89,8 @@
 }
 
 // prepareEngines applies the settings that nbio shares between all engines of a process. nbio keeps
-// a table indexed by descriptor number and refuses descriptors beyond it. The Loop enforces the
-// limit itself, so the table only has to be large enough.
+// a table indexed by descriptor number and refuses numbers beyond its end. The Loop enforces the
+// descriptor limit itself, so the table only has to be large enough.
 func prepareEngines(descriptors int) {
 	engineTable.Lock()
 	defer engineTable.Unlock()
--- a/internal/serve/eventloop/mailbox.go
+++ b/internal/serve/eventloop/mailbox.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// maxPendingData limits the bytes that were read but not handled yet. Above it the poller waits,
+// maxPendingData limits the bytes of data that wait in the mailbox. Above it the poller waits,
 // which applies backpressure to all peers: a few fast senders must not fill the memory.
 const maxPendingData = 256 << 10
 
--- a/internal/serve/eventloop/poller.go
+++ b/internal/serve/eventloop/poller.go
@@ -18,8 +18,8 @@
 	maxClientReads = 4
 )
 
-// register passes a connection, whose handler must already be set, to the poller. It runs on the
-// owning goroutine.
+// register passes a connection to the poller. It must be called on the owning goroutine, after the
+// connection's handler has been set.
 func (l *Loop) register(accepted net.Conn, connection *Conn) error {
 	socket, err := nbio.NBConn(accepted)
 	if err != nil {
@@ -40,11 +40,12 @@
 }
 
 // read reads the available input of a connection. The poller calls it in place of nbio's own
-// reading, which has two faults: it closes a connection after a few reads once the peer has closed
-// it, even if more data is left, and it reports a reset as an orderly close. A truncated response
-// that is delimited by the close of the connection would then be taken as complete. A connection to
-// a server is therefore read until it is empty or has ended; its handler closes one that sends too
-// much. A client's connection is read at most maxClientReads times before others get their turn.
+// reading, which has two faults. Once the peer has closed a connection, nbio closes it after a few
+// reads, even if more data is left. And nbio reports a reset as an orderly close. In both cases a
+// truncated response that is delimited by the close would be taken as complete. A connection to a
+// server is therefore read until it is empty or has ended; its handler must close it if the server
+// sends too much. A client's connection is read at most maxClientReads times before others get
+// their turn.
 func (l *Loop) read(socket *nbio.Conn) {
 	connection := socket.Session().(*Conn)
 	l.mailbox.mu.Lock()         // makes the fields of a new connection visible to the poller
@@ -85,7 +86,7 @@
 		return
 	}
 	connection.releaseDescriptor()
-	l.mailbox.mu.Lock() // as in read
+	l.mailbox.mu.Lock() // makes the fields of a new connection visible here, as in read
 	connection.peerClosed.Store(true)
 	l.mailbox.mu.Unlock()
 	// After a stall, the close of a client's connection is handled first. The close of a connection
