--- a/internal/serve/discovery/connection.go
+++ b/internal/serve/discovery/connection.go
@@ -20,8 +20,8 @@
 )
 
 // connection is a connection to the discovery service. It implements eventloop.Handler, whose
-// methods run on the loop's owning goroutine. It ignores all events once the watcher has dropped
-// it.
+// methods run on the loop's owning goroutine. Once the watcher has dropped the connection, they
+// ignore all events.
 type connection struct {
 	watcher *Watcher
 	socket  *eventloop.Conn
@@ -73,7 +73,7 @@
 }
 
 // Closed implements eventloop.Handler. An orderly close may complete a response that is delimited
-// by it. Any other error must not, because the response was truncated.
+// by the close. After any other error the response is truncated and must not be used.
 func (c *connection) Closed(err error) {
 	watcher := c.watcher
 	if watcher.connection != c {
--- a/internal/serve/discovery/endpoint_list.go
+++ b/internal/serve/discovery/endpoint_list.go
@@ -66,8 +66,8 @@
 	"terminated":  piernotch.Gone,
 }
 
-// Parse parses an endpoint list. The zone of an endpoint becomes its index in zones, or -1 if it is
-// not there. Errors are of type *ListError.
+// Parse parses an endpoint list. The zone of an endpoint becomes its index in zones, or -1 if zones
+// does not contain it. Errors are of type *ListError.
 func Parse(data []byte, zones []string) (EndpointList, error) {
 	var decoded listJSON
 	if err := json.Unmarshal(data, &decoded); err != nil {
@@ -113,8 +113,8 @@
 	}, nil
 }
 
-// endpointError returns an error about a field of the list entry at an index; the field is named as
-// on the wire.
+// endpointError returns an error about a field of the list entry at an index. field is the name on
+// the wire.
 func endpointError(index int, field string, err error) *ListError {
 	return &ListError{Field: fmt.Sprintf("instances[%d].%s", index, field), Err: err}
 }
--- a/internal/serve/discovery/shared_watch.go
+++ b/internal/serve/discovery/shared_watch.go
@@ -6,18 +6,19 @@
 	"piernotch/internal/controlgroup"
 )
 
-// UseSharedWatch makes the watcher a part of a control group: it polls only when the group tells it
-// to, and publishes the lists that it receives. If shared is nil, the watcher polls for itself
-// alone.
+// UseSharedWatch makes the watcher share its watch with a control group: it polls only when the
+// group tells it to, and publishes the lists that its polls return. If shared is nil, the watcher
+// polls for itself alone.
 func (w *Watcher) UseSharedWatch(shared controlgroup.SharedWatch) { w.shared = shared }
 
 // ReceiveShared applies a list that another balancer polled and published. A list older than the
-// known one is ignored. If changes between the known list and this one are missing, the watcher
-// requests an update from the group. UseSharedWatch must have been called with a group.
+// known one is ignored. If a newer change does not follow the known version, or that version cannot
+// be continued, the watcher requests an update from the group. UseSharedWatch must have been called
+// with a group.
 func (w *Watcher) ReceiveShared(event controlgroup.WatchEvent) {
 	apply, missing := event.Follows(w.address, w.version)
 	if w.needsReset && event.Source == w.address {
-		// The known version belongs to another service, so only a complete list can be applied.
+		// The known version cannot be continued, so only a complete list can be applied.
 		apply = event.Complete
 		missing = !event.Complete
 	}
@@ -45,8 +46,8 @@
 	w.shared.RequestUpdate(w.address, known)
 }
 
-// publish publishes a received list to the group in its wire format. It must be called before the
-// list is applied, while version is still the preceding one.
+// publish publishes a list to the group in discovery's wire format. It must be called before the
+// list is applied, while w.version is still the preceding one.
 func (w *Watcher) publish(list EndpointList, body []byte) {
 	event := controlgroup.WatchEvent{
 		Source:      w.address,
--- a/internal/serve/discovery/watcher.go
+++ b/internal/serve/discovery/watcher.go
@@ -18,24 +18,24 @@
 	watchWait = 5 * time.Second
 
 	// silenceGrace is how long the watcher waits for a response beyond watchWait. The service
-	// counts a change as delivered two seconds after the wait of the poll that should have
-	// delivered it. The polls that replace a silent one must have a response by then.
+	// counts a change as delivered two seconds after the end of the wait of the poll that should
+	// have delivered it. The polls that replace a silent one must have a response by then.
 	silenceGrace = time.Second
 
 	// replacementWait is how long the service may hold a poll that replaces a silent one. Such a
 	// poll only has to show whether the service responds.
 	replacementWait = 250 * time.Millisecond
 
-	// immediateResponseTimeout bounds a poll to which the service responds without holding it. A
-	// service with too many callers abandons each call after 3 s; repeating the poll earlier would
-	// only add to its load.
-	immediateResponseTimeout = 3500 * time.Millisecond
+	// slowServiceTimeout is the timeout of a poll for the complete list and of the last
+	// replacement. A service with too many callers abandons each call after 3 s; repeating the poll
+	// earlier would only add to its load.
+	slowServiceTimeout = 3500 * time.Millisecond
 
 	dialTimeout = time.Second
 
-	// minPollInterval is the least time between two polls, so that a service that responds at once
-	// without a change is not polled in a busy loop. It is well below the 200 ms within which the
-	// service counts a watch as continuing.
+	// minPollInterval is the least time from a poll to the one that follows its response, so that a
+	// service that responds at once without a change is not polled in a busy loop. It is well below
+	// the 200 ms within which the service counts a watch as continuing.
 	minPollInterval = 100 * time.Millisecond
 
 	// sharedRecheckInterval is the interval at which a balancer checks whether another one still
@@ -44,15 +44,16 @@
 
 	// restartDelay is the time from a failure to the next poll of a watch that restarts by itself.
 	// It is short because the service that pushes the list is near, and counts a change as
-	// delivered when it has sent it.
+	// delivered once the change is sent.
 	restartDelay = 200 * time.Millisecond
 )
 
-// replacementTimeouts are the timeouts of the successive polls that replace a silent one. After the
-// last the watch fails. The first is short enough for another poll before the service counts a
-// change as delivered. The second is longer, because a service that does not respond to either may
-// be slow rather than silent.
-var replacementTimeouts = [...]time.Duration{time.Second, immediateResponseTimeout}
+// replacementTimeouts are the timeouts of the successive polls that replace a silent one; each is
+// slowServiceTimeout if they request the complete list. After the last the watch fails. The first
+// is short enough for another poll before the service counts a change as delivered. The second is
+// longer: a service that has not responded to the silent poll and its first replacement may be slow
+// rather than silent.
+var replacementTimeouts = [...]time.Duration{time.Second, slowServiceTimeout}
 
 var (
 	errUnsolicitedData = errors.New("data received while no response was due")
@@ -79,7 +80,7 @@
 	respondedAt  time.Duration // when the service last sent a list; initially the Watcher's creation
 	failures     int           // failures of the watch since respondedAt
 	nextPollAt   time.Duration // 0: no poll is scheduled
-	pollDeadline time.Duration // when the poll in flight times out
+	pollDeadline time.Duration // when the poll that is active times out
 	lastQuery    query         // query of the last poll that was sent
 
 	connection *connection // nil: none, or being dialed
@@ -88,7 +89,7 @@
 	shared controlgroup.SharedWatch // nil: this balancer polls for itself alone
 }
 
-// Options configures a Watcher. Only Version may be zero.
+// Options configures a Watcher. Only Zones and Version may be zero.
 type Options struct {
 	Loop    *eventloop.Loop
 	Emit    func(core.Event)     // receives events on the loop's owning goroutine
@@ -98,7 +99,7 @@
 	Version uint64               // generation of the known list; 0: none
 }
 
-// New returns a Watcher that does not poll until Watch or WatchWithRestarts is called.
+// New returns a Watcher that does not poll until Watch, WatchWithRestarts or Move is called.
 func New(options Options) *Watcher {
 	return &Watcher{
 		loop:        options.Loop,
@@ -115,12 +116,12 @@
 func (w *Watcher) Version() uint64 { return w.version }
 
 // ListAge returns the time since the discovery service last sent a list. In an open watch without
-// changes it grows to the time that the service may hold a poll.
+// changes it grows up to the time for which the service may hold a poll.
 func (w *Watcher) ListAge() time.Duration { return w.now() - w.respondedAt }
 
-// Resume continues from the version that another watcher knew. sameService tells whether that is a
-// version of this discovery service. Versions of another service are meaningless here, so the next
-// poll then requests the complete list.
+// Resume continues from the version that another watcher knew. sameService tells whether that
+// watcher used this discovery service. If it did not, the version is meaningless here, and the next
+// poll requests the complete list.
 func (w *Watcher) Resume(version uint64, sameService bool) {
 	w.version = version
 	w.needsReset = !sameService
@@ -188,8 +189,9 @@
 	w.poll()
 }
 
-// connectionFailed handles the loss of the connection, or a failed dial, for the poll in flight. A
-// replacement is repeated at once: after a silence no time is left to wait.
+// connectionFailed handles the loss of the connection, or a failed dial, for the poll in flight. If
+// the poll is a replacement, it is repeated at once, because the silence before it has left no time
+// to wait. Otherwise the watch fails.
 func (w *Watcher) connectionFailed(err error) {
 	if w.replacements > 0 {
 		w.replaceOrFail(err)
@@ -276,7 +278,7 @@
 func (w *Watcher) pollTimeout() time.Duration {
 	switch {
 	case w.needsReset:
-		return immediateResponseTimeout
+		return slowServiceTimeout
 	case w.replacements > 0:
 		return replacementTimeouts[w.replacements-1]
 	}
@@ -309,7 +311,7 @@
 	}
 }
 
-// responseDue reports whether a poll is in flight.
+// responseDue reports whether a poll is in flight or being dialed.
 func (w *Watcher) responseDue() bool { return w.active && w.nextPollAt == 0 }
 
 // responseReceived handles the response to the poll in flight, and starts the next poll.
@@ -369,8 +371,8 @@
 	w.failures = 0
 }
 
-// apply passes a list to the core. Since is when the previous list was applied: the changes in this
-// one were not listed by then.
+// apply passes a list to the core. The update's Since is the time at which the previous list was
+// applied: the changes in this list had not been listed by then.
 func (w *Watcher) apply(list EndpointList) {
 	since := w.appliedAt
 	w.appliedAt = w.now()
--- a/internal/serve/discovery/watcher_test.go
+++ b/internal/serve/discovery/watcher_test.go
@@ -82,7 +82,7 @@
 	c.t.Helper()
 	c.sendBody(body)
 	update := (<-c.Events).(core.EndpointUpdate)
-	c.Do(func() {}) // wait for the next poll, which is scheduled after the event
+	c.Do(func() {}) // wait until the next poll is scheduled, which happens after the event is emitted
 	return update
 }
 
@@ -171,7 +171,7 @@
 	require.Equal(t, pollOf(5), f.accept().poll())
 }
 
-// The changes in a response were not listed when the previous response arrived.
+// An update's Since is the arrival of the previous response: the changes were not listed then.
 func TestUpdateSaysSinceWhenItCanHaveBeenListed(t *testing.T) {
 	f := newFixture(t)
 	f.Do(f.watcher.Watch)
@@ -185,8 +185,8 @@
 	require.Equal(t, before, connection.sendList(6).Since)
 }
 
-// A service that is slow rather than silent, for example because of many callers, still delivers
-// its response.
+// The last replacement's timeout is long enough for the response of a service that is slow rather
+// than silent, for example because of many callers.
 func TestSlowServiceRespondsToLastReplacement(t *testing.T) {
 	f := newFixture(t)
 	f.Do(f.watcher.Watch)
@@ -218,13 +218,13 @@
 }
 
 // The service responds at once to a poll for the complete list, so its silence is noticed sooner
-// than in a watch.
+// than when it may hold the poll.
 func TestSilentPollForCompleteListIsReplacedSooner(t *testing.T) {
 	f := newFixture(t)
 	f.Do(func() { f.watcher.Move(f.service.Addr().String()) })
 	first := f.accept()
 	require.Equal(t, listPath, first.poll())
-	f.advance(immediateResponseTimeout + servetest.ShortTime)
+	f.advance(slowServiceTimeout + servetest.ShortTime)
 	first.RequireClosed()
 	require.Equal(t, listPath, f.accept().poll())
 	require.Empty(t, f.Events)
@@ -244,8 +244,8 @@
 // Guards against requests to a server that has long been draining. The network silently dropped a
 // watch and also the poll that replaced it. Each was noticed after 6 s, so that a change was known
 // 12 s late. A change counts as notified 2 s after the wait of the poll that should have delivered
-// it, and a drain gives 2 s more. The replacement had the timeout of a watch, although it only has
-// to show that the service responds.
+// it, and a drain gives 2 s more. The replacement had the timeout of a held poll, although it only
+// has to show that the service responds.
 func TestSilentReplacementOfSilentPollIsNoticedInTime(t *testing.T) {
 	const countsAsNotified = watchWait + 2*time.Second
 	f := newFixture(t)
@@ -266,7 +266,7 @@
 	first.poll()
 	require.NoError(t, first.Close())
 	require.Equal(t, core.EndpointUpdate{Kind: piernotch.UpdateFailed}, <-f.Events)
-	f.Do(func() {}) // wait for the restart, which is scheduled after the event
+	f.Do(func() {}) // wait until the restart is scheduled, which happens after the event is emitted
 	f.advance(restartDelay - 1)
 	active := false
 	f.Do(func() { active = f.watcher.responseDue() })
