--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -15,8 +15,8 @@
 // Fields are a message's header fields in the order in which they were sent.
 type Fields []Field
 
-// Get returns the value of the first field with a name, which must be in lower case, or "" if there
-// is none.
+// Get returns the value of the first field with the given name, or "" if there is none. The name
+// must be in lower case.
 func (f Fields) Get(name string) string {
 	for i := range f {
 		if f[i].Name == name {
@@ -26,8 +26,8 @@
 	return ""
 }
 
-// containsToken reports whether a field with the name, whose value is a comma-separated list,
-// contains the token. The name must be in lower case; the token's case is ignored.
+// containsToken reports whether the token is in the comma-separated list of any field with the
+// given name. The name must be in lower case; the token's case is ignored.
 func (f Fields) containsToken(name, token string) bool {
 	for i := range f {
 		if f[i].Name != name {
@@ -59,8 +59,8 @@
 	return path
 }
 
-// Query returns the value of the first query parameter with a name, without percent-decoding, or ""
-// if there is none.
+// Query returns the value of the first query parameter with the given name, without
+// percent-decoding, or "" if there is none.
 func (m *Message) Query(name string) string {
 	_, query, _ := strings.Cut(m.Target, "?")
 	for parameter := range strings.SplitSeq(query, "&") {
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -16,8 +16,8 @@
 	stateTrailer
 )
 
-// Parser parses the bytes of one connection into complete messages. It is not
-// safe for concurrent use.
+// Parser parses the bytes of one connection into complete messages. It is not safe for concurrent
+// use.
 type Parser struct {
 	responses       bool // parses responses; false: requests
 	maxBody         int
@@ -46,7 +46,7 @@
 func (p *Parser) Idle() bool { return p.state == stateHead && len(p.buffer) == 0 }
 
 // ExpectsContinue reports whether the sender of the current request waits for a 100 Continue before
-// it sends the body. It is true only once per request.
+// it sends the body. It returns true only once per request.
 func (p *Parser) ExpectsContinue() bool {
 	expected := p.expectsContinue
 	p.expectsContinue = false
@@ -68,7 +68,7 @@
 }
 
 // End handles the end of the connection. It returns the response that the end completes, or nil if
-// there is none or it was truncated.
+// none was in progress or the response was truncated.
 func (p *Parser) End() *Message {
 	if p.failure != nil || p.state != stateBody || p.framing != framingUntilClose || len(p.buffer) > p.maxBody {
 		return nil
@@ -91,8 +91,8 @@
 	}
 }
 
-// step parses the next element: the head, a body, a line or a chunk. It returns the message once
-// that is complete. Otherwise proceed is false if more bytes are needed.
+// step parses the next element: the head, a body, a line or a chunk. It returns the message if the
+// element completes it. Otherwise proceed is false if more bytes are needed.
 func (p *Parser) step() (message *Message, proceed bool, err *Error) {
 	switch p.state {
 	case stateHead:
--- a/internal/http1/writer.go
+++ b/internal/http1/writer.go
@@ -2,9 +2,9 @@
 
 import "strconv"
 
-// AppendRequest appends a complete request to dst and returns it. It adds Content-Length, except to
-// a GET without a body; fields must include Host. Nothing is validated or escaped: values must not
-// contain CR or LF.
+// AppendRequest appends a complete request to dst and returns the result. It adds Content-Length,
+// except to a GET without a body; fields must include Host. Nothing is validated or escaped: values
+// must not contain CR or LF.
 func AppendRequest(dst []byte, method, target string, fields Fields, body []byte) []byte {
 	dst = append(dst, method...)
 	dst = append(dst, ' ')
@@ -18,9 +18,9 @@
 	return append(dst, body...)
 }
 
-// AppendResponse appends a complete response to dst and returns it. It adds Content-Length. Nothing
-// is validated or escaped: values must not contain CR or LF. The reason phrase is empty for a
-// status without a constant in this package.
+// AppendResponse appends a complete response to dst and returns the result. It adds Content-Length.
+// Nothing is validated or escaped: values must not contain CR or LF. The reason phrase is empty for
+// a status without a constant in this package.
 func AppendResponse(dst []byte, status int, fields Fields, body []byte) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
