--- a/internal/logs/limiter.go
+++ b/internal/logs/limiter.go
@@ -16,16 +16,16 @@
 	*counter
 }
 
-// counter counts the lines of the current second.
+// counter counts the lines of one second.
 type counter struct {
 	mu      sync.Mutex
-	second  int64 // the current second, in Unix time
+	second  int64 // second of the last line, in Unix time
 	lines   int   // in this second, including dropped ones
 	dropped int   // in this second
 }
 
 // count counts a line. It reports whether to drop the line, and, if the line is the first of its
-// second, how many lines were dropped in the last second that had lines.
+// second, how many lines were dropped in the previous second that had lines.
 func (c *counter) count(second int64, level slog.Level, maxLines int) (drop bool, droppedBefore int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,7 +53,8 @@
 	return &limiter{Handler: l.Handler.WithGroup(name), maxLines: l.maxLines, counter: l.counter}
 }
 
-// Handle passes a line on unless the limit of its second is reached. Errors always pass.
+// Handle passes a line on unless the limit of its second is reached. Errors always pass. The first
+// line of a second is preceded by a line that reports how many were dropped, if any.
 func (l *limiter) Handle(ctx context.Context, r slog.Record) error {
 	drop, droppedBefore := l.count(r.Time.Unix(), r.Level, l.maxLines)
 	if droppedBefore > 0 {
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -32,9 +32,9 @@
 // Options configures the log. Zero values mean the defaults. The names of the fields are those of
 // flags and of configuration keys.
 type Options struct {
-	// Format is "text" (key=value), the default, or "json".
+	// Format is "text" (key=value; the default) or "json".
 	Format string `toml:"format"`
-	// Level is "debug", "info", the default, "warn" or "error".
+	// Level is "debug", "info" (the default), "warn" or "error".
 	Level string `toml:"level"`
 	// Lines is the limit on lines per second; 0: DefaultLines or, at level debug, DebugLines.
 	// Errors are written even beyond it.
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -2,8 +2,9 @@
 // line.
 //
 // It checks only syntax and the types of values. The caller checks ranges and meanings: Lines
-// returns the line of each key, and Error is the form of a report. Packages config, controlgroup
-// and scenario call it. All functions may be called from any goroutine.
+// returns the line of each key, and Error is the type in which the caller reports a problem.
+// Packages config, controlgroup and scenario call it. All functions may be called from any
+// goroutine.
 package tomlfile
 
 import (
@@ -41,8 +42,8 @@
 // Error returns the same as String.
 func (e Error) Error() string { return e.String() }
 
-// Errors lists all problems in the order in which they were found. It is never empty where it is
-// returned as an error.
+// Errors lists all problems in the order in which they were found. A non-nil error of this type is
+// never empty.
 type Errors []Error
 
 // Error returns one line for each problem.
@@ -66,9 +67,10 @@
 // maxUnreadable limits how many unreadable values of one file are reported.
 const maxUnreadable = 100
 
-// Decode reads a document into v, a pointer. Keys that the document lacks keep their values in v. A
-// value that cannot be read is reported and blanked out, so that the rest is still checked. Types
-// with an UnmarshalTOML method decode themselves. The name of the file is used only in problems.
+// Decode reads a document into v, a pointer. Fields of v whose keys the document lacks keep their
+// values. A value that cannot be read is reported and then ignored, so that the rest is still
+// checked. Types with an UnmarshalTOML method decode themselves. The name of the file is used only
+// in problems.
 func Decode(file string, data []byte, v any) Errors {
 	var problems Errors
 	data = bytes.Clone(data)
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -19,7 +19,7 @@
 func TestDecodeReportsAllProblems(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
-		want []Error // without File, and without What if the TOML library words it
+		want []Error // without File, and without What if the TOML library wrote that text
 	}{
 		"valid": {"name = \"n\"\n[[entry]]\nsize = 3\n", nil},
 		"unknown keys": {
