--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -189,8 +189,8 @@
 	return true, nil
 }
 
-// parseTrailerLine discards a line of the trailer, and reports whether the line was complete. The
-// empty line at the trailer's end completes the message.
+// parseTrailerLine discards a line of the trailer. The empty line at the trailer's end completes
+// the message.
 func (p *Parser) parseTrailerLine() (message *Message, complete bool, err *Error) {
 	line, err := p.line(maxTrailer, "trailer too large")
 	if err != nil || line == nil {
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -27,7 +27,7 @@
 	framing         framing
 	remaining       int // size of the body or of the chunk in bytes, received or not
 	trailerSize     int
-	message         *Message // message whose head is parsed; nil: none
+	message         *Message // message whose head has been parsed; nil: none
 	expectsContinue bool
 	failure         *Error
 }
--- a/internal/logs/limiter.go
+++ b/internal/logs/limiter.go
@@ -53,8 +53,7 @@
 	return &limiter{Handler: l.Handler.WithGroup(name), maxLines: l.maxLines, counter: l.counter}
 }
 
-// Handle passes a line on unless the limit of its second is reached. Errors always pass. The first
-// line of a second is preceded by a line that reports how many were dropped, if any.
+// Handle passes a line on unless the limit of its second is reached. Errors always pass.
 func (l *limiter) Handle(ctx context.Context, r slog.Record) error {
 	drop, droppedBefore := l.count(r.Time.Unix(), r.Level, l.maxLines)
 	if droppedBefore > 0 {
--- a/internal/serve/discovery/watcher.go
+++ b/internal/serve/discovery/watcher.go
@@ -48,11 +48,10 @@
 	restartDelay = 200 * time.Millisecond
 )
 
-// replacementTimeouts are the timeouts of the successive polls that replace a silent one; each is
-// slowServiceTimeout if they request the complete list. After the last the watch fails. The first
-// is short enough for another poll before the service counts a change as delivered. The second is
-// longer: a service that has not responded to the silent poll and its first replacement may be slow
-// rather than silent.
+// replacementTimeouts are the timeouts of the successive polls that replace a silent one, unless
+// they request the complete list. After the last the watch fails. The first is short enough for
+// another poll before the service counts a change as delivered. The second is longer: a service
+// that does not respond to the silent poll or its first replacement may be slow rather than silent.
 var replacementTimeouts = [...]time.Duration{time.Second, slowServiceTimeout}
 
 var (
@@ -61,8 +60,7 @@
 	errWatchTimeout    = errors.New("watch timed out")
 )
 
-// Watcher watches the endpoint list. All its methods must be called on the event loop's owning
-// goroutine.
+// Watcher watches the endpoint list. Its methods must be called on the loop's owning goroutine.
 type Watcher struct {
 	loop    *eventloop.Loop
 	emit    func(core.Event)
@@ -80,7 +78,7 @@
 	respondedAt  time.Duration // when the service last sent a list; initially the Watcher's creation
 	failures     int           // failures of the watch since respondedAt
 	nextPollAt   time.Duration // 0: no poll is scheduled
-	pollDeadline time.Duration // when the poll that is active times out
+	pollDeadline time.Duration // when the active poll times out
 	lastQuery    query         // query of the last poll that was sent
 
 	connection *connection // nil: none, or being dialed
--- a/internal/serve/eventloop/dial.go
+++ b/internal/serve/eventloop/dial.go
@@ -14,7 +14,7 @@
 // DialKind says which descriptors a dial may use.
 type DialKind uint8
 
-// Kinds of dials.
+// The kinds of dials, with the descriptors that they may use.
 const (
 	OrdinaryDial DialKind = iota // descriptors within the limit
 	ReservedDial                 // also ReservedDescriptors, for a connection that the process cannot work without
--- a/internal/serve/eventloop/listener.go
+++ b/internal/serve/eventloop/listener.go
@@ -37,9 +37,9 @@
 }
 
 // ClientListener returns a listener for clients. Its connections count toward the loop's descriptor
-// limit. While connections to clients and servers together use clientShareQuarters of the limit, it
-// leaves new clients in the accept queue: a client that is accepted but not served is worse off
-// than one that waits there.
+// limit. When connections to clients and servers together use three quarters of the limit
+// (clientShareQuarters), the listener leaves new clients in the accept queue: a client that is
+// accepted but not served is worse off than one that waits there.
 func (l *Loop) ClientListener(newHandler func(*Conn) Handler) *Listener {
 	return &Listener{
 		loop:       l,
--- a/internal/serve/eventloop/loop.go
+++ b/internal/serve/eventloop/loop.go
@@ -20,13 +20,13 @@
 
 const (
 	// stallThreshold is the longest gap between the starts of two batches that does not count as a
-	// stall. It needs no special handling, because responses may be late by this much.
+	// stall. Such a gap needs no special handling, because responses may be late by this much.
 	stallThreshold = 40 * time.Millisecond
 	// LongStallThreshold is the gap above which the loop first gives the poller longStallReadTime
 	// to read the sockets, and only then handles messages. Otherwise it could handle a request
 	// before the update which says that a server drains, and send the request to that server after
 	// the time in which that is still allowed. The threshold can be as high as 100 ms because the
-	// protocol tolerates a delay of 50 ms, half of it, on every time limit.
+	// protocol tolerates a delay of half of that (50 ms) on every time limit.
 	LongStallThreshold = 100 * time.Millisecond
 	longStallReadTime  = 20 * time.Millisecond
 
--- a/internal/serve/eventloop/loop_test.go
+++ b/internal/serve/eventloop/loop_test.go
@@ -130,8 +130,8 @@
 func (h loggingHandler) Closed(error)     { h.log.add(h.name + " closed") }
 
 // After a stall, a client's close is handled before messages that arrived earlier and before the
-// clock advances. Both the messages and the clock may cause queued requests to be forwarded, even
-// that of the client which no longer waits for its response.
+// clock advances: a message or a tick may forward queued requests, even one that the client has
+// abandoned.
 func TestClientCloseIsHandledFirstAfterStall(t *testing.T) {
 	l, err := New(64)
 	require.NoError(t, err)
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -49,8 +49,8 @@
 	return strings.Join(parts, "."), line
 }
 
-// blankExpression replaces the key-value pair on the given line, with all its lines, by spaces. It
-// reports whether there is such a pair.
+// blankExpression overwrites all lines of the key-value pair that covers the given line with
+// spaces. It reports whether there is such a pair.
 func blankExpression(data []byte, line int) bool {
 	var parser unstable.Parser
 	parser.Reset(data)
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -2,9 +2,8 @@
 // line.
 //
 // It checks only syntax and the types of values. The caller checks ranges and meanings: Lines
-// returns the line of each key, and Error is the type in which the caller reports a problem.
-// Packages config, controlgroup and scenario call it. All functions may be called from any
-// goroutine.
+// returns the line of each key, and Error is the type of a problem. Packages config, controlgroup
+// and scenario call it. All functions may be called from any goroutine.
 package tomlfile
 
 import (
