--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -16,8 +16,7 @@
 	stateTrailer
 )
 
-// Parser parses the bytes of one connection into complete messages. It is not safe for concurrent
-// use.
+// Parser parses the bytes of one connection into complete messages.
 type Parser struct {
 	responses       bool // parses responses; false: requests
 	maxBody         int
--- a/internal/serve/discovery/connection.go
+++ b/internal/serve/discovery/connection.go
@@ -20,8 +20,7 @@
 )
 
 // connection is a connection to the discovery service. It implements eventloop.Handler, whose
-// methods run on the loop's owning goroutine. Once the watcher has dropped the connection, they
-// ignore all events.
+// methods ignore all events once the watcher has dropped the connection.
 type connection struct {
 	watcher *Watcher
 	socket  *eventloop.Conn
@@ -44,7 +43,6 @@
 	return listPath + "?index=" + strconv.FormatUint(q.version, 10) + "&wait=" + wait
 }
 
-// writePoll sends the request of a poll.
 func (c *connection) writePoll(host string, polled query) {
 	fields := http1.Fields{{Name: "Host", Value: host}}
 	// A failed write is also reported to Closed, which fails the poll.
--- a/internal/serve/discovery/shared_watch_test.go
+++ b/internal/serve/discovery/shared_watch_test.go
@@ -34,8 +34,7 @@
 	f.requested = append(f.requested, version)
 }
 
-// newSharedWatcher returns a watcher at version 5, its group, and the events that the watcher
-// emits.
+// newSharedWatcher returns a watcher at version 5, its group and its emitted events.
 func newSharedWatcher() (*Watcher, *fakeSharedWatch, *[]core.Event) {
 	shared := &fakeSharedWatch{}
 	events := &[]core.Event{}
--- a/internal/serve/discovery/watcher.go
+++ b/internal/serve/discovery/watcher.go
@@ -26,9 +26,9 @@
 	// poll only has to show whether the service responds.
 	replacementWait = 250 * time.Millisecond
 
-	// slowServiceTimeout is the timeout of a poll for the complete list and of the last
-	// replacement. A service with too many callers abandons each call after 3 s; repeating the poll
-	// earlier would only add to its load.
+	// slowServiceTimeout is the timeout of polls for the complete list and of the last replacement.
+	// A service with too many callers abandons each call after 3 s; repeating the poll earlier
+	// would only add to its load.
 	slowServiceTimeout = 3500 * time.Millisecond
 
 	dialTimeout = time.Second
@@ -117,9 +117,8 @@
 // changes it grows up to the time for which the service may hold a poll.
 func (w *Watcher) ListAge() time.Duration { return w.now() - w.respondedAt }
 
-// Resume continues from the version that another watcher knew. sameService tells whether that
-// watcher used this discovery service. If it did not, the version is meaningless here, and the next
-// poll requests the complete list.
+// Resume continues from the version that another watcher knew. If sameService is false, that is a
+// version of another discovery service, and the next poll requests the complete list.
 func (w *Watcher) Resume(version uint64, sameService bool) {
 	w.version = version
 	w.needsReset = !sameService
@@ -187,9 +186,9 @@
 	w.poll()
 }
 
-// connectionFailed handles the loss of the connection, or a failed dial, for the poll in flight. If
-// the poll is a replacement, it is repeated at once, because the silence before it has left no time
-// to wait. Otherwise the watch fails.
+// connectionFailed handles a lost connection or a failed dial of the poll in flight. A replacement
+// is repeated at once, because the silence before it has left no time to wait. Otherwise the watch
+// fails.
 func (w *Watcher) connectionFailed(err error) {
 	if w.replacements > 0 {
 		w.replaceOrFail(err)
@@ -263,7 +262,6 @@
 	w.connection.writePoll(w.address, w.lastQuery)
 }
 
-// pollQuery returns the query of the next poll.
 func (w *Watcher) pollQuery() query {
 	wait := watchWait
 	if w.replacements > 0 {
--- a/internal/serve/discovery/watcher_test.go
+++ b/internal/serve/discovery/watcher_test.go
@@ -71,7 +71,6 @@
 	return c.receiveUpdate(emptyList(generation, false))
 }
 
-// sendBody sends a response with the given body.
 func (c *serviceConnection) sendBody(body []byte) {
 	c.t.Helper()
 	c.Send(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
@@ -185,8 +184,8 @@
 	require.Equal(t, before, connection.sendList(6).Since)
 }
 
-// The last replacement's timeout is long enough for the response of a service that is slow rather
-// than silent, for example because of many callers.
+// A service that is slow rather than silent, for example because of many callers, has time to
+// respond to the last replacement.
 func TestSlowServiceRespondsToLastReplacement(t *testing.T) {
 	f := newFixture(t)
 	f.Do(f.watcher.Watch)
--- a/internal/serve/eventloop/connection.go
+++ b/internal/serve/eventloop/connection.go
@@ -40,7 +40,7 @@
 
 	descriptorMutex sync.Mutex  // held while the descriptor is used outside the poller
 	descriptorGone  bool        // nbio is about to close the descriptor, and the kernel may reuse its number
-	peerClosed      atomic.Bool // the connection ended, by Close or by the peer; Handler.Closed may be pending
+	peerClosed      atomic.Bool // see PeerClosed
 }
 
 // Write sends data; what the kernel does not accept at once is queued and sent later. An error
--- a/internal/serve/eventloop/listener.go
+++ b/internal/serve/eventloop/listener.go
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// Accepting reports whether the listener accepts connections.
+// Accepting reports whether the listener was started and has not been stopped since.
 func (l *Listener) Accepting() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
