--- a/internal/logs/limiter.go
+++ b/internal/logs/limiter.go
@@ -16,16 +16,16 @@
 	*counter
 }
 
-// counter counts the lines of the current second.
+// counter counts the lines of one second.
 type counter struct {
 	mu      sync.Mutex
-	second  int64 // the current second, in Unix time
+	second  int64 // second of the last line, in Unix time
 	lines   int   // in this second, including dropped ones
 	dropped int   // in this second
 }
 
 // count counts a line. It reports whether to drop the line, and, if the line is the first of its
-// second, how many lines were dropped in the last second that had lines.
+// second, how many lines were dropped in the previous second that had lines.
 func (c *counter) count(second int64, level slog.Level, maxLines int) (drop bool, droppedBefore int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/serve/discovery/connection.go
+++ b/internal/serve/discovery/connection.go
@@ -20,8 +20,7 @@
 )
 
 // connection is a connection to the discovery service. It implements eventloop.Handler, whose
-// methods run on the loop's owning goroutine. It ignores all events once the watcher has dropped
-// it.
+// methods ignore all events once the watcher has dropped the connection.
 type connection struct {
 	watcher *Watcher
 	socket  *eventloop.Conn
@@ -44,7 +43,6 @@
 	return listPath + "?index=" + strconv.FormatUint(q.version, 10) + "&wait=" + wait
 }
 
-// writePoll sends the request of a poll.
 func (c *connection) writePoll(host string, polled query) {
 	fields := http1.Fields{{Name: "Host", Value: host}}
 	// A failed write is also reported to Closed, which fails the poll.
@@ -73,7 +71,7 @@
 }
 
 // Closed implements eventloop.Handler. An orderly close may complete a response that is delimited
-// by it. Any other error must not, because the response was truncated.
+// by the close. After any other error the response is truncated and must not be used.
 func (c *connection) Closed(err error) {
 	watcher := c.watcher
 	if watcher.connection != c {
