--- a/internal/serve/upstream/attempt.go
+++ b/internal/serve/upstream/attempt.go
@@ -10,23 +10,24 @@
 )
 
 // stallTimeout is how long a response that has started may go without new data.
-// Servers write a response in one go, so one that stalls will probably not complete.
+// Servers write a response in one go, so a stalled response will probably not complete.
 const stallTimeout = 250 * time.Millisecond
 
-// attempt is one request to a server: an attempt of a client's request, or a health
-// check. It lasts from the wait for a connection to the response.
+// attempt is an attempt of a client's request, or a health check, from the wait for a
+// connection to the response.
 type attempt struct {
 	ref         core.AttemptRef // zero for a health check
 	healthCheck bool
 	pool        *pool
 	request     *core.RequestMessage
 	deadline    time.Duration
-	connection  *connection // nil while the attempt waits for one
+	connection  *connection // nil: none is assigned
 	waiting     bool        // the attempt is in its pool's waiting list
 }
 
-// cancel ends an attempt without an event. Its connection is closed if the request
-// was written or if the server sent something, and is otherwise released for reuse.
+// cancel ends an attempt without an event. Its connection is closed if the request was
+// written, or if the server has closed the connection or sent data on it. Otherwise the
+// connection is released for reuse.
 func (u *Upstream) cancel(attempt *attempt) {
 	u.forget(attempt)
 	if attempt.waiting {
@@ -55,8 +56,8 @@
 	}
 }
 
-// fail ends an attempt without a response and emits its outcome. The caller must
-// have closed the attempt's connection, if there was one.
+// fail ends an attempt without a response and emits its outcome. The attempt's
+// connection, if any, must already be closed.
 func (u *Upstream) fail(attempt *attempt, cause *AttemptError) {
 	u.forget(attempt)
 	attempt.connection = nil
@@ -70,8 +71,8 @@
 	u.emit(core.AttemptCompleted{Ref: attempt.ref, Status: cause.Status()})
 }
 
-// complete emits the outcome of an attempt that got a response. The attempt must already have been forgotten and
-// detached from its connection; from is that connection, for the log.
+// complete emits the load report and the outcome of an attempt that got a response. The caller must have forgotten the
+// attempt and detached it from its connection; from is that connection, for the log.
 func (u *Upstream) complete(attempt *attempt, response *http1.Message, from *connection) {
 	endpoint := attempt.pool.endpoint
 	status := responseStatus(response)
--- a/internal/serve/upstream/connection.go
+++ b/internal/serve/upstream/connection.go
@@ -19,17 +19,17 @@
 // connection is a connection to a server. It carries one attempt at a time. It
 // implements eventloop.Handler, whose methods run on the loop's owning goroutine.
 type connection struct {
-	number          int // in the order of dials of this process, for the log
+	number          int // sequence number of its dial in this process, for the log
 	pool            *pool
 	socket          *eventloop.Conn
 	parser          *http1.Parser
 	attempt         *attempt      // nil: the connection is free
-	lastActivity    time.Duration // when the connection became free, or when data last arrived
+	lastActivity    time.Duration // when the connection started to settle or became idle, or when data last arrived
 	idleFor         time.Duration // idle time before the current attempt
 	responses       int           // number of responses received
-	lastRequestID   string        // ID of the last request with a response, for the log
+	lastRequestID   string        // ID of the last request that got a response, for the log
 	carried         carriedExchanges
-	held            *heldResponse // response to the attempt that is held back; nil: none
+	held            *heldResponse // response that is held because it may belong to an earlier request; nil: none
 	requestWritten  bool          // the attempt's request was handed to the socket
 	responseStarted bool          // part of a response has arrived
 }
@@ -51,7 +51,7 @@
 	remaining := max((c.attempt.deadline - now).Milliseconds(), minDeadlineMs)
 	fields = append(fields, http1.Field{Name: "X-Deadline-Ms", Value: strconv.FormatInt(remaining, 10)})
 	c.requestWritten = true
-	// An error also closes the connection, and Closed then ends the attempt.
+	// After an error the event loop calls Closed, which ends the attempt.
 	_ = c.socket.Write(http1.AppendRequest(nil, request.Method, request.Target, fields, request.Body))
 }
 
@@ -62,7 +62,7 @@
 		c.disconnected(fmt.Errorf("%w: %d bytes", errUnsolicitedData, len(data)))
 		return
 	}
-	if c.held != nil { // this is the attempt's response, so the held one belongs to an earlier request
+	if c.held != nil { // the new data is the attempt's response: the held one belongs to an earlier request
 		c.failHeld()
 		return
 	}
@@ -78,7 +78,7 @@
 	}
 }
 
-// responseParsed handles a complete response: it ends the attempt with it, or holds it if it may belong to an earlier
+// responseParsed ends the attempt with a complete response, or holds the response if it may belong to an earlier
 // request.
 func (c *connection) responseParsed(response *http1.Message) {
 	now := c.pool.upstream.now()
@@ -93,8 +93,8 @@
 }
 
 // Closed implements eventloop.Handler: the connection has ended. An orderly close
-// completes a response whose body is delimited by the close. After any other error,
-// such a response is truncated and must not count as complete.
+// completes a response whose body is delimited by the close. After an error other
+// than io.EOF, such a response is truncated and must not count as complete.
 func (c *connection) Closed(err error) {
 	responsePending := c.attempt != nil && c.requestWritten && c.responseStarted
 	if responsePending && errors.Is(err, io.EOF) {
@@ -150,7 +150,7 @@
 	c.pool.upstream.repeatReceived(c.pool.endpoint, c.sinceLastResponse())
 }
 
-// logResponse logs a response with its connection, and also logs and counts data that arrived directly behind it.
+// logResponse logs a response and its connection. It also logs and counts data directly behind the response.
 func (c *connection) logResponse(attempt *attempt, response *http1.Message) {
 	slog.Debug("server response", "id", attempt.request.ID, "attempt", int(attempt.ref.Number),
 		"server", c.pool.endpoint.Address, "status", response.Status, "bytes", len(response.Body),
@@ -163,7 +163,7 @@
 }
 
 // closeAndReplace closes a connection that is in none of its pool's lists, and
-// dials another one if attempts wait for it.
+// dials another if attempts wait for a connection.
 func (c *connection) closeAndReplace() {
 	c.socket.Close()
 	c.pool.dialForWaiting()
@@ -190,7 +190,7 @@
 // reusableAfter reports whether the connection can carry another request after a
 // response. It cannot if the response is a rejection or an error, announces the
 // close, was followed by more bytes, or came before the request was completely
-// written. It also cannot while singleUse is active for the endpoint.
+// written, or while singleUse is active for the endpoint.
 func (c *connection) reusableAfter(response *http1.Message) bool {
 	if response.Status != http1.StatusOK { // rejections and errors look alike: a second one would not be recognized
 		return false
--- a/internal/serve/upstream/doc.go
+++ b/internal/serve/upstream/doc.go
@@ -11,12 +11,12 @@
 //  3. The response, or an AttemptError, ends the attempt. core.AttemptCompleted
 //     is emitted once. After CancelAttempt nothing is emitted.
 //
-// Health checks use the same pools. Their request is written as soon as they have
-// a connection, and they end with core.HealthCheckCompleted.
+// Health checks use the same pools. A health check is written as soon as it has a
+// connection, and ends with core.HealthCheckCompleted, or without an event if overdue.
 //
-// The package must not choose endpoints, decide on retries or decide what a client
+// The package must not choose endpoints, or decide on retries or what a client
 // is sent: those decisions belong to the core and the decision module. Attempt
-// timeouts also belong to the core; this package only fails responses that stall.
+// timeouts also belong to the core, except for dials and for responses that stall.
 //
 // The runtime package is the only caller. Upstream is not safe for concurrent
 // use: all its methods, and the connection handlers that it registers, must run on
--- a/internal/serve/upstream/errors.go
+++ b/internal/serve/upstream/errors.go
@@ -8,8 +8,7 @@
 	"piernotch"
 )
 
-// Causes of an AttemptError that this package detects. Others come from the event
-// loop or the parser.
+// Causes of an AttemptError that are detected here, not by the event loop or the parser.
 var (
 	errUnsolicitedData = errors.New("data received while no response was due")
 	errClosedByServer  = errors.New("closed by the server")
@@ -38,8 +37,8 @@
 // response. Its stage tells whether the server may have executed the request.
 type AttemptError struct {
 	Stage      Stage
-	Address    string        // address of the server
-	Connection int           // its number in this process; 0: none was established
+	Address    string        // server's address
+	Connection int           // number of the connection in this process; 0: none was established
 	Responses  int           // number of responses that the connection had carried before
 	IdleFor    time.Duration // how long the connection had been idle before the attempt
 	Err        error
@@ -53,12 +52,12 @@
 // Unwrap returns Err, for errors.Is and errors.As.
 func (e *AttemptError) Unwrap() error { return e.Err }
 
-// Status returns the outcome that the core and the decision module work with.
+// Status classifies the failure for the core and the decision module.
 func (e *AttemptError) Status() piernotch.Status {
 	switch {
 	case e.Stage < AwaitingResponse:
 		return piernotch.ConnectFailed
-	case e.Stage == Malformed: // unlike after a reset, the connection was up: the server has not restarted
+	case e.Stage == Malformed: // the connection was up, so unlike a reset this is no sign of a restarted server
 		return piernotch.Error
 	default:
 		return piernotch.Reset
--- a/internal/serve/upstream/health_check.go
+++ b/internal/serve/upstream/health_check.go
@@ -24,8 +24,8 @@
 	check.pool.acquire(check)
 }
 
-// endOverdueHealthChecks cancels the health checks whose deadline has passed, to end
-// their use of a connection. The core has its own timer for their outcome.
+// endOverdueHealthChecks cancels the health checks whose deadline has passed, so that
+// they no longer hold a connection. The core has its own timer for their outcome.
 func (u *Upstream) endOverdueHealthChecks(now time.Duration) {
 	for check := range u.healthChecks {
 		if now > check.deadline {
--- a/internal/serve/upstream/load_report.go
+++ b/internal/serve/upstream/load_report.go
@@ -19,8 +19,8 @@
 const reportWarningInterval = 10 * time.Second
 
 var (
-	errNoInflight       = errors.New("no inflight")
-	errInvalidLoadValue = errors.New("not a load value")
+	errNoInflight       = errors.New("load report has no inflight value")
+	errInvalidLoadValue = errors.New("invalid name=value pair in load report")
 )
 
 // parseLoadReport parses a load report: comma-separated name=value pairs. Unknown
@@ -28,7 +28,7 @@
 // be finite and not negative.
 func parseLoadReport(text string) (piernotch.LoadReport, error) {
 	var load piernotch.LoadReport
-	seen := make([]string, 0, 4) // fixed capacity, so it stays on the stack: every response may carry a report
+	seen := make([]string, 0, 4) // fixed capacity keeps it on the stack: every response may carry a report
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(pair), "=")
 		number, err := strconv.ParseFloat(value, 64)
@@ -39,7 +39,7 @@
 		seen = append(seen, name)
 	}
 	if !slices.Contains(seen, simprotocol.InflightColumn) {
-		return piernotch.LoadReport{}, fmt.Errorf("%w in %q", errNoInflight, text)
+		return piernotch.LoadReport{}, fmt.Errorf("%w: %q", errNoInflight, text)
 	}
 	return load, nil
 }
--- a/internal/serve/upstream/pool.go
+++ b/internal/serve/upstream/pool.go
@@ -15,13 +15,13 @@
 	// response.
 	settleTime = 2 * core.TickInterval
 
-	// maxConcurrentDials limits the dials to one endpoint that are in progress. To
-	// accept a connection costs the server work, so further attempts of a burst wait
-	// for connections in use.
+	// maxConcurrentDials limits the dials to one endpoint that are in progress at a time.
+	// Accepting a connection costs the server work, so in a burst the other attempts
+	// wait until connections in use become free.
 	maxConcurrentDials = 8
 )
 
-// pool holds the free connections to one endpoint, and the attempts that wait for one.
+// pool holds the free connections to one endpoint, and the attempts that wait for a connection.
 type pool struct {
 	upstream *Upstream
 	endpoint core.Endpoint
@@ -33,7 +33,7 @@
 }
 
 // acquire assigns the most recently used idle connection to an attempt. If there is
-// none, it queues the attempt and dials. It ends draining.
+// none, it queues the attempt and dials. It ends the pool's draining.
 func (p *pool) acquire(attempt *attempt) {
 	p.draining = false
 	for len(p.idle) > 0 {
@@ -44,14 +44,16 @@
 			p.assign(connection, attempt)
 			return
 		}
-		// The server closed the connection or sent unsolicited data. Its handler will be called, and logs which.
+		// The server has closed the connection or sent unsolicited data. The connection's handler will log such
+		// data and close the connection.
 	}
 	attempt.waiting = true
 	p.waiting = append(p.waiting, attempt)
 	p.dialForWaiting()
 }
 
-// assign gives a free connection to an attempt. A health check is written at once; the core is told of other attempts.
+// assign gives a free connection to an attempt. A health check's request is written at once. For any other attempt
+// core.AttemptConnected is emitted, and the core decides whether to write it.
 func (p *pool) assign(connection *connection, attempt *attempt) {
 	now := p.upstream.now()
 	connection.attempt = attempt
@@ -75,7 +77,7 @@
 	}
 }
 
-// dial starts to open a connection, which is released for use once it is up.
+// dial starts to open a connection, and calls release once it is established.
 func (p *pool) dial() {
 	p.dials++
 	p.upstream.ConnectionsOpened++
@@ -101,8 +103,7 @@
 	p.upstream.loop.Dial(target, opened, done)
 }
 
-// dialFailed fails the attempt that has waited longest, because each dial is for one
-// waiting attempt.
+// dialFailed fails the attempt that has waited longest: each dial is for one attempt.
 func (p *pool) dialFailed(err error) {
 	if attempt := p.nextWaiting(); attempt != nil {
 		p.upstream.fail(attempt, &AttemptError{Stage: Connecting, Address: p.endpoint.Address, Err: err})
@@ -111,7 +112,7 @@
 }
 
 // nextWaiting removes and returns the attempt that has waited longest, or nil if
-// none waits.
+// no attempt waits.
 func (p *pool) nextWaiting() *attempt {
 	if len(p.waiting) == 0 {
 		return nil
@@ -129,8 +130,8 @@
 	p.waiting = slices.DeleteFunc(p.waiting, func(other *attempt) bool { return other == cancelled })
 }
 
-// release gives a free connection to the attempt that has waited longest. If none
-// waits, the connection becomes idle, or is closed while the pool is draining.
+// release gives a free connection to the attempt that has waited longest. If no
+// attempt waits, the connection becomes idle, or is closed if the pool is draining.
 func (p *pool) release(connection *connection) {
 	if attempt := p.nextWaiting(); attempt != nil {
 		p.assign(connection, attempt)
@@ -145,7 +146,7 @@
 }
 
 // settle keeps a connection from reuse for settleTime after a response, or closes it
-// while the pool is draining.
+// if the pool is draining.
 func (p *pool) settle(connection *connection) {
 	if p.draining {
 		connection.socket.Close()
@@ -156,7 +157,7 @@
 }
 
 // releaseSettled releases the connections whose settleTime has passed, except those
-// on which the server has sent something or closed.
+// that the server has closed or sent data on.
 func (p *pool) releaseSettled(now time.Duration) {
 	for len(p.settling) > 0 && now-p.settling[0].lastActivity >= settleTime {
 		connection := p.settling[0]
@@ -164,7 +165,8 @@
 		if connection.socket.InputEmpty() {
 			p.release(connection)
 		} else {
-			p.dialForWaiting() // as a replacement: the connection's handler will be called, and closes it
+			// Dial a replacement: the server has closed this connection or sent data, so its handler will close it.
+			p.dialForWaiting()
 		}
 	}
 }
@@ -178,7 +180,7 @@
 	p.closeOldestIdle(expired)
 }
 
-// closeOldestIdle closes the count connections that have been idle longest.
+// closeOldestIdle closes count connections: those that have been idle longest.
 func (p *pool) closeOldestIdle(count int) {
 	for _, connection := range p.idle[:count] {
 		connection.socket.Close()
@@ -186,15 +188,14 @@
 	p.idle = slices.Delete(p.idle, 0, count)
 }
 
-// startDraining closes the free connections now, and those in use once they become
-// free.
+// startDraining closes the free connections now, and the others once they are free.
 func (p *pool) startDraining() {
 	p.draining = true
 	p.closeFree()
 }
 
 // closeFree closes all connections that no attempt uses. It dials for waiting
-// attempts that would have got a settling one.
+// attempts that would have got a settling connection.
 func (p *pool) closeFree() {
 	p.closeOldestIdle(len(p.idle))
 	for _, connection := range p.settling {
@@ -204,8 +205,7 @@
 	p.dialForWaiting()
 }
 
-// remove removes a closed connection from the pool, and dials a replacement if
-// attempts wait.
+// remove removes a closed connection, and dials a replacement if attempts wait.
 func (p *pool) remove(closed *connection) {
 	same := func(other *connection) bool { return other == closed }
 	p.idle = slices.DeleteFunc(p.idle, same)
@@ -213,8 +213,8 @@
 	p.dialForWaiting()
 }
 
-// unused reports whether the pool has no free connections, no waiting attempts and
-// no dials in progress. Connections in use do not count.
+// unused reports whether the pool has no free connections, waiting attempts or dials
+// in progress. Connections in use do not count.
 func (p *pool) unused() bool {
 	return len(p.idle)+len(p.settling)+len(p.waiting)+p.dials == 0
 }
--- a/internal/serve/upstream/pool_test.go
+++ b/internal/serve/upstream/pool_test.go
@@ -15,8 +15,8 @@
 	"piernotch/internal/serve/eventloop"
 )
 
-// More attempts wait for connections than may be dialed at once, and the attempts that get a connection lose it again.
-// Replacement connections must be dialed, or the remaining attempts would wait forever.
+// More attempts wait for connections than may be dialed at once, and attempts that get a connection lose it again.
+// Without replacement connections, the remaining attempts would wait forever.
 func TestWaitingAttemptsGetReplacementConnections(t *testing.T) {
 	t.Run("attempt cancelled", func(t *testing.T) {
 		requireAllAttemptsConnect(t, "", func(u *Upstream, ref core.AttemptRef) { u.CancelAttempt(ref) })
@@ -28,7 +28,8 @@
 }
 
 // requireAllAttemptsConnect starts more attempts than may be dialed at once, and requires that each gets a connection.
-// It calls onConnected for each one whose request was written. The server responds to each with response.
+// It calls onConnected for each attempt whose request was written. The server responds to each request with response,
+// or not at all if response is empty.
 func requireAllAttemptsConnect(t *testing.T, response string, onConnected func(*Upstream, core.AttemptRef)) {
 	t.Helper()
 	const attempts = maxConcurrentDials + 4
@@ -85,8 +86,8 @@
 	<-loopEnded
 }
 
-// startServer accepts connections until the test ends. On each it responds to the first line, unless response is empty,
-// and discards further input until the client closes.
+// startServer accepts connections until the test ends. On each connection it responds to the first line, unless
+// response is empty, and discards further input until the client closes.
 func startServer(t *testing.T, response string) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/serve/upstream/repeated_response.go
+++ b/internal/serve/upstream/repeated_response.go
@@ -14,22 +14,23 @@
 
 var errRepeatedResponse = errors.New("second response to an earlier request")
 
-// heldResponse is a response that may be a second one to an earlier request. An HTTP/1.1 response does not name its
-// request. So only the attempt's own response, if it follows, shows that the held one belongs to an earlier request.
+// heldResponse is a response that may be a second response to an earlier request. An HTTP/1.1 response does not name
+// its request. So only the attempt's own response, if it follows, shows that the held response belongs to an earlier
+// request.
 type heldResponse struct {
 	response *http1.Message
 	digests  exchangeDigests
 	until    time.Duration // if nothing has followed by then, the response is the attempt's own
 }
 
-// mayBeRepeat reports whether a response may be a second one to an earlier request: the connection has recently
-// carried the same response for a different request, and the response is not a common one.
+// mayBeRepeat reports whether a response may be a second response to an earlier request: the connection has
+// recently carried the same response for a different request, and the response is not a common one.
 func (c *connection) mayBeRepeat(digests exchangeDigests, now time.Duration) bool {
 	return !c.attempt.healthCheck && c.carried.hasResponse(digests, now) && !c.pool.upstream.history.common(digests)
 }
 
-// hold holds back a response that may be a second one to an earlier request, for half of the attempt's remaining time
-// and at most maxHoldTime. It fails the attempt at once if more data has followed, or while singleUse is active for the
+// hold holds back a response that may belong to an earlier request, for half of the attempt's remaining time and at
+// most maxHoldTime. It fails the attempt at once if more data has followed, or while singleUse is active for the
 // endpoint.
 func (c *connection) hold(response *http1.Message, digests exchangeDigests, now time.Duration) {
 	remaining := max(c.attempt.deadline-now, 0)
@@ -43,7 +44,7 @@
 }
 
 // failHeld fails the attempt because the held response belongs to an earlier request. The server may have executed the
-// attempt.
+// attempt's request.
 func (c *connection) failHeld() {
 	c.pool.upstream.repeatReceived(c.pool.endpoint, c.sinceLastResponse())
 	c.fail(Malformed, errRepeatedResponse)
@@ -70,7 +71,7 @@
 	}
 }
 
-// sinceLastResponse returns the time since the last response on the connection. A held one does not count.
+// sinceLastResponse returns the time since the last response on the connection. A held response does not count.
 func (c *connection) sinceLastResponse() time.Duration {
 	return c.pool.upstream.now() - c.carried[0].at
 }
--- a/internal/serve/upstream/repeated_response_test.go
+++ b/internal/serve/upstream/repeated_response_test.go
@@ -17,8 +17,8 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// serveAt starts an attempt and lets the server respond to it on the given connection, or on a new one if it is nil.
-// It returns the connection.
+// serveAt starts an attempt and lets the server respond to it on connection, or on a new connection if that is nil.
+// It returns the connection used.
 func (f *fixture) serveAt(target, body string, connection *servetest.Peer) *servetest.Peer {
 	f.t.Helper()
 	ref := f.startAttemptAt(target, time.Hour)
--- a/internal/serve/upstream/response_history.go
+++ b/internal/serve/upstream/response_history.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	// rememberedPerConnection is the number of recent responses on a connection that a new one is compared with.
+	// rememberedPerConnection is the number of recent responses on a connection that a new response is
+	// compared with.
 	rememberedPerConnection = 4
-	// rememberedResponses is the number of responses, of all servers, that are remembered to recognize those that
-	// servers give to many requests.
+	// rememberedResponses is the number of responses of all servers that are remembered to recognize common ones
+	// (see responseHistory).
 	rememberedResponses = 512
-	// repeatWindow is the time after a response in which later ones on its connection are compared with it.
+	// repeatWindow is how long after a response later responses on its connection are compared with it.
 	repeatWindow = 2 * time.Second
 )
 
 // exchangeDigests holds the hashes of a request and of the response that was read for it.
 type exchangeDigests struct{ request, response uint64 }
 
-// digestExchange hashes the parts that distinguish requests and responses. It leaves out the load report, because a
-// server may write a different one into a second response.
+// digestExchange hashes the parts by which requests and responses are told apart. It leaves out the load report,
+// because a server may write a different report into a second response.
 func digestExchange(request *core.RequestMessage, response *http1.Message) exchangeDigests {
 	var digests exchangeDigests
 	digest := xxhash.New()
@@ -72,7 +73,7 @@
 }
 
 // responseHistory recognizes common responses: those that servers give to many requests, such as an empty one. A
-// second response to an earlier request can only come on the connection of the first one. So a response that
+// second response to an earlier request can only come on the connection of the first response. So a response that
 // different requests got on different connections is common.
 type responseHistory struct {
 	responses *simplelru.LRU[uint64, seenResponse]
@@ -82,7 +83,7 @@
 type seenResponse struct {
 	request    uint64 // digest of the request
 	connection int    // number of the connection
-	common     bool   // servers give it to many requests
+	common     bool   // servers give the response to many requests
 }
 
 func newResponseHistory() responseHistory {
--- a/internal/serve/upstream/single_use.go
+++ b/internal/serve/upstream/single_use.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	// lateRepeat is the delay after the first response beyond which a second one is late, so that its server's
-	// connections are used once. Earlier ones arrive within settleTime, in which a connection is not reused anyway.
+	// lateRepeat is the delay after the first response beyond which a second response is late: its server's
+	// connections then carry only one request each. An earlier one arrives within settleTime, when its connection
+	// is not reused anyway.
 	lateRepeat = settleTime / 2
 	// singleUseTime is how long connections carry only one request each after a late second response.
 	singleUseTime = 5 * time.Minute
 	// widespreadRepeats is the number of servers with late second responses at which the connections to all servers
-	// are used once.
+	// carry only one request each.
 	widespreadRepeats = 2
 )
 
-// singleUse tracks the servers whose connections carry only one request each. There a second response cannot be
-// mistaken for the response to a later request.
+// singleUse tracks the servers whose connections carry only one request each. On such a connection a second
+// response cannot be mistaken for the response to a later request.
 type singleUse struct {
 	lateRepeats map[core.Endpoint]time.Duration // time of the last late second response, by server
 }
 
-// repeatReceived records a second response, which came delay after the first one. started reports whether it extends
-// single use to more servers than before, and everywhere whether single use now applies to all servers.
+// repeatReceived records a second response, which came delay after the first one. started reports whether single use
+// now applies to more servers than before, and everywhere whether it applies to all.
 func (s *singleUse) repeatReceived(from core.Endpoint, delay, now time.Duration) (started, everywhere bool) {
-	// Later than repeatWindow, it may be a time-out response that a server writes before it closes an idle connection.
+	// A response later than repeatWindow may be a time-out that a server writes before it closes an idle connection.
 	if delay <= lateRepeat || delay > repeatWindow {
 		return false, false
 	}
@@ -36,8 +37,8 @@
 	return !wasActive || !wasEverywhere && s.everywhere(), s.everywhere()
 }
 
-// active reports whether connections to a server are used once. It also drops the servers for which singleUseTime has
-// passed.
+// active reports whether connections to a server carry only one request each. It also drops the servers for which
+// singleUseTime has passed.
 func (s *singleUse) active(endpoint core.Endpoint, now time.Duration) bool {
 	for other, at := range s.lateRepeats {
 		if now-at >= singleUseTime {
--- a/internal/serve/upstream/timeouts_test.go
+++ b/internal/serve/upstream/timeouts_test.go
@@ -43,8 +43,8 @@
 	return f
 }
 
-// awaitRead waits until the poller, which reads the sockets, has finished reading what the server has sent. Until then
-// InputEmpty reports unread input, even if the data was already handled.
+// awaitRead waits until the poller has read all that the server has sent. Until then InputEmpty reports unread input,
+// even if the data was already handled.
 func (f *fixture) awaitRead() {
 	f.t.Helper()
 	done := func() bool {
@@ -88,8 +88,7 @@
 	return core.Endpoint{Server: 1, Address: f.server.Addr().String()}
 }
 
-// startAttempt starts an attempt with target "/" and a timeout of one hour. It returns once the attempt has a
-// connection and its request was written.
+// startAttempt starts an attempt with target "/" and a timeout of one hour, and waits until its request was written.
 func (f *fixture) startAttempt() core.AttemptRef {
 	f.t.Helper()
 	return f.startAttemptWithin(time.Hour)
@@ -125,7 +124,7 @@
 	return servetest.Accept(f.t, f.server)
 }
 
-// awaitResponseStart waits until the Upstream has received part of the response to an attempt.
+// awaitResponseStart waits until part of the response to an attempt was received.
 func (f *fixture) awaitResponseStart(ref core.AttemptRef) {
 	f.t.Helper()
 	started := func() (started bool) {
@@ -183,8 +182,7 @@
 	require.Equal(t, 1, f.idleConnections())
 }
 
-// A response that stops before it is complete must fail its attempt, which may have been executed, and close the
-// connection.
+// A response that stalls must fail its attempt, which may have been executed, and close the connection.
 func TestStalledResponseFailsItsAttempt(t *testing.T) {
 	f := newFixture(t)
 	ref := f.startAttempt()
@@ -199,7 +197,7 @@
 	connection.RequireClosed()
 }
 
-// The core enforces the timeout of attempts: the Upstream must not fail one whose response has not started.
+// The core enforces the timeout of attempts: Upstream must not fail an attempt whose response has not started.
 func TestUnansweredAttemptIsNotTimedOut(t *testing.T) {
 	f := newFixture(t)
 	ref := f.startAttempt()
@@ -247,8 +245,8 @@
 	require.Equal(t, core.AttemptCompleted{Ref: other, Response: &core.ResponseMessage{}}, <-f.Events)
 }
 
-// A server that gets no deadline may work on a request without limit. So X-Deadline-Ms is always sent, even if less
-// than its unit of 1 ms is left.
+// A server without a deadline may work on a request forever. So X-Deadline-Ms is always sent, even if less than its
+// unit of 1 ms is left.
 func TestRequestAlwaysCarriesADeadline(t *testing.T) {
 	for told, timeout := range map[string]time.Duration{
 		"X-Deadline-Ms: 1":  300 * time.Microsecond,
--- a/internal/serve/upstream/upstream.go
+++ b/internal/serve/upstream/upstream.go
@@ -23,10 +23,11 @@
 
 	// ConnectionsOpened counts the dials so far, including failed ones, for the log.
 	ConnectionsOpened int
-	// UnsolicitedData counts how often servers sent data beyond a response, for the log.
+	// UnsolicitedData counts, for the log, surplus data from servers: bytes directly behind a response, data while no
+	// response is due, and second responses to earlier requests.
 	UnsolicitedData int
 
-	lastReportWarning time.Duration // time of the last log line about an invalid load report; 0: none yet
+	lastReportWarning time.Duration // when an invalid load report was last logged; 0: never
 }
 
 // Options configures a new Upstream. All fields are required.
@@ -54,17 +55,17 @@
 	return upstream
 }
 
-// SetTimeouts sets the idle time after which servers close a connection (keepAlive),
-// and the time limit for a dial. Upstream closes idle connections after three
-// quarters of keepAlive: a request that is written while the server closes its side
-// would be lost.
+// SetTimeouts sets keepAlive, the idle time after which servers close a connection,
+// and dialTimeout, the time limit for a dial. Upstream closes idle connections after
+// three quarters of keepAlive: a request that is written while the server closes its
+// side would be lost.
 func (u *Upstream) SetTimeouts(keepAlive, dialTimeout time.Duration) {
 	u.idleTimeout = keepAlive * 3 / 4
 	u.dialTimeout = dialTimeout
 }
 
 // StartAttempt assigns a connection to an attempt, or queues the attempt until
-// one is free. The core receives AttemptConnected, or AttemptCompleted if no
+// a connection is free. The core receives AttemptConnected, or AttemptCompleted if no
 // connection can be established.
 func (u *Upstream) StartAttempt(effect core.StartAttempt) {
 	attempt := &attempt{
@@ -87,7 +88,8 @@
 }
 
 // CancelAttempt ends an attempt without an event. If its request was written, its
-// connection is closed, so that a late response cannot reach another request.
+// connection is closed, so that a late response is not mistaken for the
+// response to another request.
 func (u *Upstream) CancelAttempt(ref core.AttemptRef) {
 	if attempt := u.attempts[ref]; attempt != nil {
 		u.cancel(attempt)
@@ -96,15 +98,15 @@
 
 // CloseIdle closes the free connections to an endpoint that is draining or gone.
 // Connections in use are closed when they become free. The next attempt or health
-// check for the endpoint ends this state.
+// check for the endpoint makes its connections reusable again.
 func (u *Upstream) CloseIdle(endpoint core.Endpoint) {
 	if pool := u.pools[endpoint]; pool != nil {
 		pool.startDraining()
 	}
 }
 
-// Shed closes the idle connections to all endpoints to free descriptors. It leaves
-// connections open for which settleTime has not passed.
+// Shed closes the idle connections to all endpoints to free descriptors. Connections
+// that are in use or still settling stay open.
 func (u *Upstream) Shed() {
 	for _, pool := range u.pools {
 		pool.closeOldestIdle(len(pool.idle))
