--- a/internal/serve/downstream/close_reason.go
+++ b/internal/serve/downstream/close_reason.go
@@ -17,7 +17,7 @@
 )
 
 // logClose logs at level debug why the connection is closed, and how long it has been
-// in its phase.
+// in its current phase (see phaseStart).
 func (c *connection) logClose(reason closeReason) {
 	slog.Debug("client connection closed", "reason", reason,
 		"phase_ms", (c.downstream.now() - c.phaseStart).Milliseconds(), "received_data", c.receivedData)
--- a/internal/serve/downstream/connection.go
+++ b/internal/serve/downstream/connection.go
@@ -35,7 +35,7 @@
 	}
 	if c.exchange != 0 {
 		// A connection serves one request at a time. Data that comes before the response
-		// is a body longer than announced, a pipelined request, or a smuggled one.
+		// is a body longer than announced, a pipelined request, or a smuggled request.
 		c.abandonExchange()
 		c.rejectMalformed(http1.StatusBadRequest, reasonTrailingBytes)
 		return
@@ -56,7 +56,7 @@
 }
 
 // serveParsed serves the next request if it is complete. It sends 100 Continue to a
-// client that waits for that before it sends the body.
+// client that waits for this status before sending the body.
 func (c *connection) serveParsed() {
 	for c.exchange == 0 && !c.closing {
 		message, err := c.parser.Next()
@@ -150,8 +150,8 @@
 	c.socket.CloseWrite()
 }
 
-// closeNow closes the socket without waiting for unsent output or for the client,
-// and abandons a pending request.
+// closeNow closes the socket without waiting for unsent output or the client, and
+// abandons a pending request.
 func (c *connection) closeNow(reason closeReason) {
 	c.logClose(reason)
 	c.socket.Close()
--- a/internal/serve/downstream/downstream.go
+++ b/internal/serve/downstream/downstream.go
@@ -32,8 +32,8 @@
 
 // New returns a Downstream without connections. It calls emit with each event, on
 // the loop's owning goroutine. now is the core's clock. ready reports whether
-// requests can be served, and decides how health checks of this process are answered.
-// maxDescriptors is the limit on the process's file descriptors.
+// requests can be served, for health checks of this process. maxDescriptors is the
+// limit on the process's file descriptors.
 func New(emit func(core.Event), now func() time.Duration, ready func() bool, maxDescriptors int) *Downstream {
 	return &Downstream{
 		emit:         emit,
@@ -61,7 +61,7 @@
 // response, and connections that stay idle are closed after drainIdleGrace.
 func (d *Downstream) StartDraining() { d.drainingSince = d.now() }
 
-// StopDraining ends draining: connections stay open after a response again.
+// StopDraining ends draining: responses no longer close their connections because of it.
 func (d *Downstream) StopDraining() { d.drainingSince = 0 }
 
 // Shutdown makes every further response close its connection. It cannot be undone.
@@ -83,8 +83,8 @@
 // that are being closed.
 func (d *Downstream) ConnectionCount() int { return len(d.connections) }
 
-// closesAfterResponse reports whether every response closes its connection, because
-// the process is draining or shutting down.
+// closesAfterResponse reports whether the process drains or shuts down, so that every
+// response closes its connection.
 func (d *Downstream) closesAfterResponse() bool {
 	return d.shuttingDown || d.drainingSince > 0
 }
--- a/internal/serve/downstream/fixture_test.go
+++ b/internal/serve/downstream/fixture_test.go
@@ -56,8 +56,8 @@
 	return f
 }
 
-// awaitRead waits until the poller, which reads the sockets, has finished reading what the clients have sent. Until
-// then InputEmpty reports unread input, even if the data was already handled.
+// awaitRead waits until the poller has read all that the clients have sent. Until then InputEmpty reports unread input,
+// even if the data was already handled.
 func (f *fixture) awaitRead() {
 	f.t.Helper()
 	done := func() bool {
@@ -94,7 +94,7 @@
 	handler *observedHandler
 }
 
-// connect opens a connection and waits until the Downstream has accepted it.
+// connect opens a connection and waits until it is accepted.
 func (f *fixture) connect() *testClient {
 	f.t.Helper()
 	conn, err := net.Dial("tcp", f.listener.Addr())
@@ -102,7 +102,7 @@
 	f.t.Cleanup(func() { _ = conn.Close() })
 	require.NoError(f.t, conn.SetDeadline(time.Now().Add(servetest.Timeout)))
 	client := &testClient{fixture: f, Conn: conn, reader: bufio.NewReader(conn), handler: <-f.accepted}
-	f.Do(func() {}) // wait: the loop registers the connection after it has called the handler's constructor
+	f.Do(func() {}) // wait until the loop has also registered the connection
 	return client
 }
 
@@ -116,7 +116,7 @@
 	}
 }
 
-// status reads a response and returns its status.
+// status reads a response and returns its status code.
 func (c *testClient) status() int {
 	c.t.Helper()
 	response, err := http.ReadResponse(c.reader, nil)
--- a/internal/serve/downstream/request.go
+++ b/internal/serve/downstream/request.go
@@ -76,9 +76,9 @@
 	return &invalidRequest{status: http1.StatusMethodNotAllowed, reason: "use " + allowed, allow: allowed}
 }
 
-// route returns the index of the named class and the method that it takes, or "" if
-// there is no such class. After a change of its retry safety, a class has two routes
-// until the old one expires. The route that takes the request's method is preferred.
+// route returns the index of the named class and the method that the class takes; the
+// method is "" if there is no such class. After a change of its retry safety, a class has
+// two routes until the old route expires. The route for the request's method is preferred.
 func (d *Downstream) route(className, method string) (class int, allowedMethod string) {
 	for _, route := range d.routes[className] {
 		if route.ExpiresAt > 0 && d.now() >= route.ExpiresAt {
@@ -141,8 +141,8 @@
 	return id, wait, nil
 }
 
-// parseDeadline parses a positive whole number of milliseconds. Numbers above the
-// largest uint32 count as that, so that none is too large for a time.Duration.
+// parseDeadline parses a positive whole number of milliseconds. Numbers above
+// math.MaxUint32 count as math.MaxUint32, so that the result fits a time.Duration.
 func parseDeadline(text string) (deadline time.Duration, valid bool) {
 	milliseconds, err := strconv.ParseUint(text, 10, 64)
 	if errors.Is(err, strconv.ErrRange) {
--- a/internal/serve/downstream/response.go
+++ b/internal/serve/downstream/response.go
@@ -13,8 +13,7 @@
 const healthPath = "/_health"
 
 // Bodies of final responses that this process makes itself. Clients may depend on the
-// exact texts, so they must not change, even though the code now says "rejected" where
-// they say "refused".
+// exact texts, so these stay, although the code says "rejected" for "refused".
 const (
 	bodyRejected    = "refused: trying again is harmless\n"
 	bodyDuplicateID = "another open request has this X-Request-Id\n"
@@ -57,8 +56,9 @@
 	c.respond(http1.StatusOK, fields, response.Body)
 }
 
-// respondRejected responds that the request was not executed. A retryAfter above 0 is
-// sent as the time after which a retry makes sense, in seconds.
+// respondRejected responds that the request was not executed. retryAfter is the time
+// after which a retry makes sense, and is sent in seconds. 0 means at any time, and then
+// no Retry-After field is sent.
 func (c *connection) respondRejected(retryAfter time.Duration) {
 	var fields http1.Fields
 	if retryAfter > 0 {
@@ -68,8 +68,8 @@
 	c.respond(http1.StatusServiceUnavailable, fields, []byte(bodyRejected))
 }
 
-// serveHealth responds to a health check of this process: 200 if it is ready to serve
-// requests, otherwise 503.
+// serveHealth responds to a health check of this process: 200 if the process is ready
+// to serve requests, otherwise 503.
 func (c *connection) serveHealth(message *http1.Message) {
 	switch {
 	case message.Method != http1.MethodGet:
@@ -97,8 +97,7 @@
 	c.respond(status, fields, []byte(text+"\n"))
 }
 
-// respond writes a response, and then starts to close the connection if this was the
-// last response.
+// respond writes a response, and starts to close the connection if it was the last.
 func (c *connection) respond(status int, fields http1.Fields, body []byte) {
 	if c.closeAfterResponse {
 		fields = append(fields, http1.Field{Name: "Connection", Value: "close"})
--- a/internal/serve/downstream/shedding.go
+++ b/internal/serve/downstream/shedding.go
@@ -19,8 +19,8 @@
 	shedMinIdle      = 100 * time.Millisecond
 )
 
-// shedClass ranks connections by what it costs the client if they are closed,
-// lowest cost first.
+// shedClass ranks connections by what closing them costs the client, lowest cost
+// first.
 type shedClass int
 
 const (
@@ -52,8 +52,7 @@
 	}
 }
 
-// shedClass returns the connection's class at time now, shedNever if Shed must not
-// close it.
+// shedClass returns the connection's class, shedNever if Shed must not close it.
 func (c *connection) shedClass(now time.Duration) shedClass {
 	age := now - c.phaseStart
 	switch {
--- a/internal/serve/downstream/stall.go
+++ b/internal/serve/downstream/stall.go
@@ -6,12 +6,12 @@
 // during the stall.
 const stallReadTime = 50 * time.Millisecond
 
-// stallWindow describes the last stall of the process. Data that is read before until
-// may have arrived as early as from, when the stall began.
+// stallWindow describes the last stall of the process. Data that is read before the
+// time "until" may have arrived as early as the time "from", when the stall began.
 type stallWindow struct{ from, until time.Duration }
 
-// Stalled tells the Downstream that the event loop was stalled for the duration gap
-// until now. Data that arrived in that time may not have been read yet.
+// Stalled tells the Downstream that the event loop was stalled for the duration gap,
+// which ends now. Data that arrived during the stall may still be unread.
 func (d *Downstream) Stalled(gap time.Duration) {
 	now := d.now()
 	if d.stall.until < now {
@@ -23,8 +23,8 @@
 // arrivalTime returns the earliest time at which a request that is read now may have
 // arrived. A client's deadline runs from the time at which it sent the request.
 // Without this correction, requests that waited during a stall would count as new, and
-// the responses would come too late. To overestimate the age of a request is safe: it
-// may be rejected, but has not been forwarded.
+// their responses would come too late. Overestimating a request's age is safe: the
+// request may be rejected, but has not been forwarded.
 func (d *Downstream) arrivalTime() time.Duration {
 	now := d.now()
 	if now >= d.stall.until {
--- a/internal/serve/downstream/timeouts.go
+++ b/internal/serve/downstream/timeouts.go
@@ -36,15 +36,15 @@
 	// idle connection. The response to a connection's next request closes it anyway.
 	drainIdleGrace = 2500 * time.Millisecond
 
-	// newConnectionGrace is the age up to which CloseIdle leaves a connection open that
-	// has not sent its first request yet.
+	// newConnectionGrace is the age up to which CloseIdle leaves a connection open
+	// whose client has not sent a byte yet.
 	newConnectionGrace = 300 * time.Millisecond
 )
 
 // Tick must be called once per core.TickInterval. It closes connections that were
-// silent or idle for too long, and those whose client is too slow to send its request,
-// to read its response or to close its side. It also continues closes that waited for
-// unsent output.
+// silent or idle for too long, or whose client is too slow to send its request, read
+// its response or close its side. It also continues closes that waited for unsent
+// output.
 func (d *Downstream) Tick() {
 	now := d.now()
 	idleLimit := idleTimeout
@@ -59,8 +59,8 @@
 	}
 }
 
-// enforceTimeouts closes or rejects the connection if its current phase has lasted
-// too long. No timeout applies while a response is pending.
+// enforceTimeouts closes the connection, or rejects its incomplete request, if its
+// current phase has lasted too long. No timeout applies while a response is pending.
 func (c *connection) enforceTimeouts(now, idleLimit time.Duration) {
 	age := now - c.phaseStart
 	switch {
@@ -88,8 +88,8 @@
 	}
 }
 
-// CloseIdle closes all idle connections, except those with unread input and new ones
-// whose first request is still expected (see newConnectionGrace).
+// CloseIdle closes all idle connections, except those with unread input and those whose
+// first request is still expected (see newConnectionGrace).
 func (d *Downstream) CloseIdle() {
 	now := d.now()
 	for c := range d.connections {
--- a/internal/serve/downstream/timeouts_test.go
+++ b/internal/serve/downstream/timeouts_test.go
@@ -54,7 +54,8 @@
 	}
 }
 
-// The core enforces the deadline of a request. The Downstream must not time out its connection before the response.
+// The core enforces the deadline of a request. So Downstream must not time out a connection that waits for
+// a response.
 func TestConnectionWithPendingRequestHasNoTimeout(t *testing.T) {
 	client := newFixture(t, 256).connect()
 	client.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 1\r\n\r\n")
@@ -72,7 +73,7 @@
 	client := newFixture(t, 256).connect()
 	client.send("no request\r\n\r\n")
 	require.Equal(t, http.StatusBadRequest, client.status())
-	client.advance(0) // Tick closes the sending side if part of the response was still unsent
+	client.advance(0) // Tick closes the sending side if the response was still partly unsent
 	client.requireClosed()
 	client.advance(lingerTimeout)
 	require.Equal(t, 1, client.connectionCount())
@@ -91,7 +92,7 @@
 	client.requireClosed()
 }
 
-// Once draining has lasted for drainIdleGrace, a new connection without a request is closed before firstByteTimeout.
+// After drainIdleGrace of draining, a new connection without a request is closed before firstByteTimeout.
 func TestIdleConnectionIsClosedAfterDrainGrace(t *testing.T) {
 	f := newFixture(t, 256)
 	f.Do(f.downstream.StartDraining)
--- a/internal/serve/servetest/loop.go
+++ b/internal/serve/servetest/loop.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// Timeout limits every wait for a socket. It only ends a test that would hang: no result depends on it.
+	// Timeout limits every wait for a socket. It only ends a test that would hang otherwise; no result depends on it.
 	Timeout = 20 * time.Second
-	// ShortTime is less than any timeout of the serving packages, so that a test can advance the clock just past one.
+	// ShortTime is less than any timeout of the serving packages, to advance the clock just past a timeout.
 	ShortTime = time.Millisecond
 
 	descriptors = 256
 )
 
-// Loop is an event loop that calls no ticks, with a clock that only the test advances and the events that the tested
-// package emits.
+// Loop is an event loop for tests. It does not call the tested package's Tick; the test does. Only the test advances
+// its clock. Events holds the events that the tested package emits.
 type Loop struct {
 	*eventloop.Loop
 	Events chan core.Event
@@ -52,10 +52,10 @@
 // Now returns the time of the test's clock. It may be called from any goroutine.
 func (l *Loop) Now() time.Duration { return time.Duration(l.clock.Load()) }
 
-// AdvanceClock moves the clock forward. The tested package notices when the test next calls its Tick.
+// AdvanceClock moves the clock forward. Timeouts take effect at the tested package's next Tick.
 func (l *Loop) AdvanceClock(by time.Duration) { l.clock.Add(int64(by)) }
 
-// Emit sends an event to Events. It is the emit function for the tested package, and blocks while Events is full.
+// Emit sends an event to Events, and blocks while Events is full. It is the emit function for the tested package.
 func (l *Loop) Emit(event core.Event) { l.Events <- event }
 
 // Do runs call on the loop's owning goroutine and waits until it returns.
--- a/internal/serve/servetest/peer.go
+++ b/internal/serve/servetest/peer.go
@@ -20,7 +20,8 @@
 	return listener
 }
 
-// Peer is the test's side of a connection that the tested package has opened. Reads and writes fail after Timeout.
+// Peer is the test's side of a connection that the tested package has opened. Reads and writes fail
+// when Timeout has passed since Accept.
 type Peer struct {
 	net.Conn
 	t      *testing.T
@@ -58,7 +59,7 @@
 	require.NoError(p.t, err)
 }
 
-// RequireClosed waits until the tested package has closed the connection in order. It fails the test if data arrives
+// RequireClosed waits until the tested package has closed the connection cleanly. It fails the test if data arrives
 // first or if the connection is reset.
 func (p *Peer) RequireClosed() {
 	p.t.Helper()
--- a/internal/timingwheel/wheel.go
+++ b/internal/timingwheel/wheel.go
@@ -49,9 +49,9 @@
 }
 
 // Advance runs the callbacks of all timers that are due at now, tick by tick. Callbacks may start and
-// stop timers. If the time leaps by more than slotCount ticks, each slot is processed only once, which
-// limits the cost to one round, but timers may then fire out of order. Advance does nothing if now is
-// not later than in an earlier call.
+// stop timers. If the time leaps by more than slotCount ticks, each slot is processed only once: this
+// limits the cost to one round, but timers may fire out of order. Advance does nothing if now is not
+// later than in an earlier call.
 func (w *Wheel) Advance(now time.Duration) {
 	target := int64(now / w.tick)
 	if target-w.lastTick > slotCount {
@@ -82,7 +82,7 @@
 }
 
 // split divides timers into those that are due after the target tick and those that are due at or
-// before it. It drops stopped timers, and reuses the array of timers for later.
+// before it. It drops stopped timers. The first result reuses the backing array of timers.
 func split(timers []*Timer, target int64) (later, due []*Timer) {
 	later = timers[:0]
 	for _, timer := range timers {
