--- a/internal/serve/downstream/doc.go
+++ b/internal/serve/downstream/doc.go
@@ -1,5 +1,5 @@
 // Package downstream owns the connections of clients. It parses their requests,
-// rejects invalid ones itself, and writes exactly one final response to each request.
+// rejects invalid requests itself, and writes exactly one final response to each.
 //
 // Each valid request becomes a core.RequestReceived event with a new exchange ID. The
 // core responds to it with core.Respond. If the client disconnects first, the core
--- a/internal/serve/downstream/fixture_test.go
+++ b/internal/serve/downstream/fixture_test.go
@@ -102,7 +102,7 @@
 	f.t.Cleanup(func() { _ = conn.Close() })
 	require.NoError(f.t, conn.SetDeadline(time.Now().Add(servetest.Timeout)))
 	client := &testClient{fixture: f, Conn: conn, reader: bufio.NewReader(conn), handler: <-f.accepted}
-	f.Do(func() {}) // wait until the loop has also registered the connection
+	f.Do(func() {}) // wait: the loop registers the connection after it has created the handler
 	return client
 }
 
--- a/internal/serve/downstream/timeouts_test.go
+++ b/internal/serve/downstream/timeouts_test.go
@@ -92,7 +92,7 @@
 	client.requireClosed()
 }
 
-// After drainIdleGrace of draining, a new connection without a request is closed before firstByteTimeout.
+// After drainIdleGrace of draining, a new connection without a request is closed even before firstByteTimeout.
 func TestIdleConnectionIsClosedAfterDrainGrace(t *testing.T) {
 	f := newFixture(t, 256)
 	f.Do(f.downstream.StartDraining)
--- a/internal/serve/servetest/loop.go
+++ b/internal/serve/servetest/loop.go
@@ -15,7 +15,7 @@
 const (
 	// Timeout limits every wait for a socket. It only ends a test that would hang otherwise; no result depends on it.
 	Timeout = 20 * time.Second
-	// ShortTime is less than any timeout of the serving packages, to advance the clock just past a timeout.
+	// ShortTime is less than any timeout of the serving packages. Tests advance the clock by it to just pass a timeout.
 	ShortTime = time.Millisecond
 
 	descriptors = 256
--- a/internal/serve/upstream/attempt.go
+++ b/internal/serve/upstream/attempt.go
@@ -13,8 +13,8 @@
 // Servers write a response in one go, so a stalled response will probably not complete.
 const stallTimeout = 250 * time.Millisecond
 
-// attempt is an attempt of a client's request, or a health check, from the wait for a
-// connection to the response.
+// attempt is one request to a server: an attempt of a client's request, or a health
+// check. It lasts from the wait for a connection to the response.
 type attempt struct {
 	ref         core.AttemptRef // zero for a health check
 	healthCheck bool
--- a/internal/serve/upstream/doc.go
+++ b/internal/serve/upstream/doc.go
@@ -11,8 +11,8 @@
 //  3. The response, or an AttemptError, ends the attempt. core.AttemptCompleted
 //     is emitted once. After CancelAttempt nothing is emitted.
 //
-// Health checks use the same pools. A health check is written as soon as it has a
-// connection, and ends with core.HealthCheckCompleted, or without an event if overdue.
+// Health checks use the same pools. Their request is written as soon as they have a
+// connection. They end with core.HealthCheckCompleted, or without an event if overdue.
 //
 // The package must not choose endpoints, or decide on retries or what a client
 // is sent: those decisions belong to the core and the decision module. Attempt
--- a/internal/serve/upstream/repeated_response.go
+++ b/internal/serve/upstream/repeated_response.go
@@ -9,7 +9,7 @@
 	"piernotch/internal/serve/core"
 )
 
-// maxHoldTime is the longest time for which a response is held that may belong to an earlier request.
+// maxHoldTime is the longest time that a response is held because it may belong to an earlier request.
 const maxHoldTime = 2 * time.Second
 
 var errRepeatedResponse = errors.New("second response to an earlier request")
--- a/internal/serve/upstream/single_use.go
+++ b/internal/serve/upstream/single_use.go
@@ -8,8 +8,8 @@
 
 const (
 	// lateRepeat is the delay after the first response beyond which a second response is late: its server's
-	// connections then carry only one request each. An earlier one arrives within settleTime, when its connection
-	// is not reused anyway.
+	// connections then carry only one request each. An earlier second response arrives within settleTime, when
+	// its connection is not reused anyway.
 	lateRepeat = settleTime / 2
 	// singleUseTime is how long connections carry only one request each after a late second response.
 	singleUseTime = 5 * time.Minute
@@ -27,7 +27,7 @@
 // repeatReceived records a second response, which came delay after the first one. started reports whether single use
 // now applies to more servers than before, and everywhere whether it applies to all.
 func (s *singleUse) repeatReceived(from core.Endpoint, delay, now time.Duration) (started, everywhere bool) {
-	// A response later than repeatWindow may be a time-out that a server writes before it closes an idle connection.
+	// A response later than repeatWindow may report a time-out, before the server closes an idle connection.
 	if delay <= lateRepeat || delay > repeatWindow {
 		return false, false
 	}
