--- a/internal/serve/downstream/close_reason.go
+++ b/internal/serve/downstream/close_reason.go
@@ -8,7 +8,7 @@
 
 const (
 	closeLastResponse   closeReason = "last response"        // the response announced the close
-	closeLingered       closeReason = "client did not close" // within lingerTimeout of the close of the sending side
+	closeLingered       closeReason = "client did not close" // its side within lingerTimeout after CloseWrite
 	closeUnread         closeReason = "response not read"
 	closeSilent         closeReason = "no first byte"
 	closeIdleTooLong    closeReason = "idle"
@@ -16,8 +16,8 @@
 	closeShed           closeReason = "descriptors short"
 )
 
-// logClose logs at level debug why the connection is closed, and how long it has been
-// in its current phase (see phaseStart).
+// logClose logs at level debug why the connection is closed, how long its current phase
+// has lasted (see phaseStart), and whether the client has sent any data.
 func (c *connection) logClose(reason closeReason) {
 	slog.Debug("client connection closed", "reason", reason,
 		"phase_ms", (c.downstream.now() - c.phaseStart).Milliseconds(), "received_data", c.receivedData)
--- a/internal/serve/downstream/connection.go
+++ b/internal/serve/downstream/connection.go
@@ -16,15 +16,15 @@
 	downstream         *Downstream
 	socket             *eventloop.Conn
 	parser             *http1.Parser
-	exchange           core.ExchangeID // of the request that waits for a response; 0: none
+	exchange           core.ExchangeID // ID of the request that waits for the core's response; 0: none
 	closeAfterResponse bool            // the response to the current request is the last one
 	receivedData       bool            // the client has sent at least one byte
 	closing            bool            // input is discarded; the sending side closes once all output is written
 	writeClosed        bool            // the sending side is closed; the client's side may still be open
 
 	// phaseStart is when the current phase began. A phase begins when the connection
-	// is accepted, with a request's first byte, with a response, and when the sending
-	// side is closed.
+	// is accepted, when a request's first byte arrives, when a response is written, and
+	// when the sending side is closed.
 	phaseStart time.Duration
 }
 
@@ -55,8 +55,8 @@
 	c.abandonExchange()
 }
 
-// serveParsed serves the next request if it is complete. It sends 100 Continue to a
-// client that waits for this status before sending the body.
+// serveParsed serves the next request if it is complete, and rejects malformed input.
+// It sends 100 Continue to a client that waits for this status before it sends a body.
 func (c *connection) serveParsed() {
 	for c.exchange == 0 && !c.closing {
 		message, err := c.parser.Next()
@@ -79,7 +79,7 @@
 	}
 }
 
-// parseErrorStatus returns the HTTP status for a parser error, 400 by default.
+// parseErrorStatus returns the HTTP status that a parser error names, or else 400.
 func parseErrorStatus(err error) int {
 	var parseError *http1.Error
 	if errors.As(err, &parseError) {
@@ -89,15 +89,15 @@
 }
 
 // rejectMalformed responds to malformed or incomplete input and ends the connection,
-// because no further request can be parsed from what follows.
+// because no further request can be parsed from the input.
 func (c *connection) rejectMalformed(status int, reason string) {
 	slog.Info("bad request", "status", status, "err", reason)
 	c.closeAfterResponse = true
 	c.respondText(status, reason)
 }
 
-// serve responds to a health check or an invalid request, and passes any other
-// request to the core.
+// serve responds to a health check or an invalid request. It passes any other request
+// to the core, unless the client has disconnected.
 func (c *connection) serve(message *http1.Message) {
 	if message.Path() == healthPath {
 		c.serveHealth(message)
@@ -139,8 +139,8 @@
 	c.closeWriteIfSent()
 }
 
-// closeWriteIfSent closes the sending side if all output has been written. Otherwise
-// Tick calls it again.
+// closeWriteIfSent closes the sending side if all output has been written, and thereby
+// starts lingerTimeout. Otherwise Tick calls closeWriteIfSent again.
 func (c *connection) closeWriteIfSent() {
 	if c.writeClosed || c.socket.UnsentBytes() != 0 {
 		return
--- a/internal/serve/downstream/doc.go
+++ b/internal/serve/downstream/doc.go
@@ -1,5 +1,6 @@
-// Package downstream owns the connections of clients. It parses their requests,
-// rejects invalid requests itself, and writes exactly one final response to each.
+// Package downstream owns the connections of clients. It parses the clients' requests
+// and writes exactly one final response to each request. It rejects invalid requests
+// itself.
 //
 // Each valid request becomes a core.RequestReceived event with a new exchange ID. The
 // core responds to it with core.Respond. If the client disconnects first, the core
@@ -7,10 +8,11 @@
 // unknown exchange is ignored. A connection serves one request at a time: pipelined
 // requests are rejected.
 //
-// A connection ends in two steps. First the sending side is closed, once all output
-// is written; further input is discarded. Then the socket is closed, when the client
-// has closed its side or the linger timeout has passed. Closing a socket with unread
-// input would reset the connection, and could destroy a response in transit.
+// A connection normally ends in two steps. First the sending side is closed, once
+// all output is written; further input is discarded. Then the socket is closed, when
+// the client has closed its side or the linger timeout has passed. Closing a socket
+// with unread input would reset the connection, and could destroy a response in
+// transit.
 //
 // The package must not depend on servers, retries or admission control. It identifies
 // classes and tenants to the core by their index in the settings.
--- a/internal/serve/downstream/downstream.go
+++ b/internal/serve/downstream/downstream.go
@@ -30,10 +30,10 @@
 	crowdedAbove  int // with more connections than this, crowdedIdleTimeout applies
 }
 
-// New returns a Downstream without connections. It calls emit with each event, on
-// the loop's owning goroutine. now is the core's clock. ready reports whether
+// New returns a Downstream without connections. The Downstream calls emit with each
+// event, on the loop's owning goroutine. now is the core's clock. ready reports whether
 // requests can be served, for health checks of this process. maxDescriptors is the
-// limit on the process's file descriptors.
+// configured limit on file descriptors.
 func New(emit func(core.Event), now func() time.Duration, ready func() bool, maxDescriptors int) *Downstream {
 	return &Downstream{
 		emit:         emit,
@@ -45,7 +45,7 @@
 	}
 }
 
-// SetRoutes replaces the classes and tenants that requests may name. maxWaits is the
+// SetRoutes replaces the classes and tenants that requests may name. maxWaits holds the
 // longest time that a client may wait, by class index. tenants must be in the order
 // of the settings, because the core identifies a tenant by its index there.
 func (d *Downstream) SetRoutes(routes []core.Route, maxWaits []time.Duration, tenants []piernotch.Tenant) {
@@ -61,7 +61,8 @@
 // response, and connections that stay idle are closed after drainIdleGrace.
 func (d *Downstream) StartDraining() { d.drainingSince = d.now() }
 
-// StopDraining ends draining: responses no longer close their connections because of it.
+// StopDraining ends draining: connections stay open again after the responses to
+// further requests, unless there is another reason to close them.
 func (d *Downstream) StopDraining() { d.drainingSince = 0 }
 
 // Shutdown makes every further response close its connection. It cannot be undone.
@@ -83,7 +84,7 @@
 // that are being closed.
 func (d *Downstream) ConnectionCount() int { return len(d.connections) }
 
-// closesAfterResponse reports whether the process drains or shuts down, so that every
+// closesAfterResponse reports whether the process drains or shuts down. Then every
 // response closes its connection.
 func (d *Downstream) closesAfterResponse() bool {
 	return d.shuttingDown || d.drainingSince > 0
--- a/internal/serve/downstream/fixture_test.go
+++ b/internal/serve/downstream/fixture_test.go
@@ -56,8 +56,8 @@
 	return f
 }
 
-// awaitRead waits until the poller has read all that the clients have sent. Until then InputEmpty reports unread input,
-// even if the data was already handled.
+// awaitRead waits until the poller has finished reading the connections. The handlers may get all data before that, but
+// InputEmpty returns false until the poller has finished.
 func (f *fixture) awaitRead() {
 	f.t.Helper()
 	done := func() bool {
@@ -72,7 +72,7 @@
 	require.Eventually(f.t, done, servetest.Timeout, time.Millisecond)
 }
 
-// advance moves the clock forward, and then calls Tick, which enforces the timeouts.
+// advance waits until all input was read, moves the clock forward, and calls Tick, which enforces the timeouts.
 func (f *fixture) advance(by time.Duration) {
 	f.t.Helper()
 	f.awaitRead()
@@ -127,7 +127,8 @@
 	return response.StatusCode
 }
 
-// requireOpen checks that the Downstream has not started to close the connection.
+// requireOpen checks that startClose was not called. It does not detect a connection that closeNow has closed, such as
+// one that Shed has closed.
 func (c *testClient) requireOpen() {
 	c.t.Helper()
 	closing := true
--- a/internal/serve/downstream/request.go
+++ b/internal/serve/downstream/request.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// deadlineMargin is subtracted from the client's deadline, to allow for the
+	// deadlineMargin is subtracted from each request's deadline, to allow for the
 	// transit times of the request and of the response.
 	deadlineMargin = 10 * time.Millisecond
 
@@ -41,6 +41,7 @@
 }
 
 // parseRequest converts a message to the event for the core, without the exchange ID.
+// If the request is invalid, parseRequest returns the response to it instead.
 func (d *Downstream) parseRequest(message *http1.Message) (core.RequestReceived, *invalidRequest) {
 	className, _, _ := strings.Cut(strings.TrimPrefix(message.Path(), "/"), "/")
 	class, method := d.route(className, message.Method)
@@ -97,7 +98,7 @@
 }
 
 // tenantIndex returns the index of a tenant in the settings, or -1 for a tenant that
-// is not listed there: it has no quota of its own, and must not use up another's.
+// is not listed there: such a tenant has no quota, and must not use up another's.
 func (d *Downstream) tenantIndex(name string) int {
 	return slices.IndexFunc(d.tenants, func(tenant piernotch.Tenant) bool { return tenant.Name == name })
 }
@@ -105,7 +106,7 @@
 // parseHeaders validates a request's header fields and body framing. It returns
 // the request's ID and how long the client waits: maxWait, or less if the client
 // names a shorter deadline. Requests that a server could not use, or could interpret
-// differently, are rejected.
+// differently from this process, are rejected.
 func parseHeaders(
 	message *http1.Message,
 	maxWait time.Duration,
@@ -163,7 +164,7 @@
 
 // parseKey converts a request's affinity key to a number, 0 for none. Keys are
 // normally hexadecimal numbers of up to 64 bits. Any other key is hashed, because
-// only equality matters. A key that is too long counts as none.
+// only equality matters. A key longer than maxKeyLength counts as none.
 func parseKey(text string) uint64 {
 	if text == "" || len(text) > maxKeyLength {
 		return 0
--- a/internal/serve/downstream/response.go
+++ b/internal/serve/downstream/response.go
@@ -12,8 +12,9 @@
 // healthPath is the path at which this process responds to health checks.
 const healthPath = "/_health"
 
-// Bodies of final responses that this process makes itself. Clients may depend on the
-// exact texts, so these stay, although the code says "rejected" for "refused".
+// Bodies of this process's own responses to valid requests. Clients may depend on the
+// exact texts, so they must not change, although one says "refused" where the code
+// says "rejected".
 const (
 	bodyRejected    = "refused: trying again is harmless\n"
 	bodyDuplicateID = "another open request has this X-Request-Id\n"
@@ -46,8 +47,8 @@
 	}
 }
 
-// respondServed forwards the content type and body of a server's response with
-// status 200, the only status that counts as served.
+// respondServed forwards the content type and body of a server's response. The status
+// is always 200, because no other status counts as served.
 func (c *connection) respondServed(response *core.ResponseMessage) {
 	var fields http1.Fields
 	if response.ContentType != "" {
@@ -69,7 +70,7 @@
 }
 
 // serveHealth responds to a health check of this process: 200 if the process is ready
-// to serve requests, otherwise 503.
+// to serve requests, 503 if not, and 405 to any method but GET.
 func (c *connection) serveHealth(message *http1.Message) {
 	switch {
 	case message.Method != http1.MethodGet:
@@ -97,7 +98,8 @@
 	c.respond(status, fields, []byte(text+"\n"))
 }
 
-// respond writes a response, and starts to close the connection if it was the last.
+// respond writes a response. If closeAfterResponse is set, the response announces the
+// close, and the connection starts to close.
 func (c *connection) respond(status int, fields http1.Fields, body []byte) {
 	if c.closeAfterResponse {
 		fields = append(fields, http1.Field{Name: "Connection", Value: "close"})
--- a/internal/serve/downstream/shedding.go
+++ b/internal/serve/downstream/shedding.go
@@ -9,9 +9,9 @@
 // maxShedPerCall is the maximum number of connections that one call of Shed closes.
 const maxShedPerCall = 16
 
-// Minimum time that a connection must have been in its phase before Shed may close
-// it. New connections, and those that have just been sent a response, stay open
-// because their next request is probably in transit.
+// Minimum times that a connection must have been in its phase before Shed may close
+// it. New connections, and those on which a response was just sent, stay open because
+// their next request is probably in transit.
 const (
 	shedMinLingering = 100 * time.Millisecond // until then, the client's close is probably in transit
 	shedMinSilent    = 50 * time.Millisecond
@@ -29,7 +29,7 @@
 	shedIdle                     // between two requests
 	shedClassCount
 
-	shedNever shedClass = -1 // in use, or not yet in its phase for the minimum time
+	shedNever shedClass = -1 // in use, has unread input, or is too new in its phase
 )
 
 // Shed closes up to maxShedPerCall connections to free descriptors: the lowest
@@ -52,7 +52,7 @@
 	}
 }
 
-// shedClass returns the connection's class, shedNever if Shed must not close it.
+// shedClass returns the connection's class, or shedNever if Shed must not close it.
 func (c *connection) shedClass(now time.Duration) shedClass {
 	age := now - c.phaseStart
 	switch {
--- a/internal/serve/downstream/shedding_test.go
+++ b/internal/serve/downstream/shedding_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Shed must first close the connections whose loss costs clients least, and leave those open that wait for
-// a response.
+// Shed must first close the connections whose loss costs clients least. It must not close connections that wait for a
+// response.
 func TestShedClosesConnectionsOfLeastUseFirst(t *testing.T) {
 	f := newFixture(t, 256)
 	pending := f.connect()
@@ -37,7 +37,8 @@
 	require.Equal(t, 1, f.connectionCount())
 }
 
-// A connection that was just accepted or just sent a response must stay open: a request may be in transit.
+// A connection that was just accepted, or on which a response was just sent, must stay open: a request may be in
+// transit.
 func TestShedLeavesNewAndJustServedConnectionsOpen(t *testing.T) {
 	f := newFixture(t, 256)
 	silent, idle := f.connect(), f.connect()
--- a/internal/serve/downstream/stall.go
+++ b/internal/serve/downstream/stall.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// stallReadTime is how long after a stall it may take to read all data that arrived
+// stallReadTime is the time allowed after a stall for reading all data that arrived
 // during the stall.
 const stallReadTime = 50 * time.Millisecond
 
-// stallWindow describes the last stall of the process. Data that is read before the
-// time "until" may have arrived as early as the time "from", when the stall began.
+// stallWindow describes the last stall of the process, or stalls that follow each other
+// within stallReadTime. Data that is read before the time "until" may have arrived as
+// early as the time "from", when the first of these stalls began.
 type stallWindow struct{ from, until time.Duration }
 
 // Stalled tells the Downstream that the event loop was stalled for the duration gap,
--- a/internal/serve/downstream/timeouts.go
+++ b/internal/serve/downstream/timeouts.go
@@ -21,8 +21,8 @@
 
 	// idleTimeout is how long a connection is kept open between two requests.
 	// crowdedIdleTimeout applies while clients hold more than a quarter of all
-	// descriptors. Otherwise clients that send one request and keep their connection
-	// open would use up the descriptors that other clients need.
+	// descriptors. With the longer timeout, clients that send one request and keep their
+	// connection open would use up the descriptors that other clients need.
 	idleTimeout        = 2 * time.Second
 	crowdedIdleTimeout = 300 * time.Millisecond
 
@@ -33,17 +33,18 @@
 
 	// drainIdleGrace is how long connections may stay idle after draining has started.
 	// They are not closed earlier because a client may just have sent a request on an
-	// idle connection. The response to a connection's next request closes it anyway.
+	// idle connection. The response to that request closes the connection anyway.
 	drainIdleGrace = 2500 * time.Millisecond
 
-	// newConnectionGrace is the age up to which CloseIdle leaves a connection open
+	// newConnectionGrace is the age up to which CloseIdle does not close a connection
 	// whose client has not sent a byte yet.
 	newConnectionGrace = 300 * time.Millisecond
 )
 
 // Tick must be called once per core.TickInterval. It closes connections that were
 // silent or idle for too long, or whose client is too slow to send its request, read
-// its response or close its side. It also continues closes that waited for unsent
+// its response or close its side. Once draining has lasted for more than
+// drainIdleGrace, it calls CloseIdle. It also continues closes that waited for unsent
 // output.
 func (d *Downstream) Tick() {
 	now := d.now()
@@ -59,8 +60,9 @@
 	}
 }
 
-// enforceTimeouts closes the connection, or rejects its incomplete request, if its
-// current phase has lasted too long. No timeout applies while a response is pending.
+// enforceTimeouts closes the connection, or rejects its incomplete request, if the
+// current phase has lasted too long. It also continues a close that waited for unsent
+// output. No timeout applies while a request waits for the core's response.
 func (c *connection) enforceTimeouts(now, idleLimit time.Duration) {
 	age := now - c.phaseStart
 	switch {
--- a/internal/serve/downstream/timeouts_test.go
+++ b/internal/serve/downstream/timeouts_test.go
@@ -73,7 +73,7 @@
 	client := newFixture(t, 256).connect()
 	client.send("no request\r\n\r\n")
 	require.Equal(t, http.StatusBadRequest, client.status())
-	client.advance(0) // Tick closes the sending side if the response was still partly unsent
+	client.advance(0) // closes the sending side, in case part of the response was unsent before
 	client.requireClosed()
 	client.advance(lingerTimeout)
 	require.Equal(t, 1, client.connectionCount())
@@ -92,7 +92,8 @@
 	client.requireClosed()
 }
 
-// After drainIdleGrace of draining, a new connection without a request is closed even before firstByteTimeout.
+// After drainIdleGrace of draining, a silent connection is closed once it is older than newConnectionGrace, long before
+// firstByteTimeout.
 func TestIdleConnectionIsClosedAfterDrainGrace(t *testing.T) {
 	f := newFixture(t, 256)
 	f.Do(f.downstream.StartDraining)
--- a/internal/serve/servetest/loop.go
+++ b/internal/serve/servetest/loop.go
@@ -15,14 +15,15 @@
 const (
 	// Timeout limits every wait for a socket. It only ends a test that would hang otherwise; no result depends on it.
 	Timeout = 20 * time.Second
-	// ShortTime is less than any timeout of the serving packages. Tests advance the clock by it to just pass a timeout.
+	// ShortTime is less than any timeout of the serving packages. Tests advance the clock by it to go just past a
+	// timeout.
 	ShortTime = time.Millisecond
 
 	descriptors = 256
 )
 
 // Loop is an event loop for tests. It does not call the tested package's Tick; the test does. Only the test advances
-// its clock. Events holds the events that the tested package emits.
+// the loop's clock. Events receives the events that the tested package emits.
 type Loop struct {
 	*eventloop.Loop
 	Events chan core.Event
@@ -55,7 +56,7 @@
 // AdvanceClock moves the clock forward. Timeouts take effect at the tested package's next Tick.
 func (l *Loop) AdvanceClock(by time.Duration) { l.clock.Add(int64(by)) }
 
-// Emit sends an event to Events, and blocks while Events is full. It is the emit function for the tested package.
+// Emit is the emit function for the tested package. It sends an event to Events, and blocks while Events is full.
 func (l *Loop) Emit(event core.Event) { l.Events <- event }
 
 // Do runs call on the loop's owning goroutine and waits until it returns.
--- a/internal/serve/servetest/peer.go
+++ b/internal/serve/servetest/peer.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Listen opens a loopback listener on a free port. It is closed when the test ends.
+// Listen opens a loopback listener on a free port. The listener is closed when the test ends.
 func Listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,7 +28,7 @@
 	reader *bufio.Reader
 }
 
-// Accept accepts the next connection that the tested package opens. It is closed when the test ends.
+// Accept accepts the next connection that the tested package opens. The connection is closed when the test ends.
 func Accept(t *testing.T, listener net.Listener) *Peer {
 	t.Helper()
 	conn, err := listener.Accept()
--- a/internal/serve/upstream/attempt.go
+++ b/internal/serve/upstream/attempt.go
@@ -14,7 +14,7 @@
 const stallTimeout = 250 * time.Millisecond
 
 // attempt is one request to a server: an attempt of a client's request, or a health
-// check. It lasts from the wait for a connection to the response.
+// check. It lasts from the wait for a connection to the response or failure.
 type attempt struct {
 	ref         core.AttemptRef // zero for a health check
 	healthCheck bool
@@ -47,7 +47,7 @@
 }
 
 // forget removes an attempt from attempts or healthChecks. The caller must close or
-// release its connection.
+// release the attempt's connection.
 func (u *Upstream) forget(attempt *attempt) {
 	if attempt.healthCheck {
 		delete(u.healthChecks, attempt)
@@ -71,8 +71,8 @@
 	u.emit(core.AttemptCompleted{Ref: attempt.ref, Status: cause.Status()})
 }
 
-// complete emits the load report and the outcome of an attempt that got a response. The caller must have forgotten the
-// attempt and detached it from its connection; from is that connection, for the log.
+// complete emits the load report and the outcome of an attempt that got a response. Before that the caller must call
+// forget and detach the attempt from its connection. from is that connection, for the log.
 func (u *Upstream) complete(attempt *attempt, response *http1.Message, from *connection) {
 	endpoint := attempt.pool.endpoint
 	status := responseStatus(response)
--- a/internal/serve/upstream/connection.go
+++ b/internal/serve/upstream/connection.go
@@ -19,12 +19,12 @@
 // connection is a connection to a server. It carries one attempt at a time. It
 // implements eventloop.Handler, whose methods run on the loop's owning goroutine.
 type connection struct {
-	number          int // sequence number of its dial in this process, for the log
+	number          int // sequence number of its dial in this process, for the log and responseHistory
 	pool            *pool
 	socket          *eventloop.Conn
 	parser          *http1.Parser
 	attempt         *attempt      // nil: the connection is free
-	lastActivity    time.Duration // when the connection started to settle or became idle, or when data last arrived
+	lastActivity    time.Duration // when it was established, began to settle, became idle, or last received data
 	idleFor         time.Duration // idle time before the current attempt
 	responses       int           // number of responses received
 	lastRequestID   string        // ID of the last request that got a response, for the log
@@ -62,7 +62,7 @@
 		c.disconnected(fmt.Errorf("%w: %d bytes", errUnsolicitedData, len(data)))
 		return
 	}
-	if c.held != nil { // the new data is the attempt's response: the held one belongs to an earlier request
+	if c.held != nil { // the new data is the attempt's response, so the held response is an earlier request's
 		c.failHeld()
 		return
 	}
@@ -78,8 +78,8 @@
 	}
 }
 
-// responseParsed ends the attempt with a complete response, or holds the response if it may belong to an earlier
-// request.
+// responseParsed records a complete response and ends the attempt with it. If the response may belong to an earlier
+// request, it is held instead.
 func (c *connection) responseParsed(response *http1.Message) {
 	now := c.pool.upstream.now()
 	digests := digestExchange(c.attempt.request, response)
@@ -123,7 +123,7 @@
 	c.fail(stage, err)
 }
 
-// fail closes the connection and fails its attempt, if it has one.
+// fail closes the connection, removes it from its pool, and fails its attempt, if it has one.
 func (c *connection) fail(stage Stage, err error) {
 	attempt := c.attempt
 	c.attempt = nil
@@ -142,15 +142,15 @@
 	})
 }
 
-// logUnsolicited logs data that arrived while no response was due, and counts it as a second response. Nothing else
-// shows that a connection carries more responses than requests.
+// logUnsolicited logs data that arrived while no response was due, and reports the data as a second response to
+// repeatReceived. Nothing else shows that a connection carries more responses than requests.
 func (c *connection) logUnsolicited(size int) {
 	slog.Info("unsolicited data from server", "server", c.pool.endpoint.Address, "connection", c.number, "bytes", size,
 		"last_id", c.lastRequestID, "last_response_ms", c.sinceLastResponse().Milliseconds(), "responses", c.responses)
 	c.pool.upstream.repeatReceived(c.pool.endpoint, c.sinceLastResponse())
 }
 
-// logResponse logs a response and its connection. It also logs and counts data directly behind the response.
+// logResponse logs a response and its connection. It also logs and counts data that directly follows the response.
 func (c *connection) logResponse(attempt *attempt, response *http1.Message) {
 	slog.Debug("server response", "id", attempt.request.ID, "attempt", int(attempt.ref.Number),
 		"server", c.pool.endpoint.Address, "status", response.Status, "bytes", len(response.Body),
@@ -188,11 +188,13 @@
 }
 
 // reusableAfter reports whether the connection can carry another request after a
-// response. It cannot if the response is a rejection or an error, announces the
-// close, was followed by more bytes, or came before the request was completely
-// written, or while singleUse is active for the endpoint.
+// response. It cannot while singleUse is active for the endpoint, or if the response
+// is a rejection or an error, announces the close, was followed by more bytes, or came
+// before the request was completely written.
 func (c *connection) reusableAfter(response *http1.Message) bool {
-	if response.Status != http1.StatusOK { // rejections and errors look alike: a second one would not be recognized
+	// Rejections and errors of a server are often identical. On a reused connection, a second response to this
+	// request could not be told from the response to the next request.
+	if response.Status != http1.StatusOK {
 		return false
 	}
 	singleUse := c.pool.upstream.singleUse.active(c.pool.endpoint, c.pool.upstream.now())
--- a/internal/serve/upstream/doc.go
+++ b/internal/serve/upstream/doc.go
@@ -4,10 +4,10 @@
 // An attempt goes through these steps:
 //
 //  1. StartAttempt takes an idle connection from the endpoint's pool, or queues
-//     the attempt and dials. core.AttemptConnected is emitted once the attempt
-//     has a connection.
-//  2. WriteAttempt writes the request. The core asks for it if the attempt is
-//     still needed.
+//     the attempt and dials if necessary. core.AttemptConnected is emitted once the
+//     attempt has a connection.
+//  2. WriteAttempt writes the request. The core orders this only if the attempt
+//     is still needed.
 //  3. The response, or an AttemptError, ends the attempt. core.AttemptCompleted
 //     is emitted once. After CancelAttempt nothing is emitted.
 //
--- a/internal/serve/upstream/load_report.go
+++ b/internal/serve/upstream/load_report.go
@@ -28,7 +28,7 @@
 // be finite and not negative.
 func parseLoadReport(text string) (piernotch.LoadReport, error) {
 	var load piernotch.LoadReport
-	seen := make([]string, 0, 4) // fixed capacity keeps it on the stack: every response may carry a report
+	seen := make([]string, 0, 4) // the constant capacity keeps seen on the stack: every response may carry a report
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(pair), "=")
 		number, err := strconv.ParseFloat(value, 64)
@@ -44,8 +44,9 @@
 	return load, nil
 }
 
-// loadReportReceived passes a response's load report to the core; "" means none.
-// An invalid report is logged and ignored: the response itself stays valid.
+// loadReportReceived passes a response's load report to the core; "" means none. An
+// invalid report is ignored, because the response itself is still valid. It is logged
+// unless another one was logged within reportWarningInterval.
 func (u *Upstream) loadReportReceived(from core.Endpoint, text string) {
 	if text == "" {
 		return
--- a/internal/serve/upstream/pool.go
+++ b/internal/serve/upstream/pool.go
@@ -33,7 +33,8 @@
 }
 
 // acquire assigns the most recently used idle connection to an attempt. If there is
-// none, it queues the attempt and dials. It ends the pool's draining.
+// none, it queues the attempt and dials if necessary. acquire also ends the pool's
+// draining.
 func (p *pool) acquire(attempt *attempt) {
 	p.draining = false
 	for len(p.idle) > 0 {
@@ -53,7 +54,7 @@
 }
 
 // assign gives a free connection to an attempt. A health check's request is written at once. For any other attempt
-// core.AttemptConnected is emitted, and the core decides whether to write it.
+// core.AttemptConnected is emitted, and the core decides whether the request is written.
 func (p *pool) assign(connection *connection, attempt *attempt) {
 	now := p.upstream.now()
 	connection.attempt = attempt
@@ -69,15 +70,16 @@
 	p.upstream.emit(core.AttemptConnected{Ref: attempt.ref})
 }
 
-// dialForWaiting dials for the waiting attempts that will not get a settling
-// connection, with at most maxConcurrentDials dials in progress.
+// dialForWaiting dials for those waiting attempts for which there is no settling
+// connection and no dial in progress. At most maxConcurrentDials dials are in progress.
 func (p *pool) dialForWaiting() {
 	for p.dials < maxConcurrentDials && p.dials+len(p.settling) < len(p.waiting) {
 		p.dial()
 	}
 }
 
-// dial starts to open a connection, and calls release once it is established.
+// dial starts to open a connection. Later release is called with the connection, or
+// dialFailed with an error.
 func (p *pool) dial() {
 	p.dials++
 	p.upstream.ConnectionsOpened++
@@ -103,7 +105,8 @@
 	p.upstream.loop.Dial(target, opened, done)
 }
 
-// dialFailed fails the attempt that has waited longest: each dial is for one attempt.
+// dialFailed fails the attempt that has waited longest, because each dial is for one
+// attempt. It dials for the other waiting attempts if necessary.
 func (p *pool) dialFailed(err error) {
 	if attempt := p.nextWaiting(); attempt != nil {
 		p.upstream.fail(attempt, &AttemptError{Stage: Connecting, Address: p.endpoint.Address, Err: err})
@@ -156,8 +159,8 @@
 	p.settling = append(p.settling, connection)
 }
 
-// releaseSettled releases the connections whose settleTime has passed, except those
-// that the server has closed or sent data on.
+// releaseSettled releases the connections whose settleTime has passed. Those that the
+// server has closed or sent data on are not released but replaced.
 func (p *pool) releaseSettled(now time.Duration) {
 	for len(p.settling) > 0 && now-p.settling[0].lastActivity >= settleTime {
 		connection := p.settling[0]
@@ -165,7 +168,8 @@
 		if connection.socket.InputEmpty() {
 			p.release(connection)
 		} else {
-			// Dial a replacement: the server has closed this connection or sent data, so its handler will close it.
+			// The server has closed the connection or sent data, so the connection's handler will close it. Dial
+			// a replacement if an attempt needs one.
 			p.dialForWaiting()
 		}
 	}
@@ -205,7 +209,8 @@
 	p.dialForWaiting()
 }
 
-// remove removes a closed connection, and dials a replacement if attempts wait.
+// remove removes a closed connection from the pool, and dials a replacement if an
+// attempt needs one.
 func (p *pool) remove(closed *connection) {
 	same := func(other *connection) bool { return other == closed }
 	p.idle = slices.DeleteFunc(p.idle, same)
--- a/internal/serve/upstream/repeated_response.go
+++ b/internal/serve/upstream/repeated_response.go
@@ -20,18 +20,19 @@
 type heldResponse struct {
 	response *http1.Message
 	digests  exchangeDigests
-	until    time.Duration // if nothing has followed by then, the response is the attempt's own
+	until    time.Duration // if nothing has followed by then, the response counts as the attempt's own
 }
 
 // mayBeRepeat reports whether a response may be a second response to an earlier request: the connection has
-// recently carried the same response for a different request, and the response is not a common one.
+// recently carried the same response for a different request, and the response is not a common one (see
+// responseHistory). Responses to health checks are not examined.
 func (c *connection) mayBeRepeat(digests exchangeDigests, now time.Duration) bool {
 	return !c.attempt.healthCheck && c.carried.hasResponse(digests, now) && !c.pool.upstream.history.common(digests)
 }
 
 // hold holds back a response that may belong to an earlier request, for half of the attempt's remaining time and at
-// most maxHoldTime. It fails the attempt at once if more data has followed, or while singleUse is active for the
-// endpoint.
+// most maxHoldTime. It fails the attempt at once if more data has followed. It also does so while singleUse is active
+// for the endpoint, because late second responses are then likely.
 func (c *connection) hold(response *http1.Message, digests exchangeDigests, now time.Duration) {
 	remaining := max(c.attempt.deadline-now, 0)
 	c.held = &heldResponse{response: response, digests: digests, until: now + min(remaining/2, maxHoldTime)}
@@ -43,14 +44,15 @@
 		"connection", c.number, "last_id", c.lastRequestID, "until_ms", (c.held.until - now).Milliseconds())
 }
 
-// failHeld fails the attempt because the held response belongs to an earlier request. The server may have executed the
-// attempt's request.
+// failHeld fails the attempt because the held response belongs to an earlier request, and reports the held response to
+// repeatReceived. The server may have executed the attempt's request.
 func (c *connection) failHeld() {
 	c.pool.upstream.repeatReceived(c.pool.endpoint, c.sinceLastResponse())
 	c.fail(Malformed, errRepeatedResponse)
 }
 
-// acceptHeld ends the attempt with the held response, because nothing followed it. The connection is not reused.
+// acceptHeld ends the attempt with the held response, because nothing followed it, and records the response as common.
+// The connection is not reused.
 func (c *connection) acceptHeld() {
 	held := c.held
 	c.held = nil
@@ -76,8 +78,8 @@
 	return c.pool.upstream.now() - c.carried[0].at
 }
 
-// repeatReceived records that a server sent a second response to a request, delay after the first one. If single use
-// starts because of it, the free connections to the server, or to all servers, are closed.
+// repeatReceived counts a second response to a request, which came delay after the first one. If single use starts
+// because of this response, the free connections to the server, or to all servers, are closed.
 func (u *Upstream) repeatReceived(from core.Endpoint, delay time.Duration) {
 	u.UnsolicitedData++
 	started, everywhere := u.singleUse.repeatReceived(from, delay, u.now())
--- a/internal/serve/upstream/repeated_response_test.go
+++ b/internal/serve/upstream/repeated_response_test.go
@@ -17,8 +17,8 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// serveAt starts an attempt and lets the server respond to it on connection, or on a new connection if that is nil.
-// It returns the connection used.
+// serveAt starts an attempt, responds to it as the server, and waits until the attempt is completed. The attempt must
+// use the given connection, or a new connection if nil is given. serveAt returns the connection used.
 func (f *fixture) serveAt(target, body string, connection *servetest.Peer) *servetest.Peer {
 	f.t.Helper()
 	ref := f.startAttemptAt(target, time.Hour)
@@ -78,8 +78,8 @@
 	connection.RequireClosed()
 }
 
-// A server may give the same response to different requests. Then nothing follows the held response, and it is the
-// attempt's own.
+// A server may give the same response to different requests. Then the held response is the attempt's own, and nothing
+// follows it.
 func TestEqualResponseIsAcceptedWhenNothingFollows(t *testing.T) {
 	f := newFixture(t)
 	connection := f.serveAt("/first", "same", nil)
@@ -108,7 +108,7 @@
 	first.Send(responseWith("same"))
 	<-f.Events
 	f.advance(settleTime)
-	f.startAttemptAt("/third", time.Hour) // takes first, the connection that was released last
+	f.startAttemptAt("/third", time.Hour) // uses the connection in "first", which was released last
 	first.RequestHead()
 	first.Send(responseWith("same"))
 	<-f.Events
--- a/internal/serve/upstream/response_history.go
+++ b/internal/serve/upstream/response_history.go
@@ -17,7 +17,8 @@
 	// rememberedResponses is the number of responses of all servers that are remembered to recognize common ones
 	// (see responseHistory).
 	rememberedResponses = 512
-	// repeatWindow is how long after a response later responses on its connection are compared with it.
+	// repeatWindow is the maximum delay of a second response after the first one. Responses that come later are not
+	// compared with the first one, and data that comes later does not start single use.
 	repeatWindow = 2 * time.Second
 )
 
@@ -59,8 +60,8 @@
 	c[0] = carriedExchange{exchangeDigests: digests, at: now}
 }
 
-// hasResponse reports whether the same response was read within repeatWindow for a different request. Equal requests
-// are expected to get equal responses.
+// hasResponse reports whether the connection has carried the same response for a different request within the last
+// repeatWindow. Equal requests are expected to get equal responses.
 func (c *carriedExchanges) hasResponse(digests exchangeDigests, now time.Duration) bool {
 	for i := range c {
 		earlier := &c[i]
@@ -91,8 +92,8 @@
 	return responseHistory{responses: responses}
 }
 
-// add records a response that was read on a connection, and marks it as common if a different request got it on
-// another connection before.
+// add records a response that was read on a connection. The response becomes common if its previous occurrence was for
+// a different request on another connection, and then stays common.
 func (h *responseHistory) add(digests exchangeDigests, connection int) {
 	seen, known := h.responses.Get(digests.response)
 	elsewhere := known && seen.connection != connection && seen.request != digests.request
--- a/internal/serve/upstream/single_use.go
+++ b/internal/serve/upstream/single_use.go
@@ -8,8 +8,8 @@
 
 const (
 	// lateRepeat is the delay after the first response beyond which a second response is late: its server's
-	// connections then carry only one request each. An earlier second response arrives within settleTime, when
-	// its connection is not reused anyway.
+	// connections then carry only one request each. A second response that is not late arrives within settleTime,
+	// when its connection is not reused anyway.
 	lateRepeat = settleTime / 2
 	// singleUseTime is how long connections carry only one request each after a late second response.
 	singleUseTime = 5 * time.Minute
@@ -24,10 +24,12 @@
 	lateRepeats map[core.Endpoint]time.Duration // time of the last late second response, by server
 }
 
-// repeatReceived records a second response, which came delay after the first one. started reports whether single use
-// now applies to more servers than before, and everywhere whether it applies to all.
+// repeatReceived records a second response that is late; delay is its time since the first one. started reports whether
+// single use now applies to more servers than before, and everywhere whether it applies to all. Both are false for a
+// response that is not recorded.
 func (s *singleUse) repeatReceived(from core.Endpoint, delay, now time.Duration) (started, everywhere bool) {
-	// A response later than repeatWindow may report a time-out, before the server closes an idle connection.
+	// Data later than repeatWindow is not recorded: it may be a time-out response that the server writes before it
+	// closes an idle connection.
 	if delay <= lateRepeat || delay > repeatWindow {
 		return false, false
 	}
--- a/internal/serve/upstream/timeouts_test.go
+++ b/internal/serve/upstream/timeouts_test.go
@@ -20,7 +20,7 @@
 	halfResponse  = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"
 )
 
-// fixture is an Upstream on its own event loop, with a clock that the test sets and one server that the test acts as.
+// fixture is an Upstream on its own event loop, with a clock that the test sets. The test acts as the only server.
 type fixture struct {
 	*servetest.Loop
 	t        *testing.T
@@ -43,8 +43,8 @@
 	return f
 }
 
-// awaitRead waits until the poller has read all that the server has sent. Until then InputEmpty reports unread input,
-// even if the data was already handled.
+// awaitRead waits until the poller has finished reading the connections. The handlers may get all data before that, but
+// InputEmpty returns false until the poller has finished.
 func (f *fixture) awaitRead() {
 	f.t.Helper()
 	done := func() bool {
@@ -75,7 +75,7 @@
 	return open
 }
 
-// advance moves the clock forward, and then calls Tick, which enforces the timeouts.
+// advance waits until all input was read, moves the clock forward, and calls Tick, which enforces the timeouts.
 func (f *fixture) advance(by time.Duration) {
 	f.t.Helper()
 	f.awaitRead()
@@ -134,7 +134,7 @@
 	require.Eventually(f.t, started, servetest.Timeout, servetest.ShortTime)
 }
 
-// serveOne starts an attempt, lets the server respond to it, and returns the connection once it is idle.
+// serveOne starts an attempt, responds to it as the server, and returns the connection once the connection is idle.
 func (f *fixture) serveOne() *servetest.Peer {
 	f.t.Helper()
 	ref := f.startAttempt()
@@ -168,7 +168,7 @@
 	connection.RequireClosed()
 }
 
-// Surplus bytes behind a response would be read as the next response if its connection were reused at once.
+// Surplus bytes behind a response would be read as the next response if the connection were reused at once.
 func TestConnectionSettlesAfterResponse(t *testing.T) {
 	f := newFixture(t)
 	f.startAttempt()
@@ -182,7 +182,7 @@
 	require.Equal(t, 1, f.idleConnections())
 }
 
-// A response that stalls must fail its attempt, which may have been executed, and close the connection.
+// An attempt whose response stalls must fail as one that the server may have executed. Its connection must be closed.
 func TestStalledResponseFailsItsAttempt(t *testing.T) {
 	f := newFixture(t)
 	ref := f.startAttempt()
--- a/internal/serve/upstream/upstream.go
+++ b/internal/serve/upstream/upstream.go
@@ -21,7 +21,8 @@
 	history      responseHistory
 	singleUse    singleUse
 
-	// ConnectionsOpened counts the dials so far, including failed ones, for the log.
+	// ConnectionsOpened counts the dials so far, including failed ones. The count is logged and numbers the
+	// connections.
 	ConnectionsOpened int
 	// UnsolicitedData counts, for the log, surplus data from servers: bytes directly behind a response, data while no
 	// response is due, and second responses to earlier requests.
@@ -116,7 +117,8 @@
 // Tick must be called once per core.TickInterval. It makes settled connections
 // available, closes connections that were idle for too long, accepts held responses
 // whose hold time is over, fails attempts whose response has stalled, and ends
-// overdue health checks. The core enforces the timeouts of attempts.
+// overdue health checks. All other timeouts of attempts, except that of dials, belong
+// to the core.
 func (u *Upstream) Tick() {
 	now := u.now()
 	u.endOverdueHealthChecks(now)
--- a/internal/timingwheel/wheel.go
+++ b/internal/timingwheel/wheel.go
@@ -1,5 +1,5 @@
 // Package timingwheel provides coarse timers on a hashed timing wheel: a ring of slots through which
-// time advances by one slot a tick. Starting and stopping a timer take constant time.
+// time advances by one slot per tick. Starting and stopping a timer take constant time.
 //
 // The wheel reads no clock and starts no goroutine: its owner passes the time to Advance, and
 // callbacks run within that call. The package must not depend on what the timers are for.
