--- a/internal/serve/downstream/close_reason.go
+++ b/internal/serve/downstream/close_reason.go
@@ -16,8 +16,8 @@
 	closeShed           closeReason = "descriptors short"
 )
 
-// logClose logs at level debug why the connection is closed, how long its current phase
-// has lasted (see phaseStart), and whether the client has sent any data.
+// logClose logs the close at level debug, with its reason, the duration of the current
+// phase (see phaseStart) and whether the client has sent data.
 func (c *connection) logClose(reason closeReason) {
 	slog.Debug("client connection closed", "reason", reason,
 		"phase_ms", (c.downstream.now() - c.phaseStart).Milliseconds(), "received_data", c.receivedData)
--- a/internal/serve/downstream/doc.go
+++ b/internal/serve/downstream/doc.go
@@ -3,10 +3,10 @@
 // itself.
 //
 // Each valid request becomes a core.RequestReceived event with a new exchange ID. The
-// core responds to it with core.Respond. If the client disconnects first, the core
-// receives core.ClientDisconnected and must not respond any more; a response to an
-// unknown exchange is ignored. A connection serves one request at a time: pipelined
-// requests are rejected.
+// core responds to it with core.Respond. If the client disconnects or sends more data
+// first, the core receives core.ClientDisconnected and must not respond any more; a
+// response to an unknown exchange is ignored. A connection serves one request at a
+// time: pipelined requests are rejected.
 //
 // A connection normally ends in two steps. First the sending side is closed, once
 // all output is written; further input is discarded. Then the socket is closed, when
--- a/internal/serve/downstream/downstream.go
+++ b/internal/serve/downstream/downstream.go
@@ -61,8 +61,8 @@
 // response, and connections that stay idle are closed after drainIdleGrace.
 func (d *Downstream) StartDraining() { d.drainingSince = d.now() }
 
-// StopDraining ends draining: connections stay open again after the responses to
-// further requests, unless there is another reason to close them.
+// StopDraining ends draining: responses to further requests keep the connection open
+// again, unless it must be closed for another reason.
 func (d *Downstream) StopDraining() { d.drainingSince = 0 }
 
 // Shutdown makes every further response close its connection. It cannot be undone.
--- a/internal/serve/downstream/fixture_test.go
+++ b/internal/serve/downstream/fixture_test.go
@@ -56,8 +56,8 @@
 	return f
 }
 
-// awaitRead waits until the poller has finished reading the connections. The handlers may get all data before that, but
-// InputEmpty returns false until the poller has finished.
+// awaitRead waits until the poller has finished reading. Until then InputEmpty is false, even if the handlers have got
+// all data.
 func (f *fixture) awaitRead() {
 	f.t.Helper()
 	done := func() bool {
@@ -127,8 +127,7 @@
 	return response.StatusCode
 }
 
-// requireOpen checks that startClose was not called. It does not detect a connection that closeNow has closed, such as
-// one that Shed has closed.
+// requireOpen checks that startClose was not called. It does not detect a close by closeNow, which Shed calls.
 func (c *testClient) requireOpen() {
 	c.t.Helper()
 	closing := true
--- a/internal/serve/downstream/request.go
+++ b/internal/serve/downstream/request.go
@@ -41,7 +41,7 @@
 }
 
 // parseRequest converts a message to the event for the core, without the exchange ID.
-// If the request is invalid, parseRequest returns the response to it instead.
+// For an invalid request it returns the response instead.
 func (d *Downstream) parseRequest(message *http1.Message) (core.RequestReceived, *invalidRequest) {
 	className, _, _ := strings.Cut(strings.TrimPrefix(message.Path(), "/"), "/")
 	class, method := d.route(className, message.Method)
@@ -78,8 +78,9 @@
 }
 
 // route returns the index of the named class and the method that the class takes; the
-// method is "" if there is no such class. After a change of its retry safety, a class has
-// two routes until the old route expires. The route for the request's method is preferred.
+// method is "" if there is no such class. After a change of a class's retry safety, the
+// class has two routes until the old route expires. The route for the request's method is
+// preferred.
 func (d *Downstream) route(className, method string) (class int, allowedMethod string) {
 	for _, route := range d.routes[className] {
 		if route.ExpiresAt > 0 && d.now() >= route.ExpiresAt {
@@ -98,7 +99,8 @@
 }
 
 // tenantIndex returns the index of a tenant in the settings, or -1 for a tenant that
-// is not listed there: such a tenant has no quota, and must not use up another's.
+// is not listed there: such a tenant has no quota of its own, and must not use up
+// another tenant's.
 func (d *Downstream) tenantIndex(name string) int {
 	return slices.IndexFunc(d.tenants, func(tenant piernotch.Tenant) bool { return tenant.Name == name })
 }
--- a/internal/serve/downstream/response.go
+++ b/internal/serve/downstream/response.go
@@ -13,8 +13,7 @@
 const healthPath = "/_health"
 
 // Bodies of this process's own responses to valid requests. Clients may depend on the
-// exact texts, so they must not change, although one says "refused" where the code
-// says "rejected".
+// exact texts, so "refused" stays, although the code says "rejected".
 const (
 	bodyRejected    = "refused: trying again is harmless\n"
 	bodyDuplicateID = "another open request has this X-Request-Id\n"
@@ -22,7 +21,7 @@
 )
 
 // Respond writes the final response of an exchange. It does nothing if the exchange
-// is unknown, because its client has disconnected.
+// is unknown, for example because its client has disconnected.
 func (d *Downstream) Respond(effect core.Respond) {
 	client := d.pending[effect.Exchange]
 	if client == nil {
@@ -58,8 +57,7 @@
 }
 
 // respondRejected responds that the request was not executed. retryAfter is the time
-// after which a retry makes sense, and is sent in seconds. 0 means at any time, and then
-// no Retry-After field is sent.
+// after which a retry makes sense. 0 means at any time: then no Retry-After field is sent.
 func (c *connection) respondRejected(retryAfter time.Duration) {
 	var fields http1.Fields
 	if retryAfter > 0 {
--- a/internal/serve/downstream/stall.go
+++ b/internal/serve/downstream/stall.go
@@ -6,9 +6,9 @@
 // during the stall.
 const stallReadTime = 50 * time.Millisecond
 
-// stallWindow describes the last stall of the process, or stalls that follow each other
-// within stallReadTime. Data that is read before the time "until" may have arrived as
-// early as the time "from", when the first of these stalls began.
+// stallWindow describes the last stall of the process, or a series of stalls that end
+// within stallReadTime of each other. Data that is read before the time "until" may have
+// arrived as early as the time "from", when the first of these stalls began.
 type stallWindow struct{ from, until time.Duration }
 
 // Stalled tells the Downstream that the event loop was stalled for the duration gap,
--- a/internal/serve/upstream/attempt.go
+++ b/internal/serve/upstream/attempt.go
@@ -117,7 +117,7 @@
 }
 
 // failStalledAttempts fails the attempts whose response is incomplete and has had no
-// new data for stallTimeout.
+// new data for more than stallTimeout.
 func (u *Upstream) failStalledAttempts(now time.Duration) {
 	for _, attempt := range u.attempts {
 		connection := attempt.connection
--- a/internal/serve/upstream/connection.go
+++ b/internal/serve/upstream/connection.go
@@ -24,7 +24,7 @@
 	socket          *eventloop.Conn
 	parser          *http1.Parser
 	attempt         *attempt      // nil: the connection is free
-	lastActivity    time.Duration // when it was established, began to settle, became idle, or last received data
+	lastActivity    time.Duration // when the connection was set up, began to settle, became idle or last got data
 	idleFor         time.Duration // idle time before the current attempt
 	responses       int           // number of responses received
 	lastRequestID   string        // ID of the last request that got a response, for the log
@@ -62,7 +62,7 @@
 		c.disconnected(fmt.Errorf("%w: %d bytes", errUnsolicitedData, len(data)))
 		return
 	}
-	if c.held != nil { // the new data is the attempt's response, so the held response is an earlier request's
+	if c.held != nil { // the new data is the attempt's response, so the held response answers an earlier request
 		c.failHeld()
 		return
 	}
@@ -142,8 +142,8 @@
 	})
 }
 
-// logUnsolicited logs data that arrived while no response was due, and reports the data as a second response to
-// repeatReceived. Nothing else shows that a connection carries more responses than requests.
+// logUnsolicited logs data that arrived while no response was due, and counts the data as a second response (see
+// repeatReceived). Nothing else shows that a connection carries more responses than requests.
 func (c *connection) logUnsolicited(size int) {
 	slog.Info("unsolicited data from server", "server", c.pool.endpoint.Address, "connection", c.number, "bytes", size,
 		"last_id", c.lastRequestID, "last_response_ms", c.sinceLastResponse().Milliseconds(), "responses", c.responses)
--- a/internal/serve/upstream/load_report.go
+++ b/internal/serve/upstream/load_report.go
@@ -45,8 +45,8 @@
 }
 
 // loadReportReceived passes a response's load report to the core; "" means none. An
-// invalid report is ignored, because the response itself is still valid. It is logged
-// unless another one was logged within reportWarningInterval.
+// invalid report is logged, at most once per reportWarningInterval, and ignored: the
+// response itself is still valid.
 func (u *Upstream) loadReportReceived(from core.Endpoint, text string) {
 	if text == "" {
 		return
--- a/internal/serve/upstream/pool.go
+++ b/internal/serve/upstream/pool.go
@@ -33,8 +33,7 @@
 }
 
 // acquire assigns the most recently used idle connection to an attempt. If there is
-// none, it queues the attempt and dials if necessary. acquire also ends the pool's
-// draining.
+// none, it queues the attempt and dials if necessary. It also ends the pool's draining.
 func (p *pool) acquire(attempt *attempt) {
 	p.draining = false
 	for len(p.idle) > 0 {
@@ -71,7 +70,7 @@
 }
 
 // dialForWaiting dials for those waiting attempts for which there is no settling
-// connection and no dial in progress. At most maxConcurrentDials dials are in progress.
+// connection and no dial in progress, with at most maxConcurrentDials dials at a time.
 func (p *pool) dialForWaiting() {
 	for p.dials < maxConcurrentDials && p.dials+len(p.settling) < len(p.waiting) {
 		p.dial()
@@ -159,8 +158,8 @@
 	p.settling = append(p.settling, connection)
 }
 
-// releaseSettled releases the connections whose settleTime has passed. Those that the
-// server has closed or sent data on are not released but replaced.
+// releaseSettled releases the connections whose settleTime has passed, except those
+// that the server has closed or sent data on.
 func (p *pool) releaseSettled(now time.Duration) {
 	for len(p.settling) > 0 && now-p.settling[0].lastActivity >= settleTime {
 		connection := p.settling[0]
--- a/internal/serve/upstream/repeated_response.go
+++ b/internal/serve/upstream/repeated_response.go
@@ -25,7 +25,7 @@
 
 // mayBeRepeat reports whether a response may be a second response to an earlier request: the connection has
 // recently carried the same response for a different request, and the response is not a common one (see
-// responseHistory). Responses to health checks are not examined.
+// responseHistory). The result is always false for a health check.
 func (c *connection) mayBeRepeat(digests exchangeDigests, now time.Duration) bool {
 	return !c.attempt.healthCheck && c.carried.hasResponse(digests, now) && !c.pool.upstream.history.common(digests)
 }
--- a/internal/serve/upstream/repeated_response_test.go
+++ b/internal/serve/upstream/repeated_response_test.go
@@ -18,7 +18,7 @@
 }
 
 // serveAt starts an attempt, responds to it as the server, and waits until the attempt is completed. The attempt must
-// use the given connection, or a new connection if nil is given. serveAt returns the connection used.
+// use the given connection, or a new one if connection is nil. serveAt returns the connection used.
 func (f *fixture) serveAt(target, body string, connection *servetest.Peer) *servetest.Peer {
 	f.t.Helper()
 	ref := f.startAttemptAt(target, time.Hour)
--- a/internal/serve/upstream/response_history.go
+++ b/internal/serve/upstream/response_history.go
@@ -83,7 +83,7 @@
 // seenResponse describes the last occurrence of a response.
 type seenResponse struct {
 	request    uint64 // digest of the request
-	connection int    // number of the connection
+	connection int    // sequence number of the connection
 	common     bool   // servers give the response to many requests
 }
 
--- a/internal/serve/upstream/single_use.go
+++ b/internal/serve/upstream/single_use.go
@@ -28,8 +28,8 @@
 // single use now applies to more servers than before, and everywhere whether it applies to all. Both are false for a
 // response that is not recorded.
 func (s *singleUse) repeatReceived(from core.Endpoint, delay, now time.Duration) (started, everywhere bool) {
-	// Data later than repeatWindow is not recorded: it may be a time-out response that the server writes before it
-	// closes an idle connection.
+	// Data that comes later than repeatWindow is not recorded: it may be a time-out response that the server writes
+	// before closing an idle connection.
 	if delay <= lateRepeat || delay > repeatWindow {
 		return false, false
 	}
--- a/internal/serve/upstream/timeouts_test.go
+++ b/internal/serve/upstream/timeouts_test.go
@@ -43,8 +43,8 @@
 	return f
 }
 
-// awaitRead waits until the poller has finished reading the connections. The handlers may get all data before that, but
-// InputEmpty returns false until the poller has finished.
+// awaitRead waits until the poller has finished reading. Until then InputEmpty is false, even if the handlers have got
+// all data.
 func (f *fixture) awaitRead() {
 	f.t.Helper()
 	done := func() bool {
@@ -210,8 +210,8 @@
 	require.Empty(t, f.Events)
 }
 
-// A health check without a response must not keep its connection. It ends without an event, because the core has its
-// own timer.
+// A health check without a response must not keep its connection. The check ends without an event, because the core
+// has its own timer.
 func TestOverdueHealthCheckClosesItsConnection(t *testing.T) {
 	f := newFixture(t)
 	f.Do(func() { f.upstream.HealthCheck(core.HealthCheck{To: f.endpoint()}) })
@@ -245,7 +245,7 @@
 	require.Equal(t, core.AttemptCompleted{Ref: other, Response: &core.ResponseMessage{}}, <-f.Events)
 }
 
-// A server without a deadline may work on a request forever. So X-Deadline-Ms is always sent, even if less than its
+// A server that gets no deadline may work on a request forever. So X-Deadline-Ms is always sent, even if less than its
 // unit of 1 ms is left.
 func TestRequestAlwaysCarriesADeadline(t *testing.T) {
 	for told, timeout := range map[string]time.Duration{
--- a/internal/serve/upstream/upstream.go
+++ b/internal/serve/upstream/upstream.go
@@ -115,10 +115,10 @@
 }
 
 // Tick must be called once per core.TickInterval. It makes settled connections
-// available, closes connections that were idle for too long, accepts held responses
-// whose hold time is over, fails attempts whose response has stalled, and ends
-// overdue health checks. All other timeouts of attempts, except that of dials, belong
-// to the core.
+// available, closes connections that were idle for too long, removes unused pools of
+// draining endpoints, accepts held responses whose hold time is over, fails attempts
+// whose response has stalled, and ends overdue health checks. All other timeouts of
+// attempts, except that of dials, belong to the core.
 func (u *Upstream) Tick() {
 	now := u.now()
 	u.endOverdueHealthChecks(now)
