--- a/internal/serve/downstream/response.go
+++ b/internal/serve/downstream/response.go
@@ -12,9 +12,8 @@
 // healthPath is the path at which this process responds to health checks.
 const healthPath = "/_health"
 
-// Bodies of final responses that this process makes itself. Clients may depend on the
-// exact texts, so they must not change, even though the code now says "rejected" where
-// they say "refused".
+// Bodies of this process's own responses to valid requests. Clients may depend on the
+// exact texts, so "refused" stays, although the code says "rejected".
 const (
 	bodyRejected    = "refused: trying again is harmless\n"
 	bodyDuplicateID = "another open request has this X-Request-Id\n"
@@ -22,7 +21,7 @@
 )
 
 // Respond writes the final response of an exchange. It does nothing if the exchange
-// is unknown, because its client has disconnected.
+// is unknown, for example because its client has disconnected.
 func (d *Downstream) Respond(effect core.Respond) {
 	client := d.pending[effect.Exchange]
 	if client == nil {
@@ -47,8 +46,8 @@
 	}
 }
 
-// respondServed forwards the content type and body of a server's response with
-// status 200, the only status that counts as served.
+// respondServed forwards the content type and body of a server's response. The status
+// is always 200, because no other status counts as served.
 func (c *connection) respondServed(response *core.ResponseMessage) {
 	var fields http1.Fields
 	if response.ContentType != "" {
@@ -57,8 +56,8 @@
 	c.respond(http1.StatusOK, fields, response.Body)
 }
 
-// respondRejected responds that the request was not executed. A retryAfter above 0 is
-// sent as the time after which a retry makes sense, in seconds.
+// respondRejected responds that the request was not executed. retryAfter is the time
+// after which a retry makes sense. 0 means at any time: then no Retry-After field is sent.
 func (c *connection) respondRejected(retryAfter time.Duration) {
 	var fields http1.Fields
 	if retryAfter > 0 {
@@ -68,8 +67,8 @@
 	c.respond(http1.StatusServiceUnavailable, fields, []byte(bodyRejected))
 }
 
-// serveHealth responds to a health check of this process: 200 if it is ready to serve
-// requests, otherwise 503.
+// serveHealth responds to a health check of this process: 200 if the process is ready
+// to serve requests, 503 if not, and 405 to any method but GET.
 func (c *connection) serveHealth(message *http1.Message) {
 	switch {
 	case message.Method != http1.MethodGet:
@@ -97,8 +96,8 @@
 	c.respond(status, fields, []byte(text+"\n"))
 }
 
-// respond writes a response, and then starts to close the connection if this was the
-// last response.
+// respond writes a response. If closeAfterResponse is set, the response announces the
+// close, and the connection starts to close.
 func (c *connection) respond(status int, fields http1.Fields, body []byte) {
 	if c.closeAfterResponse {
 		fields = append(fields, http1.Field{Name: "Connection", Value: "close"})
--- a/internal/serve/downstream/shedding.go
+++ b/internal/serve/downstream/shedding.go
@@ -9,9 +9,9 @@
 // maxShedPerCall is the maximum number of connections that one call of Shed closes.
 const maxShedPerCall = 16
 
-// Minimum time that a connection must have been in its phase before Shed may close
-// it. New connections, and those that have just been sent a response, stay open
-// because their next request is probably in transit.
+// Minimum times that a connection must have been in its phase before Shed may close
+// it. New connections, and those on which a response was just sent, stay open because
+// their next request is probably in transit.
 const (
 	shedMinLingering = 100 * time.Millisecond // until then, the client's close is probably in transit
 	shedMinSilent    = 50 * time.Millisecond
@@ -19,8 +19,8 @@
 	shedMinIdle      = 100 * time.Millisecond
 )
 
-// shedClass ranks connections by what it costs the client if they are closed,
-// lowest cost first.
+// shedClass ranks connections by what closing them costs the client, lowest cost
+// first.
 type shedClass int
 
 const (
@@ -29,7 +29,7 @@
 	shedIdle                     // between two requests
 	shedClassCount
 
-	shedNever shedClass = -1 // in use, or not yet in its phase for the minimum time
+	shedNever shedClass = -1 // in use, with unread input, or in its phase for less than the minimum time
 )
 
 // Shed closes up to maxShedPerCall connections to free descriptors: the lowest
@@ -52,8 +52,7 @@
 	}
 }
 
-// shedClass returns the connection's class at time now, shedNever if Shed must not
-// close it.
+// shedClass returns the connection's class, or shedNever if Shed must not close it.
 func (c *connection) shedClass(now time.Duration) shedClass {
 	age := now - c.phaseStart
 	switch {
--- a/internal/serve/servetest/peer.go
+++ b/internal/serve/servetest/peer.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Listen opens a loopback listener on a free port. It is closed when the test ends.
+// Listen opens a loopback listener on a free port. The listener is closed when the test ends.
 func Listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -20,14 +20,15 @@
 	return listener
 }
 
-// Peer is the test's side of a connection that the tested package has opened. Reads and writes fail after Timeout.
+// Peer is the test's side of a connection that the tested package has opened. Reads and writes fail
+// when Timeout has passed since Accept.
 type Peer struct {
 	net.Conn
 	t      *testing.T
 	reader *bufio.Reader
 }
 
-// Accept accepts the next connection that the tested package opens. It is closed when the test ends.
+// Accept accepts the next connection that the tested package opens. The connection is closed when the test ends.
 func Accept(t *testing.T, listener net.Listener) *Peer {
 	t.Helper()
 	conn, err := listener.Accept()
@@ -58,7 +59,7 @@
 	require.NoError(p.t, err)
 }
 
-// RequireClosed waits until the tested package has closed the connection in order. It fails the test if data arrives
+// RequireClosed waits until the tested package has closed the connection cleanly. It fails the test if data arrives
 // first or if the connection is reset.
 func (p *Peer) RequireClosed() {
 	p.t.Helper()
--- a/internal/serve/upstream/response_history.go
+++ b/internal/serve/upstream/response_history.go
@@ -11,20 +11,22 @@
 )
 
 const (
-	// rememberedPerConnection is the number of recent responses on a connection that a new one is compared with.
+	// rememberedPerConnection is the number of recent responses on a connection that a new response is
+	// compared with.
 	rememberedPerConnection = 4
-	// rememberedResponses is the number of responses, of all servers, that are remembered to recognize those that
-	// servers give to many requests.
+	// rememberedResponses is the number of responses of all servers that are remembered to recognize common ones
+	// (see responseHistory).
 	rememberedResponses = 512
-	// repeatWindow is the time after a response in which later ones on its connection are compared with it.
+	// repeatWindow is the maximum delay of a second response after the first one. Responses that come later are not
+	// compared with the first one, and data that comes later does not start single use.
 	repeatWindow = 2 * time.Second
 )
 
 // exchangeDigests holds the hashes of a request and of the response that was read for it.
 type exchangeDigests struct{ request, response uint64 }
 
-// digestExchange hashes the parts that distinguish requests and responses. It leaves out the load report, because a
-// server may write a different one into a second response.
+// digestExchange hashes the parts by which requests and responses are told apart. It leaves out the load report,
+// because a server may write a different report into a second response.
 func digestExchange(request *core.RequestMessage, response *http1.Message) exchangeDigests {
 	var digests exchangeDigests
 	digest := xxhash.New()
@@ -58,8 +60,8 @@
 	c[0] = carriedExchange{exchangeDigests: digests, at: now}
 }
 
-// hasResponse reports whether the same response was read within repeatWindow for a different request. Equal requests
-// are expected to get equal responses.
+// hasResponse reports whether the connection has carried the same response for a different request within the last
+// repeatWindow. Equal requests are expected to get equal responses.
 func (c *carriedExchanges) hasResponse(digests exchangeDigests, now time.Duration) bool {
 	for i := range c {
 		earlier := &c[i]
@@ -72,7 +74,7 @@
 }
 
 // responseHistory recognizes common responses: those that servers give to many requests, such as an empty one. A
-// second response to an earlier request can only come on the connection of the first one. So a response that
+// second response to an earlier request can only come on the connection of the first response. So a response that
 // different requests got on different connections is common.
 type responseHistory struct {
 	responses *simplelru.LRU[uint64, seenResponse]
@@ -81,8 +83,8 @@
 // seenResponse describes the last occurrence of a response.
 type seenResponse struct {
 	request    uint64 // digest of the request
-	connection int    // number of the connection
-	common     bool   // servers give it to many requests
+	connection int    // sequence number of the connection
+	common     bool   // servers give the response to many requests
 }
 
 func newResponseHistory() responseHistory {
@@ -90,8 +92,8 @@
 	return responseHistory{responses: responses}
 }
 
-// add records a response that was read on a connection, and marks it as common if a different request got it on
-// another connection before.
+// add records a response that was read on a connection. The response becomes common if its previous occurrence was for
+// a different request on another connection, and then stays common.
 func (h *responseHistory) add(digests exchangeDigests, connection int) {
 	seen, known := h.responses.Get(digests.response)
 	elsewhere := known && seen.connection != connection && seen.request != digests.request
--- a/internal/serve/upstream/timeouts_test.go
+++ b/internal/serve/upstream/timeouts_test.go
@@ -20,7 +20,7 @@
 	halfResponse  = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"
 )
 
-// fixture is an Upstream on its own event loop, with a clock that the test sets and one server that the test acts as.
+// fixture is an Upstream on its own event loop, with a clock that the test sets. The test acts as the only server.
 type fixture struct {
 	*servetest.Loop
 	t        *testing.T
@@ -43,8 +43,8 @@
 	return f
 }
 
-// awaitRead waits until the poller, which reads the sockets, has finished reading what the server has sent. Until then
-// InputEmpty reports unread input, even if the data was already handled.
+// awaitRead waits until the poller has finished reading. Until then InputEmpty is false, even if the handlers have got
+// all data.
 func (f *fixture) awaitRead() {
 	f.t.Helper()
 	done := func() bool {
@@ -75,7 +75,7 @@
 	return open
 }
 
-// advance moves the clock forward, and then calls Tick, which enforces the timeouts.
+// advance waits until all input was read, moves the clock forward, and calls Tick, which enforces the timeouts.
 func (f *fixture) advance(by time.Duration) {
 	f.t.Helper()
 	f.awaitRead()
@@ -88,8 +88,7 @@
 	return core.Endpoint{Server: 1, Address: f.server.Addr().String()}
 }
 
-// startAttempt starts an attempt with target "/" and a timeout of one hour. It returns once the attempt has a
-// connection and its request was written.
+// startAttempt starts an attempt with target "/" and a timeout of one hour, and waits until its request was written.
 func (f *fixture) startAttempt() core.AttemptRef {
 	f.t.Helper()
 	return f.startAttemptWithin(time.Hour)
@@ -125,7 +124,7 @@
 	return servetest.Accept(f.t, f.server)
 }
 
-// awaitResponseStart waits until the Upstream has received part of the response to an attempt.
+// awaitResponseStart waits until part of the response to an attempt was received.
 func (f *fixture) awaitResponseStart(ref core.AttemptRef) {
 	f.t.Helper()
 	started := func() (started bool) {
@@ -135,7 +134,7 @@
 	require.Eventually(f.t, started, servetest.Timeout, servetest.ShortTime)
 }
 
-// serveOne starts an attempt, lets the server respond to it, and returns the connection once it is idle.
+// serveOne starts an attempt, responds to it as the server, and returns the connection once the connection is idle.
 func (f *fixture) serveOne() *servetest.Peer {
 	f.t.Helper()
 	ref := f.startAttempt()
@@ -169,7 +168,7 @@
 	connection.RequireClosed()
 }
 
-// Surplus bytes behind a response would be read as the next response if its connection were reused at once.
+// Surplus bytes behind a response would be read as the next response if the connection were reused at once.
 func TestConnectionSettlesAfterResponse(t *testing.T) {
 	f := newFixture(t)
 	f.startAttempt()
@@ -183,8 +182,7 @@
 	require.Equal(t, 1, f.idleConnections())
 }
 
-// A response that stops before it is complete must fail its attempt, which may have been executed, and close the
-// connection.
+// An attempt whose response stalls must fail as one that the server may have executed. Its connection must be closed.
 func TestStalledResponseFailsItsAttempt(t *testing.T) {
 	f := newFixture(t)
 	ref := f.startAttempt()
@@ -199,7 +197,7 @@
 	connection.RequireClosed()
 }
 
-// The core enforces the timeout of attempts: the Upstream must not fail one whose response has not started.
+// The core enforces the timeout of attempts: Upstream must not fail an attempt whose response has not started.
 func TestUnansweredAttemptIsNotTimedOut(t *testing.T) {
 	f := newFixture(t)
 	ref := f.startAttempt()
@@ -212,8 +210,8 @@
 	require.Empty(t, f.Events)
 }
 
-// A health check without a response must not keep its connection. It ends without an event, because the core has its
-// own timer.
+// A health check without a response must not keep its connection. The check ends without an event, because the core
+// has its own timer.
 func TestOverdueHealthCheckClosesItsConnection(t *testing.T) {
 	f := newFixture(t)
 	f.Do(func() { f.upstream.HealthCheck(core.HealthCheck{To: f.endpoint()}) })
@@ -247,8 +245,8 @@
 	require.Equal(t, core.AttemptCompleted{Ref: other, Response: &core.ResponseMessage{}}, <-f.Events)
 }
 
-// A server that gets no deadline may work on a request without limit. So X-Deadline-Ms is always sent, even if less
-// than its unit of 1 ms is left.
+// A server that gets no deadline may work on a request forever. So X-Deadline-Ms is always sent, even if less than its
+// unit of 1 ms is left.
 func TestRequestAlwaysCarriesADeadline(t *testing.T) {
 	for told, timeout := range map[string]time.Duration{
 		"X-Deadline-Ms: 1":  300 * time.Microsecond,
