--- a/admission.go
+++ b/admission.go
@@ -37,7 +37,7 @@
 	b.admission.RequestArrived(request.priority, request.work)
 }
 
-// precedes reports whether a waiting request is dispatched before another waiting one.
+// precedes reports whether a waiting request is dispatched before another waiting request.
 func (b *Balancer) precedes(request, other *openRequest) bool {
 	return b.admission.Precedes(request.place(), other.place())
 }
@@ -61,7 +61,7 @@
 	}
 }
 
-// observeResponse adjusts the shed share after a response, by at most step.
+// observeResponse updates the locality's share of late responses, and adjusts the shed share by at most step.
 func (b *Balancer) observeResponse(step float64, response admission.Response) {
 	response.OnlyLocality = len(b.groups[1-response.Locality].members) == 0
 	b.admission.ObserveResponse(step, response)
--- a/attempts_test.go
+++ b/attempts_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// An attempt may wait longer for its connection than an attempt that started later. It is then the repeat,
-// and must be written within the deduplication window of the other attempt.
+// An attempt may wait so long for its connection that an attempt that started later is written first. The
+// earlier attempt is then the repeat, and must be written within the deduplication window of the later one.
 func TestAttemptDelayedBeforeWriteCountsAsRetry(t *testing.T) {
 	set := testSettings()
 	set.Limits.HedgedRequests = true
--- a/balancer.go
+++ b/balancer.go
@@ -20,10 +20,10 @@
 
 const (
 	ticksPerObjective = 16.0 // ticks within the shortest latency objective
-	serversPerTick    = 256  // a larger fleet is reviewed less often than at every tick
+	serversPerTick    = 256  // from this many servers on, not every tick reviews them
 
-	// maxTickInterval bounds the time between ticks if all latency objectives are long: it is the most by
-	// which actions that wait for a tick, such as the next subscription to the endpoint list, are delayed.
+	// maxTickInterval bounds the time between ticks if all latency objectives are long. Actions that wait for
+	// a tick, such as the next subscription to the endpoint list, must not be delayed by more.
 	maxTickInterval = 250 * time.Millisecond
 
 	tickToken = 1 // identifies the tick timer in SetTimer and Timer
@@ -32,14 +32,13 @@
 	// again: two, because the next tick may be late by a whole interval.
 	ticksToDispatch = 2
 	// lightWorkShare is the share of the latency objective below which a request's work is light. Only light
-	// requests indicate overload by their latency: a heavy one may be late on an idle server.
+	// requests indicate overload by their latency: a heavy request may be late on an idle server.
 	lightWorkShare = 1.0 / 4
-	// lateDivisor sets when a response counts as late: when its latency, or its queueing delay alone, is
-	// more than half of the objective. This leaves time to act before the objective is missed.
+	// lateDivisor sets when a response is late: when its latency (for load shedding) or its queueing delay
+	// (for the lanes) is over half of the objective. This leaves time to act before the objective is missed.
 	lateDivisor = 2
-	// maxNeededDivisor caps the time that a request is expected to need at half of its objective. The
-	// estimate comes from other requests: without the cap, a high one alone would get waiting requests
-	// rejected.
+	// maxNeededDivisor limits the expected time of a request to half of its latency objective. The estimate
+	// comes from other requests; too high an estimate alone must not get waiting requests rejected.
 	maxNeededDivisor = 2
 
 	millisecondsPerSecond = 1000
@@ -59,10 +58,10 @@
 	ticks             int
 	shortestObjective time.Duration // of all classes
 
-	// Servers, the groups of those that may get requests, and the open requests.
+	// The servers, the groups of servers that may get requests, and the open requests.
 	endpoints   endpointSet
 	groups      [localityCount]serverGroup
-	groupsStale bool             // ejections have changed since the groups were built
+	groupsStale bool             // a server was ejected, readmitted or allowed a trial since the last rebuild
 	levels      []selectionLevel // in the order in which they are tried
 	maxSpillers float64          // expected number of other zones' balancers that may spill to a server
 
@@ -77,7 +76,7 @@
 	slowStart  slowstart.Controller
 
 	// Estimates over all traffic.
-	workload           workload.Model // expected work of requests
+	workload           workload.Model
 	latency            latency.Overall
 	laneBalance        lanes.Balance
 	sendRate           estimate.Rate // ms of work sent per second
@@ -108,7 +107,7 @@
 	return b, nil
 }
 
-// ensureStarted starts the tick timer and the rate estimates at the first event.
+// ensureStarted starts the tick timer, the subscription schedule and the rate estimates at the first event.
 func (b *Balancer) ensureStarted(now time.Duration) {
 	if b.started {
 		return
@@ -123,7 +122,7 @@
 }
 
 // HandleRequest handles a client's request, which gets one final response unless its client disconnects. It
-// ignores a request with an unknown class, or with the ID of an open request.
+// ignores a request with an unknown class or the ID of an open request.
 func (b *Balancer) HandleRequest(now time.Duration, arrival Request) {
 	b.ensureStarted(now)
 	unknownClass := arrival.Class < 0 || arrival.Class >= len(b.settings.Classes)
@@ -164,8 +163,8 @@
 	}
 }
 
-// ResponseStarted records that an attempt's response is being forwarded to the client. From then on there
-// is no retry and no cancellation.
+// ResponseStarted records that an attempt's response is being forwarded to the client. From then on, the
+// request is not retried, and none of its attempts is cancelled.
 func (b *Balancer) ResponseStarted(now time.Duration, id RequestID, attemptNumber int) {
 	b.ensureStarted(now)
 	request := b.requests.find(id)
@@ -190,7 +189,8 @@
 	return started != nil && started.server.available() && request.mayWriteAttempt(now, attemptNumber)
 }
 
-// Timer runs a tick: it reviews the servers, the load shedding and every open request.
+// Timer runs a tick: it subscribes to the endpoint list if that is due, and reviews the servers, the load
+// shedding and every open request. It ignores tokens of other timers.
 func (b *Balancer) Timer(now time.Duration, token uint32) {
 	b.ensureStarted(now)
 	if token != tickToken {
@@ -207,14 +207,14 @@
 	}
 	b.updateExpectedWork()
 	b.admission.Tick()
-	// Backwards, because a review may remove requests: the last one then moves to the place of a removed one.
+	// Backwards, because a review may remove requests: the last request moves to the place of a removed one.
 	for i := len(b.requests.open) - 1; i >= 0; i = min(i, len(b.requests.open)) - 1 {
 		b.reviewRequest(now, b.requests.open[i])
 	}
 }
 
-// reviewServers ends slow starts and starts health checks that are due, and updates the weights of servers
-// and the concurrency limits.
+// reviewServers ends slow starts and starts health checks that are due. It then rebuilds the groups, and
+// updates the peak completion rate, the concurrency limits and the shares of late responses.
 func (b *Balancer) reviewServers(now time.Duration) {
 	for _, target := range b.endpoints.sorted {
 		b.slowStart.EndIfDue(now, &target.slowStart)
@@ -228,8 +228,8 @@
 	b.admission.ReviewLateness(now)
 }
 
-// reviewRequest dispatches a waiting request. If an attempt is overdue, it ejects silent servers and starts
-// a hedged request.
+// reviewRequest dispatches a waiting request if it can. If an attempt is overdue, it ejects silent servers
+// and may start a hedged request.
 func (b *Balancer) reviewRequest(now time.Duration, request *openRequest) {
 	switch {
 	case request.waiting():
@@ -253,7 +253,8 @@
 	}
 }
 
-// dispatchWaiting dispatches waiting requests in order of precedence, until no server can take the next one.
+// dispatchWaiting dispatches waiting requests in order of precedence, until no server can take the next
+// request.
 func (b *Balancer) dispatchWaiting(now time.Duration) {
 	for {
 		var first *openRequest
@@ -282,7 +283,7 @@
 }
 
 // mayStartAttempt reports whether an attempt of the request may start on the server. Every attempt must pass
-// this guard; no other function checks these rules.
+// this guard. AttemptAllowed repeats some of its checks before the attempt is written.
 func (b *Balancer) mayStartAttempt(now time.Duration, request *openRequest, target *server) bool {
 	limits := &b.settings.Limits
 	if !request.needsResponse() || now >= request.Deadline || len(request.attempts) >= limits.MaxAttempts {
@@ -332,7 +333,7 @@
 	return request.objective
 }
 
-// endAttempt records the end of an attempt, updates the counts of attempts in flight and returns the attempt.
+// endAttempt records the end of an attempt, and returns the attempt.
 func (b *Balancer) endAttempt(request *openRequest, outcome Outcome) *attempt {
 	ended := request.attemptEnded(outcome.Attempt, outcome.Status)
 	target := ended.server
@@ -343,7 +344,7 @@
 	return ended
 }
 
-// recordOutcome updates the estimates and the failure detection of the server and its group.
+// recordOutcome updates the estimates, the server's failure detection and the load shedding.
 func (b *Balancer) recordOutcome(now time.Duration, request *openRequest, ended *attempt, outcome Outcome) {
 	target := ended.server
 	target.outlier.AttemptEnded()
@@ -355,8 +356,8 @@
 	serverSilent := target.lastResponseAt < ended.sentAt
 	switch {
 	case outcome.Status == Timeout && serverSilent:
-		// The server has responded to nothing since the attempt was sent, and no tick has noticed it yet.
-		// This counts as late, but is no reason to shed: other servers may be idle.
+		// The server has responded to nothing since the attempt was sent. This counts as a late response of
+		// its locality, but is no reason to shed: other servers may be idle.
 		b.admission.ObserveSilence(int(target.locality))
 		b.recordFailure(now, target, outlier.SilentTimeout)
 	case outcome.Status == Timeout:
@@ -366,8 +367,8 @@
 		b.recordLatency(now, request, target, outcome.Latency)
 		b.recordGoodResponse(now, target)
 	case outcome.Status == Full:
-		// A server that rejects everything must not attract requests by responding fast, so it is ejected.
-		// Its rejections count as late for load shedding, but not in the latency of the group.
+		// A server that rejects everything must not attract requests by responding fast: its rejections count
+		// as failures, which eject it, and as late for load shedding, but not in the latency estimates.
 		b.recordFailure(now, target, outlier.BadResponse)
 		b.observeResponse(b.admission.Step(now), admission.Response{
 			Locality: int(target.locality), Late: true,
@@ -379,8 +380,8 @@
 	}
 }
 
-// recordLatency updates the latency estimates, and adjusts the lanes and load shedding by whether the
-// response was late.
+// recordLatency updates the latency estimates from a response or a timeout, and adjusts the lanes and load
+// shedding by whether it was late.
 func (b *Balancer) recordLatency(
 	now time.Duration, request *openRequest, target *server, took time.Duration,
 ) {
@@ -392,15 +393,15 @@
 		Lane: request.lane, Late: queueing > objectiveMs/lateDivisor,
 		MaxStep: step, LargeWorkShare: b.workload.LargeShare(),
 	})
-	if request.work < lightWorkShare*objectiveMs { // a heavy request may be late on an idle server
+	if request.work < lightWorkShare*objectiveMs {
 		b.observeResponse(step, admission.Response{
 			Locality: int(target.locality), Late: took > objective/lateDivisor,
 		})
 	}
 }
 
-// retryOrRespond retries a request after an attempt has ended. If no retry is possible and no other attempt
-// is in flight, the request gets its final response.
+// retryOrRespond retries a request after an attempt has ended, unless the attempt timed out. If there is no
+// retry and no other attempt is in flight, the request gets its final response.
 func (b *Balancer) retryOrRespond(now time.Duration, request *openRequest, status Status) {
 	switch {
 	case request.done:
@@ -412,8 +413,8 @@
 	}
 }
 
-// hedge starts another attempt of a request with an overdue one: once per request, and never while work
-// is shed.
+// hedge starts another attempt of a request that has an overdue attempt: at most once per request, and never
+// while work is shed.
 func (b *Balancer) hedge(now time.Duration, request *openRequest) {
 	if !request.hedged && !b.admission.Shedding() && b.mayRetry(now, request) && b.dispatch(now, request) {
 		request.markHedged()
@@ -421,7 +422,7 @@
 	}
 }
 
-// mayRetry reports whether the retry budget allows a retry and the latency objective has not passed yet.
+// mayRetry reports whether the retry budget allows a retry or hedge and the objective has not passed yet.
 func (b *Balancer) mayRetry(now time.Duration, request *openRequest) bool {
 	return b.retryBudget.Available() && now < request.objective
 }
@@ -437,8 +438,8 @@
 	b.closeRequest(request)
 }
 
-// closeRequest closes a request that needs no further response, and cancels its attempts in flight where this
-// is allowed.
+// closeRequest closes a request that needs no further response. It cancels the attempts in flight if
+// Limits.CancelAttempts is set and no response is being forwarded.
 func (b *Balancer) closeRequest(request *openRequest) {
 	request.markDone()
 	if b.settings.Limits.CancelAttempts && !request.streaming {
--- a/benchmark_test.go
+++ b/benchmark_test.go
@@ -33,12 +33,11 @@
 	benchmarkRequests(b, testSettings(), func(balancer *benchmarkBalancer) { balancer.Timer(balancer.now, tickToken) })
 }
 
-// benchmarkBalancer is a Balancer with its host, its clock time and the ID of its last request.
 type benchmarkBalancer struct {
 	*Balancer
 	host  *discardHost
 	now   time.Duration
-	count RequestID
+	count RequestID // ID of the last request
 }
 
 // benchmarkRequests measures a request, its outcome and a call of then, for each fleet size. Before that, it
--- a/configure.go
+++ b/configure.go
@@ -11,7 +11,7 @@
 
 // UpdateSettings replaces the settings, also while requests are open. If the new settings cannot be used, it
 // returns a *SettingsError and changes nothing. Classes are identified by index: existing classes keep their
-// index, and new ones are appended. Zones and the number of tenants cannot change. Open requests keep the
+// index, and new classes are appended. Zones and the number of tenants cannot change. Open requests keep the
 // class settings that they arrived with.
 func (b *Balancer) UpdateSettings(now time.Duration, s Settings) error {
 	if err := s.Validate(); err != nil {
@@ -28,7 +28,8 @@
 		return settingsError("Tenants", "tenants cannot change while the program runs")
 	}
 	b.ensureStarted(now)
-	s.Classes = slices.Clone(s.Classes) // open requests point into this slice
+	// Open requests keep pointers into the slice, so it must not be the caller's.
+	s.Classes = slices.Clone(s.Classes)
 	b.settings = s
 	b.deriveFromSettings()
 	b.subscription.Hasten(now, b.rng)
@@ -60,8 +61,7 @@
 	b.updateExpectedWork()
 }
 
-// admissionOptions returns the options of admission. It needs the shortest objective and the tick interval to
-// be up to date.
+// admissionOptions needs the shortest objective and the tick interval to be up to date.
 func (b *Balancer) admissionOptions() admission.Options {
 	s := &b.settings
 	options := admission.Options{
@@ -79,7 +79,6 @@
 	return options
 }
 
-// quotasPerSecond returns the quota of each tenant, in requests per second over all balancers.
 func (s *Settings) quotasPerSecond() []float64 {
 	var quotas []float64
 	for _, tenant := range s.Tenants {
--- a/endpoint_set.go
+++ b/endpoint_set.go
@@ -17,21 +17,21 @@
 type locality int
 
 const (
-	localZone   locality = iota // the balancer's own zone
-	remoteZones                 // all other zones
+	localZone   locality = iota
+	remoteZones          // all zones but the balancer's
 )
 
 const localityCount = 2
 
-// endpointSet holds the listed servers, the servers that operators exclude, and the size of each locality.
-// Only its methods change it.
+// endpointSet holds the listed servers, the servers that operators exclude, and the peak size of each
+// locality. Only its methods change it.
 type endpointSet struct {
 	ownZone  int
 	byID     map[ServerID]*server
 	sorted   []*server              // by ID
 	excluded map[ServerID]bool      // by operators, listed or not
 	paths    map[int]*latency.Path  // by zone
-	peakSize [localityCount]float64 // greatest sum of server sizes so far
+	peakSize [localityCount]float64 // by locality: greatest sum of its servers' sizes so far
 }
 
 func newEndpointSet(ownZone int) endpointSet {
@@ -44,7 +44,8 @@
 // find returns the listed server with that ID, or nil.
 func (s *endpointSet) find(id ServerID) *server { return s.byID[id] }
 
-// add appends a newly listed server to sorted, which finishUpdate puts in order.
+// add adds a newly listed server, and sets its path, exclusion and locality. The servers are out of order
+// until finishUpdate.
 func (s *endpointSet) add(added *server) {
 	if s.paths[added.Zone] == nil {
 		s.paths[added.Zone] = &latency.Path{}
@@ -59,7 +60,8 @@
 	s.sorted = append(s.sorted, added)
 }
 
-// update replaces the entry of a listed server, and reports whether the server's process has restarted.
+// update replaces the entry of a listed server, and reports whether its process has restarted: its start
+// time has changed.
 func (s *endpointSet) update(target *server, entry Endpoint) (restarted bool) {
 	restarted = entry.StartedAt != target.StartedAt
 	target.Endpoint = entry
@@ -89,8 +91,8 @@
 	slices.SortFunc(s.sorted, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
 }
 
-// updatePeakSizes updates the greatest sum of server sizes of each locality. A zone that has lost all servers
-// but one in slow start must not be mistaken for a small zone: that server would get too much work.
+// updatePeakSizes updates the peak size of each locality. If a zone loses all servers except one in slow
+// start, it must not be mistaken for a small zone: the remaining server would get too much work.
 func (s *endpointSet) updatePeakSizes() {
 	var size [localityCount]float64
 	for _, target := range s.sorted {
@@ -131,10 +133,10 @@
 	path           *latency.Path // to its zone
 	member         lanes.Member  // of its locality's group
 	inflight       int           // this balancer's attempts in flight
-	backlog        float64       // expected work of these, ms
+	backlog        float64       // expected work of the attempts in flight, ms
 	latency        latency.Server
-	reports        loadreport.Reports // including the requests of other balancers
-	lastResponseAt time.Duration      // when it last responded to any request
+	reports        loadreport.Reports // its load reports, which count all balancers' requests
+	lastResponseAt time.Duration      // clock time of its last response to any request
 	classFailures  classfailure.Shares
 	slowStart      slowstart.Progress
 	outlier        outlier.Monitor // its failures and ejections
@@ -149,7 +151,7 @@
 	target.backlog += work
 }
 
-// attemptEnded removes an ended attempt, with its expected work in ms, from the counts.
+// attemptEnded takes back the counts of attemptStarted.
 func (target *server) attemptEnded(work float64) {
 	target.inflight--
 	target.backlog = max(target.backlog-work, 0)
--- a/endpoints.go
+++ b/endpoints.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// Include ends an exclusion; since is the clock time at which the operators ended it. Servers are excluded to
-// be restarted, and the list may not show the restart yet. Slow start therefore counts from since, or from a
-// later start time in the list.
+// Include ends an exclusion; since is the clock time at which the operators ended it. Operators exclude
+// servers to restart them, and the list may not show the restart yet. Slow start therefore counts from since,
+// or from a later start time in the list.
 func (b *Balancer) Include(now time.Duration, id ServerID, since time.Duration) {
 	b.ensureStarted(now)
 	target := b.endpoints.include(id)
--- a/groups.go
+++ b/groups.go
@@ -13,7 +13,7 @@
 // are enough to protect the servers.
 const fewBalancersPerZone = 4.0
 
-// manyBalancers reports whether there are more balancers than fewBalancersPerZone for each zone.
+// manyBalancers reports whether there are more than fewBalancersPerZone balancers per zone.
 func (b *Balancer) manyBalancers() bool {
 	return float64(b.settings.BalancerCount) > fewBalancersPerZone*float64(len(b.settings.Zones))
 }
@@ -31,8 +31,7 @@
 	meanOthers  float64           // mean number of other balancers' requests at a member
 }
 
-// rebuildGroups assigns the servers that may get requests to the groups of their localities, and updates
-// weights and lanes.
+// rebuildGroups assigns the servers that may get requests to their groups, and updates weights and lanes.
 func (b *Balancer) rebuildGroups(now time.Duration) {
 	b.groupsStale = false
 	for i := range b.groups {
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -39,20 +39,19 @@
 	h.timers = append(h.timers, timerCall{d, token})
 }
 
-// startedAttempt holds the arguments of a call of StartAttempt.
+// startedAttempt is a call of StartAttempt.
 type startedAttempt struct {
 	id      RequestID
 	to      ServerID
 	timeout time.Duration
 }
 
-// timerCall holds the arguments of a call of SetTimer.
+// timerCall is a call of SetTimer.
 type timerCall struct {
 	after time.Duration
 	token uint32
 }
 
-// last returns the attempt that was started last.
 func (h *recorder) last() startedAttempt { return h.attempts[len(h.attempts)-1] }
 
 // Indexes of the classes in testSettings.
@@ -122,7 +121,7 @@
 	return Request{ID: id, Class: class, Deadline: 3 * time.Second, CostHint: hint}
 }
 
-// completeAttempt ends an attempt with a latency of 20 ms. OK is the request's final response.
+// completeAttempt ends an attempt with a latency of 20 ms. The status OK also ends the request.
 func completeAttempt(b *Balancer, now time.Duration, id RequestID, attemptNumber int, to ServerID, s Status) {
 	b.HandleOutcome(now, Outcome{
 		ID:          id,
@@ -154,15 +153,13 @@
 	return b, h
 }
 
-// fillRetryBudget fills the retry budget up to its limit.
 func fillRetryBudget(b *Balancer) {
 	for range 1000 {
 		b.retryBudget.RequestArrived()
 	}
 }
 
-// setMeanWork sets the mean work and the median cost hint, in ms, by restoring a snapshot as a new process
-// does.
+// setMeanWork sets the mean work and the median cost hint, in ms, by restoring a snapshot.
 func setMeanWork(t *testing.T, b *Balancer, work float64) {
 	t.Helper()
 	if !b.workload.Restore(workload.Snapshot{MedianHint: work, Mean: work, LargeShare: 0.5}) {
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -21,14 +21,12 @@
 	timers           []time.Duration
 }
 
-// trackedRequest is the checker's record of a request.
 type trackedRequest struct {
 	Request
 	attempts  []trackedAttempt
 	responses int
 }
 
-// trackedAttempt is the checker's record of an attempt.
 type trackedAttempt struct {
 	server    ServerID
 	startedAt time.Duration
@@ -131,8 +129,8 @@
 	})
 }
 
-// timeOutOverdue reports a timeout for each attempt that is in flight past its request's deadline. It returns
-// the requests that are still open.
+// timeOutOverdue ends attempts past their request's deadline by a timeout, reports requests without a response
+// as violations, and returns the requests that are still open.
 func (c *invariantChecker) timeOutOverdue(b *Balancer, live []RequestID) []RequestID {
 	return slices.DeleteFunc(live, func(id RequestID) bool {
 		r := c.requests[id]
--- a/latencies.go
+++ b/latencies.go
@@ -34,7 +34,7 @@
 	return ms
 }
 
-// silenceTimeout returns how long a response to a request of that work, in ms, may take before it is overdue.
+// silenceTimeout returns the time after which a request of that work, in ms, is overdue in the group.
 func (b *Balancer) silenceTimeout(group *serverGroup, work float64) time.Duration {
 	return group.latency.SilenceTimeout(work, b.shortestObjective)
 }
--- a/layers_test.go
+++ b/layers_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// componentImports returns the components that a component imports, sorted. It fails the test if the
-// component imports other packages of this repository or packages from outside the standard library.
+// componentImports returns the components that a component imports, sorted. Any other import from outside the
+// standard library fails the test.
 func componentImports(t *testing.T, component string) []string {
 	t.Helper()
 	files, err := filepath.Glob(path.Join("internal/decision", component, "*.go"))
--- a/load_reports.go
+++ b/load_reports.go
@@ -14,8 +14,8 @@
 	}
 }
 
-// totalInflightReaches reports whether the requests of all balancers at a server, estimated from its load
-// reports, reach the limit. With many balancers, limits on each one's own requests would not limit the sum.
+// totalInflightReaches reports whether the requests of all balancers at a server, by its load reports, reach
+// the limit. With many balancers, a limit on each balancer's own requests would not limit the sum.
 func (b *Balancer) totalInflightReaches(now time.Duration, target *server, limit float64) bool {
 	meanOthers := b.groups[target.locality].meanOthers
 	return target.reports.TotalInflight(now, meanOthers, target.inflight) >= limit
@@ -43,8 +43,8 @@
 }
 
 // meanInflight returns the mean number of requests of all balancers at a warm member of the group, from fresh
-// load reports; known is false if there are none. If no server has ever reported, the latency per ms of work
-// replaces it: a response that takes twice as long as its work has waited behind as much work.
+// load reports; known is false without any. If no server has ever reported, the latency per ms of work
+// replaces the mean: a response that takes twice as long as its work has waited behind as much work.
 func (b *Balancer) meanInflight(now time.Duration, group *serverGroup) (inflight float64, known bool) {
 	var mean loadreport.GroupMean
 	for _, target := range group.members {
--- a/outlier_ejection.go
+++ b/outlier_ejection.go
@@ -6,7 +6,8 @@
 	"piernotch/internal/decision/outlier"
 )
 
-// recordFailure counts a failed attempt, and ejects the server after too many failures in a row.
+// recordFailure counts a failed attempt, and ejects the server after too many failures in a row or a failed
+// trial.
 func (b *Balancer) recordFailure(now time.Duration, target *server, failure outlier.Failure) {
 	if target.outlier.RecordFailure(failure) == outlier.Eject {
 		b.eject(now, target)
@@ -15,7 +16,7 @@
 
 // ejectSilent reports whether an attempt of the request is overdue, and ejects each server that has responded
 // to nothing since it got an overdue attempt. A server that has responded to other requests meanwhile is only
-// slow with this one.
+// slow with this request.
 func (b *Balancer) ejectSilent(now time.Duration, request *openRequest) (overdue bool) {
 	for i := range request.attempts {
 		sent := &request.attempts[i]
@@ -32,14 +33,13 @@
 }
 
 // eject removes a server from its group for a pause. The pause is a multiple of the silence timeout, or of
-// the shortest latency objective if that is longer, and grows with each ejection in a row.
+// the shortest latency objective if that is longer, and doubles with each ejection in a row up to a limit.
 func (b *Balancer) eject(now time.Duration, target *server) {
 	basePause := max(b.silenceTimeout(&b.groups[target.locality], b.workload.Mean()), b.shortestObjective)
 	target.outlier.Eject(now, basePause, b.rng)
 	b.groupsStale = true
 }
 
-// outlierOptions returns the outlier detection options that follow from the current settings.
 func (b *Balancer) outlierOptions() outlier.Options {
 	return outlier.Options{HealthChecks: b.settings.Limits.HealthChecks}
 }
@@ -79,7 +79,7 @@
 }
 
 // recordGoodResponse ends an ejection. If the server's process may have been replaced, the server is in slow
-// start until the endpoint list has had time to show a restart. Otherwise it stays as warm as before.
+// start until the endpoint list has had time to show a restart. Otherwise its slow start does not change.
 func (b *Balancer) recordGoodResponse(now time.Duration, target *server) {
 	recovery := target.outlier.RecordGoodResponse()
 	if recovery == outlier.NotEjected {
--- a/piernotch.go
+++ b/piernotch.go
@@ -19,8 +19,7 @@
 	NonIdempotent                     // must not execute twice
 )
 
-// DedupScope is the set of servers that share their idempotency keys: each discards repeats of requests that
-// another one has executed.
+// DedupScope is the set of servers that discard repeats of requests that any of them has executed.
 type DedupScope uint8
 
 // The values of DedupScope, from the widest to the narrowest.
@@ -73,7 +72,7 @@
 	Zones            []string      // names of all zones
 	Classes          []Class       // at least one
 	Tenants          []Tenant      // empty: no quotas
-	Tick             time.Duration // shortest time between ticks; not negative
+	Tick             time.Duration // resolution of the host's clock: shortest time between ticks; not negative
 	PollDiscovery    bool          // the endpoint list has to be requested with Host.WatchEndpoints
 	KeyAffinity      bool          // a server needs less work for a Request.Key that it served recently
 	Limits           Limits
@@ -96,7 +95,7 @@
 type Endpoint struct {
 	ID        ServerID
 	Zone      int // index into Settings.Zones
-	Cell      int // failure domain within the zone
+	Cell      int // failure domain within the zone; its number must not recur in another zone
 	State     State
 	Size      float64       // capacity relative to other servers; positive
 	StartedAt time.Duration // clock time of its last start; 0: long ago
@@ -128,7 +127,7 @@
 
 // The values of Status, in the order of statuses.
 const (
-	OK            Status = iota // a good response
+	OK            Status = iota // a response that the host counts as successful
 	Error                       // any other response, including a malformed one
 	Full                        // rejected by the server before execution
 	Timeout                     // no response within the attempt's timeout
@@ -174,8 +173,8 @@
 	StartAttempt(id RequestID, to ServerID, timeout time.Duration)
 	// CancelAttempt cancels an attempt that is in flight. The attempt still ends with an Outcome.
 	CancelAttempt(id RequestID, attempt int)
-	// Reject gives the request its final response, which tells the client that sending it again is safe.
-	// retryAfter is the delay to advise; 0 advises none.
+	// Reject gives the request its final response, which tells the client that a repeat is safe.
+	// retryAfter is the delay to advise; 0: no advice.
 	Reject(id RequestID, retryAfter time.Duration)
 	// Fail gives the request its final response, which does not tell whether the request was executed.
 	Fail(id RequestID)
--- a/policy_size_test.go
+++ b/policy_size_test.go
@@ -26,8 +26,8 @@
 	"state_line.go", // one line of state for the log
 }
 
-// Operators review the files that make decisions by the list `policy` in deploy/balancer.toml. A new file
-// must not escape the review: it has to be either listed there or named in rootFilesThatDoNotDecide.
+// Operators review the files listed under `policy` in deploy/balancer.toml. A new file must not escape the
+// review: it has to be either listed there or named in rootFilesThatDoNotDecide.
 func TestPolicyListsEveryDecidingFile(t *testing.T) {
 	require.ElementsMatch(t, decidingFiles(t), policyFiles(t),
 		"policy in deploy/balancer.toml against the deciding files in the tree")
--- a/requests.go
+++ b/requests.go
@@ -12,7 +12,7 @@
 type requestTable struct {
 	open []*openRequest // in no particular order
 	byID map[RequestID]*openRequest
-	free []*openRequest // records of finished requests, for reuse
+	free []*openRequest // for reuse
 }
 
 func newRequestTable() requestTable { return requestTable{byID: map[RequestID]*openRequest{}} }
@@ -49,8 +49,8 @@
 	t.free = append(t.free, r)
 }
 
-// openRequest is the record of a client's request until it has its final response and no attempt is in
-// flight. Only its methods and requestTable change the fields from attempts to openIndex.
+// openRequest is the record of an open request. Only its methods and requestTable change the fields from
+// attempts to openIndex.
 type openRequest struct {
 	Request
 	class         *Class
@@ -68,7 +68,7 @@
 	openIndex int       // in requestTable.open
 }
 
-// attempt is one attempt of a request, sent to one server.
+// attempt is an entry of openRequest.attempts. Its index there is the attempt number.
 type attempt struct {
 	server *server
 	sentAt time.Duration
@@ -99,7 +99,6 @@
 
 func (r *openRequest) markHedged() { r.hedged = true }
 
-// attemptStarted records an attempt that is sent to the server now.
 func (r *openRequest) attemptStarted(now time.Duration, target *server) {
 	r.attempts = append(r.attempts, attempt{server: target, sentAt: now, warm: target.warm()})
 	r.inflight++
@@ -140,7 +139,7 @@
 	return false
 }
 
-// firstMaybeExecuted returns the earliest attempt that the server may have executed, or nil.
+// firstMaybeExecuted returns the earliest attempt that its server may have executed, or nil.
 func (r *openRequest) firstMaybeExecuted() *attempt {
 	for i := range r.attempts {
 		if candidate := &r.attempts[i]; candidate.mayHaveExecuted() {
@@ -151,8 +150,8 @@
 }
 
 // mayRepeatOn reports whether a request that may have executed in an earlier attempt may also be sent to the
-// server. With an idempotency key, it must arrive there within the deduplication window; the transit time is
-// taken as half of the lowest latency from the server's zone.
+// server. With an idempotency key, the repeat must stay in the deduplication scope and arrive within the
+// window; the transit time is taken as half of the lowest latency of a response from the server's zone.
 func (r *openRequest) mayRepeatOn(now time.Duration, earlier *attempt, target *server) bool {
 	windowClosed := now+target.path.Transit() > earlier.sentAt+r.class.DedupWindow
 	switch {
@@ -169,7 +168,7 @@
 }
 
 // mayWriteAttempt reports whether an attempt may be written now, given the other attempts that may have
-// executed. Attempts that started later count, too: if they were written first, this one is the repeat.
+// executed. Attempts that started later count, too: if they were written first, this attempt is the repeat.
 func (r *openRequest) mayWriteAttempt(now time.Duration, attemptNumber int) bool {
 	target := r.attempts[attemptNumber].server
 	for i := range r.attempts {
@@ -182,7 +181,7 @@
 }
 
 // repeatIsHarmless reports whether the client can safely send the request again, through any balancer to any
-// server: it was not executed, is idempotent, or is deduplicated by all servers.
+// server: it was certainly not executed, is idempotent, or is deduplicated by all servers.
 func (r *openRequest) repeatIsHarmless() bool {
 	deduplicated := r.class.RetrySafety == IdempotencyKey && r.class.DedupScope == DedupEverywhere
 	return r.firstMaybeExecuted() == nil || r.class.RetrySafety == Idempotent || deduplicated
--- a/selection.go
+++ b/selection.go
@@ -13,14 +13,15 @@
 	totalInflightBound     = 6.0  // limit on all balancers' requests at a server, per unit of maxLoad
 	totalInflightBoundKey  = 8.0  // absolute limit, if the request's key may be cached there
 	totalInflightBoundLast = 10.0 // absolute limit, if no other server has capacity
-	maxTurnRounds          = 3    // passes over a lane's members in search of one with enough credit
+	maxTurnRounds          = 3    // passes over a lane in search of a member with enough credit
 )
 
 // Load limits of the selection levels. A server may get a request while its load is below the limit. The load
 // is the number of this balancer's requests there, without those in transit.
 const (
-	idleLoad  = 1.0 // the server has no request
-	lightLoad = 2.0 // the server has at most one, so that the next is there when that one ends
+	idleLoad = 1.0 // the server has no request
+	// lightLoad allows a second request, which keeps the server from idling when the first ends.
+	lightLoad = 2.0
 )
 
 // selectionLevel is the group of a locality and the load below which its members may get a request.
@@ -32,8 +33,7 @@
 // selectionLevels returns the levels in the order in which they are tried: the own zone up to a small load,
 // then the other zones. Requests beyond these loads wait in the balancer and not in a server's queue, so that
 // they can go to whichever server is free first. The loads are small because the requests of all balancers
-// add up at a server. The fewer balancers may spill to a server, the more requests each of them may send
-// there.
+// add up at a server. If only few balancers may spill to a server, each of them may send more requests there.
 func selectionLevels(balancers int) []selectionLevel {
 	levels := []selectionLevel{{localZone, idleLoad}, {localZone, lightLoad}, {remoteZones, idleLoad}}
 	for load := lightLoad; load*float64(balancers-1) <= minSpillers && load < minSpillers; load++ {
@@ -42,7 +42,7 @@
 	return levels
 }
 
-// laneSearch holds the parameters of the search for a server in one lane of a group.
+// laneSearch is the search for a server in one lane of a group.
 type laneSearch struct {
 	now     time.Duration
 	request *openRequest
@@ -52,7 +52,7 @@
 }
 
 // selectServer returns the server for the request, or nil if none can take it now. It tries the levels in
-// order, and in each of them the request's own lane before the other lane.
+// order, and in each of them the request's own lane before the other lane; leastExpectedLatency comes last.
 func (b *Balancer) selectServer(now time.Duration, request *openRequest) *server {
 	for _, level := range b.levels {
 		group := &b.groups[level.locality]
@@ -112,9 +112,10 @@
 	return target
 }
 
-// leastExpectedLatency returns the server with the lowest expected latency, or nil. It is the last resort if
-// no server with capacity is likely to meet the objective. With many balancers, servers that are likely to
-// miss the objective are left out here, too.
+// leastExpectedLatency returns the server with the lowest expected latency, or nil. It is the last resort
+// after the levels: it compares the servers with capacity in both localities, with totalInflightBoundLast as
+// the limit on all balancers' requests. With few balancers, it also accepts servers that are likely to miss
+// the objective.
 func (b *Balancer) leastExpectedLatency(now time.Duration, request *openRequest) *server {
 	var best *server
 	least := 0.0 // expected latency of best, ms
@@ -134,7 +135,7 @@
 	return best
 }
 
-// canServeInTime reports whether the server may get the request and is likely to respond within its
+// canServeInTime reports whether the server may get the request and is likely to respond within the request's
 // objective.
 func (b *Balancer) canServeInTime(search laneSearch, target *server, maxTotal float64) bool {
 	now, request := search.now, search.request
@@ -166,8 +167,8 @@
 	return target.locality == remoteZones && len(b.groups[localZone].members) > 0
 }
 
-// spillForbidden reports whether this balancer must not spill to the server, because others may. If all
-// balancers spilled to one server, they would overload it.
+// spillForbidden reports whether this balancer must not spill to the server, because spilling there is
+// left to other balancers. If all balancers spilled to one server, they would overload it.
 func (b *Balancer) spillForbidden(target *server) bool {
 	return b.spills(target) && target.spillRank*float64(b.settings.BalancerCount-1) > b.maxSpillers
 }
--- a/selection_test.go
+++ b/selection_test.go
@@ -95,7 +95,7 @@
 }
 
 // Regression: a zone's only server was in slow start, and requests were rejected although servers in the next
-// zone were idle. None of these was among the few servers that this balancer may spill to.
+// zone were idle. None of the idle servers was among the few that this balancer may spill to.
 func TestRequestsDoNotWaitWhileRemoteServersAreIdle(t *testing.T) {
 	list := append(testEndpoints(1, 1), Endpoint{ID: 8, Zone: 1, Size: 1}, Endpoint{ID: 9, Zone: 1, Size: 1})
 	list[0].StartedAt = 900 * ms
@@ -153,8 +153,8 @@
 	}
 }
 
-// The fewer balancers there are, the more requests each may spill to a server, since their requests add up
-// there.
+// Spilled requests of all balancers add up at a server, so two balancers may spill two requests each, but four
+// balancers only one each. Each balancer also sends two requests to its own zone's server.
 func TestFewBalancersSpillMoreEach(t *testing.T) {
 	for balancers, want := range map[int]int{2: 4, 4: 3} {
 		set := testSettings()
@@ -169,8 +169,8 @@
 	}
 }
 
-// Regression: requests of one class hung on some servers that responded to the other classes. Each of them
-// used up capacity there for a whole latency objective, and all of them failed.
+// Regression: requests of one class hung on some servers that responded to the other classes. Each such
+// request used up capacity there for a whole latency objective, and then failed.
 func TestClassFailingOnServerIsSentElsewhere(t *testing.T) {
 	set := testSettings()
 	b, h := newTestBalancer(t, set, testEndpoints(2, 1))
--- a/settings.go
+++ b/settings.go
@@ -5,7 +5,7 @@
 // SettingsError reports a setting that cannot be used.
 type SettingsError struct {
 	Setting string // field of Settings, such as "Limits.MaxAttempts" or "Classes[1]"
-	Problem string // includes the offending value where there is one
+	Problem string // what is wrong with it, in most cases with the value
 }
 
 // Error returns "settings: " and the problem, which names the setting as operators know it.
--- a/slow_start.go
+++ b/slow_start.go
@@ -10,8 +10,8 @@
 // balancers draw in one window are only a small part of what overloads a server.
 const slowStartWindows = 8
 
-// newSlowStart returns the slow start controller for the settings. Balancers draw whether they may
-// send only if there are many of them.
+// newSlowStart returns the slow start controller for the settings. If there are many balancers, each of them
+// decides by a random draw per window whether it may send to a server in slow start.
 func (b *Balancer) newSlowStart() slowstart.Controller {
 	rules := b.settings.Rules
 	options := slowstart.Options{
@@ -66,8 +66,8 @@
 	return b.settings.BalancerCount < len(b.settings.Zones)
 }
 
-// slowStartLoad returns the load that decides how much a server in slow start may get: what warm servers get
-// and complete, and what the server itself reports.
+// slowStartLoad returns what decides how much a server in slow start may get: the work that warm servers get
+// and complete, and the server's own load report.
 func (b *Balancer) slowStartLoad(now time.Duration, target *server) slowstart.Load {
 	reports := &target.reports
 	load := slowstart.Load{
@@ -79,7 +79,7 @@
 		},
 	}
 	if b.spills(target) {
-		load.Spillers = float64(b.settings.BalancerCount) // all of them may spill to it
+		load.Spillers = float64(b.settings.BalancerCount) // as if all balancers spilled to the server
 	}
 	if b.slowStart.NeedsSendRate(load) {
 		load.SendRate = b.warmSendRate(now)
@@ -89,8 +89,8 @@
 
 // warmSendRate returns the work per second, in ms, that this balancer sends to a warm server of size 1.
 // Arriving work is not used, because client retries can make it a multiple of any capacity. If few warm
-// servers are left in a zone, they may be overloaded, so they count as at least half of the zone's peak size.
-// If none is warm, the mean over all servers is used.
+// servers are left in a group, they may be overloaded, so they count as at least half of its peak size. The
+// result is the greatest of both groups' rates and the mean rate over all servers.
 func (b *Balancer) warmSendRate(now time.Duration) float64 {
 	most := 0.0
 	for i := range b.groups {
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -44,13 +44,13 @@
 	}
 }
 
-// allowedInterval returns the time between requests of mean work that a server in slow start may get.
+// allowedInterval returns the time between requests of mean work that b may send to a server in slow start.
 func allowedInterval(b *Balancer, now time.Duration, target *server) time.Duration {
 	rate := b.slowStart.AllowedRate(now, &target.slowStart, b.slowStartLoad(now, target))
 	return time.Duration(b.workload.Mean() / rate * float64(time.Second))
 }
 
-// If all other servers leave a zone, the zone must not be mistaken for a small one: the rate allowed to its
+// If all other servers leave a zone, the zone must not be mistaken for a small zone: the rate allowed to its
 // last server, which is in slow start, would rise.
 func TestSlowStartRateDoesNotGrowWhenEndpointsLeave(t *testing.T) {
 	list := testEndpoints(4, 2)
@@ -93,7 +93,8 @@
 	require.Greater(t, interval(false), interval(true))
 }
 
-// A server warms up through its work, sooner than the rules say. An idle one may therefore get more work.
+// A server that works warms up sooner than Rules.SlowStartDuration. It may therefore get more work if its
+// load report shows that it is idle.
 func TestIdleServerInSlowStartGetsMore(t *testing.T) {
 	b, _ := newTestBalancer(t, manyBalancersSettings(), testEndpoints(2, 1))
 	setMeanWork(t, b, 25)
--- a/snapshot.go
+++ b/snapshot.go
@@ -15,7 +15,7 @@
 	PeakCompletionRate float64 `json:"Usual"`      // peak requests per second of a warm server of size 1; 0: unknown
 }
 
-// Snapshot returns what the Balancer has learnt so far.
+// Snapshot returns what the Balancer has learnt so far, for Restore in its successor.
 func (b *Balancer) Snapshot() Snapshot {
 	learnt := b.workload.Snapshot()
 	return Snapshot{
