--- a/admission.go
+++ b/admission.go
@@ -54,7 +54,7 @@
 	return b.admission.QueueTooLong(ahead, b.sendRate.PerSecond(now))
 }
 
-// updateExpectedWork passes to admission the expected work of each class's requests without a cost hint.
+// updateExpectedWork tells admission what work to expect of a request of each class that has no cost hint.
 func (b *Balancer) updateExpectedWork() {
 	for class := range b.settings.Classes {
 		b.admission.SetExpectedWork(class, b.workload.WithoutHint(class))
--- a/balancer.go
+++ b/balancer.go
@@ -38,7 +38,7 @@
 	// (for the lanes) is over half of the objective. This leaves time to act before the objective is missed.
 	lateDivisor = 2
 	// maxNeededDivisor limits the expected time of a request to half of its latency objective. The estimate
-	// comes from other requests; too high an estimate alone must not get waiting requests rejected.
+	// comes from other requests; an estimate that is too high must not be enough to reject waiting requests.
 	maxNeededDivisor = 2
 
 	millisecondsPerSecond = 1000
@@ -368,7 +368,7 @@
 		b.recordGoodResponse(now, target)
 	case outcome.Status == Full:
 		// A server that rejects everything must not attract requests by responding fast: its rejections count
-		// as failures, which eject it, and as late for load shedding, but not in the latency estimates.
+		// as failures, which eject it, and as late responses for load shedding, but not in latency estimates.
 		b.recordFailure(now, target, outlier.BadResponse)
 		b.observeResponse(b.admission.Step(now), admission.Response{
 			Locality: int(target.locality), Late: true,
@@ -381,7 +381,7 @@
 }
 
 // recordLatency updates the latency estimates from a response or a timeout, and adjusts the lanes and load
-// shedding by whether it was late.
+// shedding by whether the response was late.
 func (b *Balancer) recordLatency(
 	now time.Duration, request *openRequest, target *server, took time.Duration,
 ) {
--- a/configure.go
+++ b/configure.go
@@ -61,7 +61,8 @@
 	b.updateExpectedWork()
 }
 
-// admissionOptions needs the shortest objective and the tick interval to be up to date.
+// admissionOptions returns the options of admission. The shortest objective and the tick interval must be up
+// to date.
 func (b *Balancer) admissionOptions() admission.Options {
 	s := &b.settings
 	options := admission.Options{
--- a/doc.go
+++ b/doc.go
@@ -20,10 +20,9 @@
 // cost hint, above the median or not). While responses are late in all localities, part of the work is
 // rejected on arrival, lowest precedence first (internal/decision/admission). The other requests go to a
 // server (selection.go): in the balancer's own zone up to a small load on each server, then in other zones.
-// At each of these levels, rendezvous hashing of the request's key selects the server. Without a key, or if
-// that server is slow or has no capacity, the next server in weighted round robin that is expected to respond
-// in time gets the request. If no server has capacity, the request waits until the next tick or until another
-// attempt ends.
+// At each step, rendezvous hashing of the request's key selects the server. Without a key, or if that server
+// is slow or has no capacity, the next server in weighted round robin that is expected to respond in time gets
+// the request. If no server has capacity, the request waits until the next tick or until another attempt ends.
 //
 // Every attempt must pass one guard, mayStartAttempt (balancer.go). It checks the class's retry safety, the
 // number of attempts, draining, ejection, slow start and the concurrency limit. Retries and hedged requests
--- a/endpoint_set.go
+++ b/endpoint_set.go
@@ -60,15 +60,14 @@
 	s.sorted = append(s.sorted, added)
 }
 
-// update replaces the entry of a listed server, and reports whether its process has restarted: its start
-// time has changed.
+// update replaces the entry of a listed server, and reports whether its start time shows a restart.
 func (s *endpointSet) update(target *server, entry Endpoint) (restarted bool) {
 	restarted = entry.StartedAt != target.StartedAt
 	target.Endpoint = entry
 	return restarted
 }
 
-// markGone marks the servers that a complete list does not name as gone.
+// markGone marks as gone the servers that a complete list does not name.
 func (s *endpointSet) markGone(named map[ServerID]bool) {
 	for _, target := range s.sorted {
 		if !named[target.ID] {
--- a/groups.go
+++ b/groups.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// updateWeights sets the weights of a group's members by size, slow start and latency, and the group's
-// totals.
+// updateWeights sets the weights of a group's members by size, slow start and latency, and updates
+// warmSize and meanOthers.
 func (b *Balancer) updateWeights(now time.Duration, group *serverGroup) {
 	group.warmSize, group.meanOthers = 0, 0
 	group.lanes.Reset()
--- a/selection.go
+++ b/selection.go
@@ -12,7 +12,7 @@
 	spillerShare           = 0.1  // maxSpillers as a share of all balancers
 	totalInflightBound     = 6.0  // limit on all balancers' requests at a server, per unit of maxLoad
 	totalInflightBoundKey  = 8.0  // absolute limit, if the request's key may be cached there
-	totalInflightBoundLast = 10.0 // absolute limit, if no other server has capacity
+	totalInflightBoundLast = 10.0 // absolute limit, in leastExpectedLatency
 	maxTurnRounds          = 3    // passes over a lane in search of a member with enough credit
 )
 
