--- a/admission.go
+++ b/admission.go
@@ -12,7 +12,8 @@
 // gives up. After a rejection, the client still has time to try elsewhere.
 const queueDivisor = 2
 
-// newRequest opens the record of a request, with its deadlines, expected work, lane and priority.
+// newRequest opens the record of a request and sets its deadlines, expected work, lane and priority. It
+// counts the request against its tenant's quota.
 func (b *Balancer) newRequest(now time.Duration, arrival Request) *openRequest {
 	request := b.requests.add(arrival, &b.settings.Classes[arrival.Class])
 	request.objective = min(now+request.class.LatencyObjective, request.Deadline)
@@ -30,7 +31,7 @@
 	return request
 }
 
-// observeArrival counts a new request in the workload estimates and in the arrivals of its priority band.
+// observeArrival counts a new request in the workload estimates and in the arrived work of its priority band.
 func (b *Balancer) observeArrival(request *openRequest) {
 	expected := workload.Expectation{Work: request.work, Large: request.lane == lanes.Large}
 	b.workload.ObserveArrival(request.CostHint, expected)
@@ -54,14 +55,15 @@
 	return b.admission.QueueTooLong(ahead, b.sendRate.PerSecond(now))
 }
 
-// updateExpectedWork tells admission what work to expect of a request of each class that has no cost hint.
+// updateExpectedWork tells admission, for each class, the expected work of a request without a cost hint.
 func (b *Balancer) updateExpectedWork() {
 	for class := range b.settings.Classes {
 		b.admission.SetExpectedWork(class, b.workload.WithoutHint(class))
 	}
 }
 
-// observeResponse updates the locality's share of late responses, and adjusts the shed share by at most step.
+// observeResponse counts a response in its locality's share of late responses, and adjusts the shed share by
+// at most step.
 func (b *Balancer) observeResponse(step float64, response admission.Response) {
 	response.OnlyLocality = len(b.groups[1-response.Locality].members) == 0
 	b.admission.ObserveResponse(step, response)
--- a/admission_test.go
+++ b/admission_test.go
@@ -62,7 +62,7 @@
 			over++
 		}
 	}
-	if over < 15 || over > 30 { // 40 requests per second, and a quota of 10: this balancer's half of 20
+	if over < 15 || over > 30 { // 40 arrive in 1 s; this balancer's half of the quota is 10 per second
 		t.Errorf("%d of 40 were over the quota", over)
 	}
 	r := b.newRequest(time.Second, Request{ID: 99, Tenant: 1, CostHint: 5})
@@ -72,7 +72,7 @@
 }
 
 // Two classes together send twice as much work as one server completes. If only the priority weight decided,
-// the lower class would get nothing for as long as the overload lasts.
+// the class with the lower weight would get nothing for as long as the overload lasts.
 func TestNoClassStarvesUnderSustainedOverload(t *testing.T) {
 	s := manyBalancersSettings()
 	s.Classes[nonIdempotentClass].PriorityWeight = 3
--- a/attempts_test.go
+++ b/attempts_test.go
@@ -151,7 +151,7 @@
 	}
 	for _, c := range []struct {
 		after         time.Duration // since the start of the first attempt; the deduplication window is 1 s
-		first, second bool          // whether each attempt is allowed
+		first, second bool          // whether the first and the second attempt are allowed
 	}{
 		{900 * ms, true, true},
 		{1050 * ms, true, false},
--- a/balancer.go
+++ b/balancer.go
@@ -23,7 +23,7 @@
 	serversPerTick    = 256  // from this many servers on, not every tick reviews them
 
 	// maxTickInterval bounds the time between ticks if all latency objectives are long. Actions that wait for
-	// a tick, such as the next subscription to the endpoint list, must not be delayed by more.
+	// a tick, such as the next subscription to the endpoint list, must not wait longer.
 	maxTickInterval = 250 * time.Millisecond
 
 	tickToken = 1 // identifies the tick timer in SetTimer and Timer
@@ -37,8 +37,8 @@
 	// lateDivisor sets when a response is late: when its latency (for load shedding) or its queueing delay
 	// (for the lanes) is over half of the objective. This leaves time to act before the objective is missed.
 	lateDivisor = 2
-	// maxNeededDivisor limits the expected time of a request to half of its latency objective. The estimate
-	// comes from other requests; an estimate that is too high must not be enough to reject waiting requests.
+	// maxNeededDivisor limits the expected latency of a waiting request to half of its objective. The
+	// estimate comes from other requests: if it is too high, it must not be enough to reject the request.
 	maxNeededDivisor = 2
 
 	millisecondsPerSecond = 1000
@@ -53,10 +53,10 @@
 	settings          Settings
 	host              Host
 	rng               *rand.Rand
-	started           bool // the first event has been handled
+	started           bool // the first event has arrived
 	tickInterval      time.Duration
 	ticks             int
-	shortestObjective time.Duration // of all classes
+	shortestObjective time.Duration // shortest LatencyObjective of all classes
 
 	// The servers, the groups of servers that may get requests, and the open requests.
 	endpoints   endpointSet
@@ -79,7 +79,7 @@
 	workload           workload.Model
 	latency            latency.Overall
 	laneBalance        lanes.Balance
-	sendRate           estimate.Rate // ms of work sent per second
+	sendRate           estimate.Rate // ms of work per second that this balancer sends to all servers
 	peakCompletionRate loadreport.PeakRate
 
 	subscription subscription.Schedule // to the endpoint list
@@ -139,7 +139,8 @@
 	b.dispatchOrQueue(now, request)
 }
 
-// HandleOutcome handles the end of an attempt. It ignores attempts that are unknown or have already ended.
+// HandleOutcome handles the end of an attempt: it may retry the request or give its final response, and
+// dispatches waiting requests. It ignores attempts that are unknown or have already ended.
 func (b *Balancer) HandleOutcome(now time.Duration, outcome Outcome) {
 	b.ensureStarted(now)
 	request := b.requests.find(outcome.ID)
@@ -155,7 +156,7 @@
 	b.dispatchWaiting(now)
 }
 
-// ClientDisconnected closes a request without a response because its client has disconnected.
+// ClientDisconnected closes a request whose client has disconnected. The request gets no final response.
 func (b *Balancer) ClientDisconnected(now time.Duration, id RequestID) {
 	b.ensureStarted(now)
 	if request := b.requests.find(id); request != nil && !request.done {
@@ -164,7 +165,7 @@
 }
 
 // ResponseStarted records that an attempt's response is being forwarded to the client. From then on, the
-// request is not retried, and none of its attempts is cancelled.
+// request is not retried, and none of its attempts is cancelled. The server counts as responding.
 func (b *Balancer) ResponseStarted(now time.Duration, id RequestID, attemptNumber int) {
 	b.ensureStarted(now)
 	request := b.requests.find(id)
@@ -177,9 +178,9 @@
 	}
 }
 
-// AttemptAllowed reports whether an attempt may still be written now that it has a connection. While it
-// waited for the connection, the request may have got its response, the server may have started to drain, or
-// the class's deduplication window may have closed.
+// AttemptAllowed reports whether an attempt may still be written now that it has a connection. While the
+// attempt waited for the connection, its request may have got the response or passed the deadline, its server
+// may have started to drain, or the class's deduplication window may have closed.
 func (b *Balancer) AttemptAllowed(now time.Duration, id RequestID, attemptNumber int) bool {
 	request := b.requests.find(id)
 	if request == nil || request.done || now >= request.Deadline {
@@ -189,8 +190,9 @@
 	return started != nil && started.server.available() && request.mayWriteAttempt(now, attemptNumber)
 }
 
-// Timer runs a tick: it subscribes to the endpoint list if that is due, and reviews the servers, the load
-// shedding and every open request. It ignores tokens of other timers.
+// Timer runs a tick and sets the timer for the next. A tick subscribes to the endpoint list if that is due,
+// and reviews the servers (in a large fleet only every few ticks), the load shedding and every open request.
+// Timer ignores tokens of other timers.
 func (b *Balancer) Timer(now time.Duration, token uint32) {
 	b.ensureStarted(now)
 	if token != tickToken {
@@ -213,8 +215,8 @@
 	}
 }
 
-// reviewServers ends slow starts and starts health checks that are due. It then rebuilds the groups, and
-// updates the peak completion rate, the concurrency limits and the shares of late responses.
+// reviewServers ends slow starts and starts health checks that are due. It then rebuilds the groups, updates
+// the peak completion rate and the concurrency limits, and lets old shares of late responses decay.
 func (b *Balancer) reviewServers(now time.Duration) {
 	for _, target := range b.endpoints.sorted {
 		b.slowStart.EndIfDue(now, &target.slowStart)
@@ -228,8 +230,8 @@
 	b.admission.ReviewLateness(now)
 }
 
-// reviewRequest dispatches a waiting request if it can. If an attempt is overdue, it ejects silent servers
-// and may start a hedged request.
+// reviewRequest dispatches a waiting request, or gives the final response if the request would wait too long.
+// For a request with an overdue attempt, it ejects silent servers and may start a hedged request.
 func (b *Balancer) reviewRequest(now time.Duration, request *openRequest) {
 	switch {
 	case request.waiting():
@@ -283,7 +285,7 @@
 }
 
 // mayStartAttempt reports whether an attempt of the request may start on the server. Every attempt must pass
-// this guard. AttemptAllowed repeats some of its checks before the attempt is written.
+// this guard. AttemptAllowed repeats some of these checks before the attempt is written.
 func (b *Balancer) mayStartAttempt(now time.Duration, request *openRequest, target *server) bool {
 	limits := &b.settings.Limits
 	if !request.needsResponse() || now >= request.Deadline || len(request.attempts) >= limits.MaxAttempts {
@@ -305,7 +307,8 @@
 	return b.slowStartAllows(now, request, target)
 }
 
-// startAttempt sends the request to the server. The caller has checked mayStartAttempt.
+// startAttempt sends the request to the server and counts the attempt. The caller has checked
+// mayStartAttempt.
 func (b *Balancer) startAttempt(now time.Duration, request *openRequest, target *server) {
 	target.attemptStarted(request.work)
 	target.classFailures.RecordSend(now, request.Class)
@@ -333,7 +336,8 @@
 	return request.objective
 }
 
-// endAttempt records the end of an attempt, and returns the attempt.
+// endAttempt records the end of an attempt and returns the attempt. It takes the attempt off the inflight
+// counts of the request, the server and, if the server was warm, the group's concurrency limit.
 func (b *Balancer) endAttempt(request *openRequest, outcome Outcome) *attempt {
 	ended := request.attemptEnded(outcome.Attempt, outcome.Status)
 	target := ended.server
@@ -344,7 +348,8 @@
 	return ended
 }
 
-// recordOutcome updates the estimates, the server's failure detection and the load shedding.
+// recordOutcome updates the estimates, the lanes, the load shedding and the server's failure detection from
+// the outcome of an attempt. It may eject the server or end its ejection.
 func (b *Balancer) recordOutcome(now time.Duration, request *openRequest, ended *attempt, outcome Outcome) {
 	target := ended.server
 	target.outlier.AttemptEnded()
@@ -357,7 +362,7 @@
 	switch {
 	case outcome.Status == Timeout && serverSilent:
 		// The server has responded to nothing since the attempt was sent. This counts as a late response of
-		// its locality, but is no reason to shed: other servers may be idle.
+		// the server's locality, but is no reason to shed: other servers may be idle.
 		b.admission.ObserveSilence(int(target.locality))
 		b.recordFailure(now, target, outlier.SilentTimeout)
 	case outcome.Status == Timeout:
@@ -380,8 +385,8 @@
 	}
 }
 
-// recordLatency updates the latency estimates from a response or a timeout, and adjusts the lanes and load
-// shedding by whether the response was late.
+// recordLatency updates the latency estimates from a response or a timeout. By whether the response was late,
+// it adjusts the lanes and, if the request was light, load shedding.
 func (b *Balancer) recordLatency(
 	now time.Duration, request *openRequest, target *server, took time.Duration,
 ) {
@@ -400,8 +405,9 @@
 	}
 }
 
-// retryOrRespond retries a request after an attempt has ended, unless the attempt timed out. If there is no
-// retry and no other attempt is in flight, the request gets its final response.
+// retryOrRespond handles a request after one of its attempts has ended. It retries the request if possible,
+// except after a timeout. Without a retry or another attempt in flight, the request gets its final response.
+// If the request is already done, only its record is released, once no attempt is in flight.
 func (b *Balancer) retryOrRespond(now time.Duration, request *openRequest, status Status) {
 	switch {
 	case request.done:
@@ -413,8 +419,8 @@
 	}
 }
 
-// hedge starts another attempt of a request that has an overdue attempt: at most once per request, and never
-// while work is shed.
+// hedge starts another attempt of a request that has an overdue attempt: within the retry budget, at most
+// once per request, and never while work is shed.
 func (b *Balancer) hedge(now time.Duration, request *openRequest) {
 	if !request.hedged && !b.admission.Shedding() && b.mayRetry(now, request) && b.dispatch(now, request) {
 		request.markHedged()
@@ -422,13 +428,14 @@
 	}
 }
 
-// mayRetry reports whether the retry budget allows a retry or hedge and the objective has not passed yet.
+// mayRetry reports whether the retry budget allows a retry or hedge and the request's objective has not
+// passed.
 func (b *Balancer) mayRetry(now time.Duration, request *openRequest) bool {
 	return b.retryBudget.Available() && now < request.objective
 }
 
-// rejectOrFail gives the final response: a rejection if sending the request again is certainly harmless,
-// otherwise a failure.
+// rejectOrFail gives the final response and closes the request. The response is a rejection if sending the
+// request again is certainly harmless, otherwise a failure.
 func (b *Balancer) rejectOrFail(request *openRequest) {
 	if request.repeatIsHarmless() {
 		b.host.Reject(request.ID, b.admission.RetryAfter())
@@ -438,8 +445,8 @@
 	b.closeRequest(request)
 }
 
-// closeRequest closes a request that needs no further response. It cancels the attempts in flight if
-// Limits.CancelAttempts is set and no response is being forwarded.
+// closeRequest marks a request as done, and releases its record if no attempt is in flight. It cancels the
+// attempts in flight if Limits.CancelAttempts is set and no response is being forwarded.
 func (b *Balancer) closeRequest(request *openRequest) {
 	request.markDone()
 	if b.settings.Limits.CancelAttempts && !request.streaming {
--- a/benchmark_test.go
+++ b/benchmark_test.go
@@ -8,8 +8,7 @@
 	"piernotch/internal/decision/estimate"
 )
 
-// benchmarkFleets are the fleet sizes of the benchmarks, in servers. Half of each fleet is in each of two
-// zones.
+// benchmarkFleets are the fleet sizes of the benchmarks, in servers. Each fleet is split evenly over two zones.
 var benchmarkFleets = []int{20, 200, 2000}
 
 // The cost of a request and its outcome must not grow with the size of the fleet.
--- a/class_failures.go
+++ b/class_failures.go
@@ -2,7 +2,7 @@
 
 import "piernotch/internal/decision/classfailure"
 
-// recordClassOutcome updates the share of failures that the server has for the request's class.
+// recordClassOutcome updates the failure share of the request's class on the server.
 func recordClassOutcome(request *openRequest, ended *attempt, outcome Outcome) {
 	ended.server.classFailures.RecordAttempt(request.Class, classfailure.Attempt{
 		Result: classResult(outcome.Status), Latency: outcome.Latency,
@@ -11,7 +11,7 @@
 	})
 }
 
-// classResult returns what the status of an attempt shows about the class on the server, or Other.
+// classResult returns what the status of an attempt shows about the class on the server; Other: nothing.
 func classResult(status Status) classfailure.Result {
 	switch status {
 	case OK:
--- a/concurrency_limits_test.go
+++ b/concurrency_limits_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each of 80 balancers has few requests at a server, so only the server's load report shows that it is
-// overloaded. Once the report is out of date, the server must get requests again.
+// Each of 80 balancers has few requests at a server, so only the server's load report shows the overload. Once
+// the report is out of date, the server must get requests again.
 func TestServerReportingHighLoadIsSkipped(t *testing.T) {
 	b, h := newTestBalancer(t, manyBalancersSettings(), testEndpoints(4, 1))
 	b.LoadReported(time.Second, 2, LoadReport{Inflight: 15, CompletedPerSecond: 20})
--- a/configure.go
+++ b/configure.go
@@ -12,7 +12,8 @@
 // UpdateSettings replaces the settings, also while requests are open. If the new settings cannot be used, it
 // returns a *SettingsError and changes nothing. Classes are identified by index: existing classes keep their
 // index, and new classes are appended. Zones and the number of tenants cannot change. Open requests keep the
-// class settings that they arrived with.
+// class settings that they arrived with. A subscription to the endpoint list that is not due yet may come
+// sooner.
 func (b *Balancer) UpdateSettings(now time.Duration, s Settings) error {
 	if err := s.Validate(); err != nil {
 		return err
@@ -61,8 +62,8 @@
 	b.updateExpectedWork()
 }
 
-// admissionOptions returns the options of admission. The shortest objective and the tick interval must be up
-// to date.
+// admissionOptions returns the options of admission from the settings. shortestObjective and tickInterval
+// must have been updated before the call.
 func (b *Balancer) admissionOptions() admission.Options {
 	s := &b.settings
 	options := admission.Options{
--- a/endpoint_set.go
+++ b/endpoint_set.go
@@ -23,8 +23,8 @@
 
 const localityCount = 2
 
-// endpointSet holds the listed servers, the servers that operators exclude, and the peak size of each
-// locality. Only its methods change it.
+// endpointSet holds the listed servers, the servers that operators exclude, the paths to the zones, and the
+// peak size of each locality. Only its methods change these fields.
 type endpointSet struct {
 	ownZone  int
 	byID     map[ServerID]*server
@@ -76,8 +76,8 @@
 	}
 }
 
-// finishUpdate removes the servers that are gone and sorts the others. It must follow each update of the
-// list.
+// finishUpdate removes the servers that are gone, updates the peak sizes and sorts the other servers. It must
+// be called after each update of the list.
 func (s *endpointSet) finishUpdate() {
 	s.sorted = slices.DeleteFunc(s.sorted, func(target *server) bool {
 		if target.State != Gone {
@@ -126,10 +126,10 @@
 type server struct {
 	Endpoint
 	excluded       bool   // by operators
-	idHash         uint64 // for slow start draws
+	idHash         uint64 // hash of the ID, for slow start draws
 	locality       locality
 	spillRank      float64       // random in [0, 1), for the spill limit and the slow start draws
-	path           *latency.Path // to its zone
+	path           *latency.Path // network path to its zone
 	member         lanes.Member  // of its locality's group
 	inflight       int           // this balancer's attempts in flight
 	backlog        float64       // expected work of the attempts in flight, ms
@@ -150,7 +150,7 @@
 	target.backlog += work
 }
 
-// attemptEnded takes back the counts of attemptStarted.
+// attemptEnded removes an attempt, and its expected work in ms, from the counts.
 func (target *server) attemptEnded(work float64) {
 	target.inflight--
 	target.backlog = max(target.backlog-work, 0)
--- a/endpoints.go
+++ b/endpoints.go
@@ -9,7 +9,9 @@
 	"piernotch/internal/decision/lanes"
 )
 
-// UpdateEndpoints applies an update of the endpoint list. A size that is not positive and finite counts as 1.
+// UpdateEndpoints applies an update of the endpoint list. UpdateFailed leaves the list as it is. With
+// Settings.PollDiscovery, the Balancer then subscribes again after a backoff. A size that is NaN, infinite or
+// not positive counts as 1.
 func (b *Balancer) UpdateEndpoints(now time.Duration, kind UpdateKind, entries []Endpoint) {
 	b.ensureStarted(now)
 	if kind == UpdateFailed {
@@ -32,7 +34,7 @@
 }
 
 // applyEndpoint adds or updates one server. A changed start time means a new process, which has no failures
-// yet.
+// yet. A new server or process is in slow start if it started recently.
 func (b *Balancer) applyEndpoint(now time.Duration, entry Endpoint) {
 	sizeUsable := entry.Size > 0 && !math.IsInf(entry.Size, 0)
 	if !sizeUsable {
@@ -72,9 +74,9 @@
 	}
 }
 
-// Include ends an exclusion; since is the clock time at which the operators ended it. Operators exclude
-// servers to restart them, and the list may not show the restart yet. Slow start therefore counts from since,
-// or from a later start time in the list.
+// Include ends the exclusion of a server, and its ejection if it was ejected; since is the clock time at
+// which the operators ended the exclusion. Operators exclude servers to restart them, and the list may not
+// show the restart yet. Slow start therefore counts from since, or from a later start time in the list.
 func (b *Balancer) Include(now time.Duration, id ServerID, since time.Duration) {
 	b.ensureStarted(now)
 	target := b.endpoints.include(id)
--- a/exclusion_test.go
+++ b/exclusion_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An excluded server must get no requests, whatever the endpoint list says about it. After its inclusion it
-// is in slow start, like a server that has just started, and gets requests again within seconds.
+// An excluded server must get no requests, whatever the endpoint list says about it. After its inclusion, the
+// server is in slow start, as if it had just started, and gets requests again within seconds.
 func TestExcludedServerReceivesNoRequests(t *testing.T) {
 	s := testSettings()
 	list := testEndpoints(2, 1)
--- a/groups.go
+++ b/groups.go
@@ -13,7 +13,8 @@
 // are enough to protect the servers.
 const fewBalancersPerZone = 4.0
 
-// manyBalancers reports whether there are more than fewBalancersPerZone balancers per zone.
+// manyBalancers reports whether there are more than fewBalancersPerZone balancers per zone. Limits on each
+// balancer's own requests are then not enough to protect the servers.
 func (b *Balancer) manyBalancers() bool {
 	return float64(b.settings.BalancerCount) > fewBalancersPerZone*float64(len(b.settings.Zones))
 }
@@ -24,11 +25,11 @@
 	lanes    lanes.Group // of the members, in the same order
 	warmSize float64     // sum of the sizes of the warm members
 
-	sendRate estimate.Rate // ms of work sent to the warm members per second
+	sendRate estimate.Rate // ms of work per second that this balancer sends to warm members
 	latency  latency.Group
 
 	concurrency concurrency.Limit // on this balancer's attempts at warm members
-	meanOthers  float64           // mean number of other balancers' requests at a member
+	meanOthers  float64           // mean number of other balancers' requests at a member, from load reports
 }
 
 // rebuildGroups assigns the servers that may get requests to their groups, and updates weights and lanes.
@@ -67,8 +68,8 @@
 }
 
 // adjustConcurrencyLimit adjusts the limit on this balancer's requests in a group to keep the mean number of
-// all balancers' requests at its servers near a target. There is no limit if that mean is unknown or if there
-// are few balancers.
+// all balancers' requests at a warm member near a target. There is no limit if that mean is unknown or if
+// there are few balancers.
 func (b *Balancer) adjustConcurrencyLimit(now time.Duration, group *serverGroup) {
 	meanInflight, known := b.meanInflight(now, group)
 	if known && b.manyBalancers() {
--- a/latencies.go
+++ b/latencies.go
@@ -6,9 +6,9 @@
 	"piernotch/internal/decision/latency"
 )
 
-// observeLatency updates the latency estimates (overall and of the group, the server and the path to it) from
-// one response. It returns the response's queueing delay in ms: its latency beyond the request's work, at
-// most the objective.
+// observeLatency updates the latency estimates (overall, of the group, of the server and of the path to its
+// zone) from one response or timeout. It returns the queueing delay in ms: the latency beyond the request's
+// work, at most the objective.
 func (b *Balancer) observeLatency(
 	request *openRequest, target *server, took time.Duration,
 ) (queueing float64) {
@@ -22,8 +22,9 @@
 	})
 }
 
-// expectedLatency returns the expected latency of the request at the server, in ms. It is estimated from this
-// balancer's own requests there and, with many balancers, also from load reports; the larger value counts.
+// expectedLatency returns the expected latency of the request at the server, in ms. The estimate comes from
+// this balancer's own requests there. With many balancers, a second estimate comes from a fresh load report,
+// and the larger of the two counts.
 func (b *Balancer) expectedLatency(now time.Duration, request *openRequest, target *server) float64 {
 	ms := target.latency.Expected(target.backlog+request.work, &b.latency)
 	reports := &target.reports
@@ -34,7 +35,8 @@
 	return ms
 }
 
-// silenceTimeout returns the time after which a request of that work, in ms, is overdue in the group.
+// silenceTimeout returns the time after which an attempt with that work, in ms, is overdue at a server of the
+// group.
 func (b *Balancer) silenceTimeout(group *serverGroup, work float64) time.Duration {
 	return group.latency.SilenceTimeout(work, b.shortestObjective)
 }
--- a/latencies_test.go
+++ b/latencies_test.go
@@ -7,7 +7,7 @@
 )
 
 // Regression: where the transit to a zone takes far longer than the work, most requests in flight are in
-// transit. A limit on all requests in flight left the servers there idle while requests were rejected.
+// transit. A limit on all requests in flight left the servers of that zone idle while requests were rejected.
 func TestEffectiveLoadExcludesRequestsInTransit(t *testing.T) {
 	set := testSettings()
 	set.BalancerCount = 4
--- a/layers_test.go
+++ b/layers_test.go
@@ -18,7 +18,7 @@
 
 // componentLayers lists the components of the decision module in dependency order, each with the components
 // that it imports. A component may import only components that are listed before it. The root package imports
-// the components; none imports the root. docs/design/decisions.md shows the same list.
+// the components; no component imports the root. docs/design/decisions.md shows the same list.
 var componentLayers = []struct {
 	name    string
 	imports []string
@@ -54,7 +54,7 @@
 	}
 }
 
-// componentImports returns the components that a component imports, sorted. Any other import from outside the
+// componentImports returns the other components that a component imports, sorted. Any other import from outside the
 // standard library fails the test.
 func componentImports(t *testing.T, component string) []string {
 	t.Helper()
--- a/load_reports.go
+++ b/load_reports.go
@@ -14,15 +14,16 @@
 	}
 }
 
-// totalInflightReaches reports whether the requests of all balancers at a server, by its load reports, reach
-// the limit. With many balancers, a limit on each balancer's own requests would not limit the sum.
+// totalInflightReaches reports whether the number of all balancers' requests at a server, estimated from its
+// load reports, reaches the limit. With many balancers, a limit on each balancer's own requests would not
+// limit the sum.
 func (b *Balancer) totalInflightReaches(now time.Duration, target *server, limit float64) bool {
 	meanOthers := b.groups[target.locality].meanOthers
 	return target.reports.TotalInflight(now, meanOthers, target.inflight) >= limit
 }
 
-// sendersTo returns how many balancers send to the server, assuming that they are spread evenly over the
-// zones.
+// sendersTo returns how many balancers send to the server: all if it is in another zone, otherwise those of
+// this zone, assuming that balancers are spread evenly over the zones.
 func (b *Balancer) sendersTo(target *server) float64 {
 	if target.locality == remoteZones {
 		return float64(b.settings.BalancerCount)
@@ -43,8 +44,9 @@
 }
 
 // meanInflight returns the mean number of requests of all balancers at a warm member of the group, from fresh
-// load reports; known is false without any. If no server has ever reported, the latency per ms of work
-// replaces the mean: a response that takes twice as long as its work has waited behind as much work.
+// load reports. If there are none, and no server has ever reported a completion rate, the latency per ms of
+// work replaces the mean: a response that takes twice as long as its work has waited behind an equal amount
+// of work. known is false if neither is available.
 func (b *Balancer) meanInflight(now time.Duration, group *serverGroup) (inflight float64, known bool) {
 	var mean loadreport.GroupMean
 	for _, target := range group.members {
--- a/outlier_ejection.go
+++ b/outlier_ejection.go
@@ -33,7 +33,8 @@
 }
 
 // eject removes a server from its group for a pause. The pause is a multiple of the silence timeout, or of
-// the shortest latency objective if that is longer, and doubles with each ejection in a row up to a limit.
+// the shortest latency objective if that is longer. It doubles with each ejection in a row up to a limit, and
+// has jitter.
 func (b *Balancer) eject(now time.Duration, target *server) {
 	basePause := max(b.silenceTimeout(&b.groups[target.locality], b.workload.Mean()), b.shortestObjective)
 	target.outlier.Eject(now, basePause, b.rng)
@@ -44,7 +45,8 @@
 	return outlier.Options{HealthChecks: b.settings.Limits.HealthChecks}
 }
 
-// startHealthCheckIfDue starts the health check that an ejected server must pass before its trial.
+// startHealthCheckIfDue starts the health check that an ejected server must pass after its pause and before
+// its trial, if Limits.HealthChecks is set.
 func (b *Balancer) startHealthCheckIfDue(now time.Duration, target *server) {
 	mayBeDue := target.outlier.Ejected() && target.available()
 	if mayBeDue && target.outlier.StartHealthCheckIfDue(now, b.outlierOptions()) {
@@ -53,7 +55,7 @@
 }
 
 // HealthCheckCompleted handles the result of a health check. OK allows the trial; any other status ejects the
-// server again.
+// server again. It ignores a result if no health check of the server was in flight.
 func (b *Balancer) HealthCheckCompleted(now time.Duration, id ServerID, status Status) {
 	b.ensureStarted(now)
 	target := b.endpoints.find(id)
@@ -78,8 +80,9 @@
 	return outlier.HealthCheckFailed
 }
 
-// recordGoodResponse ends an ejection. If the server's process may have been replaced, the server is in slow
-// start until the endpoint list has had time to show a restart. Otherwise its slow start does not change.
+// recordGoodResponse ends a row of failures and an ejection. If failed connections suggest that the server's
+// process was replaced, the server is in slow start until the endpoint list has had time to show a restart.
+// Otherwise its slow start does not change.
 func (b *Balancer) recordGoodResponse(now time.Duration, target *server) {
 	recovery := target.outlier.RecordGoodResponse()
 	if recovery == outlier.NotEjected {
--- a/outlier_ejection_test.go
+++ b/outlier_ejection_test.go
@@ -115,7 +115,7 @@
 }
 
 // Regression: a server that rejects everything is idle and responds at once, so it kept getting requests. Its
-// rejections counted as late responses of the whole fleet.
+// rejections also counted as slow responses in the latency estimates of the whole fleet.
 func TestServerRejectingAllRequestsIsEjected(t *testing.T) {
 	b, h := newTestBalancer(t, manyBalancersSettings(), testEndpoints(6, 1))
 	fillRetryBudget(b)
--- a/piernotch.go
+++ b/piernotch.go
@@ -41,7 +41,7 @@
 	DedupWindow      time.Duration // for IdempotencyKey only: time for which repeats are discarded
 }
 
-// Tenant is a customer. Its requests lose priority while it is over its quota.
+// Tenant is a customer. Requests over its quota lose priority.
 type Tenant struct {
 	Name        string
 	QuotaPerSec float64 // requests per second, over all balancers; 0: unlimited
@@ -51,7 +51,7 @@
 type Limits struct {
 	MaxAttempts    int           // attempts per request, including the first; at least 1
 	HedgedRequests bool          // two attempts of a request may be in flight at once
-	CancelAttempts bool          // attempts in flight are cancelled when their request is done
+	CancelAttempts bool          // attempts in flight are cancelled when their client disconnects
 	HealthChecks   bool          // an ejected server must pass a health check before its trial
 	RetryAfter     bool          // rejections advise when to try again, while work is shed
 	MaxRetryAfter  time.Duration // upper bound on the advised delay
@@ -59,7 +59,7 @@
 
 // Rules holds the parameters of discovery and slow start.
 type Rules struct {
-	PollInterval      time.Duration // longest time between polls, if discovery has to be polled
+	PollInterval      time.Duration // if discovery has to be polled: longest time between polls; sets the first backoff
 	SlowStartCapacity float64       // share of its capacity that a server has right after its start, in [0, 1]
 	SlowStartDuration time.Duration // time from a server's start until it has its full capacity
 	OverloadWindow    time.Duration // a server in slow start fails if overloaded for this long; 0: unknown
@@ -125,7 +125,7 @@
 // Status says how an attempt or a health check ended.
 type Status uint8
 
-// The values of Status, in the order of statuses.
+// The values of Status. Their order must match the names in the variable statuses.
 const (
 	OK            Status = iota // a response that the host counts as successful
 	Error                       // any other response, including a malformed one
@@ -150,7 +150,7 @@
 // Outcome describes how one attempt ended.
 type Outcome struct {
 	ID          RequestID
-	Attempt     int // number of the attempt: the first of a request is 0
+	Attempt     int // attempt number: the attempts of a request count from 0, in sending order
 	Server      ServerID
 	Status      Status
 	Latency     time.Duration // from the start of the attempt
@@ -164,9 +164,9 @@
 	CompletedPerSecond float64 // requests completed per second; 0: unknown
 }
 
-// Host carries out a Balancer's decisions, in the order of the calls. The Balancer calls it on the goroutine
-// that delivers an event, before the event's method returns. A Host must not call the Balancer during such a
-// call.
+// Host carries out a Balancer's decisions, in the order of the calls. The Balancer calls its Host on the
+// goroutine that delivers an event, before the event's method returns. The Host must not call the Balancer
+// during such a call.
 type Host interface {
 	// StartAttempt starts the next attempt of a request. The attempt must end with an Outcome, after timeout
 	// at the latest; a timeout of 0 means the client's deadline.
--- a/policy_size_test.go
+++ b/policy_size_test.go
@@ -17,7 +17,8 @@
 	maxPolicyLineWidth = 110 // in characters; a tab counts as four
 )
 
-// rootFilesThatDoNotDecide lists the files at the root that make no decisions. All others do.
+// rootFilesThatDoNotDecide lists the files at the root that make no decisions. All other root files do, except
+// for tests.
 var rootFilesThatDoNotDecide = []string{
 	"doc.go",        // package comment
 	"piernotch.go",  // types of the public interface
--- a/requests.go
+++ b/requests.go
@@ -77,8 +77,8 @@
 	status Status // valid once ended
 }
 
-// mayHaveExecuted reports whether the server may have executed the attempt: it is in flight, or its status
-// does not rule it out.
+// mayHaveExecuted reports whether the server may have executed the attempt: the attempt is in flight, or its
+// status does not rule out execution.
 func (a *attempt) mayHaveExecuted() bool { return !a.ended || !a.status.NeverExecuted() }
 
 // place returns the request's place in the order of dispatch, for admission.Controller.Precedes.
@@ -86,8 +86,8 @@
 	return admission.Place{Band: r.priority, Arrival: uint64(r.ID)}
 }
 
-// waiting reports whether the request waits to be dispatched: it needs a response and has no attempt in
-// flight.
+// waiting reports whether the request waits to be dispatched: it needs a response, none is being forwarded,
+// and no attempt is in flight.
 func (r *openRequest) waiting() bool { return !r.done && !r.streaming && r.inflight == 0 }
 
 // needsResponse reports whether the request still needs a response and none is being forwarded.
@@ -120,7 +120,7 @@
 	return &r.attempts[attemptNumber]
 }
 
-// findOpenAttempt returns the attempt with that number, or nil if there is none or it has ended.
+// findOpenAttempt returns the attempt with that number, or nil if there is no such attempt or it has ended.
 func (r *openRequest) findOpenAttempt(attemptNumber int) *attempt {
 	found := r.findAttempt(attemptNumber)
 	if found == nil || found.ended {
--- a/selection.go
+++ b/selection.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	objectiveShare         = 0.9  // the expected latency must be within this share of the time left
-	minSpillers            = 3.0  // lower limit of Balancer.maxSpillers
-	spillerShare           = 0.1  // maxSpillers as a share of all balancers
+	objectiveShare         = 0.9  // limit on the expected latency, as a share of the time to the objective
+	minSpillers            = 3.0  // at least this many balancers may spill to a server (Balancer.maxSpillers)
+	spillerShare           = 0.1  // the same as a share of all balancers; the larger number counts
 	totalInflightBound     = 6.0  // limit on all balancers' requests at a server, per unit of maxLoad
-	totalInflightBoundKey  = 8.0  // absolute limit, if the request's key may be cached there
-	totalInflightBoundLast = 10.0 // absolute limit, in leastExpectedLatency
+	totalInflightBoundKey  = 8.0  // limit regardless of maxLoad, at the server that may have the key cached
+	totalInflightBoundLast = 10.0 // limit regardless of maxLoad, in leastExpectedLatency
 	maxTurnRounds          = 3    // passes over a lane in search of a member with enough credit
 )
 
 // Load limits of the selection levels. A server may get a request while its load is below the limit. The load
-// is the number of this balancer's requests there, without those in transit.
+// is the number of this balancer's requests at the server, without those in transit.
 const (
-	idleLoad = 1.0 // the server has no request
+	idleLoad = 1.0 // none of this balancer's requests is at the server
 	// lightLoad allows a second request, which keeps the server from idling when the first ends.
 	lightLoad = 2.0
 )
@@ -27,7 +27,7 @@
 // selectionLevel is the group of a locality and the load below which its members may get a request.
 type selectionLevel struct {
 	locality locality
-	maxLoad  float64 // exclusive
+	maxLoad  float64 // exclusive limit on the effective load
 }
 
 // selectionLevels returns the levels in the order in which they are tried: the own zone up to a small load,
@@ -72,7 +72,7 @@
 	return b.leastExpectedLatency(now, request)
 }
 
-// weightedRoundRobin returns the next server of the lane that can serve the request in time, or nil. A server
+// weightedRoundRobin returns the lane's next server that can serve the request in time, or nil. A server
 // with a lower weight misses some of its turns. A server without capacity misses all of them; these turns are
 // neither given to its neighbour nor made up for later.
 func (b *Balancer) weightedRoundRobin(search laneSearch) *server {
@@ -99,7 +99,7 @@
 
 // rendezvousPick returns the server that probably has the request's key cached. Rendezvous hashing needs only
 // the key and the server IDs, so that all balancers agree on the server. The result is nil if there is no
-// key, or if that server is slow or has no capacity.
+// key, or if that server is slow, has no capacity or is not expected to respond in time.
 func (b *Balancer) rendezvousPick(search laneSearch) *server {
 	if !b.settings.KeyAffinity || search.request.Key == 0 {
 		return nil
@@ -143,8 +143,8 @@
 		!request.attemptedOn(target) && b.mayStartAttempt(now, request, target)
 }
 
-// hasCapacity reports whether the server can take another request: this balancer may send to it, and the load
-// from this balancer and the requests of all balancers are below their limits.
+// hasCapacity reports whether the server can take another request: the load from this balancer is below
+// maxLoad, the number of all balancers' requests is below maxTotal, and spillForbidden is false.
 func (b *Balancer) hasCapacity(now time.Duration, target *server, maxLoad, maxTotal float64) bool {
 	return b.effectiveLoad(target) < maxLoad && !b.spillForbidden(target) &&
 		!b.totalInflightReaches(now, target, maxTotal)
@@ -162,7 +162,8 @@
 	return !b.failsClass(now, request, target) && b.expectedLatency(now, request, target) <= left
 }
 
-// spills reports whether a request to the server leaves this balancer's zone although that zone has servers.
+// spills reports whether a request to the server leaves this balancer's zone although servers in that zone
+// may get requests.
 func (b *Balancer) spills(target *server) bool {
 	return target.locality == remoteZones && len(b.groups[localZone].members) > 0
 }
--- a/selection_test.go
+++ b/selection_test.go
@@ -135,7 +135,7 @@
 func TestHeavyRequestsGoToFastEnoughServer(t *testing.T) {
 	b, h := newTestBalancer(t, testSettings(), testEndpoints(4, 1))
 	setMeanWork(t, b, 10)
-	for _, to := range b.endpoints.sorted { // latency: three times the work, on server 3 half of it
+	for _, to := range b.endpoints.sorted { // latency: three times the work; on server 3, half of the work
 		took := 30 * ms
 		if to.ID == 3 {
 			took = 5 * ms
--- a/settings.go
+++ b/settings.go
@@ -5,7 +5,7 @@
 // SettingsError reports a setting that cannot be used.
 type SettingsError struct {
 	Setting string // field of Settings, such as "Limits.MaxAttempts" or "Classes[1]"
-	Problem string // what is wrong with it, in most cases with the value
+	Problem string // what is wrong with the setting; includes the value in most cases
 }
 
 // Error returns "settings: " and the problem, which names the setting as operators know it.
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// validate checks the class at index i of Settings.Classes.
+// validate returns a *SettingsError if the class, at index i of Settings.Classes, cannot be used.
 func (c Class) validate(i int) error {
 	setting := fmt.Sprintf("Classes[%d]", i)
 	if c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.DedupWindow < 0 {
--- a/slow_start.go
+++ b/slow_start.go
@@ -6,12 +6,13 @@
 	"piernotch/internal/decision/slowstart"
 )
 
-// slowStartWindows is the number of draw windows within the overload window: enough that the requests which
-// balancers draw in one window are only a small part of what overloads a server.
+// slowStartWindows is the number of draw windows within the overload window. With so many, the requests that
+// all balancers may send in one window are only a small part of what overloads a server.
 const slowStartWindows = 8
 
-// newSlowStart returns the slow start controller for the settings. If there are many balancers, each of them
-// decides by a random draw per window whether it may send to a server in slow start.
+// newSlowStart returns the slow start controller for the settings. If there are many balancers and the
+// overload window is known, each balancer draws at random, per window, whether it may send to a server in
+// slow start.
 func (b *Balancer) newSlowStart() slowstart.Controller {
 	rules := b.settings.Rules
 	options := slowstart.Options{
@@ -23,22 +24,23 @@
 	return slowstart.NewController(options)
 }
 
-// slowStartIfRecent starts the slow start of a server whose start time in the list is recent.
+// slowStartIfRecent starts the slow start of a server if, according to the list, it started less than
+// Rules.SlowStartDuration ago.
 func (b *Balancer) slowStartIfRecent(now time.Duration, target *server) {
 	if target.StartedAt > 0 && b.slowStart.Covers(now, target.StartedAt) {
 		b.startSlowStart(now, target, target.StartedAt)
 	}
 }
 
-// startSlowStart starts a slow start that counts from the clock time since. The mean latency of the previous
-// process no longer applies.
+// startSlowStart starts a slow start that counts from the clock time since. It drops the server's mean
+// latency, which is that of the previous process.
 func (b *Balancer) startSlowStart(now time.Duration, target *server, since time.Duration) {
 	target.latency.ForgetMean()
 	b.slowStart.Start(now, since, &target.slowStart, b.slowStartLoad(now, target), b.rng)
 }
 
-// assumeRestart starts a slow start because the server may have restarted. The slow start ends early
-// unless the endpoint list shows a restart.
+// assumeRestart starts a slow start as startSlowStart does, because the server may have restarted. This slow
+// start ends early unless the endpoint list shows a restart.
 func (b *Balancer) assumeRestart(now time.Duration, target *server) {
 	target.latency.ForgetMean()
 	b.slowStart.Assume(now, &target.slowStart, b.slowStartLoad(now, target), b.rng)
@@ -66,8 +68,8 @@
 	return b.settings.BalancerCount < len(b.settings.Zones)
 }
 
-// slowStartLoad returns what decides how much a server in slow start may get: the work that warm servers get
-// and complete, and the server's own load report.
+// slowStartLoad returns the figures that decide how much work a server in slow start may get: what warm
+// servers get and complete, how many balancers send to the server, its size and its last load report.
 func (b *Balancer) slowStartLoad(now time.Duration, target *server) slowstart.Load {
 	reports := &target.reports
 	load := slowstart.Load{
@@ -89,8 +91,9 @@
 
 // warmSendRate returns the work per second, in ms, that this balancer sends to a warm server of size 1.
 // Arriving work is not used, because client retries can make it a multiple of any capacity. If few warm
-// servers are left in a group, they may be overloaded, so they count as at least half of its peak size. The
-// result is the greatest of both groups' rates and the mean rate over all servers.
+// servers are left in a group, they may be overloaded, so they count as at least half of the group's peak
+// size. The result is the greatest of both groups' rates and the mean rate over all servers. If no server is
+// warm, only the mean rate counts.
 func (b *Balancer) warmSendRate(now time.Duration) float64 {
 	most := 0.0
 	for i := range b.groups {
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -44,14 +44,14 @@
 	}
 }
 
-// allowedInterval returns the time between requests of mean work that b may send to a server in slow start.
+// allowedInterval returns the time between requests of mean work at the rate that b may send to the server.
 func allowedInterval(b *Balancer, now time.Duration, target *server) time.Duration {
 	rate := b.slowStart.AllowedRate(now, &target.slowStart, b.slowStartLoad(now, target))
 	return time.Duration(b.workload.Mean() / rate * float64(time.Second))
 }
 
 // If all other servers leave a zone, the zone must not be mistaken for a small zone: the rate allowed to its
-// last server, which is in slow start, would rise.
+// last server, which is in slow start, would otherwise rise.
 func TestSlowStartRateDoesNotGrowWhenEndpointsLeave(t *testing.T) {
 	list := testEndpoints(4, 2)
 	list[0].StartedAt = 900 * ms
@@ -70,8 +70,8 @@
 	}
 }
 
-// When a zone fails and returns in slow start, the rate that this balancer sends has fallen with the fleet.
-// The completion rate that warm servers reported has not, so it must decide the allowed rate.
+// When a zone fails and returns in slow start, the rate at which this balancer sends has fallen with the fleet.
+// The completion rate that warm servers reported has not fallen, so it must decide the allowed rate.
 func TestSlowStartRateFollowsReportedCompletionRate(t *testing.T) {
 	interval := func(report bool) time.Duration {
 		b, _ := newTestBalancer(t, manyBalancersSettings(), testEndpoints(4, 2))
@@ -93,8 +93,8 @@
 	require.Greater(t, interval(false), interval(true))
 }
 
-// A server that works warms up sooner than Rules.SlowStartDuration. It may therefore get more work if its
-// load report shows that it is idle.
+// A server warms up by working, and may be warm before Rules.SlowStartDuration is over. It may therefore get
+// more work if its load report shows that it is idle.
 func TestIdleServerInSlowStartGetsMore(t *testing.T) {
 	b, _ := newTestBalancer(t, manyBalancersSettings(), testEndpoints(2, 1))
 	setMeanWork(t, b, 25)
@@ -108,8 +108,8 @@
 	require.Less(t, allowedInterval(b, time.Second, to), interval)
 }
 
-// While balancers are idle, they do not use what they may send to a server in slow start. If they could save
-// it up, many balancers would overload the server at the moment at which all of them get busy.
+// An idle balancer sends less to a server in slow start than it is allowed to. If balancers could save up unused
+// sends, many of them would overload the server at the moment at which all get busy.
 func TestSlowStartDrawPreventsOverloadByManyBalancers(t *testing.T) {
 	s := manyBalancersSettings()
 	s.Rules.OverloadWindow = 2 * time.Second
