--- a/balancer.go
+++ b/balancer.go
@@ -385,8 +385,8 @@
 	}
 }
 
-// recordLatency updates the latency estimates from a response or a timeout. By whether the response was late,
-// it adjusts the lanes and, if the request was light, load shedding.
+// recordLatency updates the latency estimates from a response or a timeout. Depending on whether the response
+// was late, it adjusts the lanes and, for a light request, load shedding.
 func (b *Balancer) recordLatency(
 	now time.Duration, request *openRequest, target *server, took time.Duration,
 ) {
@@ -405,9 +405,9 @@
 	}
 }
 
-// retryOrRespond handles a request after one of its attempts has ended. It retries the request if possible,
-// except after a timeout. Without a retry or another attempt in flight, the request gets its final response.
-// If the request is already done, only its record is released, once no attempt is in flight.
+// retryOrRespond retries a request after one of its attempts has ended, if possible and unless that attempt
+// timed out. Without a retry or another attempt in flight, the request gets its final response. A request
+// that is already done is only released.
 func (b *Balancer) retryOrRespond(now time.Duration, request *openRequest, status Status) {
 	switch {
 	case request.done:
--- a/class_failures.go
+++ b/class_failures.go
@@ -11,7 +11,7 @@
 	})
 }
 
-// classResult returns what the status of an attempt shows about the class on the server; Other: nothing.
+// classResult returns what the status of an attempt shows about the class on the server. Other means nothing.
 func classResult(status Status) classfailure.Result {
 	switch status {
 	case OK:
--- a/doc.go
+++ b/doc.go
@@ -17,13 +17,13 @@
 // # Life of a request
 //
 // On arrival, a request gets a priority band (its class, within or over its tenant's quota) and a lane (its
-// cost hint, above the median or not). While responses are late both in the balancer's own zone and in the
-// other zones, part of the work is rejected on arrival, lowest precedence first (internal/decision/admission).
-// The other requests go to a server (selection.go): in the own zone up to a small load on each server, then in
-// other zones. At each step, rendezvous hashing of the request's key selects the server. Without a key, or if
-// that server is slow, has no capacity or is not expected to respond in time, weighted round robin selects the
-// next server that has capacity and is expected to respond in time. If no server can take the request, the
-// request waits until the next tick or until another attempt ends; if it would wait too long, it is rejected.
+// cost hint, above the median or not). While responses are late in and outside the balancer's own zone, part of
+// the work is rejected on arrival, lowest precedence first (internal/decision/admission). The other requests go
+// to a server (selection.go): in the own zone up to a small load on each server, then in other zones. At each
+// step, rendezvous hashing of the request's key selects the server. Without a key, or if that server is slow, has
+// no capacity or is not expected to respond in time, the next server in weighted round robin that can respond in
+// time gets the request. If no server can take the request, the request waits until the next tick or until
+// another attempt ends. If it would wait too long, it gets a Reject or a Fail.
 //
 // Every attempt must pass one guard, mayStartAttempt (balancer.go). It checks the class's retry safety, the
 // number of attempts, draining, exclusion, ejection, slow start and the concurrency limit. Retries and hedged
--- a/endpoint_set.go
+++ b/endpoint_set.go
@@ -18,7 +18,7 @@
 
 const (
 	localZone   locality = iota
-	remoteZones          // all zones but the balancer's
+	remoteZones          // all zones but the balancer's own
 )
 
 const localityCount = 2
@@ -91,7 +91,7 @@
 }
 
 // updatePeakSizes updates the peak size of each locality. If a zone loses all servers except one in slow
-// start, it must not be mistaken for a small zone: the remaining server would get too much work.
+// start, the zone must not be mistaken for a small one: the remaining server would get too much work.
 func (s *endpointSet) updatePeakSizes() {
 	var size [localityCount]float64
 	for _, target := range s.sorted {
--- a/endpoints.go
+++ b/endpoints.go
@@ -9,9 +9,9 @@
 	"piernotch/internal/decision/lanes"
 )
 
-// UpdateEndpoints applies an update of the endpoint list. UpdateFailed leaves the list as it is. With
-// Settings.PollDiscovery, the Balancer then subscribes again after a backoff. A size that is NaN, infinite or
-// not positive counts as 1.
+// UpdateEndpoints applies an update of the endpoint list. UpdateFailed leaves the list as it is and, with
+// Settings.PollDiscovery, leads to another subscription after a backoff. A size that is NaN, infinite or not
+// positive counts as 1.
 func (b *Balancer) UpdateEndpoints(now time.Duration, kind UpdateKind, entries []Endpoint) {
 	b.ensureStarted(now)
 	if kind == UpdateFailed {
@@ -74,9 +74,9 @@
 	}
 }
 
-// Include ends the exclusion of a server, and its ejection if it was ejected; since is the clock time at
-// which the operators ended the exclusion. Operators exclude servers to restart them, and the list may not
-// show the restart yet. Slow start therefore counts from since, or from a later start time in the list.
+// Include ends the exclusion and any ejection of a server; since is the clock time at which the operators
+// ended the exclusion. Operators exclude servers to restart them, and the list may not show the restart yet.
+// Slow start therefore counts from since, or from a later start time in the list.
 func (b *Balancer) Include(now time.Duration, id ServerID, since time.Duration) {
 	b.ensureStarted(now)
 	target := b.endpoints.include(id)
--- a/groups.go
+++ b/groups.go
@@ -13,8 +13,8 @@
 // are enough to protect the servers.
 const fewBalancersPerZone = 4.0
 
-// manyBalancers reports whether there are more than fewBalancersPerZone balancers per zone. Limits on each
-// balancer's own requests are then not enough to protect the servers.
+// manyBalancers reports whether there are too many balancers per zone for limits on each balancer's own
+// requests to protect the servers.
 func (b *Balancer) manyBalancers() bool {
 	return float64(b.settings.BalancerCount) > fewBalancersPerZone*float64(len(b.settings.Zones))
 }
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -63,7 +63,8 @@
 	nonIdempotentClass
 )
 
-// testSettings returns settings with two zones, two balancers and a class for each retry safety and scope.
+// testSettings returns settings with two zones, two balancers, and a class for each retry safety and
+// deduplication scope.
 func testSettings() Settings {
 	class := func(safety RetrySafety, scope DedupScope) Class {
 		return Class{
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -130,7 +130,7 @@
 }
 
 // timeOutOverdue times out the attempts in flight past their request's deadline, and returns the requests that
-// are still open. A request without a response more than 20 ms after its deadline is a violation.
+// are still open. A request that has no response 20 ms after its deadline is a violation.
 func (c *invariantChecker) timeOutOverdue(b *Balancer, live []RequestID) []RequestID {
 	return slices.DeleteFunc(live, func(id RequestID) bool {
 		r := c.requests[id]
--- a/load_reports.go
+++ b/load_reports.go
@@ -22,8 +22,8 @@
 	return target.reports.TotalInflight(now, meanOthers, target.inflight) >= limit
 }
 
-// sendersTo returns how many balancers send to the server: all if it is in another zone, otherwise those of
-// this zone, assuming that balancers are spread evenly over the zones.
+// sendersTo returns how many balancers send to the server: all if the server is in another zone, otherwise
+// those of this zone. It assumes that balancers are spread evenly over the zones.
 func (b *Balancer) sendersTo(target *server) float64 {
 	if target.locality == remoteZones {
 		return float64(b.settings.BalancerCount)
--- a/outlier_ejection.go
+++ b/outlier_ejection.go
@@ -55,7 +55,7 @@
 }
 
 // HealthCheckCompleted handles the result of a health check. OK allows the trial; any other status ejects the
-// server again. It ignores a result if no health check of the server was in flight.
+// server again. A result is ignored if no health check of the server was in flight.
 func (b *Balancer) HealthCheckCompleted(now time.Duration, id ServerID, status Status) {
 	b.ensureStarted(now)
 	target := b.endpoints.find(id)
@@ -80,9 +80,9 @@
 	return outlier.HealthCheckFailed
 }
 
-// recordGoodResponse ends a row of failures and an ejection. If failed connections suggest that the server's
-// process was replaced, the server is in slow start until the endpoint list has had time to show a restart.
-// Otherwise its slow start does not change.
+// recordGoodResponse ends a row of failures and an ejection. If failed connections suggest a new process, the
+// server is in slow start until the endpoint list has had time to show a restart. Otherwise the server's slow
+// start does not change.
 func (b *Balancer) recordGoodResponse(now time.Duration, target *server) {
 	recovery := target.outlier.RecordGoodResponse()
 	if recovery == outlier.NotEjected {
--- a/piernotch.go
+++ b/piernotch.go
@@ -50,8 +50,8 @@
 // Limits bounds retries and enables the optional actions of a Balancer.
 type Limits struct {
 	MaxAttempts    int           // attempts per request, including the first; at least 1
-	HedgedRequests bool          // two attempts of a request may be in flight at once
-	CancelAttempts bool          // attempts in flight are cancelled when their client disconnects
+	HedgedRequests bool          // two attempts of a request may be in flight at once, unless it is NonIdempotent
+	CancelAttempts bool          // attempts in flight are cancelled if their client disconnects before the response
 	HealthChecks   bool          // an ejected server must pass a health check before its trial
 	RetryAfter     bool          // rejections advise when to try again, while work is shed
 	MaxRetryAfter  time.Duration // upper bound on the advised delay
--- a/requests.go
+++ b/requests.go
@@ -181,7 +181,7 @@
 }
 
 // repeatIsHarmless reports whether the client can safely send the request again, through any balancer to any
-// server: it was certainly not executed, is idempotent, or is deduplicated by all servers.
+// server: the request was certainly not executed, is idempotent, or is deduplicated by all servers.
 func (r *openRequest) repeatIsHarmless() bool {
 	deduplicated := r.class.RetrySafety == IdempotencyKey && r.class.DedupScope == DedupEverywhere
 	return r.firstMaybeExecuted() == nil || r.class.RetrySafety == Idempotent || deduplicated
--- a/selection.go
+++ b/selection.go
@@ -8,11 +8,11 @@
 
 const (
 	objectiveShare         = 0.9  // limit on the expected latency, as a share of the time to the objective
-	minSpillers            = 3.0  // at least this many balancers may spill to a server (Balancer.maxSpillers)
+	minSpillers            = 3.0  // least number of balancers that may spill to a server; see maxSpillers
 	spillerShare           = 0.1  // the same as a share of all balancers; the larger number counts
 	totalInflightBound     = 6.0  // limit on all balancers' requests at a server, per unit of maxLoad
-	totalInflightBoundKey  = 8.0  // limit regardless of maxLoad, at the server that may have the key cached
-	totalInflightBoundLast = 10.0 // limit regardless of maxLoad, in leastExpectedLatency
+	totalInflightBoundKey  = 8.0  // limit on all balancers' requests at a server that may have cached the key
+	totalInflightBoundLast = 10.0 // limit on all balancers' requests at a server, in leastExpectedLatency
 	maxTurnRounds          = 3    // passes over a lane in search of a member with enough credit
 )
 
@@ -144,7 +144,8 @@
 }
 
 // hasCapacity reports whether the server can take another request: the load from this balancer is below
-// maxLoad, the number of all balancers' requests is below maxTotal, and spillForbidden is false.
+// maxLoad, the number of all balancers' requests is below maxTotal, and spilling there is not left to other
+// balancers.
 func (b *Balancer) hasCapacity(now time.Duration, target *server, maxLoad, maxTotal float64) bool {
 	return b.effectiveLoad(target) < maxLoad && !b.spillForbidden(target) &&
 		!b.totalInflightReaches(now, target, maxTotal)
@@ -156,7 +157,7 @@
 }
 
 // meetsObjective reports whether the server is likely to respond within the objective, including the wait
-// behind the requests queued there.
+// behind the requests queued at the server.
 func (b *Balancer) meetsObjective(now time.Duration, request *openRequest, target *server) bool {
 	left := objectiveShare * float64(request.objective-now) / float64(time.Millisecond)
 	return !b.failsClass(now, request, target) && b.expectedLatency(now, request, target) <= left
--- a/slow_start.go
+++ b/slow_start.go
@@ -6,8 +6,8 @@
 	"piernotch/internal/decision/slowstart"
 )
 
-// slowStartWindows is the number of draw windows within the overload window. With so many, the requests that
-// all balancers may send in one window are only a small part of what overloads a server.
+// slowStartWindows is the number of draw windows within Rules.OverloadWindow. With so many windows, the
+// requests that all balancers may send in one of them are only a small part of what overloads a server.
 const slowStartWindows = 8
 
 // newSlowStart returns the slow start controller for the settings. If there are many balancers and the
@@ -92,8 +92,8 @@
 // warmSendRate returns the work per second, in ms, that this balancer sends to a warm server of size 1.
 // Arriving work is not used, because client retries can make it a multiple of any capacity. If few warm
 // servers are left in a group, they may be overloaded, so they count as at least half of the group's peak
-// size. The result is the greatest of both groups' rates and the mean rate over all servers. If no server is
-// warm, only the mean rate counts.
+// size. The result is the greatest of both groups' rates and the mean rate over all servers, which alone
+// counts if no server is warm.
 func (b *Balancer) warmSendRate(now time.Duration) float64 {
 	most := 0.0
 	for i := range b.groups {
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -154,7 +154,7 @@
 }
 
 // With fewer balancers than zones, some zone has no balancer of its own. Balancers of other zones must send
-// to its servers in slow start, which would otherwise get nothing until they are warm.
+// to that zone's servers in slow start, which would otherwise get nothing until they are warm.
 func TestSlowStartServerInZoneWithoutBalancerIsUsed(t *testing.T) {
 	for _, c := range []struct {
 		zones []string
--- a/snapshot.go
+++ b/snapshot.go
@@ -12,7 +12,7 @@
 	MedianHint         float64 `json:"Median"`     // median cost hint, ms
 	MeanWork           float64 `json:"MeanWork"`   // mean work of a request, ms
 	LargeWorkShare     float64 `json:"LargeShare"` // share of the work that is in requests above the median hint
-	PeakCompletionRate float64 `json:"Usual"`      // peak requests per second of a warm server of size 1; 0: unknown
+	PeakCompletionRate float64 `json:"Usual"`      // peak completions per second of a warm server of size 1; 0: unknown
 }
 
 // Snapshot returns what the Balancer has learnt so far, for Restore in its successor.
