--- a/attempts_test.go
+++ b/attempts_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// An attempt may wait longer for its connection than an attempt that started later. It is then the repeat,
-// and must be written within the deduplication window of the other attempt.
+// An attempt may wait so long for its connection that an attempt that started later is written first. The
+// earlier attempt is then the repeat, and must be written within the deduplication window of the later one.
 func TestAttemptDelayedBeforeWriteCountsAsRetry(t *testing.T) {
 	set := testSettings()
 	set.Limits.HedgedRequests = true
@@ -151,7 +151,7 @@
 	}
 	for _, c := range []struct {
 		after         time.Duration // since the start of the first attempt; the deduplication window is 1 s
-		first, second bool          // whether each attempt is allowed
+		first, second bool          // whether the first and the second attempt are allowed
 	}{
 		{900 * ms, true, true},
 		{1050 * ms, true, false},
--- a/benchmark_test.go
+++ b/benchmark_test.go
@@ -8,8 +8,7 @@
 	"piernotch/internal/decision/estimate"
 )
 
-// benchmarkFleets are the fleet sizes of the benchmarks, in servers. Half of each fleet is in each of two
-// zones.
+// benchmarkFleets are the fleet sizes of the benchmarks, in servers. Each fleet is split evenly over two zones.
 var benchmarkFleets = []int{20, 200, 2000}
 
 // The cost of a request and its outcome must not grow with the size of the fleet.
@@ -33,12 +32,11 @@
 	benchmarkRequests(b, testSettings(), func(balancer *benchmarkBalancer) { balancer.Timer(balancer.now, tickToken) })
 }
 
-// benchmarkBalancer is a Balancer with its host, its clock time and the ID of its last request.
 type benchmarkBalancer struct {
 	*Balancer
 	host  *discardHost
 	now   time.Duration
-	count RequestID
+	count RequestID // ID of the last request
 }
 
 // benchmarkRequests measures a request, its outcome and a call of then, for each fleet size. Before that, it
--- a/endpoint_set.go
+++ b/endpoint_set.go
@@ -17,21 +17,21 @@
 type locality int
 
 const (
-	localZone   locality = iota // the balancer's own zone
-	remoteZones                 // all other zones
+	localZone   locality = iota
+	remoteZones          // all zones but the balancer's own
 )
 
 const localityCount = 2
 
-// endpointSet holds the listed servers, the servers that operators exclude, and the size of each locality.
-// Only its methods change it.
+// endpointSet holds the listed servers, the servers that operators exclude, the paths to the zones, and the
+// peak size of each locality. Only its methods change these fields.
 type endpointSet struct {
 	ownZone  int
 	byID     map[ServerID]*server
 	sorted   []*server              // by ID
 	excluded map[ServerID]bool      // by operators, listed or not
 	paths    map[int]*latency.Path  // by zone
-	peakSize [localityCount]float64 // greatest sum of server sizes so far
+	peakSize [localityCount]float64 // by locality: greatest sum of its servers' sizes so far
 }
 
 func newEndpointSet(ownZone int) endpointSet {
@@ -44,7 +44,8 @@
 // find returns the listed server with that ID, or nil.
 func (s *endpointSet) find(id ServerID) *server { return s.byID[id] }
 
-// add appends a newly listed server to sorted, which finishUpdate puts in order.
+// add adds a newly listed server, and sets its path, exclusion and locality. The servers are out of order
+// until finishUpdate.
 func (s *endpointSet) add(added *server) {
 	if s.paths[added.Zone] == nil {
 		s.paths[added.Zone] = &latency.Path{}
@@ -59,14 +60,14 @@
 	s.sorted = append(s.sorted, added)
 }
 
-// update replaces the entry of a listed server, and reports whether the server's process has restarted.
+// update replaces the entry of a listed server, and reports whether its start time shows a restart.
 func (s *endpointSet) update(target *server, entry Endpoint) (restarted bool) {
 	restarted = entry.StartedAt != target.StartedAt
 	target.Endpoint = entry
 	return restarted
 }
 
-// markGone marks the servers that a complete list does not name as gone.
+// markGone marks as gone the servers that a complete list does not name.
 func (s *endpointSet) markGone(named map[ServerID]bool) {
 	for _, target := range s.sorted {
 		if !named[target.ID] {
@@ -75,8 +76,8 @@
 	}
 }
 
-// finishUpdate removes the servers that are gone and sorts the others. It must follow each update of the
-// list.
+// finishUpdate removes the servers that are gone, updates the peak sizes and sorts the other servers. It must
+// be called after each update of the list.
 func (s *endpointSet) finishUpdate() {
 	s.sorted = slices.DeleteFunc(s.sorted, func(target *server) bool {
 		if target.State != Gone {
@@ -89,8 +90,8 @@
 	slices.SortFunc(s.sorted, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
 }
 
-// updatePeakSizes updates the greatest sum of server sizes of each locality. A zone that has lost all servers
-// but one in slow start must not be mistaken for a small zone: that server would get too much work.
+// updatePeakSizes updates the peak size of each locality. If a zone loses all servers except one in slow
+// start, the zone must not be mistaken for a small one: the remaining server would get too much work.
 func (s *endpointSet) updatePeakSizes() {
 	var size [localityCount]float64
 	for _, target := range s.sorted {
@@ -125,16 +126,16 @@
 type server struct {
 	Endpoint
 	excluded       bool   // by operators
-	idHash         uint64 // for slow start draws
+	idHash         uint64 // hash of the ID, for slow start draws
 	locality       locality
 	spillRank      float64       // random in [0, 1), for the spill limit and the slow start draws
-	path           *latency.Path // to its zone
+	path           *latency.Path // network path to its zone
 	member         lanes.Member  // of its locality's group
 	inflight       int           // this balancer's attempts in flight
-	backlog        float64       // expected work of these, ms
+	backlog        float64       // expected work of the attempts in flight, ms
 	latency        latency.Server
-	reports        loadreport.Reports // including the requests of other balancers
-	lastResponseAt time.Duration      // when it last responded to any request
+	reports        loadreport.Reports // its load reports, which count all balancers' requests
+	lastResponseAt time.Duration      // clock time of its last response to any request
 	classFailures  classfailure.Shares
 	slowStart      slowstart.Progress
 	outlier        outlier.Monitor // its failures and ejections
@@ -149,7 +150,7 @@
 	target.backlog += work
 }
 
-// attemptEnded removes an ended attempt, with its expected work in ms, from the counts.
+// attemptEnded removes an attempt, and its expected work in ms, from the counts.
 func (target *server) attemptEnded(work float64) {
 	target.inflight--
 	target.backlog = max(target.backlog-work, 0)
--- a/piernotch.go
+++ b/piernotch.go
@@ -19,8 +19,7 @@
 	NonIdempotent                     // must not execute twice
 )
 
-// DedupScope is the set of servers that share their idempotency keys: each discards repeats of requests that
-// another one has executed.
+// DedupScope is the set of servers that discard repeats of requests that any of them has executed.
 type DedupScope uint8
 
 // The values of DedupScope, from the widest to the narrowest.
@@ -42,7 +41,7 @@
 	DedupWindow      time.Duration // for IdempotencyKey only: time for which repeats are discarded
 }
 
-// Tenant is a customer. Its requests lose priority while it is over its quota.
+// Tenant is a customer. Requests over its quota lose priority.
 type Tenant struct {
 	Name        string
 	QuotaPerSec float64 // requests per second, over all balancers; 0: unlimited
@@ -51,8 +50,8 @@
 // Limits bounds retries and enables the optional actions of a Balancer.
 type Limits struct {
 	MaxAttempts    int           // attempts per request, including the first; at least 1
-	HedgedRequests bool          // two attempts of a request may be in flight at once
-	CancelAttempts bool          // attempts in flight are cancelled when their request is done
+	HedgedRequests bool          // two attempts of a request may be in flight at once, unless it is NonIdempotent
+	CancelAttempts bool          // attempts in flight are cancelled if their client disconnects before the response
 	HealthChecks   bool          // an ejected server must pass a health check before its trial
 	RetryAfter     bool          // rejections advise when to try again, while work is shed
 	MaxRetryAfter  time.Duration // upper bound on the advised delay
@@ -60,7 +59,7 @@
 
 // Rules holds the parameters of discovery and slow start.
 type Rules struct {
-	PollInterval      time.Duration // longest time between polls, if discovery has to be polled
+	PollInterval      time.Duration // if discovery has to be polled: longest time between polls; sets the first backoff
 	SlowStartCapacity float64       // share of its capacity that a server has right after its start, in [0, 1]
 	SlowStartDuration time.Duration // time from a server's start until it has its full capacity
 	OverloadWindow    time.Duration // a server in slow start fails if overloaded for this long; 0: unknown
@@ -73,7 +72,7 @@
 	Zones            []string      // names of all zones
 	Classes          []Class       // at least one
 	Tenants          []Tenant      // empty: no quotas
-	Tick             time.Duration // shortest time between ticks; not negative
+	Tick             time.Duration // resolution of the host's clock: shortest time between ticks; not negative
 	PollDiscovery    bool          // the endpoint list has to be requested with Host.WatchEndpoints
 	KeyAffinity      bool          // a server needs less work for a Request.Key that it served recently
 	Limits           Limits
@@ -96,7 +95,7 @@
 type Endpoint struct {
 	ID        ServerID
 	Zone      int // index into Settings.Zones
-	Cell      int // failure domain within the zone
+	Cell      int // failure domain within the zone; its number must not recur in another zone
 	State     State
 	Size      float64       // capacity relative to other servers; positive
 	StartedAt time.Duration // clock time of its last start; 0: long ago
@@ -126,9 +125,9 @@
 // Status says how an attempt or a health check ended.
 type Status uint8
 
-// The values of Status, in the order of statuses.
+// The values of Status. Their order must match the names in the variable statuses.
 const (
-	OK            Status = iota // a good response
+	OK            Status = iota // a response that the host counts as successful
 	Error                       // any other response, including a malformed one
 	Full                        // rejected by the server before execution
 	Timeout                     // no response within the attempt's timeout
@@ -151,7 +150,7 @@
 // Outcome describes how one attempt ended.
 type Outcome struct {
 	ID          RequestID
-	Attempt     int // number of the attempt: the first of a request is 0
+	Attempt     int // attempt number: the attempts of a request count from 0, in sending order
 	Server      ServerID
 	Status      Status
 	Latency     time.Duration // from the start of the attempt
@@ -165,17 +164,17 @@
 	CompletedPerSecond float64 // requests completed per second; 0: unknown
 }
 
-// Host carries out a Balancer's decisions, in the order of the calls. The Balancer calls it on the goroutine
-// that delivers an event, before the event's method returns. A Host must not call the Balancer during such a
-// call.
+// Host carries out a Balancer's decisions, in the order of the calls. The Balancer calls its Host on the
+// goroutine that delivers an event, before the event's method returns. The Host must not call the Balancer
+// during such a call.
 type Host interface {
 	// StartAttempt starts the next attempt of a request. The attempt must end with an Outcome, after timeout
 	// at the latest; a timeout of 0 means the client's deadline.
 	StartAttempt(id RequestID, to ServerID, timeout time.Duration)
 	// CancelAttempt cancels an attempt that is in flight. The attempt still ends with an Outcome.
 	CancelAttempt(id RequestID, attempt int)
-	// Reject gives the request its final response, which tells the client that sending it again is safe.
-	// retryAfter is the delay to advise; 0 advises none.
+	// Reject gives the request its final response, which tells the client that a repeat is safe.
+	// retryAfter is the delay to advise; 0: no advice.
 	Reject(id RequestID, retryAfter time.Duration)
 	// Fail gives the request its final response, which does not tell whether the request was executed.
 	Fail(id RequestID)
