--- a/internal/decision/admission/admission.go
+++ b/internal/decision/admission/admission.go
@@ -9,9 +9,9 @@
 //     late in all localities and decays otherwise, as in Envoy's admission control filter, but it is
 //     controlled by latency and not by failures.
 //   - Priority bands (bands.go): the classes of requests, each within and over the quotas of its tenants, in
-//     an order of precedence. Shedding rejects the lowest bands first: criticality, in the chapter "Handling
-//     Overload" of Google's Site Reliability Engineering book. A band that gets much less than its part of
-//     the forwarded work temporarily goes first, so that no band starves.
+//     an order of precedence. Shedding rejects the lowest bands first, as with the criticality levels in
+//     the chapter "Handling Overload" of Google's Site Reliability Engineering book. A band that gets much
+//     less than its part of the forwarded work temporarily goes first, so that no band starves.
 //   - A bound on the queue (queue.go): a request that would wait for too long is rejected at once.
 //
 // The Controller decides from what its caller reports: arrivals, forwarded requests, and whether responses
@@ -29,19 +29,19 @@
 	WeightPerRequest  bool          // the weight applies per request; false: per ms of its work
 	PreventStarvation bool          // starved bands go first; false: only precedence counts
 	AdviseRetryAfter  bool          // rejections may advise when to retry
-	MaxRetryAfter     time.Duration // bound on that advice
+	MaxRetryAfter     time.Duration // upper bound on the advised delay
 }
 
 // Controller makes the decisions of admission. The zero value has no bands: Configure creates them.
 type Controller struct {
 	options    Options
 	shedShare  float64              // share of the work, lowest precedence first, that is rejected on arrival
-	adjustedAt time.Duration        // when a response last moved the shed share
+	adjustedAt time.Duration        // when Step was last called
 	lateness   [localities]lateness // of the responses of each locality
 	bands      []bandState          // by Band
 }
 
-// Configure sets the options. It creates all bands again, without any work; the shed share stays.
+// Configure sets the options. It recreates all bands without any recorded work; the shed share stays.
 func (c *Controller) Configure(options Options) {
 	c.options = options
 	c.bands = make([]bandState, 0, bandsPerClass*len(options.ClassWeights))
@@ -65,8 +65,8 @@
 	return draw < c.bands[band].rejectShare
 }
 
-// RetryAfter returns the delay that a rejection advises; 0 means no advice. Without shedding, a rejection is
-// due to a short fault, and an early retry is right.
+// RetryAfter returns the delay that a rejection advises; 0 means no advice. Without shedding it advises
+// none: the rejection is due to a short fault, and an early retry is right.
 func (c *Controller) RetryAfter() time.Duration {
 	if !c.options.AdviseRetryAfter || !c.Shedding() {
 		return 0
--- a/internal/decision/admission/admission_test.go
+++ b/internal/decision/admission/admission_test.go
@@ -100,7 +100,7 @@
 }
 
 // Of two classes of equal weight, the one whose clients wait longer must not take the other's part of the
-// capacity. The same share of both is rejected.
+// capacity: the starved class goes first, and the same share of both is rejected.
 func TestStarvedBandGoesFirst(t *testing.T) {
 	x, y := BandOf(0, WithinQuota), BandOf(1, WithinQuota)
 	first, second := Place{Band: y, Arrival: 1}, Place{Band: x, Arrival: 2}
--- a/internal/decision/admission/bands.go
+++ b/internal/decision/admission/bands.go
@@ -5,15 +5,15 @@
 const (
 	// bandsPerClass counts one band within the tenants' quotas and one over them.
 	bandsPerClass = 2
-	// starvedBelow is the fraction of its part of the forwarded work below which a band is starved. It is
-	// less than 1, because the parts also differ by chance.
+	// starvedBelow is the ratio of a band's share of the forwarded work to its share of the arrived work
+	// below which the band is starved. It is less than 1, because the shares also differ by chance.
 	starvedBelow = 0.8
 )
 
 // Standing tells whether a request is within its tenant's quota.
 type Standing uint8
 
-// Standings of a request. They select the band of its class.
+// Standings of a request. Each selects one of the two bands of the request's class.
 const (
 	WithinQuota Standing = iota
 	OverQuota
@@ -28,7 +28,7 @@
 // bandState holds the weight, the recent work and the decisions of a band.
 type bandState struct {
 	weight      float64
-	precedence  float64 // the weight, divided by the expected work if it is per request
+	precedence  float64 // weight, divided by the expected work if WeightPerRequest is set
 	arrived     float64 // recently arrived work in ms, decaying
 	forwarded   float64 // recently forwarded work in ms, decaying
 	rejectShare float64 // share of its requests to reject on arrival
@@ -57,7 +57,7 @@
 func (c *Controller) RequestForwarded(band Band, work float64) { c.bands[band].forwarded += work }
 
 // updateBands decays the sums of work by one tick, and updates for each band whether it is starved and what
-// share of it is rejected.
+// share of its requests is rejected.
 func (c *Controller) updateBands() {
 	keep := math.Exp(-c.options.TickInterval.Seconds()) // a factor of e per second
 	var arrived, forwarded float64
@@ -76,7 +76,7 @@
 	}
 }
 
-// rejectShareOf returns the share of a band's work to reject if shed is the work to reject in all bands.
+// rejectShareOf returns the share of a band's work to reject; shed is the work to reject in all bands.
 // Lower bands are rejected first; the rest is spread evenly over this band and those of the same precedence.
 func (c *Controller) rejectShareOf(band *bandState, shed float64) float64 {
 	lower, equal := 0.0, 0.0 // work of the bands below this one, and of those at its precedence
--- a/internal/decision/admission/queue.go
+++ b/internal/decision/admission/queue.go
@@ -3,8 +3,9 @@
 import "time"
 
 const (
-	// queueMinLength is the number of waiting requests below which the queue never counts as too long: so
-	// few requests say nothing about capacity.
+	// queueMinLength is the number of waiting requests below which the queue never counts as too long.
+	// Delay is computed from the send rate, and what a few balancers send is no measure of the servers'
+	// capacity.
 	queueMinLength = 16
 	// queueMaxShare bounds the queueing delay, as a share of the shortest latency objective. A longer queue
 	// would serve no more requests. Clients that would wait for longer go elsewhere sooner if they are
@@ -13,7 +14,7 @@
 	queueMaxShare = 1.0 / 4
 )
 
-// Queue sums up the requests that wait ahead of a given one. The zero value is empty.
+// Queue sums up the requests that wait ahead of a given request. The zero value is empty.
 type Queue struct {
 	work   float64 // ms
 	length int
@@ -26,7 +27,7 @@
 }
 
 // Delay estimates how long a request behind the queue will wait; sendRate is the work sent, in ms per
-// second. It returns 0 for a short queue and for a rate that is not positive, which is unknown.
+// second. It returns 0 for fewer than queueMinLength requests, and if the rate is not known (0).
 func (q *Queue) Delay(sendRate float64) time.Duration {
 	if q.length < queueMinLength || sendRate <= 0 {
 		return 0
--- a/internal/decision/admission/shedding.go
+++ b/internal/decision/admission/shedding.go
@@ -7,10 +7,11 @@
 )
 
 const (
-	// localities counts the balancer's own zone and the rest, which is taken as one.
+	// localities counts the balancer's own zone and, as one locality, all other zones together.
 	localities = 2
 	// shedGain is the change of the shed share in one shortest objective while all responses are late. From
-	// nothing to everything takes four objectives. A change shows in the responses one objective later.
+	// shedding nothing to shedding everything takes four objectives. A change shows in the responses one
+	// objective later.
 	shedGain = 1.0 / 4
 	// maxStep bounds the change by one response. Where responses are rare, several of them are needed for a
 	// large change.
@@ -19,10 +20,10 @@
 	// ends more slowly than it starts, and is steady while a third of the responses are late.
 	recovery = 1.0 / 2
 	// lateElsewhereAbove is the share of late responses above which a locality counts as late. It takes
-	// three consecutive late responses to exceed it, so that a single one has no effect.
+	// three consecutive late responses to exceed it, so a single one has no effect.
 	lateElsewhereAbove = 2 * estimate.GroupSmoothing
-	// decayTicks is the number of ticks in which the shed share falls by a factor of e without responses.
-	// The lateness of a locality falls likewise, by calls of ReviewLateness.
+	// decayTicks is the number of ticks in which the shed share falls by a factor of e without responses,
+	// and of calls of ReviewLateness in which the lateness of a silent locality does.
 	decayTicks = 256
 	// latenessHolds is the time, in shortest objectives, after which the lateness of a locality without
 	// responses starts to decay.
@@ -40,12 +41,12 @@
 // Response describes one response from a server.
 type Response struct {
 	Locality     int  // 0 or 1: locality of the server
-	Late         bool // it took more than half of its objective, which leaves time to act
+	Late         bool // it took more than half of its objective; reacting at half leaves time to act
 	OnlyLocality bool // the other locality has no servers
 }
 
 // Step returns how far the present response may move the shed share. The step grows with the time since the
-// last call, up to maxStep, and Step restarts that time. The effect of a change shows late, so that a busy
+// last call, up to maxStep, and Step restarts that time. The effect of a change shows late, so a busy
 // balancer would oscillate if each response counted in full.
 func (c *Controller) Step(now time.Duration) float64 {
 	elapsed := (now - c.adjustedAt).Seconds()
@@ -53,9 +54,9 @@
 	return min(elapsed/c.options.ShortestObjective.Seconds()*shedGain, maxStep)
 }
 
-// ObserveResponse moves the shed share up for a late response and down for one in time, by at most the step
-// that Step returned. The share rises only while the other locality is late, too, or has no servers, because
-// spilling costs less than shedding.
+// ObserveResponse raises the shed share by step for a late response, but only if the other locality is late,
+// too, or has no servers, because spilling costs less than shedding. Any other response, even a late one,
+// lowers the shed share by step*recovery.
 func (c *Controller) ObserveResponse(step float64, response Response) {
 	own, other := &c.lateness[response.Locality], &c.lateness[1-response.Locality]
 	own.observe(estimate.Indicator(response.Late))
@@ -72,9 +73,9 @@
 // share, as other servers may be idle.
 func (c *Controller) ObserveSilence(locality int) { c.lateness[locality].observe(1) }
 
-// ReviewLateness decays the lateness of localities that have given no responses for a long time. Otherwise
-// it would stay for ever, and the balancer would shed work of the other locality although this one may be
-// idle.
+// ReviewLateness decays the lateness of a locality that has given no responses for a long time. Otherwise its
+// lateness would never change, and late responses of the other locality would raise the shed share although
+// the silent locality may be idle.
 func (c *Controller) ReviewLateness(now time.Duration) {
 	for i := range c.lateness {
 		locality := &c.lateness[i]
