--- a/internal/decision/classfailure/classfailure.go
+++ b/internal/decision/classfailure/classfailure.go
@@ -2,14 +2,14 @@
 //
 // Requests of one class can hang or fail on a server that responds to all others: a lock is stuck, or a
 // store that only this class needs is gone. The server is then no outlier, since its other responses are
-// good and reset the count of consecutive failures. Requests of the class would each use up its capacity for
-// a whole time-out, and all of them would fail. The caller therefore sends them to other servers.
+// good and reset the count of consecutive failures. Each request of the class would occupy the server for a
+// whole time-out, and all of them would fail. The caller therefore sends them to other servers.
 //
 // Shares keeps, for each class, the running share of failed attempts at one server, and when a request of
 // the class was last sent there. A class is avoided while its share is both high and a multiple of the
 // lowest share of the other classes. Where all classes fail, the server is an outlier or the whole fleet is
-// in trouble, and avoiding the server for one class does not help. The share cannot fall while nothing is
-// sent, so that the class is tried again after a time without requests.
+// in trouble, and avoiding the server for one class does not help. While no requests of the class are sent,
+// its share cannot fall. The class is therefore tried again after a time without requests.
 //
 // Times are durations since the origin of the caller's clock.
 package classfailure
@@ -24,18 +24,18 @@
 	// minShare is the share of failures above which a class is avoided: two consecutive failed attempts
 	// exceed it.
 	minShare = 0.3
-	// minMultiple is the multiple of the lowest share of the other classes that the share must also exceed.
+	// minMultiple is the factor by which the share must also exceed the lowest share of the other classes.
 	minMultiple = 3
-	// retryObjectives is the time without requests of the class, in latency objectives, after which it is
-	// tried again.
+	// retryObjectives is the time without requests of a class, in latency objectives, after which the class
+	// is tried again.
 	retryObjectives = 4
 )
 
 // Result is how an attempt ended.
 type Result uint8
 
-// Results of an attempt. Other never changes the failure share; TimedOut and Cancelled do if the server
-// hung.
+// Results of an attempt. Other never changes the failure share; TimedOut and Cancelled change it only
+// if the server hung.
 const (
 	Other         Result = iota // says nothing about the class: rejected, not connected or not sent
 	GoodResponse                // a good response
@@ -49,7 +49,7 @@
 	Result           Result
 	Latency          time.Duration
 	Objective        time.Duration // latency objective of its class
-	RespondsToOthers bool          // the server has responded to another request since this one was sent
+	RespondsToOthers bool          // the server has responded to another request since the attempt was sent
 }
 
 // hung reports whether the server took too long for this attempt while it responded to others. A cancelled
@@ -73,19 +73,19 @@
 // New returns Shares for the given number of classes, none of which has failed.
 func New(classes int) Shares { return Shares{classes: make([]record, classes)} }
 
-// Grow adds classes until there are at least the given number. It never removes one.
+// Grow adds classes up to the given number. It never removes a class.
 func (s *Shares) Grow(classes int) {
 	for len(s.classes) < classes {
 		s.classes = append(s.classes, record{})
 	}
 }
 
-// RecordSend records that a request of the class is sent to the server, from which Avoid measures the time
-// without requests.
+// RecordSend records that a request of the class is sent to the server now. Avoid measures the time without
+// requests from here.
 func (s *Shares) RecordSend(now time.Duration, class int) { s.classes[class].lastSentAt = now }
 
 // RecordAttempt updates the failure share of the class with an attempt that ended. An attempt that got no
-// response counts only if it hung.
+// response counts only if the server hung.
 func (s *Shares) RecordAttempt(class int, attempt Attempt) {
 	responded := attempt.Result == GoodResponse || attempt.Result == ErrorResponse
 	if !responded && !attempt.hung() {
@@ -100,7 +100,7 @@
 }
 
 // Avoid reports whether requests of the class are to go to other servers: the server fails the class but
-// serves another one, and a request of the class was sent there within the last retryObjectives latency
+// serves another class, and a request of the class was sent there within the last retryObjectives latency
 // objectives.
 func (s *Shares) Avoid(now time.Duration, class int, objective time.Duration) bool {
 	own := s.classes[class]
--- a/internal/decision/concurrency/concurrency.go
+++ b/internal/decision/concurrency/concurrency.go
@@ -22,7 +22,7 @@
 	// one is served, and half of the time another waits, so that no server idles between two requests.
 	targetInflight = 1.5
 	// maxUnderload bounds the factor by which the mean counts as below its target. A factor of e already
-	// gives the fastest adjustment, and an empty group must not give an infinite one.
+	// gives the fastest adjustment, and an empty group must not give an infinite factor.
 	maxUnderload = 8
 	// maxAdjustment bounds the logarithm of target over mean, in either direction: the limit changes at most
 	// by a factor of e in adjustTime.
@@ -31,9 +31,10 @@
 	// several times the delay of a load report, since a faster change would oscillate.
 	adjustTime = 0.35
 	// peakHeadroom bounds the limit as a multiple of the recent peak. A limit that is never reached would
-	// otherwise grow without bound, and take long to fall until it has an effect (integral windup).
+	// otherwise grow without bound, and later take long to fall far enough to have an effect (integral
+	// windup).
 	peakHeadroom = 2
-	// minLimit always lets one request be in flight: without any, the balancer would not learn of an
+	// minLimit always allows one request in flight: without any request, the balancer would not learn of an
 	// improvement.
 	minLimit = 1.0
 )
--- a/internal/decision/concurrency/concurrency_test.go
+++ b/internal/decision/concurrency/concurrency_test.go
@@ -36,7 +36,7 @@
 func TestLimitFollowsMean(t *testing.T) {
 	for _, c := range []struct {
 		mean   float64
-		factor float64 // in 70 ms
+		factor float64 // by which the limit changes in 70 ms
 	}{
 		{targetInflight, 1},
 		{targetInflight * 2, math.Exp(-math.Ln2 / 5)},
--- a/internal/decision/estimate/estimate.go
+++ b/internal/decision/estimate/estimate.go
@@ -17,15 +17,15 @@
 // Weights of one sample in a running mean: a sample moves the mean by this share of the distance between
 // them.
 const (
-	// GroupSmoothing is the weight in a mean over a group of servers: it covers about the last 16 samples.
+	// GroupSmoothing is the weight in a mean over a group of servers, which covers about the last 16 samples.
 	GroupSmoothing = 1.0 / 16
-	// ServerSmoothing is the weight in a mean over one server, which has fewer samples: it covers about the
-	// last 6.
+	// ServerSmoothing is the weight in a mean over one server, which gives fewer samples: the mean covers
+	// about the last 6.
 	ServerSmoothing = 1.0 / 6
 )
 
 // maxRatioGain bounds the weight of one sample in a running ratio: no sample moves the ratio by more than
-// half of the distance, however much work it stands for.
+// half of the distance to the sample, however much work the sample stands for.
 const maxRatioGain = 0.5
 
 // Indicator returns 1 for true and 0 for false, so that a condition can be a sample of a running share.
--- a/internal/decision/estimate/estimate_test.go
+++ b/internal/decision/estimate/estimate_test.go
@@ -12,7 +12,7 @@
 func TestRatePerSecond(t *testing.T) {
 	const start = 10 * time.Second
 	for _, c := range []struct {
-		length, idle time.Duration // time with additions of 5 every 10 ms, and time after the last one
+		length, idle time.Duration // time with additions of 5 every 10 ms, and time after the last addition
 		want         float64
 	}{
 		{length: 5 * time.Second, want: 500},
--- a/internal/decision/estimate/rate.go
+++ b/internal/decision/estimate/rate.go
@@ -17,8 +17,7 @@
 	at    time.Duration // when value was last decayed; 0: not yet
 }
 
-// Start sets the time at which counting begins. PerSecond then does not count the time before it as time
-// without additions.
+// Start sets the time at which counting begins. PerSecond does not average over the time before that.
 func (r *Rate) Start(now time.Duration) { r.since = now }
 
 // Add counts amount towards the rate at the time now.
@@ -35,7 +34,7 @@
 	r.at = now
 }
 
-// PerSecond returns the rate at the time now, corrected for the short time since Start.
+// PerSecond returns the rate at the time now, scaled up while the time since Start is short.
 func (r *Rate) PerSecond(now time.Duration) float64 {
 	seen := 1 - math.Exp(-max((now-r.since).Seconds(), minRateSpan))
 	return r.value * math.Exp(-(now - r.at).Seconds()) / seen
--- a/internal/decision/lanes/lanes.go
+++ b/internal/decision/lanes/lanes.go
@@ -9,7 +9,7 @@
 // Within a lane, servers take turns by weighted round robin with credit, as in deficit round robin
 // (Shreedhar and Varghese, 1996). The caller decides whether the server whose turn it is can take the
 // request. The server for a key is found by rendezvous hashing (Thaler and Ravishankar, 1996): all balancers
-// find the same one without exchanging anything, and when a server leaves, only its own keys move.
+// find the same server without exchanging anything, and when a server leaves, only its own keys move.
 //
 // Only this package changes a member's weight and credit.
 package lanes
@@ -36,7 +36,7 @@
 func (lane Lane) Other() Lane { return Large - lane }
 
 // fullCredit is what a turn costs, and the most credit that a member saves up. A member that had no capacity
-// for its turns does not make up for them later.
+// for its turns therefore does not make up for them later.
 const fullCredit = 1.0
 
 // Member is a server in its role as a member of groups. It outlives the rebuilds of a group, so that its
@@ -50,16 +50,16 @@
 // NewMember returns the member for the server with the given id, without credit.
 func NewMember(id uint64) Member { return Member{idHash: estimate.MixBits(id)} }
 
-// Group holds the members among which the server of a request is chosen, in the order of their addition. The
-// large lane has the first members and the small lane the last ones. The member at the split point is in
-// both lanes, with a part of its weight in each. NextTurn, TakeTurn and MemberForKey need a group that is
-// not empty.
+// Group holds the members among which the server of a request is chosen, in the order of their addition.
+// The large lane has the first members and the small lane the last ones. The member at the split point,
+// last in the large lane and first in the small lane, has a part of its weight in each. NextTurn, TakeTurn
+// and MemberForKey need a group that is not empty.
 type Group struct {
 	members       []*Member
 	weight        float64            // sum of the members' weights
-	split         int                // the last member of the large lane and the first of the small one
-	largePart     float64            // share of the weight of the member at split that the large lane has
-	position      [laneCount]int     // index in each lane of its last turn; random at first
+	split         int                // index of the member that is in both lanes
+	largePart     float64            // fraction of members[split]'s weight that the large lane has
+	position      [laneCount]int     // index in each lane of the member with the last turn; random at first
 	maxLaneWeight [laneCount]float64 // greatest weight of a member in each lane
 }
 
@@ -123,7 +123,7 @@
 	return g.split
 }
 
-// laneWeight returns the weight that member i of a lane has in this lane.
+// laneWeight returns the weight that a member has in a lane; i is the member's index within the lane.
 func (g *Group) laneWeight(lane Lane, i int) float64 {
 	member := g.members[g.first(lane)+i]
 	switch {
@@ -137,8 +137,7 @@
 
 // NextTurn moves the lane to its next member and gives that member credit: a full turn for the heaviest
 // member of the lane, less for others in proportion to their weight. It returns the member's index in the
-// group, and whether its credit does not suffice for a request: members of less weight miss some of their
-// turns.
+// group, and whether the member lacks the credit for a request: members of less weight miss some turns.
 func (g *Group) NextTurn(lane Lane) (index int, lacksCredit bool) {
 	turn := (g.position[lane] + 1) % g.Len(lane)
 	g.position[lane] = turn
@@ -151,8 +150,8 @@
 // TakeTurn charges a member, given by its index in the group, for a request that it got.
 func (g *Group) TakeTurn(index int) { g.members[index].credit -= fullCredit }
 
-// MemberForKey returns the index in the group of the lane's member that rendezvous hashing assigns the
-// key to.
+// MemberForKey returns the member of the lane to which rendezvous hashing assigns the key, as its index in
+// the group.
 func (g *Group) MemberForKey(lane Lane, key uint64) (index int) {
 	first := g.first(lane)
 	index = first
--- a/internal/decision/lanes/lanes_test.go
+++ b/internal/decision/lanes/lanes_test.go
@@ -46,7 +46,7 @@
 		lane       Lane
 		largeShare float64
 		weights    []float64
-		want       []float64 // share of the requests of each member
+		want       []float64 // each member's share of the requests
 	}{
 		"equal":              {Large, 1, []float64{1, 1, 1, 1}, []float64{0.25, 0.25, 0.25, 0.25}},
 		"one of less weight": {Large, 1, []float64{1, 0.5, 1}, []float64{0.4, 0.2, 0.4}},
