--- a/internal/decision/latency/latency.go
+++ b/internal/decision/latency/latency.go
@@ -4,10 +4,11 @@
 //
 //   - Path: the lowest latency of any response from a zone.
 //   - Group, for the servers of one locality: the mean latency, and the mean and mean deviation of the
-//     queueing (the latency beyond the work of a request). They determine the time after which a response is
+//     queueing (the latency beyond the work of a request). The queueing figures determine when a response is
 //     overdue, as in the retransmission time-out of TCP (RFC 6298).
 //   - Server: its mean latency, and its latency for each ms of work.
-//   - Overall: the latency for each ms of work over all servers. It is used where a server's own is unknown.
+//   - Overall: the latency for each ms of work over all servers. It replaces a server's own while that is
+//     unknown.
 //
 // The work of requests differs by orders of magnitude. A mean of plain latencies would reflect which
 // requests a server got rather than how fast it is: servers of heavy requests would look slow and get
@@ -25,8 +26,8 @@
 )
 
 const (
-	// maxFasterByWork bounds by how much a response may be faster than the work of its request, as a share
-	// of the mean work. Otherwise a cost hint that was far too high would give a latency below zero.
+	// maxFasterByWork bounds by how much a latency may count as less than the request's work, as a share of
+	// the mean work. Otherwise a cost hint that was far too high would give a latency below zero.
 	maxFasterByWork = 1.0 / 2
 	// silenceDeviations is the number of mean deviations above the mean queueing after which a response is
 	// overdue, as in TCP.
@@ -50,12 +51,12 @@
 	return min(max(ms-r.Work, 0), r.Objective.Seconds()*msPerSecond)
 }
 
-// forMeanWork returns the latency, in ms, that a request of mean work would have had instead of ms.
+// forMeanWork converts the request's latency ms to the latency that a request of mean work would have had.
 func (r Response) forMeanWork(ms float64) float64 {
 	return max(ms-r.Work, -r.MeanWork*maxFasterByWork) + r.MeanWork
 }
 
-// Overall is the estimate over all servers. Its zero value is unknown.
+// Overall is the estimate over all servers. Its zero value means unknown.
 type Overall struct {
 	perWork float64 // latency for each ms of work, queueing included; 0: unknown
 }
@@ -63,17 +64,17 @@
 // PerWork returns the latency for each ms of work, queueing included; 0 if it is unknown.
 func (o *Overall) PerWork() float64 { return o.perWork }
 
-// Needed returns how long a request with that much work, in ms, takes on average over all servers; 0 if it
+// Needed returns how long a request with the given work, in ms, takes on average over all servers; 0 if that
 // is unknown.
 func (o *Overall) Needed(work float64) time.Duration {
 	return estimate.Milliseconds(work * o.perWork)
 }
 
-// Group is the estimate for the servers of one locality. Its zero value is unknown.
+// Group is the estimate for the servers of one locality. Its zero value means unknown.
 type Group struct {
 	mean              float64 // latency of a request of mean work, ms; 0: unknown
 	queueingMean      float64 // latency beyond the work itself, ms
-	queueingDeviation float64 // mean deviation of that, ms
+	queueingDeviation float64 // mean deviation of the queueing, ms
 }
 
 // Mean returns the mean latency of a request of mean work, in ms; 0 if it is unknown.
@@ -82,7 +83,7 @@
 // QueueingMean returns the mean latency beyond the work itself, in ms; 0 if it is unknown.
 func (g *Group) QueueingMean() float64 { return g.queueingMean }
 
-// SilenceTimeout returns the time after which a response to a request with that much work, in ms, is
+// SilenceTimeout returns the time after which a response to a request with the given work, in ms, is
 // overdue. Before the first response of the group, the shortest latency objective replaces the queueing.
 func (g *Group) SilenceTimeout(work float64, shortestObjective time.Duration) time.Duration {
 	ms := silenceWork*work + g.queueingMean + silenceDeviations*g.queueingDeviation
@@ -120,7 +121,7 @@
 	o.perWork = estimate.UpdateRatio(o.perWork, ms, response.Work, gain)
 }
 
-// startIfUnknown initializes the mean with the first response, and the deviation with half of its queueing,
+// startIfUnknown initializes the means with the first response, and the deviation with half of its queueing,
 // as RFC 6298 does.
 func (g *Group) startIfUnknown(typical, queueing float64) {
 	if g.mean == 0 {
--- a/internal/decision/latency/latency_test.go
+++ b/internal/decision/latency/latency_test.go
@@ -31,7 +31,7 @@
 	}{
 		{50 * ms, 20, 30, 50},
 		{50 * ms, 10, 40, 60},    // a light request
-		{80 * ms, 100, 0, 10},    // too high a hint: at least half of the mean work
+		{80 * ms, 100, 0, 10},    // too high a hint: the mean is bounded below by half of the mean work
 		{900 * ms, 20, 500, 900}, // queueing is bounded by the objective
 	} {
 		var f fixture
--- a/internal/decision/latency/server.go
+++ b/internal/decision/latency/server.go
@@ -11,11 +11,11 @@
 	minPathResponses = 64
 	// maxTransitShare is the largest share of the requests in flight that counts as in transit.
 	maxTransitShare = 0.75
-	// minWorkShare is the work of a light request, as a share of the mean work. A transit shorter than that
-	// is ignored.
+	// minWorkShare is the work of a light request, as a share of the mean work. A transit time shorter than
+	// that work is ignored.
 	minWorkShare = 1.0 / 4
 	// transitReserve is added to the load, in requests, where requests in transit are left out: a request
-	// that is mostly in transit must not make room for another one.
+	// that is mostly in transit must not make room for another request.
 	transitReserve = 0.25
 	// maxWeightFactor bounds the weight factor of a server that is faster than its group. Otherwise fast
 	// servers would get all requests at once.
@@ -27,7 +27,7 @@
 	slowMultiple = 2
 )
 
-// Path is the estimate for the network path to a zone. Its zero value is unknown.
+// Path is the estimate for the network path to a zone. Its zero value means unknown.
 type Path struct {
 	fastest   float64 // lowest latency of a response from the zone, ms
 	responses int     // number of responses so far
@@ -43,7 +43,7 @@
 // Transit estimates the one-way time to the zone as half of the lowest latency; 0 before the first response.
 func (p *Path) Transit() time.Duration { return estimate.Milliseconds(p.fastest / 2) }
 
-// Server is the estimate for one server. Its zero value is unknown.
+// Server is the estimate for one server. Its zero value means unknown.
 type Server struct {
 	mean    float64 // latency of a request of mean work, ms; 0: unknown
 	perWork float64 // latency for each ms of work; 0: unknown
@@ -65,8 +65,8 @@
 	s.perWork = estimate.UpdateRatio(s.perWork, ms, response.Work, gain)
 }
 
-// Expected returns how long, in ms, the server will take for work in ms. The caller includes the work of the
-// requests that precede a new one.
+// Expected returns how long, in ms, the server will take for work in ms. The caller includes the work of
+// the requests ahead of a new one.
 func (s *Server) Expected(work float64, overall *Overall) float64 {
 	perWork := s.perWork
 	if perWork == 0 {
@@ -75,8 +75,8 @@
 	return work * perWork
 }
 
-// ByLittlesLaw returns the latency in ms, by Little's law, of a server with that many requests in flight:
-// their number divided by the completions per second, which must be positive.
+// ByLittlesLaw returns the latency in ms of a server, by Little's law: the number of requests in flight
+// divided by the completions per second, which must be positive.
 func ByLittlesLaw(inflight, completedPerSecond float64) float64 {
 	return msPerSecond * inflight / completedPerSecond
 }
@@ -94,9 +94,9 @@
 func (s *Server) Slow(g *Group) bool { return s.mean > slowMultiple*g.mean }
 
 // EffectiveLoad estimates how many of this balancer's requests in flight the server holds, as opposed to
-// those in transit. On a long path, a bound on all of them would leave the server idle. The transit time of
-// a zone is the lowest latency of its responses, less the work of a light request. It never rises, so that a
-// queue is not mistaken for a long path.
+// those in transit. On a long path, a bound on all requests in flight would leave the server idle. The
+// transit time of a zone is the lowest latency of its responses, less the work of a light request. It never
+// rises, so a queue is not mistaken for a long path.
 func (s *Server) EffectiveLoad(inflight int, meanWork float64, path *Path) float64 {
 	lightWork := meanWork * minWorkShare
 	transit := path.fastest - lightWork
--- a/internal/decision/loadreport/loadreport.go
+++ b/internal/decision/loadreport/loadreport.go
@@ -3,14 +3,14 @@
 //
 // A balancer knows only its own requests. The requests of other balancers show in the load reports that
 // servers send with their responses: the number of requests in flight at the server, and of those completed
-// per second. With many balancers, a bound on each one's own requests would not bound the sum: all of them
-// together could overload a server of which each uses little. A report is already old when it arrives, and a
-// server that gets no requests does not report at all. An old report must therefore neither keep a server
-// out of use nor attract requests: its weight decays with its age.
+// per second. With many balancers, a bound on each one's own requests would not bound the sum: together
+// they could overload a server to which each sends few requests. A report is already old when it
+// arrives, and a server that gets no requests does not report at all. An old report must therefore neither
+// keep a server out of use nor attract requests: its weight decays with its age.
 //
 // Reports holds what one server reported. GroupMean and Fleet are sums over servers, and PeakRate is the
-// completion rate of a busy warm server of size 1. They only estimate; the callers decide. The model is the
-// load reporting of Envoy and gRPC (ORCA), with exponentially weighted moving averages.
+// mean completion rate of busy warm servers per unit of size. They only estimate; the callers decide. The
+// model is the load reporting of Envoy and gRPC (ORCA), with exponentially weighted moving averages.
 //
 // Times are durations since the origin of the caller's clock. A report at the origin itself counts as none.
 package loadreport
@@ -79,21 +79,21 @@
 // the estimate moves from its figure to prior.
 func (r *Reports) estimateOthers(now time.Duration, prior float64) float64 {
 	if !r.Received() {
-		return 0 // only the bounds on this balancer's own requests apply
+		return 0 // not known: only the bounds on this balancer's own requests apply
 	}
 	return prior + math.Exp(-(now-r.reportedAt).Seconds()/decayTime)*(r.others-prior)
 }
 
 // TotalInflight estimates how many requests of all balancers the server has now; own of them are this
-// balancer's. As the last report ages, its figure gives way to the lesser of the server's own mean and its
-// group's.
+// balancer's. As the last report ages, its figure gives way to the lower of two means of other balancers'
+// requests: the server's and its group's.
 func (r *Reports) TotalInflight(now time.Duration, groupMeanOthers float64, own int) float64 {
 	prior := min(r.meanOthers, groupMeanOthers)
 	return r.estimateOthers(now, prior) + float64(own)
 }
 
-// GroupMean is the mean number of requests in flight at the servers with a fresh report. Its zero value
-// counts no server.
+// GroupMean is the mean number of all balancers' requests in flight at the servers with a fresh report. Its
+// zero value counts no server.
 type GroupMean struct {
 	inflight  float64 // sum over the counted servers
 	reporting float64 // number of counted servers
@@ -127,8 +127,8 @@
 	}
 }
 
-// PeakRate is the most requests per second that a warm server of size 1 recently completed, for all
-// balancers together. In its zero value it is unknown. The peak falls slowly, because an overloaded fleet
+// PeakRate is the recent peak of the completions per second of warm servers, per unit of size, for all
+// balancers together. Its zero value means unknown. The peak falls slowly, because an overloaded fleet
 // completes fewer requests than it can.
 type PeakRate struct {
 	perSecond float64
@@ -137,8 +137,8 @@
 // PerSecond returns the peak completion rate; 0 if it is unknown.
 func (p *PeakRate) PerSecond() float64 { return p.perSecond }
 
-// Update lets the peak decay by one step and raises it to what the warm servers complete now, if that is
-// more.
+// Update lets the peak decay by one step and raises it to the present rate of the warm servers, if that is
+// higher.
 func (p *PeakRate) Update(warm Fleet) {
 	p.perSecond *= peakRetention
 	if warm.size > 0 {
