--- a/internal/decision/outlier/outlier.go
+++ b/internal/decision/outlier/outlier.go
@@ -3,7 +3,7 @@
 // A Monitor watches one server. It decides from the server's attempts and health checks alone:
 //
 //   - A few consecutive failures eject the server. A server that fails at once, or rejects everything, is
-//     idle and looks fast, so that without ejection it would attract more and more requests. A good response
+//     idle and looks fast: without ejection it would attract more and more requests. A good response
 //     resets the count, since a healthy server fails now and then, too.
 //   - An ejection lasts for a pause that doubles with each consecutive ejection and has jitter, so that the
 //     balancers do not all return to the server at the same moment.
@@ -31,7 +31,7 @@
 const (
 	// maxSilentTimeouts is the number of consecutive failures at which a time-out ejects a server that has
 	// not responded to anything since the attempt was sent. A hung server costs each request its whole
-	// time-out, so that the limit is lower than for other failures.
+	// time-out, so the limit is lower than for other failures.
 	maxSilentTimeouts = 2
 	// maxFailures is the number of consecutive failures at which any other failure ejects: a healthy server
 	// has some failures now and then.
@@ -39,8 +39,8 @@
 	// minConnectFailures is the number of failed connections since the last good response from which the
 	// process may have been replaced. A single connection can also fail because the accept queue is full.
 	minConnectFailures = 2
-	// maxPauseDoublings bounds the pause to 16 times the base pause: a server that has recovered must not
-	// stay unused for minutes.
+	// maxPauseDoublings bounds the mean pause to 16 times the base pause: a server that has recovered must
+	// not stay unused for minutes.
 	maxPauseDoublings = 4
 )
 
@@ -52,11 +52,11 @@
 // Failure is the way in which an attempt failed.
 type Failure uint8
 
-// Kinds of failure. Each is an argument of RecordFailure.
+// Kinds of failure that the caller passes to RecordFailure.
 const (
 	BadResponse    Failure = iota // an error, a rejection by the server or a broken connection
 	ConnectFailure                // no connection was established
-	SilentTimeout                 // a time-out of a server that responded to no other request either
+	SilentTimeout                 // a time-out of a server that has not responded since the attempt was sent
 )
 
 // consecutiveLimit returns the number of consecutive failures at which a failure of this kind ejects the
@@ -118,7 +118,7 @@
 	healthCheckPassed   bool // since the last ejection
 }
 
-// Ejected reports whether the server is ejected. It remains so during its trial.
+// Ejected reports whether the server is ejected. It remains ejected during its trial.
 func (m *Monitor) Ejected() bool { return m.ejections > 0 }
 
 // Ejections returns the number of consecutive ejections; 0 for a server that is not ejected.
@@ -128,7 +128,7 @@
 func (m *Monitor) PauseEnd() time.Duration { return m.trialAt }
 
 // RecordFailure counts a failed attempt and returns whether to eject the server. If the server is ejected
-// already, its trial has failed, and it is to be ejected again.
+// already, it is to be ejected again, whether the attempt was its trial or was sent before the ejection.
 func (m *Monitor) RecordFailure(failure Failure) Verdict {
 	if failure == ConnectFailure {
 		m.connectFailures++
@@ -156,8 +156,8 @@
 }
 
 // Eject ejects the server, or extends its ejection. The mean pause is the base pause, doubled for each
-// consecutive ejection up to a bound. Jitter spreads it from half to one and a half of the mean. It takes
-// one draw from rng.
+// consecutive ejection up to a bound. Jitter spreads the pause from 0.5 to 1.5 times the mean. Eject
+// takes one draw from rng.
 func (m *Monitor) Eject(now, basePause time.Duration, rng *rand.Rand) {
 	m.ejections++
 	m.consecutiveFailures = 0
@@ -206,7 +206,7 @@
 	return true
 }
 
-// CompleteHealthCheck records the end of the health check in flight. If it passed, the trial is allowed.
+// CompleteHealthCheck records the end of the health check in flight. A passed check allows the trial.
 func (m *Monitor) CompleteHealthCheck(result HealthCheckResult) HealthCheckEffect {
 	if !m.healthCheckInflight {
 		return Unexpected
--- a/internal/decision/outlier/outlier_test.go
+++ b/internal/decision/outlier/outlier_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestGoodResponseEndsRowOfFailures(t *testing.T) {
+func TestGoodResponseResetsConsecutiveFailures(t *testing.T) {
 	var m Monitor
 	for range 10 {
 		require.Equal(t, Keep, m.RecordFailure(BadResponse))
@@ -42,7 +42,8 @@
 	}
 }
 
-// The pause lies between half and one and a half of the base pause times a factor, which doubles four times.
+// The pause lies between 0.5 and 1.5 times its mean. The mean is the base pause, doubled for each ejection, four
+// times at most.
 func TestPauseDoublesUpToBound(t *testing.T) {
 	var m Monitor
 	rng := newRand()
@@ -105,8 +106,8 @@
 	require.Equal(t, StillUnusable, m.CompleteHealthCheck(HealthCheckFailed))
 }
 
-// Bad responses and silence do not suggest that the process was replaced. Two failed connections do, and
-// that of a health check counts.
+// Bad responses and silence do not suggest that the process was replaced. Two failed connections do;
+// a failed connection of a health check counts as one.
 func TestFailedConnectionsSuggestRestart(t *testing.T) {
 	options := Options{HealthChecks: true}
 	noConnection := []Failure{ConnectFailure, ConnectFailure}
