--- a/internal/decision/quota/quota.go
+++ b/internal/decision/quota/quota.go
@@ -47,7 +47,7 @@
 }
 
 // Take counts a request of a tenant and reports whether it is within the quota. A request of an unknown
-// tenant, or of one without a quota, always is.
+// tenant, or of a tenant without a quota, always is.
 func (l *Limiter) Take(now time.Duration, tenant int) bool {
 	if tenant < 0 || tenant >= len(l.buckets) || l.buckets[tenant].unlimited {
 		return true
@@ -55,7 +55,7 @@
 	return l.buckets[tenant].take(now)
 }
 
-// take adds the tokens that are due, takes one, and reports whether there was one.
+// take adds the tokens that are due, takes a token if there is one, and reports whether it did.
 func (b *bucket) take(now time.Duration) bool {
 	added := b.perSecond * (now - b.filledAt).Seconds()
 	depth := max(1, b.perSecond*burstSeconds) // at least one request, however low the rate
--- a/internal/decision/quota/quota_test.go
+++ b/internal/decision/quota/quota_test.go
@@ -12,7 +12,7 @@
 		perSecond float64
 		balancers int
 		tenant    int
-		interval  time.Duration // between 100 requests
+		interval  time.Duration // between two of the 100 requests
 		want      int
 	}{
 		"below the quota": {perSecond: 50, balancers: 1, interval: 25 * time.Millisecond, want: 100},
--- a/internal/decision/slowstart/rate.go
+++ b/internal/decision/slowstart/rate.go
@@ -4,14 +4,14 @@
 
 const (
 	// loadMultiple is the multiple of its share of the load that a server may get where sends are not drawn.
-	// With few balancers the load is spread unevenly, and only a multiple of its capacity overloads a
-	// server.
+	// With few balancers the load is spread unevenly, and a server is overloaded only by a multiple of its
+	// capacity.
 	loadMultiple = 3.0
 	// idleGrowth is the multiple of its reported completion rate that an idle server may get where sends are
-	// not drawn: the work that it does warms such a server up sooner than the options say.
+	// not drawn: the work that an idle server does warms it up sooner than the options say.
 	idleGrowth = 2.0
-	// drawnIdleGrowth is the same where sends are drawn. It is lower, because the draws of many balancers
-	// can coincide.
+	// drawnIdleGrowth is that multiple where sends are drawn. It is lower, because the draws of many
+	// balancers can coincide.
 	drawnIdleGrowth = 1.0
 	// idleInflight is the number of other balancers' requests from which a server no longer counts as idle:
 	// with more than one, requests wait for each other.
@@ -43,18 +43,19 @@
 // idle reports whether the server has reported, with fewer than idleInflight requests of other balancers.
 func (r Report) idle() bool { return r.Known && r.Others < idleInflight }
 
-// completedWork returns this balancer's share of the work per second that a warm server completes.
+// completedWork returns this balancer's share of the work per second, in ms, that a warm server of size 1
+// completes.
 func (l Load) completedWork() float64 { return l.PeakCompletionRate * l.MeanWork / l.Senders }
 
 // NeedsSendRate reports whether AllowedRate uses load.SendRate, which is expensive to estimate.
 func (c *Controller) NeedsSendRate(load Load) bool { return !c.Drawn() || load.completedWork() == 0 }
 
 // AllowedRate returns the work per second, in ms, that this balancer may send to the server: its share of
-// what a warm server completes or gets, times the capacity share. Where sends are not drawn, it may be a
-// multiple of that; an idle server may get at least the rate that it reports. Many balancers together
-// send no more than the shares: the margin up to overload leaves room for uneven zones, weights and hints.
-// The completion rate is the better measure, since the rate of sent work falls along with the fleet when a
-// part of it is lost.
+// what a warm server completes or gets, times the capacity share. Where sends are drawn, all balancers
+// together send no more than their shares: the margin up to overload leaves room for uneven zones, weights
+// and hints. Where sends are not drawn, each balancer may send a multiple of its share. To an idle server it
+// may send at least its share of the rate that the server reports. The completion rate is the better measure,
+// since the rate of sent work falls when a part of the fleet is lost.
 func (c *Controller) AllowedRate(now time.Duration, p *Progress, load Load) float64 {
 	rate, growth := load.completedWork(), drawnIdleGrowth
 	switch {
--- a/internal/decision/slowstart/slowstart.go
+++ b/internal/decision/slowstart/slowstart.go
@@ -3,7 +3,7 @@
 // A process that has just started has only a part of its capacity: its caches are empty and its code is not
 // compiled yet. With its full share of the requests it would be overloaded, and might fail again. In slow
 // start its capacity is assumed to grow linearly with its age, as in Envoy's slow start mode and the
-// slow_start of nginx. These scale a weight. Here the time between requests is controlled instead, because
+// slow_start of nginx. Those scale a weight. Here the time between requests is controlled instead, because
 // one request from each of many balancers already exceeds the server's capacity:
 //
 //   - A balancer sends one request at a time, none heavier than the mean, and none to a zone that has
@@ -43,7 +43,7 @@
 type Options struct {
 	InitialCapacity float64       // share of its capacity that a server has at its start, in [0, 1]
 	Duration        time.Duration // time from the start to full capacity; 0: full capacity at once
-	DrawWindow      time.Duration // length of a window, for which a balancer draws; 0: no draws
+	DrawWindow      time.Duration // length of the windows for which a balancer draws; 0: no draws
 	Seed            uint64        // differs between balancers, so that their draws do, too
 }
 
@@ -72,7 +72,7 @@
 // Identity distinguishes the draws for one server from those for others.
 type Identity struct {
 	Hash    uint64  // hash of the server's id, so that the draws for servers are independent
-	Stagger float64 // in [0, 1): shifts the windows, so that those of all balancers do not begin at once
+	Stagger float64 // in [0, 1): shifts the windows, so that not all balancers' windows begin at once
 }
 
 // Controller makes the decisions of slow start. Its zero value is usable and has the zero Options.
@@ -102,15 +102,15 @@
 }
 
 // Start starts a slow start that counts from since, the start of the process. The first request waits for a
-// random part of the pause, so that many balancers do not send at once. It takes one draw from rng. If since
-// is negative, before the origin of the clock, the process is old and the server is warm.
+// random part of the pause, so that many balancers do not send at once. Start takes one draw from rng. If
+// since is negative (before the origin of the clock), the process is old and the server is warm.
 func (c *Controller) Start(now, since time.Duration, p *Progress, load Load, rng *rand.Rand) {
 	*p = Progress{active: since >= 0, since: since}
 	p.nextSend = now + estimate.Jitter(rng, c.Pause(now, p, load))
 }
 
-// Assume starts a slow start because the process may have been replaced. It ends after a quarter of the
-// duration, unless the endpoint list names a restart and the caller calls Start.
+// Assume starts a slow start because the process may have been replaced. The slow start ends after a quarter
+// of its duration, unless the endpoint list names a restart and the caller calls Start.
 func (c *Controller) Assume(now time.Duration, p *Progress, load Load, rng *rand.Rand) {
 	c.Start(now, now, p, load, rng)
 	p.assumedUntil = now + c.options.Duration/assumedRestartDivisor
@@ -130,7 +130,7 @@
 }
 
 // Admits reports whether the server may get the request, before any draw: one request at a time, after the
-// pause. Heavy requests are not admitted, since one from each balancer would overload the server.
+// pause. Heavy requests are not admitted, since one of them from each balancer would overload it.
 func (c *Controller) Admits(now time.Duration, p *Progress, request Request) bool {
 	heavy := request.Work > request.MeanWork
 	if heavy || request.WarmedByLocalBalancers {
@@ -153,8 +153,8 @@
 	p.nextSend = max(p.nextSend, now) + c.Pause(now, p, load)
 }
 
-// Pause returns the least time between this balancer's requests: one window if they are drawn, otherwise the
-// time in which its share of the server's capacity amounts to a request of mean work.
+// Pause returns the least time between this balancer's requests: one window if sends are drawn, otherwise the
+// time in which this balancer's share of the server's capacity amounts to one request of mean work.
 func (c *Controller) Pause(now time.Duration, p *Progress, load Load) time.Duration {
 	if c.Drawn() {
 		return c.options.DrawWindow
@@ -162,8 +162,8 @@
 	return c.interval(now, p, load)
 }
 
-// interval returns the mean time between this balancer's requests. It counts each as a request of mean work,
-// although only requests up to the mean are sent: low cost hints are too low as often as not.
+// interval returns the mean time between this balancer's requests. It counts each request as one of mean
+// work, although only requests up to the mean are sent: low cost hints are too low as often as not.
 func (c *Controller) interval(now time.Duration, p *Progress, load Load) time.Duration {
 	longest := c.options.Duration
 	if c.Drawn() {
--- a/internal/decision/slowstart/slowstart_test.go
+++ b/internal/decision/slowstart/slowstart_test.go
@@ -87,8 +87,8 @@
 	require.True(t, c.Admits(now+pause, &p, light))
 }
 
-// The rate at the start of slow start, at a fifth of the capacity. The share of a warm server is 100 ms per
-// second: 20 requests of 25 ms per second, divided among five balancers.
+// The rate at the start of slow start, when the capacity share is a fifth. A balancer's share of what a warm
+// server completes is 100 ms per second: 20 requests of 25 ms per second, divided among five balancers.
 func TestAllowedRate(t *testing.T) {
 	idle := Report{Known: true, Others: 1, CompletionRate: 40}
 	onlySent := Load{MeanWork: 25, SendRate: 150, Senders: 5, Size: 1}
--- a/internal/decision/subscription/subscription.go
+++ b/internal/decision/subscription/subscription.go
@@ -4,8 +4,8 @@
 // It prevents a thundering herd: all balancers subscribing at once, and repeatedly, to a discovery service
 // that was overloaded or has just restarted. The first subscription has a random delay, and each failure
 // doubles the backoff before the next one, with jitter (exponential backoff with jitter, as in the AWS
-// Architecture Blog of 2015 and gRPC's connection backoff). The backoff is bounded, because a change counts
-// as notified a fixed time after discovery can be reached, whatever the poll interval is.
+// Architecture Blog of 2015 and gRPC's connection backoff). The backoff is bounded, because a balancer
+// counts as notified of a change a fixed time after discovery can be reached, whatever the poll interval is.
 //
 // A Schedule must not be used concurrently.
 package subscription
--- a/internal/decision/workload/snapshot.go
+++ b/internal/decision/workload/snapshot.go
@@ -9,7 +9,8 @@
 	LargeShare float64 // share of the work in requests above the median hint
 }
 
-// usable reports whether all figures are in range; this excludes a Model that had no cost hint.
+// usable reports whether all figures are in range. The median of a Model without cost hints is 0, which is
+// out of range.
 func (s Snapshot) usable() bool {
 	medianUsable := s.MedianHint > 0 && !math.IsInf(s.MedianHint, 0)
 	meanUsable := s.Mean > 0 && !math.IsInf(s.Mean, 0)
--- a/internal/decision/workload/workload.go
+++ b/internal/decision/workload/workload.go
@@ -6,10 +6,10 @@
 // them (head-of-line blocking). The median of the hints separates light requests from heavy ones; the share
 // of the work that is heavy determines how many servers to reserve for it, as in size-based task assignment
 // (Harchol-Balter, Crovella and Murta, "On Choosing a Task Assignment Policy for a Distributed Server
-// System", 1999). Both are updated in small steps, without a history of samples.
+// System", 1999). Both figures are updated in small steps, without a history of samples.
 //
 // Where clients send no hints, a low quantile of the class's latencies replaces them: the fastest responses
-// did not queue, so that their latency is close to their work.
+// did not queue, so their latency is close to their work.
 //
 // A Model must not be used concurrently.
 package workload
@@ -31,7 +31,7 @@
 	// exclude queueing. A minimum would be set by a single odd response.
 	fastQuantile = 1.0 / 8
 	// fastQuantileStep is the relative change of that quantile by one response. It is multiplied by the
-	// expected share of responses on the other side, so that steps up and down balance at the quantile.
+	// expected share of responses on the other side of the quantile, so that steps up and down balance there.
 	fastQuantileStep = 1.0 / 16
 	// initialLargeShare is the share of large work that is assumed before the first request.
 	initialLargeShare = 0.5
@@ -52,7 +52,7 @@
 // New returns a Model without any observations.
 func New() Model { return Model{largeShare: initialLargeShare} }
 
-// EnsureClasses adds classes up to count. It keeps what is known of existing ones.
+// EnsureClasses adds classes up to count. It keeps what is known of existing classes.
 func (m *Model) EnsureClasses(count int) {
 	for len(m.fastResponses) < count {
 		m.fastResponses = append(m.fastResponses, 0)
@@ -92,8 +92,8 @@
 // MedianHint returns the median of the cost hints in ms; 0 before the first hint.
 func (m *Model) MedianHint() float64 { return m.medianHint }
 
-// LargeShare returns the share of the work that is in requests above the median hint, or one half before the
-// first request.
+// LargeShare returns the share of the work that is in requests above the median hint; one half before the
+// first request, unless restored.
 func (m *Model) LargeShare() float64 { return m.largeShare }
 
 // ObserveArrival updates the model with an arriving request: its cost hint in ms and the result of Expect
@@ -121,7 +121,7 @@
 	}
 }
 
-// observeWork updates the mean work and the share of large work, in which each request counts by its work.
+// observeWork updates the mean work and the share of large work. In the share, a request counts by its work.
 func (m *Model) observeWork(expected Expectation) {
 	m.samples++
 	gain := max(1/m.samples, workGain)
