--- a/internal/decision/admission/admission.go
+++ b/internal/decision/admission/admission.go
@@ -1,9 +1,9 @@
 // Package admission decides, while there is more work than capacity, which requests are admitted and in
 // which order waiting requests are sent.
 //
-// Without it, an overloaded service would complete nothing in time (congestion collapse). Work that would be
-// late is shed on arrival, lowest priority first, so that admitted requests are served within their
-// objective. The package has three parts:
+// Without admission control, an overloaded service would complete nothing in time (congestion collapse).
+// Work that would be late is shed on arrival, lowest priority first, so that admitted requests are served
+// within their objective. The package has three parts:
 //
 //   - Shedding (shedding.go): a share of the work that is rejected on arrival. It grows while responses come
 //     late in all localities and decays otherwise, as in Envoy's admission control filter, but it is
--- a/internal/decision/admission/shedding.go
+++ b/internal/decision/admission/shedding.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// decayShedShare decays the shed share by one tick. Without it, a balancer that rejects everything would get
-// no responses and never notice an improvement.
+// decayShedShare decays the shed share by one tick. Without the decay, a balancer that rejects everything
+// would get no responses and never notice an improvement.
 func (c *Controller) decayShedShare() { c.shedShare -= c.shedShare / decayTicks }
 
 // ShedShare returns the share of the work that is rejected on arrival.
--- a/internal/decision/concurrency/concurrency_test.go
+++ b/internal/decision/concurrency/concurrency_test.go
@@ -65,8 +65,8 @@
 	require.False(t, l.Reached(), "one request keeps going")
 }
 
-// Without requests the limit falls with the recent peak. Otherwise it would be too high to hold back the
-// next burst.
+// Without requests the limit falls with the recent peak. Otherwise the limit would be too high to hold back
+// the next burst.
 func TestUnusedLimitStaysWithinReach(t *testing.T) {
 	l := newLimit(10)
 	for range 10 {
--- a/internal/decision/loadreport/loadreport.go
+++ b/internal/decision/loadreport/loadreport.go
@@ -24,7 +24,7 @@
 	// smoothing is the weight of one report in a running mean, which covers about the last four reports.
 	smoothing = 1.0 / 4
 	// decayTime is the time, in seconds, in which the weight of a report falls by a factor of e. By then
-	// most of the requests that it counted have been answered.
+	// most of the requests that the report counted have been answered.
 	decayTime = 1.0
 	// maxAge is the age from which a report no longer counts in a mean over servers.
 	maxAge = 3 * time.Second
@@ -75,8 +75,8 @@
 // MeanCompletionRate returns the running mean of the completions per second; 0 without reports.
 func (r *Reports) MeanCompletionRate() float64 { return r.meanCompletionRate }
 
-// estimateOthers estimates how many requests of other balancers the server has now. As the last report ages,
-// the estimate moves from its figure to prior.
+// estimateOthers estimates how many requests of other balancers the server has now. As the last report
+// ages, the estimate moves from the report's figure to prior.
 func (r *Reports) estimateOthers(now time.Duration, prior float64) float64 {
 	if !r.Received() {
 		return 0 // not known: only the bounds on this balancer's own requests apply
--- a/internal/decision/slowstart/slowstart.go
+++ b/internal/decision/slowstart/slowstart.go
@@ -44,7 +44,7 @@
 	InitialCapacity float64       // share of its capacity that a server has at its start, in [0, 1]
 	Duration        time.Duration // time from the start to full capacity; 0: full capacity at once
 	DrawWindow      time.Duration // length of the windows for which a balancer draws; 0: no draws
-	Seed            uint64        // differs between balancers, so that their draws do, too
+	Seed            uint64        // differs between balancers, so that their draws differ, too
 }
 
 // Progress is the state of one server's slow start. Its zero value is a warm server.
--- a/internal/decision/workload/workload.go
+++ b/internal/decision/workload/workload.go
@@ -2,11 +2,11 @@
 // responded to earlier requests.
 //
 // All other components measure load as this work (ms of a server's time), not as a number of requests: a
-// balancer that counts requests would take a few heavy ones for a light load, and send light ones behind
-// them (head-of-line blocking). The median of the hints separates light requests from heavy ones; the share
-// of the work that is heavy determines how many servers to reserve for it, as in size-based task assignment
-// (Harchol-Balter, Crovella and Murta, "On Choosing a Task Assignment Policy for a Distributed Server
-// System", 1999). Both figures are updated in small steps, without a history of samples.
+// balancer that counts requests would take a few heavy requests for a light load, and send light ones
+// behind them (head-of-line blocking). The median of the hints separates light requests from heavy ones;
+// the share of the work that is heavy determines how many servers to reserve for it, as in size-based task
+// assignment (Harchol-Balter, Crovella and Murta, "On Choosing a Task Assignment Policy for a Distributed
+// Server System", 1999). Both figures are updated in small steps, without a history of samples.
 //
 // Where clients send no hints, a low quantile of the class's latencies replaces them: the fastest responses
 // did not queue, so their latency is close to their work.
@@ -23,7 +23,7 @@
 
 const (
 	// workGain is the least weight of one request in the mean work and in the share of large work: both
-	// cover about the last 128 requests, so that a single heavy one does not move them much.
+	// cover about the last 128 requests, so that a single heavy request does not move them much.
 	workGain = estimate.GroupSmoothing / 8
 	// medianStep is the least relative change of the median hint by one hint.
 	medianStep = estimate.GroupSmoothing / 2
