--- a/internal/decision/admission/admission.go
+++ b/internal/decision/admission/admission.go
@@ -26,7 +26,7 @@
 	TickInterval      time.Duration // between calls of Tick; positive
 	ClassWeights      []float64     // priority weight of each class
 	OverQuotaWeight   float64       // factor on the weight of a request over its tenant's quota
-	WeightPerRequest  bool          // the weight applies per request; false: per ms of its work
+	WeightPerRequest  bool          // the weight applies per request; false: per ms of work
 	PreventStarvation bool          // starved bands go first; false: only precedence counts
 	AdviseRetryAfter  bool          // rejections may advise when to retry
 	MaxRetryAfter     time.Duration // upper bound on the advised delay
@@ -65,8 +65,9 @@
 	return draw < c.bands[band].rejectShare
 }
 
-// RetryAfter returns the delay that a rejection advises; 0 means no advice. Without shedding it advises
-// none: the rejection is due to a short fault, and an early retry is right.
+// RetryAfter returns the delay that a rejection advises: the shortest objective, up to MaxRetryAfter.
+// 0 means no advice, as without shedding: the rejection is then due to a short fault, and an early retry is
+// right.
 func (c *Controller) RetryAfter() time.Duration {
 	if !c.options.AdviseRetryAfter || !c.Shedding() {
 		return 0
--- a/internal/decision/admission/admission_test.go
+++ b/internal/decision/admission/admission_test.go
@@ -111,7 +111,7 @@
 		c.RequestArrived(y, 100)
 		c.RequestForwarded(y, 80)
 		c.shedShare = 0.5
-		require.True(t, c.Precedes(first, second), "by arrival, before it is seen")
+		require.True(t, c.Precedes(first, second), "by arrival, until a tick has found the band starved")
 		require.False(t, c.Precedes(second, first))
 		c.Tick()
 		require.Equal(t, c.bands[x].rejectShare, c.bands[y].rejectShare)
@@ -148,7 +148,7 @@
 	}{
 		"short":         {length: queueMinLength - 1, sendRate: 1, want: false},
 		"100 ms":        {length: 20, sendRate: 2000, want: false}, // a quarter of the objective
-		"more than so":  {length: 21, sendRate: 2000, want: true},
+		"over 100 ms":   {length: 21, sendRate: 2000, want: true},
 		"no rate known": {length: 1000, sendRate: 0, want: false},
 	} {
 		var ahead Queue
--- a/internal/decision/admission/bands.go
+++ b/internal/decision/admission/bands.go
@@ -28,11 +28,11 @@
 // bandState holds the weight, the recent work and the decisions of a band.
 type bandState struct {
 	weight      float64
-	precedence  float64 // weight, divided by the expected work if WeightPerRequest is set
+	precedence  float64 // weight, divided by the expected work if that is known and WeightPerRequest is set
 	arrived     float64 // recently arrived work in ms, decaying
 	forwarded   float64 // recently forwarded work in ms, decaying
 	rejectShare float64 // share of its requests to reject on arrival
-	starved     bool    // whether it gets much less than its part of the forwarded work
+	starved     bool    // far below its part of the forwarded work, if PreventStarvation is set
 }
 
 func newBandState(weight float64) bandState { return bandState{weight: weight, precedence: weight} }
@@ -76,10 +76,11 @@
 	}
 }
 
-// rejectShareOf returns the share of a band's work to reject; shed is the work to reject in all bands.
-// Lower bands are rejected first; the rest is spread evenly over this band and those of the same precedence.
+// rejectShareOf returns the share of a band's work to reject; shed is the work, in ms, to reject in all bands
+// together. Bands of lower precedence are rejected first. What remains is spread evenly over this band and
+// those of the same precedence.
 func (c *Controller) rejectShareOf(band *bandState, shed float64) float64 {
-	lower, equal := 0.0, 0.0 // work of the bands below this one, and of those at its precedence
+	lower, equal := 0.0, 0.0 // work of bands of lower and of the same precedence
 	for i := range c.bands {
 		other := &c.bands[i]
 		switch {
--- a/internal/decision/admission/queue.go
+++ b/internal/decision/admission/queue.go
@@ -4,8 +4,8 @@
 
 const (
 	// queueMinLength is the number of waiting requests below which the queue never counts as too long.
-	// Delay is computed from the send rate, and what a few balancers send is no measure of the servers'
-	// capacity.
+	// Delay is computed from the send rate of this balancer, which is no measure of the servers' capacity
+	// where there are only a few balancers.
 	queueMinLength = 16
 	// queueMaxShare bounds the queueing delay, as a share of the shortest latency objective. A longer queue
 	// would serve no more requests. Clients that would wait for longer go elsewhere sooner if they are
@@ -26,8 +26,9 @@
 	q.length++
 }
 
-// Delay estimates how long a request behind the queue will wait; sendRate is the work sent, in ms per
-// second. It returns 0 for fewer than queueMinLength requests, and if the rate is not known (0).
+// Delay estimates how long a request behind the queue will wait; sendRate is the work that this balancer
+// sends, in ms per second. Delay returns 0 for fewer than queueMinLength requests, and if sendRate is 0
+// (unknown).
 func (q *Queue) Delay(sendRate float64) time.Duration {
 	if q.length < queueMinLength || sendRate <= 0 {
 		return 0
--- a/internal/decision/admission/shedding.go
+++ b/internal/decision/admission/shedding.go
@@ -32,8 +32,8 @@
 
 // lateness tracks how often the responses of a locality are late.
 type lateness struct {
-	share     float64       // running share of responses that took more than half of their objective
-	updatedAt time.Duration // when a response was last counted
+	share     float64       // running share of late responses; a server's silence counts as one
+	updatedAt time.Duration // when a response, not a silence, was last counted
 }
 
 func (l *lateness) observe(late float64) { l.share += estimate.GroupSmoothing * (late - l.share) }
@@ -41,7 +41,7 @@
 // Response describes one response from a server.
 type Response struct {
 	Locality     int  // 0 or 1: locality of the server
-	Late         bool // it took more than half of its objective; reacting at half leaves time to act
+	Late         bool // it took over half of its objective, which leaves time to act, or is a rejection
 	OnlyLocality bool // the other locality has no servers
 }
 
@@ -54,9 +54,9 @@
 	return min(elapsed/c.options.ShortestObjective.Seconds()*shedGain, maxStep)
 }
 
-// ObserveResponse raises the shed share by step for a late response, but only if the other locality is late,
-// too, or has no servers, because spilling costs less than shedding. Any other response, even a late one,
-// lowers the shed share by step*recovery.
+// ObserveResponse updates the lateness of the response's locality. It raises the shed share by step for a
+// late response, but only if the other locality is late, too, or has no servers, because spilling costs
+// less than shedding. Any other response, even a late one, lowers the shed share by step*recovery.
 func (c *Controller) ObserveResponse(step float64, response Response) {
 	own, other := &c.lateness[response.Locality], &c.lateness[1-response.Locality]
 	own.observe(estimate.Indicator(response.Late))
--- a/internal/decision/classfailure/classfailure.go
+++ b/internal/decision/classfailure/classfailure.go
@@ -38,8 +38,8 @@
 // if the server hung.
 const (
 	Other         Result = iota // says nothing about the class: rejected, not connected or not sent
-	GoodResponse                // a good response
-	ErrorResponse               // any other response
+	GoodResponse                // the request was served
+	ErrorResponse               // an error response; a rejection is Other
 	TimedOut                    // no response within the time-out
 	Cancelled                   // cancelled before a response
 )
@@ -67,7 +67,7 @@
 // record is the state of one class at the server.
 type record struct {
 	failureShare float64       // running share of failed attempts
-	lastSentAt   time.Duration // when a request was last sent
+	lastSentAt   time.Duration // when a request of the class was last sent
 }
 
 // New returns Shares for the given number of classes, none of which has failed.
@@ -81,7 +81,7 @@
 }
 
 // RecordSend records that a request of the class is sent to the server now. Avoid measures the time without
-// requests from here.
+// requests from this send.
 func (s *Shares) RecordSend(now time.Duration, class int) { s.classes[class].lastSentAt = now }
 
 // RecordAttempt updates the failure share of the class with an attempt that ended. An attempt that got no
--- a/internal/decision/classfailure/classfailure_test.go
+++ b/internal/decision/classfailure/classfailure_test.go
@@ -23,7 +23,7 @@
 	silent.RespondsToOthers = false
 	for name, c := range map[string]struct {
 		attempt Attempt
-		avoided bool // after two of them
+		avoided bool // after two such attempts
 	}{
 		"good responses":         {attempt(GoodResponse, objective), false},
 		"errors":                 {attempt(ErrorResponse, 0), true},
--- a/internal/decision/concurrency/concurrency.go
+++ b/internal/decision/concurrency/concurrency.go
@@ -30,9 +30,9 @@
 	// adjustTime is the shortest time, in seconds, in which the limit changes by a factor of e. It is
 	// several times the delay of a load report, since a faster change would oscillate.
 	adjustTime = 0.35
-	// peakHeadroom bounds the limit as a multiple of the recent peak. A limit that is never reached would
-	// otherwise grow without bound, and later take long to fall far enough to have an effect (integral
-	// windup).
+	// peakHeadroom bounds the limit as a multiple of the recent peak of requests in flight. A limit that is
+	// never reached would otherwise grow without bound, and later take long to fall far enough to have an
+	// effect (integral windup).
 	peakHeadroom = 2
 	// minLimit always allows one request in flight: without any request, the balancer would not learn of an
 	// improvement.
@@ -61,10 +61,10 @@
 // Bound returns the present limit, which is infinite for a new Limit and after Remove.
 func (l *Limit) Bound() float64 { return l.limit }
 
-// Reached reports whether this balancer has as many requests in flight as the limit allows.
+// Reached reports whether this balancer has at least as many requests in flight as the limit allows.
 func (l *Limit) Reached() bool { return float64(l.inflight) >= l.limit }
 
-// Remove lifts the limit, which the caller does while there are few balancers or the mean is not known.
+// Remove lifts the limit. The caller calls it while there are few balancers or the mean is not known.
 // elapsed is the time since the last call of Remove or Adjust.
 func (l *Limit) Remove(elapsed time.Duration) {
 	l.updatePeak(elapsed)
@@ -81,7 +81,7 @@
 	l.limit = max(reachable*math.Exp(adjustment*elapsed.Seconds()/adjustTime), minLimit)
 }
 
-// updatePeak decays the recent maximum, but not below the present number of requests.
+// updatePeak decays the recent maximum, and raises it to the present number of requests if that is higher.
 func (l *Limit) updatePeak(elapsed time.Duration) {
 	l.peak = max(float64(l.inflight), l.peak*math.Exp(-elapsed.Seconds()))
 }
--- a/internal/decision/concurrency/concurrency_test.go
+++ b/internal/decision/concurrency/concurrency_test.go
@@ -32,7 +32,7 @@
 	require.True(t, math.IsInf(l.Bound(), 1))
 }
 
-// The limit changes by a factor of e in 0.35 s at most, and not at all while the mean is at the target.
+// The limit changes at most by a factor of e in 0.35 s, and not at all while the mean is at the target.
 func TestLimitFollowsMean(t *testing.T) {
 	for _, c := range []struct {
 		mean   float64
--- a/internal/decision/estimate/estimate.go
+++ b/internal/decision/estimate/estimate.go
@@ -17,9 +17,10 @@
 // Weights of one sample in a running mean: a sample moves the mean by this share of the distance between
 // them.
 const (
-	// GroupSmoothing is the weight in a mean over a group of servers, which covers about the last 16 samples.
+	// GroupSmoothing is the weight in a mean over a group of servers. Such a mean covers about the last 16
+	// samples.
 	GroupSmoothing = 1.0 / 16
-	// ServerSmoothing is the weight in a mean over one server, which gives fewer samples: the mean covers
+	// ServerSmoothing is the weight in a mean over one server, which gives fewer samples. Such a mean covers
 	// about the last 6.
 	ServerSmoothing = 1.0 / 6
 )
@@ -47,8 +48,9 @@
 }
 
 // UpdateRatio returns the running ratio of latency to work, both in ms, moved towards the sample
-// latency/work by gain, at most maxRatioGain. A ratio of 0 is unknown and is replaced by the sample. The
-// ratio stays as it is if work or latency is not positive, or if gain is not a finite number.
+// latency/work by the share gain, at most maxRatioGain, of the distance. A ratio of 0 is unknown and is
+// replaced by the sample. The ratio stays as it is if work or latency is not positive, or if gain is not a
+// finite number.
 func UpdateRatio(ratio, latency, work, gain float64) float64 {
 	if !(work > 0) || !(latency > 0) || math.IsInf(gain, 0) || math.IsNaN(gain) {
 		return ratio
--- a/internal/decision/estimate/estimate_test.go
+++ b/internal/decision/estimate/estimate_test.go
@@ -16,7 +16,7 @@
 		want         float64
 	}{
 		{length: 5 * time.Second, want: 500},
-		{length: 100 * time.Millisecond, want: 120}, // 50, taken over half a second
+		{length: 100 * time.Millisecond, want: 120}, // 50 in all, over half a second
 		{length: 5 * time.Second, idle: time.Second, want: 500 / math.E},
 	} {
 		var rate Rate
@@ -57,6 +57,6 @@
 
 func TestMixBitsIsSplitMix64Finalizer(t *testing.T) {
 	require.Equal(t, uint64(0), MixBits(0))
-	// The first output of SplitMix64 with seed 0 is the finalizer of its increment.
+	// The first output of SplitMix64 with seed 0 is the finalizer applied to the generator's increment.
 	require.Equal(t, uint64(0xe220a8397b1dcdaf), MixBits(0x9e3779b97f4a7c15))
 }
--- a/internal/decision/lanes/balance.go
+++ b/internal/decision/lanes/balance.go
@@ -5,8 +5,8 @@
 // Bounds on the small lane's share of the weight, which stays between half and twice its share of the work:
 // its bursts of requests need some servers, and the requests of the large lane need the rest.
 const (
-	maxSmallLaneGain = 1.0     // most that it gains, as a multiple of its share of the work
-	maxSmallLaneLoss = 1.0 / 2 // most that it loses, as a multiple of its share of the work
+	maxSmallLaneGain = 1.0     // most that the lane gains, as a multiple of its share of the work
+	maxSmallLaneLoss = 1.0 / 2 // most that the lane loses, as a multiple of its share of the work
 )
 
 // Balance moves the split between the lanes until responses are late equally often in both. Otherwise one
--- a/internal/decision/latency/latency.go
+++ b/internal/decision/latency/latency.go
@@ -7,8 +7,8 @@
 //     queueing (the latency beyond the work of a request). The queueing figures determine when a response is
 //     overdue, as in the retransmission time-out of TCP (RFC 6298).
 //   - Server: its mean latency, and its latency for each ms of work.
-//   - Overall: the latency for each ms of work over all servers. It replaces a server's own while that is
-//     unknown.
+//   - Overall: the latency for each ms of work over all servers. It replaces a server's own figure while
+//     that is unknown.
 //
 // The work of requests differs by orders of magnitude. A mean of plain latencies would reflect which
 // requests a server got rather than how fast it is: servers of heavy requests would look slow and get
@@ -26,8 +26,8 @@
 )
 
 const (
-	// maxFasterByWork bounds by how much a latency may count as less than the request's work, as a share of
-	// the mean work. Otherwise a cost hint that was far too high would give a latency below zero.
+	// maxFasterByWork bounds how far below the request's work a latency counts, as a share of the mean work.
+	// Otherwise a cost hint that was far too high would give a negative latency for a request of mean work.
 	maxFasterByWork = 1.0 / 2
 	// silenceDeviations is the number of mean deviations above the mean queueing after which a response is
 	// overdue, as in TCP.
@@ -41,7 +41,7 @@
 // Response describes a response, or a time-out of a server that responds to other requests.
 type Response struct {
 	Latency   time.Duration
-	Objective time.Duration // latency objective of the request's class, which bounds its queueing
+	Objective time.Duration // latency objective of the request's class; bounds the queueing
 	Work      float64       // work of the request, ms
 	MeanWork  float64       // mean work of all requests, ms
 }
@@ -73,7 +73,7 @@
 // Group is the estimate for the servers of one locality. Its zero value means unknown.
 type Group struct {
 	mean              float64 // latency of a request of mean work, ms; 0: unknown
-	queueingMean      float64 // latency beyond the work itself, ms
+	queueingMean      float64 // mean latency beyond the work itself, ms
 	queueingDeviation float64 // mean deviation of the queueing, ms
 }
 
@@ -121,8 +121,8 @@
 	o.perWork = estimate.UpdateRatio(o.perWork, ms, response.Work, gain)
 }
 
-// startIfUnknown initializes the means with the first response, and the deviation with half of its queueing,
-// as RFC 6298 does.
+// startIfUnknown initializes the means with the first response, and the deviation with half of that
+// response's queueing, as RFC 6298 does.
 func (g *Group) startIfUnknown(typical, queueing float64) {
 	if g.mean == 0 {
 		g.mean, g.queueingMean, g.queueingDeviation = typical, queueing, queueing/2
--- a/internal/decision/latency/latency_test.go
+++ b/internal/decision/latency/latency_test.go
@@ -58,8 +58,8 @@
 }
 
 // As in RFC 6298, the time-out includes the mean queueing and four mean deviations. The first deviation is
-// half of the queueing, 10 ms. The first response also reduces it to 15/16 of that, as its own distance from
-// the mean is 0.
+// half of the queueing, 10 ms. The first response then reduces the deviation to 15/16 of that, as its queueing
+// equals the mean.
 func TestSilenceTimeout(t *testing.T) {
 	var f fixture
 	require.Equal(t, 540*ms, f.group.SilenceTimeout(20, 500*ms), "nothing is known but the objective")
--- a/internal/decision/latency/server.go
+++ b/internal/decision/latency/server.go
@@ -11,8 +11,8 @@
 	minPathResponses = 64
 	// maxTransitShare is the largest share of the requests in flight that counts as in transit.
 	maxTransitShare = 0.75
-	// minWorkShare is the work of a light request, as a share of the mean work. A transit time shorter than
-	// that work is ignored.
+	// minWorkShare is the work of a light request, as a share of the mean work. A transit time that is
+	// not longer than that work is ignored.
 	minWorkShare = 1.0 / 4
 	// transitReserve is added to the load, in requests, where requests in transit are left out: a request
 	// that is mostly in transit must not make room for another request.
@@ -20,8 +20,8 @@
 	// maxWeightFactor bounds the weight factor of a server that is faster than its group. Otherwise fast
 	// servers would get all requests at once.
 	maxWeightFactor = 2
-	// minWeightFactor bounds the weight factor of a slow server from below. Without any requests, its
-	// estimate could not recover.
+	// minWeightFactor bounds the weight factor of a slow server from below. Without any requests, the
+	// server's estimate could not recover.
 	minWeightFactor = 1.0 / 8
 	// slowMultiple is the multiple of its group's mean latency above which a server is slow.
 	slowMultiple = 2
@@ -52,7 +52,7 @@
 // ForgetMean discards the mean latency because the server has a new process.
 func (s *Server) ForgetMean() { s.mean = 0 }
 
-// startIfUnknown assumes that a server without a response is as fast as its group.
+// startIfUnknown assumes that a server without a mean latency is as fast as its group.
 func (s *Server) startIfUnknown(g *Group) {
 	if s.mean == 0 {
 		s.mean = g.mean
@@ -65,8 +65,8 @@
 	s.perWork = estimate.UpdateRatio(s.perWork, ms, response.Work, gain)
 }
 
-// Expected returns how long, in ms, the server will take for work in ms. The caller includes the work of
-// the requests ahead of a new one.
+// Expected returns how long, in ms, the server will take for work in ms; 0 if that is unknown. The caller
+// includes the work of the requests ahead of a new one.
 func (s *Server) Expected(work float64, overall *Overall) float64 {
 	perWork := s.perWork
 	if perWork == 0 {
@@ -96,7 +96,8 @@
 // EffectiveLoad estimates how many of this balancer's requests in flight the server holds, as opposed to
 // those in transit. On a long path, a bound on all requests in flight would leave the server idle. The
 // transit time of a zone is the lowest latency of its responses, less the work of a light request. It never
-// rises, so a queue is not mistaken for a long path.
+// rises, so a queue is not mistaken for a long path. All requests count if the path is short or
+// unknown, or the server's mean latency unknown.
 func (s *Server) EffectiveLoad(inflight int, meanWork float64, path *Path) float64 {
 	lightWork := meanWork * minWorkShare
 	transit := path.fastest - lightWork
--- a/internal/decision/loadreport/loadreport.go
+++ b/internal/decision/loadreport/loadreport.go
@@ -2,15 +2,16 @@
 // have at each server and how many a server completes.
 //
 // A balancer knows only its own requests. The requests of other balancers show in the load reports that
-// servers send with their responses: the number of requests in flight at the server, and of those completed
-// per second. With many balancers, a bound on each one's own requests would not bound the sum: together
-// they could overload a server to which each sends few requests. A report is already old when it
+// servers send with their responses: the number of requests in flight at the server, and the number
+// completed per second. With many balancers, a bound on each one's own requests would not bound the sum:
+// together they could overload a server to which each sends few requests. A report is already old when it
 // arrives, and a server that gets no requests does not report at all. An old report must therefore neither
 // keep a server out of use nor attract requests: its weight decays with its age.
 //
-// Reports holds what one server reported. GroupMean and Fleet are sums over servers, and PeakRate is the
-// mean completion rate of busy warm servers per unit of size. They only estimate; the callers decide. The
-// model is the load reporting of Envoy and gRPC (ORCA), with exponentially weighted moving averages.
+// Reports holds what one server reported. GroupMean is a mean and Fleet a sum over servers. PeakRate is the
+// recent peak of the completion rate of warm servers, per unit of size. These types only estimate; the
+// callers decide. The model is the load reporting of Envoy and gRPC (ORCA), with exponentially weighted
+// moving averages.
 //
 // Times are durations since the origin of the caller's clock. A report at the origin itself counts as none.
 package loadreport
@@ -86,7 +87,7 @@
 
 // TotalInflight estimates how many requests of all balancers the server has now; own of them are this
 // balancer's. As the last report ages, its figure gives way to the lower of two means of other balancers'
-// requests: the server's and its group's.
+// requests: the server's and its group's. Without a report, it returns own.
 func (r *Reports) TotalInflight(now time.Duration, groupMeanOthers float64, own int) float64 {
 	prior := min(r.meanOthers, groupMeanOthers)
 	return r.estimateOthers(now, prior) + float64(own)
@@ -113,7 +114,7 @@
 	return m.inflight / max(m.reporting, 1), m.reporting > 0
 }
 
-// Fleet is the sum of the completion rates and sizes of servers. Its zero value counts no server.
+// Fleet sums up the completion rates and sizes of servers. Its zero value counts no server.
 type Fleet struct {
 	completionRate float64
 	size           float64
@@ -146,5 +147,5 @@
 	}
 }
 
-// Restore takes over the peak of another process if it is higher than this one.
+// Restore raises the peak to perSecond, the peak of another process, if that is higher.
 func (p *PeakRate) Restore(perSecond float64) { p.perSecond = max(p.perSecond, perSecond) }
--- a/internal/decision/outlier/outlier.go
+++ b/internal/decision/outlier/outlier.go
@@ -7,7 +7,7 @@
 //     resets the count, since a healthy server fails now and then, too.
 //   - An ejection lasts for a pause that doubles with each consecutive ejection and has jitter, so that the
 //     balancers do not all return to the server at the same moment.
-//   - After the pause, and after a passed health check where these are enabled, one request is sent as a
+//   - After the pause, and after a passed health check where checks are enabled, one request is sent as a
 //     trial. Its failure ejects the server again at once; a good response ends the ejection. Only one trial
 //     is in flight, so that a server that still hangs costs one request and not a burst of them.
 //   - If connections to an ejected server failed, its process may have been replaced. RecordGoodResponse
@@ -141,7 +141,7 @@
 	return Keep
 }
 
-// RecordGoodResponse resets the count of consecutive failures and ends an ejection.
+// RecordGoodResponse resets the counts of consecutive and of connection failures, and ends an ejection.
 func (m *Monitor) RecordGoodResponse() Recovery {
 	mayHaveRestarted := m.connectFailures >= minConnectFailures
 	wasEjected := m.ejections > 0
@@ -157,7 +157,7 @@
 
 // Eject ejects the server, or extends its ejection. The mean pause is the base pause, doubled for each
 // consecutive ejection up to a bound. Jitter spreads the pause from 0.5 to 1.5 times the mean. Eject
-// takes one draw from rng.
+// takes one draw from rng, resets the count of consecutive failures and discards a passed health check.
 func (m *Monitor) Eject(now, basePause time.Duration, rng *rand.Rand) {
 	m.ejections++
 	m.consecutiveFailures = 0
@@ -207,6 +207,7 @@
 }
 
 // CompleteHealthCheck records the end of the health check in flight. A passed check allows the trial.
+// A check without a connection counts as a failed connection.
 func (m *Monitor) CompleteHealthCheck(result HealthCheckResult) HealthCheckEffect {
 	if !m.healthCheckInflight {
 		return Unexpected
--- a/internal/decision/quota/quota.go
+++ b/internal/decision/quota/quota.go
@@ -2,7 +2,7 @@
 // that quota.
 //
 // It prevents a surge of one tenant from taking the capacity of all: requests over the quota are still
-// served, but with a lower priority, so that they are shed first. Each tenant has a token bucket (as in RFC
+// served, but with a lower priority, so they are shed first. Each tenant has a token bucket (as in RFC
 // 2697 and Envoy's local rate limit filter). Balancers exchange nothing about quotas: clients spread over
 // them evenly enough that each balancer can enforce an equal share.
 //
--- a/internal/decision/retrybudget/retrybudget.go
+++ b/internal/decision/retrybudget/retrybudget.go
@@ -1,8 +1,8 @@
 // Package retrybudget limits retries and hedged requests to a fixed share of the requests that arrive.
 //
 // It prevents retry storms: when servers fail, retries multiply the load on the remaining servers, which
-// then fail, too. Only arriving requests fill the budget, so that the extra attempts stay a bounded share
-// of those requests, whatever fails. Such budgets are described in the chapters "Handling Overload" and
+// then fail, too. Only arriving requests fill the budget, so the extra attempts stay a bounded share of
+// those requests, whatever fails. Such budgets are described in the chapters "Handling Overload" and
 // "Addressing Cascading Failures" of Google's Site Reliability Engineering book, and built into Envoy and
 // Finagle.
 //
--- a/internal/decision/slowstart/slowstart.go
+++ b/internal/decision/slowstart/slowstart.go
@@ -3,13 +3,13 @@
 // A process that has just started has only a part of its capacity: its caches are empty and its code is not
 // compiled yet. With its full share of the requests it would be overloaded, and might fail again. In slow
 // start its capacity is assumed to grow linearly with its age, as in Envoy's slow start mode and the
-// slow_start of nginx. Those scale a weight. Here the time between requests is controlled instead, because
-// one request from each of many balancers already exceeds the server's capacity:
+// slow_start of nginx. Envoy and nginx scale a weight. Here the time between requests is controlled instead,
+// because one request from each of many balancers already exceeds the server's capacity:
 //
-//   - A balancer sends one request at a time, none heavier than the mean, and none to a zone that has
+//   - A balancer sends one request at a time, none heavier than the mean, and none to another zone that has
 //     balancers of its own.
-//   - It leaves a pause between requests, in which its share of the server's present capacity amounts to one
-//     request of mean work (Pause).
+//   - The balancer leaves a pause between requests, in which its share of the server's present capacity
+//     amounts to one request of mean work (Pause).
 //   - With many balancers that share is less than one request in any reasonable pause. Each balancer then
 //     draws at random, for each window of time, whether it may send in that window (WinsDraw). A permission
 //     to send ends with its window. If an idle balancer could save permissions up, all balancers would use
@@ -130,7 +130,8 @@
 }
 
 // Admits reports whether the server may get the request, before any draw: one request at a time, after the
-// pause. Heavy requests are not admitted, since one of them from each balancer would overload it.
+// pause. Heavy requests are not admitted, since one of them from each balancer would overload the server. A
+// server in another zone with balancers of its own gets no request: those balancers warm it up.
 func (c *Controller) Admits(now time.Duration, p *Progress, request Request) bool {
 	heavy := request.Work > request.MeanWork
 	if heavy || request.WarmedByLocalBalancers {
@@ -154,7 +155,8 @@
 }
 
 // Pause returns the least time between this balancer's requests: one window if sends are drawn, otherwise the
-// time in which this balancer's share of the server's capacity amounts to one request of mean work.
+// time in which this balancer's share of the server's capacity amounts to one request of mean work, or 0
+// while no rate is known.
 func (c *Controller) Pause(now time.Duration, p *Progress, load Load) time.Duration {
 	if c.Drawn() {
 		return c.options.DrawWindow
--- a/internal/decision/slowstart/slowstart_test.go
+++ b/internal/decision/slowstart/slowstart_test.go
@@ -87,7 +87,7 @@
 	require.True(t, c.Admits(now+pause, &p, light))
 }
 
-// The rate at the start of slow start, when the capacity share is a fifth. A balancer's share of what a warm
+// All cases are at the start of slow start, when the capacity share is a fifth. A balancer's share of what a warm
 // server completes is 100 ms per second: 20 requests of 25 ms per second, divided among five balancers.
 func TestAllowedRate(t *testing.T) {
 	idle := Report{Known: true, Others: 1, CompletionRate: 40}
@@ -140,7 +140,7 @@
 	c := NewController(options)
 	p := started(&c)
 	load := testLoad
-	load.Senders = 2 // a fifth of 250 ms of work per second: 25 ms in 500 ms, which is two windows
+	load.Senders = 2 // a fifth of 250 ms of work per second is 25 ms in 500 ms, or two windows
 	wins := 0
 	const windows = 20000
 	for i := range windows {
--- a/internal/decision/workload/workload.go
+++ b/internal/decision/workload/workload.go
@@ -4,9 +4,9 @@
 // All other components measure load as this work (ms of a server's time), not as a number of requests: a
 // balancer that counts requests would take a few heavy requests for a light load, and send light ones
 // behind them (head-of-line blocking). The median of the hints separates light requests from heavy ones;
-// the share of the work that is heavy determines how many servers to reserve for it, as in size-based task
-// assignment (Harchol-Balter, Crovella and Murta, "On Choosing a Task Assignment Policy for a Distributed
-// Server System", 1999). Both figures are updated in small steps, without a history of samples.
+// the share of the work that is heavy determines how many servers to reserve for heavy requests, as in
+// size-based task assignment (Harchol-Balter, Crovella and Murta, "On Choosing a Task Assignment Policy for
+// a Distributed Server System", 1999). Both figures are updated in small steps, without a history of samples.
 //
 // Where clients send no hints, a low quantile of the class's latencies replaces them: the fastest responses
 // did not queue, so their latency is close to their work.
@@ -31,7 +31,8 @@
 	// exclude queueing. A minimum would be set by a single odd response.
 	fastQuantile = 1.0 / 8
 	// fastQuantileStep is the relative change of that quantile by one response. It is multiplied by the
-	// expected share of responses on the other side of the quantile, so that steps up and down balance there.
+	// expected share of responses on the other side of the quantile. At the quantile, steps up and down
+	// therefore balance.
 	fastQuantileStep = 1.0 / 16
 	// initialLargeShare is the share of large work that is assumed before the first request.
 	initialLargeShare = 0.5
