--- a/internal/decision/admission/queue.go
+++ b/internal/decision/admission/queue.go
@@ -3,8 +3,9 @@
 import "time"
 
 const (
-	// queueMinLength is the number of waiting requests below which the queue never counts as too long: so
-	// few requests say nothing about capacity.
+	// queueMinLength is the number of waiting requests below which the queue never counts as too long.
+	// Delay is computed from the send rate of this balancer, which is no measure of the servers' capacity
+	// where there are only a few balancers.
 	queueMinLength = 16
 	// queueMaxShare bounds the queueing delay, as a share of the shortest latency objective. A longer queue
 	// would serve no more requests. Clients that would wait for longer go elsewhere sooner if they are
@@ -13,7 +14,7 @@
 	queueMaxShare = 1.0 / 4
 )
 
-// Queue sums up the requests that wait ahead of a given one. The zero value is empty.
+// Queue sums up the requests that wait ahead of a given request. The zero value is empty.
 type Queue struct {
 	work   float64 // ms
 	length int
@@ -25,8 +26,9 @@
 	q.length++
 }
 
-// Delay estimates how long a request behind the queue will wait; sendRate is the work sent, in ms per
-// second. It returns 0 for a short queue and for a rate that is not positive, which is unknown.
+// Delay estimates how long a request behind the queue will wait; sendRate is the work that this balancer
+// sends, in ms per second. Delay returns 0 for fewer than queueMinLength requests, and if sendRate is 0
+// (unknown).
 func (q *Queue) Delay(sendRate float64) time.Duration {
 	if q.length < queueMinLength || sendRate <= 0 {
 		return 0
--- a/internal/decision/concurrency/concurrency.go
+++ b/internal/decision/concurrency/concurrency.go
@@ -22,7 +22,7 @@
 	// one is served, and half of the time another waits, so that no server idles between two requests.
 	targetInflight = 1.5
 	// maxUnderload bounds the factor by which the mean counts as below its target. A factor of e already
-	// gives the fastest adjustment, and an empty group must not give an infinite one.
+	// gives the fastest adjustment, and an empty group must not give an infinite factor.
 	maxUnderload = 8
 	// maxAdjustment bounds the logarithm of target over mean, in either direction: the limit changes at most
 	// by a factor of e in adjustTime.
@@ -30,10 +30,11 @@
 	// adjustTime is the shortest time, in seconds, in which the limit changes by a factor of e. It is
 	// several times the delay of a load report, since a faster change would oscillate.
 	adjustTime = 0.35
-	// peakHeadroom bounds the limit as a multiple of the recent peak. A limit that is never reached would
-	// otherwise grow without bound, and take long to fall until it has an effect (integral windup).
+	// peakHeadroom bounds the limit as a multiple of the recent peak of requests in flight. A limit that is
+	// never reached would otherwise grow without bound, and later take long to fall far enough to have an
+	// effect (integral windup).
 	peakHeadroom = 2
-	// minLimit always lets one request be in flight: without any, the balancer would not learn of an
+	// minLimit always allows one request in flight: without any request, the balancer would not learn of an
 	// improvement.
 	minLimit = 1.0
 )
@@ -60,10 +61,10 @@
 // Bound returns the present limit, which is infinite for a new Limit and after Remove.
 func (l *Limit) Bound() float64 { return l.limit }
 
-// Reached reports whether this balancer has as many requests in flight as the limit allows.
+// Reached reports whether this balancer has at least as many requests in flight as the limit allows.
 func (l *Limit) Reached() bool { return float64(l.inflight) >= l.limit }
 
-// Remove lifts the limit, which the caller does while there are few balancers or the mean is not known.
+// Remove lifts the limit. The caller calls it while there are few balancers or the mean is not known.
 // elapsed is the time since the last call of Remove or Adjust.
 func (l *Limit) Remove(elapsed time.Duration) {
 	l.updatePeak(elapsed)
@@ -80,7 +81,7 @@
 	l.limit = max(reachable*math.Exp(adjustment*elapsed.Seconds()/adjustTime), minLimit)
 }
 
-// updatePeak decays the recent maximum, but not below the present number of requests.
+// updatePeak decays the recent maximum, and raises it to the present number of requests if that is higher.
 func (l *Limit) updatePeak(elapsed time.Duration) {
 	l.peak = max(float64(l.inflight), l.peak*math.Exp(-elapsed.Seconds()))
 }
--- a/internal/decision/concurrency/concurrency_test.go
+++ b/internal/decision/concurrency/concurrency_test.go
@@ -32,11 +32,11 @@
 	require.True(t, math.IsInf(l.Bound(), 1))
 }
 
-// The limit changes by a factor of e in 0.35 s at most, and not at all while the mean is at the target.
+// The limit changes at most by a factor of e in 0.35 s, and not at all while the mean is at the target.
 func TestLimitFollowsMean(t *testing.T) {
 	for _, c := range []struct {
 		mean   float64
-		factor float64 // in 70 ms
+		factor float64 // by which the limit changes in 70 ms
 	}{
 		{targetInflight, 1},
 		{targetInflight * 2, math.Exp(-math.Ln2 / 5)},
@@ -65,8 +65,8 @@
 	require.False(t, l.Reached(), "one request keeps going")
 }
 
-// Without requests the limit falls with the recent peak. Otherwise it would be too high to hold back the
-// next burst.
+// Without requests the limit falls with the recent peak. Otherwise the limit would be too high to hold back
+// the next burst.
 func TestUnusedLimitStaysWithinReach(t *testing.T) {
 	l := newLimit(10)
 	for range 10 {
--- a/internal/decision/latency/latency_test.go
+++ b/internal/decision/latency/latency_test.go
@@ -31,7 +31,7 @@
 	}{
 		{50 * ms, 20, 30, 50},
 		{50 * ms, 10, 40, 60},    // a light request
-		{80 * ms, 100, 0, 10},    // too high a hint: at least half of the mean work
+		{80 * ms, 100, 0, 10},    // too high a hint: the mean is bounded below by half of the mean work
 		{900 * ms, 20, 500, 900}, // queueing is bounded by the objective
 	} {
 		var f fixture
@@ -58,8 +58,8 @@
 }
 
 // As in RFC 6298, the time-out includes the mean queueing and four mean deviations. The first deviation is
-// half of the queueing, 10 ms. The first response also reduces it to 15/16 of that, as its own distance from
-// the mean is 0.
+// half of the queueing, 10 ms. The first response then reduces the deviation to 15/16 of that, as its queueing
+// equals the mean.
 func TestSilenceTimeout(t *testing.T) {
 	var f fixture
 	require.Equal(t, 540*ms, f.group.SilenceTimeout(20, 500*ms), "nothing is known but the objective")
--- a/internal/decision/quota/quota.go
+++ b/internal/decision/quota/quota.go
@@ -2,7 +2,7 @@
 // that quota.
 //
 // It prevents a surge of one tenant from taking the capacity of all: requests over the quota are still
-// served, but with a lower priority, so that they are shed first. Each tenant has a token bucket (as in RFC
+// served, but with a lower priority, so they are shed first. Each tenant has a token bucket (as in RFC
 // 2697 and Envoy's local rate limit filter). Balancers exchange nothing about quotas: clients spread over
 // them evenly enough that each balancer can enforce an equal share.
 //
@@ -47,7 +47,7 @@
 }
 
 // Take counts a request of a tenant and reports whether it is within the quota. A request of an unknown
-// tenant, or of one without a quota, always is.
+// tenant, or of a tenant without a quota, always is.
 func (l *Limiter) Take(now time.Duration, tenant int) bool {
 	if tenant < 0 || tenant >= len(l.buckets) || l.buckets[tenant].unlimited {
 		return true
@@ -55,7 +55,7 @@
 	return l.buckets[tenant].take(now)
 }
 
-// take adds the tokens that are due, takes one, and reports whether there was one.
+// take adds the tokens that are due, takes a token if there is one, and reports whether it did.
 func (b *bucket) take(now time.Duration) bool {
 	added := b.perSecond * (now - b.filledAt).Seconds()
 	depth := max(1, b.perSecond*burstSeconds) // at least one request, however low the rate
