--- a/internal/serve/admin/connection.go
+++ b/internal/serve/admin/connection.go
@@ -25,7 +25,7 @@
 // Data implements eventloop.Handler.
 func (c *connection) Data(data []byte) {
 	if c.responded || c.call != 0 {
-		return // a connection serves one call: whatever follows is ignored
+		return // a connection serves one call: further input is ignored
 	}
 	c.parser.Feed(data)
 	request, err := c.parser.Next()
@@ -52,7 +52,7 @@
 	case c.responded:
 		c.linger(now)
 	case c.call == 0 && now-c.since > requestTimeout:
-		c.respond(http1.StatusRequestTimeout, "the call was not received completely in time")
+		c.respond(http1.StatusRequestTimeout, "the call did not come to its end")
 	}
 }
 
@@ -94,7 +94,7 @@
 }
 
 // shedBefore reports whether c should be closed before other. Connections that have had their response
-// come first, and among equals the one that has waited longest.
+// come first, and among equals the connection that has waited longest.
 func (c *connection) shedBefore(other *connection) bool {
 	if c.responded != other.responded {
 		return c.responded
