--- a/cmd/piernotch/check.go
+++ b/cmd/piernotch/check.go
@@ -5,7 +5,8 @@
 // checkCmd checks a configuration without starting anything.
 type checkCmd struct{ configSource }
 
-// Run prints a summary of a valid configuration, or returns all errors.
+// Run prints a summary of a valid configuration. Otherwise it returns all errors of a TOML file, or the first
+// error of the platform's file.
 func (c *checkCmd) Run() error {
 	cfg, err := c.load()
 	if err != nil {
--- a/cmd/piernotch/duties.go
+++ b/cmd/piernotch/duties.go
@@ -20,7 +20,7 @@
 	Wait  time.Duration `default:"5s" help:"How long to look for the leader."`
 }
 
-// Run prints the lease holders of all duties, and the voters. It fails if there is no leader.
+// Run prints the lease holders of all duties, and the voters. It fails if it finds no leader within Wait.
 func (c *dutiesCmd) Run() error {
 	cfg, err := controlgroup.LoadFile(c.Group)
 	if err != nil {
--- a/cmd/piernotch/main.go
+++ b/cmd/piernotch/main.go
@@ -2,8 +2,8 @@
 // servers as the decision module decides.
 //
 // The command reads flags and signals and wires the packages together: config for the
-// configuration, logs for the log, runtime for the balancer, and controlgroup for the leases that it
-// shares with other balancers. Each subcommand has a file of its own.
+// configuration, logs for the log, runtime for the balancer, and controlgroup for the leases by
+// which balancers divide duties. Each subcommand has a file of its own.
 package main
 
 import (
--- a/cmd/piernotch/serve.go
+++ b/cmd/piernotch/serve.go
@@ -18,13 +18,14 @@
 	"piernotch/internal/serve/runtime"
 )
 
-// leaveTimeout is how long a shutdown tries to notify the control group that its leases are released.
+// leaveTimeout is how long a shutdown tries to notify the control group that the balancer's leases
+// are released.
 const leaveTimeout = 500 * time.Millisecond
 
 // signalBuffer is how many signals are queued, so that a SIGTERM during a reload is not lost.
 const signalBuffer = 16
 
-// serveCmd runs the balancer.
+// serveCmd runs the balancer. It is the default command.
 type serveCmd struct {
 	configSource
 	Group string `placeholder:"FILE" help:"Join the control group that this file describes. Without it, join none."`
@@ -33,7 +34,7 @@
 // Run serves until SIGTERM or SIGINT and the graceful shutdown that follows. SIGHUP reloads the
 // configuration.
 func (c *serveCmd) Run() error {
-	// Before anything else, since by default a SIGHUP or SIGTERM ends the program at once.
+	// Signals are caught before anything else, since by default SIGHUP and SIGTERM end the program at once.
 	signals := make(chan os.Signal, signalBuffer)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, os.Interrupt)
 	signal.Ignore(syscall.SIGPIPE) // if the process that reads the log ends, this one continues
@@ -44,7 +45,7 @@
 	if err := logs.Start(cfg.Log); err != nil {
 		return err
 	}
-	goruntime.GOMAXPROCS(1) // the machine has one core, and others may share it
+	goruntime.GOMAXPROCS(1) // the machine has one core, which other processes may share
 	balancer, err := runtime.New(cfg)
 	if err != nil {
 		return err
@@ -58,7 +59,7 @@
 	if err := balancer.Start(); err != nil {
 		return err
 	}
-	// Owned by Run; it ends with the process, when Run returns.
+	// This goroutine is owned by Run. It ends with the process, when Run returns.
 	go c.handleSignals(signals, cfg, balancer, leaveGroup)
 	balancer.Run(context.Background())
 	return nil
@@ -74,8 +75,8 @@
 	for received := range signals {
 		if received != syscall.SIGHUP {
 			balancer.Shutdown()
-			// Owned by the process; it ends within leaveTimeout. The leases pass to other members while
-			// clients are still being served.
+			// This goroutine is owned by the process. It ends within leaveTimeout. The leases pass to other
+			// members while clients are still being served.
 			go leaveGroup()
 			continue
 		}
--- a/internal/serve/admin/server.go
+++ b/internal/serve/admin/server.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	// MaxConnections is the number of connections that may be open at a time. When a further one is
-	// accepted, Server.Shed closes one.
+	// MaxConnections is the number of connections that may be open at a time. When another connection is
+	// accepted, Server.Shed closes one of them.
 	MaxConnections = 16
 	// ReservedDescriptors is how many file descriptors of the process's limit are set aside for the API:
 	// one for each connection, one for the listener, and a few more because a connection briefly has a
-	// second one.
+	// second descriptor while nbio takes it over.
 	ReservedDescriptors = MaxConnections + 4
 
 	// requestTimeout is how long a caller may take to send its call. It is long, since a slow caller
@@ -61,8 +61,8 @@
 	return accepted
 }
 
-// Shed closes one connection, to make room for another: the one that has waited longest among those
-// that have had their response, or among all if none has.
+// Shed closes a connection, to make room for another. It closes the connection that has waited longest
+// among those that have had their response, or among all if none has.
 func (s *Server) Shed() {
 	var victim *connection
 	for candidate := range s.connections {
@@ -112,7 +112,7 @@
 	delete(s.executing, c.call)
 }
 
-// statusOf returns the HTTP status of a call that was not carried out.
+// statusOf returns the HTTP status for a call that was not carried out.
 func statusOf(err error) int {
 	switch {
 	case errors.Is(err, overrides.ErrUnknownServer):
--- a/internal/serve/config/doc.go
+++ b/internal/serve/config/doc.go
@@ -9,5 +9,5 @@
 // goroutine.
 //
 // An invalid value is reported as a *FieldError, which callers get by errors.As. LoadFile returns all
-// of them at once, as FieldErrors; Load returns the first.
+// errors at once, as FieldErrors; Load returns the first.
 package config
--- a/internal/serve/config/errors.go
+++ b/internal/serve/config/errors.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// ErrNoConfiguration is returned by Load and Reload if ROUTER_CONFIG names no file.
+// ErrNoConfiguration is returned by Load and Reload if ROUTER_CONFIG is empty or not set.
 var ErrNoConfiguration = errors.New("ROUTER_CONFIG is not set")
 
-// errMissing is the error for a key that the file in force has and the new one lacks.
+// errMissing is the error for a key that the file of the start has and the new file lacks.
 var errMissing = errors.New("missing")
 
 // FieldError reports one invalid value of a configuration.
@@ -18,8 +18,9 @@
 	File string
 	// Line is the line of the key in File, counted from 1; 0: not known.
 	Line int
-	// Key is the dotted key or the name of the environment variable. It is "" if Err concerns the
-	// whole file, or if Err names the key, as the errors of packages simprotocol and piernotch do.
+	// Key is the dotted key or the name of the environment variable. It is ROUTER_CONFIG if the platform's
+	// file cannot be read or decoded, or fails checkRequiredKeys. It is "" if Err concerns a whole TOML file,
+	// or if Err names the key, as the errors of packages simprotocol and piernotch do.
 	Key string
 	// Err says what is wrong or what is expected; it is never nil.
 	Err error
@@ -44,8 +45,8 @@
 // Unwrap returns Err, for errors.Is and errors.As.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// FieldErrors are all errors that were found in a file, in the order of the checks. As an error it is
-// never empty.
+// FieldErrors holds all errors that were found in a file, in the order of the checks. A FieldErrors that is
+// returned as an error has at least one element.
 type FieldErrors []*FieldError
 
 // Error returns the texts of all errors, one on each line.
--- a/internal/serve/config/platform.go
+++ b/internal/serve/config/platform.go
@@ -12,7 +12,7 @@
 	"piernotch/internal/simprotocol"
 )
 
-// Environment variables of the platform's form. One that is set overrides its key in the file.
+// Environment variables of the platform's form. A variable that is set overrides its key in the file, if it has one.
 const (
 	configVariable    = "ROUTER_CONFIG" // path of the file
 	nameVariable      = "ROUTER_NAME"
@@ -153,8 +153,8 @@
 	return checkIPAddress("management", c.AdminAddress)
 }
 
-// checkIPAddress checks that an address consists of an IP address and a port. A host name is invalid,
-// since there is no DNS.
+// checkIPAddress checks that an address is an IP address followed by a port, which may have any value. A
+// host name is invalid, since there is no DNS.
 func checkIPAddress(key, address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/serve/config/required_keys.go
+++ b/internal/serve/config/required_keys.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// checkRequiredKeys returns a *FieldError for the first key that the file in force has and the new file
+// checkRequiredKeys returns a *FieldError for the first key that the file of the start has and the new file
 // lacks or has with another type. A missing key would otherwise read as zero, which is a valid value of
 // many settings. The elements of a list may change, but each object in the new list needs the keys that
 // all objects in the old list have.
@@ -27,8 +27,8 @@
 	return checkValue(currentValue, nextValue, "")
 }
 
-// checkValue checks that next, the new value of a key, has the type of the current value, and the keys
-// of an object or of the objects in a list.
+// checkValue checks that next, the new value of a key, has the type of current. Objects, also those in
+// lists, must have the required keys.
 func checkValue(current, next any, key string) error {
 	switch current := current.(type) {
 	case map[string]any:
--- a/internal/serve/config/toml.go
+++ b/internal/serve/config/toml.go
@@ -68,11 +68,11 @@
 	// tick is the resolution of the decision module's clock. It equals core.TickInterval.
 	tick = 5 * time.Millisecond
 	// overQuotaWeight is the factor on the weight of requests over their tenant's quota. This form of
-	// the configuration has no tenants, so it has no effect yet.
+	// the configuration has no tenants, so the factor has no effect yet.
 	overQuotaWeight = 0.1
 )
 
-// retrySafeties maps the values of the key effect of a class.
+// retrySafeties maps the values of a class's TOML key "effect" to the module's retry safeties.
 var retrySafeties = map[string]piernotch.RetrySafety{"safe": piernotch.Idempotent, "unsafe": piernotch.NonIdempotent}
 
 // defaults returns a file with the default values of keys that may be left out.
@@ -168,7 +168,7 @@
 	own = -1
 	for i, zone := range zones {
 		if zone == f.Balancers.Zone {
-			own = i // the last one, if a zone is listed twice
+			own = i // the last position, if the zone is listed twice
 		}
 	}
 	if own < 0 {
@@ -218,7 +218,7 @@
 }
 
 // readKnownEndpoints reads the endpoint list to start with, if known_file is set. A relative path
-// starts at the directory of the configuration file.
+// is relative to the directory of the configuration file.
 func (f *file) readKnownEndpoints(config *Config, check *checker) {
 	if f.Known == "" {
 		return
--- a/internal/serve/core/attempts.go
+++ b/internal/serve/core/attempts.go
@@ -8,7 +8,7 @@
 	"piernotch/internal/timingwheel"
 )
 
-// attempt is one attempt to have a request served by a server.
+// attempt is one attempt of a request, at one server.
 type attempt struct {
 	server    *server
 	startedAt time.Duration
--- a/internal/serve/core/core.go
+++ b/internal/serve/core/core.go
@@ -25,7 +25,7 @@
 
 	requests      map[piernotch.RequestID]*request // not released yet
 	exchanges     map[ExchangeID]*request          // requests without a response
-	openClientIDs map[string]struct{}              // client IDs of the requests in exchanges
+	openClientIDs map[string]struct{}              // the clientID of each request in exchanges
 
 	servers        map[piernotch.ServerID]*server
 	serversByName  map[string]*server
--- a/internal/serve/core/core_test.go
+++ b/internal/serve/core/core_test.go
@@ -48,7 +48,7 @@
 	return newCoreWith(t, newClass("c", piernotch.NonIdempotent), limits, listedServer(piernotch.Ready))
 }
 
-// newCoreWithHistory returns a core with two endpoints that has served some requests, in 10 ms each,
+// newCoreWithHistory returns a core with two endpoints that has served 20 requests, in 10 ms each,
 // so that the module can estimate latencies and may retry. It also returns the current time.
 func newCoreWithHistory(t *testing.T, class piernotch.Class, limits piernotch.Limits) (*Core, time.Duration) {
 	t.Helper()
--- a/internal/serve/core/counters.go
+++ b/internal/serve/core/counters.go
@@ -4,14 +4,14 @@
 
 // Counts are running totals since the start of the process, for the log.
 type Counts struct {
-	// Requests by outcome. Accepted is the sum of the others and of the pending requests.
+	// Requests by outcome. Accepted is the sum of the four others and the pending requests.
 	Accepted            int
 	Served              int
 	Rejected            int
 	Failed              int
 	ClientsDisconnected int
 
-	// Attempts is the number of StartAttempt effects. The others are unsuccessful attempts by status.
+	// Attempts is the number of StartAttempt effects. The other counts are of unsuccessful attempts, by status.
 	Attempts      int
 	Timeouts      int
 	Resets        int
@@ -19,11 +19,10 @@
 	Full          int
 	Errors        int
 
-	// DeadlineExceeded is how many of Failed the module left without a response past their deadline.
+	// DeadlineExceeded is the part of Failed that the module had not responded to by the deadline.
 	DeadlineExceeded int
 }
 
-// countResponse counts a request by its result.
 func (c *Counts) countResponse(result Result) {
 	switch result {
 	case Served:
@@ -35,7 +34,7 @@
 	}
 }
 
-// countAttempt counts a completed attempt by its status.
+// countAttempt counts a completed attempt, unless its status is OK, Cancelled or NotSent.
 func (c *Counts) countAttempt(status piernotch.Status) {
 	switch status {
 	case piernotch.Timeout:
--- a/internal/serve/core/endpoints.go
+++ b/internal/serve/core/endpoints.go
@@ -72,7 +72,7 @@
 		server = c.addServer(listed.Name)
 	}
 	// Idle connections to a server that has moved, restarted or left the ready state must not be used
-	// again. The server may not close them: a machine that fails leaves them half-open.
+	// again. The server might not have closed them: a machine that fails leaves them half-open.
 	isNew := server.address == ""
 	replaced := server.address != listed.Address || server.start.listed != listed.Endpoint.StartedAt
 	if !isNew && (replaced || listed.Endpoint.State != piernotch.Ready) {
@@ -100,8 +100,8 @@
 	return server
 }
 
-// newServerID derives an ID from the name, so that all balancers use the same one. If the IDs of two
-// names collide, the name that is listed later gets the next free ID.
+// newServerID derives an ID from the name, so that all balancers use the same ID for a server. If the IDs
+// of two names collide, the name that is listed later gets the next free ID.
 func (c *Core) newServerID(name string) piernotch.ServerID {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(name))
@@ -112,7 +112,7 @@
 	return id
 }
 
-// markUnlistedGone marks the servers that a complete list does not contain as gone.
+// markUnlistedGone marks as gone the servers that a complete list does not contain.
 func (c *Core) markUnlistedGone(listed map[string]bool) {
 	for name, server := range c.serversByName {
 		if !listed[name] && server.state != piernotch.Gone {
@@ -122,8 +122,8 @@
 	}
 }
 
-// removeGone removes the servers that are gone from the table and returns them. Attempts in flight
-// keep their pointers to them.
+// removeGone removes from the table the servers that are gone, and returns them. Attempts in flight
+// keep their pointers to these servers.
 func (c *Core) removeGone() []*server {
 	var gone []*server
 	for name, server := range c.serversByName {
@@ -144,7 +144,7 @@
 	healthCheckMargin = 2 * TickInterval
 )
 
-// startHealthCheck starts a health check of a server, unless one is running.
+// startHealthCheck starts a health check of a server, unless a check of that server is running.
 func (c *Core) startHealthCheck(server *server) {
 	if c.healthChecks[server.id] != nil {
 		return
--- a/internal/serve/core/endpoints_test.go
+++ b/internal/serve/core/endpoints_test.go
@@ -23,7 +23,7 @@
 
 // A server that had just started got its full share of the requests and collapsed. The machines' wall clock had
 // been stepped back by an hour before the start, and the balancer's clock does not follow such steps, so the
-// listed start seemed to be an hour old. After a step forward, the server was in slow start for as long as the
+// listed start seemed to be an hour old. After a step forward, the server was in slow start for the length of the
 // step. A start that is new in the list is neither long ago nor in the future, whatever the clocks say.
 func TestNewlyListedStartCountsAsRecentDespiteClockStep(t *testing.T) {
 	for name, step := range map[string]time.Duration{"back": -10 * time.Minute, "forward": time.Hour} {
--- a/internal/serve/core/events.go
+++ b/internal/serve/core/events.go
@@ -19,8 +19,8 @@
 	Number  AttemptNumber
 }
 
-// Endpoint is a server and its address. A new server may start at the address of one that is gone, so
-// the address alone does not tell which of them a connection or a result belongs to.
+// Endpoint is a server and its address. A new server may start at the address of a server that is gone, so
+// the address alone does not tell which of the two a connection or a result belongs to.
 type Endpoint struct {
 	Server  piernotch.ServerID
 	Address string
@@ -30,13 +30,13 @@
 type DiscoveredEndpoint struct {
 	Name     string
 	Address  string
-	Endpoint piernotch.Endpoint // everything but the ID, which core assigns
+	Endpoint piernotch.Endpoint // without the ID, which core assigns; StartedAt is Unix time
 }
 
 // Event is something that has happened outside of the reducer; Core.Handle takes one at a time.
 type Event interface{ event() }
 
-// The events. Times are on the clock whose readings Core.Handle gets as now.
+// The events. Times are on the clock of Core.Handle, except the StartedAt of a DiscoveredEndpoint.
 type (
 	// RequestReceived reports a client's request. The core sends exactly one Respond for it, unless the
 	// client disconnects first.
@@ -46,7 +46,7 @@
 		Message  *RequestMessage
 		Class    int           // index into the settings' classes
 		Tenant   int           // index into the settings' tenants; -1: none of them
-		Key      uint64        // of the data that the request is about, for key affinity; 0: none
+		Key      uint64        // identifies the data that the request is about, for key affinity; 0: none
 		CostHint float64       // expected work in milliseconds; NaN: unknown
 		Deadline time.Duration // the client waits until then
 	}
@@ -60,7 +60,8 @@
 		Status   piernotch.Status
 		Response *ResponseMessage
 	}
-	// HealthCheckCompleted reports the result of a health check.
+	// HealthCheckCompleted reports the result of a health check. It is ignored once
+	// the core has counted the check as timed out.
 	HealthCheckCompleted struct {
 		Server piernotch.ServerID
 		Status piernotch.Status
@@ -79,7 +80,7 @@
 	// Tick reports that time has passed. Timers fire only on a Tick.
 	Tick struct{}
 	// SettingsChanged carries new settings and the address of discovery, which may have changed too.
-	// They are applied completely or not at all; SettingsApplied reports which.
+	// Both are applied, or neither if the settings are invalid. SettingsApplied reports the result.
 	SettingsChanged struct {
 		Settings  piernotch.Settings
 		Discovery string
@@ -92,7 +93,8 @@
 	}
 	// PeerOverrides carries the overrides held by another process of this balancer.
 	PeerOverrides struct{ Overrides *overrides.Overrides }
-	// PeerSnapshot carries the estimates of the traffic by another process of this balancer.
+	// PeerSnapshot carries another process's estimates of this balancer's traffic, for the module to start
+	// from.
 	PeerSnapshot struct{ Snapshot piernotch.Snapshot }
 	// Shutdown starts a graceful shutdown, which ends with Exit once no response is pending.
 	Shutdown struct{}
--- a/internal/serve/core/host.go
+++ b/internal/serve/core/host.go
@@ -7,8 +7,8 @@
 	"piernotch"
 )
 
-// host carries out the module's decisions; it implements [piernotch.Host]. The module, which is not
-// reentrant, calls it from within its own calls. host therefore defers its calls into the module.
+// host carries out the module's decisions; it implements [piernotch.Host]. The module is not
+// reentrant, and calls host during its own calls. host therefore defers its calls into the module.
 type host struct{ core *Core }
 
 var _ piernotch.Host = host{}
--- a/internal/serve/core/requests.go
+++ b/internal/serve/core/requests.go
@@ -94,7 +94,7 @@
 }
 
 // failOverdue fails a request that the module has left without a response past its deadline. It does
-// not reject the request: that would promise that no server executed it, which is not known here.
+// not reject the request: that would promise that a repeat is safe, which is not known here.
 func (c *Core) failOverdue(request *request) {
 	if request.closed {
 		return
--- a/internal/serve/core/requests_test.go
+++ b/internal/serve/core/requests_test.go
@@ -9,8 +9,8 @@
 	"piernotch"
 )
 
-// The module ignores a request of a class that it does not know. Its client must still get one
-// response at the deadline: Failed, since the core cannot promise that the request was not executed.
+// The module ignores a request of a class that it does not know. The client must still get one response
+// shortly after the deadline: Failed, since the core cannot promise that the request was not executed.
 func TestRequestLeftOpenByModuleFailsAtDeadline(t *testing.T) {
 	c := newCore(t)
 	require.Empty(t, c.Handle(start, RequestReceived{Exchange: 7, Class: 99, Deadline: start + time.Second}))
--- a/internal/serve/core/settings.go
+++ b/internal/serve/core/settings.go
@@ -20,7 +20,7 @@
 // changed, since clients receive new settings at different times.
 const routeGrace = 3 * time.Second
 
-// Routes returns the routes of the settings in force, including any that have expired since.
+// Routes returns the routes of the settings in force, including routes that have expired.
 func (c *Core) Routes() []Route { return c.routes }
 
 // Settings returns the settings in force. Classes holds placeholders at indexes that no route refers
@@ -40,7 +40,7 @@
 	return routes
 }
 
-// handleSettingsChanged applies new settings completely or not at all.
+// handleSettingsChanged changes nothing if the new settings are invalid.
 func (c *Core) handleSettingsChanged(event SettingsChanged) {
 	routes, err := c.applySettings(event.Settings)
 	if err != nil {
@@ -131,7 +131,7 @@
 	a.routes = append(a.routes, newRoute(class, index))
 }
 
-// retire keeps the class at an index and adds a route to it that expires.
+// retire keeps the class at an index and adds an expiring route to that class.
 func (a *classAssignment) retire(index int, name string, expiresAt time.Duration) {
 	a.reserved[index] = true
 	a.current[index] = true
@@ -141,7 +141,7 @@
 	a.routes = append(a.routes, route)
 }
 
-// add puts a class at the first index that is not reserved, or at a new one.
+// add puts a class at the first index that is not reserved, or at a new index.
 func (a *classAssignment) add(class piernotch.Class) {
 	index := slices.Index(a.reserved, false)
 	if index < 0 {
--- a/internal/serve/core/shutdown.go
+++ b/internal/serve/core/shutdown.go
@@ -9,16 +9,16 @@
 	"piernotch"
 )
 
-// ShutdownGrace is how long new connections and requests are still accepted after a Shutdown, since
-// clients learn of it with a delay.
+// ShutdownGrace is how long new connections are still accepted after a Shutdown, since clients learn of the
+// shutdown with a delay.
 const ShutdownGrace = 700 * time.Millisecond
 
 const (
-	// maxDrainTime is the longest time after ShutdownGrace that the platform waits before it may kill the
-	// process. It waits for the longest deadline of a request, but no longer than this.
+	// maxDrainTime limits how long the platform waits after ShutdownGrace: it waits for the longest deadline
+	// of a request, and may then kill the process.
 	maxDrainTime = 3 * time.Second
-	// responseMargin is how long before the possible kill the last response is sent, so that it reaches
-	// its client.
+	// responseMargin is the time that remains for the last response to reach its client before the platform
+	// may kill the process.
 	responseMargin = 200 * time.Millisecond
 )
 
@@ -37,7 +37,8 @@
 		c.stoppedListening = true
 		c.emit(StopListening{})
 	})
-	// Requests that are open already keep their deadline, which may be later than the kill.
+	// A request that was open before the shutdown keeps its deadline, which may be later than the time at which
+	// the platform may kill the process. This timer fails such a request before then.
 	c.timers.At(c.respondBy+overdueMargin, c.failPending)
 }
 
--- a/internal/serve/core/start_times.go
+++ b/internal/serve/core/start_times.go
@@ -22,14 +22,14 @@
 
 // startTimes converts the starts that discovery lists in Unix time to the clock of Core.Handle. It converts each
 // start once, when it is first listed: a wall clock may be stepped relative to that clock at any time, and the
-// starts that are listed already must not move with it.
+// starts that are listed already must not move with the step.
 type startTimes struct {
 	byName map[string]serverStart // also of servers that are gone: they may be listed again
 }
 
 // convert returns a server's start. absentAt is a time at which the list did not yet hold the start; 0: unknown.
-// If the clocks differ, a start in the future counts as now, and one that is too old for a new entry counts as
-// absentAt: otherwise a new server would be taken for one that has run for long, and would get no slow start.
+// If the clocks differ, a start in the future counts as now, and a start that is too old for a new entry counts as
+// absentAt. Otherwise a new server would be in slow start for too long, or would seem old and get no slow start.
 func (s *startTimes) convert(name string, listed, now, absentAt time.Duration) serverStart {
 	if known, ok := s.byName[name]; ok && known.listed == listed {
 		return known
--- a/internal/serve/overrides/overrides.go
+++ b/internal/serve/overrides/overrides.go
@@ -3,7 +3,7 @@
 //
 // While one process of a balancer takes over from another, both are alive and either may receive
 // commands. Their overrides are therefore a last-writer-wins map: each entry carries a Lamport
-// timestamp, merging takes the later one entry by entry, and the order of merges makes no
+// timestamp, a merge keeps the later version of each entry, and the order of merges makes no
 // difference.
 //
 // The package does no I/O, reads no clock and depends on neither sockets nor the module; it is not safe
@@ -48,7 +48,7 @@
 	ErrTooManyExcluded = errors.New("too many feed servers are left out already")
 )
 
-// MaxExcluded bounds the number of servers that may be excluded at a time.
+// MaxExcluded is the number of excluded servers at which Apply excludes no more. A merge may exceed it.
 const MaxExcluded = 4096
 
 // CallID identifies an operator's command from its receipt to its result, within a process.
@@ -58,7 +58,7 @@
 type ProcessID uint64
 
 // Timestamp is a Lamport timestamp: Counter is higher than that of every override that the process knew
-// when it made this one. Process breaks the tie between two processes whose counters are equal.
+// when it made this override. Process breaks the tie between two processes whose counters are equal.
 type Timestamp struct {
 	Counter uint64    `json:"count"`
 	Process ProcessID `json:"by"`
@@ -86,7 +86,7 @@
 	Drain   Override            `json:"drain"`             // active: clients are sent to other balancers
 }
 
-// Excluded reports whether the named server is excluded.
+// Excluded reports whether operators have excluded the named server.
 func (o *Overrides) Excluded(server string) bool { return o.Servers[server].Active }
 
 // Clone returns a deep copy.
@@ -103,8 +103,9 @@
 	Listed  bool   // whether the server is in the endpoint list
 }
 
-// Apply carries out a command and reports whether anything has changed: a repeated command changes
-// nothing and is no error. The errors are ErrUnknownServer and ErrTooManyExcluded.
+// Apply carries out a command and reports whether anything has changed. A repeated command changes
+// nothing; it is an error only if the server is neither listed nor excluded. The errors are ErrUnknownServer
+// and ErrTooManyExcluded.
 func (o *Overrides) Apply(command Command) (changed bool, err error) {
 	next := Override{
 		Timestamp: Timestamp{Counter: o.maxCounter() + 1, Process: command.Process},
@@ -131,9 +132,9 @@
 	return true, nil
 }
 
-// Merge takes over each override of another process that is later than the one held here. It returns
-// the names of the servers whose override is new or has changed Active, in no particular order, and
-// whether Drain.Active has changed.
+// Merge takes over each override of another process that is later than o's override. It returns the
+// names of the servers whose override is new or now has another value of Active, in no particular order,
+// and whether Drain.Active has changed.
 func (o *Overrides) Merge(other *Overrides) (servers []string, drainChanged bool) {
 	for name, theirs := range other.Servers {
 		ours, known := o.Servers[name]
@@ -168,7 +169,7 @@
 	o.Servers[name] = override
 }
 
-// maxCounter returns the highest counter of any entry.
+// maxCounter returns the highest counter of any override, including Drain.
 func (o *Overrides) maxCounter() uint64 {
 	highest := o.Drain.Counter
 	for _, override := range o.Servers {
@@ -177,7 +178,6 @@
 	return highest
 }
 
-// countExcluded returns the number of excluded servers.
 func (o *Overrides) countExcluded() int {
 	count := 0
 	for _, override := range o.Servers {
