--- a/cmd/piernotch/check.go
+++ b/cmd/piernotch/check.go
@@ -2,7 +2,6 @@
 
 import "fmt"
 
-// checkCmd checks a configuration without starting anything.
 type checkCmd struct{ configSource }
 
 // Run prints a summary of a valid configuration. Otherwise it returns all errors of a TOML file, or the first
--- a/cmd/piernotch/duties.go
+++ b/cmd/piernotch/duties.go
@@ -14,7 +14,6 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// dutiesCmd shows the lease holder of each duty of a control group.
 type dutiesCmd struct {
 	Group string        `required:"" placeholder:"FILE" help:"The control group's file."`
 	Wait  time.Duration `default:"5s" help:"How long to look for the leader."`
@@ -38,7 +37,6 @@
 	return printDuties(os.Stdout, snapshot)
 }
 
-// printDuties prints a table of the duties' leases and a table of the voters.
 func printDuties(out io.Writer, snapshot protocol.Snapshot) error {
 	var rows strings.Builder
 	rows.WriteString("duty\tholder\tprocess\ttoken\n")
--- a/cmd/piernotch/main.go
+++ b/cmd/piernotch/main.go
@@ -41,7 +41,6 @@
 	Config string `short:"c" placeholder:"FILE" env:"PIERNOTCH_CONFIG" help:"Configuration in TOML; takes precedence over ROUTER_CONFIG."` //nolint:lll // struct tags cannot be wrapped
 }
 
-// load reads the configuration when the program starts.
 func (s configSource) load() (config.Config, error) {
 	if s.Config != "" {
 		return config.LoadFile(s.Config)
--- a/cmd/piernotch/serve.go
+++ b/cmd/piernotch/serve.go
@@ -25,7 +25,6 @@
 // signalBuffer is how many signals are queued, so that a SIGTERM during a reload is not lost.
 const signalBuffer = 16
 
-// serveCmd runs the balancer. It is the default command.
 type serveCmd struct {
 	configSource
 	Group string `placeholder:"FILE" help:"Join the control group that this file describes. Without it, join none."`
@@ -59,7 +58,7 @@
 	if err := balancer.Start(); err != nil {
 		return err
 	}
-	// This goroutine is owned by Run. It ends with the process, when Run returns.
+	// This goroutine is owned by Run and ends with the process, when Run returns.
 	go c.handleSignals(signals, cfg, balancer, leaveGroup)
 	balancer.Run(context.Background())
 	return nil
--- a/cmd/piernotch/version.go
+++ b/cmd/piernotch/version.go
@@ -10,7 +10,7 @@
 // versionCmd prints the revision and the toolchain of the build.
 type versionCmd struct{}
 
-// Run prints the revision and the toolchain. It fails if the binary contains no build information.
+// Run fails if the binary contains no build information.
 func (*versionCmd) Run() error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/serve/admin/server.go
+++ b/internal/serve/admin/server.go
@@ -61,8 +61,8 @@
 	return accepted
 }
 
-// Shed closes a connection, to make room for another. It closes the connection that has waited longest
-// among those that have had their response, or among all if none has.
+// Shed makes room for another connection: it closes the connection that has waited longest among those
+// that have had their response, or among all if none has.
 func (s *Server) Shed() {
 	var victim *connection
 	for candidate := range s.connections {
--- a/internal/serve/config/errors.go
+++ b/internal/serve/config/errors.go
@@ -46,7 +46,7 @@
 func (e *FieldError) Unwrap() error { return e.Err }
 
 // FieldErrors holds all errors that were found in a file, in the order of the checks. A FieldErrors that is
-// returned as an error has at least one element.
+// returned as an error is never empty.
 type FieldErrors []*FieldError
 
 // Error returns the texts of all errors, one on each line.
--- a/internal/serve/config/toml.go
+++ b/internal/serve/config/toml.go
@@ -148,7 +148,6 @@
 	return config
 }
 
-// checkProcess checks the limits of the process, the log, the trace and the number of balancers.
 func (f *file) checkProcess(check *checker) {
 	check.inRange("limits.memory_mb", f.Limits.MemoryMB, minMemoryMB, 1<<20)
 	check.inRange("limits.sockets", f.Limits.Sockets, minDescriptors, 1<<20)
@@ -218,7 +217,7 @@
 }
 
 // readKnownEndpoints reads the endpoint list to start with, if known_file is set. A relative path
-// is relative to the directory of the configuration file.
+// refers to the directory of the configuration file.
 func (f *file) readKnownEndpoints(config *Config, check *checker) {
 	if f.Known == "" {
 		return
--- a/internal/serve/core/admin.go
+++ b/internal/serve/core/admin.go
@@ -46,7 +46,6 @@
 	c.emit(AdminResult{event.Call, err})
 }
 
-// handlePeerOverrides merges the overrides of another process of this balancer.
 func (c *Core) handlePeerOverrides(event PeerOverrides) {
 	servers, drainChanged := c.overrides.Merge(event.Overrides)
 	for _, name := range servers {
--- a/internal/serve/core/effects.go
+++ b/internal/serve/core/effects.go
@@ -42,7 +42,7 @@
 	MoveDiscovery struct{ Address string }
 	// CloseIdle closes the idle connections to an endpoint.
 	CloseIdle struct{ To Endpoint }
-	// StopListening stops accepting connections. Open connections may still send requests.
+	// StopListening stops accepting connections and closes clients' idle connections.
 	StopListening struct{}
 	// Exit ends the process. It follows StopListening once no response is pending, and is returned again
 	// with each later event.
--- a/internal/serve/core/endpoints.go
+++ b/internal/serve/core/endpoints.go
@@ -36,7 +36,6 @@
 	return list
 }
 
-// handleEndpointUpdate applies an update from discovery to the endpoint table and to the module.
 func (c *Core) handleEndpointUpdate(event EndpointUpdate) {
 	if event.Kind == piernotch.UpdateFailed {
 		c.balancer.UpdateEndpoints(c.now, event.Kind, nil)
@@ -144,7 +143,7 @@
 	healthCheckMargin = 2 * TickInterval
 )
 
-// startHealthCheck starts a health check of a server, unless a check of that server is running.
+// startHealthCheck starts a health check of a server, unless a check of it is running.
 func (c *Core) startHealthCheck(server *server) {
 	if c.healthChecks[server.id] != nil {
 		return
--- a/internal/serve/core/events.go
+++ b/internal/serve/core/events.go
@@ -60,8 +60,7 @@
 		Status   piernotch.Status
 		Response *ResponseMessage
 	}
-	// HealthCheckCompleted reports the result of a health check. It is ignored once
-	// the core has counted the check as timed out.
+	// HealthCheckCompleted reports the result of a health check. A late result is ignored.
 	HealthCheckCompleted struct {
 		Server piernotch.ServerID
 		Status piernotch.Status
--- a/internal/serve/core/requests.go
+++ b/internal/serve/core/requests.go
@@ -59,7 +59,6 @@
 	})
 }
 
-// openRequest creates a request and enters it into the tables.
 func (c *Core) openRequest(event RequestReceived) *request {
 	c.lastRequestID++
 	c.Counts.Accepted++
--- a/internal/serve/core/shutdown.go
+++ b/internal/serve/core/shutdown.go
@@ -9,8 +9,8 @@
 	"piernotch"
 )
 
-// ShutdownGrace is how long new connections are still accepted after a Shutdown, since clients learn of the
-// shutdown with a delay.
+// ShutdownGrace is how long the process still listens after a Shutdown, since clients learn of the shutdown
+// with a delay.
 const ShutdownGrace = 700 * time.Millisecond
 
 const (
@@ -37,8 +37,8 @@
 		c.stoppedListening = true
 		c.emit(StopListening{})
 	})
-	// A request that was open before the shutdown keeps its deadline, which may be later than the time at which
-	// the platform may kill the process. This timer fails such a request before then.
+	// A request that was open before the shutdown keeps its deadline, even if the platform may kill the
+	// process earlier. This timer fails such a request before the kill.
 	c.timers.At(c.respondBy+overdueMargin, c.failPending)
 }
 
--- a/internal/serve/overrides/overrides.go
+++ b/internal/serve/overrides/overrides.go
@@ -104,8 +104,8 @@
 }
 
 // Apply carries out a command and reports whether anything has changed. A repeated command changes
-// nothing; it is an error only if the server is neither listed nor excluded. The errors are ErrUnknownServer
-// and ErrTooManyExcluded.
+// nothing, and fails only if the server is neither listed nor excluded. The errors are ErrUnknownServer and
+// ErrTooManyExcluded.
 func (o *Overrides) Apply(command Command) (changed bool, err error) {
 	next := Override{
 		Timestamp: Timestamp{Counter: o.maxCounter() + 1, Process: command.Process},
