--- a/cmd/piernotch/serve.go
+++ b/cmd/piernotch/serve.go
@@ -18,11 +18,11 @@
 	"piernotch/internal/serve/runtime"
 )
 
-// leaveTimeout is how long a shutdown tries to notify the control group that the balancer's leases
-// are released.
+// leaveTimeout limits how long a shutdown waits for the control group to confirm that the balancer's
+// leases are released.
 const leaveTimeout = 500 * time.Millisecond
 
-// signalBuffer is how many signals are queued, so that a SIGTERM during a reload is not lost.
+// signalBuffer is how many signals can be queued, so that a SIGTERM during a reload is not lost.
 const signalBuffer = 16
 
 type serveCmd struct {
@@ -30,7 +30,7 @@
 	Group string `placeholder:"FILE" help:"Join the control group that this file describes. Without it, join none."`
 }
 
-// Run serves until SIGTERM or SIGINT and the graceful shutdown that follows. SIGHUP reloads the
+// Run serves until the graceful shutdown that SIGTERM or SIGINT starts has ended. SIGHUP reloads the
 // configuration.
 func (c *serveCmd) Run() error {
 	// Signals are caught before anything else, since by default SIGHUP and SIGTERM end the program at once.
@@ -74,8 +74,8 @@
 	for received := range signals {
 		if received != syscall.SIGHUP {
 			balancer.Shutdown()
-			// This goroutine is owned by the process. It ends within leaveTimeout. The leases pass to other
-			// members while clients are still being served.
+			// This goroutine is owned by the process. It ends within leaveTimeout. The balancer's leases
+			// pass to other members of the group while its clients are still being served.
 			go leaveGroup()
 			continue
 		}
--- a/internal/serve/admin/connection.go
+++ b/internal/serve/admin/connection.go
@@ -45,8 +45,8 @@
 // Closed implements eventloop.Handler.
 func (c *connection) Closed(error) { c.server.remove(c) }
 
-// checkTimeouts ends a connection that has exceeded its timeout. A call that is being executed has no
-// timeout.
+// checkTimeouts responds with an error if the call has not been received within requestTimeout, and
+// continues closing a connection that has had its response. A call that is being executed has no timeout.
 func (c *connection) checkTimeouts(now time.Duration) {
 	switch {
 	case c.responded:
@@ -56,7 +56,7 @@
 	}
 }
 
-// respond sends the response, of one line of text, and starts closing the connection.
+// respond logs and sends a response with one line of text, and starts closing the connection.
 func (c *connection) respond(status int, text string, fields ...http1.Field) {
 	slog.Info("admin response", "action", c.operation, "status", status, "text", text)
 	c.responded = true
--- a/internal/serve/admin/server.go
+++ b/internal/serve/admin/server.go
@@ -84,7 +84,7 @@
 }
 
 // Complete responds to a call that was passed to Execute; err is nil if the action was carried out. It
-// does nothing if the caller has disconnected.
+// does nothing if the call's connection has been closed.
 func (s *Server) Complete(call overrides.CallID, err error) {
 	caller := s.executing[call]
 	if caller == nil {
--- a/internal/serve/config/errors.go
+++ b/internal/serve/config/errors.go
@@ -9,7 +9,7 @@
 // ErrNoConfiguration is returned by Load and Reload if ROUTER_CONFIG is empty or not set.
 var ErrNoConfiguration = errors.New("ROUTER_CONFIG is not set")
 
-// errMissing is the error for a key that the file of the start has and the new file lacks.
+// errMissing is the error for a key that the file read at the start has and the reloaded file lacks.
 var errMissing = errors.New("missing")
 
 // FieldError reports one invalid value of a configuration.
--- a/internal/serve/config/golden_test.go
+++ b/internal/serve/config/golden_test.go
@@ -160,7 +160,7 @@
 	require.Equal(t, want, load())
 }
 
-// TestShippedFilesGolden guards the Config that deploy/example.toml and deploy/example.json result in.
+// TestShippedFilesGolden guards the Config that results from deploy/example.toml and deploy/example.json.
 func TestShippedFilesGolden(t *testing.T) {
 	want := Config{
 		Name:           "n0",
--- a/internal/serve/config/platform.go
+++ b/internal/serve/config/platform.go
@@ -12,7 +12,7 @@
 	"piernotch/internal/simprotocol"
 )
 
-// Environment variables of the platform's form. A variable that is set overrides its key in the file, if it has one.
+// Environment variables of the platform's form. A variable that is not empty takes precedence over the file.
 const (
 	configVariable    = "ROUTER_CONFIG" // path of the file
 	nameVariable      = "ROUTER_NAME"
@@ -44,7 +44,7 @@
 }
 
 // Load reads the file that ROUTER_CONFIG names, and the other environment variables. Its error is
-// ErrNoConfiguration, or a *FieldError for the first invalid value.
+// ErrNoConfiguration, or a *FieldError for the first error that was found.
 func Load(getenv func(string) string) (Config, error) {
 	name := getenv(configVariable)
 	if name == "" {
@@ -59,7 +59,7 @@
 
 // Reload reads the file again for a process that was started with c. It ignores ROUTER_DISCOVERY, which
 // applies to the start only and would hide a new address in the file. The file must be complete: it
-// must have each key that the file had at the start. Errors are as for Load.
+// must have each key that the file had at the start, except known and seed. Errors are as for Load.
 func (c Config) Reload(getenv func(string) string) (Config, error) {
 	next, err := Load(func(name string) string {
 		if name == discoveryVariable {
--- a/internal/serve/config/required_keys.go
+++ b/internal/serve/config/required_keys.go
@@ -8,10 +8,11 @@
 	"slices"
 )
 
-// checkRequiredKeys returns a *FieldError for the first key that the file of the start has and the new file
-// lacks or has with another type. A missing key would otherwise read as zero, which is a valid value of
-// many settings. The elements of a list may change, but each object in the new list needs the keys that
-// all objects in the old list have.
+// checkRequiredKeys compares current, the file read at the start, with next, the reloaded file. It
+// returns a *FieldError for the first key of current that next lacks or has with another type. A
+// missing key would otherwise read as zero, which is a valid value of many settings. The elements of a
+// list may change, but each object in the new list needs the keys that all objects in the old list
+// have.
 func checkRequiredKeys(current, next []byte) error {
 	var currentValue, nextValue any
 	if err := json.Unmarshal(current, &currentValue); err != nil {
@@ -78,8 +79,8 @@
 	return nil
 }
 
-// commonMembers returns an object with the members that all objects of a list have, or nil if the list
-// is empty or has an element that is not an object.
+// commonMembers removes from the first object of a list each member that another object lacks, and
+// returns that first object. It returns nil if the list is empty or has an element that is not an object.
 func commonMembers(list []any) any {
 	var common map[string]any
 	for i, value := range list {
--- a/internal/serve/config/toml.go
+++ b/internal/serve/config/toml.go
@@ -59,7 +59,7 @@
 		AimMS      int     `toml:"aim_ms"` // latency objective
 		DeadlineMS int     `toml:"deadline_ms"`
 		Worth      float64 `toml:"worth"`      // priority weight
-		LateWorth  float64 `toml:"late_worth"` // share of the weight after the objective
+		LateWorth  float64 `toml:"late_worth"` // late weight share
 		Effect     string  `toml:"effect"`     // retry safety
 	} `toml:"class"`
 }
@@ -158,7 +158,8 @@
 	check.inRange("balancers.count", f.Balancers.Count, 1, 100000)
 }
 
-// zones returns all zones and the index of the balancer's own among them.
+// zones returns all zones and the index of the balancer's own among them. If the own zone is not among
+// them, it adds an error to check and returns index 0.
 func (f *file) zones(check *checker) (zones []string, own int) {
 	zones = f.Balancers.Zones
 	if len(zones) == 0 {
--- a/internal/serve/core/admin.go
+++ b/internal/serve/core/admin.go
@@ -7,8 +7,8 @@
 	"piernotch/internal/serve/overrides"
 )
 
-// The entry of a server that was included again is kept until its slow start is long over: for
-// pruneSlowStarts times the duration of slow start, and pruneMargin more.
+// The override of a server that was included again is kept until the server's slow start is long over:
+// for pruneSlowStarts times the duration of slow start, and pruneMargin more.
 const (
 	pruneSlowStarts = 2
 	pruneMargin     = time.Minute
@@ -61,8 +61,9 @@
 	}
 }
 
-// applyOverride passes the override of a server to the module. It does nothing for a server that is
-// not listed: addServer applies the exclusion when the server is listed again.
+// applyOverride passes the override of a server to the module, and closes the idle connections to a
+// server that is now excluded. It does nothing for a server that is not listed: addServer applies the
+// exclusion when the server is listed again.
 func (c *Core) applyOverride(name string) {
 	server := c.serversByName[name]
 	if server == nil {
--- a/internal/serve/core/attempts.go
+++ b/internal/serve/core/attempts.go
@@ -12,7 +12,7 @@
 type attempt struct {
 	server    *server
 	startedAt time.Duration
-	written   bool // at least part of it was sent, so the server may have executed it
+	written   bool // WriteAttempt was emitted, so the server may have executed the request
 	completed bool
 	timer     *timingwheel.Timer // its timeout; nil if no StartAttempt was emitted for it
 }
@@ -60,9 +60,9 @@
 	})
 }
 
-// handleAttemptConnected emits WriteAttempt if the module still allows the attempt. While the attempt
-// waited for its connection, its server may have started to drain, or the deduplication window for a
-// retry may have closed.
+// handleAttemptConnected emits WriteAttempt if the module still allows the attempt, and cancels it if
+// not. While the attempt waited for its connection, its server may have started to drain, or the
+// deduplication window for a retry may have closed.
 func (c *Core) handleAttemptConnected(event AttemptConnected) {
 	ref := event.Ref
 	request, attempt := c.findAttempt(ref)
@@ -112,7 +112,7 @@
 }
 
 // completeAttempt records the end of an attempt, responds to the client if the attempt was successful,
-// and reports the outcome to the module.
+// reports the outcome to the module, and calls release.
 func (c *Core) completeAttempt(
 	request *request,
 	number AttemptNumber,
--- a/internal/serve/core/doc.go
+++ b/internal/serve/core/doc.go
@@ -29,7 +29,7 @@
 //
 // # Reentrancy
 //
-// The module must not be called while one of its own calls is running. If its decision has a
+// The module must not be called while one of its methods is running. If a decision of the module has a
 // consequence that must be reported to it, such as an attempt that was cancelled before it was
-// written, the report is deferred until the call has returned; see [Core.Handle].
+// written, the report is deferred until the method has returned; see [Core.Handle].
 package core
--- a/internal/serve/core/effects.go
+++ b/internal/serve/core/effects.go
@@ -18,7 +18,7 @@
 		Ref     AttemptRef
 		To      Endpoint
 		Message *RequestMessage
-		Timeout time.Duration // counted from now; the core enforces it, too
+		Timeout time.Duration // from the time of the event; the core enforces it, too
 	}
 	// WriteAttempt sends an attempt on the connection that was reported by AttemptConnected.
 	WriteAttempt struct{ Ref AttemptRef }
@@ -29,7 +29,7 @@
 		Exchange   ExchangeID
 		Result     Result
 		Response   *ResponseMessage // if Result is Served
-		LastStatus piernotch.Status // if Result is Failed: how the last attempt ended
+		LastStatus piernotch.Status // if Result is Failed: how the last attempt ended, or Timeout at a shutdown
 		RetryAfter time.Duration    // if Result is Rejected
 		Close      bool             // close the client's connection after the response
 	}
@@ -44,8 +44,8 @@
 	CloseIdle struct{ To Endpoint }
 	// StopListening stops accepting connections and closes clients' idle connections.
 	StopListening struct{}
-	// Exit ends the process. It follows StopListening once no response is pending, and is returned again
-	// with each later event.
+	// Exit says that the process may end. From StopListening on, Core.Handle returns it for each event after
+	// which no response is pending.
 	Exit struct{}
 	// PersistOverrides writes the operators' overrides to disk before any effect that follows.
 	PersistOverrides struct{}
@@ -84,7 +84,7 @@
 
 // The results. A request has exactly one, unless its client disconnects first.
 const (
-	// Served means that a server has responded.
+	// Served means that a server has responded with status 200.
 	Served Result = iota
 	// Rejected means that it is safe to send the request again: no server executed it, or a repeat does
 	// no harm.
--- a/internal/serve/core/endpoints.go
+++ b/internal/serve/core/endpoints.go
@@ -63,8 +63,9 @@
 	}
 }
 
-// updateServer enters a listed endpoint into the table and returns it with the ID and the start time for the
-// module. absentAt is a time at which the list did not yet hold this entry; 0: unknown.
+// updateServer enters a listed endpoint into the table, and closes idle connections that must not be
+// used again. It returns the endpoint with the ID and the start time for the module. absentAt is a time
+// at which the list did not yet hold this entry; 0: unknown.
 func (c *Core) updateServer(listed DiscoveredEndpoint, absentAt time.Duration) piernotch.Endpoint {
 	server := c.serversByName[listed.Name]
 	if server == nil {
@@ -111,7 +112,8 @@
 	return id
 }
 
-// markUnlistedGone marks as gone the servers that a complete list does not contain.
+// markUnlistedGone marks as gone the servers that a complete list does not contain, and closes the idle
+// connections to them.
 func (c *Core) markUnlistedGone(listed map[string]bool) {
 	for name, server := range c.serversByName {
 		if !listed[name] && server.state != piernotch.Gone {
--- a/internal/serve/core/events.go
+++ b/internal/serve/core/events.go
@@ -50,7 +50,7 @@
 		CostHint float64       // expected work in milliseconds; NaN: unknown
 		Deadline time.Duration // the client waits until then
 	}
-	// ClientDisconnected reports that the client of an exchange has disconnected.
+	// ClientDisconnected reports that the client of an exchange has disconnected. No Respond follows.
 	ClientDisconnected struct{ Exchange ExchangeID }
 	// AttemptConnected reports that an attempt has a connection and can be written.
 	AttemptConnected struct{ Ref AttemptRef }
@@ -60,7 +60,8 @@
 		Status   piernotch.Status
 		Response *ResponseMessage
 	}
-	// HealthCheckCompleted reports the result of a health check. A late result is ignored.
+	// HealthCheckCompleted reports the result of a health check. It is ignored if no health check of the
+	// server is running, for instance because the check has timed out.
 	HealthCheckCompleted struct {
 		Server piernotch.ServerID
 		Status piernotch.Status
@@ -90,7 +91,7 @@
 		Action overrides.Action
 		Server string // name of the server concerned; unused by Evacuate and Rejoin
 	}
-	// PeerOverrides carries the overrides held by another process of this balancer.
+	// PeerOverrides carries the overrides held by another process of this balancer, to be merged.
 	PeerOverrides struct{ Overrides *overrides.Overrides }
 	// PeerSnapshot carries another process's estimates of this balancer's traffic, for the module to start
 	// from.
--- a/internal/serve/core/host.go
+++ b/internal/serve/core/host.go
@@ -8,7 +8,7 @@
 )
 
 // host carries out the module's decisions; it implements [piernotch.Host]. The module is not
-// reentrant, and calls host during its own calls. host therefore defers its calls into the module.
+// reentrant, and calls host from its own methods. host therefore defers all calls into the module.
 type host struct{ core *Core }
 
 var _ piernotch.Host = host{}
--- a/internal/serve/core/settings.go
+++ b/internal/serve/core/settings.go
@@ -7,8 +7,8 @@
 	"piernotch"
 )
 
-// Route says which requests belong to a class: Name is the first part of their path, and Idempotent
-// decides their method.
+// Route says which requests belong to a class: those whose path has Name as its first part, and whose
+// method is GET if Idempotent is true and POST otherwise.
 type Route struct {
 	Name       string
 	Idempotent bool
@@ -16,15 +16,15 @@
 	ExpiresAt  time.Duration // the route is not accepted from then on; 0: valid until the settings change
 }
 
-// routeGrace is how long the old route of a class is still accepted after its retry safety has
+// routeGrace is how long the old route of a class is still accepted after the class's retry safety has
 // changed, since clients receive new settings at different times.
 const routeGrace = 3 * time.Second
 
 // Routes returns the routes of the settings in force, including routes that have expired.
 func (c *Core) Routes() []Route { return c.routes }
 
-// Settings returns the settings in force. Classes holds placeholders at indexes that no route refers
-// to any more.
+// Settings returns the settings in force. Their Classes hold placeholders at indexes that no route
+// refers to any more.
 func (c *Core) Settings() piernotch.Settings { return c.settings }
 
 func newRoute(class piernotch.Class, index int) Route {
@@ -40,7 +40,8 @@
 	return routes
 }
 
-// handleSettingsChanged changes nothing if the new settings are invalid.
+// handleSettingsChanged applies the new settings and moves to the new address of discovery. It does
+// neither if the settings are invalid.
 func (c *Core) handleSettingsChanged(event SettingsChanged) {
 	routes, err := c.applySettings(event.Settings)
 	if err != nil {
@@ -73,14 +74,15 @@
 type classAssignment struct {
 	classes  []piernotch.Class
 	reserved []bool // the index must not be given to another class
-	current  []bool // the index holds a class that the new settings use
+	current  []bool // the index has a route
 	routes   []Route
 }
 
-// assignClasses assigns an index to each of the new classes. A class that remains keeps its index. If
-// its retry safety has changed, it becomes another class with another index, and the old class is
-// accepted for routeGrace longer, since requests that were sent as idempotent remain idempotent. An
-// index is reused once no open request refers to it; until then it holds a placeholder without a route.
+// assignClasses assigns an index to each of the new classes. A class that remains keeps its index. A
+// class whose retry safety has changed counts as another class and gets another index, since requests
+// that were sent as idempotent remain idempotent. The old class is accepted for routeGrace longer, or
+// until the settings change again. An index is reused once no open request and no route refers to it. An
+// index without a route holds a placeholder.
 func (c *Core) assignClasses(next []piernotch.Class) *classAssignment {
 	assigned := &classAssignment{
 		classes:  slices.Clone(c.settings.Classes),
@@ -153,7 +155,7 @@
 	a.set(index, class)
 }
 
-// fillPlaceholders puts class, as a placeholder, at each index that the new settings do not use.
+// fillPlaceholders puts class, as a placeholder, at each index without a route.
 func (a *classAssignment) fillPlaceholders(class piernotch.Class) {
 	for index := range a.classes {
 		if !a.current[index] {
--- a/internal/serve/core/shutdown.go
+++ b/internal/serve/core/shutdown.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// longestDeadline returns the longest deadline of any class, from the receipt of a request.
+// longestDeadline returns the longest deadline of any class, counted from the receipt of a request.
 func (c *Core) longestDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.settings.Classes {
--- a/internal/serve/core/start_times.go
+++ b/internal/serve/core/start_times.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// maxListingDelay is more time than discovery takes to list the start of a process. If a start seems to
+	// maxListingDelay is longer than discovery takes to list the start of a process. If a start seems to
 	// have been listed with a longer delay, the clocks differ.
 	maxListingDelay = 6 * time.Second
 
--- a/internal/serve/overrides/overrides.go
+++ b/internal/serve/overrides/overrides.go
@@ -6,10 +6,10 @@
 // timestamp, a merge keeps the later version of each entry, and the order of merges makes no
 // difference.
 //
-// The package does no I/O, reads no clock and depends on neither sockets nor the module; it is not safe
-// for concurrent use. internal/serve/core owns the overrides of a running process and applies them,
-// internal/serve/handover stores them in records, and internal/serve/admin translates calls into
-// actions.
+// The package does no I/O, reads no clock and depends on neither sockets nor the decision module,
+// package piernotch; it is not safe for concurrent use. internal/serve/core owns the overrides of a
+// running process and applies them, internal/serve/handover stores them in records, and
+// internal/serve/admin translates calls into actions.
 package overrides
 
 import (
@@ -76,14 +76,14 @@
 type Override struct {
 	Timestamp
 	Active bool          `json:"on"`
-	SetAt  time.Duration `json:"at"` // Unix time
+	SetAt  time.Duration `json:"at"` // the command's At
 }
 
 // Overrides are all overrides of a balancer. The zero value has none. A copy shares the map; use
 // Clone.
 type Overrides struct {
-	Servers map[string]Override `json:"servers,omitempty"` // by name; active: excluded
-	Drain   Override            `json:"drain"`             // active: clients are sent to other balancers
+	Servers map[string]Override `json:"servers,omitempty"` // by server name; if Active, the server is excluded
+	Drain   Override            `json:"drain"`             // if Active, clients are sent to other balancers
 }
 
 // Excluded reports whether operators have excluded the named server.
@@ -96,7 +96,7 @@
 
 // Command is an operator's command as a process receives it.
 type Command struct {
-	At      time.Duration // Unix time
+	At      time.Duration // on the process's clock, which is set to Unix time at the start
 	Process ProcessID     // the receiving process, for the timestamp
 	Action  Action
 	Server  string // name of the server, if the action concerns one
@@ -153,9 +153,9 @@
 	return servers, drainChanged
 }
 
-// Prune removes the entries of servers that were included again before the given Unix time. It must
-// not be called while another process of the balancer is alive: that process could still hold the
-// exclusion, and a merge would restore it.
+// Prune removes the entries of servers that were included again before the given time, on the clock of
+// SetAt. It must not be called while another process of the balancer is alive: that process could still
+// hold the exclusion, and a merge would restore it.
 func (o *Overrides) Prune(before time.Duration) {
 	maps.DeleteFunc(o.Servers, func(_ string, override Override) bool {
 		return !override.Active && override.SetAt < before
