--- a/cmd/piernotch/check.go
+++ b/cmd/piernotch/check.go
@@ -4,7 +4,7 @@
 
 type checkCmd struct{ configSource }
 
-// Run prints a summary of a valid configuration. Otherwise it returns all errors of a TOML file, or the first
+// Run prints a summary of a valid configuration, or returns all errors of a TOML file or the first
 // error of the platform's file.
 func (c *checkCmd) Run() error {
 	cfg, err := c.load()
--- a/cmd/piernotch/serve.go
+++ b/cmd/piernotch/serve.go
@@ -88,9 +88,9 @@
 	}
 }
 
-// joinGroup makes the balancer a member of the control group that a file describes. It returns a function
-// that leaves the group, and that may be called more than once and from any goroutine. If file is "",
-// the balancer joins no group, and nothing is opened.
+// joinGroup makes the balancer a member of the control group that a file describes. It returns a
+// function that leaves the group, and that may be called more than once and from any goroutine. If file
+// is "", nothing is opened, and leave does nothing.
 func joinGroup(file string, balancer *runtime.Balancer) (leave func(), err error) {
 	if file == "" {
 		return func() {}, nil
--- a/internal/serve/admin/connection.go
+++ b/internal/serve/admin/connection.go
@@ -93,8 +93,7 @@
 	c.server.remove(c)
 }
 
-// shedBefore reports whether c should be closed before other. Connections that have had their response
-// come first, and among equals the connection that has waited longest.
+// shedBefore reports whether Shed should close c rather than other.
 func (c *connection) shedBefore(other *connection) bool {
 	if c.responded != other.responded {
 		return c.responded
--- a/internal/serve/admin/server.go
+++ b/internal/serve/admin/server.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	// MaxConnections is the number of connections that may be open at a time. When another connection is
-	// accepted, Server.Shed closes one of them.
+	// MaxConnections is the number of connections that may be open at a time. To accept another,
+	// Server.Shed closes one of them.
 	MaxConnections = 16
 	// ReservedDescriptors is how many file descriptors of the process's limit are set aside for the API:
-	// one for each connection, one for the listener, and a few more because a connection briefly has a
-	// second descriptor while nbio takes it over.
+	// one for each connection, one for the listener, and a few since a connection briefly has two while
+	// nbio takes it over.
 	ReservedDescriptors = MaxConnections + 4
 
 	// requestTimeout is how long a caller may take to send its call. It is long, since a slow caller
--- a/internal/serve/config/config.go
+++ b/internal/serve/config/config.go
@@ -16,15 +16,15 @@
 	minMemoryMB = 32
 )
 
-// Config is a balancer's configuration. If it was returned without an error, its values are valid.
+// Config is a balancer's configuration. It is valid if it was returned without an error.
 type Config struct {
 	// Name is the balancer's name, the same for all its processes.
 	Name string
 	// Listen, Discovery and AdminAddress are IP addresses with a port. Clients are accepted at Listen,
 	// discovery is polled at Discovery, and admin commands are accepted at AdminAddress, unless it is "".
 	Listen, Discovery, AdminAddress string
-	// ListenFD is the descriptor of an inherited listening socket, 3 or more; 0: there is none, and the
-	// process opens a socket at Listen.
+	// ListenFD is the descriptor of an inherited listening socket, 3 or more; 0: none, and the process
+	// opens a socket at Listen.
 	ListenFD int
 	// StateDir is the directory in which sibling processes of this balancer exchange records; "": there
 	// are no siblings.
--- a/internal/serve/config/errors.go
+++ b/internal/serve/config/errors.go
@@ -18,9 +18,9 @@
 	File string
 	// Line is the line of the key in File, counted from 1; 0: not known.
 	Line int
-	// Key is the dotted key or the name of the environment variable. It is ROUTER_CONFIG if the platform's
-	// file cannot be read or decoded, or fails checkRequiredKeys. It is "" if Err concerns a whole TOML file,
-	// or if Err names the key, as the errors of packages simprotocol and piernotch do.
+	// Key is the dotted key or the environment variable. It is ROUTER_CONFIG if the platform's file cannot
+	// be read or decoded, or is incomplete at a reload. It is "" if Err concerns a whole TOML file, or
+	// names the key, as the errors of packages simprotocol and piernotch do.
 	Key string
 	// Err says what is wrong or what is expected; it is never nil.
 	Err error
@@ -49,7 +49,7 @@
 // returned as an error is never empty.
 type FieldErrors []*FieldError
 
-// Error returns the texts of all errors, one on each line.
+// Error returns the texts of all errors, one per line.
 func (e FieldErrors) Error() string {
 	lines := make([]string, len(e))
 	for i := range e {
--- a/internal/serve/config/platform.go
+++ b/internal/serve/config/platform.go
@@ -58,8 +58,8 @@
 }
 
 // Reload reads the file again for a process that was started with c. It ignores ROUTER_DISCOVERY, which
-// applies to the start only and would hide a new address in the file. The file must be complete: it
-// must have each key that the file had at the start, except known and seed. Errors are as for Load.
+// applies to the start only and would hide a new address in the file. The file must have each key that
+// it had at the start, except known and seed. Errors are as for Load.
 func (c Config) Reload(getenv func(string) string) (Config, error) {
 	next, err := Load(func(name string) string {
 		if name == discoveryVariable {
@@ -153,8 +153,8 @@
 	return checkIPAddress("management", c.AdminAddress)
 }
 
-// checkIPAddress checks that an address is an IP address followed by a port, which may have any value. A
-// host name is invalid, since there is no DNS.
+// checkIPAddress checks that an address is an IP address followed by a port, which may have any value.
+// A host name is invalid: there is no DNS.
 func checkIPAddress(key, address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/serve/config/required_keys.go
+++ b/internal/serve/config/required_keys.go
@@ -28,8 +28,7 @@
 	return checkValue(currentValue, nextValue, "")
 }
 
-// checkValue checks that next, the new value of a key, has the type of current. Objects, also those in
-// lists, must have the required keys.
+// checkValue checks the type of next, the new value of a key, and the keys of the objects in it.
 func checkValue(current, next any, key string) error {
 	switch current := current.(type) {
 	case map[string]any:
@@ -79,8 +78,8 @@
 	return nil
 }
 
-// commonMembers removes from the first object of a list each member that another object lacks, and
-// returns that first object. It returns nil if the list is empty or has an element that is not an object.
+// commonMembers reduces the first object of a list to the members that all objects have, and returns
+// it. It returns nil if the list is empty or has an element that is not an object.
 func commonMembers(list []any) any {
 	var common map[string]any
 	for i, value := range list {
--- a/internal/serve/config/toml.go
+++ b/internal/serve/config/toml.go
@@ -72,7 +72,7 @@
 	overQuotaWeight = 0.1
 )
 
-// retrySafeties maps the values of a class's TOML key "effect" to the module's retry safeties.
+// retrySafeties maps the values of a class's TOML key "effect" to retry safeties.
 var retrySafeties = map[string]piernotch.RetrySafety{"safe": piernotch.Idempotent, "unsafe": piernotch.NonIdempotent}
 
 // defaults returns a file with the default values of keys that may be left out.
@@ -96,8 +96,8 @@
 	return values
 }
 
-// LoadFile reads the product's own configuration, in TOML. Its error is of type FieldErrors and holds
-// all errors that were found, each with the file and, where it is known, the line.
+// LoadFile reads the product's own configuration, in TOML. Its error is a FieldErrors with all errors
+// that were found, their file and, if known, line.
 func LoadFile(name string) (Config, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -158,8 +158,8 @@
 	check.inRange("balancers.count", f.Balancers.Count, 1, 100000)
 }
 
-// zones returns all zones and the index of the balancer's own among them. If the own zone is not among
-// them, it adds an error to check and returns index 0.
+// zones returns all zones and the index of the balancer's own among them. If that zone is not
+// listed, zones adds an error to check and returns index 0.
 func (f *file) zones(check *checker) (zones []string, own int) {
 	zones = f.Balancers.Zones
 	if len(zones) == 0 {
--- a/internal/serve/config/toml_check.go
+++ b/internal/serve/config/toml_check.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// address checks that a value consists of an IP address and a port. A host name is invalid, since there
-// is no DNS.
+// address checks that a value consists of an IP address and a port. A host name is invalid: there is no
+// DNS.
 func (c *checker) address(key, value string) {
 	host, port, err := net.SplitHostPort(value)
 	number, portErr := strconv.Atoi(port)
--- a/internal/serve/core/admin.go
+++ b/internal/serve/core/admin.go
@@ -27,8 +27,8 @@
 	c.overrides.Prune(c.now - pruneSlowStarts*c.settings.Rules.SlowStartDuration - pruneMargin)
 }
 
-// handleAdminCommand applies an operator's command. PersistOverrides precedes AdminResult, so that
-// the overrides are on disk before the operator gets the result.
+// handleAdminCommand applies an operator's command. The overrides are persisted before the result is
+// reported.
 func (c *Core) handleAdminCommand(event AdminCommand) {
 	changed, err := c.overrides.Apply(overrides.Command{
 		At: c.now, Process: c.processID, Action: event.Action,
--- a/internal/serve/core/attempts_test.go
+++ b/internal/serve/core/attempts_test.go
@@ -57,7 +57,7 @@
 	require.Empty(t, c.requests)
 }
 
-// An attempt that is still waiting for its connection when its client disconnects must not be sent,
+// An attempt that is waiting for its connection when its client disconnects must not be sent,
 // even if the settings do not allow attempts to be cancelled.
 func TestAttemptIsNotWrittenAfterClientDisconnected(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
@@ -70,8 +70,8 @@
 	}
 }
 
-// A retry that is decided within the deduplication window must not be written after the window has
-// closed while the retry waited for its connection.
+// A retry must not be written if the deduplication window has closed while the retry waited for its
+// connection.
 func TestRetryIsNotWrittenOutsideDedupWindow(t *testing.T) {
 	class := newClass("c", piernotch.IdempotencyKey)
 	class.DedupWindow = 300 * time.Millisecond
--- a/internal/serve/core/core.go
+++ b/internal/serve/core/core.go
@@ -57,7 +57,7 @@
 	ProcessID overrides.ProcessID // distinguishes this process from others of the same balancer
 }
 
-// New returns a reducer that knows no endpoints yet. It fails if the settings are not valid.
+// New returns a reducer that knows no endpoints yet. It fails if the settings are invalid.
 func New(options Options) (*Core, error) {
 	core := &Core{
 		settings:      options.Settings,
@@ -84,8 +84,7 @@
 }
 
 // Handle processes an event that happened at now and returns the effects to carry out, in order. If
-// now is before the time of an earlier call, the earlier call's time is used. The slice is valid until
-// the next call.
+// now is before the time of an earlier call, that time is used. The slice is valid until the next call.
 func (c *Core) Handle(now time.Duration, event Event) []Effect {
 	c.now = max(c.now, now)
 	c.effects = c.effects[:0]
--- a/internal/serve/core/counters.go
+++ b/internal/serve/core/counters.go
@@ -11,7 +11,7 @@
 	Failed              int
 	ClientsDisconnected int
 
-	// Attempts is the number of StartAttempt effects. The other counts are of unsuccessful attempts, by status.
+	// Attempts is the number of StartAttempt effects. The others count unsuccessful attempts by status.
 	Attempts      int
 	Timeouts      int
 	Resets        int
--- a/internal/serve/core/effects.go
+++ b/internal/serve/core/effects.go
@@ -10,7 +10,7 @@
 // Effect is an action that the caller of Core.Handle has to carry out.
 type Effect interface{ effect() }
 
-// The effects. They are carried out in the order in which Core.Handle returns them.
+// The effects that Core.Handle returns.
 type (
 	// StartAttempt requests a connection for an attempt. Nothing may be sent before WriteAttempt,
 	// which follows AttemptConnected.
@@ -82,7 +82,7 @@
 // Result is the outcome of a request as its client sees it.
 type Result uint8
 
-// The results. A request has exactly one, unless its client disconnects first.
+// The results that a request can have.
 const (
 	// Served means that a server has responded with status 200.
 	Served Result = iota
--- a/internal/serve/core/endpoints.go
+++ b/internal/serve/core/endpoints.go
@@ -100,8 +100,8 @@
 	return server
 }
 
-// newServerID derives an ID from the name, so that all balancers use the same ID for a server. If the IDs
-// of two names collide, the name that is listed later gets the next free ID.
+// newServerID derives an ID from the name, so that all balancers use the same ID for a server, unless
+// the IDs of two names collide.
 func (c *Core) newServerID(name string) piernotch.ServerID {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(name))
--- a/internal/serve/core/endpoints_test.go
+++ b/internal/serve/core/endpoints_test.go
@@ -10,8 +10,8 @@
 	"piernotch"
 )
 
-// A machine that fails leaves half-open connections. When the endpoint list shows that the server's
-// process is a new one, idle connections to the old process must not be used again.
+// A machine that fails leaves half-open connections. When the endpoint list shows a new process of the
+// server, idle connections to the old process must not be used again.
 func TestServerRestartClosesIdleConnections(t *testing.T) {
 	c := newCore(t)
 	restarted := listedServer(piernotch.Ready)
@@ -49,8 +49,8 @@
 	}
 }
 
-// concurrentAttempts passes the core four requests at the same time, and returns how many of them it forwards at
-// once. Afterwards all their clients disconnect.
+// concurrentAttempts returns how many of four simultaneous requests the core forwards at once.
+// Afterwards all their clients disconnect.
 func concurrentAttempts(c *Core, now time.Duration) int {
 	const requests = 4
 	started := 0
--- a/internal/serve/core/events.go
+++ b/internal/serve/core/events.go
@@ -33,7 +33,7 @@
 	Endpoint piernotch.Endpoint // without the ID, which core assigns; StartedAt is Unix time
 }
 
-// Event is something that has happened outside of the reducer; Core.Handle takes one at a time.
+// Event is something that has happened outside of the reducer.
 type Event interface{ event() }
 
 // The events. Times are on the clock of Core.Handle, except the StartedAt of a DiscoveredEndpoint.
@@ -61,7 +61,7 @@
 		Response *ResponseMessage
 	}
 	// HealthCheckCompleted reports the result of a health check. It is ignored if no health check of the
-	// server is running, for instance because the check has timed out.
+	// server is running, as after a timeout.
 	HealthCheckCompleted struct {
 		Server piernotch.ServerID
 		Status piernotch.Status
@@ -91,7 +91,7 @@
 		Action overrides.Action
 		Server string // name of the server concerned; unused by Evacuate and Rejoin
 	}
-	// PeerOverrides carries the overrides held by another process of this balancer, to be merged.
+	// PeerOverrides carries the overrides held by another process of this balancer.
 	PeerOverrides struct{ Overrides *overrides.Overrides }
 	// PeerSnapshot carries another process's estimates of this balancer's traffic, for the module to start
 	// from.
--- a/internal/serve/core/settings.go
+++ b/internal/serve/core/settings.go
@@ -20,7 +20,7 @@
 // changed, since clients receive new settings at different times.
 const routeGrace = 3 * time.Second
 
-// Routes returns the routes of the settings in force, including routes that have expired.
+// Routes returns the routes of the settings in force, including expired routes.
 func (c *Core) Routes() []Route { return c.routes }
 
 // Settings returns the settings in force. Their Classes hold placeholders at indexes that no route
@@ -31,7 +31,7 @@
 	return Route{Name: class.Name, Idempotent: class.RetrySafety == piernotch.Idempotent, Class: index}
 }
 
-// routesOf returns the routes of classes. The index of a class is its position in the slice.
+// routesOf returns the routes of classes. The index of a class is its position.
 func routesOf(classes []piernotch.Class) []Route {
 	var routes []Route
 	for index, class := range classes {
@@ -40,8 +40,8 @@
 	return routes
 }
 
-// handleSettingsChanged applies the new settings and moves to the new address of discovery. It does
-// neither if the settings are invalid.
+// handleSettingsChanged applies the new settings and the address of discovery, or neither if the
+// settings are invalid.
 func (c *Core) handleSettingsChanged(event SettingsChanged) {
 	routes, err := c.applySettings(event.Settings)
 	if err != nil {
@@ -79,10 +79,10 @@
 }
 
 // assignClasses assigns an index to each of the new classes. A class that remains keeps its index. A
-// class whose retry safety has changed counts as another class and gets another index, since requests
-// that were sent as idempotent remain idempotent. The old class is accepted for routeGrace longer, or
-// until the settings change again. An index is reused once no open request and no route refers to it. An
-// index without a route holds a placeholder.
+// class whose retry safety has changed gets another index, since requests that were sent as idempotent
+// remain idempotent. The old class is accepted for routeGrace longer, or until the settings change
+// again. An index is reused once no open request and no route refers to it. An index without a route
+// holds a placeholder.
 func (c *Core) assignClasses(next []piernotch.Class) *classAssignment {
 	assigned := &classAssignment{
 		classes:  slices.Clone(c.settings.Classes),
--- a/internal/serve/core/shutdown.go
+++ b/internal/serve/core/shutdown.go
@@ -37,8 +37,8 @@
 		c.stoppedListening = true
 		c.emit(StopListening{})
 	})
-	// A request that was open before the shutdown keeps its deadline, even if the platform may kill the
-	// process earlier. This timer fails such a request before the kill.
+	// Requests that were open before the shutdown keep their deadline. This timer fails them if the
+	// platform may kill the process before that deadline.
 	c.timers.At(c.respondBy+overdueMargin, c.failPending)
 }
 
--- a/internal/serve/overrides/overrides.go
+++ b/internal/serve/overrides/overrides.go
@@ -132,9 +132,9 @@
 	return true, nil
 }
 
-// Merge takes over each override of another process that is later than o's override. It returns the
-// names of the servers whose override is new or now has another value of Active, in no particular order,
-// and whether Drain.Active has changed.
+// Merge takes over the later overrides of another process. It returns the names of the servers whose
+// override is new or has another value of Active, in no particular order, and whether Drain.Active has
+// changed.
 func (o *Overrides) Merge(other *Overrides) (servers []string, drainChanged bool) {
 	for name, theirs := range other.Servers {
 		ours, known := o.Servers[name]
