--- a/cmd/piernotch/serve.go
+++ b/cmd/piernotch/serve.go
@@ -18,22 +18,22 @@
 	"piernotch/internal/serve/runtime"
 )
 
-// leaveTimeout is how long a shutdown tries to notify the control group that its leases are released.
+// leaveTimeout limits how long a shutdown waits for the control group to confirm that the balancer's
+// leases are released.
 const leaveTimeout = 500 * time.Millisecond
 
-// signalBuffer is how many signals are queued, so that a SIGTERM during a reload is not lost.
+// signalBuffer is how many signals can be queued, so that a SIGTERM during a reload is not lost.
 const signalBuffer = 16
 
-// serveCmd runs the balancer.
 type serveCmd struct {
 	configSource
 	Group string `placeholder:"FILE" help:"Join the control group that this file describes. Without it, join none."`
 }
 
-// Run serves until SIGTERM or SIGINT and the graceful shutdown that follows. SIGHUP reloads the
+// Run serves until the graceful shutdown that SIGTERM or SIGINT starts has ended. SIGHUP reloads the
 // configuration.
 func (c *serveCmd) Run() error {
-	// Before anything else, since by default a SIGHUP or SIGTERM ends the program at once.
+	// Signals are caught before anything else, since by default SIGHUP and SIGTERM end the program at once.
 	signals := make(chan os.Signal, signalBuffer)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, os.Interrupt)
 	signal.Ignore(syscall.SIGPIPE) // if the process that reads the log ends, this one continues
@@ -44,7 +44,7 @@
 	if err := logs.Start(cfg.Log); err != nil {
 		return err
 	}
-	goruntime.GOMAXPROCS(1) // the machine has one core, and others may share it
+	goruntime.GOMAXPROCS(1) // the machine has one core, which other processes may share
 	balancer, err := runtime.New(cfg)
 	if err != nil {
 		return err
@@ -58,7 +58,7 @@
 	if err := balancer.Start(); err != nil {
 		return err
 	}
-	// Owned by Run; it ends with the process, when Run returns.
+	// This goroutine is owned by Run and ends with the process, when Run returns.
 	go c.handleSignals(signals, cfg, balancer, leaveGroup)
 	balancer.Run(context.Background())
 	return nil
@@ -74,8 +74,8 @@
 	for received := range signals {
 		if received != syscall.SIGHUP {
 			balancer.Shutdown()
-			// Owned by the process; it ends within leaveTimeout. The leases pass to other members while
-			// clients are still being served.
+			// This goroutine is owned by the process. It ends within leaveTimeout. The balancer's leases
+			// pass to other members of the group while its clients are still being served.
 			go leaveGroup()
 			continue
 		}
@@ -88,9 +88,9 @@
 	}
 }
 
-// joinGroup makes the balancer a member of the control group that a file describes. It returns a function
-// that leaves the group, and that may be called more than once and from any goroutine. If file is "",
-// the balancer joins no group, and nothing is opened.
+// joinGroup makes the balancer a member of the control group that a file describes. It returns a
+// function that leaves the group, and that may be called more than once and from any goroutine. If file
+// is "", nothing is opened, and leave does nothing.
 func joinGroup(file string, balancer *runtime.Balancer) (leave func(), err error) {
 	if file == "" {
 		return func() {}, nil
--- a/internal/serve/admin/connection.go
+++ b/internal/serve/admin/connection.go
@@ -25,7 +25,7 @@
 // Data implements eventloop.Handler.
 func (c *connection) Data(data []byte) {
 	if c.responded || c.call != 0 {
-		return // a connection serves one call: whatever follows is ignored
+		return // a connection serves one call: further input is ignored
 	}
 	c.parser.Feed(data)
 	request, err := c.parser.Next()
@@ -45,18 +45,18 @@
 // Closed implements eventloop.Handler.
 func (c *connection) Closed(error) { c.server.remove(c) }
 
-// checkTimeouts ends a connection that has exceeded its timeout. A call that is being executed has no
-// timeout.
+// checkTimeouts responds with an error if the call has not been received within requestTimeout, and
+// continues closing a connection that has had its response. A call that is being executed has no timeout.
 func (c *connection) checkTimeouts(now time.Duration) {
 	switch {
 	case c.responded:
 		c.linger(now)
 	case c.call == 0 && now-c.since > requestTimeout:
-		c.respond(http1.StatusRequestTimeout, "the call was not received completely in time")
+		c.respond(http1.StatusRequestTimeout, "the call did not come to its end")
 	}
 }
 
-// respond sends the response, of one line of text, and starts closing the connection.
+// respond logs and sends a response with one line of text, and starts closing the connection.
 func (c *connection) respond(status int, text string, fields ...http1.Field) {
 	slog.Info("admin response", "action", c.operation, "status", status, "text", text)
 	c.responded = true
@@ -93,8 +93,7 @@
 	c.server.remove(c)
 }
 
-// shedBefore reports whether c should be closed before other. Connections that have had their response
-// come first, and among equals the one that has waited longest.
+// shedBefore reports whether Shed should close c rather than other.
 func (c *connection) shedBefore(other *connection) bool {
 	if c.responded != other.responded {
 		return c.responded
--- a/internal/serve/config/required_keys.go
+++ b/internal/serve/config/required_keys.go
@@ -8,10 +8,11 @@
 	"slices"
 )
 
-// checkRequiredKeys returns a *FieldError for the first key that the file in force has and the new file
-// lacks or has with another type. A missing key would otherwise read as zero, which is a valid value of
-// many settings. The elements of a list may change, but each object in the new list needs the keys that
-// all objects in the old list have.
+// checkRequiredKeys compares current, the file read at the start, with next, the reloaded file. It
+// returns a *FieldError for the first key of current that next lacks or has with another type. A
+// missing key would otherwise read as zero, which is a valid value of many settings. The elements of a
+// list may change, but each object in the new list needs the keys that all objects in the old list
+// have.
 func checkRequiredKeys(current, next []byte) error {
 	var currentValue, nextValue any
 	if err := json.Unmarshal(current, &currentValue); err != nil {
@@ -27,8 +28,7 @@
 	return checkValue(currentValue, nextValue, "")
 }
 
-// checkValue checks that next, the new value of a key, has the type of the current value, and the keys
-// of an object or of the objects in a list.
+// checkValue checks the type of next, the new value of a key, and the keys of the objects in it.
 func checkValue(current, next any, key string) error {
 	switch current := current.(type) {
 	case map[string]any:
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// commonMembers returns an object with the members that all objects of a list have, or nil if the list
-// is empty or has an element that is not an object.
+// commonMembers reduces the first object of a list to the members that all objects have, and returns
+// it. It returns nil if the list is empty or has an element that is not an object.
 func commonMembers(list []any) any {
 	var common map[string]any
 	for i, value := range list {
--- a/internal/serve/config/toml.go
+++ b/internal/serve/config/toml.go
@@ -59,7 +59,7 @@
 		AimMS      int     `toml:"aim_ms"` // latency objective
 		DeadlineMS int     `toml:"deadline_ms"`
 		Worth      float64 `toml:"worth"`      // priority weight
-		LateWorth  float64 `toml:"late_worth"` // share of the weight after the objective
+		LateWorth  float64 `toml:"late_worth"` // late weight share
 		Effect     string  `toml:"effect"`     // retry safety
 	} `toml:"class"`
 }
@@ -68,11 +68,11 @@
 	// tick is the resolution of the decision module's clock. It equals core.TickInterval.
 	tick = 5 * time.Millisecond
 	// overQuotaWeight is the factor on the weight of requests over their tenant's quota. This form of
-	// the configuration has no tenants, so it has no effect yet.
+	// the configuration has no tenants, so the factor has no effect yet.
 	overQuotaWeight = 0.1
 )
 
-// retrySafeties maps the values of the key effect of a class.
+// retrySafeties maps the values of a class's TOML key "effect" to retry safeties.
 var retrySafeties = map[string]piernotch.RetrySafety{"safe": piernotch.Idempotent, "unsafe": piernotch.NonIdempotent}
 
 // defaults returns a file with the default values of keys that may be left out.
@@ -96,8 +96,8 @@
 	return values
 }
 
-// LoadFile reads the product's own configuration, in TOML. Its error is of type FieldErrors and holds
-// all errors that were found, each with the file and, where it is known, the line.
+// LoadFile reads the product's own configuration, in TOML. Its error is a FieldErrors with all errors
+// that were found, their file and, if known, line.
 func LoadFile(name string) (Config, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -148,7 +148,6 @@
 	return config
 }
 
-// checkProcess checks the limits of the process, the log, the trace and the number of balancers.
 func (f *file) checkProcess(check *checker) {
 	check.inRange("limits.memory_mb", f.Limits.MemoryMB, minMemoryMB, 1<<20)
 	check.inRange("limits.sockets", f.Limits.Sockets, minDescriptors, 1<<20)
@@ -159,7 +158,8 @@
 	check.inRange("balancers.count", f.Balancers.Count, 1, 100000)
 }
 
-// zones returns all zones and the index of the balancer's own among them.
+// zones returns all zones and the index of the balancer's own among them. If that zone is not
+// listed, zones adds an error to check and returns index 0.
 func (f *file) zones(check *checker) (zones []string, own int) {
 	zones = f.Balancers.Zones
 	if len(zones) == 0 {
@@ -168,7 +168,7 @@
 	own = -1
 	for i, zone := range zones {
 		if zone == f.Balancers.Zone {
-			own = i // the last one, if a zone is listed twice
+			own = i // the last position, if the zone is listed twice
 		}
 	}
 	if own < 0 {
@@ -218,7 +218,7 @@
 }
 
 // readKnownEndpoints reads the endpoint list to start with, if known_file is set. A relative path
-// starts at the directory of the configuration file.
+// refers to the directory of the configuration file.
 func (f *file) readKnownEndpoints(config *Config, check *checker) {
 	if f.Known == "" {
 		return
--- a/internal/serve/core/admin.go
+++ b/internal/serve/core/admin.go
@@ -7,8 +7,8 @@
 	"piernotch/internal/serve/overrides"
 )
 
-// The entry of a server that was included again is kept until its slow start is long over: for
-// pruneSlowStarts times the duration of slow start, and pruneMargin more.
+// The override of a server that was included again is kept until the server's slow start is long over:
+// for pruneSlowStarts times the duration of slow start, and pruneMargin more.
 const (
 	pruneSlowStarts = 2
 	pruneMargin     = time.Minute
@@ -27,8 +27,8 @@
 	c.overrides.Prune(c.now - pruneSlowStarts*c.settings.Rules.SlowStartDuration - pruneMargin)
 }
 
-// handleAdminCommand applies an operator's command. PersistOverrides precedes AdminResult, so that
-// the overrides are on disk before the operator gets the result.
+// handleAdminCommand applies an operator's command. The overrides are persisted before the result is
+// reported.
 func (c *Core) handleAdminCommand(event AdminCommand) {
 	changed, err := c.overrides.Apply(overrides.Command{
 		At: c.now, Process: c.processID, Action: event.Action,
@@ -46,7 +46,6 @@
 	c.emit(AdminResult{event.Call, err})
 }
 
-// handlePeerOverrides merges the overrides of another process of this balancer.
 func (c *Core) handlePeerOverrides(event PeerOverrides) {
 	servers, drainChanged := c.overrides.Merge(event.Overrides)
 	for _, name := range servers {
@@ -62,8 +61,9 @@
 	}
 }
 
-// applyOverride passes the override of a server to the module. It does nothing for a server that is
-// not listed: addServer applies the exclusion when the server is listed again.
+// applyOverride passes the override of a server to the module, and closes the idle connections to a
+// server that is now excluded. It does nothing for a server that is not listed: addServer applies the
+// exclusion when the server is listed again.
 func (c *Core) applyOverride(name string) {
 	server := c.serversByName[name]
 	if server == nil {
--- a/internal/serve/core/effects.go
+++ b/internal/serve/core/effects.go
@@ -10,7 +10,7 @@
 // Effect is an action that the caller of Core.Handle has to carry out.
 type Effect interface{ effect() }
 
-// The effects. They are carried out in the order in which Core.Handle returns them.
+// The effects that Core.Handle returns.
 type (
 	// StartAttempt requests a connection for an attempt. Nothing may be sent before WriteAttempt,
 	// which follows AttemptConnected.
@@ -18,7 +18,7 @@
 		Ref     AttemptRef
 		To      Endpoint
 		Message *RequestMessage
-		Timeout time.Duration // counted from now; the core enforces it, too
+		Timeout time.Duration // from the time of the event; the core enforces it, too
 	}
 	// WriteAttempt sends an attempt on the connection that was reported by AttemptConnected.
 	WriteAttempt struct{ Ref AttemptRef }
@@ -29,7 +29,7 @@
 		Exchange   ExchangeID
 		Result     Result
 		Response   *ResponseMessage // if Result is Served
-		LastStatus piernotch.Status // if Result is Failed: how the last attempt ended
+		LastStatus piernotch.Status // if Result is Failed: how the last attempt ended, or Timeout at a shutdown
 		RetryAfter time.Duration    // if Result is Rejected
 		Close      bool             // close the client's connection after the response
 	}
@@ -42,10 +42,10 @@
 	MoveDiscovery struct{ Address string }
 	// CloseIdle closes the idle connections to an endpoint.
 	CloseIdle struct{ To Endpoint }
-	// StopListening stops accepting new connections and requests.
+	// StopListening stops accepting connections and closes clients' idle connections.
 	StopListening struct{}
-	// Exit ends the process. It follows StopListening once no response is pending, and is returned again
-	// with each later event.
+	// Exit says that the process may end. From StopListening on, Core.Handle returns it for each event after
+	// which no response is pending.
 	Exit struct{}
 	// PersistOverrides writes the operators' overrides to disk before any effect that follows.
 	PersistOverrides struct{}
@@ -82,9 +82,9 @@
 // Result is the outcome of a request as its client sees it.
 type Result uint8
 
-// The results. A request has exactly one, unless its client disconnects first.
+// The results that a request can have.
 const (
-	// Served means that a server has responded.
+	// Served means that a server has responded with status 200.
 	Served Result = iota
 	// Rejected means that it is safe to send the request again: no server executed it, or a repeat does
 	// no harm.
--- a/internal/serve/core/endpoints.go
+++ b/internal/serve/core/endpoints.go
@@ -36,7 +36,6 @@
 	return list
 }
 
-// handleEndpointUpdate applies an update from discovery to the endpoint table and to the module.
 func (c *Core) handleEndpointUpdate(event EndpointUpdate) {
 	if event.Kind == piernotch.UpdateFailed {
 		c.balancer.UpdateEndpoints(c.now, event.Kind, nil)
@@ -64,15 +63,16 @@
 	}
 }
 
-// updateServer enters a listed endpoint into the table and returns it with the ID and the start time for the
-// module. absentAt is a time at which the list did not yet hold this entry; 0: unknown.
+// updateServer enters a listed endpoint into the table, and closes idle connections that must not be
+// used again. It returns the endpoint with the ID and the start time for the module. absentAt is a time
+// at which the list did not yet hold this entry; 0: unknown.
 func (c *Core) updateServer(listed DiscoveredEndpoint, absentAt time.Duration) piernotch.Endpoint {
 	server := c.serversByName[listed.Name]
 	if server == nil {
 		server = c.addServer(listed.Name)
 	}
 	// Idle connections to a server that has moved, restarted or left the ready state must not be used
-	// again. The server may not close them: a machine that fails leaves them half-open.
+	// again. The server might not have closed them: a machine that fails leaves them half-open.
 	isNew := server.address == ""
 	replaced := server.address != listed.Address || server.start.listed != listed.Endpoint.StartedAt
 	if !isNew && (replaced || listed.Endpoint.State != piernotch.Ready) {
@@ -100,8 +100,8 @@
 	return server
 }
 
-// newServerID derives an ID from the name, so that all balancers use the same one. If the IDs of two
-// names collide, the name that is listed later gets the next free ID.
+// newServerID derives an ID from the name, so that all balancers use the same ID for a server, unless
+// the IDs of two names collide.
 func (c *Core) newServerID(name string) piernotch.ServerID {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(name))
@@ -112,7 +112,8 @@
 	return id
 }
 
-// markUnlistedGone marks the servers that a complete list does not contain as gone.
+// markUnlistedGone marks as gone the servers that a complete list does not contain, and closes the idle
+// connections to them.
 func (c *Core) markUnlistedGone(listed map[string]bool) {
 	for name, server := range c.serversByName {
 		if !listed[name] && server.state != piernotch.Gone {
@@ -122,8 +123,8 @@
 	}
 }
 
-// removeGone removes the servers that are gone from the table and returns them. Attempts in flight
-// keep their pointers to them.
+// removeGone removes from the table the servers that are gone, and returns them. Attempts in flight
+// keep their pointers to these servers.
 func (c *Core) removeGone() []*server {
 	var gone []*server
 	for name, server := range c.serversByName {
@@ -144,7 +145,7 @@
 	healthCheckMargin = 2 * TickInterval
 )
 
-// startHealthCheck starts a health check of a server, unless one is running.
+// startHealthCheck starts a health check of a server, unless a check of it is running.
 func (c *Core) startHealthCheck(server *server) {
 	if c.healthChecks[server.id] != nil {
 		return
--- a/internal/serve/core/endpoints_test.go
+++ b/internal/serve/core/endpoints_test.go
@@ -10,8 +10,8 @@
 	"piernotch"
 )
 
-// A machine that fails leaves half-open connections. When the endpoint list shows that the server's
-// process is a new one, idle connections to the old process must not be used again.
+// A machine that fails leaves half-open connections. When the endpoint list shows a new process of the
+// server, idle connections to the old process must not be used again.
 func TestServerRestartClosesIdleConnections(t *testing.T) {
 	c := newCore(t)
 	restarted := listedServer(piernotch.Ready)
@@ -23,7 +23,7 @@
 
 // A server that had just started got its full share of the requests and collapsed. The machines' wall clock had
 // been stepped back by an hour before the start, and the balancer's clock does not follow such steps, so the
-// listed start seemed to be an hour old. After a step forward, the server was in slow start for as long as the
+// listed start seemed to be an hour old. After a step forward, the server was in slow start for the length of the
 // step. A start that is new in the list is neither long ago nor in the future, whatever the clocks say.
 func TestNewlyListedStartCountsAsRecentDespiteClockStep(t *testing.T) {
 	for name, step := range map[string]time.Duration{"back": -10 * time.Minute, "forward": time.Hour} {
@@ -49,8 +49,8 @@
 	}
 }
 
-// concurrentAttempts passes the core four requests at the same time, and returns how many of them it forwards at
-// once. Afterwards all their clients disconnect.
+// concurrentAttempts returns how many of four simultaneous requests the core forwards at once.
+// Afterwards all their clients disconnect.
 func concurrentAttempts(c *Core, now time.Duration) int {
 	const requests = 4
 	started := 0
--- a/internal/serve/core/requests.go
+++ b/internal/serve/core/requests.go
@@ -59,7 +59,6 @@
 	})
 }
 
-// openRequest creates a request and enters it into the tables.
 func (c *Core) openRequest(event RequestReceived) *request {
 	c.lastRequestID++
 	c.Counts.Accepted++
@@ -94,7 +93,7 @@
 }
 
 // failOverdue fails a request that the module has left without a response past its deadline. It does
-// not reject the request: that would promise that no server executed it, which is not known here.
+// not reject the request: that would promise that a repeat is safe, which is not known here.
 func (c *Core) failOverdue(request *request) {
 	if request.closed {
 		return
