--- a/internal/controlgroup/client/client.go
+++ b/internal/controlgroup/client/client.go
@@ -71,12 +71,11 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	client.stop = stop
-	go client.run(ctx) // until Close, which waits for done
+	go client.run(ctx) // until ctx is done or Close is called
 	return client
 }
 
-// run is the first of the client's two goroutines. It starts the second, which keeps the connection, and
-// waits for its end.
+// run is the first of the client's two goroutines. It starts the second, keepConnected, and waits for its end.
 func (c *Client) run(ctx context.Context) {
 	defer close(c.done)
 	var connections sync.WaitGroup
@@ -152,7 +151,7 @@
 	c.loggedTokens[duty] = token
 }
 
-// List requests all leases and voters from the leader. It retries until the leader responds or ctx is done. In the
+// List requests all leases and voters from the leader. It retries until a request succeeds or ctx is done. In the
 // latter case the error wraps ctx.Err().
 func (c *Client) List(ctx context.Context) (protocol.Snapshot, error) {
 	for {
--- a/internal/controlgroup/client/request.go
+++ b/internal/controlgroup/client/request.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// sendLocked sends a request, and returns false if there is no connection. Otherwise it calls handle once: with
-// the response, or with ErrOutcomeUnknown if the connection ends first.
+// sendLocked sends a request, and reports whether there is a connection to send it on. If so, handle is called
+// once, later: with the response, or with ErrOutcomeUnknown if the connection ends first.
 func (c *Client) sendLocked(request protocol.Request, handle responseHandler) bool {
 	if c.conn == nil {
 		return false
--- a/internal/controlgroup/client/shared_watch.go
+++ b/internal/controlgroup/client/shared_watch.go
@@ -13,13 +13,13 @@
 )
 
 // sharedWatch is this balancer's part in the shared watch. The holder of the watch's duty publishes what its
-// polls return. The other members apply those events, and poll only while they receive none. The client's lock
-// guards all state.
+// polls return, as events. The other members apply the events, and poll only while they receive none. The
+// client's lock guards all state.
 type sharedWatch struct {
 	client   *Client
 	duty     lease.Duty
 	onUpdate controlgroup.OnUpdate
-	address  string         // where this balancer reaches the discovery that DiscoveryName names
+	address  string         // of discovery, as passed to SharedWatch; DiscoveryName, if set, names it
 	log      watch.EventLog // what this balancer's own polls returned
 	follower *watch.Follower
 	holder   *watch.Holder
@@ -30,8 +30,8 @@
 	knownSource      string      // the source of knownVersion
 	knownVersion     uint64      // the last version that this balancer is known to have
 	independent      bool        // as logged last: this balancer polls without holding the duty
-	// reacquireAt is above 0 while the duty is released because discovery did not respond. The client tries to
-	// acquire the duty again from then on.
+	// reacquireAt is when the client tries to acquire the duty again after it released the duty because discovery
+	// did not respond. 0: no such release.
 	reacquireAt     time.Duration
 	lastSubscribeAt time.Duration // when missing events were requested last
 }
@@ -48,7 +48,7 @@
 	}
 }
 
-// SharedWatch joins the balancer to the shared watch; the method is a controlgroup.JoinWatch. onUpdate is called
+// SharedWatch joins the balancer to the shared watch, as controlgroup.JoinWatch describes. onUpdate is called
 // from the client's goroutines.
 func (c *Client) SharedWatch(source string, onUpdate controlgroup.OnUpdate) controlgroup.SharedWatch {
 	if c.sharedWatch == nil {
@@ -93,8 +93,8 @@
 	l.w.requestUpdateLocked(source, version)
 }
 
-// commonName returns the name that all members use for the discovery at address: the configured DiscoveryName,
-// or else the address.
+// commonName returns the source by which events name the discovery at address: DiscoveryName, if set, for the
+// address at which this balancer joined, and otherwise the address.
 func (w *sharedWatch) commonName(address string) string {
 	if w.client.cfg.DiscoveryName != "" && address == w.address {
 		return w.client.cfg.DiscoveryName
@@ -132,7 +132,7 @@
 	w.knownVersion = event.ToVersion
 	w.holder.PollSucceeded(w.client.now())
 	if err := w.log.Append(0, event); errors.Is(err, watch.ErrVersionGap) {
-		w.log = watch.EventLog{} // shouldPollLocked then requests a complete list
+		w.log = watch.EventLog{} // the holder's next poll must then request a complete list
 		return
 	}
 	w.publishLocked()
@@ -149,8 +149,7 @@
 	}
 }
 
-// subscribeLocked asks the leader for all events after the known version, and for each later one as it is
-// published.
+// subscribeLocked asks the leader for all events after the known version, and for each new one.
 func (w *sharedWatch) subscribeLocked() {
 	w.client.sendLocked(protocol.Request{
 		Kind:    protocol.Subscribe,
@@ -159,15 +158,16 @@
 	}, func(protocol.Response) {})
 }
 
-// connectedLocked handles a new connection, whose voter may have none of the events: it subscribes, and the next
-// tick publishes the whole log again if this balancer holds the duty.
+// connectedLocked handles a new connection, whose voter may have none of the events. The client subscribes;
+// if it holds the watch's duty, the next tick publishes the whole log again.
 func (w *sharedWatch) connectedLocked() {
 	w.publishedToken = 0
 	w.subscribeLocked()
 }
 
-// tickLocked publishes heartbeats while this balancer holds the duty. If discovery does not respond to this
-// balancer, tickLocked releases the duty so that another member can try.
+// tickLocked publishes heartbeats while this balancer holds the duty, and first the whole log where that is
+// missing. If discovery does not respond, tickLocked releases the duty, so that another member can try, and
+// requests it again after two to four lease durations.
 func (w *sharedWatch) tickLocked(now time.Duration) {
 	token, held := w.tokenLocked(now)
 	switch {
@@ -194,7 +194,7 @@
 	}
 }
 
-// publishLocked publishes what this balancer's own polls returned since the last call. Under a new token it
+// publishLocked publishes what this balancer's own polls returned since the last publication. Under a new token it
 // publishes the whole log, which begins with the complete list.
 func (w *sharedWatch) publishLocked() {
 	now := w.client.now()
