--- a/internal/controlgroup/protocol/request.go
+++ b/internal/controlgroup/protocol/request.go
@@ -7,13 +7,14 @@
 	"piernotch/internal/controlgroup/lease"
 )
 
-// Errors of a Response, in addition to lease.ErrHeld and lease.ErrNotHeld. Package transport has a code for each.
+// Errors of a Response, in addition to lease.ErrHeld, lease.ErrNotHeld and, for Publish, the errors of package watch.
+// Package transport has a code for each.
 var (
 	// ErrNotLeader: the request had no effect; another voter may be the leader.
 	ErrNotLeader = errors.New("this voter is not the leader")
 	// ErrOutcomeUnknown: the request may have taken effect, or may still do so.
 	ErrOutcomeUnknown = errors.New("leadership was lost: the outcome is unknown")
-	// ErrOverloaded: the request had no effect; too many others are pending.
+	// ErrOverloaded: the request had no effect; the leader has too many pending requests or watched duties.
 	ErrOverloaded = errors.New("too many pending requests")
 	// ErrNameInUse: the group has a live voter with this name and another ID.
 	ErrNameInUse = errors.New("another voter of this name is alive")
@@ -56,7 +57,7 @@
 	Key      uint64
 	Grant    lease.Grant // the grant in force, where there is one
 	Snapshot Snapshot    // only for List
-	Err      error       // nil, or an error of this package or package lease
+	Err      error       // nil, or an error of this package, package lease or (for Publish) package watch
 }
 
 // IsFinal reports whether a response's error (nil included) is the group's decision on a lease request. If it is
--- a/internal/controlgroup/protocol/voter.go
+++ b/internal/controlgroup/protocol/voter.go
@@ -27,7 +27,7 @@
 // acknowledged.
 type Announcement struct {
 	StartCount uint64 `cbor:"Starts"` // how often the store was opened, including this time
-	// Incarnation is drawn at random at each start. It distinguishes copies that were opened equally often.
+	// Incarnation is drawn at random at each start. It distinguishes copies of a store that were opened equally often.
 	Incarnation lease.Incarnation `cbor:"Run"`
 	Term        Term              `cbor:"Term"` // the term in raft's hard state
 	Vote        VoterID           `cbor:"Vote"` // the voter's vote in Term; 0: none
--- a/internal/controlgroup/transport/connection.go
+++ b/internal/controlgroup/transport/connection.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// writeQueued writes queued frames until the connection is closed. It closes the connection on a write error.
+// writeQueued writes queued frames until the connection is closed. It closes the connection if encoding
+// or writing fails.
 func (c *Conn) writeQueued() {
 	var buf []byte
 	for {
@@ -82,7 +83,7 @@
 	}
 }
 
-// write writes one frame. It returns the buffer to reuse for the next frame, or nil if the buffer grew too large.
+// write writes one frame. It returns the buffer for the next frame, or nil if the buffer grew too large.
 func (c *Conn) write(buf []byte, frame Frame) ([]byte, error) {
 	buf, err := Append(buf, frame)
 	if err != nil {
--- a/internal/controlgroup/transport/doc.go
+++ b/internal/controlgroup/transport/doc.go
@@ -6,6 +6,6 @@
 // nothing else that it sends is read.
 //
 // The package owns the frame format. Members of an older release must understand it, so keys and values must
-// not change. The package does not interpret the frames. Its callers are the voter, which accepts and dials
-// connections, and the client, which dials them.
+// not change. The package interprets no frames but handshakes. Its callers are the voter, which accepts and
+// dials connections, and the client, which dials them.
 package transport
--- a/internal/controlgroup/transport/errors.go
+++ b/internal/controlgroup/transport/errors.go
@@ -8,7 +8,7 @@
 	"piernotch/internal/controlgroup/watch"
 )
 
-// Errors of a connection. ErrInvalidFrame and ErrIncompatiblePeer are wrapped with what was received.
+// Errors of a connection. ErrInvalidFrame and ErrIncompatiblePeer are wrapped with the cause.
 var (
 	ErrInvalidFrame     = errors.New("invalid frame")
 	ErrIncompatiblePeer = errors.New("incompatible peer")
@@ -35,8 +35,7 @@
 // codeOutcomeUnknown is the index of protocol.ErrOutcomeUnknown. It is also sent for errors without a code.
 const codeOutcomeUnknown ErrorCode = 4
 
-// ErrorCodeOf returns the code of an error: 0 for nil, and the code of protocol.ErrOutcomeUnknown for an error
-// without its own.
+// ErrorCodeOf returns the code of an error: 0 for nil, and codeOutcomeUnknown for an error without a code.
 func ErrorCodeOf(err error) ErrorCode {
 	if err == nil {
 		return 0
@@ -49,8 +48,7 @@
 	return codeOutcomeUnknown
 }
 
-// Err returns the error of a code: nil for 0, and protocol.ErrOutcomeUnknown for a code that this program does
-// not know.
+// Err returns the error of a code: nil for 0, and protocol.ErrOutcomeUnknown for an unknown code.
 func (c ErrorCode) Err() error {
 	if int(c) < len(errorsByCode) {
 		return errorsByCode[c]
--- a/internal/controlgroup/transport/frame.go
+++ b/internal/controlgroup/transport/frame.go
@@ -74,8 +74,8 @@
 	return mode
 }
 
-// Append appends the encoded frame to a buffer. If the frame's data exceeds 1 MiB, it returns ErrInvalidFrame and
-// the buffer unchanged.
+// Append appends the encoded frame to a buffer. If the frame's data exceeds 1 MiB, it returns the buffer
+// unchanged and an error that wraps ErrInvalidFrame.
 func Append(to []byte, frame Frame) ([]byte, error) {
 	data, err := cbor.Marshal(frame)
 	if err != nil {
--- a/internal/controlgroup/transport/handshake.go
+++ b/internal/controlgroup/transport/handshake.go
@@ -24,7 +24,7 @@
 	Bootstrapped bool             `cbor:"6,keyasint,omitempty"` // a voter's store has already been part of the group
 }
 
-// exchangeHandshakes sends the local handshake, and then reads and checks the peer's from reader.
+// exchangeHandshakes sends the local handshake, and then reads the peer's from reader and checks it.
 func exchangeHandshakes(netConn net.Conn, reader io.Reader, local Handshake) (peer Handshake, err error) {
 	local.Magic = magic
 	local.Version = Version
--- a/internal/controlgroup/transport/transport_test.go
+++ b/internal/controlgroup/transport/transport_test.go
@@ -59,7 +59,7 @@
 	require.Equal(t, protocol.ErrOutcomeUnknown, ErrorCode(200).Err())
 }
 
-// A peer of another group, version or protocol is rejected, and the error tells what it sent.
+// A peer of another group, version or protocol is rejected, and the error tells why.
 func TestIncompatiblePeerIsRejected(t *testing.T) {
 	local := func() Handshake { return Handshake{Group: "g", Name: "us"} }
 	frame := func(h Handshake) []byte {
--- a/internal/controlgroup/watch/event_log.go
+++ b/internal/controlgroup/watch/event_log.go
@@ -9,7 +9,7 @@
 
 // Limits of an EventLog.
 const (
-	MaxBodySize = 512 << 10 // bytes of one event
+	MaxBodySize = 512 << 10 // bytes of one event's Body
 	maxChanges  = 256       // events after the complete list
 )
 
@@ -22,7 +22,7 @@
 
 // EventLog is a complete list and the changes to it, with the token under which the last of them was published.
 // The zero value is empty. A group's leader keeps one log for each duty; each balancer that polls discovery keeps
-// one of its own polls.
+// one for its own polls.
 type EventLog struct {
 	token   lease.Token
 	source  string
@@ -56,7 +56,8 @@
 	return nil
 }
 
-// replace starts a new log with a complete list. Under the same token, a list of an older version is rejected.
+// replace starts a new log with a complete list. Under the same token, an older version of the same source is
+// rejected.
 func (l *EventLog) replace(token lease.Token, event controlgroup.WatchEvent) error {
 	if token == l.token && event.Source == l.source && event.ToVersion < l.version {
 		return ErrStaleToken
--- a/internal/controlgroup/watch/follower.go
+++ b/internal/controlgroup/watch/follower.go
@@ -7,8 +7,8 @@
 	"piernotch/internal/controlgroup/lease"
 )
 
-// Follower decides whether a balancer polls discovery itself or relies on the holder. All times passed to it must
-// come from one monotonic clock.
+// Follower decides whether a balancer polls discovery itself or relies on the holder. All times are those
+// of one monotonic clock.
 type Follower struct {
 	timing      Timing
 	rng         *rand.Rand
@@ -30,7 +30,7 @@
 }
 
 // EventReceived records an event that was published under token, and reports whether it is valid. An event of a
-// holder that has been replaced is not: it must not be applied, and does not extend the timeout.
+// holder that has been replaced is invalid: it must not be applied, and does not extend the timeout.
 func (f *Follower) EventReceived(now time.Duration, token lease.Token) bool {
 	if token < f.token {
 		return false
@@ -43,7 +43,7 @@
 // Role is a balancer's part in the shared watch.
 type Role uint8
 
-// Roles in the shared watch.
+// The roles. A balancer changes its role when it acquires or loses the watch's duty.
 const (
 	RoleFollower Role = iota // this balancer does not hold the watch's duty; another may
 	RoleHolder               // this balancer holds it
--- a/internal/controlgroup/watch/holder.go
+++ b/internal/controlgroup/watch/holder.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Holder decides whether the balancer that polls for all may send heartbeats. All times passed to it must come
-// from one monotonic clock.
+// Holder decides whether the balancer that polls for all may send heartbeats. All times are those of one
+// monotonic clock.
 type Holder struct {
 	timing        Timing
-	lastSuccess   time.Duration // of a poll
+	lastSuccess   time.Duration // when PollSucceeded or NewHolder was called last
 	failed        bool          // the last poll failed
 	lastHeartbeat time.Duration
 }
@@ -25,8 +25,8 @@
 // PollFailed makes the watch unhealthy until a poll succeeds.
 func (h *Holder) PollFailed() { h.failed = true }
 
-// Healthy reports whether others can rely on this balancer's watch: the last poll did not fail, and one
-// succeeded within Timing.PollTimeout.
+// Healthy reports whether others can rely on this balancer's watch: the last poll did not fail, and a
+// poll succeeded within Timing.PollTimeout.
 func (h *Holder) Healthy(now time.Duration) bool {
 	return !h.failed && now < h.lastSuccess+h.timing.PollTimeout
 }
--- a/internal/controlgroup/watch/timing.go
+++ b/internal/controlgroup/watch/timing.go
@@ -12,7 +12,7 @@
 
 // DefaultTiming is the Timing of every group. If the holder receives a change and cannot publish it, followers
 // poll discovery themselves after at most HeartbeatTimeout + TimeoutJitter. This sum must stay below six seconds:
-// from then on, every balancer is assumed to know what discovery has returned.
+// six seconds after discovery listed a change, a balancer that can reach discovery counts as notified of it.
 var DefaultTiming = Timing{
 	HeartbeatInterval: 500 * time.Millisecond,
 	HeartbeatTimeout:  2 * time.Second,
