--- a/internal/controlgroup/errors.go
+++ b/internal/controlgroup/errors.go
@@ -7,8 +7,8 @@
 	"piernotch/internal/tomlfile"
 )
 
-// FieldError describes an invalid setting. LoadFile adds the file's name and, if the setting is in the
-// file, its line. Callers extract it by errors.As into a *FieldError.
+// FieldError describes an invalid setting. LoadFile adds the file's name and, if known, the
+// setting's line. Callers extract it by errors.As into a *FieldError.
 type FieldError struct {
 	File string // the name passed to LoadFile; "": the settings did not come from a file
 	Line int    // from 1; 0: not known
@@ -16,7 +16,8 @@
 	Err  error  // what is wrong, without the place
 }
 
-// Error returns "file:line: key: what is wrong" if File is set, and "group.key: what is wrong" otherwise.
+// Error returns "file:line: key: what is wrong" if File is set, without the line or key
+// if it is not known, and "group.key: what is wrong" otherwise.
 func (e *FieldError) Error() string {
 	if e.File == "" {
 		return "group." + e.Key + ": " + e.Err.Error()
--- a/internal/controlgroup/failpoint/doc.go
+++ b/internal/controlgroup/failpoint/doc.go
@@ -1,13 +1,14 @@
 // Package failpoint names the faults of a mutation test: each is a deliberate error in the control group that its
-// simulation (package clustersim) has to detect. A build with the tag "planted" can enable one fault at a time. In
-// any other build, this comment is all that the package holds, and no code for faults exists.
+// simulation (package clustersim) has to detect. A build with the tag "planted" can enable one fault at a time. Any
+// other build has no code for faults, and only this comment of the package.
 //
 // # Seams
 //
 // Code without the tag has no branch for a fault. It calls a few small functions, the seams, in their correct
-// form. Files *_planted.go wrap a seam, and call the correct form unless their fault is enabled. In each package
-// the seams are the methods of one type, called through one variable. That variable has this type in
-// safety_default.go or seams_default.go; with the tag, it has a type that embeds this one.
+// form. Files *_planted.go wrap the seams: a wrapper calls the correct form unless its fault is enabled. In each
+// package the seams are the methods of one type (lease.safetyRules, clustersim.correctSteps), called through one
+// variable. Without the tag, the variable has that type (safety_default.go, seams_default.go). With the tag, its
+// type embeds the correct one and overrides the seams.
 //
 //	seam                     faults
 //	lease/safety.go
--- a/internal/controlgroup/failpoint/faults.go
+++ b/internal/controlgroup/failpoint/faults.go
@@ -14,7 +14,7 @@
 	NoFence              Fault = "no-fence"              // a receiver accepts every token
 	FenceForgotten       Fault = "fence-forgotten"       // a receiver loses its fence's tokens when it restarts
 	NoLeaseCheck         Fault = "no-look"               // a holder does not check its lease before it acts
-	WallClock            Fault = "wall-clock"            // a holder measures its lease by a clock that can be set
+	WallClock            Fault = "wall-clock"            // a process measures leases by a clock that can be set
 	CountedFromResponse  Fault = "counted-from-answer"   // a holder's lease counts from the response, not the request
 	DriftIgnored         Fault = "drift-ignored"         // a holder does not shorten its lease for clock drift
 	TokenReused          Fault = "token-reused"          // a token is granted twice
@@ -24,7 +24,7 @@
 	UnconfirmedRenewals  Fault = "unconfirmed-renewals"  // a leader renews without confirming its leadership
 	StaleReads           Fault = "stale-reads"           // a leader serves reads without confirming its leadership
 	AnsweredTooEarly     Fault = "answered-too-early"    // a change is confirmed before a majority has it
-	SentBeforeWritten    Fault = "sent-before-written"   // a voter sends messages before its disk has what they promise
+	SentBeforeWritten    Fault = "sent-before-written"   // a voter sends messages before writing what they acknowledge
 	DiskUnchecked        Fault = "disk-unchecked"        // a voter keeps its ID after it lost its disk
 )
 
@@ -53,6 +53,6 @@
 // Enabled reports whether fault is the enabled one.
 func Enabled(fault Fault) bool { return fault == enabled }
 
-// Enable enables one fault and disables the previous one; None disables all. It must not be called while code that
-// calls Enabled runs: that would be a data race.
+// Enable enables one fault and disables the previous one; None disables all. Calling it while code that calls
+// Enabled runs is a data race.
 func Enable(fault Fault) { enabled = fault }
--- a/internal/controlgroup/file.go
+++ b/internal/controlgroup/file.go
@@ -33,9 +33,9 @@
 	Address string `toml:"address"`
 }
 
-// LoadFile reads and validates a group's settings file. Its error is of type FieldErrors and lists everything
-// that is wrong, with file and line where known; errors.As can also extract a single *FieldError. If there is
-// an error, the returned configuration must not be used.
+// LoadFile reads and validates a group's settings file. Its error is of type FieldErrors: all problems of
+// decoding or, if there are none, all invalid settings, with the file and, where known, the line. On an error
+// the returned configuration must not be used.
 func LoadFile(name string) (Config, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
--- a/internal/controlgroup/golden_test.go
+++ b/internal/controlgroup/golden_test.go
@@ -29,7 +29,7 @@
 	require.Equal(t, string(text), want.TOML())
 }
 
-// TestShippedGroupFile fails if the settings that deploy/group.toml results in change.
+// TestShippedGroupFile fails if deploy/group.toml no longer loads as these settings.
 func TestShippedGroupFile(t *testing.T) {
 	got, err := LoadFile("../../deploy/group.toml")
 	require.NoError(t, err)
--- a/internal/controlgroup/shared_watch.go
+++ b/internal/controlgroup/shared_watch.go
@@ -1,26 +1,27 @@
 package controlgroup
 
-// SharedWatch is a balancer's access to a shared watch of discovery: one balancer, the holder of the
-// watch's duty, polls discovery for all. The methods do not block and are safe for concurrent use.
+// SharedWatch is a balancer's access to a shared watch: one balancer, the holder of the watch's
+// duty, polls discovery for all. The methods do not block and are safe for concurrent use.
 type SharedWatch interface {
 	// ShouldPoll reports whether this balancer must itself poll the discovery at address source now
 	// (poll), and whether that poll must request the complete list (complete).
 	ShouldPoll(source string) (poll, complete bool)
-	// Publish hands the group an update that this balancer's own poll returned.
+	// Publish takes the result of this balancer's own poll. The group receives it once this balancer holds
+	// the watch's duty.
 	Publish(WatchEvent)
-	// PollFailed records a failure of this balancer's own poll. A holder then sends no heartbeats
-	// until a poll succeeds.
+	// PollFailed records a failure of this balancer's own poll. A holder of the watch's duty
+	// then releases it, so that another member can try.
 	PollFailed()
-	// RequestUpdate asks the group for the events after version, which this balancer already has.
+	// RequestUpdate asks the group for the events after version, the last that this balancer has.
 	RequestUpdate(source string, version uint64)
 }
 
 // JoinWatch joins a balancer to the shared watch of the discovery at address source. onUpdate receives
-// the updates that other balancers publish. JoinWatch returns nil if the group has no shared watch.
+// the events that other balancers publish. JoinWatch returns nil if Config.WatchDuty is empty.
 type JoinWatch func(source string, onUpdate OnUpdate) SharedWatch
 
-// OnUpdate receives an update that another balancer has published. The group's goroutines call it with
-// locks held: it must not block, and would deadlock if it called the SharedWatch.
+// OnUpdate receives an event, or a heartbeat, of another balancer. The group's goroutines call it with locks
+// held: it must not block, and would deadlock if it called the SharedWatch.
 type OnUpdate func(WatchEvent)
 
 // WatchEvent is a complete endpoint list, a change to one, or a heartbeat. It is part of the frames that
@@ -34,12 +35,12 @@
 	Body        []byte `cbor:"5,keyasint,omitempty"` // the list or change as discovery wrote it; nil in a heartbeat
 }
 
-// IsHeartbeat reports whether an event has no update and only shows that the holder's watch is healthy.
+// IsHeartbeat reports whether an event only shows that the holder's watch is healthy.
 func (e *WatchEvent) IsHeartbeat() bool { return !e.Complete && e.FromVersion == e.ToVersion }
 
 // Follows compares an event with the known version of a source. It reports whether the event is the next
 // one to apply (apply), or shows that earlier events were missed (missing). Both are false for an event of
-// another source and for an outdated one. A complete list of the same version still applies.
+// another source and for one that is not newer than version, but a complete list of version still applies.
 func (e *WatchEvent) Follows(source string, version uint64) (apply, missing bool) {
 	if e.Source != source {
 		return false, false
--- a/internal/controlgroup/validate.go
+++ b/internal/controlgroup/validate.go
@@ -25,8 +25,8 @@
 
 func validName(s string) bool { return s != "" && len(s) <= MaxNameLength }
 
-// Validate returns an error for each invalid setting, or none if the configuration is usable. File and Line
-// of the errors are not set.
+// Validate returns an error for each invalid setting, without File and Line, or none if the configuration is
+// usable.
 func (c *Config) Validate() FieldErrors {
 	found := &validation{}
 	c.validateMember(found)
