--- a/internal/controlgroup/client/client.go
+++ b/internal/controlgroup/client/client.go
@@ -17,7 +17,7 @@
 const (
 	tickInterval        = 50 * time.Millisecond
 	maxReconnectPause   = 200 * time.Millisecond // bound of the random pause before the next connection
-	responseTimeout     = time.Second            // without a response for so long, the client tries another voter
+	responseTimeout     = time.Second            // a connection whose voter takes longer to respond is closed
 	listRetryInterval   = responseTimeout / 2
 	releasePollInterval = tickInterval / 5
 )
@@ -34,7 +34,7 @@
 
 	mu           sync.Mutex
 	holders      map[lease.Duty]*lease.Holder
-	loggedTokens map[lease.Duty]lease.Token // as logged last; 0 or absent: not held
+	loggedTokens map[lease.Duty]lease.Token // the last logged ones; 0 or absent: not held
 	pending      map[uint64]pendingRequest
 	lastKey      uint64          // the key of the last request
 	conn         *transport.Conn // nil: not connected
@@ -75,7 +75,7 @@
 	return client
 }
 
-// run is the first of the client's two goroutines. It starts the second, keepConnected, and waits for its end.
+// run is the first of the client's two goroutines. It starts the second, keepConnected, and awaits it.
 func (c *Client) run(ctx context.Context) {
 	defer close(c.done)
 	var connections sync.WaitGroup
@@ -119,7 +119,8 @@
 	}
 }
 
-// tickLocked sends all requests that are due, and disconnects from a voter that does not respond.
+// tickLocked logs acquired and lost duties, sends all requests that are due, and disconnects from a voter that does
+// not respond.
 func (c *Client) tickLocked() {
 	now := c.now()
 	for duty, holder := range c.holders {
@@ -136,7 +137,7 @@
 	c.leaveUnresponsiveVoterLocked()
 }
 
-// logChangeLocked writes a log line if a duty was acquired or lost since the last call.
+// logChangeLocked writes a log line if the duty was acquired or lost since the last call.
 func (c *Client) logChangeLocked(duty lease.Duty, holder *lease.Holder, now time.Duration) {
 	token, _ := holder.Token(now)
 	last := c.loggedTokens[duty]
@@ -151,8 +152,8 @@
 	c.loggedTokens[duty] = token
 }
 
-// List requests all leases and voters from the leader. It retries until a request succeeds or ctx is done. In the
-// latter case the error wraps ctx.Err().
+// List requests all leases and voters from the leader. It retries until a request succeeds or ctx is done.
+// The error wraps ctx.Err().
 func (c *Client) List(ctx context.Context) (protocol.Snapshot, error) {
 	for {
 		responses := make(chan protocol.Response, 1)
--- a/internal/controlgroup/client/connection.go
+++ b/internal/controlgroup/client/connection.go
@@ -12,7 +12,7 @@
 )
 
 // keepConnected keeps the client connected to the leader until ctx is done. While the leader is unknown, it
-// tries the voters in turn until one names the leader.
+// tries the voters in turn until one is the leader or names it.
 func (c *Client) keepConnected(ctx context.Context) {
 	next := rand.IntN(len(c.cfg.Voters))
 	for ctx.Err() == nil {
@@ -48,7 +48,7 @@
 	return transport.Handshake{Group: c.cfg.Name, Name: c.cfg.Self}
 }
 
-// serve handles a new connection until it ends or ctx is done.
+// serve uses a new connection until it ends, and closes it once ctx is done. It then fails all pending requests.
 func (c *Client) serve(ctx context.Context, conn *transport.Conn) {
 	release := context.AfterFunc(ctx, conn.Close)
 	defer release()
@@ -82,7 +82,8 @@
 }
 
 // handleResponseLocked handles the response to a request or an unsolicited message of the voter: a duty may
-// have come free, or the shared watch has an event.
+// have come free, or the shared watch has an event. After ErrNotLeader, the client disconnects and tries the named
+// leader, if any.
 func (c *Client) handleResponseLocked(conn *transport.Conn, received *transport.Response) {
 	unsolicited := received.Key == 0
 	if holder := c.holders[received.FreedDuty]; unsolicited && holder != nil {
--- a/internal/controlgroup/client/doc.go
+++ b/internal/controlgroup/client/doc.go
@@ -7,10 +7,10 @@
 // by the client's own monotonic clock. A client that loses its connection for long therefore loses all its
 // duties, and Token reports that.
 //
-// The package must not depend on what a duty is for, that of the shared watch excepted, nor link the voters'
-// consensus. Its callers are the balancer's program and the laboratory.
+// The package must not link the voters' consensus. Apart from the shared watch's duty, it must not depend on
+// what a duty is for. Its callers are the balancer's program and the laboratory.
 //
 // Each Client owns two goroutines, which Start starts and Close ends: one calls tickLocked at every
 // tickInterval, the other keeps the connection and reads from it. Client.mu guards all state. Methods whose
-// names end in Locked, and response handlers, are called with it held.
+// names end in Locked, and response handlers, are called with Client.mu held.
 package client
--- a/internal/controlgroup/client/shared_watch.go
+++ b/internal/controlgroup/client/shared_watch.go
@@ -19,19 +19,18 @@
 	client   *Client
 	duty     lease.Duty
 	onUpdate controlgroup.OnUpdate
-	address  string         // of discovery, as passed to SharedWatch; DiscoveryName, if set, names it
+	address  string         // discovery's address, as passed to SharedWatch
 	log      watch.EventLog // what this balancer's own polls returned
 	follower *watch.Follower
 	holder   *watch.Holder
 
-	publishedToken   lease.Token // of the last publication; 0: the whole log must be published again
+	publishedToken   lease.Token // the token of the last publication; 0: the whole log must be published again
 	publishedVersion uint64      // the last version of log that was published
 	currentSource    string      // the name of the discovery that this balancer uses now
 	knownSource      string      // the source of knownVersion
 	knownVersion     uint64      // the last version that this balancer is known to have
 	independent      bool        // as logged last: this balancer polls without holding the duty
-	// reacquireAt is when the client tries to acquire the duty again after it released the duty because discovery
-	// did not respond. 0: no such release.
+	// reacquireAt is when to acquire the duty again that was released because discovery did not respond. 0: not set.
 	reacquireAt     time.Duration
 	lastSubscribeAt time.Duration // when missing events were requested last
 }
@@ -93,8 +92,8 @@
 	l.w.requestUpdateLocked(source, version)
 }
 
-// commonName returns the source by which events name the discovery at address: DiscoveryName, if set, for the
-// address at which this balancer joined, and otherwise the address.
+// commonName returns the name that all members use, as an event's Source, for the discovery at address. This is
+// DiscoveryName if it is set and address is the one passed to SharedWatch, and otherwise address itself.
 func (w *sharedWatch) commonName(address string) string {
 	if w.client.cfg.DiscoveryName != "" && address == w.address {
 		return w.client.cfg.DiscoveryName
@@ -165,9 +164,9 @@
 	w.subscribeLocked()
 }
 
-// tickLocked publishes heartbeats while this balancer holds the duty, and first the whole log where that is
-// missing. If discovery does not respond, tickLocked releases the duty, so that another member can try, and
-// requests it again after two to four lease durations.
+// tickLocked publishes what is due while this balancer holds the duty: the whole log if the leader may not have
+// it, and heartbeats otherwise. If discovery stops responding after the log was published, tickLocked releases the
+// duty, so that another member can try, and requests it again after two to four lease durations.
 func (w *sharedWatch) tickLocked(now time.Duration) {
 	token, held := w.tokenLocked(now)
 	switch {
@@ -194,8 +193,9 @@
 	}
 }
 
-// publishLocked publishes what this balancer's own polls returned since the last publication. Under a new token it
-// publishes the whole log, which begins with the complete list.
+// publishLocked publishes what this balancer's own polls returned since the last publication, if the balancer holds
+// the duty and is connected. If publishedToken differs from the duty's token, publishLocked publishes the whole log
+// instead, which begins with the complete list.
 func (w *sharedWatch) publishLocked() {
 	now := w.client.now()
 	token, held := w.tokenLocked(now)
@@ -231,8 +231,9 @@
 	})
 }
 
-// handleEventLocked passes a holder's event to the balancer. It ignores events of another discovery, events of
-// a holder that has been replaced, and all events while this balancer holds the duty itself.
+// handleEventLocked passes a holder's event to the balancer, with discovery's address as the Source. It ignores
+// events of another discovery, events of a holder that has been replaced, and all events while this balancer holds
+// the duty.
 func (w *sharedWatch) handleEventLocked(token lease.Token, event controlgroup.WatchEvent) {
 	if event.Source != w.currentSource {
 		return
--- a/internal/controlgroup/config_test.go
+++ b/internal/controlgroup/config_test.go
@@ -45,7 +45,7 @@
 }
 
 // TestLoadFileErrorNamesFileAndLine covers an invalid value, an unknown key, a missing key and a missing file.
-// For all but the missing file it checks the text that operators see and the typed error that callers find.
+// For all but the missing file it checks the text for operators and the typed error for callers.
 func TestLoadFileErrorNamesFileAndLine(t *testing.T) {
 	dir := t.TempDir()
 	for _, c := range []struct {
--- a/internal/controlgroup/errors.go
+++ b/internal/controlgroup/errors.go
@@ -7,8 +7,8 @@
 	"piernotch/internal/tomlfile"
 )
 
-// FieldError describes an invalid setting. LoadFile adds the file's name and, if known, the
-// setting's line. Callers extract it by errors.As into a *FieldError.
+// FieldError describes an invalid setting, or a problem of the whole file. LoadFile adds the file's name and, if
+// known, the setting's line. Callers extract it by errors.As into a *FieldError.
 type FieldError struct {
 	File string // the name passed to LoadFile; "": the settings did not come from a file
 	Line int    // from 1; 0: not known
@@ -16,8 +16,8 @@
 	Err  error  // what is wrong, without the place
 }
 
-// Error returns "file:line: key: what is wrong" if File is set, without the line or key
-// if it is not known, and "group.key: what is wrong" otherwise.
+// Error returns "group.key: what is wrong" if File is empty, and otherwise "file:line: key: what is wrong", without
+// an unknown line or an empty key.
 func (e *FieldError) Error() string {
 	if e.File == "" {
 		return "group." + e.Key + ": " + e.Err.Error()
@@ -32,7 +32,7 @@
 	return tomlfile.Error{File: e.File, Line: e.Line, Key: e.Key, What: e.Err.Error()}
 }
 
-// FieldErrors lists all invalid settings, in the order in which they were found.
+// FieldErrors lists all problems of a configuration, in the order in which they were found.
 type FieldErrors []*FieldError
 
 // Error returns one line for each error.
--- a/internal/controlgroup/failpoint/faults.go
+++ b/internal/controlgroup/failpoint/faults.go
@@ -2,7 +2,7 @@
 
 package failpoint
 
-// Fault names a deliberate fault.
+// Fault identifies a deliberate fault to Enable and Enabled.
 type Fault string
 
 // None means that no fault is enabled.
@@ -53,6 +53,6 @@
 // Enabled reports whether fault is the enabled one.
 func Enabled(fault Fault) bool { return fault == enabled }
 
-// Enable enables one fault and disables the previous one; None disables all. Calling it while code that calls
+// Enable enables one fault and disables the previous; None disables all. Calling it while code that calls
 // Enabled runs is a data race.
 func Enable(fault Fault) { enabled = fault }
--- a/internal/controlgroup/file.go
+++ b/internal/controlgroup/file.go
@@ -33,9 +33,9 @@
 	Address string `toml:"address"`
 }
 
-// LoadFile reads and validates a group's settings file. Its error is of type FieldErrors: all problems of
-// decoding or, if there are none, all invalid settings, with the file and, where known, the line. On an error
-// the returned configuration must not be used.
+// LoadFile reads and validates a group's settings file. Its error is of type FieldErrors: the failure to read the
+// file, all problems of decoding it, or else all invalid settings, with the file and, where known, the line. On an
+// error the returned configuration must not be used.
 func LoadFile(name string) (Config, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
--- a/internal/controlgroup/protocol/request.go
+++ b/internal/controlgroup/protocol/request.go
@@ -30,8 +30,8 @@
 	Read                      // return the holder of Command.Duty
 	AddVoter                  // add Voter, in place of an unreachable voter of the same name
 	List                      // return all grants and all voters
-	Publish                   // send Event to the subscribers of Command.Duty, held under Command.Token
-	Subscribe                 // send the events published under Command.Duty after Event.ToVersion
+	Publish                   // send Event to the subscribers of Command.Duty; Command.Token must be in force
+	Subscribe                 // send the events of Command.Duty after Event.ToVersion, and then each new one
 )
 
 // Request is a request to the group's leader. Command is set for all kinds except AddVoter and List.
@@ -55,7 +55,7 @@
 // Response is the response to the Request with the same Key.
 type Response struct {
 	Key      uint64
-	Grant    lease.Grant // the grant in force, where there is one
+	Grant    lease.Grant // the grant in force, if any; after a Release, the grant that ended
 	Snapshot Snapshot    // only for List
 	Err      error       // nil, or an error of this package, package lease or (for Publish) package watch
 }
--- a/internal/controlgroup/protocol/voter.go
+++ b/internal/controlgroup/protocol/voter.go
@@ -23,8 +23,8 @@
 }
 
 // Announcement describes a voter's store to the other voters before the voter takes part. It lets them detect a
-// store that was restored from an older copy: such a voter could vote twice in one term, or lack entries that it
-// acknowledged.
+// store that was restored from an older copy: a voter with such a store could vote twice in one term, or lack
+// entries that it acknowledged.
 type Announcement struct {
 	StartCount uint64 `cbor:"Starts"` // how often the store was opened, including this time
 	// Incarnation is drawn at random at each start. It distinguishes copies of a store that were opened equally often.
--- a/internal/controlgroup/shared_watch.go
+++ b/internal/controlgroup/shared_watch.go
@@ -9,8 +9,8 @@
 	// Publish takes the result of this balancer's own poll. The group receives it once this balancer holds
 	// the watch's duty.
 	Publish(WatchEvent)
-	// PollFailed records a failure of this balancer's own poll. A holder of the watch's duty
-	// then releases it, so that another member can try.
+	// PollFailed records a failure of this balancer's own poll. A holder of the watch's duty that has already
+	// published then releases the duty.
 	PollFailed()
 	// RequestUpdate asks the group for the events after version, the last that this balancer has.
 	RequestUpdate(source string, version uint64)
@@ -40,7 +40,7 @@
 
 // Follows compares an event with the known version of a source. It reports whether the event is the next
 // one to apply (apply), or shows that earlier events were missed (missing). Both are false for an event of
-// another source and for one that is not newer than version, but a complete list of version still applies.
+// another source and for one that is not newer than version, except a complete list of exactly that version.
 func (e *WatchEvent) Follows(source string, version uint64) (apply, missing bool) {
 	if e.Source != source {
 		return false, false
--- a/internal/controlgroup/transport/connection.go
+++ b/internal/controlgroup/transport/connection.go
@@ -25,8 +25,8 @@
 	done      chan struct{}
 }
 
-// Accept exchanges handshakes on a new network connection; handshake returns the local one. If that fails or
-// the peer is rejected, Accept closes netConn. The caller must close the returned connection.
+// Accept exchanges handshakes on a new network connection; handshake returns the local one. If the exchange fails
+// or the peer is rejected, Accept closes netConn. The caller must close the returned connection.
 func Accept(netConn net.Conn, handshake func() Handshake) (*Conn, error) {
 	conn := &Conn{
 		nc:        netConn,
@@ -108,7 +108,7 @@
 	return frame, err
 }
 
-// Done returns a channel that is closed together with the connection.
+// Done returns a channel that is closed with the connection.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
 // Close closes the connection, ends its goroutine and drops the frames that are still queued. It may be called
--- a/internal/controlgroup/transport/errors.go
+++ b/internal/controlgroup/transport/errors.go
@@ -32,7 +32,7 @@
 	watch.ErrTooLarge,
 }
 
-// codeOutcomeUnknown is the index of protocol.ErrOutcomeUnknown. It is also sent for errors without a code.
+// codeOutcomeUnknown is the index of protocol.ErrOutcomeUnknown in errorsByCode.
 const codeOutcomeUnknown ErrorCode = 4
 
 // ErrorCodeOf returns the code of an error: 0 for nil, and codeOutcomeUnknown for an error without a code.
--- a/internal/controlgroup/watch/doc.go
+++ b/internal/controlgroup/watch/doc.go
@@ -7,8 +7,7 @@
 // balancers are followers (Follower). A follower that receives nothing from a holder for Timing.HeartbeatTimeout,
 // plus a random time below Timing.TimeoutJitter, polls discovery itself until it receives an event again. Thus
 // every balancer polls for itself if the group is unreachable or the holder is slow or stopped. The jitter
-// avoids a thundering herd of followers that start to poll at the same moment.
+// avoids a thundering herd of followers.
 //
-// The client and the voter call this package. Nothing in it is safe for concurrent use: both call it under
-// their own synchronization.
+// Nothing in this package is safe for concurrent use. Its callers, the client and the voter, synchronize the calls.
 package watch
--- a/internal/controlgroup/watch/event_log.go
+++ b/internal/controlgroup/watch/event_log.go
@@ -31,8 +31,9 @@
 }
 
 // Append adds an event that was published under a token. A complete list replaces the log; a change must apply
-// to the log's version. On an error the log is unchanged: ErrStaleToken means that the event is older than the
-// log, ErrVersionGap that a complete list must come first, and ErrTooLarge that the body exceeds MaxBodySize.
+// to the log's version. A heartbeat must be of that version, and only updates the token. On an error the log is
+// unchanged: ErrStaleToken means that the event is older than the log, ErrVersionGap that a complete list must come
+// first, and ErrTooLarge that the body exceeds MaxBodySize.
 func (l *EventLog) Append(token lease.Token, event controlgroup.WatchEvent) error {
 	if token < l.token {
 		return ErrStaleToken
--- a/internal/controlgroup/watch/follower.go
+++ b/internal/controlgroup/watch/follower.go
@@ -46,7 +46,7 @@
 // The roles. A balancer changes its role when it acquires or loses the watch's duty.
 const (
 	RoleFollower Role = iota // this balancer does not hold the watch's duty; another may
-	RoleHolder               // this balancer holds it
+	RoleHolder               // this balancer holds the watch's duty
 )
 
 // ShouldPoll reports whether this balancer must poll discovery itself, because it is the holder or because it has
--- a/internal/controlgroup/watch/follower_test.go
+++ b/internal/controlgroup/watch/follower_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Followers that lose their holder at the same time must not all start to poll discovery at the same moment (a
-// thundering herd), and must stop once there is a holder again.
+// Followers that lose their holder must not all start to poll discovery at the same moment (a thundering herd), and
+// must stop once there is a holder again.
 func TestFollowersPollAtSpreadTimesAfterHolderLoss(t *testing.T) {
 	const n = 300
 	var followers []*Follower
--- a/internal/controlgroup/watch/timing.go
+++ b/internal/controlgroup/watch/timing.go
@@ -6,7 +6,7 @@
 type Timing struct {
 	HeartbeatInterval time.Duration // between the heartbeats of a holder with a healthy watch
 	HeartbeatTimeout  time.Duration // without events for so long, followers no longer rely on the holder
-	TimeoutJitter     time.Duration // bound of the random time that a follower adds to the timeout; above 0
+	TimeoutJitter     time.Duration // a follower adds a random time below this to the timeout; must be above 0
 	PollTimeout       time.Duration // without a successful poll for so long, a holder's watch is unhealthy
 }
 
