--- a/internal/controlgroup/transport/connection.go
+++ b/internal/controlgroup/transport/connection.go
@@ -25,8 +25,8 @@
 	done      chan struct{}
 }
 
-// Accept exchanges handshakes on a new network connection; handshake returns the local one. If that fails or
-// the peer is rejected, Accept closes netConn. The caller must close the returned connection.
+// Accept exchanges handshakes on a new network connection; handshake returns the local one. If the exchange fails
+// or the peer is rejected, Accept closes netConn. The caller must close the returned connection.
 func Accept(netConn net.Conn, handshake func() Handshake) (*Conn, error) {
 	conn := &Conn{
 		nc:        netConn,
@@ -64,7 +64,8 @@
 	}
 }
 
-// writeQueued writes queued frames until the connection is closed. It closes the connection on a write error.
+// writeQueued writes queued frames until the connection is closed. It closes the connection if encoding
+// or writing fails.
 func (c *Conn) writeQueued() {
 	var buf []byte
 	for {
@@ -82,7 +83,7 @@
 	}
 }
 
-// write writes one frame. It returns the buffer to reuse for the next frame, or nil if the buffer grew too large.
+// write writes one frame. It returns the buffer for the next frame, or nil if the buffer grew too large.
 func (c *Conn) write(buf []byte, frame Frame) ([]byte, error) {
 	buf, err := Append(buf, frame)
 	if err != nil {
@@ -107,7 +108,7 @@
 	return frame, err
 }
 
-// Done returns a channel that is closed together with the connection.
+// Done returns a channel that is closed with the connection.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
 // Close closes the connection, ends its goroutine and drops the frames that are still queued. It may be called
--- a/internal/controlgroup/watch/event_log.go
+++ b/internal/controlgroup/watch/event_log.go
@@ -9,7 +9,7 @@
 
 // Limits of an EventLog.
 const (
-	MaxBodySize = 512 << 10 // bytes of one event
+	MaxBodySize = 512 << 10 // bytes of one event's Body
 	maxChanges  = 256       // events after the complete list
 )
 
@@ -22,7 +22,7 @@
 
 // EventLog is a complete list and the changes to it, with the token under which the last of them was published.
 // The zero value is empty. A group's leader keeps one log for each duty; each balancer that polls discovery keeps
-// one of its own polls.
+// one for its own polls.
 type EventLog struct {
 	token   lease.Token
 	source  string
@@ -31,8 +31,9 @@
 }
 
 // Append adds an event that was published under a token. A complete list replaces the log; a change must apply
-// to the log's version. On an error the log is unchanged: ErrStaleToken means that the event is older than the
-// log, ErrVersionGap that a complete list must come first, and ErrTooLarge that the body exceeds MaxBodySize.
+// to the log's version. A heartbeat must be of that version, and only updates the token. On an error the log is
+// unchanged: ErrStaleToken means that the event is older than the log, ErrVersionGap that a complete list must come
+// first, and ErrTooLarge that the body exceeds MaxBodySize.
 func (l *EventLog) Append(token lease.Token, event controlgroup.WatchEvent) error {
 	if token < l.token {
 		return ErrStaleToken
@@ -56,7 +57,8 @@
 	return nil
 }
 
-// replace starts a new log with a complete list. Under the same token, a list of an older version is rejected.
+// replace starts a new log with a complete list. Under the same token, an older version of the same source is
+// rejected.
 func (l *EventLog) replace(token lease.Token, event controlgroup.WatchEvent) error {
 	if token == l.token && event.Source == l.source && event.ToVersion < l.version {
 		return ErrStaleToken
