--- a/internal/serve/handover/directory.go
+++ b/internal/serve/handover/directory.go
@@ -45,8 +45,8 @@
 	Err   error // why the record could not be read; Record is empty then
 }
 
-// Enter announces this process to the other processes of the named balancer, by a lock file in the
-// directory at path that it holds until Leave. The process has no record until the first Write.
+// Enter announces this process to the other processes of the named balancer: it creates a lock file in
+// the directory at path, which stays locked until Leave. The process has no record until the first Write.
 func Enter(path, name string) (*Directory, error) {
 	prefix := fmt.Sprintf("piernotch-%016x-", xxhash.Sum64String(name))
 	startedAt := strconv.FormatInt(time.Now().UnixNano(), 36)
--- a/internal/serve/handover/doc.go
+++ b/internal/serve/handover/doc.go
@@ -8,7 +8,7 @@
 // reads and writes these files.
 //
 // [ProcessState.Accepts] decides which process accepts clients, and [ProcessState.DescriptorShare] how
-// many descriptors each may hold. Both work from the records, without I/O, so that all processes
+// many descriptors each may hold. Both do no I/O and depend on the records alone, so that all processes
 // reach the same result.
 //
 // The package depends on neither the sockets nor the core. Package internal/serve/runtime calls it
--- a/internal/serve/handover/process.go
+++ b/internal/serve/handover/process.go
@@ -16,7 +16,7 @@
 // ProcessState is the part of a process's record from which the processes of a balancer determine
 // who accepts clients and how they divide the file descriptors.
 type ProcessState struct {
-	Epoch           uint64 `json:"epoch"` // higher than that of any process found at the start
+	Epoch           uint64 `json:"epoch"` // higher than the epochs of all processes found at the start
 	PID             int    `json:"pid"`
 	Phase           Phase  `json:"phase"`
 	DescriptorClaim int    `json:"claim"` // file descriptors that the others leave to this process
@@ -42,13 +42,14 @@
 	return s.Phase != Starting
 }
 
-// descriptorHeadroom is how many file descriptors a process may open beyond those that it holds
-// while another process accepts clients. The accepting process gets at least as many.
+// descriptorHeadroom is how many further file descriptors a process may open while another process
+// accepts clients. The accepting process may use at least this many in all.
 const descriptorHeadroom = 16
 
 // DescriptorShare returns how many of the balancer's file descriptors, limit in all, this process may
 // use, given the other live processes. open is the number that it holds now. The process that accepts
-// clients needs the most: the others claim little more than they hold, and it gets the rest.
+// clients needs the most: the others claim little more than they hold, and at most half of the limit
+// each, and the accepting process gets the rest.
 func (s ProcessState) DescriptorShare(others []ProcessState, limit, open int) int {
 	if len(others) == 0 {
 		return limit
--- a/internal/serve/handover/record.go
+++ b/internal/serve/handover/record.go
@@ -46,7 +46,7 @@
 	maxRecordSize = 8 << 20 // bytes
 )
 
-// Errors for unusable records, which are ignored.
+// Errors for unusable records. Such a record is ignored.
 var (
 	// ErrTruncated means that a record is incomplete, corrupt or too large.
 	ErrTruncated = errors.New("record is truncated")
--- a/internal/serve/runtime/admin_test.go
+++ b/internal/serve/runtime/admin_test.go
@@ -43,7 +43,7 @@
 // withAdminAddress configures an admin address on a free port.
 func withAdminAddress(cfg *config.Config) { cfg.AdminAddress = "127.0.0.1:0" }
 
-// Valid calls take effect, repeated ones included. Invalid calls get a status that tells the reason.
+// Valid calls take effect, and repeating one does no harm. The status of an invalid call tells the reason.
 func TestAdminCallsReturnStatusAndTakeEffect(t *testing.T) {
 	a, b := startNamedServer(t, "a"), startNamedServer(t, "b")
 	balancer, _ := startBalancerWith(t, withAdminAddress, startIdleDiscovery(t), a, b)
@@ -105,8 +105,8 @@
 	require.Equal(t, "a", body)
 }
 
-// Evacuate moves clients away: it closes their connections and fails their health checks, but leaves the
-// process ready. Rejoin ends this.
+// Evacuate moves clients away: connections close after their next response or when they stay idle, and
+// /_health fails, but the process stays ready. Rejoin ends the drain.
 func TestEvacuateDrainsClientsUntilRejoin(t *testing.T) {
 	balancer, _ := startBalancerWith(t, withAdminAddress, startIdleDiscovery(t), startNamedServer(t, "a"))
 	busy, idle := connect(t, balancer), connect(t, balancer)
--- a/internal/serve/runtime/balancer.go
+++ b/internal/serve/runtime/balancer.go
@@ -48,7 +48,7 @@
 	siblings      siblingProcesses
 	recorder      *traceRecorder // nil: no trace is recorded
 
-	clockStart  time.Time     // the only reading of the system clock
+	clockStart  time.Time     // when New read the system clock
 	unixAtStart time.Duration // clockStart as Unix time
 
 	events    []core.Event // queue of the reducer
@@ -63,7 +63,7 @@
 	exitRequested time.Duration      // when the core first emitted core.Exit; 0: it has not
 
 	totalsLogged time.Duration // when totals were last logged
-	stateLogged  time.Duration // when the module's state was last reported
+	stateLogged  time.Duration // when the module's state was last logged
 	shedLogged   time.Duration // when a shortage of descriptors was last logged
 }
 
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// Run serves until the context ends or, after Shutdown, until no request is pending. The calling
+// Run serves until the context ends or a shutdown is complete (see exitWhenDrained). The calling
 // goroutine owns all state until Run returns.
 func (b *Balancer) Run(ctx context.Context) {
 	ctx, b.exit = context.WithCancel(ctx)
@@ -189,15 +189,14 @@
 }
 
 // now returns the module's clock, in Unix time because discovery gives the servers' start times in
-// Unix time. The system clock is read once and then advanced by the monotonic clock, so that the
-// result never jumps.
+// Unix time. It is the system time at New plus the monotonic time since, so that it never jumps.
 func (b *Balancer) now() time.Duration { return b.unixAtStart + time.Since(b.clockStart) }
 
 // ready reports whether this process can serve: it has an endpoint list and is not shutting down.
 func (b *Balancer) ready() bool { return b.core.EndpointsKnown() && !b.core.ShuttingDown() }
 
-// healthy reports whether /_health succeeds. During a handover that call may reach either process, so
-// a process that is shutting down stays healthy as long as a successor can serve.
+// healthy reports whether /_health succeeds. During a handover a health check may reach either process,
+// so a process that is shutting down stays healthy while a successor can serve, unless clients are drained.
 func (b *Balancer) healthy() bool {
 	if !b.core.EndpointsKnown() || b.core.ClientsDrained() {
 		return false
--- a/internal/serve/runtime/client_disconnect_test.go
+++ b/internal/serve/runtime/client_disconnect_test.go
@@ -58,7 +58,7 @@
 				}
 			}))
 			var busy []*client
-			for i := range 2 { // as many as this balancer sends to a server at a time
+			for i := range 2 { // the balancer sends at most two requests to a server at a time
 				c := connect(t, balancer)
 				c.send(fmt.Sprintf("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: busy-%d\r\n\r\n", i))
 				busy = append(busy, c)
@@ -100,7 +100,7 @@
 	var forwarded requestLog
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
 	c := connect(t, balancer)
-	for i := range 2 { // opens a connection to the server, so that a request would be written at once
+	for i := range 2 { // open a connection to the server, on which a further request would be written at once
 		_, body := c.request("POST", "/append", fmt.Sprint(i), "mine")
 		require.Equal(t, "mine", body)
 	}
--- a/internal/serve/runtime/client_request_test.go
+++ b/internal/serve/runtime/client_request_test.go
@@ -36,8 +36,8 @@
 			"Content-Length: 1\r\n\r\nx",
 	)
 	_, echo = readMessage(c.reader)
-	require.Contains(t, echo, "Idempotency-Key: 52247c10\r\n", "servers recognize a retry by it")
-	_, echo = c.request("GET", "/read?k=1", "id-1", "") // an ID may be used again
+	require.Contains(t, echo, "Idempotency-Key: 52247c10\r\n", "servers recognize a retry by its key")
+	_, echo = c.request("GET", "/read?k=1", "id-1", "") // the ID of a completed request may be reused
 	require.NotContains(t, echo, "Idempotency-Key")
 	require.Contains(t, echo, "GET /read?k=1 HTTP/1.1\r\n")
 	for target, want := range map[string]string{
@@ -57,8 +57,8 @@
 	require.ErrorIs(t, err, io.EOF, "the connection is closed after an error")
 }
 
-// A request that servers cannot use, or could parse differently from the balancer (request smuggling), is
-// rejected and not forwarded.
+// Invalid, incomplete and duplicate requests are rejected and not forwarded, and so are requests that servers
+// could parse differently from the balancer (request smuggling).
 func TestMalformedRequestsAreRejected(t *testing.T) {
 	forwarded := make(chan string, 64)
 	release := make(chan struct{})
@@ -108,8 +108,8 @@
 	require.Empty(t, forwarded)
 }
 
-// A client must be able to go on sending a body that is too large. Otherwise its connection is reset, and the
-// client's kernel may discard the response.
+// A client must be able to go on sending a body that was rejected as too large. Otherwise its connection is
+// reset, and the client's kernel may discard the response.
 func TestBodyTooLargeIsRejected(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t))
 	c := connect(t, balancer)
@@ -164,7 +164,7 @@
 // buffer is small, so most of the response is still on the balancer's side when the bytes arrive.
 func TestDataAfterLastRequestDoesNotResetResponse(t *testing.T) {
 	body := strings.Repeat("a", 60<<10)
-	for _, size := range []int{24 << 10, 60 << 10} { // the response is all in the kernel, or partly in the program
+	for _, size := range []int{24 << 10, 60 << 10} { // the response fits into the kernel's buffers, or not
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
 			balancer, _ := startBalancer(
--- a/internal/serve/runtime/doc.go
+++ b/internal/serve/runtime/doc.go
@@ -2,9 +2,10 @@
 // (packages eventloop, downstream, upstream, discovery and admin). Events go from the sockets to the
 // reducer, and effects from the reducer to the sockets.
 //
-// A [Balancer] owns all parts of the process. Each part receives its callbacks when it is created and
-// does not depend on the Balancer otherwise. The handover state, siblingProcesses, has no callbacks:
-// it reports what follows from the siblings' records, and the Balancer acts on that.
+// A [Balancer] owns all parts of the process. Each part receives its callbacks when New sets it up
+// and does not depend on the Balancer otherwise. The handover state, siblingProcesses, has no callbacks:
+// it reports what follows from the siblings' records, such as whether to accept clients, and the
+// Balancer acts on that.
 //
 // The package owns the clock, the reducer's event queue, the order of start and shutdown, reloads,
 // the limits on descriptors and memory, and the exchange with sibling processes of the same balancer
--- a/internal/serve/runtime/handover.go
+++ b/internal/serve/runtime/handover.go
@@ -12,7 +12,7 @@
 )
 
 // joinSiblings announces this process to its siblings and returns them. It takes over the endpoint
-// list of the newest sibling that has a usable one.
+// list and the estimates of the newest sibling for which canTakeOver is true.
 func (b *Balancer) joinSiblings() ([]handover.Peer, error) {
 	siblings, peers, err := enterSiblings(b.cfg.StateDir, b.cfg.Name)
 	if err != nil {
@@ -33,8 +33,8 @@
 }
 
 // canTakeOver reports whether a sibling's record holds a better endpoint list than this process's
-// configuration. The list of a sibling that has ended may be outdated, so it must come from the same
-// discovery service and must not be older than the configured one.
+// configuration. A live sibling's list always counts as better. The list of a sibling that has ended may
+// be outdated, so it must come from the same discovery service and be no older than the configured list.
 func (b *Balancer) canTakeOver(peer *handover.Peer) bool {
 	if peer.Err != nil || peer.Endpoints == nil {
 		return false
@@ -89,7 +89,7 @@
 }
 
 // mergePeers applies the operator overrides in the siblings' records and updates which siblings are
-// alive.
+// alive. If none is, it removes old overrides that have no effect any more.
 func (b *Balancer) mergePeers(peers []handover.Peer) {
 	for i := range peers {
 		if peer := &peers[i]; peer.Err == nil {
@@ -102,7 +102,8 @@
 	}
 }
 
-// advance moves this process to a phase and, if that is new, publishes it to the siblings.
+// advance moves this process to a phase. If the phase has changed, advance publishes it to the siblings
+// and updates whether this process accepts clients.
 func (b *Balancer) advance(to handover.Phase) {
 	if b.siblings.advance(to) {
 		b.writeRecord()
@@ -117,8 +118,8 @@
 	}
 }
 
-// updateAccepting starts or stops accepting clients on an inherited socket, so that only one of the
-// processes that share the socket accepts. A socket that this process bound itself is not shared.
+// updateAccepting starts or stops accepting clients on an inherited socket, as ProcessState.Accepts
+// decides. A socket that this process bound itself is not shared.
 func (b *Balancer) updateAccepting() {
 	inherited := b.cfg.ListenFD != 0
 	if !inherited || b.stopped {
@@ -138,7 +139,8 @@
 	}
 }
 
-// leaveSiblings writes the last record and shows the siblings that this process has ended.
+// leaveSiblings writes the last record and releases the lock, which shows the siblings that this process
+// has ended.
 func (b *Balancer) leaveSiblings() {
 	b.writeRecord()
 	b.siblings.leave()
@@ -151,7 +153,8 @@
 	}
 }
 
-// record returns what a successor needs to know. Its Endpoints is nil until an endpoint list is known.
+// record returns this process's record for siblings and successors. The Endpoints field is nil until an
+// endpoint list is known.
 func (b *Balancer) record(now time.Duration) handover.Record {
 	record := handover.Record{
 		ProcessState: b.siblings.self,
@@ -170,7 +173,7 @@
 	return record
 }
 
-// storedEndpoint converts an endpoint to the form in a record, with its zone by name, "" if unknown.
+// storedEndpoint converts an endpoint to its form in a record, which names the zone ("" if unknown).
 func (b *Balancer) storedEndpoint(known core.DiscoveredEndpoint) handover.Endpoint {
 	zone := ""
 	zones := b.cfg.Settings.Zones
--- a/internal/serve/runtime/handover_test.go
+++ b/internal/serve/runtime/handover_test.go
@@ -99,5 +99,5 @@
 	require.Contains(t, head, " 503 ", "the old process has taken over the drain")
 }
 
-// accepting reports whether the state of a balancer's listener, accepting or not, equals want.
+// accepting reports whether a balancer accepts clients (want is true) or does not (want is false).
 func accepting(balancer *Balancer, want bool) bool { return balancer.listener.Accepting() == want }
--- a/internal/serve/runtime/health_check_test.go
+++ b/internal/serve/runtime/health_check_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An ejected server does not respond to its health check either. The health check must then close its
-// connection, or the descriptor would be held for good.
+// A server that answers no request is ejected, and its health check gets no response either. The health
+// check must then close its connection; otherwise the descriptor stays open for good.
 func TestHealthCheckWithoutResponseClosesItsConnection(t *testing.T) {
 	closed := make(chan string, 64)
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
--- a/internal/serve/runtime/helpers_test.go
+++ b/internal/serve/runtime/helpers_test.go
@@ -105,7 +105,7 @@
 	return balancer, run(context.Background(), t, balancer)
 }
 
-// newBalancer returns a balancer after Start and before Run.
+// newBalancer returns a balancer that listens but does not run yet.
 func newBalancer(
 	t *testing.T,
 	configure func(*config.Config),
--- a/internal/serve/runtime/load_shedding_test.go
+++ b/internal/serve/runtime/load_shedding_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// When descriptors are short, connections are closed, but not one with a response that its client is still
-// reading.
+// When descriptors are short, idle connections are closed, but not a connection whose client is still reading
+// a response.
 func TestSlowlyReadResponseIsNotShed(t *testing.T) {
 	body := strings.Repeat("a", 60<<10)
 	balancer, _ := startBalancerWith(t, func(cfg *config.Config) { cfg.MaxDescriptors = 64 }, startIdleDiscovery(t),
@@ -55,7 +55,7 @@
 	var forwarded requestLog
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
 	c := connect(t, balancer)
-	time.Sleep(100 * time.Millisecond) // by now it has been idle long enough to be closed
+	time.Sleep(100 * time.Millisecond) // by now the connection has been idle long enough to be closed
 	resume := pauseLoop(balancer)
 	balancer.loop.Post(balancer.downstream.Shed)
 	c.send("POST /append HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\nContent-Length: 4\r\n\r\nmine")
@@ -65,8 +65,8 @@
 	require.Equal(t, "mine", body)
 }
 
-// Some clients send one request and leave the connection open. It is closed after a time, or it would hold
-// a descriptor that other clients need.
+// Some clients send one request and leave the connection open. The balancer must close such a connection in
+// the end, or it would hold a descriptor that other clients need.
 func TestIdleClientConnectionIsClosed(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startNamedServer(t, "served"))
 	c := connect(t, balancer)
--- a/internal/serve/runtime/retry_test.go
+++ b/internal/serve/runtime/retry_test.go
@@ -15,8 +15,8 @@
 	"piernotch/internal/serve/config"
 )
 
-// A retry waits until its connection is established. It is written if that happens within the deduplication
-// window, and not written afterwards.
+// A retry waits until its connection is established. The retry is sent only if that happens within the
+// deduplication window.
 func TestRetryWaitsForDialWithinDedupWindow(t *testing.T) {
 	for _, test := range []struct {
 		window     time.Duration
@@ -139,9 +139,9 @@
 	require.Contains(t, head, "503 Service Unavailable")
 }
 
-// A server stops in the middle of its response: it falls silent, closes or resets the connection, or never
-// ends the body. The request may have been executed, so it is retried if that is safe and fails otherwise. In
-// each case the client gets a response in time.
+// A server does not complete its response: it falls silent, closes or resets the connection, or never ends
+// the body. The request may have been executed, so it is retried if that is safe and fails otherwise. In each
+// case the client gets a response in time.
 func TestTruncatedServerResponseIsRetriedOnlyIfSafe(t *testing.T) {
 	endlessBody := func(c net.Conn, _ *bufio.Reader) {
 		for _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"); err == nil; _, err = io.WriteString(c, "a") {
@@ -181,7 +181,7 @@
 				head, _ := readMessage(c.reader)
 				require.Contains(t, head, test.status)
 				if test.method == "POST" && forwarded.count("POST") > 0 {
-					require.NotContains(t, head, " 503 ", "it may have been executed")
+					require.NotContains(t, head, " 503 ", "the request may have been executed")
 				}
 				require.LessOrEqual(t, forwarded.count("POST"), 1)
 				require.Less(t, time.Since(began), 1200*time.Millisecond)
--- a/internal/serve/runtime/server_response_test.go
+++ b/internal/serve/runtime/server_response_test.go
@@ -12,7 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A response that is chunked or ends with its connection is forwarded with its complete body.
+// A response that is chunked, or that ends when the server closes the connection, is forwarded with its
+// complete body.
 func TestResponsesInEveryFramingAreForwarded(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
 		if head, _ := readMessage(r); strings.Contains(head, "chunked") {
@@ -32,8 +33,8 @@
 	}
 }
 
-// A response without a length ends with its connection, but only if the connection is closed in order. After a
-// reset the response is truncated and must not be forwarded as complete.
+// A response without a length is complete when the server closes the connection in order. If the connection is
+// reset instead, the response is truncated and must not be forwarded as complete.
 func TestResponseCutByResetIsNotComplete(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
 		head, _ := readMessage(r)
@@ -50,8 +51,8 @@
 	}
 }
 
-// An attempt that times out closes its connection. Otherwise its late response would be read as the response
-// to the next request.
+// An attempt that times out closes its connection. Otherwise the late response would be read as the response
+// to the next request on that connection.
 func TestTimedOutAttemptClosesItsConnection(t *testing.T) {
 	ended := make(chan error, 8)
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
@@ -76,9 +77,9 @@
 	require.Equal(t, "mine", body)
 }
 
-// Any server may send a malformed response. Its request counts as executed and is retried only if that is
-// safe, its connection is not reused, and the server is not ejected. Data after a valid response must not be read
-// as the response to the next request.
+// Any server may send a malformed response. The request that it answers counts as executed and is retried
+// only if that is safe; the connection is not reused; the server is not ejected. Data after a valid response must
+// not be read as the response to the next request.
 func TestMalformedResponsesAreNotForwarded(t *testing.T) {
 	good, garbage := "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine", "\x00\xffHTTP\r\n\r\n"
 	bad := "HTTP/1.1 200 OK\r\n"
@@ -121,8 +122,8 @@
 	}
 }
 
-// The duplicate of a response could be read as the response to the next request on the connection. A
-// connection therefore stays idle for a moment before it is reused.
+// A server sends each response twice. The duplicate could be read as the response to the next request on the
+// connection, so a connection stays idle for a moment before it is reused.
 func TestDuplicateResponseIsNotUsedForNextRequest(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
 		for head, body := readMessage(r); head != ""; head, body = readMessage(r) {
--- a/internal/serve/runtime/shutdown.go
+++ b/internal/serve/runtime/shutdown.go
@@ -28,7 +28,7 @@
 	})
 }
 
-// requestExit records when the core first had no work left.
+// requestExit records when the core first emitted core.Exit, which means that it has no work left.
 func (b *Balancer) requestExit() {
 	if b.exitRequested == 0 {
 		b.exitRequested = b.now()
--- a/internal/serve/runtime/shutdown_race_test.go
+++ b/internal/serve/runtime/shutdown_race_test.go
@@ -30,7 +30,7 @@
 	early.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 1\r\n\r\n")
 	<-arrived
 	late := connect(t, balancer)
-	late.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\n") // the rest follows after the shutdown has begun
+	late.send("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\n") // the rest is sent during the shutdown
 	balancer.Shutdown()
 	head, _ := connect(t, balancer).request("GET", "/_health", "", "")
 	require.Contains(t, head, "503")
@@ -48,7 +48,7 @@
 		require.Contains(t, head, "Connection: close")
 		require.Equal(t, "served", body)
 		if c == early {
-			time.Sleep(200 * time.Millisecond) // by now no request is pending, but one is partly received
+			time.Sleep(200 * time.Millisecond) // by now no request is pending, but part of one has arrived
 			late.send("\r\n")
 		}
 	}
@@ -59,8 +59,8 @@
 	}
 }
 
-// A request that arrives while its idle connection is being closed is not read: no server receives it, and
-// its client sees an orderly end, not a reset. Both the idle timeout and a shutdown close idle connections.
+// A request that arrives while the balancer closes the idle connection is not read: no server receives it, and
+// the client sees an orderly end, not a reset. Both the idle timeout and a shutdown close idle connections.
 func TestRequestOnClosingIdleConnectionIsNotForwarded(t *testing.T) {
 	for _, shutdown := range []bool{false, true} {
 		t.Run(fmt.Sprint("shutdown ", shutdown), func(t *testing.T) {
--- a/internal/serve/runtime/sibling_processes.go
+++ b/internal/serve/runtime/sibling_processes.go
@@ -20,8 +20,8 @@
 // balancer, which share a listening socket during a handover and exchange records in a directory.
 // Without a directory there are no siblings.
 //
-// It does not depend on the Balancer. The Balancer owns it, asks it what follows from the states and
-// acts on the answers; see handover.go.
+// It does not depend on the Balancer. The Balancer owns it, asks it what follows from the states (say,
+// whether to accept clients) and acts on the answers; see handover.go.
 type siblingProcesses struct {
 	directory     *handover.Directory // nil: none is configured
 	self          handover.ProcessState
@@ -62,7 +62,8 @@
 	return peers
 }
 
-// poll reads the siblings' records if siblingPollInterval has passed. due reports whether it has.
+// poll reads the siblings' records if there is a directory and the last read was at least
+// siblingPollInterval ago. due reports whether poll tried to read them.
 func (s *siblingProcesses) poll(now time.Duration) (peers []handover.Peer, due bool) {
 	if s.directory == nil || now-s.polled < siblingPollInterval {
 		return nil, false
--- a/internal/serve/runtime/stall_test.go
+++ b/internal/serve/runtime/stall_test.go
@@ -11,8 +11,8 @@
 	"piernotch/internal/serve/eventloop"
 )
 
-// A request that is read right after a stall may have waited in its socket for the whole stall. That time
-// counts against its deadline; otherwise it would be served too late.
+// A request that is read right after a stall may have waited in its socket for the whole stall. The wait
+// counts against the request's deadline; otherwise the request would be served too late.
 func TestStallCountsAgainstDeadline(t *testing.T) {
 	forwarded := make(chan string, 8)
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
--- a/internal/serve/runtime/trace_recorder.go
+++ b/internal/serve/runtime/trace_recorder.go
@@ -37,7 +37,7 @@
 	return &traceRecorder{out: out, startedAt: now, pending: map[core.ExchangeID]trafficrecording.Record{}}, nil
 }
 
-// eventReceived starts the record of a received request, and completes it if the client disconnects.
+// eventReceived starts a record when a request is received and completes it if the client disconnects.
 // Other events are ignored.
 func (r *traceRecorder) eventReceived(now time.Duration, event core.Event) {
 	switch event := event.(type) {
@@ -66,7 +66,7 @@
 		r.complete(now, response.Exchange, trafficrecording.Rejected)
 	case core.Failed:
 		r.complete(now, response.Exchange, trafficrecording.Failed)
-	default: // the request was invalid and never accepted
+	default: // DuplicateID: the request was never accepted
 		delete(r.pending, response.Exchange)
 	}
 }
--- a/internal/serve/runtime/watch_test.go
+++ b/internal/serve/runtime/watch_test.go
@@ -30,8 +30,9 @@
 	}
 }
 
-// Where lists are pushed, a process is expected to know the agent's list from its start. It must poll the
-// agent at once, even if it knows an older list, and again at once when the agent closes the connection.
+// If lists are pushed (PollDiscovery is false), any list that the local agent already has counts as known to
+// the process from the moment it starts. The process must therefore poll the agent at once, even if it was
+// configured with an older list, and again as soon as the agent closes the connection.
 func TestPushedEndpointListIsRequestedImmediately(t *testing.T) {
 	var mu sync.Mutex
 	polls := 0
@@ -63,9 +64,9 @@
 	)
 }
 
-// An open watch falls silent (a half-open connection), and a server begins to drain. The balancer is expected
-// to know a missed update two seconds after the longest wait of the watch. After that and the grace period,
-// the server must receive no request.
+// A watch falls silent while its connection stays open, and a server begins to drain. Discovery counts the
+// update as delivered two seconds after the longest time that it may hold a poll (5 s), even if the watch
+// missed it. From then on the server must receive no request.
 func TestSilentWatchIsReopened(t *testing.T) {
 	t.Parallel()
 	var forwarded requestLog
@@ -105,8 +106,8 @@
 	}
 }
 
-// An open watch is reset, and a server begins to drain at once. The balancer must poll discovery again within
-// the time for which it may use its list without a watch.
+// The connection of an open watch is reset, and a server begins to drain at once. The balancer must poll again
+// within the poll interval, for which it may use its list without a watch.
 func TestResetWatchIsReopened(t *testing.T) {
 	t.Parallel()
 	var forwarded requestLog
@@ -147,8 +148,8 @@
 	require.Eventually(t, rejectsRequests(t, balancer), testTimeout, 20*time.Millisecond)
 }
 
-// Discovery fails, a server begins to drain, and discovery returns. A balancer that could not poll must poll
-// again within the poll interval of the settings.
+// Discovery fails, a server begins to drain, and discovery returns. The balancer must then poll within the poll
+// interval of the settings, or almost at once if lists are pushed.
 func TestReturningDiscoveryIsPolledInTime(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		t.Run(fmt.Sprint("pushed ", pushed), func(t *testing.T) {
@@ -171,7 +172,7 @@
 				respond(c, endpointList(2, true, "terminating", server))
 				readMessage(r)
 			})
-			if pushed { // the balancer is expected to know a list as soon as the agent has it
+			if pushed { // a list counts as known to the balancer as soon as the agent has it
 				limit = 400 * time.Millisecond
 			}
 			require.Eventually(t, rejectsRequests(t, balancer), limit, 10*time.Millisecond)
@@ -215,8 +216,8 @@
 	require.Equal(t, "second", body)
 }
 
-// A reload moves the watch to another address and polls it for the complete list. Until that list arrives, the
-// known one is used. Late responses from the old address are ignored.
+// A reload moves the watch to another address, which is polled for the complete list. Until that list arrives,
+// the balancer uses the list that it has. Late responses from the old address are ignored.
 func TestReloadMovesWatchToNewDiscovery(t *testing.T) {
 	serveOnce := func(name string) string {
 		return startPeer(t, func(c net.Conn, r *bufio.Reader) { readMessage(r); respond(c, name) })
