--- a/internal/serve/handover/directory.go
+++ b/internal/serve/handover/directory.go
@@ -45,8 +45,8 @@
 	Err   error // why the record could not be read; Record is empty then
 }
 
-// Enter announces this process to the other processes of the named balancer: it creates a lock file in
-// the directory at path, which stays locked until Leave. The process has no record until the first Write.
+// Enter announces this process to the other processes of the named balancer by a lock file, locked
+// until Leave, in the directory at path. The process has no record until the first Write.
 func Enter(path, name string) (*Directory, error) {
 	prefix := fmt.Sprintf("piernotch-%016x-", xxhash.Sum64String(name))
 	startedAt := strconv.FormatInt(time.Now().UnixNano(), 36)
@@ -68,8 +68,8 @@
 	return directory, nil
 }
 
-// Leave releases the lock, as the end of the process would, so that the other processes see this
-// one as ended. Its record stays for them to read.
+// Leave releases the lock, as the end of the process would. The record stays for the other processes
+// to read.
 func (d *Directory) Leave() { _ = d.lock.Close() }
 
 func (d *Directory) file(stem, suffix string) string { return filepath.Join(d.path, stem+suffix) }
@@ -110,8 +110,8 @@
 		if err != nil {
 			continue // another process has removed the file
 		}
-		// The lock is tested before the record is read. In the opposite order a process could write its
-		// last record and end in between, and that record would be lost.
+		// The lock is tested before the record is read. Otherwise a process could write its last record
+		// and end in between, and that record would be lost.
 		cached := d.read(stem)
 		if !alive {
 			d.remove(stem)
@@ -149,8 +149,8 @@
 	return current
 }
 
-// load reads a record file of the given size in bytes. It rejects a file above maxRecordSize and a
-// record of another balancer.
+// load reads a record file of size bytes. It rejects files above maxRecordSize and records of other
+// balancers.
 func (d *Directory) load(path string, size int64) (Record, error) {
 	if size > maxRecordSize {
 		return Record{}, fmt.Errorf("%w: file of %d bytes exceeds the limit", ErrTruncated, size)
--- a/internal/serve/handover/doc.go
+++ b/internal/serve/handover/doc.go
@@ -3,9 +3,9 @@
 //
 // Each process writes a [Record] to a directory that both can read: its [ProcessState], its current
 // endpoint list, the operators' overrides, and its module's estimates of the traffic. Next to each
-// record is a lock file that the writer holds until it ends. The kernel releases the lock however
-// the process ends, so a record whose lock is free belongs to a process that has ended. [Directory]
-// reads and writes these files.
+// record is a file that its writer keeps locked. The kernel releases the lock however the process ends,
+// so a record whose lock is free belongs to a process that has ended. [Directory] reads and writes
+// these files.
 //
 // [ProcessState.Accepts] decides which process accepts clients, and [ProcessState.DescriptorShare] how
 // many descriptors each may hold. Both do no I/O and depend on the records alone, so that all processes
--- a/internal/serve/handover/golden_test.go
+++ b/internal/serve/handover/golden_test.go
@@ -29,8 +29,8 @@
 	return want
 }
 
-// Processes of an older version of the program read records of this version, and the reverse. The test
-// guards against an unintended change of the format. The full record sets every field.
+// Different versions of the program read each other's records. The test guards against an unintended change
+// of the format. The full record sets every field.
 func TestHandoverRecordGoldenFile(t *testing.T) {
 	full := Record{
 		ProcessState: ProcessState{Epoch: 3, PID: 4711, Phase: Ready, DescriptorClaim: 129},
--- a/internal/serve/handover/process.go
+++ b/internal/serve/handover/process.go
@@ -47,9 +47,8 @@
 const descriptorHeadroom = 16
 
 // DescriptorShare returns how many of the balancer's file descriptors, limit in all, this process may
-// use, given the other live processes. open is the number that it holds now. The process that accepts
-// clients needs the most: the others claim little more than they hold, and at most half of the limit
-// each, and the accepting process gets the rest.
+// use. open is the number that it holds now. The process that accepts clients needs the most and gets
+// what the others do not claim. They claim little more than they hold, and at most half of limit each.
 func (s ProcessState) DescriptorShare(others []ProcessState, limit, open int) int {
 	if len(others) == 0 {
 		return limit
--- a/internal/serve/handover/record.go
+++ b/internal/serve/handover/record.go
@@ -83,8 +83,8 @@
 	return record, nil
 }
 
-// checkHeader returns an error if a header line has another version than recordVersion, or does not
-// match the length or the checksum of the body.
+// checkHeader returns an error if a header line has another version than recordVersion or does not match
+// the body's length or checksum.
 func checkHeader(line string, body []byte) error {
 	var version, length int
 	var checksum uint64
--- a/internal/serve/runtime/admin_test.go
+++ b/internal/serve/runtime/admin_test.go
@@ -40,7 +40,6 @@
 	return readMessage(bufio.NewReader(c))
 }
 
-// withAdminAddress configures an admin address on a free port.
 func withAdminAddress(cfg *config.Config) { cfg.AdminAddress = "127.0.0.1:0" }
 
 // Valid calls take effect, and repeating one does no harm. The status of an invalid call tells the reason.
--- a/internal/serve/runtime/balancer.go
+++ b/internal/serve/runtime/balancer.go
@@ -22,8 +22,7 @@
 	totalsInterval = 10 * time.Second
 	// stateInterval is the time between two log lines with the module's state.
 	stateInterval = time.Second
-	// shedLogInterval is the minimum time between two log lines about a shortage of descriptors: a
-	// lasting shortage would flood the log.
+	// shedLogInterval is the minimum time between two log lines about a lasting shortage of descriptors.
 	shedLogInterval = time.Second
 	// minLoggedStall is the length above which a stall is logged.
 	minLoggedStall = time.Second
@@ -31,8 +30,8 @@
 
 // Balancer is one balancer process. New creates it.
 type Balancer struct {
-	// LimitMemory, if not nil, is called with the number of bytes that the Go runtime may use,
-	// whenever that number changes. It must be set before Start, usually to debug.SetMemoryLimit.
+	// LimitMemory, if not nil, is called whenever the number of bytes that the Go runtime may use
+	// changes. It must be set before Start, usually to debug.SetMemoryLimit.
 	LimitMemory func(bytes int64) int64
 
 	cfg           config.Config
@@ -44,31 +43,32 @@
 	watcher       *discovery.Watcher
 	listener      *eventloop.Listener
 	admin         admin.Server
-	adminListener *eventloop.Listener // nil: no admin address is configured
+	adminListener *eventloop.Listener // nil: no admin address
 	siblings      siblingProcesses
-	recorder      *traceRecorder // nil: no trace is recorded
+	recorder      *traceRecorder // nil: no trace
 
 	clockStart  time.Time     // when New read the system clock
 	unixAtStart time.Duration // clockStart as Unix time
 
 	events    []core.Event // queue of the reducer
-	nextEvent int          // index of the first event in the queue that is not handled yet
+	nextEvent int          // index of the first unhandled event
 	handling  bool         // the reducer is running
 
-	descriptorLimit int   // this process's current share of the balancer's limit
-	memoryLimit     int64 // this process's current share of the balancer's limit, in bytes
+	descriptorLimit int   // this process's share of the balancer's limit
+	memoryLimit     int64 // bytes that the Go runtime may use
 
-	stopped       bool               // clients are no longer accepted, and will not be again
+	stopped       bool               // clients are never accepted again
 	exit          context.CancelFunc // ends Run
 	exitRequested time.Duration      // when the core first emitted core.Exit; 0: it has not
 
-	totalsLogged time.Duration // when totals were last logged
-	stateLogged  time.Duration // when the module's state was last logged
-	shedLogged   time.Duration // when a shortage of descriptors was last logged
+	// When these were last logged, on the module's clock; 0: never.
+	totalsLogged time.Duration
+	stateLogged  time.Duration
+	shedLogged   time.Duration
 }
 
-// New returns a balancer that does not listen yet. It fails if the settings are invalid, the event
-// loop does not start or the trace file cannot be created.
+// New returns a balancer that does not listen yet. It fails if the settings are invalid, or the event
+// loop or the trace file cannot be created.
 func New(cfg config.Config) (*Balancer, error) {
 	balancer := &Balancer{cfg: cfg, clockStart: time.Now()}
 	balancer.unixAtStart = time.Duration(balancer.clockStart.UnixNano())
@@ -188,8 +188,8 @@
 	return b.adminListener.Addr()
 }
 
-// now returns the module's clock, in Unix time because discovery gives the servers' start times in
-// Unix time. It is the system time at New plus the monotonic time since, so that it never jumps.
+// now returns the module's clock: Unix time, in which discovery gives the servers' start times. It is
+// the system time at New plus the monotonic time since, so that it never jumps.
 func (b *Balancer) now() time.Duration { return b.unixAtStart + time.Since(b.clockStart) }
 
 // ready reports whether this process can serve: it has an endpoint list and is not shutting down.
@@ -208,7 +208,7 @@
 	b.emit(core.AdminCommand{Call: call, Action: action, Server: server})
 }
 
-// tick does the periodic work of all parts of the process, once every core.TickInterval.
+// tick does the periodic work of all parts, once every core.TickInterval.
 func (b *Balancer) tick() {
 	b.emit(core.Tick{})
 	b.downstream.Tick()
--- a/internal/serve/runtime/client_disconnect_test.go
+++ b/internal/serve/runtime/client_disconnect_test.go
@@ -100,7 +100,7 @@
 	var forwarded requestLog
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
 	c := connect(t, balancer)
-	for i := range 2 { // open a connection to the server, on which a further request would be written at once
+	for i := range 2 { // open a connection on which a further request would be written at once
 		_, body := c.request("POST", "/append", fmt.Sprint(i), "mine")
 		require.Equal(t, "mine", body)
 	}
--- a/internal/serve/runtime/client_request_test.go
+++ b/internal/serve/runtime/client_request_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// A body that is too large is rejected before all of it has arrived, and the response reaches the client
-// although the client keeps sending.
+// A body that is too large is rejected before all of it has arrived, and the client receives the response
+// while it keeps sending.
 func TestBodyTooLargeResponseArrivesDuringUpload(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(net.Conn, *bufio.Reader) {}))
 	c := connect(t, balancer)
@@ -138,8 +138,7 @@
 	require.Contains(t, string(all), " 413 ")
 }
 
-// A request that arrives byte by byte is served. A request that is never completed gets a 408 and is not
-// forwarded.
+// A request that arrives byte by byte is served. An incomplete request gets a 408 and is not forwarded.
 func TestSlowClientIsServedUntilReadTimeout(t *testing.T) {
 	var forwarded requestLog
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
@@ -184,8 +183,7 @@
 	}
 }
 
-// connectWithSmallBuffer opens a connection with a small receive buffer: the client's kernel accepts
-// little more than the client has read.
+// connectWithSmallBuffer opens a connection whose receive buffer holds little more than the client has read.
 func connectWithSmallBuffer(t *testing.T, balancer *Balancer) *client {
 	t.Helper()
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
--- a/internal/serve/runtime/effects.go
+++ b/internal/serve/runtime/effects.go
@@ -2,8 +2,8 @@
 
 import "piernotch/internal/serve/core"
 
-// emit passes an event to the reducer and performs the resulting effects. An effect may emit further
-// events. These wait in the queue, so that the reducer is never re-entered.
+// emit passes an event to the reducer and performs the resulting effects. Events that the effects emit
+// wait in the queue, so that the reducer is never re-entered.
 func (b *Balancer) emit(event core.Event) {
 	b.events = append(b.events, event)
 	if b.handling {
--- a/internal/serve/runtime/handover.go
+++ b/internal/serve/runtime/handover.go
@@ -11,8 +11,8 @@
 	"piernotch/internal/serve/handover"
 )
 
-// joinSiblings announces this process to its siblings and returns them. It takes over the endpoint
-// list and the estimates of the newest sibling for which canTakeOver is true.
+// joinSiblings announces this process to its siblings, takes over from the newest sibling that
+// canTakeOver accepts, and returns all siblings.
 func (b *Balancer) joinSiblings() ([]handover.Peer, error) {
 	siblings, peers, err := enterSiblings(b.cfg.StateDir, b.cfg.Name)
 	if err != nil {
@@ -34,7 +34,7 @@
 
 // canTakeOver reports whether a sibling's record holds a better endpoint list than this process's
 // configuration. A live sibling's list always counts as better. The list of a sibling that has ended may
-// be outdated, so it must come from the same discovery service and be no older than the configured list.
+// be outdated: it must come from the same discovery service and be no older than the configured list.
 func (b *Balancer) canTakeOver(peer *handover.Peer) bool {
 	if peer.Err != nil || peer.Endpoints == nil {
 		return false
@@ -89,7 +89,7 @@
 }
 
 // mergePeers applies the operator overrides in the siblings' records and updates which siblings are
-// alive. If none is, it removes old overrides that have no effect any more.
+// alive. If no sibling is, old overrides are pruned.
 func (b *Balancer) mergePeers(peers []handover.Peer) {
 	for i := range peers {
 		if peer := &peers[i]; peer.Err == nil {
@@ -102,8 +102,8 @@
 	}
 }
 
-// advance moves this process to a phase. If the phase has changed, advance publishes it to the siblings
-// and updates whether this process accepts clients.
+// advance sets this process's phase. A change is published to the siblings and may start or stop
+// accepting clients.
 func (b *Balancer) advance(to handover.Phase) {
 	if b.siblings.advance(to) {
 		b.writeRecord()
@@ -139,8 +139,7 @@
 	}
 }
 
-// leaveSiblings writes the last record and releases the lock, which shows the siblings that this process
-// has ended.
+// leaveSiblings writes the last record and shows the siblings that this process has ended.
 func (b *Balancer) leaveSiblings() {
 	b.writeRecord()
 	b.siblings.leave()
@@ -153,8 +152,7 @@
 	}
 }
 
-// record returns this process's record for siblings and successors. The Endpoints field is nil until an
-// endpoint list is known.
+// record returns this process's record. The Endpoints field is nil until an endpoint list is known.
 func (b *Balancer) record(now time.Duration) handover.Record {
 	record := handover.Record{
 		ProcessState: b.siblings.self,
@@ -173,7 +171,7 @@
 	return record
 }
 
-// storedEndpoint converts an endpoint to its form in a record, which names the zone ("" if unknown).
+// storedEndpoint converts an endpoint for a record, with its zone by name ("" if unknown).
 func (b *Balancer) storedEndpoint(known core.DiscoveredEndpoint) handover.Endpoint {
 	zone := ""
 	zones := b.cfg.Settings.Zones
--- a/internal/serve/runtime/handover_test.go
+++ b/internal/serve/runtime/handover_test.go
@@ -42,7 +42,7 @@
 }
 
 // A new process takes over the endpoint list and the operator overrides of the running one and accepts
-// clients in its place. Both serve as one balancer until the old one has shut down.
+// clients in its place. Both processes serve as one balancer until the old one has shut down.
 func TestSuccessorTakesOverEndpointsAndOverrides(t *testing.T) {
 	p := newSiblingPair(t)
 	a, b := startNamedServer(t, "a"), startNamedServer(t, "b")
@@ -50,7 +50,7 @@
 	existing := connect(t, old)
 	require.Equal(t, 200, adminCall(t, old, "POST", "/api/exclude", fmt.Sprintf(`{"name":"s-%s"}`, a)))
 
-	// The configured list is empty: the new process can serve only with the list of the old one.
+	// The configured list is empty: the new process can serve only with the old process's list.
 	next, _ := startBalancerWith(t, p.configure, startIdleDiscovery(t))
 	require.Equal(t, 200, adminCall(t, next, "GET", "/api/ready", ""))
 	require.Eventually(
--- a/internal/serve/runtime/helpers_test.go
+++ b/internal/serve/runtime/helpers_test.go
@@ -27,7 +27,6 @@
 	return startPeerAt(t, "127.0.0.1:0", script)
 }
 
-// startPeerAt is startPeer with an address to listen on.
 func startPeerAt(t *testing.T, address string, script func(c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", address)
@@ -49,8 +48,8 @@
 	return l.Addr().String()
 }
 
-// readMessage reads one message and returns its head and body unchanged. The body's length is that of
-// Content-Length, or 0. Both results are "" if the connection ends within the head.
+// readMessage reads one message. Without a Content-Length, the body is empty. Both results are "" if the
+// connection ends within the head.
 func readMessage(r *bufio.Reader) (head, body string) {
 	length := 0
 	for {
@@ -157,7 +156,7 @@
 	return balancer
 }
 
-// run runs a balancer until the context or the test ends. The channel is closed when Run has returned.
+// run calls Run until the context or the test ends. The channel is closed when Run has returned.
 func run(ctx context.Context, t *testing.T, balancer *Balancer) chan struct{} {
 	t.Helper()
 	ctx, stop := context.WithCancel(ctx)
@@ -167,7 +166,6 @@
 	return done
 }
 
-// client is a test client's connection to the balancer.
 type client struct {
 	t *testing.T
 	net.Conn
@@ -184,7 +182,7 @@
 	return &client{t, c, bufio.NewReader(c)}
 }
 
-// send sends raw bytes, which need not form a complete request.
+// send sends raw bytes, not necessarily a complete request.
 func (c *client) send(text string) {
 	_, err := io.WriteString(c, text)
 	require.NoError(c.t, err)
@@ -199,7 +197,6 @@
 	return readMessage(c.reader)
 }
 
-// respond writes a response with status 200 and a Content-Length.
 func respond(c net.Conn, body string) {
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
@@ -210,7 +207,6 @@
 	counts map[string]int
 }
 
-// record counts the request with the ID in head.
 func (r *requestLog) record(head string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -220,14 +216,12 @@
 	r.counts[requestID(head)]++
 }
 
-// requestID returns the ID in the head of a request.
 func requestID(head string) string {
 	_, rest, _ := strings.Cut(head, "X-Request-Id: ")
 	id, _, _ := strings.Cut(rest, "\r\n")
 	return id
 }
 
-// count returns how often servers received the request with this ID.
 func (r *requestLog) count(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/serve/runtime/load_shedding_test.go
+++ b/internal/serve/runtime/load_shedding_test.go
@@ -49,8 +49,7 @@
 	require.True(t, strings.HasSuffix(string(all), "\r\n\r\n"+body), "%d bytes", len(all))
 }
 
-// Descriptors are short, and an idle connection has just received a request that is not read yet. The
-// connection must not be closed.
+// When descriptors are short, an idle connection with a request that is not read yet must not be closed.
 func TestConnectionWithUnreadRequestIsNotShed(t *testing.T) {
 	var forwarded requestLog
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
@@ -65,8 +64,8 @@
 	require.Equal(t, "mine", body)
 }
 
-// Some clients send one request and leave the connection open. The balancer must close such a connection in
-// the end, or it would hold a descriptor that other clients need.
+// Some clients send one request and leave the connection open. The balancer must close such a connection
+// after a time, or it would hold a descriptor that other clients need.
 func TestIdleClientConnectionIsClosed(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startNamedServer(t, "served"))
 	c := connect(t, balancer)
--- a/internal/serve/runtime/reload.go
+++ b/internal/serve/runtime/reload.go
@@ -8,10 +8,9 @@
 	"piernotch/internal/serve/core"
 )
 
-// Reload applies the parts of a new configuration that can change while the process runs: the
-// settings, the limits, the timeouts of server connections and discovery's address. If the core
-// rejects the configuration, the rejection is logged and nothing changes. Reload may be called from
-// any goroutine.
+// Reload applies the parts of a new configuration that can change at run time: the settings, the
+// limits, the timeouts of server connections and discovery's address. A rejection by the core is
+// logged, and nothing changes. Reload may be called from any goroutine.
 func (b *Balancer) Reload(cfg config.Config) {
 	b.loop.Post(func() {
 		b.reloaded = cfg
--- a/internal/serve/runtime/retry_test.go
+++ b/internal/serve/runtime/retry_test.go
@@ -117,7 +117,7 @@
 }
 
 // A request that may have been executed is neither retried nor reported as rejected. A request that a server
-// rejected without executing it is reported as rejected.
+// did not execute is reported as rejected.
 func TestPossiblyExecutedRequestIsNotRetried(t *testing.T) {
 	attempts := make(chan string, 16)
 	script := func(c net.Conn, r *bufio.Reader) {
--- a/internal/serve/runtime/server_response_test.go
+++ b/internal/serve/runtime/server_response_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// A response without a length is complete when the server closes the connection in order. If the connection is
-// reset instead, the response is truncated and must not be forwarded as complete.
+// A response without a length is complete when the server closes the connection in order. After a reset, the
+// response is truncated and must not be forwarded as complete.
 func TestResponseCutByResetIsNotComplete(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
 		head, _ := readMessage(r)
--- a/internal/serve/runtime/shutdown.go
+++ b/internal/serve/runtime/shutdown.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// settleTime is how long a shutdown waits, once the core has no work left, for requests that have
-	// arrived in a socket but were not read yet.
+	// settleTime is how long a shutdown waits, once the core has no work left, for requests that are
+	// not read from their sockets yet.
 	settleTime = 4 * core.TickInterval
 	// lingerTime is how long a shutdown waits, once the core has no work left, for clients that send or
 	// read slowly.
@@ -28,7 +28,7 @@
 	})
 }
 
-// requestExit records when the core first emitted core.Exit, which means that it has no work left.
+// requestExit records when the core first had no work left.
 func (b *Balancer) requestExit() {
 	if b.exitRequested == 0 {
 		b.exitRequested = b.now()
--- a/internal/serve/runtime/shutdown_race_test.go
+++ b/internal/serve/runtime/shutdown_race_test.go
@@ -136,8 +136,7 @@
 	}
 }
 
-// A client that connects just before the listener stops sends its request a moment later. The request must
-// be served.
+// A client connects just before the listener stops and sends its request just after. The request must be served.
 func TestConnectionAcceptedBeforeListenerStopsIsServed(t *testing.T) {
 	var forwarded requestLog
 	balancer, done := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
--- a/internal/serve/runtime/sibling_processes.go
+++ b/internal/serve/runtime/sibling_processes.go
@@ -20,8 +20,8 @@
 // balancer, which share a listening socket during a handover and exchange records in a directory.
 // Without a directory there are no siblings.
 //
-// It does not depend on the Balancer. The Balancer owns it, asks it what follows from the states (say,
-// whether to accept clients) and acts on the answers; see handover.go.
+// It does not depend on the Balancer, which owns it and asks it what follows from the states, such as
+// whether to accept clients; see handover.go.
 type siblingProcesses struct {
 	directory     *handover.Directory // nil: none is configured
 	self          handover.ProcessState
@@ -53,7 +53,7 @@
 	return siblings, peers, nil
 }
 
-// read returns the siblings' records. If the directory cannot be read, it logs that and returns none.
+// read returns the siblings' records, or none (and logs the error) if the directory cannot be read.
 func (s *siblingProcesses) read() []handover.Peer {
 	peers, err := s.directory.Peers()
 	if err != nil {
@@ -102,18 +102,18 @@
 	return true
 }
 
-// accepts reports whether this process, rather than a sibling, should accept clients.
+// accepts reports whether this process should accept clients, given the siblings' states.
 func (s *siblingProcesses) accepts() bool { return s.self.Accepts(s.others) }
 
 // hasSuccessor reports whether a sibling can serve in place of this process.
 func (s *siblingProcesses) hasSuccessor() bool { return s.self.HasSuccessor(s.others) }
 
-// recordDue reports whether this process's record is recordInterval old and must be written again.
+// recordDue reports whether this process has a record that is recordInterval old.
 func (s *siblingProcesses) recordDue(now time.Duration) bool {
 	return s.directory != nil && now-s.recordWritten >= recordInterval
 }
 
-// write publishes this process's record to siblings and successors. It requires a directory.
+// write publishes this process's record to siblings and successors. There must be a directory.
 func (s *siblingProcesses) write(record handover.Record) {
 	s.recordWritten = record.WrittenAt
 	if err := s.directory.Write(record); err != nil {
--- a/internal/serve/runtime/stall_test.go
+++ b/internal/serve/runtime/stall_test.go
@@ -42,7 +42,7 @@
 }
 
 // During a stall, a request arrives and then the update that its server is draining. The update must be
-// handled first, or the request would go to that server long after the update.
+// handled first, or the request would still go to that server.
 func TestEndpointUpdateIsHandledFirstAfterStall(t *testing.T) {
 	forwarded := make(chan string, 8)
 	update := make(chan string, 1)
--- a/internal/serve/runtime/watch_test.go
+++ b/internal/serve/runtime/watch_test.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// If lists are pushed (PollDiscovery is false), any list that the local agent already has counts as known to
-// the process from the moment it starts. The process must therefore poll the agent at once, even if it was
-// configured with an older list, and again as soon as the agent closes the connection.
+// If lists are pushed (PollDiscovery is false), a list that the local agent already has counts as known to a
+// process from its start. The process must therefore poll the agent at once, even if it was configured with an
+// older list, and again as soon as the agent closes the connection.
 func TestPushedEndpointListIsRequestedImmediately(t *testing.T) {
 	var mu sync.Mutex
 	polls := 0
@@ -106,8 +106,8 @@
 	}
 }
 
-// The connection of an open watch is reset, and a server begins to drain at once. The balancer must poll again
-// within the poll interval, for which it may use its list without a watch.
+// The connection of a watch is reset, and a server begins to drain at once. The balancer must poll again within
+// the poll interval, the longest time for which it may use its list without a watch.
 func TestResetWatchIsReopened(t *testing.T) {
 	t.Parallel()
 	var forwarded requestLog
