--- a/internal/serve/runtime/blocked_peer_test.go
+++ b/internal/serve/runtime/blocked_peer_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startBlockedPeer starts a server whose accept queue is full, so that no connection to it is
+// startBlockedPeer starts a server whose accept queue is full: no connection to the server is
 // established until unblock is called.
 func startBlockedPeer(t *testing.T, script func(net.Conn, *bufio.Reader)) (address string, unblock func()) {
 	t.Helper()
--- a/internal/serve/runtime/client_disconnect_test.go
+++ b/internal/serve/runtime/client_disconnect_test.go
@@ -58,7 +58,7 @@
 				}
 			}))
 			var busy []*client
-			for i := range 2 { // the balancer sends at most two requests to a server at a time
+			for i := range 2 { // this balancer sends at most two requests to a server at a time
 				c := connect(t, balancer)
 				c.send(fmt.Sprintf("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: busy-%d\r\n\r\n", i))
 				busy = append(busy, c)
--- a/internal/serve/runtime/client_request_test.go
+++ b/internal/serve/runtime/client_request_test.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// connectWithSmallBuffer opens a connection whose receive buffer holds little more than the client has read.
+// connectWithSmallBuffer opens a connection whose receive buffer holds little data that is not read yet.
 func connectWithSmallBuffer(t *testing.T, balancer *Balancer) *client {
 	t.Helper()
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
--- a/internal/serve/runtime/doc.go
+++ b/internal/serve/runtime/doc.go
@@ -7,12 +7,11 @@
 // the Balancer asks it what follows from the siblings' records, such as whether to accept clients.
 //
 // The package owns the clock, the reducer's event queue, the order of start and shutdown, reloads,
-// the limits on descriptors and memory, and the exchange with sibling processes
-// during a handover. Decisions about requests belong to package core and the decision module, package
-// piernotch. Formats (HTTP, discovery's JSON, handover records and traces) belong to the packages
-// that this one calls.
+// the limits on descriptors and memory, and the exchange with sibling processes during a handover.
+// Decisions about requests belong to package core and the decision module, package piernotch. Formats
+// (HTTP, discovery's JSON, handover records and traces) belong to the packages that this one calls.
 //
 // Command piernotch is the only caller. One goroutine calls New, Start and Run, in this order. That
-// goroutine owns all state while Run runs, and everything else in the package runs on it. Only Shutdown and Reload
-// may be called from other goroutines, once Start has returned.
+// goroutine owns all state while Run runs, and everything else in the package runs on it. Only
+// Shutdown and Reload may be called from other goroutines, once Start has returned.
 package runtime
--- a/internal/serve/runtime/effects.go
+++ b/internal/serve/runtime/effects.go
@@ -13,7 +13,7 @@
 	defer func() { b.handling = false }()
 	for b.nextEvent < len(b.events) {
 		next := b.events[b.nextEvent]
-		b.events[b.nextEvent] = nil // the array is reused, and the event would stay in memory
+		b.events[b.nextEvent] = nil // the array is reused and would keep the event in memory
 		b.nextEvent++
 		now := b.now()
 		if b.recorder != nil {
--- a/internal/serve/runtime/handover.go
+++ b/internal/serve/runtime/handover.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// advance sets this process's phase. A change is published to the siblings and may start or stop
-// accepting clients.
+// advance sets this process's phase. A new phase is published to the siblings and may change whether
+// this process accepts clients.
 func (b *Balancer) advance(to handover.Phase) {
 	if b.siblings.advance(to) {
 		b.writeRecord()
@@ -152,7 +152,7 @@
 	}
 }
 
-// record returns this process's record. The Endpoints field is nil until an endpoint list is known.
+// record returns what a successor needs to know. The Endpoints field is nil until a list is known.
 func (b *Balancer) record(now time.Duration) handover.Record {
 	record := handover.Record{
 		ProcessState: b.siblings.self,
--- a/internal/serve/runtime/handover_test.go
+++ b/internal/serve/runtime/handover_test.go
@@ -21,7 +21,6 @@
 	configure  func(*config.Config)
 }
 
-// newSiblingPair opens the listening socket on a free port.
 func newSiblingPair(t *testing.T) *siblingPair {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/serve/runtime/shared_watch_test.go
+++ b/internal/serve/runtime/shared_watch_test.go
@@ -52,7 +52,7 @@
 }
 
 // While another balancer polls discovery, this balancer does not poll. It applies the lists that the other
-// publishes, if they are newer than its own. It polls once the group tells it to.
+// publishes, if they are newer than its own. It polls as soon as the group tells it to.
 func TestSharedWatchReplacesPolling(t *testing.T) {
 	polled := make(chan string, 16)
 	a, b := startNamedServer(t, "a"), startNamedServer(t, "b")
--- a/internal/serve/runtime/shutdown.go
+++ b/internal/serve/runtime/shutdown.go
@@ -35,8 +35,9 @@
 	}
 }
 
-// exitWhenDrained ends Run once the core has no work left and all client connections are closed, or
-// after lingerTime. Ending earlier would lose responses in a buffer and partially received requests.
+// exitWhenDrained ends Run once the core has had no work for settleTime and all client connections are
+// closed, or after lingerTime. Ending earlier would lose responses in a buffer and partially received
+// requests.
 func (b *Balancer) exitWhenDrained() {
 	now := b.now()
 	if b.exitRequested == 0 || b.core.PendingRequests() > 0 || now-b.exitRequested < settleTime {
--- a/internal/serve/runtime/shutdown_race_test.go
+++ b/internal/serve/runtime/shutdown_race_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// A request that arrives while the balancer closes the idle connection is not read: no server receives it, and
-// the client sees an orderly end, not a reset. Both the idle timeout and a shutdown close idle connections.
+// A request that arrives on an idle connection that is being closed is not read: no server receives it, and the
+// client sees an orderly end, not a reset. Both the idle timeout and a shutdown close idle connections.
 func TestRequestOnClosingIdleConnectionIsNotForwarded(t *testing.T) {
 	for _, shutdown := range []bool{false, true} {
 		t.Run(fmt.Sprint("shutdown ", shutdown), func(t *testing.T) {
@@ -89,7 +89,7 @@
 }
 
 // Clients keep sending on their connections until a shutdown closes them. Each request gets a complete
-// response, or its connection ends and no server has received it.
+// response, or its connection ends and no server has received the request.
 func TestShutdownUnderLoadLosesNoForwardedRequest(t *testing.T) {
 	var forwarded requestLog
 	balancer, done := startBalancer(
--- a/internal/serve/runtime/tenant_quota_test.go
+++ b/internal/serve/runtime/tenant_quota_test.go
@@ -34,7 +34,7 @@
 	send("north-1", "north") // uses up the quota of two seconds
 	require.Equal(t, "north-1", <-forwarded)
 	send("south-1", "south")
-	require.Equal(t, "south-1", <-forwarded) // the balancer sends at most two requests to a server at a time
+	require.Equal(t, "south-1", <-forwarded) // this balancer sends at most two requests to a server at a time
 	send("north-2", "north")
 	time.Sleep(20 * time.Millisecond)
 	send("south-2", "south")
