--- a/internal/serve/handover/directory.go
+++ b/internal/serve/handover/directory.go
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Suffixes of a process's files. The names of these files share a stem: the balancer's prefix, the
+// Suffixes of a process's files. The file names share a stem: the balancer's prefix, the
 // process ID and the start time.
 const (
 	lockSuffix   = ".lock"
@@ -21,7 +21,7 @@
 )
 
 // Directory is one process's view of the directory in which the processes of a balancer keep their
-// records. Enter creates it. It is not safe for concurrent use.
+// records. Enter returns a Directory, which is not safe for concurrent use.
 type Directory struct {
 	path    string
 	name    string // of the balancer
@@ -41,12 +41,12 @@
 // Peer is another process of the balancer.
 type Peer struct {
 	Record
-	Alive bool  // false: the process has ended and will not be returned again
+	Alive bool  // false: the process has ended; Peers will not return it again
 	Err   error // why the record could not be read; Record is empty then
 }
 
-// Enter announces this process to the other processes of the named balancer by a lock file, locked
-// until Leave, in the directory at path. The process has no record until the first Write.
+// Enter announces this process to the others of the named balancer: it creates a lock file in the
+// directory at path and holds the lock until Leave. There is no record until the first Write.
 func Enter(path, name string) (*Directory, error) {
 	prefix := fmt.Sprintf("piernotch-%016x-", xxhash.Sum64String(name))
 	startedAt := strconv.FormatInt(time.Now().UnixNano(), 36)
@@ -129,7 +129,7 @@
 	}
 }
 
-// read returns the record of a process, from the cache unless its file has been replaced.
+// read returns the record of a process, from the cache unless the record file has been replaced.
 func (d *Directory) read(stem string) cachedRecord {
 	path := d.file(stem, recordSuffix)
 	info, err := os.Stat(path)
--- a/internal/serve/handover/doc.go
+++ b/internal/serve/handover/doc.go
@@ -3,13 +3,13 @@
 //
 // Each process writes a [Record] to a directory that both can read: its [ProcessState], its current
 // endpoint list, the operators' overrides, and its module's estimates of the traffic. Next to each
-// record is a file that its writer keeps locked. The kernel releases the lock however the process ends,
-// so a record whose lock is free belongs to a process that has ended. [Directory] reads and writes
-// these files.
+// record is a lock file, which the same process keeps locked. The kernel releases the lock however the
+// process ends, so a record whose lock is free belongs to a process that has ended. [Directory] reads
+// and writes these files.
 //
 // [ProcessState.Accepts] decides which process accepts clients, and [ProcessState.DescriptorShare] how
-// many descriptors each may hold. Both do no I/O and depend on the records alone, so that all processes
-// reach the same result.
+// many descriptors each may hold. Both do no I/O, and the processes' decisions agree because all of them
+// read the same records.
 //
 // The package depends on neither the sockets nor the core. Package internal/serve/runtime calls it
 // on the event loop's goroutine. Different versions of the program read each other's records from
--- a/internal/serve/handover/golden_test.go
+++ b/internal/serve/handover/golden_test.go
@@ -15,7 +15,8 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files; only if the format changes on purpose")
 
-// checkGolden compares got with a golden file under testdata and returns the file's content.
+// checkGolden compares got with a golden file under testdata and returns the file's content. With -update it
+// first writes the file.
 func checkGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -29,8 +30,8 @@
 	return want
 }
 
-// Different versions of the program read each other's records. The test guards against an unintended change
-// of the format. The full record sets every field.
+// Different versions of the program read each other's records, so the format must not change by accident. The
+// record full sets every field.
 func TestHandoverRecordGoldenFile(t *testing.T) {
 	full := Record{
 		ProcessState: ProcessState{Epoch: 3, PID: 4711, Phase: Ready, DescriptorClaim: 129},
--- a/internal/serve/handover/lock.go
+++ b/internal/serve/handover/lock.go
@@ -8,7 +8,7 @@
 
 // acquireLock creates and locks a file at path. The lock is held until the file is closed or the
 // process ends. The file has the temporary name until it is locked: other processes treat an
-// unlocked lock file as that of a process that has ended, and remove it.
+// unlocked lock file as that of a process that has ended, and remove the file.
 func acquireLock(path, temporary string) (*os.File, error) {
 	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_RDWR|os.O_EXCL, 0o600)
 	if err != nil {
--- a/internal/serve/handover/process.go
+++ b/internal/serve/handover/process.go
@@ -3,7 +3,7 @@
 // Phase is a stage in the life of a process. Its text is stored in records.
 type Phase string
 
-// Phases, in the order in which a process goes through them.
+// Phases of a process, in order.
 const (
 	// Starting means that the process cannot serve yet.
 	Starting Phase = "starting"
@@ -13,17 +13,17 @@
 	ShuttingDown Phase = "ending"
 )
 
-// ProcessState is the part of a process's record from which the processes of a balancer determine
-// who accepts clients and how they divide the file descriptors.
+// ProcessState is the part of a record that determines which process accepts clients and how the
+// processes divide the file descriptors.
 type ProcessState struct {
-	Epoch           uint64 `json:"epoch"` // higher than the epochs of all processes found at the start
+	Epoch           uint64 `json:"epoch"` // higher than the epoch of each process found when this one started
 	PID             int    `json:"pid"`
 	Phase           Phase  `json:"phase"`
-	DescriptorClaim int    `json:"claim"` // file descriptors that the others leave to this process
+	DescriptorClaim int    `json:"claim"` // file descriptors that the other processes leave to this one
 }
 
-// newerThan reports whether s started after other. Two processes that started at once may have the
-// same epoch; the one with the higher process ID then counts as newer.
+// newerThan reports whether s started after other. Of two processes that started at once, and therefore
+// may have the same epoch, the one with the higher process ID counts as newer.
 func (s ProcessState) newerThan(other ProcessState) bool {
 	if s.Epoch != other.Epoch {
 		return s.Epoch > other.Epoch
@@ -46,9 +46,10 @@
 // accepts clients. The accepting process may use at least this many in all.
 const descriptorHeadroom = 16
 
-// DescriptorShare returns how many of the balancer's file descriptors, limit in all, this process may
-// use. open is the number that it holds now. The process that accepts clients needs the most and gets
-// what the others do not claim. They claim little more than they hold, and at most half of limit each.
+// DescriptorShare returns how many file descriptors this process may use, given the other live
+// processes. limit applies to all of them together; open is what this process holds. The process that
+// accepts clients needs the most and gets what the others do not claim. Each of the others claims little
+// more than it holds, and at most half of limit.
 func (s ProcessState) DescriptorShare(others []ProcessState, limit, open int) int {
 	if len(others) == 0 {
 		return limit
--- a/internal/serve/handover/record.go
+++ b/internal/serve/handover/record.go
@@ -50,14 +50,14 @@
 var (
 	// ErrTruncated means that a record is incomplete, corrupt or too large.
 	ErrTruncated = errors.New("record is truncated")
-	// ErrVersion means that this program does not read the format version of a record.
+	// ErrVersion means that a record has a format version that this program does not read.
 	ErrVersion = errors.New("record is of another version")
 	// ErrOtherBalancer means that a record was written by a process of another balancer.
 	ErrOtherBalancer = errors.New("record of another balancer")
 )
 
-// Encode returns the stored form of a record, header included. It fails for NaN and infinite numbers,
-// which JSON cannot represent.
+// Encode returns the stored form of a record, header included. It fails for NaN and infinite numbers, which
+// JSON lacks.
 func Encode(record Record) ([]byte, error) {
 	body, err := json.Marshal(record)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return append(data, body...), nil
 }
 
-// Decode parses the stored form of a record. Its errors wrap ErrTruncated or ErrVersion.
+// Decode parses the stored form of a record. The errors wrap ErrTruncated or ErrVersion.
 func Decode(data []byte) (Record, error) {
 	line, body, complete := bytes.Cut(data, []byte("\n"))
 	if !complete {
@@ -83,8 +83,8 @@
 	return record, nil
 }
 
-// checkHeader returns an error if a header line has another version than recordVersion or does not match
-// the body's length or checksum.
+// checkHeader returns an error if a header line is malformed, has a version other than recordVersion, or
+// does not match the body.
 func checkHeader(line string, body []byte) error {
 	var version, length int
 	var checksum uint64
--- a/internal/serve/runtime/admin_test.go
+++ b/internal/serve/runtime/admin_test.go
@@ -104,8 +104,8 @@
 	require.Equal(t, "a", body)
 }
 
-// Evacuate moves clients away: connections close after their next response or when they stay idle, and
-// /_health fails, but the process stays ready. Rejoin ends the drain.
+// The call evacuate drains clients: connections close when idle or after their next response, and /_health
+// fails, but the process stays ready. The call rejoin ends the drain.
 func TestEvacuateDrainsClientsUntilRejoin(t *testing.T) {
 	balancer, _ := startBalancerWith(t, withAdminAddress, startIdleDiscovery(t), startNamedServer(t, "a"))
 	busy, idle := connect(t, balancer), connect(t, balancer)
--- a/internal/serve/runtime/balancer.go
+++ b/internal/serve/runtime/balancer.go
@@ -30,12 +30,12 @@
 
 // Balancer is one balancer process. New creates it.
 type Balancer struct {
-	// LimitMemory, if not nil, is called whenever the number of bytes that the Go runtime may use
-	// changes. It must be set before Start, usually to debug.SetMemoryLimit.
+	// LimitMemory, if not nil, is called with the number of bytes that the Go runtime may use, whenever
+	// that number changes. It must be set before Start, usually to debug.SetMemoryLimit.
 	LimitMemory func(bytes int64) int64
 
 	cfg           config.Config
-	reloaded      config.Config // last passed to Reload; in force once the core accepts its settings
+	reloaded      config.Config // last passed to Reload; applied once the core accepts the settings in it
 	loop          *eventloop.Loop
 	core          *core.Core
 	downstream    *downstream.Downstream
@@ -50,11 +50,11 @@
 	clockStart  time.Time     // when New read the system clock
 	unixAtStart time.Duration // clockStart as Unix time
 
-	events    []core.Event // queue of the reducer
+	events    []core.Event // queue in front of the reducer
 	nextEvent int          // index of the first unhandled event
 	handling  bool         // the reducer is running
 
-	descriptorLimit int   // this process's share of the balancer's limit
+	descriptorLimit int   // this process's share of the balancer's descriptors
 	memoryLimit     int64 // bytes that the Go runtime may use
 
 	stopped       bool               // clients are never accepted again
@@ -115,7 +115,7 @@
 }
 
 // ShareWatch joins a group of balancers in which one polls discovery for the others. It must be called
-// before Start. If join returns nil, the balancer polls discovery itself.
+// before Start. If join returns nil, this balancer polls discovery itself.
 func (b *Balancer) ShareWatch(join controlgroup.JoinWatch) {
 	onUpdate := func(event controlgroup.WatchEvent) {
 		b.loop.Post(func() { b.watcher.ReceiveShared(event) })
@@ -188,15 +188,16 @@
 	return b.adminListener.Addr()
 }
 
-// now returns the module's clock: Unix time, in which discovery gives the servers' start times. It is
-// the system time at New plus the monotonic time since, so that it never jumps.
+// now returns the time on the module's clock: Unix time, as in the servers' start times from discovery.
+// It is the system time at New plus the monotonic time since New, so that it never jumps.
 func (b *Balancer) now() time.Duration { return b.unixAtStart + time.Since(b.clockStart) }
 
 // ready reports whether this process can serve: it has an endpoint list and is not shutting down.
 func (b *Balancer) ready() bool { return b.core.EndpointsKnown() && !b.core.ShuttingDown() }
 
-// healthy reports whether /_health succeeds. During a handover a health check may reach either process,
-// so a process that is shutting down stays healthy while a successor can serve, unless clients are drained.
+// healthy reports whether /_health succeeds. It fails without an endpoint list and while clients are
+// drained. During a handover a health check may reach either process, so a process that is shutting down
+// stays healthy while a successor can serve.
 func (b *Balancer) healthy() bool {
 	if !b.core.EndpointsKnown() || b.core.ClientsDrained() {
 		return false
@@ -208,7 +209,7 @@
 	b.emit(core.AdminCommand{Call: call, Action: action, Server: server})
 }
 
-// tick does the periodic work of all parts, once every core.TickInterval.
+// tick does all periodic work, once every core.TickInterval.
 func (b *Balancer) tick() {
 	b.emit(core.Tick{})
 	b.downstream.Tick()
@@ -222,7 +223,8 @@
 	b.logPeriodically(now)
 }
 
-// stalled is called after the event loop did not run for the duration gap.
+// stalled is called after the event loop did not run for the duration gap. It informs downstream, and logs
+// long stalls.
 func (b *Balancer) stalled(gap time.Duration) {
 	if gap > minLoggedStall {
 		slog.Warn("stall detected", "duration_ms", gap.Milliseconds())
@@ -230,7 +232,7 @@
 	b.downstream.Stalled(gap)
 }
 
-// shedClients closes idle connections from clients when descriptors are short.
+// shedClients logs a shortage of descriptors and closes client connections that can be spared.
 func (b *Balancer) shedClients() {
 	if now := b.now(); now-b.shedLogged > shedLogInterval {
 		b.shedLogged = now
@@ -239,7 +241,7 @@
 	b.downstream.Shed()
 }
 
-// shedAll closes idle connections from clients and to servers when descriptors are short.
+// shedAll does the same as shedClients, and closes idle connections to servers as well.
 func (b *Balancer) shedAll() {
 	b.shedClients()
 	b.upstream.Shed()
--- a/internal/serve/runtime/client_disconnect_test.go
+++ b/internal/serve/runtime/client_disconnect_test.go
@@ -34,7 +34,7 @@
 			_ = c.Close()
 			time.Sleep(50 * time.Millisecond)
 			unblock()
-			_, body := connect(t, balancer).request("POST", "/append", "stays", "mine") // waits for the same connection
+			_, body := connect(t, balancer).request("POST", "/append", "stays", "mine") // waits for the dial
 			require.Equal(t, "mine", body)
 			time.Sleep(300 * time.Millisecond)
 			require.Zero(t, forwarded.count("left"))
@@ -100,7 +100,7 @@
 	var forwarded requestLog
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
 	c := connect(t, balancer)
-	for i := range 2 { // open a connection on which a further request would be written at once
+	for i := range 2 { // open a server connection on which the next request would be written at once
 		_, body := c.request("POST", "/append", fmt.Sprint(i), "mine")
 		require.Equal(t, "mine", body)
 	}
--- a/internal/serve/runtime/client_request_test.go
+++ b/internal/serve/runtime/client_request_test.go
@@ -57,8 +57,8 @@
 	require.ErrorIs(t, err, io.EOF, "the connection is closed after an error")
 }
 
-// Invalid, incomplete and duplicate requests are rejected and not forwarded, and so are requests that servers
-// could parse differently from the balancer (request smuggling).
+// Requests that are invalid, incomplete or reuse a pending request's ID are rejected and not forwarded. So are
+// requests that servers could parse differently from the balancer (request smuggling).
 func TestMalformedRequestsAreRejected(t *testing.T) {
 	forwarded := make(chan string, 64)
 	release := make(chan struct{})
@@ -138,7 +138,8 @@
 	require.Contains(t, string(all), " 413 ")
 }
 
-// A request that arrives byte by byte is served. An incomplete request gets a 408 and is not forwarded.
+// A request that arrives byte by byte is served. A request that stays incomplete gets a 408 and is not
+// forwarded.
 func TestSlowClientIsServedUntilReadTimeout(t *testing.T) {
 	var forwarded requestLog
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
@@ -183,7 +184,7 @@
 	}
 }
 
-// connectWithSmallBuffer opens a connection whose receive buffer holds little data that is not read yet.
+// connectWithSmallBuffer opens a connection with a small receive buffer, which holds little unread data.
 func connectWithSmallBuffer(t *testing.T, balancer *Balancer) *client {
 	t.Helper()
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
--- a/internal/serve/runtime/doc.go
+++ b/internal/serve/runtime/doc.go
@@ -11,7 +11,7 @@
 // Decisions about requests belong to package core and the decision module, package piernotch. Formats
 // (HTTP, discovery's JSON, handover records and traces) belong to the packages that this one calls.
 //
-// Command piernotch is the only caller. One goroutine calls New, Start and Run, in this order. That
-// goroutine owns all state while Run runs, and everything else in the package runs on it. Only
-// Shutdown and Reload may be called from other goroutines, once Start has returned.
+// Command piernotch is the only caller. One goroutine calls New, Start and Run, in this order. While Run
+// runs, that goroutine owns all state and executes everything else in the package. Only Shutdown and
+// Reload may be called from other goroutines, once Start has returned.
 package runtime
--- a/internal/serve/runtime/effects.go
+++ b/internal/serve/runtime/effects.go
@@ -26,7 +26,7 @@
 	b.events, b.nextEvent = b.events[:0], 0
 }
 
-// perform passes one effect to the part of the process that carries it out.
+// perform passes an effect to the part that carries it out.
 func (b *Balancer) perform(effect core.Effect) {
 	switch effect := effect.(type) {
 	case core.StartAttempt:
--- a/internal/serve/runtime/handover.go
+++ b/internal/serve/runtime/handover.go
@@ -32,9 +32,9 @@
 	return peers, nil
 }
 
-// canTakeOver reports whether a sibling's record holds a better endpoint list than this process's
-// configuration. A live sibling's list always counts as better. The list of a sibling that has ended may
-// be outdated: it must come from the same discovery service and be no older than the configured list.
+// canTakeOver reports whether a sibling's endpoint list is known and better than the configured one. A
+// live sibling's list always is. The list of a sibling that has ended may be outdated: it must come from
+// the same discovery service and be no older than the configured list.
 func (b *Balancer) canTakeOver(peer *handover.Peer) bool {
 	if peer.Err != nil || peer.Endpoints == nil {
 		return false
@@ -45,7 +45,7 @@
 	return peer.Discovery == b.cfg.Discovery && peer.Generation >= b.cfg.KnownEndpoints.Generation
 }
 
-// takeOver initializes this process with the endpoint list and the estimates of a sibling.
+// takeOver initializes this process and its watch with a sibling's endpoint list and estimates.
 func (b *Balancer) takeOver(from *handover.Record) {
 	known := discovery.EndpointList{Generation: from.Generation, Reset: true}
 	for i := range from.Endpoints {
@@ -76,7 +76,8 @@
 	)
 }
 
-// tickSiblings reads the siblings' records and writes this process's record, each at its interval.
+// tickSiblings reads the siblings' records and adapts to them, and writes this process's record, each at
+// its interval.
 func (b *Balancer) tickSiblings(now time.Duration) {
 	if peers, due := b.siblings.poll(now); due {
 		b.mergePeers(peers)
@@ -89,7 +90,7 @@
 }
 
 // mergePeers applies the operator overrides in the siblings' records and updates which siblings are
-// alive. If no sibling is, old overrides are pruned.
+// alive. If none is alive, old overrides are pruned.
 func (b *Balancer) mergePeers(peers []handover.Peer) {
 	for i := range peers {
 		if peer := &peers[i]; peer.Err == nil {
@@ -103,7 +104,7 @@
 }
 
 // advance sets this process's phase. A new phase is published to the siblings and may change whether
-// this process accepts clients.
+// clients are accepted.
 func (b *Balancer) advance(to handover.Phase) {
 	if b.siblings.advance(to) {
 		b.writeRecord()
@@ -111,7 +112,7 @@
 	}
 }
 
-// advanceWhenReady publishes the phase Ready once this process can serve.
+// advanceWhenReady advances to the phase Ready if this process can serve.
 func (b *Balancer) advanceWhenReady() {
 	if b.ready() {
 		b.advance(handover.Ready)
@@ -119,7 +120,7 @@
 }
 
 // updateAccepting starts or stops accepting clients on an inherited socket, as ProcessState.Accepts
-// decides. A socket that this process bound itself is not shared.
+// decides, until stopListening. A socket that this process bound itself is not shared.
 func (b *Balancer) updateAccepting() {
 	inherited := b.cfg.ListenFD != 0
 	if !inherited || b.stopped {
@@ -139,7 +140,8 @@
 	}
 }
 
-// leaveSiblings writes the last record and shows the siblings that this process has ended.
+// leaveSiblings writes the last record and shows the siblings, by releasing the lock, that this process
+// has ended.
 func (b *Balancer) leaveSiblings() {
 	b.writeRecord()
 	b.siblings.leave()
@@ -152,7 +154,8 @@
 	}
 }
 
-// record returns what a successor needs to know. The Endpoints field is nil until a list is known.
+// record returns what siblings and successors need to know. The Endpoints field is nil until a list is
+// known.
 func (b *Balancer) record(now time.Duration) handover.Record {
 	record := handover.Record{
 		ProcessState: b.siblings.self,
--- a/internal/serve/runtime/handover_test.go
+++ b/internal/serve/runtime/handover_test.go
@@ -49,7 +49,7 @@
 	existing := connect(t, old)
 	require.Equal(t, 200, adminCall(t, old, "POST", "/api/exclude", fmt.Sprintf(`{"name":"s-%s"}`, a)))
 
-	// The configured list is empty: the new process can serve only with the old process's list.
+	// The configured list is empty, so the new process can serve only with the old process's list.
 	next, _ := startBalancerWith(t, p.configure, startIdleDiscovery(t))
 	require.Equal(t, 200, adminCall(t, next, "GET", "/api/ready", ""))
 	require.Eventually(
--- a/internal/serve/runtime/health_check_test.go
+++ b/internal/serve/runtime/health_check_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A server that answers no request is ejected, and its health check gets no response either. The health
-// check must then close its connection; otherwise the descriptor stays open for good.
+// A server that answers no request is ejected, and answers no health check either. The health check must then
+// close its connection; otherwise the descriptor stays open for good.
 func TestHealthCheckWithoutResponseClosesItsConnection(t *testing.T) {
 	closed := make(chan string, 64)
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
--- a/internal/serve/runtime/helpers_test.go
+++ b/internal/serve/runtime/helpers_test.go
@@ -49,7 +49,7 @@
 }
 
 // readMessage reads one message. Without a Content-Length, the body is empty. Both results are "" if the
-// connection ends within the head.
+// connection ends before the head is complete.
 func readMessage(r *bufio.Reader) (head, body string) {
 	length := 0
 	for {
@@ -172,7 +172,7 @@
 	reader *bufio.Reader
 }
 
-// connect opens a connection to the balancer that is closed when the test ends.
+// connect opens a connection to the balancer and closes it when the test ends.
 func connect(t *testing.T, balancer *Balancer) *client {
 	t.Helper()
 	c, err := net.Dial("tcp", balancer.Addr())
@@ -188,7 +188,7 @@
 	require.NoError(c.t, err)
 }
 
-// request sends a complete request with an ID and a body, and returns the response.
+// request sends a complete request and returns the response.
 func (c *client) request(method, target, id, body string) (head, responseBody string) {
 	c.send(fmt.Sprintf(
 		"%s %s HTTP/1.1\r\nHost: b\r\nX-Request-Id: %s\r\nContent-Length: %d\r\n\r\n%s",
@@ -236,7 +236,7 @@
 	}
 }
 
-// startNamedServer starts a server that responds with its name.
+// startNamedServer starts a server that responds to each request with the given name.
 func startNamedServer(t *testing.T, name string) string {
 	t.Helper()
 	return startPeer(t, func(c net.Conn, r *bufio.Reader) {
--- a/internal/serve/runtime/listen.go
+++ b/internal/serve/runtime/listen.go
@@ -19,7 +19,8 @@
 // Unwrap returns Err, for errors.Is and errors.As.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// listen binds the admin address, if one is configured, and binds or inherits the clients' socket.
+// listen binds the admin address, if configured, and binds or inherits the clients' socket. With an
+// inherited socket, the process becomes ready at once if it can serve.
 func (b *Balancer) listen() error {
 	if b.cfg.AdminAddress != "" {
 		b.adminListener = b.loop.AdminListener(admin.MaxConnections, b.admin.Accepted, b.admin.Shed)
@@ -40,7 +41,7 @@
 	return nil
 }
 
-// stopListening stops accepting clients for good: updateAccepting does not start it again.
+// stopListening stops accepting clients for good.
 func (b *Balancer) stopListening() {
 	b.stopped = true
 	b.listener.Stop()
--- a/internal/serve/runtime/load_shedding_test.go
+++ b/internal/serve/runtime/load_shedding_test.go
@@ -16,7 +16,7 @@
 // More clients connect than there are descriptors. Idle connections must be closed so that every client is
 // served.
 func TestIdleClientConnectionsAreShed(t *testing.T) {
-	longTimeouts := func(cfg *config.Config) { // a test machine that pauses for seconds must not fail requests
+	longTimeouts := func(cfg *config.Config) { // no request may time out if the machine pauses for seconds
 		cfg.DialTimeout = time.Minute
 		for i := range cfg.Settings.Classes {
 			cfg.Settings.Classes[i].LatencyObjective = time.Minute
@@ -54,7 +54,7 @@
 	var forwarded requestLog
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
 	c := connect(t, balancer)
-	time.Sleep(100 * time.Millisecond) // by now the connection has been idle long enough to be closed
+	time.Sleep(100 * time.Millisecond) // by now the connection may be closed as idle
 	resume := pauseLoop(balancer)
 	balancer.loop.Post(balancer.downstream.Shed)
 	c.send("POST /append HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\nContent-Length: 4\r\n\r\nmine")
@@ -64,8 +64,8 @@
 	require.Equal(t, "mine", body)
 }
 
-// Some clients send one request and leave the connection open. The balancer must close such a connection
-// after a time, or it would hold a descriptor that other clients need.
+// Some clients send one request and leave the connection open. It must be closed after a time, or it would
+// hold a descriptor that other clients need.
 func TestIdleClientConnectionIsClosed(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startNamedServer(t, "served"))
 	c := connect(t, balancer)
--- a/internal/serve/runtime/reload.go
+++ b/internal/serve/runtime/reload.go
@@ -9,8 +9,8 @@
 )
 
 // Reload applies the parts of a new configuration that can change at run time: the settings, the
-// limits, the timeouts of server connections and discovery's address. A rejection by the core is
-// logged, and nothing changes. Reload may be called from any goroutine.
+// resource limits, the timeouts of server connections and the address of discovery. If the core rejects
+// the settings, the error is logged and nothing changes. Reload may be called from any goroutine.
 func (b *Balancer) Reload(cfg config.Config) {
 	b.loop.Post(func() {
 		b.reloaded = cfg
@@ -18,7 +18,8 @@
 	})
 }
 
-// settingsApplied applies the rest of the reloaded configuration if the core accepted its settings.
+// settingsApplied applies the rest of the reloaded configuration, or logs why the core rejected the
+// settings.
 func (b *Balancer) settingsApplied(applied core.SettingsApplied) {
 	if applied.Err != nil {
 		slog.Error("configuration rejected", "err", applied.Err)
@@ -36,7 +37,7 @@
 	b.setRoutes(applied.Routes)
 }
 
-// setRoutes passes the routes, the deadlines of the classes and the tenants to downstream.
+// setRoutes passes the routes, the tenants and the deadlines of the classes to downstream.
 func (b *Balancer) setRoutes(routes []core.Route) {
 	settings := b.core.Settings()
 	var deadlines []time.Duration
--- a/internal/serve/runtime/resource_limits.go
+++ b/internal/serve/runtime/resource_limits.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// minDescriptors is the lower bound of the descriptor limit. It leaves room to serve a few
+	// minDescriptors is the lower bound of this process's descriptor limit. It leaves room for a few
 	// connections, whatever the siblings hold.
 	minDescriptors = eventloop.ReservedDescriptors + 16
 	// claimSlack is how far this process's descriptor limit may exceed its published claim before the
-	// claim is raised. Without the slack, each further descriptor would cause a new record.
+	// claim is raised. Without the slack, each further descriptor would cause a write of the record.
 	claimSlack = 8
 	// goMemoryTenths is the share of the memory limit, in tenths, that the Go runtime may use. The rest
 	// is for stacks, the runtime's own data and the kernel.
 	goMemoryTenths = 6
 )
 
-// applyResourceLimits sets this process's shares of descriptors and memory and publishes its descriptor
-// claim, so that all processes of the balancer together stay within the limits.
+// applyResourceLimits sets this process's shares of descriptors and memory and, if necessary, publishes a
+// new descriptor claim, so that all processes together stay within the balancer's limits.
 func (b *Balancer) applyResourceLimits() {
 	descriptors, memory := b.resourceShare()
 	if descriptors != b.descriptorLimit {
--- a/internal/serve/runtime/retry_test.go
+++ b/internal/serve/runtime/retry_test.go
@@ -69,7 +69,7 @@
 	}{
 		"idempotent":      {piernotch.Idempotent, 0, " 200 ", 2},
 		"idempotency key": {piernotch.IdempotencyKey, 2 * time.Second, " 200 ", 2},
-		// Rejected instead of failed, because a retry by the client does no harm.
+		// Rejected instead of failed: a retry by the client does no harm.
 		"idempotency key, window is over": {piernotch.IdempotencyKey, 300 * time.Millisecond, " 503 ", 1},
 		"not idempotent":                  {piernotch.NonIdempotent, 0, " 502 ", 1},
 	} {
@@ -106,7 +106,7 @@
 			if test.safety == piernotch.Idempotent {
 				method, target = "GET", "/look"
 			}
-			for i := range 20 { // the retry budget grows with requests, and the balancer learns the latency
+			for i := range 20 { // the retry budget grows with requests, and server latencies become known
 				_, _ = c.request("GET", "/read", fmt.Sprint("warm-", i), "")
 			}
 			head, _ := c.request(method, target, "long", "")
@@ -140,8 +140,8 @@
 }
 
 // A server does not complete its response: it falls silent, closes or resets the connection, or never ends
-// the body. The request may have been executed, so it is retried if that is safe and fails otherwise. In each
-// case the client gets a response in time.
+// the body. The request may have been executed, so it is retried if that is safe and fails otherwise. The client
+// always gets a response in time.
 func TestTruncatedServerResponseIsRetriedOnlyIfSafe(t *testing.T) {
 	endlessBody := func(c net.Conn, _ *bufio.Reader) {
 		for _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"); err == nil; _, err = io.WriteString(c, "a") {
--- a/internal/serve/runtime/server_response_test.go
+++ b/internal/serve/runtime/server_response_test.go
@@ -33,14 +33,14 @@
 	}
 }
 
-// A response without a length is complete when the server closes the connection in order. After a reset, the
+// A response without a length is complete when the server closes the connection normally. After a reset, the
 // response is truncated and must not be forwarded as complete.
 func TestResponseCutByResetIsNotComplete(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
 		head, _ := readMessage(r)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nuntil the")
 		if strings.Contains(head, "later") {
-			time.Sleep(20 * time.Millisecond) // the first part has been read by then
+			time.Sleep(20 * time.Millisecond) // by then the balancer has read the first part
 		}
 		_ = c.(*net.TCPConn).SetLinger(0) // Close sends a reset
 	}))
@@ -77,9 +77,9 @@
 	require.Equal(t, "mine", body)
 }
 
-// Any server may send a malformed response. The request that it answers counts as executed and is retried
-// only if that is safe; the connection is not reused; the server is not ejected. Data after a valid response must
-// not be read as the response to the next request.
+// Any server may send a malformed response. The request counts as executed and is retried only if that is safe;
+// the connection is not reused; the server is not ejected. Data after a valid response must not be read as the
+// response to the next request.
 func TestMalformedResponsesAreNotForwarded(t *testing.T) {
 	good, garbage := "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine", "\x00\xffHTTP\r\n\r\n"
 	bad := "HTTP/1.1 200 OK\r\n"
@@ -122,8 +122,8 @@
 	}
 }
 
-// A server sends each response twice. The duplicate could be read as the response to the next request on the
-// connection, so a connection stays idle for a moment before it is reused.
+// A server sends each response twice. A connection stays idle for a moment before it is reused; otherwise the
+// duplicate could be read as the response to the next request.
 func TestDuplicateResponseIsNotUsedForNextRequest(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
 		for head, body := readMessage(r); head != ""; head, body = readMessage(r) {
@@ -140,7 +140,7 @@
 }
 
 // Data that arrives on an idle server connection belongs to no request. It must not be read as the response
-// to the next request on that connection.
+// to the next request.
 func TestUnsolicitedDataOnIdleServerConnectionIsDiscarded(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
 		for head, body := readMessage(r); head != ""; head, body = readMessage(r) {
--- a/internal/serve/runtime/shared_watch_test.go
+++ b/internal/serve/runtime/shared_watch_test.go
@@ -16,7 +16,7 @@
 	"piernotch/internal/serve/discovery"
 )
 
-// fakeSharedWatch is a group of balancers in which the test decides whether this balancer polls.
+// fakeSharedWatch is a group in which the test decides whether this balancer polls.
 type fakeSharedWatch struct {
 	mu        sync.Mutex
 	poll      bool
@@ -51,8 +51,8 @@
 	return w.published, w.requested
 }
 
-// While another balancer polls discovery, this balancer does not poll. It applies the lists that the other
-// publishes, if they are newer than its own. It polls as soon as the group tells it to.
+// While another balancer polls discovery, this balancer does not poll, but applies the published lists that are
+// newer than its own. It polls as soon as the group tells it to.
 func TestSharedWatchReplacesPolling(t *testing.T) {
 	polled := make(chan string, 16)
 	a, b := startNamedServer(t, "a"), startNamedServer(t, "b")
--- a/internal/serve/runtime/shutdown.go
+++ b/internal/serve/runtime/shutdown.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// settleTime is how long a shutdown waits, once the core has no work left, for requests that are
-	// not read from their sockets yet.
+	// settleTime is how long a shutdown waits, after the first core.Exit, for requests that are not read
+	// from their sockets yet.
 	settleTime = 4 * core.TickInterval
-	// lingerTime is how long a shutdown waits, once the core has no work left, for clients that send or
-	// read slowly.
+	// lingerTime is how long a shutdown waits, after the first core.Exit, for clients that send or read
+	// slowly.
 	lingerTime = 5 * time.Second
 )
 
@@ -28,16 +28,16 @@
 	})
 }
 
-// requestExit records when the core first had no work left.
+// requestExit records the time of the first core.Exit: the core has no work left.
 func (b *Balancer) requestExit() {
 	if b.exitRequested == 0 {
 		b.exitRequested = b.now()
 	}
 }
 
-// exitWhenDrained ends Run once the core has had no work for settleTime and all client connections are
-// closed, or after lingerTime. Ending earlier would lose responses in a buffer and partially received
-// requests.
+// exitWhenDrained does nothing until settleTime is over and no request is pending. It then closes idle
+// client connections, and ends Run when none is left or lingerTime is over. Ending earlier would lose
+// responses in a buffer and partially received requests.
 func (b *Balancer) exitWhenDrained() {
 	now := b.now()
 	if b.exitRequested == 0 || b.core.PendingRequests() > 0 || now-b.exitRequested < settleTime {
--- a/internal/serve/runtime/sibling_processes.go
+++ b/internal/serve/runtime/sibling_processes.go
@@ -11,8 +11,8 @@
 const (
 	// siblingPollInterval is the time between two reads of the sibling processes' records.
 	siblingPollInterval = 25 * time.Millisecond
-	// recordInterval is the age at which this process's record is written again, because the estimates
-	// and the endpoint list in it change all the time.
+	// recordInterval is the age at which this process's record is written again: the estimates and the
+	// endpoint list in the record change all the time.
 	recordInterval = time.Second
 )
 
@@ -20,19 +20,19 @@
 // balancer, which share a listening socket during a handover and exchange records in a directory.
 // Without a directory there are no siblings.
 //
-// It does not depend on the Balancer, which owns it and asks it what follows from the states, such as
+// It does not depend on its owner, the Balancer, which asks it what follows from the states, such as
 // whether to accept clients; see handover.go.
 type siblingProcesses struct {
 	directory     *handover.Directory // nil: none is configured
 	self          handover.ProcessState
 	others        []handover.ProcessState // live siblings whose records could be read
 	alone         bool                    // no sibling is alive
-	polled        time.Duration           // when the siblings' records were last read
+	polled        time.Duration           // when poll last read the siblings' records
 	recordWritten time.Duration           // when this process's record was last written
 }
 
-// enterSiblings announces this process to its siblings in stateDir and also returns their records. If
-// stateDir is "", there are no siblings.
+// enterSiblings announces this process to its siblings in stateDir, returns their records, and sets this
+// process's epoch above theirs. If stateDir is "", there are no siblings.
 func enterSiblings(stateDir, balancerName string) (siblingProcesses, []handover.Peer, error) {
 	siblings := siblingProcesses{
 		self:  handover.ProcessState{Epoch: 1, PID: os.Getpid(), Phase: handover.Starting},
@@ -62,8 +62,8 @@
 	return peers
 }
 
-// poll reads the siblings' records if there is a directory and the last read was at least
-// siblingPollInterval ago. due reports whether poll tried to read them.
+// poll reads the siblings' records if there is a directory and siblingPollInterval has passed since the
+// last poll. due reports whether poll tried to read them.
 func (s *siblingProcesses) poll(now time.Duration) (peers []handover.Peer, due bool) {
 	if s.directory == nil || now-s.polled < siblingPollInterval {
 		return nil, false
@@ -72,7 +72,7 @@
 	return s.read(), true
 }
 
-// update stores which siblings are alive, and their states.
+// update stores the states of the live siblings. It logs when the first appears or the last is gone.
 func (s *siblingProcesses) update(peers []handover.Peer) {
 	s.others = s.others[:0]
 	alone := true
@@ -92,7 +92,7 @@
 	}
 }
 
-// advance sets the phase of this process and reports whether it changed. ShuttingDown is final.
+// advance sets the phase of this process and reports whether the phase changed. ShuttingDown is final.
 func (s *siblingProcesses) advance(to handover.Phase) bool {
 	if s.self.Phase == to || s.self.Phase == handover.ShuttingDown {
 		return false
@@ -108,7 +108,8 @@
 // hasSuccessor reports whether a sibling can serve in place of this process.
 func (s *siblingProcesses) hasSuccessor() bool { return s.self.HasSuccessor(s.others) }
 
-// recordDue reports whether this process has a record that is recordInterval old.
+// recordDue reports whether there is a directory and this process's last write was at least
+// recordInterval ago.
 func (s *siblingProcesses) recordDue(now time.Duration) bool {
 	return s.directory != nil && now-s.recordWritten >= recordInterval
 }
--- a/internal/serve/runtime/stall_test.go
+++ b/internal/serve/runtime/stall_test.go
@@ -12,7 +12,7 @@
 )
 
 // A request that is read right after a stall may have waited in its socket for the whole stall. The wait
-// counts against the request's deadline; otherwise the request would be served too late.
+// counts against the deadline of the request; otherwise the request would be served too late.
 func TestStallCountsAgainstDeadline(t *testing.T) {
 	forwarded := make(chan string, 8)
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
@@ -41,7 +41,7 @@
 	}, testTimeout, 10*time.Millisecond)
 }
 
-// During a stall, a request arrives and then the update that its server is draining. The update must be
+// During a stall, a request arrives, and then the update that the only server is draining. The update must be
 // handled first, or the request would still go to that server.
 func TestEndpointUpdateIsHandledFirstAfterStall(t *testing.T) {
 	forwarded := make(chan string, 8)
--- a/internal/serve/runtime/tenant_quota_test.go
+++ b/internal/serve/runtime/tenant_quota_test.go
@@ -31,7 +31,7 @@
 			"GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: " + id + "\r\nX-Tenant: " + tenant + "\r\n\r\n",
 		)
 	}
-	send("north-1", "north") // uses up the quota of two seconds
+	send("north-1", "north") // uses up north's quota for two seconds
 	require.Equal(t, "north-1", <-forwarded)
 	send("south-1", "south")
 	require.Equal(t, "south-1", <-forwarded) // this balancer sends at most two requests to a server at a time
--- a/internal/serve/runtime/totals.go
+++ b/internal/serve/runtime/totals.go
@@ -19,7 +19,8 @@
 	}
 }
 
-// logTotals logs the counts since the start of the process. event is the log message.
+// logTotals logs the counts since the start of the process and some current values. event is the log
+// message.
 func (b *Balancer) logTotals(event string) {
 	counts := b.core.Counts
 	slog.Info(
--- a/internal/serve/runtime/trace_recorder.go
+++ b/internal/serve/runtime/trace_recorder.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// responseSent completes the record of a request with the result of its final response.
+// responseSent completes the record of a request with its result. It discards the record of a request
+// that was not accepted.
 func (r *traceRecorder) responseSent(now time.Duration, response core.Respond) {
 	switch response.Result {
 	case core.Served:
--- a/internal/serve/runtime/watch_test.go
+++ b/internal/serve/runtime/watch_test.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// If lists are pushed (PollDiscovery is false), a list that the local agent already has counts as known to a
-// process from its start. The process must therefore poll the agent at once, even if it was configured with an
-// older list, and again as soon as the agent closes the connection.
+// If lists are pushed (PollDiscovery is false), a process counts from its start as knowing the list of the local
+// agent. The process must therefore poll the agent at once, even if it was configured with an older list, and
+// again as soon as the agent closes the connection.
 func TestPushedEndpointListIsRequestedImmediately(t *testing.T) {
 	var mu sync.Mutex
 	polls := 0
@@ -64,9 +64,9 @@
 	)
 }
 
-// A watch falls silent while its connection stays open, and a server begins to drain. Discovery counts the
-// update as delivered two seconds after the longest time that it may hold a poll (5 s), even if the watch
-// missed it. From then on the server must receive no request.
+// A watch falls silent while its connection stays open, and a server begins to drain. Discovery counts even a
+// missed update as delivered two seconds after the longest time for which it may hold a poll (5 s). From then
+// on the server must receive no request.
 func TestSilentWatchIsReopened(t *testing.T) {
 	t.Parallel()
 	var forwarded requestLog
@@ -217,7 +217,7 @@
 }
 
 // A reload moves the watch to another address, which is polled for the complete list. Until that list arrives,
-// the balancer uses the list that it has. Late responses from the old address are ignored.
+// the known list stays in use. Late responses from the old address are ignored.
 func TestReloadMovesWatchToNewDiscovery(t *testing.T) {
 	serveOnce := func(name string) string {
 		return startPeer(t, func(c net.Conn, r *bufio.Reader) { readMessage(r); respond(c, name) })
