--- a/internal/serve/handover/lock.go
+++ b/internal/serve/handover/lock.go
@@ -27,7 +27,7 @@
 }
 
 // isLocked reports whether a live process holds the lock on the file at path. It returns an error if
-// the file cannot be opened, usually because it no longer exists.
+// the file cannot be opened, usually because the file is gone.
 func isLocked(path string) (bool, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/serve/handover/process.go
+++ b/internal/serve/handover/process.go
@@ -22,8 +22,8 @@
 	DescriptorClaim int    `json:"claim"` // file descriptors that the other processes leave to this one
 }
 
-// newerThan reports whether s started after other. Of two processes that started at once, and therefore
-// may have the same epoch, the one with the higher process ID counts as newer.
+// newerThan reports whether s started after other. If both started at the same time, their epochs may be
+// equal, and the higher process ID counts as newer.
 func (s ProcessState) newerThan(other ProcessState) bool {
 	if s.Epoch != other.Epoch {
 		return s.Epoch > other.Epoch
--- a/internal/serve/runtime/handover.go
+++ b/internal/serve/runtime/handover.go
@@ -120,7 +120,7 @@
 }
 
 // updateAccepting starts or stops accepting clients on an inherited socket, as ProcessState.Accepts
-// decides, until stopListening. A socket that this process bound itself is not shared.
+// decides, until stopListening. Other sockets are not shared.
 func (b *Balancer) updateAccepting() {
 	inherited := b.cfg.ListenFD != 0
 	if !inherited || b.stopped {
--- a/internal/serve/runtime/helpers_test.go
+++ b/internal/serve/runtime/helpers_test.go
@@ -188,7 +188,7 @@
 	require.NoError(c.t, err)
 }
 
-// request sends a complete request and returns the response.
+// request sends a complete request with an ID and a body, and returns the response.
 func (c *client) request(method, target, id, body string) (head, responseBody string) {
 	c.send(fmt.Sprintf(
 		"%s %s HTTP/1.1\r\nHost: b\r\nX-Request-Id: %s\r\nContent-Length: %d\r\n\r\n%s",
--- a/internal/serve/runtime/stall_test.go
+++ b/internal/serve/runtime/stall_test.go
@@ -12,7 +12,7 @@
 )
 
 // A request that is read right after a stall may have waited in its socket for the whole stall. The wait
-// counts against the deadline of the request; otherwise the request would be served too late.
+// counts against the request's deadline; otherwise the response would be too late.
 func TestStallCountsAgainstDeadline(t *testing.T) {
 	forwarded := make(chan string, 8)
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
--- a/internal/serve/runtime/trace_recorder.go
+++ b/internal/serve/runtime/trace_recorder.go
@@ -57,8 +57,7 @@
 	}
 }
 
-// responseSent completes the record of a request with its result. It discards the record of a request
-// that was not accepted.
+// responseSent completes the record of a request, or discards the record if the request was not accepted.
 func (r *traceRecorder) responseSent(now time.Duration, response core.Respond) {
 	switch response.Result {
 	case core.Served:
