--- a/internal/serve/handover/process.go
+++ b/internal/serve/handover/process.go
@@ -3,7 +3,7 @@
 // Phase is a stage in the life of a process. Its text is stored in records.
 type Phase string
 
-// Phases, in the order in which a process goes through them.
+// Phases of a process, in order.
 const (
 	// Starting means that the process cannot serve yet.
 	Starting Phase = "starting"
@@ -13,17 +13,17 @@
 	ShuttingDown Phase = "ending"
 )
 
-// ProcessState is the part of a process's record from which the processes of a balancer determine
-// who accepts clients and how they divide the file descriptors.
+// ProcessState is the part of a record that determines which process accepts clients and how the
+// processes divide the file descriptors.
 type ProcessState struct {
-	Epoch           uint64 `json:"epoch"` // higher than that of any process found at the start
+	Epoch           uint64 `json:"epoch"` // higher than the epoch of each process found when this one started
 	PID             int    `json:"pid"`
 	Phase           Phase  `json:"phase"`
-	DescriptorClaim int    `json:"claim"` // file descriptors that the others leave to this process
+	DescriptorClaim int    `json:"claim"` // file descriptors that the other processes leave to this one
 }
 
-// newerThan reports whether s started after other. Two processes that started at once may have the
-// same epoch; the one with the higher process ID then counts as newer.
+// newerThan reports whether s started after other. If both started at the same time, their epochs may be
+// equal, and the higher process ID counts as newer.
 func (s ProcessState) newerThan(other ProcessState) bool {
 	if s.Epoch != other.Epoch {
 		return s.Epoch > other.Epoch
@@ -42,13 +42,14 @@
 	return s.Phase != Starting
 }
 
-// descriptorHeadroom is how many file descriptors a process may open beyond those that it holds
-// while another process accepts clients. The accepting process gets at least as many.
+// descriptorHeadroom is how many further file descriptors a process may open while another process
+// accepts clients. The accepting process may use at least this many in all.
 const descriptorHeadroom = 16
 
-// DescriptorShare returns how many of the balancer's file descriptors, limit in all, this process may
-// use, given the other live processes. open is the number that it holds now. The process that accepts
-// clients needs the most: the others claim little more than they hold, and it gets the rest.
+// DescriptorShare returns how many file descriptors this process may use, given the other live
+// processes. limit applies to all of them together; open is what this process holds. The process that
+// accepts clients needs the most and gets what the others do not claim. Each of the others claims little
+// more than it holds, and at most half of limit.
 func (s ProcessState) DescriptorShare(others []ProcessState, limit, open int) int {
 	if len(others) == 0 {
 		return limit
--- a/internal/serve/runtime/client_disconnect_test.go
+++ b/internal/serve/runtime/client_disconnect_test.go
@@ -34,7 +34,7 @@
 			_ = c.Close()
 			time.Sleep(50 * time.Millisecond)
 			unblock()
-			_, body := connect(t, balancer).request("POST", "/append", "stays", "mine") // waits for the same connection
+			_, body := connect(t, balancer).request("POST", "/append", "stays", "mine") // waits for the dial
 			require.Equal(t, "mine", body)
 			time.Sleep(300 * time.Millisecond)
 			require.Zero(t, forwarded.count("left"))
@@ -58,7 +58,7 @@
 				}
 			}))
 			var busy []*client
-			for i := range 2 { // as many as this balancer sends to a server at a time
+			for i := range 2 { // this balancer sends at most two requests to a server at a time
 				c := connect(t, balancer)
 				c.send(fmt.Sprintf("GET /read HTTP/1.1\r\nHost: b\r\nX-Request-Id: busy-%d\r\n\r\n", i))
 				busy = append(busy, c)
@@ -100,7 +100,7 @@
 	var forwarded requestLog
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
 	c := connect(t, balancer)
-	for i := range 2 { // opens a connection to the server, so that a request would be written at once
+	for i := range 2 { // open a server connection on which the next request would be written at once
 		_, body := c.request("POST", "/append", fmt.Sprint(i), "mine")
 		require.Equal(t, "mine", body)
 	}
--- a/internal/serve/runtime/handover.go
+++ b/internal/serve/runtime/handover.go
@@ -11,8 +11,8 @@
 	"piernotch/internal/serve/handover"
 )
 
-// joinSiblings announces this process to its siblings and returns them. It takes over the endpoint
-// list of the newest sibling that has a usable one.
+// joinSiblings announces this process to its siblings, takes over from the newest sibling that
+// canTakeOver accepts, and returns all siblings.
 func (b *Balancer) joinSiblings() ([]handover.Peer, error) {
 	siblings, peers, err := enterSiblings(b.cfg.StateDir, b.cfg.Name)
 	if err != nil {
@@ -32,9 +32,9 @@
 	return peers, nil
 }
 
-// canTakeOver reports whether a sibling's record holds a better endpoint list than this process's
-// configuration. The list of a sibling that has ended may be outdated, so it must come from the same
-// discovery service and must not be older than the configured one.
+// canTakeOver reports whether a sibling's endpoint list is known and better than the configured one. A
+// live sibling's list always is. The list of a sibling that has ended may be outdated: it must come from
+// the same discovery service and be no older than the configured list.
 func (b *Balancer) canTakeOver(peer *handover.Peer) bool {
 	if peer.Err != nil || peer.Endpoints == nil {
 		return false
@@ -45,7 +45,7 @@
 	return peer.Discovery == b.cfg.Discovery && peer.Generation >= b.cfg.KnownEndpoints.Generation
 }
 
-// takeOver initializes this process with the endpoint list and the estimates of a sibling.
+// takeOver initializes this process and its watch with a sibling's endpoint list and estimates.
 func (b *Balancer) takeOver(from *handover.Record) {
 	known := discovery.EndpointList{Generation: from.Generation, Reset: true}
 	for i := range from.Endpoints {
@@ -76,7 +76,8 @@
 	)
 }
 
-// tickSiblings reads the siblings' records and writes this process's record, each at its interval.
+// tickSiblings reads the siblings' records and adapts to them, and writes this process's record, each at
+// its interval.
 func (b *Balancer) tickSiblings(now time.Duration) {
 	if peers, due := b.siblings.poll(now); due {
 		b.mergePeers(peers)
@@ -89,7 +90,7 @@
 }
 
 // mergePeers applies the operator overrides in the siblings' records and updates which siblings are
-// alive.
+// alive. If none is alive, old overrides are pruned.
 func (b *Balancer) mergePeers(peers []handover.Peer) {
 	for i := range peers {
 		if peer := &peers[i]; peer.Err == nil {
@@ -102,7 +103,8 @@
 	}
 }
 
-// advance moves this process to a phase and, if that is new, publishes it to the siblings.
+// advance sets this process's phase. A new phase is published to the siblings and may change whether
+// clients are accepted.
 func (b *Balancer) advance(to handover.Phase) {
 	if b.siblings.advance(to) {
 		b.writeRecord()
@@ -110,15 +112,15 @@
 	}
 }
 
-// advanceWhenReady publishes the phase Ready once this process can serve.
+// advanceWhenReady advances to the phase Ready if this process can serve.
 func (b *Balancer) advanceWhenReady() {
 	if b.ready() {
 		b.advance(handover.Ready)
 	}
 }
 
-// updateAccepting starts or stops accepting clients on an inherited socket, so that only one of the
-// processes that share the socket accepts. A socket that this process bound itself is not shared.
+// updateAccepting starts or stops accepting clients on an inherited socket, as ProcessState.Accepts
+// decides, until stopListening. Other sockets are not shared.
 func (b *Balancer) updateAccepting() {
 	inherited := b.cfg.ListenFD != 0
 	if !inherited || b.stopped {
@@ -138,7 +140,8 @@
 	}
 }
 
-// leaveSiblings writes the last record and shows the siblings that this process has ended.
+// leaveSiblings writes the last record and shows the siblings, by releasing the lock, that this process
+// has ended.
 func (b *Balancer) leaveSiblings() {
 	b.writeRecord()
 	b.siblings.leave()
@@ -151,7 +154,8 @@
 	}
 }
 
-// record returns what a successor needs to know. Its Endpoints is nil until an endpoint list is known.
+// record returns what siblings and successors need to know. The Endpoints field is nil until a list is
+// known.
 func (b *Balancer) record(now time.Duration) handover.Record {
 	record := handover.Record{
 		ProcessState: b.siblings.self,
@@ -170,7 +174,7 @@
 	return record
 }
 
-// storedEndpoint converts an endpoint to the form in a record, with its zone by name, "" if unknown.
+// storedEndpoint converts an endpoint for a record, with its zone by name ("" if unknown).
 func (b *Balancer) storedEndpoint(known core.DiscoveredEndpoint) handover.Endpoint {
 	zone := ""
 	zones := b.cfg.Settings.Zones
--- a/internal/serve/runtime/handover_test.go
+++ b/internal/serve/runtime/handover_test.go
@@ -21,7 +21,6 @@
 	configure  func(*config.Config)
 }
 
-// newSiblingPair opens the listening socket on a free port.
 func newSiblingPair(t *testing.T) *siblingPair {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,7 +41,7 @@
 }
 
 // A new process takes over the endpoint list and the operator overrides of the running one and accepts
-// clients in its place. Both serve as one balancer until the old one has shut down.
+// clients in its place. Both processes serve as one balancer until the old one has shut down.
 func TestSuccessorTakesOverEndpointsAndOverrides(t *testing.T) {
 	p := newSiblingPair(t)
 	a, b := startNamedServer(t, "a"), startNamedServer(t, "b")
@@ -50,7 +49,7 @@
 	existing := connect(t, old)
 	require.Equal(t, 200, adminCall(t, old, "POST", "/api/exclude", fmt.Sprintf(`{"name":"s-%s"}`, a)))
 
-	// The configured list is empty: the new process can serve only with the list of the old one.
+	// The configured list is empty, so the new process can serve only with the old process's list.
 	next, _ := startBalancerWith(t, p.configure, startIdleDiscovery(t))
 	require.Equal(t, 200, adminCall(t, next, "GET", "/api/ready", ""))
 	require.Eventually(
@@ -99,5 +98,5 @@
 	require.Contains(t, head, " 503 ", "the old process has taken over the drain")
 }
 
-// accepting reports whether the state of a balancer's listener, accepting or not, equals want.
+// accepting reports whether a balancer accepts clients (want is true) or does not (want is false).
 func accepting(balancer *Balancer, want bool) bool { return balancer.listener.Accepting() == want }
--- a/internal/serve/runtime/load_shedding_test.go
+++ b/internal/serve/runtime/load_shedding_test.go
@@ -16,7 +16,7 @@
 // More clients connect than there are descriptors. Idle connections must be closed so that every client is
 // served.
 func TestIdleClientConnectionsAreShed(t *testing.T) {
-	longTimeouts := func(cfg *config.Config) { // a test machine that pauses for seconds must not fail requests
+	longTimeouts := func(cfg *config.Config) { // no request may time out if the machine pauses for seconds
 		cfg.DialTimeout = time.Minute
 		for i := range cfg.Settings.Classes {
 			cfg.Settings.Classes[i].LatencyObjective = time.Minute
@@ -31,8 +31,8 @@
 	}
 }
 
-// When descriptors are short, connections are closed, but not one with a response that its client is still
-// reading.
+// When descriptors are short, idle connections are closed, but not a connection whose client is still reading
+// a response.
 func TestSlowlyReadResponseIsNotShed(t *testing.T) {
 	body := strings.Repeat("a", 60<<10)
 	balancer, _ := startBalancerWith(t, func(cfg *config.Config) { cfg.MaxDescriptors = 64 }, startIdleDiscovery(t),
@@ -49,13 +49,12 @@
 	require.True(t, strings.HasSuffix(string(all), "\r\n\r\n"+body), "%d bytes", len(all))
 }
 
-// Descriptors are short, and an idle connection has just received a request that is not read yet. The
-// connection must not be closed.
+// When descriptors are short, an idle connection with a request that is not read yet must not be closed.
 func TestConnectionWithUnreadRequestIsNotShed(t *testing.T) {
 	var forwarded requestLog
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
 	c := connect(t, balancer)
-	time.Sleep(100 * time.Millisecond) // by now it has been idle long enough to be closed
+	time.Sleep(100 * time.Millisecond) // by now the connection may be closed as idle
 	resume := pauseLoop(balancer)
 	balancer.loop.Post(balancer.downstream.Shed)
 	c.send("POST /append HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\nContent-Length: 4\r\n\r\nmine")
@@ -65,8 +64,8 @@
 	require.Equal(t, "mine", body)
 }
 
-// Some clients send one request and leave the connection open. It is closed after a time, or it would hold
-// a descriptor that other clients need.
+// Some clients send one request and leave the connection open. It must be closed after a time, or it would
+// hold a descriptor that other clients need.
 func TestIdleClientConnectionIsClosed(t *testing.T) {
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startNamedServer(t, "served"))
 	c := connect(t, balancer)
--- a/internal/serve/runtime/stall_test.go
+++ b/internal/serve/runtime/stall_test.go
@@ -11,8 +11,8 @@
 	"piernotch/internal/serve/eventloop"
 )
 
-// A request that is read right after a stall may have waited in its socket for the whole stall. That time
-// counts against its deadline; otherwise it would be served too late.
+// A request that is read right after a stall may have waited in its socket for the whole stall. The wait
+// counts against the request's deadline; otherwise the response would be too late.
 func TestStallCountsAgainstDeadline(t *testing.T) {
 	forwarded := make(chan string, 8)
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, func(c net.Conn, r *bufio.Reader) {
@@ -41,8 +41,8 @@
 	}, testTimeout, 10*time.Millisecond)
 }
 
-// During a stall, a request arrives and then the update that its server is draining. The update must be
-// handled first, or the request would go to that server long after the update.
+// During a stall, a request arrives, and then the update that the only server is draining. The update must be
+// handled first, or the request would still go to that server.
 func TestEndpointUpdateIsHandledFirstAfterStall(t *testing.T) {
 	forwarded := make(chan string, 8)
 	update := make(chan string, 1)
--- a/internal/serve/runtime/trace_recorder.go
+++ b/internal/serve/runtime/trace_recorder.go
@@ -37,7 +37,7 @@
 	return &traceRecorder{out: out, startedAt: now, pending: map[core.ExchangeID]trafficrecording.Record{}}, nil
 }
 
-// eventReceived starts the record of a received request, and completes it if the client disconnects.
+// eventReceived starts a record when a request is received and completes it if the client disconnects.
 // Other events are ignored.
 func (r *traceRecorder) eventReceived(now time.Duration, event core.Event) {
 	switch event := event.(type) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// responseSent completes the record of a request with the result of its final response.
+// responseSent completes the record of a request, or discards the record if the request was not accepted.
 func (r *traceRecorder) responseSent(now time.Duration, response core.Respond) {
 	switch response.Result {
 	case core.Served:
@@ -66,7 +66,7 @@
 		r.complete(now, response.Exchange, trafficrecording.Rejected)
 	case core.Failed:
 		r.complete(now, response.Exchange, trafficrecording.Failed)
-	default: // the request was invalid and never accepted
+	default: // DuplicateID: the request was never accepted
 		delete(r.pending, response.Exchange)
 	}
 }
