--- a/balancer.go
+++ b/balancer.go
@@ -37,8 +37,9 @@
 	// lateDivisor sets when a response is late: when its latency (for load shedding) or its queueing delay
 	// (for the lanes) is over half of the objective. This leaves time to act before the objective is missed.
 	lateDivisor = 2
-	// maxNeededDivisor limits the expected latency of a waiting request to half of its objective. The
-	// estimate comes from other requests: if it is too high, it must not be enough to reject the request.
+	// maxNeededDivisor caps the latency that is expected of a waiting request at half of its objective. The
+	// estimate comes from other requests; an estimate that is too high must not by itself get the request
+	// rejected.
 	maxNeededDivisor = 2
 
 	millisecondsPerSecond = 1000
--- a/class_failures.go
+++ b/class_failures.go
@@ -11,7 +11,8 @@
 	})
 }
 
-// classResult returns what the status of an attempt shows about the class on the server. Other means nothing.
+// classResult returns what the status of an attempt shows about the class on the server:
+// classfailure.Other if the status shows nothing.
 func classResult(status Status) classfailure.Result {
 	switch status {
 	case OK:
--- a/piernotch.go
+++ b/piernotch.go
@@ -59,7 +59,9 @@
 
 // Rules holds the parameters of discovery and slow start.
 type Rules struct {
-	PollInterval      time.Duration // if discovery has to be polled: longest time between polls; sets the first backoff
+	// PollInterval is the longest time that a balancer may go without polling, if discovery has to be polled. This
+	// package uses it only for the first backoff (see subscription.Options).
+	PollInterval      time.Duration
 	SlowStartCapacity float64       // share of its capacity that a server has right after its start, in [0, 1]
 	SlowStartDuration time.Duration // time from a server's start until it has its full capacity
 	OverloadWindow    time.Duration // a server in slow start fails if overloaded for this long; 0: unknown
--- a/selection.go
+++ b/selection.go
@@ -8,7 +8,7 @@
 
 const (
 	objectiveShare         = 0.9  // limit on the expected latency, as a share of the time to the objective
-	minSpillers            = 3.0  // least number of balancers that may spill to a server; see maxSpillers
+	minSpillers            = 3.0  // least number of other zones' balancers that may spill to a server
 	spillerShare           = 0.1  // the same as a share of all balancers; the larger number counts
 	totalInflightBound     = 6.0  // limit on all balancers' requests at a server, per unit of maxLoad
 	totalInflightBoundKey  = 8.0  // limit on all balancers' requests at a server that may have cached the key
