--- a/internal/decision/admission/admission.go
+++ b/internal/decision/admission/admission.go
@@ -10,8 +10,8 @@
 //     controlled by latency and not by failures.
 //   - Priority bands (bands.go): the classes of requests, each within and over the quotas of its tenants, in
 //     an order of precedence. Shedding rejects the lowest bands first, as with the criticality levels in
-//     the chapter "Handling Overload" of Google's Site Reliability Engineering book. A band that gets much
-//     less than its part of the forwarded work temporarily goes first, so that no band starves.
+//     the chapter "Handling Overload" of Google's Site Reliability Engineering book. A band that gets
+//     clearly less than its part of the forwarded work temporarily goes first, so that no band starves.
 //   - A bound on the queue (queue.go): a request that would wait for too long is rejected at once.
 //
 // The Controller decides from what its caller reports: arrivals, forwarded requests, and whether responses
@@ -66,8 +66,7 @@
 }
 
 // RetryAfter returns the delay that a rejection advises: the shortest objective, up to MaxRetryAfter.
-// 0 means no advice, as without shedding: the rejection is then due to a short fault, and an early retry is
-// right.
+// 0 means no advice: while nothing is shed, a rejection is due to a short fault, and an early retry is right.
 func (c *Controller) RetryAfter() time.Duration {
 	if !c.options.AdviseRetryAfter || !c.Shedding() {
 		return 0
--- a/internal/decision/admission/bands.go
+++ b/internal/decision/admission/bands.go
@@ -32,7 +32,7 @@
 	arrived     float64 // recently arrived work in ms, decaying
 	forwarded   float64 // recently forwarded work in ms, decaying
 	rejectShare float64 // share of its requests to reject on arrival
-	starved     bool    // far below its part of the forwarded work, if PreventStarvation is set
+	starved     bool    // below starvedBelow of its part of the forwarded work, if PreventStarvation is set
 }
 
 func newBandState(weight float64) bandState { return bandState{weight: weight, precedence: weight} }
--- a/internal/decision/admission/queue.go
+++ b/internal/decision/admission/queue.go
@@ -4,8 +4,8 @@
 
 const (
 	// queueMinLength is the number of waiting requests below which the queue never counts as too long.
-	// Delay is computed from the send rate of this balancer, which is no measure of the servers' capacity
-	// where there are only a few balancers.
+	// Delay divides the waiting work by the rate at which this balancer sends work. With few balancers, that
+	// rate is no measure of the servers' capacity, and must not get a few waiting requests rejected.
 	queueMinLength = 16
 	// queueMaxShare bounds the queueing delay, as a share of the shortest latency objective. A longer queue
 	// would serve no more requests. Clients that would wait for longer go elsewhere sooner if they are
--- a/internal/decision/classfailure/classfailure.go
+++ b/internal/decision/classfailure/classfailure.go
@@ -37,7 +37,7 @@
 // Results of an attempt. Other never changes the failure share; TimedOut and Cancelled change it only
 // if the server hung.
 const (
-	Other         Result = iota // says nothing about the class: rejected, not connected or not sent
+	Other         Result = iota // no information: rejected, not sent, not connected, or the connection broke
 	GoodResponse                // the request was served
 	ErrorResponse               // an error response; a rejection is Other
 	TimedOut                    // no response within the time-out
--- a/internal/decision/concurrency/concurrency.go
+++ b/internal/decision/concurrency/concurrency.go
@@ -4,8 +4,8 @@
 // then do not bound the sum: a fleet can be overloaded although each balancer has less than one request at
 // each server. A Limit therefore bounds the requests of this balancer in the whole group, and is adjusted so
 // that the mean number of all balancers' requests at a server stays at a target. All balancers see the same
-// mean and move their limits by the same factor. They reach the target together, whatever their number and
-// their parts of the traffic are, and exchange nothing.
+// mean. If all of them move their limits by the same factor, they reach the target together, whatever their
+// number and their parts of the traffic are, and exchange nothing.
 //
 // Like the adaptive limits of Netflix's concurrency-limits and of Envoy's adaptive concurrency filter, the
 // limit follows a measured effect of the load. The measure here is the number of requests in flight rather
--- a/internal/decision/estimate/estimate.go
+++ b/internal/decision/estimate/estimate.go
@@ -47,10 +47,10 @@
 	return time.Duration(count * float64(time.Millisecond))
 }
 
-// UpdateRatio returns the running ratio of latency to work, both in ms, moved towards the sample
-// latency/work by the share gain, at most maxRatioGain, of the distance. A ratio of 0 is unknown and is
-// replaced by the sample. The ratio stays as it is if work or latency is not positive, or if gain is not a
-// finite number.
+// UpdateRatio returns the running ratio of latency to work, both in ms, after the sample latency/work. The
+// ratio moves towards the sample by the distance times gain; gain counts up to maxRatioGain. A ratio of 0 is
+// unknown and is replaced by the sample. The ratio stays as it is if work or latency is not positive, or if
+// gain is not a finite number.
 func UpdateRatio(ratio, latency, work, gain float64) float64 {
 	if !(work > 0) || !(latency > 0) || math.IsInf(gain, 0) || math.IsNaN(gain) {
 		return ratio
--- a/internal/decision/outlier/outlier.go
+++ b/internal/decision/outlier/outlier.go
@@ -190,8 +190,8 @@
 	}
 }
 
-// AttemptEnded records the end of any attempt at the server; the caller calls it before it records the
-// outcome. It clears the trial in flight even if the attempt was started before the ejection.
+// AttemptEnded records the end of any attempt at the server; call it before recording the outcome. It clears
+// the trial in flight even if the attempt was started before the ejection.
 func (m *Monitor) AttemptEnded() { m.trialInflight = false }
 
 // StartHealthCheckIfDue reports whether the caller is to start a health check now, and if so records it as
--- a/internal/decision/slowstart/rate.go
+++ b/internal/decision/slowstart/rate.go
@@ -4,8 +4,8 @@
 
 const (
 	// loadMultiple is the multiple of its share of a warm server's load that a balancer may send where sends
-	// are not drawn. Few balancers spread the load unevenly, and only a multiple of its capacity makes a
-	// server fail.
+	// are not drawn. Where there are few balancers, they spread the load unevenly, and a server is overloaded
+	// only by a multiple of its capacity.
 	loadMultiple = 3.0
 	// idleGrowth is the multiple of its reported completion rate that an idle server may get where sends are
 	// not drawn: the work that an idle server does warms it up sooner than the options say.
--- a/internal/decision/slowstart/slowstart.go
+++ b/internal/decision/slowstart/slowstart.go
@@ -129,9 +129,9 @@
 	}
 }
 
-// Admits reports whether the server may get the request, before any draw: one request at a time, after the
-// pause. Heavy requests are not admitted, since one of them from each balancer would overload the server. A
-// server in another zone with balancers of its own gets no request: those balancers warm it up.
+// Admits reports whether the server may get the request, apart from the draw of WinsDraw: one request at a
+// time, after the pause. Heavy requests are not admitted, since one of them from each balancer would overload
+// the server. A server in another zone with balancers of its own gets no request: those balancers warm it up.
 func (c *Controller) Admits(now time.Duration, p *Progress, request Request) bool {
 	heavy := request.Work > request.MeanWork
 	if heavy || request.WarmedByLocalBalancers {
@@ -165,7 +165,8 @@
 }
 
 // interval returns the mean time between this balancer's requests. It counts each request as one of mean
-// work, although only requests up to the mean are sent: low cost hints are too low as often as not.
+// work, although only requests with an expected work of up to the mean are sent: low cost hints are too low
+// as often as not, and the real work is then higher.
 func (c *Controller) interval(now time.Duration, p *Progress, load Load) time.Duration {
 	longest := c.options.Duration
 	if c.Drawn() {
@@ -176,7 +177,7 @@
 	switch {
 	case unknown && !c.Drawn():
 		return 0
-	case unknown: // otherwise many balancers would all try at once
+	case unknown: // with 0, all draws would win, and many balancers would send at once
 		return longest
 	}
 	return time.Duration(min(load.MeanWork/workPerSecond, longest.Seconds()) * float64(time.Second))
--- a/internal/decision/workload/workload_test.go
+++ b/internal/decision/workload/workload_test.go
@@ -54,7 +54,7 @@
 func TestFastResponsesReplaceMissingHints(t *testing.T) {
 	m := newModel()
 	for i := range 400 {
-		latency := time.Duration(20+i%3*80) * time.Millisecond // a third of the requests does not queue
+		latency := time.Duration(20+i%3*80) * time.Millisecond // a third of the requests do not queue
 		m.ObserveResponse(0, latency)
 	}
 	require.InDelta(t, 20, m.WithoutHint(0), 4)
