--- a/internal/serve/downstream/close_reason.go
+++ b/internal/serve/downstream/close_reason.go
@@ -8,7 +8,7 @@
 
 const (
 	closeLastResponse   closeReason = "last response"        // the response announced the close
-	closeLingered       closeReason = "client did not close" // its side within lingerTimeout after CloseWrite
+	closeLingered       closeReason = "client did not close" // the client's side is still open after lingerTimeout
 	closeUnread         closeReason = "response not read"
 	closeSilent         closeReason = "no first byte"
 	closeIdleTooLong    closeReason = "idle"
--- a/internal/serve/downstream/doc.go
+++ b/internal/serve/downstream/doc.go
@@ -14,8 +14,9 @@
 // with unread input would reset the connection, and could destroy a response in
 // transit.
 //
-// The package must not depend on servers, retries or admission control. It identifies
-// classes and tenants to the core by their index in the settings.
+// The package must not contain logic that concerns servers, retries or admission
+// control. It identifies classes and tenants to the core by their index in the
+// settings.
 //
 // The runtime package is the only caller. Downstream is not safe for concurrent
 // use: all its methods, and the connection handlers that it registers, must run on
--- a/internal/serve/downstream/shedding.go
+++ b/internal/serve/downstream/shedding.go
@@ -29,7 +29,7 @@
 	shedIdle                     // between two requests
 	shedClassCount
 
-	shedNever shedClass = -1 // in use, with unread input, or in its phase for less than the minimum time
+	shedNever shedClass = -1 // in use, silent or idle with unread input, or in its phase for less than the minimum time
 )
 
 // Shed closes up to maxShedPerCall connections to free descriptors: the lowest
--- a/internal/serve/downstream/timeouts.go
+++ b/internal/serve/downstream/timeouts.go
@@ -37,7 +37,7 @@
 	drainIdleGrace = 2500 * time.Millisecond
 
 	// newConnectionGrace is the age up to which CloseIdle does not close a connection
-	// whose client has not sent a byte yet.
+	// whose client has not sent a byte yet: its first request is still expected.
 	newConnectionGrace = 300 * time.Millisecond
 )
 
--- a/internal/serve/upstream/repeated_response.go
+++ b/internal/serve/upstream/repeated_response.go
@@ -74,6 +74,7 @@
 }
 
 // sinceLastResponse returns the time since the last response on the connection. A held response does not count.
+// Without an earlier response, it returns the clock's time.
 func (c *connection) sinceLastResponse() time.Duration {
 	return c.pool.upstream.now() - c.carried[0].at
 }
--- a/internal/serve/upstream/single_use.go
+++ b/internal/serve/upstream/single_use.go
@@ -13,8 +13,8 @@
 	lateRepeat = settleTime / 2
 	// singleUseTime is how long connections carry only one request each after a late second response.
 	singleUseTime = 5 * time.Minute
-	// widespreadRepeats is the number of servers with late second responses at which the connections to all servers
-	// carry only one request each.
+	// widespreadRepeats is how many servers must have sent a late second response within singleUseTime before the
+	// connections to all servers carry only one request each.
 	widespreadRepeats = 2
 )
 
--- a/internal/serve/upstream/upstream.go
+++ b/internal/serve/upstream/upstream.go
@@ -21,8 +21,8 @@
 	history      responseHistory
 	singleUse    singleUse
 
-	// ConnectionsOpened counts the dials so far, including failed ones. The count is logged and numbers the
-	// connections.
+	// ConnectionsOpened counts the dials so far, including failed ones. The count is logged. The number
+	// of a connection is the count at its dial.
 	ConnectionsOpened int
 	// UnsolicitedData counts, for the log, surplus data from servers: bytes directly behind a response, data while no
 	// response is due, and second responses to earlier requests.
