--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -67,7 +67,7 @@
 }
 
 // End handles the end of the connection. It returns the response that the end completes, or nil if
-// none was in progress or the response was truncated.
+// no response was in progress, the response was truncated or too long, or Next has failed.
 func (p *Parser) End() *Message {
 	if p.failure != nil || p.state != stateBody || p.framing != framingUntilClose || len(p.buffer) > p.maxBody {
 		return nil
--- a/internal/serve/discovery/doc.go
+++ b/internal/serve/discovery/doc.go
@@ -2,8 +2,8 @@
 // endpoint list, and receives changes of the list.
 //
 // A watch is a series of long polls. Each poll names the known generation, and the service holds it
-// until there is a later generation or the wait is over. The next poll is sent at most
-// minPollInterval after the response, because the service counts a poll that comes more than 200 ms
+// until there is a later generation or the wait is over. The next poll is sent within about
+// minPollInterval of the response, because the service counts a poll that comes more than 200 ms
 // later as a new watch.
 //
 // One balancer may poll for several (see controlgroup.SharedWatch). The others receive the lists
--- a/internal/serve/discovery/shared_watch.go
+++ b/internal/serve/discovery/shared_watch.go
@@ -11,10 +11,11 @@
 // polls for itself alone.
 func (w *Watcher) UseSharedWatch(shared controlgroup.SharedWatch) { w.shared = shared }
 
-// ReceiveShared applies a list that another balancer polled and published. A list older than the
-// known one is ignored. If a newer change does not follow the known version, or that version cannot
-// be continued, the watcher requests an update from the group. UseSharedWatch must have been called
-// with a group.
+// ReceiveShared applies a list that another balancer polled and published. Events from another
+// address and outdated events are ignored (see WatchEvent.Follows). If a newer event does not follow
+// the known version, the watcher requests an update from the group instead. If the known version
+// cannot be continued, a complete list of any version is applied, and any other event from this
+// address causes a request. UseSharedWatch must have been called with a group.
 func (w *Watcher) ReceiveShared(event controlgroup.WatchEvent) {
 	apply, missing := event.Follows(w.address, w.version)
 	if w.needsReset && event.Source == w.address {
@@ -47,7 +48,7 @@
 }
 
 // publish publishes a list to the group in discovery's wire format. It must be called before the
-// list is applied, while w.version is still the preceding one.
+// list is applied, because the event's FromVersion is the version known until then.
 func (w *Watcher) publish(list EndpointList, body []byte) {
 	event := controlgroup.WatchEvent{
 		Source:      w.address,
--- a/internal/serve/discovery/watcher_test.go
+++ b/internal/serve/discovery/watcher_test.go
@@ -171,7 +171,7 @@
 }
 
 // An update's Since is the arrival of the previous response: the changes were not listed then.
-func TestUpdateSaysSinceWhenItCanHaveBeenListed(t *testing.T) {
+func TestUpdateSinceIsArrivalOfPreviousList(t *testing.T) {
 	f := newFixture(t)
 	f.Do(f.watcher.Watch)
 	connection := f.accept()
--- a/internal/serve/eventloop/dial.go
+++ b/internal/serve/eventloop/dial.go
@@ -6,9 +6,8 @@
 )
 
 // dialOvershoot is the number of descriptors by which ordinary dials may exceed the limit after
-// ShedAll.
-// The connections that ShedAll closes are counted as closed only a moment later; until then the
-// reserved descriptors cover the excess.
+// ShedAll. The connections that ShedAll closes are counted as closed only a moment later; until
+// then the reserved descriptors cover the excess.
 const dialOvershoot = ReservedDescriptors / 4
 
 // DialKind says which descriptors a dial may use.
--- a/internal/serve/eventloop/listener.go
+++ b/internal/serve/eventloop/listener.go
@@ -76,7 +76,7 @@
 // accepting.
 func (l *Listener) Inherit(fd int) error {
 	file := os.NewFile(uintptr(fd), "inherited listener")
-	listener, err := net.FileListener(file) // fails unless fd is an open socket
+	listener, err := net.FileListener(file) // fails unless fd is an open socket; fd is not negative (see config)
 	if err != nil {
 		return err
 	}
@@ -128,11 +128,12 @@
 	l.listener = listener
 	l.address = listener.Addr().String()
 	l.mu.Unlock()
-	// Owned by the Listener; ends once Stop has closed the socket.
+	// Owned by the Listener; ends once Stop has closed the socket and open is below the limit.
 	go l.acceptAll(listener)
 }
 
-// acceptAll accepts connections until the socket is closed.
+// acceptAll accepts connections until the socket is closed. While open is at the limit, acceptAll
+// sheds and waits, even after the close.
 func (l *Listener) acceptAll(listener net.Listener) {
 	for {
 		for l.open.Load() >= l.limit() {
--- a/internal/serve/eventloop/loop.go
+++ b/internal/serve/eventloop/loop.go
@@ -25,8 +25,8 @@
 	// LongStallThreshold is the gap above which the loop first gives the poller longStallReadTime
 	// to read the sockets, and only then handles messages. Otherwise it could handle a request
 	// before the update which says that a server drains, and send the request to that server after
-	// the time in which that is still allowed. The threshold can be as high as 100 ms because the
-	// protocol tolerates a delay of half of that (50 ms) on every time limit.
+	// the time in which that is still allowed. The threshold is twice the delay of 50 ms that the
+	// protocol tolerates on every time limit.
 	LongStallThreshold = 100 * time.Millisecond
 	longStallReadTime  = 20 * time.Millisecond
 
--- a/internal/serve/eventloop/loop_test.go
+++ b/internal/serve/eventloop/loop_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// recordingHandler counts the bytes that it receives and sends the error of Closed to end.
+// recordingHandler counts the bytes that it receives, and sends the error passed to Closed on the channel end.
 type recordingHandler struct {
 	bytes int
 	end   chan error
