--- a/internal/controlgroup/consensus/state_machine.go
+++ b/internal/controlgroup/consensus/state_machine.go
@@ -29,14 +29,16 @@
 // no longer be used.
 var ErrStaleStore = errors.New("voter file is stale: the group has seen a newer state of it")
 
-// MessageError is returned by Step for a message that cannot come from a correct voter of the group.
+// MessageError is returned by Step for a message that is addressed to another voter, is empty, or holds a raft message
+// that names another sender.
 type MessageError struct {
 	From     protocol.VoterID // the sender that the message names
 	To       protocol.VoterID // the addressee that the message names
 	Receiver protocol.VoterID
 }
 
-// Error names the voters, and says whether the message was misrouted or has no content from its sender.
+// Error names the voters, and says whether the message was misrouted or has no content from the voter that it names as
+// its sender.
 func (e *MessageError) Error() string {
 	if e.To != e.Receiver {
 		return fmt.Sprintf("message for voter %x was received by voter %x", e.To, e.Receiver)
@@ -196,7 +198,8 @@
 		return
 	}
 	for _, id := range m.snapshotsSent {
-		// Raft sends the voter no entries until this report. That voter's next message shows if the snapshot arrived.
+		// Reported as finished even if the snapshot was lost: otherwise raft would send the voter no entries until the
+		// voter acknowledges a snapshot that may never have arrived. The voter's next response shows if it arrived.
 		m.node.ReportSnapshot(uint64(id), raft.SnapshotFinish)
 	}
 	m.snapshotsSent = nil
@@ -209,9 +212,9 @@
 	}
 }
 
-// Step handles a message from another voter. It returns a *MessageError for a misrouted or empty message, and
-// ErrStaleStore for a message that shows that the store is out of date: the state machine is Outdated from then on.
-// After any other error the state machine can be used as before.
+// Step handles a message from another voter. It returns a *MessageError for a message that is misrouted, is empty or
+// holds another voter's raft message, and ErrStaleStore for a message that shows that the store is out of date: the
+// state machine is Outdated from then on. After any other error the state machine can be used as before.
 func (m *StateMachine) Step(msg Message) error {
 	if msg.To != m.config.ID {
 		return &MessageError{From: msg.From, To: msg.To, Receiver: m.config.ID}
--- a/internal/controlgroup/consensus/store.go
+++ b/internal/controlgroup/consensus/store.go
@@ -85,8 +85,9 @@
 }
 
 // OpenStore opens a voter's file, or creates it with a new ID, increments its start count, and returns its content.
-// An error about the file's content, owner or lock is a *StoreError. Any other error, such as a missing permission, is
-// returned unchanged, and does not show that the file is damaged.
+// An error about the file's content, owner or lock is a *StoreError, except that a decoding error of the starts record
+// is returned unchanged. So is any other error, such as a missing permission: it does not show that the file is
+// damaged.
 func OpenStore(path, group, name string) (store *Store, state PersistentState, err error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return nil, PersistentState{}, err
@@ -190,7 +191,7 @@
 	}, nil
 }
 
-// corrupt returns an ErrCorrupt error for the record item of the file, or for the whole file if item is "".
+// corrupt returns an ErrCorrupt error for the record that item names, or for the whole file if item is "".
 func (s *Store) corrupt(item string, cause error) error {
 	return &StoreError{Path: s.path, Item: item, Err: fmt.Errorf("%w: %w", ErrCorrupt, cause)}
 }
--- a/internal/controlgroup/voter/voter.go
+++ b/internal/controlgroup/voter/voter.go
@@ -43,7 +43,7 @@
 
 	// Owned by the event loop.
 	store        *consensus.Store
-	stateMachine *consensus.StateMachine        // nil until the group is known
+	stateMachine *consensus.StateMachine        // nil until the group is known to exist; see bootstrap
 	links        map[string]*link               // to the other voters, by name
 	handshakes   map[string]transport.Handshake // of the connected other voters, by name
 	nextJoin     time.Duration                  // earliest time of the next AddVoter request
