--- a/internal/serve/admin/server.go
+++ b/internal/serve/admin/server.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// MaxConnections is the number of connections that may be open at a time. To accept another,
-	// Server.Shed closes one of them.
+	// MaxConnections is the number of connections that may be open at a time. Server.Shed
+	// closes one of them to make room for another.
 	MaxConnections = 16
 	// ReservedDescriptors is how many file descriptors of the process's limit are set aside for the API:
 	// one for each connection, one for the listener, and a few since a connection briefly has two while
--- a/internal/serve/config/platform.go
+++ b/internal/serve/config/platform.go
@@ -12,7 +12,8 @@
 	"piernotch/internal/simprotocol"
 )
 
-// Environment variables of the platform's form. A variable that is not empty takes precedence over the file.
+// Environment variables of the platform's form. ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY and
+// ROUTER_MANAGEMENT take precedence over the file if they are not empty.
 const (
 	configVariable    = "ROUTER_CONFIG" // path of the file
 	nameVariable      = "ROUTER_NAME"
--- a/internal/serve/config/required_keys.go
+++ b/internal/serve/config/required_keys.go
@@ -28,7 +28,8 @@
 	return checkValue(currentValue, nextValue, "")
 }
 
-// checkValue checks the type of next, the new value of a key, and the keys of the objects in it.
+// checkValue checks that next, the new value of a key, has the type of current (the old value), and
+// that the objects in next have the required keys.
 func checkValue(current, next any, key string) error {
 	switch current := current.(type) {
 	case map[string]any:
--- a/internal/serve/core/counters.go
+++ b/internal/serve/core/counters.go
@@ -19,7 +19,7 @@
 	Full          int
 	Errors        int
 
-	// DeadlineExceeded is the part of Failed that the module had not responded to by the deadline.
+	// DeadlineExceeded counts the failed requests that the module had not responded to by the deadline.
 	DeadlineExceeded int
 }
 
--- a/internal/serve/core/doc.go
+++ b/internal/serve/core/doc.go
@@ -1,12 +1,12 @@
 // Package core is the reducer of a balancer process: events go in, effects come out.
 //
-// Every change of state is made by [Core.Handle], which takes one [Event] (a request was received,
-// an attempt completed, time has passed) and returns the [Effect] values that follow from it, in
-// the order in which they have to be carried out (start an attempt, respond to a client). The
-// package owns the state of requests and attempts, from their start to their end, the table of
-// endpoints, the operators' overrides and the settings in force. Load-balancing decisions are made by
-// the module, [piernotch.Balancer], which core drives; a [host] translates the module's decisions into
-// effects.
+// Every change of state is made by [Core.Handle], except that [Core.PruneOverrides] removes old
+// overrides. Handle takes one [Event] (a request was received, an attempt completed, time has passed)
+// and returns the [Effect] values that follow from it, in the order in which they have to be carried
+// out (start an attempt, respond to a client). The package owns the state of requests and attempts,
+// from their start to their end, the table of endpoints, the operators' overrides and the settings in
+// force. Load-balancing decisions are made by the module, [piernotch.Balancer], which core drives; a
+// [host] translates the module's decisions into effects.
 //
 // The package does no I/O, reads no clock and interprets no message: it passes [RequestMessage] and
 // [ResponseMessage] on between the connections of clients and those of servers without reading them.
@@ -22,10 +22,11 @@
 //
 // A [RequestReceived] event opens an exchange, which is closed by exactly one [Respond] effect, or
 // by [ClientDisconnected] without one. In between the module starts attempts. For each attempt there is a
-// [StartAttempt] effect; once [AttemptConnected] reports a connection, the module decides again
-// whether the attempt may still be sent, and only then [WriteAttempt] follows. An attempt ends with
-// [AttemptCompleted], by its timeout, or by [CancelAttempt]. A request is released when its
-// exchange is closed and no attempt is in flight any more.
+// [StartAttempt] effect. The exceptions are attempts of a closed request or beyond MaxAttempts: they
+// complete as NotSent. Once [AttemptConnected] reports a connection, the module decides again whether
+// the attempt may still be sent, and only then [WriteAttempt] follows. A started attempt ends with
+// [AttemptCompleted], by its timeout, or by [CancelAttempt]. A request is released when its exchange
+// is closed and no attempt is in flight any more.
 //
 // # Reentrancy
 //
--- a/internal/serve/core/effects.go
+++ b/internal/serve/core/effects.go
@@ -26,12 +26,14 @@
 	CancelAttempt struct{ Ref AttemptRef }
 	// Respond sends the final response of an exchange.
 	Respond struct {
-		Exchange   ExchangeID
-		Result     Result
-		Response   *ResponseMessage // if Result is Served
-		LastStatus piernotch.Status // if Result is Failed: how the last attempt ended, or Timeout at a shutdown
-		RetryAfter time.Duration    // if Result is Rejected
-		Close      bool             // close the client's connection after the response
+		Exchange ExchangeID
+		Result   Result
+		Response *ResponseMessage // if Result is Served
+		// LastStatus is set if Result is Failed: how the last attempt ended, or Timeout if the shutdown ended
+		// the request.
+		LastStatus piernotch.Status
+		RetryAfter time.Duration // if Result is Rejected
+		Close      bool          // close the client's connection after the response
 	}
 	// HealthCheck sends a health check to a server. HealthCheckCompleted reports its result.
 	HealthCheck struct{ To Endpoint }
--- a/internal/serve/core/shutdown.go
+++ b/internal/serve/core/shutdown.go
@@ -14,8 +14,8 @@
 const ShutdownGrace = 700 * time.Millisecond
 
 const (
-	// maxDrainTime limits how long the platform waits after ShutdownGrace: it waits for the longest deadline
-	// of a request, and may then kill the process.
+	// maxDrainTime is an upper limit: after ShutdownGrace, the platform waits for the longest deadline of a
+	// request, but no longer than this, and may then kill the process.
 	maxDrainTime = 3 * time.Second
 	// responseMargin is the time that remains for the last response to reach its client before the platform
 	// may kill the process.
--- a/internal/serve/core/start_times.go
+++ b/internal/serve/core/start_times.go
@@ -29,7 +29,7 @@
 
 // convert returns a server's start. absentAt is a time at which the list did not yet hold the start; 0: unknown.
 // If the clocks differ, a start in the future counts as now, and a start that is too old for a new entry counts as
-// absentAt. Otherwise a new server would be in slow start for too long, or would seem old and get no slow start.
+// absentAt. Without these limits, a new server would be in slow start for too long, or would seem old and skip it.
 func (s *startTimes) convert(name string, listed, now, absentAt time.Duration) serverStart {
 	if known, ok := s.byName[name]; ok && known.listed == listed {
 		return known
