--- a/internal/serve/handover/doc.go
+++ b/internal/serve/handover/doc.go
@@ -8,8 +8,8 @@
 // and writes these files.
 //
 // [ProcessState.Accepts] decides which process accepts clients, and [ProcessState.DescriptorShare] how
-// many descriptors each may hold. Both do no I/O, and the processes' decisions agree because all of them
-// read the same records.
+// many descriptors each may hold. Both do no I/O, and the processes' decisions agree once all of them
+// have read the same records.
 //
 // The package depends on neither the sockets nor the core. Package internal/serve/runtime calls it
 // on the event loop's goroutine. Different versions of the program read each other's records from
--- a/internal/serve/handover/golden_test.go
+++ b/internal/serve/handover/golden_test.go
@@ -30,8 +30,8 @@
 	return want
 }
 
-// Different versions of the program read each other's records, so the format must not change by accident. The
-// record full sets every field.
+// Different versions of the program read each other's records, so the format must not change by accident. Every
+// field of the variable full is set.
 func TestHandoverRecordGoldenFile(t *testing.T) {
 	full := Record{
 		ProcessState: ProcessState{Epoch: 3, PID: 4711, Phase: Ready, DescriptorClaim: 129},
--- a/internal/serve/handover/record.go
+++ b/internal/serve/handover/record.go
@@ -18,7 +18,7 @@
 	ProcessState
 	Name       string              `json:"name"`       // of the balancer
 	WrittenAt  time.Duration       `json:"at"`         // Unix time
-	Discovery  string              `json:"discovery"`  // address of the service that numbered Generation
+	Discovery  string              `json:"discovery"`  // configured address; each service has its own generations
 	Generation uint64              `json:"generation"` // of the endpoint list
 	Endpoints  []Endpoint          `json:"members"`    // nil: no list is known
 	Overrides  overrides.Overrides `json:"words"`
--- a/internal/serve/runtime/balancer.go
+++ b/internal/serve/runtime/balancer.go
@@ -61,10 +61,10 @@
 	exit          context.CancelFunc // ends Run
 	exitRequested time.Duration      // when the core first emitted core.Exit; 0: it has not
 
-	// When these were last logged, on the module's clock; 0: never.
-	totalsLogged time.Duration
-	stateLogged  time.Duration
-	shedLogged   time.Duration
+	// Times on the module's clock; 0: not set.
+	totalsLogged time.Duration // when totals were last logged; before that, the first tick
+	stateLogged  time.Duration // when Core.LogState was last called
+	shedLogged   time.Duration // when a shortage of descriptors was last logged
 }
 
 // New returns a balancer that does not listen yet. It fails if the settings are invalid, or the event
--- a/internal/serve/runtime/client_request_test.go
+++ b/internal/serve/runtime/client_request_test.go
@@ -57,8 +57,8 @@
 	require.ErrorIs(t, err, io.EOF, "the connection is closed after an error")
 }
 
-// Requests that are invalid, incomplete or reuse a pending request's ID are rejected and not forwarded. So are
-// requests that servers could parse differently from the balancer (request smuggling).
+// Requests that are invalid or incomplete, or that reuse a pending request's ID, are rejected and not forwarded.
+// So are requests that servers could parse differently from the balancer (request smuggling).
 func TestMalformedRequestsAreRejected(t *testing.T) {
 	forwarded := make(chan string, 64)
 	release := make(chan struct{})
--- a/internal/serve/runtime/handover.go
+++ b/internal/serve/runtime/handover.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// mergePeers applies the operator overrides in the siblings' records and updates which siblings are
+// mergePeers applies the operator overrides in the siblings' records and notes which siblings are
 // alive. If none is alive, old overrides are pruned.
 func (b *Balancer) mergePeers(peers []handover.Peer) {
 	for i := range peers {
--- a/internal/serve/runtime/load_shedding_test.go
+++ b/internal/serve/runtime/load_shedding_test.go
@@ -49,12 +49,12 @@
 	require.True(t, strings.HasSuffix(string(all), "\r\n\r\n"+body), "%d bytes", len(all))
 }
 
-// When descriptors are short, an idle connection with a request that is not read yet must not be closed.
+// When descriptors are short, a connection whose request has arrived but is not read yet must not be closed.
 func TestConnectionWithUnreadRequestIsNotShed(t *testing.T) {
 	var forwarded requestLog
 	balancer, _ := startBalancer(t, startIdleDiscovery(t), startPeer(t, forwarded.serveEcho))
 	c := connect(t, balancer)
-	time.Sleep(100 * time.Millisecond) // by now the connection may be closed as idle
+	time.Sleep(100 * time.Millisecond) // longer than the minimum age at which Shed closes a silent connection
 	resume := pauseLoop(balancer)
 	balancer.loop.Post(balancer.downstream.Shed)
 	c.send("POST /append HTTP/1.1\r\nHost: b\r\nX-Request-Id: 2\r\nContent-Length: 4\r\n\r\nmine")
--- a/internal/serve/runtime/server_response_test.go
+++ b/internal/serve/runtime/server_response_test.go
@@ -77,7 +77,7 @@
 	require.Equal(t, "mine", body)
 }
 
-// Any server may send a malformed response. The request counts as executed and is retried only if that is safe;
+// A malformed response may come from any server. The request counts as executed and is retried only if that is safe;
 // the connection is not reused; the server is not ejected. Data after a valid response must not be read as the
 // response to the next request.
 func TestMalformedResponsesAreNotForwarded(t *testing.T) {
--- a/internal/serve/runtime/shutdown.go
+++ b/internal/serve/runtime/shutdown.go
@@ -36,8 +36,8 @@
 }
 
 // exitWhenDrained does nothing until settleTime is over and no request is pending. It then closes idle
-// client connections, and ends Run when none is left or lingerTime is over. Ending earlier would lose
-// responses in a buffer and partially received requests.
+// client connections, and ends Run when no client connection is left or lingerTime is over. Ending
+// earlier would lose responses in a buffer and partially received requests.
 func (b *Balancer) exitWhenDrained() {
 	now := b.now()
 	if b.exitRequested == 0 || b.core.PendingRequests() > 0 || now-b.exitRequested < settleTime {
--- a/internal/serve/runtime/watch_test.go
+++ b/internal/serve/runtime/watch_test.go
@@ -64,9 +64,9 @@
 	)
 }
 
-// A watch falls silent while its connection stays open, and a server begins to drain. Discovery counts even a
-// missed update as delivered two seconds after the longest time for which it may hold a poll (5 s). From then
-// on the server must receive no request.
+// A watch falls silent while its connection stays open, and a server begins to drain. Discovery holds a poll for
+// at most 5 s, and counts the update as delivered two seconds after that, even if the watch has missed it. From
+// then on the server must receive no request.
 func TestSilentWatchIsReopened(t *testing.T) {
 	t.Parallel()
 	var forwarded requestLog
