--- a/internal/controlgroup/client/doc.go
+++ b/internal/controlgroup/client/doc.go
@@ -4,8 +4,8 @@
 //
 // A client sends requests over one connection to one voter at a time. Only the leader serves them; any other
 // voter names the leader, and the client connects there. A client holds a duty only while the lease is valid
-// by the client's own monotonic clock. A client that loses its connection for long therefore loses all its
-// duties, and Token reports that.
+// by the client's own monotonic clock. A client that stays disconnected until its leases expire therefore
+// loses all its duties, and Token reports that.
 //
 // The package must not link the voters' consensus. Apart from the shared watch's duty, it must not depend on
 // what a duty is for. Its callers are the balancer's program and the laboratory.
--- a/internal/controlgroup/client/shared_watch.go
+++ b/internal/controlgroup/client/shared_watch.go
@@ -29,8 +29,9 @@
 	currentSource    string      // the name of the discovery that this balancer uses now
 	knownSource      string      // the source of knownVersion
 	knownVersion     uint64      // the last version that this balancer is known to have
-	independent      bool        // as logged last: this balancer polls without holding the duty
-	// reacquireAt is when to acquire the duty again that was released because discovery did not respond. 0: not set.
+	independent      bool        // whether this balancer polls without holding the duty, as of the last log line
+	// reacquireAt is when to request the duty again, after it was released because discovery did not respond.
+	// 0: no such request is due.
 	reacquireAt     time.Duration
 	lastSubscribeAt time.Duration // when missing events were requested last
 }
--- a/internal/controlgroup/watch/timing.go
+++ b/internal/controlgroup/watch/timing.go
@@ -5,9 +5,9 @@
 // Timing has the intervals and timeouts of holders and followers. All members of a group use the same values.
 type Timing struct {
 	HeartbeatInterval time.Duration // between the heartbeats of a holder with a healthy watch
-	HeartbeatTimeout  time.Duration // without events for so long, followers no longer rely on the holder
+	HeartbeatTimeout  time.Duration // without events for this long, followers no longer rely on the holder
 	TimeoutJitter     time.Duration // a follower adds a random time below this to the timeout; must be above 0
-	PollTimeout       time.Duration // without a successful poll for so long, a holder's watch is unhealthy
+	PollTimeout       time.Duration // without a successful poll for this long, a holder's watch is unhealthy
 }
 
 // DefaultTiming is the Timing of every group. If the holder receives a change and cannot publish it, followers
