--- a/internal/lab/loadtest/balancer.go
+++ b/internal/lab/loadtest/balancer.go
@@ -99,16 +99,16 @@
 	balancerSettings.Zone = b.zone
 	rules := &realization.Rules
 	settings, err := simprotocol.MarshalSettings(&balancerSettings, simprotocol.ExtraSettings{
-		Balancer:     simprotocol.BalancerNumber(b.number),
-		KeepAliveMS:  simprotocol.Milliseconds(rules.KeepAlive),
-		DialMS:       simprotocol.Milliseconds(rules.DialTimeout),
-		SlackMS:      simprotocol.Milliseconds(rules.ResponseSlack),
-		GraceMS:      simprotocol.Milliseconds(rules.DrainGrace),
-		FallMultiple: rules.Collapse.Multiple,
-		FallMS:       simprotocol.Milliseconds(rules.Collapse.For),
-		ServerKinds:  realization.KindNames(),
-		Columns:      []string{"eps", "qps", "inflight"},
-		WeightBy:     "work",
+		Balancer:         simprotocol.BalancerNumber(b.number),
+		KeepAliveMS:      simprotocol.Milliseconds(rules.KeepAlive),
+		DialMS:           simprotocol.Milliseconds(rules.DialTimeout),
+		SlackMS:          simprotocol.Milliseconds(rules.ResponseSlack),
+		GraceMS:          simprotocol.Milliseconds(rules.DrainGrace),
+		CollapseMultiple: rules.Collapse.Multiple,
+		CollapseWindowMS: simprotocol.Milliseconds(rules.Collapse.For),
+		ServerKinds:      realization.KindNames(),
+		Columns:          []string{"eps", "qps", "inflight"},
+		WeightBy:         "work",
 	})
 	if err != nil {
 		return err
--- a/internal/lab/simulation/child_frames.go
+++ b/internal/lab/simulation/child_frames.go
@@ -81,16 +81,16 @@
 func (c *Child) extraSettings(balancer simprotocol.BalancerNumber) simprotocol.ExtraSettings {
 	rules := &c.realization.Rules
 	extra := simprotocol.ExtraSettings{
-		Balancer:     balancer,
-		KeepAliveMS:  simprotocol.Milliseconds(rules.KeepAlive),
-		DialMS:       simprotocol.Milliseconds(rules.DialTimeout),
-		SlackMS:      simprotocol.Milliseconds(rules.ResponseSlack),
-		GraceMS:      simprotocol.Milliseconds(rules.DrainGrace),
-		FallMultiple: rules.Collapse.Multiple,
-		FallMS:       simprotocol.Milliseconds(rules.Collapse.For),
-		WeightBy:     "request",
-		Columns:      loadColumns,
-		ServerKinds:  c.realization.KindNames(),
+		Balancer:         balancer,
+		KeepAliveMS:      simprotocol.Milliseconds(rules.KeepAlive),
+		DialMS:           simprotocol.Milliseconds(rules.DialTimeout),
+		SlackMS:          simprotocol.Milliseconds(rules.ResponseSlack),
+		GraceMS:          simprotocol.Milliseconds(rules.DrainGrace),
+		CollapseMultiple: rules.Collapse.Multiple,
+		CollapseWindowMS: simprotocol.Milliseconds(rules.Collapse.For),
+		WeightBy:         "request",
+		Columns:          loadColumns,
+		ServerKinds:      c.realization.KindNames(),
 	}
 	if c.realization.Score.ByWork {
 		extra.WeightBy = "work"
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -251,7 +251,7 @@
 	}
 	data, err := MarshalSettings(&want, ExtraSettings{
 		Balancer: 2, ServerKinds: []string{"fast", "mid"}, KeepAliveMS: 60000, DialMS: 250, SlackMS: 20, GraceMS: 2100,
-		FallMultiple: 2.5, FallMS: 2250, WeightBy: "request", Columns: []string{"inflight", "qps"},
+		CollapseMultiple: 2.5, CollapseWindowMS: 2250, WeightBy: "request", Columns: []string{"inflight", "qps"},
 	})
 	require.NoError(t, err)
 	var indented bytes.Buffer
--- a/internal/simprotocol/settings_writer.go
+++ b/internal/simprotocol/settings_writer.go
@@ -8,16 +8,16 @@
 
 // ExtraSettings is what settings hold on the wire beyond those of the module. Times are in milliseconds.
 type ExtraSettings struct {
-	Balancer     BalancerNumber
-	ServerKinds  []string // names of the kinds of servers, by EndpointEntry.Kind
-	KeepAliveMS  float64  // a server keeps an idle connection for so long
-	DialMS       float64  // a connection may take so long to come up
-	SlackMS      float64  // a final response may come so much later than its deadline
-	GraceMS      float64  // requests may still be sent so long after a drain is notified
-	FallMultiple float64  // multiple of its capacity that collapses a server in slow start
-	FallMS       float64  // span over which that is counted
-	WeightBy     string   // what a request weighs by: "request" or "work"
-	Columns      []string // names of the values in a load report, in order
+	Balancer         BalancerNumber
+	ServerKinds      []string // names of the kinds of servers, by EndpointEntry.Kind
+	KeepAliveMS      float64  // a server keeps an idle connection for so long
+	DialMS           float64  // a connection may take so long to come up
+	SlackMS          float64  // a final response may come so much later than its deadline
+	GraceMS          float64  // requests may still be sent so long after a drain is notified
+	CollapseMultiple float64  // multiple of its capacity that collapses a server in slow start
+	CollapseWindowMS float64  // span over which that is counted
+	WeightBy         string   // what a request weighs by: "request" or "work"
+	Columns          []string // names of the values in a load report, in order
 }
 
 // Figures that the laboratory's balancers are never limited by.
@@ -122,8 +122,8 @@
 		SlowStartDurationMS: Milliseconds(rules.SlowStartDuration),
 		SlackMS:             extra.SlackMS,
 		GraceMS:             extra.GraceMS,
-		FallMultiple:        extra.FallMultiple,
-		FallMS:              extra.FallMS,
+		FallMultiple:        extra.CollapseMultiple,
+		FallMS:              extra.CollapseWindowMS,
 	}
 }
 
