--- a/internal/simprotocol/batch_reader.go
+++ b/internal/simprotocol/batch_reader.go
@@ -12,25 +12,25 @@
 
 // Batch is one frame of events. It is valid until the next call of Reader.Next.
 type Batch struct {
-	ClockMS float64 // the simulator's clock, milliseconds; finite
-	Seq     uint32  // number of the batch, which its reply repeats
-	Count   int     // events in it
+	ClockMS float64 // the simulator's clock; finite
+	Seq     uint32  // number of the batch; the reply repeats it
+	Count   int     // number of events
 	records []byte
 	tail    []byte
 }
 
-// Reader reads batches from a stream. It is for one goroutine.
+// Reader reads batches from a stream. It must be used by one goroutine only.
 type Reader struct {
 	input  io.Reader
 	buffer []byte
 	batch  Batch
 }
 
-// NewReader returns a Reader on input, which should be buffered.
+// NewReader returns a Reader of input. The input should be buffered: each batch takes several reads.
 func NewReader(input io.Reader) *Reader { return &Reader{input: input} }
 
-// Next reads one batch. It returns io.EOF at a clean end of input and a *FrameError for anything
-// that is cut short or malformed.
+// Next reads one batch. It returns io.EOF if the input ends between batches, and a *FrameError if a batch
+// is truncated or malformed.
 func (r *Reader) Next() (*Batch, error) {
 	r.buffer = r.buffer[:0]
 	if err := r.fill(batchHeaderSize); err != nil {
@@ -61,13 +61,13 @@
 	return &r.batch, nil
 }
 
-// frameError returns an error of a frame as a whole.
+// frameError returns a *FrameError about a whole frame.
 func frameError(seq uint32, format string, args ...any) error {
 	return &FrameError{Seq: seq, Record: -1, Err: fmt.Errorf(format, args...)}
 }
 
-// fill reads until the buffer holds n bytes. It grows only as bytes arrive, so that a wrong length
-// costs no memory.
+// fill reads until the buffer holds size bytes. The buffer grows only as bytes arrive: a wrong length in
+// the header must not cause a huge allocation.
 func (r *Reader) fill(size int) error {
 	const step = 1 << 20
 	for len(r.buffer) < size {
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// Event is one decoded event. Which fields are set depends on Code; the comment of a field names
-// the codes, without their prefix, that set it.
+// Event is one decoded event. Code and Balancer are always set. The comment of each other field lists the
+// codes that set the field, without the prefix "Event".
 type Event struct {
 	Code          EventCode
 	Balancer      BalancerNumber
@@ -99,8 +99,8 @@
 	Class         uint8              // Request
 	Tenant        uint16             // Request
 	Key           uint64             // Request
-	DeadlineMS    float64            // Request: milliseconds of the simulator's clock
-	CostHintMS    float64            // Request: valid with FlagCostHint
+	DeadlineMS    float64            // Request: time on the simulator's clock
+	CostHintMS    float64            // Request: ms of work, if Flags contains FlagCostHint
 	Flags         uint8              // Request
 	Server        piernotch.ServerID // HealthCheckCompleted, ResponseStarted, AttemptCompleted
 	Status        uint8              // HealthCheckCompleted, AttemptCompleted
@@ -108,14 +108,14 @@
 	AttemptNumber uint8              // ResponseStarted, AttemptCompleted
 	Closed        bool               // AttemptCompleted: the request has its final response
 	ListKind      uint8              // EndpointList
-	Entries       []byte             // EndpointList: undecoded entries, see Entry
-	From          uint32             // Message
+	Entries       []byte             // EndpointList: encoded entries, see Entry
+	From          uint32             // Message: the sender
 	Load          [4]float64         // HealthCheckCompleted, AttemptCompleted: values of the load report
-	LoadCount     int                // values in Load; 0: no report
+	LoadCount     int                // HealthCheckCompleted, AttemptCompleted: values in Load; 0: no report
 }
 
-// Event decodes record i into e without allocating. What it decodes refers to the batch's buffer
-// and is valid as long as the batch is. An error is a *FrameError.
+// Event decodes record i into event. Data and Entries are slices of the batch's buffer, valid until the next
+// call of Reader.Next. Any error is a *FrameError.
 func (b *Batch) Event(i int, event *Event) error {
 	record := b.records[i*eventSize : (i+1)*eventSize]
 	*event = Event{Code: EventCode(record[0]), Balancer: BalancerNumber(u32(record[1:]))}
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// decode fills in the fields that follow code and balancer.
+// decode sets the fields of event other than Code and Balancer.
 func (b *Batch) decode(record []byte, event *Event) error {
 	var err error
 	switch event.Code {
@@ -176,7 +176,7 @@
 	e.Flags = record[40]
 }
 
-// decodeLoad reads a load report: the number of values, then the values as 32-bit floats.
+// decodeLoad decodes a load report: one byte with the number of values, then the values as 32-bit floats.
 func (e *Event) decodeLoad(data []byte) error {
 	e.LoadCount = int(data[0])
 	if e.LoadCount > len(e.Load) {
@@ -188,7 +188,8 @@
 	return nil
 }
 
-// tailSlice returns n items of the given size in bytes, from an offset of the tail on.
+// tailSlice returns the bytes of count items of size bytes each, which start at an offset in the tail. It
+// returns an error if they go beyond the tail.
 func (b *Batch) tailSlice(offset, count uint32, size uint64) ([]byte, error) {
 	end := uint64(offset) + uint64(count)*size
 	if end > uint64(len(b.tail)) {
@@ -203,15 +204,15 @@
 	Zone        uint8
 	Kind        uint8 // index into ExtraSettings.ServerKinds
 	Cell        uint16
-	State       uint8
+	State       uint8 // see StateCode
 	Size        float64
-	StartedAtMS float64 // when its process started; 0: unknown or long ago
+	StartedAtMS float64 // when the server's process started; 0: unknown or long ago
 }
 
-// EntryCount is how many entries an endpoint list holds.
+// EntryCount returns the number of entries in an endpoint list, 0 for other events.
 func (e *Event) EntryCount() int { return len(e.Entries) / entrySize }
 
-// Entry decodes entry i of an endpoint list.
+// Entry decodes entry i of an endpoint list, from 0. The state is not checked; ParseEndpointList does that.
 func (e *Event) Entry(i int) EndpointEntry {
 	data := e.Entries[i*entrySize:]
 	return EndpointEntry{
--- a/internal/simprotocol/batch_writer.go
+++ b/internal/simprotocol/batch_writer.go
@@ -7,8 +7,9 @@
 	"piernotch"
 )
 
-// BatchWriter collects the events of one batch on the simulator's side. Its methods add one record
-// each, in the order of the calls. The zero value is empty and ready. It is for one goroutine.
+// BatchWriter collects the events of one batch on the simulator's side. Each method but WriteTo adds one
+// record; the adapter handles records in this order. The zero value is an empty batch. A BatchWriter must be
+// used by one goroutine only.
 type BatchWriter struct {
 	count   int
 	records []byte
@@ -16,7 +17,8 @@
 	head    [batchHeaderSize]byte
 }
 
-// record appends a zeroed record with its code and balancer. It is valid until the next call.
+// record appends a record, zeroed except for its code and balancer. The returned slice is valid until the
+// next call.
 func (b *BatchWriter) record(code EventCode, balancer BalancerNumber) []byte {
 	end := len(b.records)
 	b.records = append(b.records, make([]byte, eventSize)...)
@@ -27,7 +29,7 @@
 	return record
 }
 
-// Start adds the start of a balancer's process with settings as JSON.
+// Start adds the start of a balancer's process. The settings are JSON, as MarshalSettings returns them.
 func (b *BatchWriter) Start(balancer BalancerNumber, seed uint64, settings []byte) {
 	record := b.record(EventStart, balancer)
 	put64(record[5:], seed)
@@ -36,15 +38,15 @@
 	b.tail = append(b.tail, settings...)
 }
 
-// Stop adds the end of a balancer's process.
+// Stop adds the end of a balancer's process. Any later event of the balancer must be a Start.
 func (b *BatchWriter) Stop(balancer BalancerNumber) { b.record(EventStop, balancer) }
 
-// TimerFired adds a timer that is due.
+// TimerFired adds the expiry of a timer; the token is that of the SetTimer action.
 func (b *BatchWriter) TimerFired(balancer BalancerNumber, token uint32) {
 	put32(b.record(EventTimerFired, balancer)[5:], token)
 }
 
-// ClientGone adds the end of a client's wait.
+// ClientGone adds that the client of a request has disconnected before its response.
 func (b *BatchWriter) ClientGone(balancer BalancerNumber, id uint64) {
 	put64(b.record(EventClientGone, balancer)[5:], id)
 }
@@ -55,12 +57,12 @@
 	Class      uint8
 	Tenant     uint16
 	Key        uint64  // for key affinity; 0: none
-	DeadlineMS float64 // milliseconds of the simulator's clock
-	CostHintMS float64 // written only where Flags hold FlagCostHint
-	Flags      uint8
+	DeadlineMS float64 // time on the simulator's clock
+	CostHintMS float64 // ms of work; written only if Flags contains FlagCostHint
+	Flags      uint8   // FlagCostHint, FlagRetry, FlagWrite
 }
 
-// Request adds a client's request.
+// Request adds a client's request that the balancer has received.
 func (b *BatchWriter) Request(balancer BalancerNumber, request *RequestEvent) {
 	record := b.record(EventRequest, balancer)
 	put64(record[5:], request.ID)
@@ -74,15 +76,15 @@
 	record[40] = request.Flags
 }
 
-// AttemptEvent is the end of an attempt.
+// AttemptEvent describes how an attempt ended.
 type AttemptEvent struct {
 	ID            uint64 // of the request
-	AttemptNumber uint8
+	AttemptNumber uint8  // from 0 in each request
 	Server        piernotch.ServerID
-	Status        uint8
+	Status        uint8 // see StatusCode
 	LatencyMS     float64
 	Closed        bool      // the request has its final response
-	Load          []float32 // load report that came with it, four values at most; empty: none
+	Load          []float32 // load report of the response, at most four values; empty: none
 }
 
 // AttemptCompleted adds the end of an attempt.
@@ -99,10 +101,10 @@
 	putLoad(record[28:], attempt.Load)
 }
 
-// HealthCheckEvent is the result of a health check.
+// HealthCheckEvent describes the result of a health check.
 type HealthCheckEvent struct {
 	Server    piernotch.ServerID
-	Status    uint8
+	Status    uint8 // see StatusCode
 	LatencyMS float64
 	Load      []float32 // as in AttemptEvent
 }
@@ -124,7 +126,7 @@
 	}
 }
 
-// EndpointList adds an endpoint list. The kind is that of ListKindCode.
+// EndpointList adds an endpoint list. ListKindCode returns its kind, and StateCode the states of its entries.
 func (b *BatchWriter) EndpointList(balancer BalancerNumber, kind uint8, version uint64, entries []EndpointEntry) {
 	record := b.record(EventEndpointList, balancer)
 	record[5] = kind
@@ -142,8 +144,8 @@
 	}
 }
 
-// WriteTo writes the batch with its clock, milliseconds, and its number, and empties it for the next.
-// An error is that of the output.
+// WriteTo writes the batch with the given clock and batch number, and then empties it. Errors come from
+// output; after an error the batch is not emptied.
 func (b *BatchWriter) WriteTo(output io.Writer, clockMS float64, seq uint32) error {
 	put32(b.head[:], uint32(b.count))
 	put32(b.head[4:], uint32(batchHeaderSize+len(b.records)+len(b.tail)))
--- a/internal/simprotocol/codes.go
+++ b/internal/simprotocol/codes.go
@@ -14,13 +14,13 @@
 	entrySize       = 21
 )
 
-// BalancerNumber is the simulator's number of a balancer, which stays the same for all of its processes.
+// BalancerNumber is the number that the simulator gives a balancer. A restarted balancer keeps its number.
 type BalancerNumber uint32
 
-// EventCode is the kind of an event, as the first byte of its record.
+// EventCode is the kind of an event: the first byte of an event record.
 type EventCode uint8
 
-// Event codes.
+// Event codes. Event says which fields each of them sets.
 const (
 	EventMessage EventCode = iota
 	EventStart
@@ -41,10 +41,10 @@
 	FlagWrite    = 4 // the request changes state
 )
 
-// ActionCode is the kind of an action, as the first byte of its record.
+// ActionCode is the kind of an action: the first byte of an action record.
 type ActionCode = uint8
 
-// Action codes.
+// Action codes. The methods of Reply describe the actions.
 const (
 	ActionCancelAttempt  ActionCode = 0
 	ActionHealthCheck    ActionCode = 1
@@ -60,26 +60,26 @@
 	ActionSendMessage    ActionCode = 11
 )
 
-// FrameError is a frame that cannot be decoded. The stream is of no more use after it.
+// FrameError reports a frame that cannot be decoded. The stream cannot be read any further.
 type FrameError struct {
-	Seq    uint32 // number of the batch; 0 where the header could not be read
-	Record int    // place of the record in the frame; -1: the frame as a whole
+	Seq    uint32 // number of the batch; 0 if the batch could not be read in full
+	Record int    // index of the record in the frame; -1: the whole frame
 	Err    error
 }
 
-// Error returns the text of the cause, which names the batch and the record.
+// Error returns the text of Err, which says what is wrong with the frame.
 func (e *FrameError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e *FrameError) Unwrap() error { return e.Err }
 
-// SettingsError is an error in the settings of a start event.
+// SettingsError reports settings that cannot be parsed.
 type SettingsError struct{ Err error }
 
-// Error returns the cause under the heading of settings.
+// Error returns the text of Err after "settings: ".
 func (e *SettingsError) Error() string { return "settings: " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e *SettingsError) Unwrap() error { return e.Err }
 
 func u16(p []byte) uint16  { return binary.LittleEndian.Uint16(p) }
--- a/internal/simprotocol/doc.go
+++ b/internal/simprotocol/doc.go
@@ -1,14 +1,14 @@
-// Package simprotocol encodes and decodes the simulator's protocol: a batch of events comes in over a
-// pipe, and one reply of actions goes out for each batch, both as little-endian binary frames.
-// Settings travel inside of a start event as JSON.
+// Package simprotocol encodes and decodes the simulator's protocol. The simulator sends batches of events
+// over a pipe, and the adapter answers each batch with one reply of actions. Both are little-endian
+// binary frames. A start event contains the settings as JSON.
 //
-// It owns the layout of frames, the numbers of codes and the keys of settings. It must not know
-// what a balancer decides, nor hold any state beyond the buffers of one stream.
+// The package defines the layout of frames, the numbers of codes and the keys of settings. It must not
+// know what a balancer decides, and holds no state beyond the buffers of one stream.
 //
-// cmd/simulator-adapter reads batches and writes replies; internal/lab/simulation and
-// internal/lab/loadtest take the simulator's side. internal/serve/config and
-// internal/serve/upstream use the forms of settings and load reports alone.
+// cmd/simulator-adapter reads batches and writes replies. internal/lab/simulation implements the
+// simulator's side, and internal/lab/loadtest writes settings. internal/serve/config and
+// internal/serve/upstream use only the formats of settings and load reports.
 //
-// A Reader, a Reply or a BatchWriter belongs to one goroutine. Decoding a record and adding one to
-// a warm buffer allocate nothing.
+// A Reader, Reply or BatchWriter must be used by one goroutine only. Decoding a record allocates nothing.
+// Adding a record allocates only when a buffer has to grow.
 package simprotocol
--- a/internal/simprotocol/frame_test.go
+++ b/internal/simprotocol/frame_test.go
@@ -22,7 +22,7 @@
 	return b
 }
 
-// The frames that the simulator's description of the protocol shows.
+// Frames from the simulator's protocol documentation, in hexadecimal.
 const (
 	emptyBatch = "00000000 14000000 00000000206ec040 01000000"
 	twoBatch   = "03000000 a4000000 00000000206ec040 0c000000" +
@@ -251,7 +251,7 @@
 	f.Add(unhex(f, twoBatch))
 	f.Add(frame(f, endpointListRecord, endpointListTail))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		_ = readAll(data) // must neither panic nor take memory for what is not there
+		_ = readAll(data) // must not panic, nor allocate memory for bytes that never arrive
 	})
 }
 
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -17,7 +17,7 @@
 
 var update = flag.Bool("update", false, "write the golden files again; only where the form changes on purpose")
 
-// checkGolden compares bytes with a file under testdata and returns what the file holds.
+// checkGolden compares bytes with a file under testdata and returns the content of the file.
 func checkGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -31,8 +31,9 @@
 	return want
 }
 
-// TestBatchGoldenFile guards the frames of events: every event with every field set. There is no
-// writer of messages between balancers: its record is in the second batch, put together by hand.
+// A changed layout of event records would break the simulator and older adapters. The batches contain every
+// event with every field set. BatchWriter has no methods for the two events of the second batch, so the
+// test encodes their records itself.
 func TestBatchGoldenFile(t *testing.T) {
 	lines := []EndpointEntry{
 		{Server: 0x03124a07, Zone: 1, Kind: 2, Cell: 0x0304, State: 2, Size: 1.5, StartedAtMS: 6100.25},
@@ -146,8 +147,8 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// TestReplyGoldenFile guards the frames of actions: every action with every field set. Nobody here
-// reads messages between balancers, so that they have a frame of their own.
+// A changed layout of action records would break the simulator. The first reply contains every action that
+// ReadReply supports, with every field set. ReadReply rejects SendMessage, which has its own reply.
 func TestReplyGoldenFile(t *testing.T) {
 	var reply Reply
 	var out bytes.Buffer
@@ -181,10 +182,11 @@
 		{Code: 9, Balancer: 10, On: true},
 		{Code: 10, Balancer: 11, Text: "two servers known"},
 	}, got)
-	require.Equal(t, 12+32+4, golden.Len(), "the frame of Tell")
+	require.Equal(t, 12+32+4, golden.Len(), "the frame of SendMessage")
 }
 
-// TestSettingsGoldenFile guards the settings of a Start event: every key with a value of its own.
+// The reader of settings ignores unknown keys, so nothing else would report a changed key. Almost every key
+// has a value of its own, which shows a mix-up of two keys.
 func TestSettingsGoldenFile(t *testing.T) {
 	want := piernotch.Settings{
 		BalancerCount: 3,
@@ -268,7 +270,8 @@
 	require.Equal(t, []time.Duration{time.Minute, 250 * time.Millisecond}, []time.Duration{keepAlive, dialTimeout})
 }
 
-// TestCodesGolden guards the numbers that stand for statuses, states and kinds of lists, both ways.
+// The numbers of statuses, states and list kinds are part of the protocol. Statuses are checked in both
+// directions.
 func TestCodesGolden(t *testing.T) {
 	for status, code := range map[piernotch.Status]uint8{
 		piernotch.OK:            0,
--- a/internal/simprotocol/reply_reader.go
+++ b/internal/simprotocol/reply_reader.go
@@ -9,24 +9,24 @@
 	"piernotch"
 )
 
-// Action is one decoded action of a reply. Which fields are set depends on Code.
+// Action is one decoded action of a reply. Fields that an action of this code does not have are zero.
 type Action struct {
 	Code          ActionCode
 	Balancer      BalancerNumber
 	ID            uint64
 	Server        piernotch.ServerID
 	AttemptNumber uint8
-	DurationMS    float64 // StartAttempt: timeout; Reject: Retry-After; SetTimer: delay. Finite.
+	DurationMS    float64 // finite; StartAttempt: timeout; Reject: Retry-After; SetTimer: delay
 	Token         uint32
-	On            bool   // WatchEndpoints: the watch begins, or ends
+	On            bool   // WatchEndpoints: true starts the watch, false ends it
 	Text          string // ReportFault, Log
 }
 
-// maxReplySize bounds a reply, in bytes: a broken adapter must not exhaust the memory.
+// maxReplySize is the largest accepted reply, in bytes. It keeps a broken adapter from exhausting memory.
 const maxReplySize = 1 << 30
 
-// ReadReply reads the reply to batch seq and appends its actions to into. After an error the
-// stream is of no more use; actions decoded before it are returned with it.
+// ReadReply reads the reply to batch seq and appends its actions to into. Any error is a *FrameError, and
+// the actions that precede a malformed one are returned with it. The stream cannot be read any further then.
 func ReadReply(input io.Reader, seq uint32, into []Action) ([]Action, error) {
 	var head [replyHeaderSize]byte
 	if _, err := io.ReadFull(input, head[:]); err != nil {
@@ -70,7 +70,7 @@
 	return fmt.Errorf("reply to batch %d, action %d: %w", seq, i, err)
 }
 
-// decodeAction decodes one record of a reply; tail holds the texts.
+// decodeAction decodes one record of a reply. The tail contains the texts of log and fault records.
 func decodeAction(record, tail []byte) (Action, error) {
 	action := Action{Code: record[0], Balancer: BalancerNumber(u32(record[1:]))}
 	switch action.Code {
--- a/internal/simprotocol/reply_writer.go
+++ b/internal/simprotocol/reply_writer.go
@@ -6,12 +6,12 @@
 	"piernotch"
 )
 
-// replyGrowth is what a full buffer of records grows by beyond its double, in bytes.
+// replyGrowth is the number of bytes by which a full buffer of records grows, in addition to doubling.
 const replyGrowth = actionSize * 64
 
-// Reply collects the actions that answer one batch. Its methods add one record each, in the order
-// of the calls; balancers and requests are numbered as in the batch. The zero value is empty and
-// ready. It is for one goroutine.
+// Reply collects the actions that answer one batch. Each method but WriteTo adds one record; records keep
+// the order of the calls. Balancers and requests are numbered as in the batch. The zero value is an empty
+// reply. A Reply must be used by one goroutine only.
 type Reply struct {
 	count   int
 	records []byte
@@ -19,7 +19,8 @@
 	head    [replyHeaderSize]byte
 }
 
-// record appends a zeroed record with its code and balancer. It is valid until the next call.
+// record appends a record, zeroed except for its code and balancer. The returned slice is valid until the
+// next call.
 func (r *Reply) record(code ActionCode, balancer BalancerNumber) []byte {
 	end := len(r.records)
 	if cap(r.records)-end < actionSize {
@@ -36,15 +37,15 @@
 	return record
 }
 
-// attach appends data to the tail and writes its place into the record.
+// attach appends data to the tail, and writes the offset and length of data to the start of record.
 func (r *Reply) attach(record, data []byte) {
 	put32(record, uint32(len(r.tail)))
 	put32(record[4:], uint32(len(data)))
 	r.tail = append(r.tail, data...)
 }
 
-// StartAttempt sends a request to a server. The attempt ends after timeoutMS milliseconds at the
-// latest; 0: at the request's deadline.
+// StartAttempt sends a request to a server. The attempt ends after timeoutMS at the latest, or at the
+// request's deadline if timeoutMS is 0.
 func (r *Reply) StartAttempt(balancer BalancerNumber, id uint64, server piernotch.ServerID, timeoutMS float64) {
 	record := r.record(ActionStartAttempt, balancer)
 	put64(record[5:], id)
@@ -52,68 +53,69 @@
 	putF64(record[17:], timeoutMS)
 }
 
-// CancelAttempt ends the wait for an attempt. The attempts of a request are numbered from 0.
+// CancelAttempt cancels an attempt: its result is no longer awaited. The attempts of a request are numbered from 0.
 func (r *Reply) CancelAttempt(balancer BalancerNumber, id uint64, attemptNumber uint8) {
 	record := r.record(ActionCancelAttempt, balancer)
 	put64(record[5:], id)
 	record[13] = attemptNumber
 }
 
-// Fail gives a request a failed response.
+// Fail ends a request as failed.
 func (r *Reply) Fail(balancer BalancerNumber, id uint64) {
 	put64(r.record(ActionFail, balancer)[5:], id)
 }
 
-// Reject sheds a request; retryAfterMS is the advice to its client in milliseconds, 0: none.
+// Reject rejects a request. The client is told to retry after retryAfterMS; 0: it is told nothing.
 func (r *Reply) Reject(balancer BalancerNumber, id uint64, retryAfterMS float64) {
 	record := r.record(ActionReject, balancer)
 	put64(record[5:], id)
 	putF64(record[13:], retryAfterMS)
 }
 
-// SetTimer asks for an EventTimerFired with the token after delayMS milliseconds.
+// SetTimer requests an EventTimerFired with the token after delayMS.
 func (r *Reply) SetTimer(balancer BalancerNumber, delayMS float64, token uint32) {
 	record := r.record(ActionSetTimer, balancer)
 	putF64(record[5:], delayMS)
 	put32(record[13:], token)
 }
 
-// HealthCheck sends a health check to a server.
+// HealthCheck sends a health check to a server. EventHealthCheckCompleted brings the result.
 func (r *Reply) HealthCheck(balancer BalancerNumber, server piernotch.ServerID) {
 	put32(r.record(ActionHealthCheck, balancer)[5:], uint32(server))
 }
 
-// CloseIdle closes idle connections to a server.
+// CloseIdle closes the balancer's idle connections to a server.
 func (r *Reply) CloseIdle(balancer BalancerNumber, server piernotch.ServerID) {
 	put32(r.record(ActionCloseIdle, balancer)[5:], uint32(server))
 }
 
-// FetchEndpoints asks for the full endpoint list once.
+// FetchEndpoints polls the full endpoint list once.
 func (r *Reply) FetchEndpoints(balancer BalancerNumber) { r.record(ActionFetchEndpoints, balancer) }
 
-// WatchEndpoints begins a watch of the endpoint list.
+// WatchEndpoints starts a watch of the endpoint list.
 func (r *Reply) WatchEndpoints(balancer BalancerNumber) {
 	r.record(ActionWatchEndpoints, balancer)[5] = 1
 }
 
-// SendMessage sends a message to a peer, or to all peers with 0xffff.
+// SendMessage sends a message to another balancer. The peer 0xffff addresses all others.
 func (r *Reply) SendMessage(balancer BalancerNumber, peer uint16, body []byte) {
 	record := r.record(ActionSendMessage, balancer)
 	put16(record[5:], peer)
 	r.attach(record[7:], body)
 }
 
-// Log adds a line to the simulator's log.
+// Log writes a line to the simulator's log.
 func (r *Reply) Log(balancer BalancerNumber, text string) {
 	r.attach(r.record(ActionLog, balancer)[5:], []byte(text))
 }
 
-// ReportFault reports that a balancer cannot go on.
+// ReportFault reports an error after which the balancer cannot run.
 func (r *Reply) ReportFault(balancer BalancerNumber, text string) {
 	r.attach(r.record(ActionReportFault, balancer)[5:], []byte(text))
 }
 
-// WriteTo writes the reply to batch seq and empties it for the next. An error is that of the output.
+// WriteTo writes the reply to batch seq, and then empties it. Errors come from output; after an error the
+// reply is not emptied.
 func (r *Reply) WriteTo(output io.Writer, seq uint32) error {
 	put32(r.head[:], uint32(r.count))
 	put32(r.head[4:], uint32(replyHeaderSize+len(r.records)+len(r.tail)))
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -9,8 +9,8 @@
 	"piernotch"
 )
 
-// settingsJSON is the part of a start event's settings that decisions need. The keys are those of
-// the simulator; the names of fields are those of the module.
+// settingsJSON is the part of the settings that the decision module and load reports need. The simulator
+// defines the keys; the fields are named as in package piernotch.
 type settingsJSON struct {
 	Classes         []classJSON    `json:"classes"`
 	Tenants         []tenantJSON   `json:"tenants"`
@@ -77,8 +77,8 @@
 	"zone": piernotch.DedupInZone, "cell": piernotch.DedupInCell,
 }
 
-// ParseSettings reads the settings of a start event. Keys it does not know are skipped, and whether the
-// values make sense is for piernotch.New to say. An error is a *SettingsError.
+// ParseSettings parses the settings of a start event. It ignores unknown keys. Numbers are not checked:
+// piernotch.New does that. Any error is a *SettingsError.
 func ParseSettings(data []byte) (piernotch.Settings, error) {
 	var parsed settingsJSON
 	if err := json.Unmarshal(data, &parsed); err != nil {
@@ -132,7 +132,7 @@
 	}
 }
 
-// parse reads class i.
+// parse translates the class, whose index i appears in errors.
 func (c *classJSON) parse(i int) (piernotch.Class, error) {
 	safety, ok := retrySafetyByName[c.RetrySafety]
 	if !ok {
@@ -154,8 +154,8 @@
 	}, nil
 }
 
-// ParseReportColumns reads the names of the values that a load report holds, in their order. An
-// error is a *SettingsError.
+// ParseReportColumns returns from settings the names of the values in a load report, in order. Any error
+// is a *SettingsError.
 func ParseReportColumns(data []byte) ([]string, error) {
 	var parsed settingsJSON
 	if err := json.Unmarshal(data, &parsed); err != nil {
@@ -164,9 +164,9 @@
 	return parsed.Report.Columns, nil
 }
 
-// ParseConnections reads what the settings say of connections, which concerns sockets and not decisions:
-// how long a server keeps an idle one, and how long one may take to come up. Both are above 0. An
-// error is a *SettingsError.
+// ParseConnections returns the settings of connections, which the decision module does not use: how long a
+// server keeps an idle connection open, and how long connecting may take. Any error is a *SettingsError;
+// a value that is missing or not above 0 is one.
 func ParseConnections(data []byte) (keepAlive, dialTimeout time.Duration, err error) {
 	var parsed struct {
 		Limits struct {
--- a/internal/simprotocol/settings_writer.go
+++ b/internal/simprotocol/settings_writer.go
@@ -6,28 +6,28 @@
 	"piernotch"
 )
 
-// ExtraSettings is what settings hold on the wire beyond those of the module. Times are in milliseconds.
+// ExtraSettings holds the settings on the wire that piernotch.Settings does not contain.
 type ExtraSettings struct {
 	Balancer         BalancerNumber
-	ServerKinds      []string // names of the kinds of servers, by EndpointEntry.Kind
-	KeepAliveMS      float64  // a server keeps an idle connection for so long
-	DialMS           float64  // a connection may take so long to come up
-	SlackMS          float64  // a final response may come so much later than its deadline
-	GraceMS          float64  // requests may still be sent so long after a drain is notified
-	CollapseMultiple float64  // multiple of its capacity that collapses a server in slow start
-	CollapseWindowMS float64  // span over which that is counted
-	WeightBy         string   // what a request weighs by: "request" or "work"
+	ServerKinds      []string // names of the kinds of servers, indexed by EndpointEntry.Kind
+	KeepAliveMS      float64  // how long a server keeps an idle connection open
+	DialMS           float64  // how long connecting may take
+	SlackMS          float64  // how long after its deadline a request's final response may come
+	GraceMS          float64  // how long after the notice of a drain requests may still be sent
+	CollapseMultiple float64  // multiple of its capacity above which arriving work collapses a server in slow start
+	CollapseWindowMS float64  // window over which the arriving work is added up
+	WeightBy         string   // unit in which requests are weighted: "request" or "work"
 	Columns          []string // names of the values in a load report, in order
 }
 
-// Figures that the laboratory's balancers are never limited by.
+// Values of max_open and cpu_us_per_s. They are too high to limit a balancer of the laboratory.
 const (
 	maxOpenConnections = 20000
 	cpuMicrosPerSecond = 1e6
 )
 
-// settingsMessage is the whole of a start event's settings, as the simulator writes them. Fields of
-// the same key in the embedded struct are hidden by those here.
+// settingsMessage is the complete settings of a start event. encoding/json prefers its fields over fields
+// of the embedded struct that have the same key.
 type settingsMessage struct {
 	settingsJSON
 	Family      string         `json:"family"`
@@ -60,7 +60,8 @@
 	FallMS              float64 `json:"overload_for_ms"`
 }
 
-// MarshalSettings writes settings as a start event holds them; Settings reads them back.
+// MarshalSettings encodes settings for a start event. ParseSettings, ParseReportColumns and
+// ParseConnections decode them.
 func MarshalSettings(settings *piernotch.Settings, extra ExtraSettings) ([]byte, error) {
 	message := settingsMessage{
 		Family:      "proxy",
@@ -83,7 +84,7 @@
 		OverQuotaWeight: settings.OverQuotaWeight,
 	}
 	if len(settings.Classes) == 0 {
-		message.Classes = nil // it is written as null
+		message.Classes = nil // encoded as null, not as []
 	}
 	if settings.PollDiscovery {
 		message.Discovery = "on_request"
--- a/internal/simprotocol/translate.go
+++ b/internal/simprotocol/translate.go
@@ -8,7 +8,7 @@
 	"piernotch"
 )
 
-// StatusCode returns the wire's code of a status; 0 for one that the wire does not know.
+// StatusCode returns the code of a status on the wire. A status without a code yields 0, as OK does.
 func StatusCode(status piernotch.Status) uint8 {
 	for code, known := range statusByCode {
 		if known == status {
@@ -18,7 +18,7 @@
 	return 0
 }
 
-// StateCode returns the wire's code of a server's state.
+// StateCode returns the code of a server's state on the wire. A state without a code yields 0, as Draining does.
 func StateCode(state piernotch.State) uint8 {
 	for code, known := range stateByCode {
 		if known == state {
@@ -28,7 +28,8 @@
 	return 0
 }
 
-// ListKindCode returns the wire's code of a kind of list.
+// ListKindCode returns the code of an update kind on the wire. A kind without a code yields 0, as
+// UpdateFailed does.
 func ListKindCode(kind piernotch.UpdateKind) uint8 {
 	for code, known := range listKindByCode {
 		if known == kind {
@@ -38,8 +39,9 @@
 	return 0
 }
 
-// ParseLoadReport translates the load report of an attempt or a health check. The columns name its
-// values in order; ok is false if there is no report, or if a value is impossible.
+// ParseLoadReport translates the load report of an attempt or a health check. The columns name the report's
+// values in order. ok is false if no value is named InflightColumn, or if a value is negative, infinite
+// or NaN.
 func ParseLoadReport(event *Event, columns []string) (load piernotch.LoadReport, ok bool) {
 	for i, name := range columns[:min(len(columns), event.LoadCount)] {
 		if !SetLoadValue(&load, name, event.Load[i]) {
@@ -50,11 +52,11 @@
 	return load, ok
 }
 
-// InflightColumn names the value without which a load report is of no use: requests at the server.
+// InflightColumn names the number of requests at the server. Load reports without this value are not used.
 const InflightColumn = "inflight"
 
-// SetLoadValue sets one named value of a load report; unknown names are ignored. It reports whether the
-// value is possible: neither negative nor infinite nor NaN.
+// SetLoadValue sets the value of the given name in a load report; it sets nothing for an unknown name. It
+// reports whether the value is valid: not negative, infinite or NaN.
 func SetLoadValue(load *piernotch.LoadReport, name string, value float64) bool {
 	switch name {
 	case InflightColumn:
@@ -65,8 +67,8 @@
 	return value >= 0 && !math.IsInf(value, 0)
 }
 
-// Duration converts the wire's milliseconds, rounded to the microsecond that the wire counts in. NaN
-// is 0, and what exceeds a Duration is cut to half of its range.
+// Duration converts milliseconds on the wire, rounded to microseconds. NaN yields 0. Values are
+// clamped to half the range of time.Duration.
 func Duration(milliseconds float64) time.Duration {
 	const limit = float64(math.MaxInt64 / int64(time.Millisecond) / 2)
 	if math.IsNaN(milliseconds) {
@@ -76,16 +78,16 @@
 	return time.Duration(math.Round(milliseconds*1000)) * time.Microsecond
 }
 
-// Milliseconds is the reverse of Duration; what is below a microsecond is cut off.
+// Milliseconds converts a duration for the wire, and truncates it to microseconds.
 func Milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// statusByCode maps the wire's dispositions, which are not contiguous.
+// statusByCode maps the dispositions on the wire to statuses. Their numbers are not contiguous.
 var statusByCode = map[uint8]piernotch.Status{
 	0: piernotch.OK, 13: piernotch.Error, 8: piernotch.Full, 4: piernotch.Timeout,
 	14: piernotch.ConnectFailed, 10: piernotch.Reset, 1: piernotch.Cancelled, 9: piernotch.NotSent,
 }
 
-// ParseStatus translates the wire's disposition. It returns an error for an unknown one.
+// ParseStatus translates a disposition on the wire. It returns an error if the code is unknown.
 func ParseStatus(code uint8) (piernotch.Status, error) {
 	status, ok := statusByCode[code]
 	if !ok {
@@ -100,8 +102,8 @@
 	0: piernotch.UpdateFailed, 1: piernotch.UpdateCached, 2: piernotch.UpdateFull, 3: piernotch.UpdateDelta,
 }
 
-// ParseEndpointList translates the kind and the entries of an endpoint list, appending to into. The
-// entries before a malformed one are returned with the error.
+// ParseEndpointList translates the kind of an endpoint list, and appends the translated entries to into.
+// With an error, it returns the entries before the malformed one.
 func ParseEndpointList(event *Event, into []piernotch.Endpoint) (piernotch.UpdateKind, []piernotch.Endpoint, error) {
 	if int(event.ListKind) >= len(listKindByCode) {
 		return 0, into, fmt.Errorf("unknown list kind %d", event.ListKind)
