--- a/cmd/simulator-adapter/adapter.go
+++ b/cmd/simulator-adapter/adapter.go
@@ -12,22 +12,22 @@
 	"piernotch/internal/simprotocol"
 )
 
-// streamBuffer is the size of the buffers on standard input and output, in bytes.
+// streamBuffer is the size of the buffers of standard input and of standard output, in bytes each.
 const streamBuffer = 1 << 16
 
 var errStartedTwice = errors.New("started twice without a stop")
 
-// adapter hosts balancers. What it decodes into is reused from event to event, so that the events of a
-// running balancer allocate nothing here.
+// adapter runs the balancers. It reuses reply, event and entries, so it allocates nothing of its own for the
+// events of a running balancer once they have grown.
 type adapter struct {
-	balancers map[simprotocol.BalancerNumber]*piernotch.Balancer // nil for one whose settings could not be used
-	columns   []string                                           // of load reports; the same for all balancers
+	balancers map[simprotocol.BalancerNumber]*piernotch.Balancer // by number; nil: the settings were unusable
+	columns   []string                                           // of load reports, the same for all balancers; set at each start
 	reply     simprotocol.Reply
 	event     simprotocol.Event
 	entries   []piernotch.Endpoint
 }
 
-// serve answers batches until the input ends.
+// serve answers batches until the input ends. It returns the first error; a batch that fails gets no reply.
 func serve(input io.Reader, output io.Writer) error {
 	hosted := adapter{balancers: map[simprotocol.BalancerNumber]*piernotch.Balancer{}}
 	reader := simprotocol.NewReader(bufio.NewReaderSize(input, streamBuffer))
@@ -64,7 +64,8 @@
 	return nil
 }
 
-// handle passes the current event to its balancer.
+// handle processes the current event: it starts or stops a balancer, or passes the event to a running one. It
+// ignores the events of a balancer whose settings were unusable.
 func (a *adapter) handle(now time.Duration) error {
 	event := &a.event
 	balancer, started := a.balancers[event.Balancer]
@@ -82,13 +83,14 @@
 		delete(a.balancers, event.Balancer)
 		return nil
 	}
-	if balancer == nil { // its settings could not be used, which has been reported
+	if balancer == nil { // its settings were unusable; start has reported that
 		return nil
 	}
 	return a.dispatch(balancer, now)
 }
 
-// start starts a balancer. Settings that cannot be used are reported as a fault of the balancer.
+// start starts the balancer of the current event. Unusable settings are reported to the simulator as a fault
+// of this balancer; the others go on.
 func (a *adapter) start() {
 	event := &a.event
 	a.balancers[event.Balancer] = nil
@@ -112,7 +114,8 @@
 	return piernotch.New(settings, event.Seed, &host{balancer: event.Balancer, reply: &a.reply})
 }
 
-// dispatch calls the method of a running balancer that the current event stands for.
+// dispatch calls the method of a running balancer that handles the current event. If the event has a valid
+// load report, the balancer receives the report first.
 func (a *adapter) dispatch(balancer *piernotch.Balancer, now time.Duration) error {
 	event := &a.event
 	if load, ok := simprotocol.ParseLoadReport(event, a.columns); ok {
--- a/cmd/simulator-adapter/doc.go
+++ b/cmd/simulator-adapter/doc.go
@@ -1,7 +1,8 @@
-// Command simulator-adapter hosts many balancers over standard input and output. It translates
-// between the simulator's protocol (package simprotocol) and the piernotch package and decides nothing.
+// Command simulator-adapter runs many balancers that a simulator controls over standard input and output.
+// It translates between the simulator's protocol (package simprotocol) and package piernotch, and makes no
+// decisions.
 //
-// It runs on one goroutine: a batch of events is passed to the balancers in order, and one reply with
-// all of their actions is written before the next batch is read. It ends with exit code 0 at the end
-// of its input, and with 1 after a malformed frame.
+// All work is done on one goroutine. The events of a batch are passed to the balancers in order, and one
+// reply with all of their actions is written before the next batch is read. The exit code is 0 at the end
+// of the input, and 1 after an error, such as a malformed frame.
 package main
--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -7,7 +7,7 @@
 	"piernotch/internal/simprotocol"
 )
 
-// host is the piernotch.Host of one balancer: it writes the balancer's actions to the reply.
+// host implements piernotch.Host for one balancer. It adds the balancer's actions to the reply.
 type host struct {
 	balancer simprotocol.BalancerNumber
 	reply    *simprotocol.Reply
