--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -27,7 +27,7 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	require.Equal(t, want, got, "%s: the form on the wire has changed", path)
+	require.Equal(t, want, got, "%s: the format on the wire has changed", path)
 	return want
 }
 
