--- a/internal/trafficrecording/errors.go
+++ b/internal/trafficrecording/errors.go
@@ -6,18 +6,18 @@
 )
 
 var (
-	// ErrTruncated says that a recording ends in the middle of its header or of a block.
+	// ErrTruncated reports a recording that ends within its header or within a block.
 	ErrTruncated = errors.New("the recording is cut short")
-	// ErrNotRecording says that a file is no recording.
+	// ErrNotRecording reports a file that does not begin with the format's magic number.
 	ErrNotRecording = errors.New("this is no recording: it does not begin with " + magic)
-	// ErrChecksum says that a block has been changed.
+	// ErrChecksum reports a block whose data does not match its checksum.
 	ErrChecksum = errors.New("its checksum is wrong")
 )
 
-// FileError is an error of a recording's file.
+// FileError reports that a recording could not be created, opened or read.
 type FileError struct {
-	Name string // of the file; "": Err names it
-	Err  error  // a *BlockError behind the recording's header
+	Name string // path of the file; "": Err contains it
+	Err  error  // a *BlockError if the error occurred after the recording's header
 }
 
 func (e *FileError) Error() string {
@@ -30,9 +30,9 @@
 // Unwrap returns Err.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// BlockError is an error in a block.
+// BlockError reports an error in a block of a recording.
 type BlockError struct {
-	Block int // number of the last block whose header could be read, from 1; 0: none could
+	Block int // last block whose header could be read, from 1 since Open or Seek; 0: none could
 	Err   error
 }
 
--- a/internal/trafficrecording/format.go
+++ b/internal/trafficrecording/format.go
@@ -13,26 +13,27 @@
 
 const (
 	magic = "PNTRACE1"
-	// formatVersion is the version that is written, and the only one that is read.
+	// formatVersion is the format's version. Recordings of other versions are not read.
 	formatVersion = 1
-	// blockHeaderSize is the size of a block's header in bytes.
+	// blockHeaderSize is the size of a block's header, in bytes.
 	blockHeaderSize = 20
-	// blockRecords is how many records a block holds: enough to compress well, few enough that little
-	// is lost with a process.
+	// blockRecords is the number of records in a full block. More would compress better, but a process that
+	// dies would lose more records.
 	blockRecords = 2048
-	// maxHeaderSize and maxBlockSize bound what is read, in bytes: a file may be damaged.
+	// maxHeaderSize and maxBlockSize are the largest sizes accepted by the reader, in bytes. They keep a
+	// damaged file from causing huge allocations.
 	maxHeaderSize = 1 << 20
 	maxBlockSize  = 16 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Header says where a recording comes from.
+// Header describes the origin of a recording.
 type Header struct {
-	Version   int      `cbor:"version"` // of the format; Create sets it
+	Version   int      `cbor:"version"` // of the format; Create sets the field
 	Name      string   `cbor:"name"`    // of the balancer
 	Zone      string   `cbor:"zone"`    // of the balancer
-	Classes   []string `cbor:"classes"` // by the records' class indexes
+	Classes   []string `cbor:"classes"` // names, indexed by Record.Class
 	StartedAt int64    `cbor:"started"` // Unix time of the start, in ns
 }
 
@@ -40,37 +41,37 @@
 type Outcome uint8
 
 const (
-	// Served requests got a server's response.
+	// Served means that the client got a server's response.
 	Served Outcome = iota
-	// Rejected requests were not executed.
+	// Rejected means that the request was not executed.
 	Rejected
-	// Failed requests may have been executed, without a response.
+	// Failed means that no server's response came, though a server may have executed the request.
 	Failed
-	// ClientGone says that the client left before the response.
+	// ClientGone means that the client disconnected before the response.
 	ClientGone
 )
 
-// Record is one request. It is encoded as an array, in the order of the fields.
+// Record describes one request. It is encoded as a CBOR array, in the order of the fields.
 type Record struct {
 	_        struct{}      `cbor:",toarray"`
-	At       time.Duration // of its arrival, since the start of the recording
+	At       time.Duration // when the request arrived, since the start of the recording
 	Class    uint16        // index into Header.Classes
 	Key      uint64        // hash of the affinity key; 0: none
-	CostHint float64       // expected cost in ms; 0: none
-	Deadline time.Duration // since its arrival
+	CostHint float64       // the request's cost hint, ms; 0: none
+	Deadline time.Duration // from the request's arrival
 	Outcome  Outcome
-	Latency  time.Duration // from its arrival to the outcome
+	Latency  time.Duration // from the request's arrival to the outcome
 }
 
-// blockHeader is the fixed part of a block.
+// blockHeader is the header of a block, before its data.
 type blockHeader struct {
-	size     uint32 // of the data, in bytes
+	size     uint32 // of the compressed data, in bytes
 	records  uint32
 	first    time.Duration // Record.At of the first record
-	checksum uint32        // CRC-32C of the data
+	checksum uint32        // CRC-32C of the compressed data
 }
 
-// encode writes the header into the first blockHeaderSize bytes of out.
+// encode writes the header to the first blockHeaderSize bytes of out.
 func (h blockHeader) encode(out []byte) {
 	binary.LittleEndian.PutUint32(out, h.size)
 	binary.LittleEndian.PutUint32(out[4:], h.records)
@@ -91,7 +92,7 @@
 	return h, nil
 }
 
-// encodeBlock returns a block of records, of which there is at least one.
+// encodeBlock returns the block of at least one record, header included.
 func encodeBlock(records []Record) ([]byte, error) {
 	var out bytes.Buffer
 	out.Write(make([]byte, blockHeaderSize))
--- a/internal/trafficrecording/golden_test.go
+++ b/internal/trafficrecording/golden_test.go
@@ -16,7 +16,7 @@
 
 var update = flag.Bool("update", false, "write the golden files again; only where the form changes on purpose")
 
-// The values of the golden recording, each field of them set but in the last record.
+// The content of the golden recording. The last record is zero; the others have every field set.
 var (
 	goldenHeader = Header{
 		Version:   1,
@@ -66,8 +66,8 @@
 	}
 )
 
-// parts takes a recording of one block apart: magic and header, and what the block's data inflates to.
-// How DEFLATE packs the data is compress/flate's own and may change with Go.
+// parts splits a recording of one block into its header, magic number included, and the decompressed records.
+// The compressed bytes are not compared: compress/flate may produce other bytes in another version of Go.
 func parts(t *testing.T, data []byte) (head, records []byte) {
 	t.Helper()
 	end := len(magic) + 4 + int(binary.LittleEndian.Uint32(data[len(magic):]))
@@ -80,8 +80,8 @@
 	return data[:end], records
 }
 
-// TestRecordingGoldenFile guards recordings: an older one is read to the same values, and the same
-// values are written to the same bytes.
+// Existing recordings must stay readable: the golden file yields the expected values, and writing these values
+// yields the same bytes before compression.
 func TestRecordingGoldenFile(t *testing.T) {
 	path, fresh := filepath.Join("testdata", "recording.pnt"), filepath.Join(t.TempDir(), "fresh.pnt")
 	if *update {
@@ -101,8 +101,8 @@
 	require.NoError(t, err)
 	wantHead, wantRecords := parts(t, want)
 	gotHead, gotRecords := parts(t, got)
-	require.Equal(t, wantHead, gotHead, "the form of the header has changed")
-	require.Equal(t, wantRecords, gotRecords, "the form of the records has changed")
+	require.Equal(t, wantHead, gotHead, "the format of the header has changed")
+	require.Equal(t, wantRecords, gotRecords, "the format of the records has changed")
 
 	r, err := Open(path)
 	require.NoError(t, err)
--- a/internal/trafficrecording/reader.go
+++ b/internal/trafficrecording/reader.go
@@ -15,22 +15,22 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// readBufferSize is how many bytes are read from the file at once.
+// readBufferSize is the size of the read buffer, in bytes.
 const readBufferSize = 1 << 16
 
-// Reader reads a recording. Open makes it. It is for one goroutine at a time.
+// Reader reads a recording. Open returns one. Its methods must not be called concurrently.
 type Reader struct {
 	name        string
 	file        *os.File
 	in          *bufio.Reader
 	header      Header
-	firstBlock  int64         // offset in the file
-	records     *cbor.Decoder // of the current block
-	recordsLeft uint32        // in the current block
-	block       int           // number of the current block, counted from 1 since Open or Seek; 0: none yet
+	firstBlock  int64         // offset of the first block in the file
+	records     *cbor.Decoder // decodes the current block
+	recordsLeft uint32        // records of the current block that Next has not read
+	block       int           // number of the current block, from 1 since Open or Seek; 0: none yet
 }
 
-// Open opens a recording. An error is a *FileError.
+// Open opens a recording and reads its header. Any error is a *FileError.
 func Open(name string) (*Reader, error) {
 	file, err := os.Open(name)
 	if err != nil {
@@ -38,7 +38,7 @@
 	}
 	reader := &Reader{name: name, file: file, in: bufio.NewReaderSize(file, readBufferSize)}
 	if err := reader.readHeader(); err != nil {
-		_ = file.Close() // it was only read
+		_ = file.Close() // nothing was written that could be lost
 		return nil, &FileError{Name: name, Err: err}
 	}
 	return reader, nil
@@ -67,14 +67,14 @@
 	return nil
 }
 
-// Header returns the recording's header, which the caller must not change.
+// Header returns the recording's header. The caller must not change it.
 func (r *Reader) Header() *Header { return &r.header }
 
 // Close closes the file.
 func (r *Reader) Close() error { return r.file.Close() }
 
-// Next reads the next record. It returns io.EOF at the end, and else a *FileError, which wraps
-// ErrTruncated where the writer died.
+// Next reads the next record. It returns io.EOF at the end of the recording; any other error is a
+// *FileError. The error wraps ErrTruncated if the last block is incomplete, as after the writer's death.
 func (r *Reader) Next(record *Record) error {
 	for r.recordsLeft == 0 {
 		err := r.readBlock()
@@ -99,7 +99,8 @@
 	return &FileError{Name: r.name, Err: &BlockError{Block: r.block, Err: err}}
 }
 
-// readBlock reads the next block and checks its data. It returns io.EOF at the end of the file.
+// readBlock reads the next block, checks its checksum and prepares its records for Next. It returns io.EOF at
+// the end of the file.
 func (r *Reader) readBlock() error {
 	header, err := r.readBlockHeader()
 	if err != nil {
@@ -130,8 +131,8 @@
 	return decodeBlockHeader(&encoded)
 }
 
-// Seek goes to the last block that begins at or before a time, which is since the start of the
-// recording; its first record is the next one. Block numbers in errors count from there.
+// Seek moves to the last block that begins at or before a time, counted from the start of the recording, or
+// to the first block. Next then reads that block's first record. Errors number the blocks from there.
 func (r *Reader) Seek(at time.Duration) error {
 	if err := r.moveTo(r.firstBlock); err != nil {
 		return err
@@ -141,8 +142,8 @@
 	return r.moveTo(r.findBlock(at))
 }
 
-// findBlock reads along the blocks' headers, and returns the offset of the last block that begins at
-// or before a time, that of the first if there is none. It stops where the file is damaged.
+// findBlock returns the offset of the last block that begins at or before a time, or of the first block. It
+// reads headers from the present offset on, until one is later than the time or cannot be read.
 func (r *Reader) findBlock(at time.Duration) int64 {
 	found, offset := r.firstBlock, r.firstBlock
 	for {
@@ -158,7 +159,7 @@
 	}
 }
 
-// moveTo continues to read at an offset in the file.
+// moveTo sets the offset in the file for the next read, and discards buffered data.
 func (r *Reader) moveTo(offset int64) error {
 	if _, err := r.file.Seek(offset, io.SeekStart); err != nil {
 		return err
--- a/internal/trafficrecording/trace_test.go
+++ b/internal/trafficrecording/trace_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testRecord returns the record number i of a test.
+// testRecord returns a record that arrived at i ms; most other fields depend on i, too.
 func testRecord(i int) Record {
 	return Record{
 		At: time.Duration(i) * time.Millisecond, Class: uint16(i % 2), Key: uint64(i * 7), CostHint: float64(i),
@@ -20,7 +20,8 @@
 	}
 }
 
-// writeTrace writes a recording of n records and returns its name and the closed Writer.
+// writeTrace writes a recording of n records. It returns its path and the closed Writer, which has dropped at
+// least one record.
 func writeTrace(t *testing.T, n int, limits Limits) (string, *Writer) {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "t.pnt")
@@ -30,7 +31,7 @@
 		w.Add(testRecord(i))
 	}
 	require.NoError(t, w.Close())
-	w.Add(testRecord(0)) // after the end: dropped, no panic
+	w.Add(testRecord(0)) // a record after Close is dropped, without a panic
 	return name, w
 }
 
@@ -61,7 +62,8 @@
 	require.Equal(t, testRecord(0), record)
 }
 
-// Of a recording that is truncated or damaged, the blocks before are read, and the error says what is wrong.
+// A crash or a disk fault may damage the last block of a recording. The blocks before it must still be read, and the
+// error must tell the kind of damage.
 func TestDamagedRecordingIsReadUpToTheDamage(t *testing.T) {
 	name, _ := writeTrace(t, 2*blockRecords, Limits{})
 	data, err := os.ReadFile(name)
@@ -97,7 +99,7 @@
 	require.ErrorIs(t, err, ErrTruncated)
 }
 
-// A recording ends at its limit of bytes, and what was not written is counted.
+// A recording must not fill the disk: it ends at its limit of bytes. Every record that is not written is counted.
 func TestRecordingIsBoundedAndCountsDropped(t *testing.T) {
 	name, w := writeTrace(t, 10*blockRecords, Limits{Bytes: 1, Pending: 4 * blockRecords})
 	require.Greater(t, w.Dropped(), 0)
@@ -116,7 +118,7 @@
 	require.Error(t, err)
 }
 
-// A file with any content is read without a panic.
+// A file of any content must not cause a panic in the reader.
 func FuzzRead(f *testing.F) {
 	b, err := encodeBlock([]Record{testRecord(1), testRecord(2)})
 	if err != nil {
--- a/internal/trafficrecording/writer.go
+++ b/internal/trafficrecording/writer.go
@@ -13,30 +13,31 @@
 	defaultMaxPending = 8192
 )
 
-// Limits bounds a recording. Zero values are the defaults.
+// Limits bounds the size of a recording and its use of memory. A zero value means the default.
 type Limits struct {
-	// Bytes is the size of the file, 64 MiB by default, at which recording ends: the block that passes
-	// it is the last.
+	// Bytes is the total size of blocks, 64 MiB by default, at which the recording ends. The block that
+	// reaches the limit is written in full; all later records are dropped.
 	Bytes int64
-	// Pending is how many records may wait to be written, 8,192 by default; more are dropped.
+	// Pending is the largest number of records that wait to be written, 8,192 by default. Further ones are
+	// dropped.
 	Pending int
 }
 
-// Writer writes a recording. Create makes it. All methods may be called from any goroutine.
+// Writer writes a recording. Create returns one. Its methods may be called concurrently.
 type Writer struct {
 	limits Limits
-	wake   chan struct{} // a block is pending; closed by Close
-	done   chan error    // the first error of the recording, once the file is closed
+	wake   chan struct{} // signals that a full block is pending; Close closes it
+	done   chan error    // gets the recording's first error, or nil, once the file is closed
 
 	mu      sync.Mutex
 	pending []Record
 	dropped int
 	closed  bool
 
-	spare []Record // an array for pending to use again; the writing goroutine's
+	spare []Record // used for pending in turn, to save allocations; accessed by run's goroutine only
 }
 
-// Create begins a recording in a new file and replaces one that exists. An error is a *FileError.
+// Create starts a recording. An existing file of this name is replaced. Any error is a *FileError.
 func Create(name string, header Header, limits Limits) (*Writer, error) {
 	file, err := os.Create(name)
 	if err != nil {
@@ -49,11 +50,11 @@
 		limits.Pending = defaultMaxPending
 	}
 	if err := writeHeader(file, header); err != nil {
-		_ = file.Close() // the first error says more
+		_ = file.Close() // the write error tells more
 		return nil, &FileError{Name: name, Err: err}
 	}
 	writer := &Writer{limits: limits, wake: make(chan struct{}, 1), done: make(chan error, 1)}
-	// Owned by the Writer; it ends when Close has closed wake and all is written.
+	// The goroutine ends after Close has closed wake and all pending records have been written or dropped.
 	go writer.run(file)
 	return writer, nil
 }
@@ -69,8 +70,8 @@
 	return err
 }
 
-// Add records a request, or drops it if the disk is behind, the file full or the Writer closed. It
-// never waits for the disk.
+// Add records a request. It never waits for the disk: if too many records are pending, or if the Writer is
+// closed, the record is dropped. Records that exceed the limit of bytes are dropped later.
 func (w *Writer) Add(record Record) {
 	w.mu.Lock()
 	if w.closed || len(w.pending) >= w.limits.Pending {
@@ -89,14 +90,15 @@
 	}
 }
 
-// Dropped returns how many records were not written.
+// Dropped returns the number of records dropped so far. It leaves out records whose write failed.
 func (w *Writer) Dropped() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.dropped
 }
 
-// Close writes what is pending and returns the first error of the recording. Later calls return nil.
+// Close writes the pending records, closes the file and returns the first error of the recording. Later
+// calls return nil.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	if w.closed {
@@ -109,14 +111,14 @@
 	return <-w.done
 }
 
-// blockFile is the file of a recording, for the writing goroutine.
+// blockFile is the file of a recording. Only run's goroutine uses it.
 type blockFile struct {
 	file    *os.File
-	written int64 // bytes of blocks
-	err     error // the first one
+	written int64 // bytes of blocks, without the recording's header
+	err     error // the first error
 }
 
-// run writes blocks until the Writer is closed.
+// run writes blocks until the Writer is closed, then writes the remaining records and closes the file.
 func (w *Writer) run(file *os.File) {
 	out := &blockFile{file: file}
 	for range w.wake {
@@ -129,8 +131,8 @@
 	w.done <- out.err
 }
 
-// flush writes a batch of records in blocks. After an error or at the limit of bytes it only drops
-// records.
+// flush writes a batch of records in blocks. After an error, or once the limit of bytes is reached, it drops
+// the records instead. It keeps the batch's array for take to reuse.
 func (w *Writer) flush(out *blockFile, batch []Record) {
 	for start := 0; start < len(batch); start += blockRecords {
 		records := batch[start:min(start+blockRecords, len(batch))]
@@ -143,21 +145,21 @@
 	w.spare = batch
 }
 
-// takeCompleteBlocks returns the pending records of complete blocks and leaves the rest pending.
+// takeCompleteBlocks removes and returns as many pending records as fill whole blocks.
 func (w *Writer) takeCompleteBlocks() []Record {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.take(len(w.pending) / blockRecords * blockRecords)
 }
 
-// takeAll returns all pending records.
+// takeAll removes and returns all pending records.
 func (w *Writer) takeAll() []Record {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.take(len(w.pending))
 }
 
-// take returns the first of the pending records and leaves the rest pending. The mutex must be held.
+// take removes and returns the first count pending records. The caller must hold the mutex.
 func (w *Writer) take(count int) []Record {
 	batch := w.pending[:count]
 	w.pending = append(w.spare[:0], w.pending[count:]...)
@@ -170,7 +172,7 @@
 	w.dropped += records
 }
 
-// write appends a block.
+// write appends a block to the file, or sets err. It must not be called once err is set.
 func (f *blockFile) write(records []Record) {
 	block, err := encodeBlock(records)
 	if err != nil {
