--- a/cmd/simulator-adapter/adapter.go
+++ b/cmd/simulator-adapter/adapter.go
@@ -21,7 +21,7 @@
 // events of a running balancer once they have grown.
 type adapter struct {
 	balancers map[simprotocol.BalancerNumber]*piernotch.Balancer // by number; nil: the settings were unusable
-	columns   []string                                           // of load reports, the same for all balancers; set at each start
+	columns   []string                                           // of load reports; the same for all balancers
 	reply     simprotocol.Reply
 	event     simprotocol.Event
 	entries   []piernotch.Endpoint
