--- a/internal/lab/idtable/idtable.go
+++ b/internal/lab/idtable/idtable.go
@@ -1,32 +1,32 @@
-// Package idtable holds records by IDs that are given out in rising order.
+// Package idtable stores records by IDs that are assigned in increasing order.
 //
-// A table is a ring: a lookup is an index and a comparison, and the ring grows to the span between the
-// oldest and the newest ID in it. It knows nothing of what it holds. internal/lab/simulation and
-// internal/lab/invariants keep requests and attempts in it.
+// A table is a ring buffer: a lookup costs an index operation and a comparison. The ring grows with the span
+// between the oldest and the newest ID in the table. The package knows nothing about the records.
+// internal/lab/simulation and internal/lab/invariants store requests and attempts in tables.
 package idtable
 
-// minSlots is the size of the first ring; sizes are powers of two.
+// minSlots is the number of slots of the first ring. It must be a power of two: the method at masks IDs.
 const minSlots = 64
 
-// Table maps IDs to records. The zero value is empty and ready. It is for one goroutine at a time.
+// Table maps IDs to records. The zero value is an empty table. A Table must not be used concurrently.
 type Table[T any] struct {
 	slots []slot[T]
-	count int
+	count int // slots in use
 }
 
-// slot is a place of the ring, which holds the IDs that equal its index modulo the ring's size.
+// slot holds at most one record: its ID modulo the number of slots is the slot's index.
 type slot[T any] struct {
 	id    uint64
 	used  bool
 	value T
 }
 
-// at returns the slot of an ID. The table must have slots.
+// at returns the slot in which an ID belongs. The table must have slots.
 func (t *Table[T]) at(id uint64) *slot[T] {
 	return &t.slots[id&uint64(len(t.slots)-1)]
 }
 
-// find returns the slot that holds an ID, or nil.
+// find returns the slot that contains the record of an ID, or nil.
 func (t *Table[T]) find(id uint64) *slot[T] {
 	if len(t.slots) == 0 {
 		return nil
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// Put adds a zeroed record for an ID that is not in the table. Pointers from earlier calls of Put, Get
-// and Each are invalid after it.
+// Put adds a zeroed record for an ID that must not be in the table, and returns a pointer to the record. It
+// invalidates all pointers to records that Put, Get and Each gave out before.
 func (t *Table[T]) Put(id uint64) *T {
 	if len(t.slots) == 0 {
 		t.slots = make([]slot[T], minSlots)
@@ -52,12 +52,12 @@
 	return &s.value
 }
 
-// grow doubles the ring.
+// grow doubles the number of slots and moves the records.
 func (t *Table[T]) grow() {
 	old := t.slots
 	t.slots = make([]slot[T], 2*len(old))
 	for i := range old {
-		if old[i].used { // IDs in different slots of the old ring are in different slots of the new one
+		if old[i].used { // distinct old slots map to distinct new slots
 			*t.at(old[i].id) = old[i]
 		}
 	}
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// Delete removes a record, if it is in the table.
+// Delete removes the record of an ID. It does nothing if there is none.
 func (t *Table[T]) Delete(id uint64) {
 	if s := t.find(id); s != nil {
 		*s = slot[T]{}
@@ -79,11 +79,11 @@
 	}
 }
 
-// Len is how many records the table holds.
+// Len returns the number of records in the table.
 func (t *Table[T]) Len() int { return t.count }
 
-// Each calls f with every record. The order depends on the IDs and on how the ring grew, and is the
-// same in every run. f may delete the record that it is called with.
+// Each calls f for every record. The order depends only on the IDs and on how the ring has grown, so a run
+// with the same calls has the same order. f may delete the record that it is called with.
 func (t *Table[T]) Each(f func(id uint64, v *T)) {
 	for i := range t.slots {
 		if t.slots[i].used {
