--- a/internal/lab/servermodel/doc.go
+++ b/internal/lab/servermodel/doc.go
@@ -1,15 +1,15 @@
-// Package servermodel models a server: what it does with the work that it is sent. It covers
-// queueing and processor sharing, slow start and collapse in it, overload, pauses, the cost of
-// connections, key affinity and load reports.
+// Package servermodel models how a server executes the work that it receives. The model covers queueing,
+// processor sharing, slow start and collapse during slow start, overload, pauses, the cost of connections,
+// key affinity and load reports.
 //
-// A Server is pure: it has no clock, no sockets and no random source but those it is given. Every
-// method takes the present time, which must not go back, and Next says when Advance must be called at
-// the latest. It must not know of balancers or requests' outcomes at clients. It is for one goroutine
-// at a time.
+// A Server is pure: it reads no clock, opens no sockets, and draws all random numbers from a seed. Methods
+// that depend on time take the present time, which must not go backwards. Next returns when Advance must be
+// called at the latest. The package must not know of balancers, or of how requests end for clients. A
+// Server must not be used concurrently.
 //
-// internal/lab/simulation runs thousands of Servers in simulated time, internal/lab/emulator the same
-// ones behind sockets; internal/lab/scenario draws their Kinds.
+// internal/lab/simulation runs thousands of Servers in simulated time. internal/lab/emulator runs the same
+// model behind sockets. internal/lab/scenario draws Kinds at random.
 //
-// Work is counted in milliseconds on a core of speed 1, as cost hints are: a core of speed 2 does two
-// milliseconds of work in one.
+// Work is measured in milliseconds on a core of speed 1, as are cost hints: a core of speed 2 does 2 ms of
+// work in 1 ms.
 package servermodel
--- a/internal/lab/servermodel/kind.go
+++ b/internal/lab/servermodel/kind.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// WarmUp is what ends slow start.
+// WarmUp selects what makes a server warm in slow start.
 type WarmUp uint8
 
 // Kinds of warm-up.
 const (
-	WarmByTime WarmUp = iota // evenly over SlowStartDuration
-	WarmByWork               // with the work done, and over SlowStartDuration at the latest
+	WarmByTime WarmUp = iota // time alone: capacity grows evenly over SlowStartDuration
+	WarmByWork               // work done or time, whichever has progressed further
 )
 
-// Kind is the description of one server. The zero value of a field turns its mechanism off, except
-// where the comment gives a minimum.
+// Kind describes a server. The zero value of a field turns its mechanism off, unless the comment gives a
+// minimum.
 type Kind struct {
 	Name  string
 	Cores int     // at least 1
-	Speed float64 // work a core does in a millisecond, ms; above 0
+	Speed float64 // ms of work that a core does in 1 ms; above 0
 	Slots int     // requests executed at once; at least 1
-	Queue int     // requests that may be queued; further ones are rejected
+	Queue int     // most requests queued at once; further ones are rejected
 
-	// More than ThrashAt requests in flight for each core cost up to Thrash of the speed:
-	// all of it at twice ThrashAt.
-	Thrash   float64 // share, 0 to 1
-	ThrashAt float64 // requests in flight for each core
+	// Above ThrashAt requests in flight per core, the server loses speed in proportion to the excess. At
+	// twice ThrashAt and above, it loses the share Thrash of its speed.
+	Thrash   float64 // from 0 to 1
+	ThrashAt float64 // requests in flight per core
 
-	SlowStartCapacity float64       // share of its capacity that a started process has, 0 to 1
-	SlowStartDuration time.Duration // of slow start; 0: none
+	SlowStartCapacity float64       // share of its capacity that a process has when it starts, 0 to 1
+	SlowStartDuration time.Duration // longest slow start; 0: no slow start
 	WarmUpBy          WarmUp
 
 	PauseEvery time.Duration // mean time from the start of one pause to the next
 	PauseFor   time.Duration // mean length of a pause
-	PauseGrow  float64       // share by which a pause of a fully busy server is longer
+	PauseGrow  float64       // share by which full use of the server lengthens a pause
 
 	ErrorRate   float64 // share of responses that are errors
-	StopRunning bool    // cancelling ends running jobs too, not only queued ones
-	DropExpired bool    // queued jobs that have expired are rejected, not executed
+	StopRunning bool    // cancelling removes running jobs, too, not only queued ones
+	DropExpired bool    // queued jobs that have expired are dropped, not executed
 
 	Overload Overload
 	Keys     Keys
@@ -46,62 +46,63 @@
 	Report   ReportTiming
 	Collapse Collapse
 
-	HealthCheckWork float64 // of a health check, ms
+	HealthCheckWork float64 // work of a health check, ms
 }
 
-// Overload is what a long queue does: the server becomes slower and stays so after the cause has
-// gone.
+// Overload describes how a long queue slows the server down. The slowdown goes on after the queue has become
+// short, until the server has been mostly idle or MaxDuration has passed.
 type Overload struct {
-	QueuePerCore float64       // queued requests for each core above which the queue is too long; 0: never
-	After        time.Duration // for which the queue must be too long
-	Slowdown     float64       // how many times slower the server becomes; at least 1
-	IdleBelow    float64       // share of busy time under which the server counts as mostly idle
-	IdleFor      time.Duration // after which mostly idle ends it
-	MaxDuration  time.Duration // after which it ends in any case; 0: never
+	QueuePerCore float64       // the queue is too long above this many requests per core; 0: never
+	After        time.Duration // overload begins after the queue was too long for this time
+	Slowdown     float64       // factor by which the server becomes slower; at least 1
+	IdleBelow    float64       // the server is mostly idle while Busy is below this share
+	IdleFor      time.Duration // overload ends once the server was mostly idle for this time
+	MaxDuration  time.Duration // overload ends after this time in any case; 0: unlimited
 }
 
-// Keys is the work that is saved for a key that the server has seen lately.
+// Keys describes how much work a request saves if the server has recently begun one with the same key.
 type Keys struct {
-	WorkSaved float64       // share of the work, 0 to 1
-	WarmFor   time.Duration // since the key was last seen
-	MaxKeys   int           // remembered; the least recently seen one is forgotten first
+	WorkSaved float64       // share of the request's work, 0 to 1
+	WarmFor   time.Duration // how long after its last request a key saves work
+	MaxKeys   int           // most keys remembered; the least recently used is evicted first
 }
 
-// ConnectionCost is what connections cost.
+// ConnectionCost describes the work and capacity that connections cost a server.
 type ConnectionCost struct {
-	Handshake      float64 // work for a new one, ms
-	MaxConnections int     // connections accepted; 0: unlimited
-	Tax            float64 // share of the capacity that a full table takes, less in proportion
+	Handshake      float64 // work for a new connection, ms
+	MaxConnections int     // most open connections accepted; 0: unlimited
+	Tax            float64 // share of capacity lost at MaxConnections, in proportion below
 }
 
-// ReportTiming is when load reports are made and how exact they are.
+// ReportTiming describes when load reports are made and how exact they are.
 type ReportTiming struct {
-	Interval time.Duration // between two reports; 0: there are none
-	Delay    time.Duration // from a report's making until responses carry it
-	Noise    float64       // coefficient of variation of each value
+	Interval time.Duration // between two load reports; 0: no load reports
+	Delay    time.Duration // from making a load report until responses carry it
+	Noise    float64       // coefficient of variation of each value's random error
 }
 
-// Collapse is when a server in slow start collapses: when more work arrives within a window of For
-// than Multiple times what the server can do in it at its present capacity. It stays down then.
-// Rejected work counts.
+// Collapse describes when a server collapses in slow start. The budget is Multiple times the work that the
+// server can do in a window of length For at its present capacity. If more work than the budget plus
+// CollapseSlack arrives within a window, the server goes down until it is started again. Rejected
+// requests count, too.
 type Collapse struct {
 	Multiple float64 // 0: never
 	For      time.Duration
 }
 
-// CollapseSlack is by how much work may exceed the budget of Collapse, as a share of it.
+// CollapseSlack is the share of the budget of Collapse by which arriving work may exceed this budget.
 const CollapseSlack = 0.1
 
-// KindError is a Kind that no server can have.
+// KindError reports a Kind with an impossible value.
 type KindError struct {
-	Kind   string // its name
-	Reason string // names the field and its value
+	Kind   string // Kind.Name
+	Reason string // names the impossible value, such as "0 cores"
 }
 
-// Error returns the name of the kind and the reason.
+// Error returns "kind ", the name of the kind and the reason.
 func (e *KindError) Error() string { return "kind " + e.Kind + ": " + e.Reason }
 
-// Validate returns a *KindError that names the first impossible value, or nil.
+// Validate returns a *KindError about the first impossible value, or nil if there is none.
 func (k *Kind) Validate() error {
 	reason := k.badShare()
 	if reason == "" {
@@ -113,7 +114,7 @@
 	return &KindError{Kind: k.Name, Reason: reason}
 }
 
-// badShare returns what is wrong with the first field that is no share from 0 to 1.
+// badShare describes the first share that is not from 0 to 1, or returns "".
 func (k *Kind) badShare() string {
 	shares := []struct {
 		name  string
@@ -135,7 +136,7 @@
 	return ""
 }
 
-// badValue returns what is wrong with the first of the other fields.
+// badValue describes the first impossible value among the other fields, or returns "".
 func (k *Kind) badValue() string {
 	switch {
 	case k.Cores < 1:
@@ -149,12 +150,12 @@
 	case k.Overload.QueuePerCore > 0 && !(k.Overload.Slowdown >= 1):
 		return fmt.Sprintf("overload slowdown is %v, 1 or more is needed", k.Overload.Slowdown)
 	case k.SlowStartDuration > 0 && !(k.SlowStartCapacity > 0):
-		return "slow start capacity is 0, it would never do anything"
+		return "slow start capacity is 0: the server would never do any work"
 	case k.PauseFor > 0 && k.PauseEvery <= k.PauseFor:
 		return fmt.Sprintf("pauses of %v every %v", k.PauseFor, k.PauseEvery)
 	}
 	return ""
 }
 
-// Capacity is the work that a healthy server does in a second after slow start, ms.
+// Capacity returns the work, in ms, that a healthy server can do in a second outside of slow start.
 func (k *Kind) Capacity() float64 { return 1000 * float64(min(k.Cores, k.Slots)) * k.Speed }
--- a/internal/lab/servermodel/load_reports.go
+++ b/internal/lab/servermodel/load_reports.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// maxReports is how many load reports are kept: enough for the longest delay.
+// maxReports is the number of load reports that are kept. They must cover the longest delay of reports.
 const maxReports = 16
 
-// LoadReport is what a server reports of its load.
+// LoadReport contains a server's load: rates over the last interval, and the requests in flight at its end.
 type LoadReport struct {
 	ErrorsPerSec float64
 	PerSec       float64 // requests completed per second
 	Inflight     float64 // requests running or queued
 }
 
-// timedReport is a load report and when it was made.
+// timedReport is a load report with the time at which it was made.
 type timedReport struct {
 	at   time.Duration
 	load LoadReport
 }
 
-// makeReport makes the load report that is due.
+// makeReport makes the load report that is due, resets the counts and schedules the next report.
 func (s *Server) makeReport() {
 	interval := s.kind.Report.Interval
 	seconds := interval.Seconds()
-	// The order of the three draws is fixed.
+	// Another order of the three calls would change the values drawn from a seed.
 	noisy := func(value float64) float64 { return max(value*(1+s.kind.Report.Noise*s.noise.NormFloat64()), 0) }
 	s.reports[s.reportCount%maxReports] = timedReport{s.nextReport, LoadReport{
 		ErrorsPerSec: noisy(float64(s.reportErrors) / seconds),
@@ -35,8 +35,8 @@
 	s.nextReport += interval
 }
 
-// Report returns the load report that a response at now carries, when a fault delays reports by a
-// further delay. It returns false if there is none yet.
+// Report returns the newest load report that a response at now may carry. The argument delay is that of a
+// fault and adds to the delay of the kind. Report returns false if no load report is old enough.
 func (s *Server) Report(now, delay time.Duration) (LoadReport, bool) {
 	for i := s.reportCount - 1; i >= 0 && i >= s.reportCount-maxReports; i-- {
 		report := &s.reports[i%maxReports]
--- a/internal/lab/servermodel/pauses.go
+++ b/internal/lab/servermodel/pauses.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// pauseTiming is how often and how long a server pauses: means, which pauses vary around by half.
+// pauseTiming is the mean time between the starts of two pauses and the mean length of a pause. Drawn times
+// are uniform within 50% of the means; PauseGrow may lengthen pauses further.
 type pauseTiming struct{ every, length time.Duration }
 
-// SetPauses has the server pause for length, every so often, instead of as its kind does; zeros end
-// that.
+// SetPauses replaces the kind's mean time between pauses and mean length of pauses, and schedules the next
+// pause anew. Zeros restore the timing of the kind.
 func (s *Server) SetPauses(now, every, length time.Duration) {
 	s.advanceClock(now)
 	s.pauseFault = pauseTiming{every, length}
@@ -20,12 +21,12 @@
 	return pauseTiming{s.kind.PauseEvery, s.kind.PauseFor}
 }
 
-// pauseDue reports whether a pause is to begin that no other one covers.
+// pauseDue reports whether a pause must begin now. A pause that falls due during another one waits for its end.
 func (s *Server) pauseDue() bool {
 	return s.nextPause <= s.now && s.now >= s.pauseEnd
 }
 
-// schedulePause draws when the next pause begins.
+// schedulePause sets nextPause to a random time after now, or to Never if the server has no pauses.
 func (s *Server) schedulePause(now time.Duration) {
 	timing := s.pauseTiming()
 	s.nextPause = Never
@@ -34,7 +35,7 @@
 	}
 }
 
-// beginPause begins the pause that is due and schedules the one after it.
+// beginPause schedules the next pause and begins the one that is due, unless no process runs.
 func (s *Server) beginPause() {
 	begin := s.nextPause
 	length := s.pauseTiming().length
--- a/internal/lab/servermodel/queue.go
+++ b/internal/lab/servermodel/queue.go
@@ -2,53 +2,54 @@
 
 import "time"
 
-// Job is a request as the server sees it.
+// Job describes a request that arrives at a server.
 type Job struct {
 	ID        uint64
 	Work      float64       // ms on a core of speed 1
 	Key       uint64        // for key affinity; 0: none
-	Expires   time.Duration // nobody waits for it later than this; 0: unknown
-	ErrorDraw float64       // a draw from [0, 1): below the error rate, the response is an error
+	Expires   time.Duration // when nobody waits for the job any longer; 0: unknown
+	ErrorDraw float64       // random, from [0, 1); below Kind.ErrorRate, the job ends with an error
 }
 
-// Admission is what a server made of a job on arrival.
+// Admission is a server's decision about a job on arrival.
 type Admission uint8
 
-// Admissions.
+// Results of an arrival.
 const (
-	Accepted   Admission = iota
-	Rejected             // the queue is full, or the server drains; it was never executed
-	Refused              // no process is there
-	NoResponse           // there is no response
+	Accepted   Admission = iota // the job runs or is queued
+	Rejected                    // the queue is full or the server drains; the job is never executed
+	Refused                     // the server is down or has collapsed
+	NoResponse                  // the server is silent: the client gets neither a response nor an error
 )
 
 // Outcome is how an accepted job ended.
 type Outcome uint8
 
-// Outcomes.
+// Outcomes of accepted jobs.
 const (
 	Completed          Outcome = iota
-	CompletedWithError         // completed with an error after execution
+	CompletedWithError         // executed in full, but the response is an error
 	Expired                    // dropped from the queue, never executed
-	Reset                      // the process ended; it may have been executed
+	Reset                      // the process ended or was cut off; the job may have been executed in part
 )
 
-// Completion is the end of one job.
+// Completion describes how one job ended.
 type Completion struct {
 	ID       uint64
 	Outcome  Outcome
-	Started  bool    // its execution had begun
-	WorkDone float64 // ms
+	Started  bool    // the job's execution had begun
+	WorkDone float64 // work done for the job, ms
 }
 
-// runningJob is a job in a slot.
+// runningJob is a job that occupies a slot.
 type runningJob struct {
 	Job
-	left, workDone float64 // ms
+	left, workDone float64 // work left and work done, ms
 }
 
-// Arrive brings a job. If the server collapses under it, State shows that, and the jobs that it had
-// are returned as reset; the slice is valid until the next call of any method.
+// Arrive handles the arrival of a job. If the job makes the server collapse, Arrive refuses the job, sets
+// State to Collapsed and returns the server's other jobs as reset. The slice is valid until the next call
+// of any method.
 func (s *Server) Arrive(now time.Duration, job Job) (Admission, []Completion) {
 	s.advanceClock(now)
 	switch s.state {
@@ -75,7 +76,8 @@
 	return Accepted, nil
 }
 
-// startJob begins the execution of a job. A key seen lately saves work.
+// startJob begins the execution of a job. If the job's key is warm, part of the work is saved. The key is
+// remembered.
 func (s *Server) startJob(now time.Duration, job Job) {
 	left := job.Work
 	if s.keys != nil && job.Key != 0 {
@@ -87,7 +89,7 @@
 	s.running = append(s.running, runningJob{Job: job, left: left})
 }
 
-// startQueued moves queued jobs into free slots.
+// startQueued moves queued jobs into free slots in order. It drops expired jobs if the kind has DropExpired.
 func (s *Server) startQueued(now time.Duration) {
 	for len(s.queue) > 0 && len(s.running) < s.kind.Slots {
 		job := s.queue[0]
@@ -102,8 +104,8 @@
 	s.watchQueue(now)
 }
 
-// Cancel ends the wait for a job. It reports whether the job was removed, whether its execution had
-// begun, and the work done for it, ms. A running job is removed only where the kind says so.
+// Cancel removes a queued job, or a running one if the kind has StopRunning. It reports whether the job was
+// removed, whether the job's execution had begun, and the work done for a removed job, in ms.
 func (s *Server) Cancel(now time.Duration, id uint64) (removed, begun bool, workDone float64) {
 	s.advanceClock(now)
 	for i := range s.queue {
@@ -122,13 +124,13 @@
 		}
 		workDone = s.running[i].workDone
 		s.running = append(s.running[:i], s.running[i+1:]...)
-		// A queued job starts at the next Advance, which is due now.
+		// Next returns the present time if jobs are queued: the next Advance starts one in the free slot.
 		return true, true, workDone
 	}
 	return false, false, 0
 }
 
-// resetJobs removes all jobs and returns them as reset.
+// resetJobs removes all jobs and the overhead work, and returns the jobs as reset.
 func (s *Server) resetJobs() []Completion {
 	s.completions = s.completions[:0]
 	for _, job := range s.running {
--- a/internal/lab/servermodel/queue_test.go
+++ b/internal/lab/servermodel/queue_test.go
@@ -11,8 +11,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// runQueue feeds a server Poisson arrivals and returns each job's time in it, s, and the
-// mean number held by time.
+// runQueue sends a server jobs with Poisson arrivals. It returns the time that each job spent at the server, in
+// seconds, and the mean number of jobs at the server over time.
 func runQueue(
 	t *testing.T,
 	kind Kind,
@@ -25,39 +25,39 @@
 	s, err := New(kind, seed, 0)
 	require.NoError(t, err)
 	rng := rand.New(rand.NewPCG(seed, 9))
-	came := make([]time.Duration, jobs)
+	arrivedAt := make([]time.Duration, jobs)
 	sojourn = make([]float64, jobs)
 	var now, last time.Duration
 	area := 0.0
-	take := func(done []Completion) {
+	complete := func(done []Completion) {
 		for _, d := range done {
-			sojourn[d.ID] = (now - came[d.ID]).Seconds()
+			sojourn[d.ID] = (now - arrivedAt[d.ID]).Seconds()
 		}
 	}
 	next := time.Duration(0)
-	pass := func(to time.Duration) {
+	advanceTo := func(to time.Duration) {
 		area += float64(s.Inflight()) * (to - last).Seconds()
 		last, now = to, to
 	}
 	for i := 0; i < jobs || s.Inflight() > 0; {
 		if due := s.Next(); i >= jobs || due <= next {
-			pass(due)
-			take(s.Advance(now))
+			advanceTo(due)
+			complete(s.Advance(now))
 			continue
 		}
-		pass(next)
-		came[i] = now
-		entry, _ := s.Arrive(now, Job{ID: uint64(i), Work: work(), ErrorDraw: 1})
-		require.Equal(t, Accepted, entry)
+		advanceTo(next)
+		arrivedAt[i] = now
+		admission, _ := s.Arrive(now, Job{ID: uint64(i), Work: work(), ErrorDraw: 1})
+		require.Equal(t, Accepted, admission)
 		i++
 		next += time.Duration(rng.ExpFloat64() / perSec * 1e9)
 	}
 	return sojourn, area / now.Seconds()
 }
 
-// batches returns the mean of a figure and its 99.9% half-interval over independent
-// runs: successive waits of one run depend on each other.
-func batches(
+// meanOverRuns returns the mean of a figure over independent runs, and half of its 99.9% confidence interval. One
+// long run would not do: successive waits within a run depend on each other.
+func meanOverRuns(
 	t *testing.T,
 	kind Kind,
 	perSec float64,
@@ -92,17 +92,17 @@
 	return func(r *rand.Rand) float64 { return r.ExpFloat64() * ms }
 }
 
-// M/M/1: time in the system is exponential with rate mu-lambda.
+// M/M/1 queue: the time at the server is exponentially distributed with rate mu-lambda.
 func TestOneSlotMatchesMM1Queue(t *testing.T) {
 	kind := Kind{Name: "mm1", Cores: 1, Slots: 1, Speed: 1, Queue: 1 << 20}
 	const lambda, mu = 70.0, 100.0
-	got, half := batches(t, kind, lambda, exponential(1000/mu), mean)
+	got, half := meanOverRuns(t, kind, lambda, exponential(1000/mu), mean)
 	require.InDelta(t, 1/(mu-lambda), got, half)
-	got, half = batches(t, kind, lambda, exponential(1000/mu), percentile(0.95))
+	got, half = meanOverRuns(t, kind, lambda, exponential(1000/mu), percentile(0.95))
 	require.InDelta(t, math.Log(20)/(mu-lambda), got, half)
 }
 
-// M/M/c: mean wait by Erlang's C formula.
+// M/M/c queue: Erlang's C formula gives the mean wait.
 func TestSlotsMatchMMcQueue(t *testing.T) {
 	const lambda, mu, c = 320.0, 100.0, 4
 	kind := Kind{Name: "mmc", Cores: c, Slots: c, Speed: 1, Queue: 1 << 20}
@@ -116,11 +116,11 @@
 	}
 	top := term * a / c * c / (c - a)
 	wait := top / (sum + top) / (c*mu - lambda)
-	got, half := batches(t, kind, lambda, exponential(1000/mu), mean)
+	got, half := meanOverRuns(t, kind, lambda, exponential(1000/mu), mean)
 	require.InDelta(t, wait+1/mu, got, half)
 }
 
-// M/G/1: mean wait by Pollaczek and Khinchine, for work that varies little and much.
+// M/G/1 queue: the Pollaczek-Khinchine formula gives the mean wait, here for constant and for variable work.
 func TestAnyWorkMatchesMG1Queue(t *testing.T) {
 	kind := Kind{Name: "mg1", Cores: 1, Slots: 1, Speed: 2, Queue: 1 << 20}
 	const lambda = 60.0
@@ -135,7 +135,7 @@
 		service := 0.020 / 2 // s, at speed 2
 		rho := lambda * service
 		wait := rho * service * (1 + c.cv*c.cv) / (2 * (1 - rho))
-		got, half := batches(t, kind, lambda, c.work, mean)
+		got, half := meanOverRuns(t, kind, lambda, c.work, mean)
 		require.InDelta(t, wait+service, got, half, name)
 	}
 }
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -8,10 +8,11 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Never is a time that does not come.
+// Never is a time later than any event.
 const Never = time.Duration(math.MaxInt64)
 
-// Streams of a server's random numbers. They are apart, so that load reports do not move the pauses.
+// Streams of a server's random numbers. In one shared stream, the noise of load reports would change the times
+// of pauses.
 const (
 	pauseStream = 1
 	noiseStream = 2
@@ -23,13 +24,13 @@
 // States.
 const (
 	Up        State = iota
-	Draining        // finishes what it has, rejects new work
-	Down            // connections are refused
-	Silent          // it vanished: it responds to nothing any more
-	Collapsed       // under too much work in slow start; refuses like Down, and stays down
+	Draining        // finishes accepted jobs, rejects new ones
+	Down            // refuses connections
+	Silent          // responds to nothing, as if cut off from the network
+	Collapsed       // got too much work in slow start; refuses connections until started again
 )
 
-// String names a state as reports do.
+// String returns the lower-case name of the state.
 func (s State) String() string {
 	return [...]string{"up", "draining", "down", "silent", "collapsed"}[s]
 }
@@ -37,50 +38,49 @@
 // running reports whether the process does work.
 func (s State) running() bool { return s <= Draining }
 
-// Server is one server. The zero value is not usable; see New.
+// Server models one server. New returns one; the zero value is not usable.
 type Server struct {
 	kind   Kind
-	pauses *rand.Rand // drawn from at scheduled times only, whatever the load
-	noise  *rand.Rand // of load reports
+	pauses *rand.Rand // for pauses; draws follow the schedule of pauses, not the load
+	noise  *rand.Rand // for load reports
 	state  State
 
-	now            time.Duration // until when all work is done
+	now            time.Duration // time up to which the model has advanced
 	running        []runningJob
 	queue          []Job
-	overheadWork   float64       // for connections and health checks, done before anything else, ms
-	connectionTax  float64       // share of the speed that connections take
-	slowFactor     float64       // a fault: how many times slower; 1: none
-	started        time.Duration // when the process started; 0: long ago
-	doneSinceStart float64       // work, ms
-	warm           bool          // slow start is over
-	workDone       float64       // in all, ms
-	busy           float64       // share of busy time, exponentially weighted
-	keys           *simplelru.LRU[uint64, time.Duration]
+	overheadWork   float64                               // for connections and health checks, done before jobs, ms
+	connectionTax  float64                               // share of the speed that open connections cost
+	slowFactor     float64                               // factor by which a fault makes the server slower; 1: no fault
+	started        time.Duration                         // when the process started; 0: long ago
+	doneSinceStart float64                               // work done since started, ms
+	warm           bool                                  // slow start is over
+	workDone       float64                               // work done by all processes, ms
+	busy           float64                               // EWMA, see Busy
+	keys           *simplelru.LRU[uint64, time.Duration] // when each key was last used; nil: no key affinity
 
 	nextPause, pauseEnd time.Duration
-	pauseFault          pauseTiming // replaces that of the kind
+	pauseFault          pauseTiming // replaces the timing of the kind; zero: no fault
 
 	queueLongSince time.Duration // Never: the queue is not too long
 	overloaded     bool
 	overloadedAt   time.Duration
-	idleSince      time.Duration // Never: not mostly idle
+	idleSince      time.Duration // mostly idle since; Never: not mostly idle
 
-	arrivals    []arrival // in slow start, within the window of a collapse
-	arrivedWork float64   // sum of arrivals, ms
-	arrivalPeak float64   // most arrivedWork, as a share of what collapses the server
+	arrivals    []arrival // within the window of Collapse, in slow start only
+	arrivedWork float64   // sum of the work in arrivals, ms
+	arrivalPeak float64   // see SlowStartPeak
 
 	nextReport      time.Duration
-	reportCompleted int // since the last report
-	reportErrors    int // since the last report
-	reports         [maxReports]timedReport
-	reportCount     int
+	reportCompleted int                     // jobs completed since the last load report, errors included
+	reportErrors    int                     // jobs completed with an error since the last load report
+	reports         [maxReports]timedReport // a ring: report i is at i modulo maxReports
+	reportCount     int                     // load reports made so far
 
-	completions []Completion // reused by Advance and others
+	completions []Completion // reused by all methods that return completions
 }
 
-// New returns a server that is up and not in slow start. Its random numbers (pauses, noise of load
-// reports) come from seed alone, so that they are the same whatever it is sent. An error is a
-// *KindError.
+// New returns a server that is up and not in slow start. Its random numbers (pauses, noise of load reports)
+// depend only on seed, not on the jobs that arrive. Any error is a *KindError.
 func New(kind Kind, seed uint64, now time.Duration) (*Server, error) {
 	if err := kind.Validate(); err != nil {
 		return nil, err
@@ -94,7 +94,7 @@
 		noise:      rand.New(rand.NewPCG(seed, noiseStream)),
 	}
 	if kind.Keys.MaxKeys > 0 && kind.Keys.WorkSaved > 0 {
-		// It fails for a size below 1 only.
+		// NewLRU fails only for a size below 1.
 		server.keys, _ = simplelru.NewLRU[uint64, time.Duration](kind.Keys.MaxKeys, nil)
 	}
 	server.resetProcess(now)
@@ -105,7 +105,7 @@
 	return server, nil
 }
 
-// resetProcess forgets all that a process has in memory.
+// resetProcess clears the state that a process loses when it ends, and schedules the first pause.
 func (s *Server) resetProcess(now time.Duration) {
 	s.running = s.running[:0]
 	s.queue = s.queue[:0]
@@ -124,36 +124,36 @@
 	}
 }
 
-// Kind returns the kind of the server. It must not be changed.
+// Kind returns the kind of the server. The caller must not change the kind.
 func (s *Server) Kind() *Kind { return &s.kind }
 
 // State returns the state of the process.
 func (s *Server) State() State { return s.state }
 
-// Inflight is how many requests are running or queued.
+// Inflight returns the number of jobs that are running or queued.
 func (s *Server) Inflight() int { return len(s.running) + len(s.queue) }
 
-// Queued is how many requests are queued.
+// Queued returns the number of queued jobs.
 func (s *Server) Queued() int { return len(s.queue) }
 
-// Overloaded reports whether the server is in the slow state that overload leaves behind.
+// Overloaded reports whether overload slows the server down. The slowdown may outlast the long queue.
 func (s *Server) Overloaded() bool { return s.overloaded }
 
-// Busy is the share of about the last second in which the server worked.
+// Busy returns the share of the server's cores (slots, if fewer) in use: an EWMA with a time constant of 1 s.
 func (s *Server) Busy() float64 { return s.busy }
 
-// WorkDone is all the work that the server has done, ms.
+// WorkDone returns the work done since New, in ms, overhead and unfinished jobs included.
 func (s *Server) WorkDone() float64 { return s.workDone }
 
-// SlowStartPeak is the most work that arrived within a window while the server was in slow start, as
-// a share of what collapses it.
+// SlowStartPeak returns the most work that arrived within a window of Collapse in any slow start, as a share
+// of the work above which the server collapses.
 func (s *Server) SlowStartPeak() float64 { return s.arrivalPeak }
 
-// Started is when the process started; 0: long ago.
+// Started returns when the process started; 0: long ago.
 func (s *Server) Started() time.Duration { return s.started }
 
-// Start starts a new process, in slow start. It returns the jobs that the old one had as reset; the
-// slice is valid until the next call of any method.
+// Start starts a new process, in slow start if the kind has one. It returns the jobs of the old process as
+// reset. The slice is valid until the next call of any method.
 func (s *Server) Start(now time.Duration) []Completion {
 	s.advanceClock(now)
 	reset := s.resetJobs()
@@ -165,7 +165,7 @@
 	return reset
 }
 
-// Drain begins a graceful shutdown: new work is rejected, and what the server has is finished.
+// Drain begins a graceful shutdown if the server is up: new jobs are rejected, accepted jobs are finished.
 func (s *Server) Drain(now time.Duration) {
 	s.advanceClock(now)
 	if s.state == Up {
@@ -173,29 +173,28 @@
 	}
 }
 
-// Crash ends the process. It returns the jobs that it had as reset; the slice is valid until the
-// next call of any method.
+// Crash ends the process and returns its jobs as reset. The slice is valid until the next call of any method.
 func (s *Server) Crash(now time.Duration) []Completion {
 	s.advanceClock(now)
 	s.state = Down
 	return s.resetJobs()
 }
 
-// Vanish cuts the server off: it responds to nothing any more. It returns the jobs that it had, of
-// whose end nobody is notified; the slice is valid until the next call of any method.
+// Vanish cuts the server off: from now on it responds to nothing. It returns the server's jobs as reset, but
+// nobody must be notified of their end. The slice is valid until the next call of any method.
 func (s *Server) Vanish(now time.Duration) []Completion {
 	s.advanceClock(now)
 	s.state = Silent
 	return s.resetJobs()
 }
 
-// SetSlow makes the server slower by a factor; 1 ends that.
+// SetSlow makes the server slower by a factor. A factor of 1 or less restores the speed.
 func (s *Server) SetSlow(now time.Duration, factor float64) {
 	s.advanceClock(now)
 	s.slowFactor = max(factor, 1)
 }
 
-// SetConnections sets how many connections are open.
+// SetConnections sets the number of open connections, which may cost capacity (see ConnectionCost).
 func (s *Server) SetConnections(now time.Duration, open int) {
 	if s.kind.Conn.MaxConnections > 0 && s.kind.Conn.Tax > 0 {
 		s.advanceClock(now)
@@ -203,8 +202,9 @@
 	}
 }
 
-// Charge adds work, ms, that serves no request: a handshake or a health check. It is done first, and
-// counts towards a collapse, which only a request can set off.
+// Charge adds overhead work, in ms, such as a handshake or a health check, if a process runs. Overhead is done
+// before the work of jobs. In slow start it counts towards a collapse, but only the arrival of a job can
+// cause one.
 func (s *Server) Charge(now time.Duration, work float64) {
 	if s.state.running() {
 		s.advanceClock(now)
--- a/internal/lab/servermodel/server_test.go
+++ b/internal/lab/servermodel/server_test.go
@@ -9,13 +9,13 @@
 
 const ms = time.Millisecond
 
-// testServer is one server in simulated time.
+// testServer drives a Server in simulated time and records how its jobs end.
 type testServer struct {
-	t   *testing.T
-	s   *Server
-	end map[uint64]time.Duration
-	how map[uint64]Outcome
-	n   uint64 // the last job's ID
+	t        *testing.T
+	s        *Server
+	endedAt  map[uint64]time.Duration
+	outcomes map[uint64]Outcome
+	n        uint64 // ID of the last job
 }
 
 func newTestServer(t *testing.T, kind Kind) *testServer {
@@ -26,7 +26,7 @@
 	}
 	s, err := New(kind, 1, 0)
 	require.NoError(t, err)
-	return &testServer{t: t, s: s, end: map[uint64]time.Duration{}, how: map[uint64]Outcome{}}
+	return &testServer{t: t, s: s, endedAt: map[uint64]time.Duration{}, outcomes: map[uint64]Outcome{}}
 }
 
 func (b *testServer) until(at time.Duration) {
@@ -34,11 +34,11 @@
 		require.Less(b.t, i, 100000, "the server is never idle")
 		now := b.s.Next()
 		for _, d := range b.s.Advance(now) {
-			b.end[d.ID], b.how[d.ID] = now, d.Outcome
+			b.endedAt[d.ID], b.outcomes[d.ID] = now, d.Outcome
 		}
 	}
 	for _, d := range b.s.Advance(at) {
-		b.end[d.ID], b.how[d.ID] = at, d.Outcome
+		b.endedAt[d.ID], b.outcomes[d.ID] = at, d.Outcome
 	}
 }
 
@@ -49,11 +49,11 @@
 	}
 	b.n++
 	j.ID = b.n
-	entry, lost := b.s.Arrive(at, j)
+	admission, lost := b.s.Arrive(at, j)
 	for _, d := range lost {
-		b.end[d.ID], b.how[d.ID] = at, d.Outcome
+		b.endedAt[d.ID], b.outcomes[d.ID] = at, d.Outcome
 	}
-	return entry
+	return admission
 }
 
 func TestWorkDurationFollowsSpeedAndSlots(t *testing.T) {
@@ -63,14 +63,14 @@
 	require.Equal(t, Accepted, b.job(0, Job{Work: 100}))
 	require.Equal(t, Rejected, b.job(0, Job{Work: 100}), "the queue is full")
 	b.until(time.Second)
-	require.Equal(t, map[uint64]time.Duration{1: 50 * ms, 2: 100 * ms, 3: 150 * ms}, b.end)
+	require.Equal(t, map[uint64]time.Duration{1: 50 * ms, 2: 100 * ms, 3: 150 * ms}, b.endedAt)
 	require.InDelta(t, 300, b.s.WorkDone(), 1e-6)
 
-	b = newTestServer(t, Kind{Cores: 1, Slots: 2}) // two share a core
+	b = newTestServer(t, Kind{Cores: 1, Slots: 2}) // two jobs share one core
 	b.job(0, Job{Work: 100})
 	b.job(0, Job{Work: 100})
 	b.until(time.Second)
-	require.Equal(t, 200*ms, b.end[2])
+	require.Equal(t, 200*ms, b.endedAt[2])
 }
 
 func TestSlowStartEndsByTimeOrByWork(t *testing.T) {
@@ -128,7 +128,7 @@
 	require.Zero(t, b.s.Inflight())
 	require.False(t, b.s.Overloaded())
 
-	b = newTestServer(t, Kind{Queue: 1000, Overload: overload}) // never idle: it ends all the same
+	b = newTestServer(t, Kind{Queue: 1000, Overload: overload}) // never idle: overload ends after MaxDuration
 	for range 200 {
 		b.job(0, Job{Work: 400})
 	}
@@ -152,7 +152,7 @@
 			},
 		},
 	)
-	for i := range 20 { // six wait for 1 s, then two
+	for i := range 20 { // six jobs are queued, above the limit of 4, but for less than 2 s
 		if i%2 == 0 {
 			for range 7 {
 				b.job(time.Duration(i)*2*time.Second, Job{Work: 200})
@@ -190,7 +190,7 @@
 	took := func(at time.Duration, key uint64) time.Duration {
 		b.job(at, Job{Work: 100, Key: key})
 		b.until(at + 500*ms)
-		return b.end[b.n] - at
+		return b.endedAt[b.n] - at
 	}
 	require.Equal(t, 100*ms, took(0, 1))
 	require.Equal(t, 50*ms, took(time.Second, 1))
@@ -203,27 +203,27 @@
 
 func TestManyRequestsAndConnectionsReduceSpeed(t *testing.T) {
 	b := newTestServer(t, Kind{Queue: 100, Thrash: 0.5, ThrashAt: 5})
-	for range 10 { // twice the limit: half the speed
+	for range 10 { // twice ThrashAt: half the speed
 		b.job(0, Job{Work: 100})
 	}
 	b.until(190 * ms)
-	require.Empty(t, b.end)
+	require.Empty(t, b.endedAt)
 	b.until(201 * ms)
-	require.Len(t, b.end, 1)
+	require.Len(t, b.endedAt, 1)
 
 	b = newTestServer(t, Kind{Conn: ConnectionCost{Handshake: 30, MaxConnections: 10, Tax: 0.2}})
 	b.s.SetConnections(0, 5)
 	b.s.Charge(0, 30)
 	b.job(0, Job{Work: 60})
 	b.until(time.Second)
-	require.Equal(t, 100*ms, b.end[1], "90 ms of work at nine tenths of the speed")
+	require.Equal(t, 100*ms, b.endedAt[1], "90 ms of work at nine tenths of the speed")
 }
 
 func TestLoadReportsAreDelayed(t *testing.T) {
 	b := newTestServer(t, Kind{Queue: 100, Report: ReportTiming{Interval: time.Second, Delay: 200 * ms}})
 	_, ok := b.s.Report(0, 0)
 	require.False(t, ok)
-	for i := range 40 { // 10 a second get their responses, then nothing
+	for i := range 40 { // 10 jobs per second for 4 s, then none
 		b.job(time.Duration(i)*100*ms, Job{Work: 50})
 	}
 	b.until(6 * time.Second)
@@ -243,7 +243,7 @@
 	}
 	b := newTestServer(t, kind)
 	b.s.Start(0)
-	// 1,000 ms of work in 2 s is the budget at a fifth of one core, 1,100 with slack.
+	// The budget at a fifth of one core is 1,000 ms of work in 2 s, or 1,100 ms with CollapseSlack.
 	for i := range 10 {
 		b.job(time.Duration(i)*100*ms, Job{Work: 100})
 	}
@@ -253,12 +253,12 @@
 	}
 	require.Equal(t, Collapsed, b.s.State())
 	require.Equal(t, Refused, b.job(2*time.Second, Job{Work: 1}))
-	require.Equal(t, Reset, b.how[10])
+	require.Equal(t, Reset, b.outcomes[10])
 
 	b = newTestServer(t, kind)
 	b.s.Start(0)
 	require.Equal(t, Accepted, b.job(0, Job{Work: 5000}), "one request alone collapses no server")
-	b = newTestServer(t, kind) // a warm one takes anything
+	b = newTestServer(t, kind) // a warm server never collapses
 	for range 100 {
 		require.Equal(t, Accepted, b.job(0, Job{Work: 1000}))
 	}
@@ -279,7 +279,7 @@
 			require.InDelta(t, 50, spent, 1e-6)
 		}
 		b.until(time.Second)
-		require.Equal(t, !stops, b.end[1] == 100*ms)
+		require.Equal(t, !stops, b.endedAt[1] == 100*ms)
 		require.Zero(t, b.s.Inflight())
 	}
 }
@@ -289,13 +289,13 @@
 	b.job(0, Job{Work: 100, ErrorDraw: 0.2})
 	b.job(0, Job{Work: 100, Expires: 80 * ms})
 	b.until(time.Second)
-	require.Equal(t, map[uint64]Outcome{1: CompletedWithError, 2: Expired}, b.how)
+	require.Equal(t, map[uint64]Outcome{1: CompletedWithError, 2: Expired}, b.outcomes)
 
 	b.job(time.Second, Job{Work: 1000})
 	b.s.Drain(1100 * ms)
 	require.Equal(t, Rejected, b.job(1200*ms, Job{Work: 1}))
 	b.until(2500 * ms)
-	require.Equal(t, Completed, b.how[3], "what it held is finished")
+	require.Equal(t, Completed, b.outcomes[3], "what it held is finished")
 	require.Empty(t, b.s.Crash(3*time.Second))
 	require.Equal(t, Refused, b.job(3*time.Second, Job{Work: 1}))
 
@@ -317,7 +317,7 @@
 	b.until(200 * ms)
 	b.s.SetSlow(200*ms, 1)
 	b.until(time.Second)
-	require.Equal(t, 250*ms, b.end[1])
+	require.Equal(t, 250*ms, b.endedAt[1])
 }
 
 func TestPausesDuringSlowStart(t *testing.T) {
--- a/internal/lab/servermodel/slow_start.go
+++ b/internal/lab/servermodel/slow_start.go
@@ -8,14 +8,15 @@
 	work float64 // ms
 }
 
-// CapacityShare is the share of its capacity that slow start leaves the server at the moment.
+// CapacityShare returns the share of the server's full capacity that is available at now; it is 1 outside of
+// slow start. The call ends slow start if the server has become warm.
 func (s *Server) CapacityShare(now time.Duration) float64 {
 	if s.warm || s.kind.SlowStartDuration == 0 {
 		return 1
 	}
 	progress := float64(now-s.started) / float64(s.kind.SlowStartDuration)
 	if s.kind.WarmUpBy == WarmByWork {
-		// As if it had been half busy for the whole duration.
+		// The work that a warm server does when half busy for the whole duration.
 		need := s.kind.Capacity() * s.kind.SlowStartDuration.Seconds() / 2
 		progress = max(progress, s.doneSinceStart/need)
 	}
@@ -32,8 +33,8 @@
 	return s.state.running() && s.CapacityShare(now) < 1
 }
 
-// recordArrival counts work that reached a server in slow start, and reports whether the server
-// collapses under it.
+// recordArrival counts work that reaches a server in slow start, and reports whether this work makes the
+// server collapse. It forgets work that is older than the window, and updates SlowStartPeak.
 func (s *Server) recordArrival(now time.Duration, work float64) (collapses bool) {
 	limit := &s.kind.Collapse
 	if limit.Multiple == 0 || s.warm || s.CapacityShare(now) >= 1 {
@@ -46,7 +47,7 @@
 		s.arrivals = s.arrivals[1:]
 	}
 	budget := limit.Multiple * s.kind.Capacity() * s.CapacityShare(now) * limit.For.Seconds()
-	if len(s.arrivals) < 2 { // one request alone collapses no server
+	if len(s.arrivals) < 2 { // a single arrival never causes a collapse
 		return false
 	}
 	s.arrivalPeak = max(s.arrivalPeak, s.arrivedWork/(budget*(1+CollapseSlack)))
--- a/internal/lab/servermodel/work.go
+++ b/internal/lab/servermodel/work.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	// warmUpStep is the step in which capacity grows in slow start while there is work.
+	// warmUpStep is the longest time between two calls of Advance while jobs run in slow start. Capacity counts
+	// as constant between the calls.
 	warmUpStep = 200 * time.Millisecond
-	// overloadStep is the step in which an overloaded server is checked for recovery.
+	// overloadStep is the longest time between two checks whether overload has ended.
 	overloadStep = 100 * time.Millisecond
-	// busyHorizon is the time constant of the busy share, ns.
+	// busyHorizon is the time constant of the EWMA of the busy share, ns.
 	busyHorizon = float64(time.Second)
-	// workEpsilon is the work left, ms, below which a job is done.
+	// workEpsilon is the remaining work, in ms, at which a job counts as done. It absorbs rounding errors.
 	workEpsilon = 1e-9
 )
 
-// Next is when Advance must be called at the latest; Never if nothing is due.
+// Next returns the time at which Advance must be called at the latest, or Never if nothing is due.
 func (s *Server) Next() time.Duration {
 	if !s.state.running() {
 		return Never
@@ -39,7 +40,8 @@
 	return next
 }
 
-// nextCompletion is when the first running job completes, or the rate of work changes before.
+// nextCompletion returns when the first running job completes at the present rate of work, or an earlier time
+// at which this rate may change.
 func (s *Server) nextCompletion() time.Duration {
 	next := Never
 	least := s.running[0].left
@@ -55,7 +57,7 @@
 	return min(next, s.nextPause)
 }
 
-// ceilMS converts milliseconds, up to the next microsecond.
+// ceilMS converts milliseconds, rounded up to microseconds. Above 1e12 ms it returns a quarter of Never.
 func ceilMS(ms float64) time.Duration {
 	if ms > 1e12 {
 		return Never / 4
@@ -63,8 +65,9 @@
 	return time.Duration(math.Ceil(ms*1000)) * time.Microsecond
 }
 
-// Advance brings the server to now and returns the jobs that are done, in order. The slice is valid
-// until the next call of any method.
+// Advance advances the server to now, starts queued jobs in free slots, and begins or ends overload. It
+// returns the jobs that are done, and those dropped from the queue as expired. The slice is valid until
+// the next call of any method.
 func (s *Server) Advance(now time.Duration) []Completion {
 	s.completions = s.completions[:0]
 	s.advanceClock(now)
@@ -83,7 +86,7 @@
 	return s.completions
 }
 
-// complete ends running job i.
+// complete removes running job i, counts the job for the next load report and adds its completion.
 func (s *Server) complete(i int) {
 	job := &s.running[i]
 	outcome := Completed
@@ -99,8 +102,8 @@
 	s.running = append(s.running[:i], s.running[i+1:]...)
 }
 
-// advanceClock brings work, pauses, load reports and the busy share up to now. No job completes in
-// it.
+// advanceClock advances the clock, and with it work, pauses, load reports and the busy share. It completes no
+// job, even if no work is left for the job.
 func (s *Server) advanceClock(now time.Duration) {
 	for s.now < now || s.pauseDue() {
 		to := now
@@ -124,7 +127,8 @@
 	}
 }
 
-// doWork lets the time up to `to` pass, in which the rate of work does not change.
+// doWork does the work of the time from s.now to `to` at the present rate, and updates the busy share. Overhead
+// comes first, then all running jobs progress equally.
 func (s *Server) doWork(to time.Duration) {
 	elapsed := float64(to - s.now)
 	s.updateBusy(elapsed)
@@ -153,7 +157,7 @@
 	}
 }
 
-// updateBusy weighs the present share of busy slots into the busy share, over dt nanoseconds.
+// updateBusy updates the EWMA of the busy share for dt nanoseconds, in which the running jobs do not change.
 func (s *Server) updateBusy(dt float64) {
 	busy := 0.0
 	if s.state.running() && (len(s.running) > 0 || s.overheadWork > 0) {
@@ -162,7 +166,7 @@
 	s.busy = busy + (s.busy-busy)*math.Exp(-dt/busyHorizon)
 }
 
-// workRate is the work that each running job gets done in a millisecond, ms.
+// workRate returns the ms of work that are done for each running job in 1 ms.
 func (s *Server) workRate(now time.Duration) float64 {
 	if !s.state.running() || now < s.pauseEnd {
 		return 0
