--- a/cmd/simulator-adapter/adapter.go
+++ b/cmd/simulator-adapter/adapter.go
@@ -12,13 +12,13 @@
 	"piernotch/internal/simprotocol"
 )
 
-// streamBuffer is the size of the buffers of standard input and of standard output, in bytes each.
+// streamBuffer is the size of each buffer of standard input and output, in bytes.
 const streamBuffer = 1 << 16
 
 var errStartedTwice = errors.New("started twice without a stop")
 
-// adapter runs the balancers. It reuses reply, event and entries, so it allocates nothing of its own for the
-// events of a running balancer once they have grown.
+// adapter runs the balancers. It reuses reply, event and entries, so events of a running balancer cause no
+// allocations here.
 type adapter struct {
 	balancers map[simprotocol.BalancerNumber]*piernotch.Balancer // by number; nil: the settings were unusable
 	columns   []string                                           // of load reports; the same for all balancers
@@ -27,7 +27,7 @@
 	entries   []piernotch.Endpoint
 }
 
-// serve answers batches until the input ends. It returns the first error; a batch that fails gets no reply.
+// serve answers batches until the input ends or an error occurs.
 func serve(input io.Reader, output io.Writer) error {
 	hosted := adapter{balancers: map[simprotocol.BalancerNumber]*piernotch.Balancer{}}
 	reader := simprotocol.NewReader(bufio.NewReaderSize(input, streamBuffer))
@@ -64,8 +64,7 @@
 	return nil
 }
 
-// handle processes the current event: it starts or stops a balancer, or passes the event to a running one. It
-// ignores the events of a balancer whose settings were unusable.
+// handle starts or stops the balancer of the current event, or passes the event to it.
 func (a *adapter) handle(now time.Duration) error {
 	event := &a.event
 	balancer, started := a.balancers[event.Balancer]
@@ -83,14 +82,13 @@
 		delete(a.balancers, event.Balancer)
 		return nil
 	}
-	if balancer == nil { // its settings were unusable; start has reported that
+	if balancer == nil { // unusable settings, reported by start
 		return nil
 	}
 	return a.dispatch(balancer, now)
 }
 
-// start starts the balancer of the current event. Unusable settings are reported to the simulator as a fault
-// of this balancer; the others go on.
+// start starts the balancer of the current event. It reports unusable settings as a fault of the balancer.
 func (a *adapter) start() {
 	event := &a.event
 	a.balancers[event.Balancer] = nil
@@ -114,8 +112,8 @@
 	return piernotch.New(settings, event.Seed, &host{balancer: event.Balancer, reply: &a.reply})
 }
 
-// dispatch calls the method of a running balancer that handles the current event. If the event has a valid
-// load report, the balancer receives the report first.
+// dispatch passes the load report of the current event, if it has a valid one, and then the event itself to a
+// running balancer.
 func (a *adapter) dispatch(balancer *piernotch.Balancer, now time.Duration) error {
 	event := &a.event
 	if load, ok := simprotocol.ParseLoadReport(event, a.columns); ok {
--- a/cmd/simulator-adapter/adapter_test.go
+++ b/cmd/simulator-adapter/adapter_test.go
@@ -11,7 +11,7 @@
 const settingsText = `{"group_size":1,"zones":["a"],"quantum_ms":1,"classes":[{"goal_time_ms":100,"deadline_ms":400,
 "points":1,"effect":"safe"}],"limits":{"most_tries":2},"rules":{"cold_ms":1000}}`
 
-// batch returns a frame at 1,000 ms. Each record is padded with zeros to its full size.
+// batch returns a frame at 1,000 ms. It pads each record with zeros.
 func batch(seq uint32, tail string, records ...[]byte) []byte {
 	out := make([]byte, 20)
 	for _, r := range records {
@@ -25,7 +25,7 @@
 	return out
 }
 
-// startRecord returns the start event of balancer 7. The settings must be at the start of the frame's tail.
+// startRecord starts balancer 7 with settings that begin the frame's tail.
 func startRecord(settings string) []byte {
 	r := make([]byte, 21)
 	r[0], r[1] = 1, 7
@@ -36,7 +36,7 @@
 func TestRequestWithoutServerIsRejected(t *testing.T) {
 	request := make([]byte, 41)
 	request[0], request[1], request[5] = 3, 7, 9
-	binary.LittleEndian.PutUint64(request[24:], math.Float64bits(1001)) // 1 ms after its arrival, too soon to be met
+	binary.LittleEndian.PutUint64(request[24:], math.Float64bits(1001)) // too soon to be met
 	var out bytes.Buffer
 	in := append(batch(1, "", nil...), batch(2, settingsText, startRecord(settingsText))...)
 	in = append(in, batch(3, "", request)...)
--- a/internal/lab/idtable/idtable.go
+++ b/internal/lab/idtable/idtable.go
@@ -5,13 +5,13 @@
 // internal/lab/simulation and internal/lab/invariants store requests and attempts in tables.
 package idtable
 
-// minSlots is the number of slots of the first ring. It must be a power of two: the method at masks IDs.
+// minSlots is the size of the first ring. Sizes must be powers of two, for the mask in at.
 const minSlots = 64
 
 // Table maps IDs to records. The zero value is an empty table. A Table must not be used concurrently.
 type Table[T any] struct {
 	slots []slot[T]
-	count int // slots in use
+	count int
 }
 
 // slot holds at most one record: its ID modulo the number of slots is the slot's index.
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// Put adds a zeroed record for an ID that must not be in the table, and returns a pointer to the record. It
-// invalidates all pointers to records that Put, Get and Each gave out before.
+// Put adds a zeroed record for an ID that must not be in the table. It invalidates all pointers from earlier
+// calls of Put, Get and Each.
 func (t *Table[T]) Put(id uint64) *T {
 	if len(t.slots) == 0 {
 		t.slots = make([]slot[T], minSlots)
@@ -52,7 +52,7 @@
 	return &s.value
 }
 
-// grow doubles the number of slots and moves the records.
+// grow doubles the ring.
 func (t *Table[T]) grow() {
 	old := t.slots
 	t.slots = make([]slot[T], 2*len(old))
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// Delete removes the record of an ID. It does nothing if there is none.
+// Delete removes the record of an ID, if there is one.
 func (t *Table[T]) Delete(id uint64) {
 	if s := t.find(id); s != nil {
 		*s = slot[T]{}
@@ -82,8 +82,8 @@
 // Len returns the number of records in the table.
 func (t *Table[T]) Len() int { return t.count }
 
-// Each calls f for every record. The order depends only on the IDs and on how the ring has grown, so a run
-// with the same calls has the same order. f may delete the record that it is called with.
+// Each calls f for every record. The order depends only on the IDs and on how the ring has grown, so it is
+// reproducible. f may delete the record that it is called with.
 func (t *Table[T]) Each(f func(id uint64, v *T)) {
 	for i := range t.slots {
 		if t.slots[i].used {
--- a/internal/lab/idtable/idtable_test.go
+++ b/internal/lab/idtable/idtable_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// A ring that grows wrongly would lose or mix up records. For increasing IDs, the table must behave like a map.
+// A wrong growth of the ring loses records. For increasing IDs, the table must behave like a map.
 func TestTableBehavesAsMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table[int]
--- a/internal/lab/servermodel/kind.go
+++ b/internal/lab/servermodel/kind.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// WarmUp selects what makes a server warm in slow start.
+// WarmUp selects what ends slow start.
 type WarmUp uint8
 
 // Kinds of warm-up.
 const (
-	WarmByTime WarmUp = iota // time alone: capacity grows evenly over SlowStartDuration
-	WarmByWork               // work done or time, whichever has progressed further
+	WarmByTime WarmUp = iota // time, evenly over SlowStartDuration
+	WarmByWork               // work done, or SlowStartDuration if it ends first
 )
 
 // Kind describes a server. The zero value of a field turns its mechanism off, unless the comment gives a
@@ -23,8 +23,8 @@
 	Slots int     // requests executed at once; at least 1
 	Queue int     // most requests queued at once; further ones are rejected
 
-	// Above ThrashAt requests in flight per core, the server loses speed in proportion to the excess. At
-	// twice ThrashAt and above, it loses the share Thrash of its speed.
+	// Above ThrashAt requests in flight per core, the server loses speed: in proportion to the excess up
+	// to the share Thrash, at twice ThrashAt.
 	Thrash   float64 // from 0 to 1
 	ThrashAt float64 // requests in flight per core
 
@@ -49,25 +49,24 @@
 	HealthCheckWork float64 // work of a health check, ms
 }
 
-// Overload describes how a long queue slows the server down. The slowdown goes on after the queue has become
-// short, until the server has been mostly idle or MaxDuration has passed.
+// Overload describes how a long queue slows the server down, even after the queue has become short again.
 type Overload struct {
-	QueuePerCore float64       // the queue is too long above this many requests per core; 0: never
-	After        time.Duration // overload begins after the queue was too long for this time
-	Slowdown     float64       // factor by which the server becomes slower; at least 1
+	QueuePerCore float64       // queued requests per core above which the queue is too long; 0: never
+	After        time.Duration // how long the queue must be too long for overload to begin
+	Slowdown     float64       // factor on the time for work; at least 1
 	IdleBelow    float64       // the server is mostly idle while Busy is below this share
-	IdleFor      time.Duration // overload ends once the server was mostly idle for this time
-	MaxDuration  time.Duration // overload ends after this time in any case; 0: unlimited
+	IdleFor      time.Duration // how long the server must be mostly idle for overload to end
+	MaxDuration  time.Duration // longest overload; 0: unlimited
 }
 
-// Keys describes how much work a request saves if the server has recently begun one with the same key.
+// Keys describes the work saved by a request whose key the server has seen recently.
 type Keys struct {
 	WorkSaved float64       // share of the request's work, 0 to 1
-	WarmFor   time.Duration // how long after its last request a key saves work
+	WarmFor   time.Duration // since the last request with the key
 	MaxKeys   int           // most keys remembered; the least recently used is evicted first
 }
 
-// ConnectionCost describes the work and capacity that connections cost a server.
+// ConnectionCost describes what connections cost a server.
 type ConnectionCost struct {
 	Handshake      float64 // work for a new connection, ms
 	MaxConnections int     // most open connections accepted; 0: unlimited
@@ -78,19 +77,18 @@
 type ReportTiming struct {
 	Interval time.Duration // between two load reports; 0: no load reports
 	Delay    time.Duration // from making a load report until responses carry it
-	Noise    float64       // coefficient of variation of each value's random error
+	Noise    float64       // coefficient of variation of each value
 }
 
-// Collapse describes when a server collapses in slow start. The budget is Multiple times the work that the
-// server can do in a window of length For at its present capacity. If more work than the budget plus
-// CollapseSlack arrives within a window, the server goes down until it is started again. Rejected
-// requests count, too.
+// Collapse describes when a server collapses in slow start, and stays down: when more work arrives within
+// a window of length For than Multiple times what the server can do in the window at its present capacity,
+// plus CollapseSlack. Rejected requests count, too.
 type Collapse struct {
 	Multiple float64 // 0: never
 	For      time.Duration
 }
 
-// CollapseSlack is the share of the budget of Collapse by which arriving work may exceed this budget.
+// CollapseSlack is the share by which work may exceed the limit of Collapse.
 const CollapseSlack = 0.1
 
 // KindError reports a Kind with an impossible value.
@@ -99,10 +97,10 @@
 	Reason string // names the impossible value, such as "0 cores"
 }
 
-// Error returns "kind ", the name of the kind and the reason.
+// Error returns the name of the kind and the reason.
 func (e *KindError) Error() string { return "kind " + e.Kind + ": " + e.Reason }
 
-// Validate returns a *KindError about the first impossible value, or nil if there is none.
+// Validate returns a *KindError about the first impossible value, or nil.
 func (k *Kind) Validate() error {
 	reason := k.badShare()
 	if reason == "" {
--- a/internal/lab/servermodel/load_reports.go
+++ b/internal/lab/servermodel/load_reports.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// maxReports is the number of load reports that are kept. They must cover the longest delay of reports.
+// maxReports is the number of load reports kept: enough for the longest delay.
 const maxReports = 16
 
-// LoadReport contains a server's load: rates over the last interval, and the requests in flight at its end.
+// LoadReport is a server's load over the last interval.
 type LoadReport struct {
 	ErrorsPerSec float64
 	PerSec       float64 // requests completed per second
-	Inflight     float64 // requests running or queued
+	Inflight     float64 // requests running or queued at its end
 }
 
 // timedReport is a load report with the time at which it was made.
@@ -18,11 +18,11 @@
 	load LoadReport
 }
 
-// makeReport makes the load report that is due, resets the counts and schedules the next report.
+// makeReport makes the load report that is due and schedules the next.
 func (s *Server) makeReport() {
 	interval := s.kind.Report.Interval
 	seconds := interval.Seconds()
-	// Another order of the three calls would change the values drawn from a seed.
+	// The order of the three calls must stay: it decides the values drawn from a seed.
 	noisy := func(value float64) float64 { return max(value*(1+s.kind.Report.Noise*s.noise.NormFloat64()), 0) }
 	s.reports[s.reportCount%maxReports] = timedReport{s.nextReport, LoadReport{
 		ErrorsPerSec: noisy(float64(s.reportErrors) / seconds),
@@ -35,8 +35,8 @@
 	s.nextReport += interval
 }
 
-// Report returns the newest load report that a response at now may carry. The argument delay is that of a
-// fault and adds to the delay of the kind. Report returns false if no load report is old enough.
+// Report returns the load report that a response at now carries. The delay of a fault adds to the kind's.
+// Report returns false if no load report is old enough.
 func (s *Server) Report(now, delay time.Duration) (LoadReport, bool) {
 	for i := s.reportCount - 1; i >= 0 && i >= s.reportCount-maxReports; i-- {
 		report := &s.reports[i%maxReports]
--- a/internal/lab/servermodel/pauses.go
+++ b/internal/lab/servermodel/pauses.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// pauseTiming is the mean time between the starts of two pauses and the mean length of a pause. Drawn times
-// are uniform within 50% of the means; PauseGrow may lengthen pauses further.
+// pauseTiming holds the means of the time between the starts of pauses and of their length. Drawn values vary
+// by up to half.
 type pauseTiming struct{ every, length time.Duration }
 
-// SetPauses replaces the kind's mean time between pauses and mean length of pauses, and schedules the next
-// pause anew. Zeros restore the timing of the kind.
+// SetPauses replaces the kind's means of PauseEvery and PauseFor, and schedules the next pause anew. Zeros
+// restore the kind's means.
 func (s *Server) SetPauses(now, every, length time.Duration) {
 	s.advanceClock(now)
 	s.pauseFault = pauseTiming{every, length}
@@ -21,12 +21,12 @@
 	return pauseTiming{s.kind.PauseEvery, s.kind.PauseFor}
 }
 
-// pauseDue reports whether a pause must begin now. A pause that falls due during another one waits for its end.
+// pauseDue reports whether a pause must begin now. During a pause, the next one waits.
 func (s *Server) pauseDue() bool {
 	return s.nextPause <= s.now && s.now >= s.pauseEnd
 }
 
-// schedulePause sets nextPause to a random time after now, or to Never if the server has no pauses.
+// schedulePause draws when the next pause begins after now; Never without pauses.
 func (s *Server) schedulePause(now time.Duration) {
 	timing := s.pauseTiming()
 	s.nextPause = Never
--- a/internal/lab/servermodel/queue.go
+++ b/internal/lab/servermodel/queue.go
@@ -7,30 +7,30 @@
 	ID        uint64
 	Work      float64       // ms on a core of speed 1
 	Key       uint64        // for key affinity; 0: none
-	Expires   time.Duration // when nobody waits for the job any longer; 0: unknown
-	ErrorDraw float64       // random, from [0, 1); below Kind.ErrorRate, the job ends with an error
+	Expires   time.Duration // when nobody waits any longer; 0: unknown
+	ErrorDraw float64       // random, from [0, 1); below Kind.ErrorRate: an error
 }
 
 // Admission is a server's decision about a job on arrival.
 type Admission uint8
 
-// Results of an arrival.
+// Admissions.
 const (
 	Accepted   Admission = iota // the job runs or is queued
 	Rejected                    // the queue is full or the server drains; the job is never executed
 	Refused                     // the server is down or has collapsed
-	NoResponse                  // the server is silent: the client gets neither a response nor an error
+	NoResponse                  // the server is silent
 )
 
 // Outcome is how an accepted job ended.
 type Outcome uint8
 
-// Outcomes of accepted jobs.
+// Outcomes.
 const (
 	Completed          Outcome = iota
-	CompletedWithError         // executed in full, but the response is an error
+	CompletedWithError         // executed, but the response is an error
 	Expired                    // dropped from the queue, never executed
-	Reset                      // the process ended or was cut off; the job may have been executed in part
+	Reset                      // the process ended; the job may have been executed
 )
 
 // Completion describes how one job ended.
@@ -44,12 +44,11 @@
 // runningJob is a job that occupies a slot.
 type runningJob struct {
 	Job
-	left, workDone float64 // work left and work done, ms
+	left, workDone float64 // ms of work
 }
 
-// Arrive handles the arrival of a job. If the job makes the server collapse, Arrive refuses the job, sets
-// State to Collapsed and returns the server's other jobs as reset. The slice is valid until the next call
-// of any method.
+// Arrive handles the arrival of a job. If the server collapses under it, State becomes Collapsed, and Arrive
+// returns the other jobs as reset. The slice is valid until the next call of any method.
 func (s *Server) Arrive(now time.Duration, job Job) (Admission, []Completion) {
 	s.advanceClock(now)
 	switch s.state {
@@ -76,8 +75,7 @@
 	return Accepted, nil
 }
 
-// startJob begins the execution of a job. If the job's key is warm, part of the work is saved. The key is
-// remembered.
+// startJob begins the execution of a job and remembers its key. A recently seen key saves work.
 func (s *Server) startJob(now time.Duration, job Job) {
 	left := job.Work
 	if s.keys != nil && job.Key != 0 {
@@ -89,7 +87,7 @@
 	s.running = append(s.running, runningJob{Job: job, left: left})
 }
 
-// startQueued moves queued jobs into free slots in order. It drops expired jobs if the kind has DropExpired.
+// startQueued moves queued jobs into free slots. It drops expired jobs if the kind says so.
 func (s *Server) startQueued(now time.Duration) {
 	for len(s.queue) > 0 && len(s.running) < s.kind.Slots {
 		job := s.queue[0]
@@ -124,13 +122,13 @@
 		}
 		workDone = s.running[i].workDone
 		s.running = append(s.running[:i], s.running[i+1:]...)
-		// Next returns the present time if jobs are queued: the next Advance starts one in the free slot.
+		// The next Advance starts a queued job. Next returns the present time, so Advance is due.
 		return true, true, workDone
 	}
 	return false, false, 0
 }
 
-// resetJobs removes all jobs and the overhead work, and returns the jobs as reset.
+// resetJobs removes all jobs and overhead work. It returns the jobs as reset.
 func (s *Server) resetJobs() []Completion {
 	s.completions = s.completions[:0]
 	for _, job := range s.running {
--- a/internal/lab/servermodel/queue_test.go
+++ b/internal/lab/servermodel/queue_test.go
@@ -11,8 +11,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// runQueue sends a server jobs with Poisson arrivals. It returns the time that each job spent at the server, in
-// seconds, and the mean number of jobs at the server over time.
+// runQueue sends a server jobs with Poisson arrivals. It returns the time of each job at the server, in
+// seconds, and the time average of the number of jobs there.
 func runQueue(
 	t *testing.T,
 	kind Kind,
@@ -55,8 +55,8 @@
 	return sojourn, area / now.Seconds()
 }
 
-// meanOverRuns returns the mean of a figure over independent runs, and half of its 99.9% confidence interval. One
-// long run would not do: successive waits within a run depend on each other.
+// meanOverRuns returns the mean of a figure over independent runs, and half of its 99.9% confidence interval.
+// The waits within one run depend on each other.
 func meanOverRuns(
 	t *testing.T,
 	kind Kind,
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -11,8 +11,7 @@
 // Never is a time later than any event.
 const Never = time.Duration(math.MaxInt64)
 
-// Streams of a server's random numbers. In one shared stream, the noise of load reports would change the times
-// of pauses.
+// Streams of a server's random numbers. In one stream, the noise of load reports would change the pauses.
 const (
 	pauseStream = 1
 	noiseStream = 2
@@ -26,8 +25,8 @@
 	Up        State = iota
 	Draining        // finishes accepted jobs, rejects new ones
 	Down            // refuses connections
-	Silent          // responds to nothing, as if cut off from the network
-	Collapsed       // got too much work in slow start; refuses connections until started again
+	Silent          // cut off: responds to nothing
+	Collapsed       // down after too much work in slow start
 )
 
 // String returns the lower-case name of the state.
@@ -38,10 +37,10 @@
 // running reports whether the process does work.
 func (s State) running() bool { return s <= Draining }
 
-// Server models one server. New returns one; the zero value is not usable.
+// Server models one server. Use New: the zero value is not usable.
 type Server struct {
 	kind   Kind
-	pauses *rand.Rand // for pauses; draws follow the schedule of pauses, not the load
+	pauses *rand.Rand // for pauses, drawn by their schedule whatever the load
 	noise  *rand.Rand // for load reports
 	state  State
 
@@ -50,16 +49,16 @@
 	queue          []Job
 	overheadWork   float64                               // for connections and health checks, done before jobs, ms
 	connectionTax  float64                               // share of the speed that open connections cost
-	slowFactor     float64                               // factor by which a fault makes the server slower; 1: no fault
+	slowFactor     float64                               // slowdown by a fault; 1: no fault
 	started        time.Duration                         // when the process started; 0: long ago
 	doneSinceStart float64                               // work done since started, ms
 	warm           bool                                  // slow start is over
 	workDone       float64                               // work done by all processes, ms
 	busy           float64                               // EWMA, see Busy
-	keys           *simplelru.LRU[uint64, time.Duration] // when each key was last used; nil: no key affinity
+	keys           *simplelru.LRU[uint64, time.Duration] // when keys were last used
 
 	nextPause, pauseEnd time.Duration
-	pauseFault          pauseTiming // replaces the timing of the kind; zero: no fault
+	pauseFault          pauseTiming // replaces the kind's timing; zero: no fault
 
 	queueLongSince time.Duration // Never: the queue is not too long
 	overloaded     bool
@@ -71,10 +70,10 @@
 	arrivalPeak float64   // see SlowStartPeak
 
 	nextReport      time.Duration
-	reportCompleted int                     // jobs completed since the last load report, errors included
-	reportErrors    int                     // jobs completed with an error since the last load report
-	reports         [maxReports]timedReport // a ring: report i is at i modulo maxReports
-	reportCount     int                     // load reports made so far
+	reportCompleted int                     // since the last load report, errors included
+	reportErrors    int                     // since the last load report
+	reports         [maxReports]timedReport // ring buffer
+	reportCount     int                     // made so far
 
 	completions []Completion // reused by all methods that return completions
 }
@@ -105,7 +104,7 @@
 	return server, nil
 }
 
-// resetProcess clears the state that a process loses when it ends, and schedules the first pause.
+// resetProcess clears the state of a process and schedules the first pause.
 func (s *Server) resetProcess(now time.Duration) {
 	s.running = s.running[:0]
 	s.queue = s.queue[:0]
@@ -139,14 +138,14 @@
 // Overloaded reports whether overload slows the server down. The slowdown may outlast the long queue.
 func (s *Server) Overloaded() bool { return s.overloaded }
 
-// Busy returns the share of the server's cores (slots, if fewer) in use: an EWMA with a time constant of 1 s.
+// Busy returns the EWMA, over about 1 s, of the share of cores (or slots, if fewer) in use.
 func (s *Server) Busy() float64 { return s.busy }
 
-// WorkDone returns the work done since New, in ms, overhead and unfinished jobs included.
+// WorkDone returns the work done since New, in ms.
 func (s *Server) WorkDone() float64 { return s.workDone }
 
-// SlowStartPeak returns the most work that arrived within a window of Collapse in any slow start, as a share
-// of the work above which the server collapses.
+// SlowStartPeak returns the most work that arrived within a window of Collapse, as a share of the work above
+// which the server collapses.
 func (s *Server) SlowStartPeak() float64 { return s.arrivalPeak }
 
 // Started returns when the process started; 0: long ago.
@@ -180,21 +179,21 @@
 	return s.resetJobs()
 }
 
-// Vanish cuts the server off: from now on it responds to nothing. It returns the server's jobs as reset, but
-// nobody must be notified of their end. The slice is valid until the next call of any method.
+// Vanish cuts the server off: from now on it responds to nothing. It returns its jobs as reset, of whose
+// end nobody is notified. The slice is valid until the next call of any method.
 func (s *Server) Vanish(now time.Duration) []Completion {
 	s.advanceClock(now)
 	s.state = Silent
 	return s.resetJobs()
 }
 
-// SetSlow makes the server slower by a factor. A factor of 1 or less restores the speed.
+// SetSlow makes the server slower by a factor; 1 restores its speed.
 func (s *Server) SetSlow(now time.Duration, factor float64) {
 	s.advanceClock(now)
 	s.slowFactor = max(factor, 1)
 }
 
-// SetConnections sets the number of open connections, which may cost capacity (see ConnectionCost).
+// SetConnections sets the number of open connections, for ConnectionCost.Tax.
 func (s *Server) SetConnections(now time.Duration, open int) {
 	if s.kind.Conn.MaxConnections > 0 && s.kind.Conn.Tax > 0 {
 		s.advanceClock(now)
@@ -202,9 +201,8 @@
 	}
 }
 
-// Charge adds overhead work, in ms, such as a handshake or a health check, if a process runs. Overhead is done
-// before the work of jobs. In slow start it counts towards a collapse, but only the arrival of a job can
-// cause one.
+// Charge adds overhead work, in ms: a handshake or a health check. It is done before the work of jobs, and
+// counts towards a collapse, which only a job can cause.
 func (s *Server) Charge(now time.Duration, work float64) {
 	if s.state.running() {
 		s.advanceClock(now)
--- a/internal/lab/servermodel/slow_start.go
+++ b/internal/lab/servermodel/slow_start.go
@@ -8,8 +8,8 @@
 	work float64 // ms
 }
 
-// CapacityShare returns the share of the server's full capacity that is available at now; it is 1 outside of
-// slow start. The call ends slow start if the server has become warm.
+// CapacityShare returns the share of the server's capacity that slow start leaves available at now. It ends
+// slow start if the server is warm.
 func (s *Server) CapacityShare(now time.Duration) float64 {
 	if s.warm || s.kind.SlowStartDuration == 0 {
 		return 1
@@ -33,8 +33,8 @@
 	return s.state.running() && s.CapacityShare(now) < 1
 }
 
-// recordArrival counts work that reaches a server in slow start, and reports whether this work makes the
-// server collapse. It forgets work that is older than the window, and updates SlowStartPeak.
+// recordArrival counts work that reaches a server in slow start, updates SlowStartPeak, and reports whether
+// the server collapses under the work.
 func (s *Server) recordArrival(now time.Duration, work float64) (collapses bool) {
 	limit := &s.kind.Collapse
 	if limit.Multiple == 0 || s.warm || s.CapacityShare(now) >= 1 {
--- a/internal/lab/servermodel/work.go
+++ b/internal/lab/servermodel/work.go
@@ -6,18 +6,17 @@
 )
 
 const (
-	// warmUpStep is the longest time between two calls of Advance while jobs run in slow start. Capacity counts
-	// as constant between the calls.
+	// warmUpStep is the longest time for which capacity counts as constant while jobs run in slow start.
 	warmUpStep = 200 * time.Millisecond
 	// overloadStep is the longest time between two checks whether overload has ended.
 	overloadStep = 100 * time.Millisecond
 	// busyHorizon is the time constant of the EWMA of the busy share, ns.
 	busyHorizon = float64(time.Second)
-	// workEpsilon is the remaining work, in ms, at which a job counts as done. It absorbs rounding errors.
+	// workEpsilon is the remaining work, in ms, at which a job counts as done.
 	workEpsilon = 1e-9
 )
 
-// Next returns the time at which Advance must be called at the latest, or Never if nothing is due.
+// Next returns when Advance must be called at the latest, or Never if nothing is due.
 func (s *Server) Next() time.Duration {
 	if !s.state.running() {
 		return Never
@@ -40,8 +39,7 @@
 	return next
 }
 
-// nextCompletion returns when the first running job completes at the present rate of work, or an earlier time
-// at which this rate may change.
+// nextCompletion returns when the first running job completes, or when the rate of work may change before.
 func (s *Server) nextCompletion() time.Duration {
 	next := Never
 	least := s.running[0].left
@@ -57,7 +55,7 @@
 	return min(next, s.nextPause)
 }
 
-// ceilMS converts milliseconds, rounded up to microseconds. Above 1e12 ms it returns a quarter of Never.
+// ceilMS converts milliseconds, rounded up to microseconds and limited to a quarter of Never.
 func ceilMS(ms float64) time.Duration {
 	if ms > 1e12 {
 		return Never / 4
@@ -65,9 +63,8 @@
 	return time.Duration(math.Ceil(ms*1000)) * time.Microsecond
 }
 
-// Advance advances the server to now, starts queued jobs in free slots, and begins or ends overload. It
-// returns the jobs that are done, and those dropped from the queue as expired. The slice is valid until
-// the next call of any method.
+// Advance advances the server to now, starts queued jobs and updates overload. It returns the jobs that are
+// done or expired. The slice is valid until the next call of any method.
 func (s *Server) Advance(now time.Duration) []Completion {
 	s.completions = s.completions[:0]
 	s.advanceClock(now)
@@ -86,7 +83,7 @@
 	return s.completions
 }
 
-// complete removes running job i, counts the job for the next load report and adds its completion.
+// complete ends running job i and counts the job for the next load report.
 func (s *Server) complete(i int) {
 	job := &s.running[i]
 	outcome := Completed
@@ -102,8 +99,7 @@
 	s.running = append(s.running[:i], s.running[i+1:]...)
 }
 
-// advanceClock advances the clock, and with it work, pauses, load reports and the busy share. It completes no
-// job, even if no work is left for the job.
+// advanceClock advances work, pauses, load reports and the busy share to now. It completes no jobs.
 func (s *Server) advanceClock(now time.Duration) {
 	for s.now < now || s.pauseDue() {
 		to := now
@@ -127,8 +123,8 @@
 	}
 }
 
-// doWork does the work of the time from s.now to `to` at the present rate, and updates the busy share. Overhead
-// comes first, then all running jobs progress equally.
+// doWork does the work of the time from s.now to `to`, in which the rate is constant, and updates the busy
+// share. Overhead comes first.
 func (s *Server) doWork(to time.Duration) {
 	elapsed := float64(to - s.now)
 	s.updateBusy(elapsed)
@@ -157,7 +153,7 @@
 	}
 }
 
-// updateBusy updates the EWMA of the busy share for dt nanoseconds, in which the running jobs do not change.
+// updateBusy updates the busy share for dt nanoseconds, in which the running jobs do not change.
 func (s *Server) updateBusy(dt float64) {
 	busy := 0.0
 	if s.state.running() && (len(s.running) > 0 || s.overheadWork > 0) {
--- a/internal/simprotocol/batch_reader.go
+++ b/internal/simprotocol/batch_reader.go
@@ -26,7 +26,7 @@
 	batch  Batch
 }
 
-// NewReader returns a Reader of input. The input should be buffered: each batch takes several reads.
+// NewReader returns a Reader of input, which should be buffered.
 func NewReader(input io.Reader) *Reader { return &Reader{input: input} }
 
 // Next reads one batch. It returns io.EOF if the input ends between batches, and a *FrameError if a batch
@@ -66,8 +66,8 @@
 	return &FrameError{Seq: seq, Record: -1, Err: fmt.Errorf(format, args...)}
 }
 
-// fill reads until the buffer holds size bytes. The buffer grows only as bytes arrive: a wrong length in
-// the header must not cause a huge allocation.
+// fill reads until the buffer holds size bytes. The buffer grows only as bytes arrive, so a wrong length
+// causes no huge allocation.
 func (r *Reader) fill(size int) error {
 	const step = 1 << 20
 	for len(r.buffer) < size {
@@ -111,7 +111,7 @@
 	Entries       []byte             // EndpointList: encoded entries, see Entry
 	From          uint32             // Message: the sender
 	Load          [4]float64         // HealthCheckCompleted, AttemptCompleted: values of the load report
-	LoadCount     int                // HealthCheckCompleted, AttemptCompleted: values in Load; 0: no report
+	LoadCount     int                // HealthCheckCompleted, AttemptCompleted: values in Load
 }
 
 // Event decodes record i into event. Data and Entries are slices of the batch's buffer, valid until the next
@@ -176,7 +176,7 @@
 	e.Flags = record[40]
 }
 
-// decodeLoad decodes a load report: one byte with the number of values, then the values as 32-bit floats.
+// decodeLoad decodes a load report: the number of values, then the values as 32-bit floats.
 func (e *Event) decodeLoad(data []byte) error {
 	e.LoadCount = int(data[0])
 	if e.LoadCount > len(e.Load) {
@@ -188,8 +188,7 @@
 	return nil
 }
 
-// tailSlice returns the bytes of count items of size bytes each, which start at an offset in the tail. It
-// returns an error if they go beyond the tail.
+// tailSlice returns count items of size bytes each, from an offset in the tail on.
 func (b *Batch) tailSlice(offset, count uint32, size uint64) ([]byte, error) {
 	end := uint64(offset) + uint64(count)*size
 	if end > uint64(len(b.tail)) {
@@ -206,13 +205,13 @@
 	Cell        uint16
 	State       uint8 // see StateCode
 	Size        float64
-	StartedAtMS float64 // when the server's process started; 0: unknown or long ago
+	StartedAtMS float64 // when the process started; 0: unknown or long ago
 }
 
-// EntryCount returns the number of entries in an endpoint list, 0 for other events.
+// EntryCount returns the number of entries in an endpoint list.
 func (e *Event) EntryCount() int { return len(e.Entries) / entrySize }
 
-// Entry decodes entry i of an endpoint list, from 0. The state is not checked; ParseEndpointList does that.
+// Entry decodes entry i of an endpoint list. It does not check the state.
 func (e *Event) Entry(i int) EndpointEntry {
 	data := e.Entries[i*entrySize:]
 	return EndpointEntry{
--- a/internal/simprotocol/batch_writer.go
+++ b/internal/simprotocol/batch_writer.go
@@ -7,9 +7,8 @@
 	"piernotch"
 )
 
-// BatchWriter collects the events of one batch on the simulator's side. Each method but WriteTo adds one
-// record; the adapter handles records in this order. The zero value is an empty batch. A BatchWriter must be
-// used by one goroutine only.
+// BatchWriter collects the events of one batch on the simulator's side. Each method but WriteTo appends one
+// record. The zero value is an empty batch. A BatchWriter must be used by one goroutine only.
 type BatchWriter struct {
 	count   int
 	records []byte
@@ -17,8 +16,7 @@
 	head    [batchHeaderSize]byte
 }
 
-// record appends a record, zeroed except for its code and balancer. The returned slice is valid until the
-// next call.
+// record appends a record with its code and balancer, otherwise zeroed. It is valid until the next call.
 func (b *BatchWriter) record(code EventCode, balancer BalancerNumber) []byte {
 	end := len(b.records)
 	b.records = append(b.records, make([]byte, eventSize)...)
@@ -29,7 +27,7 @@
 	return record
 }
 
-// Start adds the start of a balancer's process. The settings are JSON, as MarshalSettings returns them.
+// Start adds the start of a balancer's process. MarshalSettings returns its settings.
 func (b *BatchWriter) Start(balancer BalancerNumber, seed uint64, settings []byte) {
 	record := b.record(EventStart, balancer)
 	put64(record[5:], seed)
@@ -38,15 +36,15 @@
 	b.tail = append(b.tail, settings...)
 }
 
-// Stop adds the end of a balancer's process. Any later event of the balancer must be a Start.
+// Stop adds the end of a balancer's process. The balancer may start again.
 func (b *BatchWriter) Stop(balancer BalancerNumber) { b.record(EventStop, balancer) }
 
-// TimerFired adds the expiry of a timer; the token is that of the SetTimer action.
+// TimerFired adds the expiry of the timer that was set with the token.
 func (b *BatchWriter) TimerFired(balancer BalancerNumber, token uint32) {
 	put32(b.record(EventTimerFired, balancer)[5:], token)
 }
 
-// ClientGone adds that the client of a request has disconnected before its response.
+// ClientGone adds the disconnection of a request's client.
 func (b *BatchWriter) ClientGone(balancer BalancerNumber, id uint64) {
 	put64(b.record(EventClientGone, balancer)[5:], id)
 }
@@ -62,7 +60,7 @@
 	Flags      uint8   // FlagCostHint, FlagRetry, FlagWrite
 }
 
-// Request adds a client's request that the balancer has received.
+// Request adds the arrival of a request.
 func (b *BatchWriter) Request(balancer BalancerNumber, request *RequestEvent) {
 	record := b.record(EventRequest, balancer)
 	put64(record[5:], request.ID)
@@ -79,12 +77,12 @@
 // AttemptEvent describes how an attempt ended.
 type AttemptEvent struct {
 	ID            uint64 // of the request
-	AttemptNumber uint8  // from 0 in each request
+	AttemptNumber uint8
 	Server        piernotch.ServerID
-	Status        uint8 // see StatusCode
+	Status        uint8 // from StatusCode
 	LatencyMS     float64
 	Closed        bool      // the request has its final response
-	Load          []float32 // load report of the response, at most four values; empty: none
+	Load          []float32 // load report, at most four values; empty: none
 }
 
 // AttemptCompleted adds the end of an attempt.
@@ -104,7 +102,7 @@
 // HealthCheckEvent describes the result of a health check.
 type HealthCheckEvent struct {
 	Server    piernotch.ServerID
-	Status    uint8 // see StatusCode
+	Status    uint8 // from StatusCode
 	LatencyMS float64
 	Load      []float32 // as in AttemptEvent
 }
@@ -126,7 +124,7 @@
 	}
 }
 
-// EndpointList adds an endpoint list. ListKindCode returns its kind, and StateCode the states of its entries.
+// EndpointList adds an endpoint list. ListKindCode returns the kind.
 func (b *BatchWriter) EndpointList(balancer BalancerNumber, kind uint8, version uint64, entries []EndpointEntry) {
 	record := b.record(EventEndpointList, balancer)
 	record[5] = kind
@@ -144,8 +142,7 @@
 	}
 }
 
-// WriteTo writes the batch with the given clock and batch number, and then empties it. Errors come from
-// output; after an error the batch is not emptied.
+// WriteTo writes the batch with its clock and number, and empties the batch unless output returns an error.
 func (b *BatchWriter) WriteTo(output io.Writer, clockMS float64, seq uint32) error {
 	put32(b.head[:], uint32(b.count))
 	put32(b.head[4:], uint32(batchHeaderSize+len(b.records)+len(b.tail)))
--- a/internal/simprotocol/codes.go
+++ b/internal/simprotocol/codes.go
@@ -14,13 +14,13 @@
 	entrySize       = 21
 )
 
-// BalancerNumber is the number that the simulator gives a balancer. A restarted balancer keeps its number.
+// BalancerNumber is the simulator's number of a balancer, which a restarted balancer keeps.
 type BalancerNumber uint32
 
 // EventCode is the kind of an event: the first byte of an event record.
 type EventCode uint8
 
-// Event codes. Event says which fields each of them sets.
+// Event codes. Event lists their fields.
 const (
 	EventMessage EventCode = iota
 	EventStart
@@ -44,7 +44,7 @@
 // ActionCode is the kind of an action: the first byte of an action record.
 type ActionCode = uint8
 
-// Action codes. The methods of Reply describe the actions.
+// Action codes. Reply describes the actions.
 const (
 	ActionCancelAttempt  ActionCode = 0
 	ActionHealthCheck    ActionCode = 1
@@ -62,12 +62,12 @@
 
 // FrameError reports a frame that cannot be decoded. The stream cannot be read any further.
 type FrameError struct {
-	Seq    uint32 // number of the batch; 0 if the batch could not be read in full
+	Seq    uint32 // number of the batch; 0 if it could not be read
 	Record int    // index of the record in the frame; -1: the whole frame
 	Err    error
 }
 
-// Error returns the text of Err, which says what is wrong with the frame.
+// Error returns the text of Err.
 func (e *FrameError) Error() string { return e.Err.Error() }
 
 // Unwrap returns Err.
--- a/internal/simprotocol/doc.go
+++ b/internal/simprotocol/doc.go
@@ -1,6 +1,6 @@
 // Package simprotocol encodes and decodes the simulator's protocol. The simulator sends batches of events
-// over a pipe, and the adapter answers each batch with one reply of actions. Both are little-endian
-// binary frames. A start event contains the settings as JSON.
+// over a pipe, and gets one reply of actions to each batch. Both are little-endian binary frames. A start
+// event contains the settings as JSON.
 //
 // The package defines the layout of frames, the numbers of codes and the keys of settings. It must not
 // know what a balancer decides, and holds no state beyond the buffers of one stream.
@@ -9,6 +9,6 @@
 // simulator's side, and internal/lab/loadtest writes settings. internal/serve/config and
 // internal/serve/upstream use only the formats of settings and load reports.
 //
-// A Reader, Reply or BatchWriter must be used by one goroutine only. Decoding a record allocates nothing.
-// Adding a record allocates only when a buffer has to grow.
+// A Reader, Reply or BatchWriter must be used by one goroutine only. Decoding a record allocates nothing,
+// and adding one allocates only when a buffer grows.
 package simprotocol
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -31,9 +31,8 @@
 	return want
 }
 
-// A changed layout of event records would break the simulator and older adapters. The batches contain every
-// event with every field set. BatchWriter has no methods for the two events of the second batch, so the
-// test encodes their records itself.
+// The simulator depends on the layout of events. The batches contain every event with every field set.
+// BatchWriter has no methods for the events of the second batch, which the test encodes itself.
 func TestBatchGoldenFile(t *testing.T) {
 	lines := []EndpointEntry{
 		{Server: 0x03124a07, Zone: 1, Kind: 2, Cell: 0x0304, State: 2, Size: 1.5, StartedAtMS: 6100.25},
@@ -147,8 +146,8 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// A changed layout of action records would break the simulator. The first reply contains every action that
-// ReadReply supports, with every field set. ReadReply rejects SendMessage, which has its own reply.
+// The simulator depends on the layout of actions. The replies contain every action with every field set.
+// SendMessage has its own reply, since ReadReply rejects it.
 func TestReplyGoldenFile(t *testing.T) {
 	var reply Reply
 	var out bytes.Buffer
@@ -185,8 +184,8 @@
 	require.Equal(t, 12+32+4, golden.Len(), "the frame of SendMessage")
 }
 
-// The reader of settings ignores unknown keys, so nothing else would report a changed key. Almost every key
-// has a value of its own, which shows a mix-up of two keys.
+// ParseSettings ignores unknown keys, so a changed key would go unnoticed. Each key has a value of its own to
+// show mix-ups.
 func TestSettingsGoldenFile(t *testing.T) {
 	want := piernotch.Settings{
 		BalancerCount: 3,
@@ -270,8 +269,7 @@
 	require.Equal(t, []time.Duration{time.Minute, 250 * time.Millisecond}, []time.Duration{keepAlive, dialTimeout})
 }
 
-// The numbers of statuses, states and list kinds are part of the protocol. Statuses are checked in both
-// directions.
+// The numbers of statuses, states and list kinds are part of the protocol.
 func TestCodesGolden(t *testing.T) {
 	for status, code := range map[piernotch.Status]uint8{
 		piernotch.OK:            0,
--- a/internal/simprotocol/reply_reader.go
+++ b/internal/simprotocol/reply_reader.go
@@ -9,7 +9,7 @@
 	"piernotch"
 )
 
-// Action is one decoded action of a reply. Fields that an action of this code does not have are zero.
+// Action is one decoded action of a reply. Fields that the code does not use are zero.
 type Action struct {
 	Code          ActionCode
 	Balancer      BalancerNumber
@@ -22,11 +22,11 @@
 	Text          string // ReportFault, Log
 }
 
-// maxReplySize is the largest accepted reply, in bytes. It keeps a broken adapter from exhausting memory.
+// maxReplySize limits a reply, in bytes, so a broken adapter cannot exhaust the memory.
 const maxReplySize = 1 << 30
 
-// ReadReply reads the reply to batch seq and appends its actions to into. Any error is a *FrameError, and
-// the actions that precede a malformed one are returned with it. The stream cannot be read any further then.
+// ReadReply reads the reply to batch seq and appends its actions to into. Any error is a *FrameError. It
+// is returned with the actions decoded before, and the stream cannot be read any further.
 func ReadReply(input io.Reader, seq uint32, into []Action) ([]Action, error) {
 	var head [replyHeaderSize]byte
 	if _, err := io.ReadFull(input, head[:]); err != nil {
@@ -70,7 +70,7 @@
 	return fmt.Errorf("reply to batch %d, action %d: %w", seq, i, err)
 }
 
-// decodeAction decodes one record of a reply. The tail contains the texts of log and fault records.
+// decodeAction decodes one record of a reply. The tail contains the texts.
 func decodeAction(record, tail []byte) (Action, error) {
 	action := Action{Code: record[0], Balancer: BalancerNumber(u32(record[1:]))}
 	switch action.Code {
--- a/internal/simprotocol/reply_writer.go
+++ b/internal/simprotocol/reply_writer.go
@@ -6,12 +6,12 @@
 	"piernotch"
 )
 
-// replyGrowth is the number of bytes by which a full buffer of records grows, in addition to doubling.
+// replyGrowth is by how many bytes a full buffer of records grows in addition to doubling.
 const replyGrowth = actionSize * 64
 
-// Reply collects the actions that answer one batch. Each method but WriteTo adds one record; records keep
-// the order of the calls. Balancers and requests are numbered as in the batch. The zero value is an empty
-// reply. A Reply must be used by one goroutine only.
+// Reply collects the actions that answer one batch. Each method but WriteTo appends one record. Balancers and
+// requests are numbered as in the batch. The zero value is an empty reply. A Reply must be used by one
+// goroutine only.
 type Reply struct {
 	count   int
 	records []byte
@@ -19,8 +19,7 @@
 	head    [replyHeaderSize]byte
 }
 
-// record appends a record, zeroed except for its code and balancer. The returned slice is valid until the
-// next call.
+// record appends a record with its code and balancer, otherwise zeroed. It is valid until the next call.
 func (r *Reply) record(code ActionCode, balancer BalancerNumber) []byte {
 	end := len(r.records)
 	if cap(r.records)-end < actionSize {
@@ -37,7 +36,7 @@
 	return record
 }
 
-// attach appends data to the tail, and writes the offset and length of data to the start of record.
+// attach appends data to the tail, and writes the data's offset and length to record.
 func (r *Reply) attach(record, data []byte) {
 	put32(record, uint32(len(r.tail)))
 	put32(record[4:], uint32(len(data)))
@@ -53,7 +52,7 @@
 	putF64(record[17:], timeoutMS)
 }
 
-// CancelAttempt cancels an attempt: its result is no longer awaited. The attempts of a request are numbered from 0.
+// CancelAttempt stops waiting for an attempt. The attempts of a request are numbered from 0.
 func (r *Reply) CancelAttempt(balancer BalancerNumber, id uint64, attemptNumber uint8) {
 	record := r.record(ActionCancelAttempt, balancer)
 	put64(record[5:], id)
@@ -65,7 +64,7 @@
 	put64(r.record(ActionFail, balancer)[5:], id)
 }
 
-// Reject rejects a request. The client is told to retry after retryAfterMS; 0: it is told nothing.
+// Reject rejects a request. The client may retry after retryAfterMS; 0: no advice.
 func (r *Reply) Reject(balancer BalancerNumber, id uint64, retryAfterMS float64) {
 	record := r.record(ActionReject, balancer)
 	put64(record[5:], id)
@@ -79,7 +78,7 @@
 	put32(record[13:], token)
 }
 
-// HealthCheck sends a health check to a server. EventHealthCheckCompleted brings the result.
+// HealthCheck sends a health check to a server.
 func (r *Reply) HealthCheck(balancer BalancerNumber, server piernotch.ServerID) {
 	put32(r.record(ActionHealthCheck, balancer)[5:], uint32(server))
 }
@@ -97,7 +96,7 @@
 	r.record(ActionWatchEndpoints, balancer)[5] = 1
 }
 
-// SendMessage sends a message to another balancer. The peer 0xffff addresses all others.
+// SendMessage sends a message to another balancer, or to all others with 0xffff.
 func (r *Reply) SendMessage(balancer BalancerNumber, peer uint16, body []byte) {
 	record := r.record(ActionSendMessage, balancer)
 	put16(record[5:], peer)
@@ -114,8 +113,7 @@
 	r.attach(r.record(ActionReportFault, balancer)[5:], []byte(text))
 }
 
-// WriteTo writes the reply to batch seq, and then empties it. Errors come from output; after an error the
-// reply is not emptied.
+// WriteTo writes the reply to batch seq, and empties the reply unless output returns an error.
 func (r *Reply) WriteTo(output io.Writer, seq uint32) error {
 	put32(r.head[:], uint32(r.count))
 	put32(r.head[4:], uint32(replyHeaderSize+len(r.records)+len(r.tail)))
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// parse translates the class, whose index i appears in errors.
+// parse translates class i.
 func (c *classJSON) parse(i int) (piernotch.Class, error) {
 	safety, ok := retrySafetyByName[c.RetrySafety]
 	if !ok {
@@ -164,9 +164,8 @@
 	return parsed.Report.Columns, nil
 }
 
-// ParseConnections returns the settings of connections, which the decision module does not use: how long a
-// server keeps an idle connection open, and how long connecting may take. Any error is a *SettingsError;
-// a value that is missing or not above 0 is one.
+// ParseConnections returns the settings that concern only sockets: how long a server keeps an idle connection
+// open, and how long connecting may take. Both must be above 0. Any error is a *SettingsError.
 func ParseConnections(data []byte) (keepAlive, dialTimeout time.Duration, err error) {
 	var parsed struct {
 		Limits struct {
--- a/internal/simprotocol/settings_writer.go
+++ b/internal/simprotocol/settings_writer.go
@@ -14,13 +14,13 @@
 	DialMS           float64  // how long connecting may take
 	SlackMS          float64  // how long after its deadline a request's final response may come
 	GraceMS          float64  // how long after the notice of a drain requests may still be sent
-	CollapseMultiple float64  // multiple of its capacity above which arriving work collapses a server in slow start
-	CollapseWindowMS float64  // window over which the arriving work is added up
+	CollapseMultiple float64  // multiple of its capacity above which work collapses a server in slow start
+	CollapseWindowMS float64  // window in which this work arrives
 	WeightBy         string   // unit in which requests are weighted: "request" or "work"
 	Columns          []string // names of the values in a load report, in order
 }
 
-// Values of max_open and cpu_us_per_s. They are too high to limit a balancer of the laboratory.
+// Values of max_open and cpu_us_per_s, too high to limit a balancer of the laboratory.
 const (
 	maxOpenConnections = 20000
 	cpuMicrosPerSecond = 1e6
@@ -60,8 +60,7 @@
 	FallMS              float64 `json:"overload_for_ms"`
 }
 
-// MarshalSettings encodes settings for a start event. ParseSettings, ParseReportColumns and
-// ParseConnections decode them.
+// MarshalSettings encodes the settings of a start event. ParseSettings decodes them.
 func MarshalSettings(settings *piernotch.Settings, extra ExtraSettings) ([]byte, error) {
 	message := settingsMessage{
 		Family:      "proxy",
--- a/internal/simprotocol/translate.go
+++ b/internal/simprotocol/translate.go
@@ -8,7 +8,7 @@
 	"piernotch"
 )
 
-// StatusCode returns the code of a status on the wire. A status without a code yields 0, as OK does.
+// StatusCode returns the code of a status on the wire; 0 (OK) if there is none.
 func StatusCode(status piernotch.Status) uint8 {
 	for code, known := range statusByCode {
 		if known == status {
@@ -18,7 +18,7 @@
 	return 0
 }
 
-// StateCode returns the code of a server's state on the wire. A state without a code yields 0, as Draining does.
+// StateCode returns the code of a server's state on the wire; 0 (draining) if there is none.
 func StateCode(state piernotch.State) uint8 {
 	for code, known := range stateByCode {
 		if known == state {
@@ -28,8 +28,7 @@
 	return 0
 }
 
-// ListKindCode returns the code of an update kind on the wire. A kind without a code yields 0, as
-// UpdateFailed does.
+// ListKindCode returns the code of an update kind on the wire; 0 (failed) if there is none.
 func ListKindCode(kind piernotch.UpdateKind) uint8 {
 	for code, known := range listKindByCode {
 		if known == kind {
@@ -40,8 +39,7 @@
 }
 
 // ParseLoadReport translates the load report of an attempt or a health check. The columns name the report's
-// values in order. ok is false if no value is named InflightColumn, or if a value is negative, infinite
-// or NaN.
+// values in order. ok is false if there is no value named InflightColumn, or if SetLoadValue rejects one.
 func ParseLoadReport(event *Event, columns []string) (load piernotch.LoadReport, ok bool) {
 	for i, name := range columns[:min(len(columns), event.LoadCount)] {
 		if !SetLoadValue(&load, name, event.Load[i]) {
@@ -52,11 +50,11 @@
 	return load, ok
 }
 
-// InflightColumn names the number of requests at the server. Load reports without this value are not used.
+// InflightColumn names the number of requests at the server. Reports without it are not used.
 const InflightColumn = "inflight"
 
-// SetLoadValue sets the value of the given name in a load report; it sets nothing for an unknown name. It
-// reports whether the value is valid: not negative, infinite or NaN.
+// SetLoadValue sets the value of the given name in a load report, and ignores an unknown name. It reports
+// whether the value is valid: not negative, infinite or NaN.
 func SetLoadValue(load *piernotch.LoadReport, name string, value float64) bool {
 	switch name {
 	case InflightColumn:
@@ -81,7 +79,7 @@
 // Milliseconds converts a duration for the wire, and truncates it to microseconds.
 func Milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// statusByCode maps the dispositions on the wire to statuses. Their numbers are not contiguous.
+// statusByCode maps the dispositions on the wire, which are not contiguous, to statuses.
 var statusByCode = map[uint8]piernotch.Status{
 	0: piernotch.OK, 13: piernotch.Error, 8: piernotch.Full, 4: piernotch.Timeout,
 	14: piernotch.ConnectFailed, 10: piernotch.Reset, 1: piernotch.Cancelled, 9: piernotch.NotSent,
--- a/internal/trafficrecording/errors.go
+++ b/internal/trafficrecording/errors.go
@@ -8,7 +8,7 @@
 var (
 	// ErrTruncated reports a recording that ends within its header or within a block.
 	ErrTruncated = errors.New("the recording is cut short")
-	// ErrNotRecording reports a file that does not begin with the format's magic number.
+	// ErrNotRecording reports a file without the magic number of recordings.
 	ErrNotRecording = errors.New("this is no recording: it does not begin with " + magic)
 	// ErrChecksum reports a block whose data does not match its checksum.
 	ErrChecksum = errors.New("its checksum is wrong")
@@ -32,7 +32,7 @@
 
 // BlockError reports an error in a block of a recording.
 type BlockError struct {
-	Block int // last block whose header could be read, from 1 since Open or Seek; 0: none could
+	Block int // last block whose header was read, from 1 since Open or Seek; 0: none
 	Err   error
 }
 
--- a/internal/trafficrecording/format.go
+++ b/internal/trafficrecording/format.go
@@ -20,8 +20,8 @@
 	// blockRecords is the number of records in a full block. More would compress better, but a process that
 	// dies would lose more records.
 	blockRecords = 2048
-	// maxHeaderSize and maxBlockSize are the largest sizes accepted by the reader, in bytes. They keep a
-	// damaged file from causing huge allocations.
+	// maxHeaderSize and maxBlockSize limit what is read, in bytes, so a damaged file causes no huge
+	// allocations.
 	maxHeaderSize = 1 << 20
 	maxBlockSize  = 16 << 20
 )
@@ -45,7 +45,7 @@
 	Served Outcome = iota
 	// Rejected means that the request was not executed.
 	Rejected
-	// Failed means that no server's response came, though a server may have executed the request.
+	// Failed means that no response came, though a server may have executed the request.
 	Failed
 	// ClientGone means that the client disconnected before the response.
 	ClientGone
@@ -63,7 +63,7 @@
 	Latency  time.Duration // from the request's arrival to the outcome
 }
 
-// blockHeader is the header of a block, before its data.
+// blockHeader precedes the data of a block.
 type blockHeader struct {
 	size     uint32 // of the compressed data, in bytes
 	records  uint32
--- a/internal/trafficrecording/reader.go
+++ b/internal/trafficrecording/reader.go
@@ -26,7 +26,7 @@
 	header      Header
 	firstBlock  int64         // offset of the first block in the file
 	records     *cbor.Decoder // decodes the current block
-	recordsLeft uint32        // records of the current block that Next has not read
+	recordsLeft uint32        // unread records of the current block
 	block       int           // number of the current block, from 1 since Open or Seek; 0: none yet
 }
 
@@ -38,7 +38,7 @@
 	}
 	reader := &Reader{name: name, file: file, in: bufio.NewReaderSize(file, readBufferSize)}
 	if err := reader.readHeader(); err != nil {
-		_ = file.Close() // nothing was written that could be lost
+		_ = file.Close() // opened for reading only
 		return nil, &FileError{Name: name, Err: err}
 	}
 	return reader, nil
@@ -73,8 +73,8 @@
 // Close closes the file.
 func (r *Reader) Close() error { return r.file.Close() }
 
-// Next reads the next record. It returns io.EOF at the end of the recording; any other error is a
-// *FileError. The error wraps ErrTruncated if the last block is incomplete, as after the writer's death.
+// Next reads the next record. It returns io.EOF at the end of the recording, and otherwise a *FileError. The
+// error wraps ErrTruncated if the writer's process died.
 func (r *Reader) Next(record *Record) error {
 	for r.recordsLeft == 0 {
 		err := r.readBlock()
@@ -99,8 +99,7 @@
 	return &FileError{Name: r.name, Err: &BlockError{Block: r.block, Err: err}}
 }
 
-// readBlock reads the next block, checks its checksum and prepares its records for Next. It returns io.EOF at
-// the end of the file.
+// readBlock reads the next block and checks its checksum. It returns io.EOF at the end of the file.
 func (r *Reader) readBlock() error {
 	header, err := r.readBlockHeader()
 	if err != nil {
@@ -143,7 +142,7 @@
 }
 
 // findBlock returns the offset of the last block that begins at or before a time, or of the first block. It
-// reads headers from the present offset on, until one is later than the time or cannot be read.
+// stops where the file is damaged.
 func (r *Reader) findBlock(at time.Duration) int64 {
 	found, offset := r.firstBlock, r.firstBlock
 	for {
@@ -159,7 +158,7 @@
 	}
 }
 
-// moveTo sets the offset in the file for the next read, and discards buffered data.
+// moveTo continues reading at an offset in the file.
 func (r *Reader) moveTo(offset int64) error {
 	if _, err := r.file.Seek(offset, io.SeekStart); err != nil {
 		return err
--- a/internal/trafficrecording/trace_test.go
+++ b/internal/trafficrecording/trace_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testRecord returns a record that arrived at i ms; most other fields depend on i, too.
+// testRecord returns record i of a test, which arrived at i ms.
 func testRecord(i int) Record {
 	return Record{
 		At: time.Duration(i) * time.Millisecond, Class: uint16(i % 2), Key: uint64(i * 7), CostHint: float64(i),
@@ -20,8 +20,7 @@
 	}
 }
 
-// writeTrace writes a recording of n records. It returns its path and the closed Writer, which has dropped at
-// least one record.
+// writeTrace writes a recording of n records. It returns the file's name and the closed Writer.
 func writeTrace(t *testing.T, n int, limits Limits) (string, *Writer) {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "t.pnt")
@@ -31,7 +30,7 @@
 		w.Add(testRecord(i))
 	}
 	require.NoError(t, w.Close())
-	w.Add(testRecord(0)) // a record after Close is dropped, without a panic
+	w.Add(testRecord(0)) // dropped after Close, without a panic
 	return name, w
 }
 
@@ -62,8 +61,8 @@
 	require.Equal(t, testRecord(0), record)
 }
 
-// A crash or a disk fault may damage the last block of a recording. The blocks before it must still be read, and the
-// error must tell the kind of damage.
+// A crash or a disk fault may damage a block. The blocks before it must be readable, and the error must tell
+// the kind of damage.
 func TestDamagedRecordingIsReadUpToTheDamage(t *testing.T) {
 	name, _ := writeTrace(t, 2*blockRecords, Limits{})
 	data, err := os.ReadFile(name)
@@ -99,7 +98,7 @@
 	require.ErrorIs(t, err, ErrTruncated)
 }
 
-// A recording must not fill the disk: it ends at its limit of bytes. Every record that is not written is counted.
+// A recording must not fill the disk: it ends at its limit of bytes, and counts the dropped records.
 func TestRecordingIsBoundedAndCountsDropped(t *testing.T) {
 	name, w := writeTrace(t, 10*blockRecords, Limits{Bytes: 1, Pending: 4 * blockRecords})
 	require.Greater(t, w.Dropped(), 0)
--- a/internal/trafficrecording/writer.go
+++ b/internal/trafficrecording/writer.go
@@ -13,28 +13,27 @@
 	defaultMaxPending = 8192
 )
 
-// Limits bounds the size of a recording and its use of memory. A zero value means the default.
+// Limits bounds a recording. Zero values mean the defaults.
 type Limits struct {
 	// Bytes is the total size of blocks, 64 MiB by default, at which the recording ends. The block that
-	// reaches the limit is written in full; all later records are dropped.
+	// reaches this size is the last.
 	Bytes int64
-	// Pending is the largest number of records that wait to be written, 8,192 by default. Further ones are
-	// dropped.
+	// Pending is how many records may wait to be written, 8,192 by default. Further ones are dropped.
 	Pending int
 }
 
 // Writer writes a recording. Create returns one. Its methods may be called concurrently.
 type Writer struct {
 	limits Limits
-	wake   chan struct{} // signals that a full block is pending; Close closes it
-	done   chan error    // gets the recording's first error, or nil, once the file is closed
+	wake   chan struct{} // a full block is pending; closed by Close
+	done   chan error    // receives the first error, or nil, once the file is closed
 
 	mu      sync.Mutex
 	pending []Record
 	dropped int
 	closed  bool
 
-	spare []Record // used for pending in turn, to save allocations; accessed by run's goroutine only
+	spare []Record // array to reuse for pending; for run's goroutine only
 }
 
 // Create starts a recording. An existing file of this name is replaced. Any error is a *FileError.
@@ -54,7 +53,7 @@
 		return nil, &FileError{Name: name, Err: err}
 	}
 	writer := &Writer{limits: limits, wake: make(chan struct{}, 1), done: make(chan error, 1)}
-	// The goroutine ends after Close has closed wake and all pending records have been written or dropped.
+	// The goroutine ends after Close has closed wake and no records are pending.
 	go writer.run(file)
 	return writer, nil
 }
@@ -70,8 +69,8 @@
 	return err
 }
 
-// Add records a request. It never waits for the disk: if too many records are pending, or if the Writer is
-// closed, the record is dropped. Records that exceed the limit of bytes are dropped later.
+// Add records a request. It never waits for the disk. The record is dropped if the disk is behind, the file
+// full or the Writer closed.
 func (w *Writer) Add(record Record) {
 	w.mu.Lock()
 	if w.closed || len(w.pending) >= w.limits.Pending {
@@ -97,8 +96,7 @@
 	return w.dropped
 }
 
-// Close writes the pending records, closes the file and returns the first error of the recording. Later
-// calls return nil.
+// Close writes the pending records and returns the first error of the recording. Later calls return nil.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	if w.closed {
@@ -114,11 +112,11 @@
 // blockFile is the file of a recording. Only run's goroutine uses it.
 type blockFile struct {
 	file    *os.File
-	written int64 // bytes of blocks, without the recording's header
+	written int64 // bytes of blocks
 	err     error // the first error
 }
 
-// run writes blocks until the Writer is closed, then writes the remaining records and closes the file.
+// run writes blocks until the Writer is closed, then the remaining records, and closes the file.
 func (w *Writer) run(file *os.File) {
 	out := &blockFile{file: file}
 	for range w.wake {
@@ -131,8 +129,8 @@
 	w.done <- out.err
 }
 
-// flush writes a batch of records in blocks. After an error, or once the limit of bytes is reached, it drops
-// the records instead. It keeps the batch's array for take to reuse.
+// flush writes a batch of records in blocks. After an error or at the limit of bytes it drops the records.
+// It keeps the batch's array for take.
 func (w *Writer) flush(out *blockFile, batch []Record) {
 	for start := 0; start < len(batch); start += blockRecords {
 		records := batch[start:min(start+blockRecords, len(batch))]
@@ -145,7 +143,7 @@
 	w.spare = batch
 }
 
-// takeCompleteBlocks removes and returns as many pending records as fill whole blocks.
+// takeCompleteBlocks removes and returns the pending records that fill whole blocks.
 func (w *Writer) takeCompleteBlocks() []Record {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -172,7 +170,7 @@
 	w.dropped += records
 }
 
-// write appends a block to the file, or sets err. It must not be called once err is set.
+// write appends a block to the file, or sets err.
 func (f *blockFile) write(records []Record) {
 	block, err := encodeBlock(records)
 	if err != nil {
