--- a/cmd/simulator-adapter/adapter.go
+++ b/cmd/simulator-adapter/adapter.go
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// handle starts or stops the balancer of the current event, or passes the event to it.
+// handle starts or stops the balancer of the current event, or passes the event to the balancer.
 func (a *adapter) handle(now time.Duration) error {
 	event := &a.event
 	balancer, started := a.balancers[event.Balancer]
--- a/cmd/simulator-adapter/adapter_test.go
+++ b/cmd/simulator-adapter/adapter_test.go
@@ -25,7 +25,7 @@
 	return out
 }
 
-// startRecord starts balancer 7 with settings that begin the frame's tail.
+// startRecord returns the start event of balancer 7. Its settings are at the start of the frame's tail.
 func startRecord(settings string) []byte {
 	r := make([]byte, 21)
 	r[0], r[1] = 1, 7
@@ -36,7 +36,7 @@
 func TestRequestWithoutServerIsRejected(t *testing.T) {
 	request := make([]byte, 41)
 	request[0], request[1], request[5] = 3, 7, 9
-	binary.LittleEndian.PutUint64(request[24:], math.Float64bits(1001)) // too soon to be met
+	binary.LittleEndian.PutUint64(request[24:], math.Float64bits(1001)) // a deadline too soon to be met
 	var out bytes.Buffer
 	in := append(batch(1, "", nil...), batch(2, settingsText, startRecord(settingsText))...)
 	in = append(in, batch(3, "", request)...)
--- a/internal/lab/idtable/idtable.go
+++ b/internal/lab/idtable/idtable.go
@@ -5,7 +5,7 @@
 // internal/lab/simulation and internal/lab/invariants store requests and attempts in tables.
 package idtable
 
-// minSlots is the size of the first ring. Sizes must be powers of two, for the mask in at.
+// minSlots is the size of the first ring. Sizes are powers of two, so that the method at can mask IDs.
 const minSlots = 64
 
 // Table maps IDs to records. The zero value is an empty table. A Table must not be used concurrently.
@@ -14,7 +14,7 @@
 	count int
 }
 
-// slot holds at most one record: its ID modulo the number of slots is the slot's index.
+// slot holds at most one record, whose ID modulo the number of slots is the slot's index.
 type slot[T any] struct {
 	id    uint64
 	used  bool
@@ -57,7 +57,7 @@
 	old := t.slots
 	t.slots = make([]slot[T], 2*len(old))
 	for i := range old {
-		if old[i].used { // distinct old slots map to distinct new slots
+		if old[i].used { // distinct old slots have distinct new slots
 			*t.at(old[i].id) = old[i]
 		}
 	}
--- a/internal/lab/servermodel/kind.go
+++ b/internal/lab/servermodel/kind.go
@@ -8,10 +8,10 @@
 // WarmUp selects what ends slow start.
 type WarmUp uint8
 
-// Kinds of warm-up.
+// Kinds of warm-up. Slow start lasts SlowStartDuration at most with either.
 const (
-	WarmByTime WarmUp = iota // time, evenly over SlowStartDuration
-	WarmByWork               // work done, or SlowStartDuration if it ends first
+	WarmByTime WarmUp = iota // capacity grows evenly with time
+	WarmByWork               // capacity grows with the work done, or with time if this is faster
 )
 
 // Kind describes a server. The zero value of a field turns its mechanism off, unless the comment gives a
@@ -23,9 +23,9 @@
 	Slots int     // requests executed at once; at least 1
 	Queue int     // most requests queued at once; further ones are rejected
 
-	// Above ThrashAt requests in flight per core, the server loses speed: in proportion to the excess up
-	// to the share Thrash, at twice ThrashAt.
-	Thrash   float64 // from 0 to 1
+	// Above ThrashAt requests in flight per core, the server loses speed in proportion to the excess: the
+	// share Thrash at twice ThrashAt and above.
+	Thrash   float64 // share of the speed, 0 to 1
 	ThrashAt float64 // requests in flight per core
 
 	SlowStartCapacity float64       // share of its capacity that a process has when it starts, 0 to 1
@@ -52,17 +52,17 @@
 // Overload describes how a long queue slows the server down, even after the queue has become short again.
 type Overload struct {
 	QueuePerCore float64       // queued requests per core above which the queue is too long; 0: never
-	After        time.Duration // how long the queue must be too long for overload to begin
-	Slowdown     float64       // factor on the time for work; at least 1
+	After        time.Duration // overload begins once the queue has been too long for this time
+	Slowdown     float64       // factor by which overload slows the server; at least 1
 	IdleBelow    float64       // the server is mostly idle while Busy is below this share
-	IdleFor      time.Duration // how long the server must be mostly idle for overload to end
+	IdleFor      time.Duration // overload ends once the server has been mostly idle for this time
 	MaxDuration  time.Duration // longest overload; 0: unlimited
 }
 
 // Keys describes the work saved by a request whose key the server has seen recently.
 type Keys struct {
 	WorkSaved float64       // share of the request's work, 0 to 1
-	WarmFor   time.Duration // since the last request with the key
+	WarmFor   time.Duration // how long a key saves work after its last request
 	MaxKeys   int           // most keys remembered; the least recently used is evicted first
 }
 
@@ -70,7 +70,7 @@
 type ConnectionCost struct {
 	Handshake      float64 // work for a new connection, ms
 	MaxConnections int     // most open connections accepted; 0: unlimited
-	Tax            float64 // share of capacity lost at MaxConnections, in proportion below
+	Tax            float64 // share of the speed lost at MaxConnections; fewer cost in proportion
 }
 
 // ReportTiming describes when load reports are made and how exact they are.
@@ -80,15 +80,15 @@
 	Noise    float64       // coefficient of variation of each value
 }
 
-// Collapse describes when a server collapses in slow start, and stays down: when more work arrives within
-// a window of length For than Multiple times what the server can do in the window at its present capacity,
-// plus CollapseSlack. Rejected requests count, too.
+// Collapse describes when a server collapses in slow start: when more work arrives within a window of length
+// For than Multiple times what the server can do in the window at its present capacity, plus
+// CollapseSlack. Rejected requests count, too. The server then stays down until it is started again.
 type Collapse struct {
 	Multiple float64 // 0: never
 	For      time.Duration
 }
 
-// CollapseSlack is the share by which work may exceed the limit of Collapse.
+// CollapseSlack is the share of the limit of Collapse by which work may exceed this limit.
 const CollapseSlack = 0.1
 
 // KindError reports a Kind with an impossible value.
--- a/internal/lab/servermodel/load_reports.go
+++ b/internal/lab/servermodel/load_reports.go
@@ -9,7 +9,7 @@
 type LoadReport struct {
 	ErrorsPerSec float64
 	PerSec       float64 // requests completed per second
-	Inflight     float64 // requests running or queued at its end
+	Inflight     float64 // requests running or queued when the report was made
 }
 
 // timedReport is a load report with the time at which it was made.
@@ -35,8 +35,8 @@
 	s.nextReport += interval
 }
 
-// Report returns the load report that a response at now carries. The delay of a fault adds to the kind's.
-// Report returns false if no load report is old enough.
+// Report returns the load report that a response at now carries. The argument delay comes from
+// a fault and adds to the kind's delay. Report returns false if no load report is old enough.
 func (s *Server) Report(now, delay time.Duration) (LoadReport, bool) {
 	for i := s.reportCount - 1; i >= 0 && i >= s.reportCount-maxReports; i-- {
 		report := &s.reports[i%maxReports]
--- a/internal/lab/servermodel/overload.go
+++ b/internal/lab/servermodel/overload.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// SetOverloaded puts a running server into overload, as a long queue does, unless the kind has none. The
-// overload ends as usual.
+// SetOverloaded puts a running server into overload at once, unless the kind has no overload. The overload
+// ends as after a long queue.
 func (s *Server) SetOverloaded(now time.Duration) {
 	s.advanceClock(now)
 	if s.kind.Overload.QueuePerCore > 0 && s.state.running() {
@@ -11,7 +11,7 @@
 	}
 }
 
-// watchQueue updates the time since when the queue has been too long.
+// watchQueue records since when the queue has been too long.
 func (s *Server) watchQueue(now time.Duration) {
 	limit := s.kind.Overload.QueuePerCore
 	tooLong := limit > 0 && float64(len(s.queue)) > limit*float64(s.kind.Cores)
@@ -23,7 +23,7 @@
 	}
 }
 
-// updateOverload begins or ends overload if this is due.
+// updateOverload begins or ends overload by the rules of Kind.Overload.
 func (s *Server) updateOverload(now time.Duration) {
 	settings := &s.kind.Overload
 	if settings.QueuePerCore == 0 {
--- a/internal/lab/servermodel/pauses.go
+++ b/internal/lab/servermodel/pauses.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// pauseTiming holds the means of the time between the starts of pauses and of their length. Drawn values vary
-// by up to half.
+// pauseTiming holds the mean time between the starts of pauses and the mean length of a pause. Drawn values
+// differ from the means by up to half.
 type pauseTiming struct{ every, length time.Duration }
 
-// SetPauses replaces the kind's means of PauseEvery and PauseFor, and schedules the next pause anew. Zeros
-// restore the kind's means.
+// SetPauses replaces PauseEvery and PauseFor of the kind, and schedules the next pause anew. Zeros restore the
+// values of the kind.
 func (s *Server) SetPauses(now, every, length time.Duration) {
 	s.advanceClock(now)
 	s.pauseFault = pauseTiming{every, length}
@@ -21,12 +21,12 @@
 	return pauseTiming{s.kind.PauseEvery, s.kind.PauseFor}
 }
 
-// pauseDue reports whether a pause must begin now. During a pause, the next one waits.
+// pauseDue reports whether a pause must begin now: the next pause is due, and no other is under way.
 func (s *Server) pauseDue() bool {
 	return s.nextPause <= s.now && s.now >= s.pauseEnd
 }
 
-// schedulePause draws when the next pause begins after now; Never without pauses.
+// schedulePause draws the start of the next pause after now; without pauses it is Never.
 func (s *Server) schedulePause(now time.Duration) {
 	timing := s.pauseTiming()
 	s.nextPause = Never
@@ -35,7 +35,7 @@
 	}
 }
 
-// beginPause schedules the next pause and begins the one that is due, unless no process runs.
+// beginPause begins the pause that is due if a process runs, and schedules the next pause.
 func (s *Server) beginPause() {
 	begin := s.nextPause
 	length := s.pauseTiming().length
--- a/internal/lab/servermodel/queue.go
+++ b/internal/lab/servermodel/queue.go
@@ -7,30 +7,30 @@
 	ID        uint64
 	Work      float64       // ms on a core of speed 1
 	Key       uint64        // for key affinity; 0: none
-	Expires   time.Duration // when nobody waits any longer; 0: unknown
-	ErrorDraw float64       // random, from [0, 1); below Kind.ErrorRate: an error
+	Expires   time.Duration // nobody waits for the job after this time; 0: unknown
+	ErrorDraw float64       // random, from [0, 1); below Kind.ErrorRate, the job ends with an error
 }
 
 // Admission is a server's decision about a job on arrival.
 type Admission uint8
 
-// Admissions.
+// Admissions. Only accepted jobs have a Completion.
 const (
 	Accepted   Admission = iota // the job runs or is queued
 	Rejected                    // the queue is full or the server drains; the job is never executed
 	Refused                     // the server is down or has collapsed
-	NoResponse                  // the server is silent
+	NoResponse                  // the server is silent: the client gets no answer
 )
 
 // Outcome is how an accepted job ended.
 type Outcome uint8
 
-// Outcomes.
+// Outcomes. Jobs that Cancel removes have none.
 const (
 	Completed          Outcome = iota
 	CompletedWithError         // executed, but the response is an error
 	Expired                    // dropped from the queue, never executed
-	Reset                      // the process ended; the job may have been executed
+	Reset                      // the process ended or vanished; the job may have been executed in part
 )
 
 // Completion describes how one job ended.
@@ -47,8 +47,9 @@
 	left, workDone float64 // ms of work
 }
 
-// Arrive handles the arrival of a job. If the server collapses under it, State becomes Collapsed, and Arrive
-// returns the other jobs as reset. The slice is valid until the next call of any method.
+// Arrive handles the arrival of a job. If the job makes the server collapse, the job is refused, State becomes
+// Collapsed, and Arrive returns the other jobs as reset. The slice is valid until the next call of any
+// method.
 func (s *Server) Arrive(now time.Duration, job Job) (Admission, []Completion) {
 	s.advanceClock(now)
 	switch s.state {
@@ -87,7 +88,7 @@
 	s.running = append(s.running, runningJob{Job: job, left: left})
 }
 
-// startQueued moves queued jobs into free slots. It drops expired jobs if the kind says so.
+// startQueued moves queued jobs into free slots. It drops expired jobs if the kind has DropExpired.
 func (s *Server) startQueued(now time.Duration) {
 	for len(s.queue) > 0 && len(s.running) < s.kind.Slots {
 		job := s.queue[0]
--- a/internal/lab/servermodel/queue_test.go
+++ b/internal/lab/servermodel/queue_test.go
@@ -56,7 +56,7 @@
 }
 
 // meanOverRuns returns the mean of a figure over independent runs, and half of its 99.9% confidence interval.
-// The waits within one run depend on each other.
+// A single run would not do: successive waits depend on each other.
 func meanOverRuns(
 	t *testing.T,
 	kind Kind,
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -11,7 +11,8 @@
 // Never is a time later than any event.
 const Never = time.Duration(math.MaxInt64)
 
-// Streams of a server's random numbers. In one stream, the noise of load reports would change the pauses.
+// Streams of a server's random numbers. With one shared stream, the noise of load reports would change
+// the pauses.
 const (
 	pauseStream = 1
 	noiseStream = 2
@@ -20,7 +21,7 @@
 // State is the state of a server's process.
 type State uint8
 
-// States.
+// States. A process runs only in Up and Draining.
 const (
 	Up        State = iota
 	Draining        // finishes accepted jobs, rejects new ones
@@ -40,22 +41,22 @@
 // Server models one server. Use New: the zero value is not usable.
 type Server struct {
 	kind   Kind
-	pauses *rand.Rand // for pauses, drawn by their schedule whatever the load
+	pauses *rand.Rand // for pauses; the load does not change when numbers are drawn
 	noise  *rand.Rand // for load reports
 	state  State
 
 	now            time.Duration // time up to which the model has advanced
 	running        []runningJob
 	queue          []Job
-	overheadWork   float64                               // for connections and health checks, done before jobs, ms
+	overheadWork   float64                               // for handshakes and health checks, done before jobs, ms
 	connectionTax  float64                               // share of the speed that open connections cost
-	slowFactor     float64                               // slowdown by a fault; 1: no fault
+	slowFactor     float64                               // factor by which a fault slows the server; 1: no fault
 	started        time.Duration                         // when the process started; 0: long ago
 	doneSinceStart float64                               // work done since started, ms
 	warm           bool                                  // slow start is over
 	workDone       float64                               // work done by all processes, ms
 	busy           float64                               // EWMA, see Busy
-	keys           *simplelru.LRU[uint64, time.Duration] // when keys were last used
+	keys           *simplelru.LRU[uint64, time.Duration] // when each key was last used
 
 	nextPause, pauseEnd time.Duration
 	pauseFault          pauseTiming // replaces the kind's timing; zero: no fault
@@ -70,10 +71,10 @@
 	arrivalPeak float64   // see SlowStartPeak
 
 	nextReport      time.Duration
-	reportCompleted int                     // since the last load report, errors included
-	reportErrors    int                     // since the last load report
+	reportCompleted int                     // completed since the last load report, errors included
+	reportErrors    int                     // completed with an error since the last load report
 	reports         [maxReports]timedReport // ring buffer
-	reportCount     int                     // made so far
+	reportCount     int                     // load reports made so far
 
 	completions []Completion // reused by all methods that return completions
 }
@@ -104,7 +105,7 @@
 	return server, nil
 }
 
-// resetProcess clears the state of a process and schedules the first pause.
+// resetProcess clears the state that is lost with a process, and schedules the first pause.
 func (s *Server) resetProcess(now time.Duration) {
 	s.running = s.running[:0]
 	s.queue = s.queue[:0]
@@ -138,14 +139,14 @@
 // Overloaded reports whether overload slows the server down. The slowdown may outlast the long queue.
 func (s *Server) Overloaded() bool { return s.overloaded }
 
-// Busy returns the EWMA, over about 1 s, of the share of cores (or slots, if fewer) in use.
+// Busy returns the share of cores (or slots, if fewer) in use, as an EWMA with a time constant of 1 s.
 func (s *Server) Busy() float64 { return s.busy }
 
-// WorkDone returns the work done since New, in ms.
+// WorkDone returns the work done since New, in ms, overhead included.
 func (s *Server) WorkDone() float64 { return s.workDone }
 
-// SlowStartPeak returns the most work that arrived within a window of Collapse, as a share of the work above
-// which the server collapses.
+// SlowStartPeak returns the most work that arrived within a window of Collapse in slow start, as a share of
+// the work above which the server collapses.
 func (s *Server) SlowStartPeak() float64 { return s.arrivalPeak }
 
 // Started returns when the process started; 0: long ago.
@@ -179,8 +180,8 @@
 	return s.resetJobs()
 }
 
-// Vanish cuts the server off: from now on it responds to nothing. It returns its jobs as reset, of whose
-// end nobody is notified. The slice is valid until the next call of any method.
+// Vanish cuts the server off: from now on it responds to nothing. It returns the server's jobs as reset, but
+// nobody is to be notified of their end. The slice is valid until the next call of any method.
 func (s *Server) Vanish(now time.Duration) []Completion {
 	s.advanceClock(now)
 	s.state = Silent
@@ -193,7 +194,7 @@
 	s.slowFactor = max(factor, 1)
 }
 
-// SetConnections sets the number of open connections, for ConnectionCost.Tax.
+// SetConnections sets the number of open connections, which determines the cost of ConnectionCost.Tax.
 func (s *Server) SetConnections(now time.Duration, open int) {
 	if s.kind.Conn.MaxConnections > 0 && s.kind.Conn.Tax > 0 {
 		s.advanceClock(now)
@@ -201,8 +202,8 @@
 	}
 }
 
-// Charge adds overhead work, in ms: a handshake or a health check. It is done before the work of jobs, and
-// counts towards a collapse, which only a job can cause.
+// Charge adds overhead work, in ms: a handshake or a health check. The server does it before the work of jobs.
+// Overhead counts towards a collapse, but only the arrival of a job can cause one.
 func (s *Server) Charge(now time.Duration, work float64) {
 	if s.state.running() {
 		s.advanceClock(now)
--- a/internal/lab/servermodel/server_test.go
+++ b/internal/lab/servermodel/server_test.go
@@ -152,7 +152,7 @@
 			},
 		},
 	)
-	for i := range 20 { // six are queued, above the limit of 4, but not for 2 s
+	for i := range 20 { // six jobs are queued, above the limit of 4, but not for 2 s
 		if i%2 == 0 {
 			for range 7 {
 				b.job(time.Duration(i)*2*time.Second, Job{Work: 200})
--- a/internal/lab/servermodel/slow_start.go
+++ b/internal/lab/servermodel/slow_start.go
@@ -8,8 +8,8 @@
 	work float64 // ms
 }
 
-// CapacityShare returns the share of the server's capacity that slow start leaves available at now. It ends
-// slow start if the server is warm.
+// CapacityShare returns the share of the server's capacity that slow start leaves available at now. The
+// call ends slow start once the server is warm.
 func (s *Server) CapacityShare(now time.Duration) float64 {
 	if s.warm || s.kind.SlowStartDuration == 0 {
 		return 1
@@ -28,13 +28,13 @@
 	return s.kind.SlowStartCapacity + (1-s.kind.SlowStartCapacity)*progress
 }
 
-// InSlowStart reports whether the server is in slow start.
+// InSlowStart reports whether a process runs and slow start reduces its capacity.
 func (s *Server) InSlowStart(now time.Duration) bool {
 	return s.state.running() && s.CapacityShare(now) < 1
 }
 
 // recordArrival counts work that reaches a server in slow start, updates SlowStartPeak, and reports whether
-// the server collapses under the work.
+// this work makes the server collapse.
 func (s *Server) recordArrival(now time.Duration, work float64) (collapses bool) {
 	limit := &s.kind.Collapse
 	if limit.Multiple == 0 || s.warm || s.CapacityShare(now) >= 1 {
--- a/internal/lab/servermodel/work.go
+++ b/internal/lab/servermodel/work.go
@@ -39,7 +39,8 @@
 	return next
 }
 
-// nextCompletion returns when the first running job completes, or when the rate of work may change before.
+// nextCompletion returns when the first running job completes, or an earlier time at which the work rate may
+// change.
 func (s *Server) nextCompletion() time.Duration {
 	next := Never
 	least := s.running[0].left
@@ -63,8 +64,8 @@
 	return time.Duration(math.Ceil(ms*1000)) * time.Microsecond
 }
 
-// Advance advances the server to now, starts queued jobs and updates overload. It returns the jobs that are
-// done or expired. The slice is valid until the next call of any method.
+// Advance advances the server to now, starts queued jobs and updates overload. It returns completed jobs
+// and those that expired in the queue. The slice is valid until the next call of any method.
 func (s *Server) Advance(now time.Duration) []Completion {
 	s.completions = s.completions[:0]
 	s.advanceClock(now)
@@ -83,7 +84,7 @@
 	return s.completions
 }
 
-// complete ends running job i and counts the job for the next load report.
+// complete ends running job i: it adds the completion and counts the job for the next load report.
 func (s *Server) complete(i int) {
 	job := &s.running[i]
 	outcome := Completed
--- a/internal/simprotocol/batch_reader.go
+++ b/internal/simprotocol/batch_reader.go
@@ -111,7 +111,7 @@
 	Entries       []byte             // EndpointList: encoded entries, see Entry
 	From          uint32             // Message: the sender
 	Load          [4]float64         // HealthCheckCompleted, AttemptCompleted: values of the load report
-	LoadCount     int                // HealthCheckCompleted, AttemptCompleted: values in Load
+	LoadCount     int                // HealthCheckCompleted, AttemptCompleted: values in Load; 0: no report
 }
 
 // Event decodes record i into event. Data and Entries are slices of the batch's buffer, valid until the next
@@ -188,7 +188,8 @@
 	return nil
 }
 
-// tailSlice returns count items of size bytes each, from an offset in the tail on.
+// tailSlice returns count items of size bytes each, from an offset in the tail on, or an
+// error if the tail is too short.
 func (b *Batch) tailSlice(offset, count uint32, size uint64) ([]byte, error) {
 	end := uint64(offset) + uint64(count)*size
 	if end > uint64(len(b.tail)) {
--- a/internal/simprotocol/batch_writer.go
+++ b/internal/simprotocol/batch_writer.go
@@ -16,7 +16,8 @@
 	head    [batchHeaderSize]byte
 }
 
-// record appends a record with its code and balancer, otherwise zeroed. It is valid until the next call.
+// record appends a record with its code and balancer, otherwise zeroed. The slice is valid until the next
+// call.
 func (b *BatchWriter) record(code EventCode, balancer BalancerNumber) []byte {
 	end := len(b.records)
 	b.records = append(b.records, make([]byte, eventSize)...)
@@ -27,7 +28,7 @@
 	return record
 }
 
-// Start adds the start of a balancer's process. MarshalSettings returns its settings.
+// Start adds the start of a balancer's process, with settings from MarshalSettings.
 func (b *BatchWriter) Start(balancer BalancerNumber, seed uint64, settings []byte) {
 	record := b.record(EventStart, balancer)
 	put64(record[5:], seed)
--- a/internal/simprotocol/codes.go
+++ b/internal/simprotocol/codes.go
@@ -20,7 +20,7 @@
 // EventCode is the kind of an event: the first byte of an event record.
 type EventCode uint8
 
-// Event codes. Event lists their fields.
+// Event codes. The comments of Event list their fields.
 const (
 	EventMessage EventCode = iota
 	EventStart
@@ -44,7 +44,7 @@
 // ActionCode is the kind of an action: the first byte of an action record.
 type ActionCode = uint8
 
-// Action codes. Reply describes the actions.
+// Action codes. The methods of Reply describe the actions.
 const (
 	ActionCancelAttempt  ActionCode = 0
 	ActionHealthCheck    ActionCode = 1
@@ -62,7 +62,7 @@
 
 // FrameError reports a frame that cannot be decoded. The stream cannot be read any further.
 type FrameError struct {
-	Seq    uint32 // number of the batch; 0 if it could not be read
+	Seq    uint32 // number of the batch; 0: it could not be read
 	Record int    // index of the record in the frame; -1: the whole frame
 	Err    error
 }
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -184,8 +184,8 @@
 	require.Equal(t, 12+32+4, golden.Len(), "the frame of SendMessage")
 }
 
-// ParseSettings ignores unknown keys, so a changed key would go unnoticed. Each key has a value of its own to
-// show mix-ups.
+// ParseSettings ignores unknown keys, so a changed key would go unnoticed. Almost every key has a
+// value of its own to show mix-ups.
 func TestSettingsGoldenFile(t *testing.T) {
 	want := piernotch.Settings{
 		BalancerCount: 3,
@@ -269,7 +269,7 @@
 	require.Equal(t, []time.Duration{time.Minute, 250 * time.Millisecond}, []time.Duration{keepAlive, dialTimeout})
 }
 
-// The numbers of statuses, states and list kinds are part of the protocol.
+// The numbers of statuses, states and list kinds are part of the protocol. Statuses must translate both ways.
 func TestCodesGolden(t *testing.T) {
 	for status, code := range map[piernotch.Status]uint8{
 		piernotch.OK:            0,
--- a/internal/simprotocol/reply_writer.go
+++ b/internal/simprotocol/reply_writer.go
@@ -6,7 +6,7 @@
 	"piernotch"
 )
 
-// replyGrowth is by how many bytes a full buffer of records grows in addition to doubling.
+// replyGrowth is the number of bytes added when a full buffer of records doubles.
 const replyGrowth = actionSize * 64
 
 // Reply collects the actions that answer one batch. Each method but WriteTo appends one record. Balancers and
@@ -19,7 +19,8 @@
 	head    [replyHeaderSize]byte
 }
 
-// record appends a record with its code and balancer, otherwise zeroed. It is valid until the next call.
+// record appends a record with its code and balancer, otherwise zeroed. The slice is valid until the next
+// call.
 func (r *Reply) record(code ActionCode, balancer BalancerNumber) []byte {
 	end := len(r.records)
 	if cap(r.records)-end < actionSize {
--- a/internal/simprotocol/settings_writer.go
+++ b/internal/simprotocol/settings_writer.go
@@ -14,8 +14,8 @@
 	DialMS           float64  // how long connecting may take
 	SlackMS          float64  // how long after its deadline a request's final response may come
 	GraceMS          float64  // how long after the notice of a drain requests may still be sent
-	CollapseMultiple float64  // multiple of its capacity above which work collapses a server in slow start
-	CollapseWindowMS float64  // window in which this work arrives
+	CollapseMultiple float64  // multiple of a server's capacity above which work collapses it in slow start
+	CollapseWindowMS float64  // window over which arriving work is summed
 	WeightBy         string   // unit in which requests are weighted: "request" or "work"
 	Columns          []string // names of the values in a load report, in order
 }
@@ -60,7 +60,7 @@
 	FallMS              float64 `json:"overload_for_ms"`
 }
 
-// MarshalSettings encodes the settings of a start event. ParseSettings decodes them.
+// MarshalSettings encodes the settings of a start event. The Parse functions decode parts of them.
 func MarshalSettings(settings *piernotch.Settings, extra ExtraSettings) ([]byte, error) {
 	message := settingsMessage{
 		Family:      "proxy",
--- a/internal/simprotocol/translate.go
+++ b/internal/simprotocol/translate.go
@@ -39,7 +39,8 @@
 }
 
 // ParseLoadReport translates the load report of an attempt or a health check. The columns name the report's
-// values in order. ok is false if there is no value named InflightColumn, or if SetLoadValue rejects one.
+// values in order. ok is false if there is no value named InflightColumn, or if SetLoadValue
+// rejects a value.
 func ParseLoadReport(event *Event, columns []string) (load piernotch.LoadReport, ok bool) {
 	for i, name := range columns[:min(len(columns), event.LoadCount)] {
 		if !SetLoadValue(&load, name, event.Load[i]) {
--- a/internal/trafficrecording/format.go
+++ b/internal/trafficrecording/format.go
@@ -45,7 +45,7 @@
 	Served Outcome = iota
 	// Rejected means that the request was not executed.
 	Rejected
-	// Failed means that no response came, though a server may have executed the request.
+	// Failed means that no server's response came, though the request may have been executed.
 	Failed
 	// ClientGone means that the client disconnected before the response.
 	ClientGone
--- a/internal/trafficrecording/writer.go
+++ b/internal/trafficrecording/writer.go
@@ -25,7 +25,7 @@
 // Writer writes a recording. Create returns one. Its methods may be called concurrently.
 type Writer struct {
 	limits Limits
-	wake   chan struct{} // a full block is pending; closed by Close
+	wake   chan struct{} // signals that a full block is pending; closed by Close
 	done   chan error    // receives the first error, or nil, once the file is closed
 
 	mu      sync.Mutex
@@ -49,7 +49,7 @@
 		limits.Pending = defaultMaxPending
 	}
 	if err := writeHeader(file, header); err != nil {
-		_ = file.Close() // the write error tells more
+		_ = file.Close() // the error of writeHeader tells more
 		return nil, &FileError{Name: name, Err: err}
 	}
 	writer := &Writer{limits: limits, wake: make(chan struct{}, 1), done: make(chan error, 1)}
@@ -130,7 +130,7 @@
 }
 
 // flush writes a batch of records in blocks. After an error or at the limit of bytes it drops the records.
-// It keeps the batch's array for take.
+// It keeps the batch's array for take to reuse.
 func (w *Writer) flush(out *blockFile, batch []Record) {
 	for start := 0; start < len(batch); start += blockRecords {
 		records := batch[start:min(start+blockRecords, len(batch))]
