--- a/internal/lab/idtable/idtable.go
+++ b/internal/lab/idtable/idtable.go
@@ -5,7 +5,8 @@
 // internal/lab/simulation and internal/lab/invariants store requests and attempts in tables.
 package idtable
 
-// minSlots is the size of the first ring. Sizes are powers of two, so that the method at can mask IDs.
+// minSlots is the size of the first ring. Sizes are powers of two, so Table.at can compute the index by masking
+// the ID.
 const minSlots = 64
 
 // Table maps IDs to records. The zero value is an empty table. A Table must not be used concurrently.
@@ -52,18 +53,18 @@
 	return &s.value
 }
 
-// grow doubles the ring.
+// grow doubles the ring, which moves all records.
 func (t *Table[T]) grow() {
 	old := t.slots
 	t.slots = make([]slot[T], 2*len(old))
 	for i := range old {
-		if old[i].used { // distinct old slots have distinct new slots
+		if old[i].used { // records from different old slots never share a new slot
 			*t.at(old[i].id) = old[i]
 		}
 	}
 }
 
-// Get returns the record of an ID, or nil.
+// Get returns the record of an ID, or nil if there is none. The pointer is valid until the next Put.
 func (t *Table[T]) Get(id uint64) *T {
 	if s := t.find(id); s != nil {
 		return &s.value
--- a/internal/lab/servermodel/kind.go
+++ b/internal/lab/servermodel/kind.go
@@ -8,24 +8,24 @@
 // WarmUp selects what ends slow start.
 type WarmUp uint8
 
-// Kinds of warm-up. Slow start lasts SlowStartDuration at most with either.
+// Kinds of warm-up. With either kind, slow start lasts at most SlowStartDuration.
 const (
 	WarmByTime WarmUp = iota // capacity grows evenly with time
 	WarmByWork               // capacity grows with the work done, or with time if this is faster
 )
 
-// Kind describes a server. The zero value of a field turns its mechanism off, unless the comment gives a
-// minimum.
+// Kind describes a server. The zero value of a field turns the field's mechanism off, unless the field's comment
+// gives a minimum.
 type Kind struct {
 	Name  string
 	Cores int     // at least 1
 	Speed float64 // ms of work that a core does in 1 ms; above 0
-	Slots int     // requests executed at once; at least 1
+	Slots int     // most requests executed at once; at least 1
 	Queue int     // most requests queued at once; further ones are rejected
 
-	// Above ThrashAt requests in flight per core, the server loses speed in proportion to the excess: the
-	// share Thrash at twice ThrashAt and above.
-	Thrash   float64 // share of the speed, 0 to 1
+	// More than ThrashAt requests in flight per core slow the server down. The loss of speed grows evenly up to
+	// twice ThrashAt, where it reaches the share Thrash, and stays there above.
+	Thrash   float64 // largest share of the speed lost, 0 to 1
 	ThrashAt float64 // requests in flight per core
 
 	SlowStartCapacity float64       // share of its capacity that a process has when it starts, 0 to 1
@@ -33,8 +33,8 @@
 	WarmUpBy          WarmUp
 
 	PauseEvery time.Duration // mean time from the start of one pause to the next
-	PauseFor   time.Duration // mean length of a pause
-	PauseGrow  float64       // share by which full use of the server lengthens a pause
+	PauseFor   time.Duration // mean length of a pause of an idle server
+	PauseGrow  float64       // a pause is longer by this share times Busy
 
 	ErrorRate   float64 // share of responses that are errors
 	StopRunning bool    // cancelling removes running jobs, too, not only queued ones
@@ -52,7 +52,7 @@
 // Overload describes how a long queue slows the server down, even after the queue has become short again.
 type Overload struct {
 	QueuePerCore float64       // queued requests per core above which the queue is too long; 0: never
-	After        time.Duration // overload begins once the queue has been too long for this time
+	After        time.Duration // how long the queue must stay too long before overload begins
 	Slowdown     float64       // factor by which overload slows the server; at least 1
 	IdleBelow    float64       // the server is mostly idle while Busy is below this share
 	IdleFor      time.Duration // overload ends once the server has been mostly idle for this time
@@ -62,7 +62,7 @@
 // Keys describes the work saved by a request whose key the server has seen recently.
 type Keys struct {
 	WorkSaved float64       // share of the request's work, 0 to 1
-	WarmFor   time.Duration // how long a key saves work after its last request
+	WarmFor   time.Duration // how long a key saves work after the start of the key's last request
 	MaxKeys   int           // most keys remembered; the least recently used is evicted first
 }
 
@@ -70,7 +70,7 @@
 type ConnectionCost struct {
 	Handshake      float64 // work for a new connection, ms
 	MaxConnections int     // most open connections accepted; 0: unlimited
-	Tax            float64 // share of the speed lost at MaxConnections; fewer cost in proportion
+	Tax            float64 // share of the speed lost with MaxConnections open; in proportion with fewer connections
 }
 
 // ReportTiming describes when load reports are made and how exact they are.
@@ -80,15 +80,16 @@
 	Noise    float64       // coefficient of variation of each value
 }
 
-// Collapse describes when a server collapses in slow start: when more work arrives within a window of length
-// For than Multiple times what the server can do in the window at its present capacity, plus
-// CollapseSlack. Rejected requests count, too. The server then stays down until it is started again.
+// Collapse describes when a server collapses in slow start: if the work that arrives within a window of length
+// For exceeds a limit by more than the share CollapseSlack. The limit is Multiple times the work that the server
+// can do in the window at the present capacity. Rejected requests count, too. A collapsed server stays down until
+// the next Start.
 type Collapse struct {
 	Multiple float64 // 0: never
 	For      time.Duration
 }
 
-// CollapseSlack is the share of the limit of Collapse by which work may exceed this limit.
+// CollapseSlack is how far arriving work may exceed the limit of Collapse, as a share of the limit.
 const CollapseSlack = 0.1
 
 // KindError reports a Kind with an impossible value.
--- a/internal/lab/servermodel/load_reports.go
+++ b/internal/lab/servermodel/load_reports.go
@@ -5,10 +5,10 @@
 // maxReports is the number of load reports kept: enough for the longest delay.
 const maxReports = 16
 
-// LoadReport is a server's load over the last interval.
+// LoadReport describes a server's load: rates over the last interval, and requests in flight at its end.
 type LoadReport struct {
 	ErrorsPerSec float64
-	PerSec       float64 // requests completed per second
+	PerSec       float64 // requests completed per second, errors included
 	Inflight     float64 // requests running or queued when the report was made
 }
 
@@ -18,11 +18,11 @@
 	load LoadReport
 }
 
-// makeReport makes the load report that is due and schedules the next.
+// makeReport makes the load report that is due, resets the counts and schedules the next report.
 func (s *Server) makeReport() {
 	interval := s.kind.Report.Interval
 	seconds := interval.Seconds()
-	// The order of the three calls must stay: it decides the values drawn from a seed.
+	// The order of the three calls of noisy must stay: it decides which noise each value gets from a seed.
 	noisy := func(value float64) float64 { return max(value*(1+s.kind.Report.Noise*s.noise.NormFloat64()), 0) }
 	s.reports[s.reportCount%maxReports] = timedReport{s.nextReport, LoadReport{
 		ErrorsPerSec: noisy(float64(s.reportErrors) / seconds),
@@ -35,8 +35,8 @@
 	s.nextReport += interval
 }
 
-// Report returns the load report that a response at now carries. The argument delay comes from
-// a fault and adds to the kind's delay. Report returns false if no load report is old enough.
+// Report returns the load report that a response at now carries: the newest that is old enough. The argument
+// delay comes from a fault and adds to the kind's delay. Report returns false if no load report is old enough.
 func (s *Server) Report(now, delay time.Duration) (LoadReport, bool) {
 	for i := s.reportCount - 1; i >= 0 && i >= s.reportCount-maxReports; i-- {
 		report := &s.reports[i%maxReports]
--- a/internal/lab/servermodel/pauses.go
+++ b/internal/lab/servermodel/pauses.go
@@ -6,8 +6,8 @@
 // differ from the means by up to half.
 type pauseTiming struct{ every, length time.Duration }
 
-// SetPauses replaces PauseEvery and PauseFor of the kind, and schedules the next pause anew. Zeros restore the
-// values of the kind.
+// SetPauses replaces PauseEvery and PauseFor of the kind, and schedules the next pause anew. A length of 0
+// restores the values of the kind.
 func (s *Server) SetPauses(now, every, length time.Duration) {
 	s.advanceClock(now)
 	s.pauseFault = pauseTiming{every, length}
@@ -26,7 +26,7 @@
 	return s.nextPause <= s.now && s.now >= s.pauseEnd
 }
 
-// schedulePause draws the start of the next pause after now; without pauses it is Never.
+// schedulePause draws when the next pause after now starts: Never, if the server has no pauses.
 func (s *Server) schedulePause(now time.Duration) {
 	timing := s.pauseTiming()
 	s.nextPause = Never
@@ -35,7 +35,7 @@
 	}
 }
 
-// beginPause begins the pause that is due if a process runs, and schedules the next pause.
+// beginPause schedules the next pause and, if a process runs, begins the pause that is due.
 func (s *Server) beginPause() {
 	begin := s.nextPause
 	length := s.pauseTiming().length
--- a/internal/lab/servermodel/queue.go
+++ b/internal/lab/servermodel/queue.go
@@ -48,7 +48,7 @@
 }
 
 // Arrive handles the arrival of a job. If the job makes the server collapse, the job is refused, State becomes
-// Collapsed, and Arrive returns the other jobs as reset. The slice is valid until the next call of any
+// Collapsed, and Arrive returns the server's other jobs as reset. The slice is valid until the next call of any
 // method.
 func (s *Server) Arrive(now time.Duration, job Job) (Admission, []Completion) {
 	s.advanceClock(now)
@@ -88,7 +88,8 @@
 	s.running = append(s.running, runningJob{Job: job, left: left})
 }
 
-// startQueued moves queued jobs into free slots. It drops expired jobs if the kind has DropExpired.
+// startQueued moves queued jobs into free slots, and then calls watchQueue. Expired jobs are dropped instead if
+// the kind has DropExpired.
 func (s *Server) startQueued(now time.Duration) {
 	for len(s.queue) > 0 && len(s.running) < s.kind.Slots {
 		job := s.queue[0]
@@ -123,7 +124,7 @@
 		}
 		workDone = s.running[i].workDone
 		s.running = append(s.running[:i], s.running[i+1:]...)
-		// The next Advance starts a queued job. Next returns the present time, so Advance is due.
+		// The next Advance fills the slot. If a job is queued, Next returns the present time.
 		return true, true, workDone
 	}
 	return false, false, 0
--- a/internal/lab/servermodel/queue_test.go
+++ b/internal/lab/servermodel/queue_test.go
@@ -11,8 +11,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// runQueue sends a server jobs with Poisson arrivals. It returns the time of each job at the server, in
-// seconds, and the time average of the number of jobs there.
+// runQueue sends a server jobs with Poisson arrivals. It returns the time that each job spent at the server,
+// in seconds, and the time average of the number of jobs there.
 func runQueue(
 	t *testing.T,
 	kind Kind,
@@ -55,8 +55,8 @@
 	return sojourn, area / now.Seconds()
 }
 
-// meanOverRuns returns the mean of a figure over independent runs, and half of its 99.9% confidence interval.
-// A single run would not do: successive waits depend on each other.
+// meanOverRuns returns the mean of a figure over independent runs, and half the width of its 99.9% confidence
+// interval. A single run would not do: successive waits depend on each other. Each run must obey Little's law.
 func meanOverRuns(
 	t *testing.T,
 	kind Kind,
@@ -132,7 +132,7 @@
 		"fixed":     {func(*rand.Rand) float64 { return 20 }, 0},
 		"lognormal": {func(r *rand.Rand) float64 { return 20 * math.Exp(sigma*r.NormFloat64()-sigma*sigma/2) }, 1.5},
 	} {
-		service := 0.020 / 2 // s, at speed 2
+		service := 0.020 / 2 // seconds for 20 ms of work at speed 2
 		rho := lambda * service
 		wait := rho * service * (1 + c.cv*c.cv) / (2 * (1 - rho))
 		got, half := meanOverRuns(t, kind, lambda, c.work, mean)
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -27,7 +27,7 @@
 	Draining        // finishes accepted jobs, rejects new ones
 	Down            // refuses connections
 	Silent          // cut off: responds to nothing
-	Collapsed       // down after too much work in slow start
+	Collapsed       // refuses connections after too much work in slow start, until the next Start
 )
 
 // String returns the lower-case name of the state.
@@ -41,7 +41,7 @@
 // Server models one server. Use New: the zero value is not usable.
 type Server struct {
 	kind   Kind
-	pauses *rand.Rand // for pauses; the load does not change when numbers are drawn
+	pauses *rand.Rand // for pauses; used only when a pause is scheduled or begins, never by jobs
 	noise  *rand.Rand // for load reports
 	state  State
 
@@ -73,7 +73,7 @@
 	nextReport      time.Duration
 	reportCompleted int                     // completed since the last load report, errors included
 	reportErrors    int                     // completed with an error since the last load report
-	reports         [maxReports]timedReport // ring buffer
+	reports         [maxReports]timedReport // ring buffer of the latest load reports
 	reportCount     int                     // load reports made so far
 
 	completions []Completion // reused by all methods that return completions
@@ -146,7 +146,7 @@
 func (s *Server) WorkDone() float64 { return s.workDone }
 
 // SlowStartPeak returns the most work that arrived within a window of Collapse in slow start, as a share of
-// the work above which the server collapses.
+// the work above which the server collapses. Windows with a single arrival do not count.
 func (s *Server) SlowStartPeak() float64 { return s.arrivalPeak }
 
 // Started returns when the process started; 0: long ago.
@@ -188,7 +188,7 @@
 	return s.resetJobs()
 }
 
-// SetSlow makes the server slower by a factor; 1 restores its speed.
+// SetSlow makes the server slower by a factor. A factor of 1 or less restores the speed.
 func (s *Server) SetSlow(now time.Duration, factor float64) {
 	s.advanceClock(now)
 	s.slowFactor = max(factor, 1)
@@ -202,8 +202,8 @@
 	}
 }
 
-// Charge adds overhead work, in ms: a handshake or a health check. The server does it before the work of jobs.
-// Overhead counts towards a collapse, but only the arrival of a job can cause one.
+// Charge adds overhead work, in ms, for a handshake or a health check, if a process runs. Overhead is done before
+// the work of jobs. It counts towards a collapse, but only the arrival of a job can cause a collapse.
 func (s *Server) Charge(now time.Duration, work float64) {
 	if s.state.running() {
 		s.advanceClock(now)
--- a/internal/lab/servermodel/slow_start.go
+++ b/internal/lab/servermodel/slow_start.go
@@ -16,7 +16,7 @@
 	}
 	progress := float64(now-s.started) / float64(s.kind.SlowStartDuration)
 	if s.kind.WarmUpBy == WarmByWork {
-		// The work that a warm server does when half busy for the whole duration.
+		// need is the work, in ms, that a warm server does if it is half busy for SlowStartDuration.
 		need := s.kind.Capacity() * s.kind.SlowStartDuration.Seconds() / 2
 		progress = max(progress, s.doneSinceStart/need)
 	}
--- a/internal/simprotocol/batch_reader.go
+++ b/internal/simprotocol/batch_reader.go
@@ -114,8 +114,8 @@
 	LoadCount     int                // HealthCheckCompleted, AttemptCompleted: values in Load; 0: no report
 }
 
-// Event decodes record i into event. Data and Entries are slices of the batch's buffer, valid until the next
-// call of Reader.Next. Any error is a *FrameError.
+// Event decodes record i into event without allocating. Data and Entries are slices of the batch's buffer, valid
+// until the next call of Reader.Next. Any error is a *FrameError.
 func (b *Batch) Event(i int, event *Event) error {
 	record := b.records[i*eventSize : (i+1)*eventSize]
 	*event = Event{Code: EventCode(record[0]), Balancer: BalancerNumber(u32(record[1:]))}
@@ -176,7 +176,7 @@
 	e.Flags = record[40]
 }
 
-// decodeLoad decodes a load report: the number of values, then the values as 32-bit floats.
+// decodeLoad decodes a load report: the number of values, at most four, then the values as 32-bit floats.
 func (e *Event) decodeLoad(data []byte) error {
 	e.LoadCount = int(data[0])
 	if e.LoadCount > len(e.Load) {
--- a/internal/simprotocol/batch_writer.go
+++ b/internal/simprotocol/batch_writer.go
@@ -16,8 +16,8 @@
 	head    [batchHeaderSize]byte
 }
 
-// record appends a record with its code and balancer, otherwise zeroed. The slice is valid until the next
-// call.
+// record appends a zeroed record, sets its code and balancer, and returns the record. The slice is valid until
+// the next call.
 func (b *BatchWriter) record(code EventCode, balancer BalancerNumber) []byte {
 	end := len(b.records)
 	b.records = append(b.records, make([]byte, eventSize)...)
@@ -125,7 +125,7 @@
 	}
 }
 
-// EndpointList adds an endpoint list. ListKindCode returns the kind.
+// EndpointList adds an endpoint list. The kind is a code from ListKindCode.
 func (b *BatchWriter) EndpointList(balancer BalancerNumber, kind uint8, version uint64, entries []EndpointEntry) {
 	record := b.record(EventEndpointList, balancer)
 	record[5] = kind
--- a/internal/simprotocol/codes.go
+++ b/internal/simprotocol/codes.go
@@ -20,7 +20,7 @@
 // EventCode is the kind of an event: the first byte of an event record.
 type EventCode uint8
 
-// Event codes. The comments of Event list their fields.
+// Event codes. The comments on the fields of Event tell which codes set which fields.
 const (
 	EventMessage EventCode = iota
 	EventStart
@@ -62,18 +62,18 @@
 
 // FrameError reports a frame that cannot be decoded. The stream cannot be read any further.
 type FrameError struct {
-	Seq    uint32 // number of the batch; 0: it could not be read
-	Record int    // index of the record in the frame; -1: the whole frame
+	Seq    uint32 // number of the batch; 0: unknown
+	Record int    // index of the record in the frame; -1: the error concerns the whole frame
 	Err    error
 }
 
-// Error returns the text of Err.
+// Error returns the text of Err. Err usually names the batch and the record, so Error does not add them.
 func (e *FrameError) Error() string { return e.Err.Error() }
 
 // Unwrap returns Err.
 func (e *FrameError) Unwrap() error { return e.Err }
 
-// SettingsError reports settings that cannot be parsed.
+// SettingsError reports settings that cannot be parsed or have an invalid value.
 type SettingsError struct{ Err error }
 
 // Error returns the text of Err after "settings: ".
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -17,7 +17,8 @@
 
 var update = flag.Bool("update", false, "write the golden files again; only where the form changes on purpose")
 
-// checkGolden compares bytes with a file under testdata and returns the content of the file.
+// checkGolden compares bytes with a file under testdata, which -update writes first, and returns the content of
+// the file.
 func checkGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -32,7 +33,7 @@
 }
 
 // The simulator depends on the layout of events. The batches contain every event with every field set.
-// BatchWriter has no methods for the events of the second batch, which the test encodes itself.
+// The second batch holds the events that BatchWriter has no methods for. The test encodes these events itself.
 func TestBatchGoldenFile(t *testing.T) {
 	lines := []EndpointEntry{
 		{Server: 0x03124a07, Zone: 1, Kind: 2, Cell: 0x0304, State: 2, Size: 1.5, StartedAtMS: 6100.25},
@@ -185,7 +186,7 @@
 }
 
 // ParseSettings ignores unknown keys, so a changed key would go unnoticed. Almost every key has a
-// value of its own to show mix-ups.
+// different value, so mixed-up keys are noticed.
 func TestSettingsGoldenFile(t *testing.T) {
 	want := piernotch.Settings{
 		BalancerCount: 3,
--- a/internal/simprotocol/reply_reader.go
+++ b/internal/simprotocol/reply_reader.go
@@ -9,7 +9,7 @@
 	"piernotch"
 )
 
-// Action is one decoded action of a reply. Fields that the code does not use are zero.
+// Action is one decoded action of a reply. Fields that Code does not use are zero.
 type Action struct {
 	Code          ActionCode
 	Balancer      BalancerNumber
@@ -25,8 +25,8 @@
 // maxReplySize limits a reply, in bytes, so a broken adapter cannot exhaust the memory.
 const maxReplySize = 1 << 30
 
-// ReadReply reads the reply to batch seq and appends its actions to into. Any error is a *FrameError;
-// after it the stream cannot be read any further. The actions decoded before are returned with the error.
+// ReadReply reads the reply to batch seq and appends its actions to into. Any error is a *FrameError.
+// After an error, the stream cannot be read any further. The actions decoded before the error are returned, too.
 func ReadReply(input io.Reader, seq uint32, into []Action) ([]Action, error) {
 	var head [replyHeaderSize]byte
 	if _, err := io.ReadFull(input, head[:]); err != nil {
--- a/internal/simprotocol/reply_writer.go
+++ b/internal/simprotocol/reply_writer.go
@@ -6,7 +6,7 @@
 	"piernotch"
 )
 
-// replyGrowth is the number of bytes added when a full buffer of records doubles.
+// replyGrowth is the number of bytes by which a full buffer of records grows in addition to doubling.
 const replyGrowth = actionSize * 64
 
 // Reply collects the actions that answer one batch. Each method but WriteTo appends one record. Balancers and
@@ -19,8 +19,8 @@
 	head    [replyHeaderSize]byte
 }
 
-// record appends a record with its code and balancer, otherwise zeroed. The slice is valid until the next
-// call.
+// record appends a zeroed record, sets its code and balancer, and returns the record. The slice is valid until
+// the next call.
 func (r *Reply) record(code ActionCode, balancer BalancerNumber) []byte {
 	end := len(r.records)
 	if cap(r.records)-end < actionSize {
@@ -97,7 +97,7 @@
 	r.record(ActionWatchEndpoints, balancer)[5] = 1
 }
 
-// SendMessage sends a message to another balancer, or to all others with 0xffff.
+// SendMessage sends a message to another balancer, or to all others if peer is 0xffff.
 func (r *Reply) SendMessage(balancer BalancerNumber, peer uint16, body []byte) {
 	record := r.record(ActionSendMessage, balancer)
 	put16(record[5:], peer)
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -77,8 +77,8 @@
 	"zone": piernotch.DedupInZone, "cell": piernotch.DedupInCell,
 }
 
-// ParseSettings parses the settings of a start event. It ignores unknown keys. Numbers are not checked:
-// piernotch.New does that. Any error is a *SettingsError.
+// ParseSettings parses the settings of a start event. It ignores unknown keys. It does not check
+// numbers; piernotch.New does. Any error is a *SettingsError.
 func ParseSettings(data []byte) (piernotch.Settings, error) {
 	var parsed settingsJSON
 	if err := json.Unmarshal(data, &parsed); err != nil {
@@ -132,7 +132,7 @@
 	}
 }
 
-// parse translates class i.
+// parse translates a class. Errors name the class by its index i.
 func (c *classJSON) parse(i int) (piernotch.Class, error) {
 	safety, ok := retrySafetyByName[c.RetrySafety]
 	if !ok {
@@ -154,7 +154,7 @@
 	}, nil
 }
 
-// ParseReportColumns returns from settings the names of the values in a load report, in order. Any error
+// ParseReportColumns parses settings, and returns the names of the values in a load report, in order. Any error
 // is a *SettingsError.
 func ParseReportColumns(data []byte) ([]string, error) {
 	var parsed settingsJSON
--- a/internal/simprotocol/settings_writer.go
+++ b/internal/simprotocol/settings_writer.go
@@ -12,10 +12,10 @@
 	ServerKinds      []string // names of the kinds of servers, indexed by EndpointEntry.Kind
 	KeepAliveMS      float64  // how long a server keeps an idle connection open
 	DialMS           float64  // how long connecting may take
-	SlackMS          float64  // how long after its deadline a request's final response may come
-	GraceMS          float64  // how long after the notice of a drain requests may still be sent
-	CollapseMultiple float64  // multiple of a server's capacity above which work collapses it in slow start
-	CollapseWindowMS float64  // window over which arriving work is summed
+	SlackMS          float64  // how long after a request's deadline the final response may come
+	GraceMS          float64  // how long requests may still be sent after a drain has been notified
+	CollapseMultiple float64  // a server in slow start collapses if arriving work exceeds this multiple of capacity
+	CollapseWindowMS float64  // window over which arriving work is summed for a collapse
 	WeightBy         string   // unit in which requests are weighted: "request" or "work"
 	Columns          []string // names of the values in a load report, in order
 }
@@ -26,8 +26,8 @@
 	cpuMicrosPerSecond = 1e6
 )
 
-// settingsMessage is the complete settings of a start event. encoding/json prefers its fields over fields
-// of the embedded struct that have the same key.
+// settingsMessage is the complete settings of a start event. encoding/json prefers the fields of
+// settingsMessage to those of the embedded settingsJSON with the same key.
 type settingsMessage struct {
 	settingsJSON
 	Family      string         `json:"family"`
--- a/internal/simprotocol/translate.go
+++ b/internal/simprotocol/translate.go
@@ -8,7 +8,7 @@
 	"piernotch"
 )
 
-// StatusCode returns the code of a status on the wire; 0 (OK) if there is none.
+// StatusCode returns the wire code of a status, or 0 (the code of OK) if the status has no code.
 func StatusCode(status piernotch.Status) uint8 {
 	for code, known := range statusByCode {
 		if known == status {
@@ -18,7 +18,7 @@
 	return 0
 }
 
-// StateCode returns the code of a server's state on the wire; 0 (draining) if there is none.
+// StateCode returns the wire code of a server's state, or 0 (the code of Draining) if the state has no code.
 func StateCode(state piernotch.State) uint8 {
 	for code, known := range stateByCode {
 		if known == state {
@@ -28,7 +28,7 @@
 	return 0
 }
 
-// ListKindCode returns the code of an update kind on the wire; 0 (failed) if there is none.
+// ListKindCode returns the wire code of an update kind, or 0 (the code of UpdateFailed) if the kind has no code.
 func ListKindCode(kind piernotch.UpdateKind) uint8 {
 	for code, known := range listKindByCode {
 		if known == kind {
@@ -51,7 +51,7 @@
 	return load, ok
 }
 
-// InflightColumn names the number of requests at the server. Reports without it are not used.
+// InflightColumn names the number of requests at the server. Reports without this value are not used.
 const InflightColumn = "inflight"
 
 // SetLoadValue sets the value of the given name in a load report, and ignores an unknown name. It reports
--- a/internal/trafficrecording/errors.go
+++ b/internal/trafficrecording/errors.go
@@ -32,7 +32,7 @@
 
 // BlockError reports an error in a block of a recording.
 type BlockError struct {
-	Block int // last block whose header was read, from 1 since Open or Seek; 0: none
+	Block int // number of the last block whose header was read, counted from 1 since Open or Seek; 0: none
 	Err   error
 }
 
--- a/internal/trafficrecording/reader.go
+++ b/internal/trafficrecording/reader.go
@@ -27,7 +27,7 @@
 	firstBlock  int64         // offset of the first block in the file
 	records     *cbor.Decoder // decodes the current block
 	recordsLeft uint32        // unread records of the current block
-	block       int           // number of the current block, from 1 since Open or Seek; 0: none yet
+	block       int           // number of the current block, counted from 1 since Open or Seek; 0: none yet
 }
 
 // Open opens a recording and reads its header. Any error is a *FileError.
@@ -73,8 +73,8 @@
 // Close closes the file.
 func (r *Reader) Close() error { return r.file.Close() }
 
-// Next reads the next record. It returns io.EOF at the end of the recording, and otherwise a *FileError. The
-// error wraps ErrTruncated if the recording ends within a block, as after the death of the writer's process.
+// Next reads the next record. It returns io.EOF at the end of the recording. Any other error is a *FileError. The
+// *FileError wraps ErrTruncated if the recording ends within a block, as after the death of the writer's process.
 func (r *Reader) Next(record *Record) error {
 	for r.recordsLeft == 0 {
 		err := r.readBlock()
@@ -131,7 +131,8 @@
 }
 
 // Seek moves to the last block that begins at or before a time, counted from the start of the recording, or
-// to the first block. Next then reads that block's first record. Errors number the blocks from there.
+// to the first block if none does. Next then reads that block's first record. Block numbers in errors count from
+// that block.
 func (r *Reader) Seek(at time.Duration) error {
 	if err := r.moveTo(r.firstBlock); err != nil {
 		return err
@@ -141,8 +142,8 @@
 	return r.moveTo(r.findBlock(at))
 }
 
-// findBlock returns the offset of the last block that begins at or before a time, or of the first block. It
-// stops where the file is damaged.
+// findBlock returns the offset of the last block that begins at or before a time, or of the first block if
+// none does. The search stops at the first truncated block or invalid block header.
 func (r *Reader) findBlock(at time.Duration) int64 {
 	found, offset := r.firstBlock, r.firstBlock
 	for {
--- a/internal/trafficrecording/writer.go
+++ b/internal/trafficrecording/writer.go
@@ -33,7 +33,7 @@
 	dropped int
 	closed  bool
 
-	spare []Record // array to reuse for pending; for run's goroutine only
+	spare []Record // array that take reuses for pending; only run's goroutine uses spare
 }
 
 // Create starts a recording. An existing file of this name is replaced. Any error is a *FileError.
@@ -53,7 +53,7 @@
 		return nil, &FileError{Name: name, Err: err}
 	}
 	writer := &Writer{limits: limits, wake: make(chan struct{}, 1), done: make(chan error, 1)}
-	// The goroutine ends after Close has closed wake and no records are pending.
+	// After Close, the goroutine writes the pending records, closes the file and ends.
 	go writer.run(file)
 	return writer, nil
 }
@@ -96,7 +96,8 @@
 	return w.dropped
 }
 
-// Close writes the pending records and returns the first error of the recording. Later calls return nil.
+// Close writes the pending records, closes the file and returns the first error of the recording. Later
+// calls return nil.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	if w.closed {
@@ -116,7 +117,8 @@
 	err     error // the first error
 }
 
-// run writes blocks until the Writer is closed, then the remaining records, and closes the file.
+// run writes blocks until the Writer is closed, and then the remaining records. It closes the file, and sends the
+// first error to done.
 func (w *Writer) run(file *os.File) {
 	out := &blockFile{file: file}
 	for range w.wake {
@@ -170,7 +172,7 @@
 	w.dropped += records
 }
 
-// write appends a block to the file, or sets err.
+// write appends a block to the file. It counts the bytes written and sets err.
 func (f *blockFile) write(records []Record) {
 	block, err := encodeBlock(records)
 	if err != nil {
