--- a/cmd/simulator-adapter/adapter.go
+++ b/cmd/simulator-adapter/adapter.go
@@ -20,7 +20,7 @@
 // adapter runs the balancers. It reuses reply, event and entries, so events of a running balancer cause no
 // allocations here.
 type adapter struct {
-	balancers map[simprotocol.BalancerNumber]*piernotch.Balancer // by number; nil: the settings were unusable
+	balancers map[simprotocol.BalancerNumber]*piernotch.Balancer // nil: unusable settings
 	columns   []string                                           // names of load report values, common to all balancers
 	reply     simprotocol.Reply
 	event     simprotocol.Event
@@ -64,8 +64,7 @@
 	return nil
 }
 
-// handle starts or stops the balancer of the current event, or passes the event to the balancer. Events of a
-// balancer with unusable settings are ignored.
+// handle starts or stops the balancer of the current event, or passes the event to the balancer.
 func (a *adapter) handle(now time.Duration) error {
 	event := &a.event
 	balancer, started := a.balancers[event.Balancer]
@@ -113,8 +112,8 @@
 	return piernotch.New(settings, event.Seed, &host{balancer: event.Balancer, reply: &a.reply})
 }
 
-// dispatch passes the current event to a running balancer, after the event's load report if there is a valid
-// one. Messages between balancers are ignored.
+// dispatch passes the current event to a running balancer, after the event's load report, if valid.
+// Messages between balancers are ignored.
 func (a *adapter) dispatch(balancer *piernotch.Balancer, now time.Duration) error {
 	event := &a.event
 	if load, ok := simprotocol.ParseLoadReport(event, a.columns); ok {
--- a/cmd/simulator-adapter/adapter_test.go
+++ b/cmd/simulator-adapter/adapter_test.go
@@ -11,7 +11,7 @@
 const settingsText = `{"group_size":1,"zones":["a"],"quantum_ms":1,"classes":[{"goal_time_ms":100,"deadline_ms":400,
 "points":1,"effect":"safe"}],"limits":{"most_tries":2},"rules":{"cold_ms":1000}}`
 
-// batch returns a frame of events at 1,000 ms on the simulator's clock. It pads each record with zeros.
+// batch returns a frame of events at 1,000 ms. It pads each record with zeros.
 func batch(seq uint32, tail string, records ...[]byte) []byte {
 	out := make([]byte, 20)
 	for _, r := range records {
--- a/internal/lab/idtable/idtable.go
+++ b/internal/lab/idtable/idtable.go
@@ -5,8 +5,7 @@
 // internal/lab/simulation and internal/lab/invariants store requests and attempts in tables.
 package idtable
 
-// minSlots is the size of the first ring. Sizes are powers of two, so Table.at can compute the index by masking
-// the ID.
+// minSlots is the size of the first ring. Sizes are powers of two, so Table.at can mask the ID.
 const minSlots = 64
 
 // Table maps IDs to records. The zero value is an empty table. A Table must not be used concurrently.
@@ -53,7 +52,7 @@
 	return &s.value
 }
 
-// grow doubles the ring, which moves all records.
+// grow doubles the ring.
 func (t *Table[T]) grow() {
 	old := t.slots
 	t.slots = make([]slot[T], 2*len(old))
@@ -64,7 +63,7 @@
 	}
 }
 
-// Get returns the record of an ID, or nil if there is none. The pointer is valid until the next Put.
+// Get returns the record of an ID, or nil if there is none.
 func (t *Table[T]) Get(id uint64) *T {
 	if s := t.find(id); s != nil {
 		return &s.value
--- a/internal/lab/servermodel/kind.go
+++ b/internal/lab/servermodel/kind.go
@@ -8,14 +8,14 @@
 // WarmUp selects what ends slow start.
 type WarmUp uint8
 
-// Kinds of warm-up. With either kind, slow start lasts at most SlowStartDuration.
+// Kinds of warm-up. Slow start never lasts longer than SlowStartDuration.
 const (
 	WarmByTime WarmUp = iota // capacity grows evenly with time
 	WarmByWork               // capacity grows with the work done, or with time if this is faster
 )
 
-// Kind describes a server. The zero value of a field turns the field's mechanism off, unless the field's comment
-// gives a minimum.
+// Kind describes a server. The zero value of a field turns the field's mechanism off, unless the comment gives a
+// minimum.
 type Kind struct {
 	Name  string
 	Cores int     // at least 1
@@ -23,8 +23,8 @@
 	Slots int     // most requests executed at once; at least 1
 	Queue int     // most requests queued at once; further ones are rejected
 
-	// More than ThrashAt requests in flight per core slow the server down. The loss of speed grows evenly up to
-	// twice ThrashAt, where it reaches the share Thrash, and stays there above.
+	// Above ThrashAt requests in flight per core, the loss of speed grows evenly. It reaches the share Thrash at
+	// twice ThrashAt, and stays there.
 	Thrash   float64 // largest share of the speed lost, 0 to 1
 	ThrashAt float64 // requests in flight per core
 
@@ -37,8 +37,8 @@
 	PauseGrow  float64       // a pause is longer by this share times Busy
 
 	ErrorRate   float64 // share of responses that are errors
-	StopRunning bool    // cancelling removes running jobs, too, not only queued ones
-	DropExpired bool    // queued jobs that have expired are dropped, not executed
+	StopRunning bool    // cancelling also removes running jobs
+	DropExpired bool    // expired queued jobs are dropped, not executed
 
 	Overload Overload
 	Keys     Keys
@@ -46,7 +46,7 @@
 	Report   ReportTiming
 	Collapse Collapse
 
-	HealthCheckWork float64 // work of a health check, ms
+	HealthCheckWork float64 // ms
 }
 
 // Overload describes how a long queue slows the server down, even after the queue has become short again.
@@ -62,7 +62,7 @@
 // Keys describes the work saved by a request whose key the server has seen recently.
 type Keys struct {
 	WorkSaved float64       // share of the request's work, 0 to 1
-	WarmFor   time.Duration // how long a key saves work after the start of the key's last request
+	WarmFor   time.Duration // how long a key saves work after its last request started
 	MaxKeys   int           // most keys remembered; the least recently used is evicted first
 }
 
@@ -81,9 +81,8 @@
 }
 
 // Collapse describes when a server collapses in slow start: if the work that arrives within a window of length
-// For exceeds a limit by more than the share CollapseSlack. The limit is Multiple times the work that the server
-// can do in the window at the present capacity. Rejected requests count, too. A collapsed server stays down until
-// the next Start.
+// For exceeds a limit by more than the share CollapseSlack. The limit is Multiple times what the server can do in
+// the window at the present capacity. Rejected requests count, too. The server stays down until the next Start.
 type Collapse struct {
 	Multiple float64 // 0: never
 	For      time.Duration
--- a/internal/lab/servermodel/load_reports.go
+++ b/internal/lab/servermodel/load_reports.go
@@ -5,14 +5,14 @@
 // maxReports is the number of load reports kept: enough for the longest delay.
 const maxReports = 16
 
-// LoadReport describes a server's load: rates over the last interval, and requests in flight at its end.
+// LoadReport is a server's load. Rates are means over the last interval.
 type LoadReport struct {
 	ErrorsPerSec float64
 	PerSec       float64 // requests completed per second, errors included
 	Inflight     float64 // requests running or queued when the report was made
 }
 
-// timedReport is a load report with the time at which it was made.
+// timedReport is a load report with the time of its making.
 type timedReport struct {
 	at   time.Duration
 	load LoadReport
@@ -22,7 +22,7 @@
 func (s *Server) makeReport() {
 	interval := s.kind.Report.Interval
 	seconds := interval.Seconds()
-	// The order of the three calls of noisy must stay: it decides which noise each value gets from a seed.
+	// In another order, the three calls of noisy would give other values for a seed.
 	noisy := func(value float64) float64 { return max(value*(1+s.kind.Report.Noise*s.noise.NormFloat64()), 0) }
 	s.reports[s.reportCount%maxReports] = timedReport{s.nextReport, LoadReport{
 		ErrorsPerSec: noisy(float64(s.reportErrors) / seconds),
@@ -35,8 +35,8 @@
 	s.nextReport += interval
 }
 
-// Report returns the load report that a response at now carries: the newest that is old enough. The argument
-// delay comes from a fault and adds to the kind's delay. Report returns false if no load report is old enough.
+// Report returns the load report that a response at now carries, or false if none is old enough. A fault's delay
+// adds to the kind's delay.
 func (s *Server) Report(now, delay time.Duration) (LoadReport, bool) {
 	for i := s.reportCount - 1; i >= 0 && i >= s.reportCount-maxReports; i-- {
 		report := &s.reports[i%maxReports]
--- a/internal/lab/servermodel/overload.go
+++ b/internal/lab/servermodel/overload.go
@@ -3,7 +3,7 @@
 import "time"
 
 // SetOverloaded puts a running server into overload at once, unless the kind has no overload. The
-// conditions that end the overload are the same as after a long queue.
+// overload ends by the same rules as after a long queue.
 func (s *Server) SetOverloaded(now time.Duration) {
 	s.advanceClock(now)
 	if s.kind.Overload.QueuePerCore > 0 && s.state.running() {
--- a/internal/lab/servermodel/pauses.go
+++ b/internal/lab/servermodel/pauses.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// pauseTiming holds the mean time between the starts of pauses and the mean length of a pause. Drawn values
-// differ from the means by up to half.
+// pauseTiming holds the mean time between the starts of pauses and their mean length. Drawn values differ from
+// the means by up to half.
 type pauseTiming struct{ every, length time.Duration }
 
 // SetPauses replaces PauseEvery and PauseFor of the kind, and schedules the next pause anew. A length of 0
@@ -21,7 +21,7 @@
 	return pauseTiming{s.kind.PauseEvery, s.kind.PauseFor}
 }
 
-// pauseDue reports whether a pause must begin now: the next pause is due, and no other is under way.
+// pauseDue reports whether the next pause is due and no other is under way.
 func (s *Server) pauseDue() bool {
 	return s.nextPause <= s.now && s.now >= s.pauseEnd
 }
--- a/internal/lab/servermodel/queue.go
+++ b/internal/lab/servermodel/queue.go
@@ -19,7 +19,7 @@
 	Accepted   Admission = iota // the job runs or is queued
 	Rejected                    // the queue is full or the server drains; the job is never executed
 	Refused                     // the server is down or has collapsed
-	NoResponse                  // the server is silent: the client gets no answer
+	NoResponse                  // the server is silent
 )
 
 // Outcome is how an accepted job ended.
@@ -38,7 +38,7 @@
 	ID       uint64
 	Outcome  Outcome
 	Started  bool    // the job's execution had begun
-	WorkDone float64 // work done for the job, ms
+	WorkDone float64 // ms of work
 }
 
 // runningJob is a job that occupies a slot.
@@ -48,8 +48,8 @@
 }
 
 // Arrive handles the arrival of a job. If the job makes the server collapse, the job is refused, State becomes
-// Collapsed, and Arrive returns the server's other jobs as reset. The slice is valid until the next call of any
-// method.
+// Collapsed, and Arrive returns the server's other jobs as reset, in a slice that is valid until the next
+// method call.
 func (s *Server) Arrive(now time.Duration, job Job) (Admission, []Completion) {
 	s.advanceClock(now)
 	switch s.state {
@@ -88,8 +88,8 @@
 	s.running = append(s.running, runningJob{Job: job, left: left})
 }
 
-// startQueued moves queued jobs into free slots, and then calls watchQueue. Expired jobs are dropped instead if
-// the kind has DropExpired.
+// startQueued moves queued jobs into free slots, and then calls watchQueue. With Kind.DropExpired, expired
+// jobs are dropped instead.
 func (s *Server) startQueued(now time.Duration) {
 	for len(s.queue) > 0 && len(s.running) < s.kind.Slots {
 		job := s.queue[0]
@@ -130,7 +130,7 @@
 	return false, false, 0
 }
 
-// resetJobs removes all jobs and overhead work. It returns the jobs as reset.
+// resetJobs removes all jobs and overhead work, and returns the jobs as reset.
 func (s *Server) resetJobs() []Completion {
 	s.completions = s.completions[:0]
 	for _, job := range s.running {
--- a/internal/lab/servermodel/queue_test.go
+++ b/internal/lab/servermodel/queue_test.go
@@ -56,7 +56,7 @@
 }
 
 // meanOverRuns returns the mean of a figure over independent runs, and half the width of its 99.9% confidence
-// interval. A single run would not do: successive waits depend on each other. Each run must obey Little's law.
+// interval. A single run would not do: successive waits depend on each other.
 func meanOverRuns(
 	t *testing.T,
 	kind Kind,
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -41,7 +41,7 @@
 // Server models one server. Use New: the zero value is not usable.
 type Server struct {
 	kind   Kind
-	pauses *rand.Rand // for pauses; used only when a pause is scheduled or begins, never by jobs
+	pauses *rand.Rand // for pauses; used only when a pause is scheduled or begins
 	noise  *rand.Rand // for load reports
 	state  State
 
@@ -64,16 +64,16 @@
 	queueLongSince time.Duration // Never: the queue is not too long
 	overloaded     bool
 	overloadedAt   time.Duration
-	idleSince      time.Duration // mostly idle since; Never: not mostly idle
+	idleSince      time.Duration // Never: not mostly idle
 
 	arrivals    []arrival // within the window of Collapse, in slow start only
 	arrivedWork float64   // sum of the work in arrivals, ms
 	arrivalPeak float64   // see SlowStartPeak
 
 	nextReport      time.Duration
-	reportCompleted int                     // completed since the last load report, errors included
-	reportErrors    int                     // completed with an error since the last load report
-	reports         [maxReports]timedReport // ring buffer of the latest load reports
+	reportCompleted int                     // since the last load report, errors included
+	reportErrors    int                     // since the last load report
+	reports         [maxReports]timedReport // ring buffer
 	reportCount     int                     // load reports made so far
 
 	completions []Completion // reused by all methods that return completions
@@ -146,14 +146,14 @@
 func (s *Server) WorkDone() float64 { return s.workDone }
 
 // SlowStartPeak returns the most work that arrived within a window of Collapse in slow start, as a share of
-// the work above which the server collapses. Windows with a single arrival do not count.
+// the work above which the server collapses.
 func (s *Server) SlowStartPeak() float64 { return s.arrivalPeak }
 
 // Started returns when the process started; 0: long ago.
 func (s *Server) Started() time.Duration { return s.started }
 
 // Start starts a new process, in slow start if the kind has one. It returns the jobs of the old process as
-// reset. The slice is valid until the next call of any method.
+// reset, in a slice that is valid until the next method call.
 func (s *Server) Start(now time.Duration) []Completion {
 	s.advanceClock(now)
 	reset := s.resetJobs()
@@ -173,22 +173,22 @@
 	}
 }
 
-// Crash ends the process and returns its jobs as reset. The slice is valid until the next call of any method.
+// Crash ends the process and returns its jobs as reset, in a slice that is valid until the next method call.
 func (s *Server) Crash(now time.Duration) []Completion {
 	s.advanceClock(now)
 	s.state = Down
 	return s.resetJobs()
 }
 
-// Vanish cuts the server off: from now on it responds to nothing. It returns the server's jobs as reset, but
-// nobody is to be notified of their end. The slice is valid until the next call of any method.
+// Vanish cuts the server off: from now on it responds to nothing. It returns the server's jobs as reset, in a
+// slice that is valid until the next method call. Nobody is notified of the jobs' end.
 func (s *Server) Vanish(now time.Duration) []Completion {
 	s.advanceClock(now)
 	s.state = Silent
 	return s.resetJobs()
 }
 
-// SetSlow makes the server slower by a factor. A factor of 1 or less restores the speed.
+// SetSlow slows the server down by a factor; 1 or less restores the speed.
 func (s *Server) SetSlow(now time.Duration, factor float64) {
 	s.advanceClock(now)
 	s.slowFactor = max(factor, 1)
@@ -203,7 +203,7 @@
 }
 
 // Charge adds overhead work, in ms, for a handshake or a health check, if a process runs. Overhead is done before
-// the work of jobs. It counts towards a collapse, but only the arrival of a job can cause a collapse.
+// jobs. It counts towards a collapse, but only the arrival of a job can cause a collapse.
 func (s *Server) Charge(now time.Duration, work float64) {
 	if s.state.running() {
 		s.advanceClock(now)
--- a/internal/lab/servermodel/slow_start.go
+++ b/internal/lab/servermodel/slow_start.go
@@ -16,7 +16,7 @@
 	}
 	progress := float64(now-s.started) / float64(s.kind.SlowStartDuration)
 	if s.kind.WarmUpBy == WarmByWork {
-		// need is the work, in ms, that a warm server does if it is half busy for SlowStartDuration.
+		// The work, in ms, that a warm server does if half busy for SlowStartDuration.
 		need := s.kind.Capacity() * s.kind.SlowStartDuration.Seconds() / 2
 		progress = max(progress, s.doneSinceStart/need)
 	}
--- a/internal/lab/servermodel/work.go
+++ b/internal/lab/servermodel/work.go
@@ -65,7 +65,7 @@
 }
 
 // Advance advances the server to now, starts queued jobs and updates overload. It returns completed
-// jobs, followed by jobs dropped from the queue as expired. The slice is valid until the next call of any method.
+// jobs, then jobs that expired in the queue. The slice is valid until the next method call.
 func (s *Server) Advance(now time.Duration) []Completion {
 	s.completions = s.completions[:0]
 	s.advanceClock(now)
@@ -84,7 +84,7 @@
 	return s.completions
 }
 
-// complete ends running job i: it removes the job, adds the completion and counts the job for the next load report.
+// complete ends running job i, and counts the job for the next load report.
 func (s *Server) complete(i int) {
 	job := &s.running[i]
 	outcome := Completed
@@ -125,7 +125,7 @@
 }
 
 // doWork does work from s.now to the time `to`, at a constant rate, and updates the busy share. Overhead work
-// comes before the work of jobs.
+// comes before jobs.
 func (s *Server) doWork(to time.Duration) {
 	elapsed := float64(to - s.now)
 	s.updateBusy(elapsed)
--- a/internal/simprotocol/batch_writer.go
+++ b/internal/simprotocol/batch_writer.go
@@ -16,8 +16,8 @@
 	head    [batchHeaderSize]byte
 }
 
-// record appends a zeroed record, sets its code and balancer, and returns the record. The slice is valid until
-// the next call.
+// record appends and returns a record that is zero except for code and balancer. The slice is valid until the
+// next call.
 func (b *BatchWriter) record(code EventCode, balancer BalancerNumber) []byte {
 	end := len(b.records)
 	b.records = append(b.records, make([]byte, eventSize)...)
--- a/internal/simprotocol/codes.go
+++ b/internal/simprotocol/codes.go
@@ -63,7 +63,7 @@
 // FrameError reports a frame that cannot be decoded. The stream cannot be read any further.
 type FrameError struct {
 	Seq    uint32 // number of the batch; 0: unknown
-	Record int    // index of the record in the frame; -1: the error concerns the whole frame
+	Record int    // index of the record in the frame; -1: the whole frame
 	Err    error
 }
 
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -33,7 +33,7 @@
 }
 
 // The simulator depends on the layout of events. The batches contain every event with every field set.
-// The second batch holds the events that BatchWriter has no methods for. The test encodes these events itself.
+// The test itself encodes the events of the second batch, since BatchWriter has no methods for them.
 func TestBatchGoldenFile(t *testing.T) {
 	lines := []EndpointEntry{
 		{Server: 0x03124a07, Zone: 1, Kind: 2, Cell: 0x0304, State: 2, Size: 1.5, StartedAtMS: 6100.25},
--- a/internal/simprotocol/reply_writer.go
+++ b/internal/simprotocol/reply_writer.go
@@ -19,8 +19,8 @@
 	head    [replyHeaderSize]byte
 }
 
-// record appends a zeroed record, sets its code and balancer, and returns the record. The slice is valid until
-// the next call.
+// record appends and returns a record that is zero except for code and balancer. The slice is valid until the
+// next call.
 func (r *Reply) record(code ActionCode, balancer BalancerNumber) []byte {
 	end := len(r.records)
 	if cap(r.records)-end < actionSize {
--- a/internal/simprotocol/translate.go
+++ b/internal/simprotocol/translate.go
@@ -8,7 +8,7 @@
 	"piernotch"
 )
 
-// StatusCode returns the wire code of a status, or 0 (the code of OK) if the status has no code.
+// StatusCode returns the wire code of a status, or 0 (OK) if the status has none.
 func StatusCode(status piernotch.Status) uint8 {
 	for code, known := range statusByCode {
 		if known == status {
@@ -18,7 +18,7 @@
 	return 0
 }
 
-// StateCode returns the wire code of a server's state, or 0 (the code of Draining) if the state has no code.
+// StateCode returns the wire code of a server's state, or 0 (draining) if the state has none.
 func StateCode(state piernotch.State) uint8 {
 	for code, known := range stateByCode {
 		if known == state {
@@ -28,7 +28,7 @@
 	return 0
 }
 
-// ListKindCode returns the wire code of an update kind, or 0 (the code of UpdateFailed) if the kind has no code.
+// ListKindCode returns the wire code of an update kind, or 0 (failed) if the kind has none.
 func ListKindCode(kind piernotch.UpdateKind) uint8 {
 	for code, known := range listKindByCode {
 		if known == kind {
--- a/internal/trafficrecording/format.go
+++ b/internal/trafficrecording/format.go
@@ -92,7 +92,7 @@
 	return h, nil
 }
 
-// encodeBlock encodes records as one block, header included. There must be at least one record.
+// encodeBlock encodes at least one record as a block, header included.
 func encodeBlock(records []Record) ([]byte, error) {
 	var out bytes.Buffer
 	out.Write(make([]byte, blockHeaderSize))
--- a/internal/trafficrecording/trace_test.go
+++ b/internal/trafficrecording/trace_test.go
@@ -61,8 +61,8 @@
 	require.Equal(t, testRecord(0), record)
 }
 
-// A crash or a disk fault may damage a block. The blocks before it must be readable, and the error must tell
-// the kind of damage.
+// If a crash or a disk fault damages a block, the blocks before it must be readable, and the error must tell the
+// kind of damage.
 func TestDamagedRecordingIsReadUpToTheDamage(t *testing.T) {
 	name, _ := writeTrace(t, 2*blockRecords, Limits{})
 	data, err := os.ReadFile(name)
--- a/internal/trafficrecording/writer.go
+++ b/internal/trafficrecording/writer.go
@@ -22,7 +22,7 @@
 	Pending int
 }
 
-// Writer writes a recording. Create returns one. Its methods may be called concurrently.
+// Writer writes a recording; see Create. Its methods may be called concurrently.
 type Writer struct {
 	limits Limits
 	wake   chan struct{} // signals that a full block is pending; closed by Close
@@ -53,7 +53,7 @@
 		return nil, &FileError{Name: name, Err: err}
 	}
 	writer := &Writer{limits: limits, wake: make(chan struct{}, 1), done: make(chan error, 1)}
-	// After Close, the goroutine writes the pending records, closes the file and ends.
+	// After Close, the goroutine ends once all records are written.
 	go writer.run(file)
 	return writer, nil
 }
@@ -89,7 +89,7 @@
 	}
 }
 
-// Dropped returns the number of records dropped so far. It leaves out records whose write failed.
+// Dropped returns the number of records dropped so far, without those whose write failed.
 func (w *Writer) Dropped() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -117,7 +117,7 @@
 	err     error // the first error
 }
 
-// run writes blocks until the Writer is closed, and then the remaining records. It closes the file, and sends the
+// run writes blocks until the Writer is closed, then the remaining records. It closes the file and sends the
 // first error to done.
 func (w *Writer) run(file *os.File) {
 	out := &blockFile{file: file}
@@ -172,7 +172,7 @@
 	w.dropped += records
 }
 
-// write appends a block to the file. It counts the bytes written and sets err.
+// write appends a block to the file and sets err.
 func (f *blockFile) write(records []Record) {
 	block, err := encodeBlock(records)
 	if err != nil {
