--- a/cmd/simulator-adapter/adapter_test.go
+++ b/cmd/simulator-adapter/adapter_test.go
@@ -25,7 +25,7 @@
 	return out
 }
 
-// startRecord returns the start event of balancer 7. Its settings are at the start of the frame's tail.
+// startRecord returns the start event of balancer 7. The frame's tail must begin with the settings.
 func startRecord(settings string) []byte {
 	r := make([]byte, 21)
 	r[0], r[1] = 1, 7
--- a/internal/lab/servermodel/kind.go
+++ b/internal/lab/servermodel/kind.go
@@ -11,7 +11,7 @@
 // Kinds of warm-up. Slow start never lasts longer than SlowStartDuration.
 const (
 	WarmByTime WarmUp = iota // capacity grows evenly with time
-	WarmByWork               // capacity grows with the work done, or with time if this is faster
+	WarmByWork               // capacity grows with the work done or with time, whichever is faster
 )
 
 // Kind describes a server. The zero value of a field turns the field's mechanism off, unless the comment gives a
@@ -55,7 +55,7 @@
 	After        time.Duration // how long the queue must stay too long before overload begins
 	Slowdown     float64       // factor by which overload slows the server; at least 1
 	IdleBelow    float64       // the server is mostly idle while Busy is below this share
-	IdleFor      time.Duration // overload ends once the server has been mostly idle for this time
+	IdleFor      time.Duration // how long the server must be mostly idle before overload ends
 	MaxDuration  time.Duration // longest overload; 0: unlimited
 }
 
--- a/internal/lab/servermodel/pauses.go
+++ b/internal/lab/servermodel/pauses.go
@@ -26,7 +26,7 @@
 	return s.nextPause <= s.now && s.now >= s.pauseEnd
 }
 
-// schedulePause draws when the next pause after now starts: Never, if the server has no pauses.
+// schedulePause draws when the next pause after now starts. Without pauses, this is Never.
 func (s *Server) schedulePause(now time.Duration) {
 	timing := s.pauseTiming()
 	s.nextPause = Never
--- a/internal/lab/servermodel/queue_test.go
+++ b/internal/lab/servermodel/queue_test.go
@@ -11,8 +11,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// runQueue sends a server jobs with Poisson arrivals. It returns the time that each job spent at the server,
-// in seconds, and the time average of the number of jobs there.
+// runQueue sends a server jobs with Poisson arrivals. It returns each job's time at the server, in seconds,
+// and the time average of the number of jobs there.
 func runQueue(
 	t *testing.T,
 	kind Kind,
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// Kind returns the kind of the server. The caller must not change the kind.
+// Kind returns the server's kind, which the caller must not change.
 func (s *Server) Kind() *Kind { return &s.kind }
 
 // State returns the state of the process.
@@ -180,8 +180,8 @@
 	return s.resetJobs()
 }
 
-// Vanish cuts the server off: from now on it responds to nothing. It returns the server's jobs as reset, in a
-// slice that is valid until the next method call. Nobody is notified of the jobs' end.
+// Vanish cuts the server off: it no longer responds. It returns the server's jobs as reset, in a slice that is
+// valid until the next method call. Nobody is notified of the jobs' end.
 func (s *Server) Vanish(now time.Duration) []Completion {
 	s.advanceClock(now)
 	s.state = Silent
@@ -194,7 +194,7 @@
 	s.slowFactor = max(factor, 1)
 }
 
-// SetConnections sets the number of open connections, which determines the cost of ConnectionCost.Tax.
+// SetConnections sets the number of open connections, for ConnectionCost.Tax.
 func (s *Server) SetConnections(now time.Duration, open int) {
 	if s.kind.Conn.MaxConnections > 0 && s.kind.Conn.Tax > 0 {
 		s.advanceClock(now)
--- a/internal/simprotocol/batch_reader.go
+++ b/internal/simprotocol/batch_reader.go
@@ -19,7 +19,7 @@
 	tail    []byte
 }
 
-// Reader reads batches from a stream. It must be used by one goroutine only.
+// Reader reads batches from a stream. A Reader must not be used concurrently.
 type Reader struct {
 	input  io.Reader
 	buffer []byte
@@ -212,7 +212,7 @@
 // EntryCount returns the number of entries in an endpoint list.
 func (e *Event) EntryCount() int { return len(e.Entries) / entrySize }
 
-// Entry decodes entry i of an endpoint list. It does not check the state.
+// Entry decodes entry i of an endpoint list. The state is not checked.
 func (e *Event) Entry(i int) EndpointEntry {
 	data := e.Entries[i*entrySize:]
 	return EndpointEntry{
--- a/internal/simprotocol/batch_writer.go
+++ b/internal/simprotocol/batch_writer.go
@@ -8,7 +8,7 @@
 )
 
 // BatchWriter collects the events of one batch on the simulator's side. Each method but WriteTo appends one
-// record. The zero value is an empty batch. A BatchWriter must be used by one goroutine only.
+// record. The zero value is an empty batch. A BatchWriter must not be used concurrently.
 type BatchWriter struct {
 	count   int
 	records []byte
@@ -16,8 +16,7 @@
 	head    [batchHeaderSize]byte
 }
 
-// record appends and returns a record that is zero except for code and balancer. The slice is valid until the
-// next call.
+// record appends and returns a zeroed record with code and balancer set, valid until the next call.
 func (b *BatchWriter) record(code EventCode, balancer BalancerNumber) []byte {
 	end := len(b.records)
 	b.records = append(b.records, make([]byte, eventSize)...)
@@ -37,7 +36,7 @@
 	b.tail = append(b.tail, settings...)
 }
 
-// Stop adds the end of a balancer's process. The balancer may start again.
+// Stop adds the end of a balancer's process.
 func (b *BatchWriter) Stop(balancer BalancerNumber) { b.record(EventStop, balancer) }
 
 // TimerFired adds the expiry of the timer that was set with the token.
--- a/internal/simprotocol/codes.go
+++ b/internal/simprotocol/codes.go
@@ -20,7 +20,7 @@
 // EventCode is the kind of an event: the first byte of an event record.
 type EventCode uint8
 
-// Event codes. The comments on the fields of Event tell which codes set which fields.
+// Event codes. See Event for the fields that each code sets.
 const (
 	EventMessage EventCode = iota
 	EventStart
--- a/internal/simprotocol/doc.go
+++ b/internal/simprotocol/doc.go
@@ -9,6 +9,6 @@
 // simulator's side, and internal/lab/loadtest writes settings. internal/serve/config and
 // internal/serve/upstream use only the formats of settings and load reports.
 //
-// A Reader, Reply or BatchWriter must be used by one goroutine only. Decoding an event allocates nothing,
+// A Reader, Reply or BatchWriter must not be used concurrently. Decoding an event allocates nothing,
 // and adding a record allocates only when a buffer grows.
 package simprotocol
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -185,8 +185,8 @@
 	require.Equal(t, 12+32+4, golden.Len(), "the frame of SendMessage")
 }
 
-// ParseSettings ignores unknown keys, so a changed key would go unnoticed. Almost every key has a
-// different value, so mixed-up keys are noticed.
+// ParseSettings ignores unknown keys, so a changed key would go unnoticed. Most keys have
+// different values, so mixed-up keys are noticed.
 func TestSettingsGoldenFile(t *testing.T) {
 	want := piernotch.Settings{
 		BalancerCount: 3,
--- a/internal/simprotocol/reply_reader.go
+++ b/internal/simprotocol/reply_reader.go
@@ -25,8 +25,8 @@
 // maxReplySize limits a reply, in bytes, so a broken adapter cannot exhaust the memory.
 const maxReplySize = 1 << 30
 
-// ReadReply reads the reply to batch seq and appends its actions to into. Any error is a *FrameError.
-// After an error, the stream cannot be read any further. The actions decoded before the error are returned, too.
+// ReadReply reads the reply to batch seq and appends its actions to into. Any error is a *FrameError,
+// after which the stream is unusable. The actions decoded before the error are returned, too.
 func ReadReply(input io.Reader, seq uint32, into []Action) ([]Action, error) {
 	var head [replyHeaderSize]byte
 	if _, err := io.ReadFull(input, head[:]); err != nil {
@@ -70,7 +70,7 @@
 	return fmt.Errorf("reply to batch %d, action %d: %w", seq, i, err)
 }
 
-// decodeAction decodes one record of a reply. The tail contains the texts of log lines and faults.
+// decodeAction decodes one record of a reply. The tail holds the texts of logs and faults.
 func decodeAction(record, tail []byte) (Action, error) {
 	action := Action{Code: record[0], Balancer: BalancerNumber(u32(record[1:]))}
 	switch action.Code {
--- a/internal/simprotocol/reply_writer.go
+++ b/internal/simprotocol/reply_writer.go
@@ -10,8 +10,8 @@
 const replyGrowth = actionSize * 64
 
 // Reply collects the actions that answer one batch. Each method but WriteTo appends one record. Balancers and
-// requests are numbered as in the batch. The zero value is an empty reply. A Reply must be used by one
-// goroutine only.
+// requests are numbered as in the batch. The zero value is an empty reply. A Reply must not be used
+// concurrently.
 type Reply struct {
 	count   int
 	records []byte
@@ -19,8 +19,7 @@
 	head    [replyHeaderSize]byte
 }
 
-// record appends and returns a record that is zero except for code and balancer. The slice is valid until the
-// next call.
+// record appends and returns a zeroed record with code and balancer set, valid until the next call.
 func (r *Reply) record(code ActionCode, balancer BalancerNumber) []byte {
 	end := len(r.records)
 	if cap(r.records)-end < actionSize {
--- a/internal/simprotocol/translate.go
+++ b/internal/simprotocol/translate.go
@@ -54,8 +54,8 @@
 // InflightColumn names the number of requests at the server. Reports without this value are not used.
 const InflightColumn = "inflight"
 
-// SetLoadValue sets the value of the given name in a load report, and ignores an unknown name. It reports
-// whether the value is valid: not negative, infinite or NaN.
+// SetLoadValue sets a value of a load report by name, and ignores unknown names. It reports whether the
+// value is valid: not negative, infinite or NaN.
 func SetLoadValue(load *piernotch.LoadReport, name string, value float64) bool {
 	switch name {
 	case InflightColumn:
--- a/internal/trafficrecording/format.go
+++ b/internal/trafficrecording/format.go
@@ -54,7 +54,7 @@
 // Record describes one request. It is encoded as a CBOR array, in the order of the fields.
 type Record struct {
 	_        struct{}      `cbor:",toarray"`
-	At       time.Duration // when the request arrived, since the start of the recording
+	At       time.Duration // arrival time, since the start of the recording
 	Class    uint16        // index into Header.Classes
 	Key      uint64        // hash of the affinity key; 0: none
 	CostHint float64       // the request's cost hint, ms; 0: none
--- a/internal/trafficrecording/reader.go
+++ b/internal/trafficrecording/reader.go
@@ -73,8 +73,8 @@
 // Close closes the file.
 func (r *Reader) Close() error { return r.file.Close() }
 
-// Next reads the next record. It returns io.EOF at the end of the recording. Any other error is a *FileError,
-// which wraps ErrTruncated if the recording ends within a block, as after the death of the writer's process.
+// Next reads the next record. It returns io.EOF at the end. Any other error is a *FileError, which wraps
+// ErrTruncated if the recording ends within a block, as after a crash of the writer's process.
 func (r *Reader) Next(record *Record) error {
 	for r.recordsLeft == 0 {
 		err := r.readBlock()
--- a/internal/trafficrecording/writer.go
+++ b/internal/trafficrecording/writer.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// Dropped returns the number of records dropped so far, without those whose write failed.
+// Dropped returns the number of records dropped so far. Records whose write failed are not counted.
 func (w *Writer) Dropped() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -132,7 +132,7 @@
 }
 
 // flush writes a batch of records in blocks. After an error or at the limit of bytes it drops the records.
-// It keeps the batch's array for take to reuse.
+// It keeps the batch's array as spare.
 func (w *Writer) flush(out *blockFile, batch []Record) {
 	for start := 0; start < len(batch); start += blockRecords {
 		records := batch[start:min(start+blockRecords, len(batch))]
