--- a/cmd/simulator-adapter/adapter.go
+++ b/cmd/simulator-adapter/adapter.go
@@ -12,22 +12,22 @@
 	"piernotch/internal/simprotocol"
 )
 
-// streamBuffer is the size of the buffers on standard input and output, in bytes.
+// streamBuffer is the size of each buffer of standard input and output, in bytes.
 const streamBuffer = 1 << 16
 
 var errStartedTwice = errors.New("started twice without a stop")
 
-// adapter hosts balancers. What it decodes into is reused from event to event, so that the events of a
-// running balancer allocate nothing here.
+// adapter runs the balancers. It reuses reply, event and entries, so events of a running balancer cause no
+// allocations here.
 type adapter struct {
-	balancers map[simprotocol.BalancerNumber]*piernotch.Balancer // nil for one whose settings could not be used
-	columns   []string                                           // of load reports; the same for all balancers
+	balancers map[simprotocol.BalancerNumber]*piernotch.Balancer // nil: unusable settings
+	columns   []string                                           // names of load report values, common to all balancers
 	reply     simprotocol.Reply
 	event     simprotocol.Event
 	entries   []piernotch.Endpoint
 }
 
-// serve answers batches until the input ends.
+// serve answers batches until the input ends or an error occurs.
 func serve(input io.Reader, output io.Writer) error {
 	hosted := adapter{balancers: map[simprotocol.BalancerNumber]*piernotch.Balancer{}}
 	reader := simprotocol.NewReader(bufio.NewReaderSize(input, streamBuffer))
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// handle passes the current event to its balancer.
+// handle starts or stops the balancer of the current event, or passes the event to the balancer.
 func (a *adapter) handle(now time.Duration) error {
 	event := &a.event
 	balancer, started := a.balancers[event.Balancer]
@@ -82,13 +82,13 @@
 		delete(a.balancers, event.Balancer)
 		return nil
 	}
-	if balancer == nil { // its settings could not be used, which has been reported
+	if balancer == nil { // unusable settings, reported by start
 		return nil
 	}
 	return a.dispatch(balancer, now)
 }
 
-// start starts a balancer. Settings that cannot be used are reported as a fault of the balancer.
+// start starts the balancer of the current event. It reports unusable settings as a fault of the balancer.
 func (a *adapter) start() {
 	event := &a.event
 	a.balancers[event.Balancer] = nil
@@ -112,7 +112,8 @@
 	return piernotch.New(settings, event.Seed, &host{balancer: event.Balancer, reply: &a.reply})
 }
 
-// dispatch calls the method of a running balancer that the current event stands for.
+// dispatch passes the current event to a running balancer, after the event's load report, if valid.
+// Messages between balancers are ignored.
 func (a *adapter) dispatch(balancer *piernotch.Balancer, now time.Duration) error {
 	event := &a.event
 	if load, ok := simprotocol.ParseLoadReport(event, a.columns); ok {
--- a/internal/lab/servermodel/pauses.go
+++ b/internal/lab/servermodel/pauses.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// pauseTiming is how often and how long a server pauses: means, which pauses vary around by half.
+// pauseTiming holds the mean time between the starts of pauses and their mean length. Drawn values differ from
+// the means by up to half.
 type pauseTiming struct{ every, length time.Duration }
 
-// SetPauses has the server pause for length, every so often, instead of as its kind does; zeros end
-// that.
+// SetPauses replaces PauseEvery and PauseFor of the kind, and schedules the next pause anew. A length of 0
+// restores the values of the kind.
 func (s *Server) SetPauses(now, every, length time.Duration) {
 	s.advanceClock(now)
 	s.pauseFault = pauseTiming{every, length}
@@ -20,12 +21,12 @@
 	return pauseTiming{s.kind.PauseEvery, s.kind.PauseFor}
 }
 
-// pauseDue reports whether a pause is to begin that no other one covers.
+// pauseDue reports whether the next pause is due and no other is under way.
 func (s *Server) pauseDue() bool {
 	return s.nextPause <= s.now && s.now >= s.pauseEnd
 }
 
-// schedulePause draws when the next pause begins.
+// schedulePause draws when the next pause after now starts. Without pauses, this is Never.
 func (s *Server) schedulePause(now time.Duration) {
 	timing := s.pauseTiming()
 	s.nextPause = Never
@@ -34,7 +35,7 @@
 	}
 }
 
-// beginPause begins the pause that is due and schedules the one after it.
+// beginPause schedules the next pause and, if a process runs, begins the pause that is due.
 func (s *Server) beginPause() {
 	begin := s.nextPause
 	length := s.pauseTiming().length
--- a/internal/lab/servermodel/work.go
+++ b/internal/lab/servermodel/work.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// warmUpStep is the step in which capacity grows in slow start while there is work.
+	// warmUpStep is the longest time for which capacity counts as constant while jobs run in slow start.
 	warmUpStep = 200 * time.Millisecond
-	// overloadStep is the step in which an overloaded server is checked for recovery.
+	// overloadStep is the longest time between two checks whether overload has ended.
 	overloadStep = 100 * time.Millisecond
-	// busyHorizon is the time constant of the busy share, ns.
+	// busyHorizon is the time constant of the EWMA of the busy share, ns.
 	busyHorizon = float64(time.Second)
-	// workEpsilon is the work left, ms, below which a job is done.
+	// workEpsilon is the remaining work, in ms, at which a job counts as done.
 	workEpsilon = 1e-9
 )
 
-// Next is when Advance must be called at the latest; Never if nothing is due.
+// Next returns when Advance must be called at the latest, or Never if nothing is due.
 func (s *Server) Next() time.Duration {
 	if !s.state.running() {
 		return Never
@@ -39,7 +39,8 @@
 	return next
 }
 
-// nextCompletion is when the first running job completes, or the rate of work changes before.
+// nextCompletion returns when the first running job completes, or an earlier time at which the work rate may
+// change.
 func (s *Server) nextCompletion() time.Duration {
 	next := Never
 	least := s.running[0].left
@@ -55,7 +56,7 @@
 	return min(next, s.nextPause)
 }
 
-// ceilMS converts milliseconds, up to the next microsecond.
+// ceilMS converts milliseconds, rounded up to microseconds and limited to a quarter of Never.
 func ceilMS(ms float64) time.Duration {
 	if ms > 1e12 {
 		return Never / 4
@@ -63,8 +64,8 @@
 	return time.Duration(math.Ceil(ms*1000)) * time.Microsecond
 }
 
-// Advance brings the server to now and returns the jobs that are done, in order. The slice is valid
-// until the next call of any method.
+// Advance advances the server to now, starts queued jobs and updates overload. It returns completed
+// jobs, then jobs that expired in the queue. The slice is valid until the next method call.
 func (s *Server) Advance(now time.Duration) []Completion {
 	s.completions = s.completions[:0]
 	s.advanceClock(now)
@@ -83,7 +84,7 @@
 	return s.completions
 }
 
-// complete ends running job i.
+// complete ends running job i, and counts the job for the next load report.
 func (s *Server) complete(i int) {
 	job := &s.running[i]
 	outcome := Completed
@@ -99,8 +100,7 @@
 	s.running = append(s.running[:i], s.running[i+1:]...)
 }
 
-// advanceClock brings work, pauses, load reports and the busy share up to now. No job completes in
-// it.
+// advanceClock advances work, pauses, load reports and the busy share to now. It completes no jobs.
 func (s *Server) advanceClock(now time.Duration) {
 	for s.now < now || s.pauseDue() {
 		to := now
@@ -124,7 +124,8 @@
 	}
 }
 
-// doWork lets the time up to `to` pass, in which the rate of work does not change.
+// doWork does work from s.now to the time `to`, at a constant rate, and updates the busy share. Overhead work
+// comes before jobs.
 func (s *Server) doWork(to time.Duration) {
 	elapsed := float64(to - s.now)
 	s.updateBusy(elapsed)
@@ -153,7 +154,7 @@
 	}
 }
 
-// updateBusy weighs the present share of busy slots into the busy share, over dt nanoseconds.
+// updateBusy updates the busy share for dt nanoseconds, in which the running jobs do not change.
 func (s *Server) updateBusy(dt float64) {
 	busy := 0.0
 	if s.state.running() && (len(s.running) > 0 || s.overheadWork > 0) {
@@ -162,7 +163,7 @@
 	s.busy = busy + (s.busy-busy)*math.Exp(-dt/busyHorizon)
 }
 
-// workRate is the work that each running job gets done in a millisecond, ms.
+// workRate returns the ms of work that are done for each running job in 1 ms.
 func (s *Server) workRate(now time.Duration) float64 {
 	if !s.state.running() || now < s.pauseEnd {
 		return 0
--- a/internal/simprotocol/batch_writer.go
+++ b/internal/simprotocol/batch_writer.go
@@ -7,8 +7,8 @@
 	"piernotch"
 )
 
-// BatchWriter collects the events of one batch on the simulator's side. Its methods add one record
-// each, in the order of the calls. The zero value is empty and ready. It is for one goroutine.
+// BatchWriter collects the events of one batch on the simulator's side. Each method but WriteTo appends one
+// record. The zero value is an empty batch. A BatchWriter must not be used concurrently.
 type BatchWriter struct {
 	count   int
 	records []byte
@@ -16,7 +16,7 @@
 	head    [batchHeaderSize]byte
 }
 
-// record appends a zeroed record with its code and balancer. It is valid until the next call.
+// record appends and returns a zeroed record with code and balancer set, valid until the next call.
 func (b *BatchWriter) record(code EventCode, balancer BalancerNumber) []byte {
 	end := len(b.records)
 	b.records = append(b.records, make([]byte, eventSize)...)
@@ -27,7 +27,7 @@
 	return record
 }
 
-// Start adds the start of a balancer's process with settings as JSON.
+// Start adds the start of a balancer's process, with settings from MarshalSettings.
 func (b *BatchWriter) Start(balancer BalancerNumber, seed uint64, settings []byte) {
 	record := b.record(EventStart, balancer)
 	put64(record[5:], seed)
@@ -39,12 +39,12 @@
 // Stop adds the end of a balancer's process.
 func (b *BatchWriter) Stop(balancer BalancerNumber) { b.record(EventStop, balancer) }
 
-// TimerFired adds a timer that is due.
+// TimerFired adds the expiry of the timer that was set with the token.
 func (b *BatchWriter) TimerFired(balancer BalancerNumber, token uint32) {
 	put32(b.record(EventTimerFired, balancer)[5:], token)
 }
 
-// ClientGone adds the end of a client's wait.
+// ClientGone adds the disconnection of a request's client.
 func (b *BatchWriter) ClientGone(balancer BalancerNumber, id uint64) {
 	put64(b.record(EventClientGone, balancer)[5:], id)
 }
@@ -55,12 +55,12 @@
 	Class      uint8
 	Tenant     uint16
 	Key        uint64  // for key affinity; 0: none
-	DeadlineMS float64 // milliseconds of the simulator's clock
-	CostHintMS float64 // written only where Flags hold FlagCostHint
-	Flags      uint8
+	DeadlineMS float64 // time on the simulator's clock
+	CostHintMS float64 // ms of work; written only if Flags contains FlagCostHint
+	Flags      uint8   // FlagCostHint, FlagRetry, FlagWrite
 }
 
-// Request adds a client's request.
+// Request adds the arrival of a request.
 func (b *BatchWriter) Request(balancer BalancerNumber, request *RequestEvent) {
 	record := b.record(EventRequest, balancer)
 	put64(record[5:], request.ID)
@@ -74,15 +74,15 @@
 	record[40] = request.Flags
 }
 
-// AttemptEvent is the end of an attempt.
+// AttemptEvent describes how an attempt ended.
 type AttemptEvent struct {
 	ID            uint64 // of the request
 	AttemptNumber uint8
 	Server        piernotch.ServerID
-	Status        uint8
+	Status        uint8 // from StatusCode
 	LatencyMS     float64
 	Closed        bool      // the request has its final response
-	Load          []float32 // load report that came with it, four values at most; empty: none
+	Load          []float32 // load report, at most four values; empty: none
 }
 
 // AttemptCompleted adds the end of an attempt.
@@ -99,10 +99,10 @@
 	putLoad(record[28:], attempt.Load)
 }
 
-// HealthCheckEvent is the result of a health check.
+// HealthCheckEvent describes the result of a health check.
 type HealthCheckEvent struct {
 	Server    piernotch.ServerID
-	Status    uint8
+	Status    uint8 // from StatusCode
 	LatencyMS float64
 	Load      []float32 // as in AttemptEvent
 }
@@ -124,7 +124,7 @@
 	}
 }
 
-// EndpointList adds an endpoint list. The kind is that of ListKindCode.
+// EndpointList adds an endpoint list. The kind is a code from ListKindCode.
 func (b *BatchWriter) EndpointList(balancer BalancerNumber, kind uint8, version uint64, entries []EndpointEntry) {
 	record := b.record(EventEndpointList, balancer)
 	record[5] = kind
@@ -142,8 +142,7 @@
 	}
 }
 
-// WriteTo writes the batch with its clock, milliseconds, and its number, and empties it for the next.
-// An error is that of the output.
+// WriteTo writes the batch with its clock and number, and empties the batch unless output returns an error.
 func (b *BatchWriter) WriteTo(output io.Writer, clockMS float64, seq uint32) error {
 	put32(b.head[:], uint32(b.count))
 	put32(b.head[4:], uint32(batchHeaderSize+len(b.records)+len(b.tail)))
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -17,7 +17,8 @@
 
 var update = flag.Bool("update", false, "write the golden files again; only where the form changes on purpose")
 
-// checkGolden compares bytes with a file under testdata and returns what the file holds.
+// checkGolden compares bytes with a file under testdata, which -update writes first, and returns the content of
+// the file.
 func checkGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -27,12 +28,12 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	require.Equal(t, want, got, "%s: the form on the wire has changed", path)
+	require.Equal(t, want, got, "%s: the format on the wire has changed", path)
 	return want
 }
 
-// TestBatchGoldenFile guards the frames of events: every event with every field set. There is no
-// writer of messages between balancers: its record is in the second batch, put together by hand.
+// The simulator depends on the layout of events. The batches contain every event with every field set.
+// The test itself encodes the events of the second batch, since BatchWriter has no methods for them.
 func TestBatchGoldenFile(t *testing.T) {
 	lines := []EndpointEntry{
 		{Server: 0x03124a07, Zone: 1, Kind: 2, Cell: 0x0304, State: 2, Size: 1.5, StartedAtMS: 6100.25},
@@ -146,8 +147,8 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// TestReplyGoldenFile guards the frames of actions: every action with every field set. Nobody here
-// reads messages between balancers, so that they have a frame of their own.
+// The simulator depends on the layout of actions. The replies contain every action with every field set.
+// SendMessage has its own reply, since ReadReply rejects it.
 func TestReplyGoldenFile(t *testing.T) {
 	var reply Reply
 	var out bytes.Buffer
@@ -181,10 +182,11 @@
 		{Code: 9, Balancer: 10, On: true},
 		{Code: 10, Balancer: 11, Text: "two servers known"},
 	}, got)
-	require.Equal(t, 12+32+4, golden.Len(), "the frame of Tell")
+	require.Equal(t, 12+32+4, golden.Len(), "the frame of SendMessage")
 }
 
-// TestSettingsGoldenFile guards the settings of a Start event: every key with a value of its own.
+// ParseSettings ignores unknown keys, so a changed key would go unnoticed. Most keys have
+// different values, so mixed-up keys are noticed.
 func TestSettingsGoldenFile(t *testing.T) {
 	want := piernotch.Settings{
 		BalancerCount: 3,
@@ -251,7 +253,7 @@
 	}
 	data, err := MarshalSettings(&want, ExtraSettings{
 		Balancer: 2, ServerKinds: []string{"fast", "mid"}, KeepAliveMS: 60000, DialMS: 250, SlackMS: 20, GraceMS: 2100,
-		FallMultiple: 2.5, FallMS: 2250, WeightBy: "request", Columns: []string{"inflight", "qps"},
+		CollapseMultiple: 2.5, CollapseWindowMS: 2250, WeightBy: "request", Columns: []string{"inflight", "qps"},
 	})
 	require.NoError(t, err)
 	var indented bytes.Buffer
@@ -268,7 +270,7 @@
 	require.Equal(t, []time.Duration{time.Minute, 250 * time.Millisecond}, []time.Duration{keepAlive, dialTimeout})
 }
 
-// TestCodesGolden guards the numbers that stand for statuses, states and kinds of lists, both ways.
+// The numbers of statuses, states and list kinds are part of the protocol. Statuses must translate both ways.
 func TestCodesGolden(t *testing.T) {
 	for status, code := range map[piernotch.Status]uint8{
 		piernotch.OK:            0,
--- a/internal/simprotocol/settings_writer.go
+++ b/internal/simprotocol/settings_writer.go
@@ -6,28 +6,28 @@
 	"piernotch"
 )
 
-// ExtraSettings is what settings hold on the wire beyond those of the module. Times are in milliseconds.
+// ExtraSettings holds the settings on the wire that piernotch.Settings does not contain.
 type ExtraSettings struct {
-	Balancer     BalancerNumber
-	ServerKinds  []string // names of the kinds of servers, by EndpointEntry.Kind
-	KeepAliveMS  float64  // a server keeps an idle connection for so long
-	DialMS       float64  // a connection may take so long to come up
-	SlackMS      float64  // a final response may come so much later than its deadline
-	GraceMS      float64  // requests may still be sent so long after a drain is notified
-	FallMultiple float64  // multiple of its capacity that collapses a server in slow start
-	FallMS       float64  // span over which that is counted
-	WeightBy     string   // what a request weighs by: "request" or "work"
-	Columns      []string // names of the values in a load report, in order
+	Balancer         BalancerNumber
+	ServerKinds      []string // names of the kinds of servers, indexed by EndpointEntry.Kind
+	KeepAliveMS      float64  // how long a server keeps an idle connection open
+	DialMS           float64  // how long connecting may take
+	SlackMS          float64  // how long after a request's deadline the final response may come
+	GraceMS          float64  // how long requests may still be sent after a drain has been notified
+	CollapseMultiple float64  // a server in slow start collapses if arriving work exceeds this multiple of capacity
+	CollapseWindowMS float64  // window over which arriving work is summed for a collapse
+	WeightBy         string   // unit in which requests are weighted: "request" or "work"
+	Columns          []string // names of the values in a load report, in order
 }
 
-// Figures that the laboratory's balancers are never limited by.
+// Values of max_open and cpu_us_per_s, too high to limit a balancer of the laboratory.
 const (
 	maxOpenConnections = 20000
 	cpuMicrosPerSecond = 1e6
 )
 
-// settingsMessage is the whole of a start event's settings, as the simulator writes them. Fields of
-// the same key in the embedded struct are hidden by those here.
+// settingsMessage is the complete settings of a start event. encoding/json prefers the fields of
+// settingsMessage to those of the embedded settingsJSON with the same key.
 type settingsMessage struct {
 	settingsJSON
 	Family      string         `json:"family"`
@@ -60,7 +60,7 @@
 	FallMS              float64 `json:"overload_for_ms"`
 }
 
-// MarshalSettings writes settings as a start event holds them; Settings reads them back.
+// MarshalSettings encodes the settings of a start event. The Parse functions decode parts of them.
 func MarshalSettings(settings *piernotch.Settings, extra ExtraSettings) ([]byte, error) {
 	message := settingsMessage{
 		Family:      "proxy",
@@ -83,7 +83,7 @@
 		OverQuotaWeight: settings.OverQuotaWeight,
 	}
 	if len(settings.Classes) == 0 {
-		message.Classes = nil // it is written as null
+		message.Classes = nil // encoded as null, not as []
 	}
 	if settings.PollDiscovery {
 		message.Discovery = "on_request"
@@ -122,8 +122,8 @@
 		SlowStartDurationMS: Milliseconds(rules.SlowStartDuration),
 		SlackMS:             extra.SlackMS,
 		GraceMS:             extra.GraceMS,
-		FallMultiple:        extra.FallMultiple,
-		FallMS:              extra.FallMS,
+		FallMultiple:        extra.CollapseMultiple,
+		FallMS:              extra.CollapseWindowMS,
 	}
 }
 
--- a/internal/trafficrecording/trace_test.go
+++ b/internal/trafficrecording/trace_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testRecord returns the record number i of a test.
+// testRecord returns record i of a test, which arrived at i ms.
 func testRecord(i int) Record {
 	return Record{
 		At: time.Duration(i) * time.Millisecond, Class: uint16(i % 2), Key: uint64(i * 7), CostHint: float64(i),
@@ -20,7 +20,7 @@
 	}
 }
 
-// writeTrace writes a recording of n records and returns its name and the closed Writer.
+// writeTrace writes a recording of n records. It returns the file's name and the closed Writer.
 func writeTrace(t *testing.T, n int, limits Limits) (string, *Writer) {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "t.pnt")
@@ -30,7 +30,7 @@
 		w.Add(testRecord(i))
 	}
 	require.NoError(t, w.Close())
-	w.Add(testRecord(0)) // after the end: dropped, no panic
+	w.Add(testRecord(0)) // dropped after Close, without a panic
 	return name, w
 }
 
@@ -61,7 +61,8 @@
 	require.Equal(t, testRecord(0), record)
 }
 
-// Of a recording that is truncated or damaged, the blocks before are read, and the error says what is wrong.
+// If a crash or a disk fault damages a block, the blocks before it must be readable, and the error must tell the
+// kind of damage.
 func TestDamagedRecordingIsReadUpToTheDamage(t *testing.T) {
 	name, _ := writeTrace(t, 2*blockRecords, Limits{})
 	data, err := os.ReadFile(name)
@@ -97,7 +98,7 @@
 	require.ErrorIs(t, err, ErrTruncated)
 }
 
-// A recording ends at its limit of bytes, and what was not written is counted.
+// A recording must not fill the disk: it ends at its limit of bytes, and counts the dropped records.
 func TestRecordingIsBoundedAndCountsDropped(t *testing.T) {
 	name, w := writeTrace(t, 10*blockRecords, Limits{Bytes: 1, Pending: 4 * blockRecords})
 	require.Greater(t, w.Dropped(), 0)
@@ -116,7 +117,7 @@
 	require.Error(t, err)
 }
 
-// A file with any content is read without a panic.
+// A file of any content must not cause a panic in the reader.
 func FuzzRead(f *testing.F) {
 	b, err := encodeBlock([]Record{testRecord(1), testRecord(2)})
 	if err != nil {
