--- a/internal/lab/simulation/attempts.go
+++ b/internal/lab/simulation/attempts.go
@@ -10,8 +10,9 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// startAttempt sends a request to the server that its balancer chose. What cannot be sent is
-// completed as piernotch.NotSent.
+// startAttempt sends an attempt to the server that its balancer chose. The attempt is completed as
+// piernotch.NotSent if the request is over or with another balancer, has had too many attempts or is past its
+// deadline. An unknown server ends the run with an error.
 func (w *World) startAttempt(action *Action) {
 	id := uint64(action.ID)
 	server, known := w.serverByID[action.Server]
@@ -22,7 +23,8 @@
 	request := w.requests.Get(id)
 	pending := request != nil && !request.responded && request.balancer == balancerIndex(action.Balancer)
 	if !pending {
-		// A balancer that was notified of the end in this very turn may not have known of it.
+		// An end since the previous turn reaches the balancer only in this turn, perhaps after this decision.
+		// An attempt after an earlier end violates an invariant, so the checker is notified.
 		knewOfEnd := request == nil || request.respondedByBalancer || request.respondedAt <= w.previousTurn
 		if knewOfEnd {
 			w.checker.AttemptSent(w.sentAttempt(action, server))
@@ -47,7 +49,7 @@
 	w.connect(&w.balancers[action.Balancer], attemptID, attempt)
 }
 
-// sentAttempt is what the invariants are notified of when an attempt is sent.
+// sentAttempt returns the checker's record of an attempt that is sent now.
 func (w *World) sentAttempt(action *Action, server serverIndex) invariants.SentAttempt {
 	return invariants.SentAttempt{
 		At:       w.now,
@@ -57,7 +59,8 @@
 	}
 }
 
-// newAttempt adds an attempt of a request to a server, with its network delay and its work.
+// newAttempt adds an attempt of a request to a server, draws the network delay and the work of the attempt, and
+// counts it.
 func (w *World) newAttempt(
 	requestID uint64,
 	request *requestState,
@@ -92,8 +95,8 @@
 	return attemptID, attempt
 }
 
-// clientOf returns what the client of a request wants, or departedClient if the client is gone and
-// the balancer was not notified of it.
+// clientOf returns the clientRequest that a request was sent for, or departedClient if the client has finished
+// while the balancer still has the request.
 func (w *World) clientOf(request *requestState) *clientRequest {
 	if client := w.clientRequests.Get(request.client); client != nil {
 		return client
@@ -101,7 +104,7 @@
 	return &departedClient
 }
 
-// attemptNotSent notifies a balancer that an attempt was not sent; r is nil for an unknown request.
+// attemptNotSent counts an attempt that was not sent and notifies its balancer; request is nil if unknown.
 func (w *World) attemptNotSent(action *Action, request *requestState) {
 	attemptNumber := 0
 	if request != nil {
@@ -117,14 +120,14 @@
 	}})
 }
 
-// attemptArrives brings an attempt to its server.
+// attemptArrives hands an attempt to its server, unless the attempt was completed on the way.
 func (w *World) attemptArrives(attemptID uint64) {
 	attempt := w.attempts.Get(attemptID)
 	if attempt == nil {
 		return
 	}
 	attempt.inTransit = false
-	if attempt.completed { // cancelled before it was written
+	if attempt.completed { // timed out or cancelled on the way, or the balancer was killed
 		w.releaseAttempt(attemptID, attempt)
 		return
 	}
@@ -135,7 +138,8 @@
 	w.admitAttempt(attemptID, attempt, w.arriveAtServer(attemptID, attempt, request))
 }
 
-// arriveAtServer hands an attempt to the model of its server, which may collapse under it.
+// arriveAtServer hands an attempt to the model of its server. If a server in slow start collapses under the
+// work, its jobs are reset and its connections dropped.
 func (w *World) arriveAtServer(attemptID uint64, attempt *attemptState, request *requestState) servermodel.Admission {
 	server := &w.servers[attempt.server]
 	if attempt.newConnection {
@@ -167,7 +171,8 @@
 	return admission
 }
 
-// admitAttempt follows up on what a server made of an attempt on arrival.
+// admitAttempt processes a server's admission decision for an attempt. Without a response, only an attempt on a
+// new connection gets an outcome here, at the dial timeout; any other attempt ends at its own timeout.
 func (w *World) admitAttempt(attemptID uint64, attempt *attemptState, admission servermodel.Admission) {
 	switch admission {
 	case servermodel.Accepted:
@@ -182,7 +187,7 @@
 		w.scheduleOutcome(attemptID, attempt, piernotch.Full, w.now+attempt.delay)
 	case servermodel.Refused:
 		status := piernotch.ConnectFailed
-		if !attempt.newConnection { // it was written to a connection that is closed
+		if !attempt.newConnection { // written to a connection that the server has closed
 			status = piernotch.Reset
 		}
 		w.scheduleOutcome(attemptID, attempt, status, w.now+attempt.delay)
@@ -198,7 +203,8 @@
 	}
 }
 
-// scheduleOutcome has an attempt's balancer learn its outcome at a time, unless another one is scheduled.
+// scheduleOutcome schedules when the outcome of an attempt arrives at the balancer, unless an outcome is
+// already scheduled or the attempt is completed.
 func (w *World) scheduleOutcome(attemptID uint64, attempt *attemptState, status piernotch.Status, at time.Duration) {
 	if attempt.outcomeSent || attempt.completed {
 		return
@@ -208,21 +214,23 @@
 	w.events.schedule(at, eventOutcomeArrives, attemptID)
 }
 
-// outcomeArrives brings an outcome to the balancer.
+// outcomeArrives completes an attempt with the outcome that has reached its balancer. An outcome for a
+// completed attempt is dropped.
 func (w *World) outcomeArrives(attemptID uint64) {
 	attempt := w.attempts.Get(attemptID)
 	if attempt == nil {
 		return
 	}
 	attempt.outcomeSent = false
-	if attempt.completed { // too late
+	if attempt.completed { // the outcome is too late
 		w.releaseAttempt(attemptID, attempt)
 		return
 	}
 	w.completeAttempt(attemptID, attempt, attempt.status)
 }
 
-// attemptTimesOut ends an attempt at its timeout.
+// attemptTimesOut completes an attempt at its timeout: as ConnectFailed while its connection is being opened,
+// otherwise as Timeout.
 func (w *World) attemptTimesOut(attemptID uint64) {
 	attempt := w.attempts.Get(attemptID)
 	if attempt == nil || attempt.completed {
@@ -236,7 +244,7 @@
 	w.completeAttempt(attemptID, attempt, status)
 }
 
-// cancelAttempt ends an attempt at its balancer's wish.
+// cancelAttempt completes an attempt that its balancer cancels. An unknown or completed attempt is ignored.
 func (w *World) cancelAttempt(action *Action) {
 	request := w.requests.Get(uint64(action.ID))
 	if request == nil || action.Attempt < 0 || action.Attempt >= int(request.attempts) {
@@ -248,7 +256,9 @@
 	}
 }
 
-// completeAttempt ends an attempt for its balancer and notifies the balancer.
+// completeAttempt ends an attempt for its balancer: it returns the connection, responds to the client after a
+// success, and notifies the balancer. After a timeout or a cancellation, the server is notified one network
+// delay later.
 func (w *World) completeAttempt(attemptID uint64, attempt *attemptState, status piernotch.Status) {
 	attempt.completed = true
 	attempt.status = status
@@ -271,7 +281,7 @@
 	w.releaseAttempt(attemptID, attempt)
 }
 
-// notifyOutcome notifies a balancer of an attempt's end, if the process that sent it still runs.
+// notifyOutcome notifies a balancer of how an attempt ended, if the process that sent the attempt still runs.
 func (w *World) notifyOutcome(attempt *attemptState, request *requestState, status piernotch.Status) {
 	balancer := &w.balancers[attempt.balancer]
 	if !balancer.up || attempt.epoch != balancer.epoch {
@@ -291,7 +301,7 @@
 	w.notify(attempt.balancer, event)
 }
 
-// cancelArrives brings the end of a wait to the server.
+// cancelArrives cancels an attempt at its server, whose balancer no longer waits for the attempt.
 func (w *World) cancelArrives(attemptID uint64) {
 	attempt := w.attempts.Get(attemptID)
 	if attempt == nil {
@@ -312,7 +322,8 @@
 	w.releaseAttempt(attemptID, attempt)
 }
 
-// releaseAttempt deletes an attempt once neither side has it any more.
+// releaseAttempt deletes an attempt that is completed, has left its server, and is not on the way to the server
+// or back.
 func (w *World) releaseAttempt(attemptID uint64, attempt *attemptState) {
 	if attempt.completed && !attempt.atServer && !attempt.outcomeSent && !attempt.inTransit {
 		w.attempts.Delete(attemptID)
--- a/internal/lab/simulation/balancers.go
+++ b/internal/lab/simulation/balancers.go
@@ -9,10 +9,10 @@
 	"piernotch/internal/lab/invariants"
 )
 
-// errUnknownServer is the error of an action for a server that no endpoint list named.
+// errUnknownServer is the error of an action with an ID that no server of the run has.
 var errUnknownServer = errors.New("names a server that was in none of its lists")
 
-// notify puts an event into a balancer's inbox; it is taken at the next tick.
+// notify adds an event to a balancer's inbox and schedules the turn that takes the event, at the next tick.
 func (w *World) notify(index balancerIndex, event Event) {
 	balancer := &w.balancers[index]
 	event.Balancer = int(index)
@@ -33,7 +33,8 @@
 	}
 }
 
-// turn lets all balancers with events decide, and performs their actions.
+// turn passes the pending events of all balancers to the tier and performs the returned actions. A scheduled
+// turn that an earlier one has replaced is ignored.
 func (w *World) turn() {
 	if w.now != w.nextTurn {
 		return
@@ -57,7 +58,7 @@
 	}
 }
 
-// collectInboxes moves the events of all pending balancers into the batch, in order of balancers.
+// collectInboxes moves the events of all pending balancers into the batch, in order of balancer index.
 func (w *World) collectInboxes() {
 	slices.Sort(w.pending)
 	w.batch = w.batch[:0]
@@ -70,7 +71,7 @@
 	w.pending = w.pending[:0]
 }
 
-// perform does what a balancer asks for.
+// perform executes an action. An action of a balancer that is not running ends the run with an error.
 func (w *World) perform(action *Action) {
 	if action.Balancer < 0 || action.Balancer >= len(w.balancers) || !w.balancers[action.Balancer].up {
 		w.err = fmt.Errorf("balancer %d acts, but does not run", action.Balancer)
@@ -103,14 +104,14 @@
 		w.err = fmt.Errorf("balancer %d: a timer of %v", action.Balancer, action.Delay)
 		return
 	}
-	// It fires at a later tick, never in the turn that is being taken.
+	// Without a delay, the timer still fires after the current turn.
 	at := max(w.now+action.Delay, w.now+1)
 	epoch := w.balancers[action.Balancer].epoch
 	w.events.scheduleFor(at, eventTimer, uint64(epoch)<<32|uint64(action.Token), int32(action.Balancer))
 }
 
-// timerFires notifies a balancer of a timer, unless the process that set it has ended. The ID is
-// the epoch of the process and the token.
+// timerFires notifies a balancer of a timer, unless the process that set it has ended. The upper 32 bits of the
+// ID are the epoch of the process, the lower 32 bits the token.
 func (w *World) timerFires(index balancerIndex, id uint64) {
 	balancer := &w.balancers[index]
 	if balancer.up && uint32(id>>32) == balancer.epoch {
@@ -118,21 +119,21 @@
 	}
 }
 
-// startFirstProcess starts the first process of a balancer, which knows the full endpoint list.
+// startFirstProcess starts the first process of a balancer, with the full endpoint list as its cached list.
 func (w *World) startFirstProcess(index balancerIndex) {
 	w.startProcess(index)
 	w.discovery.setFullList(w, index)
 	w.beginService(index)
 }
 
-// startNextProcess starts a process of a balancer after another one has ended. It knows the endpoint
-// list that its predecessor had last.
+// startNextProcess starts a process of a balancer after another one has ended, with the endpoint list that its
+// predecessor had last.
 func (w *World) startNextProcess(index balancerIndex) {
 	w.startProcess(index)
 	w.beginService(index)
 }
 
-// startProcess starts a process of a balancer, which has no endpoint list yet.
+// startProcess starts a process of a balancer. The caller hands it an endpoint list.
 func (w *World) startProcess(index balancerIndex) {
 	balancer := &w.balancers[index]
 	balancer.up = true
@@ -146,14 +147,15 @@
 	w.notify(index, Event{Kind: EventStart, Seed: seed, Settings: &settings})
 }
 
-// beginService hands the cached endpoint list to a new process and has clients sent to it.
+// beginService notifies the checker of a balancer's new process, sends the cached endpoint list to the process
+// and lets clients be sent to the balancer.
 func (w *World) beginService(index balancerIndex) {
 	w.checker.BalancerRestarted(index)
 	w.discovery.sendCached(w, index)
 	w.admit(index)
 }
 
-// admit has clients sent to a balancer.
+// admit adds a balancer to those that clients are sent to.
 func (w *World) admit(index balancerIndex) {
 	balancer := &w.balancers[index]
 	if balancer.admitted {
@@ -165,7 +167,7 @@
 	slices.Sort(*admitted)
 }
 
-// stopAdmitting has no more clients sent to a balancer.
+// stopAdmitting removes a balancer from those that clients are sent to.
 func (w *World) stopAdmitting(index balancerIndex) {
 	balancer := &w.balancers[index]
 	if !balancer.admitted {
@@ -176,8 +178,8 @@
 	*admitted = slices.DeleteFunc(*admitted, func(other balancerIndex) bool { return other == index })
 }
 
-// killBalancer ends a balancer's process at once: what it has in flight is lost to it, and its clients
-// find their connections broken.
+// killBalancer ends a balancer's process at once: its requests, timers and connections are lost, and its
+// clients find their connections broken.
 func (w *World) killBalancer(index balancerIndex) {
 	balancer := &w.balancers[index]
 	if !balancer.up {
@@ -197,7 +199,7 @@
 	balancer.epoch++
 }
 
-// requestsOf lists the requests that a balancer has received, in order.
+// requestsOf returns the IDs of the unreleased requests that a balancer has received, in ascending order.
 func (w *World) requestsOf(index balancerIndex) []uint64 {
 	var ids []uint64
 	w.requests.Each(func(id uint64, request *requestState) {
@@ -209,8 +211,8 @@
 	return ids
 }
 
-// loseRequest ends a request whose balancer was killed: servers learn that nobody waits for its
-// attempts, and its client that the connection broke.
+// loseRequest ends a request whose balancer was killed: servers receive a cancellation of its open attempts,
+// the checker expects no response, and the client finds its connection broken.
 func (w *World) loseRequest(id uint64) {
 	request := w.requests.Get(id)
 	for attemptNumber := range int(request.attempts) {
--- a/internal/lab/simulation/doc.go
+++ b/internal/lab/simulation/doc.go
@@ -2,15 +2,16 @@
 // of the balancers, balancers with the real decisions of package piernotch, servers as modelled by
 // internal/lab/servermodel, service discovery, and the network between them.
 //
-// It owns simulated time and the order of what happens at one instant (see event_queue.go). It must
-// not know how a balancer decides: that is behind Tier, which has one implementation in this process
-// and one in a child process. It notifies internal/lab/invariants and internal/lab/goodput of what happens,
-// and they judge it. cmd/piernotch-lab runs Worlds; internal/lab/loadtest shares the arrivals.
+// The package owns simulated time and the order of events at the same instant (see event_queue.go). It must not
+// know how a balancer decides: Tier hides the decisions, with one implementation in this process and one in a
+// child process. The package reports what happens to internal/lab/invariants and internal/lab/goodput, which
+// judge the run. cmd/piernotch-lab runs Worlds; internal/lab/loadtest uses the same arrivals.
 //
-// A World runs one realization on the caller's goroutine; the same realization gives the same bytes.
+// A World runs one realization on the caller's goroutine. The same realization with the same decision module
+// gives the same Result, except for the wall-clock times.
 //
-// Random numbers are of two sorts. What does not depend on decisions (arrivals, work, keys, cost
-// hints, faults) comes from streams of its own and is drawn in order. What does (a message's delay,
-// the variation of an attempt's work, a client's backoff) is drawn from a hash of what it belongs to:
-// the n-th attempt of the m-th request of a client draws the same numbers whatever else was decided.
+// Random numbers come from two kinds of sources. Numbers that no decision affects (arrivals, work, keys, cost
+// hints, faults) come from separate streams and are drawn in order. All others (the delay of a message, the
+// variation of an attempt's work, a client's backoff) are drawn from a hash that identifies their subject: the
+// n-th attempt of the m-th send of a client request draws the same numbers, whatever else was decided.
 package simulation
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -13,71 +13,72 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// Balancers and servers are numbered as package invariants numbers them.
+// Balancers and servers have the same numbers as in package invariants.
 type (
 	balancerIndex = invariants.BalancerIndex
 	serverIndex   = invariants.ServerIndex
 )
 
-// noBalancer stands for a balancer where there is none.
+// noBalancer is the balancer of a request for which no balancer could be chosen.
 const noBalancer balancerIndex = -1
 
-// never is the time of a turn that is not scheduled.
+// never is later than any time in a run.
 const never = time.Duration(math.MaxInt64)
 
-// drainAfter bounds how long a World runs on after its last arrival.
+// drainAfter bounds how long after the scenario's length a World waits for unfinished client requests.
 const drainAfter = 60 * time.Second
 
-// World plays one realization of a scenario. It is for one goroutine and one call of Run.
+// World simulates one realization of a scenario. It must be used from one goroutine, and Run may be called
+// once.
 type World struct {
 	realization *scenario.Realization
 	tier        Tier
 	events      eventQueue
 	now         time.Duration
 	stop        bool
-	err         error // ends the run
+	err         error // if not nil, it ends the run
 
 	clientRequests    idtable.Table[clientRequest]
 	requests          idtable.Table[requestState]
 	attempts          idtable.Table[attemptState]
 	healthChecks      idtable.Table[healthCheckState]
-	lastClientRequest uint64 // the IDs given out last
+	lastClientRequest uint64 // this and the next three: the last ID assigned
 	lastRequest       uint64
 	lastAttempt       uint64
 	lastHealthCheck   uint64
 
 	balancers      []balancerState
-	admittedByZone [][]balancerIndex // balancers that clients are sent to
+	admittedByZone [][]balancerIndex // balancers that clients are sent to, by zone
 	servers        []serverState
 	serverByID     map[piernotch.ServerID]serverIndex
 	discovery      discovery
 	traffic        traffic
 
-	script       []func()      // steps of faults and starts, by eventScript
-	reportDelay  time.Duration // by which faults delay load reports further
+	script       []func()      // steps of faults and process starts; the ID of an eventScript is the index
+	reportDelay  time.Duration // additional delay of load reports by faults
 	corruptShare float64       // share of responses that a fault corrupts
 
 	pending      []balancerIndex // balancers with events for the next turn
 	batch        []Event
 	nextTurn     time.Duration // never: none is scheduled
 	lastTurn     time.Duration
-	previousTurn time.Duration // the one before lastTurn
+	previousTurn time.Duration // turn before lastTurn
 
 	pcg        rand.PCG
-	hashedRand *rand.Rand // see randFor
+	hashedRand *rand.Rand // draws from pcg; see randFor
 	checker    *invariants.Checker
 	counters   counters
 }
 
-// New returns the World of a realization, with all of its servers and faults. The caller closes
-// the tier. The error is of a kind of server that cannot be, or of a recording that cannot be read.
+// New returns a World for a realization, with all of its servers added and its faults scheduled. The caller
+// closes the tier. New fails if a kind of server is invalid or the traffic recording cannot be used.
 func New(realization *scenario.Realization, tier Tier) (*World, error) {
 	world := &World{
 		realization: realization,
 		tier:        tier,
 		serverByID:  map[piernotch.ServerID]serverIndex{},
 		nextTurn:    never,
-		lastTurn:    -1, // a turn at time 0 is still to come
+		lastTurn:    -1, // before a turn at time 0
 	}
 	world.hashedRand = rand.New(&world.pcg)
 	for i := range realization.Servers {
@@ -105,8 +106,8 @@
 	return world, nil
 }
 
-// limits is what the invariants are measured by. A response may be late by a tick more than on
-// sockets, since balancers decide at ticks only.
+// limits returns the limits that the invariants are checked against. A response may be late by one tick more
+// than on sockets, because balancers decide only at ticks.
 func (w *World) limits() invariants.Limits {
 	rules, limits := &w.realization.Rules, &w.realization.Settings.Limits
 	measured := invariants.Limits{
@@ -124,13 +125,13 @@
 	return measured
 }
 
-// schedule adds a step to the script.
+// schedule adds a step to the script, to be run at the given time.
 func (w *World) schedule(at time.Duration, step func()) {
 	w.script = append(w.script, step)
 	w.events.schedule(at, eventScript, uint64(len(w.script)-1))
 }
 
-// addServer adds a server and returns its index.
+// addServer adds a server and returns its index. It fails if the kind of server is invalid.
 func (w *World) addServer(spec scenario.Server) (serverIndex, error) {
 	index := serverIndex(len(w.servers))
 	model, err := servermodel.New(spec.Kind, mix(w.realization.Seed^mix(uint64(index)+saltServerModel)), 0)
@@ -146,8 +147,8 @@
 	return index, nil
 }
 
-// newServerID returns the ID of server n: one that reveals nothing, and is the same at every
-// balancer.
+// newServerID returns an unused, non-zero ID for a server. The ID is a hash, from which a balancer cannot infer
+// the index; it is the same at every balancer.
 func (w *World) newServerID(index serverIndex) piernotch.ServerID {
 	id := piernotch.ServerID(mix(w.realization.Seed ^ mix(uint64(index)+saltServerID)))
 	for {
@@ -158,8 +159,9 @@
 	}
 }
 
-// Run plays the scenario to its end: until all requests have their final responses after the last arrival.
-// An error names the seed and the time; it is of the tier, or of an action that is impossible.
+// Run simulates the scenario until its length has passed and all client requests are finished, or until
+// drainAfter has passed as well. An error names the seed and the simulated time; its cause is a failure of the
+// tier or an impossible action.
 func (w *World) Run() (*Result, error) {
 	began := time.Now()
 	for !w.stop {
@@ -228,7 +230,8 @@
 	}
 }
 
-// onEachSecond checks for overdue responses, takes samples and ends the run when all is over.
+// onEachSecond checks for overdue responses, runs notifyImplied, takes samples, and ends the run when it is
+// complete.
 func (w *World) onEachSecond() {
 	w.checker.CheckOverdue(w.now)
 	w.discovery.notifyImplied(w)
