--- a/internal/lab/simulation/child.go
+++ b/internal/lab/simulation/child.go
@@ -11,26 +11,26 @@
 	"piernotch/internal/simprotocol"
 )
 
-// DefaultBatchTimeout is how long a child may take for one batch.
+// DefaultBatchTimeout is how long a child may take to read a batch and reply to it.
 const DefaultBatchTimeout = 30 * time.Second
 
 const (
-	// endTimeout is how long a child may take to end after its input was closed.
+	// endTimeout is how long a child may take to exit after its input was closed.
 	endTimeout = 5 * time.Second
-	// stderrGrace is how long the last lines of a failed child are waited for.
+	// stderrGrace is how long fail waits for the last lines of standard error of a killed child.
 	stderrGrace = 20 * time.Millisecond
 	pipeBuffer  = 1 << 16 // bytes
 )
 
-// ChildError is a child process that is of no more use: it ended, hung or wrote what cannot be read.
+// ChildError reports that a child process exited, hung, wrote an invalid reply or reported a fault.
 type ChildError struct {
-	Path   string // of the program
+	Path   string // path of the program
 	Reason string
 	Stderr string // the last lines of its standard error; may be empty
 	Err    error  // the cause; may be nil
 }
 
-// Error returns the reason, the cause and the child's last lines.
+// Error returns the path, the reason, the cause and the child's last lines of standard error.
 func (e *ChildError) Error() string {
 	text := e.Path + ": " + e.Reason
 	if e.Err != nil {
@@ -42,25 +42,25 @@
 	return text
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, or nil.
 func (e *ChildError) Unwrap() error { return e.Err }
 
-// Child hosts the balancers in another program, over its standard input and output in the
-// simulator's protocol (package simprotocol): another version of the decision module, built elsewhere. It is a Tier
-// for one goroutine.
+// Child is a Tier that runs the balancers in another program, which may have another version of the decision
+// module. It exchanges batches and replies with the program over standard input and output, by the protocol of
+// package simprotocol. It must be used from one goroutine.
 type Child struct {
-	// BatchTimeout is how long the program may take for one batch.
+	// BatchTimeout is how long the program may take to read a batch and reply to it.
 	BatchTimeout time.Duration
 
 	realization *scenario.Realization
 	path        string
 	cmd         *exec.Cmd
 	stdin       io.Closer
-	writer      *bufio.Writer // on stdin
+	writer      *bufio.Writer // buffers writes to stdin
 	stderr      *stderrTail
-	requests    chan uint32     // sequence numbers of the replies to read; nil once closed
-	replies     chan childReply // one for each of them
-	waited      chan childExit  // how the process ended
+	requests    chan uint32     // sequence numbers of the replies to read; nil after Close
+	replies     chan childReply // one for each sequence number
+	waited      chan childExit  // result of waiting for the process
 	failed      bool
 	seq         uint32
 	batch       simprotocol.BatchWriter
@@ -68,17 +68,17 @@
 	actions     []Action
 }
 
-// childReply is what was read as the reply to one batch.
+// childReply is the reply to one batch, or the error of reading the reply.
 type childReply struct {
 	actions []simprotocol.Action
 	err     error
 }
 
-// childExit is how a process ended.
+// childExit is the result of waiting for a process: nil if it exited with status 0.
 type childExit struct{ err error }
 
-// StartChild starts a program for a drawn scenario. The caller must call Close, which ends the
-// process and the goroutine that reads from it.
+// StartChild starts a program that runs the balancers of a realization. The caller must call Close, which ends
+// the process and the goroutine that reads from it.
 func StartChild(realization *scenario.Realization, path string, args ...string) (*Child, error) {
 	child := &Child{
 		BatchTimeout: DefaultBatchTimeout,
@@ -104,13 +104,14 @@
 	}
 	child.stdin = stdin
 	child.writer = bufio.NewWriterSize(stdin, pipeBuffer)
-	// The reader ends when Close closes requests, or with the first reply that cannot be read; then
-	// it waits for the process.
+	// The goroutine reads replies until Close closes requests or a reply is invalid. It then discards the
+	// remaining output and waits for the process.
 	go child.readReplies(bufio.NewReaderSize(stdout, pipeBuffer), child.requests)
 	return child, nil
 }
 
-// readReplies reads one reply for each sequence number that it is sent.
+// readReplies reads one reply for each sequence number that it receives, up to the first invalid reply. It then
+// waits for the process to exit.
 func (c *Child) readReplies(stdout io.Reader, requests <-chan uint32) {
 	for seq := range requests {
 		actions, err := simprotocol.ReadReply(stdout, seq, nil)
@@ -123,8 +124,8 @@
 	c.waited <- childExit{c.cmd.Wait()}
 }
 
-// Close implements Tier. It ends the program; one that does not end with its input is killed, which
-// is an error.
+// Close implements Tier. It closes the program's input and waits for the exit; a program that is still running
+// after endTimeout is killed, which is an error.
 func (c *Child) Close() error {
 	if c.requests == nil {
 		return nil
@@ -138,7 +139,7 @@
 	select {
 	case exit := <-c.waited:
 		if c.failed {
-			return nil // it was killed, and the failure was returned
+			return nil // killed by fail, which returned the error
 		}
 		return exit.err
 	case <-time.After(endTimeout):
@@ -148,7 +149,7 @@
 	}
 }
 
-// fail kills a child that is of no more use and returns its *ChildError.
+// fail kills the child and returns a *ChildError with the last lines of its standard error.
 func (c *Child) fail(reason string, cause error) error {
 	c.failed = true
 	_ = c.cmd.Process.Kill()
@@ -156,7 +157,7 @@
 	return &ChildError{Path: c.path, Reason: reason, Stderr: c.stderr.String(), Err: cause}
 }
 
-// Turn implements Tier. An error is a *ChildError, or of settings that cannot be encoded.
+// Turn implements Tier. An error is a *ChildError, or the error of encoding settings.
 func (c *Child) Turn(now time.Duration, events []Event) ([]Action, error) {
 	for i := range events {
 		if err := c.encode(&events[i]); err != nil {
@@ -178,16 +179,16 @@
 		return c.translate(reply.actions)
 	case <-deadline.C:
 		err := c.fail(fmt.Sprintf("no reply within %v", c.BatchTimeout), nil)
-		<-c.replies // the pipe breaks with the process
+		<-c.replies // the kill breaks the pipe, which ends the read
 		return nil, err
 	}
 }
 
-// writeBatch writes the batch, and fails the child if it does not read in time.
+// writeBatch writes the batch, and fails the child if it closes its input or does not read in time.
 func (c *Child) writeBatch(now time.Duration, deadline <-chan time.Time) error {
 	written := make(chan error, 1)
-	// A child that does not read must not block Turn. The goroutine ends with the write, at the
-	// latest when fail kills the process and so breaks the pipe.
+	// A child that does not read must not block Turn. The goroutine ends with the write, at the latest when
+	// fail kills the process, which breaks the pipe.
 	go func() {
 		err := c.batch.WriteTo(c.writer, simprotocol.Milliseconds(now), c.seq)
 		if err == nil {
--- a/internal/lab/simulation/child_frames.go
+++ b/internal/lab/simulation/child_frames.go
@@ -10,7 +10,7 @@
 // loadColumns names the values of a load report, in the order of loadValues.
 var loadColumns = []string{"eps", "qps", "inflight"}
 
-// loadValues returns the values of an event's load report, or none.
+// loadValues returns the values of an event's load report, or nil if it has none.
 func loadValues(event *Event) []float32 {
 	if !event.HasLoad {
 		return nil
@@ -18,7 +18,7 @@
 	return []float32{float32(event.Load.ErrorsPerSec), float32(event.Load.PerSec), float32(event.Load.Inflight)}
 }
 
-// encode adds an event to the batch.
+// encode adds an event to the batch. It fails only if settings cannot be encoded.
 func (c *Child) encode(event *Event) error {
 	balancer := simprotocol.BalancerNumber(event.Balancer)
 	switch event.Kind {
@@ -77,7 +77,7 @@
 	})
 }
 
-// extraSettings is what a start event holds beyond the module's settings.
+// extraSettings returns the part of a start event that is not in the module's settings.
 func (c *Child) extraSettings(balancer simprotocol.BalancerNumber) simprotocol.ExtraSettings {
 	rules := &c.realization.Rules
 	extra := simprotocol.ExtraSettings{
@@ -130,7 +130,7 @@
 	)
 }
 
-// actionKinds maps the wire's actions to those of a Tier. Others are not performed.
+// actionKinds maps the action codes of the protocol to action kinds. Actions with other codes are ignored.
 var actionKinds = map[simprotocol.ActionCode]ActionKind{
 	simprotocol.ActionStartAttempt:   ActionStartAttempt,
 	simprotocol.ActionCancelAttempt:  ActionCancelAttempt,
@@ -143,7 +143,8 @@
 	simprotocol.ActionWatchEndpoints: ActionWatchEndpoints,
 }
 
-// translate turns a reply into actions. A fault that a balancer reports fails the child.
+// translate converts a reply into actions; it skips unknown actions and requests to end a watch. A fault that a
+// balancer reports fails the child.
 func (c *Child) translate(reply []simprotocol.Action) ([]Action, error) {
 	c.actions = c.actions[:0]
 	for i := range reply {
--- a/internal/lab/simulation/in_process.go
+++ b/internal/lab/simulation/in_process.go
@@ -8,21 +8,21 @@
 	"piernotch"
 )
 
-// InProcess hosts balancers with the decision module that this program was built with.
+// InProcess is a Tier that runs balancers with the decision module that this program was built with.
 type InProcess struct {
 	balancers []*piernotch.Balancer // nil: not running
 	actions   []Action
 	now       time.Duration
-	current   int // balancer whose event is being handled
+	current   int // balancer whose event is handled, for the error of a panic
 }
 
-// NewInProcess returns a tier without balancers.
+// NewInProcess returns a tier without balancers; start events add them.
 func NewInProcess() *InProcess { return &InProcess{} }
 
 // Close implements Tier. There is nothing to free.
 func (p *InProcess) Close() error { return nil }
 
-// Turn implements Tier. A panic of the module is an error with its stack.
+// Turn implements Tier. A panic of the module is returned as an error with the stack.
 func (p *InProcess) Turn(now time.Duration, events []Event) (actions []Action, err error) {
 	p.now, p.actions = now, p.actions[:0]
 	defer func() {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// dispatch calls the method of a running balancer that an event stands for.
+// dispatch passes an event to a running balancer, the load report first if there is one.
 func (p *InProcess) dispatch(balancer *piernotch.Balancer, event *Event) {
 	if event.HasLoad {
 		load := piernotch.LoadReport{Inflight: event.Load.Inflight, CompletedPerSecond: event.Load.PerSec}
--- a/internal/lab/simulation/stderr_tail.go
+++ b/internal/lab/simulation/stderr_tail.go
@@ -5,20 +5,19 @@
 	"sync"
 )
 
-// Limits of what stderrTail keeps and shows.
+// Limits of what stderrTail keeps, and of what String returns.
 const (
 	maxStderrTail  = 4096 // bytes
 	maxStderrLines = 8
 )
 
-// stderrTail keeps the end of what a program writes to standard error. It may be written and read
-// from several goroutines.
+// stderrTail is an io.Writer that keeps the end of what is written to it. It is safe for concurrent use.
 type stderrTail struct {
 	mu   sync.Mutex
 	text []byte
 }
 
-// Write implements io.Writer.
+// Write never fails.
 func (s *stderrTail) Write(written []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,7 +28,7 @@
 	return len(written), nil
 }
 
-// String returns the last lines.
+// String returns the last lines, at most maxStderrLines.
 func (s *stderrTail) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/simulation/tier.go
+++ b/internal/lab/simulation/tier.go
@@ -7,10 +7,10 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// EventKind is the kind of an Event.
+// EventKind determines which fields of an Event are set.
 type EventKind uint8
 
-// Event kinds.
+// Event kinds. EventStart and EventStop begin and end a balancer's process.
 const (
 	EventStart EventKind = iota
 	EventStop
@@ -30,7 +30,7 @@
 	Seed        uint64                 // Start
 	Settings    *piernotch.Settings    // Start
 	Request     piernotch.Request      // Request
-	Retry       bool                   // Request: where clients mark retries
+	Retry       bool                   // Request: a retry that the client marks as one
 	ID          piernotch.RequestID    // ClientGone
 	Outcome     piernotch.Outcome      // AttemptCompleted
 	Server      piernotch.ServerID     // HealthCheckCompleted
@@ -45,7 +45,7 @@
 	Token       uint32               // Timer
 }
 
-// loadServer is the server that a load report is of.
+// loadServer returns the server that made the event's load report.
 func (e *Event) loadServer() piernotch.ServerID {
 	if e.Kind == EventAttemptCompleted {
 		return e.Outcome.Server
@@ -53,10 +53,10 @@
 	return e.Server
 }
 
-// ActionKind is the kind of an Action.
+// ActionKind determines which fields of an Action are set.
 type ActionKind uint8
 
-// Action kinds.
+// Action kinds. ActionFetchEndpoints and ActionCloseIdle come only from a Child.
 const (
 	ActionStartAttempt ActionKind = iota
 	ActionCancelAttempt
@@ -69,7 +69,7 @@
 	ActionCloseIdle
 )
 
-// Action is one output of a balancer. Which fields are set depends on the kind.
+// Action is one output of a balancer.
 type Action struct {
 	Kind     ActionKind
 	Balancer int
@@ -80,11 +80,11 @@
 	Token    uint32
 }
 
-// Tier hosts the decisions of all balancers. A World calls it from its own goroutine.
+// Tier runs the decisions of all balancers. A World calls it from its own goroutine.
 type Tier interface {
-	// Turn passes all events of the balancers up to now, in order of balancers, and returns their
-	// actions, in order. The returned slice is valid until the next call. An error ends the run.
+	// Turn passes the balancers' events since the last turn, in order of balancer index, and returns the
+	// balancers' actions, in order. The returned slice is valid until the next call. An error ends the run.
 	Turn(now time.Duration, events []Event) ([]Action, error)
-	// Close frees what the tier holds. It is called once, after the last Turn.
+	// Close releases the resources of the tier. It is called once, after the last Turn.
 	Close() error
 }
