--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -10,11 +10,11 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// responseGrace is how long after the deadline a balancer that has not responded is notified that nobody
-// waits any more. The rule is violated long before.
+// responseGrace is how long after the deadline a balancer that has not responded is notified that the client is
+// gone. By then the checker has counted a violation, unless the scenario allows a longer response slack.
 const responseGrace = time.Second
 
-// reachedBalancer says whether a balancer may have received a request that has ended for its client.
+// reachedBalancer tells whether a balancer may have received a request. Retrying an unreached request is safe.
 type reachedBalancer bool
 
 const (
@@ -22,7 +22,8 @@
 	balancerUnreached reachedBalancer = false
 )
 
-// sendRequest has a client send its request, for the first time or again.
+// sendRequest sends a client's request, for the first time or as a retry. If a balancer can be chosen, it also
+// schedules the deadline and, for a share of the clients, an early disconnect.
 func (w *World) sendRequest(clientID uint64) {
 	client := w.clientRequests.Get(clientID)
 	if client == nil {
@@ -54,8 +55,9 @@
 	}
 }
 
-// chooseBalancer is the load balancing in front of the balancers: one of the zone's balancers by
-// chance, or of any zone where it has none. It returns noBalancer if there is none at all.
+// chooseBalancer is the load balancing in front of the balancers: it picks at random among the balancers of the
+// zone that clients are sent to, or among those of all zones if the zone has none. It returns noBalancer if no
+// zone has any.
 func (w *World) chooseBalancer(zone int, key uint64) balancerIndex {
 	admittedInZone := w.admittedByZone[zone]
 	draw := w.randFor(key, concernBalancer).Float64()
@@ -76,10 +78,11 @@
 		}
 		position -= len(admitted)
 	}
-	return noBalancer // not reached: the position is below the total
+	return noBalancer // unreachable: position < total
 }
 
-// requestArrives brings a request to its balancer.
+// requestArrives delivers a request to its balancer. If the balancer is down or the client has finished, the
+// request ends as unreachable.
 func (w *World) requestArrives(id uint64) {
 	request := w.requests.Get(id)
 	if request == nil {
@@ -107,8 +110,8 @@
 	})
 }
 
-// finalResponse takes a balancer's rejection or failure of a request. One for a request that is over
-// is ignored.
+// finalResponse sends a balancer's rejection or failure of a request to the client. It has no effect if the
+// request is over or with another balancer.
 func (w *World) finalResponse(action *Action, result invariants.Result) {
 	request := w.requests.Get(uint64(action.ID))
 	if request == nil || request.responded || request.balancer != balancerIndex(action.Balancer) {
@@ -119,7 +122,7 @@
 	w.respondToClient(uint64(action.ID), request, result)
 }
 
-// respondToClient sends a final response on its way to the client.
+// respondToClient records the final response of a request and schedules its arrival at the client.
 func (w *World) respondToClient(id uint64, request *requestState, result invariants.Result) {
 	w.checker.ResponseSent(w.now, id, result)
 	request.responded = true
@@ -129,7 +132,7 @@
 	w.events.schedule(w.now+delay, eventResponseArrives, id)
 }
 
-// responseArrives brings a final response to the client.
+// responseArrives hands a final response to the client, unless the client no longer waits for it.
 func (w *World) responseArrives(id uint64) {
 	request := w.requests.Get(id)
 	if request == nil || request.clientDone {
@@ -140,7 +143,7 @@
 	w.releaseRequest(id)
 }
 
-// unreachable has a client find that no balancer receives its request.
+// unreachable ends a request that no balancer has received, as a failure that is safe to retry.
 func (w *World) unreachable(id uint64) {
 	request := w.requests.Get(id)
 	if request == nil || request.clientDone {
@@ -155,7 +158,8 @@
 	w.releaseRequest(id)
 }
 
-// requestExpires ends a client's wait for one request.
+// requestExpires ends a client's wait for one request at the deadline. It schedules responseOverdue if the
+// balancer has not responded.
 func (w *World) requestExpires(id uint64) {
 	request := w.requests.Get(id)
 	if request == nil {
@@ -173,7 +177,8 @@
 	w.releaseRequest(id)
 }
 
-// responseOverdue gives up on a balancer that has not responded.
+// responseOverdue ends a request whose balancer has not responded, and notifies the balancer that the client is
+// gone.
 func (w *World) responseOverdue(id uint64) {
 	request := w.requests.Get(id)
 	if request == nil || request.responded {
@@ -186,7 +191,8 @@
 	w.releaseRequest(id)
 }
 
-// clientDisconnects has a client close its connection before its deadline.
+// clientDisconnects closes a client's connection before the deadline and notifies the balancer. The client does
+// not retry.
 func (w *World) clientDisconnects(id uint64) {
 	request := w.requests.Get(id)
 	if request == nil || request.clientDone || request.responded || !request.received {
@@ -202,8 +208,8 @@
 	w.releaseRequest(id)
 }
 
-// clientDecides has a client act on how a request ended: it is done, retries after a backoff, or
-// gives up.
+// clientDecides applies the client's policy to the result of a request: the client finishes, retries after a
+// backoff, or gives up.
 func (w *World) clientDecides(request *requestState, result invariants.Result, reached reachedBalancer) {
 	clientID := request.client
 	client := w.clientRequests.Get(clientID)
@@ -233,7 +239,7 @@
 	w.events.schedule(w.now+backoff, eventClientRetry, clientID)
 }
 
-// mayRepeat reports whether a client may repeat what may have been executed.
+// mayRepeat reports whether a client may retry a request that may have been executed.
 func (w *World) mayRepeat(client *clientRequest, class *scenario.DrawnClass) bool {
 	switch class.RetrySafety {
 	case piernotch.Idempotent:
@@ -244,8 +250,8 @@
 	return false
 }
 
-// backoff is how long a client waits before its next retry, in whole microseconds: exponential with
-// jitter, and not below the Retry-After that it honours.
+// backoff returns how long a client waits before its next retry, in whole microseconds: exponential backoff
+// with jitter, but not less than the Retry-After that the client honours, up to MaxRetryAfter.
 func (w *World) backoff(client *clientRequest, retryAfter time.Duration) time.Duration {
 	random := w.randFor(mix(client.randomKey+uint64(client.attemptsSent)), concernBackoff)
 	wait := time.Duration(
@@ -258,10 +264,10 @@
 	return wait / time.Microsecond * time.Microsecond
 }
 
-// clientServed ends what a client wanted with a served response, unless it has ended already.
+// clientServed finishes a client request as served; it has no effect on a finished one.
 func (w *World) clientServed(id uint64) { w.finishClientRequest(id, goodput.Served) }
 
-// clientGivesUp ends what a client wanted without one, unless it has ended already.
+// clientGivesUp finishes a client request as unserved; it has no effect on a finished one.
 func (w *World) clientGivesUp(id uint64) { w.finishClientRequest(id, goodput.Unserved) }
 
 func (w *World) finishClientRequest(id uint64, end goodput.End) {
@@ -271,7 +277,8 @@
 	}
 }
 
-// releaseRequest deletes a request once client, balancer and servers are done with it.
+// releaseRequest deletes a request that has ended for client and balancer, is past its deadline and has no
+// attempt in flight.
 func (w *World) releaseRequest(id uint64) {
 	request := w.requests.Get(id)
 	if request != nil && request.clientDone && request.responded && request.expired && request.inflight == 0 {
--- a/internal/lab/simulation/connections.go
+++ b/internal/lab/simulation/connections.go
@@ -6,7 +6,8 @@
 	"piernotch"
 )
 
-// connect finds a connection for an attempt or opens one, and sends the attempt off.
+// connect sends an attempt on an idle connection or opens one. Idle connections past their keep-alive time are
+// closed first. If the server has its maximum of connections, the attempt fails at the dial timeout.
 func (w *World) connect(balancer *balancerState, attemptID uint64, attempt *attemptState) {
 	if balancer.pools == nil {
 		balancer.pools = make([]connectionPool, len(w.servers))
@@ -39,8 +40,8 @@
 	w.events.schedule(attempt.arrivesAt, eventAttemptArrives, attemptID)
 }
 
-// returnConnection puts the connection of a completed attempt back into its pool, or closes it where
-// the status leaves it in an unknown state.
+// returnConnection puts the connection of a completed attempt back into its pool. Without a response the state
+// of the connection is unknown, so it is closed.
 func (w *World) returnConnection(balancer *balancerState, attempt *attemptState, status piernotch.Status) {
 	if attempt.epoch != balancer.epoch || balancer.pools == nil {
 		return
@@ -58,7 +59,7 @@
 	w.closeConnections(attempt.server, 1)
 }
 
-// responded reports whether an attempt ended with a response of its server.
+// responded reports whether an attempt ended with a response from the server.
 func responded(status piernotch.Status) bool {
 	return status == piernotch.OK || status == piernotch.Error || status == piernotch.Full
 }
@@ -72,7 +73,7 @@
 	}
 }
 
-// closeConnections has a server lose some connections.
+// closeConnections reduces the number of open connections of a server.
 func (w *World) closeConnections(index serverIndex, count int) {
 	if count != 0 {
 		server := &w.servers[index]
--- a/internal/lab/simulation/random.go
+++ b/internal/lab/simulation/random.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// mix spreads the bits of x (the finalizer of MurmurHash3).
+// mix hashes x with the finalizer of MurmurHash3.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -14,7 +14,7 @@
 	return x ^ x>>33
 }
 
-// Salts keep numbers that are hashed for different purposes apart. Another value would change every run.
+// Salts separate hashes that are used for different purposes. Changing a salt changes every run.
 const (
 	saltServerModel uint64 = 0x5e // seeds of server models
 	saltServerID    uint64 = 0x1d // IDs of servers
@@ -24,12 +24,12 @@
 // goldenRatio is 2^64 divided by the golden ratio: it spreads consecutive numbers over all bits.
 const goldenRatio uint64 = 0x9e3779b97f4a7c15
 
-// Concerns of hashed random numbers. Two concerns of one key share no numbers.
+// Concerns separate the hashed random numbers that are drawn for one key. Each concern has its own sequence.
 const (
 	concernDelay       uint64 = iota + 1 // network delay of an attempt or health check
 	concernWork                          // variation of an attempt's work
 	concernError                         // whether the response of a server is an error
-	concernBackoff                       // a client's backoff
+	concernBackoff                       // a client's backoff, and whether it honours Retry-After
 	concernBalancer                      // which balancer a client reaches
 	concernStart                         // seed of a balancer's process
 	concernPush                          // delay of a pushed endpoint list
@@ -38,13 +38,13 @@
 	concernDisconnect  = concernBalancer + 100
 )
 
-// randFor returns the random numbers of one concern of a key. They are valid until the next call.
+// randFor returns the source of random numbers for a concern of a key. The next call reseeds the source.
 func (w *World) randFor(key, concern uint64) *rand.Rand {
 	w.pcg.Seed(key, concern^w.realization.Seed)
 	return w.hashedRand
 }
 
-// networkDelay is a message's time on the way, in whole microseconds.
+// networkDelay returns the one-way delay of a message, with jitter, in whole microseconds.
 func (w *World) networkDelay(base time.Duration, key, concern uint64) time.Duration {
 	delay := float64(base) * (1 + w.realization.Jitter*w.randFor(key, concern).Float64())
 	return time.Duration(delay) / time.Microsecond * time.Microsecond
--- a/internal/lab/simulation/traffic.go
+++ b/internal/lab/simulation/traffic.go
@@ -10,27 +10,27 @@
 	"piernotch/internal/trafficrecording"
 )
 
-// traffic brings clients: drawn from the scenario, or those of a recording. Nothing in it depends on
-// what balancers decide.
+// traffic generates client requests: drawn from the scenario, or replayed from a recording. They do not depend
+// on the balancers' decisions.
 type traffic struct {
 	arrivals, keys, hints, tails *rand.Rand
 
-	levels  []float64 // of bursty traffic: factor of the rate, by segment
+	levels  []float64 // rate factor of each segment of bursty traffic
 	zipf    []float64 // cumulative weights of keys
-	maxRate float64   // greatest rate, per second
+	maxRate float64   // upper bound of the rate, per second
 
-	replay  bool // the requests are recorded
+	replay  bool // requests come from a recording
 	head    trafficrecording.Header
-	records []trafficrecording.Record // by arrival; those to come
-	classOf map[string]int            // index by name
+	records []trafficrecording.Record // not yet replayed, in order of arrival
+	classOf map[string]int            // class index by name
 }
 
-// segment is the length over which bursty traffic keeps a level.
+// segment returns how long bursty traffic keeps one level.
 func segment(realization *scenario.Realization) time.Duration {
 	return max(realization.Traffic.Period/4, 10*time.Millisecond)
 }
 
-// init draws the shape of the traffic, or reads the recording.
+// init draws the shape of the traffic, or reads the recording if the scenario names one.
 func (t *traffic) init(world *World) error {
 	realization := world.realization
 	t.arrivals, t.keys = scenario.Stream(realization.Seed, "arrivals"), scenario.Stream(realization.Seed, "keys")
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// cumulativeZipf returns the cumulative weights of n keys by Zipf's law.
+// cumulativeZipf returns the cumulative weights of keys under Zipf's law.
 func cumulativeZipf(keys int, exponent float64) []float64 {
 	var weights []float64
 	sum := 0.0
@@ -63,7 +63,7 @@
 	return weights
 }
 
-// rate is the rate of requests at a time, per second.
+// rate returns the rate of client requests at a time, per second.
 func (t *traffic) rate(world *World, at time.Duration) float64 {
 	realization := world.realization
 	rate := realization.Traffic.RequestsPerSecond
@@ -80,14 +80,15 @@
 		switch fault.Kind {
 		case scenario.FaultBurst:
 			rate *= 1 + (fault.Size-1)*ramp(at, fault.At, fault.End(), fault.Ramp)
-		case scenario.FaultShrink: // traffic falls with the number of servers, and stays low
+		case scenario.FaultShrink: // traffic falls with the number of servers and does not recover
 			rate *= 1 - (1-1/fault.Size)*ramp(at, fault.At, never, fault.For)
 		}
 	}
 	return rate
 }
 
-// ramp rises from 0 to 1 after from, and falls back before to.
+// ramp returns a factor that rises linearly from 0 to 1 after from and falls back to 0 before to, each within
+// the duration over.
 func ramp(at, from, to, over time.Duration) float64 {
 	if at <= from || at >= to {
 		return 0
@@ -100,7 +101,7 @@
 	return min(up, down, 1)
 }
 
-// scheduleNext schedules the next client, unless none comes before the end.
+// scheduleNext schedules the next client request, unless it is due only after the scenario's length.
 func (t *traffic) scheduleNext(world *World) {
 	if t.replay {
 		if len(t.records) > 0 {
@@ -113,8 +114,8 @@
 	if !(t.maxRate > 0) {
 		return
 	}
-	// Thinning: candidates come at the greatest rate, and each is taken with the
-	// share that the present rate is of it (Lewis and Shedler 1979).
+	// Thinning (Lewis and Shedler 1979): candidates arrive at maxRate, and each is accepted with the
+	// probability rate/maxRate.
 	for at := world.now; ; {
 		at += time.Duration(t.arrivals.ExpFloat64() / t.maxRate * float64(time.Second))
 		if at >= world.realization.Length {
@@ -127,7 +128,7 @@
 	}
 }
 
-// clientArrives adds the client that was scheduled, and schedules the next one.
+// clientArrives creates the scheduled client request, sends it and schedules the next one.
 func (t *traffic) clientArrives(world *World) {
 	world.lastClientRequest++
 	client := world.clientRequests.Put(world.lastClientRequest)
@@ -137,7 +138,7 @@
 	t.scheduleNext(world)
 }
 
-// drawRequest draws what a client wants.
+// drawRequest fills in a new client request, drawn from the scenario or taken from the recording.
 func (t *traffic) drawRequest(world *World, client *clientRequest) {
 	realization := world.realization
 	*client = clientRequest{
@@ -158,7 +159,7 @@
 	}
 }
 
-// Arrival is one request of a client, before any decision.
+// Arrival is one client request, before any decision of a balancer.
 type Arrival struct {
 	At          time.Duration // since the start
 	Class       int
@@ -166,11 +167,12 @@
 	Work        float64 // ms
 	Hint        float64 // ms; NaN: none
 	Key         uint64  // 0: none
-	MaxAttempts int     // that the client makes
-	Seed        uint64  // of the client's other random numbers
+	MaxAttempts int     // by the client, at most
+	Seed        uint64  // of the hashed random numbers
 }
 
-// Arrivals draws all requests of a scenario ahead: the same that a World plays.
+// Arrivals returns all client requests of a realization, the same as in a World. It fails if the recording
+// cannot be used.
 func Arrivals(realization *scenario.Realization) ([]Arrival, error) {
 	world := &World{realization: realization}
 	if err := world.traffic.init(world); err != nil {
@@ -226,7 +228,7 @@
 	client.costHint = t.drawHint(realization, client.work)
 }
 
-// drawHint is the cost hint of a request, ms; NaN: none.
+// drawHint returns the cost hint of a request, in ms; NaN means none.
 func (t *traffic) drawHint(realization *scenario.Realization, work float64) float64 {
 	sigma := math.Sqrt(math.Log1p(realization.Traffic.HintCV * realization.Traffic.HintCV))
 	noise := math.Exp(sigma*t.hints.NormFloat64() - sigma*sigma/2)
--- a/internal/lab/simulation/traffic_trace.go
+++ b/internal/lab/simulation/traffic_trace.go
@@ -11,14 +11,14 @@
 	"piernotch/internal/trafficrecording"
 )
 
-// loadTrace reads a recording, whose records stand in the order in which requests ended. The error is
-// of a file that cannot be read, or of a class that the scenario lacks.
+// loadTrace reads a recording and sorts it by arrival, because its records are in the order in which requests
+// ended. It fails if the file cannot be read or has a class that the scenario lacks.
 func (t *traffic) loadTrace(realization *scenario.Realization) error {
 	recording, err := trafficrecording.Open(realization.Traffic.Trace)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = recording.Close() }() // it was only read
+	defer func() { _ = recording.Close() }() // only read, so nothing can be lost
 	t.replay, t.head, t.classOf = true, *recording.Header(), map[string]int{}
 	for i, class := range realization.Classes {
 		t.classOf[class.Name] = i
@@ -41,8 +41,8 @@
 	}
 }
 
-// takeRecorded takes the next request of the recording. A recording knows no work: the cost hint
-// stands for it, or else the class's distribution.
+// takeRecorded fills in a client request from the next record. A recording does not contain the work of
+// requests, so the work is the cost hint or, without one, drawn from the class's distribution.
 func (t *traffic) takeRecorded(world *World, client *clientRequest) {
 	record := t.records[0]
 	t.records = t.records[1:]
