--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -8,42 +8,43 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// discovery is the service that knows the endpoint list: it learns of changes late, publishes them
-// periodically, and responds to calls one after the other.
+// discovery models service discovery: it learns of changes after a delay, publishes them at regular intervals,
+// and handles calls one at a time.
 type discovery struct {
 	entries     []listEntry
 	notices     []notice
-	unpublished []int         // notices that are learned of and not published yet
+	unpublished []int         // indexes of notices that have arrived but are not published
 	version     uint64        // of the list
-	busyUntil   time.Duration // with the calls taken so far
-	outages     int           // that go on
-	outageEnded time.Duration // the last one
-	noticeDelay time.Duration // by which faults delay notices further
-	phase       time.Duration // of the interval of publishing
+	busyUntil   time.Duration // when the calls accepted so far are handled
+	outages     int           // number in progress
+	outageEnded time.Duration // end of the latest outage
+	noticeDelay time.Duration // additional delay of notices by faults
+	phase       time.Duration // offset of the publishing times within the interval
 }
 
-// listEntry is one server as listed.
+// listEntry is the entry of one server in the endpoint list.
 type listEntry struct {
 	present   bool
 	state     piernotch.State
 	startedAt time.Duration
-	changedIn uint64 // version of the list that changed it last
+	changedIn uint64 // version of the list in which the entry last changed
 	changedAt time.Duration
 }
 
-// lateStartDivisor is by what faults delay the notices of starts less than those of ends and drains.
+// lateStartDivisor divides the delay by faults for notices of starts, which are delayed less than those of ends
+// and drains.
 const lateStartDivisor = 2
 
-// notice is a change of a server that discovery learns of after a while.
+// notice is a change of a server's state that discovery learns of after a delay.
 type notice struct {
 	server    serverIndex
-	number    int // among the notices of this server, from 1
+	number    int // sequence number among the notices of this server, from 1
 	state     piernotch.State
 	startedAt time.Duration
 }
 
-// Kinds of deliveries to a balancer: responses to calls, and pushes of changes. In the ID of a
-// scheduled event, the epoch of the balancer's process stands above the kind, from bit 8 on.
+// Kinds of deliveries to a balancer: responses to calls, and pushes of changes. In the ID of a scheduled event,
+// bits 0 to 7 hold the kind, the higher bits the epoch of the balancer's process.
 const (
 	pushChanges uint64 = iota
 	watchResponse
@@ -51,7 +52,7 @@
 	callFailed
 )
 
-// init lists all servers as ready.
+// init lists all servers as ready and draws the phase of publishing.
 func (d *discovery) init(world *World) {
 	d.entries = make([]listEntry, len(world.servers))
 	for i := range d.entries {
@@ -64,7 +65,8 @@
 	)
 }
 
-// serverChanged notes a server's new state; discovery learns of it after a while.
+// serverChanged schedules the notice of a server's new state, which discovery receives after the given delay
+// plus the delay by faults.
 func (d *discovery) serverChanged(world *World, index serverIndex, state piernotch.State, after time.Duration) {
 	server := &world.servers[index]
 	server.noticeCount++
@@ -78,7 +80,7 @@
 	world.events.schedule(world.now+after, eventDiscoveryNotice, uint64(len(d.notices)-1))
 }
 
-// learn has discovery learn of a change; it is published at the next period.
+// learn queues a notice for the next publishing time.
 func (d *discovery) learn(world *World, noticeNumber int) {
 	d.unpublished = append(d.unpublished, noticeNumber)
 	if len(d.unpublished) > 1 {
@@ -91,7 +93,8 @@
 	world.events.schedule(max(at, world.now), eventDiscoveryPublish, 0)
 }
 
-// publish makes a new version of the list and pushes it to the watchers.
+// publish applies the queued notices as a new version of the list and pushes it to the watching balancers. It
+// pushes nothing if no entry has changed or during an outage.
 func (d *discovery) publish(world *World) {
 	d.version++
 	changed := false
@@ -121,8 +124,8 @@
 	d.push(world)
 }
 
-// listWrongly lists servers as gone that are not, or as ready again. Servers that have ended or
-// drain stay as they are listed.
+// listWrongly lists servers as gone by mistake, or as ready again, and pushes the change. Only the entries of
+// servers that are up change.
 func (d *discovery) listWrongly(world *World, servers []int, state piernotch.State) {
 	d.version++
 	for _, index := range servers {
@@ -137,13 +140,13 @@
 	d.push(world)
 }
 
-// supersededByStart reports whether a later start of the server is listed than the notice is of.
+// supersededByStart reports whether the list already has a later start of the server than the notice.
 func (d *discovery) supersededByStart(change notice) bool {
 	entry := &d.entries[change.server]
 	return entry.state == piernotch.Ready && entry.startedAt > change.startedAt
 }
 
-// endpoint is a server as it is listed.
+// endpoint returns the entry of a server in the form that balancers receive.
 func (d *discovery) endpoint(world *World, index serverIndex) piernotch.Endpoint {
 	entry, server := &d.entries[index], &world.servers[index]
 	return piernotch.Endpoint{
@@ -156,7 +159,7 @@
 	}
 }
 
-// changedSince lists the servers that changed after a version of the list.
+// changedSince returns the servers whose entries changed after a version of the list.
 func (d *discovery) changedSince(version uint64) []serverIndex {
 	var servers []serverIndex
 	for index := range d.entries {
@@ -167,7 +170,7 @@
 	return servers
 }
 
-// presentServers lists every server that is on the list.
+// presentServers returns the servers on the list, in order of index.
 func (d *discovery) presentServers() []serverIndex {
 	var servers []serverIndex
 	for index := range d.entries {
@@ -178,7 +181,8 @@
 	return servers
 }
 
-// beginOutage begins an outage; several may overlap. It ends all watches, and calls fail.
+// beginOutage begins an outage; several may overlap. Calls fail and nothing is pushed during an outage.
+// Balancers that watch by calls lose their watch and are notified of the failure.
 func (d *discovery) beginOutage(world *World) {
 	d.outages++
 	for i := range world.balancers {
@@ -191,7 +195,7 @@
 	}
 }
 
-// endOutage ends one outage.
+// endOutage ends one outage; others may still be in progress.
 func (d *discovery) endOutage(world *World) {
 	d.outages--
 	d.outageEnded = world.now
--- a/internal/lab/simulation/discovery_delivery.go
+++ b/internal/lab/simulation/discovery_delivery.go
@@ -8,27 +8,25 @@
 	"piernotch/internal/lab/invariants"
 )
 
-// callFailureDelay is how much longer than the round trip a balancer waits for a call that fails in an
-// outage.
+// callFailureDelay is how much longer than the round trip a call during an outage takes to fail.
 const callFailureDelay = time.Millisecond
 
-// notifyLimit is how long after a change is listed, and discovery can be reached, a balancer counts as notified
-// of it, whatever became of its calls (protocol page, "Figures").
+// notifyLimit is how long a change has to be listed, and discovery without an outage, until a balancer counts
+// as notified of the change even if its calls failed (protocol page, "Figures").
 const notifyLimit = 6 * time.Second
 
-// pollIntervalsAfterFailure is for how many poll intervals a balancer whose last call failed may go
-// without another one.
+// pollIntervalsAfterFailure is how many poll intervals a balancer may go without a call after a failed one.
 const pollIntervalsAfterFailure = 4
 
-// callKind is what a balancer asks discovery for.
+// callKind is the kind of a balancer's call to discovery.
 type callKind uint8
 
 const (
 	fetchList    callKind = iota // the full list
-	watchChanges                 // changes of the list, as they come
+	watchChanges                 // the changes since the balancer's version, and pushes of later ones
 )
 
-// push schedules the delivery of changes to all balancers that watch.
+// push schedules the delivery of changes to all watching balancers. During an outage it does nothing.
 func (d *discovery) push(world *World) {
 	for i := range world.balancers {
 		index := balancerIndex(i)
@@ -38,20 +36,21 @@
 	}
 }
 
-// pushDelay is how long after a change of the list a balancer gets the push.
+// pushDelay returns how long after a change of the list a balancer receives the push, in whole microseconds.
 func (d *discovery) pushDelay(world *World, index balancerIndex) time.Duration {
 	draw := world.randFor(mix(d.version<<20^uint64(index)), concernPush).Float64()
 	delay := time.Duration(draw * float64(world.realization.Discovery.DeliverySpread))
 	return delay / time.Microsecond * time.Microsecond
 }
 
-// scheduleDelivery schedules a delivery to a balancer; one to a process that has ended by then is
-// dropped.
+// scheduleDelivery schedules a delivery to a balancer. It is dropped if the balancer's process has ended by
+// then.
 func (d *discovery) scheduleDelivery(world *World, index balancerIndex, at time.Duration, kind uint64) {
 	world.events.scheduleFor(at, eventListArrives, uint64(world.balancers[index].epoch)<<8|kind, int32(index))
 }
 
-// call takes a balancer's call. Calls get their responses one after the other.
+// call handles a balancer's call to discovery. Calls are served one at a time, in order. A call fails during an
+// outage, or if the response would take longer than the timeout.
 func (d *discovery) call(world *World, index balancerIndex, kind callKind) {
 	balancer := &world.balancers[index]
 	balancer.lastPoll = world.now
@@ -77,7 +76,7 @@
 	d.scheduleDelivery(world, index, done+roundTrip, response)
 }
 
-// responseSize is how many entries the response to a call holds.
+// responseSize returns how many entries of the list a response is charged for.
 func (d *discovery) responseSize(balancer *balancerState, kind callKind) int {
 	count := 0
 	for i := range d.entries {
@@ -90,7 +89,8 @@
 	return count
 }
 
-// deliver brings a list to a balancer. The ID is the epoch of its process and the kind of delivery.
+// deliver hands a balancer the list, the changes since its version or the failure of a call. The ID holds the
+// kind of delivery and the epoch of the balancer's process.
 func (d *discovery) deliver(world *World, index balancerIndex, id uint64) {
 	balancer := &world.balancers[index]
 	sameProcess := uint32(id>>8) == balancer.epoch
@@ -128,7 +128,7 @@
 	d.send(world, index, piernotch.UpdateDelta, servers)
 }
 
-// remember caches an entry for the balancer's next process.
+// remember updates the entry of a server in the list that is cached for the balancer's next process.
 func (d *discovery) remember(world *World, balancer *balancerState, server serverIndex) {
 	if balancer.entries == nil {
 		balancer.entries = map[serverIndex]piernotch.Endpoint{}
@@ -140,7 +140,7 @@
 	balancer.entries[server] = d.endpoint(world, server)
 }
 
-// setFullList makes a balancer's cached list the present one.
+// setFullList replaces a balancer's cached list with the current one.
 func (d *discovery) setFullList(world *World, index balancerIndex) {
 	balancer := &world.balancers[index]
 	balancer.listVersion = d.version
@@ -152,7 +152,8 @@
 	}
 }
 
-// send notifies a balancer of servers as they are listed now.
+// send notifies a balancer of the current entries of servers. With a full list, it counts as notified that all
+// other servers are gone.
 func (d *discovery) send(world *World, balancer balancerIndex, kind piernotch.UpdateKind, servers []serverIndex) {
 	event := Event{Kind: EventEndpointList, ListKind: kind, Version: d.version}
 	for _, server := range servers {
@@ -164,7 +165,7 @@
 	world.notify(balancer, event)
 }
 
-// addEntry adds the entry of a server to an event for a balancer.
+// addEntry adds the entry of a server to an event for a balancer and records the notification for the checker.
 func (w *World) addEntry(event *Event, balancer balancerIndex, server serverIndex, entry piernotch.Endpoint) {
 	event.Entries = append(event.Entries, entry)
 	event.ServerKinds = append(event.ServerKinds, w.servers[server].spec.KindIndex)
@@ -173,7 +174,7 @@
 	})
 }
 
-// notifyAbsent counts the servers that a full list leaves out as notified to be gone.
+// notifyAbsent records for the checker that a full list notified a balancer of the servers that are gone.
 func (d *discovery) notifyAbsent(world *World, balancer balancerIndex) {
 	for i := range d.entries {
 		if !d.entries[i].present {
@@ -184,7 +185,7 @@
 	}
 }
 
-// sendCached notifies a balancer's process that starts of the list that its predecessor had last.
+// sendCached sends a starting process of a balancer the endpoint list that its predecessor had last.
 func (d *discovery) sendCached(world *World, index balancerIndex) {
 	balancer := &world.balancers[index]
 	event := Event{Kind: EventEndpointList, ListKind: piernotch.UpdateCached, Version: balancer.listVersion}
@@ -199,8 +200,10 @@
 	world.notify(index, event)
 }
 
-// notifyImplied counts balancers that neither watch nor poll as notified of what has been listed for
-// longer than they may go without polling, and of what discovery has had for notifyLimit since its last outage.
+// notifyImplied records for the checker which changes a balancer must know by now if it does not watch. A
+// balancer that has not polled for its poll interval counts as notified of changes older than the interval.
+// After a failed call, it counts as notified of changes older than notifyLimit, once discovery has been without
+// an outage for that long.
 func (d *discovery) notifyImplied(world *World) {
 	couldBeAsked := d.outages == 0 && world.now-d.outageEnded >= notifyLimit
 	for i := range world.balancers {
@@ -220,8 +223,8 @@
 	}
 }
 
-// notifyUnpolled counts a balancer as notified of each server that is not ready, and has been listed so
-// since a time at the latest.
+// notifyUnpolled records for the checker that a balancer was notified of each server that is listed as not
+// ready, in a change after the balancer's version and not later than the given time.
 func (d *discovery) notifyUnpolled(world *World, index balancerIndex, since time.Duration) {
 	balancer := &world.balancers[index]
 	for i := range d.entries {
