--- a/internal/lab/simulation/event_queue.go
+++ b/internal/lab/simulation/event_queue.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// priority orders what happens in the same microsecond.
+// priority orders events that are due at the same time.
 type priority uint8
 
-// Priorities: faults first; then servers complete, then messages arrive, so that a response wins over a
-// timeout; then discovery delivers, then time runs out, then clients come; the balancers take their turn
-// last, knowing all of it. What has the same priority keeps the order in which it was scheduled.
+// Priorities: faults come first, then completions at servers, then messages, so that a response precedes a
+// timeout that is due at the same time. Endpoint lists, timeouts, requests and timers follow. The turn comes
+// after all of these, so that balancers decide with all of them known; only samples are later. Events of equal
+// priority keep the order in which they were scheduled.
 const (
 	priorityFault priority = iota
 	priorityServer
@@ -20,37 +21,37 @@
 	prioritySample
 )
 
-// eventKind is the kind of a scheduled event.
+// eventKind determines the handler and the priority of a scheduled event.
 type eventKind uint8
 
-// Kinds of scheduled events. The comment says what the ID is of, and what the index is of if it is used.
+// Kinds of scheduled events. Each comment says what the ID identifies, and what the index identifies if it is
+// used.
 const (
 	eventScript               eventKind = iota // step of the script
 	eventServerAdvance                         // index: server whose Advance is due
-	eventAttemptArrives                        // attempt, at its server
-	eventOutcomeArrives                        // attempt, its outcome at its balancer
-	eventCancelArrives                         // attempt, its cancellation at its server
-	eventAttemptTimeout                        // attempt
-	eventHealthCheckArrives                    // health check, at its server
-	eventHealthCheckCompletes                  // health check, its result at its balancer
-	eventRequestArrives                        // request, at its balancer
-	eventResponseArrives                       // request, its final response at the client
+	eventAttemptArrives                        // attempt that reaches its server
+	eventOutcomeArrives                        // attempt whose outcome reaches the balancer
+	eventCancelArrives                         // attempt whose cancellation reaches the server
+	eventAttemptTimeout                        // attempt that times out
+	eventHealthCheckArrives                    // health check that reaches its server
+	eventHealthCheckCompletes                  // health check whose result reaches the balancer
+	eventRequestArrives                        // request that reaches its balancer
+	eventResponseArrives                       // request whose final response reaches the client
 	eventUnreachable                           // request that reached no balancer
-	eventRequestDeadline                       // request whose client waits no longer
-	eventResponseOverdue                       // request without a response long after its deadline
+	eventRequestDeadline                       // request whose client stops waiting
+	eventResponseOverdue                       // request without a response responseGrace after its deadline
 	eventClientDisconnects                     // request whose client disconnects early
 	eventClientRetry                           // client request that is retried
-	eventNextClient                            // no ID: the next client comes
-	eventListArrives                           // epoch and kind of delivery; index: balancer
-	eventDiscoveryNotice                       // notice that discovery learns of
-	eventDiscoveryPublish                      // no ID: discovery publishes what it learned
+	eventNextClient                            // no ID: the next client request is created
+	eventListArrives                           // epoch and kind of a delivery; index: balancer
+	eventDiscoveryNotice                       // notice that reaches discovery
+	eventDiscoveryPublish                      // no ID: discovery publishes the queued notices
 	eventTimer                                 // epoch and token; index: balancer
 	eventTurn                                  // no ID: balancers with events decide
 	eventEachSecond                            // no ID
-	eventKinds                                 // their number
+	eventKinds                                 // number of kinds
 )
 
-// priorityByKind holds the priority of each kind of event.
 var priorityByKind = [eventKinds]priority{
 	eventScript:               priorityFault,
 	eventServerAdvance:        priorityServer,
@@ -76,16 +77,16 @@
 	eventEachSecond:           prioritySample,
 }
 
-// scheduledEvent is something that will happen.
+// scheduledEvent is an element of the event queue.
 type scheduledEvent struct {
 	at    time.Duration
-	order uint64 // among events of the same time: priority, then order of scheduling
+	order uint64 // breaks ties in time: priority, then order of scheduling
 	id    uint64
 	index int32
 	kind  eventKind
 }
 
-// before reports whether e happens before other.
+// before reports whether e is handled before other.
 func (e *scheduledEvent) before(other *scheduledEvent) bool {
 	if e.at != other.at {
 		return e.at < other.at
@@ -93,17 +94,18 @@
 	return e.order < other.order
 }
 
-// priorityShift is the place of the priority in scheduledEvent.order, above the number of the event.
+// priorityShift is the position of the priority in scheduledEvent.order. The bits below it hold the number of
+// the event.
 const priorityShift = 56
 
-// arity is the number of children of an element of eventQueue.
+// arity is the maximum number of children of an element of eventQueue.
 const arity = 4
 
-// eventQueue is a heap with four children for each element: it is flatter than a binary one, and events are
-// moved more often than compared.
+// eventQueue is a heap with four children for each element. It is flatter than a binary heap, which saves moves
+// at the price of comparisons.
 type eventQueue struct {
 	heap      []scheduledEvent
-	scheduled uint64 // events so far
+	scheduled uint64 // number of events scheduled so far
 }
 
 // schedule adds an event. The meaning of the ID depends on the kind.
@@ -111,7 +113,7 @@
 	q.scheduleFor(at, kind, id, 0)
 }
 
-// scheduleFor adds an event of a balancer or a server with an index. The meaning of both the ID and the
+// scheduleFor adds an event with an index, that of a balancer or a server. The meaning of both the ID and the
 // index depends on the kind.
 func (q *eventQueue) scheduleFor(at time.Duration, kind eventKind, id uint64, index int32) {
 	q.scheduled++
@@ -135,7 +137,7 @@
 	q.heap[place] = event
 }
 
-// pop removes the first event; ok is false if there is none.
+// pop removes and returns the first event; ok is false if there is none.
 func (q *eventQueue) pop() (e scheduledEvent, ok bool) {
 	lastIndex := len(q.heap) - 1
 	if lastIndex < 0 {
@@ -149,7 +151,7 @@
 	return top, true
 }
 
-// siftDown fills the empty root with e or its least descendants.
+// siftDown puts event in the place of the removed root and restores the heap order.
 func (q *eventQueue) siftDown(event scheduledEvent) {
 	size := len(q.heap)
 	place := 0
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -8,10 +8,11 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// scheduleFaults writes the scenario's faults into the script.
+// scheduleFaults adds the scenario's faults to the script, and the servers that join later to the World.
 func (w *World) scheduleFaults() {
 	for _, step := range w.realization.Steps() {
-		if step.Action == scenario.Join || step.Action == scenario.Takeover { // the server exists from the beginning
+		// A new server is added now and started by the step.
+		if step.Action == scenario.Join || step.Action == scenario.Takeover {
 			w.scheduleJoin(step.Server, step.Number, step.At)
 			continue
 		}
@@ -19,7 +20,7 @@
 	}
 	for i := range w.realization.Faults {
 		fault := &w.realization.Faults[i]
-		if fault.Kind == scenario.FaultMoveDiscovery { // to the balancers it is an outage that is over at once
+		if fault.Kind == scenario.FaultMoveDiscovery { // balancers see an outage of 1 ms
 			w.schedule(fault.At, func() { w.discovery.beginOutage(w) })
 			w.schedule(fault.At+time.Millisecond, func() { w.discovery.endOutage(w) })
 		}
@@ -29,13 +30,13 @@
 	}
 }
 
-// scheduleBalancerFault schedules what a fault does to the n-th of its balancers.
+// scheduleBalancerFault schedules what a fault does to one of its balancers; position is the index among them.
 func (w *World) scheduleBalancerFault(fault *scenario.Fault, position int, balancer balancerIndex) {
 	switch fault.Kind {
 	case scenario.FaultCrashBalancers:
 		w.schedule(fault.At, func() { w.killBalancer(balancer) })
 		w.schedule(fault.At+w.realization.FailoverDelay, func() {
-			if w.balancers[balancer].up { // its next process has started meanwhile
+			if w.balancers[balancer].up { // the next process has already started
 				w.admit(balancer)
 			} else {
 				w.stopAdmitting(balancer)
@@ -43,7 +44,7 @@
 		})
 		w.schedule(fault.End(), func() { w.startNextProcess(balancer) })
 	case scenario.FaultRestartBalancers:
-		// No more clients are sent to it, and what it has gets its responses first.
+		// Clients are no longer sent to the balancer, and it lives on until its last request must have ended.
 		at := fault.At + fault.Every*time.Duration(position)
 		killedAt := at + w.longestRequest()
 		w.schedule(at, func() { w.stopAdmitting(balancer) })
@@ -52,7 +53,7 @@
 	}
 }
 
-// applyStep does one thing to servers or discovery.
+// applyStep applies one step of a fault to servers or to discovery.
 func (w *World) applyStep(step *scenario.Step) {
 	switch step.Action {
 	case scenario.Slow:
@@ -80,7 +81,7 @@
 		w.reportDelay += step.Length
 	case scenario.DelayDiscovery:
 		w.discovery.noticeDelay += step.Length
-	case scenario.CorruptResponses: // the request was executed; its response is of no use
+	case scenario.CorruptResponses: // servers execute the request but respond with an error
 		w.corruptShare += step.Size
 	case scenario.DiscoveryDown:
 		w.discovery.beginOutage(w)
@@ -89,7 +90,7 @@
 	}
 }
 
-// longestRequest is how long a balancer may hold a request.
+// longestRequest returns the longest time that a balancer may take for a request.
 func (w *World) longestRequest() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range w.realization.Classes {
@@ -98,7 +99,7 @@
 	return longest + w.realization.Rules.ResponseSlack
 }
 
-// slowServer multiplies a server's slowness; faults of this kind may overlap.
+// slowServer multiplies a server's slow factor, so that faults of this kind may overlap.
 func (w *World) slowServer(index serverIndex, factor float64) {
 	server := &w.servers[index]
 	server.slowFactor *= factor
@@ -106,7 +107,7 @@
 	w.scheduleServer(index)
 }
 
-// drainServer begins a server's graceful shutdown.
+// drainServer begins the graceful shutdown of a server that is up, and gives discovery notice.
 func (w *World) drainServer(index serverIndex) {
 	server := &w.servers[index]
 	if server.State() != servermodel.Up {
@@ -116,7 +117,8 @@
 	w.discovery.serverChanged(w, index, piernotch.Draining, w.realization.Discovery.RemovalDelay)
 }
 
-// endServer ends a server's process: as planned after a drain, else as a crash.
+// endServer ends a server's process, which is an orderly exit after a drain and a crash otherwise. A server
+// that is silent or down stays as it is.
 func (w *World) endServer(index serverIndex) {
 	server := &w.servers[index]
 	if server.State() == servermodel.Silent || server.State() == servermodel.Down {
@@ -127,7 +129,8 @@
 	w.discovery.serverChanged(w, index, piernotch.Gone, w.realization.Discovery.RemovalDelay)
 }
 
-// vanishServer cuts a server off: nobody is notified of what becomes of its requests.
+// vanishServer makes a server silent: its attempts get no outcome before their timeout, and discovery needs
+// FailureDetectionDelay to notice.
 func (w *World) vanishServer(index serverIndex) {
 	for _, lost := range w.servers[index].Vanish(w.now) {
 		if attempt := w.attempts.Get(lost.ID); attempt != nil {
@@ -139,7 +142,7 @@
 	w.discovery.serverChanged(w, index, piernotch.Gone, w.realization.Discovery.FailureDetectionDelay)
 }
 
-// startServer starts a server's process, in slow start. A collapsed one stays down.
+// startServer starts a server's process, in slow start. A collapsed server stays down.
 func (w *World) startServer(index serverIndex) {
 	server := &w.servers[index]
 	if server.State() == servermodel.Collapsed {
@@ -150,7 +153,7 @@
 	w.discovery.serverChanged(w, index, piernotch.Ready, w.realization.Discovery.AddDelay)
 }
 
-// scheduleJoin adds a new server that starts later, like one of those at the start of the run.
+// scheduleJoin adds a server that is modelled on one of the initial servers and is down until the given time.
 func (w *World) scheduleJoin(like, number int, at time.Duration) {
 	index, err := w.addServer(w.realization.Like(like, number))
 	if err != nil {
--- a/internal/lab/simulation/health_checks.go
+++ b/internal/lab/simulation/health_checks.go
@@ -7,7 +7,7 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// startHealthCheck sends a health check on its way to a server.
+// startHealthCheck sends a health check to a server. An unknown server ends the run with an error.
 func (w *World) startHealthCheck(action *Action) {
 	server, known := w.serverByID[action.Server]
 	if !known {
@@ -29,7 +29,8 @@
 	w.events.schedule(w.now+check.delay, eventHealthCheckArrives, w.lastHealthCheck)
 }
 
-// healthCheckArrives has a server respond to a health check as its state allows.
+// healthCheckArrives derives the result of a health check from the server's state and schedules the arrival of
+// the result at the balancer.
 func (w *World) healthCheckArrives(id uint64) {
 	check := w.healthChecks.Get(id)
 	server := &w.servers[check.server]
@@ -49,7 +50,8 @@
 	w.events.schedule(back, eventHealthCheckCompletes, id)
 }
 
-// healthCheckCompletes brings a result to the balancer, if the process that asked still runs.
+// healthCheckCompletes notifies a balancer of the result of a health check, if the process that sent the check
+// still runs.
 func (w *World) healthCheckCompletes(id uint64) {
 	check := w.healthChecks.Get(id)
 	if balancer := &w.balancers[check.balancer]; balancer.up && balancer.epoch == check.epoch {
--- a/internal/lab/simulation/servers.go
+++ b/internal/lab/simulation/servers.go
@@ -7,7 +7,7 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// scheduleServer schedules a server's next Advance, unless an earlier one is scheduled.
+// scheduleServer schedules a server's next Advance, unless one is scheduled that is not later.
 func (w *World) scheduleServer(index serverIndex) {
 	server := &w.servers[index]
 	if next := server.Next(); next < server.nextAdvance {
@@ -16,7 +16,8 @@
 	}
 }
 
-// advanceServer takes what a server has completed; one that an earlier one replaced is ignored.
+// advanceServer advances a server's model and handles the completed jobs. A scheduled Advance that an earlier
+// one has replaced is ignored.
 func (w *World) advanceServer(index serverIndex, at time.Duration) {
 	server := &w.servers[index]
 	if server.nextAdvance != at {
@@ -28,7 +29,8 @@
 	w.scheduleServer(index)
 }
 
-// serverCompleted sends the responses of what a server has completed.
+// serverCompleted handles the jobs that a server has completed or reset. It responds for each attempt whose
+// balancer still waits.
 func (w *World) serverCompleted(index serverIndex, completions []servermodel.Completion) {
 	for _, completion := range completions {
 		attempt := w.attempts.Get(completion.ID)
@@ -49,7 +51,8 @@
 	}
 }
 
-// respond sends the response of one attempt on its way to the balancer.
+// respond schedules the arrival of an attempt's outcome at the balancer. A fault may turn a success into an
+// error.
 func (w *World) respond(index serverIndex, attempt *attemptState, completion servermodel.Completion) {
 	attempt.load, attempt.hasLoad = w.servers[index].Report(w.now, w.reportDelay)
 	status := piernotch.OK
