--- a/internal/lab/simulation/counters.go
+++ b/internal/lab/simulation/counters.go
@@ -10,41 +10,41 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// maxTracks bounds the servers that are sampled; they are spread evenly over all.
+// maxTracks bounds the number of servers that are sampled; they are evenly spread over all servers.
 const maxTracks = 48
 
-// States of a sample beyond those of servermodel.State; Result documents all of them.
+// States of a sample beyond those of servermodel.State. ServerTrack.State lists all values.
 const (
 	sampleSlowStart  uint8 = 5
 	sampleOverloaded uint8 = 6
 )
 
-// counters counts what a World does.
+// counters holds the totals of a run, from which result makes the Result.
 type counters struct {
 	Events           int
-	Requests         int // attempts of clients
+	Requests         int // sent by clients, retries included
 	Attempts         int
 	FirstAttempts    int
-	CrossZone        int // attempts to another zone
+	CrossZone        int // attempts to a server in another zone
 	HealthChecks     int
 	RejectedByServer int
-	TableFull        int // connections that a server refused for having too many
-	Opened           int // connections
+	TableFull        int // connections not opened because the server had its maximum
+	Opened           int // connections opened
 	Collapses        int
 	Unreachable      int // requests that reached no balancer
-	TimedOut         int // requests whose client waited no longer
+	TimedOut         int // requests whose client stopped waiting at the deadline
 	Disconnected     int // requests whose client disconnected early
 	ListFailed       int // calls to discovery that timed out
 	Outcomes         [piernotch.NotSent + 1]int
 	ServedWork       float64       // ms
-	ModuleTime       time.Duration // of the wall clock, in balancers' decisions
+	ModuleTime       time.Duration // wall-clock time of the balancers' decisions
 
 	goodput *goodput.Counter
-	digest  uint64 // of what clients got, and when
+	digest  uint64 // hash over the latency and earned weight of each client request
 
-	// For Little's law.
+	// The following fields check Little's law.
 	inflight        int           // attempts at servers
-	since           time.Duration // until when inflightSeconds is counted
+	since           time.Duration // time up to which inflightSeconds is integrated
 	inflightSeconds float64       // integral of inflight over time, s
 	sojournSeconds  float64       // sum over attempts of the time at their server, s
 	accepted        int
@@ -54,7 +54,7 @@
 
 func (c *counters) init(realization *scenario.Realization) { c.goodput = goodput.New(realization) }
 
-// finish counts a client's request that is over.
+// finish counts a client request that is over and adds it to the digest.
 func (c *counters) finish(world *World, client *clientRequest, end goodput.End) {
 	took := world.now - client.firstSent
 	earned := c.goodput.RequestFinished(goodput.FinishedRequest{
@@ -68,7 +68,7 @@
 	c.digest = mix(c.digest^mix(client.randomKey^uint64(took)<<1)) + math.Float64bits(earned)
 }
 
-// attemptStarted counts an attempt of a request.
+// attemptStarted counts an attempt by a balancer; the first of a request has number 0.
 func (c *counters) attemptStarted(attemptNumber int, crossZone bool) {
 	c.Attempts++
 	if attemptNumber == 0 {
@@ -86,7 +86,7 @@
 	c.accepted++
 }
 
-// exit counts an attempt that a server is done with.
+// exit counts an attempt that has left its server, whether completed, reset or cancelled.
 func (c *counters) exit(world *World, attempt *attemptState) {
 	c.advance(world.now)
 	c.inflight--
@@ -99,7 +99,7 @@
 	c.since = now
 }
 
-// sample records the state of some servers; it is called once a second.
+// sample records the state of the sampled servers, once a second until the end of the scenario's length.
 func (c *counters) sample(world *World) {
 	if c.tracks == nil {
 		c.chooseTracks(world)
@@ -123,7 +123,7 @@
 	}
 }
 
-// chooseTracks picks the servers to sample.
+// chooseTracks selects every n-th server for sampling, at most maxTracks of them.
 func (c *counters) chooseTracks(world *World) {
 	count := len(world.servers)
 	step := max((count+maxTracks-1)/maxTracks, 1)
--- a/internal/lab/simulation/records.go
+++ b/internal/lab/simulation/records.go
@@ -10,13 +10,13 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// maxAttempts bounds the attempts of a request, whatever the settings allow.
+// maxAttempts bounds the attempts of a balancer at one request, whatever the settings allow.
 const maxAttempts = 8
 
-// clientRequest is what a client wants. The client makes a first attempt at it, and retries after some
-// failures; to the balancers each of its attempts is a request of its own.
+// clientRequest is a request as its client sees it. The client sends it once and may retry after a failure;
+// each send is a separate request to the balancers.
 type clientRequest struct {
-	randomKey      uint64 // seeds its hashed random numbers
+	randomKey      uint64 // key of the hashed random numbers
 	firstSent      time.Duration
 	deadline       time.Duration // when the client gives up, over all of its attempts
 	class          int
@@ -24,76 +24,76 @@
 	work           float64 // ms on a core of speed 1
 	costHint       float64 // ms; NaN: none
 	key            uint64  // for key affinity; 0: none
-	attemptsSent   int     // so far
-	maxRetries     int     // retries that the client would make
-	disconnectDraw float64 // from [0, 1): below a share, the client disconnects early
+	attemptsSent   int     // by the client so far, retries included
+	maxRetries     int     // by the client, at most
+	disconnectDraw float64 // in [0, 1); below EarlyDisconnectShare, the client disconnects early
 }
 
-// departedClient stands for a client that has gone while its balancer still works for it.
+// departedClient replaces a client request that is finished while a balancer still works on it.
 var departedClient = clientRequest{costHint: math.NaN()}
 
-// requestState is one attempt of a client at its request, as a balancer sees it.
+// requestState is a request as a balancer sees it: one send of a clientRequest.
 type requestState struct {
 	client              uint64        // ID of its clientRequest
 	balancer            balancerIndex // noBalancer: none could be reached
-	retry               int8          // number of the client's attempt, from 0
-	attempts            int8          // started so far
-	inflight            int8          // of them, not completed yet
-	received            bool          // by the balancer
-	responded           bool          // it has its final response, or needs none
-	clientDone          bool          // the client knows how it ended
-	expired             bool          // its deadline has passed
+	retry               int8          // 0 for the first send; capped at 100
+	attempts            int8          // attempts started by the balancer
+	inflight            int8          // attempts not completed
+	received            bool          // the balancer has received it
+	responded           bool          // the final response was sent, or none is needed
+	clientDone          bool          // the client no longer waits
+	expired             bool          // past the deadline, or no balancer could be chosen
 	respondedByBalancer bool          // the balancer itself rejected or failed it
 	respondedAt         time.Duration
 	result              invariants.Result
-	balancerKilled      bool          // while it had the request
-	retryAfter          time.Duration // advice of a rejection
+	balancerKilled      bool          // killed before it responded
+	retryAfter          time.Duration // Retry-After of a rejection
 	deadline            time.Duration
 	attemptIDs          [maxAttempts]uint64
 }
 
-// attemptState is one sending of a request by a balancer to a server.
+// attemptState is one attempt: a request sent by a balancer to a server.
 type attemptState struct {
 	request       uint64
 	randomKey     uint64
 	balancer      balancerIndex
 	server        serverIndex
-	epoch         uint32 // of the balancer, when it was sent
-	number        int8   // from 0, for each request
+	epoch         uint32 // of the balancer at sentAt
+	number        int8   // attempt number, from 0
 	status        piernotch.Status
 	newConnection bool
 	inTransit     bool // on its way to the server
-	completed     bool // for its balancer
-	atServer      bool // running or queued there
-	outcomeSent   bool // its outcome is on the way to the balancer
+	completed     bool // the balancer has the outcome or no longer waits
+	atServer      bool // running or queued at the server
+	outcomeSent   bool // outcome scheduled to arrive at the balancer
 	hasLoad       bool
-	delay         time.Duration // of the network, one way
+	delay         time.Duration // one-way network delay
 	sentAt        time.Duration
-	arrivesAt     time.Duration // when it reaches, and later when it reached, the server
+	arrivesAt     time.Duration // arrival at the server, in the future or the past
 	work          float64       // ms
-	workDone      float64       // ms
+	workDone      float64       // ms, by the server
 	load          servermodel.LoadReport
 }
 
-// healthCheckState is one health check on its way to a server and back.
+// healthCheckState is a health check that is in progress.
 type healthCheckState struct {
 	balancer balancerIndex
 	server   serverIndex
-	epoch    uint32 // of the balancer, when it was sent
+	epoch    uint32 // of the balancer at sentAt
 	status   piernotch.Status
 	sentAt   time.Duration
-	delay    time.Duration // of the network, one way
+	delay    time.Duration // one-way network delay
 	load     servermodel.LoadReport
 	hasLoad  bool
 }
 
-// connectionPool is one balancer's connections to one server.
+// connectionPool counts the connections of one balancer to one server.
 type connectionPool struct {
 	idle, open int32 // open includes idle
 	lastUsed   time.Duration
 }
 
-// closeIdle forgets the idle connections and returns how many there were.
+// closeIdle removes the idle connections from the pool and returns their number.
 func (p *connectionPool) closeIdle() int {
 	idle := p.idle
 	p.open -= idle
@@ -101,14 +101,14 @@
 	return int(idle)
 }
 
-// balancerState is one balancer and the process that it runs in.
+// balancerState is one balancer and its current process.
 type balancerState struct {
 	zone        int
 	up          bool
 	admitted    bool   // clients are sent here
-	epoch       uint32 // counts starts and kills, to tell what is late
+	epoch       uint32 // counts starts and kills; what belongs to an older process is dropped
 	inbox       []Event
-	queued      bool             // for the next turn
+	queued      bool             // has events for the next turn
 	pools       []connectionPool // by server; nil: none used yet
 	listVersion uint64
 	entries     map[serverIndex]piernotch.Endpoint // last endpoint list, cached for the next process
@@ -117,7 +117,7 @@
 	pollFailed  bool
 }
 
-// serverState is one server and what the world knows of it beyond its model.
+// serverState is one server: its model and what the World adds to the model.
 type serverState struct {
 	*servermodel.Server
 	spec           scenario.Server
@@ -126,5 +126,5 @@
 	connections    int           // open, from all balancers
 	slowFactor     float64       // product of the slow faults in force
 	everOverloaded bool
-	noticeCount    int // changes that service discovery was notified of
+	noticeCount    int // notices sent to discovery
 }
--- a/internal/lab/simulation/result.go
+++ b/internal/lab/simulation/result.go
@@ -8,10 +8,10 @@
 	"piernotch/internal/lab/invariants"
 )
 
-// Result is the outcome of one run. Service and its parts are shares of 1.
+// Result is the outcome of one run. Service and its parts are fractions of 1.
 type Result struct {
 	Seed        uint64  `json:"seed"`
-	Service     float64 `json:"service"` // the weighted parts less the deductions
+	Service     float64 `json:"service"` // weighted sum of the three parts below, less Deducted
 	WholeRun    float64 `json:"whole"`
 	WorstWindow float64 `json:"worst_window"`
 	WorstClass  float64 `json:"worst_class"`
@@ -24,8 +24,8 @@
 	SlowStartCollapses int `json:"cold_falls"` // collapses that violate the rule
 	Collapses          int `json:"falls"`      // all collapses
 
-	// Margins of the rules: the most work that a server in slow start received within a window, as a
-	// share of what collapses it; and the latest attempt after a drain was notified, ms.
+	// Margins to the limits of the rules: the most work that a server in slow start received within a window,
+	// as a share of the work that makes it collapse; and the latest attempt after the notice of a drain, ms.
 	SlowStartPeak float64 `json:"cold_peak"`
 	DrainLatest   float64 `json:"drain_latest_ms"`
 
@@ -33,13 +33,13 @@
 	ClientAttempts  int     `json:"tries"`
 	Attempts        int     `json:"attempts"`
 	ServedShare     float64 `json:"served_share"` // of requests, within their latency objective
-	RejectedRate    float64 `json:"refused_rate"` // rejections for each request
+	RejectedRate    float64 `json:"refused_rate"` // rejections per request
 	FailedRate      float64 `json:"failed_rate"`
-	WasteRate       float64 `json:"waste_rate"` // work that served nothing, for each unit of work asked for
+	WasteRate       float64 `json:"waste_rate"` // work that served no request, per unit of work requested
 	CrossRate       float64 `json:"cross_rate"`
 	HealthCheckRate float64 `json:"probe_rate"`
 	RetryRate       float64 `json:"retry_rate"`
-	OverloadedShare float64 `json:"choked_share"` // servers that were overloaded at some time
+	OverloadedShare float64 `json:"choked_share"` // share of servers that were overloaded at any time
 	Handshakes      int     `json:"handshakes"`
 	ListFailed      int     `json:"list_failed"`
 	P50             float64 `json:"p50_ms"` // of served requests, from the client's first attempt
@@ -49,9 +49,9 @@
 	Classes         []Share `json:"classes"`
 	Little          Little  `json:"little"`
 	Events          int     `json:"events"`
-	Digest          uint64  `json:"digest"` // of all responses that clients got, and when
+	Digest          uint64  `json:"digest"` // hash over the latency and earned weight of each client request
 	WallS           float64 `json:"wall_s"`
-	ModuleS         float64 `json:"module_s"` // of WallS, in the balancers' decisions
+	ModuleS         float64 `json:"module_s"` // part of WallS spent in the balancers' decisions
 
 	Seconds    []Second               `json:"seconds,omitempty"`
 	Servers    []ServerTrack          `json:"servers,omitempty"`
@@ -60,7 +60,7 @@
 	Ended      map[string]int         `json:"attempts_ended"`
 }
 
-// Parts of a result that are counted alike in simulated time and on real sockets.
+// Parts of a result that are counted in the same way in simulated time and on real sockets.
 type (
 	// Share is the service of one class.
 	Share = goodput.ClassShare
@@ -70,15 +70,15 @@
 	LatencyStep = goodput.LatencyStep
 )
 
-// Little checks Little's law: the mean number of attempts at servers equals the rate of
-// arrivals, per second, times the mean time at the server, in seconds.
+// Little holds the terms of Little's law: the mean number of attempts at servers equals the arrival rate, per
+// second, times the mean time at the server, in seconds.
 type Little struct {
 	Inflight float64 `json:"held"`
 	PerSec   float64 `json:"per_s"`
 	SojournS float64 `json:"sojourn_s"`
 }
 
-// ServerTrack is one server over the run, one sample a second.
+// ServerTrack holds the samples of one server, one a second.
 type ServerTrack struct {
 	Server   int       `json:"server"`
 	Kind     string    `json:"kind"`
@@ -88,12 +88,12 @@
 	State    []uint8   `json:"state"` // 0 up, 1 draining, 2 down, 3 silent, 4 collapsed, 5 in slow start, 6 overloaded
 }
 
-// ViolationCount is how often any of the rules was violated.
+// ViolationCount returns the number of violations of all rules.
 func (r *Result) ViolationCount() int {
 	return r.Lost + r.Repeated + r.DrainViolations + r.SlowStartCollapses + r.DeadlineViolations
 }
 
-// quotient is a/b, or 0 where b is 0.
+// quotient returns a/b, or 0 if b is 0.
 func quotient(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -101,7 +101,7 @@
 	return a / b
 }
 
-// result works out the outcome of the run, which took wall on the wall clock.
+// result computes the Result of the run, which took wall of wall-clock time.
 func (w *World) result(wall time.Duration) *Result {
 	counters, counted := &w.counters, w.counters.goodput
 	counters.advance(w.now)
@@ -148,7 +148,7 @@
 	return result
 }
 
-// resultOfRules fills in what the invariants found.
+// resultOfRules fills in the violations and the margins of the rules.
 func (w *World) resultOfRules(result *Result) {
 	result.Lost = w.checker.Count(invariants.Lost)
 	result.Repeated = w.checker.Count(invariants.Repeated)
@@ -162,7 +162,7 @@
 	}
 }
 
-// resultOfRates fills in what is counted for each request.
+// resultOfRates fills in the rates and shares: per request, per unit of work requested, and per server.
 func (w *World) resultOfRates(result *Result) {
 	counters, counted := &w.counters, w.counters.goodput
 	workDone, overloaded := 0.0, 0
