--- a/internal/lab/simulation/golden_decisions_test.go
+++ b/internal/lab/simulation/golden_decisions_test.go
@@ -19,14 +19,14 @@
 var updateGoldenDecisions = flag.Bool("update-golden-decisions", false,
 	"write testdata/golden_decisions anew instead of comparing with it")
 
-// goldenRun is a scenario of the golden record, which is played with each of goldenSeeds.
+// goldenRun is a scenario of the golden record, which is run with each of goldenSeeds.
 type goldenRun struct {
-	name     string // of the golden files
-	scenario string // shipped scenario
+	name     string // prefix of the golden files
+	scenario string // name of a shipped scenario
 	set      []string
 	operated bool                        // operators exclude servers and change settings
-	tenants  []float64                   // quotas per second
-	adjust   func(s *piernotch.Settings) // settings that no scenario has; nil: none
+	tenants  []float64                   // quota of each tenant, requests per second
+	adjust   func(s *piernotch.Settings) // changes settings that no scenario has; may be nil
 }
 
 var goldenSeeds = []uint64{1, 2, 3}
@@ -96,9 +96,9 @@
 	}},
 }
 
-// TestGoldenDecisions guards the decisions: the same events lead to the same actions as ever. The last digits
-// of estimates are those that math.Exp and math.Log have on amd64 processors with FMA. A change that is meant
-// to decide otherwise writes the files anew by the flag -update-golden-decisions.
+// TestGoldenDecisions fails if the same events no longer lead to the same actions. The last digits of estimates
+// are those of math.Exp and math.Log on amd64 processors with FMA. After an intended change of decisions, the
+// flag -update-golden-decisions writes the files anew.
 func TestGoldenDecisions(t *testing.T) {
 	t.Parallel()
 	total := &goldenRecord{counts: map[goldenCode]int{}}
@@ -120,7 +120,7 @@
 		}
 	})
 	if played < len(goldenRuns)*len(goldenSeeds) {
-		return // a part of the runs was asked for, or a run has failed
+		return // only some runs were selected, or a run has failed
 	}
 	total.requireCoverage(t)
 	files, err := filepath.Glob(filepath.Join("testdata", "golden_decisions", "*"))
@@ -128,7 +128,7 @@
 	require.Len(t, files, played, "files that no run is compared with")
 }
 
-// play plays the run with a seed and returns its record.
+// play runs the scenario with a seed and returns the record of the run.
 func (g *goldenRun) play(t *testing.T, seed uint64) *goldenRecord {
 	t.Helper()
 	s, err := scenario.Load(g.scenario)
@@ -152,7 +152,7 @@
 	return record
 }
 
-// addCounts adds what another record counted.
+// addCounts adds the counts of another record.
 func (g *goldenRecord) addCounts(other *goldenRecord) {
 	for code, n := range other.counts {
 		g.counts[code] += n
@@ -163,7 +163,7 @@
 	g.denied += other.denied
 }
 
-// requireCoverage checks that the runs together show every kind of event, action and call.
+// requireCoverage checks that the runs together contain every kind of event, action and call.
 func (g *goldenRecord) requireCoverage(t *testing.T) {
 	t.Helper()
 	for _, c := range goldenCodes {
@@ -175,7 +175,7 @@
 	require.Positive(t, g.denied, "attempts that are no longer allowed")
 }
 
-// compareGolden compares the text of a run with its golden file, or writes that with the flag.
+// compareGolden compares the text of a run with its golden file, or writes the file if the flag is set.
 func compareGolden(t *testing.T, name string, seed uint64, got string) {
 	t.Helper()
 	file := filepath.Join("testdata", "golden_decisions", fmt.Sprintf("%s-%d.txt", name, seed))
@@ -191,7 +191,7 @@
 	}
 }
 
-// goldenDifference describes the first block in which two golden files differ, or returns "".
+// goldenDifference describes the first block in which two golden files differ, or returns "" if they are equal.
 func goldenDifference(want, got string) string {
 	if want == got {
 		return ""
@@ -211,7 +211,7 @@
 	return fmt.Sprintf("all blocks agree, but not the counts\n\twant %s\n\thave %s", wanted[0], have[0])
 }
 
-// blockRange describes the simulated time of the block in a line of a golden file.
+// blockRange describes the range of simulated time of the block in a line of a golden file.
 func blockRange(lines []string, i int) string {
 	from := blockStart(lines[i])
 	if i+1 < len(lines) {
@@ -220,7 +220,7 @@
 	return fmt.Sprintf(", from %v to the end", from)
 }
 
-// blockStart returns the time of a block's first entry.
+// blockStart returns the simulated time of a block's first entry, or -1 ns if the line cannot be read.
 func blockStart(line string) time.Duration {
 	var block, from int64
 	if _, err := fmt.Sscan(line, &block, &from); err != nil {
--- a/internal/lab/simulation/golden_record_test.go
+++ b/internal/lab/simulation/golden_record_test.go
@@ -12,16 +12,16 @@
 	"piernotch"
 )
 
-// The golden record holds what goes into the balancers of a run and what comes out, in order. An entry is a
-// code of goldenCodes followed by its values, each of eight bytes in little-endian order: integers,
-// durations in nanoseconds and identifiers as they are, floating-point numbers by their bits, booleans as 0
-// or 1, lists by their length and then their elements. The order of the values is that of the calls below.
-// No name of a type, field or constant is in it, so that names may change.
+// The golden record holds the inputs and outputs of the balancers of a run, in order. An entry is a code of
+// goldenCodes followed by its values, each of eight bytes in little-endian order: integers, durations in
+// nanoseconds and identifiers as they are, floating-point numbers by their bits, booleans as 0 or 1, lists by
+// their length and then their elements. The order of the values is that of the calls below. The record contains
+// no name of a type, field or constant, so names may change.
 
-// goldenCode says what an entry of the record is. A number must never be given another meaning.
+// goldenCode identifies the kind of an entry. A number must never be given another meaning.
 type goldenCode uint64
 
-// Codes of events (from 1), actions (from 101) and the calls that goldenTier makes itself (from 201).
+// Codes of events (from 1), actions (from 101) and the calls that goldenTier adds (from 201).
 const (
 	codeStart           goldenCode = 1
 	codeStop            goldenCode = 2
@@ -62,7 +62,8 @@
 	{codeLoad, "load"},
 }
 
-// Codes of the kinds of events and actions. They do not follow the constants, which may be reordered.
+// Codes of the kinds of events and actions. They are independent of the values of those constants, which may be
+// reordered.
 var (
 	goldenEventCode = map[EventKind]goldenCode{
 		EventStart: codeStart, EventStop: codeStop, EventRequest: codeRequest, EventClientGone: codeClientGone,
@@ -76,24 +77,24 @@
 	}
 )
 
-// goldenBlockSize is the number of entries that share a digest.
+// goldenBlockSize is the number of entries in a block, which has one digest.
 const goldenBlockSize = 500
 
-// goldenRecord writes the record of a run and keeps a digest of each block.
+// goldenRecord builds the record of a run and keeps only a digest of each block.
 type goldenRecord struct {
 	now       time.Duration
 	block     []byte
-	entries   int           // in the block
-	blockFrom time.Duration // simulated time of the block's first entry
-	lines     []string      // one for each full block
+	entries   int           // in the current block
+	blockFrom time.Duration // simulated time of the current block's first entry
+	lines     []string      // one for each finished block
 	counts    map[goldenCode]int
 	secondTry int // attempts that were not the first of their request
 	accepted  int // changes of settings that were accepted
 	refused   int // changes of settings that were refused
-	denied    int // attempts in flight that were no longer allowed
+	denied    int // attempts for which AttemptAllowed returned false
 }
 
-// begin starts an entry of a balancer.
+// begin starts an entry of a balancer, in a new block if the current one is full.
 func (g *goldenRecord) begin(code goldenCode, balancer int) {
 	if g.entries == goldenBlockSize {
 		g.endBlock()
@@ -106,7 +107,7 @@
 	g.integers(int64(code), int64(g.now), int64(balancer))
 }
 
-// endBlock keeps the digest of the block and starts the next one.
+// endBlock adds a line with the digest of the block and clears the block.
 func (g *goldenRecord) endBlock() {
 	if g.entries == 0 {
 		return
@@ -116,7 +117,7 @@
 	g.block, g.entries = g.block[:0], 0
 }
 
-// text returns the golden file: a line of counts, and a line for each block with its number, the time of its
+// text returns the golden file: a line of counts, then for each block a line with its number, the time of its
 // first entry in nanoseconds and its digest.
 func (g *goldenRecord) text() string {
 	g.endBlock()
@@ -156,7 +157,7 @@
 	}
 }
 
-// event writes an event.
+// event writes the entry of an event.
 func (g *goldenRecord) event(e *Event) {
 	g.begin(goldenEventCode[e.Kind], e.Balancer)
 	g.booleans(e.HasLoad)
@@ -187,7 +188,7 @@
 	}
 }
 
-// endpoints writes an event of the endpoint list.
+// endpoints writes the values of an endpoint list, without its version.
 func (g *goldenRecord) endpoints(kind piernotch.UpdateKind, entries []piernotch.Endpoint) {
 	g.integers(int64(kind), int64(len(entries)))
 	for i := range entries {
@@ -197,7 +198,7 @@
 	}
 }
 
-// settings writes settings without the names in them, which decide nothing.
+// settings writes the values of settings, without names, which do not affect decisions.
 func (g *goldenRecord) settings(s *piernotch.Settings) {
 	g.integers(int64(s.BalancerCount), int64(s.Zone), int64(len(s.Zones)), int64(s.Tick), int64(len(s.Classes)))
 	for i := range s.Classes {
@@ -218,13 +219,13 @@
 	g.floats(r.SlowStartCapacity, s.OverQuotaWeight)
 }
 
-// action writes an action.
+// action writes the entry of an action.
 func (g *goldenRecord) action(a *Action) {
 	g.begin(goldenActionCode[a.Kind], a.Balancer)
 	g.integers(int64(a.ID), int64(a.Server), int64(a.Attempt), int64(a.Delay), int64(a.Token))
 }
 
-// snapshot writes the values of a snapshot.
+// snapshot writes an entry with the values of a snapshot.
 func (g *goldenRecord) snapshot(code goldenCode, balancer int, s piernotch.Snapshot) {
 	g.begin(code, balancer)
 	g.floats(s.MedianHint, s.MeanWork, s.LargeWorkShare, s.PeakCompletionRate)
--- a/internal/lab/simulation/golden_tier_test.go
+++ b/internal/lab/simulation/golden_tier_test.go
@@ -8,30 +8,30 @@
 	"piernotch"
 )
 
-// goldenTier hosts balancers as InProcess does and records what passes. It also makes the calls that a
-// World never makes, at events that depend on nothing but the run, and records them with their results.
+// goldenTier is an InProcess that records events and actions. It also makes, and records with their results,
+// the calls of the decision module that a World never makes. When it makes them depends only on the run.
 type goldenTier struct {
 	inner     *InProcess
 	record    *goldenRecord
-	operated  bool // operators exclude servers and change settings
-	tenants   int  // requests are spread over so many
+	operated  bool // makes the calls of operators, too
+	tenants   int  // number of tenants, among which requests are spread
 	actions   []Action
 	balancers []*goldenBalancer
 }
 
-// goldenBalancer is what the tier knows of one balancer.
+// goldenBalancer is the tier's state for one balancer.
 type goldenBalancer struct {
 	events   int // since the start of the run
 	settings piernotch.Settings
-	snapshot piernotch.Snapshot   // the last one before a stop
+	snapshot piernotch.Snapshot   // taken at the last stop
 	listed   []piernotch.ServerID // in the order in which lists first named them
 	excluded []piernotch.ServerID
-	attempts map[piernotch.RequestID]int // attempts of each request so far
-	lastID   piernotch.RequestID         // of the attempt that was started last
+	attempts map[piernotch.RequestID]int // number of attempts so far
+	lastID   piernotch.RequestID         // request of the latest attempt
 }
 
-// Periods of the tier's own calls, in events of one balancer. They have no common divisor, so that all
-// combinations occur.
+// Periods of the added calls, in events of one balancer. They have no common divisor, so that all combinations
+// occur.
 const (
 	goldenAllowedPeriod   = 3
 	goldenResponsePeriod  = 23 // of responses that start just before their attempt ends
@@ -41,7 +41,7 @@
 	goldenExcludePeriod   = 157
 	goldenIncludePeriod   = 173
 	goldenSettingsPeriod  = 149
-	goldenRejectionPeriod = 307 // refused settings
+	goldenRejectionPeriod = 307 // of settings that must be refused
 )
 
 // Close implements Tier.
@@ -68,7 +68,7 @@
 	return t.actions, nil
 }
 
-// known returns what is known of a balancer.
+// known returns the state of a balancer, which is created on the first call.
 func (t *goldenTier) known(i int) *goldenBalancer {
 	for len(t.balancers) <= i {
 		t.balancers = append(t.balancers, &goldenBalancer{attempts: map[piernotch.RequestID]int{}})
@@ -76,7 +76,7 @@
 	return t.balancers[i]
 }
 
-// takeActions records the actions since it was called last, and passes them on.
+// takeActions records the actions since its last call and adds them to the result of Turn.
 func (t *goldenTier) takeActions(known *goldenBalancer) {
 	for i := range t.inner.actions {
 		a := &t.inner.actions[i]
@@ -93,8 +93,8 @@
 	t.inner.actions = t.inner.actions[:0]
 }
 
-// before prepares an event: requests get a tenant, a balancer that stops is asked for its snapshot, and now
-// and then a response starts just before its attempt ends.
+// before prepares an event: a request gets a tenant, a balancer that stops is asked for its snapshot, and at
+// times a response starts just before its attempt ends. It also notes listed servers.
 func (t *goldenTier) before(known *goldenBalancer, e *Event) {
 	switch e.Kind {
 	case EventStart:
@@ -122,7 +122,7 @@
 	}
 }
 
-// after makes the calls that are due after an event.
+// after makes the calls that are due after an event of a running balancer.
 func (t *goldenTier) after(now time.Duration, known *goldenBalancer, b *piernotch.Balancer, e *Event) {
 	due := func(period int) bool { return known.events%period == 0 }
 	if e.Kind == EventStart {
@@ -143,7 +143,8 @@
 	t.takeActions(known)
 }
 
-// operate makes the calls of operators that are due.
+// operate makes the operators' calls that are due: exclusions and their ends, load reports, changes of
+// settings, and at times settings to refuse and a snapshot to ignore.
 func (t *goldenTier) operate(now time.Duration, known *goldenBalancer, b *piernotch.Balancer, i int) {
 	n := known.events
 	if n%goldenExcludePeriod == 0 && len(known.listed) > 0 {
@@ -177,7 +178,7 @@
 	}
 }
 
-// oddLoads passes load reports that the balancer has to ignore, and one that it takes.
+// oddLoads passes two load reports that the balancer must ignore, and a valid one.
 func (t *goldenTier) oddLoads(now time.Duration, known *goldenBalancer, b *piernotch.Balancer, i int) {
 	id := known.listed[known.events%len(known.listed)]
 	for _, load := range []piernotch.LoadReport{
@@ -191,8 +192,8 @@
 	}
 }
 
-// changedSettings returns the n-th change of settings: limits, rules, quotas and weights, and one class more
-// after the second change.
+// changedSettings returns the n-th change of settings: of limits, rules, quotas and weights. The second change
+// also adds a class.
 func changedSettings(s piernotch.Settings, n int) piernotch.Settings {
 	s.Classes, s.Tenants = slices.Clone(s.Classes), slices.Clone(s.Tenants)
 	s.WeightPerRequest = n%2 == 1
@@ -217,7 +218,7 @@
 	return s
 }
 
-// updateSettings changes a balancer's settings and records whether it accepted them.
+// updateSettings passes settings to a balancer and records whether the balancer accepted them.
 func (t *goldenTier) updateSettings(
 	now time.Duration, known *goldenBalancer, b *piernotch.Balancer, i int, s piernotch.Settings,
 ) {
@@ -233,7 +234,7 @@
 	}
 }
 
-// restore passes on the snapshot of the process before.
+// restore passes on the snapshot of the previous process, if there is one.
 func (t *goldenTier) restore(known *goldenBalancer, b *piernotch.Balancer, i int) {
 	if known.snapshot.MeanWork > 0 {
 		b.Restore(known.snapshot)
@@ -242,9 +243,10 @@
 	}
 }
 
-// attemptAllowed asks about all attempts of the request that was sent last.
+// attemptAllowed asks about all attempts of the request that was sent last, and about one attempt that does not
+// exist.
 func (t *goldenTier) attemptAllowed(now time.Duration, known *goldenBalancer, b *piernotch.Balancer, i int) {
-	for try := range known.attempts[known.lastID] + 1 { // one that there is not, too
+	for try := range known.attempts[known.lastID] + 1 { // including a number without an attempt
 		allowed := b.AttemptAllowed(now, known.lastID, try)
 		if !allowed {
 			t.record.denied++
@@ -255,7 +257,7 @@
 	}
 }
 
-// responseStarted tells a balancer that an attempt's response goes to the client.
+// responseStarted notifies a balancer that the response of an attempt goes to the client.
 func (t *goldenTier) responseStarted(b *piernotch.Balancer, i int, id piernotch.RequestID, try int) {
 	t.record.begin(codeResponseStarted, i)
 	t.record.integers(int64(id), int64(try))
