--- a/internal/lab/simulation/bench_test.go
+++ b/internal/lab/simulation/bench_test.go
@@ -7,8 +7,8 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// BenchmarkWorld runs worlds of several sizes at the same load for each server. It reports
-// what a client's request costs, in the world and in the balancers' decisions.
+// BenchmarkWorld runs worlds of several sizes at the same load per server. It reports the time per client
+// request and per event in the World, and per client request in the balancers' decisions.
 func BenchmarkWorld(b *testing.B) {
 	for _, size := range [][2]int{{4, 20}, {50, 200}, {500, 2000}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
--- a/internal/lab/simulation/discovery_outage_test.go
+++ b/internal/lab/simulation/discovery_outage_test.go
@@ -8,8 +8,8 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// In simulated time, what TestChangeReachesBalancersSoonAfterDiscoveryOutage of package loadtest shows on
-// processes: servers drain while discovery is down, and requests must not go there once balancers could know.
+// Servers drain while discovery is down. Requests must not go to them once balancers could know of the drain.
+// TestChangeReachesBalancersSoonAfterDiscoveryOutage of package loadtest checks the same with processes.
 func TestDrainIsKnownSoonAfterDiscoveryOutage(t *testing.T) {
 	parsed, err := scenario.Parse("outage", []byte(`
 include = "base"
--- a/internal/lab/simulation/event_order_test.go
+++ b/internal/lab/simulation/event_order_test.go
@@ -10,7 +10,7 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// A response that arrives in the very microsecond of a time-out is a response.
+// A response that arrives in the same microsecond as the timeout counts as a response.
 func TestResponsePrecedesTimeoutInSameMicrosecond(t *testing.T) {
 	s, err := scenario.Parse("tie.toml", []byte(`
 name = "tie"
@@ -46,7 +46,7 @@
 		require.NoError(t, err)
 		w, err := New(d, faultyTier{NewInProcess(), func(_ time.Duration, _ []Event, a []Action) []Action {
 			for i := range a {
-				if a[i].Kind == ActionStartAttempt { // 1 ms there, 10 ms of work, 1 ms back
+				if a[i].Kind == ActionStartAttempt { // 1 ms to the server, 10 ms of work, 1 ms back
 					a[i].Delay = timeout
 				}
 			}
--- a/internal/lab/simulation/event_queue_test.go
+++ b/internal/lab/simulation/event_queue_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The first of the planned events is popped, also while more are planned.
+// Events are popped in order of time, also while further events are scheduled.
 func TestEventQueuePopsInOrderOfTime(t *testing.T) {
 	var q eventQueue
 	rng := rand.New(rand.NewPCG(2, 2))
--- a/internal/lab/simulation/faults_test.go
+++ b/internal/lab/simulation/faults_test.go
@@ -44,7 +44,7 @@
 		require.NoError(t, err)
 		require.True(t, c.affected(r), "%s: %+v", c.what, r.Ended)
 		require.Zero(t, r.ViolationCount(), "%s: %v", c.what, r.Violations)
-		if c.what != "heavy_tail" && c.what != "burst" && c.what != "shrink" { // those change the traffic
+		if c.what != "heavy_tail" && c.what != "burst" && c.what != "shrink" { // these faults change the traffic
 			require.Equal(t, baseline.Requests, r.Requests, c.what)
 		}
 	}
--- a/internal/lab/simulation/invariants_test.go
+++ b/internal/lab/simulation/invariants_test.go
@@ -12,7 +12,7 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// faultyTier corrupts what the module decides, as a host with a bug would.
+// faultyTier changes the actions of the inner tier, as a host with a bug would.
 type faultyTier struct {
 	Tier
 	corrupt func(now time.Duration, events []Event, actions []Action) []Action
@@ -23,7 +23,7 @@
 	return f.corrupt(now, events, actions), err
 }
 
-// runFaultyTier runs restart-storm, in which all rules are at stake.
+// runFaultyTier runs the scenario restart-storm, in which every rule can be violated.
 func runFaultyTier(
 	t *testing.T,
 	seed uint64,
@@ -44,7 +44,7 @@
 	return r
 }
 
-// requireViolation requires a violation of a rule, with its steps.
+// requireViolation requires a violation of a rule with a message, and that its steps are recorded.
 func requireViolation(t *testing.T, r *Result, rule invariants.Rule, message string) {
 	t.Helper()
 	for _, b := range r.Violations {
@@ -79,7 +79,7 @@
 }
 
 func TestCheckerDetectsRejectionAfterExecution(t *testing.T) {
-	// It rejects every request for which it has just sent an attempt.
+	// The tier also rejects some of the requests for which it has just sent an attempt.
 	r := runFaultyTier(t, 1, func(_ time.Duration, _ []Event, actions []Action) []Action {
 		out := append([]Action(nil), actions...)
 		for _, a := range actions {
@@ -93,7 +93,7 @@
 }
 
 func TestCheckerDetectsAttemptToDrainingServer(t *testing.T) {
-	// It goes on sending to the first server that it was notified to drain.
+	// The tier sends part of its attempts to the first server that it was notified to be draining.
 	first := map[int]piernotch.ServerID{}
 	r := runFaultyTier(t, 1, func(_ time.Duration, events []Event, actions []Action) []Action {
 		for _, e := range events {
@@ -145,7 +145,7 @@
 		for _, a := range actions {
 			if a.Kind == ActionStartAttempt && done[a.ID] == 0 && a.ID%60 == 0 && now < 10*time.Second {
 				done[a.ID]++
-				// Rejected at once, unsent; and sent all the same one turn later.
+				// The request is rejected without an attempt; the attempt is still sent one turn later.
 				late = append(late, a)
 				out = append(out[:0:0], Action{Kind: ActionReject, Balancer: a.Balancer, ID: a.ID})
 				for _, b := range actions {
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -9,7 +9,8 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// run runs one realization of a scenario, with overrides.
+// run runs one realization of a scenario with changed settings, and requires that no client request and no
+// attempt is left at the end.
 func run(t *testing.T, tier Tier, name string, seed uint64, set ...string) *Result {
 	t.Helper()
 	s, err := scenario.Load(name)
@@ -30,7 +31,7 @@
 func TestShippedScenariosKeepAllRules(t *testing.T) {
 	for _, name := range scenario.Shipped() {
 		if name == "wide" || name == "long-churn" || name == "mass" {
-			continue // the same mechanisms, for minutes
+			continue // the same mechanisms, but for minutes
 		}
 		r := run(t, NewInProcess(), name, 7)
 		require.Zero(t, r.ViolationCount(), "%s: %v", name, r.Violations)
--- a/internal/lab/simulation/trace_overload_test.go
+++ b/internal/lab/simulation/trace_overload_test.go
@@ -12,8 +12,8 @@
 	"piernotch/internal/trafficrecording"
 )
 
-// roundRobinTier sends each request at once to the next ready server of the list, whatever its load,
-// and waits for it until the deadline.
+// roundRobinTier sends each request at once to the next ready server of the list, whatever the server's load,
+// and waits for the response until the deadline.
 type roundRobinTier struct {
 	ready   [][]piernotch.ServerID
 	next    []int
@@ -64,8 +64,8 @@
 	return h.actions, nil
 }
 
-// A recorded burst meets a site that shrinks to half of its servers. Round robin overloads them, and
-// they stay slow long after the burst; the module does not.
+// A recorded burst meets a fleet that shrinks to half of its servers. With round robin the servers are
+// overloaded and stay slow long after the burst; with the decision module they do not.
 func TestRoundRobinStaysOverloadedAfterRecordedBurst(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "burst.pnt")
 	out, err := trafficrecording.Create(
@@ -114,7 +114,8 @@
 	require.Zero(t, good.ViolationCount(), good.Violations)
 }
 
-// A drain that is notified in the tick of a request precedes it: balancers decide last.
+// The notification of a drain precedes a request in the same tick, because balancers decide only at the end of
+// the tick.
 func TestDrainNotifiedInSameTickPrecedesRequest(t *testing.T) {
 	s, err := scenario.Load("quiet")
 	require.NoError(t, err)
@@ -141,7 +142,7 @@
 	}})
 	require.NoError(t, err)
 	w.schedule(time.Second+3*time.Millisecond, func() {
-		w.traffic.clientArrives(w) // arrives now; the list speaks 1 ms later, in the same tick
+		w.traffic.clientArrives(w) // arrives now; the list arrives 1 ms later, in the same tick
 	})
 	w.schedule(time.Second+4*time.Millisecond, func() {
 		for s := range w.servers {
--- a/internal/lab/simulation/trace_replay_test.go
+++ b/internal/lab/simulation/trace_replay_test.go
@@ -19,7 +19,7 @@
 		trafficrecording.Limits{},
 	)
 	require.NoError(t, err)
-	for i := range 400 { // in the order in which they ended: pairs stand crosswise
+	for i := range 400 { // each pair is swapped: records are in the order in which requests ended
 		at := time.Duration(i^1) * 20 * time.Millisecond
 		out.Add(
 			trafficrecording.Record{
