--- a/internal/lab/simulation/attempts.go
+++ b/internal/lab/simulation/attempts.go
@@ -10,9 +10,8 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// startAttempt sends an attempt to the server that its balancer chose. The attempt is completed as
-// piernotch.NotSent if the request is over or with another balancer, has had too many attempts or is past its
-// deadline. An unknown server ends the run with an error.
+// startAttempt sends an attempt to the server that its balancer chose, or completes it as piernotch.NotSent if
+// the request is over, out of time or out of attempts.
 func (w *World) startAttempt(action *Action) {
 	id := uint64(action.ID)
 	server, known := w.serverByID[action.Server]
@@ -23,8 +22,8 @@
 	request := w.requests.Get(id)
 	pending := request != nil && !request.responded && request.balancer == balancerIndex(action.Balancer)
 	if !pending {
-		// An end since the previous turn reaches the balancer only in this turn, perhaps after this decision.
-		// An attempt after an earlier end violates an invariant, so the checker is notified.
+		// The balancer may not know of an end since the previous turn. After an earlier end, the attempt is a
+		// violation.
 		knewOfEnd := request == nil || request.respondedByBalancer || request.respondedAt <= w.previousTurn
 		if knewOfEnd {
 			w.checker.AttemptSent(w.sentAttempt(action, server))
@@ -49,7 +48,7 @@
 	w.connect(&w.balancers[action.Balancer], attemptID, attempt)
 }
 
-// sentAttempt returns the checker's record of an attempt that is sent now.
+// sentAttempt returns the checker's record of an attempt sent now.
 func (w *World) sentAttempt(action *Action, server serverIndex) invariants.SentAttempt {
 	return invariants.SentAttempt{
 		At:       w.now,
@@ -59,8 +58,7 @@
 	}
 }
 
-// newAttempt adds an attempt of a request to a server, draws the network delay and the work of the attempt, and
-// counts it.
+// newAttempt adds and counts an attempt of a request to a server, and draws the network delay and the work.
 func (w *World) newAttempt(
 	requestID uint64,
 	request *requestState,
@@ -95,8 +93,7 @@
 	return attemptID, attempt
 }
 
-// clientOf returns the clientRequest that a request was sent for, or departedClient if the client has finished
-// while the balancer still has the request.
+// clientOf returns the clientRequest of a request, or departedClient if the client has already finished.
 func (w *World) clientOf(request *requestState) *clientRequest {
 	if client := w.clientRequests.Get(request.client); client != nil {
 		return client
@@ -138,8 +135,8 @@
 	w.admitAttempt(attemptID, attempt, w.arriveAtServer(attemptID, attempt, request))
 }
 
-// arriveAtServer hands an attempt to the model of its server. If a server in slow start collapses under the
-// work, its jobs are reset and its connections dropped.
+// arriveAtServer hands an attempt to the model of its server. A server that collapses drops its jobs and
+// connections.
 func (w *World) arriveAtServer(attemptID uint64, attempt *attemptState, request *requestState) servermodel.Admission {
 	server := &w.servers[attempt.server]
 	if attempt.newConnection {
@@ -171,8 +168,8 @@
 	return admission
 }
 
-// admitAttempt processes a server's admission decision for an attempt. Without a response, only an attempt on a
-// new connection gets an outcome here, at the dial timeout; any other attempt ends at its own timeout.
+// admitAttempt processes a server's admission decision. Without a response, only an attempt on a new connection
+// fails here, at the dial timeout.
 func (w *World) admitAttempt(attemptID uint64, attempt *attemptState, admission servermodel.Admission) {
 	switch admission {
 	case servermodel.Accepted:
@@ -203,8 +200,8 @@
 	}
 }
 
-// scheduleOutcome schedules when the outcome of an attempt arrives at the balancer, unless an outcome is
-// already scheduled or the attempt is completed.
+// scheduleOutcome schedules the arrival of an attempt's outcome at the balancer, unless the attempt already has
+// an outcome.
 func (w *World) scheduleOutcome(attemptID uint64, attempt *attemptState, status piernotch.Status, at time.Duration) {
 	if attempt.outcomeSent || attempt.completed {
 		return
@@ -214,8 +211,7 @@
 	w.events.schedule(at, eventOutcomeArrives, attemptID)
 }
 
-// outcomeArrives completes an attempt with the outcome that has reached its balancer. An outcome for a
-// completed attempt is dropped.
+// outcomeArrives completes an attempt with the outcome that has reached its balancer.
 func (w *World) outcomeArrives(attemptID uint64) {
 	attempt := w.attempts.Get(attemptID)
 	if attempt == nil {
@@ -229,8 +225,7 @@
 	w.completeAttempt(attemptID, attempt, attempt.status)
 }
 
-// attemptTimesOut completes an attempt at its timeout: as ConnectFailed while its connection is being opened,
-// otherwise as Timeout.
+// attemptTimesOut completes an attempt at its timeout: as ConnectFailed while connecting, otherwise as Timeout.
 func (w *World) attemptTimesOut(attemptID uint64) {
 	attempt := w.attempts.Get(attemptID)
 	if attempt == nil || attempt.completed {
@@ -244,7 +239,7 @@
 	w.completeAttempt(attemptID, attempt, status)
 }
 
-// cancelAttempt completes an attempt that its balancer cancels. An unknown or completed attempt is ignored.
+// cancelAttempt completes an open attempt that its balancer cancels.
 func (w *World) cancelAttempt(action *Action) {
 	request := w.requests.Get(uint64(action.ID))
 	if request == nil || action.Attempt < 0 || action.Attempt >= int(request.attempts) {
@@ -257,8 +252,7 @@
 }
 
 // completeAttempt ends an attempt for its balancer: it returns the connection, responds to the client after a
-// success, and notifies the balancer. After a timeout or a cancellation, the server is notified one network
-// delay later.
+// success, and notifies the balancer. After a timeout or a cancellation it also notifies the server.
 func (w *World) completeAttempt(attemptID uint64, attempt *attemptState, status piernotch.Status) {
 	attempt.completed = true
 	attempt.status = status
@@ -281,7 +275,7 @@
 	w.releaseAttempt(attemptID, attempt)
 }
 
-// notifyOutcome notifies a balancer of how an attempt ended, if the process that sent the attempt still runs.
+// notifyOutcome notifies a balancer of an attempt's outcome, if the process that sent the attempt still runs.
 func (w *World) notifyOutcome(attempt *attemptState, request *requestState, status piernotch.Status) {
 	balancer := &w.balancers[attempt.balancer]
 	if !balancer.up || attempt.epoch != balancer.epoch {
@@ -301,7 +295,7 @@
 	w.notify(attempt.balancer, event)
 }
 
-// cancelArrives cancels an attempt at its server, whose balancer no longer waits for the attempt.
+// cancelArrives delivers the cancellation of an attempt to its server.
 func (w *World) cancelArrives(attemptID uint64) {
 	attempt := w.attempts.Get(attemptID)
 	if attempt == nil {
@@ -322,8 +316,7 @@
 	w.releaseAttempt(attemptID, attempt)
 }
 
-// releaseAttempt deletes an attempt that is completed, has left its server, and is not on the way to the server
-// or back.
+// releaseAttempt deletes a completed attempt that is neither at its server nor on the way there or back.
 func (w *World) releaseAttempt(attemptID uint64, attempt *attemptState) {
 	if attempt.completed && !attempt.atServer && !attempt.outcomeSent && !attempt.inTransit {
 		w.attempts.Delete(attemptID)
--- a/internal/lab/simulation/balancers.go
+++ b/internal/lab/simulation/balancers.go
@@ -9,10 +9,10 @@
 	"piernotch/internal/lab/invariants"
 )
 
-// errUnknownServer is the error of an action with an ID that no server of the run has.
+// errUnknownServer is the error of an action with an unknown server ID.
 var errUnknownServer = errors.New("names a server that was in none of its lists")
 
-// notify adds an event to a balancer's inbox and schedules the turn that takes the event, at the next tick.
+// notify adds an event to a balancer's inbox and schedules a turn at the next tick.
 func (w *World) notify(index balancerIndex, event Event) {
 	balancer := &w.balancers[index]
 	event.Balancer = int(index)
@@ -33,8 +33,8 @@
 	}
 }
 
-// turn passes the pending events of all balancers to the tier and performs the returned actions. A scheduled
-// turn that an earlier one has replaced is ignored.
+// turn passes the pending events to the tier and performs the returned actions. A turn that an earlier one has
+// replaced is ignored.
 func (w *World) turn() {
 	if w.now != w.nextTurn {
 		return
@@ -71,7 +71,7 @@
 	w.pending = w.pending[:0]
 }
 
-// perform executes an action. An action of a balancer that is not running ends the run with an error.
+// perform executes an action. An action of a balancer that is not running is an error.
 func (w *World) perform(action *Action) {
 	if action.Balancer < 0 || action.Balancer >= len(w.balancers) || !w.balancers[action.Balancer].up {
 		w.err = fmt.Errorf("balancer %d acts, but does not run", action.Balancer)
@@ -110,8 +110,8 @@
 	w.events.scheduleFor(at, eventTimer, uint64(epoch)<<32|uint64(action.Token), int32(action.Balancer))
 }
 
-// timerFires notifies a balancer of a timer, unless the process that set it has ended. The upper 32 bits of the
-// ID are the epoch of the process, the lower 32 bits the token.
+// timerFires notifies a balancer of a timer, unless the process that set it has ended. The ID holds the epoch
+// of the process in the upper 32 bits and the token in the lower.
 func (w *World) timerFires(index balancerIndex, id uint64) {
 	balancer := &w.balancers[index]
 	if balancer.up && uint32(id>>32) == balancer.epoch {
@@ -119,21 +119,20 @@
 	}
 }
 
-// startFirstProcess starts the first process of a balancer, with the full endpoint list as its cached list.
+// startFirstProcess starts the first process of a balancer, with the full endpoint list.
 func (w *World) startFirstProcess(index balancerIndex) {
 	w.startProcess(index)
 	w.discovery.setFullList(w, index)
 	w.beginService(index)
 }
 
-// startNextProcess starts a process of a balancer after another one has ended, with the endpoint list that its
-// predecessor had last.
+// startNextProcess starts a process of a balancer, with the endpoint list that the previous process had last.
 func (w *World) startNextProcess(index balancerIndex) {
 	w.startProcess(index)
 	w.beginService(index)
 }
 
-// startProcess starts a process of a balancer. The caller hands it an endpoint list.
+// startProcess starts a process of a balancer, without an endpoint list.
 func (w *World) startProcess(index balancerIndex) {
 	balancer := &w.balancers[index]
 	balancer.up = true
@@ -147,8 +146,8 @@
 	w.notify(index, Event{Kind: EventStart, Seed: seed, Settings: &settings})
 }
 
-// beginService notifies the checker of a balancer's new process, sends the cached endpoint list to the process
-// and lets clients be sent to the balancer.
+// beginService reports a new process to the checker, sends the process the cached endpoint list and admits
+// clients.
 func (w *World) beginService(index balancerIndex) {
 	w.checker.BalancerRestarted(index)
 	w.discovery.sendCached(w, index)
@@ -178,8 +177,8 @@
 	*admitted = slices.DeleteFunc(*admitted, func(other balancerIndex) bool { return other == index })
 }
 
-// killBalancer ends a balancer's process at once: its requests, timers and connections are lost, and its
-// clients find their connections broken.
+// killBalancer ends a balancer's process at once: its requests and connections are lost, and its clients find
+// their connections broken.
 func (w *World) killBalancer(index balancerIndex) {
 	balancer := &w.balancers[index]
 	if !balancer.up {
@@ -199,7 +198,7 @@
 	balancer.epoch++
 }
 
-// requestsOf returns the IDs of the unreleased requests that a balancer has received, in ascending order.
+// requestsOf returns the IDs of the requests that a balancer has received, in ascending order.
 func (w *World) requestsOf(index balancerIndex) []uint64 {
 	var ids []uint64
 	w.requests.Each(func(id uint64, request *requestState) {
@@ -211,8 +210,8 @@
 	return ids
 }
 
-// loseRequest ends a request whose balancer was killed: servers receive a cancellation of its open attempts,
-// the checker expects no response, and the client finds its connection broken.
+// loseRequest ends a request whose balancer was killed: servers receive cancellations, the checker expects no
+// response, and the client finds its connection broken.
 func (w *World) loseRequest(id uint64) {
 	request := w.requests.Get(id)
 	for attemptNumber := range int(request.attempts) {
--- a/internal/lab/simulation/child.go
+++ b/internal/lab/simulation/child.go
@@ -11,7 +11,7 @@
 	"piernotch/internal/simprotocol"
 )
 
-// DefaultBatchTimeout is how long a child may take to read a batch and reply to it.
+// DefaultBatchTimeout is the default of Child.BatchTimeout.
 const DefaultBatchTimeout = 30 * time.Second
 
 const (
@@ -30,7 +30,7 @@
 	Err    error  // the cause; may be nil
 }
 
-// Error returns the path, the reason, the cause and the child's last lines of standard error.
+// Error returns the reason, the cause and the last lines of standard error.
 func (e *ChildError) Error() string {
 	text := e.Path + ": " + e.Reason
 	if e.Err != nil {
@@ -45,9 +45,9 @@
 // Unwrap returns the cause, or nil.
 func (e *ChildError) Unwrap() error { return e.Err }
 
-// Child is a Tier that runs the balancers in another program, which may have another version of the decision
-// module. It exchanges batches and replies with the program over standard input and output, by the protocol of
-// package simprotocol. It must be used from one goroutine.
+// Child is a Tier that runs the balancers in another program, by the protocol of package simprotocol over
+// standard input and output. The program may have another version of the decision module. A Child must be used
+// from one goroutine.
 type Child struct {
 	// BatchTimeout is how long the program may take to read a batch and reply to it.
 	BatchTimeout time.Duration
@@ -74,11 +74,11 @@
 	err     error
 }
 
-// childExit is the result of waiting for a process: nil if it exited with status 0.
+// childExit is the result of waiting for a process; err is nil for exit status 0.
 type childExit struct{ err error }
 
-// StartChild starts a program that runs the balancers of a realization. The caller must call Close, which ends
-// the process and the goroutine that reads from it.
+// StartChild starts a program for a realization. The caller must call Close, which ends the process and the
+// goroutine that reads from it.
 func StartChild(realization *scenario.Realization, path string, args ...string) (*Child, error) {
 	child := &Child{
 		BatchTimeout: DefaultBatchTimeout,
@@ -104,14 +104,13 @@
 	}
 	child.stdin = stdin
 	child.writer = bufio.NewWriterSize(stdin, pipeBuffer)
-	// The goroutine reads replies until Close closes requests or a reply is invalid. It then discards the
-	// remaining output and waits for the process.
+	// The goroutine reads replies until Close closes requests or a reply is invalid. It then waits for the
+	// process.
 	go child.readReplies(bufio.NewReaderSize(stdout, pipeBuffer), child.requests)
 	return child, nil
 }
 
-// readReplies reads one reply for each sequence number that it receives, up to the first invalid reply. It then
-// waits for the process to exit.
+// readReplies reads one reply for each received sequence number.
 func (c *Child) readReplies(stdout io.Reader, requests <-chan uint32) {
 	for seq := range requests {
 		actions, err := simprotocol.ReadReply(stdout, seq, nil)
@@ -124,8 +123,8 @@
 	c.waited <- childExit{c.cmd.Wait()}
 }
 
-// Close implements Tier. It closes the program's input and waits for the exit; a program that is still running
-// after endTimeout is killed, which is an error.
+// Close implements Tier. It closes the program's input. A program that is still running after endTimeout is
+// killed, which is an error.
 func (c *Child) Close() error {
 	if c.requests == nil {
 		return nil
--- a/internal/lab/simulation/child_frames.go
+++ b/internal/lab/simulation/child_frames.go
@@ -10,7 +10,7 @@
 // loadColumns names the values of a load report, in the order of loadValues.
 var loadColumns = []string{"eps", "qps", "inflight"}
 
-// loadValues returns the values of an event's load report, or nil if it has none.
+// loadValues returns the values of an event's load report, or nil.
 func loadValues(event *Event) []float32 {
 	if !event.HasLoad {
 		return nil
@@ -130,7 +130,7 @@
 	)
 }
 
-// actionKinds maps the action codes of the protocol to action kinds. Actions with other codes are ignored.
+// actionKinds maps the protocol's action codes to action kinds. Other codes are ignored.
 var actionKinds = map[simprotocol.ActionCode]ActionKind{
 	simprotocol.ActionStartAttempt:   ActionStartAttempt,
 	simprotocol.ActionCancelAttempt:  ActionCancelAttempt,
@@ -143,8 +143,8 @@
 	simprotocol.ActionWatchEndpoints: ActionWatchEndpoints,
 }
 
-// translate converts a reply into actions; it skips unknown actions and requests to end a watch. A fault that a
-// balancer reports fails the child.
+// translate converts a reply into actions, without ends of watches. A fault that a balancer reports fails the
+// child.
 func (c *Child) translate(reply []simprotocol.Action) ([]Action, error) {
 	c.actions = c.actions[:0]
 	for i := range reply {
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -10,11 +10,11 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// responseGrace is how long after the deadline a balancer that has not responded is notified that the client is
-// gone. By then the checker has counted a violation, unless the scenario allows a longer response slack.
+// responseGrace is how long after the deadline a balancer without a response is notified that the client is
+// gone. By then the checker has counted a violation, unless the response slack is longer.
 const responseGrace = time.Second
 
-// reachedBalancer tells whether a balancer may have received a request. Retrying an unreached request is safe.
+// reachedBalancer tells whether a balancer may have received a request. If not, a retry is safe.
 type reachedBalancer bool
 
 const (
@@ -22,8 +22,8 @@
 	balancerUnreached reachedBalancer = false
 )
 
-// sendRequest sends a client's request, for the first time or as a retry. If a balancer can be chosen, it also
-// schedules the deadline and, for a share of the clients, an early disconnect.
+// sendRequest sends a client's request, for the first time or as a retry, and schedules the deadline and a
+// possible early disconnect.
 func (w *World) sendRequest(clientID uint64) {
 	client := w.clientRequests.Get(clientID)
 	if client == nil {
@@ -55,9 +55,8 @@
 	}
 }
 
-// chooseBalancer is the load balancing in front of the balancers: it picks at random among the balancers of the
-// zone that clients are sent to, or among those of all zones if the zone has none. It returns noBalancer if no
-// zone has any.
+// chooseBalancer models the load balancing in front of the balancers. It picks at random among the admitted
+// balancers of the zone, or of all zones if the zone has none. noBalancer means that none is admitted.
 func (w *World) chooseBalancer(zone int, key uint64) balancerIndex {
 	admittedInZone := w.admittedByZone[zone]
 	draw := w.randFor(key, concernBalancer).Float64()
@@ -81,8 +80,7 @@
 	return noBalancer // unreachable: position < total
 }
 
-// requestArrives delivers a request to its balancer. If the balancer is down or the client has finished, the
-// request ends as unreachable.
+// requestArrives delivers a request, which is unreachable if the balancer is down or the client has finished.
 func (w *World) requestArrives(id uint64) {
 	request := w.requests.Get(id)
 	if request == nil {
@@ -110,8 +108,8 @@
 	})
 }
 
-// finalResponse sends a balancer's rejection or failure of a request to the client. It has no effect if the
-// request is over or with another balancer.
+// finalResponse sends a balancer's rejection or failure to the client, unless the request is over or with
+// another balancer.
 func (w *World) finalResponse(action *Action, result invariants.Result) {
 	request := w.requests.Get(uint64(action.ID))
 	if request == nil || request.responded || request.balancer != balancerIndex(action.Balancer) {
@@ -132,7 +130,7 @@
 	w.events.schedule(w.now+delay, eventResponseArrives, id)
 }
 
-// responseArrives hands a final response to the client, unless the client no longer waits for it.
+// responseArrives hands a final response to the client, if the client still waits.
 func (w *World) responseArrives(id uint64) {
 	request := w.requests.Get(id)
 	if request == nil || request.clientDone {
@@ -143,7 +141,7 @@
 	w.releaseRequest(id)
 }
 
-// unreachable ends a request that no balancer has received, as a failure that is safe to retry.
+// unreachable fails a request that no balancer has received, so a retry is safe.
 func (w *World) unreachable(id uint64) {
 	request := w.requests.Get(id)
 	if request == nil || request.clientDone {
@@ -158,7 +156,7 @@
 	w.releaseRequest(id)
 }
 
-// requestExpires ends a client's wait for one request at the deadline. It schedules responseOverdue if the
+// requestExpires ends a client's wait for a request at the deadline, and schedules responseOverdue if the
 // balancer has not responded.
 func (w *World) requestExpires(id uint64) {
 	request := w.requests.Get(id)
@@ -177,8 +175,7 @@
 	w.releaseRequest(id)
 }
 
-// responseOverdue ends a request whose balancer has not responded, and notifies the balancer that the client is
-// gone.
+// responseOverdue ends a request without a response and notifies its balancer that the client is gone.
 func (w *World) responseOverdue(id uint64) {
 	request := w.requests.Get(id)
 	if request == nil || request.responded {
@@ -191,8 +188,8 @@
 	w.releaseRequest(id)
 }
 
-// clientDisconnects closes a client's connection before the deadline and notifies the balancer. The client does
-// not retry.
+// clientDisconnects closes a client's connection before the deadline. The balancer is notified, and the client
+// does not retry.
 func (w *World) clientDisconnects(id uint64) {
 	request := w.requests.Get(id)
 	if request == nil || request.clientDone || request.responded || !request.received {
@@ -208,8 +205,7 @@
 	w.releaseRequest(id)
 }
 
-// clientDecides applies the client's policy to the result of a request: the client finishes, retries after a
-// backoff, or gives up.
+// clientDecides finishes a client request after the result of one send, or schedules a retry.
 func (w *World) clientDecides(request *requestState, result invariants.Result, reached reachedBalancer) {
 	clientID := request.client
 	client := w.clientRequests.Get(clientID)
@@ -251,7 +247,7 @@
 }
 
 // backoff returns how long a client waits before its next retry, in whole microseconds: exponential backoff
-// with jitter, but not less than the Retry-After that the client honours, up to MaxRetryAfter.
+// with jitter, but at least the Retry-After that the client honours, up to MaxRetryAfter.
 func (w *World) backoff(client *clientRequest, retryAfter time.Duration) time.Duration {
 	random := w.randFor(mix(client.randomKey+uint64(client.attemptsSent)), concernBackoff)
 	wait := time.Duration(
@@ -264,10 +260,10 @@
 	return wait / time.Microsecond * time.Microsecond
 }
 
-// clientServed finishes a client request as served; it has no effect on a finished one.
+// clientServed finishes a client request as served, unless already finished.
 func (w *World) clientServed(id uint64) { w.finishClientRequest(id, goodput.Served) }
 
-// clientGivesUp finishes a client request as unserved; it has no effect on a finished one.
+// clientGivesUp finishes a client request as unserved, unless already finished.
 func (w *World) clientGivesUp(id uint64) { w.finishClientRequest(id, goodput.Unserved) }
 
 func (w *World) finishClientRequest(id uint64, end goodput.End) {
@@ -277,8 +273,8 @@
 	}
 }
 
-// releaseRequest deletes a request that has ended for client and balancer, is past its deadline and has no
-// attempt in flight.
+// releaseRequest deletes a request that is over for client and balancer, past its deadline and without attempts
+// in flight.
 func (w *World) releaseRequest(id uint64) {
 	request := w.requests.Get(id)
 	if request != nil && request.clientDone && request.responded && request.expired && request.inflight == 0 {
--- a/internal/lab/simulation/connections.go
+++ b/internal/lab/simulation/connections.go
@@ -6,8 +6,8 @@
 	"piernotch"
 )
 
-// connect sends an attempt on an idle connection or opens one. Idle connections past their keep-alive time are
-// closed first. If the server has its maximum of connections, the attempt fails at the dial timeout.
+// connect sends an attempt on an idle connection or a new one; expired connections are closed first. At the
+// server's connection limit, the attempt fails at the dial timeout.
 func (w *World) connect(balancer *balancerState, attemptID uint64, attempt *attemptState) {
 	if balancer.pools == nil {
 		balancer.pools = make([]connectionPool, len(w.servers))
@@ -40,8 +40,8 @@
 	w.events.schedule(attempt.arrivesAt, eventAttemptArrives, attemptID)
 }
 
-// returnConnection puts the connection of a completed attempt back into its pool. Without a response the state
-// of the connection is unknown, so it is closed.
+// returnConnection returns the connection of a completed attempt to the pool. Without a response the state of
+// the connection is unknown, so the connection is closed.
 func (w *World) returnConnection(balancer *balancerState, attempt *attemptState, status piernotch.Status) {
 	if attempt.epoch != balancer.epoch || balancer.pools == nil {
 		return
@@ -64,7 +64,6 @@
 	return status == piernotch.OK || status == piernotch.Error || status == piernotch.Full
 }
 
-// closeIdle closes a balancer's idle connections to a server.
 func (w *World) closeIdle(action *Action) {
 	balancer := &w.balancers[action.Balancer]
 	server, known := w.serverByID[action.Server]
--- a/internal/lab/simulation/counters.go
+++ b/internal/lab/simulation/counters.go
@@ -10,7 +10,7 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// maxTracks bounds the number of servers that are sampled; they are evenly spread over all servers.
+// maxTracks bounds the number of sampled servers.
 const maxTracks = 48
 
 // States of a sample beyond those of servermodel.State. ServerTrack.State lists all values.
@@ -19,7 +19,6 @@
 	sampleOverloaded uint8 = 6
 )
 
-// counters holds the totals of a run, from which result makes the Result.
 type counters struct {
 	Events           int
 	Requests         int // sent by clients, retries included
@@ -29,7 +28,7 @@
 	HealthChecks     int
 	RejectedByServer int
 	TableFull        int // connections not opened because the server had its maximum
-	Opened           int // connections opened
+	Opened           int // connections
 	Collapses        int
 	Unreachable      int // requests that reached no balancer
 	TimedOut         int // requests whose client stopped waiting at the deadline
@@ -40,7 +39,7 @@
 	ModuleTime       time.Duration // wall-clock time of the balancers' decisions
 
 	goodput *goodput.Counter
-	digest  uint64 // hash over the latency and earned weight of each client request
+	digest  uint64 // hash over the latency and earned weight of all client requests
 
 	// The following fields check Little's law.
 	inflight        int           // attempts at servers
@@ -54,7 +53,7 @@
 
 func (c *counters) init(realization *scenario.Realization) { c.goodput = goodput.New(realization) }
 
-// finish counts a client request that is over and adds it to the digest.
+// finish counts a finished client request and adds it to the digest.
 func (c *counters) finish(world *World, client *clientRequest, end goodput.End) {
 	took := world.now - client.firstSent
 	earned := c.goodput.RequestFinished(goodput.FinishedRequest{
@@ -68,7 +67,7 @@
 	c.digest = mix(c.digest^mix(client.randomKey^uint64(took)<<1)) + math.Float64bits(earned)
 }
 
-// attemptStarted counts an attempt by a balancer; the first of a request has number 0.
+// attemptStarted counts an attempt; the first of a request has number 0.
 func (c *counters) attemptStarted(attemptNumber int, crossZone bool) {
 	c.Attempts++
 	if attemptNumber == 0 {
@@ -86,7 +85,7 @@
 	c.accepted++
 }
 
-// exit counts an attempt that has left its server, whether completed, reset or cancelled.
+// exit counts an attempt that has left its server, for whatever reason.
 func (c *counters) exit(world *World, attempt *attemptState) {
 	c.advance(world.now)
 	c.inflight--
@@ -99,7 +98,7 @@
 	c.since = now
 }
 
-// sample records the state of the sampled servers, once a second until the end of the scenario's length.
+// sample records the state of the sampled servers, once a second up to the scenario's length.
 func (c *counters) sample(world *World) {
 	if c.tracks == nil {
 		c.chooseTracks(world)
@@ -123,7 +122,7 @@
 	}
 }
 
-// chooseTracks selects every n-th server for sampling, at most maxTracks of them.
+// chooseTracks selects servers for sampling: every n-th, so that they are spread evenly over all.
 func (c *counters) chooseTracks(world *World) {
 	count := len(world.servers)
 	step := max((count+maxTracks-1)/maxTracks, 1)
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -8,14 +8,14 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// discovery models service discovery: it learns of changes after a delay, publishes them at regular intervals,
-// and handles calls one at a time.
+// discovery models service discovery: it learns of changes late, publishes them at intervals, and handles calls
+// one at a time.
 type discovery struct {
 	entries     []listEntry
 	notices     []notice
 	unpublished []int         // indexes of notices that have arrived but are not published
 	version     uint64        // of the list
-	busyUntil   time.Duration // when the calls accepted so far are handled
+	busyUntil   time.Duration // when all accepted calls are handled
 	outages     int           // number in progress
 	outageEnded time.Duration // end of the latest outage
 	noticeDelay time.Duration // additional delay of notices by faults
@@ -31,11 +31,11 @@
 	changedAt time.Duration
 }
 
-// lateStartDivisor divides the delay by faults for notices of starts, which are delayed less than those of ends
-// and drains.
+// lateStartDivisor divides the delay that faults add to the notices of starts. Other notices get the full
+// delay.
 const lateStartDivisor = 2
 
-// notice is a change of a server's state that discovery learns of after a delay.
+// notice is a change of a server's state that discovery learns of late.
 type notice struct {
 	server    serverIndex
 	number    int // sequence number among the notices of this server, from 1
@@ -43,8 +43,8 @@
 	startedAt time.Duration
 }
 
-// Kinds of deliveries to a balancer: responses to calls, and pushes of changes. In the ID of a scheduled event,
-// bits 0 to 7 hold the kind, the higher bits the epoch of the balancer's process.
+// Kinds of deliveries to a balancer: responses to calls, and pushes of changes. The ID of a scheduled event
+// holds the epoch of the balancer's process from bit 8 on and the kind below.
 const (
 	pushChanges uint64 = iota
 	watchResponse
@@ -65,8 +65,7 @@
 	)
 }
 
-// serverChanged schedules the notice of a server's new state, which discovery receives after the given delay
-// plus the delay by faults.
+// serverChanged schedules the notice of a server's new state, after the given delay plus that by faults.
 func (d *discovery) serverChanged(world *World, index serverIndex, state piernotch.State, after time.Duration) {
 	server := &world.servers[index]
 	server.noticeCount++
@@ -93,8 +92,8 @@
 	world.events.schedule(max(at, world.now), eventDiscoveryPublish, 0)
 }
 
-// publish applies the queued notices as a new version of the list and pushes it to the watching balancers. It
-// pushes nothing if no entry has changed or during an outage.
+// publish makes a new version of the list from the queued notices and pushes changes, if any, to watching
+// balancers unless discovery is down.
 func (d *discovery) publish(world *World) {
 	d.version++
 	changed := false
@@ -124,8 +123,7 @@
 	d.push(world)
 }
 
-// listWrongly lists servers as gone by mistake, or as ready again, and pushes the change. Only the entries of
-// servers that are up change.
+// listWrongly lists servers that are up as gone by mistake, or as ready again, and pushes the change.
 func (d *discovery) listWrongly(world *World, servers []int, state piernotch.State) {
 	d.version++
 	for _, index := range servers {
@@ -146,7 +144,7 @@
 	return entry.state == piernotch.Ready && entry.startedAt > change.startedAt
 }
 
-// endpoint returns the entry of a server in the form that balancers receive.
+// endpoint returns a server's entry as sent to balancers.
 func (d *discovery) endpoint(world *World, index serverIndex) piernotch.Endpoint {
 	entry, server := &d.entries[index], &world.servers[index]
 	return piernotch.Endpoint{
@@ -159,7 +157,7 @@
 	}
 }
 
-// changedSince returns the servers whose entries changed after a version of the list.
+// changedSince returns the servers whose entries changed after a version.
 func (d *discovery) changedSince(version uint64) []serverIndex {
 	var servers []serverIndex
 	for index := range d.entries {
@@ -170,7 +168,7 @@
 	return servers
 }
 
-// presentServers returns the servers on the list, in order of index.
+// presentServers returns the listed servers, in order of index.
 func (d *discovery) presentServers() []serverIndex {
 	var servers []serverIndex
 	for index := range d.entries {
@@ -181,8 +179,8 @@
 	return servers
 }
 
-// beginOutage begins an outage; several may overlap. Calls fail and nothing is pushed during an outage.
-// Balancers that watch by calls lose their watch and are notified of the failure.
+// beginOutage begins an outage; several may overlap. Calls fail and pushes stop. Watches end, unless the
+// scenario sets Push.
 func (d *discovery) beginOutage(world *World) {
 	d.outages++
 	for i := range world.balancers {
@@ -195,7 +193,6 @@
 	}
 }
 
-// endOutage ends one outage; others may still be in progress.
 func (d *discovery) endOutage(world *World) {
 	d.outages--
 	d.outageEnded = world.now
--- a/internal/lab/simulation/discovery_delivery.go
+++ b/internal/lab/simulation/discovery_delivery.go
@@ -11,14 +11,13 @@
 // callFailureDelay is how much longer than the round trip a call during an outage takes to fail.
 const callFailureDelay = time.Millisecond
 
-// notifyLimit is how long a change has to be listed, and discovery without an outage, until a balancer counts
-// as notified of the change even if its calls failed (protocol page, "Figures").
+// notifyLimit is how long after a change is listed, and outages have ended, a balancer counts as notified even
+// if its calls failed (protocol page, "Figures").
 const notifyLimit = 6 * time.Second
 
 // pollIntervalsAfterFailure is how many poll intervals a balancer may go without a call after a failed one.
 const pollIntervalsAfterFailure = 4
 
-// callKind is the kind of a balancer's call to discovery.
 type callKind uint8
 
 const (
@@ -26,7 +25,7 @@
 	watchChanges                 // the changes since the balancer's version, and pushes of later ones
 )
 
-// push schedules the delivery of changes to all watching balancers. During an outage it does nothing.
+// push schedules the delivery of changes to all watching balancers, unless discovery is down.
 func (d *discovery) push(world *World) {
 	for i := range world.balancers {
 		index := balancerIndex(i)
@@ -36,21 +35,20 @@
 	}
 }
 
-// pushDelay returns how long after a change of the list a balancer receives the push, in whole microseconds.
+// pushDelay returns the random delay of a push to a balancer, in whole microseconds.
 func (d *discovery) pushDelay(world *World, index balancerIndex) time.Duration {
 	draw := world.randFor(mix(d.version<<20^uint64(index)), concernPush).Float64()
 	delay := time.Duration(draw * float64(world.realization.Discovery.DeliverySpread))
 	return delay / time.Microsecond * time.Microsecond
 }
 
-// scheduleDelivery schedules a delivery to a balancer. It is dropped if the balancer's process has ended by
-// then.
+// scheduleDelivery schedules a delivery, which is dropped if the balancer's process has ended by then.
 func (d *discovery) scheduleDelivery(world *World, index balancerIndex, at time.Duration, kind uint64) {
 	world.events.scheduleFor(at, eventListArrives, uint64(world.balancers[index].epoch)<<8|kind, int32(index))
 }
 
-// call handles a balancer's call to discovery. Calls are served one at a time, in order. A call fails during an
-// outage, or if the response would take longer than the timeout.
+// call handles a balancer's call. Calls are served in order, one at a time. A call fails during an outage, or
+// if the response would take longer than the timeout.
 func (d *discovery) call(world *World, index balancerIndex, kind callKind) {
 	balancer := &world.balancers[index]
 	balancer.lastPoll = world.now
@@ -89,8 +87,8 @@
 	return count
 }
 
-// deliver hands a balancer the list, the changes since its version or the failure of a call. The ID holds the
-// kind of delivery and the epoch of the balancer's process.
+// deliver hands a balancer a list, changes or the failure of a call. The ID holds the epoch of the process and
+// the kind of delivery.
 func (d *discovery) deliver(world *World, index balancerIndex, id uint64) {
 	balancer := &world.balancers[index]
 	sameProcess := uint32(id>>8) == balancer.epoch
@@ -128,7 +126,7 @@
 	d.send(world, index, piernotch.UpdateDelta, servers)
 }
 
-// remember updates the entry of a server in the list that is cached for the balancer's next process.
+// remember updates a server's entry in the list that is cached for the balancer's next process.
 func (d *discovery) remember(world *World, balancer *balancerState, server serverIndex) {
 	if balancer.entries == nil {
 		balancer.entries = map[serverIndex]piernotch.Endpoint{}
@@ -152,8 +150,8 @@
 	}
 }
 
-// send notifies a balancer of the current entries of servers. With a full list, it counts as notified that all
-// other servers are gone.
+// send notifies a balancer of the current entries of servers. A full list also counts as notice that all other
+// servers are gone.
 func (d *discovery) send(world *World, balancer balancerIndex, kind piernotch.UpdateKind, servers []serverIndex) {
 	event := Event{Kind: EventEndpointList, ListKind: kind, Version: d.version}
 	for _, server := range servers {
@@ -165,7 +163,7 @@
 	world.notify(balancer, event)
 }
 
-// addEntry adds the entry of a server to an event for a balancer and records the notification for the checker.
+// addEntry adds a server's entry to an event for a balancer and reports the notification to the checker.
 func (w *World) addEntry(event *Event, balancer balancerIndex, server serverIndex, entry piernotch.Endpoint) {
 	event.Entries = append(event.Entries, entry)
 	event.ServerKinds = append(event.ServerKinds, w.servers[server].spec.KindIndex)
@@ -174,7 +172,7 @@
 	})
 }
 
-// notifyAbsent records for the checker that a full list notified a balancer of the servers that are gone.
+// notifyAbsent reports to the checker that a full list notified a balancer of the servers that are gone.
 func (d *discovery) notifyAbsent(world *World, balancer balancerIndex) {
 	for i := range d.entries {
 		if !d.entries[i].present {
@@ -200,10 +198,9 @@
 	world.notify(index, event)
 }
 
-// notifyImplied records for the checker which changes a balancer must know by now if it does not watch. A
-// balancer that has not polled for its poll interval counts as notified of changes older than the interval.
-// After a failed call, it counts as notified of changes older than notifyLimit, once discovery has been without
-// an outage for that long.
+// notifyImplied reports to the checker what balancers that do not watch must know by now: changes listed for
+// longer than the poll interval, if the balancer has not polled for that long; and after a failed call, changes
+// listed for notifyLimit without an outage.
 func (d *discovery) notifyImplied(world *World) {
 	couldBeAsked := d.outages == 0 && world.now-d.outageEnded >= notifyLimit
 	for i := range world.balancers {
@@ -223,8 +220,8 @@
 	}
 }
 
-// notifyUnpolled records for the checker that a balancer was notified of each server that is listed as not
-// ready, in a change after the balancer's version and not later than the given time.
+// notifyUnpolled reports to the checker that a balancer was notified of each entry that is newer than the
+// balancer's list, is not ready and was listed by the given time.
 func (d *discovery) notifyUnpolled(world *World, index balancerIndex, since time.Duration) {
 	balancer := &world.balancers[index]
 	for i := range d.entries {
--- a/internal/lab/simulation/doc.go
+++ b/internal/lab/simulation/doc.go
@@ -4,8 +4,8 @@
 //
 // The package owns simulated time and the order of events at the same instant (see event_queue.go). It must not
 // know how a balancer decides: Tier hides the decisions, with one implementation in this process and one in a
-// child process. The package reports what happens to internal/lab/invariants and internal/lab/goodput, which
-// judge the run. cmd/piernotch-lab runs Worlds; internal/lab/loadtest uses the same arrivals.
+// child process. internal/lab/invariants and internal/lab/goodput judge a run by what the package reports to
+// them. cmd/piernotch-lab runs Worlds; internal/lab/loadtest uses the same arrivals.
 //
 // A World runs one realization on the caller's goroutine. The same realization with the same decision module
 // gives the same Result, except for the wall-clock times.
--- a/internal/lab/simulation/event_queue.go
+++ b/internal/lab/simulation/event_queue.go
@@ -6,9 +6,9 @@
 type priority uint8
 
 // Priorities: faults come first, then completions at servers, then messages, so that a response precedes a
-// timeout that is due at the same time. Endpoint lists, timeouts, requests and timers follow. The turn comes
-// after all of these, so that balancers decide with all of them known; only samples are later. Events of equal
-// priority keep the order in which they were scheduled.
+// timeout at the same time. Endpoint lists, timeouts, requests and timers follow. The turn comes after all of
+// these, so that balancers decide with full knowledge; samples are last. Events of equal priority keep the
+// order of scheduling.
 const (
 	priorityFault priority = iota
 	priorityServer
@@ -24,8 +24,7 @@
 // eventKind determines the handler and the priority of a scheduled event.
 type eventKind uint8
 
-// Kinds of scheduled events. Each comment says what the ID identifies, and what the index identifies if it is
-// used.
+// Kinds of scheduled events. Each comment says what the ID identifies, and the index if it is used.
 const (
 	eventScript               eventKind = iota // step of the script
 	eventServerAdvance                         // index: server whose Advance is due
@@ -94,15 +93,13 @@
 	return e.order < other.order
 }
 
-// priorityShift is the position of the priority in scheduledEvent.order. The bits below it hold the number of
-// the event.
+// priorityShift is the position of the priority in scheduledEvent.order, above the number of the event.
 const priorityShift = 56
 
-// arity is the maximum number of children of an element of eventQueue.
+// arity is the most children of an element of eventQueue.
 const arity = 4
 
-// eventQueue is a heap with four children for each element. It is flatter than a binary heap, which saves moves
-// at the price of comparisons.
+// eventQueue is a 4-ary heap. It is flatter than a binary heap, so an event moves fewer levels.
 type eventQueue struct {
 	heap      []scheduledEvent
 	scheduled uint64 // number of events scheduled so far
@@ -113,8 +110,7 @@
 	q.scheduleFor(at, kind, id, 0)
 }
 
-// scheduleFor adds an event with an index, that of a balancer or a server. The meaning of both the ID and the
-// index depends on the kind.
+// scheduleFor schedules an event with the index of a balancer or a server.
 func (q *eventQueue) scheduleFor(at time.Duration, kind eventKind, id uint64, index int32) {
 	q.scheduled++
 	event := scheduledEvent{
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// scheduleBalancerFault schedules what a fault does to one of its balancers; position is the index among them.
+// scheduleBalancerFault schedules the effects of a fault on the balancer at a position in fault.Balancers.
 func (w *World) scheduleBalancerFault(fault *scenario.Fault, position int, balancer balancerIndex) {
 	switch fault.Kind {
 	case scenario.FaultCrashBalancers:
@@ -44,7 +44,7 @@
 		})
 		w.schedule(fault.End(), func() { w.startNextProcess(balancer) })
 	case scenario.FaultRestartBalancers:
-		// Clients are no longer sent to the balancer, and it lives on until its last request must have ended.
+		// Clients are no longer sent to the balancer, which runs until its requests must have ended.
 		at := fault.At + fault.Every*time.Duration(position)
 		killedAt := at + w.longestRequest()
 		w.schedule(at, func() { w.stopAdmitting(balancer) })
@@ -107,7 +107,7 @@
 	w.scheduleServer(index)
 }
 
-// drainServer begins the graceful shutdown of a server that is up, and gives discovery notice.
+// drainServer begins the graceful shutdown of a server that is up, and notifies discovery.
 func (w *World) drainServer(index serverIndex) {
 	server := &w.servers[index]
 	if server.State() != servermodel.Up {
@@ -117,8 +117,8 @@
 	w.discovery.serverChanged(w, index, piernotch.Draining, w.realization.Discovery.RemovalDelay)
 }
 
-// endServer ends a server's process, which is an orderly exit after a drain and a crash otherwise. A server
-// that is silent or down stays as it is.
+// endServer ends a server's process: an orderly exit after a drain, otherwise a crash. Servers that are silent
+// or down stay so.
 func (w *World) endServer(index serverIndex) {
 	server := &w.servers[index]
 	if server.State() == servermodel.Silent || server.State() == servermodel.Down {
@@ -129,8 +129,8 @@
 	w.discovery.serverChanged(w, index, piernotch.Gone, w.realization.Discovery.RemovalDelay)
 }
 
-// vanishServer makes a server silent: its attempts get no outcome before their timeout, and discovery needs
-// FailureDetectionDelay to notice.
+// vanishServer makes a server silent: its attempts get no outcome before their timeout, and discovery learns of
+// the failure late.
 func (w *World) vanishServer(index serverIndex) {
 	for _, lost := range w.servers[index].Vanish(w.now) {
 		if attempt := w.attempts.Get(lost.ID); attempt != nil {
@@ -153,7 +153,7 @@
 	w.discovery.serverChanged(w, index, piernotch.Ready, w.realization.Discovery.AddDelay)
 }
 
-// scheduleJoin adds a server that is modelled on one of the initial servers and is down until the given time.
+// scheduleJoin adds a server like one of the initial servers, but down until the given time.
 func (w *World) scheduleJoin(like, number int, at time.Duration) {
 	index, err := w.addServer(w.realization.Like(like, number))
 	if err != nil {
--- a/internal/lab/simulation/golden_decisions_test.go
+++ b/internal/lab/simulation/golden_decisions_test.go
@@ -128,7 +128,7 @@
 	require.Len(t, files, played, "files that no run is compared with")
 }
 
-// play runs the scenario with a seed and returns the record of the run.
+// play runs the scenario with a seed and returns the record.
 func (g *goldenRun) play(t *testing.T, seed uint64) *goldenRecord {
 	t.Helper()
 	s, err := scenario.Load(g.scenario)
@@ -152,7 +152,6 @@
 	return record
 }
 
-// addCounts adds the counts of another record.
 func (g *goldenRecord) addCounts(other *goldenRecord) {
 	for code, n := range other.counts {
 		g.counts[code] += n
@@ -191,7 +190,7 @@
 	}
 }
 
-// goldenDifference describes the first block in which two golden files differ, or returns "" if they are equal.
+// goldenDifference describes the first block in which two golden files differ, or returns "".
 func goldenDifference(want, got string) string {
 	if want == got {
 		return ""
@@ -220,7 +219,7 @@
 	return fmt.Sprintf(", from %v to the end", from)
 }
 
-// blockStart returns the simulated time of a block's first entry, or -1 ns if the line cannot be read.
+// blockStart returns the time of a block's first entry, or -1 if the line is invalid.
 func blockStart(line string) time.Duration {
 	var block, from int64
 	if _, err := fmt.Sscan(line, &block, &from); err != nil {
--- a/internal/lab/simulation/golden_record_test.go
+++ b/internal/lab/simulation/golden_record_test.go
@@ -62,7 +62,7 @@
 	{codeLoad, "load"},
 }
 
-// Codes of the kinds of events and actions. They are independent of the values of those constants, which may be
+// Codes of the kinds of events and actions. They do not use the values of those constants, which may be
 // reordered.
 var (
 	goldenEventCode = map[EventKind]goldenCode{
@@ -77,15 +77,15 @@
 	}
 )
 
-// goldenBlockSize is the number of entries in a block, which has one digest.
+// goldenBlockSize is the number of entries in a block.
 const goldenBlockSize = 500
 
-// goldenRecord builds the record of a run and keeps only a digest of each block.
+// goldenRecord builds the record of a run and keeps a digest of each block.
 type goldenRecord struct {
 	now       time.Duration
 	block     []byte
-	entries   int           // in the current block
-	blockFrom time.Duration // simulated time of the current block's first entry
+	entries   int           // in the block
+	blockFrom time.Duration // simulated time of the block's first entry
 	lines     []string      // one for each finished block
 	counts    map[goldenCode]int
 	secondTry int // attempts that were not the first of their request
@@ -157,7 +157,6 @@
 	}
 }
 
-// event writes the entry of an event.
 func (g *goldenRecord) event(e *Event) {
 	g.begin(goldenEventCode[e.Kind], e.Balancer)
 	g.booleans(e.HasLoad)
@@ -198,7 +197,7 @@
 	}
 }
 
-// settings writes the values of settings, without names, which do not affect decisions.
+// settings writes settings without names, which do not affect decisions.
 func (g *goldenRecord) settings(s *piernotch.Settings) {
 	g.integers(int64(s.BalancerCount), int64(s.Zone), int64(len(s.Zones)), int64(s.Tick), int64(len(s.Classes)))
 	for i := range s.Classes {
@@ -219,13 +218,11 @@
 	g.floats(r.SlowStartCapacity, s.OverQuotaWeight)
 }
 
-// action writes the entry of an action.
 func (g *goldenRecord) action(a *Action) {
 	g.begin(goldenActionCode[a.Kind], a.Balancer)
 	g.integers(int64(a.ID), int64(a.Server), int64(a.Attempt), int64(a.Delay), int64(a.Token))
 }
 
-// snapshot writes an entry with the values of a snapshot.
 func (g *goldenRecord) snapshot(code goldenCode, balancer int, s piernotch.Snapshot) {
 	g.begin(code, balancer)
 	g.floats(s.MedianHint, s.MeanWork, s.LargeWorkShare, s.PeakCompletionRate)
--- a/internal/lab/simulation/golden_tier_test.go
+++ b/internal/lab/simulation/golden_tier_test.go
@@ -8,8 +8,8 @@
 	"piernotch"
 )
 
-// goldenTier is an InProcess that records events and actions. It also makes, and records with their results,
-// the calls of the decision module that a World never makes. When it makes them depends only on the run.
+// goldenTier is an InProcess that records events and actions. It also makes calls that a World never makes, at
+// events that depend only on the run, and records them with their results.
 type goldenTier struct {
 	inner     *InProcess
 	record    *goldenRecord
@@ -44,10 +44,8 @@
 	goldenRejectionPeriod = 307 // of settings that must be refused
 )
 
-// Close implements Tier.
 func (t *goldenTier) Close() error { return t.inner.Close() }
 
-// Turn implements Tier.
 func (t *goldenTier) Turn(now time.Duration, events []Event) ([]Action, error) {
 	t.record.now, t.actions = now, t.actions[:0]
 	for i := range events {
@@ -93,8 +91,8 @@
 	t.inner.actions = t.inner.actions[:0]
 }
 
-// before prepares an event: a request gets a tenant, a balancer that stops is asked for its snapshot, and at
-// times a response starts just before its attempt ends. It also notes listed servers.
+// before prepares an event: a request gets a tenant, a balancer that stops is asked for its snapshot, listed
+// servers are noted, and at times a response starts just before its attempt ends.
 func (t *goldenTier) before(known *goldenBalancer, e *Event) {
 	switch e.Kind {
 	case EventStart:
@@ -122,7 +120,7 @@
 	}
 }
 
-// after makes the calls that are due after an event of a running balancer.
+// after makes the added calls that are due after an event.
 func (t *goldenTier) after(now time.Duration, known *goldenBalancer, b *piernotch.Balancer, e *Event) {
 	due := func(period int) bool { return known.events%period == 0 }
 	if e.Kind == EventStart {
@@ -143,8 +141,7 @@
 	t.takeActions(known)
 }
 
-// operate makes the operators' calls that are due: exclusions and their ends, load reports, changes of
-// settings, and at times settings to refuse and a snapshot to ignore.
+// operate makes the operators' calls that are due, among them some that the balancer must refuse or ignore.
 func (t *goldenTier) operate(now time.Duration, known *goldenBalancer, b *piernotch.Balancer, i int) {
 	n := known.events
 	if n%goldenExcludePeriod == 0 && len(known.listed) > 0 {
@@ -234,7 +231,7 @@
 	}
 }
 
-// restore passes on the snapshot of the previous process, if there is one.
+// restore passes on the snapshot of the previous process, if any.
 func (t *goldenTier) restore(known *goldenBalancer, b *piernotch.Balancer, i int) {
 	if known.snapshot.MeanWork > 0 {
 		b.Restore(known.snapshot)
@@ -243,8 +240,7 @@
 	}
 }
 
-// attemptAllowed asks about all attempts of the request that was sent last, and about one attempt that does not
-// exist.
+// attemptAllowed asks about all attempts of the request that was sent last.
 func (t *goldenTier) attemptAllowed(now time.Duration, known *goldenBalancer, b *piernotch.Balancer, i int) {
 	for try := range known.attempts[known.lastID] + 1 { // including a number without an attempt
 		allowed := b.AttemptAllowed(now, known.lastID, try)
--- a/internal/lab/simulation/health_checks.go
+++ b/internal/lab/simulation/health_checks.go
@@ -7,7 +7,6 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// startHealthCheck sends a health check to a server. An unknown server ends the run with an error.
 func (w *World) startHealthCheck(action *Action) {
 	server, known := w.serverByID[action.Server]
 	if !known {
@@ -29,8 +28,8 @@
 	w.events.schedule(w.now+check.delay, eventHealthCheckArrives, w.lastHealthCheck)
 }
 
-// healthCheckArrives derives the result of a health check from the server's state and schedules the arrival of
-// the result at the balancer.
+// healthCheckArrives derives the result of a health check from the server's state, and sends the result to the
+// balancer.
 func (w *World) healthCheckArrives(id uint64) {
 	check := w.healthChecks.Get(id)
 	server := &w.servers[check.server]
@@ -50,7 +49,7 @@
 	w.events.schedule(back, eventHealthCheckCompletes, id)
 }
 
-// healthCheckCompletes notifies a balancer of the result of a health check, if the process that sent the check
+// healthCheckCompletes notifies the balancer of a health check's result, if the process that sent the check
 // still runs.
 func (w *World) healthCheckCompletes(id uint64) {
 	check := w.healthChecks.Get(id)
--- a/internal/lab/simulation/in_process.go
+++ b/internal/lab/simulation/in_process.go
@@ -8,15 +8,15 @@
 	"piernotch"
 )
 
-// InProcess is a Tier that runs balancers with the decision module that this program was built with.
+// InProcess is a Tier that runs balancers with the decision module in this program.
 type InProcess struct {
 	balancers []*piernotch.Balancer // nil: not running
 	actions   []Action
 	now       time.Duration
-	current   int // balancer whose event is handled, for the error of a panic
+	current   int // balancer whose event is handled
 }
 
-// NewInProcess returns a tier without balancers; start events add them.
+// NewInProcess returns a tier without balancers.
 func NewInProcess() *InProcess { return &InProcess{} }
 
 // Close implements Tier. There is nothing to free.
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// dispatch passes an event to a running balancer, the load report first if there is one.
+// dispatch passes an event to a running balancer, after the load report of the event.
 func (p *InProcess) dispatch(balancer *piernotch.Balancer, event *Event) {
 	if event.HasLoad {
 		load := piernotch.LoadReport{Inflight: event.Load.Inflight, CompletedPerSecond: event.Load.PerSec}
--- a/internal/lab/simulation/invariants_test.go
+++ b/internal/lab/simulation/invariants_test.go
@@ -44,7 +44,7 @@
 	return r
 }
 
-// requireViolation requires a violation of a rule with a message, and that its steps are recorded.
+// requireViolation requires a violation of a rule with a message and steps.
 func requireViolation(t *testing.T, r *Result, rule invariants.Rule, message string) {
 	t.Helper()
 	for _, b := range r.Violations {
--- a/internal/lab/simulation/random.go
+++ b/internal/lab/simulation/random.go
@@ -24,7 +24,7 @@
 // goldenRatio is 2^64 divided by the golden ratio: it spreads consecutive numbers over all bits.
 const goldenRatio uint64 = 0x9e3779b97f4a7c15
 
-// Concerns separate the hashed random numbers that are drawn for one key. Each concern has its own sequence.
+// Concerns separate the hashed random numbers that are drawn for one key.
 const (
 	concernDelay       uint64 = iota + 1 // network delay of an attempt or health check
 	concernWork                          // variation of an attempt's work
@@ -38,7 +38,7 @@
 	concernDisconnect  = concernBalancer + 100
 )
 
-// randFor returns the source of random numbers for a concern of a key. The next call reseeds the source.
+// randFor returns the random numbers of a concern of a key. They are valid until the next call.
 func (w *World) randFor(key, concern uint64) *rand.Rand {
 	w.pcg.Seed(key, concern^w.realization.Seed)
 	return w.hashedRand
--- a/internal/lab/simulation/records.go
+++ b/internal/lab/simulation/records.go
@@ -13,8 +13,8 @@
 // maxAttempts bounds the attempts of a balancer at one request, whatever the settings allow.
 const maxAttempts = 8
 
-// clientRequest is a request as its client sees it. The client sends it once and may retry after a failure;
-// each send is a separate request to the balancers.
+// clientRequest is a request as its client sees it. Each send, the first or a retry, is a separate request to
+// the balancers.
 type clientRequest struct {
 	randomKey      uint64 // key of the hashed random numbers
 	firstSent      time.Duration
@@ -29,7 +29,7 @@
 	disconnectDraw float64 // in [0, 1); below EarlyDisconnectShare, the client disconnects early
 }
 
-// departedClient replaces a client request that is finished while a balancer still works on it.
+// departedClient replaces a finished client request that a balancer still works on.
 var departedClient = clientRequest{costHint: math.NaN()}
 
 // requestState is a request as a balancer sees it: one send of a clientRequest.
@@ -47,7 +47,7 @@
 	respondedAt         time.Duration
 	result              invariants.Result
 	balancerKilled      bool          // killed before it responded
-	retryAfter          time.Duration // Retry-After of a rejection
+	retryAfter          time.Duration // of a rejection
 	deadline            time.Duration
 	attemptIDs          [maxAttempts]uint64
 }
@@ -63,9 +63,9 @@
 	status        piernotch.Status
 	newConnection bool
 	inTransit     bool // on its way to the server
-	completed     bool // the balancer has the outcome or no longer waits
+	completed     bool // for its balancer
 	atServer      bool // running or queued at the server
-	outcomeSent   bool // outcome scheduled to arrive at the balancer
+	outcomeSent   bool // outcome on the way to the balancer
 	hasLoad       bool
 	delay         time.Duration // one-way network delay
 	sentAt        time.Duration
@@ -117,7 +117,7 @@
 	pollFailed  bool
 }
 
-// serverState is one server: its model and what the World adds to the model.
+// serverState is one server: its model and the World's data.
 type serverState struct {
 	*servermodel.Server
 	spec           scenario.Server
--- a/internal/lab/simulation/result.go
+++ b/internal/lab/simulation/result.go
@@ -11,7 +11,7 @@
 // Result is the outcome of one run. Service and its parts are fractions of 1.
 type Result struct {
 	Seed        uint64  `json:"seed"`
-	Service     float64 `json:"service"` // weighted sum of the three parts below, less Deducted
+	Service     float64 `json:"service"` // weighted sum of the three parts below, less Deducted; at least 0
 	WholeRun    float64 `json:"whole"`
 	WorstWindow float64 `json:"worst_window"`
 	WorstClass  float64 `json:"worst_class"`
@@ -24,8 +24,8 @@
 	SlowStartCollapses int `json:"cold_falls"` // collapses that violate the rule
 	Collapses          int `json:"falls"`      // all collapses
 
-	// Margins to the limits of the rules: the most work that a server in slow start received within a window,
-	// as a share of the work that makes it collapse; and the latest attempt after the notice of a drain, ms.
+	// Margins of the rules: the most work that a server in slow start received within a window, as a share of
+	// the work that collapses the server; and the longest time from the notice of a drain to an attempt, ms.
 	SlowStartPeak float64 `json:"cold_peak"`
 	DrainLatest   float64 `json:"drain_latest_ms"`
 
@@ -49,7 +49,7 @@
 	Classes         []Share `json:"classes"`
 	Little          Little  `json:"little"`
 	Events          int     `json:"events"`
-	Digest          uint64  `json:"digest"` // hash over the latency and earned weight of each client request
+	Digest          uint64  `json:"digest"` // hash over the latency and earned weight of all client requests
 	WallS           float64 `json:"wall_s"`
 	ModuleS         float64 `json:"module_s"` // part of WallS spent in the balancers' decisions
 
@@ -162,7 +162,7 @@
 	}
 }
 
-// resultOfRates fills in the rates and shares: per request, per unit of work requested, and per server.
+// resultOfRates fills in the rates and shares.
 func (w *World) resultOfRates(result *Result) {
 	counters, counted := &w.counters, w.counters.goodput
 	workDone, overloaded := 0.0, 0
--- a/internal/lab/simulation/servers.go
+++ b/internal/lab/simulation/servers.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// advanceServer advances a server's model and handles the completed jobs. A scheduled Advance that an earlier
-// one has replaced is ignored.
+// advanceServer advances a server's model and handles the completed jobs. An Advance that an earlier one has
+// replaced is ignored.
 func (w *World) advanceServer(index serverIndex, at time.Duration) {
 	server := &w.servers[index]
 	if server.nextAdvance != at {
@@ -29,8 +29,7 @@
 	w.scheduleServer(index)
 }
 
-// serverCompleted handles the jobs that a server has completed or reset. It responds for each attempt whose
-// balancer still waits.
+// serverCompleted handles jobs that a server has completed or reset, and responds to balancers that still wait.
 func (w *World) serverCompleted(index serverIndex, completions []servermodel.Completion) {
 	for _, completion := range completions {
 		attempt := w.attempts.Get(completion.ID)
@@ -51,7 +50,7 @@
 	}
 }
 
-// respond schedules the arrival of an attempt's outcome at the balancer. A fault may turn a success into an
+// respond schedules the arrival of an attempt's outcome at the balancer. A fault may turn success into an
 // error.
 func (w *World) respond(index serverIndex, attempt *attemptState, completion servermodel.Completion) {
 	attempt.load, attempt.hasLoad = w.servers[index].Report(w.now, w.reportDelay)
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -9,8 +9,7 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// run runs one realization of a scenario with changed settings, and requires that no client request and no
-// attempt is left at the end.
+// run runs one realization of a scenario with changed settings, and requires that nothing is left unfinished.
 func run(t *testing.T, tier Tier, name string, seed uint64, set ...string) *Result {
 	t.Helper()
 	s, err := scenario.Load(name)
--- a/internal/lab/simulation/stderr_tail.go
+++ b/internal/lab/simulation/stderr_tail.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// Limits of what stderrTail keeps, and of what String returns.
+// Limits of what stderrTail keeps and returns.
 const (
 	maxStderrTail  = 4096 // bytes
 	maxStderrLines = 8
 )
 
-// stderrTail is an io.Writer that keeps the end of what is written to it. It is safe for concurrent use.
+// stderrTail keeps the end of the written text. It is safe for concurrent use.
 type stderrTail struct {
 	mu   sync.Mutex
 	text []byte
--- a/internal/lab/simulation/tier.go
+++ b/internal/lab/simulation/tier.go
@@ -30,7 +30,7 @@
 	Seed        uint64                 // Start
 	Settings    *piernotch.Settings    // Start
 	Request     piernotch.Request      // Request
-	Retry       bool                   // Request: a retry that the client marks as one
+	Retry       bool                   // Request: marked as a retry by the client
 	ID          piernotch.RequestID    // ClientGone
 	Outcome     piernotch.Outcome      // AttemptCompleted
 	Server      piernotch.ServerID     // HealthCheckCompleted
--- a/internal/lab/simulation/trace_overload_test.go
+++ b/internal/lab/simulation/trace_overload_test.go
@@ -114,8 +114,7 @@
 	require.Zero(t, good.ViolationCount(), good.Violations)
 }
 
-// The notification of a drain precedes a request in the same tick, because balancers decide only at the end of
-// the tick.
+// A drain precedes a request in the same tick, because balancers decide at the end of the tick.
 func TestDrainNotifiedInSameTickPrecedesRequest(t *testing.T) {
 	s, err := scenario.Load("quiet")
 	require.NoError(t, err)
--- a/internal/lab/simulation/traffic.go
+++ b/internal/lab/simulation/traffic.go
@@ -87,8 +87,7 @@
 	return rate
 }
 
-// ramp returns a factor that rises linearly from 0 to 1 after from and falls back to 0 before to, each within
-// the duration over.
+// ramp rises linearly from 0 to 1 after from and falls back to 0 before to, each within over.
 func ramp(at, from, to, over time.Duration) float64 {
 	if at <= from || at >= to {
 		return 0
@@ -101,7 +100,7 @@
 	return min(up, down, 1)
 }
 
-// scheduleNext schedules the next client request, unless it is due only after the scenario's length.
+// scheduleNext schedules the next client request, if it is due within the scenario's length.
 func (t *traffic) scheduleNext(world *World) {
 	if t.replay {
 		if len(t.records) > 0 {
@@ -138,7 +137,7 @@
 	t.scheduleNext(world)
 }
 
-// drawRequest fills in a new client request, drawn from the scenario or taken from the recording.
+// drawRequest fills in a new client request from the scenario or the recording.
 func (t *traffic) drawRequest(world *World, client *clientRequest) {
 	realization := world.realization
 	*client = clientRequest{
@@ -159,7 +158,7 @@
 	}
 }
 
-// Arrival is one client request, before any decision of a balancer.
+// Arrival is one client request, before any decision.
 type Arrival struct {
 	At          time.Duration // since the start
 	Class       int
@@ -171,8 +170,7 @@
 	Seed        uint64  // of the hashed random numbers
 }
 
-// Arrivals returns all client requests of a realization, the same as in a World. It fails if the recording
-// cannot be used.
+// Arrivals returns all client requests of a realization, the same as in a World.
 func Arrivals(realization *scenario.Realization) ([]Arrival, error) {
 	world := &World{realization: realization}
 	if err := world.traffic.init(world); err != nil {
--- a/internal/lab/simulation/traffic_trace.go
+++ b/internal/lab/simulation/traffic_trace.go
@@ -11,8 +11,8 @@
 	"piernotch/internal/trafficrecording"
 )
 
-// loadTrace reads a recording and sorts it by arrival, because its records are in the order in which requests
-// ended. It fails if the file cannot be read or has a class that the scenario lacks.
+// loadTrace reads a recording, whose records are in the order in which requests ended, and sorts it by arrival.
+// It fails if the file is invalid or has a class that the scenario lacks.
 func (t *traffic) loadTrace(realization *scenario.Realization) error {
 	recording, err := trafficrecording.Open(realization.Traffic.Trace)
 	if err != nil {
@@ -41,8 +41,8 @@
 	}
 }
 
-// takeRecorded fills in a client request from the next record. A recording does not contain the work of
-// requests, so the work is the cost hint or, without one, drawn from the class's distribution.
+// takeRecorded fills in a client request from the next record. A recording has no work: the cost hint is used
+// instead or, without a hint, the class's distribution.
 func (t *traffic) takeRecorded(world *World, client *clientRequest) {
 	record := t.records[0]
 	t.records = t.records[1:]
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -19,7 +19,7 @@
 	serverIndex   = invariants.ServerIndex
 )
 
-// noBalancer is the balancer of a request for which no balancer could be chosen.
+// noBalancer is the index for a request without a balancer.
 const noBalancer balancerIndex = -1
 
 // never is later than any time in a run.
@@ -28,8 +28,7 @@
 // drainAfter bounds how long after the scenario's length a World waits for unfinished client requests.
 const drainAfter = 60 * time.Second
 
-// World simulates one realization of a scenario. It must be used from one goroutine, and Run may be called
-// once.
+// World simulates one realization of a scenario. It is for one goroutine and one call of Run.
 type World struct {
 	realization *scenario.Realization
 	tier        Tier
@@ -42,7 +41,7 @@
 	requests          idtable.Table[requestState]
 	attempts          idtable.Table[attemptState]
 	healthChecks      idtable.Table[healthCheckState]
-	lastClientRequest uint64 // this and the next three: the last ID assigned
+	lastClientRequest uint64 // last ID assigned, as are the next three
 	lastRequest       uint64
 	lastAttempt       uint64
 	lastHealthCheck   uint64
@@ -54,7 +53,7 @@
 	discovery      discovery
 	traffic        traffic
 
-	script       []func()      // steps of faults and process starts; the ID of an eventScript is the index
+	script       []func()      // steps of faults and process starts, indexed by the ID of an eventScript
 	reportDelay  time.Duration // additional delay of load reports by faults
 	corruptShare float64       // share of responses that a fault corrupts
 
@@ -70,8 +69,8 @@
 	counters   counters
 }
 
-// New returns a World for a realization, with all of its servers added and its faults scheduled. The caller
-// closes the tier. New fails if a kind of server is invalid or the traffic recording cannot be used.
+// New returns a World for a realization, with all of its servers and faults. The caller closes the tier. New
+// fails if a kind of server is invalid or the traffic recording cannot be used.
 func New(realization *scenario.Realization, tier Tier) (*World, error) {
 	world := &World{
 		realization: realization,
@@ -106,8 +105,8 @@
 	return world, nil
 }
 
-// limits returns the limits that the invariants are checked against. A response may be late by one tick more
-// than on sockets, because balancers decide only at ticks.
+// limits returns the limits of the invariants. A response may be late by one tick more than on sockets, because
+// balancers decide only at ticks.
 func (w *World) limits() invariants.Limits {
 	rules, limits := &w.realization.Rules, &w.realization.Settings.Limits
 	measured := invariants.Limits{
@@ -147,8 +146,7 @@
 	return index, nil
 }
 
-// newServerID returns an unused, non-zero ID for a server. The ID is a hash, from which a balancer cannot infer
-// the index; it is the same at every balancer.
+// newServerID returns an unused ID for a server, the same for every balancer. The ID does not reveal the index.
 func (w *World) newServerID(index serverIndex) piernotch.ServerID {
 	id := piernotch.ServerID(mix(w.realization.Seed ^ mix(uint64(index)+saltServerID)))
 	for {
@@ -159,9 +157,9 @@
 	}
 }
 
-// Run simulates the scenario until its length has passed and all client requests are finished, or until
-// drainAfter has passed as well. An error names the seed and the simulated time; its cause is a failure of the
-// tier or an impossible action.
+// Run simulates the scenario until its length has passed and all client requests are finished, for drainAfter
+// longer at most. An error names the seed and the simulated time; the cause is the tier or an impossible
+// action.
 func (w *World) Run() (*Result, error) {
 	began := time.Now()
 	for !w.stop {
@@ -230,8 +228,7 @@
 	}
 }
 
-// onEachSecond checks for overdue responses, runs notifyImplied, takes samples, and ends the run when it is
-// complete.
+// onEachSecond checks for overdue responses, runs notifyImplied, takes samples, and ends a complete run.
 func (w *World) onEachSecond() {
 	w.checker.CheckOverdue(w.now)
 	w.discovery.notifyImplied(w)
