--- a/internal/lab/simulation/attempts.go
+++ b/internal/lab/simulation/attempts.go
@@ -22,8 +22,8 @@
 	request := w.requests.Get(id)
 	pending := request != nil && !request.responded && request.balancer == balancerIndex(action.Balancer)
 	if !pending {
-		// The balancer may not know of an end since the previous turn. After an earlier end, the attempt is a
-		// violation.
+		// Without a response of its own, the balancer may not know of an end since the previous turn. An
+		// attempt after a known end is a violation.
 		knewOfEnd := request == nil || request.respondedByBalancer || request.respondedAt <= w.previousTurn
 		if knewOfEnd {
 			w.checker.AttemptSent(w.sentAttempt(action, server))
--- a/internal/lab/simulation/child.go
+++ b/internal/lab/simulation/child.go
@@ -104,13 +104,12 @@
 	}
 	child.stdin = stdin
 	child.writer = bufio.NewWriterSize(stdin, pipeBuffer)
-	// The goroutine reads replies until Close closes requests or a reply is invalid. It then waits for the
-	// process.
+	// The goroutine reads replies until Close closes requests or a reply is invalid.
 	go child.readReplies(bufio.NewReaderSize(stdout, pipeBuffer), child.requests)
 	return child, nil
 }
 
-// readReplies reads one reply for each received sequence number.
+// readReplies reads one reply for each received sequence number, then waits for the process.
 func (c *Child) readReplies(stdout io.Reader, requests <-chan uint32) {
 	for seq := range requests {
 		actions, err := simprotocol.ReadReply(stdout, seq, nil)
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -80,7 +80,8 @@
 	return noBalancer // unreachable: position < total
 }
 
-// requestArrives delivers a request, which is unreachable if the balancer is down or the client has finished.
+// requestArrives delivers a request to its balancer. If the balancer is down or the client has finished, the
+// request is unreachable.
 func (w *World) requestArrives(id uint64) {
 	request := w.requests.Get(id)
 	if request == nil {
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -65,7 +65,7 @@
 	)
 }
 
-// serverChanged schedules the notice of a server's new state, after the given delay plus that by faults.
+// serverChanged schedules the notice of a server's new state, after the given delay plus the delay by faults.
 func (d *discovery) serverChanged(world *World, index serverIndex, state piernotch.State, after time.Duration) {
 	server := &world.servers[index]
 	server.noticeCount++
--- a/internal/lab/simulation/discovery_delivery.go
+++ b/internal/lab/simulation/discovery_delivery.go
@@ -198,7 +198,7 @@
 	world.notify(index, event)
 }
 
-// notifyImplied reports to the checker what balancers that do not watch must know by now: changes listed for
+// notifyImplied reports to the checker what a balancer that does not watch must know by now: changes listed for
 // longer than the poll interval, if the balancer has not polled for that long; and after a failed call, changes
 // listed for notifyLimit without an outage.
 func (d *discovery) notifyImplied(world *World) {
--- a/internal/lab/simulation/event_queue.go
+++ b/internal/lab/simulation/event_queue.go
@@ -76,7 +76,6 @@
 	eventEachSecond:           prioritySample,
 }
 
-// scheduledEvent is an element of the event queue.
 type scheduledEvent struct {
 	at    time.Duration
 	order uint64 // breaks ties in time: priority, then order of scheduling
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -11,7 +11,7 @@
 // scheduleFaults adds the scenario's faults to the script, and the servers that join later to the World.
 func (w *World) scheduleFaults() {
 	for _, step := range w.realization.Steps() {
-		// A new server is added now and started by the step.
+		// Servers that join later are added now and started by the step.
 		if step.Action == scenario.Join || step.Action == scenario.Takeover {
 			w.scheduleJoin(step.Server, step.Number, step.At)
 			continue
--- a/internal/lab/simulation/golden_decisions_test.go
+++ b/internal/lab/simulation/golden_decisions_test.go
@@ -22,7 +22,7 @@
 // goldenRun is a scenario of the golden record, which is run with each of goldenSeeds.
 type goldenRun struct {
 	name     string // prefix of the golden files
-	scenario string // name of a shipped scenario
+	scenario string // shipped scenario
 	set      []string
 	operated bool                        // operators exclude servers and change settings
 	tenants  []float64                   // quota of each tenant, requests per second
--- a/internal/lab/simulation/golden_record_test.go
+++ b/internal/lab/simulation/golden_record_test.go
@@ -77,7 +77,7 @@
 	}
 )
 
-// goldenBlockSize is the number of entries in a block.
+// goldenBlockSize is the number of entries that share a digest.
 const goldenBlockSize = 500
 
 // goldenRecord builds the record of a run and keeps a digest of each block.
--- a/internal/lab/simulation/records.go
+++ b/internal/lab/simulation/records.go
@@ -24,8 +24,8 @@
 	work           float64 // ms on a core of speed 1
 	costHint       float64 // ms; NaN: none
 	key            uint64  // for key affinity; 0: none
-	attemptsSent   int     // by the client so far, retries included
-	maxRetries     int     // by the client, at most
+	attemptsSent   int     // sends so far, retries included
+	maxRetries     int     // most retries of the client
 	disconnectDraw float64 // in [0, 1); below EarlyDisconnectShare, the client disconnects early
 }
 
--- a/internal/lab/simulation/result.go
+++ b/internal/lab/simulation/result.go
@@ -22,7 +22,7 @@
 	DrainViolations    int `json:"drain_breaks"`
 	DeadlineViolations int `json:"deadline_breaks,omitempty"`
 	SlowStartCollapses int `json:"cold_falls"` // collapses that violate the rule
-	Collapses          int `json:"falls"`      // all collapses
+	Collapses          int `json:"falls"`
 
 	// Margins of the rules: the most work that a server in slow start received within a window, as a share of
 	// the work that collapses the server; and the longest time from the notice of a drain to an attempt, ms.
