--- a/internal/lab/simulation/child.go
+++ b/internal/lab/simulation/child.go
@@ -143,7 +143,7 @@
 	case <-time.After(endTimeout):
 		_ = c.cmd.Process.Kill()
 		<-c.waited
-		return fmt.Errorf("%s did not end with its input", c.path)
+		return fmt.Errorf("%s did not exit after its input was closed", c.path)
 	}
 }
 
