--- a/internal/lab/simulation/balancers.go
+++ b/internal/lab/simulation/balancers.go
@@ -74,7 +74,7 @@
 // perform executes an action. An action of a balancer that is not running is an error.
 func (w *World) perform(action *Action) {
 	if action.Balancer < 0 || action.Balancer >= len(w.balancers) || !w.balancers[action.Balancer].up {
-		w.err = fmt.Errorf("balancer %d sent an action, but is not running", action.Balancer)
+		w.err = fmt.Errorf("balancer %d acts, but does not run", action.Balancer)
 		return
 	}
 	switch action.Kind {
