--- a/internal/lab/simulation/attempts.go
+++ b/internal/lab/simulation/attempts.go
@@ -10,8 +10,8 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// startAttempt sends an attempt to the server that its balancer chose, or completes it as piernotch.NotSent if
-// the request is over, out of time or out of attempts.
+// startAttempt sends an attempt to the server that the balancer chose, or completes the attempt as
+// piernotch.NotSent if the request is over, out of time or out of attempts. An unknown server ends the run.
 func (w *World) startAttempt(action *Action) {
 	id := uint64(action.ID)
 	server, known := w.serverByID[action.Server]
@@ -22,8 +22,8 @@
 	request := w.requests.Get(id)
 	pending := request != nil && !request.responded && request.balancer == balancerIndex(action.Balancer)
 	if !pending {
-		// Without a response of its own, the balancer may not know of an end since the previous turn. An
-		// attempt after a known end is a violation.
+		// A balancer that did not respond itself may not yet know that the request has ended since the
+		// previous turn. An attempt after an end that the balancer knows of is a violation.
 		knewOfEnd := request == nil || request.respondedByBalancer || request.respondedAt <= w.previousTurn
 		if knewOfEnd {
 			w.checker.AttemptSent(w.sentAttempt(action, server))
@@ -48,7 +48,6 @@
 	w.connect(&w.balancers[action.Balancer], attemptID, attempt)
 }
 
-// sentAttempt returns the checker's record of an attempt sent now.
 func (w *World) sentAttempt(action *Action, server serverIndex) invariants.SentAttempt {
 	return invariants.SentAttempt{
 		At:       w.now,
@@ -135,8 +134,8 @@
 	w.admitAttempt(attemptID, attempt, w.arriveAtServer(attemptID, attempt, request))
 }
 
-// arriveAtServer hands an attempt to the model of its server. A server that collapses drops its jobs and
-// connections.
+// arriveAtServer hands an attempt to the model of its server, after the handshake of a new connection. A server
+// that collapses drops its jobs and connections.
 func (w *World) arriveAtServer(attemptID uint64, attempt *attemptState, request *requestState) servermodel.Admission {
 	server := &w.servers[attempt.server]
 	if attempt.newConnection {
@@ -168,8 +167,8 @@
 	return admission
 }
 
-// admitAttempt processes a server's admission decision. Without a response, only an attempt on a new connection
-// fails here, at the dial timeout.
+// admitAttempt processes a server's admission decision. If the server does not respond, an attempt on a new
+// connection fails at the dial timeout; other attempts wait for their own timeout.
 func (w *World) admitAttempt(attemptID uint64, attempt *attemptState, admission servermodel.Admission) {
 	switch admission {
 	case servermodel.Accepted:
@@ -251,8 +250,9 @@
 	}
 }
 
-// completeAttempt ends an attempt for its balancer: it returns the connection, responds to the client after a
-// success, and notifies the balancer. After a timeout or a cancellation it also notifies the server.
+// completeAttempt ends an attempt for its balancer: it counts the outcome, returns or closes the connection,
+// responds to the client after a success, and notifies the balancer. After a timeout or a cancellation it also
+// notifies the server.
 func (w *World) completeAttempt(attemptID uint64, attempt *attemptState, status piernotch.Status) {
 	attempt.completed = true
 	attempt.status = status
@@ -295,7 +295,6 @@
 	w.notify(attempt.balancer, event)
 }
 
-// cancelArrives delivers the cancellation of an attempt to its server.
 func (w *World) cancelArrives(attemptID uint64) {
 	attempt := w.attempts.Get(attemptID)
 	if attempt == nil {
--- a/internal/lab/simulation/balancers.go
+++ b/internal/lab/simulation/balancers.go
@@ -9,7 +9,6 @@
 	"piernotch/internal/lab/invariants"
 )
 
-// errUnknownServer is the error of an action with an unknown server ID.
 var errUnknownServer = errors.New("names a server that was in none of its lists")
 
 // notify adds an event to a balancer's inbox and schedules a turn at the next tick.
@@ -33,8 +32,8 @@
 	}
 }
 
-// turn passes the pending events to the tier and performs the returned actions. A turn that an earlier one has
-// replaced is ignored.
+// turn passes the pending events to the tier and performs the returned actions. A turn that was replaced by an
+// earlier turn is ignored.
 func (w *World) turn() {
 	if w.now != w.nextTurn {
 		return
@@ -110,8 +109,8 @@
 	w.events.scheduleFor(at, eventTimer, uint64(epoch)<<32|uint64(action.Token), int32(action.Balancer))
 }
 
-// timerFires notifies a balancer of a timer, unless the process that set it has ended. The ID holds the epoch
-// of the process in the upper 32 bits and the token in the lower.
+// timerFires notifies a balancer of a timer, unless the process that set the timer has ended. The ID holds the
+// epoch of the process in the upper 32 bits and the token in the lower 32.
 func (w *World) timerFires(index balancerIndex, id uint64) {
 	balancer := &w.balancers[index]
 	if balancer.up && uint32(id>>32) == balancer.epoch {
--- a/internal/lab/simulation/bench_test.go
+++ b/internal/lab/simulation/bench_test.go
@@ -7,8 +7,8 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// BenchmarkWorld runs worlds of several sizes at the same load per server. It reports the time per client
-// request and per event in the World, and per client request in the balancers' decisions.
+// BenchmarkWorld runs worlds of several sizes at the same load per server. It reports the World's time per client
+// request and per event, and the time of the balancers' decisions per client request.
 func BenchmarkWorld(b *testing.B) {
 	for _, size := range [][2]int{{4, 20}, {50, 200}, {500, 2000}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
--- a/internal/lab/simulation/child.go
+++ b/internal/lab/simulation/child.go
@@ -46,7 +46,7 @@
 func (e *ChildError) Unwrap() error { return e.Err }
 
 // Child is a Tier that runs the balancers in another program, by the protocol of package simprotocol over
-// standard input and output. The program may have another version of the decision module. A Child must be used
+// standard input and output. The program may contain another version of the decision module. A Child must be used
 // from one goroutine.
 type Child struct {
 	// BatchTimeout is how long the program may take to read a batch and reply to it.
@@ -109,7 +109,7 @@
 	return child, nil
 }
 
-// readReplies reads one reply for each received sequence number, then waits for the process.
+// readReplies reads one reply for each received sequence number, until a read fails. It then waits for the process.
 func (c *Child) readReplies(stdout io.Reader, requests <-chan uint32) {
 	for seq := range requests {
 		actions, err := simprotocol.ReadReply(stdout, seq, nil)
@@ -122,8 +122,8 @@
 	c.waited <- childExit{c.cmd.Wait()}
 }
 
-// Close implements Tier. It closes the program's input. A program that is still running after endTimeout is
-// killed, which is an error.
+// Close implements Tier. It closes the program's input. A non-zero exit status is an error, unless Turn has killed
+// the program. A program that is still running after endTimeout is killed, which is an error.
 func (c *Child) Close() error {
 	if c.requests == nil {
 		return nil
@@ -182,7 +182,7 @@
 	}
 }
 
-// writeBatch writes the batch, and fails the child if it closes its input or does not read in time.
+// writeBatch writes the batch, and fails a child that closes its input or does not read in time.
 func (c *Child) writeBatch(now time.Duration, deadline <-chan time.Time) error {
 	written := make(chan error, 1)
 	// A child that does not read must not block Turn. The goroutine ends with the write, at the latest when
--- a/internal/lab/simulation/child_frames.go
+++ b/internal/lab/simulation/child_frames.go
@@ -10,7 +10,7 @@
 // loadColumns names the values of a load report, in the order of loadValues.
 var loadColumns = []string{"eps", "qps", "inflight"}
 
-// loadValues returns the values of an event's load report, or nil.
+// loadValues returns the values of an event's load report, or nil if the event has none.
 func loadValues(event *Event) []float32 {
 	if !event.HasLoad {
 		return nil
@@ -143,8 +143,8 @@
 	simprotocol.ActionWatchEndpoints: ActionWatchEndpoints,
 }
 
-// translate converts a reply into actions, without ends of watches. A fault that a balancer reports fails the
-// child.
+// translate converts a reply into actions. It ignores ends of watches and unknown codes. A fault that a balancer
+// reports fails the child.
 func (c *Child) translate(reply []simprotocol.Action) ([]Action, error) {
 	c.actions = c.actions[:0]
 	for i := range reply {
--- a/internal/lab/simulation/child_test.go
+++ b/internal/lab/simulation/child_test.go
@@ -12,7 +12,6 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// buildAdapter builds cmd/simulator-adapter and returns the path of the program.
 func buildAdapter(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "adapter")
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -10,7 +10,7 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// responseGrace is how long after the deadline a balancer without a response is notified that the client is
+// responseGrace is how long after the deadline a balancer that has not responded is notified that the client is
 // gone. By then the checker has counted a violation, unless the response slack is longer.
 const responseGrace = time.Second
 
@@ -109,7 +109,7 @@
 	})
 }
 
-// finalResponse sends a balancer's rejection or failure to the client, unless the request is over or with
+// finalResponse sends a balancer's rejection or failure to the client, unless the request is over or belongs to
 // another balancer.
 func (w *World) finalResponse(action *Action, result invariants.Result) {
 	request := w.requests.Get(uint64(action.ID))
@@ -176,7 +176,7 @@
 	w.releaseRequest(id)
 }
 
-// responseOverdue ends a request without a response and notifies its balancer that the client is gone.
+// responseOverdue ends a request that has no response, and notifies the balancer that the client is gone.
 func (w *World) responseOverdue(id uint64) {
 	request := w.requests.Get(id)
 	if request == nil || request.responded {
@@ -248,7 +248,7 @@
 }
 
 // backoff returns how long a client waits before its next retry, in whole microseconds: exponential backoff
-// with jitter, but at least the Retry-After that the client honours, up to MaxRetryAfter.
+// with jitter. A client that honours Retry-After waits at least that long, or MaxRetryAfter if that is shorter.
 func (w *World) backoff(client *clientRequest, retryAfter time.Duration) time.Duration {
 	random := w.randFor(mix(client.randomKey+uint64(client.attemptsSent)), concernBackoff)
 	wait := time.Duration(
--- a/internal/lab/simulation/connections.go
+++ b/internal/lab/simulation/connections.go
@@ -6,8 +6,8 @@
 	"piernotch"
 )
 
-// connect sends an attempt on an idle connection or a new one; expired connections are closed first. At the
-// server's connection limit, the attempt fails at the dial timeout.
+// connect sends an attempt on an idle connection, or on a new connection if none is idle. Expired connections are
+// closed first. At the server's connection limit, a new connection fails at the dial timeout.
 func (w *World) connect(balancer *balancerState, attemptID uint64, attempt *attemptState) {
 	if balancer.pools == nil {
 		balancer.pools = make([]connectionPool, len(w.servers))
@@ -72,7 +72,6 @@
 	}
 }
 
-// closeConnections reduces the number of open connections of a server.
 func (w *World) closeConnections(index serverIndex, count int) {
 	if count != 0 {
 		server := &w.servers[index]
--- a/internal/lab/simulation/counters.go
+++ b/internal/lab/simulation/counters.go
@@ -27,7 +27,7 @@
 	CrossZone        int // attempts to a server in another zone
 	HealthChecks     int
 	RejectedByServer int
-	TableFull        int // connections not opened because the server had its maximum
+	TableFull        int // connections not opened because of the server's connection limit
 	Opened           int // connections
 	Collapses        int
 	Unreachable      int // requests that reached no balancer
@@ -122,7 +122,7 @@
 	}
 }
 
-// chooseTracks selects servers for sampling: every n-th, so that they are spread evenly over all.
+// chooseTracks selects the servers to sample: every n-th, which spreads the sample evenly over all servers.
 func (c *counters) chooseTracks(world *World) {
 	count := len(world.servers)
 	step := max((count+maxTracks-1)/maxTracks, 1)
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -22,7 +22,6 @@
 	phase       time.Duration // offset of the publishing times within the interval
 }
 
-// listEntry is the entry of one server in the endpoint list.
 type listEntry struct {
 	present   bool
 	state     piernotch.State
@@ -65,7 +64,8 @@
 	)
 }
 
-// serverChanged schedules the notice of a server's new state, after the given delay plus the delay by faults.
+// serverChanged schedules the notice of a server's new state, after the given delay plus the delay by faults (for
+// starts, a part of it).
 func (d *discovery) serverChanged(world *World, index serverIndex, state piernotch.State, after time.Duration) {
 	server := &world.servers[index]
 	server.noticeCount++
@@ -123,7 +123,8 @@
 	d.push(world)
 }
 
-// listWrongly lists servers that are up as gone by mistake, or as ready again, and pushes the change.
+// listWrongly models a mistake of discovery: it lists the given servers as gone, or as ready again, and pushes
+// the change. Servers that are not up keep their entries.
 func (d *discovery) listWrongly(world *World, servers []int, state piernotch.State) {
 	d.version++
 	for _, index := range servers {
@@ -144,7 +145,6 @@
 	return entry.state == piernotch.Ready && entry.startedAt > change.startedAt
 }
 
-// endpoint returns a server's entry as sent to balancers.
 func (d *discovery) endpoint(world *World, index serverIndex) piernotch.Endpoint {
 	entry, server := &d.entries[index], &world.servers[index]
 	return piernotch.Endpoint{
@@ -157,7 +157,6 @@
 	}
 }
 
-// changedSince returns the servers whose entries changed after a version.
 func (d *discovery) changedSince(version uint64) []serverIndex {
 	var servers []serverIndex
 	for index := range d.entries {
--- a/internal/lab/simulation/discovery_delivery.go
+++ b/internal/lab/simulation/discovery_delivery.go
@@ -8,21 +8,22 @@
 	"piernotch/internal/lab/invariants"
 )
 
-// callFailureDelay is how much longer than the round trip a call during an outage takes to fail.
+// callFailureDelay is how long after the round trip a call during an outage fails, and how long after the start
+// of an outage a watch fails.
 const callFailureDelay = time.Millisecond
 
-// notifyLimit is how long after a change is listed, and outages have ended, a balancer counts as notified even
-// if its calls failed (protocol page, "Figures").
+// notifyLimit is how long a change must be listed, and outages must be over, until a balancer counts as notified
+// even if its calls failed (protocol page, "Figures").
 const notifyLimit = 6 * time.Second
 
-// pollIntervalsAfterFailure is how many poll intervals a balancer may go without a call after a failed one.
+// pollIntervalsAfterFailure is how many poll intervals a balancer may go without a call after a failed call.
 const pollIntervalsAfterFailure = 4
 
 type callKind uint8
 
 const (
 	fetchList    callKind = iota // the full list
-	watchChanges                 // the changes since the balancer's version, and pushes of later ones
+	watchChanges                 // the changes since the balancer's version, and pushes of later changes
 )
 
 // push schedules the delivery of changes to all watching balancers, unless discovery is down.
@@ -88,7 +89,7 @@
 }
 
 // deliver hands a balancer a list, changes or the failure of a call. The ID holds the epoch of the process and
-// the kind of delivery.
+// the kind of delivery. Changes during an outage are dropped.
 func (d *discovery) deliver(world *World, index balancerIndex, id uint64) {
 	balancer := &world.balancers[index]
 	sameProcess := uint32(id>>8) == balancer.epoch
@@ -183,7 +184,7 @@
 	}
 }
 
-// sendCached sends a starting process of a balancer the endpoint list that its predecessor had last.
+// sendCached sends a balancer's new process the endpoint list that is cached in balancerState.entries.
 func (d *discovery) sendCached(world *World, index balancerIndex) {
 	balancer := &world.balancers[index]
 	event := Event{Kind: EventEndpointList, ListKind: piernotch.UpdateCached, Version: balancer.listVersion}
@@ -198,9 +199,10 @@
 	world.notify(index, event)
 }
 
-// notifyImplied reports to the checker what a balancer that does not watch must know by now: changes listed for
-// longer than the poll interval, if the balancer has not polled for that long; and after a failed call, changes
-// listed for notifyLimit without an outage.
+// notifyImplied reports to the checker what a balancer that does not watch must know by now. If the balancer has
+// not called for longer than the poll interval (pollIntervalsAfterFailure intervals after a failed call), these are
+// the changes listed for at least that long. After a failed call, if the last outage ended at least notifyLimit
+// ago, they are also the changes listed for at least notifyLimit.
 func (d *discovery) notifyImplied(world *World) {
 	couldBeAsked := d.outages == 0 && world.now-d.outageEnded >= notifyLimit
 	for i := range world.balancers {
--- a/internal/lab/simulation/discovery_outage_test.go
+++ b/internal/lab/simulation/discovery_outage_test.go
@@ -8,7 +8,7 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// Servers drain while discovery is down. Requests must not go to them once balancers could know of the drain.
+// Servers drain while discovery is down. They must get no requests once balancers could know of the drain.
 // TestChangeReachesBalancersSoonAfterDiscoveryOutage of package loadtest checks the same with processes.
 func TestDrainIsKnownSoonAfterDiscoveryOutage(t *testing.T) {
 	parsed, err := scenario.Parse("outage", []byte(`
--- a/internal/lab/simulation/doc.go
+++ b/internal/lab/simulation/doc.go
@@ -12,6 +12,6 @@
 //
 // Random numbers come from two kinds of sources. Numbers that no decision affects (arrivals, work, keys, cost
 // hints, faults) come from separate streams and are drawn in order. All others (the delay of a message, the
-// variation of an attempt's work, a client's backoff) are drawn from a hash that identifies their subject: the
-// n-th attempt of the m-th send of a client request draws the same numbers, whatever else was decided.
+// variation of an attempt's work, a client's backoff) are drawn with a seed that is a hash of what they belong to:
+// the n-th attempt of the m-th send of a client request draws the same numbers, whatever else was decided.
 package simulation
--- a/internal/lab/simulation/event_queue.go
+++ b/internal/lab/simulation/event_queue.go
@@ -24,7 +24,7 @@
 // eventKind determines the handler and the priority of a scheduled event.
 type eventKind uint8
 
-// Kinds of scheduled events. Each comment says what the ID identifies, and the index if it is used.
+// Kinds of scheduled events. Each comment says what the ID identifies and, if used, the index.
 const (
 	eventScript               eventKind = iota // step of the script
 	eventServerAdvance                         // index: server whose Advance is due
@@ -38,7 +38,7 @@
 	eventResponseArrives                       // request whose final response reaches the client
 	eventUnreachable                           // request that reached no balancer
 	eventRequestDeadline                       // request whose client stops waiting
-	eventResponseOverdue                       // request without a response responseGrace after its deadline
+	eventResponseOverdue                       // request that has no response by responseGrace after its deadline
 	eventClientDisconnects                     // request whose client disconnects early
 	eventClientRetry                           // client request that is retried
 	eventNextClient                            // no ID: the next client request is created
@@ -84,7 +84,6 @@
 	kind  eventKind
 }
 
-// before reports whether e is handled before other.
 func (e *scheduledEvent) before(other *scheduledEvent) bool {
 	if e.at != other.at {
 		return e.at < other.at
@@ -98,7 +97,7 @@
 // arity is the most children of an element of eventQueue.
 const arity = 4
 
-// eventQueue is a 4-ary heap. It is flatter than a binary heap, so an event moves fewer levels.
+// eventQueue is a 4-ary heap, flatter than a binary heap. That suits events that are moved more often than compared.
 type eventQueue struct {
 	heap      []scheduledEvent
 	scheduled uint64 // number of events scheduled so far
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -53,7 +53,6 @@
 	}
 }
 
-// applyStep applies one step of a fault to servers or to discovery.
 func (w *World) applyStep(step *scenario.Step) {
 	switch step.Action {
 	case scenario.Slow:
@@ -129,8 +128,8 @@
 	w.discovery.serverChanged(w, index, piernotch.Gone, w.realization.Discovery.RemovalDelay)
 }
 
-// vanishServer makes a server silent: its attempts get no outcome before their timeout, and discovery learns of
-// the failure late.
+// vanishServer makes a server silent: its attempts end by a timeout (at the dial timeout on a new connection), and
+// discovery learns of the failure late.
 func (w *World) vanishServer(index serverIndex) {
 	for _, lost := range w.servers[index].Vanish(w.now) {
 		if attempt := w.attempts.Get(lost.ID); attempt != nil {
@@ -142,7 +141,7 @@
 	w.discovery.serverChanged(w, index, piernotch.Gone, w.realization.Discovery.FailureDetectionDelay)
 }
 
-// startServer starts a server's process, in slow start. A collapsed server stays down.
+// startServer starts a server's process, in slow start, and notifies discovery. A collapsed server stays collapsed.
 func (w *World) startServer(index serverIndex) {
 	server := &w.servers[index]
 	if server.State() == servermodel.Collapsed {
--- a/internal/lab/simulation/golden_decisions_test.go
+++ b/internal/lab/simulation/golden_decisions_test.go
@@ -19,7 +19,7 @@
 var updateGoldenDecisions = flag.Bool("update-golden-decisions", false,
 	"write testdata/golden_decisions anew instead of comparing with it")
 
-// goldenRun is a scenario of the golden record, which is run with each of goldenSeeds.
+// goldenRun is a scenario that is run with each of goldenSeeds for the golden record.
 type goldenRun struct {
 	name     string // prefix of the golden files
 	scenario string // shipped scenario
@@ -128,7 +128,6 @@
 	require.Len(t, files, played, "files that no run is compared with")
 }
 
-// play runs the scenario with a seed and returns the record.
 func (g *goldenRun) play(t *testing.T, seed uint64) *goldenRecord {
 	t.Helper()
 	s, err := scenario.Load(g.scenario)
--- a/internal/lab/simulation/golden_record_test.go
+++ b/internal/lab/simulation/golden_record_test.go
@@ -62,8 +62,8 @@
 	{codeLoad, "load"},
 }
 
-// Codes of the kinds of events and actions. They do not use the values of those constants, which may be
-// reordered.
+// Codes of the kinds of events and actions. The codes do not depend on the values of EventKind and ActionKind,
+// which may be reordered.
 var (
 	goldenEventCode = map[EventKind]goldenCode{
 		EventStart: codeStart, EventStop: codeStop, EventRequest: codeRequest, EventClientGone: codeClientGone,
--- a/internal/lab/simulation/golden_tier_test.go
+++ b/internal/lab/simulation/golden_tier_test.go
@@ -8,7 +8,7 @@
 	"piernotch"
 )
 
-// goldenTier is an InProcess that records events and actions. It also makes calls that a World never makes, at
+// goldenTier wraps an InProcess and records events and actions. It also makes calls that a World never makes, at
 // events that depend only on the run, and records them with their results.
 type goldenTier struct {
 	inner     *InProcess
@@ -19,7 +19,6 @@
 	balancers []*goldenBalancer
 }
 
-// goldenBalancer is the tier's state for one balancer.
 type goldenBalancer struct {
 	events   int // since the start of the run
 	settings piernotch.Settings
@@ -120,7 +119,6 @@
 	}
 }
 
-// after makes the added calls that are due after an event.
 func (t *goldenTier) after(now time.Duration, known *goldenBalancer, b *piernotch.Balancer, e *Event) {
 	due := func(period int) bool { return known.events%period == 0 }
 	if e.Kind == EventStart {
@@ -169,13 +167,13 @@
 		refused.Tenants = append(slices.Clone(refused.Tenants), piernotch.Tenant{})
 		t.updateSettings(now, known, b, i, refused)
 		other := piernotch.Snapshot{MedianHint: 7, MeanWork: 9, LargeWorkShare: 0.6, PeakCompletionRate: 40}
-		b.Restore(other) // ignored, unless no cost hint has come yet
+		b.Restore(other) // ignored once a cost hint has been seen
 		t.record.snapshot(codeRestore, i, other)
 		t.record.snapshot(codeSnapshot, i, b.Snapshot())
 	}
 }
 
-// oddLoads passes two load reports that the balancer must ignore, and a valid one.
+// oddLoads passes two load reports that the balancer must ignore, and a valid report.
 func (t *goldenTier) oddLoads(now time.Duration, known *goldenBalancer, b *piernotch.Balancer, i int) {
 	id := known.listed[known.events%len(known.listed)]
 	for _, load := range []piernotch.LoadReport{
@@ -189,8 +187,8 @@
 	}
 }
 
-// changedSettings returns the n-th change of settings: of limits, rules, quotas and weights. The second change
-// also adds a class.
+// changedSettings returns settings with the n-th change: of limits, rules, quotas, weights, key affinity and a
+// latency objective. The second change also adds a class.
 func changedSettings(s piernotch.Settings, n int) piernotch.Settings {
 	s.Classes, s.Tenants = slices.Clone(s.Classes), slices.Clone(s.Tenants)
 	s.WeightPerRequest = n%2 == 1
@@ -240,7 +238,7 @@
 	}
 }
 
-// attemptAllowed asks about all attempts of the request that was sent last.
+// attemptAllowed asks about all attempts of the request with the latest attempt, and records the answers.
 func (t *goldenTier) attemptAllowed(now time.Duration, known *goldenBalancer, b *piernotch.Balancer, i int) {
 	for try := range known.attempts[known.lastID] + 1 { // including a number without an attempt
 		allowed := b.AttemptAllowed(now, known.lastID, try)
@@ -253,7 +251,6 @@
 	}
 }
 
-// responseStarted notifies a balancer that the response of an attempt goes to the client.
 func (t *goldenTier) responseStarted(b *piernotch.Balancer, i int, id piernotch.RequestID, try int) {
 	t.record.begin(codeResponseStarted, i)
 	t.record.integers(int64(id), int64(try))
--- a/internal/lab/simulation/invariants_test.go
+++ b/internal/lab/simulation/invariants_test.go
@@ -93,7 +93,7 @@
 }
 
 func TestCheckerDetectsAttemptToDrainingServer(t *testing.T) {
-	// The tier sends part of its attempts to the first server that it was notified to be draining.
+	// Each balancer sends some of its attempts to the first server that was listed to the balancer as draining.
 	first := map[int]piernotch.ServerID{}
 	r := runFaultyTier(t, 1, func(_ time.Duration, events []Event, actions []Action) []Action {
 		for _, e := range events {
--- a/internal/lab/simulation/random.go
+++ b/internal/lab/simulation/random.go
@@ -38,7 +38,7 @@
 	concernDisconnect  = concernBalancer + 100
 )
 
-// randFor returns the random numbers of a concern of a key. They are valid until the next call.
+// randFor returns a generator seeded by a key, a concern and the run's seed, valid until the next call.
 func (w *World) randFor(key, concern uint64) *rand.Rand {
 	w.pcg.Seed(key, concern^w.realization.Seed)
 	return w.hashedRand
--- a/internal/lab/simulation/records.go
+++ b/internal/lab/simulation/records.go
@@ -52,7 +52,6 @@
 	attemptIDs          [maxAttempts]uint64
 }
 
-// attemptState is one attempt: a request sent by a balancer to a server.
 type attemptState struct {
 	request       uint64
 	randomKey     uint64
@@ -63,7 +62,7 @@
 	status        piernotch.Status
 	newConnection bool
 	inTransit     bool // on its way to the server
-	completed     bool // for its balancer
+	completed     bool // over for its balancer
 	atServer      bool // running or queued at the server
 	outcomeSent   bool // outcome on the way to the balancer
 	hasLoad       bool
@@ -75,7 +74,6 @@
 	load          servermodel.LoadReport
 }
 
-// healthCheckState is a health check that is in progress.
 type healthCheckState struct {
 	balancer balancerIndex
 	server   serverIndex
@@ -101,7 +99,6 @@
 	return int(idle)
 }
 
-// balancerState is one balancer and its current process.
 type balancerState struct {
 	zone        int
 	up          bool
--- a/internal/lab/simulation/result.go
+++ b/internal/lab/simulation/result.go
@@ -21,7 +21,7 @@
 	Repeated           int `json:"repeated"`
 	DrainViolations    int `json:"drain_breaks"`
 	DeadlineViolations int `json:"deadline_breaks,omitempty"`
-	SlowStartCollapses int `json:"cold_falls"` // collapses that violate the rule
+	SlowStartCollapses int `json:"cold_falls"` // collapses that violate the slow-start rule
 	Collapses          int `json:"falls"`
 
 	// Margins of the rules: the most work that a server in slow start received within a window, as a share of
@@ -32,7 +32,7 @@
 	Requests        int     `json:"requests"` // of clients, without retries
 	ClientAttempts  int     `json:"tries"`
 	Attempts        int     `json:"attempts"`
-	ServedShare     float64 `json:"served_share"` // of requests, within their latency objective
+	ServedShare     float64 `json:"served_share"` // share of requests served within their latency objective
 	RejectedRate    float64 `json:"refused_rate"` // rejections per request
 	FailedRate      float64 `json:"failed_rate"`
 	WasteRate       float64 `json:"waste_rate"` // work that served no request, per unit of work requested
@@ -148,7 +148,6 @@
 	return result
 }
 
-// resultOfRules fills in the violations and the margins of the rules.
 func (w *World) resultOfRules(result *Result) {
 	result.Lost = w.checker.Count(invariants.Lost)
 	result.Repeated = w.checker.Count(invariants.Repeated)
@@ -162,7 +161,6 @@
 	}
 }
 
-// resultOfRates fills in the rates and shares.
 func (w *World) resultOfRates(result *Result) {
 	counters, counted := &w.counters, w.counters.goodput
 	workDone, overloaded := 0.0, 0
--- a/internal/lab/simulation/servers.go
+++ b/internal/lab/simulation/servers.go
@@ -7,7 +7,7 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// scheduleServer schedules a server's next Advance, unless one is scheduled that is not later.
+// scheduleServer schedules a server's next Advance, unless an Advance is already scheduled that is not later.
 func (w *World) scheduleServer(index serverIndex) {
 	server := &w.servers[index]
 	if next := server.Next(); next < server.nextAdvance {
@@ -16,8 +16,8 @@
 	}
 }
 
-// advanceServer advances a server's model and handles the completed jobs. An Advance that an earlier one has
-// replaced is ignored.
+// advanceServer advances a server's model and handles the completed jobs. An Advance that was replaced by an
+// earlier Advance is ignored.
 func (w *World) advanceServer(index serverIndex, at time.Duration) {
 	server := &w.servers[index]
 	if server.nextAdvance != at {
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -30,7 +30,7 @@
 func TestShippedScenariosKeepAllRules(t *testing.T) {
 	for _, name := range scenario.Shipped() {
 		if name == "wide" || name == "long-churn" || name == "mass" {
-			continue // the same mechanisms, but for minutes
+			continue // the same mechanisms as in the others, but for minutes
 		}
 		r := run(t, NewInProcess(), name, 7)
 		require.Zero(t, r.ViolationCount(), "%s: %v", name, r.Violations)
--- a/internal/lab/simulation/tier.go
+++ b/internal/lab/simulation/tier.go
@@ -36,7 +36,7 @@
 	Server      piernotch.ServerID     // HealthCheckCompleted
 	Status      piernotch.Status       // HealthCheckCompleted
 	Latency     time.Duration          // HealthCheckCompleted
-	Load        servermodel.LoadReport // AttemptCompleted, HealthCheckCompleted: with HasLoad
+	Load        servermodel.LoadReport // AttemptCompleted, HealthCheckCompleted: if HasLoad
 	HasLoad     bool
 	ListKind    piernotch.UpdateKind // EndpointList
 	Version     uint64               // EndpointList
--- a/internal/lab/simulation/trace_overload_test.go
+++ b/internal/lab/simulation/trace_overload_test.go
@@ -65,7 +65,8 @@
 }
 
 // A recorded burst meets a fleet that shrinks to half of its servers. With round robin the servers are
-// overloaded and stay slow long after the burst; with the decision module they do not.
+// overloaded and stay slow long after the burst. With the decision module, fewer servers become overloaded and more
+// requests are served after the burst.
 func TestRoundRobinStaysOverloadedAfterRecordedBurst(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "burst.pnt")
 	out, err := trafficrecording.Create(
@@ -114,7 +115,8 @@
 	require.Zero(t, good.ViolationCount(), good.Violations)
 }
 
-// A drain precedes a request in the same tick, because balancers decide at the end of the tick.
+// A request and a drain of all servers reach a balancer in the same tick. The balancer decides at the end of the
+// tick; an attempt sent then is not a violation.
 func TestDrainNotifiedInSameTickPrecedesRequest(t *testing.T) {
 	s, err := scenario.Load("quiet")
 	require.NoError(t, err)
--- a/internal/lab/simulation/traffic.go
+++ b/internal/lab/simulation/traffic.go
@@ -10,8 +10,8 @@
 	"piernotch/internal/trafficrecording"
 )
 
-// traffic generates client requests: drawn from the scenario, or replayed from a recording. They do not depend
-// on the balancers' decisions.
+// traffic generates client requests: drawn from the scenario, or replayed from a recording. The requests do not
+// depend on the balancers' decisions.
 type traffic struct {
 	arrivals, keys, hints, tails *rand.Rand
 
@@ -52,7 +52,6 @@
 	return nil
 }
 
-// cumulativeZipf returns the cumulative weights of keys under Zipf's law.
 func cumulativeZipf(keys int, exponent float64) []float64 {
 	var weights []float64
 	sum := 0.0
@@ -87,7 +86,8 @@
 	return rate
 }
 
-// ramp rises linearly from 0 to 1 after from and falls back to 0 before to, each within over.
+// ramp rises linearly from 0 at the time from, and falls back to 0 at the time to. The rise to 1 and the fall take
+// the duration over each.
 func ramp(at, from, to, over time.Duration) float64 {
 	if at <= from || at >= to {
 		return 0
@@ -137,7 +137,6 @@
 	t.scheduleNext(world)
 }
 
-// drawRequest fills in a new client request from the scenario or the recording.
 func (t *traffic) drawRequest(world *World, client *clientRequest) {
 	realization := world.realization
 	*client = clientRequest{
@@ -166,7 +165,7 @@
 	Work        float64 // ms
 	Hint        float64 // ms; NaN: none
 	Key         uint64  // 0: none
-	MaxAttempts int     // by the client, at most
+	MaxAttempts int     // of the client, the first attempt included
 	Seed        uint64  // of the hashed random numbers
 }
 
@@ -199,7 +198,6 @@
 	}
 }
 
-// drawFromScenario draws class, zone, work, key and cost hint.
 func (t *traffic) drawFromScenario(world *World, client *clientRequest) {
 	realization := world.realization
 	draw := t.arrivals.Float64()
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -28,7 +28,7 @@
 // drainAfter bounds how long after the scenario's length a World waits for unfinished client requests.
 const drainAfter = 60 * time.Second
 
-// World simulates one realization of a scenario. It is for one goroutine and one call of Run.
+// World simulates one realization of a scenario. A World must be used from one goroutine, and Run called once.
 type World struct {
 	realization *scenario.Realization
 	tier        Tier
@@ -41,7 +41,7 @@
 	requests          idtable.Table[requestState]
 	attempts          idtable.Table[attemptState]
 	healthChecks      idtable.Table[healthCheckState]
-	lastClientRequest uint64 // last ID assigned, as are the next three
+	lastClientRequest uint64 // this and the next three fields: last ID assigned
 	lastRequest       uint64
 	lastAttempt       uint64
 	lastHealthCheck   uint64
@@ -157,9 +157,9 @@
 	}
 }
 
-// Run simulates the scenario until its length has passed and all client requests are finished, for drainAfter
-// longer at most. An error names the seed and the simulated time; the cause is the tier or an impossible
-// action.
+// Run simulates the scenario until its length has passed and all client requests are finished, but for at most
+// about drainAfter longer than the length. An error names the seed and the simulated time; the cause is the tier
+// or an impossible action.
 func (w *World) Run() (*Result, error) {
 	began := time.Now()
 	for !w.stop {
@@ -178,7 +178,6 @@
 	return w.result(time.Since(began)), nil
 }
 
-// handle dispatches one scheduled event.
 func (w *World) handle(event *scheduledEvent) {
 	switch event.kind {
 	case eventScript:
