--- a/internal/lab/simulation/attempts.go
+++ b/internal/lab/simulation/attempts.go
@@ -10,8 +10,8 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// startAttempt sends a request to the server that its balancer chose. What cannot be sent is
-// completed as piernotch.NotSent.
+// startAttempt sends an attempt to the server that the balancer chose, or completes the attempt as
+// piernotch.NotSent if the request is over, out of time or out of attempts. An unknown server ends the run.
 func (w *World) startAttempt(action *Action) {
 	id := uint64(action.ID)
 	server, known := w.serverByID[action.Server]
@@ -22,7 +22,8 @@
 	request := w.requests.Get(id)
 	pending := request != nil && !request.responded && request.balancer == balancerIndex(action.Balancer)
 	if !pending {
-		// A balancer that was notified of the end in this very turn may not have known of it.
+		// A balancer that did not respond itself may not yet know that the request has ended since the
+		// previous turn. An attempt after an end that the balancer knows of is a violation.
 		knewOfEnd := request == nil || request.respondedByBalancer || request.respondedAt <= w.previousTurn
 		if knewOfEnd {
 			w.checker.AttemptSent(w.sentAttempt(action, server))
@@ -47,7 +48,6 @@
 	w.connect(&w.balancers[action.Balancer], attemptID, attempt)
 }
 
-// sentAttempt is what the invariants are notified of when an attempt is sent.
 func (w *World) sentAttempt(action *Action, server serverIndex) invariants.SentAttempt {
 	return invariants.SentAttempt{
 		At:       w.now,
@@ -57,7 +57,7 @@
 	}
 }
 
-// newAttempt adds an attempt of a request to a server, with its network delay and its work.
+// newAttempt adds and counts an attempt of a request to a server, and draws the network delay and the work.
 func (w *World) newAttempt(
 	requestID uint64,
 	request *requestState,
@@ -92,8 +92,7 @@
 	return attemptID, attempt
 }
 
-// clientOf returns what the client of a request wants, or departedClient if the client is gone and
-// the balancer was not notified of it.
+// clientOf returns the clientRequest of a request, or departedClient if the client has already finished.
 func (w *World) clientOf(request *requestState) *clientRequest {
 	if client := w.clientRequests.Get(request.client); client != nil {
 		return client
@@ -101,7 +100,7 @@
 	return &departedClient
 }
 
-// attemptNotSent notifies a balancer that an attempt was not sent; r is nil for an unknown request.
+// attemptNotSent counts an attempt that was not sent and notifies its balancer; request is nil if unknown.
 func (w *World) attemptNotSent(action *Action, request *requestState) {
 	attemptNumber := 0
 	if request != nil {
@@ -117,14 +116,14 @@
 	}})
 }
 
-// attemptArrives brings an attempt to its server.
+// attemptArrives hands an attempt to its server, unless the attempt was completed on the way.
 func (w *World) attemptArrives(attemptID uint64) {
 	attempt := w.attempts.Get(attemptID)
 	if attempt == nil {
 		return
 	}
 	attempt.inTransit = false
-	if attempt.completed { // cancelled before it was written
+	if attempt.completed { // timed out or cancelled on the way, or the balancer was killed
 		w.releaseAttempt(attemptID, attempt)
 		return
 	}
@@ -135,7 +134,8 @@
 	w.admitAttempt(attemptID, attempt, w.arriveAtServer(attemptID, attempt, request))
 }
 
-// arriveAtServer hands an attempt to the model of its server, which may collapse under it.
+// arriveAtServer hands an attempt to the model of its server, after the handshake of a new connection. A server
+// that collapses drops its jobs and connections.
 func (w *World) arriveAtServer(attemptID uint64, attempt *attemptState, request *requestState) servermodel.Admission {
 	server := &w.servers[attempt.server]
 	if attempt.newConnection {
@@ -167,7 +167,8 @@
 	return admission
 }
 
-// admitAttempt follows up on what a server made of an attempt on arrival.
+// admitAttempt processes a server's admission decision. If the server does not respond, an attempt on a new
+// connection fails at the dial timeout; other attempts wait for their own timeout.
 func (w *World) admitAttempt(attemptID uint64, attempt *attemptState, admission servermodel.Admission) {
 	switch admission {
 	case servermodel.Accepted:
@@ -182,7 +183,7 @@
 		w.scheduleOutcome(attemptID, attempt, piernotch.Full, w.now+attempt.delay)
 	case servermodel.Refused:
 		status := piernotch.ConnectFailed
-		if !attempt.newConnection { // it was written to a connection that is closed
+		if !attempt.newConnection { // written to a connection that the server has closed
 			status = piernotch.Reset
 		}
 		w.scheduleOutcome(attemptID, attempt, status, w.now+attempt.delay)
@@ -198,7 +199,8 @@
 	}
 }
 
-// scheduleOutcome has an attempt's balancer learn its outcome at a time, unless another one is scheduled.
+// scheduleOutcome schedules the arrival of an attempt's outcome at the balancer, unless the attempt already has
+// an outcome.
 func (w *World) scheduleOutcome(attemptID uint64, attempt *attemptState, status piernotch.Status, at time.Duration) {
 	if attempt.outcomeSent || attempt.completed {
 		return
@@ -208,21 +210,21 @@
 	w.events.schedule(at, eventOutcomeArrives, attemptID)
 }
 
-// outcomeArrives brings an outcome to the balancer.
+// outcomeArrives completes an attempt with the outcome that has reached its balancer.
 func (w *World) outcomeArrives(attemptID uint64) {
 	attempt := w.attempts.Get(attemptID)
 	if attempt == nil {
 		return
 	}
 	attempt.outcomeSent = false
-	if attempt.completed { // too late
+	if attempt.completed { // the outcome is too late
 		w.releaseAttempt(attemptID, attempt)
 		return
 	}
 	w.completeAttempt(attemptID, attempt, attempt.status)
 }
 
-// attemptTimesOut ends an attempt at its timeout.
+// attemptTimesOut completes an attempt at its timeout: as ConnectFailed while connecting, otherwise as Timeout.
 func (w *World) attemptTimesOut(attemptID uint64) {
 	attempt := w.attempts.Get(attemptID)
 	if attempt == nil || attempt.completed {
@@ -236,7 +238,7 @@
 	w.completeAttempt(attemptID, attempt, status)
 }
 
-// cancelAttempt ends an attempt at its balancer's wish.
+// cancelAttempt completes an open attempt that its balancer cancels.
 func (w *World) cancelAttempt(action *Action) {
 	request := w.requests.Get(uint64(action.ID))
 	if request == nil || action.Attempt < 0 || action.Attempt >= int(request.attempts) {
@@ -248,7 +250,9 @@
 	}
 }
 
-// completeAttempt ends an attempt for its balancer and notifies the balancer.
+// completeAttempt ends an attempt for its balancer: it counts the outcome, returns or closes the connection,
+// responds to the client after a success, and notifies the balancer. After a timeout or a cancellation it also
+// notifies the server.
 func (w *World) completeAttempt(attemptID uint64, attempt *attemptState, status piernotch.Status) {
 	attempt.completed = true
 	attempt.status = status
@@ -271,7 +275,7 @@
 	w.releaseAttempt(attemptID, attempt)
 }
 
-// notifyOutcome notifies a balancer of an attempt's end, if the process that sent it still runs.
+// notifyOutcome notifies a balancer of an attempt's outcome, if the process that sent the attempt still runs.
 func (w *World) notifyOutcome(attempt *attemptState, request *requestState, status piernotch.Status) {
 	balancer := &w.balancers[attempt.balancer]
 	if !balancer.up || attempt.epoch != balancer.epoch {
@@ -291,7 +295,6 @@
 	w.notify(attempt.balancer, event)
 }
 
-// cancelArrives brings the end of a wait to the server.
 func (w *World) cancelArrives(attemptID uint64) {
 	attempt := w.attempts.Get(attemptID)
 	if attempt == nil {
@@ -312,7 +315,7 @@
 	w.releaseAttempt(attemptID, attempt)
 }
 
-// releaseAttempt deletes an attempt once neither side has it any more.
+// releaseAttempt deletes a completed attempt that is neither at its server nor on the way there or back.
 func (w *World) releaseAttempt(attemptID uint64, attempt *attemptState) {
 	if attempt.completed && !attempt.atServer && !attempt.outcomeSent && !attempt.inTransit {
 		w.attempts.Delete(attemptID)
--- a/internal/lab/simulation/child_test.go
+++ b/internal/lab/simulation/child_test.go
@@ -12,7 +12,6 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// buildAdapter builds the project's own adapter.
 func buildAdapter(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "adapter")
--- a/internal/lab/simulation/golden_tier_test.go
+++ b/internal/lab/simulation/golden_tier_test.go
@@ -8,30 +8,29 @@
 	"piernotch"
 )
 
-// goldenTier hosts balancers as InProcess does and records what passes. It also makes the calls that a
-// World never makes, at events that depend on nothing but the run, and records them with their results.
+// goldenTier wraps an InProcess and records events and actions. It also makes calls that a World never makes, at
+// events that depend only on the run, and records them with their results.
 type goldenTier struct {
 	inner     *InProcess
 	record    *goldenRecord
-	operated  bool // operators exclude servers and change settings
-	tenants   int  // requests are spread over so many
+	operated  bool // makes the calls of operators, too
+	tenants   int  // number of tenants, among which requests are spread
 	actions   []Action
 	balancers []*goldenBalancer
 }
 
-// goldenBalancer is what the tier knows of one balancer.
 type goldenBalancer struct {
 	events   int // since the start of the run
 	settings piernotch.Settings
-	snapshot piernotch.Snapshot   // the last one before a stop
+	snapshot piernotch.Snapshot   // taken at the last stop
 	listed   []piernotch.ServerID // in the order in which lists first named them
 	excluded []piernotch.ServerID
-	attempts map[piernotch.RequestID]int // attempts of each request so far
-	lastID   piernotch.RequestID         // of the attempt that was started last
+	attempts map[piernotch.RequestID]int // number of attempts so far
+	lastID   piernotch.RequestID         // request of the latest attempt
 }
 
-// Periods of the tier's own calls, in events of one balancer. They have no common divisor, so that all
-// combinations occur.
+// Periods of the added calls, in events of one balancer. They have no common divisor, so that all combinations
+// occur.
 const (
 	goldenAllowedPeriod   = 3
 	goldenResponsePeriod  = 23 // of responses that start just before their attempt ends
@@ -41,13 +40,11 @@
 	goldenExcludePeriod   = 157
 	goldenIncludePeriod   = 173
 	goldenSettingsPeriod  = 149
-	goldenRejectionPeriod = 307 // refused settings
+	goldenRejectionPeriod = 307 // of settings that must be refused
 )
 
-// Close implements Tier.
 func (t *goldenTier) Close() error { return t.inner.Close() }
 
-// Turn implements Tier.
 func (t *goldenTier) Turn(now time.Duration, events []Event) ([]Action, error) {
 	t.record.now, t.actions = now, t.actions[:0]
 	for i := range events {
@@ -68,7 +65,7 @@
 	return t.actions, nil
 }
 
-// known returns what is known of a balancer.
+// known returns the state of a balancer, which is created on the first call.
 func (t *goldenTier) known(i int) *goldenBalancer {
 	for len(t.balancers) <= i {
 		t.balancers = append(t.balancers, &goldenBalancer{attempts: map[piernotch.RequestID]int{}})
@@ -76,7 +73,7 @@
 	return t.balancers[i]
 }
 
-// takeActions records the actions since it was called last, and passes them on.
+// takeActions records the actions since its last call and adds them to the result of Turn.
 func (t *goldenTier) takeActions(known *goldenBalancer) {
 	for i := range t.inner.actions {
 		a := &t.inner.actions[i]
@@ -93,8 +90,8 @@
 	t.inner.actions = t.inner.actions[:0]
 }
 
-// before prepares an event: requests get a tenant, a balancer that stops is asked for its snapshot, and now
-// and then a response starts just before its attempt ends.
+// before prepares an event: a request gets a tenant, a balancer that stops is asked for its snapshot, listed
+// servers are noted, and at times a response starts just before its attempt ends.
 func (t *goldenTier) before(known *goldenBalancer, e *Event) {
 	switch e.Kind {
 	case EventStart:
@@ -122,7 +119,6 @@
 	}
 }
 
-// after makes the calls that are due after an event.
 func (t *goldenTier) after(now time.Duration, known *goldenBalancer, b *piernotch.Balancer, e *Event) {
 	due := func(period int) bool { return known.events%period == 0 }
 	if e.Kind == EventStart {
@@ -143,7 +139,7 @@
 	t.takeActions(known)
 }
 
-// operate makes the calls of operators that are due.
+// operate makes the operators' calls that are due, among them some that the balancer must refuse or ignore.
 func (t *goldenTier) operate(now time.Duration, known *goldenBalancer, b *piernotch.Balancer, i int) {
 	n := known.events
 	if n%goldenExcludePeriod == 0 && len(known.listed) > 0 {
@@ -171,13 +167,13 @@
 		refused.Tenants = append(slices.Clone(refused.Tenants), piernotch.Tenant{})
 		t.updateSettings(now, known, b, i, refused)
 		other := piernotch.Snapshot{MedianHint: 7, MeanWork: 9, LargeWorkShare: 0.6, PeakCompletionRate: 40}
-		b.Restore(other) // ignored, unless no cost hint has come yet
+		b.Restore(other) // ignored once a cost hint has been seen
 		t.record.snapshot(codeRestore, i, other)
 		t.record.snapshot(codeSnapshot, i, b.Snapshot())
 	}
 }
 
-// oddLoads passes load reports that the balancer has to ignore, and one that it takes.
+// oddLoads passes two load reports that the balancer must ignore, and a valid report.
 func (t *goldenTier) oddLoads(now time.Duration, known *goldenBalancer, b *piernotch.Balancer, i int) {
 	id := known.listed[known.events%len(known.listed)]
 	for _, load := range []piernotch.LoadReport{
@@ -191,8 +187,8 @@
 	}
 }
 
-// changedSettings returns the n-th change of settings: limits, rules, quotas and weights, and one class more
-// after the second change.
+// changedSettings returns settings with the n-th change: of limits, rules, quotas, weights, key affinity and a
+// latency objective. The second change also adds a class.
 func changedSettings(s piernotch.Settings, n int) piernotch.Settings {
 	s.Classes, s.Tenants = slices.Clone(s.Classes), slices.Clone(s.Tenants)
 	s.WeightPerRequest = n%2 == 1
@@ -217,7 +213,7 @@
 	return s
 }
 
-// updateSettings changes a balancer's settings and records whether it accepted them.
+// updateSettings passes settings to a balancer and records whether the balancer accepted them.
 func (t *goldenTier) updateSettings(
 	now time.Duration, known *goldenBalancer, b *piernotch.Balancer, i int, s piernotch.Settings,
 ) {
@@ -233,7 +229,7 @@
 	}
 }
 
-// restore passes on the snapshot of the process before.
+// restore passes on the snapshot of the previous process, if any.
 func (t *goldenTier) restore(known *goldenBalancer, b *piernotch.Balancer, i int) {
 	if known.snapshot.MeanWork > 0 {
 		b.Restore(known.snapshot)
@@ -242,9 +238,9 @@
 	}
 }
 
-// attemptAllowed asks about all attempts of the request that was sent last.
+// attemptAllowed asks about all attempts of the request with the latest attempt, and records the answers.
 func (t *goldenTier) attemptAllowed(now time.Duration, known *goldenBalancer, b *piernotch.Balancer, i int) {
-	for try := range known.attempts[known.lastID] + 1 { // one that there is not, too
+	for try := range known.attempts[known.lastID] + 1 { // including a number without an attempt
 		allowed := b.AttemptAllowed(now, known.lastID, try)
 		if !allowed {
 			t.record.denied++
@@ -255,7 +251,6 @@
 	}
 }
 
-// responseStarted tells a balancer that an attempt's response goes to the client.
 func (t *goldenTier) responseStarted(b *piernotch.Balancer, i int, id piernotch.RequestID, try int) {
 	t.record.begin(codeResponseStarted, i)
 	t.record.integers(int64(id), int64(try))
--- a/internal/lab/simulation/in_process.go
+++ b/internal/lab/simulation/in_process.go
@@ -8,12 +8,12 @@
 	"piernotch"
 )
 
-// InProcess hosts balancers with the decision module that this program was built with.
+// InProcess is a Tier that runs balancers with the decision module in this program.
 type InProcess struct {
 	balancers []*piernotch.Balancer // nil: not running
 	actions   []Action
 	now       time.Duration
-	current   int // balancer whose event is being handled
+	current   int // balancer whose event is handled
 }
 
 // NewInProcess returns a tier without balancers.
@@ -22,7 +22,7 @@
 // Close implements Tier. There is nothing to free.
 func (p *InProcess) Close() error { return nil }
 
-// Turn implements Tier. A panic of the module is an error with its stack.
+// Turn implements Tier. A panic of the module is returned as an error with the stack.
 func (p *InProcess) Turn(now time.Duration, events []Event) (actions []Action, err error) {
 	p.now, p.actions = now, p.actions[:0]
 	defer func() {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// dispatch calls the method of a running balancer that an event stands for.
+// dispatch passes an event to a running balancer, after the load report of the event.
 func (p *InProcess) dispatch(balancer *piernotch.Balancer, event *Event) {
 	if event.HasLoad {
 		load := piernotch.LoadReport{Inflight: event.Load.Inflight, CompletedPerSecond: event.Load.PerSec}
