--- a/internal/lab/invariants/attempts.go
+++ b/internal/lab/invariants/attempts.go
@@ -7,20 +7,20 @@
 	"piernotch"
 )
 
-// SentAttempt is an attempt that left a balancer for a server.
+// SentAttempt is an attempt that a balancer has sent to a server.
 type SentAttempt struct {
 	At       time.Duration
 	Balancer BalancerIndex
 	Request  uint64
 	Server   ServerIndex
-	Timeout  time.Duration // that the server was told; 0: none
+	Timeout  time.Duration // the time left that the balancer told the server; 0: none
 }
 
-// deadlineSlack is by how much the deadline that a server is told may be later than the client's.
+// deadlineSlack is how much later than the client's deadline the deadline told to a server may be.
 const deadlineSlack = 150 * time.Millisecond
 
-// AttemptSent records an attempt that was sent. The attempts of a request are numbered from 0 in the
-// order in which they are sent.
+// AttemptSent records an attempt and checks it against Lost, Drain, Repeated and Deadline. The attempts of
+// a request are numbered from 0 in the order in which they are sent.
 func (c *Checker) AttemptSent(sent SentAttempt) {
 	c.checkDrain(&sent)
 	request := c.requests.Get(sent.Request)
@@ -37,7 +37,7 @@
 	}
 }
 
-// reportAttempt counts a violation by an attempt that was sent.
+// reportAttempt reports a violation by an attempt, attributed to the balancer that sent it.
 func (c *Checker) reportAttempt(rule Rule, sent *SentAttempt, message string) {
 	c.report(Violation{
 		Rule: rule, At: sent.At, Balancer: sent.Balancer, Request: sent.Request, Server: sent.Server,
@@ -45,7 +45,8 @@
 	})
 }
 
-// checkDrain checks that a balancer was not notified that a server drains or is gone.
+// checkDrain checks that an attempt is not sent later than Grace after its balancer was notified that the
+// server drains or is gone. It also updates DrainLatest.
 func (c *Checker) checkDrain(sent *SentAttempt) {
 	notifiedAt, ok := c.unavailableSince[balancerServer{sent.Balancer, sent.Server}]
 	if !ok {
@@ -62,7 +63,7 @@
 	}
 }
 
-// checkDeadline checks that a server is not told more time than the client has left.
+// checkDeadline checks that a server is not told more time than the client has left, plus deadlineSlack.
 func (c *Checker) checkDeadline(sent *SentAttempt, request *requestRecord) {
 	beyond := sent.At + sent.Timeout - request.deadline
 	if sent.Timeout == 0 || beyond <= deadlineSlack {
@@ -72,7 +73,7 @@
 	c.reportAttempt(Deadline, sent, message)
 }
 
-// checkRetry checks a further attempt of a request against its class and the limits.
+// checkRetry checks an attempt after the first against the class of its request and the limits.
 func (c *Checker) checkRetry(sent *SentAttempt, request *requestRecord) {
 	class := c.classOf(request)
 	if class == nil || len(request.attempts) == 0 {
@@ -112,8 +113,8 @@
 	return first, inflight
 }
 
-// unsafeRetry returns why an attempt must not follow one that may have been executed, or nothing if
-// it may.
+// unsafeRetry returns why an attempt must not be sent after first, which may have been executed. It
+// returns "" if the class allows the attempt.
 func (c *Checker) unsafeRetry(sent *SentAttempt, class *piernotch.Class, first *attemptRecord) string {
 	switch class.RetrySafety {
 	case piernotch.NonIdempotent:
@@ -125,7 +126,7 @@
 }
 
 // outsideDeduplication returns why servers do not deduplicate an attempt against an earlier one with
-// the same idempotency key, or nothing if they do.
+// the same idempotency key. It returns "" if they do.
 func (c *Checker) outsideDeduplication(sent *SentAttempt, class *piernotch.Class, first *attemptRecord) string {
 	tooLate := sent.At > first.sentAt+class.DedupWindow
 	switch {
@@ -139,7 +140,7 @@
 	return ""
 }
 
-// attempt returns an attempt of a request with the request, or nil for one that is not remembered.
+// attempt returns a request and one of its attempts; both are nil if the attempt is not stored.
 func (c *Checker) attempt(id uint64, attemptNumber int) (*requestRecord, *attemptRecord) {
 	request := c.requests.Get(id)
 	if request == nil || attemptNumber < 0 || attemptNumber >= len(request.attempts) {
@@ -148,14 +149,15 @@
 	return request, &request.attempts[attemptNumber]
 }
 
-// AttemptAccepted records that a server accepted an attempt: from here on it may be executed.
+// AttemptAccepted records that a server accepted an attempt. The server may execute it from then on.
 func (c *Checker) AttemptAccepted(id uint64, attemptNumber int) {
 	if _, attempt := c.attempt(id, attemptNumber); attempt != nil {
 		attempt.accepted = true
 	}
 }
 
-// AttemptExecuted records that a server executed an attempt, or a part of it.
+// AttemptExecuted records that a server executed an attempt, at least in part. A second executed attempt
+// of a NonIdempotent request violates Repeated.
 func (c *Checker) AttemptExecuted(at time.Duration, id uint64, attemptNumber int) {
 	request, attempt := c.attempt(id, attemptNumber)
 	if attempt == nil {
@@ -179,11 +181,12 @@
 	}
 }
 
-// NeverExecuted says of a completed attempt that what its balancer got proves that no server executed
-// any part of it. Without the proof the attempt may have been executed.
+// NeverExecuted reports, for a completed attempt, whether the balancer has proof that no server executed
+// any part of it. If false, the attempt may have been executed.
 type NeverExecuted bool
 
-// AttemptCompleted records that the balancer knows how an attempt ended.
+// AttemptCompleted records that the balancer knows how an attempt ended. It deletes the request if the
+// final response was sent and no other attempt is in flight.
 func (c *Checker) AttemptCompleted(id uint64, attemptNumber int, proof NeverExecuted) {
 	if request, attempt := c.attempt(id, attemptNumber); attempt != nil {
 		attempt.completed = true
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -8,39 +8,39 @@
 )
 
 const (
-	// maxViolations bounds the violations that are kept; all are counted.
+	// maxViolations bounds the violations that are stored; all are counted.
 	maxViolations = 50
-	// maxAttempts bounds the attempts of a request that are remembered.
+	// maxAttempts bounds the attempts that are stored per request.
 	maxAttempts = 16
-	// checkInterval is the step in which overdue responses are looked for.
+	// checkInterval is the length of the steps of time by which CheckOverdue finds requests.
 	checkInterval = 100 * time.Millisecond
 )
 
-// BalancerIndex numbers the balancers of a run from 0. It belongs to the balancer, whatever process it
-// runs in.
+// BalancerIndex numbers the balancers of a run from 0. A balancer keeps its index when its process is
+// replaced.
 type BalancerIndex int32
 
-// ServerIndex numbers the servers of a run from 0, those that join later included.
+// ServerIndex numbers the servers of a run from 0, including those that join later.
 type ServerIndex int32
 
 const (
-	// noServer is Violation.Server where none is involved.
+	// noServer is the value of Violation.Server if no server is involved.
 	noServer ServerIndex = -1
-	// unknownBalancer is Violation.Balancer where it is not known.
+	// unknownBalancer is the value of Violation.Balancer if the balancer is not known.
 	unknownBalancer BalancerIndex = -1
 )
 
-// attemptRecord is what was observed of one attempt.
+// attemptRecord holds the observations of one attempt.
 type attemptRecord struct {
 	sentAt        time.Duration
 	server        ServerIndex
-	neverExecuted bool // that is proved
-	completed     bool // for its balancer
+	neverExecuted bool // proved
+	completed     bool // its balancer knows how it ended
 	accepted      bool // by the server
-	executed      bool // by the server, in part at least
+	executed      bool // by the server, at least in part
 }
 
-// requestRecord is what was observed of one request.
+// requestRecord holds the observations of one request.
 type requestRecord struct {
 	balancer    BalancerIndex
 	class       int8
@@ -52,23 +52,23 @@
 	attempts    []attemptRecord
 }
 
-// balancerServer is a balancer and a server.
+// balancerServer is the key of what one balancer was notified of about one server.
 type balancerServer struct {
 	balancer BalancerIndex
 	server   ServerIndex
 }
 
-// Checker checks observations against the rules. Its methods must be called in the order of time,
-// from one goroutine at a time.
+// Checker checks observations against the rules. Its methods must be called in chronological order, by
+// one goroutine at a time.
 type Checker struct {
 	limits       Limits
 	requests     idtable.Table[requestRecord]
-	due          map[int64][]uint64 // requests, by the step in which their responses are overdue
-	checkedSteps int64              // steps that were looked at
-	freeAttempts [][]attemptRecord  // for reuse
+	due          map[int64][]uint64 // request IDs by the checkInterval step in which CheckOverdue looks at them
+	checkedSteps int64              // steps that CheckOverdue has finished
+	freeAttempts [][]attemptRecord  // empty slices of deleted requests, to save allocations
 
 	unavailableSince map[balancerServer]time.Duration // when a drain or an end was notified
-	startedAt        map[balancerServer]time.Duration // the start of the server that was notified last
+	startedAt        map[balancerServer]time.Duration // the server's start that the balancer was last notified of
 	slowStartWork    map[ServerIndex][]arrivedWork
 
 	counts      [ruleCount]int
@@ -76,7 +76,7 @@
 	drainLatest time.Duration
 }
 
-// New returns a Checker without observations.
+// New returns a Checker without observations. The limits apply to the whole run.
 func New(limits Limits) *Checker {
 	return &Checker{
 		limits:           limits,
@@ -87,7 +87,7 @@
 	}
 }
 
-// report counts a violation.
+// report counts a violation, and stores it if fewer than maxViolations are stored.
 func (c *Checker) report(violation Violation) {
 	c.counts[violation.Rule]++
 	if len(c.violations) < maxViolations {
@@ -95,8 +95,8 @@
 	}
 }
 
-// reportRequest counts a violation by a request, of the balancer that received it, with what was observed
-// of it; the record is nil if the request is unknown.
+// reportRequest reports a violation by a request, with the observations of that request. The violation is
+// attributed to the balancer that received the request. The record is nil if the request is unknown.
 func (c *Checker) reportRequest(request *requestRecord, violation Violation) {
 	violation.Balancer = unknownBalancer
 	if request != nil {
@@ -106,16 +106,17 @@
 	c.report(violation)
 }
 
-// Count is how often a rule was violated.
+// Count returns how often a rule was violated, including violations that were not stored.
 func (c *Checker) Count(rule Rule) int { return c.counts[rule] }
 
-// DrainLatest is the latest that an attempt was sent after a drain was notified.
+// DrainLatest returns the longest time between the notification of a balancer that a server drains or is
+// gone and an attempt of that balancer to the server.
 func (c *Checker) DrainLatest() time.Duration { return c.drainLatest }
 
-// Violations returns the first violations, 50 at most.
+// Violations returns the first violations, at most 50.
 func (c *Checker) Violations() []Violation { return c.violations }
 
-// PendingRequests is how many requests have no final response yet.
+// PendingRequests returns the number of requests without a final response. Excused requests do not count.
 func (c *Checker) PendingRequests() int {
 	pending := 0
 	c.requests.Each(func(_ uint64, request *requestRecord) {
--- a/internal/lab/invariants/checker_test.go
+++ b/internal/lab/invariants/checker_test.go
@@ -11,14 +11,14 @@
 
 const ms = time.Millisecond
 
-// Indexes of the classes in newTestChecker.
+// Indexes of the classes that newTestChecker lists.
 const (
 	classIdempotent = iota
 	classNonIdempotent
 	classZoneKey
 )
 
-// newTestChecker returns a Checker with one class of each kind and servers in zones of ten.
+// newTestChecker returns a Checker with one class for each RetrySafety and ten servers per zone.
 func newTestChecker() *Checker {
 	return New(Limits{
 		Slack: 10 * ms, Grace: 100 * ms, CollapseWindow: time.Second, MaxAttempts: 2,
@@ -37,7 +37,8 @@
 	})
 }
 
-// failedAttempt records an attempt of request 1 that was executed and ended without a response.
+// failedAttempt records an attempt of request 1 that the server accepted and that ended without proof that
+// it was never executed.
 func failedAttempt(c *Checker, at time.Duration, attemptNumber int, server ServerIndex) {
 	c.AttemptSent(SentAttempt{At: at, Request: 1, Server: server})
 	c.AttemptAccepted(1, attemptNumber)
@@ -48,7 +49,7 @@
 	for name, c := range map[string]struct {
 		class   int
 		observe func(c *Checker)
-		want    map[Rule]string // the message of the only violation of each rule
+		want    map[Rule]string // the message of the one violation by rule; other rules have none
 	}{
 		"served": {classNonIdempotent, func(c *Checker) {
 			c.AttemptSent(SentAttempt{At: ms, Request: 1, Server: 3})
--- a/internal/lab/invariants/doc.go
+++ b/internal/lab/invariants/doc.go
@@ -1,13 +1,17 @@
-// Package invariants checks the four rules of balancing against what clients, servers and service
-// discovery observed: what went over the wire, and when. It must not ask a balancer about itself, nor
-// know how time passes or who observes.
+// Package invariants checks the rules of balancing against observations of clients, servers and service
+// discovery: what was sent over the wire, and when. It must not query the state of a balancer, and does
+// not depend on the clock or on the observer.
 //
-// internal/lab/simulation reports its observations in simulated time, internal/lab/loadtest those of
-// real sockets. Both call a Checker in the order of time, from one goroutine at a time.
+// internal/lab/simulation reports observations in simulated time, internal/lab/loadtest reports those of
+// real sockets. Both call a Checker in chronological order, from one goroutine at a time.
 //
-// The rules are: each received request gets one final response, in time (Lost); nothing that may have
-// been executed is sent again beyond what its class allows, and no rejection claims otherwise
-// (Repeated); no attempt goes to a server a while after the balancer was notified that the server
-// drains or is gone (Drain); no server in slow start collapses under balancers that were notified of its
-// start (SlowStart).
+// The rules are:
+//   - Lost: each received request gets one final response, in time.
+//   - Repeated: a request that may have been executed is not sent again unless its class allows it, and
+//     is not rejected where a rejection would invite the client to have it executed twice.
+//   - Drain: a balancer sends no attempt to a server later than Limits.Grace after it was notified that
+//     the server drains or is gone.
+//   - SlowStart: no server in slow start collapses under work from balancers that were notified of its
+//     start.
+//   - Deadline: no server is told more time than the client has left.
 package invariants
--- a/internal/lab/invariants/requests.go
+++ b/internal/lab/invariants/requests.go
@@ -8,16 +8,16 @@
 	"piernotch"
 )
 
-// ReceivedRequest is a client's request that a balancer has received in full.
+// ReceivedRequest is a client's request that a balancer has received completely.
 type ReceivedRequest struct {
 	At       time.Duration
 	Balancer BalancerIndex
-	ID       uint64 // above those of earlier requests
-	Class    int    // index into Limits.Classes; one that is not listed there is not checked for retries
+	ID       uint64 // greater than the ID of each earlier request
+	Class    int    // index into Limits.Classes; if out of range, retries and rejections are not checked
 	Deadline time.Duration
 }
 
-// RequestReceived records a request that was received.
+// RequestReceived records a request, and schedules the check whether its final response is overdue.
 func (c *Checker) RequestReceived(received ReceivedRequest) {
 	request := c.requests.Put(received.ID)
 	*request = requestRecord{
@@ -34,7 +34,7 @@
 	c.due[step] = append(c.due[step], received.ID)
 }
 
-// ResponseSent records that a final response left for the client.
+// ResponseSent records that a final response was sent to the client, and checks it against Lost and Repeated.
 func (c *Checker) ResponseSent(at time.Duration, id uint64, result Result) {
 	request := c.requests.Get(id)
 	if request == nil || request.responded {
@@ -76,8 +76,9 @@
 	c.release(id, request)
 }
 
-// checkRejection checks that a rejected request was never executed. A rejection says that the request
-// may be sent again, which matters where repeats are not deduplicated everywhere.
+// checkRejection checks that a rejected request has no attempt that may have been executed. A rejection
+// tells the client that it may send the request again; without deduplication everywhere, the request
+// could then be executed twice.
 func (c *Checker) checkRejection(at time.Duration, id uint64, request *requestRecord) {
 	class := c.classOf(request)
 	if class == nil || !repeatsMatter(class) {
@@ -98,7 +99,8 @@
 	}
 }
 
-// repeatsMatter reports whether a repeat of a class's request by its client may be executed twice.
+// repeatsMatter reports whether servers may execute a request of a class again, with effect, when its
+// client repeats it.
 func repeatsMatter(class *piernotch.Class) bool {
 	switch class.RetrySafety {
 	case piernotch.NonIdempotent:
@@ -109,8 +111,8 @@
 	return false
 }
 
-// RequestExcused records that a request needs no response any more: the client left, or its balancer
-// was killed.
+// RequestExcused records that a request no longer needs a response, because its client disconnected or its
+// balancer was killed, for example. A request that already has its final response is left as it is.
 func (c *Checker) RequestExcused(at time.Duration, id uint64) {
 	if request := c.requests.Get(id); request != nil && !request.responded {
 		request.responded = true
@@ -120,7 +122,8 @@
 	}
 }
 
-// WrongResponseSent records that a client got a successful response that no server made for its request.
+// WrongResponseSent records that a client got a successful response that no server made for its request,
+// reports this as Lost, and excuses the request.
 func (c *Checker) WrongResponseSent(at time.Duration, id uint64) {
 	c.reportRequest(c.requests.Get(id), Violation{
 		Rule:    Lost,
@@ -132,7 +135,8 @@
 	c.RequestExcused(at, id)
 }
 
-// RequestDropped records that a balancer closed the connection of a request without a response.
+// RequestDropped records that a balancer closed the connection of a request without a response. If the
+// request had no final response, this is reported as Lost.
 func (c *Checker) RequestDropped(at time.Duration, id uint64) {
 	if request := c.requests.Get(id); request != nil && !request.responded {
 		c.reportRequest(request, Violation{
@@ -146,7 +150,8 @@
 	}
 }
 
-// CheckOverdue finds responses that are overdue. It is to be called now and then, and at the end.
+// CheckOverdue reports requests whose final response is overdue as Lost, and excuses them. Callers call
+// it at intervals during the run and at its end.
 func (c *Checker) CheckOverdue(now time.Duration) {
 	for ; c.checkedSteps <= int64(now/checkInterval); c.checkedSteps++ {
 		for _, id := range c.due[c.checkedSteps] {
@@ -167,7 +172,7 @@
 	}
 }
 
-// release deletes a request that has its final response and no attempt in flight.
+// release deletes a request if it has its final response and no attempt in flight.
 func (c *Checker) release(id uint64, request *requestRecord) {
 	inflight := slices.ContainsFunc(request.attempts, func(attempt attemptRecord) bool { return !attempt.completed })
 	if !request.responded || inflight {
@@ -179,7 +184,7 @@
 	c.requests.Delete(id)
 }
 
-// describe returns what was observed of a request, one step a line.
+// describe returns the observations of a request, one per line.
 func (c *Checker) describe(id uint64) []string {
 	request := c.requests.Get(id)
 	if request == nil {
@@ -202,7 +207,7 @@
 	return steps
 }
 
-// describe returns what was observed of an attempt, in one line.
+// describe returns the observations of an attempt in one line.
 func (a *attemptRecord) describe(attemptNumber int) string {
 	line := fmt.Sprintf("%.6f s: attempt %d to server %d", a.sentAt.Seconds(), attemptNumber, a.server)
 	switch {
--- a/internal/lab/invariants/rules.go
+++ b/internal/lab/invariants/rules.go
@@ -7,35 +7,35 @@
 	"piernotch"
 )
 
-// Rule is one of the rules.
+// Rule is one of the rules that the package comment lists.
 type Rule uint8
 
-// Rules.
+// Rules. Stored results name SlowStart differently than String does.
 const (
 	Lost Rule = iota
 	Repeated
 	Drain
 	SlowStart
-	Deadline // that servers are told
+	Deadline // the time left that servers are told
 	ruleCount
 )
 
-// storedRules are the names of rules in stored results.
+// storedRules holds the names of the rules in stored results.
 var storedRules = [ruleCount]string{
 	Lost: "lost", Repeated: "repeated", Drain: "drain", SlowStart: "cold", Deadline: "deadline",
 }
 
-// String names a rule as reports print it.
+// String returns the name of a rule in printed reports.
 func (r Rule) String() string {
 	return [ruleCount]string{
 		Lost: "lost", Repeated: "repeated", Drain: "drain", SlowStart: "slow start", Deadline: "deadline",
 	}[r]
 }
 
-// MarshalText implements encoding.TextMarshaler by the name in stored results.
+// MarshalText returns the name of a rule in stored results.
 func (r Rule) MarshalText() ([]byte, error) { return []byte(storedRules[r]), nil }
 
-// UnmarshalText reads the name in stored results. An error is an UnknownRuleError.
+// UnmarshalText sets the rule from its name in stored results. The error is an UnknownRuleError.
 func (r *Rule) UnmarshalText(text []byte) error {
 	for rule, name := range storedRules {
 		if name == string(text) {
@@ -46,37 +46,37 @@
 	return UnknownRuleError(text)
 }
 
-// UnknownRuleError is a text that names no rule.
+// UnknownRuleError is a text that is not the name of a rule in stored results.
 type UnknownRuleError string
 
-// Error quotes the text.
+// Error returns a message that quotes the text.
 func (e UnknownRuleError) Error() string { return fmt.Sprintf("%q is no rule", string(e)) }
 
-// Result is how a request ended for its client, by its final response.
+// Result classifies the final response to a request.
 type Result uint8
 
-// Results.
+// Results. An excused request is recorded as Failed.
 const (
 	Served Result = iota
 	Rejected
 	Failed
 )
 
-// String names a result as reports do.
+// String returns the name of a result in printed reports.
 func (r Result) String() string { return [...]string{"served", "rejected", "failed"}[r] }
 
-// Limits are what the rules are measured by.
+// Limits are the parameters of the rules.
 type Limits struct {
-	Slack          time.Duration // a final response may come so much later than the deadline
-	Grace          time.Duration // attempts may be sent for so long after a drain was notified
-	CollapseWindow time.Duration // window over which the work of a collapse is counted
+	Slack          time.Duration // how much later than the deadline a final response may be sent
+	Grace          time.Duration // how long attempts may be sent after a drain or an end was notified
+	CollapseWindow time.Duration // time up to a collapse in which arriving work is counted
 	MaxAttempts    int
-	HedgedRequests bool // attempts of one request may overlap
+	HedgedRequests bool // whether attempts of one request may overlap
 	Classes        []piernotch.Class
-	Zone, Cell     func(server ServerIndex) int // of a server; may be nil if no class needs them
+	Zone, Cell     func(server ServerIndex) int // may be nil if no class has such a deduplication scope
 }
 
-// Violation is a rule that was violated once. The JSON keys are those of stored results.
+// Violation is one violation of a rule. The JSON keys are those of stored results.
 type Violation struct {
 	Rule     Rule          `json:"rule"`
 	At       time.Duration `json:"at_ns"`
@@ -84,10 +84,10 @@
 	Request  uint64        `json:"request,omitempty"`
 	Server   ServerIndex   `json:"server"` // -1: none
 	Message  string        `json:"what"`
-	Steps    []string      `json:"steps,omitempty"` // what was observed of the request or the server
+	Steps    []string      `json:"steps,omitempty"` // observations of the request or, for SlowStart, the server
 }
 
-// String is the violation in one line.
+// String returns the violation in one line.
 func (v Violation) String() string {
 	line := fmt.Sprintf("%s at %.6f s: balancer %d", v.Rule, v.At.Seconds(), v.Balancer)
 	if v.Request != 0 {
--- a/internal/lab/invariants/servers.go
+++ b/internal/lab/invariants/servers.go
@@ -11,20 +11,21 @@
 type arrivedWork struct {
 	at       time.Duration
 	balancer BalancerIndex
-	notified bool    // the balancer was notified of this start of the server
+	notified bool    // whether the balancer was notified of this start of the server
 	work     float64 // ms
 }
 
-// NotifiedEndpoint is a server's state as the endpoint list notified it to a balancer.
+// NotifiedEndpoint is the state of one server in an endpoint list that a balancer was notified of.
 type NotifiedEndpoint struct {
 	At        time.Duration
 	Balancer  BalancerIndex
 	Server    ServerIndex
 	State     piernotch.State
-	StartedAt time.Duration // when the server's process started; 0: long ago
+	StartedAt time.Duration // when the server's process started; 0: before the run
 }
 
-// EndpointNotified records that a balancer was notified of a server's state.
+// EndpointNotified records that a balancer was notified of a server's state. Drain counts from the first
+// notification that the server is not Ready, until one that it is.
 func (c *Checker) EndpointNotified(notified NotifiedEndpoint) {
 	key := balancerServer{notified.Balancer, notified.Server}
 	if notified.State == piernotch.Ready {
@@ -39,8 +40,8 @@
 	}
 }
 
-// BalancerRestarted records that a balancer's process starts with nothing: what its predecessor was
-// notified of does not count.
+// BalancerRestarted records that a balancer's new process has no state: notifications to the process
+// before it no longer count.
 func (c *Checker) BalancerRestarted(balancer BalancerIndex) {
 	for key := range c.unavailableSince {
 		if key.balancer == balancer {
@@ -54,7 +55,7 @@
 	}
 }
 
-// SlowStartArrival is work from a balancer that arrived at a server in slow start.
+// SlowStartArrival is work that arrived from a balancer at a server in slow start.
 type SlowStartArrival struct {
 	At        time.Duration
 	Balancer  BalancerIndex
@@ -63,7 +64,8 @@
 	Work      float64       // ms
 }
 
-// SlowStartWork records work that arrived at a server in slow start.
+// SlowStartWork records work that arrived at a server in slow start, and discards the server's arrivals
+// that are older than CollapseWindow.
 func (c *Checker) SlowStartWork(arrival SlowStartArrival) {
 	recent := c.slowStartWork[arrival.Server]
 	for len(recent) > 0 && recent[0].at <= arrival.At-c.limits.CollapseWindow {
@@ -78,8 +80,8 @@
 	})
 }
 
-// ServerCollapsed records that a server collapsed in slow start. It violates the rule if most of the
-// work that it got came from balancers that were notified of its start.
+// ServerCollapsed records that a server collapsed in slow start. This violates SlowStart if at least two
+// thirds of the work in CollapseWindow came from balancers that were notified of the server's start.
 func (c *Checker) ServerCollapsed(at time.Duration, server ServerIndex) {
 	arrivals := c.slowStartWork[server]
 	total, notified := 0.0, 0.0
@@ -94,7 +96,7 @@
 			notified += arrival.work
 		}
 	}
-	// At two thirds: the balancers that could not know of the start are then not to blame.
+	// With less than two thirds, balancers that could not know of the start may have caused the collapse.
 	mostlyNotified := notified >= total*2/3
 	if total == 0 || !mostlyNotified {
 		return
