--- a/internal/lab/goodput/counter.go
+++ b/internal/lab/goodput/counter.go
@@ -1,10 +1,11 @@
-// Package goodput measures service as the operators do: the priority weight of what was served in time over
-// the weight of what was requested, by second and by class. A client's retries count for its first
-// attempt.
+// Package goodput measures service as the operators do: the priority weight earned by served requests
+// divided by the weight of all requests, by second and by class. A response after the latency objective
+// earns the class's late weight share. A request counts once, for the second of its first attempt; retries
+// do not add weight.
 //
-// It owns the definition of service and of its parts. It must not know whether time is simulated or
-// how a request came to its end. internal/lab/simulation and internal/lab/load call a Counter for each
-// request of a client; it is for one goroutine at a time.
+// The package defines service and its parts. It does not depend on whether time is simulated or on how a
+// request ended in detail. internal/lab/simulation and internal/lab/load call a Counter for each request
+// of a client, from one goroutine at a time.
 package goodput
 
 import (
@@ -22,39 +23,39 @@
 	significantDigits = 3
 )
 
-// latencyPercentiles are the points of the distribution of latency that reports show.
+// latencyPercentiles are the percentiles of latency in reports.
 var latencyPercentiles = []float64{1, 5, 10, 20, 30, 40, 50, 60, 70, 80, 90, 95, 98, 99, 99.5, 99.9, 99.95, 99.99, 100}
 
-// Second is one second of the run, by when requests were first sent.
+// Second counts the requests that were first sent in one second of the run.
 type Second struct {
-	AskedWeight    float64 `json:"asked"`  // weight of the requests
-	ServedWeight   float64 `json:"served"` // weight that was earned
-	ClientAttempts int     `json:"tries"`  // attempts of clients at the requests that have ended
-	Rejected       int     `json:"refused"`
-	Failed         int     `json:"failed"`
+	AskedWeight    float64 `json:"asked"`   // weight of the requests sent
+	ServedWeight   float64 `json:"served"`  // weight that requests earned
+	ClientAttempts int     `json:"tries"`   // clients' attempts, of requests that have ended
+	Rejected       int     `json:"refused"` // attempts
+	Failed         int     `json:"failed"`  // attempts
 }
 
-// ClassShare is one class's service.
+// ClassShare is the service of one class.
 type ClassShare struct {
 	Name     string  `json:"name"`
-	Service  float64 `json:"service"` // share of the class's weight
-	Requests int     `json:"asked"`   // requests
+	Service  float64 `json:"service"` // earned share of the class's weight; 1 without requests
+	Requests int     `json:"asked"`
 }
 
-// LatencyStep is a point of the distribution of latency.
+// LatencyStep is one percentile, from 0 to 100, of the latency of served requests.
 type LatencyStep struct {
 	Percentile float64 `json:"percentile"`
 	MS         float64 `json:"ms"`
 }
 
-// Counter counts the requests of one run. It is for one goroutine at a time.
+// Counter counts the requests of one run. It is not safe for concurrent use.
 type Counter struct {
-	Requests     int     // requests
-	Rejected     int     // attempts that were rejected
-	Failed       int     // attempts that failed
+	Requests     int     // requests sent, without retries
+	Rejected     int     // clients' attempts that were rejected
+	Failed       int     // clients' attempts that failed
 	InObjective  int     // requests served within their latency objective
-	AskedWork    float64 // ms
-	LateUnserved float64 // weight that ended unserved after its latency objective
+	AskedWork    float64 // ms, of all requests sent
+	LateUnserved float64 // weight of requests that ended unserved after their latency objective
 	Seconds      []Second
 
 	realization *scenario.Realization
@@ -68,7 +69,7 @@
 	asked, served float64 // weight
 }
 
-// New returns a Counter for a run of a realization.
+// New returns a Counter for one run of a realization.
 func New(realization *scenario.Realization) *Counter {
 	return &Counter{
 		Seconds:     make([]Second, int(math.Ceil(realization.Length.Seconds()))),
@@ -78,12 +79,13 @@
 	}
 }
 
-// second returns the second of a time; times outside of the run count for its first or last second.
+// second returns the second of a time. Times outside of the run count for its first or last second.
 func (c *Counter) second(at time.Duration) *Second {
 	return &c.Seconds[min(max(int(at/time.Second), 0), len(c.Seconds)-1)]
 }
 
-// Weight is the priority weight of a request of a class; work is in ms.
+// Weight returns the weight of a request of a class: the priority weight, times the work (ms) if the
+// scenario weights by work.
 func Weight(realization *scenario.Realization, class int, work float64) float64 {
 	if realization.Score.ByWork {
 		return realization.Classes[class].PriorityWeight * work
@@ -91,7 +93,7 @@
 	return realization.Classes[class].PriorityWeight
 }
 
-// RequestSent counts a client's request when it is first sent; work is in ms.
+// RequestSent counts a client's request, which was first sent at a time of the run; work is in ms.
 func (c *Counter) RequestSent(first time.Duration, class int, work float64) {
 	weight := Weight(c.realization, class, work)
 	c.Requests++
@@ -101,19 +103,19 @@
 	c.second(first).AskedWeight += weight
 }
 
-// AttemptRejected counts a client's attempt that was rejected, by when its request was first sent.
+// AttemptRejected counts a rejected attempt of a client, in the second in which its request was first sent.
 func (c *Counter) AttemptRejected(first time.Duration) {
 	c.Rejected++
 	c.second(first).Rejected++
 }
 
-// AttemptFailed counts a client's attempt that failed, by when its request was first sent.
+// AttemptFailed counts a failed attempt of a client, in the second in which its request was first sent.
 func (c *Counter) AttemptFailed(first time.Duration) {
 	c.Failed++
 	c.second(first).Failed++
 }
 
-// End is how a request ended for its client.
+// End reports whether a request ended served, after all attempts of its client.
 type End bool
 
 // Ends.
@@ -122,17 +124,18 @@
 	Served   End = true
 )
 
-// FinishedRequest is a client's request that is over.
+// FinishedRequest is a client's request after its last attempt.
 type FinishedRequest struct {
 	First          time.Duration // when it was first sent
-	Took           time.Duration // from then to its end
+	Took           time.Duration // from First to the end of the last attempt
 	Class          int
 	Work           float64 // ms
-	ClientAttempts int     // the first one and the client's retries
+	ClientAttempts int     // including the first
 	End            End
 }
 
-// RequestFinished counts a request that is over and returns the weight that it earned.
+// RequestFinished counts a request that has ended and returns the weight that it earned: all of it if it
+// was served within the latency objective, the late weight share if served later, else 0.
 func (c *Counter) RequestFinished(finished FinishedRequest) float64 {
 	class := &c.realization.Classes[finished.Class]
 	weight := Weight(c.realization, finished.Class, finished.Work)
@@ -140,7 +143,7 @@
 	earned := 0.0
 	switch {
 	case finished.End == Served:
-		// What exceeds the histogram's range is not in the distribution.
+		// A latency beyond the range of the histogram is not recorded.
 		_ = c.latencies.RecordValue(max(int64(finished.Took/time.Microsecond), 1))
 		earned = weight
 		if late {
@@ -158,8 +161,8 @@
 	return earned
 }
 
-// Latency is the distribution of served requests' latency since their first attempt; nil if none was
-// served.
+// Latency returns the latencyPercentiles of served requests, from the first attempt on. It is nil if no
+// request was served.
 func (c *Counter) Latency() []LatencyStep {
 	if c.latencies.TotalCount() == 0 {
 		return nil
@@ -171,7 +174,7 @@
 	return steps
 }
 
-// Percentile is a percentile of the latency of served requests, ms.
+// Percentile returns a percentile, from 0 to 100, of the latency of served requests, in ms.
 func (c *Counter) Percentile(percentile float64) float64 {
 	return float64(c.latencies.ValueAtPercentile(percentile)) / 1000
 }
--- a/internal/lab/goodput/service.go
+++ b/internal/lab/goodput/service.go
@@ -6,19 +6,20 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// epsilon is the weight below which a window counts as empty: sums are not exact.
+// epsilon is the weight up to which a window counts as empty: rounding errors of the running sums leave a
+// remainder.
 const epsilon = 1e-9
 
-// Parts are what service is made of, as shares from 0 to 1.
+// Parts are the parts of service, as shares from 0 to 1.
 type Parts struct {
-	WholeRun    float64 // of all weight
-	WorstWindow float64 // least of any window
-	WorstClass  float64 // least of any class
-	LateFail    float64 // share of the weight that ended unserved after its latency objective
+	WholeRun    float64 // earned share of all weight
+	WorstWindow float64 // least earned share of any window; at most WholeRun
+	WorstClass  float64 // least earned share of any class with requests
+	LateFail    float64 // share of all weight that ended unserved after the latency objective; no part of Service
 	Classes     []ClassShare
 }
 
-// Parts returns the parts of what was counted so far. Where nothing was asked for, they are 1.
+// Parts returns the parts of service so far. Without requests, WholeRun, WorstWindow and WorstClass are 1.
 func (c *Counter) Parts() Parts {
 	parts := Parts{WholeRun: 1, WorstClass: 1}
 	asked, served := 0.0, 0.0
@@ -27,7 +28,7 @@
 		asked += class.asked
 		served += class.served
 		share := ClassShare{Name: c.realization.Classes[i].Name, Requests: class.requests, Service: 1}
-		if class.asked > 0 { // a class without requests is not the worst one
+		if class.asked > 0 { // a class without requests cannot be the worst
 			share.Service = class.served / class.asked
 			parts.WorstClass = min(parts.WorstClass, share.Service)
 		}
@@ -41,13 +42,13 @@
 	return parts
 }
 
-// Service weighs the parts and takes off a deduction; it is not below 0.
+// Service returns the sum of the parts, weighted by the score, minus a deduction. It is at least 0.
 func (p Parts) Service(score scenario.DrawnScore, deducted float64) float64 {
 	return max(score.WholeRun*p.WholeRun+score.WorstWindow*p.WorstWindow+score.WorstClass*p.WorstClass-deducted, 0)
 }
 
-// worstWindow is the least share served in any window of n whole seconds in which something was asked
-// for, but not above wholeRun. A run shorter than that is one window.
+// worstWindow returns the least earned share of any window of whole seconds with requests, at most
+// wholeRun. A run shorter than a window is one window.
 func (c *Counter) worstWindow(seconds int, wholeRun float64) float64 {
 	seconds = min(max(seconds, 1), len(c.Seconds))
 	worst := wholeRun
