--- a/internal/lab/emulator/connection.go
+++ b/internal/lab/emulator/connection.go
@@ -8,14 +8,15 @@
 	"piernotch/internal/http1"
 )
 
-// acceptRetryPause is how long a server waits after it could not accept a connection: descriptors may come
-// free.
+// acceptRetryPause is how long a server waits after a failed accept: file descriptors may become free
+// meanwhile.
 const acceptRetryPause = time.Millisecond
 
-// readBufferSize is the size of the buffer for what a connection reads at once, bytes.
+// readBufferSize is the size of a connection's read buffer, bytes.
 const readBufferSize = 8 << 10
 
-// accept accepts the connections of one process.
+// accept accepts the connections of one incarnation until its listener is closed. A connection that
+// addConnection does not take is reset.
 func (s *server) accept(listener net.Listener, incarnation int) {
 	for {
 		connection, err := listener.Accept()
@@ -34,7 +35,8 @@
 	}
 }
 
-// addConnection counts a new connection. It reports false if there are too many, or the process has ended.
+// addConnection registers a connection and charges the model for its handshake. It reports false if the server
+// has MaxConnections or the incarnation has ended.
 func (s *server) addConnection(connection net.Conn, incarnation int) bool {
 	cost := &s.spec.Kind.Conn
 	s.mu.Lock()
@@ -50,7 +52,7 @@
 	return true
 }
 
-// closeConnection closes a connection, unless the process has ended meanwhile.
+// closeConnection closes a connection, and unregisters it if the process has not ended meanwhile.
 func (s *server) closeConnection(connection net.Conn) {
 	s.mu.Lock()
 	if _, ok := s.connections[connection]; ok {
@@ -69,14 +71,15 @@
 	_ = connection.Close()
 }
 
-// serve serves one connection until it ends or was idle for too long.
+// serve serves the requests of a connection, one at a time, until the connection ends or has been idle for
+// KeepAlive.
 func (s *server) serve(connection net.Conn) {
 	defer s.closeConnection(connection)
 	messages := make(chan *http1.Message)
 	gone := make(chan struct{})
 	stop := make(chan struct{})
 	defer close(stop)
-	go func() { // ends with the connection or with stop; meanwhile it notices when the other side is gone
+	go func() { // ends with the connection or with stop; closes gone when the peer has closed the connection
 		defer close(gone)
 		readMessages(connection, messages, stop)
 	}()
@@ -98,7 +101,7 @@
 	}
 }
 
-// readMessages reads requests until the connection ends, a request is malformed, or stop is closed.
+// readMessages passes on requests until the connection ends, a request is malformed, or stop is closed.
 func readMessages(connection net.Conn, messages chan<- *http1.Message, stop <-chan struct{}) {
 	parser := http1.NewRequestParser()
 	buffer := make([]byte, readBufferSize)
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -12,45 +12,45 @@
 	"piernotch"
 )
 
-// moveGrace is how long open connections to a former address still work.
+// moveGrace is how long open connections to the previous address still work after Move.
 const moveGrace = 1500 * time.Millisecond
 
-// Discovery is a stand-in for the discovery service: the complete list of servers, and a watch on its
-// changes. Each balancer has an address of its own, so that it is known which one was notified of what. Its
-// methods may be called from any goroutine.
+// Discovery emulates the discovery service: it serves the complete endpoint list and watches on its changes.
+// Each balancer has its own address, which identifies the balancer that a response notifies. The methods may
+// be called from any goroutine.
 type Discovery struct {
-	// ServerAddress, if set before the first call, returns where a balancer reaches a server that listens
-	// at an address: a proxy may stand between. It is called with the list locked.
+	// ServerAddress, if set before the first call, returns the address that is listed to a balancer for a
+	// server that listens at address; it may be that of a proxy. It is called with Discovery's lock held.
 	ServerAddress func(balancer, server int, address string) string
 
 	fleet      *Fleet
 	notified   EndpointNotified // may be nil
-	extraDelay atomic.Int64     // ns, of what is not Ready
+	extraDelay atomic.Int64     // ns, added to the delay of states other than Ready
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	listeners   []*http.Server
 	addresses   []string // by balancer
 	timers      []*time.Timer
-	calls       int
+	calls       int           // HTTP requests so far
 	limits      []notifyState // by balancer
-	slowest     time.Duration // see SlowestNotification
+	slowest     time.Duration // of the notifications received so far; see SlowestNotification
 	generation  uint64
-	endpoints   map[int]*endpoint // by server; those that were never listed are missing
-	changes     map[int]int       // by server: the number of the last one that was scheduled
+	endpoints   map[int]*endpoint // by server; servers that were never listed are missing
+	changes     map[int]int       // by server: how many were scheduled
 	changed     chan struct{}     // closed and replaced at each change
-	outages     int               // that go on
-	outage      context.Context   // done while there is an outage
+	outages     int               // ongoing ones
+	outage      context.Context   // done during an outage
 	beginOutage context.CancelFunc
 }
 
-// endpoint is a server as it is listed.
+// endpoint is a server's entry in the endpoint list.
 type endpoint struct {
 	state         piernotch.State
 	startedAt     time.Duration // time of the run
 	address       string
-	generation    uint64 // of its last change
-	listedAt      time.Duration
-	startedUnixMS int64 // 0: before the run
+	generation    uint64        // the list's generation at the entry's last change
+	listedAt      time.Duration // time of the run of the last change
+	startedUnixMS int64         // 0: before the run
 }
 
 func newDiscovery(fleet *Fleet, options Options) (*Discovery, error) {
@@ -74,7 +74,7 @@
 	return service, nil
 }
 
-// open has a balancer's discovery listen at a new address.
+// open starts an HTTP server for a balancer's discovery calls at a new address.
 func (d *Discovery) open(balancer int) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -94,8 +94,9 @@
 	return nil
 }
 
-// Move has a balancer's discovery listen at another address, which Address returns from then on. The former
-// one accepts no new connections, and closes the open ones after moveGrace, also when the context ends before.
+// Move gives a balancer's discovery a new address, which Address returns from then on. The previous address
+// accepts no new connections. Its open connections are closed after moveGrace at the latest, even if ctx ends
+// earlier.
 func (d *Discovery) Move(ctx context.Context, balancer int) error {
 	d.mu.Lock()
 	old := d.listeners[balancer]
@@ -113,21 +114,22 @@
 	return nil
 }
 
-// Address returns the host:port at which a balancer finds discovery.
+// Address returns the host:port of discovery for a balancer. Move changes it.
 func (d *Discovery) Address(balancer int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.addresses[balancer]
 }
 
-// Calls returns the number of calls so far.
+// Calls returns the number of HTTP requests for the list so far, including those that failed in an outage.
 func (d *Discovery) Calls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
-// ReadyServer returns a server that is listed as ready, and its name; false if there is none.
+// ReadyServer returns the first server that is listed as Ready, and its name. It reports false if there is
+// none.
 func (d *Discovery) ReadyServer() (server int, name string, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -139,7 +141,7 @@
 	return 0, "", false
 }
 
-// close ends all watches and closes all addresses.
+// close stops scheduled changes, ends all watches and closes all listeners and their connections.
 func (d *Discovery) close() {
 	d.mu.Lock()
 	for _, timer := range d.timers {
@@ -156,7 +158,8 @@
 	}
 }
 
-// publishAfter lists a server's state after a delay, unless a later start has been listed by then.
+// publishAfter lists a server's state after a delay, unless isStale reports by then that a later start is
+// listed. States other than Ready are delayed by extraDelay, too.
 func (d *Discovery) publishAfter(server int, state piernotch.State, delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -166,7 +169,7 @@
 	d.changes[server]++
 	change := d.changes[server]
 	startedAt := d.fleet.servers[server].startedAt()
-	if period := d.fleet.realization.Discovery.PublishInterval; period > 0 { // changes are published at its multiples
+	if period := d.fleet.realization.Discovery.PublishInterval; period > 0 { // changes are published at multiples of it
 		now := d.fleet.clock()
 		delay = (now+delay+period-1)/period*period - now
 	}
@@ -177,8 +180,8 @@
 	}))
 }
 
-// isStale reports whether a change that was scheduled is not to be listed, because a later start of the
-// server is listed as ready.
+// isStale reports whether a scheduled change must not be listed: it is not to Ready, and a later start of the
+// server is already listed as Ready.
 func (d *Discovery) isStale(server int, state piernotch.State, change int, startedAt time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -189,7 +192,7 @@
 	return listed.state == piernotch.Ready && listed.startedAt > startedAt
 }
 
-// publish lists a server's state at once.
+// publish lists a server's state at once, wakes all watches, and schedules notifyOverdue after notifyLimit.
 func (d *Discovery) publish(server int, state piernotch.State, startedAt time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -204,7 +207,7 @@
 	previous := d.endpoints[server]
 	switch {
 	case previous != nil && previous.startedAt == startedAt:
-		listed.startedUnixMS = previous.startedUnixMS // one start has one time, to the millisecond
+		listed.startedUnixMS = previous.startedUnixMS // keeps the time of one start equal, to the millisecond
 	case startedAt > 0:
 		listed.startedUnixMS = time.Now().Add(startedAt - d.fleet.clock()).UnixMilli()
 	}
@@ -214,7 +217,8 @@
 	d.timers = append(d.timers, time.AfterFunc(notifyLimit, d.notifyOverdue))
 }
 
-// setOutage begins an outage, which ends all watches and has calls fail, or ends one. Outages may overlap.
+// setOutage begins or ends an outage, in which watches are aborted and calls fail. Outages may overlap; calls
+// fail until the last has ended.
 func (d *Discovery) setOutage(begins bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/emulator/doc.go
+++ b/internal/lab/emulator/doc.go
@@ -1,8 +1,9 @@
-// Package emulator puts the behaviour of internal/lab/servermodel behind sockets: stand-in servers and
-// a stand-in discovery service on loopback, scripted by the same scenario files as the simulation. Work is
-// waited for, not computed, so that hundreds of servers fit on a core.
+// Package emulator runs emulated servers and an emulated discovery service on loopback sockets. The
+// servers behave as internal/lab/servermodel says; the faults come from the same scenario files as those of
+// the simulation. Servers wait for the duration of their work and compute nothing, so that one core can
+// run hundreds of them.
 //
-// A Fleet owns the servers, discovery and their goroutines, from New to Close. The package decides nothing
-// about how servers behave (that is servermodel) or when what goes wrong (that is scenario), and does not
-// judge what it sees: it notifies an Observer. It is called by loadtest and by piernotch-lab emulate.
+// A Fleet owns the servers, discovery and their goroutines, from New to Close. The package does not define
+// how servers behave (servermodel does) or which faults occur when (scenario does). It does not judge what
+// it sees, but notifies an Observer. Its callers are loadtest and piernotch-lab emulate.
 package emulator
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -21,7 +21,7 @@
 
 const testTimeout = 20 * time.Second
 
-// recorder is an observer that keeps its notifications as lines.
+// recorder is an Observer that stores its notifications as lines of text.
 type recorder struct {
 	mu    sync.Mutex
 	lines []string
@@ -56,15 +56,15 @@
 }
 func (n *recorder) AttemptAccepted(id string, a int) { n.add("began %s %d", id, a) }
 func (n *recorder) AttemptExecuted(id string, a int) { n.add("ran %s %d", id, a) }
-func (n *recorder) AttemptCompleted(id string, a int, unrun NeverExecuted) {
-	n.add("over %s %d %t", id, a, unrun)
+func (n *recorder) AttemptCompleted(id string, a int, proof NeverExecuted) {
+	n.add("over %s %d %t", id, a, proof)
 }
 func (n *recorder) SlowStartWork(id string, s int, _ time.Duration, w float64) {
 	n.add("reached %s %d %.0f", id, s, w)
 }
 func (n *recorder) ServerCollapsed(s int) { n.add("fell %d", s) }
 
-// openFleet makes a fleet of one server whose run has begun.
+// openFleet opens a fleet of one server. The clock of its run starts now.
 func openFleet(t *testing.T, text string, notified EndpointNotified) (*Fleet, *recorder) {
 	t.Helper()
 	s, err := scenario.Parse("test", []byte(`
@@ -108,8 +108,8 @@
 	return &peer{c, bufio.NewReader(c)}
 }
 
-// ask sends a request with work in ms.
-func (p *peer) ask(id string, work int) {
+// sendRequest sends a request; work is in ms.
+func (p *peer) sendRequest(id string, work int) {
 	_, _ = fmt.Fprintf(p, "GET /read?w=%d HTTP/1.1\r\nHost: b\r\nX-Request-Id: %s\r\n\r\n", work, id)
 }
 
@@ -125,9 +125,9 @@
 func TestServerServesRejectsAndIdentifiesRequests(t *testing.T) {
 	f, n := openFleet(t, "report_every_ms = 1\n", nil)
 	a, b := dial(t, f), dial(t, f)
-	a.ask("1", 300)
+	a.sendRequest("1", 300)
 	require.Eventually(t, func() bool { return n.has("began 1 0") }, testTimeout, time.Millisecond)
-	b.ask("2", 1)
+	b.sendRequest("2", 1)
 	status, header, _ := b.readResponse(t)
 	require.Equal(t, 503, status)
 	require.Equal(t, "1", header.Get("X-Not-Run"))
@@ -137,7 +137,7 @@
 	require.Equal(t, 200, status)
 	require.True(t, strings.HasSuffix(body, " 1"))
 	require.True(t, n.has("ran 1 0") && n.has("over 1 0 false"))
-	a.ask("stranger", 1)
+	a.sendRequest("stranger", 1)
 	status, _, _ = a.readResponse(t)
 	require.Equal(t, 400, status)
 	_, _ = io.WriteString(b, "GET /ping HTTP/1.1\r\nHost: b\r\n\r\nGET /read HTTP/1.1\r\nHost: b\r\n\r\n")
@@ -150,12 +150,12 @@
 func TestCloseCancelsJobAndCrashResetsConnections(t *testing.T) {
 	f, n := openFleet(t, "cancel = \"all\"\n", nil)
 	a := dial(t, f)
-	a.ask("1", 60000)
+	a.sendRequest("1", 60000)
 	require.Eventually(t, func() bool { return n.has("began 1 0") }, testTimeout, time.Millisecond)
 	_ = a.Close()
 	require.Eventually(t, func() bool { return n.has("over 1 0 false") }, testTimeout, time.Millisecond)
 	b := dial(t, f)
-	b.ask("2", 60000) // the slot is free again
+	b.sendRequest("2", 60000) // the cancelled job has freed the slot
 	require.Eventually(t, func() bool { return n.has("began 2 0") }, testTimeout, time.Millisecond)
 	f.end(f.servers[0])
 	_, err := b.r.ReadByte()
@@ -167,7 +167,7 @@
 	require.NoError(t, f.Err())
 	require.Equal(t, address, f.servers[0].address)
 	c := dial(t, f)
-	c.ask("3", 1)
+	c.sendRequest("3", 1)
 	status, _, _ := c.readResponse(t)
 	require.Equal(t, 200, status)
 }
@@ -184,7 +184,7 @@
 	}, testTimeout, time.Millisecond)
 	require.Equal(t, old, f.servers[1].address)
 	c := dial(t, f)
-	c.ask("1", 1)
+	c.sendRequest("1", 1)
 	status, _, body := c.readResponse(t)
 	require.Equal(t, 200, status)
 	require.Equal(t, "s-1 1", body, "it responds under its own name")
@@ -193,7 +193,7 @@
 func TestSilentServerDoesNotRespond(t *testing.T) {
 	f, n := openFleet(t, "", nil)
 	a := dial(t, f)
-	a.ask("1", 30)
+	a.sendRequest("1", 30)
 	require.Eventually(t, func() bool { return n.has("began 1 0") }, testTimeout, time.Millisecond)
 	f.servers[0].silence()
 	_ = a.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
--- a/internal/lab/emulator/exchange.go
+++ b/internal/lab/emulator/exchange.go
@@ -12,22 +12,22 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// maxWork bounds the work that a request may ask for, ms.
+// maxWork is the exclusive upper bound of the work that a request may name, ms.
 const maxWork = 1e9
 
-// notRun is the header of a response that proves that the request has not run.
+// notRun is the header field of responses to requests that were never executed.
 var notRun = http1.Field{Name: "X-Not-Run", Value: "1"}
 
-// exchange is a request on a connection and what belongs to its response.
+// exchange is a request on a connection, with what its response needs.
 type exchange struct {
 	conn    net.Conn
 	request *http1.Message
-	gone    <-chan struct{} // closed when the other side is gone
-	id      string          // of the request
-	attempt int             // its number among those of the request
+	gone    <-chan struct{} // closed when the peer has closed the connection, or reading failed
+	id      string          // X-Request-Id
+	attempt int             // number of the attempt of the request, from 0
 }
 
-// write writes a response, which may come a second time. It reports whether the connection goes on.
+// write writes a response, which repeatLater may send again. It reports whether the connection stays open.
 func (s *server) write(received exchange, status int, fields http1.Fields, body []byte) bool {
 	response := http1.AppendResponse(nil, status, fields, body)
 	_, err := received.conn.Write(response)
@@ -35,7 +35,7 @@
 	return err == nil && !received.request.Close
 }
 
-// serveExchange serves one request. It reports whether the connection goes on.
+// serveExchange serves one request and notifies the observer. It reports whether the connection stays open.
 func (s *server) serveExchange(received exchange) bool {
 	now := s.fleet.clock()
 	path := received.request.Path()
@@ -68,19 +68,21 @@
 	select {
 	case completion := <-job.completed:
 		return s.respond(received, completion)
-	case <-received.gone: // the balancer waits no longer
+	case <-received.gone: // the balancer no longer waits
 		s.cancel(received, job)
 		return false
 	}
 }
 
-// writeError responds to a request that is not served. The connection goes on whatever the request says.
+// writeError responds to a request that is not served. The connection stays open even if the request asks to
+// close it.
 func (x *exchange) writeError(status int) bool {
 	_, err := x.conn.Write(http1.AppendResponse(nil, status, nil, nil))
 	return err == nil
 }
 
-// respondToHealthCheck responds to a health check or a call for the load report.
+// respondToHealthCheck responds to a health check or a request for the load report. A silent server does not
+// respond; one that is not up responds with 503.
 func (s *server) respondToHealthCheck(received exchange, now time.Duration) bool {
 	s.mu.Lock()
 	s.model.Charge(now, s.spec.Kind.HealthCheckWork)
@@ -103,7 +105,7 @@
 	return s.write(received, status, fields, body)
 }
 
-// loadHeader returns the X-Load header of a response; nothing if the server does not report its load.
+// loadHeader returns the X-Load header field of a response. It returns nil if the server does not report its load.
 func (s *server) loadHeader(now time.Duration) http1.Fields {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +125,8 @@
 	}
 }
 
-// admit brings a request to the model. The job is nil unless it was accepted.
+// admit passes a request to the model. The job is nil unless the model accepts it. If the server collapses
+// under the request in slow start, admit resets the connections and closes the listener.
 func (s *server) admit(received exchange, now time.Duration) (servermodel.Admission, *pendingJob) {
 	job := s.parseJob(received.request, now)
 	s.mu.Lock()
@@ -152,14 +155,14 @@
 	return admission, pending
 }
 
-// parseJob reads what a request asks for.
+// parseJob returns the job of a request. The query holds its work (w, ms) and key (k, hexadecimal).
 func (s *server) parseJob(message *http1.Message, now time.Duration) servermodel.Job {
 	work, err := strconv.ParseFloat(message.Query("w"), 64)
 	valid := err == nil && work > 0 && work < maxWork
-	if !valid { // its sender did not say: what its class takes
+	if !valid { // use the mean of the class
 		work = s.fleet.meanWork(strings.TrimPrefix(message.Path(), "/"))
 	}
-	key, _ := strconv.ParseUint(message.Query("k"), 16, 64) // none is 0
+	key, _ := strconv.ParseUint(message.Query("k"), 16, 64) // 0 if missing
 	job := servermodel.Job{Work: work, Key: key}
 	if timeout := timeoutOf(message); timeout > 0 {
 		job.Expires = now + timeout
@@ -167,13 +170,14 @@
 	return job
 }
 
-// timeoutOf returns for how long the balancer says it waits; 0 if it does not say.
+// timeoutOf returns the timeout in X-Deadline-Ms, 0 if there is none.
 func timeoutOf(message *http1.Message) time.Duration {
-	milliseconds, _ := strconv.Atoi(message.Fields.Get("x-deadline-ms")) // none is 0
+	milliseconds, _ := strconv.Atoi(message.Fields.Get("x-deadline-ms")) // 0 if missing
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
-// cancel takes back the job of a request whose connection is gone.
+// cancel cancels the job of a request whose connection has ended, and notifies the observer. The model may go
+// on with the job.
 func (s *server) cancel(received exchange, job *pendingJob) {
 	s.mu.Lock()
 	cancelled, started, _ := s.model.Cancel(s.fleet.clock(), job.id)
@@ -188,7 +192,8 @@
 	s.fleet.observer.AttemptCompleted(received.id, received.attempt, NeverExecuted(false))
 }
 
-// respond writes the response to a request whose job has been completed. It reports whether the connection goes on.
+// respond writes the response to a request whose job has ended, or resets the connection if the process ended.
+// It reports whether the connection stays open.
 func (s *server) respond(received exchange, completion servermodel.Completion) bool {
 	if completion.Started {
 		s.fleet.observer.AttemptExecuted(received.id, received.attempt)
@@ -212,7 +217,7 @@
 	return s.write(received, http.StatusOK, fields, body)
 }
 
-// drawMalformed draws whether a response is malformed, and how.
+// drawMalformed decides at random whether a response is malformed, and how.
 func (s *server) drawMalformed() (malformedResponse, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -10,38 +10,38 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// shareUnit is what a share of 1 is as a whole number: shares are kept in millionths.
+// shareUnit is the integer that stands for a share of 1: shares are stored in millionths.
 const shareUnit = 1e6
 
-// Fleet is the stand-in servers of a run and their discovery. Its methods may be called from any
-// goroutine, but Play and Close.
+// Fleet is the emulated servers of a run and their discovery service. Its methods, except Play and Close, may
+// be called from any goroutine.
 type Fleet struct {
 	realization *scenario.Realization
 	clock       Clock
 	observer    Observer
-	servers     []*server // those that join later included
+	servers     []*server // including those that join later
 	discovery   *Discovery
 	steps       []scheduledStep
-	timers      []*time.Timer // of the steps, once they are played
+	timers      []*time.Timer // of the steps, set by Play
 
 	loadReportDelay atomic.Int64 // ns
-	malformedShare  atomic.Int64 // of responses, in units of 1/shareUnit
+	malformedShare  atomic.Int64 // share of the responses, times shareUnit
 	repeats         atomic.Pointer[responseRepeats]
 
 	mu  sync.Mutex
-	err error // the first one
+	err error // see Err
 }
 
-// Options say for whom a fleet is. All but Notified are required.
+// Options are the parameters of New. All but Notified are required.
 type Options struct {
-	Balancers int // discovery has an address for each
+	Balancers int // number of balancers; discovery has an address for each
 	Clock     Clock
 	Observer  Observer
 	Notified  EndpointNotified // may be nil
 }
 
-// New creates the servers of a run and opens them and discovery. Nothing goes wrong until Play. The caller
-// calls Close.
+// New creates and opens the servers of a run and their discovery service. Faults start only with Play. The
+// caller must call Close. New fails if a server cannot be created or an address cannot be opened.
 func New(realization *scenario.Realization, options Options) (*Fleet, error) {
 	fleet := &Fleet{realization: realization, clock: options.Clock, observer: options.Observer}
 	fleet.repeats.Store(&responseRepeats{})
@@ -61,7 +61,7 @@
 	return fleet, nil
 }
 
-// open opens the servers that are there from the beginning, and discovery.
+// open opens discovery and the servers that exist from the beginning of the run.
 func (f *Fleet) open(options Options) error {
 	for _, server := range f.servers[:len(f.realization.Servers)] {
 		if err := server.open(); err != nil {
@@ -73,7 +73,7 @@
 	return err
 }
 
-// add creates a server that is not open.
+// add creates a server with the next number, without opening it.
 func (f *Fleet) add(spec scenario.Server) (*server, error) {
 	number := len(f.servers)
 	added, err := newServer(f, number, spec, f.realization.Seed<<16^uint64(number)+1)
@@ -87,7 +87,8 @@
 
 func (f *Fleet) reportDelay() time.Duration { return time.Duration(f.loadReportDelay.Load()) }
 
-// meanWork returns the mean work of a request of a class, ms. The class may be followed by a path.
+// meanWork returns the mean work of a request of a class, ms, or that of all classes if the class is unknown.
+// The class may be followed by a slash and a path.
 func (f *Fleet) meanWork(class string) float64 {
 	class, _, _ = strings.Cut(class, "/")
 	for i := range f.realization.Classes {
@@ -98,16 +99,16 @@
 	return f.realization.MeanWork()
 }
 
-// Discovery returns the stand-in for discovery.
+// Discovery returns the emulated discovery service; it is valid until Close.
 func (f *Fleet) Discovery() *Discovery { return f.discovery }
 
-// Servers returns the number of servers, those that join later included.
+// Servers returns the number of servers, including those that join later.
 func (f *Fleet) Servers() int { return len(f.servers) }
 
-// Spec returns what a server was made of.
+// Spec returns the scenario's description of a server, which is numbered from 0.
 func (f *Fleet) Spec(i int) scenario.Server { return f.servers[i].spec }
 
-// Overloaded returns the number of servers that were overloaded at some time.
+// Overloaded returns the number of servers that have been overloaded at any time of the run.
 func (f *Fleet) Overloaded() int {
 	count := 0
 	for _, server := range f.servers {
@@ -120,7 +121,8 @@
 	return count
 }
 
-// Err returns the first error of the servers since New: one could not be opened again.
+// Err returns the first error of the servers: one could not be opened again, or one that joins could not be
+// created or opened.
 func (f *Fleet) Err() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -135,7 +137,7 @@
 	}
 }
 
-// Close ends all servers and discovery.
+// Close stops the faults, and ends all servers and discovery.
 func (f *Fleet) Close() {
 	for _, timer := range f.timers {
 		timer.Stop()
--- a/internal/lab/emulator/malformed.go
+++ b/internal/lab/emulator/malformed.go
@@ -10,31 +10,33 @@
 	"piernotch/internal/http1"
 )
 
-// malformedResponse is how a response is malformed: the request has run, and the connection is of no more use.
-// Those whose names begin with odd are valid, but come with more than belongs to them.
+// malformedResponse is a kind of malformed response to a request that was executed. After one the connection
+// is closed. The kinds whose names begin with odd contain a valid response with something unusual in or around
+// it, and keep the connection open.
 type malformedResponse int
 
-// Malformed responses. A seed picks them by their order.
+// Malformed responses. Their order must stay: a seed selects them by number.
 const (
 	malformedNoise malformedResponse = iota
 	malformedEndlessHead
-	malformedShortBody // fewer bytes than it said
-	malformedLength    // a length that cannot be
-	malformedHugeBody  // said to hold 3 GB
-	oddDuplicate       // the same response again, right behind
-	oddNoise           // noise right behind
-	oddInterim         // 1xx responses in front
-	oddLoadReport      // a load report that cannot be read
-	malformedResponses // their number
+	malformedShortBody // fewer bytes than the Content-Length
+	malformedLength    // a negative Content-Length
+	malformedHugeBody  // a Content-Length of 3 GB
+	oddDuplicate       // the response twice
+	oddNoise           // noise after the response
+	oddInterim         // 1xx responses before the response
+	oddLoadReport      // an invalid load report
+	malformedResponses // the number of kinds
 )
 
 const (
-	// malformedDuration bounds how long an endless response goes on, and how long a malformed one stays open.
+	// malformedDuration bounds how long an endless response is written, and how long the connection of another
+	// malformed response stays open.
 	malformedDuration = 5 * time.Second
 	endlessPause      = time.Millisecond // between the pieces of an endless response
 )
 
-// writeMalformed writes a response in a malformed or odd way. It reports whether the connection goes on.
+// writeMalformed writes a malformed response of a kind. It reports whether the connection stays open.
 func writeMalformed(received exchange, kind malformedResponse, fields http1.Fields, body []byte) bool {
 	valid := string(http1.AppendResponse(nil, 200, fields, body))
 	connection := received.conn
@@ -73,14 +75,13 @@
 	return false
 }
 
-// writeText reports whether the text was written.
+// writeText writes a text and reports whether that succeeded.
 func writeText(connection net.Conn, text string) bool {
 	_, err := io.WriteString(connection, text)
 	return err == nil
 }
 
-// writeEndless writes a text, and then a piece again and again until malformedDuration or the connection is
-// over.
+// writeEndless writes start, and then piece repeatedly until a write fails or malformedDuration is over.
 func writeEndless(connection net.Conn, start, piece string) {
 	writeText(connection, start)
 	for started := time.Now(); time.Since(started) < malformedDuration; time.Sleep(endlessPause) {
@@ -90,7 +91,7 @@
 	}
 }
 
-// awaitGone keeps the connection open until the other side is gone, or malformedDuration is over.
+// awaitGone waits until the peer has closed the connection, or malformedDuration is over.
 func awaitGone(received exchange) {
 	select {
 	case <-received.gone:
--- a/internal/lab/emulator/notify_limit.go
+++ b/internal/lab/emulator/notify_limit.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// notifyLimit is how long after a change was listed, and discovery could be reached, a balancer counts as
-// notified of it, whether or not it has asked, and whatever became of its calls (protocol page, "Figures").
+// notifyLimit is the time after which a balancer counts as notified of a listed change, if it could reach
+// discovery all that time. It does not matter whether the balancer called, or how its calls ended (protocol
+// page, "Figures").
 const notifyLimit = 6 * time.Second
 
-// notifyState is what a balancer knows of the list, and since when it could know more.
+// notifyState is what one balancer was notified of, and since when it can reach discovery.
 type notifyState struct {
-	received       uint64        // the last generation that reached it
-	overdue        uint64        // up to this generation it counts as notified
-	faults         int           // that go on, and keep it from reaching discovery; outages are counted apart
-	reachableSince time.Duration // time of the run; valid while there are no faults
+	received       uint64        // the latest generation that the balancer has received
+	overdue        uint64        // the latest generation of which it only counts as notified
+	faults         int           // ongoing faults that keep it from reaching discovery, without outages
+	reachableSince time.Duration // time of the run; valid without faults or outages
 }
 
-// Received notes that a list of a generation has reached a balancer.
+// Received records that a balancer has received a list of a generation.
 func (d *Discovery) Received(balancer int, generation uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -23,8 +24,8 @@
 	state.received = max(state.received, generation)
 }
 
-// SlowestNotification returns the longest time that a balancer which could reach discovery has been, or was,
-// without a change that was listed.
+// SlowestNotification returns the longest time for which a balancer that could reach discovery did not receive
+// a listed change. Changes that are still to be received count with their time so far.
 func (d *Discovery) SlowestNotification() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -35,8 +36,8 @@
 	return slowest
 }
 
-// delayLocked returns for how long a balancer could have known the earliest change that did not reach it; 0
-// if there is none, or it cannot reach discovery. The lock is held.
+// delayLocked returns for how long a balancer that can reach discovery has not received the oldest listed
+// change that it lacks. It returns 0 if it lacks none or cannot reach discovery. The caller holds the lock.
 func (d *Discovery) delayLocked(balancer int) time.Duration {
 	state := &d.limits[balancer]
 	if d.outages > 0 || state.faults > 0 {
@@ -51,8 +52,8 @@
 	return delay
 }
 
-// SetReachable says that something keeps a balancer from reaching discovery, or that this has ended. Such
-// faults may overlap.
+// SetReachable records that a fault which keeps a balancer from reaching discovery begins (false) or ends
+// (true). Such faults may overlap; each must be ended.
 func (d *Discovery) SetReachable(balancer int, reachable bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,13 +65,15 @@
 	d.reachableLocked(balancer)
 }
 
-// reachableLocked notes that a balancer can reach discovery from now on. The lock is held.
+// reachableLocked records that an outage or a fault that kept a balancer from reaching discovery has ended, and
+// schedules notifyOverdue. The caller holds the lock.
 func (d *Discovery) reachableLocked(balancer int) {
 	d.limits[balancer].reachableSince = d.fleet.clock()
 	d.timers = append(d.timers, time.AfterFunc(notifyLimit, d.notifyOverdue))
 }
 
-// notifyOverdue counts balancers as notified of what they could know for notifyLimit.
+// notifyOverdue reports balancers as notified of the changes for which notifyLimit has passed. During an
+// outage it does nothing.
 func (d *Discovery) notifyOverdue() {
 	if d.notified == nil {
 		return
@@ -87,7 +90,8 @@
 	}
 }
 
-// overdueLocked returns what a balancer counts as notified of from now on. The lock is held.
+// overdueLocked returns the changes that a balancer counts as notified of from now on, and marks them as
+// overdue. The caller holds the lock.
 func (d *Discovery) overdueLocked(balancer int) []Notification {
 	state := &d.limits[balancer]
 	due := d.fleet.clock() - notifyLimit
--- a/internal/lab/emulator/observer.go
+++ b/internal/lab/emulator/observer.go
@@ -6,47 +6,47 @@
 	"piernotch"
 )
 
-// Observer is notified of what servers see. Its methods may be called from any goroutine, with a server
-// locked, and must not call back.
+// Observer is notified of the requests that arrive at servers, and how they end. Its methods may be called from
+// any goroutine and while a server's lock is held, so they must not call the Fleet: that could deadlock.
 type Observer interface {
-	// AttemptReceived says that an attempt of a request has arrived in full, and the timeout that came with it,
-	// 0 for none. It returns the attempt's number among those of the request, from 0; -1 for a request that
-	// nobody sent.
+	// AttemptReceived says that a server has received an attempt of a request completely. The timeout is the one
+	// that the balancer sent, 0 for none. AttemptReceived returns the attempt number, from 0, or -1 for a request
+	// that no client sent.
 	AttemptReceived(id string, server int, timeout time.Duration) int
-	// AttemptAccepted says that the server has admitted it.
+	// AttemptAccepted says that the server has accepted the attempt.
 	AttemptAccepted(id string, attemptNumber int)
-	// AttemptExecuted says that it has run, at least in part.
+	// AttemptExecuted says that the server has executed the attempt, at least in part.
 	AttemptExecuted(id string, attemptNumber int)
-	// AttemptCompleted says that its connection is done with it.
+	// AttemptCompleted says that the server is done with the attempt. A response may still be written.
 	AttemptCompleted(id string, attemptNumber int, proof NeverExecuted)
-	// SlowStartWork says that work (ms) of a request arrived at a server in slow start, which started at a
-	// time of the run.
+	// SlowStartWork says that work (ms) of a request arrived at a server in slow start. The time at which the
+	// server started is a time of the run.
 	SlowStartWork(id string, server int, started time.Duration, work float64)
-	// ServerCollapsed says that a server in slow start collapsed under its load.
+	// ServerCollapsed says that a server collapsed under its load in slow start.
 	ServerCollapsed(server int)
 }
 
-// NeverExecuted says of a completed attempt that its response proved that no part of it was executed.
-// Without the proof the attempt may have been executed.
+// NeverExecuted reports, for a completed attempt, whether its response proves that no part of it was executed.
+// If false, the attempt may have been executed.
 type NeverExecuted bool
 
-// Notification is what a balancer was notified of about one server.
+// Notification is the state of one server that a balancer was notified of.
 type Notification struct {
 	Balancer   int
 	Server     int
 	State      piernotch.State
 	StartedAt  time.Duration // time of the run at which the server's process started; 0: before the run
-	Generation uint64        // of the list that says so
-	// Connection is the address of the peer that discovery wrote the list to. "": nothing was written, but
-	// the balancer counts as notified because it had notifyLimit to ask.
+	Generation uint64        // of the list; if Overdue, of the change
+	// Connection is the peer address of the connection that the list was written to. It is "" if the balancer only
+	// counts as notified: it could have called discovery for notifyLimit.
 	Connection string
 }
 
-// Overdue reports whether the balancer only counts as notified.
+// Overdue reports whether the balancer only counts as notified, after notifyLimit, and no list was written.
 func (n Notification) Overdue() bool { return n.Connection == "" }
 
 // EndpointNotified is called when discovery has written a server's state to a balancer, or the balancer counts
-// as notified of it. It may be called from any goroutine.
+// as notified of that state. It may be called from any goroutine.
 type EndpointNotified func(Notification)
 
 // Clock returns the time since the start of the run. It may be called from any goroutine.
--- a/internal/lab/emulator/repeats.go
+++ b/internal/lab/emulator/repeats.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// responseRepeats says which responses come a second time on their connection, whatever that carries by then.
+// responseRepeats says which responses are written a second time to their connection, even if that carries
+// another response by then.
 type responseRepeats struct {
-	share    float64       // of the responses
-	maxDelay time.Duration // the second one comes up to so much later
+	share    float64       // share of the responses that are repeated
+	maxDelay time.Duration // upper bound of the random delay of the second copy
 }
 
-// repeatLater draws whether a response that was written comes a second time, and when.
+// repeatLater decides at random whether a response is written a second time, and schedules that.
 func (s *server) repeatLater(connection net.Conn, response []byte) {
 	repeats := s.fleet.repeats.Load()
 	if repeats.share == 0 {
--- a/internal/lab/emulator/script.go
+++ b/internal/lab/emulator/script.go
@@ -10,13 +10,13 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// scheduledStep is one thing that happens at a time of the run.
+// scheduledStep is an action at a time of the run.
 type scheduledStep struct {
 	at time.Duration
 	do func()
 }
 
-// Play has the faults happen at their times, until the context ends or the fleet is closed. It is
+// Play runs the steps of the scenario at their times, until the context ends or the fleet is closed. It is
 // called once, when the run begins, and returns at once; the steps run on timers.
 func (f *Fleet) Play(ctx context.Context) {
 	for _, step := range f.steps {
@@ -32,7 +32,8 @@
 	f.steps = append(f.steps, scheduledStep{at, do})
 }
 
-// scheduleSteps schedules what the simulation does to its servers, for these.
+// scheduleSteps schedules the steps of the realization, which are those that the simulation plays. It creates
+// the servers that join later.
 func (f *Fleet) scheduleSteps() {
 	for _, step := range f.realization.Steps() {
 		if step.Action == scenario.Join || step.Action == scenario.Takeover {
@@ -43,7 +44,7 @@
 	}
 }
 
-// playStep does one thing to servers or discovery.
+// playStep performs a step on servers or discovery.
 func (f *Fleet) playStep(step *scenario.Step) {
 	switch step.Action {
 	case scenario.DelistServers:
@@ -65,7 +66,7 @@
 	}
 }
 
-// playServerStep does one thing to one server.
+// playServerStep performs a step on one server.
 func (f *Fleet) playServerStep(step *scenario.Step, server *server) {
 	switch step.Action {
 	case scenario.Slow:
@@ -91,7 +92,7 @@
 	}
 }
 
-// slow makes a server so many times slower, on top of how slow it is.
+// slow multiplies the slowdown of a server by times. Slowdowns that overlap multiply.
 func (f *Fleet) slow(server *server, times float64) {
 	server.withModel(func(model *servermodel.Server, now time.Duration) {
 		server.slowdown *= times
@@ -99,7 +100,7 @@
 	})
 }
 
-// drain has a server shut down gracefully, if it is up.
+// drain starts to drain a server and, if the server was up, schedules that discovery lists it as Draining.
 func (f *Fleet) drain(server *server) {
 	up := false
 	server.withModel(func(model *servermodel.Server, now time.Duration) {
@@ -111,7 +112,7 @@
 	}
 }
 
-// misreport lists servers that are up in a state by mistake, or corrects that.
+// misreport lists those of the servers that are up in a given state: Gone by mistake, Ready to correct that.
 func (f *Fleet) misreport(servers []int, state piernotch.State) {
 	for _, number := range servers {
 		server := f.servers[number]
@@ -125,13 +126,13 @@
 	}
 }
 
-// end ends a server's process.
+// end crashes a server's process and schedules that discovery lists it as Gone.
 func (f *Fleet) end(server *server) {
 	server.crash()
 	f.discovery.publishAfter(server.number, piernotch.Gone, f.realization.Discovery.RemovalDelay)
 }
 
-// start starts a server's process.
+// start starts a server's process and schedules that discovery lists it as Ready. An error goes to Err.
 func (f *Fleet) start(server *server) {
 	if err := server.start(); err != nil {
 		f.recordError(err)
@@ -140,15 +141,15 @@
 	f.discovery.publishAfter(server.number, piernotch.Ready, f.realization.Discovery.AddDelay)
 }
 
-// scheduleJoin creates a server like another one and schedules its start; a takeover is at the address of
-// that one.
+// scheduleJoin creates a server with the spec of step.Server and schedules its start. In a Takeover it starts at
+// the address of step.Server.
 func (f *Fleet) scheduleJoin(step *scenario.Step) {
 	joining, err := f.add(f.realization.Like(step.Server, step.Number))
 	if err != nil {
 		f.recordError(fmt.Errorf("a server that joins: %w", err))
 		return
 	}
-	joining.model.Crash(0) // it is down until then
+	joining.model.Crash(0) // down until the step
 	f.schedule(step.At, func() {
 		if step.Action == scenario.Takeover {
 			address := f.servers[step.Server].currentAddress()
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -11,36 +11,36 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// serverStream keeps the random numbers of a stand-in server apart from those of its model, which has the
-// same seed.
+// serverStream selects the random stream of an emulated server. It must differ from the stream of the server's
+// model, which has the same seed.
 const serverStream = 7
 
-// server is one stand-in server. Over time it is played by one process after the other; the model and
-// the address stay the same.
+// server is one emulated server. Its processes (incarnations) follow one another; the model stays the same,
+// and so does the address.
 type server struct {
 	fleet  *Fleet
 	number int
 	name   string
 	spec   scenario.Server
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	model       *servermodel.Server
-	timer       *time.Timer            // runs when the model has something to do
-	jobs        map[uint64]*pendingJob // that the model has
-	lastJob     uint64                 // the number of the last one
-	slowdown    float64                // 1: none
-	overloaded  bool                   // it has been at some time
-	address     string                 // "": it was never open
-	listener    net.Listener           // nil: it is down
+	timer       *time.Timer            // fires when the model is due to advance
+	jobs        map[uint64]*pendingJob // accepted by the model, by ID
+	lastJob     uint64                 // ID of the last job
+	slowdown    float64                // factor; 1: none
+	overloaded  bool                   // whether it was overloaded at any time
+	address     string                 // "": never opened
+	listener    net.Listener           // nil: closed
 	connections map[net.Conn]struct{}
-	incarnation int // changes when a process starts or ends
+	incarnation int // incremented when a process starts or ends
 	rng         *rand.Rand
 }
 
-// pendingJob is one request that the model has.
+// pendingJob is a request that the model has accepted and not completed.
 type pendingJob struct {
 	id        uint64
-	completed chan servermodel.Completion // has room for it
+	completed chan servermodel.Completion // buffered, so that deliver does not block
 }
 
 func newServer(fleet *Fleet, number int, spec scenario.Server, seed uint64) (*server, error) {
@@ -64,7 +64,7 @@
 	return created, nil
 }
 
-// open listens at the former address, if there is one.
+// open listens at the previous address, or at a new one the first time, and accepts connections.
 func (s *server) open() error {
 	address := s.address
 	if address == "" {
@@ -84,21 +84,21 @@
 	return nil
 }
 
-// currentAddress returns the address at which the server listens or has listened.
+// currentAddress returns the address at which the server listens or last listened; "" if it never did.
 func (s *server) currentAddress() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.address
 }
 
-// startedAt returns the time of the run at which the present process started.
+// startedAt returns the time of the run at which the current process started.
 func (s *server) startedAt() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.model.Started()
 }
 
-// withModel calls f with the lock held.
+// withModel calls f with the lock held, then resets the timer.
 func (s *server) withModel(f func(m *servermodel.Server, now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +106,7 @@
 	s.resetTimer()
 }
 
-// resetTimer sets the timer to when the model has something to do next. The lock is held.
+// resetTimer sets the timer to when the model is next due to advance. The caller holds the lock.
 func (s *server) resetTimer() {
 	next := s.model.Next()
 	if next == servermodel.Never {
@@ -116,7 +116,7 @@
 	s.timer.Reset(max(next-s.fleet.clock(), 0))
 }
 
-// advance has the model do what is due. It is called by the timer.
+// advance advances the model to the current time and delivers completed jobs. The timer calls it.
 func (s *server) advance() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,7 +125,7 @@
 	s.resetTimer()
 }
 
-// deliver passes on which jobs the model has completed. The lock is held.
+// deliver passes completions on to the goroutines that wait for their jobs. The caller holds the lock.
 func (s *server) deliver(completions []servermodel.Completion) {
 	for _, c := range completions {
 		if job := s.jobs[c.ID]; job != nil {
@@ -135,7 +135,7 @@
 	}
 }
 
-// closeAll closes the process's sockets. The lock is held.
+// closeAll closes the listener, resets all connections, and ends the incarnation. The caller holds the lock.
 func (s *server) closeAll() {
 	if s.listener != nil {
 		_ = s.listener.Close()
@@ -148,7 +148,7 @@
 	}
 }
 
-// crash ends the process; its address refuses connections.
+// crash ends the process. Its jobs end as reset, and its address refuses connections.
 func (s *server) crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,7 +157,7 @@
 	s.resetTimer()
 }
 
-// silence stops all responses; connections stay open and carry nothing.
+// silence stops all responses. Connections stay open, and new ones are accepted.
 func (s *server) silence() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,7 +167,8 @@
 	s.resetTimer()
 }
 
-// start starts a new process, in slow start. A server that has collapsed stays down.
+// start starts a new process, in slow start, and closes the sockets of the previous one. A server that has
+// collapsed stays down.
 func (s *server) start() error {
 	s.mu.Lock()
 	if s.model.State() == servermodel.Collapsed {
--- a/internal/lab/emulator/watch.go
+++ b/internal/lab/emulator/watch.go
@@ -10,10 +10,10 @@
 	"piernotch"
 )
 
-// maxWatch bounds how long a call may wait for a change.
+// maxWatch bounds how long a watch may wait for a change.
 const maxWatch = time.Minute
 
-// The list as it stands in the responses of discovery.
+// The JSON encoding of the endpoint list in responses of discovery.
 type (
 	listJSON struct {
 		Generation uint64         `json:"generation"`
@@ -37,7 +37,8 @@
 	piernotch.Ready: "in_service", piernotch.Draining: "terminating", piernotch.Gone: "terminated",
 }
 
-// EndpointList returns the complete list as JSON, as a balancer's configuration holds it.
+// EndpointList returns the complete list as JSON, for a balancer's configuration. The balancer counts as having
+// received that list.
 func (d *Discovery) EndpointList(balancer int) json.RawMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -47,12 +48,11 @@
 }
 
 func encodeList(list listJSON) []byte {
-	data, _ := json.Marshal(list) // plain fields: it cannot fail
+	data, _ := json.Marshal(list) // cannot fail for these types
 	return data
 }
 
-// list returns what has changed since the generation of a call, or for a complete one all servers that are
-// not gone, and their numbers. The lock is held.
+// list returns the endpoints that a call wants, and the numbers of their servers. The caller holds the lock.
 func (d *Discovery) list(call watchCall) (listJSON, []int) {
 	list := listJSON{Generation: d.generation, Reset: call.complete, Endpoints: []endpointJSON{}}
 	var servers []int
@@ -80,15 +80,16 @@
 	return list, servers
 }
 
-// watchCall is one call for the list or its changes.
+// watchCall is a balancer's request for the endpoint list or its changes.
 type watchCall struct {
 	balancer int
-	since    uint64
-	complete bool // no generation was given: the complete list is asked for
-	noWait   bool // it is to get its response at once, also without changes
+	since    uint64 // generation that the balancer has
+	complete bool   // no generation was given: the complete list is requested
+	noWait   bool   // respond at once, even without changes
 }
 
-// wants reports whether an endpoint is part of the response to the call.
+// wants reports whether an endpoint is part of the response to the call: for a complete list, endpoints that are
+// not Gone, else those that have changed since the given generation.
 func (c *watchCall) wants(listed *endpoint) bool {
 	if c.complete {
 		return listed.state != piernotch.Gone
@@ -96,26 +97,26 @@
 	return listed.generation > c.since
 }
 
-// watchResponse is what the response to a call says now.
+// watchResponse is the present response to a call, or what the call must wait for.
 type watchResponse struct {
-	unavailable bool // there is an outage
-	ready       bool // list is the response; else it waits
+	unavailable bool // an outage is ongoing
+	ready       bool // list is the response; otherwise the call waits
 	list        listJSON
 	servers     []int
-	endpoints   []endpoint // of the servers
+	endpoints   []endpoint // of servers, in the same order
 	changed     <-chan struct{}
 	outage      context.Context
 }
 
-// serveWatch responds to a balancer's call: at once with what has changed, or when something changes or its time
-// is up.
+// serveWatch responds to a balancer's call: at once if there are changes, else after the next change or when the
+// wait that the call names is over. In an outage it responds with 503, or aborts a call that waits.
 func (d *Discovery) serveWatch(writer http.ResponseWriter, request *http.Request, balancer int) {
 	d.mu.Lock()
 	d.calls++
 	d.mu.Unlock()
 	query := request.URL.Query()
 	since, err := strconv.ParseUint(query.Get("index"), 10, 64)
-	wait, _ := strconv.Atoi(query.Get("wait")) // ms; none is 0
+	wait, _ := strconv.Atoi(query.Get("wait")) // ms; 0 if missing
 	call := watchCall{balancer: balancer, since: since, complete: err != nil, noWait: wait <= 0}
 	limit := min(max(wait, 0), int(maxWatch/time.Millisecond))
 	deadline := time.NewTimer(time.Duration(limit) * time.Millisecond)
@@ -135,14 +136,14 @@
 		case <-deadline.C:
 			call.noWait = true
 		case <-response.outage.Done():
-			panic(http.ErrAbortHandler) // the connection breaks
+			panic(http.ErrAbortHandler) // closes the connection without a response
 		case <-request.Context().Done():
 			return
 		}
 	}
 }
 
-// responseNow returns the response to a call, or what it has to wait for.
+// responseNow returns the present response to a call, or what the call must wait for.
 func (d *Discovery) responseNow(call watchCall) watchResponse {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -150,7 +151,7 @@
 	if response.unavailable {
 		return response
 	}
-	complete := call.complete || call.since > d.generation // of another incarnation of discovery
+	complete := call.complete || call.since > d.generation // a generation of another incarnation of discovery
 	if !complete && d.generation == call.since && !call.noWait {
 		return response
 	}
@@ -163,7 +164,7 @@
 	return response
 }
 
-// writeResponse writes a response and says what the balancer was notified of.
+// writeResponse writes a response and, if that succeeds, reports what the balancer was notified of.
 func (d *Discovery) writeResponse(
 	writer http.ResponseWriter,
 	request *http.Request,
