--- a/internal/lab/load/attempt.go
+++ b/internal/lab/load/attempt.go
@@ -16,15 +16,16 @@
 	"piernotch/internal/lab/simulation"
 )
 
-// readGrace is how much longer than its deadline a client reads on, to see whether the balancer responds at
-// all.
+// readGrace is how long a client reads on after the timeout of an attempt, to tell a late response from a
+// missing one.
 const readGrace = 150 * time.Millisecond
 
-// readBufferSize is the size of the buffer for what a client reads at once, bytes.
+// readBufferSize is the size of a client's read buffer, bytes.
 const readBufferSize = 4 << 10
 
-// sendAttempt sends the request once, and once more where a reused connection was closed under it. The
-// duration that it returns is the Retry-After of the response.
+// sendAttempt sends the request, and sends it again on a new connection if the balancer closed a reused one
+// before it read the request. Each sending has its own request ID and is reported to the Observer. The timeout
+// covers both. The duration that sendAttempt returns is the Retry-After of a rejection.
 func (c *Clients) sendAttempt(
 	ctx context.Context,
 	arrival *simulation.Arrival,
@@ -56,7 +57,8 @@
 	}
 }
 
-// drawLeave draws when a client leaves that does not wait until its deadline; 0: it waits.
+// drawLeave decides at random whether a client disconnects early, and returns after what time. 0 means that
+// it does not.
 func (c *Clients) drawLeave(remaining time.Duration, rng *rand.Rand) time.Duration {
 	share := c.Realization.Clients.EarlyDisconnectShare
 	if share <= 0 || rng.Float64() >= share {
@@ -65,11 +67,11 @@
 	return max(time.Duration(rng.Float64()*float64(remaining)), time.Millisecond)
 }
 
-// outgoing is a request that is about to be written.
+// outgoing holds the parameters of one request to be written.
 type outgoing struct {
 	id         string
-	remaining  time.Duration // for which its client waits
-	leaveAfter time.Duration // the client closes the connection after that; 0: it does not
+	remaining  time.Duration // until the timeout of the attempt
+	leaveAfter time.Duration // time until the client disconnects early; 0: it does not
 }
 
 func (c *Clients) countRetryOnClose() {
@@ -78,25 +80,26 @@
 	c.retriedOnClose++
 }
 
-// response is what came back for one request.
+// response is the result of one request for its client.
 type response struct {
 	outcome      Outcome
 	retryAfter   time.Duration
-	closedUnread bool // the connection was closed before the balancer can have read the request
+	closedUnread bool // the balancer seems to have closed the connection before it read the request
 }
 
-// crossingTime is how soon after a request was written its connection ends where the balancer closed it before
-// it read the request. Behind that the request has been read.
+// crossingTime bounds the time from writing a request to the end of its connection if the balancer closed the
+// connection before it read the request: the request and the close cross on the wire. If the connection ends
+// later, the balancer counts as having read the request.
 const crossingTime = 100 * time.Millisecond
 
-// exchange writes a request and reads its response. The connection is idle or closed afterwards.
+// exchange writes a request and reads its response. Afterwards the connection is idle or closed.
 func (c *Clients) exchange(conn *connection, arrival *simulation.Arrival, sent outgoing) response {
 	waits := sent.remaining + readGrace
 	if sent.leaveAfter > 0 {
 		waits = sent.leaveAfter
 	}
 	written := time.Now()
-	// A deadline cannot be set only on a closed connection: then the write fails.
+	// SetDeadline fails only on a closed connection, on which the write below fails, too.
 	_ = conn.SetDeadline(written.Add(waits))
 	if _, err := conn.Write(c.encodeRequest(arrival, sent.id, sent.remaining)); err != nil {
 		_ = conn.Close()
@@ -132,7 +135,7 @@
 	}
 }
 
-// encodeRequest returns the request as it is sent.
+// encodeRequest returns the bytes of a request: a GET for an Idempotent class, else a POST with a body.
 func (c *Clients) encodeRequest(arrival *simulation.Arrival, id string, remaining time.Duration) []byte {
 	class := &c.Realization.Classes[arrival.Class]
 	method := http.MethodGet
@@ -159,7 +162,8 @@
 	return http1.AppendRequest(nil, method, target, fields, body)
 }
 
-// classify reads a response. One that is served must be what a server made for this request.
+// classify returns the result of a response. A 200 counts as Served only if the body names this request, as
+// servers' responses do.
 func classify(message *http1.Message, id string) response {
 	switch {
 	case message.Status == http.StatusOK && strings.HasSuffix(string(message.Body), " "+id):
@@ -167,13 +171,13 @@
 	case message.Status == http.StatusOK:
 		return response{outcome: WrongResponse}
 	case message.Status == http.StatusTooManyRequests || message.Status == http.StatusServiceUnavailable:
-		seconds, _ := strconv.ParseFloat(message.Fields.Get("retry-after"), 64) // none is 0
+		seconds, _ := strconv.ParseFloat(message.Fields.Get("retry-after"), 64) // 0 if missing
 		return response{outcome: Rejected, retryAfter: time.Duration(max(seconds, 0) * float64(time.Second))}
 	}
 	return response{outcome: Failed}
 }
 
-// isTimeout reports whether a read or write failed by its deadline.
+// isTimeout reports whether a read or write failed because the connection's deadline was over.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
--- a/internal/lab/load/clients.go
+++ b/internal/lab/load/clients.go
@@ -16,74 +16,77 @@
 	"piernotch/internal/lab/simulation"
 )
 
-// clientStream keeps a client's random numbers apart from others of its seed.
+// clientStream selects the random stream of a client. It must differ from other streams of the same seed.
 const clientStream = 11
 
-// Outcome is how an attempt ended for its client.
+// Outcome is how an attempt ended for its client. Load reports count attempts by outcome.
 type Outcome uint8
 
 // Outcomes.
 const (
 	Served        Outcome = iota
-	Rejected              // by a 429 or 503
-	Failed                // by another status, or a response that cannot be parsed
-	TimedOut              // without a response
-	Disconnected          // the balancer closed the connection without a response
-	Unreachable           // no balancer accepted it
-	Left                  // its client closed the connection before its deadline
-	WrongResponse         // with a 200 that no server made for it
+	Rejected              // 429 or 503
+	Failed                // another status, or a response that cannot be parsed
+	TimedOut              // no complete response in time
+	Disconnected          // the connection ended without a complete response
+	Unreachable           // no balancer accepted a connection, or it closed a reused one before it read the request
+	Left                  // the client disconnected early
+	WrongResponse         // a 200 that no server made for the request
 )
 
 // outcomeCount is the number of outcomes.
 const outcomeCount = WrongResponse + 1
 
-// retryable reports whether an attempt with this outcome has certainly not been executed, or may be sent
-// again by a client that cannot know.
+// retryable reports whether clients may retry after this outcome in any class, NonIdempotent included: the
+// attempt was not executed (Rejected, Unreachable), or the client cannot tell (Disconnected).
 func (o Outcome) retryable() bool { return o == Rejected || o == Unreachable || o == Disconnected }
 
-// Observer is notified of what clients see. Its methods may be called from any goroutine.
+// Observer is notified when clients send requests, and how these end. Its methods may be called from any
+// goroutine.
 type Observer interface {
-	// RequestSent says that a request is about to be written to a balancer's socket. The deadline is a
+	// RequestSent says that a client is about to write a request to a balancer's socket. The deadline is a
 	// time of the run.
 	RequestSent(id string, balancer, class int, deadline time.Duration)
-	// RequestEnded says how it ended. Each id is sent and ended once.
+	// RequestEnded says how the request ended. Both methods are called once for each id.
 	RequestEnded(id string, outcome Outcome)
 }
 
-// Picked is a balancer that an attempt may be sent to.
+// Picked is the choice of a balancer for an attempt.
 type Picked struct {
 	Balancer int
 	Address  string
-	// OnlyOpen is set while the balancer gets no new connections: the attempt may go there on an open one.
+	// OnlyOpen is set while the balancer must get no new connections: the attempt may only use an idle one that
+	// is already open.
 	OnlyOpen bool
 }
 
-// PickBalancer returns the balancer that a client of a zone sends its next attempt to; it reports false if
-// there is none. It may be called from any goroutine, with an rng of the caller's.
+// PickBalancer returns the balancer to which a client in a zone sends its next attempt. It reports false if
+// there is none. It may be called from any goroutine; the rng belongs to the caller.
 type PickBalancer func(zone int, rng *rand.Rand) (picked Picked, ok bool)
 
-// Clients are the clients of a run. All exported fields but MaxIdle are required, and read only.
+// Clients are the clients of a run. All exported fields but MaxIdle are required, and are not modified.
 type Clients struct {
 	Realization *scenario.Realization
-	Arrivals    []simulation.Arrival // in the order of time
+	Arrivals    []simulation.Arrival // in chronological order
 	Clock       func() time.Duration // the time since the start of the run
 	Pick        PickBalancer
 	Observer    Observer
-	// MaxIdle is how long an idle connection may be reused; 0: a second, since balancers close older ones.
+	// MaxIdle is how long a connection may have been idle and still be reused. 0 means 1 s: balancers close
+	// connections that have been idle for longer.
 	MaxIdle time.Duration
 
 	nextID atomic.Uint64
 
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields below
 	goodput         *goodput.Counter
-	lateness        *hdrhistogram.Histogram // of sending after the due time, microseconds
+	lateness        *hdrhistogram.Histogram // from the due time to the first attempt, microseconds
 	outcomes        [outcomeCount]int
-	retriedOnClose  int
+	retriedOnClose  int // see Counts.RetriedOnClose
 	attempts        int
-	idleConnections map[string][]*connection // by address, the last used one last
+	idleConnections map[string][]*connection // by address; the most recently used last
 }
 
-// Counts are the clients' totals. All but RetriedOnClose are of attempts; each attempt has one outcome. The
+// Counts are the clients' totals. All but RetriedOnClose count attempts; each attempt has one outcome. The
 // JSON keys are those of stored results.
 type Counts struct {
 	Attempts       int `json:"Tries"`
@@ -95,11 +98,11 @@
 	Unreachable    int `json:"Unreached"`
 	Left           int `json:"Left,omitempty"`
 	WrongResponse  int `json:"Wrong,omitempty"`
-	RetriedOnClose int `json:"Crossed"` // requests that were sent again: a reused connection was closed under them
+	RetriedOnClose int `json:"Crossed"` // requests sent again after a reused connection was closed
 }
 
-// Run sends all arrivals at their times and returns when the last has ended, or soon after the context has.
-// It is called once.
+// Run sends all arrivals at their times. It returns when the last request has ended, and at the latest soon
+// after the context has. It is called once.
 func (c *Clients) Run(ctx context.Context) {
 	c.goodput = goodput.New(c.Realization)
 	c.lateness = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
@@ -119,18 +122,18 @@
 	c.closeIdle()
 }
 
-// Goodput returns what was counted by class and time; it is complete once Run has returned.
+// Goodput returns the counts by class and second. It must be used only after Run has returned.
 func (c *Clients) Goodput() *goodput.Counter { return c.goodput }
 
-// Lateness returns how late requests were sent, at a percentile from 0 to 100. It is a fault of the test
-// and not of a balancer.
+// Lateness returns how long after their due times requests were first sent, at a percentile from 0 to 100.
+// Lateness is a fault of the load generator, not of a balancer.
 func (c *Clients) Lateness(percentile float64) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Duration(c.lateness.ValueAtPercentile(percentile)) * time.Microsecond
 }
 
-// Counts returns the totals.
+// Counts returns the totals so far. It may be called from any goroutine.
 func (c *Clients) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,7 +144,8 @@
 	}
 }
 
-// send is one client with one request and its attempts.
+// send sends one request when it is due, retries it with exponential backoff as its class allows, and counts
+// its attempts and its end.
 func (c *Clients) send(ctx context.Context, arrival *simulation.Arrival) {
 	clients := &c.Realization.Clients
 	class := &c.Realization.Classes[arrival.Class]
@@ -171,16 +175,16 @@
 	}
 }
 
-// countRequest counts a request that is about to be sent.
+// countRequest counts a request that is about to be sent, and its lateness.
 func (c *Clients) countRequest(arrival *simulation.Arrival) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.goodput.RequestSent(arrival.At, arrival.Class, arrival.Work)
-	// A minute late is out of range, and void anyway.
+	// Lateness above a minute is out of the histogram's range and not recorded; such a run is void anyway.
 	_ = c.lateness.RecordValue(max(int64((c.Clock()-arrival.At)/time.Microsecond), 1))
 }
 
-// countAttempt counts an attempt that has ended.
+// countAttempt counts an attempt that has ended, by its outcome.
 func (c *Clients) countAttempt(arrival *simulation.Arrival, outcome Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -195,7 +199,7 @@
 	}
 }
 
-// countEnd counts a request that has ended after so many attempts.
+// countEnd counts a request that has ended after a number of attempts.
 func (c *Clients) countEnd(arrival *simulation.Arrival, attempts int, end goodput.End) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -209,7 +213,7 @@
 	})
 }
 
-// sleep waits for a time, or until the context ends.
+// sleep waits for a duration, or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
--- a/internal/lab/load/clients_test.go
+++ b/internal/lab/load/clients_test.go
@@ -18,7 +18,7 @@
 	"piernotch/internal/lab/simulation"
 )
 
-// outcomeRecorder is an observer that keeps the outcomes in order.
+// outcomeRecorder is an Observer that stores the outcomes in the order in which requests end.
 type outcomeRecorder struct {
 	mu       sync.Mutex
 	outcomes []Outcome
@@ -31,7 +31,8 @@
 	e.outcomes = append(e.outcomes, a)
 }
 
-// play sends requests to a scripted balancer.
+// play sends arrivals to a fake balancer. The script responds to its nth request, and reports whether to keep
+// the connection open.
 func play(
 	t *testing.T,
 	arrivals []simulation.Arrival,
@@ -99,7 +100,7 @@
 	return clients, e
 }
 
-// respond writes the response to a request as a server would.
+// respond writes a response that ends in the request ID, as a server's body does, and returns true.
 func respond(c net.Conn, req *http.Request, status int) bool {
 	body := "s-1 " + req.Header.Get("X-Request-Id")
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
--- a/internal/lab/load/connection.go
+++ b/internal/lab/load/connection.go
@@ -14,28 +14,30 @@
 const (
 	// maxIdleConnections bounds the idle connections to one balancer.
 	maxIdleConnections = 256
-	// defaultMaxIdle is how long an idle connection may be reused: balancers are about to close older ones.
+	// defaultMaxIdle is the default of Clients.MaxIdle: balancers soon close connections that have been idle
+	// for longer.
 	defaultMaxIdle = time.Second
-	// maxPicks bounds how often a balancer is picked for one attempt: one that gets no new connections may have
-	// no open one.
+	// maxPicks bounds how often a balancer is picked for one attempt. More than one pick is needed if a balancer
+	// must get no new connections and none to it is idle.
 	maxPicks = 8
 	// maxResponseSize bounds a response, bytes.
 	maxResponseSize = 1 << 20
 )
 
-// connection is an open connection to a balancer. It is used for one request at a time.
+// connection is an open connection to a balancer. It carries one request at a time.
 type connection struct {
 	net.Conn
 	parser    *http1.Parser
-	reused    bool          // it has carried a request before
+	reused    bool          // whether it has carried a request before
 	idleSince time.Duration // time of the run
 }
 
-// errNoBalancer says that no balancer can be picked.
+// errNoBalancer says that no balancer with a usable connection was picked.
 var errNoBalancer = errors.New("no balancer")
 
-// connectTo picks a balancer for an attempt and returns an idle connection to it or opens one; with fresh it
-// opens one. It fails when the deadline, a time of the run, is over.
+// connectTo picks a balancer for an attempt and returns a connection to it, an idle one unless fresh is set or
+// there is none. It fails if no balancer can be picked or the balancer does not accept the connection before the
+// deadline.
 func (c *Clients) connectTo(
 	ctx context.Context,
 	target attemptTarget,
@@ -65,14 +67,14 @@
 	return nil, Picked{}, errNoBalancer
 }
 
-// attemptTarget is where an attempt may go, and until when.
+// attemptTarget is the zone of an attempt's client and the deadline of the attempt.
 type attemptTarget struct {
 	zone     int
 	deadline time.Duration // time of the run
 }
 
-// takeIdle returns the idle connection that was used last, and closes those that are too old. It returns
-// nil if there is none.
+// takeIdle returns the most recently used idle connection to an address. If that has been idle for too long, it
+// closes all of them and returns nil; it also returns nil if there is none.
 func (c *Clients) takeIdle(address string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// release makes a connection idle, or closes it where it cannot be reused.
+// release makes a connection idle, or closes it if it cannot be reused or maxIdleConnections are idle.
 func (c *Clients) release(conn *connection, closes bool) {
 	address := conn.RemoteAddr().String()
 	c.mu.Lock()
@@ -103,7 +105,7 @@
 	c.idleConnections[address] = append(c.idleConnections[address], conn)
 }
 
-// closeIdle closes all idle connections.
+// closeIdle closes all idle connections, to all balancers.
 func (c *Clients) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/load/doc.go
+++ b/internal/lab/load/doc.go
@@ -1,8 +1,8 @@
-// Package load plays the clients of a run. They are open-loop: each request is sent when it is due, whether
-// or not earlier ones have their responses, and its latency counts from its due time. They keep the protocol:
-// request ids, deadlines, idempotency keys, cost hints, reused connections, and retries by class.
-// MalformedClients send what is not a valid request.
+// Package load runs the clients of a run. They are open-loop: each request is sent when it is due, whether
+// or not earlier requests have their responses, and latency counts from the due time. They follow the
+// protocol: request IDs, deadlines, cost hints, reused connections, and retries by class. MalformedClients
+// send invalid requests.
 //
-// The package knows balancers by their addresses only, and nothing of servers. What clients see goes to an
-// Observer. It is called by loadtest and by piernotch-lab load.
+// The package knows balancers only by number and address, and no servers. It notifies an Observer of what the
+// clients see. Its callers are loadtest and piernotch-lab load.
 package load
--- a/internal/lab/load/malformed.go
+++ b/internal/lab/load/malformed.go
@@ -11,36 +11,38 @@
 	"time"
 )
 
-// How long a malformed client waits for an error or a close.
+// How long a malformed client waits for an error response or a close.
 const (
 	MalformedTimeout = 3 * time.Second
-	LargeBodyTimeout = 6 * time.Second // where it has a large body to send
+	LargeBodyTimeout = 6 * time.Second // if it sends a large body
 )
 
-// malformedStream keeps the random numbers of malformed clients apart from others of the seed.
+// malformedStream selects the random stream of malformed clients. It must differ from other streams of the
+// same seed.
 const malformedStream = 5
 
-// statusBufferSize holds more than the status line of a response, bytes.
+// statusBufferSize is the size of the read buffer, bytes. Only the start of the status line is evaluated.
 const statusBufferSize = 512
 
-// MalformedClients send what is not a valid request. Each must get an error or a close within its timeout,
-// and none may be served as if its request had run. Pick is required.
+// MalformedClients send invalid requests. Each client must get an error response or a close within its timeout,
+// and none may get a 2xx. Pick is required.
 type MalformedClients struct {
 	Pick     PickBalancer
-	Timeout  time.Duration // instead of MalformedTimeout and LargeBodyTimeout; 0: these
+	Timeout  time.Duration // replaces MalformedTimeout and LargeBodyTimeout, unless it is 0
 	mu       sync.Mutex
 	outcomes map[string]*MalformedCount // by kind
 }
 
-// MalformedCount is what the clients of one kind got. The JSON keys are those of stored results.
+// MalformedCount counts malformed clients of one kind by result. The JSON keys are those of stored results.
 type MalformedCount struct {
 	Sent     int `json:"sent"`
-	Answered int `json:"answered"` // with a 4xx or 5xx, or a close, in time
+	Answered int `json:"answered"` // with a 4xx, a 5xx, a close or a refused connection, in time
 	Served   int `json:"served"`   // with a 2xx: a violation
 }
 
-// Run sends perSec malformed requests a second, on average, until the context ends, and waits for the last.
-// It may be called more than once, also at the same time.
+// Run sends perSec malformed requests per second, on average, until the context ends, and then waits for the
+// clients. It skips a request if Pick returns no balancer, or one that must get no new connections. It
+// may be called repeatedly and concurrently.
 func (m *MalformedClients) Run(ctx context.Context, perSec float64, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, malformedStream))
 	var clients sync.WaitGroup
@@ -56,9 +58,9 @@
 			continue
 		}
 		kind := &malformedKinds[rng.IntN(len(malformedKinds))]
-		clients.Go(func() { // ends with its timeout at the latest
+		clients.Go(func() { // ends after its timeout at the latest
 			answered, served := m.play(ctx, kind, picked.Address, fmt.Sprintf("rude-%x-%d", seed, number))
-			if ctx.Err() == nil || answered { // one that was ended early says nothing
+			if ctx.Err() == nil || answered { // ignore a client that the end of the context may have interrupted
 				m.count(kind.name, answered, served)
 			}
 		})
@@ -85,7 +87,7 @@
 	}
 }
 
-// Counts returns what the clients got, by kind.
+// Counts returns the counts so far by kind. It may be called from any goroutine.
 func (m *MalformedClients) Counts() map[string]MalformedCount {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -96,7 +98,7 @@
 	return counts
 }
 
-// timeout is how long a client of a kind waits.
+// timeout returns how long a client of a kind waits.
 func (m *MalformedClients) timeout(kind *malformedKind) time.Duration {
 	switch {
 	case m.Timeout > 0:
@@ -107,14 +109,14 @@
 	return MalformedTimeout
 }
 
-// play plays one client. It reports whether the client got an error or a close in time, and whether it was
-// served.
+// play runs one client. It reports whether the client got an error response or a close in time, and whether it
+// got a 2xx.
 func (m *MalformedClients) play(ctx context.Context, kind *malformedKind, address, id string) (answered, served bool) {
 	timeout := m.timeout(kind)
 	dialer := net.Dialer{Timeout: timeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return true, false // it was not accepted, and knows it
+		return true, false // the client knows that it was not accepted
 	}
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(timeout))
@@ -131,10 +133,11 @@
 	return answered, bytes.HasPrefix(status, []byte("HTTP/1.1 2"))
 }
 
-// maxHeaderSize bounds the headers that a client goes on sending, bytes.
+// maxHeaderSize bounds the endless headers that a client sends, bytes.
 const maxHeaderSize = 1 << 20
 
-// send writes the request and what comes after it. The response is read meanwhile, as by a real client.
+// send writes the request and its continuation, until stop is closed or a write fails. play reads the response
+// at the same time, as real clients do.
 func (k *malformedKind) send(conn net.Conn, id string, stop <-chan struct{}) {
 	if _, err := conn.Write(k.encode(id)); err != nil {
 		return
--- a/internal/lab/load/malformed_kinds.go
+++ b/internal/lab/load/malformed_kinds.go
@@ -6,10 +6,10 @@
 	"strconv"
 )
 
-// largeBodySize is the body that the largest malformed request would send, bytes.
+// largeBodySize is the size of the body of the largest malformed request, bytes.
 const largeBodySize = 60 << 20
 
-// continuation is what a malformed client goes on sending after its request.
+// continuation is what a malformed client sends after the bytes that encode returns.
 type continuation uint8
 
 const (
@@ -18,16 +18,16 @@
 	moreBody
 )
 
-// malformedKind is one kind of malformed request.
+// malformedKind is one kind of malformed request, with the behaviour of its client.
 type malformedKind struct {
 	name        string
 	encode      func(id string) []byte
 	then        continuation
-	closesWrite bool // it closes its side after that
+	closesWrite bool // whether the client half-closes the connection after encode's bytes
 }
 
-// malformedKinds are the kinds that MalformedClients send. Their names are keys of stored results, and a seed
-// picks them by their order.
+// malformedKinds are the kinds that MalformedClients send. Names and order must stay: names are keys of stored
+// results, and a seed selects kinds by their index.
 var malformedKinds = []malformedKind{
 	{"noise", func(string) []byte { return []byte("\x00\xff\x01 no request at all\r\n\r\n") }, nothingMore, false},
 	{"endless head", func(id string) []byte {
@@ -75,7 +75,7 @@
 	}, nothingMore, false},
 }
 
-// rawRequest is a request's head with more header lines, as it is sent.
+// rawRequest returns the bytes of a request head: start (method and target), a Host header and the given lines.
 func rawRequest(start string, lines ...string) []byte {
 	var raw bytes.Buffer
 	fmt.Fprintf(&raw, "%s HTTP/1.1\r\nHost: b\r\n", start)
--- a/internal/lab/load/malformed_test.go
+++ b/internal/lab/load/malformed_test.go
@@ -12,7 +12,7 @@
 
 func TestMalformedClientsDistinguishErrorTimeoutAndService(t *testing.T) {
 	for _, c := range []struct {
-		says             string // the response of the balancer, "" none
+		says             string // the balancer's response; "": none
 		closes           bool
 		answered, served bool
 	}{
