--- a/internal/lab/emulator/connection.go
+++ b/internal/lab/emulator/connection.go
@@ -15,8 +15,7 @@
 // readBufferSize is the size of a connection's read buffer, bytes.
 const readBufferSize = 8 << 10
 
-// accept accepts the connections of one incarnation until its listener is closed. A connection that
-// addConnection does not take is reset.
+// accept accepts the connections of one incarnation, and resets those that addConnection rejects.
 func (s *server) accept(listener net.Listener, incarnation int) {
 	for {
 		connection, err := listener.Accept()
@@ -35,8 +34,8 @@
 	}
 }
 
-// addConnection registers a connection and charges the model for its handshake. It reports false if the server
-// has MaxConnections or the incarnation has ended.
+// addConnection registers a connection and charges the model for the handshake. It reports false if there are
+// MaxConnections or the incarnation has ended.
 func (s *server) addConnection(connection net.Conn, incarnation int) bool {
 	cost := &s.spec.Kind.Conn
 	s.mu.Lock()
@@ -71,15 +70,14 @@
 	_ = connection.Close()
 }
 
-// serve serves the requests of a connection, one at a time, until the connection ends or has been idle for
-// KeepAlive.
+// serve serves a connection until it ends or has been idle for KeepAlive.
 func (s *server) serve(connection net.Conn) {
 	defer s.closeConnection(connection)
 	messages := make(chan *http1.Message)
 	gone := make(chan struct{})
 	stop := make(chan struct{})
 	defer close(stop)
-	go func() { // ends with the connection or with stop; closes gone when the peer has closed the connection
+	go func() { // ends with the connection or with stop; closes gone when reading has ended
 		defer close(gone)
 		readMessages(connection, messages, stop)
 	}()
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -31,7 +31,7 @@
 	listeners   []*http.Server
 	addresses   []string // by balancer
 	timers      []*time.Timer
-	calls       int           // HTTP requests so far
+	calls       int
 	limits      []notifyState // by balancer
 	slowest     time.Duration // of the notifications received so far; see SlowestNotification
 	generation  uint64
@@ -49,7 +49,7 @@
 	startedAt     time.Duration // time of the run
 	address       string
 	generation    uint64        // the list's generation at the entry's last change
-	listedAt      time.Duration // time of the run of the last change
+	listedAt      time.Duration // time of the run
 	startedUnixMS int64         // 0: before the run
 }
 
@@ -121,15 +121,14 @@
 	return d.addresses[balancer]
 }
 
-// Calls returns the number of HTTP requests for the list so far, including those that failed in an outage.
+// Calls returns the number of calls so far, including those that failed.
 func (d *Discovery) Calls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
-// ReadyServer returns the first server that is listed as Ready, and its name. It reports false if there is
-// none.
+// ReadyServer returns a server that is listed as Ready, and its name; false if there is none.
 func (d *Discovery) ReadyServer() (server int, name string, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -141,7 +140,7 @@
 	return 0, "", false
 }
 
-// close stops scheduled changes, ends all watches and closes all listeners and their connections.
+// close stops scheduled changes, ends all watches and closes all addresses.
 func (d *Discovery) close() {
 	d.mu.Lock()
 	for _, timer := range d.timers {
@@ -158,8 +157,8 @@
 	}
 }
 
-// publishAfter lists a server's state after a delay, unless isStale reports by then that a later start is
-// listed. States other than Ready are delayed by extraDelay, too.
+// publishAfter lists a server's state after a delay, unless the change is stale by then. For states other than
+// Ready, extraDelay is added.
 func (d *Discovery) publishAfter(server int, state piernotch.State, delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -192,7 +191,7 @@
 	return listed.state == piernotch.Ready && listed.startedAt > startedAt
 }
 
-// publish lists a server's state at once, wakes all watches, and schedules notifyOverdue after notifyLimit.
+// publish lists a server's state at once, wakes the watches, and schedules notifyOverdue.
 func (d *Discovery) publish(server int, state piernotch.State, startedAt time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -217,8 +216,7 @@
 	d.timers = append(d.timers, time.AfterFunc(notifyLimit, d.notifyOverdue))
 }
 
-// setOutage begins or ends an outage, in which watches are aborted and calls fail. Outages may overlap; calls
-// fail until the last has ended.
+// setOutage begins or ends an outage. While any outage lasts, watches are aborted and calls fail.
 func (d *Discovery) setOutage(begins bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/emulator/exchange.go
+++ b/internal/lab/emulator/exchange.go
@@ -81,8 +81,7 @@
 	return err == nil
 }
 
-// respondToHealthCheck responds to a health check or a request for the load report. A silent server does not
-// respond; one that is not up responds with 503.
+// respondToHealthCheck responds to a health check or a request for the load report, unless the server is silent.
 func (s *server) respondToHealthCheck(received exchange, now time.Duration) bool {
 	s.mu.Lock()
 	s.model.Charge(now, s.spec.Kind.HealthCheckWork)
@@ -105,7 +104,7 @@
 	return s.write(received, status, fields, body)
 }
 
-// loadHeader returns the X-Load header field of a response. It returns nil if the server does not report its load.
+// loadHeader returns the X-Load header of a response, or nil if the server does not report its load.
 func (s *server) loadHeader(now time.Duration) http1.Fields {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,8 +124,8 @@
 	}
 }
 
-// admit passes a request to the model. The job is nil unless the model accepts it. If the server collapses
-// under the request in slow start, admit resets the connections and closes the listener.
+// admit passes a request to the model; the job is nil unless accepted. If the server collapses in slow start,
+// admit closes the sockets.
 func (s *server) admit(received exchange, now time.Duration) (servermodel.Admission, *pendingJob) {
 	job := s.parseJob(received.request, now)
 	s.mu.Lock()
@@ -155,7 +154,7 @@
 	return admission, pending
 }
 
-// parseJob returns the job of a request. The query holds its work (w, ms) and key (k, hexadecimal).
+// parseJob returns the job of a request, by the query parameters w (work, ms) and k (key).
 func (s *server) parseJob(message *http1.Message, now time.Duration) servermodel.Job {
 	work, err := strconv.ParseFloat(message.Query("w"), 64)
 	valid := err == nil && work > 0 && work < maxWork
@@ -176,8 +175,7 @@
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
-// cancel cancels the job of a request whose connection has ended, and notifies the observer. The model may go
-// on with the job.
+// cancel cancels the job of a request whose connection has ended. The model may still execute it.
 func (s *server) cancel(received exchange, job *pendingJob) {
 	s.mu.Lock()
 	cancelled, started, _ := s.model.Cancel(s.fleet.clock(), job.id)
@@ -192,8 +190,7 @@
 	s.fleet.observer.AttemptCompleted(received.id, received.attempt, NeverExecuted(false))
 }
 
-// respond writes the response to a request whose job has ended, or resets the connection if the process ended.
-// It reports whether the connection stays open.
+// respond responds to a request whose job has ended. It reports whether the connection stays open.
 func (s *server) respond(received exchange, completion servermodel.Completion) bool {
 	if completion.Started {
 		s.fleet.observer.AttemptExecuted(received.id, received.attempt)
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -41,7 +41,7 @@
 }
 
 // New creates and opens the servers of a run and their discovery service. Faults start only with Play. The
-// caller must call Close. New fails if a server cannot be created or an address cannot be opened.
+// caller must call Close.
 func New(realization *scenario.Realization, options Options) (*Fleet, error) {
 	fleet := &Fleet{realization: realization, clock: options.Clock, observer: options.Observer}
 	fleet.repeats.Store(&responseRepeats{})
@@ -87,8 +87,8 @@
 
 func (f *Fleet) reportDelay() time.Duration { return time.Duration(f.loadReportDelay.Load()) }
 
-// meanWork returns the mean work of a request of a class, ms, or that of all classes if the class is unknown.
-// The class may be followed by a slash and a path.
+// meanWork returns the mean work of a request of a class, or of any request if the class is unknown, in ms. The
+// class may be followed by a path.
 func (f *Fleet) meanWork(class string) float64 {
 	class, _, _ = strings.Cut(class, "/")
 	for i := range f.realization.Classes {
@@ -99,13 +99,13 @@
 	return f.realization.MeanWork()
 }
 
-// Discovery returns the emulated discovery service; it is valid until Close.
+// Discovery returns the emulated discovery service.
 func (f *Fleet) Discovery() *Discovery { return f.discovery }
 
 // Servers returns the number of servers, including those that join later.
 func (f *Fleet) Servers() int { return len(f.servers) }
 
-// Spec returns the scenario's description of a server, which is numbered from 0.
+// Spec returns the scenario's description of a server.
 func (f *Fleet) Spec(i int) scenario.Server { return f.servers[i].spec }
 
 // Overloaded returns the number of servers that have been overloaded at any time of the run.
@@ -121,8 +121,7 @@
 	return count
 }
 
-// Err returns the first error of the servers: one could not be opened again, or one that joins could not be
-// created or opened.
+// Err returns the first error since New: a server could not be created or opened.
 func (f *Fleet) Err() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/lab/emulator/malformed.go
+++ b/internal/lab/emulator/malformed.go
@@ -10,9 +10,8 @@
 	"piernotch/internal/http1"
 )
 
-// malformedResponse is a kind of malformed response to a request that was executed. After one the connection
-// is closed. The kinds whose names begin with odd contain a valid response with something unusual in or around
-// it, and keep the connection open.
+// malformedResponse is a kind of malformed response to an executed request. The connection is closed after
+// the response. The odd kinds are valid responses with additions, and keep the connection open.
 type malformedResponse int
 
 // Malformed responses. Their order must stay: a seed selects them by number.
@@ -30,8 +29,8 @@
 )
 
 const (
-	// malformedDuration bounds how long an endless response is written, and how long the connection of another
-	// malformed response stays open.
+	// malformedDuration bounds the writing of an endless response, and the wait for the peer's close after other
+	// malformed responses.
 	malformedDuration = 5 * time.Second
 	endlessPause      = time.Millisecond // between the pieces of an endless response
 )
--- a/internal/lab/emulator/notify_limit.go
+++ b/internal/lab/emulator/notify_limit.go
@@ -10,12 +10,12 @@
 // notifyState is what one balancer was notified of, and since when it can reach discovery.
 type notifyState struct {
 	received       uint64        // the latest generation that the balancer has received
-	overdue        uint64        // the latest generation of which it only counts as notified
-	faults         int           // ongoing faults that keep it from reaching discovery, without outages
+	overdue        uint64        // the latest generation of a change that it counts as notified of
+	faults         int           // ongoing faults that keep it from reaching discovery, not counting outages
 	reachableSince time.Duration // time of the run; valid without faults or outages
 }
 
-// Received records that a balancer has received a list of a generation.
+// Received records that a balancer has received a list of a generation, and updates SlowestNotification.
 func (d *Discovery) Received(balancer int, generation uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -25,7 +25,7 @@
 }
 
 // SlowestNotification returns the longest time for which a balancer that could reach discovery did not receive
-// a listed change. Changes that are still to be received count with their time so far.
+// a listed change, including changes not received yet.
 func (d *Discovery) SlowestNotification() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -65,15 +65,14 @@
 	d.reachableLocked(balancer)
 }
 
-// reachableLocked records that an outage or a fault that kept a balancer from reaching discovery has ended, and
+// reachableLocked records that a balancer can reach discovery from now on, unless another fault goes on, and
 // schedules notifyOverdue. The caller holds the lock.
 func (d *Discovery) reachableLocked(balancer int) {
 	d.limits[balancer].reachableSince = d.fleet.clock()
 	d.timers = append(d.timers, time.AfterFunc(notifyLimit, d.notifyOverdue))
 }
 
-// notifyOverdue reports balancers as notified of the changes for which notifyLimit has passed. During an
-// outage it does nothing.
+// notifyOverdue reports the notifications that are overdue. During an outage it does nothing.
 func (d *Discovery) notifyOverdue() {
 	if d.notified == nil {
 		return
@@ -90,8 +89,8 @@
 	}
 }
 
-// overdueLocked returns the changes that a balancer counts as notified of from now on, and marks them as
-// overdue. The caller holds the lock.
+// overdueLocked returns, once each, the changes that a balancer newly counts as notified of. The caller holds
+// the lock.
 func (d *Discovery) overdueLocked(balancer int) []Notification {
 	state := &d.limits[balancer]
 	due := d.fleet.clock() - notifyLimit
--- a/internal/lab/emulator/observer.go
+++ b/internal/lab/emulator/observer.go
@@ -6,21 +6,20 @@
 	"piernotch"
 )
 
-// Observer is notified of the requests that arrive at servers, and how they end. Its methods may be called from
-// any goroutine and while a server's lock is held, so they must not call the Fleet: that could deadlock.
+// Observer is notified of what servers see. Its methods may be called from any goroutine, with a server's lock
+// held, and must not call the Fleet: that could deadlock.
 type Observer interface {
-	// AttemptReceived says that a server has received an attempt of a request completely. The timeout is the one
-	// that the balancer sent, 0 for none. AttemptReceived returns the attempt number, from 0, or -1 for a request
-	// that no client sent.
+	// AttemptReceived says that a server has received an attempt completely, with a timeout (0: none). It returns
+	// the attempt number, from 0, or -1 for a request that no client sent.
 	AttemptReceived(id string, server int, timeout time.Duration) int
 	// AttemptAccepted says that the server has accepted the attempt.
 	AttemptAccepted(id string, attemptNumber int)
 	// AttemptExecuted says that the server has executed the attempt, at least in part.
 	AttemptExecuted(id string, attemptNumber int)
-	// AttemptCompleted says that the server is done with the attempt. A response may still be written.
+	// AttemptCompleted says that the server is done with the attempt, except for writing a response.
 	AttemptCompleted(id string, attemptNumber int, proof NeverExecuted)
-	// SlowStartWork says that work (ms) of a request arrived at a server in slow start. The time at which the
-	// server started is a time of the run.
+	// SlowStartWork says that work (ms) of a request arrived at a server in slow start. started is the time of
+	// the run at which the server's process started.
 	SlowStartWork(id string, server int, started time.Duration, work float64)
 	// ServerCollapsed says that a server collapsed under its load in slow start.
 	ServerCollapsed(server int)
@@ -38,11 +37,11 @@
 	StartedAt  time.Duration // time of the run at which the server's process started; 0: before the run
 	Generation uint64        // of the list; if Overdue, of the change
 	// Connection is the peer address of the connection that the list was written to. It is "" if the balancer only
-	// counts as notified: it could have called discovery for notifyLimit.
+	// counts as notified, after notifyLimit.
 	Connection string
 }
 
-// Overdue reports whether the balancer only counts as notified, after notifyLimit, and no list was written.
+// Overdue reports whether the balancer only counts as notified.
 func (n Notification) Overdue() bool { return n.Connection == "" }
 
 // EndpointNotified is called when discovery has written a server's state to a balancer, or the balancer counts
--- a/internal/lab/emulator/script.go
+++ b/internal/lab/emulator/script.go
@@ -32,8 +32,7 @@
 	f.steps = append(f.steps, scheduledStep{at, do})
 }
 
-// scheduleSteps schedules the steps of the realization, which are those that the simulation plays. It creates
-// the servers that join later.
+// scheduleSteps schedules the same steps as the simulation, and creates the servers that join later.
 func (f *Fleet) scheduleSteps() {
 	for _, step := range f.realization.Steps() {
 		if step.Action == scenario.Join || step.Action == scenario.Takeover {
@@ -100,7 +99,7 @@
 	})
 }
 
-// drain starts to drain a server and, if the server was up, schedules that discovery lists it as Draining.
+// drain starts to drain a server and, if the server was up, schedules its listing as Draining.
 func (f *Fleet) drain(server *server) {
 	up := false
 	server.withModel(func(model *servermodel.Server, now time.Duration) {
@@ -126,13 +125,13 @@
 	}
 }
 
-// end crashes a server's process and schedules that discovery lists it as Gone.
+// end ends a server's process and schedules its listing as Gone.
 func (f *Fleet) end(server *server) {
 	server.crash()
 	f.discovery.publishAfter(server.number, piernotch.Gone, f.realization.Discovery.RemovalDelay)
 }
 
-// start starts a server's process and schedules that discovery lists it as Ready. An error goes to Err.
+// start starts a server's process and schedules its listing as Ready.
 func (f *Fleet) start(server *server) {
 	if err := server.start(); err != nil {
 		f.recordError(err)
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -40,7 +40,7 @@
 // pendingJob is a request that the model has accepted and not completed.
 type pendingJob struct {
 	id        uint64
-	completed chan servermodel.Completion // buffered, so that deliver does not block
+	completed chan servermodel.Completion // buffered: deliver must not block
 }
 
 func newServer(fleet *Fleet, number int, spec scenario.Server, seed uint64) (*server, error) {
@@ -64,7 +64,7 @@
 	return created, nil
 }
 
-// open listens at the previous address, or at a new one the first time, and accepts connections.
+// open starts to listen, at the previous address if there is one.
 func (s *server) open() error {
 	address := s.address
 	if address == "" {
@@ -135,7 +135,7 @@
 	}
 }
 
-// closeAll closes the listener, resets all connections, and ends the incarnation. The caller holds the lock.
+// closeAll ends the incarnation and closes its sockets. The caller holds the lock.
 func (s *server) closeAll() {
 	if s.listener != nil {
 		_ = s.listener.Close()
@@ -167,8 +167,7 @@
 	s.resetTimer()
 }
 
-// start starts a new process, in slow start, and closes the sockets of the previous one. A server that has
-// collapsed stays down.
+// start replaces the process by a new one, in slow start. A server that has collapsed stays down.
 func (s *server) start() error {
 	s.mu.Lock()
 	if s.model.State() == servermodel.Collapsed {
--- a/internal/lab/emulator/watch.go
+++ b/internal/lab/emulator/watch.go
@@ -88,8 +88,7 @@
 	noWait   bool   // respond at once, even without changes
 }
 
-// wants reports whether an endpoint is part of the response to the call: for a complete list, endpoints that are
-// not Gone, else those that have changed since the given generation.
+// wants reports whether an endpoint belongs in the response. A complete list omits endpoints that are Gone.
 func (c *watchCall) wants(listed *endpoint) bool {
 	if c.complete {
 		return listed.state != piernotch.Gone
@@ -97,7 +96,7 @@
 	return listed.generation > c.since
 }
 
-// watchResponse is the present response to a call, or what the call must wait for.
+// watchResponse is the current response to a call, or what the call must wait for.
 type watchResponse struct {
 	unavailable bool // an outage is ongoing
 	ready       bool // list is the response; otherwise the call waits
@@ -108,8 +107,8 @@
 	outage      context.Context
 }
 
-// serveWatch responds to a balancer's call: at once if there are changes, else after the next change or when the
-// wait that the call names is over. In an outage it responds with 503, or aborts a call that waits.
+// serveWatch responds to a balancer's call: at once if there are changes, else after the next change or the
+// requested wait. An outage makes the call fail.
 func (d *Discovery) serveWatch(writer http.ResponseWriter, request *http.Request, balancer int) {
 	d.mu.Lock()
 	d.calls++
@@ -143,7 +142,7 @@
 	}
 }
 
-// responseNow returns the present response to a call, or what the call must wait for.
+// responseNow returns the current response to a call, or what the call must wait for.
 func (d *Discovery) responseNow(call watchCall) watchResponse {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/goodput/counter.go
+++ b/internal/lab/goodput/counter.go
@@ -1,11 +1,10 @@
 // Package goodput measures service as the operators do: the priority weight earned by served requests
-// divided by the weight of all requests, by second and by class. A response after the latency objective
-// earns the class's late weight share. A request counts once, for the second of its first attempt; retries
-// do not add weight.
+// divided by the weight of all requests, by second and by class. Late responses may earn less. A client's
+// retries count for the second of the first attempt.
 //
-// The package defines service and its parts. It does not depend on whether time is simulated or on how a
-// request ended in detail. internal/lab/simulation and internal/lab/load call a Counter for each request
-// of a client, from one goroutine at a time.
+// The package defines service and its parts. It must not depend on whether time is simulated or on how a
+// request came to its end. internal/lab/simulation and internal/lab/load call a Counter for each request
+// of a client.
 package goodput
 
 import (
@@ -84,8 +83,7 @@
 	return &c.Seconds[min(max(int(at/time.Second), 0), len(c.Seconds)-1)]
 }
 
-// Weight returns the weight of a request of a class: the priority weight, times the work (ms) if the
-// scenario weights by work.
+// Weight returns the weight of a request: the priority weight, times the work (ms) if Score.ByWork is set.
 func Weight(realization *scenario.Realization, class int, work float64) float64 {
 	if realization.Score.ByWork {
 		return realization.Classes[class].PriorityWeight * work
@@ -93,7 +91,7 @@
 	return realization.Classes[class].PriorityWeight
 }
 
-// RequestSent counts a client's request, which was first sent at a time of the run; work is in ms.
+// RequestSent counts a client's request by when it was first sent; work is in ms.
 func (c *Counter) RequestSent(first time.Duration, class int, work float64) {
 	weight := Weight(c.realization, class, work)
 	c.Requests++
@@ -103,19 +101,19 @@
 	c.second(first).AskedWeight += weight
 }
 
-// AttemptRejected counts a rejected attempt of a client, in the second in which its request was first sent.
+// AttemptRejected counts a rejected attempt of a client by when the request was first sent.
 func (c *Counter) AttemptRejected(first time.Duration) {
 	c.Rejected++
 	c.second(first).Rejected++
 }
 
-// AttemptFailed counts a failed attempt of a client, in the second in which its request was first sent.
+// AttemptFailed counts a failed attempt of a client by when the request was first sent.
 func (c *Counter) AttemptFailed(first time.Duration) {
 	c.Failed++
 	c.second(first).Failed++
 }
 
-// End reports whether a request ended served, after all attempts of its client.
+// End reports whether a request was served in the end.
 type End bool
 
 // Ends.
@@ -134,8 +132,8 @@
 	End            End
 }
 
-// RequestFinished counts a request that has ended and returns the weight that it earned: all of it if it
-// was served within the latency objective, the late weight share if served later, else 0.
+// RequestFinished counts a request that has ended and returns the weight that it earned. A response after the
+// latency objective earns the late weight share.
 func (c *Counter) RequestFinished(finished FinishedRequest) float64 {
 	class := &c.realization.Classes[finished.Class]
 	weight := Weight(c.realization, finished.Class, finished.Work)
--- a/internal/lab/goodput/service.go
+++ b/internal/lab/goodput/service.go
@@ -6,16 +6,15 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// epsilon is the weight up to which a window counts as empty: rounding errors of the running sums leave a
-// remainder.
+// epsilon is the weight up to which a window counts as empty: the running sums have rounding errors.
 const epsilon = 1e-9
 
-// Parts are the parts of service, as shares from 0 to 1.
+// Parts are the parts that make up service, as shares from 0 to 1.
 type Parts struct {
 	WholeRun    float64 // earned share of all weight
 	WorstWindow float64 // least earned share of any window; at most WholeRun
 	WorstClass  float64 // least earned share of any class with requests
-	LateFail    float64 // share of all weight that ended unserved after the latency objective; no part of Service
+	LateFail    float64 // share of all weight that ended unserved after the latency objective
 	Classes     []ClassShare
 }
 
--- a/internal/lab/invariants/attempts.go
+++ b/internal/lab/invariants/attempts.go
@@ -13,7 +13,7 @@
 	Balancer BalancerIndex
 	Request  uint64
 	Server   ServerIndex
-	Timeout  time.Duration // the time left that the balancer told the server; 0: none
+	Timeout  time.Duration // as told to the server; 0: none
 }
 
 // deadlineSlack is how much later than the client's deadline the deadline told to a server may be.
@@ -37,7 +37,7 @@
 	}
 }
 
-// reportAttempt reports a violation by an attempt, attributed to the balancer that sent it.
+// reportAttempt reports a violation by an attempt.
 func (c *Checker) reportAttempt(rule Rule, sent *SentAttempt, message string) {
 	c.report(Violation{
 		Rule: rule, At: sent.At, Balancer: sent.Balancer, Request: sent.Request, Server: sent.Server,
@@ -45,8 +45,7 @@
 	})
 }
 
-// checkDrain checks that an attempt is not sent later than Grace after its balancer was notified that the
-// server drains or is gone. It also updates DrainLatest.
+// checkDrain checks an attempt against Drain, and updates DrainLatest.
 func (c *Checker) checkDrain(sent *SentAttempt) {
 	notifiedAt, ok := c.unavailableSince[balancerServer{sent.Balancer, sent.Server}]
 	if !ok {
@@ -113,8 +112,7 @@
 	return first, inflight
 }
 
-// unsafeRetry returns why an attempt must not be sent after first, which may have been executed. It
-// returns "" if the class allows the attempt.
+// unsafeRetry returns why an attempt must not follow first, which may have been executed, or "" if it may.
 func (c *Checker) unsafeRetry(sent *SentAttempt, class *piernotch.Class, first *attemptRecord) string {
 	switch class.RetrySafety {
 	case piernotch.NonIdempotent:
@@ -126,7 +124,7 @@
 }
 
 // outsideDeduplication returns why servers do not deduplicate an attempt against an earlier one with
-// the same idempotency key. It returns "" if they do.
+// the same idempotency key, or "" if they do.
 func (c *Checker) outsideDeduplication(sent *SentAttempt, class *piernotch.Class, first *attemptRecord) string {
 	tooLate := sent.At > first.sentAt+class.DedupWindow
 	switch {
@@ -156,8 +154,7 @@
 	}
 }
 
-// AttemptExecuted records that a server executed an attempt, at least in part. A second executed attempt
-// of a NonIdempotent request violates Repeated.
+// AttemptExecuted records that a server executed an attempt, at least in part, and checks it against Repeated.
 func (c *Checker) AttemptExecuted(at time.Duration, id uint64, attemptNumber int) {
 	request, attempt := c.attempt(id, attemptNumber)
 	if attempt == nil {
@@ -185,8 +182,7 @@
 // any part of it. If false, the attempt may have been executed.
 type NeverExecuted bool
 
-// AttemptCompleted records that the balancer knows how an attempt ended. It deletes the request if the
-// final response was sent and no other attempt is in flight.
+// AttemptCompleted records that the balancer knows how an attempt ended.
 func (c *Checker) AttemptCompleted(id uint64, attemptNumber int, proof NeverExecuted) {
 	if request, attempt := c.attempt(id, attemptNumber); attempt != nil {
 		attempt.completed = true
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -12,7 +12,7 @@
 	maxViolations = 50
 	// maxAttempts bounds the attempts that are stored per request.
 	maxAttempts = 16
-	// checkInterval is the length of the steps of time by which CheckOverdue finds requests.
+	// checkInterval is the length of the steps of time in which CheckOverdue finds overdue responses.
 	checkInterval = 100 * time.Millisecond
 )
 
@@ -34,7 +34,7 @@
 type attemptRecord struct {
 	sentAt        time.Duration
 	server        ServerIndex
-	neverExecuted bool // proved
+	neverExecuted bool // there is proof of that
 	completed     bool // its balancer knows how it ended
 	accepted      bool // by the server
 	executed      bool // by the server, at least in part
@@ -52,7 +52,7 @@
 	attempts    []attemptRecord
 }
 
-// balancerServer is the key of what one balancer was notified of about one server.
+// balancerServer is a key for what a balancer knows of a server.
 type balancerServer struct {
 	balancer BalancerIndex
 	server   ServerIndex
@@ -63,9 +63,9 @@
 type Checker struct {
 	limits       Limits
 	requests     idtable.Table[requestRecord]
-	due          map[int64][]uint64 // request IDs by the checkInterval step in which CheckOverdue looks at them
+	due          map[int64][]uint64 // request IDs, by the step in which their responses are overdue
 	checkedSteps int64              // steps that CheckOverdue has finished
-	freeAttempts [][]attemptRecord  // empty slices of deleted requests, to save allocations
+	freeAttempts [][]attemptRecord  // for reuse
 
 	unavailableSince map[balancerServer]time.Duration // when a drain or an end was notified
 	startedAt        map[balancerServer]time.Duration // the server's start that the balancer was last notified of
@@ -76,7 +76,7 @@
 	drainLatest time.Duration
 }
 
-// New returns a Checker without observations. The limits apply to the whole run.
+// New returns a Checker without observations.
 func New(limits Limits) *Checker {
 	return &Checker{
 		limits:           limits,
@@ -87,7 +87,7 @@
 	}
 }
 
-// report counts a violation, and stores it if fewer than maxViolations are stored.
+// report counts a violation, and stores up to maxViolations.
 func (c *Checker) report(violation Violation) {
 	c.counts[violation.Rule]++
 	if len(c.violations) < maxViolations {
@@ -95,8 +95,8 @@
 	}
 }
 
-// reportRequest reports a violation by a request, with the observations of that request. The violation is
-// attributed to the balancer that received the request. The record is nil if the request is unknown.
+// reportRequest reports a violation by a request, for the balancer that received the request. The record is nil
+// if the request is unknown.
 func (c *Checker) reportRequest(request *requestRecord, violation Violation) {
 	violation.Balancer = unknownBalancer
 	if request != nil {
@@ -106,11 +106,11 @@
 	c.report(violation)
 }
 
-// Count returns how often a rule was violated, including violations that were not stored.
+// Count returns how often a rule was violated.
 func (c *Checker) Count(rule Rule) int { return c.counts[rule] }
 
-// DrainLatest returns the longest time between the notification of a balancer that a server drains or is
-// gone and an attempt of that balancer to the server.
+// DrainLatest returns the longest time from a notification that a server drains or is gone to an attempt of
+// the notified balancer.
 func (c *Checker) DrainLatest() time.Duration { return c.drainLatest }
 
 // Violations returns the first violations, at most 50.
--- a/internal/lab/invariants/checker_test.go
+++ b/internal/lab/invariants/checker_test.go
@@ -37,8 +37,7 @@
 	})
 }
 
-// failedAttempt records an attempt of request 1 that the server accepted and that ended without proof that
-// it was never executed.
+// failedAttempt records an attempt of request 1 that was accepted and may have been executed.
 func failedAttempt(c *Checker, at time.Duration, attemptNumber int, server ServerIndex) {
 	c.AttemptSent(SentAttempt{At: at, Request: 1, Server: server})
 	c.AttemptAccepted(1, attemptNumber)
@@ -49,7 +48,7 @@
 	for name, c := range map[string]struct {
 		class   int
 		observe func(c *Checker)
-		want    map[Rule]string // the message of the one violation by rule; other rules have none
+		want    map[Rule]string // the message of each rule's only violation
 	}{
 		"served": {classNonIdempotent, func(c *Checker) {
 			c.AttemptSent(SentAttempt{At: ms, Request: 1, Server: 3})
--- a/internal/lab/invariants/requests.go
+++ b/internal/lab/invariants/requests.go
@@ -17,7 +17,7 @@
 	Deadline time.Duration
 }
 
-// RequestReceived records a request, and schedules the check whether its final response is overdue.
+// RequestReceived records a request. CheckOverdue checks it from then on.
 func (c *Checker) RequestReceived(received ReceivedRequest) {
 	request := c.requests.Put(received.ID)
 	*request = requestRecord{
@@ -34,7 +34,7 @@
 	c.due[step] = append(c.due[step], received.ID)
 }
 
-// ResponseSent records that a final response was sent to the client, and checks it against Lost and Repeated.
+// ResponseSent records a final response, and checks it against Lost and Repeated.
 func (c *Checker) ResponseSent(at time.Duration, id uint64, result Result) {
 	request := c.requests.Get(id)
 	if request == nil || request.responded {
@@ -76,9 +76,8 @@
 	c.release(id, request)
 }
 
-// checkRejection checks that a rejected request has no attempt that may have been executed. A rejection
-// tells the client that it may send the request again; without deduplication everywhere, the request
-// could then be executed twice.
+// checkRejection checks, where repeatsMatter, that no attempt of a rejected request may have been executed. A
+// rejection invites the client to repeat the request, which could then be executed twice.
 func (c *Checker) checkRejection(at time.Duration, id uint64, request *requestRecord) {
 	class := c.classOf(request)
 	if class == nil || !repeatsMatter(class) {
@@ -99,8 +98,7 @@
 	}
 }
 
-// repeatsMatter reports whether servers may execute a request of a class again, with effect, when its
-// client repeats it.
+// repeatsMatter reports whether a client's repeat of a request could take effect twice.
 func repeatsMatter(class *piernotch.Class) bool {
 	switch class.RetrySafety {
 	case piernotch.NonIdempotent:
@@ -111,8 +109,8 @@
 	return false
 }
 
-// RequestExcused records that a request no longer needs a response, because its client disconnected or its
-// balancer was killed, for example. A request that already has its final response is left as it is.
+// RequestExcused records that a request no longer needs a response, for example because its client
+// disconnected or its balancer was killed.
 func (c *Checker) RequestExcused(at time.Duration, id uint64) {
 	if request := c.requests.Get(id); request != nil && !request.responded {
 		request.responded = true
@@ -122,8 +120,8 @@
 	}
 }
 
-// WrongResponseSent records that a client got a successful response that no server made for its request,
-// reports this as Lost, and excuses the request.
+// WrongResponseSent records that a client got a successful response that no server made for its request.
+// This violates Lost; the request is then excused.
 func (c *Checker) WrongResponseSent(at time.Duration, id uint64) {
 	c.reportRequest(c.requests.Get(id), Violation{
 		Rule:    Lost,
@@ -135,8 +133,8 @@
 	c.RequestExcused(at, id)
 }
 
-// RequestDropped records that a balancer closed the connection of a request without a response. If the
-// request had no final response, this is reported as Lost.
+// RequestDropped records that a balancer closed the connection of a request without a response. This
+// violates Lost unless the request has its final response.
 func (c *Checker) RequestDropped(at time.Duration, id uint64) {
 	if request := c.requests.Get(id); request != nil && !request.responded {
 		c.reportRequest(request, Violation{
@@ -150,8 +148,8 @@
 	}
 }
 
-// CheckOverdue reports requests whose final response is overdue as Lost, and excuses them. Callers call
-// it at intervals during the run and at its end.
+// CheckOverdue reports overdue final responses as Lost, and excuses the requests. It must be called at
+// intervals during the run and at its end.
 func (c *Checker) CheckOverdue(now time.Duration) {
 	for ; c.checkedSteps <= int64(now/checkInterval); c.checkedSteps++ {
 		for _, id := range c.due[c.checkedSteps] {
--- a/internal/lab/invariants/rules.go
+++ b/internal/lab/invariants/rules.go
@@ -7,10 +7,10 @@
 	"piernotch"
 )
 
-// Rule is one of the rules that the package comment lists.
+// Rule is one of the rules in the package comment.
 type Rule uint8
 
-// Rules. Stored results name SlowStart differently than String does.
+// Rules.
 const (
 	Lost Rule = iota
 	Repeated
@@ -46,7 +46,7 @@
 	return UnknownRuleError(text)
 }
 
-// UnknownRuleError is a text that is not the name of a rule in stored results.
+// UnknownRuleError is a text that names no rule.
 type UnknownRuleError string
 
 // Error returns a message that quotes the text.
@@ -55,7 +55,7 @@
 // Result classifies the final response to a request.
 type Result uint8
 
-// Results. An excused request is recorded as Failed.
+// Results.
 const (
 	Served Result = iota
 	Rejected
@@ -84,7 +84,7 @@
 	Request  uint64        `json:"request,omitempty"`
 	Server   ServerIndex   `json:"server"` // -1: none
 	Message  string        `json:"what"`
-	Steps    []string      `json:"steps,omitempty"` // observations of the request or, for SlowStart, the server
+	Steps    []string      `json:"steps,omitempty"` // observations of the request or the server
 }
 
 // String returns the violation in one line.
--- a/internal/lab/invariants/servers.go
+++ b/internal/lab/invariants/servers.go
@@ -24,8 +24,7 @@
 	StartedAt time.Duration // when the server's process started; 0: before the run
 }
 
-// EndpointNotified records that a balancer was notified of a server's state. Drain counts from the first
-// notification that the server is not Ready, until one that it is.
+// EndpointNotified records that a balancer was notified of a server's state.
 func (c *Checker) EndpointNotified(notified NotifiedEndpoint) {
 	key := balancerServer{notified.Balancer, notified.Server}
 	if notified.State == piernotch.Ready {
@@ -40,8 +39,7 @@
 	}
 }
 
-// BalancerRestarted records that a balancer's new process has no state: notifications to the process
-// before it no longer count.
+// BalancerRestarted records that a balancer's new process has no state: earlier notifications no longer count.
 func (c *Checker) BalancerRestarted(balancer BalancerIndex) {
 	for key := range c.unavailableSince {
 		if key.balancer == balancer {
@@ -64,8 +62,7 @@
 	Work      float64       // ms
 }
 
-// SlowStartWork records work that arrived at a server in slow start, and discards the server's arrivals
-// that are older than CollapseWindow.
+// SlowStartWork records work that arrived at a server in slow start.
 func (c *Checker) SlowStartWork(arrival SlowStartArrival) {
 	recent := c.slowStartWork[arrival.Server]
 	for len(recent) > 0 && recent[0].at <= arrival.At-c.limits.CollapseWindow {
@@ -96,7 +93,7 @@
 			notified += arrival.work
 		}
 	}
-	// With less than two thirds, balancers that could not know of the start may have caused the collapse.
+	// Below two thirds, balancers that could not know of the start may have caused the collapse.
 	mostlyNotified := notified >= total*2/3
 	if total == 0 || !mostlyNotified {
 		return
--- a/internal/lab/load/attempt.go
+++ b/internal/lab/load/attempt.go
@@ -23,9 +23,8 @@
 // readBufferSize is the size of a client's read buffer, bytes.
 const readBufferSize = 4 << 10
 
-// sendAttempt sends the request, and sends it again on a new connection if the balancer closed a reused one
-// before it read the request. Each sending has its own request ID and is reported to the Observer. The timeout
-// covers both. The duration that sendAttempt returns is the Retry-After of a rejection.
+// sendAttempt sends the request, and again with a new ID on a new connection if the balancer closed a reused
+// connection before it read the request. It also returns the Retry-After of a rejection.
 func (c *Clients) sendAttempt(
 	ctx context.Context,
 	arrival *simulation.Arrival,
@@ -57,8 +56,7 @@
 	}
 }
 
-// drawLeave decides at random whether a client disconnects early, and returns after what time. 0 means that
-// it does not.
+// drawLeave draws the time after which a client disconnects early; 0: it does not.
 func (c *Clients) drawLeave(remaining time.Duration, rng *rand.Rand) time.Duration {
 	share := c.Realization.Clients.EarlyDisconnectShare
 	if share <= 0 || rng.Float64() >= share {
@@ -87,9 +85,8 @@
 	closedUnread bool // the balancer seems to have closed the connection before it read the request
 }
 
-// crossingTime bounds the time from writing a request to the end of its connection if the balancer closed the
-// connection before it read the request: the request and the close cross on the wire. If the connection ends
-// later, the balancer counts as having read the request.
+// crossingTime bounds the time from the write of a request to the end of its connection if the request and the
+// balancer's close cross on the wire. If the connection ends later, the balancer has read the request.
 const crossingTime = 100 * time.Millisecond
 
 // exchange writes a request and reads its response. Afterwards the connection is idle or closed.
@@ -135,7 +132,7 @@
 	}
 }
 
-// encodeRequest returns the bytes of a request: a GET for an Idempotent class, else a POST with a body.
+// encodeRequest returns the bytes of a request; classes that are not Idempotent use POST.
 func (c *Clients) encodeRequest(arrival *simulation.Arrival, id string, remaining time.Duration) []byte {
 	class := &c.Realization.Classes[arrival.Class]
 	method := http.MethodGet
@@ -162,8 +159,7 @@
 	return http1.AppendRequest(nil, method, target, fields, body)
 }
 
-// classify returns the result of a response. A 200 counts as Served only if the body names this request, as
-// servers' responses do.
+// classify returns the result of a response. A 200 counts as Served only if the body ends in the request ID.
 func classify(message *http1.Message, id string) response {
 	switch {
 	case message.Status == http.StatusOK && strings.HasSuffix(string(message.Body), " "+id):
--- a/internal/lab/load/clients.go
+++ b/internal/lab/load/clients.go
@@ -19,7 +19,7 @@
 // clientStream selects the random stream of a client. It must differ from other streams of the same seed.
 const clientStream = 11
 
-// Outcome is how an attempt ended for its client. Load reports count attempts by outcome.
+// Outcome is how an attempt ended for its client.
 type Outcome uint8
 
 // Outcomes.
@@ -29,7 +29,7 @@
 	Failed                // another status, or a response that cannot be parsed
 	TimedOut              // no complete response in time
 	Disconnected          // the connection ended without a complete response
-	Unreachable           // no balancer accepted a connection, or it closed a reused one before it read the request
+	Unreachable           // no balancer accepted the request
 	Left                  // the client disconnected early
 	WrongResponse         // a 200 that no server made for the request
 )
@@ -41,8 +41,7 @@
 // attempt was not executed (Rejected, Unreachable), or the client cannot tell (Disconnected).
 func (o Outcome) retryable() bool { return o == Rejected || o == Unreachable || o == Disconnected }
 
-// Observer is notified when clients send requests, and how these end. Its methods may be called from any
-// goroutine.
+// Observer is notified of what clients see. Its methods may be called from any goroutine.
 type Observer interface {
 	// RequestSent says that a client is about to write a request to a balancer's socket. The deadline is a
 	// time of the run.
@@ -55,8 +54,7 @@
 type Picked struct {
 	Balancer int
 	Address  string
-	// OnlyOpen is set while the balancer must get no new connections: the attempt may only use an idle one that
-	// is already open.
+	// OnlyOpen is set while the balancer must get no new connections: the attempt may only reuse an idle one.
 	OnlyOpen bool
 }
 
@@ -71,8 +69,8 @@
 	Clock       func() time.Duration // the time since the start of the run
 	Pick        PickBalancer
 	Observer    Observer
-	// MaxIdle is how long a connection may have been idle and still be reused. 0 means 1 s: balancers close
-	// connections that have been idle for longer.
+	// MaxIdle is the idle time up to which a connection is reused. 0 means 1 s: balancers close connections that
+	// are idle for longer.
 	MaxIdle time.Duration
 
 	nextID atomic.Uint64
@@ -133,7 +131,7 @@
 	return time.Duration(c.lateness.ValueAtPercentile(percentile)) * time.Microsecond
 }
 
-// Counts returns the totals so far. It may be called from any goroutine.
+// Counts returns the totals so far.
 func (c *Clients) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,8 +142,7 @@
 	}
 }
 
-// send sends one request when it is due, retries it with exponential backoff as its class allows, and counts
-// its attempts and its end.
+// send sends one request, retries it with exponential backoff as its class allows, and counts the outcomes.
 func (c *Clients) send(ctx context.Context, arrival *simulation.Arrival) {
 	clients := &c.Realization.Clients
 	class := &c.Realization.Classes[arrival.Class]
@@ -180,11 +177,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.goodput.RequestSent(arrival.At, arrival.Class, arrival.Work)
-	// Lateness above a minute is out of the histogram's range and not recorded; such a run is void anyway.
+	// Lateness above a minute is out of range and not recorded; such a run is void anyway.
 	_ = c.lateness.RecordValue(max(int64((c.Clock()-arrival.At)/time.Microsecond), 1))
 }
 
-// countAttempt counts an attempt that has ended, by its outcome.
+// countAttempt counts an attempt that has ended. Goodput knows only served, rejected and failed ones.
 func (c *Clients) countAttempt(arrival *simulation.Arrival, outcome Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -199,7 +196,7 @@
 	}
 }
 
-// countEnd counts a request that has ended after a number of attempts.
+// countEnd counts a request that has ended; attempts includes the first.
 func (c *Clients) countEnd(arrival *simulation.Arrival, attempts int, end goodput.End) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/load/clients_test.go
+++ b/internal/lab/load/clients_test.go
@@ -31,8 +31,7 @@
 	e.outcomes = append(e.outcomes, a)
 }
 
-// play sends arrivals to a fake balancer. The script responds to its nth request, and reports whether to keep
-// the connection open.
+// play sends arrivals to a fake balancer, whose nth request the script answers.
 func play(
 	t *testing.T,
 	arrivals []simulation.Arrival,
@@ -100,7 +99,7 @@
 	return clients, e
 }
 
-// respond writes a response that ends in the request ID, as a server's body does, and returns true.
+// respond writes a response as a server would.
 func respond(c net.Conn, req *http.Request, status int) bool {
 	body := "s-1 " + req.Header.Get("X-Request-Id")
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
--- a/internal/lab/load/connection.go
+++ b/internal/lab/load/connection.go
@@ -17,8 +17,8 @@
 	// defaultMaxIdle is the default of Clients.MaxIdle: balancers soon close connections that have been idle
 	// for longer.
 	defaultMaxIdle = time.Second
-	// maxPicks bounds how often a balancer is picked for one attempt. More than one pick is needed if a balancer
-	// must get no new connections and none to it is idle.
+	// maxPicks bounds how often a balancer is picked for one attempt. A balancer that gets no new connections
+	// may have no idle one.
 	maxPicks = 8
 	// maxResponseSize bounds a response, bytes.
 	maxResponseSize = 1 << 20
@@ -35,9 +35,8 @@
 // errNoBalancer says that no balancer with a usable connection was picked.
 var errNoBalancer = errors.New("no balancer")
 
-// connectTo picks a balancer for an attempt and returns a connection to it, an idle one unless fresh is set or
-// there is none. It fails if no balancer can be picked or the balancer does not accept the connection before the
-// deadline.
+// connectTo picks a balancer for an attempt and returns a connection to it: an idle one if there is one and
+// fresh is not set, else a new one. Dialing times out at the deadline.
 func (c *Clients) connectTo(
 	ctx context.Context,
 	target attemptTarget,
@@ -73,8 +72,8 @@
 	deadline time.Duration // time of the run
 }
 
-// takeIdle returns the most recently used idle connection to an address. If that has been idle for too long, it
-// closes all of them and returns nil; it also returns nil if there is none.
+// takeIdle returns the most recently used idle connection to an address, or nil. It closes connections that
+// have been idle for maxIdle.
 func (c *Clients) takeIdle(address string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,7 +90,7 @@
 	return nil
 }
 
-// release makes a connection idle, or closes it if it cannot be reused or maxIdleConnections are idle.
+// release makes a connection idle, or closes it if it cannot be reused.
 func (c *Clients) release(conn *connection, closes bool) {
 	address := conn.RemoteAddr().String()
 	c.mu.Lock()
@@ -105,7 +104,6 @@
 	c.idleConnections[address] = append(c.idleConnections[address], conn)
 }
 
-// closeIdle closes all idle connections, to all balancers.
 func (c *Clients) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/load/malformed.go
+++ b/internal/lab/load/malformed.go
@@ -21,7 +21,7 @@
 // same seed.
 const malformedStream = 5
 
-// statusBufferSize is the size of the read buffer, bytes. Only the start of the status line is evaluated.
+// statusBufferSize is the size of the read buffer, bytes. It holds more than a status line.
 const statusBufferSize = 512
 
 // MalformedClients send invalid requests. Each client must get an error response or a close within its timeout,
@@ -40,9 +40,8 @@
 	Served   int `json:"served"`   // with a 2xx: a violation
 }
 
-// Run sends perSec malformed requests per second, on average, until the context ends, and then waits for the
-// clients. It skips a request if Pick returns no balancer, or one that must get no new connections. It
-// may be called repeatedly and concurrently.
+// Run starts perSec clients per second, on average, until the context ends, and then waits for them. It skips a
+// client if the picked balancer must get no new connections. It may be called repeatedly and concurrently.
 func (m *MalformedClients) Run(ctx context.Context, perSec float64, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, malformedStream))
 	var clients sync.WaitGroup
@@ -60,7 +59,7 @@
 		kind := &malformedKinds[rng.IntN(len(malformedKinds))]
 		clients.Go(func() { // ends after its timeout at the latest
 			answered, served := m.play(ctx, kind, picked.Address, fmt.Sprintf("rude-%x-%d", seed, number))
-			if ctx.Err() == nil || answered { // ignore a client that the end of the context may have interrupted
+			if ctx.Err() == nil || answered { // ignore an interrupted client
 				m.count(kind.name, answered, served)
 			}
 		})
@@ -87,7 +86,7 @@
 	}
 }
 
-// Counts returns the counts so far by kind. It may be called from any goroutine.
+// Counts returns the counts so far, by kind.
 func (m *MalformedClients) Counts() map[string]MalformedCount {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -136,8 +135,7 @@
 // maxHeaderSize bounds the endless headers that a client sends, bytes.
 const maxHeaderSize = 1 << 20
 
-// send writes the request and its continuation, until stop is closed or a write fails. play reads the response
-// at the same time, as real clients do.
+// send writes the request and its continuation. The response is read concurrently, as by a real client.
 func (k *malformedKind) send(conn net.Conn, id string, stop <-chan struct{}) {
 	if _, err := conn.Write(k.encode(id)); err != nil {
 		return
