--- a/internal/lab/emulator/connection.go
+++ b/internal/lab/emulator/connection.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// addConnection registers a connection and charges the model for the handshake. It reports false if there are
-// MaxConnections or the incarnation has ended.
+// addConnection registers a connection and charges the model for the handshake. It reports false if
+// MaxConnections are open already or the incarnation has ended.
 func (s *server) addConnection(connection net.Conn, incarnation int) bool {
 	cost := &s.spec.Kind.Conn
 	s.mu.Lock()
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -12,15 +12,15 @@
 	"piernotch"
 )
 
-// moveGrace is how long open connections to the previous address still work after Move.
+// moveGrace is how long requests on open connections to the previous address may still take after Move.
 const moveGrace = 1500 * time.Millisecond
 
 // Discovery emulates the discovery service: it serves the complete endpoint list and watches on its changes.
 // Each balancer has its own address, which identifies the balancer that a response notifies. The methods may
 // be called from any goroutine.
 type Discovery struct {
-	// ServerAddress, if set before the first call, returns the address that is listed to a balancer for a
-	// server that listens at address; it may be that of a proxy. It is called with Discovery's lock held.
+	// ServerAddress, if set before the first discovery call, returns the address that is listed to a balancer
+	// for a server that listens at address, for example a proxy's. It is called with Discovery's lock held.
 	ServerAddress func(balancer, server int, address string) string
 
 	fleet      *Fleet
@@ -33,12 +33,12 @@
 	timers      []*time.Timer
 	calls       int
 	limits      []notifyState // by balancer
-	slowest     time.Duration // of the notifications received so far; see SlowestNotification
+	slowest     time.Duration // longest delay of a received notification; see SlowestNotification
 	generation  uint64
 	endpoints   map[int]*endpoint // by server; servers that were never listed are missing
-	changes     map[int]int       // by server: how many were scheduled
+	changes     map[int]int       // by server: number of changes scheduled so far
 	changed     chan struct{}     // closed and replaced at each change
-	outages     int               // ongoing ones
+	outages     int               // number of ongoing outages
 	outage      context.Context   // done during an outage
 	beginOutage context.CancelFunc
 }
@@ -95,8 +95,8 @@
 }
 
 // Move gives a balancer's discovery a new address, which Address returns from then on. The previous address
-// accepts no new connections. Its open connections are closed after moveGrace at the latest, even if ctx ends
-// earlier.
+// accepts no new connections. Its idle connections are closed at once, the others after their request,
+// at the latest after moveGrace. The end of ctx does not shorten that.
 func (d *Discovery) Move(ctx context.Context, balancer int) error {
 	d.mu.Lock()
 	old := d.listeners[balancer]
@@ -158,7 +158,7 @@
 }
 
 // publishAfter lists a server's state after a delay, unless the change is stale by then. For states other than
-// Ready, extraDelay is added.
+// Ready, extraDelay is added. The time is rounded up to a multiple of PublishInterval.
 func (d *Discovery) publishAfter(server int, state piernotch.State, delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -168,7 +168,7 @@
 	d.changes[server]++
 	change := d.changes[server]
 	startedAt := d.fleet.servers[server].startedAt()
-	if period := d.fleet.realization.Discovery.PublishInterval; period > 0 { // changes are published at multiples of it
+	if period := d.fleet.realization.Discovery.PublishInterval; period > 0 { // publish at multiples of period
 		now := d.fleet.clock()
 		delay = (now+delay+period-1)/period*period - now
 	}
@@ -179,8 +179,8 @@
 	}))
 }
 
-// isStale reports whether a scheduled change must not be listed: it is not to Ready, and a later start of the
-// server is already listed as Ready.
+// isStale reports whether a scheduled change must not be listed: its state is not Ready, and a later start of
+// the server is already listed as Ready. The change scheduled last is never stale.
 func (d *Discovery) isStale(server int, state piernotch.State, change int, startedAt time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -206,7 +206,7 @@
 	previous := d.endpoints[server]
 	switch {
 	case previous != nil && previous.startedAt == startedAt:
-		listed.startedUnixMS = previous.startedUnixMS // keeps the time of one start equal, to the millisecond
+		listed.startedUnixMS = previous.startedUnixMS // a start keeps its listed time, to the millisecond
 	case startedAt > 0:
 		listed.startedUnixMS = time.Now().Add(startedAt - d.fleet.clock()).UnixMilli()
 	}
@@ -216,7 +216,8 @@
 	d.timers = append(d.timers, time.AfterFunc(notifyLimit, d.notifyOverdue))
 }
 
-// setOutage begins or ends an outage. While any outage lasts, watches are aborted and calls fail.
+// setOutage begins or ends an outage. While any outage lasts, watches are aborted and calls fail. When the last
+// one ends, notifyLimit starts anew for all balancers.
 func (d *Discovery) setOutage(begins bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/emulator/exchange.go
+++ b/internal/lab/emulator/exchange.go
@@ -15,16 +15,16 @@
 // maxWork is the exclusive upper bound of the work that a request may name, ms.
 const maxWork = 1e9
 
-// notRun is the header field of responses to requests that were never executed.
+// notRun is the header field that proves to a balancer that the request was never executed.
 var notRun = http1.Field{Name: "X-Not-Run", Value: "1"}
 
 // exchange is a request on a connection, with what its response needs.
 type exchange struct {
 	conn    net.Conn
 	request *http1.Message
-	gone    <-chan struct{} // closed when the peer has closed the connection, or reading failed
+	gone    <-chan struct{} // closed when reading requests from the connection has ended
 	id      string          // X-Request-Id
-	attempt int             // number of the attempt of the request, from 0
+	attempt int             // attempt number, from 0
 }
 
 // write writes a response, which repeatLater may send again. It reports whether the connection stays open.
@@ -82,6 +82,7 @@
 }
 
 // respondToHealthCheck responds to a health check or a request for the load report, unless the server is silent.
+// It charges the model for the work, and reports whether the connection stays open.
 func (s *server) respondToHealthCheck(received exchange, now time.Duration) bool {
 	s.mu.Lock()
 	s.model.Charge(now, s.spec.Kind.HealthCheckWork)
@@ -124,8 +125,8 @@
 	}
 }
 
-// admit passes a request to the model; the job is nil unless accepted. If the server collapses in slow start,
-// admit closes the sockets.
+// admit passes a request to the model and notifies the observer. The job is nil unless the request is accepted.
+// If the server collapses in slow start, admit ends its jobs and closes its sockets.
 func (s *server) admit(received exchange, now time.Duration) (servermodel.Admission, *pendingJob) {
 	job := s.parseJob(received.request, now)
 	s.mu.Lock()
@@ -154,7 +155,7 @@
 	return admission, pending
 }
 
-// parseJob returns the job of a request, by the query parameters w (work, ms) and k (key).
+// parseJob returns the job of a request from its timeout and the query parameters w (work, ms) and k (key, hex).
 func (s *server) parseJob(message *http1.Message, now time.Duration) servermodel.Job {
 	work, err := strconv.ParseFloat(message.Query("w"), 64)
 	valid := err == nil && work > 0 && work < maxWork
@@ -175,7 +176,8 @@
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
-// cancel cancels the job of a request whose connection has ended. The model may still execute it.
+// cancel cancels the job of a request whose connection has ended, and notifies the observer. The model may still
+// execute the job.
 func (s *server) cancel(received exchange, job *pendingJob) {
 	s.mu.Lock()
 	cancelled, started, _ := s.model.Cancel(s.fleet.clock(), job.id)
@@ -190,7 +192,8 @@
 	s.fleet.observer.AttemptCompleted(received.id, received.attempt, NeverExecuted(false))
 }
 
-// respond responds to a request whose job has ended. It reports whether the connection stays open.
+// respond notifies the observer that a job has ended, and responds to its request or resets the connection. It
+// reports whether the connection stays open.
 func (s *server) respond(received exchange, completion servermodel.Completion) bool {
 	if completion.Started {
 		s.fleet.observer.AttemptExecuted(received.id, received.attempt)
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -40,8 +40,8 @@
 	Notified  EndpointNotified // may be nil
 }
 
-// New creates and opens the servers of a run and their discovery service. Faults start only with Play. The
-// caller must call Close.
+// New creates and opens the servers of a run and their discovery service. Servers that join later are opened by
+// Play, with which faults start, too. The caller must call Close.
 func New(realization *scenario.Realization, options Options) (*Fleet, error) {
 	fleet := &Fleet{realization: realization, clock: options.Clock, observer: options.Observer}
 	fleet.repeats.Store(&responseRepeats{})
@@ -121,7 +121,7 @@
 	return count
 }
 
-// Err returns the first error since New: a server could not be created or opened.
+// Err returns the first error of a server that joins later or restarts: it could not be created or opened.
 func (f *Fleet) Err() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/lab/emulator/notify_limit.go
+++ b/internal/lab/emulator/notify_limit.go
@@ -10,8 +10,8 @@
 // notifyState is what one balancer was notified of, and since when it can reach discovery.
 type notifyState struct {
 	received       uint64        // the latest generation that the balancer has received
-	overdue        uint64        // the latest generation of a change that it counts as notified of
-	faults         int           // ongoing faults that keep it from reaching discovery, not counting outages
+	overdue        uint64        // generation of the latest change that was reported as overdue
+	faults         int           // ongoing faults that keep the balancer from reaching discovery, not counting outages
 	reachableSince time.Duration // time of the run; valid without faults or outages
 }
 
@@ -36,8 +36,8 @@
 	return slowest
 }
 
-// delayLocked returns for how long a balancer that can reach discovery has not received the oldest listed
-// change that it lacks. It returns 0 if it lacks none or cannot reach discovery. The caller holds the lock.
+// delayLocked returns for how long a balancer could have received the oldest listed change that it lacks. The
+// delay is 0 if the balancer lacks none or cannot reach discovery. The caller holds the lock.
 func (d *Discovery) delayLocked(balancer int) time.Duration {
 	state := &d.limits[balancer]
 	if d.outages > 0 || state.faults > 0 {
@@ -65,14 +65,15 @@
 	d.reachableLocked(balancer)
 }
 
-// reachableLocked records that a balancer can reach discovery from now on, unless another fault goes on, and
-// schedules notifyOverdue. The caller holds the lock.
+// reachableLocked records that a fault or the outage has ended for a balancer, which can reach discovery from
+// now on unless another fault or outage is ongoing. It schedules notifyOverdue. The caller holds the lock.
 func (d *Discovery) reachableLocked(balancer int) {
 	d.limits[balancer].reachableSince = d.fleet.clock()
 	d.timers = append(d.timers, time.AfterFunc(notifyLimit, d.notifyOverdue))
 }
 
-// notifyOverdue reports the notifications that are overdue. During an outage it does nothing.
+// notifyOverdue reports to EndpointNotified the changes that balancers newly count as notified of, after
+// notifyLimit. During an outage it does nothing.
 func (d *Discovery) notifyOverdue() {
 	if d.notified == nil {
 		return
@@ -89,8 +90,8 @@
 	}
 }
 
-// overdueLocked returns, once each, the changes that a balancer newly counts as notified of. The caller holds
-// the lock.
+// overdueLocked returns the changes that a balancer newly counts as notified of, and records them: each is
+// returned once. The caller holds the lock.
 func (d *Discovery) overdueLocked(balancer int) []Notification {
 	state := &d.limits[balancer]
 	due := d.fleet.clock() - notifyLimit
--- a/internal/lab/emulator/observer.go
+++ b/internal/lab/emulator/observer.go
@@ -9,14 +9,15 @@
 // Observer is notified of what servers see. Its methods may be called from any goroutine, with a server's lock
 // held, and must not call the Fleet: that could deadlock.
 type Observer interface {
-	// AttemptReceived says that a server has received an attempt completely, with a timeout (0: none). It returns
-	// the attempt number, from 0, or -1 for a request that no client sent.
+	// AttemptReceived says that a server has received an attempt completely. The timeout is the one sent with the
+	// attempt (0: none). The method returns the attempt number, from 0, or -1 for a request that no client sent.
 	AttemptReceived(id string, server int, timeout time.Duration) int
 	// AttemptAccepted says that the server has accepted the attempt.
 	AttemptAccepted(id string, attemptNumber int)
 	// AttemptExecuted says that the server has executed the attempt, at least in part.
 	AttemptExecuted(id string, attemptNumber int)
-	// AttemptCompleted says that the server is done with the attempt, except for writing a response.
+	// AttemptCompleted says that the attempt has ended for its connection, except for writing a response or a
+	// reset. If the connection ended first, the server may still execute the attempt.
 	AttemptCompleted(id string, attemptNumber int, proof NeverExecuted)
 	// SlowStartWork says that work (ms) of a request arrived at a server in slow start. started is the time of
 	// the run at which the server's process started.
@@ -41,7 +42,7 @@
 	Connection string
 }
 
-// Overdue reports whether the balancer only counts as notified.
+// Overdue reports whether no list was written to the balancer: it counts as notified after notifyLimit.
 func (n Notification) Overdue() bool { return n.Connection == "" }
 
 // EndpointNotified is called when discovery has written a server's state to a balancer, or the balancer counts
--- a/internal/lab/emulator/script.go
+++ b/internal/lab/emulator/script.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// playStep performs a step on servers or discovery.
+// playStep performs any step but Join and Takeover. Steps on one server go to playServerStep.
 func (f *Fleet) playStep(step *scenario.Step) {
 	switch step.Action {
 	case scenario.DelistServers:
@@ -65,7 +65,7 @@
 	}
 }
 
-// playServerStep performs a step on one server.
+// playServerStep performs a step on one server, and ignores actions that it does not know.
 func (f *Fleet) playServerStep(step *scenario.Step, server *server) {
 	switch step.Action {
 	case scenario.Slow:
@@ -91,7 +91,7 @@
 	}
 }
 
-// slow multiplies the slowdown of a server by times. Slowdowns that overlap multiply.
+// slow makes a server slower by a factor, times. The factors of overlapping slowdowns multiply.
 func (f *Fleet) slow(server *server, times float64) {
 	server.withModel(func(model *servermodel.Server, now time.Duration) {
 		server.slowdown *= times
@@ -111,7 +111,8 @@
 	}
 }
 
-// misreport lists those of the servers that are up in a given state: Gone by mistake, Ready to correct that.
+// misreport lists servers in a given state at once: Gone by mistake, or Ready to correct that. It skips servers
+// that are not up.
 func (f *Fleet) misreport(servers []int, state piernotch.State) {
 	for _, number := range servers {
 		server := f.servers[number]
@@ -131,7 +132,7 @@
 	f.discovery.publishAfter(server.number, piernotch.Gone, f.realization.Discovery.RemovalDelay)
 }
 
-// start starts a server's process and schedules its listing as Ready.
+// start starts a server's process and schedules its listing as Ready. An error goes to Err.
 func (f *Fleet) start(server *server) {
 	if err := server.start(); err != nil {
 		f.recordError(err)
@@ -140,8 +141,8 @@
 	f.discovery.publishAfter(server.number, piernotch.Ready, f.realization.Discovery.AddDelay)
 }
 
-// scheduleJoin creates a server with the spec of step.Server and schedules its start. In a Takeover it starts at
-// the address of step.Server.
+// scheduleJoin creates a server with the spec of step.Server and schedules its start. In a Takeover, the new
+// server gets the address of step.Server.
 func (f *Fleet) scheduleJoin(step *scenario.Step) {
 	joining, err := f.add(f.realization.Like(step.Server, step.Number))
 	if err != nil {
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -28,7 +28,7 @@
 	timer       *time.Timer            // fires when the model is due to advance
 	jobs        map[uint64]*pendingJob // accepted by the model, by ID
 	lastJob     uint64                 // ID of the last job
-	slowdown    float64                // factor; 1: none
+	slowdown    float64                // factor; 1: not slowed
 	overloaded  bool                   // whether it was overloaded at any time
 	address     string                 // "": never opened
 	listener    net.Listener           // nil: closed
@@ -157,7 +157,7 @@
 	s.resetTimer()
 }
 
-// silence stops all responses. Connections stay open, and new ones are accepted.
+// silence stops all responses and drops the accepted jobs. Connections stay open, and new ones are accepted.
 func (s *server) silence() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/emulator/watch.go
+++ b/internal/lab/emulator/watch.go
@@ -52,7 +52,7 @@
 	return data
 }
 
-// list returns the endpoints that a call wants, and the numbers of their servers. The caller holds the lock.
+// list returns the endpoints for which call.wants is true, and the numbers of their servers. The caller holds the lock.
 func (d *Discovery) list(call watchCall) (listJSON, []int) {
 	list := listJSON{Generation: d.generation, Reset: call.complete, Endpoints: []endpointJSON{}}
 	var servers []int
@@ -88,7 +88,8 @@
 	noWait   bool   // respond at once, even without changes
 }
 
-// wants reports whether an endpoint belongs in the response. A complete list omits endpoints that are Gone.
+// wants reports whether an endpoint belongs in the response. A complete list omits endpoints that are Gone;
+// other responses hold what has changed after the generation since.
 func (c *watchCall) wants(listed *endpoint) bool {
 	if c.complete {
 		return listed.state != piernotch.Gone
@@ -107,8 +108,8 @@
 	outage      context.Context
 }
 
-// serveWatch responds to a balancer's call: at once if there are changes, else after the next change or the
-// requested wait. An outage makes the call fail.
+// serveWatch responds to a balancer's call: at once if the call requests the complete list or there are changes,
+// else after the next change or the requested wait, at most maxWatch. An outage makes the call fail.
 func (d *Discovery) serveWatch(writer http.ResponseWriter, request *http.Request, balancer int) {
 	d.mu.Lock()
 	d.calls++
@@ -150,7 +151,7 @@
 	if response.unavailable {
 		return response
 	}
-	complete := call.complete || call.since > d.generation // a generation of another incarnation of discovery
+	complete := call.complete || call.since > d.generation // since is of another incarnation of discovery
 	if !complete && d.generation == call.since && !call.noWait {
 		return response
 	}
--- a/internal/lab/goodput/counter.go
+++ b/internal/lab/goodput/counter.go
@@ -29,9 +29,9 @@
 type Second struct {
 	AskedWeight    float64 `json:"asked"`   // weight of the requests sent
 	ServedWeight   float64 `json:"served"`  // weight that requests earned
-	ClientAttempts int     `json:"tries"`   // clients' attempts, of requests that have ended
-	Rejected       int     `json:"refused"` // attempts
-	Failed         int     `json:"failed"`  // attempts
+	ClientAttempts int     `json:"tries"`   // clients' attempts at requests that have ended
+	Rejected       int     `json:"refused"` // clients' attempts
+	Failed         int     `json:"failed"`  // clients' attempts
 }
 
 // ClassShare is the service of one class.
@@ -62,7 +62,7 @@
 	latencies   *hdrhistogram.Histogram
 }
 
-// classCounter counts the requests of one class.
+// classCounter holds the totals of one class, from which Parts computes its ClassShare.
 type classCounter struct {
 	requests      int
 	asked, served float64 // weight
@@ -78,7 +78,8 @@
 	}
 }
 
-// second returns the second of a time. Times outside of the run count for its first or last second.
+// second returns the counts of the second that a time is in. Times outside of the run count for the first or last
+// second of the run.
 func (c *Counter) second(at time.Duration) *Second {
 	return &c.Seconds[min(max(int(at/time.Second), 0), len(c.Seconds)-1)]
 }
@@ -91,7 +92,7 @@
 	return realization.Classes[class].PriorityWeight
 }
 
-// RequestSent counts a client's request by when it was first sent; work is in ms.
+// RequestSent counts a client's request for the second in which it was first sent; work is in ms.
 func (c *Counter) RequestSent(first time.Duration, class int, work float64) {
 	weight := Weight(c.realization, class, work)
 	c.Requests++
@@ -101,13 +102,13 @@
 	c.second(first).AskedWeight += weight
 }
 
-// AttemptRejected counts a rejected attempt of a client by when the request was first sent.
+// AttemptRejected counts a rejected attempt of a client for the second in which the request was first sent.
 func (c *Counter) AttemptRejected(first time.Duration) {
 	c.Rejected++
 	c.second(first).Rejected++
 }
 
-// AttemptFailed counts a failed attempt of a client by when the request was first sent.
+// AttemptFailed counts a failed attempt of a client for the second in which the request was first sent.
 func (c *Counter) AttemptFailed(first time.Duration) {
 	c.Failed++
 	c.second(first).Failed++
@@ -116,7 +117,7 @@
 // End reports whether a request was served in the end.
 type End bool
 
-// Ends.
+// The ends of a request. Unserved means that no attempt was served.
 const (
 	Unserved End = false
 	Served   End = true
@@ -133,7 +134,7 @@
 }
 
 // RequestFinished counts a request that has ended and returns the weight that it earned. A response after the
-// latency objective earns the late weight share.
+// latency objective earns only the late weight share of the request's weight.
 func (c *Counter) RequestFinished(finished FinishedRequest) float64 {
 	class := &c.realization.Classes[finished.Class]
 	weight := Weight(c.realization, finished.Class, finished.Work)
@@ -159,8 +160,8 @@
 	return earned
 }
 
-// Latency returns the latencyPercentiles of served requests, from the first attempt on. It is nil if no
-// request was served.
+// Latency returns the latency of served requests at latencyPercentiles, counted from FinishedRequest.First. It
+// is nil if no request was served.
 func (c *Counter) Latency() []LatencyStep {
 	if c.latencies.TotalCount() == 0 {
 		return nil
--- a/internal/lab/invariants/attempts.go
+++ b/internal/lab/invariants/attempts.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// reportAttempt reports a violation by an attempt.
+// reportAttempt reports a violation by an attempt, for the balancer that sent the attempt.
 func (c *Checker) reportAttempt(rule Rule, sent *SentAttempt, message string) {
 	c.report(Violation{
 		Rule: rule, At: sent.At, Balancer: sent.Balancer, Request: sent.Request, Server: sent.Server,
@@ -62,7 +62,8 @@
 	}
 }
 
-// checkDeadline checks that a server is not told more time than the client has left, plus deadlineSlack.
+// checkDeadline checks that a server is told at most the time that the client has left plus deadlineSlack. An
+// attempt without a timeout is not checked.
 func (c *Checker) checkDeadline(sent *SentAttempt, request *requestRecord) {
 	beyond := sent.At + sent.Timeout - request.deadline
 	if sent.Timeout == 0 || beyond <= deadlineSlack {
@@ -72,7 +73,8 @@
 	c.reportAttempt(Deadline, sent, message)
 }
 
-// checkRetry checks an attempt after the first against the class of its request and the limits.
+// checkRetry checks each attempt of a request but the first against MaxAttempts, HedgedRequests and the request's
+// class. Requests of unknown classes are not checked.
 func (c *Checker) checkRetry(sent *SentAttempt, request *requestRecord) {
 	class := c.classOf(request)
 	if class == nil || len(request.attempts) == 0 {
@@ -112,7 +114,8 @@
 	return first, inflight
 }
 
-// unsafeRetry returns why an attempt must not follow first, which may have been executed, or "" if it may.
+// unsafeRetry returns why the class forbids an attempt after first, which may have been executed. It returns ""
+// if the attempt is allowed.
 func (c *Checker) unsafeRetry(sent *SentAttempt, class *piernotch.Class, first *attemptRecord) string {
 	switch class.RetrySafety {
 	case piernotch.NonIdempotent:
@@ -154,7 +157,8 @@
 	}
 }
 
-// AttemptExecuted records that a server executed an attempt, at least in part, and checks it against Repeated.
+// AttemptExecuted records that a server executed an attempt, at least in part. In a NonIdempotent class, a
+// second executed attempt violates Repeated.
 func (c *Checker) AttemptExecuted(at time.Duration, id uint64, attemptNumber int) {
 	request, attempt := c.attempt(id, attemptNumber)
 	if attempt == nil {
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -34,8 +34,8 @@
 type attemptRecord struct {
 	sentAt        time.Duration
 	server        ServerIndex
-	neverExecuted bool // there is proof of that
-	completed     bool // its balancer knows how it ended
+	neverExecuted bool // the balancer has proof
+	completed     bool // the balancer knows how the attempt ended
 	accepted      bool // by the server
 	executed      bool // by the server, at least in part
 }
@@ -52,7 +52,7 @@
 	attempts    []attemptRecord
 }
 
-// balancerServer is a key for what a balancer knows of a server.
+// balancerServer is the key of maps that hold what a balancer was notified of about a server.
 type balancerServer struct {
 	balancer BalancerIndex
 	server   ServerIndex
@@ -67,7 +67,7 @@
 	checkedSteps int64              // steps that CheckOverdue has finished
 	freeAttempts [][]attemptRecord  // for reuse
 
-	unavailableSince map[balancerServer]time.Duration // when a drain or an end was notified
+	unavailableSince map[balancerServer]time.Duration // when the balancer was notified of a drain or an end
 	startedAt        map[balancerServer]time.Duration // the server's start that the balancer was last notified of
 	slowStartWork    map[ServerIndex][]arrivedWork
 
@@ -109,8 +109,8 @@
 // Count returns how often a rule was violated.
 func (c *Checker) Count(rule Rule) int { return c.counts[rule] }
 
-// DrainLatest returns the longest time from a notification that a server drains or is gone to an attempt of
-// the notified balancer.
+// DrainLatest returns how long after a notification that a server drains or is gone the notified balancer still
+// sent an attempt to the server: the longest such time.
 func (c *Checker) DrainLatest() time.Duration { return c.drainLatest }
 
 // Violations returns the first violations, at most 50.
--- a/internal/lab/invariants/doc.go
+++ b/internal/lab/invariants/doc.go
@@ -5,12 +5,12 @@
 // internal/lab/simulation reports observations in simulated time, internal/lab/loadtest those of real sockets.
 //
 // The rules are:
-//   - Lost: each received request gets one final response, in time.
+//   - Lost: each received request gets one final response, at most Limits.Slack after its deadline.
 //   - Repeated: a request that may have been executed is neither retried nor rejected, unless its class
 //     allows a repeat. Attempts respect Limits.MaxAttempts and Limits.HedgedRequests.
 //   - Drain: a balancer sends a server no attempt later than Limits.Grace after it was notified that the
 //     server drains or is gone.
 //   - SlowStart: no server in slow start collapses under work from balancers that were notified of its
 //     start.
-//   - Deadline: no server is told more time than the client has left.
+//   - Deadline: no server is told more time than the client has left, plus a slack of 150 ms.
 package invariants
--- a/internal/lab/invariants/requests.go
+++ b/internal/lab/invariants/requests.go
@@ -17,7 +17,7 @@
 	Deadline time.Duration
 }
 
-// RequestReceived records a request. CheckOverdue checks it from then on.
+// RequestReceived records a request, for which CheckOverdue then expects a final response.
 func (c *Checker) RequestReceived(received ReceivedRequest) {
 	request := c.requests.Put(received.ID)
 	*request = requestRecord{
--- a/internal/lab/invariants/rules.go
+++ b/internal/lab/invariants/rules.go
@@ -10,13 +10,13 @@
 // Rule is one of the rules in the package comment.
 type Rule uint8
 
-// Rules.
+// The rules, as the package comment describes them.
 const (
 	Lost Rule = iota
 	Repeated
 	Drain
 	SlowStart
-	Deadline // the time left that servers are told
+	Deadline // of the timeouts that servers are told
 	ruleCount
 )
 
@@ -55,7 +55,7 @@
 // Result classifies the final response to a request.
 type Result uint8
 
-// Results.
+// The results of a request. Failed includes excused requests.
 const (
 	Served Result = iota
 	Rejected
@@ -73,7 +73,7 @@
 	MaxAttempts    int
 	HedgedRequests bool // whether attempts of one request may overlap
 	Classes        []piernotch.Class
-	Zone, Cell     func(server ServerIndex) int // may be nil if no class has such a deduplication scope
+	Zone, Cell     func(server ServerIndex) int // of a server; may be nil if no deduplication scope needs them
 }
 
 // Violation is one violation of a rule. The JSON keys are those of stored results.
--- a/internal/lab/invariants/servers.go
+++ b/internal/lab/invariants/servers.go
@@ -15,7 +15,7 @@
 	work     float64 // ms
 }
 
-// NotifiedEndpoint is the state of one server in an endpoint list that a balancer was notified of.
+// NotifiedEndpoint is the notification of one balancer about the state of one server.
 type NotifiedEndpoint struct {
 	At        time.Duration
 	Balancer  BalancerIndex
@@ -24,7 +24,8 @@
 	StartedAt time.Duration // when the server's process started; 0: before the run
 }
 
-// EndpointNotified records that a balancer was notified of a server's state.
+// EndpointNotified records that a balancer was notified of a server's state. For Drain, the first notification
+// since the balancer was last notified of Ready counts.
 func (c *Checker) EndpointNotified(notified NotifiedEndpoint) {
 	key := balancerServer{notified.Balancer, notified.Server}
 	if notified.State == piernotch.Ready {
@@ -62,7 +63,7 @@
 	Work      float64       // ms
 }
 
-// SlowStartWork records work that arrived at a server in slow start.
+// SlowStartWork records work that arrived at a server in slow start, and forgets work older than CollapseWindow.
 func (c *Checker) SlowStartWork(arrival SlowStartArrival) {
 	recent := c.slowStartWork[arrival.Server]
 	for len(recent) > 0 && recent[0].at <= arrival.At-c.limits.CollapseWindow {
--- a/internal/lab/load/attempt.go
+++ b/internal/lab/load/attempt.go
@@ -85,8 +85,8 @@
 	closedUnread bool // the balancer seems to have closed the connection before it read the request
 }
 
-// crossingTime bounds the time from the write of a request to the end of its connection if the request and the
-// balancer's close cross on the wire. If the connection ends later, the balancer has read the request.
+// crossingTime is the time after the write of a request within which the end of its connection counts as a close
+// that crossed the request on the wire. If the connection ends later, the balancer has read the request.
 const crossingTime = 100 * time.Millisecond
 
 // exchange writes a request and reads its response. Afterwards the connection is idle or closed.
--- a/internal/lab/load/clients.go
+++ b/internal/lab/load/clients.go
@@ -22,7 +22,7 @@
 // Outcome is how an attempt ended for its client.
 type Outcome uint8
 
-// Outcomes.
+// The outcomes of an attempt. In goodput, all but Served and Rejected count as failed.
 const (
 	Served        Outcome = iota
 	Rejected              // 429 or 503
@@ -99,8 +99,8 @@
 	RetriedOnClose int `json:"Crossed"` // requests sent again after a reused connection was closed
 }
 
-// Run sends all arrivals at their times. It returns when the last request has ended, and at the latest soon
-// after the context has. It is called once.
+// Run sends all arrivals at their times. It returns when the last request has ended, or soon after the
+// context has ended. It is called once.
 func (c *Clients) Run(ctx context.Context) {
 	c.goodput = goodput.New(c.Realization)
 	c.lateness = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
@@ -142,7 +142,8 @@
 	}
 }
 
-// send sends one request, retries it with exponential backoff as its class allows, and counts the outcomes.
+// send sends one request and counts the outcomes. It retries with exponential backoff as the class, the deadline
+// and the limit of attempts allow.
 func (c *Clients) send(ctx context.Context, arrival *simulation.Arrival) {
 	clients := &c.Realization.Clients
 	class := &c.Realization.Classes[arrival.Class]
@@ -181,7 +182,8 @@
 	_ = c.lateness.RecordValue(max(int64((c.Clock()-arrival.At)/time.Microsecond), 1))
 }
 
-// countAttempt counts an attempt that has ended. Goodput knows only served, rejected and failed ones.
+// countAttempt counts an attempt that has ended. In goodput, outcomes other than Served and Rejected count as
+// failed.
 func (c *Clients) countAttempt(arrival *simulation.Arrival, outcome Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/load/clients_test.go
+++ b/internal/lab/load/clients_test.go
@@ -31,7 +31,8 @@
 	e.outcomes = append(e.outcomes, a)
 }
 
-// play sends arrivals to a fake balancer, whose nth request the script answers.
+// play sends arrivals to a fake balancer. The script responds to the nth request and reports whether the
+// connection is kept.
 func play(
 	t *testing.T,
 	arrivals []simulation.Arrival,
--- a/internal/lab/load/connection.go
+++ b/internal/lab/load/connection.go
@@ -17,8 +17,8 @@
 	// defaultMaxIdle is the default of Clients.MaxIdle: balancers soon close connections that have been idle
 	// for longer.
 	defaultMaxIdle = time.Second
-	// maxPicks bounds how often a balancer is picked for one attempt. A balancer that gets no new connections
-	// may have no idle one.
+	// maxPicks bounds how often a balancer is picked for one attempt. A picked balancer that must get no new
+	// connections may have no idle one.
 	maxPicks = 8
 	// maxResponseSize bounds a response, bytes.
 	maxResponseSize = 1 << 20
@@ -36,7 +36,8 @@
 var errNoBalancer = errors.New("no balancer")
 
 // connectTo picks a balancer for an attempt and returns a connection to it: an idle one if there is one and
-// fresh is not set, else a new one. Dialing times out at the deadline.
+// fresh is not set, else a new one. If the balancer must get no new connections, it picks again, at most maxPicks
+// times. Dialing times out at the deadline.
 func (c *Clients) connectTo(
 	ctx context.Context,
 	target attemptTarget,
@@ -90,7 +91,8 @@
 	return nil
 }
 
-// release makes a connection idle, or closes it if it cannot be reused.
+// release makes a connection idle. It closes the connection instead if closes is set, more bytes than the
+// response have arrived, or maxIdleConnections are idle.
 func (c *Clients) release(conn *connection, closes bool) {
 	address := conn.RemoteAddr().String()
 	c.mu.Lock()
--- a/internal/lab/load/malformed.go
+++ b/internal/lab/load/malformed.go
@@ -36,12 +36,13 @@
 // MalformedCount counts malformed clients of one kind by result. The JSON keys are those of stored results.
 type MalformedCount struct {
 	Sent     int `json:"sent"`
-	Answered int `json:"answered"` // with a 4xx, a 5xx, a close or a refused connection, in time
+	Answered int `json:"answered"` // with a 4xx, a 5xx, a close or a failed dial, in time
 	Served   int `json:"served"`   // with a 2xx: a violation
 }
 
 // Run starts perSec clients per second, on average, until the context ends, and then waits for them. It skips a
-// client if the picked balancer must get no new connections. It may be called repeatedly and concurrently.
+// client if no balancer can be picked or the picked one must get no new connections. It may be called repeatedly
+// and concurrently.
 func (m *MalformedClients) Run(ctx context.Context, perSec float64, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, malformedStream))
 	var clients sync.WaitGroup
@@ -57,9 +58,9 @@
 			continue
 		}
 		kind := &malformedKinds[rng.IntN(len(malformedKinds))]
-		clients.Go(func() { // ends after its timeout at the latest
+		clients.Go(func() { // ends after twice its timeout at the latest: for dialing, and for the response
 			answered, served := m.play(ctx, kind, picked.Address, fmt.Sprintf("rude-%x-%d", seed, number))
-			if ctx.Err() == nil || answered { // ignore an interrupted client
+			if ctx.Err() == nil || answered { // once ctx has ended, unanswered clients do not count
 				m.count(kind.name, answered, served)
 			}
 		})
@@ -108,8 +109,8 @@
 	return MalformedTimeout
 }
 
-// play runs one client. It reports whether the client got an error response or a close in time, and whether it
-// got a 2xx.
+// play runs one client. It reports whether the client got an error response, a close or a failed dial in time,
+// and whether it got a 2xx.
 func (m *MalformedClients) play(ctx context.Context, kind *malformedKind, address, id string) (answered, served bool) {
 	timeout := m.timeout(kind)
 	dialer := net.Dialer{Timeout: timeout}
@@ -132,7 +133,7 @@
 	return answered, bytes.HasPrefix(status, []byte("HTTP/1.1 2"))
 }
 
-// maxHeaderSize bounds the endless headers that a client sends, bytes.
+// maxHeaderSize bounds the headers that a client keeps sending after its request, bytes.
 const maxHeaderSize = 1 << 20
 
 // send writes the request and its continuation. The response is read concurrently, as by a real client.
