--- a/internal/lab/emulator/connection.go
+++ b/internal/lab/emulator/connection.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// addConnection registers a connection and charges the model for the handshake. It reports false if
-// MaxConnections are open already or the incarnation has ended.
+// addConnection registers a connection and charges the model for the handshake. It reports false if MaxConnections
+// are open already or the incarnation has ended.
 func (s *server) addConnection(connection net.Conn, incarnation int) bool {
 	cost := &s.spec.Kind.Conn
 	s.mu.Lock()
@@ -70,7 +70,8 @@
 	_ = connection.Close()
 }
 
-// serve serves a connection until it ends or has been idle for KeepAlive.
+// serve serves a connection until either side ends it, a request is malformed or KeepAlive passes without a
+// request.
 func (s *server) serve(connection net.Conn) {
 	defer s.closeConnection(connection)
 	messages := make(chan *http1.Message)
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -95,8 +95,8 @@
 }
 
 // Move gives a balancer's discovery a new address, which Address returns from then on. The previous address
-// accepts no new connections. Its idle connections are closed at once, the others after their request,
-// at the latest after moveGrace. The end of ctx does not shorten that.
+// accepts no new connections. Its idle connections are closed at once, the others after their request, at the
+// latest after moveGrace. The end of ctx does not shorten that.
 func (d *Discovery) Move(ctx context.Context, balancer int) error {
 	d.mu.Lock()
 	old := d.listeners[balancer]
@@ -179,8 +179,8 @@
 	}))
 }
 
-// isStale reports whether a scheduled change must not be listed: its state is not Ready, and a later start of
-// the server is already listed as Ready. The change scheduled last is never stale.
+// isStale reports whether a scheduled change must not be listed: the new state is not Ready, and a later start
+// of the server is already listed as Ready. The change scheduled last is never stale.
 func (d *Discovery) isStale(server int, state piernotch.State, change int, startedAt time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -217,7 +217,7 @@
 }
 
 // setOutage begins or ends an outage. While any outage lasts, watches are aborted and calls fail. When the last
-// one ends, notifyLimit starts anew for all balancers.
+// outage ends, notifyLimit starts anew for all balancers.
 func (d *Discovery) setOutage(begins bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -40,8 +40,8 @@
 	Notified  EndpointNotified // may be nil
 }
 
-// New creates and opens the servers of a run and their discovery service. Servers that join later are opened by
-// Play, with which faults start, too. The caller must call Close.
+// New creates and opens the servers of a run and their discovery service. Play opens the servers
+// that join later, and starts the faults. The caller must call Close.
 func New(realization *scenario.Realization, options Options) (*Fleet, error) {
 	fleet := &Fleet{realization: realization, clock: options.Clock, observer: options.Observer}
 	fleet.repeats.Store(&responseRepeats{})
--- a/internal/lab/emulator/malformed.go
+++ b/internal/lab/emulator/malformed.go
@@ -10,9 +10,9 @@
 	"piernotch/internal/http1"
 )
 
-// malformedResponse is a kind of malformed response to an executed request. After
-// the malformed kinds, the server closes the connection. The odd kinds are valid responses with additions or an
-// invalid load report, and keep the connection open.
+// malformedResponse is a kind of malformed response to an executed request. After the malformed kinds, the
+// server closes the connection. The odd kinds are valid responses with additions or an invalid load report, and
+// keep the connection open.
 type malformedResponse int
 
 // Malformed responses. Their order must stay: a seed selects them by number.
--- a/internal/lab/emulator/repeats.go
+++ b/internal/lab/emulator/repeats.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// responseRepeats says which responses are written a second time to their connection, even if the
-// connection carries another response by then.
+// responseRepeats says which responses are written a second time to their connection, even if the connection
+// carries another response by then.
 type responseRepeats struct {
 	share    float64       // share of the responses that are repeated
 	maxDelay time.Duration // upper bound of the random delay of the second copy
--- a/internal/lab/goodput/service.go
+++ b/internal/lab/goodput/service.go
@@ -14,7 +14,7 @@
 	WholeRun    float64 // earned share of all weight
 	WorstWindow float64 // least earned share of any window; at most WholeRun
 	WorstClass  float64 // least earned share of any class with requests
-	LateFail    float64 // share of all weight, of requests that ended unserved after their latency objective
+	LateFail    float64 // share of all weight that belongs to requests that ended unserved and late
 	Classes     []ClassShare
 }
 
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -34,7 +34,7 @@
 type attemptRecord struct {
 	sentAt        time.Duration
 	server        ServerIndex
-	neverExecuted bool // the balancer has proof
+	neverExecuted bool // the balancer has proof that no part was executed
 	completed     bool // the balancer knows how the attempt ended
 	accepted      bool // by the server
 	executed      bool // by the server, at least in part
@@ -109,8 +109,8 @@
 // Count returns how often a rule was violated.
 func (c *Checker) Count(rule Rule) int { return c.counts[rule] }
 
-// DrainLatest returns how long after a notification that a server drains or is gone the notified balancer still
-// sent an attempt to the server: the longest such time.
+// DrainLatest returns the longest time between a notification that a server drains or is gone and an attempt of
+// the notified balancer to that server.
 func (c *Checker) DrainLatest() time.Duration { return c.drainLatest }
 
 // Violations returns the first violations, at most 50.
--- a/internal/lab/invariants/doc.go
+++ b/internal/lab/invariants/doc.go
@@ -5,7 +5,7 @@
 // internal/lab/simulation reports observations in simulated time, internal/lab/loadtest those of real sockets.
 //
 // The rules are:
-//   - Lost: each received request gets one final response, at most Limits.Slack after its deadline.
+//   - Lost: each received request gets one final response, at most Limits.Slack after the deadline.
 //   - Repeated: a request that may have been executed is neither retried nor rejected, unless its class
 //     allows a repeat. Attempts respect Limits.MaxAttempts and Limits.HedgedRequests.
 //   - Drain: a balancer sends a server no attempt later than Limits.Grace after it was notified that the
--- a/internal/lab/invariants/rules.go
+++ b/internal/lab/invariants/rules.go
@@ -16,7 +16,7 @@
 	Repeated
 	Drain
 	SlowStart
-	Deadline // of the timeouts that servers are told
+	Deadline // checks the timeouts that servers are told
 	ruleCount
 )
 
--- a/internal/lab/load/malformed.go
+++ b/internal/lab/load/malformed.go
@@ -98,7 +98,7 @@
 	return counts
 }
 
-// timeout returns how long a client of a kind waits.
+// timeout returns how long a client of a kind waits for its connection, and again for a response.
 func (m *MalformedClients) timeout(kind *malformedKind) time.Duration {
 	switch {
 	case m.Timeout > 0:
