--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -95,8 +95,8 @@
 }
 
 // Move gives a balancer's discovery a new address, which Address returns from then on. The previous address
-// accepts no new connections. Its idle connections are closed at once, the others after their request, at the
-// latest after moveGrace. The end of ctx does not shorten that.
+// accepts no new connections. Its open connections are closed after their requests, at the latest after
+// moveGrace, which the end of ctx does not shorten.
 func (d *Discovery) Move(ctx context.Context, balancer int) error {
 	d.mu.Lock()
 	old := d.listeners[balancer]
@@ -168,7 +168,7 @@
 	d.changes[server]++
 	change := d.changes[server]
 	startedAt := d.fleet.servers[server].startedAt()
-	if period := d.fleet.realization.Discovery.PublishInterval; period > 0 { // publish at multiples of period
+	if period := d.fleet.realization.Discovery.PublishInterval; period > 0 {
 		now := d.fleet.clock()
 		delay = (now+delay+period-1)/period*period - now
 	}
--- a/internal/lab/emulator/malformed.go
+++ b/internal/lab/emulator/malformed.go
@@ -10,9 +10,8 @@
 	"piernotch/internal/http1"
 )
 
-// malformedResponse is a kind of malformed response to an executed request. After the malformed kinds, the
-// server closes the connection. The odd kinds are valid responses with additions or an invalid load report, and
-// keep the connection open.
+// malformedResponse is a kind of malformed response to an executed request. The odd kinds are valid but for
+// additions or the load report, and keep the connection open. The server closes it after the other kinds.
 type malformedResponse int
 
 // Malformed responses. Their order must stay: a seed selects them by number.
@@ -75,7 +74,6 @@
 	return false
 }
 
-// writeText writes a text and reports whether that succeeded.
 func writeText(connection net.Conn, text string) bool {
 	_, err := io.WriteString(connection, text)
 	return err == nil
--- a/internal/lab/emulator/notify_limit.go
+++ b/internal/lab/emulator/notify_limit.go
@@ -65,8 +65,8 @@
 	d.reachableLocked(balancer)
 }
 
-// reachableLocked records that a fault or the outage has ended for a balancer, which can reach discovery from
-// now on unless another fault or outage is ongoing. It schedules notifyOverdue. The caller holds the lock.
+// reachableLocked records the end of a fault or outage: unless another one is ongoing, the balancer can reach
+// discovery from now on. It schedules notifyOverdue. The caller holds the lock.
 func (d *Discovery) reachableLocked(balancer int) {
 	d.limits[balancer].reachableSince = d.fleet.clock()
 	d.timers = append(d.timers, time.AfterFunc(notifyLimit, d.notifyOverdue))
--- a/internal/lab/emulator/observer.go
+++ b/internal/lab/emulator/observer.go
@@ -9,8 +9,8 @@
 // Observer is notified of what servers see. Its methods may be called from any goroutine, with a server's lock
 // held, and must not call the Fleet: that could deadlock.
 type Observer interface {
-	// AttemptReceived says that a server has received an attempt completely. The timeout is the one sent with the
-	// attempt (0: none). The method returns the attempt number, from 0, or -1 for a request that no client sent.
+	// AttemptReceived says that a server has received an attempt completely (timeout 0: none). It returns
+	// the attempt number, from 0, or -1 for a request that no client sent.
 	AttemptReceived(id string, server int, timeout time.Duration) int
 	// AttemptAccepted says that the server has accepted the attempt.
 	AttemptAccepted(id string, attemptNumber int)
--- a/internal/lab/emulator/script.go
+++ b/internal/lab/emulator/script.go
@@ -10,9 +10,8 @@
 	"piernotch/internal/lab/servermodel"
 )
 
-// scheduledStep is an action at a time of the run.
 type scheduledStep struct {
-	at time.Duration
+	at time.Duration // time of the run
 	do func()
 }
 
--- a/internal/lab/goodput/counter.go
+++ b/internal/lab/goodput/counter.go
@@ -62,7 +62,7 @@
 	latencies   *hdrhistogram.Histogram
 }
 
-// classCounter holds the totals of one class, from which Parts computes its ClassShare.
+// classCounter holds the totals from which Parts computes a ClassShare.
 type classCounter struct {
 	requests      int
 	asked, served float64 // weight
@@ -102,13 +102,13 @@
 	c.second(first).AskedWeight += weight
 }
 
-// AttemptRejected counts a rejected attempt of a client for the second in which the request was first sent.
+// AttemptRejected counts a client's rejected attempt for the second in which the request was first sent.
 func (c *Counter) AttemptRejected(first time.Duration) {
 	c.Rejected++
 	c.second(first).Rejected++
 }
 
-// AttemptFailed counts a failed attempt of a client for the second in which the request was first sent.
+// AttemptFailed counts a client's failed attempt for the second in which the request was first sent.
 func (c *Counter) AttemptFailed(first time.Duration) {
 	c.Failed++
 	c.second(first).Failed++
--- a/internal/lab/invariants/attempts.go
+++ b/internal/lab/invariants/attempts.go
@@ -62,8 +62,7 @@
 	}
 }
 
-// checkDeadline checks that a server is told at most the time that the client has left plus deadlineSlack. An
-// attempt without a timeout is not checked.
+// checkDeadline checks that a server is told at most the time that the client has left plus deadlineSlack.
 func (c *Checker) checkDeadline(sent *SentAttempt, request *requestRecord) {
 	beyond := sent.At + sent.Timeout - request.deadline
 	if sent.Timeout == 0 || beyond <= deadlineSlack {
--- a/internal/lab/invariants/servers.go
+++ b/internal/lab/invariants/servers.go
@@ -118,7 +118,6 @@
 	})
 }
 
-// describe returns the arrival in one line.
 func (w *arrivedWork) describe() string {
 	line := fmt.Sprintf("%.6f s: %.1f ms of work from balancer %d", w.at.Seconds(), w.work, w.balancer)
 	if w.notified {
--- a/internal/lab/load/clients.go
+++ b/internal/lab/load/clients.go
@@ -34,7 +34,6 @@
 	WrongResponse         // a 200 that no server made for the request
 )
 
-// outcomeCount is the number of outcomes.
 const outcomeCount = WrongResponse + 1
 
 // retryable reports whether clients may retry after this outcome in any class, NonIdempotent included: the
@@ -182,8 +181,7 @@
 	_ = c.lateness.RecordValue(max(int64((c.Clock()-arrival.At)/time.Microsecond), 1))
 }
 
-// countAttempt counts an attempt that has ended. In goodput, outcomes other than Served and Rejected count as
-// failed.
+// countAttempt counts an attempt that has ended, also in goodput.
 func (c *Clients) countAttempt(arrival *simulation.Arrival, outcome Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/load/malformed.go
+++ b/internal/lab/load/malformed.go
@@ -58,7 +58,7 @@
 			continue
 		}
 		kind := &malformedKinds[rng.IntN(len(malformedKinds))]
-		clients.Go(func() { // ends after twice its timeout at the latest: for dialing, and for the response
+		clients.Go(func() { // ends after twice its timeout at the latest
 			answered, served := m.play(ctx, kind, picked.Address, fmt.Sprintf("rude-%x-%d", seed, number))
 			if ctx.Err() == nil || answered { // once ctx has ended, unanswered clients do not count
 				m.count(kind.name, answered, served)
