--- a/internal/lab/emulator/connection.go
+++ b/internal/lab/emulator/connection.go
@@ -12,8 +12,7 @@
 // meanwhile.
 const acceptRetryPause = time.Millisecond
 
-// readBufferSize is the size of a connection's read buffer, bytes.
-const readBufferSize = 8 << 10
+const readBufferSize = 8 << 10 // bytes, per connection
 
 // accept accepts the connections of one incarnation, and resets those that addConnection rejects.
 func (s *server) accept(listener net.Listener, incarnation int) {
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -180,7 +180,7 @@
 }
 
 // isStale reports whether a scheduled change must not be listed: the new state is not Ready, and a later start
-// of the server is already listed as Ready. The change scheduled last is never stale.
+// of the server is already listed as Ready.
 func (d *Discovery) isStale(server int, state piernotch.State, change int, startedAt time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/emulator/exchange.go
+++ b/internal/lab/emulator/exchange.go
@@ -172,7 +172,7 @@
 
 // timeoutOf returns the timeout in X-Deadline-Ms, 0 if there is none.
 func timeoutOf(message *http1.Message) time.Duration {
-	milliseconds, _ := strconv.Atoi(message.Fields.Get("x-deadline-ms")) // 0 if missing
+	milliseconds, _ := strconv.Atoi(message.Fields.Get("x-deadline-ms"))
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -29,12 +29,12 @@
 	repeats         atomic.Pointer[responseRepeats]
 
 	mu  sync.Mutex
-	err error // see Err
+	err error
 }
 
 // Options are the parameters of New. All but Notified are required.
 type Options struct {
-	Balancers int // number of balancers; discovery has an address for each
+	Balancers int // discovery has an address for each
 	Clock     Clock
 	Observer  Observer
 	Notified  EndpointNotified // may be nil
--- a/internal/lab/emulator/script.go
+++ b/internal/lab/emulator/script.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// playServerStep performs a step on one server, and ignores actions that it does not know.
+// playServerStep performs a step on one server. It ignores unknown actions.
 func (f *Fleet) playServerStep(step *scenario.Step, server *server) {
 	switch step.Action {
 	case scenario.Slow:
--- a/internal/lab/invariants/attempts.go
+++ b/internal/lab/invariants/attempts.go
@@ -73,7 +73,7 @@
 }
 
 // checkRetry checks each attempt of a request but the first against MaxAttempts, HedgedRequests and the request's
-// class. Requests of unknown classes are not checked.
+// class, if that is known.
 func (c *Checker) checkRetry(sent *SentAttempt, request *requestRecord) {
 	class := c.classOf(request)
 	if class == nil || len(request.attempts) == 0 {
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -30,7 +30,6 @@
 	unknownBalancer BalancerIndex = -1
 )
 
-// attemptRecord holds the observations of one attempt.
 type attemptRecord struct {
 	sentAt        time.Duration
 	server        ServerIndex
@@ -40,7 +39,6 @@
 	executed      bool // by the server, at least in part
 }
 
-// requestRecord holds the observations of one request.
 type requestRecord struct {
 	balancer    BalancerIndex
 	class       int8
--- a/internal/lab/load/attempt.go
+++ b/internal/lab/load/attempt.go
@@ -20,8 +20,7 @@
 // missing one.
 const readGrace = 150 * time.Millisecond
 
-// readBufferSize is the size of a client's read buffer, bytes.
-const readBufferSize = 4 << 10
+const readBufferSize = 4 << 10 // bytes, per request
 
 // sendAttempt sends the request, and again with a new ID on a new connection if the balancer closed a reused
 // connection before it read the request. It also returns the Retry-After of a rejection.
@@ -65,7 +64,6 @@
 	return max(time.Duration(rng.Float64()*float64(remaining)), time.Millisecond)
 }
 
-// outgoing holds the parameters of one request to be written.
 type outgoing struct {
 	id         string
 	remaining  time.Duration // until the timeout of the attempt
@@ -78,7 +76,6 @@
 	c.retriedOnClose++
 }
 
-// response is the result of one request for its client.
 type response struct {
 	outcome      Outcome
 	retryAfter   time.Duration
--- a/internal/lab/load/malformed.go
+++ b/internal/lab/load/malformed.go
@@ -21,8 +21,7 @@
 // same seed.
 const malformedStream = 5
 
-// statusBufferSize is the size of the read buffer, bytes. It holds more than a status line.
-const statusBufferSize = 512
+const statusBufferSize = 512 // bytes; holds more than a status line
 
 // MalformedClients send invalid requests. Each client must get an error response or a close within its timeout,
 // and none may get a 2xx. Pick is required.
