--- a/internal/lab/emulator/malformed.go
+++ b/internal/lab/emulator/malformed.go
@@ -10,8 +10,9 @@
 	"piernotch/internal/http1"
 )
 
-// malformedResponse is a kind of malformed response to an executed request. The odd kinds are valid but for
-// additions or the load report, and keep the connection open. The server closes it after the other kinds.
+// malformedResponse is a kind of malformed response to an executed request. Responses of the odd kinds
+// are valid except for additions or the load report, and the connection stays open. After the other kinds, the
+// server closes it.
 type malformedResponse int
 
 // Malformed responses. Their order must stay: a seed selects them by number.
--- a/internal/lab/emulator/observer.go
+++ b/internal/lab/emulator/observer.go
@@ -16,8 +16,8 @@
 	AttemptAccepted(id string, attemptNumber int)
 	// AttemptExecuted says that the server has executed the attempt, at least in part.
 	AttemptExecuted(id string, attemptNumber int)
-	// AttemptCompleted says that the attempt has ended for its connection, except for writing a response or a
-	// reset. If the connection ended first, the server may still execute the attempt.
+	// AttemptCompleted says that the attempt has ended for its connection. At most a response or a reset is still
+	// to be written. If the connection ended first, the server may still execute the attempt.
 	AttemptCompleted(id string, attemptNumber int, proof NeverExecuted)
 	// SlowStartWork says that work (ms) of a request arrived at a server in slow start. started is the time of
 	// the run at which the server's process started.
@@ -42,7 +42,8 @@
 	Connection string
 }
 
-// Overdue reports whether no list was written to the balancer: it counts as notified after notifyLimit.
+// Overdue reports whether the balancer only counts as notified, after notifyLimit: this notification does not come
+// from a written list.
 func (n Notification) Overdue() bool { return n.Connection == "" }
 
 // EndpointNotified is called when discovery has written a server's state to a balancer, or the balancer counts
--- a/internal/lab/emulator/script.go
+++ b/internal/lab/emulator/script.go
@@ -90,10 +90,10 @@
 	}
 }
 
-// slow makes a server slower by a factor, times. The factors of overlapping slowdowns multiply.
-func (f *Fleet) slow(server *server, times float64) {
+// slow makes a server slower by a factor. The factors of overlapping slowdowns multiply.
+func (f *Fleet) slow(server *server, factor float64) {
 	server.withModel(func(model *servermodel.Server, now time.Duration) {
-		server.slowdown *= times
+		server.slowdown *= factor
 		model.SetSlow(now, server.slowdown)
 	})
 }
--- a/internal/lab/goodput/service.go
+++ b/internal/lab/goodput/service.go
@@ -14,7 +14,7 @@
 	WholeRun    float64 // earned share of all weight
 	WorstWindow float64 // least earned share of any window; at most WholeRun
 	WorstClass  float64 // least earned share of any class with requests
-	LateFail    float64 // share of all weight that belongs to requests that ended unserved and late
+	LateFail    float64 // share of all weight: requests that ended unserved after their latency objective
 	Classes     []ClassShare
 }
 
@@ -46,8 +46,8 @@
 	return max(score.WholeRun*p.WholeRun+score.WorstWindow*p.WorstWindow+score.WorstClass*p.WorstClass-deducted, 0)
 }
 
-// worstWindow returns the least earned share of any window of so many whole seconds, at most wholeRun. Windows
-// without requests do not count. A run shorter than a window is one window.
+// worstWindow returns the least earned share of any window of the given number of whole seconds, at most
+// wholeRun. Windows without requests do not count. A run shorter than a window is one window.
 func (c *Counter) worstWindow(seconds int, wholeRun float64) float64 {
 	seconds = min(max(seconds, 1), len(c.Seconds))
 	worst := wholeRun
--- a/internal/lab/invariants/attempts.go
+++ b/internal/lab/invariants/attempts.go
@@ -16,7 +16,7 @@
 	Timeout  time.Duration // as told to the server; 0: none
 }
 
-// deadlineSlack is how much later than the client's deadline the deadline told to a server may be.
+// deadlineSlack is the time by which the deadline told to a server may exceed the client's deadline.
 const deadlineSlack = 150 * time.Millisecond
 
 // AttemptSent records an attempt and checks it against Lost, Drain, Repeated and Deadline. The attempts of
@@ -73,7 +73,7 @@
 }
 
 // checkRetry checks each attempt of a request but the first against MaxAttempts, HedgedRequests and the request's
-// class, if that is known.
+// class. If the class is unknown, it checks nothing.
 func (c *Checker) checkRetry(sent *SentAttempt, request *requestRecord) {
 	class := c.classOf(request)
 	if class == nil || len(request.attempts) == 0 {
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -65,7 +65,7 @@
 	checkedSteps int64              // steps that CheckOverdue has finished
 	freeAttempts [][]attemptRecord  // for reuse
 
-	unavailableSince map[balancerServer]time.Duration // when the balancer was notified of a drain or an end
+	unavailableSince map[balancerServer]time.Duration // when the balancer was first notified that the server drains or is gone
 	startedAt        map[balancerServer]time.Duration // the server's start that the balancer was last notified of
 	slowStartWork    map[ServerIndex][]arrivedWork
 
--- a/internal/lab/load/connection.go
+++ b/internal/lab/load/connection.go
@@ -17,8 +17,8 @@
 	// defaultMaxIdle is the default of Clients.MaxIdle: balancers soon close connections that have been idle
 	// for longer.
 	defaultMaxIdle = time.Second
-	// maxPicks bounds how often a balancer is picked for one attempt. A picked balancer that must get no new
-	// connections may have no idle one.
+	// maxPicks bounds how often a balancer is picked for one attempt. Another pick is needed if the picked
+	// balancer must get no new connections and has no idle one.
 	maxPicks = 8
 	// maxResponseSize bounds a response, bytes.
 	maxResponseSize = 1 << 20
