--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -16,11 +16,11 @@
 const moveGrace = 1500 * time.Millisecond
 
 // Discovery emulates the discovery service: it serves the complete endpoint list and watches on its changes.
-// Each balancer has its own address, which identifies the balancer that a response notifies. The methods may
-// be called from any goroutine.
+// Each balancer has its own address, by which Discovery knows the balancer that a response notifies. The methods
+// may be called from any goroutine.
 type Discovery struct {
-	// ServerAddress, if set before the first discovery call, returns the address that is listed to a balancer
-	// for a server that listens at address, for example a proxy's. It is called with Discovery's lock held.
+	// ServerAddress, if set before the first discovery call, returns the address to list to a balancer for a
+	// server, for example a proxy's. The server itself listens at address. Discovery's lock is held during the call.
 	ServerAddress func(balancer, server int, address string) string
 
 	fleet      *Fleet
@@ -96,7 +96,7 @@
 
 // Move gives a balancer's discovery a new address, which Address returns from then on. The previous address
 // accepts no new connections. Its open connections are closed after their requests, at the latest after
-// moveGrace, which the end of ctx does not shorten.
+// moveGrace. The end of ctx does not shorten moveGrace.
 func (d *Discovery) Move(ctx context.Context, balancer int) error {
 	d.mu.Lock()
 	old := d.listeners[balancer]
@@ -158,7 +158,7 @@
 }
 
 // publishAfter lists a server's state after a delay, unless the change is stale by then. For states other than
-// Ready, extraDelay is added. The time is rounded up to a multiple of PublishInterval.
+// Ready, extraDelay is added. The time of the listing is rounded up to a multiple of PublishInterval.
 func (d *Discovery) publishAfter(server int, state piernotch.State, delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -179,8 +179,8 @@
 	}))
 }
 
-// isStale reports whether a scheduled change must not be listed: the new state is not Ready, and a later start
-// of the server is already listed as Ready.
+// isStale reports whether a scheduled change must not be listed: the new state is not Ready, a later change
+// of the server has been scheduled, and a later start is already listed as Ready.
 func (d *Discovery) isStale(server int, state piernotch.State, change int, startedAt time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/emulator/exchange.go
+++ b/internal/lab/emulator/exchange.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// writeError responds to a request that is not served. The connection stays open even if the request asks to
-// close it.
+// writeError responds to a request that is not served. The connection stays open unless writing fails,
+// even if the request asks to close it.
 func (x *exchange) writeError(status int) bool {
 	_, err := x.conn.Write(http1.AppendResponse(nil, status, nil, nil))
 	return err == nil
@@ -126,7 +126,7 @@
 }
 
 // admit passes a request to the model and notifies the observer. The job is nil unless the request is accepted.
-// If the server collapses in slow start, admit ends its jobs and closes its sockets.
+// If the server collapses in slow start, admit ends the server's jobs and closes its sockets.
 func (s *server) admit(received exchange, now time.Duration) (servermodel.Admission, *pendingJob) {
 	job := s.parseJob(received.request, now)
 	s.mu.Lock()
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -121,7 +121,7 @@
 	return count
 }
 
-// Err returns the first error of a server that joins later or restarts: it could not be created or opened.
+// Err returns the first error in creating or opening a server that joins later or restarts.
 func (f *Fleet) Err() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/lab/emulator/notify_limit.go
+++ b/internal/lab/emulator/notify_limit.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// notifyLimit is the time after which a balancer counts as notified of a listed change, if it could reach
-// discovery all that time. It does not matter whether the balancer called, or how its calls ended (protocol
+// notifyLimit is the time after which a balancer counts as notified of a listed change, if the balancer could
+// reach discovery all that time. It does not matter whether the balancer called, or how its calls ended (protocol
 // page, "Figures").
 const notifyLimit = 6 * time.Second
 
--- a/internal/lab/emulator/watch.go
+++ b/internal/lab/emulator/watch.go
@@ -89,7 +89,7 @@
 }
 
 // wants reports whether an endpoint belongs in the response. A complete list omits endpoints that are Gone;
-// other responses hold what has changed after the generation since.
+// other responses hold the endpoints that have changed after c.since.
 func (c *watchCall) wants(listed *endpoint) bool {
 	if c.complete {
 		return listed.state != piernotch.Gone
@@ -151,7 +151,7 @@
 	if response.unavailable {
 		return response
 	}
-	complete := call.complete || call.since > d.generation // since is of another incarnation of discovery
+	complete := call.complete || call.since > d.generation // call.since is of another incarnation of discovery
 	if !complete && d.generation == call.since && !call.noWait {
 		return response
 	}
@@ -164,7 +164,7 @@
 	return response
 }
 
-// writeResponse writes a response and, if that succeeds, reports what the balancer was notified of.
+// writeResponse writes a response and, if that succeeds, reports to EndpointNotified what it holds.
 func (d *Discovery) writeResponse(
 	writer http.ResponseWriter,
 	request *http.Request,
--- a/internal/lab/goodput/service.go
+++ b/internal/lab/goodput/service.go
@@ -41,7 +41,8 @@
 	return parts
 }
 
-// Service returns the sum of the parts, weighted by the score, minus a deduction. It is at least 0.
+// Service returns the sum of WholeRun, WorstWindow and WorstClass, weighted by the score, minus a deduction. The
+// result is at least 0.
 func (p Parts) Service(score scenario.DrawnScore, deducted float64) float64 {
 	return max(score.WholeRun*p.WholeRun+score.WorstWindow*p.WorstWindow+score.WorstClass*p.WorstClass-deducted, 0)
 }
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -12,7 +12,7 @@
 	maxViolations = 50
 	// maxAttempts bounds the attempts that are stored per request.
 	maxAttempts = 16
-	// checkInterval is the length of the steps of time in which CheckOverdue finds overdue responses.
+	// checkInterval is the time step, and so the precision, with which CheckOverdue finds overdue responses.
 	checkInterval = 100 * time.Millisecond
 )
 
@@ -125,7 +125,7 @@
 	return pending
 }
 
-// classOf returns the class of a request, or nil if it is unknown.
+// classOf returns the class of a request, or nil if the class is unknown.
 func (c *Checker) classOf(request *requestRecord) *piernotch.Class {
 	if request.class < 0 || int(request.class) >= len(c.limits.Classes) {
 		return nil
--- a/internal/lab/invariants/requests.go
+++ b/internal/lab/invariants/requests.go
@@ -76,8 +76,8 @@
 	c.release(id, request)
 }
 
-// checkRejection checks, where repeatsMatter, that no attempt of a rejected request may have been executed. A
-// rejection invites the client to repeat the request, and then both could be executed.
+// checkRejection checks that no attempt of a rejected request may have been executed, unless repeats are harmless
+// (repeatsMatter). A rejection invites the client to repeat the request, which could then be executed twice.
 func (c *Checker) checkRejection(at time.Duration, id uint64, request *requestRecord) {
 	class := c.classOf(request)
 	if class == nil || !repeatsMatter(class) {
--- a/internal/lab/invariants/servers.go
+++ b/internal/lab/invariants/servers.go
@@ -24,8 +24,8 @@
 	StartedAt time.Duration // when the server's process started; 0: before the run
 }
 
-// EndpointNotified records that a balancer was notified of a server's state. For Drain, the first notification
-// since the balancer was last notified of Ready counts.
+// EndpointNotified records that a balancer was notified of a server's state. Limits.Grace
+// counts from the first notification of Draining or Gone after the last one of Ready.
 func (c *Checker) EndpointNotified(notified NotifiedEndpoint) {
 	key := balancerServer{notified.Balancer, notified.Server}
 	if notified.State == piernotch.Ready {
@@ -94,7 +94,7 @@
 			notified += arrival.work
 		}
 	}
-	// Below two thirds, balancers that could not know of the start may have caused the collapse.
+	// If over a third of the work came from balancers that did not know of the start, they may be the cause.
 	mostlyNotified := notified >= total*2/3
 	if total == 0 || !mostlyNotified {
 		return
--- a/internal/lab/load/clients.go
+++ b/internal/lab/load/clients.go
@@ -53,7 +53,7 @@
 type Picked struct {
 	Balancer int
 	Address  string
-	// OnlyOpen is set while the balancer must get no new connections: the attempt may only reuse an idle one.
+	// OnlyOpen is set while the balancer must get no new connections: the attempt may only reuse an idle connection.
 	OnlyOpen bool
 }
 
@@ -141,8 +141,8 @@
 	}
 }
 
-// send sends one request and counts the outcomes. It retries with exponential backoff as the class, the deadline
-// and the limit of attempts allow.
+// send sends one request and counts the outcomes. It retries with exponential backoff as the outcome, the class,
+// the deadline and the limit of attempts allow. A share of the retries also waits for Retry-After.
 func (c *Clients) send(ctx context.Context, arrival *simulation.Arrival) {
 	clients := &c.Realization.Clients
 	class := &c.Realization.Classes[arrival.Class]
--- a/internal/lab/load/connection.go
+++ b/internal/lab/load/connection.go
@@ -36,8 +36,8 @@
 var errNoBalancer = errors.New("no balancer")
 
 // connectTo picks a balancer for an attempt and returns a connection to it: an idle one if there is one and
-// fresh is not set, else a new one. If the balancer must get no new connections, it picks again, at most maxPicks
-// times. Dialing times out at the deadline.
+// fresh is not set, else a new one. If the balancer must get no new one, connectTo picks again, up to maxPicks
+// picks in all. Dialing times out at the deadline.
 func (c *Clients) connectTo(
 	ctx context.Context,
 	target attemptTarget,
@@ -73,8 +73,8 @@
 	deadline time.Duration // time of the run
 }
 
-// takeIdle returns the most recently used idle connection to an address, or nil. It closes connections that
-// have been idle for maxIdle.
+// takeIdle returns the most recently used idle connection to an address, or nil if there is none. If all have been
+// idle for maxIdle, it closes them and returns nil.
 func (c *Clients) takeIdle(address string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/load/malformed.go
+++ b/internal/lab/load/malformed.go
@@ -135,7 +135,8 @@
 // maxHeaderSize bounds the headers that a client keeps sending after its request, bytes.
 const maxHeaderSize = 1 << 20
 
-// send writes the request and its continuation. The response is read concurrently, as by a real client.
+// send writes the request, half-closes the connection if closesWrite is set, and writes the continuation. The
+// response is read concurrently, as by a real client.
 func (k *malformedKind) send(conn net.Conn, id string, stop <-chan struct{}) {
 	if _, err := conn.Write(k.encode(id)); err != nil {
 		return
