--- a/internal/lab/emulator/exchange.go
+++ b/internal/lab/emulator/exchange.go
@@ -81,8 +81,8 @@
 	return err == nil
 }
 
-// respondToHealthCheck responds to a health check or a request for the load report, unless the server is silent.
-// It charges the model for the work, and reports whether the connection stays open.
+// respondToHealthCheck charges the model for a health check or a request for the load report, and responds unless
+// the server is silent. It reports whether the connection stays open.
 func (s *server) respondToHealthCheck(received exchange, now time.Duration) bool {
 	s.mu.Lock()
 	s.model.Charge(now, s.spec.Kind.HealthCheckWork)
--- a/internal/lab/goodput/service.go
+++ b/internal/lab/goodput/service.go
@@ -9,7 +9,7 @@
 // epsilon is the weight up to which a window counts as empty: the running sums have rounding errors.
 const epsilon = 1e-9
 
-// Parts are the parts that make up service, as shares from 0 to 1.
+// Parts are the shares, from 0 to 1, from which service and its deduction are computed.
 type Parts struct {
 	WholeRun    float64 // earned share of all weight
 	WorstWindow float64 // least earned share of any window; at most WholeRun
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -12,7 +12,7 @@
 	maxViolations = 50
 	// maxAttempts bounds the attempts that are stored per request.
 	maxAttempts = 16
-	// checkInterval is the time step, and so the precision, with which CheckOverdue finds overdue responses.
+	// checkInterval is the time step in which CheckOverdue looks for overdue responses.
 	checkInterval = 100 * time.Millisecond
 )
 
@@ -65,7 +65,8 @@
 	checkedSteps int64              // steps that CheckOverdue has finished
 	freeAttempts [][]attemptRecord  // for reuse
 
-	unavailableSince map[balancerServer]time.Duration // when the balancer was first notified that the server drains or is gone
+	// unavailableSince holds when the balancer was first notified that the server drains or is gone, since Ready.
+	unavailableSince map[balancerServer]time.Duration
 	startedAt        map[balancerServer]time.Duration // the server's start that the balancer was last notified of
 	slowStartWork    map[ServerIndex][]arrivedWork
 
--- a/internal/lab/invariants/rules.go
+++ b/internal/lab/invariants/rules.go
@@ -68,7 +68,7 @@
 // Limits are the parameters of the rules.
 type Limits struct {
 	Slack          time.Duration // how much later than the deadline a final response may be sent
-	Grace          time.Duration // how long attempts may be sent after the balancer was notified that the server drains or is gone
+	Grace          time.Duration // how long attempts may be sent after a notification that the server drains or is gone
 	CollapseWindow time.Duration // how long before a collapse arriving work is counted
 	MaxAttempts    int
 	HedgedRequests bool // whether attempts of one request may overlap
--- a/internal/lab/invariants/servers.go
+++ b/internal/lab/invariants/servers.go
@@ -63,7 +63,8 @@
 	Work      float64       // ms
 }
 
-// SlowStartWork records work that arrived at a server in slow start, and forgets work older than CollapseWindow.
+// SlowStartWork records work that arrived at a server in slow start, and forgets the server's work that is older
+// than CollapseWindow.
 func (c *Checker) SlowStartWork(arrival SlowStartArrival) {
 	recent := c.slowStartWork[arrival.Server]
 	for len(recent) > 0 && recent[0].at <= arrival.At-c.limits.CollapseWindow {
@@ -94,7 +95,7 @@
 			notified += arrival.work
 		}
 	}
-	// If over a third of the work came from balancers that did not know of the start, they may be the cause.
+	// If over a third of the work came from balancers that could not know of the start, they may have caused the collapse.
 	mostlyNotified := notified >= total*2/3
 	if total == 0 || !mostlyNotified {
 		return
--- a/internal/lab/load/attempt.go
+++ b/internal/lab/load/attempt.go
@@ -82,8 +82,8 @@
 	closedUnread bool // the balancer seems to have closed the connection before it read the request
 }
 
-// crossingTime tells whether a balancer that closed a connection has read the request. If the connection ends within
-// crossingTime after the write, the request counts as unread: the close crossed it on the wire.
+// crossingTime decides whether a request whose connection ended without a response counts as read by the balancer.
+// Within crossingTime after the write, it counts as unread: the close crossed the request on the wire.
 const crossingTime = 100 * time.Millisecond
 
 // exchange writes a request and reads its response. Afterwards the connection is idle or closed.
--- a/internal/lab/load/malformed.go
+++ b/internal/lab/load/malformed.go
@@ -35,8 +35,8 @@
 // MalformedCount counts malformed clients of one kind by result. The JSON keys are those of stored results.
 type MalformedCount struct {
 	Sent     int `json:"sent"`
-	Answered int `json:"answered"` // with a 4xx, a 5xx, a close or a failed dial, in time
-	Served   int `json:"served"`   // with a 2xx: a violation
+	Answered int `json:"answered"` // in time: by a 4xx, a 5xx, a close or a failed dial
+	Served   int `json:"served"`   // by a 2xx: a violation
 }
 
 // Run starts perSec clients per second, on average, until the context ends, and then waits for them. It skips a
