--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -121,7 +121,7 @@
 	return d.addresses[balancer]
 }
 
-// Calls returns the number of calls so far, including those that failed.
+// Calls returns the number of calls by all balancers so far, including failed calls.
 func (d *Discovery) Calls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/emulator/malformed.go
+++ b/internal/lab/emulator/malformed.go
@@ -12,7 +12,7 @@
 
 // malformedResponse is a kind of malformed response to an executed request. Responses of the odd kinds
 // are valid except for additions or the load report, and the connection stays open. After the other kinds, the
-// server closes it.
+// server closes the connection.
 type malformedResponse int
 
 // Malformed responses. Their order must stay: a seed selects them by number.
--- a/internal/lab/emulator/notify_limit.go
+++ b/internal/lab/emulator/notify_limit.go
@@ -12,7 +12,7 @@
 	received       uint64        // the latest generation that the balancer has received
 	overdue        uint64        // generation of the latest change that was reported as overdue
 	faults         int           // ongoing faults that keep the balancer from reaching discovery, not counting outages
-	reachableSince time.Duration // time of the run; valid without faults or outages
+	reachableSince time.Duration // time of the run; valid while no fault or outage is ongoing
 }
 
 // Received records that a balancer has received a list of a generation, and updates SlowestNotification.
--- a/internal/lab/emulator/watch.go
+++ b/internal/lab/emulator/watch.go
@@ -164,7 +164,7 @@
 	return response
 }
 
-// writeResponse writes a response and, if that succeeds, reports to EndpointNotified what it holds.
+// writeResponse writes a response and, if that succeeds, reports its endpoints to EndpointNotified.
 func (d *Discovery) writeResponse(
 	writer http.ResponseWriter,
 	request *http.Request,
--- a/internal/lab/goodput/counter.go
+++ b/internal/lab/goodput/counter.go
@@ -30,8 +30,8 @@
 	AskedWeight    float64 `json:"asked"`   // weight of the requests sent
 	ServedWeight   float64 `json:"served"`  // weight that requests earned
 	ClientAttempts int     `json:"tries"`   // clients' attempts at requests that have ended
-	Rejected       int     `json:"refused"` // clients' attempts
-	Failed         int     `json:"failed"`  // clients' attempts
+	Rejected       int     `json:"refused"` // clients' attempts that were rejected
+	Failed         int     `json:"failed"`  // clients' attempts that failed
 }
 
 // ClassShare is the service of one class.
--- a/internal/lab/invariants/attempts.go
+++ b/internal/lab/invariants/attempts.go
@@ -185,7 +185,8 @@
 // any part of it. If false, the attempt may have been executed.
 type NeverExecuted bool
 
-// AttemptCompleted records that the balancer knows how an attempt ended.
+// AttemptCompleted records that the balancer knows how an attempt ended, and whether there is proof that the attempt
+// was never executed.
 func (c *Checker) AttemptCompleted(id uint64, attemptNumber int, proof NeverExecuted) {
 	if request, attempt := c.attempt(id, attemptNumber); attempt != nil {
 		attempt.completed = true
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -35,8 +35,8 @@
 	server        ServerIndex
 	neverExecuted bool // the balancer has proof that no part was executed
 	completed     bool // the balancer knows how the attempt ended
-	accepted      bool // by the server
-	executed      bool // by the server, at least in part
+	accepted      bool // whether the server accepted the attempt
+	executed      bool // whether the server executed the attempt, at least in part
 }
 
 type requestRecord struct {
@@ -65,7 +65,8 @@
 	checkedSteps int64              // steps that CheckOverdue has finished
 	freeAttempts [][]attemptRecord  // for reuse
 
-	// unavailableSince holds when the balancer was first notified that the server drains or is gone, since Ready.
+	// unavailableSince holds when the balancer was first notified, after the last Ready, that the server drains or
+	// is gone.
 	unavailableSince map[balancerServer]time.Duration
 	startedAt        map[balancerServer]time.Duration // the server's start that the balancer was last notified of
 	slowStartWork    map[ServerIndex][]arrivedWork
--- a/internal/lab/invariants/rules.go
+++ b/internal/lab/invariants/rules.go
@@ -69,7 +69,7 @@
 type Limits struct {
 	Slack          time.Duration // how much later than the deadline a final response may be sent
 	Grace          time.Duration // how long attempts may be sent after a notification that the server drains or is gone
-	CollapseWindow time.Duration // how long before a collapse arriving work is counted
+	CollapseWindow time.Duration // work that arrived at most this long before a collapse counts
 	MaxAttempts    int
 	HedgedRequests bool // whether attempts of one request may overlap
 	Classes        []piernotch.Class
--- a/internal/lab/invariants/servers.go
+++ b/internal/lab/invariants/servers.go
@@ -95,7 +95,8 @@
 			notified += arrival.work
 		}
 	}
-	// If over a third of the work came from balancers that could not know of the start, they may have caused the collapse.
+	// If over a third of the work came from balancers that could not know of the start, these may have caused the
+	// collapse.
 	mostlyNotified := notified >= total*2/3
 	if total == 0 || !mostlyNotified {
 		return
--- a/internal/lab/load/connection.go
+++ b/internal/lab/load/connection.go
@@ -73,8 +73,8 @@
 	deadline time.Duration // time of the run
 }
 
-// takeIdle returns the most recently used idle connection to an address, or nil if there is none. If all have been
-// idle for maxIdle, it closes them and returns nil.
+// takeIdle returns the most recently used idle connection to an address, or nil if there is none. If all idle
+// connections have been idle for maxIdle, takeIdle closes them and returns nil.
 func (c *Clients) takeIdle(address string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
