--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -12,45 +12,45 @@
 	"piernotch"
 )
 
-// moveGrace is how long open connections to a former address still work.
+// moveGrace is how long requests on open connections to the previous address may still take after Move.
 const moveGrace = 1500 * time.Millisecond
 
-// Discovery is a stand-in for the discovery service: the complete list of servers, and a watch on its
-// changes. Each balancer has an address of its own, so that it is known which one was notified of what. Its
-// methods may be called from any goroutine.
+// Discovery emulates the discovery service: it serves the complete endpoint list and watches on its changes.
+// Each balancer has its own address, by which Discovery knows the balancer that a response notifies. The methods
+// may be called from any goroutine.
 type Discovery struct {
-	// ServerAddress, if set before the first call, returns where a balancer reaches a server that listens
-	// at an address: a proxy may stand between. It is called with the list locked.
+	// ServerAddress, if set before the first discovery call, returns the address to list to a balancer for a
+	// server, for example a proxy's. The server itself listens at address. Discovery's lock is held during the call.
 	ServerAddress func(balancer, server int, address string) string
 
 	fleet      *Fleet
 	notified   EndpointNotified // may be nil
-	extraDelay atomic.Int64     // ns, of what is not Ready
+	extraDelay atomic.Int64     // ns, added to the delay of states other than Ready
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	listeners   []*http.Server
 	addresses   []string // by balancer
 	timers      []*time.Timer
 	calls       int
 	limits      []notifyState // by balancer
-	slowest     time.Duration // see SlowestNotification
+	slowest     time.Duration // longest delay of a received notification; see SlowestNotification
 	generation  uint64
-	endpoints   map[int]*endpoint // by server; those that were never listed are missing
-	changes     map[int]int       // by server: the number of the last one that was scheduled
+	endpoints   map[int]*endpoint // by server; servers that were never listed are missing
+	changes     map[int]int       // by server: number of changes scheduled so far
 	changed     chan struct{}     // closed and replaced at each change
-	outages     int               // that go on
-	outage      context.Context   // done while there is an outage
+	outages     int               // number of ongoing outages
+	outage      context.Context   // done during an outage
 	beginOutage context.CancelFunc
 }
 
-// endpoint is a server as it is listed.
+// endpoint is a server's entry in the endpoint list.
 type endpoint struct {
 	state         piernotch.State
 	startedAt     time.Duration // time of the run
 	address       string
-	generation    uint64 // of its last change
-	listedAt      time.Duration
-	startedUnixMS int64 // 0: before the run
+	generation    uint64        // the list's generation at the entry's last change
+	listedAt      time.Duration // time of the run
+	startedUnixMS int64         // 0: before the run
 }
 
 func newDiscovery(fleet *Fleet, options Options) (*Discovery, error) {
@@ -74,7 +74,7 @@
 	return service, nil
 }
 
-// open has a balancer's discovery listen at a new address.
+// open starts an HTTP server for a balancer's discovery calls at a new address.
 func (d *Discovery) open(balancer int) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -94,8 +94,9 @@
 	return nil
 }
 
-// Move has a balancer's discovery listen at another address, which Address returns from then on. The former
-// one accepts no new connections, and closes the open ones after moveGrace, also when the context ends before.
+// Move gives a balancer's discovery a new address, which Address returns from then on. The previous address
+// accepts no new connections. Its open connections are closed after their requests, at the latest after
+// moveGrace. The end of ctx does not shorten moveGrace.
 func (d *Discovery) Move(ctx context.Context, balancer int) error {
 	d.mu.Lock()
 	old := d.listeners[balancer]
@@ -113,21 +114,21 @@
 	return nil
 }
 
-// Address returns the host:port at which a balancer finds discovery.
+// Address returns the host:port of discovery for a balancer. Move changes it.
 func (d *Discovery) Address(balancer int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.addresses[balancer]
 }
 
-// Calls returns the number of calls so far.
+// Calls returns the number of calls by all balancers so far, including failed calls.
 func (d *Discovery) Calls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
-// ReadyServer returns a server that is listed as ready, and its name; false if there is none.
+// ReadyServer returns a server that is listed as Ready, and its name; false if there is none.
 func (d *Discovery) ReadyServer() (server int, name string, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -139,7 +140,7 @@
 	return 0, "", false
 }
 
-// close ends all watches and closes all addresses.
+// close stops scheduled changes, ends all watches and closes all addresses.
 func (d *Discovery) close() {
 	d.mu.Lock()
 	for _, timer := range d.timers {
@@ -156,7 +157,8 @@
 	}
 }
 
-// publishAfter lists a server's state after a delay, unless a later start has been listed by then.
+// publishAfter lists a server's state after a delay, unless the change is stale by then. For states other than
+// Ready, extraDelay is added. The time of the listing is rounded up to a multiple of PublishInterval.
 func (d *Discovery) publishAfter(server int, state piernotch.State, delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -166,7 +168,7 @@
 	d.changes[server]++
 	change := d.changes[server]
 	startedAt := d.fleet.servers[server].startedAt()
-	if period := d.fleet.realization.Discovery.PublishInterval; period > 0 { // changes are published at its multiples
+	if period := d.fleet.realization.Discovery.PublishInterval; period > 0 {
 		now := d.fleet.clock()
 		delay = (now+delay+period-1)/period*period - now
 	}
@@ -177,8 +179,8 @@
 	}))
 }
 
-// isStale reports whether a change that was scheduled is not to be listed, because a later start of the
-// server is listed as ready.
+// isStale reports whether a scheduled change must not be listed: the new state is not Ready, a later change
+// of the server has been scheduled, and a later start is already listed as Ready.
 func (d *Discovery) isStale(server int, state piernotch.State, change int, startedAt time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -189,7 +191,7 @@
 	return listed.state == piernotch.Ready && listed.startedAt > startedAt
 }
 
-// publish lists a server's state at once.
+// publish lists a server's state at once, wakes the watches, and schedules notifyOverdue.
 func (d *Discovery) publish(server int, state piernotch.State, startedAt time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -204,7 +206,7 @@
 	previous := d.endpoints[server]
 	switch {
 	case previous != nil && previous.startedAt == startedAt:
-		listed.startedUnixMS = previous.startedUnixMS // one start has one time, to the millisecond
+		listed.startedUnixMS = previous.startedUnixMS // a start keeps its listed time, to the millisecond
 	case startedAt > 0:
 		listed.startedUnixMS = time.Now().Add(startedAt - d.fleet.clock()).UnixMilli()
 	}
@@ -214,7 +216,8 @@
 	d.timers = append(d.timers, time.AfterFunc(notifyLimit, d.notifyOverdue))
 }
 
-// setOutage begins an outage, which ends all watches and has calls fail, or ends one. Outages may overlap.
+// setOutage begins or ends an outage. While any outage lasts, watches are aborted and calls fail. When the last
+// outage ends, notifyLimit starts anew for all balancers.
 func (d *Discovery) setOutage(begins bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/invariants/checker.go
+++ b/internal/lab/invariants/checker.go
@@ -8,39 +8,37 @@
 )
 
 const (
-	// maxViolations bounds the violations that are kept; all are counted.
+	// maxViolations bounds the violations that are stored; all are counted.
 	maxViolations = 50
-	// maxAttempts bounds the attempts of a request that are remembered.
+	// maxAttempts bounds the attempts that are stored per request.
 	maxAttempts = 16
-	// checkInterval is the step in which overdue responses are looked for.
+	// checkInterval is the time step in which CheckOverdue looks for overdue responses.
 	checkInterval = 100 * time.Millisecond
 )
 
-// BalancerIndex numbers the balancers of a run from 0. It belongs to the balancer, whatever process it
-// runs in.
+// BalancerIndex numbers the balancers of a run from 0. A balancer keeps its index when its process is
+// replaced.
 type BalancerIndex int32
 
-// ServerIndex numbers the servers of a run from 0, those that join later included.
+// ServerIndex numbers the servers of a run from 0, including those that join later.
 type ServerIndex int32
 
 const (
-	// noServer is Violation.Server where none is involved.
+	// noServer is the value of Violation.Server if no server is involved.
 	noServer ServerIndex = -1
-	// unknownBalancer is Violation.Balancer where it is not known.
+	// unknownBalancer is the value of Violation.Balancer if the balancer is not known.
 	unknownBalancer BalancerIndex = -1
 )
 
-// attemptRecord is what was observed of one attempt.
 type attemptRecord struct {
 	sentAt        time.Duration
 	server        ServerIndex
-	neverExecuted bool // that is proved
-	completed     bool // for its balancer
-	accepted      bool // by the server
-	executed      bool // by the server, in part at least
+	neverExecuted bool // the balancer has proof that no part was executed
+	completed     bool // the balancer knows how the attempt ended
+	accepted      bool // whether the server accepted the attempt
+	executed      bool // whether the server executed the attempt, at least in part
 }
 
-// requestRecord is what was observed of one request.
 type requestRecord struct {
 	balancer    BalancerIndex
 	class       int8
@@ -52,23 +50,25 @@
 	attempts    []attemptRecord
 }
 
-// balancerServer is a balancer and a server.
+// balancerServer is the key of maps that hold what a balancer was notified of about a server.
 type balancerServer struct {
 	balancer BalancerIndex
 	server   ServerIndex
 }
 
-// Checker checks observations against the rules. Its methods must be called in the order of time,
-// from one goroutine at a time.
+// Checker checks observations against the rules. Its methods must be called in chronological order, by
+// one goroutine at a time.
 type Checker struct {
 	limits       Limits
 	requests     idtable.Table[requestRecord]
-	due          map[int64][]uint64 // requests, by the step in which their responses are overdue
-	checkedSteps int64              // steps that were looked at
+	due          map[int64][]uint64 // request IDs, by the step in which their responses are overdue
+	checkedSteps int64              // steps that CheckOverdue has finished
 	freeAttempts [][]attemptRecord  // for reuse
 
-	unavailableSince map[balancerServer]time.Duration // when a drain or an end was notified
-	startedAt        map[balancerServer]time.Duration // the start of the server that was notified last
+	// unavailableSince holds when the balancer was first notified, after the last Ready, that the server drains or
+	// is gone.
+	unavailableSince map[balancerServer]time.Duration
+	startedAt        map[balancerServer]time.Duration // the server's start that the balancer was last notified of
 	slowStartWork    map[ServerIndex][]arrivedWork
 
 	counts      [ruleCount]int
@@ -87,7 +87,7 @@
 	}
 }
 
-// report counts a violation.
+// report counts a violation, and stores up to maxViolations.
 func (c *Checker) report(violation Violation) {
 	c.counts[violation.Rule]++
 	if len(c.violations) < maxViolations {
@@ -95,8 +95,8 @@
 	}
 }
 
-// reportRequest counts a violation by a request, of the balancer that received it, with what was observed
-// of it; the record is nil if the request is unknown.
+// reportRequest reports a violation by a request, for the balancer that received the request. The record is nil
+// if the request is unknown.
 func (c *Checker) reportRequest(request *requestRecord, violation Violation) {
 	violation.Balancer = unknownBalancer
 	if request != nil {
@@ -106,16 +106,17 @@
 	c.report(violation)
 }
 
-// Count is how often a rule was violated.
+// Count returns how often a rule was violated.
 func (c *Checker) Count(rule Rule) int { return c.counts[rule] }
 
-// DrainLatest is the latest that an attempt was sent after a drain was notified.
+// DrainLatest returns the longest time between a notification that a server drains or is gone and an attempt of
+// the notified balancer to that server.
 func (c *Checker) DrainLatest() time.Duration { return c.drainLatest }
 
-// Violations returns the first violations, 50 at most.
+// Violations returns the first violations, at most 50.
 func (c *Checker) Violations() []Violation { return c.violations }
 
-// PendingRequests is how many requests have no final response yet.
+// PendingRequests returns the number of requests without a final response. Excused requests do not count.
 func (c *Checker) PendingRequests() int {
 	pending := 0
 	c.requests.Each(func(_ uint64, request *requestRecord) {
@@ -126,7 +127,7 @@
 	return pending
 }
 
-// classOf returns the class of a request, or nil if it is unknown.
+// classOf returns the class of a request, or nil if the class is unknown.
 func (c *Checker) classOf(request *requestRecord) *piernotch.Class {
 	if request.class < 0 || int(request.class) >= len(c.limits.Classes) {
 		return nil
