--- a/cmd/piernotch-lab/soak.go
+++ b/cmd/piernotch-lab/soak.go
@@ -97,7 +97,7 @@
 		return nil, err
 	}
 	options := loadtest.Options{
-		Program: c.Program, Faults: plan.Steps, Crowd: plan.Crowd, Sockets: plan.Sockets, KeepIdle: plan.KeepIdle,
+		Program: c.Program, Faults: plan.Steps, IdleClients: plan.Crowd, Sockets: plan.Sockets, KeepIdle: plan.KeepIdle,
 	}
 	if c.Logs != "" {
 		options.LogDir = filepath.Join(c.Logs, fmt.Sprint(seed))
--- a/internal/lab/loadtest/crowd.go
+++ b/internal/lab/loadtest/crowd.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// crowdPause is how long an idle client waits before it connects again.
-const crowdPause = 200 * time.Millisecond
+// reconnectPause is how long an idle client waits before it connects again.
+const reconnectPause = 200 * time.Millisecond
 
-// gatherCrowd has idle clients rest on all balancers until the context ends.
-func (e *environment) gatherCrowd(ctx context.Context) {
+// startIdleClients has idle clients rest on all balancers until the context ends.
+func (e *environment) startIdleClients(ctx context.Context) {
 	for _, target := range e.balancers {
-		for range e.opts.Crowd {
-			go target.rest(ctx) // ends with the context
+		for range e.opts.IdleClients {
+			go target.runIdleClient(ctx) // ends with the context
 		}
 	}
 }
 
-// rest connects to the balancer, again and again, and sends nothing until the balancer ends the connection.
-func (b *balancer) rest(ctx context.Context) {
+// runIdleClient connects to the balancer, again and again, and sends nothing until the balancer ends the connection.
+func (b *balancer) runIdleClient(ctx context.Context) {
 	for ctx.Err() == nil {
 		if b.currentRouting() == routed {
-			b.restOnce(ctx)
+			b.holdIdleConnection(ctx)
 		}
-		sleep(ctx, crowdPause)
+		sleep(ctx, reconnectPause)
 	}
 }
 
-// restOnce holds one connection until the balancer ends it.
-func (b *balancer) restOnce(ctx context.Context) {
+// holdIdleConnection holds one connection until the balancer ends it.
+func (b *balancer) holdIdleConnection(ctx context.Context) {
 	var dialer net.Dialer
 	connection, err := dialer.DialContext(ctx, "tcp", b.address)
 	if err != nil {
--- a/internal/lab/loadtest/loadtest.go
+++ b/internal/lab/loadtest/loadtest.go
@@ -32,8 +32,8 @@
 	VoterProgram string
 	// Faults are played between the processes. With any fault of a link, every link of a balancer goes
 	// through a proxy.
-	Faults []chaos.Step
-	Crowd  int // idle clients that rest on each balancer until it ends their connection, and come back
+	Faults      []chaos.Step
+	IdleClients int // idle clients that rest on each balancer until it ends their connection, and come back
 	// KeepIdle is how long clients keep an idle connection and reuse it; 0: as load.Clients does.
 	KeepIdle time.Duration
 	LogDir   string // for configurations and logs; "": a temporary one that is removed
@@ -107,9 +107,9 @@
 		MaxIdle:     e.opts.KeepIdle,
 	}
 	e.fleet.Play(ctx)
-	ctx, endCrowd := context.WithCancel(ctx)
-	defer endCrowd()
-	e.gatherCrowd(ctx)
+	ctx, endIdleClients := context.WithCancel(ctx)
+	defer endIdleClients()
+	e.startIdleClients(ctx)
 	e.scheduleScenarioFaults(ctx)
 	e.scheduleLinkAndProcessFaults(ctx)
 	e.scheduleHandovers(ctx)
--- a/internal/lab/loadtest/repeated_response_test.go
+++ b/internal/lab/loadtest/repeated_response_test.go
@@ -36,7 +36,7 @@
 }
 
 // Servers with short queues reject requests and send some rejections a second time, up to 60 ms later.
-func TestRejectionOfAnEarlierRequestIsNoPromiseForTheNext(t *testing.T) {
+func TestRejectionOfEarlierRequestDoesNotProveLaterOneUnexecuted(t *testing.T) {
 	t.Parallel()
 	repeats := `
 [[trouble]]
