--- a/internal/lab/loadtest/admin.go
+++ b/internal/lab/loadtest/admin.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// callTimeout bounds an admin call and a health check.
+// callTimeout is the time limit of an admin call and of a health check.
 const callTimeout = time.Second
 
-// newCallClient returns a client that opens a connection for each call: a kept one could belong to an
+// newCallClient returns a client that opens a new connection for each call: a reused connection could lead to a
 // process that has handed over.
 func newCallClient() *http.Client {
 	return &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// healthStatus returns the status of a balancer's health check; 0 if there was no response.
+// healthStatus returns the HTTP status of a balancer's health check; 0 if there was no response.
 func healthStatus(address string) int {
 	response, err := newCallClient().Get("http://" + address + "/_health")
 	if err != nil {
@@ -29,14 +29,14 @@
 	return response.StatusCode
 }
 
-// adminCall is one call to a process's admin address.
+// adminCall is one HTTP request to a process's admin address.
 type adminCall struct {
 	method string
 	path   string
-	server string // the name that is sent; "": no body
+	server string // server name in the request body; "": no body
 }
 
-// callAdmin makes a call and returns the status of its response.
+// callAdmin sends the call to the process and returns the HTTP status of the response.
 func (p *process) callAdmin(call adminCall) (int, error) {
 	var body []byte
 	if call.server != "" {
@@ -57,13 +57,14 @@
 	return response.StatusCode, response.Body.Close()
 }
 
-// Why a new process was not ready in time.
+// Errors of awaitReady.
 var (
-	errProcessExited   = errors.New("the new process has ended")
+	errProcessExited   = errors.New("the new process exited before it was ready")
 	errProcessNotReady = errors.New("not ready")
 )
 
-// awaitReady polls until a process reports that it can serve.
+// awaitReady polls the process until it reports that it can serve. It fails if the process exits, the context is
+// done, or the timeout passes.
 func (p *process) awaitReady(ctx context.Context, timeout time.Duration) error {
 	for end := time.Now().Add(timeout); time.Now().Before(end); {
 		status, err := p.callAdmin(adminCall{method: http.MethodGet, path: "/api/ready"})
@@ -81,7 +82,8 @@
 	return fmt.Errorf("%w within %v", errProcessNotReady, timeout)
 }
 
-// expectStatus makes a call and reports a problem unless its response has the status, in time.
+// expectStatus makes a call and adds a problem to the handover report if the call fails, times out or returns
+// another status. It adds none once the context is done.
 func (e *environment) expectStatus(ctx context.Context, target *process, call adminCall, status int) {
 	got, err := target.callAdmin(call)
 	if (err != nil || got != status) && ctx.Err() == nil {
--- a/internal/lab/loadtest/balancer.go
+++ b/internal/lab/loadtest/balancer.go
@@ -19,53 +19,54 @@
 	"piernotch/internal/simprotocol"
 )
 
-// How long a balancer's start may take: startPolls health checks, startPollPause apart.
+// A balancer that starts gets startPolls health checks, startPollPause apart, before its start counts as failed.
 const (
 	startPolls     = 200
 	startPollPause = 50 * time.Millisecond
 	startTimeout   = startPolls * startPollPause
 )
 
-// lastLogLines is how many lines of a balancer's log an error quotes.
+// lastLogLines is the number of lines that an error quotes from the end of a balancer's log.
 const lastLogLines = 4
 
-// balancer is one logical balancer. It outlives its processes, which are starts of its program.
+// balancer is one balancer of the realization. It persists across restarts and handovers, which replace its
+// process.
 type balancer struct {
 	number     int
 	zone       int
 	program    string
 	args       []string
 	env        []string
-	dir        string // for logs
+	dir        string // of its log and its processes' shared directory
 	address    string
 	configFile string
-	listener   *listener // nil: it binds its address itself
+	listener   *listener // nil: each process binds the address itself
 
-	handover sync.Mutex // held while a handover goes on
+	handover sync.Mutex // held during a handover
 
-	mu        sync.Mutex    // guards what follows
-	process   *process      // that clients are served by, or the last one
-	routing   routing       // how clients use it
-	crash     error         // nil: it has not ended by itself
-	exitedCPU time.Duration // of exited processes
+	mu        sync.Mutex    // guards the fields below
+	process   *process      // current process, or the last one if it has exited; nil before the first start
+	routing   routing       // says whether clients use the balancer
+	crash     error         // nil: no current process has exited by itself
+	exitedCPU time.Duration // CPU time of exited processes
 }
 
 // process is one start of a balancer's program.
 type process struct {
 	cmd          *exec.Cmd
-	exited       chan struct{} // closed when it has exited
-	adminAddress string        // of its admin calls; "": none
-	stopping     bool          // it was asked to end, or killed; guarded by balancer.mu
+	exited       chan struct{} // closed once the process has exited
+	adminAddress string        // address for admin calls; "": none
+	stopping     bool          // set when the process is told to end or killed by signal; guarded by balancer.mu
 }
 
-// listener is the listening socket that all processes of a balancer inherit, and the directory that they
-// share.
+// listener holds the listening socket that all processes of a balancer inherit, and the temporary directory that
+// they share.
 type listener struct {
 	file    *os.File
 	tempDir string
 }
 
-// limits is what a balancer may use.
+// limits are the resource limits in a balancer's configuration.
 type limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
@@ -88,7 +89,8 @@
 	}, nil
 }
 
-// configure writes the platform's JSON.
+// configure writes the balancer's configuration file in the platform's JSON format. discovery is the address of
+// discovery, known is the endpoint list at the start.
 func (b *balancer) configure(
 	realization *scenario.Realization,
 	discovery string,
@@ -128,13 +130,14 @@
 	return os.WriteFile(b.configFile, data, 0o600)
 }
 
-// openListener opens the socket that the processes inherit. The caller closes its file.
+// openListener opens the listening socket that the processes inherit, and creates their temporary directory. The
+// caller closes the listener's file.
 func (b *balancer) openListener() error {
 	socket, err := net.Listen("tcp", b.address)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = socket.Close() }() // the file is a duplicate
+	defer func() { _ = socket.Close() }() // file holds a duplicate of the descriptor
 	file, err := socket.(*net.TCPListener).File()
 	if err != nil {
 		return err
@@ -143,7 +146,8 @@
 	return os.MkdirAll(b.listener.tempDir, 0o700)
 }
 
-// commandEnvironment is the environment of a process, and the address of its admin calls.
+// commandEnvironment returns the environment variables of a new process. A process that inherits the listening
+// socket also gets a free address for admin calls; for others the address is empty.
 func (b *balancer) commandEnvironment() (env []string, adminAddress string, err error) {
 	env = append(
 		append(os.Environ(), b.env...),
@@ -160,26 +164,26 @@
 	return env, adminAddress, err
 }
 
-// current returns the process that clients are served by.
+// current returns the current process, or the last one if it has exited.
 func (b *balancer) current() *process {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.process
 }
 
-// isStopping reports whether the present process was asked to end.
+// isStopping reports whether the current process was told to end or killed by signal.
 func (b *balancer) isStopping() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.process.stopping
 }
 
-// routing is how clients use a balancer.
+// routing says whether clients use a balancer, and on which connections.
 type routing uint8
 
 const (
 	notRouted           routing = iota
-	openConnectionsOnly         // clients open no new connections, and send on the open ones
+	openConnectionsOnly         // clients send on open connections and open no new ones
 	routed
 )
 
@@ -189,28 +193,27 @@
 	return b.routing
 }
 
-// route sets how clients use the balancer.
 func (b *balancer) route(how routing) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.routing = how
 }
 
-// crashError returns how the balancer ended by itself; nil if it did not.
+// crashError returns the error of a current process that exited by itself; nil if none did.
 func (b *balancer) crashError() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.crash
 }
 
-// error makes a BalancerError with the last lines of the log.
+// error returns err as a BalancerError with the last lines of the log.
 func (b *balancer) error(stage string, err error) error {
 	return &BalancerError{Balancer: b.number, Stage: stage, Err: err, LastLog: b.lastLog()}
 }
 
 func (b *balancer) logFile() string { return filepath.Join(b.dir, fmt.Sprintf("n%d.log", b.number)) }
 
-// lastLog returns the last lines of the log.
+// lastLog returns the last lastLogLines lines of the log; "" if the log is empty or cannot be read.
 func (b *balancer) lastLog() string {
 	data, err := os.ReadFile(b.logFile())
 	if err != nil || len(data) == 0 {
@@ -220,13 +223,13 @@
 	return strings.Join(lines[max(len(lines)-lastLogLines, 0):], "\n")
 }
 
-// spawn starts a process. It does not yet serve for the balancer.
+// spawn starts a process but does not make it the balancer's current one.
 func (b *balancer) spawn() (*process, error) {
 	log, err := os.OpenFile(b.logFile(), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = log.Close() }() // the process has its own
+	defer func() { _ = log.Close() }() // the process has its own descriptor
 	started := &process{cmd: exec.Command(b.program, b.args...), exited: make(chan struct{})}
 	started.cmd.Env, started.adminAddress, err = b.commandEnvironment()
 	if err != nil {
@@ -240,11 +243,12 @@
 	if err := started.cmd.Start(); err != nil {
 		return nil, &BalancerError{Balancer: b.number, Err: err}
 	}
-	go b.awaitProcess(started) // ends with the process
+	go b.awaitProcess(started) // returns once the process has exited
 	return started, nil
 }
 
-// awaitProcess waits until a process has exited, and notes its CPU time and whether it crashed.
+// awaitProcess waits until a process has exited and adds its CPU time to the balancer's. If it was the current
+// process and not told to end, awaitProcess records a crash.
 func (b *balancer) awaitProcess(started *process) {
 	err := started.cmd.Wait()
 	b.mu.Lock()
@@ -260,7 +264,8 @@
 	close(started.exited)
 }
 
-// start starts a process that serves for the balancer, and waits until it is ready.
+// start starts a process, makes it the current one, and waits until its health check succeeds. It fails if the
+// process exits before that, the context is done, or startTimeout passes.
 func (b *balancer) start(ctx context.Context) error {
 	started, err := b.spawn()
 	if err != nil {
@@ -284,8 +289,9 @@
 	return b.error("", fmt.Errorf("%w after %v", ErrBalancerNotReady, startTimeout))
 }
 
-// signal sends a signal to the present process and returns the channel that is closed when it has exited.
-// All signals but a reload count as telling it to end. Without a process the channel is closed.
+// signal sends a signal to the current process and returns a channel that is closed once the process has exited.
+// Every signal but SIGHUP, which means reload, marks the process as stopping. Without a process the channel is
+// already closed.
 func (b *balancer) signal(sent syscall.Signal) <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -301,7 +307,7 @@
 	return b.process.exited
 }
 
-// handTo has the next process serve for the balancer and tells the old one to end.
+// handTo makes next the current process and sends SIGTERM to old.
 func (b *balancer) handTo(next, old *process) {
 	b.mu.Lock()
 	b.process = next
--- a/internal/lab/loadtest/crowd.go
+++ b/internal/lab/loadtest/crowd.go
@@ -9,16 +9,17 @@
 // reconnectPause is how long an idle client waits before it connects again.
 const reconnectPause = 200 * time.Millisecond
 
-// startIdleClients has idle clients rest on all balancers until the context ends.
+// startIdleClients starts Options.IdleClients clients for each balancer. They run until the context is done.
 func (e *environment) startIdleClients(ctx context.Context) {
 	for _, target := range e.balancers {
 		for range e.opts.IdleClients {
-			go target.runIdleClient(ctx) // ends with the context
+			go target.runIdleClient(ctx) // returns once the context is done
 		}
 	}
 }
 
-// runIdleClient connects to the balancer, again and again, and sends nothing until the balancer ends the connection.
+// runIdleClient keeps a connection to the balancer on which it sends nothing, and reconnects when that one is
+// closed. While the balancer is not routed, it opens none.
 func (b *balancer) runIdleClient(ctx context.Context) {
 	for ctx.Err() == nil {
 		if b.currentRouting() == routed {
@@ -28,15 +29,15 @@
 	}
 }
 
-// holdIdleConnection holds one connection until the balancer ends it.
+// holdIdleConnection opens a connection and holds it until the balancer closes it or the context is done.
 func (b *balancer) holdIdleConnection(ctx context.Context) {
 	var dialer net.Dialer
 	connection, err := dialer.DialContext(ctx, "tcp", b.address)
 	if err != nil {
-		return // it restarts, or has no room
+		return // the balancer restarts or accepts no more connections
 	}
 	defer context.AfterFunc(ctx, func() { _ = connection.Close() })()
 	var one [1]byte
-	_, _ = connection.Read(one[:]) // ends with the connection
+	_, _ = connection.Read(one[:]) // returns once the connection is closed
 	_ = connection.Close()
 }
--- a/internal/lab/loadtest/doc.go
+++ b/internal/lab/loadtest/doc.go
@@ -1,13 +1,12 @@
 // Package loadtest plays a scenario on real sockets: emulated servers and discovery (internal/lab/emulator),
-// open-loop clients (internal/lab/load), and balancers as processes of their own. What both ends observe is
-// checked by internal/lab/invariants.
+// open-loop clients (internal/lab/load), and balancers in separate processes. The invariants
+// (internal/lab/invariants) are checked against what clients, servers and discovery observe.
 //
-// Run plays one realization of a scenario. On top of its own faults it can play handovers of balancers to new
-// processes (Handover), seeded faults of links and processes (internal/lab/chaos), and let the balancers
-// share one watch of discovery through a control group of voters. FaultTests are short scenarios with one
-// fault each, and MeasureRecovery compares them with the same scenario without it.
+// Run plays one realization of a scenario with its faults. Options can add handovers of balancers to new
+// processes (Handover), seeded faults of links and processes (internal/lab/chaos), and a control group of voters
+// through which the balancers share one watch of discovery. FaultTests returns short scenarios that each test one
+// fault, and MeasureRecovery compares a run with its control, a run without the fault.
 //
-// The package owns the balancers' processes, sockets and logs. It must not know more of them than an operator
-// does: their configuration, their admin calls, their health check and /proc. It is called by
-// piernotch-lab.
+// The package owns the balancers' processes, sockets and logs. It must not rely on more than an operator sees of a
+// balancer: configuration, admin calls, health check and /proc. piernotch-lab calls it.
 package loadtest
--- a/internal/lab/loadtest/environment.go
+++ b/internal/lab/loadtest/environment.go
@@ -17,25 +17,25 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// stopTimeout is how long a balancer may take to end at the end of the run.
+// stopTimeout is how long a balancer may take to exit at the end of the run before it is killed.
 const stopTimeout = 3 * time.Second
 
-// environment is all that runs during a run.
+// environment holds the processes, emulated parts and state of one run.
 type environment struct {
 	realization *scenario.Realization
 	opts        Options
 	started     atomic.Pointer[time.Time] // when the run began; nil: not yet
 	observer    *observer
 	fleet       *emulator.Fleet
-	balancers   []*balancer // by number
+	balancers   []*balancer // indexed by balancer number
 	malformed   load.MalformedClients
 	handovers   *HandoverReport
-	background  sync.WaitGroup      // handovers and faults that are being played
-	proxies     *faultproxy.Network // nil: nothing stands between the processes
+	background  sync.WaitGroup      // goroutines that play handovers, and faults of links and processes
+	proxies     *faultproxy.Network // nil: the processes connect without proxies
 	sharedWatch *sharedWatch        // nil: each balancer watches discovery itself
-	stopped     atomic.Bool         // the run is over
+	stopped     atomic.Bool         // set when the run is over
 	mu          sync.Mutex
-	err         error // the first one; guarded by mu
+	err         error // the first error; guarded by mu
 }
 
 func newEnvironment(realization *scenario.Realization, opts Options) *environment {
@@ -46,7 +46,8 @@
 	return e
 }
 
-// open starts all but the balancers. close is to be called also when it fails.
+// open starts the emulated servers and discovery, the voters of a shared watch, and the proxies. The caller calls
+// close even if open fails.
 func (e *environment) open() error {
 	var err error
 	balancers := len(e.realization.Balancers)
@@ -77,7 +78,8 @@
 	return nil
 }
 
-// close ends all that runs, in the reverse order of its start.
+// close closes the inherited listening sockets and stops the balancers, the proxies, the voters and the emulated
+// servers and discovery, in this order.
 func (e *environment) close() {
 	for _, balancer := range e.balancers {
 		if balancer.listener != nil {
@@ -97,7 +99,7 @@
 	}
 }
 
-// clock is the time since the run began, which it does once all balancers are ready.
+// clock returns the time since the run began; 0 before. The run begins once all balancers are ready.
 func (e *environment) clock() time.Duration {
 	if started := e.started.Load(); started != nil {
 		return time.Since(*started)
@@ -105,7 +107,7 @@
 	return 0
 }
 
-// recordError keeps the first error of what goes on in the background.
+// recordError keeps the first error of a run and drops later ones.
 func (e *environment) recordError(err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -120,7 +122,7 @@
 	return e.err
 }
 
-// addBalancer starts a balancer of the realization for the first time.
+// addBalancer creates a balancer of the realization and launches it.
 func (e *environment) addBalancer(ctx context.Context, number int) error {
 	added, err := newBalancer(e.opts, number, e.realization)
 	if err != nil {
@@ -138,7 +140,8 @@
 	return e.launch(ctx, added)
 }
 
-// launch configures and starts a balancer, and has clients use it.
+// launch writes a balancer's configuration, tells the observer that the balancer starts without state, starts a
+// process and, once it is ready, routes clients to the balancer.
 func (e *environment) launch(ctx context.Context, target *balancer) error {
 	if err := e.configure(target); err != nil {
 		return err
@@ -151,7 +154,7 @@
 	return nil
 }
 
-// configure writes a balancer's configuration with the present address of its discovery.
+// configure writes a balancer's configuration with the current address of its discovery, or of the proxy before it.
 func (e *environment) configure(target *balancer) error {
 	discovery := e.fleet.Discovery()
 	address := e.routeThroughProxy(target.number, chaos.Discovery, discovery.Address(target.number))
@@ -159,8 +162,8 @@
 	return target.configure(e.realization, address, discovery.EndpointList(target.number), limits)
 }
 
-// pickBalancer picks one of the zone's balancers at random, or of any zone where it has none. It reports
-// false if no balancer is in use. It implements load.PickBalancer.
+// pickBalancer picks one of the zone's routed balancers at random, or one of all zones if no balancer in the zone
+// accepts new connections. It reports false if no balancer is routed. It implements load.PickBalancer.
 func (e *environment) pickBalancer(zone int, rng *rand.Rand) (picked load.Picked, ok bool) {
 	var sameZone, all []load.Picked
 	for _, candidate := range e.balancers {
@@ -186,7 +189,8 @@
 	return candidates[rng.IntN(len(candidates))], true
 }
 
-// stopBalancers ends all balancers that run.
+// stopBalancers excuses all open requests, then sends SIGTERM to one balancer after the other and kills those that
+// have not exited within stopTimeout.
 func (e *environment) stopBalancers() {
 	for _, balancer := range e.balancers {
 		e.observer.BalancerKilled(balancer.number)
@@ -201,7 +205,7 @@
 	}
 }
 
-// sleep waits for a time, or until the context ends.
+// sleep waits for the duration, or until the context is done.
 func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-time.After(duration):
--- a/internal/lab/loadtest/errors.go
+++ b/internal/lab/loadtest/errors.go
@@ -7,27 +7,27 @@
 
 // Errors of Run.
 var (
-	// ErrLinkFaultsWithSharedWatch is returned when faults of links and a shared watch are asked for.
+	// ErrLinkFaultsWithSharedWatch is returned if Options has both faults of links and a VoterProgram.
 	ErrLinkFaultsWithSharedWatch = errors.New(
 		"faults of links cannot be played on balancers that share a watch: they reach servers at the same addresses",
 	)
-	// ErrBalancerExited is a balancer that ended though nobody had stopped it.
+	// ErrBalancerExited means that the current process of a balancer exited without being told to.
 	ErrBalancerExited = errors.New("ended by itself")
-	// ErrBalancerNotStarted is a balancer that ended before it was ready.
+	// ErrBalancerNotStarted means that a balancer's process exited before it was ready.
 	ErrBalancerNotStarted = errors.New("did not start")
-	// ErrBalancerNotReady is a balancer that runs and did not become ready in time.
+	// ErrBalancerNotReady means that a balancer's process runs but did not become ready within startTimeout.
 	ErrBalancerNotReady = errors.New("is not ready")
 )
 
-// BalancerError is what went wrong with one balancer's process.
+// BalancerError is a failure of one balancer's process.
 type BalancerError struct {
 	Balancer int
-	Stage    string // what was going on; "": its start or its service
+	Stage    string // what the test was doing, such as a handover; "": starting the balancer or using it
 	Err      error
-	LastLog  string // the last lines of its log; "": none
+	LastLog  string // the last lines of the balancer's log; "": none
 }
 
-// Error names the balancer and ends with the last lines of its log.
+// Error names the balancer and the stage, and quotes the last lines of the log after the cause.
 func (e *BalancerError) Error() string {
 	text := fmt.Sprintf("balancer %d", e.Balancer)
 	if e.Stage != "" {
@@ -40,5 +40,5 @@
 	return text
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Err, for errors.Is and errors.As.
 func (e *BalancerError) Unwrap() error { return e.Err }
--- a/internal/lab/loadtest/fakebalancer_test.go
+++ b/internal/lab/loadtest/fakebalancer_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// TestMain lets the test's own program stand in for a balancer with a fault.
+// TestMain runs the test binary as a fake balancer if FAKE_BALANCER names a fault.
 func TestMain(m *testing.M) {
 	if fault := os.Getenv("FAKE_BALANCER"); fault != "" {
 		runFakeBalancer(fault)
@@ -23,8 +23,8 @@
 	os.Exit(m.Run())
 }
 
-// runFakeBalancer is a simple balancer with one fault: it sends each request to the next server of the list
-// that it was started with, and ignores endpoint updates.
+// runFakeBalancer runs a simple round-robin balancer with one fault. It uses the servers of its configuration and
+// ignores endpoint updates.
 func runFakeBalancer(fault string) {
 	var config struct {
 		Listen, Discovery string
@@ -40,7 +40,7 @@
 		fmt.Fprintln(os.Stderr, "out of cheese")
 		os.Exit(4)
 	}
-	go func() { // it polls discovery, and ignores the responses
+	go func() { // polls discovery and ignores the responses
 		for {
 			if response, err := http.Get("http://" + config.Discovery + "/catalog/members"); err == nil {
 				_, _ = io.Copy(io.Discard, response.Body)
--- a/internal/lab/loadtest/faults.go
+++ b/internal/lab/loadtest/faults.go
@@ -13,11 +13,12 @@
 	"piernotch/internal/lab/invariants"
 )
 
-// resumePause is how long after a pause a balancer may still respond late: it first responds to what waited.
+// resumePause is how long after a pause a balancer may still respond late: it first handles the requests that
+// queued up during the pause.
 const resumePause = time.Second
 
-// linkName is the name of the link from a balancer to a server or to discovery. A link draws its jitter from
-// its name: another name would give other runs of a seed.
+// linkName returns the name of the link from a balancer to a server or to discovery. The name seeds the link's
+// jitter: with other names, a seed would no longer reproduce the same run.
 func linkName(balancer int, target chaos.Target) string {
 	if target == chaos.Discovery {
 		return fmt.Sprintf("n%d>roster", balancer)
@@ -25,11 +26,11 @@
 	return fmt.Sprintf("n%d>s%d", balancer, target)
 }
 
-// serverLinkPrefix is how the names of a balancer's links to servers begin.
+// serverLinkPrefix returns the common prefix of the names of a balancer's links to servers.
 func serverLinkPrefix(balancer int) string { return fmt.Sprintf("n%d>s", balancer) }
 
-// routeThroughProxy returns where a balancer reaches an address: the address itself, or that of the proxy
-// before it.
+// routeThroughProxy returns the address at which a balancer reaches a target: that of a proxy if the target needs
+// one, else the target's own. If a proxy cannot be opened, it records the error and returns the target's own.
 func (e *environment) routeThroughProxy(balancer int, target chaos.Target, address string) string {
 	if e.proxies == nil || target != chaos.Discovery && !e.opts.needsServerProxies() {
 		return address
@@ -45,8 +46,9 @@
 	return link.Address()
 }
 
-// endpointNotified passes on that discovery has written a server's state to a balancer, once it has
-// arrived: a link that is cut delays it. What a balancer only counts as notified of is passed on at once.
+// endpointNotified tells the observer that a balancer was notified of a server's state. An update that discovery
+// wrote through a proxy counts once it has arrived, because a cut link delays it. An overdue one, which was not
+// written, counts at once. With a shared watch, overdue ones are ignored and the others go to the shared watch.
 func (e *environment) endpointNotified(sent emulator.Notification) {
 	received := notification{
 		balancer:  invariants.BalancerIndex(sent.Balancer),
@@ -57,7 +59,7 @@
 	discovery := e.fleet.Discovery()
 	switch {
 	case sent.Overdue():
-		if e.sharedWatch == nil { // else the others are notified by the group
+		if e.sharedWatch == nil { // else the group notifies the other balancers
 			e.observer.EndpointNotified(received)
 		}
 	case e.sharedWatch != nil:
@@ -71,7 +73,7 @@
 	}
 }
 
-// arrives reports whether the connection that a list was written to carries anything.
+// arrives reports whether the connection that an endpoint list was written to still carries data.
 func (e *environment) arrives(sent emulator.Notification) bool {
 	arrives := false
 	name := linkName(sent.Balancer, chaos.Discovery)
@@ -81,14 +83,15 @@
 	return arrives
 }
 
-// notifyThroughProxy passes on what was written to a link once it has arrived.
+// notifyThroughProxy tells discovery and the observer of an update once the balancer's link to discovery has
+// delivered it.
 func (e *environment) notifyThroughProxy(sent emulator.Notification, received notification) {
 	discovery := e.fleet.Discovery()
 	link, err := e.proxies.Link(linkName(sent.Balancer, chaos.Discovery), discovery.Address(sent.Balancer))
 	if err != nil {
 		return
 	}
-	go func() { // ends when the link heals, is reset or is closed
+	go func() { // returns when the link heals, is reset or is closed
 		if link.Delivered(faultproxy.FromTarget) {
 			discovery.Received(sent.Balancer, sent.Generation)
 			e.observer.EndpointNotified(received)
@@ -96,8 +99,8 @@
 	}()
 }
 
-// scheduleLinkAndProcessFaults plays the schedule of faults between processes. Its goroutines end with the
-// faults, and are waited for as background.
+// scheduleLinkAndProcessFaults starts a goroutine in the background group for each step of Options.Faults. It
+// plays the step at its time, unless the context is done by then.
 func (e *environment) scheduleLinkAndProcessFaults(ctx context.Context) {
 	for _, step := range e.opts.Faults {
 		e.background.Go(func() {
@@ -109,7 +112,8 @@
 	}
 }
 
-// playFault plays one step of a schedule, from now until its end.
+// playFault plays one step of a schedule. At the step's end it heals links, and resumes or restarts the balancer.
+// Connections that FreezeLink froze stay frozen.
 func (e *environment) playFault(ctx context.Context, step chaos.Step) {
 	faulted := e.balancers[step.Balancer]
 	awaitEnd := func() { sleep(ctx, step.End()-e.clock()) }
@@ -147,17 +151,17 @@
 	}
 }
 
-// Times of a shutdown as the platform does it.
+// Times of a shutdown by the platform.
 const (
-	// shutdownGrace is the time that a balancer has for the last requests, on top of their deadline.
+	// shutdownGrace is the time that a balancer gets to shut down, on top of the longest deadline of a class.
 	shutdownGrace = 700 * time.Millisecond
-	// maxShutdownDeadline bounds the deadline that the platform waits for.
+	// maxShutdownDeadline is the longest deadline that the platform waits for.
 	maxShutdownDeadline = 3 * time.Second
-	// signalPause is the time between the signals of a series.
+	// signalPause is the time between two signals of a series.
 	signalPause = 60 * time.Millisecond
 )
 
-// killDelay returns how soon after SIGTERM the platform may kill a balancer.
+// killDelay returns the shortest time between SIGTERM and SIGKILL that the platform may leave a balancer.
 func (e *environment) killDelay() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range e.realization.Classes {
@@ -166,8 +170,9 @@
 	return min(longest, maxShutdownDeadline) + shutdownGrace
 }
 
-// terminate shuts a balancer down, kills it at the earliest moment that the platform may choose, and starts it
-// again. Clients send on the connections that stay open until the kill.
+// terminate sends SIGTERM to a balancer and kills it after killDelay if it still runs. It starts the balancer again
+// at the step's end or, if the shutdown takes longer, after the shutdown. unrouteDelay after
+// SIGTERM, clients stop opening connections and send only on those that are still open.
 func (e *environment) terminate(ctx context.Context, step chaos.Step) {
 	target := e.balancers[step.Balancer]
 	kill := time.After(e.killDelay())
@@ -194,14 +199,15 @@
 	}
 }
 
-// setReachable says whether a step's fault keeps its balancer from reaching discovery.
+// setReachable tells discovery whether the balancer can reach it, if the step's target is discovery.
 func (e *environment) setReachable(step chaos.Step, reachable bool) {
 	if step.Target == chaos.Discovery {
 		e.fleet.Discovery().SetReachable(step.Balancer, reachable)
 	}
 }
 
-// flapLinks puts a step's fault on its links and heals them, in turn, until the step's end.
+// flapLinks sets and heals the step's fault in turn, every chaos.FlapInterval. At the step's end it leaves the
+// links healed.
 func (e *environment) flapLinks(ctx context.Context, step chaos.Step) {
 	faulty := false
 	for e.clock() < step.End() && ctx.Err() == nil {
@@ -218,7 +224,7 @@
 	}
 }
 
-// setLinkFault puts a step's fault on its links.
+// setLinkFault sets a step's fault on its links in the step's directions, and clears faults in the other ones.
 func (e *environment) setLinkFault(step chaos.Step) {
 	e.setReachable(step, false)
 	e.eachLink(step, func(link *faultproxy.Link) {
@@ -232,13 +238,13 @@
 	})
 }
 
-// healLinks ends all faults of a step's links.
+// healLinks clears all faults of a step's links.
 func (e *environment) healLinks(step chaos.Step) {
 	e.eachLink(step, (*faultproxy.Link).Heal)
 	e.setReachable(step, true)
 }
 
-// eachLink calls visit for each link that a step is about.
+// eachLink calls visit for each link that a step affects.
 func (e *environment) eachLink(step chaos.Step, visit func(*faultproxy.Link)) {
 	selects := func(name string) bool { return name == linkName(step.Balancer, step.Target) }
 	if step.Target == chaos.AllServers {
--- a/internal/lab/loadtest/faulttests.go
+++ b/internal/lab/loadtest/faulttests.go
@@ -8,30 +8,31 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// FaultTest is a short scenario with one fault.
+// FaultTest is a short scenario that tests the recovery from a fault.
 type FaultTest struct {
 	Name         string
 	Description  string
-	scenarioText string // TOML, on top of the base scenario
+	scenarioText string // TOML that is added to the base scenario
 }
 
-// Times of a fault test, seconds.
+// Times of a fault test, in seconds.
 const (
-	FaultTime       = 12 // when the fault begins
-	FaultTestLength = 45 // of the run
+	FaultTime       = 12 // from the start of the run to that of the fault
+	FaultTestLength = 45 // length of the run
 )
 
-// balancerFault is the text of a scenario with so many balancers and one fault of them.
+// balancerFault returns the scenario text for a number of balancers with one fault of a kind.
 func balancerFault(balancers int, kind, settings string) string {
 	return fmt.Sprintf("[balancers]\ncount = %d\n%s", balancers, fault(kind, settings))
 }
 
-// fault is the text of a fault of a kind.
+// fault returns the scenario text of one fault of a kind at FaultTime.
 func fault(kind, settings string) string {
 	return fmt.Sprintf("[[trouble]]\nkind = %q\nat_s = %d\n%s", kind, FaultTime, settings)
 }
 
-// FaultTests returns the faults that a service must recover from by itself.
+// FaultTests returns a test for each fault that a service must recover from by itself, and first the test "none",
+// which has no fault.
 func FaultTests() []FaultTest {
 	return slices.Concat(
 		[]FaultTest{{"none", "nothing goes wrong", ""}},
@@ -121,8 +122,8 @@
 	return t.parse("fault test "+t.Name, t.scenarioText)
 }
 
-// Control returns the same scenario without the fault: the same servers and traffic for a seed. Fault tests
-// with equal control texts have equal controls.
+// Control returns the scenario without the fault: for a seed it has the same servers and traffic. Fault tests that
+// return the same text have the same control.
 func (t FaultTest) Control() (s *scenario.Scenario, text string, err error) {
 	text, _, _ = strings.Cut(t.scenarioText, "[[trouble]]")
 	s, err = t.parse("control", text)
--- a/internal/lab/loadtest/handover.go
+++ b/internal/lab/loadtest/handover.go
@@ -9,59 +9,62 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// HandoverKind is how a handover goes.
+// HandoverKind is the course that a handover takes.
 type HandoverKind string
 
-// Kinds of handovers. Each ends with one process of the balancer. The values are those of stored
-// results.
+// Kinds of handovers. After each, the balancer has one process. The values are those of stored results.
 const (
-	HandoverPlain            HandoverKind = "plain"       // the old process is asked to end once the new one is ready
-	HandoverLateStop         HandoverKind = "late"        // up to maxStopDelay after that
+	HandoverPlain            HandoverKind = "plain"       // the old process gets SIGTERM once the new one is ready
+	HandoverLateStop         HandoverKind = "late"        // the old one gets SIGTERM up to maxStopDelay later
 	HandoverCrashBeforeReady HandoverKind = "dies-early"  // the new one is killed before it is ready
-	HandoverCrashAfterReady  HandoverKind = "dies-late"   // and after it, before the old one is asked to end
-	HandoverBothReload       HandoverKind = "both-reload" // both get a SIGHUP meanwhile
-	HandoverStopBeforeReady  HandoverKind = "too-soon"    // the old one is asked to end while the new one starts
-	HandoverThirdProcess     HandoverKind = "third"       // a third is started beside the two
-	// A server is excluded at either process meanwhile, and included again.
+	HandoverCrashAfterReady  HandoverKind = "dies-late"   // the new one is killed once ready; the old one serves on
+	HandoverBothReload       HandoverKind = "both-reload" // both get SIGHUP once the new one is ready
+	HandoverStopBeforeReady  HandoverKind = "too-soon"    // the old one gets SIGTERM while the new one starts
+	HandoverThirdProcess     HandoverKind = "third"       // a third takes over from the new one
+	// A server is excluded at both processes, and included again at the new one.
 	HandoverExclude HandoverKind = "exclude"
-	// The balancer is drained at one process and rejoins at the other.
+	// The balancer is drained at the old process and rejoins at the new one.
 	HandoverDrain HandoverKind = "drain"
 )
 
-// HandoverKinds are all of them.
+// HandoverKinds lists all kinds. DrawHandovers relies on the order: another one changes the runs of a seed.
 var HandoverKinds = []HandoverKind{
 	HandoverPlain, HandoverLateStop, HandoverCrashBeforeReady, HandoverCrashAfterReady, HandoverBothReload,
 	HandoverStopBeforeReady, HandoverThirdProcess, HandoverExclude, HandoverDrain,
 }
 
-// Handover is one of a balancer's handovers in a run.
+// Handover is a planned handover of one balancer to a new process.
 type Handover struct {
-	At        time.Duration // since the run began
-	Balancer  int
-	Kind      HandoverKind
-	StopDelay time.Duration // until the old process is asked to end, where that is late
+	At       time.Duration // since the run began
+	Balancer int
+	Kind     HandoverKind
+	// StopDelay is the time from the new process's readiness to SIGTERM with HandoverLateStop. With
+	// HandoverCrashAfterReady the new process is killed after a third of it.
+	StopDelay time.Duration
 }
 
 const (
-	// HandoverInterval is the time from one handover of a balancer to its next, which covers the
-	// longest.
+	// HandoverInterval is the time from the start of one handover of a balancer to that of its next. It leaves
+	// enough time for the longest handover.
 	HandoverInterval = maxStopDelay + 8*time.Second
-	// HandoverLeadTime is the time before the first handover.
+	// HandoverLeadTime is the time from the start of the run to the first handover.
 	HandoverLeadTime = 2 * time.Second
 
 	maxStopDelay = 6 * time.Second
-	// readyTimeout is how long a new process may take to be ready.
+	// readyTimeout is how long a new process may take to become ready.
 	readyTimeout = 5 * time.Second
-	// killGrace is how long after the longest deadline of a class a process that was asked to end
-	// is killed.
+	// killGrace is the time that a process gets to exit after SIGTERM, on top of minStopLimit or the longest
+	// deadline of a class, whichever is longer. Then it is killed.
 	killGrace = 700 * time.Millisecond
 )
 
-// handoverStream is the random stream of DrawHandovers, apart from those that other draws of a seed use.
+// handoverStream is the random stream of DrawHandovers. It differs from the streams of other draws of a seed, so that
+// these stay independent.
 const handoverStream = 23
 
-// DrawHandovers spreads a number of handovers over the balancers of a realization, one after the other at
-// each, and gives every kind the same share. They are determined by the realization's seed.
+// DrawHandovers draws count handovers from the realization's seed, in the order of their times. It goes through the
+// balancers in turn and spaces the handovers of each by HandoverInterval. The numbers of
+// handovers of the kinds differ by at most one.
 func DrawHandovers(realization *scenario.Realization, count int) []Handover {
 	rng := rand.New(rand.NewPCG(realization.Seed, handoverStream))
 	handovers := make([]Handover, count)
@@ -78,15 +81,16 @@
 	return handovers
 }
 
-// HandoverReport is the result of the handovers. It is complete when Run has returned.
+// HandoverReport counts the outcomes of a run's handovers. It is complete when Run has returned.
 type HandoverReport struct {
 	mu           sync.Mutex
 	Done         map[HandoverKind]int `json:"done"`
 	SlowestReady time.Duration        `json:"slowest_yes_ns"`
-	Problems     []string             `json:"wrong,omitempty"` // admin calls whose response was late or wrong
-	Exited       int                  `json:"ended"`           // processes that ended when asked to
-	Killed       int                  `json:"killed"`          // and that had to be killed after their time
-	// ClosedUnderRequest counts requests whose connection was closed unread, by processes that were not killed.
+	Problems     []string             `json:"wrong,omitempty"` // late or wrong responses to admin calls and health checks
+	Exited       int                  `json:"ended"`           // processes that exited in time after SIGTERM
+	Killed       int                  `json:"killed"`          // processes that did not and were killed
+	// ClosedUnderRequest counts requests whose reused connection was closed before the balancer read them, as far
+	// as clients can tell. It leaves out balancers that were killed or paused at that time.
 	ClosedUnderRequest int `json:"turned_back"`
 }
 
@@ -96,28 +100,28 @@
 	h.Problems = append(h.Problems, fmt.Sprintf(format, args...))
 }
 
-// addDone counts a handover that has come to its end.
+// addDone counts a finished handover.
 func (h *HandoverReport) addDone(kind HandoverKind) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.Done[kind]++
 }
 
-// addReady counts a new process that was ready after a time.
+// addReady updates SlowestReady with the time that a new process took to become ready.
 func (h *HandoverReport) addReady(after time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.SlowestReady = max(h.SlowestReady, after)
 }
 
-// addExited counts an old process that ended when it was asked to.
+// addExited counts a process that exited in time after SIGTERM.
 func (h *HandoverReport) addExited() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.Exited++
 }
 
-// addKilled counts an old process that had to be killed.
+// addKilled counts a process that was killed because it did not exit in time after SIGTERM.
 func (h *HandoverReport) addKilled() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/loadtest/handover_play.go
+++ b/internal/lab/loadtest/handover_play.go
@@ -14,15 +14,15 @@
 
 // Pauses of handovers.
 const (
-	reloadPause  = 100 * time.Millisecond  // after a reload of both processes
-	crashPause   = 1200 * time.Millisecond // until clients have no connection to a killed process
-	drainPause   = time.Second             // between a drain and its end
-	healthPause  = 150 * time.Millisecond  // until the health check has to show a drain or its end
-	minStopLimit = 3 * time.Second         // that the platform gives a process to end, at least
+	reloadPause  = 100 * time.Millisecond  // after SIGHUP to both processes
+	crashPause   = 1200 * time.Millisecond // until clients no longer use connections to a killed process
+	drainPause   = time.Second             // from the check of a drain to the rejoin
+	healthPause  = 150 * time.Millisecond  // from a drain or rejoin until the health check must show it
+	minStopLimit = 3 * time.Second         // least time that the platform gives a process to exit
 )
 
-// scheduleHandovers plays the handovers of the run. Its goroutines end with them, and are waited for as
-// background.
+// scheduleHandovers starts a goroutine in the background group for each handover. It plays the handover at its
+// time and records an error unless the context is done.
 func (e *environment) scheduleHandovers(ctx context.Context) {
 	for _, handover := range e.opts.Handovers {
 		e.background.Go(func() {
@@ -34,9 +34,10 @@
 	}
 }
 
-// playHandover plays one handover of a balancer.
+// playHandover plays one handover of a balancer. If another handover of the balancer is under way, it waits for the
+// end of that one.
 func (e *environment) playHandover(ctx context.Context, target *balancer, played Handover) error {
-	target.handover.Lock() // one after the other
+	target.handover.Lock() // one handover of a balancer at a time
 	defer target.handover.Unlock()
 	if ctx.Err() != nil {
 		return nil
@@ -83,15 +84,15 @@
 	return nil
 }
 
-// handoverProcesses are the two processes of a balancer during a handover.
+// handoverProcesses is a balancer with its old and new process during a handover.
 type handoverProcesses struct {
 	balancer *balancer
 	old      *process
 	next     *process
 }
 
-// disturbHandover plays what is particular to a kind of handover while both processes run. It returns the
-// process that takes over.
+// disturbHandover plays the part of a handover that depends on its kind, while the old and the new process run. It
+// returns the process that takes over: the new one, or a third.
 func (e *environment) disturbHandover(ctx context.Context, played Handover, both handoverProcesses) (*process, error) {
 	switch played.Kind {
 	case HandoverLateStop:
@@ -110,7 +111,8 @@
 	return both.next, nil
 }
 
-// crashNext kills the new process, and the requests in flight at it with it.
+// crashNext kills the new process, which aborts its requests in flight, and waits crashPause. All requests open at
+// the balancer are excused, and so are failures until the end of the pause.
 func (e *environment) crashNext(ctx context.Context, target *balancer, next *process, played Handover) {
 	sleep(ctx, played.StopDelay/3)
 	e.observer.BalancerKilled(target.number)
@@ -120,7 +122,8 @@
 	e.observer.BalancerRecovered(target.number)
 }
 
-// handToThird hands over from the new process to a third one while the old one still runs.
+// handToThird starts a third process and hands over from the new one to it, while the old one still runs. It returns
+// the third process after the new one has exited.
 func (e *environment) handToThird(ctx context.Context, target *balancer, next *process) (*process, error) {
 	third, err := target.spawn()
 	if err != nil {
@@ -134,7 +137,7 @@
 	return third, nil
 }
 
-// finishHandover notes that a handover has come to its end, with one process left.
+// finishHandover makes the remaining process the balancer's current one and counts the handover as done.
 func (e *environment) finishHandover(played Handover, target *balancer, left *process) {
 	target.mu.Lock()
 	target.process = left
@@ -142,7 +145,8 @@
 	e.handovers.addDone(played.Kind)
 }
 
-// awaitExit waits for a process that was asked to end, as long as the platform does, and kills it then.
+// awaitExit waits as long as the platform does for a process to exit after SIGTERM, then kills it. It counts the
+// result in the handover report.
 func (e *environment) awaitExit(old *process) {
 	limit := minStopLimit
 	for _, class := range e.realization.Classes {
@@ -158,8 +162,9 @@
 	}
 }
 
-// excludeServer excludes a server at one process and includes it again at the other. Meanwhile the
-// invariant on draining applies to the balancer, and it has to reject the name of an unknown server.
+// excludeServer excludes a ready server at both processes and includes it again at the new one. In between, the
+// invariant on draining applies to this server and balancer. The new process must also answer 404 to the name of an
+// unknown server.
 func (e *environment) excludeServer(ctx context.Context, both handoverProcesses) {
 	server, name, ok := e.fleet.Discovery().ReadyServer()
 	if !ok {
@@ -191,7 +196,8 @@
 	)
 }
 
-// drainBalancer drains the balancer at one process and has it rejoin at the other.
+// drainBalancer drains the balancer at its old process and has it rejoin at the new one. It checks that the health
+// check shows both.
 func (e *environment) drainBalancer(ctx context.Context, both handoverProcesses) {
 	e.expectStatus(ctx, both.old, adminCall{method: http.MethodPost, path: "/api/evacuate"}, http.StatusOK)
 	sleep(ctx, healthPause)
--- a/internal/lab/loadtest/loadtest.go
+++ b/internal/lab/loadtest/loadtest.go
@@ -12,35 +12,35 @@
 	"piernotch/internal/lab/simulation"
 )
 
-// Limits of a balancer where Options do not say otherwise.
+// Defaults of Options.MemoryMB and Options.Sockets.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 )
 
-// Options say how a realization is played. Only Program is required.
+// Options configures a run. Only Program is required.
 type Options struct {
-	Program  string   // the balancer
+	Program  string   // path of the balancer's executable
 	MemoryMB int      // memory limit of each balancer; 0: 192
 	Sockets  int      // descriptor limit of each balancer; 0: 1024
-	Env      []string // KEY=VALUE, of the balancers, on top of this program's own
-	// Handovers are played during the run. With any, each balancer's listening socket is opened here
-	// and inherited by its processes.
+	Env      []string // KEY=VALUE pairs that balancers get in addition to this program's environment
+	// Handovers are played during the run. If there are any, Run opens each balancer's listening socket and
+	// the balancer's processes inherit it.
 	Handovers []Handover
-	// VoterProgram runs as three voters, through which the balancers share one watch of discovery;
-	// "": each balancer watches discovery itself.
+	// VoterProgram is the path of a voter's executable. Run starts three voters, through which the balancers
+	// share one watch of discovery; "": each balancer watches discovery itself.
 	VoterProgram string
-	// Faults are played between the processes. With any fault of a link, every link of a balancer goes
-	// through a proxy.
+	// Faults are faults of links and balancer processes. With any fault of a link, balancers reach discovery
+	// through proxies; with any fault of a link to a server, they reach servers through proxies, too.
 	Faults      []chaos.Step
-	IdleClients int // idle clients that rest on each balancer until it ends their connection, and come back
-	// KeepIdle is how long clients keep an idle connection and reuse it; 0: as load.Clients does.
+	IdleClients int // idle clients per balancer; they reconnect when it closes their connection
+	// KeepIdle is how long clients may reuse an idle connection; 0: the default of load.Clients.
 	KeepIdle time.Duration
-	LogDir   string // for configurations and logs; "": a temporary one that is removed
+	LogDir   string // directory for configurations and logs; "": a temporary one that Run removes
 }
 
-// withDefaults fills in what is not set and creates the log directory. The caller calls cleanup at the
-// end.
+// withDefaults fills in MemoryMB, Sockets and LogDir where they are not set, and creates the log directory. The
+// caller calls cleanup at the end of the run: it removes a temporary log directory.
 func (o Options) withDefaults() (filled Options, cleanup func(), err error) {
 	if o.MemoryMB == 0 {
 		o.MemoryMB = defaultMemoryMB
@@ -53,24 +53,24 @@
 	}
 	o.LogDir, err = os.MkdirTemp("", "loadtest")
 	dir := o.LogDir
-	return o, func() { _ = os.RemoveAll(dir) }, err // temporary: what is left does no harm
+	return o, func() { _ = os.RemoveAll(dir) }, err // a leftover temporary directory does no harm
 }
 
-// needsProxies reports whether faults of links are to be played.
+// needsProxies reports whether Faults has any fault of a link.
 func (o Options) needsProxies() bool {
 	return slices.ContainsFunc(o.Faults, func(step chaos.Step) bool { return step.OnLink() })
 }
 
-// needsServerProxies reports whether any of them are of links to servers.
+// needsServerProxies reports whether Faults has any fault of a link to a server.
 func (o Options) needsServerProxies() bool {
 	return slices.ContainsFunc(o.Faults, func(step chaos.Step) bool {
 		return step.OnLink() && step.Target != chaos.Discovery
 	})
 }
 
-// Run plays a realization. When the context ends, it ends all that it started and reports what it has. A
-// report may come with an error: then something went wrong during the run. The errors are those of
-// errors.go, and what the system or the scenario gives.
+// Run plays a realization. If the context is done during the run, Run stops early and reports the results so
+// far. An error during the run comes with a report, an earlier error without one. Run returns the errors of
+// errors.go and those of the operating system and the scenario.
 func Run(ctx context.Context, realization *scenario.Realization, opts Options) (*Report, error) {
 	opts, cleanup, err := opts.withDefaults()
 	if err != nil {
@@ -94,7 +94,8 @@
 	return running.play(ctx, arrivals)
 }
 
-// play plays the realization once all balancers are ready.
+// play starts the run's clock, runs clients, faults and handovers, and reports the results. All balancers must be
+// ready.
 func (e *environment) play(ctx context.Context, arrivals []simulation.Arrival) (*Report, error) {
 	now := time.Now()
 	e.started.Store(&now)
@@ -115,7 +116,7 @@
 	e.scheduleHandovers(ctx)
 	usage := make(chan [][]Quarter)
 	stop := make(chan struct{})
-	go func() { usage <- e.sampleUsage(stop) }() // ends with stop
+	go func() { usage <- e.sampleUsage(stop) }() // returns once stop is closed
 	clients.Run(ctx)
 	e.background.Wait()
 	close(stop)
--- a/internal/lab/loadtest/loadtest_test.go
+++ b/internal/lab/loadtest/loadtest_test.go
@@ -36,7 +36,7 @@
 	return realization
 }
 
-// runWithFakeBalancer plays a test realization with a balancer that has a fault.
+// runWithFakeBalancer plays a test realization with a fake balancer that has the fault.
 func runWithFakeBalancer(t *testing.T, fault, text string, set ...string) (*Report, error) {
 	t.Helper()
 	self, err := os.Executable()
@@ -48,7 +48,7 @@
 	)
 }
 
-// requireOneOutcomePerAttempt checks that every attempt of a client has one outcome.
+// requireOneOutcomePerAttempt requires that the outcomes add up to the number of client attempts.
 func requireOneOutcomePerAttempt(t *testing.T, report *Report) {
 	t.Helper()
 	counts := report.Counts
@@ -106,7 +106,7 @@
 	require.ErrorContains(t, err, "out of cheese")
 }
 
-// buildBalancer builds the real balancer and returns its file.
+// buildBalancer builds the real balancer and returns the path of its executable.
 func buildBalancer(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "piernotch")
@@ -115,7 +115,8 @@
 	return program
 }
 
-// The real balancer violates no invariant through a crash, a restart and servers that drain.
+// The real balancer must violate no invariant while balancers crash and restart, servers drain, vanish or send
+// malformed responses, discovery fails and malformed clients connect.
 func TestBalancerKeepsInvariantsOnSockets(t *testing.T) {
 	t.Parallel()
 	program := buildBalancer(t)
--- a/internal/lab/loadtest/observer.go
+++ b/internal/lab/loadtest/observer.go
@@ -10,48 +10,50 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// socketTolerance is how much longer every time limit is than in simulated time.
+// socketTolerance is added to the response slack and the drain grace that the invariants allow in
+// simulated time.
 const socketTolerance = 50 * time.Millisecond
 
-// How long after its final response a request may still arrive at a server, because it was sent before.
-// Proxies delay it for longer: by the delay of a link, and for as long as a silent cut does not break its
-// connection.
+// How long after the final response an attempt that was sent earlier may still arrive at its server.
+// Through a proxy it may take longer: a link adds its delay, and a silent cut (blackhole) holds data back until the
+// connection breaks.
 const (
 	crossingTime            = 100 * time.Millisecond
 	crossingTimeWithProxies = crossingTime + 2500*time.Millisecond
 )
 
-// endedRequestTTL is how long a request that has ended is remembered.
+// endedRequestTTL is how long the observer remembers a request that has ended.
 const endedRequestTTL = 10 * time.Second
 
-// finalMargin is how far beyond the end of the run overdue requests are looked for.
+// finalMargin is how far after the end of the run the deadline of an open request may lie for the final check to count
+// the request as overdue.
 const finalMargin = time.Minute
 
-// observer feeds the invariants' checker with what clients, servers and discovery see. It implements
+// observer reports what clients, servers and discovery observe to the checker of the invariants. It implements
 // load.Observer and emulator.Observer. All methods may be called from any goroutine.
 type observer struct {
 	clock        func() time.Duration
 	crossingTime time.Duration // crossingTime, or crossingTimeWithProxies; set before the run begins
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	checker      *invariants.Checker
 	lastSequence uint64
 	requests     map[string]*request // by id
-	ended        []endedRequest      // in the order of time
-	excused      map[int]int         // by balancer: the number of reasons why it need not respond
-	// closedUnderRequest counts requests whose connection was closed unread by balancers without such a reason.
+	ended        []endedRequest      // ordered by end
+	excused      map[int]int         // by balancer: how many kills and pauses excuse it from responding
+	// closedUnderRequest counts requests with the outcome load.Unreachable at balancers that were not excused.
 	closedUnderRequest int
 }
 
-// request is one request that clients have sent.
+// request is a request that a client has sent; a client's retry is another one.
 type request struct {
-	sequence uint64 // its number in the checker
+	sequence uint64 // its ID in the checker
 	balancer int
 	sentAt   time.Duration
 	attempts int
 	endedAt  time.Duration // 0: it has not ended
-	paused   bool          // its balancer was paused meanwhile
-	ignored  map[int]bool  // attempts that crossed the final response
+	paused   bool          // its balancer was paused while it was open
+	ignored  map[int]bool  // attempts that arrived within crossingTime after the end
 }
 
 type endedRequest struct {
@@ -59,7 +61,7 @@
 	at time.Duration
 }
 
-// newObserver returns an observer of a run. Zone and cell return where a server is.
+// newObserver returns an observer of a run. zone and cell return the zone and cell of a server.
 func newObserver(
 	realization *scenario.Realization,
 	clock func() time.Duration,
@@ -83,7 +85,7 @@
 	}
 }
 
-// RequestSent implements load.Observer.
+// RequestSent implements load.Observer. It also forgets requests that ended more than endedRequestTTL ago.
 func (o *observer) RequestSent(id string, balancer, class int, deadline time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -99,9 +101,9 @@
 	}
 }
 
-// RequestEnded implements load.Observer. A request without a response at its deadline has failed and is not
-// lost; one whose balancer closed the connection is lost, unless the balancer was killed, which BalancerKilled
-// notes beforehand.
+// RequestEnded implements load.Observer. A request whose connection the balancer closes without a response is lost,
+// unless the balancer was killed or paused, or closed a reused connection before it read the request. A request that
+// times out is not lost.
 func (o *observer) RequestEnded(id string, outcome load.Outcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -111,7 +113,7 @@
 		return
 	}
 	o.endLocked(id, sent, now)
-	if outcome == load.WrongResponse { // nothing excuses it
+	if outcome == load.WrongResponse { // never excused
 		o.checker.WrongResponseSent(now, sent.sequence)
 		return
 	}
@@ -119,7 +121,7 @@
 	if outcome == load.Unreachable && !excused {
 		o.closedUnderRequest++
 	}
-	// A paused balancer cannot respond in time. But requests that it received meanwhile must not be served late.
+	// A paused balancer cannot respond in time. It must still not serve late the requests it got during the pause.
 	excusedFailure := excused && (outcome == load.Rejected || outcome == load.Failed || outcome == load.Disconnected)
 	if sent.paused || excusedFailure {
 		o.checker.RequestExcused(now, sent.sequence)
@@ -135,7 +137,7 @@
 	case load.Disconnected:
 		o.checker.RequestDropped(now, sent.sequence)
 	case load.Unreachable:
-		if sent.attempts > 0 && !excused { // the connection was closed under it, but it had been read
+		if sent.attempts > 0 && !excused { // it had been read: an attempt reached a server
 			o.checker.RequestDropped(now, sent.sequence)
 			return
 		}
@@ -145,14 +147,14 @@
 	}
 }
 
-// endLocked notes that a request has ended. The lock is held.
+// endLocked records the end of a request. The caller holds mu.
 func (o *observer) endLocked(id string, sent *request, now time.Duration) {
 	sent.endedAt = now
 	o.ended = append(o.ended, endedRequest{id, now})
 }
 
-// BalancerKilled excuses all requests that are open at a balancer, and those it is sent until BalancerRestarted:
-// its process is about to be killed.
+// BalancerKilled says that a balancer's process is about to be killed. It ends and excuses the requests that are
+// open at the balancer, and excuses rejections and failures of later ones until BalancerRestarted or BalancerRecovered.
 func (o *observer) BalancerKilled(balancer int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -166,11 +168,11 @@
 	}
 }
 
-// killMargin is how soon before a balancer is killed a request may come that it need not respond to.
+// killMargin is the age up to which BalancerKilledAtLimit excuses an open request.
 const killMargin = 100 * time.Millisecond
 
-// BalancerKilledAtLimit does what BalancerKilled does for a balancer that had all the time to shut down which the
-// platform gives: the requests that are open at it are lost, unless they came killMargin before at the most.
+// BalancerKilledAtLimit is BalancerKilled for a balancer that has used up the platform's time for a shutdown: open
+// requests that were sent more than killMargin ago count as lost.
 func (o *observer) BalancerKilledAtLimit(balancer int) {
 	o.mu.Lock()
 	now := o.clock()
@@ -184,7 +186,7 @@
 	o.BalancerKilled(balancer)
 }
 
-// BalancerRestarted notes that a balancer starts without any state.
+// BalancerRestarted says that a balancer starts without state. It ends all excuses of the balancer.
 func (o *observer) BalancerRestarted(balancer int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -192,16 +194,16 @@
 	o.checker.BalancerRestarted(invariants.BalancerIndex(balancer))
 }
 
-// ClosedUnderRequest returns the number of requests whose connection was closed before they were read, by
-// balancers that were neither killed nor paused.
+// ClosedUnderRequest returns the number of requests whose reused connection was closed before the balancer read them,
+// as far as clients can tell. It leaves out requests at balancers that were killed or paused at that time.
 func (o *observer) ClosedUnderRequest() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.closedUnderRequest
 }
 
-// BalancerPaused excuses a balancer from responding in time, until BalancerRecovered. The requests open at it
-// may go on afterwards.
+// BalancerPaused excuses a balancer from responding in time, until BalancerRecovered. Requests that are open at the
+// balancer stay open and are excused for good.
 func (o *observer) BalancerPaused(balancer int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -211,15 +213,16 @@
 	}
 }
 
-// BalancerRecovered ends one BalancerPaused, or one BalancerKilled where another process of the balancer
-// serves on.
+// BalancerRecovered ends the excuse of one BalancerPaused, or of one BalancerKilled if another process of the
+// balancer serves on.
 func (o *observer) BalancerRecovered(balancer int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.excused[balancer] = max(o.excused[balancer]-1, 0)
 }
 
-// AttemptReceived implements emulator.Observer.
+// AttemptReceived implements emulator.Observer. The checker does not get attempts that arrive within crossingTime
+// after the request's end.
 func (o *observer) AttemptReceived(id string, server int, timeout time.Duration) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -247,7 +250,7 @@
 	return attemptNumber
 }
 
-// attempt returns the request of an attempt that the checker knows; nil for others. The lock is held.
+// attempt returns the request of an attempt, or nil if the checker did not get the attempt. The caller holds mu.
 func (o *observer) attempt(id string, attemptNumber int) *request {
 	sent := o.requests[id]
 	if sent == nil || sent.ignored[attemptNumber] {
@@ -305,7 +308,7 @@
 	o.checker.ServerCollapsed(o.clock(), invariants.ServerIndex(server))
 }
 
-// EndpointNotified notes that discovery has notified a balancer of a server.
+// EndpointNotified tells the checker that a balancer was notified of a server's state.
 func (o *observer) EndpointNotified(notified notification) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -318,7 +321,7 @@
 	})
 }
 
-// Finish ends the observation and returns its checker.
+// Finish checks for overdue requests and returns the checker with the results.
 func (o *observer) Finish() *invariants.Checker {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/lab/loadtest/recovery.go
+++ b/internal/lab/loadtest/recovery.go
@@ -3,22 +3,23 @@
 import "piernotch/internal/lab/simulation"
 
 const (
-	// recoverySpan is the length of the spans that are compared, seconds: a single second holds few requests.
+	// recoverySpan is the length in seconds of the spans that are compared. A single second holds too few requests.
 	recoverySpan = 3
-	// recoveryThreshold is the share of the control's goodput from which a span counts as recovered.
+	// recoveryThreshold is the share of the control's goodput in a span that a recovered run reaches at least.
 	recoveryThreshold = 0.95
 )
 
-// Recovery compares a run with its control, from the time of its fault on.
+// Recovery compares a run with its control, from the start of the fault on.
 type Recovery struct {
 	Served         float64 // weight served within the latency objective, as a share of the control's
-	Worst          float64 // the same, over the worst recoverySpan
-	RecoveredAfter float64 // seconds until the last span below recoveryThreshold was over; 0: there was none
-	Rejected       float64 // share of the attempts that were rejected
-	Failed         float64 // and that failed, or found no balancer
+	Worst          float64 // the same share in the worst recoverySpan, at most 1
+	RecoveredAfter float64 // seconds from the fault to the end of the last span below recoveryThreshold; 0: none
+	Rejected       float64 // rejected share of the run's client attempts
+	Failed         float64 // share of the run's client attempts that failed or found no balancer
 }
 
-// MeasureRecovery compares a run whose fault began at a second with its control. Both are of one seed.
+// MeasureRecovery compares a run with its control of the same seed. faultSecond is the second of the run in which
+// the fault begins.
 func MeasureRecovery(run, control *simulation.Result, faultSecond int) Recovery {
 	seconds := min(len(run.Seconds), len(control.Seconds))
 	recovery := Recovery{Served: servedShare(run, control, faultSecond, seconds), Worst: 1}
@@ -42,8 +43,8 @@
 	return recovery
 }
 
-// servedShare is the weight served within the latency objective in the seconds from one up to, but not
-// including, another, as a share of the control's.
+// servedShare returns the weight that the run served within the latency objective in the seconds [from, to), as a
+// share of the control's; 1 if the control served none.
 func servedShare(run, control *simulation.Result, from, to int) float64 {
 	got, want := 0.0, 0.0
 	for i := from; i < to; i++ {
--- a/internal/lab/loadtest/report.go
+++ b/internal/lab/loadtest/report.go
@@ -10,36 +10,35 @@
 	"piernotch/internal/lab/simulation"
 )
 
-// Quarter is what a balancer used in a quarter of the run.
+// Quarter is a balancer's resource usage in a quarter of the run.
 type Quarter struct {
 	CPUSeconds  float64 `json:"cpu_s"`
 	ResidentMB  float64 `json:"resident_mb"` // the most of all samples
 	Descriptors int     `json:"descriptors"` // the most of all samples
 }
 
-// Report is the result of a load test: the figures that the simulation gives, too, and what only sockets
-// can show.
+// Report is the result of a load test: the figures of a simulation's result, and those that only a run on sockets has.
 type Report struct {
 	simulation.Result
 	Counts       load.Counts `json:"counts"`
-	LatenessMS   float64     `json:"lateness_p99_ms"`    // of the test itself in sending requests
+	LatenessMS   float64     `json:"lateness_p99_ms"`    // 99th percentile of how late the test sent requests
 	Void         string      `json:"void,omitempty"`     // why the run does not count; "": it does
-	CPUPerAnswer float64     `json:"cpu_us_per_request"` // microseconds, of all balancers
+	CPUPerAnswer float64     `json:"cpu_us_per_request"` // CPU microseconds of all balancers per client attempt
 	Balancers    [][]Quarter `json:"balancers"`
 
 	DiscoveryCalls int `json:"list_calls"`
-	// SlowestNotification is the longest time that a balancer lacked a listed change which it could have had.
+	// SlowestNotification is the longest time that a balancer lacked a listed change while it could reach discovery.
 	SlowestNotification time.Duration `json:"slowest_notification_ns,omitempty"`
 
-	Handovers *HandoverReport `json:"handed,omitempty"` // nil: none were played
+	Handovers *HandoverReport `json:"handed,omitempty"` // nil: the run had no handovers
 
 	Malformed map[string]load.MalformedCount `json:"rude,omitempty"` // by kind of malformed client
 }
 
-// maxLateness is the test's own lateness at the 99th percentile that voids a run.
+// maxLateness is the highest 99th percentile of the test's own lateness at which a run counts.
 const maxLateness = 50 * time.Millisecond
 
-// buildReport sums up a run that is over.
+// buildReport returns the report of a finished run. It records crashes of balancers as errors of the run.
 func (e *environment) buildReport(clients *load.Clients, usage [][]Quarter) *Report {
 	counts := clients.Counts()
 	lateness := clients.Lateness(99)
@@ -75,7 +74,7 @@
 	return report
 }
 
-// buildResult is the part of the report that the simulation gives, too.
+// buildResult returns the part of the report that simulations have, too.
 func (e *environment) buildResult(counter *goodput.Counter, counts load.Counts) simulation.Result {
 	score := e.realization.Score
 	parts := counter.Parts()
@@ -111,7 +110,7 @@
 		result.FailedRate = float64(counter.Failed) / requests
 	}
 	result.OverloadedShare = float64(e.fleet.Overloaded()) / float64(max(e.fleet.Servers(), 1))
-	// What only the simulation knows exactly (wasted work, crossings) is not deducted here.
+	// Only the simulation knows wasted work and zone crossings exactly, so they are not deducted here.
 	result.Deducted = score.LateFail*parts.LateFail + score.Overloaded*result.OverloadedShare
 	result.Service = parts.Service(score, result.Deducted)
 	return result
--- a/internal/lab/loadtest/scenario_faults.go
+++ b/internal/lab/loadtest/scenario_faults.go
@@ -10,13 +10,13 @@
 
 // Times of a restart.
 const (
-	// unrouteDelay is how long after a SIGTERM clients still go to the balancer.
+	// unrouteDelay is how long clients still open connections to a balancer after its SIGTERM.
 	unrouteDelay = 300 * time.Millisecond
-	// restartTimeout is how long a balancer may take to end before it is killed.
+	// restartTimeout is how long a balancer may take to exit after SIGTERM before it is killed.
 	restartTimeout = 10 * time.Second
 )
 
-// The kinds of faults that are played here. The values are those of scenario files.
+// Kinds of a scenario's faults that this package plays. The values are those of scenario files.
 const (
 	faultMalformedClients = "rude"
 	faultDiscoveryMove    = "roster_move"
@@ -24,8 +24,8 @@
 	faultBalancerRestart  = "balancer_restart"
 )
 
-// scheduleScenarioFaults plays those of the realization's faults that concern balancers, their discovery's
-// address and malformed clients. The emulator plays the others.
+// scheduleScenarioFaults schedules the realization's faults of balancers, of discovery's address, and malformed
+// clients. The emulator plays the other faults.
 func (e *environment) scheduleScenarioFaults(ctx context.Context) {
 	e.malformed.Pick = e.pickBalancer
 	for i := range e.realization.Faults {
@@ -54,8 +54,8 @@
 	}
 }
 
-// at calls do at a time of the run, on a goroutine of its own, unless the run or the context has ended by
-// then.
+// at calls do in a new goroutine at a time of the run, unless the context is done or the realization's length is
+// over by then.
 func (e *environment) at(ctx context.Context, due time.Duration, do func()) {
 	time.AfterFunc(max(due-e.clock(), 0), func() {
 		if ctx.Err() == nil && e.clock() < e.realization.Length {
@@ -64,21 +64,23 @@
 	})
 }
 
-// scheduleCrash kills a balancer, has clients avoid it after the failover delay, and launches it again.
+// scheduleCrash schedules the kill of a balancer and its relaunch at the fault's end. After the failover delay,
+// clients no longer use the balancer unless it is back.
 func (e *environment) scheduleCrash(ctx context.Context, fault *scenario.Fault, target *balancer) {
 	e.at(ctx, fault.At, func() {
 		e.observer.BalancerKilled(target.number)
 		<-target.signal(syscall.SIGKILL)
 	})
 	e.at(ctx, fault.At+e.realization.FailoverDelay, func() {
-		if target.isStopping() { // it is not back yet
+		if target.isStopping() { // not relaunched yet
 			target.route(notRouted)
 		}
 	})
 	e.at(ctx, fault.End(), func() { e.relaunch(ctx, target) })
 }
 
-// restart shuts a balancer down gracefully and launches it again.
+// restart sends SIGTERM to a balancer, kills it if it runs longer than restartTimeout, and relaunches it fault.For
+// after its exit.
 func (e *environment) restart(ctx context.Context, fault *scenario.Fault, target *balancer) {
 	exited := target.signal(syscall.SIGTERM)
 	time.AfterFunc(unrouteDelay, func() { target.route(notRouted) })
@@ -100,8 +102,8 @@
 	}
 }
 
-// moveDiscovery moves a balancer's discovery to another address, and has the balancer reload its
-// configuration.
+// moveDiscovery moves a balancer's discovery to another address, writes the address to the configuration and, unless
+// the balancer is stopping, has it reload the configuration.
 func (e *environment) moveDiscovery(ctx context.Context, target *balancer) {
 	err := e.fleet.Discovery().Move(ctx, target.number)
 	if err == nil {
--- a/internal/lab/loadtest/sharedwatch.go
+++ b/internal/lab/loadtest/sharedwatch.go
@@ -18,25 +18,25 @@
 
 const (
 	sharedWatchVoters = 3
-	// sharedLeaseDuration is how long the lease of the watch is valid without a renewal.
+	// sharedLeaseDuration is how long the lease of the watch's duty is valid without renewal.
 	sharedLeaseDuration = 2 * time.Second
-	// sharedClockDrift is the most that the clocks of the group drift apart, as a share.
+	// sharedClockDrift is the highest relative clock drift between members; 0.01 is 1%.
 	sharedClockDrift = 0.01
 )
 
-// sharedNotifyTimeout is the time after which an endpoint update that one balancer received counts as known to
-// all: by then each has been notified by the group, or watches discovery itself.
+// sharedNotifyTimeout is the time after which an endpoint update that discovery wrote to one balancer counts as known
+// to all: by then the group has notified each of the others, or it watches discovery itself.
 var sharedNotifyTimeout = watch.DefaultTiming.HeartbeatTimeout + watch.DefaultTiming.TimeoutJitter +
 	500*time.Millisecond
 
-// sharedWatch is one watch of discovery for all balancers, through a control group of voters.
+// sharedWatch is a control group of voters through which all balancers share one watch of discovery.
 type sharedWatch struct {
-	groupFiles []string // by balancer
+	groupFiles []string // indexed by balancer number
 	voters     []*exec.Cmd
 	balancers  int
 
 	mu            sync.Mutex
-	notifications map[endpointKey]int // how often a balancer was notified of a server
+	notifications map[endpointKey]int // how often each balancer counted as notified of a server; guarded by mu
 }
 
 type endpointKey struct {
@@ -44,7 +44,8 @@
 	server   invariants.ServerIndex
 }
 
-// notification is that discovery has written a server's state to a balancer.
+// notification says that a balancer was notified of a server's state. startedAt is the time of the run at which the
+// server's process started; 0: before the run.
 type notification struct {
 	balancer  invariants.BalancerIndex
 	server    invariants.ServerIndex
@@ -52,7 +53,8 @@
 	startedAt time.Duration
 }
 
-// startSharedWatch starts the voters and writes the group files of all members. The caller calls stop.
+// startSharedWatch starts the voters and writes the group files of voters and balancers. The caller calls stop,
+// unless it fails.
 func startSharedWatch(opts Options, balancers int) (*sharedWatch, error) {
 	shared := &sharedWatch{balancers: balancers, notifications: map[endpointKey]int{}}
 	group := controlgroup.Config{Name: "loadtest", LeaseDuration: sharedLeaseDuration, MaxClockDrift: sharedClockDrift}
@@ -87,9 +89,9 @@
 	return shared, nil
 }
 
-// startVoter starts one voter on an empty disk.
+// startVoter starts a voter without a stored state.
 func (s *sharedWatch) startVoter(opts Options, config controlgroup.Config) error {
-	_ = os.Remove(config.StorePath) // of an earlier run, if there is one
+	_ = os.Remove(config.StorePath) // a file of an earlier run may exist
 	file, err := writeGroupFile(opts, config)
 	if err != nil {
 		return err
@@ -98,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // the voter has its own
+	defer func() { _ = log.Close() }() // the voter has its own descriptor
 	cmd := exec.Command(opts.VoterProgram, "--group", file)
 	cmd.Stdout = log
 	cmd.Stderr = log
@@ -114,7 +116,7 @@
 	return name, os.WriteFile(name, []byte(config.TOML()), 0o600)
 }
 
-// stop kills the voters.
+// stop kills the voters and waits for their exit.
 func (s *sharedWatch) stop() {
 	for _, voter := range s.voters {
 		_ = voter.Process.Signal(syscall.SIGKILL)
@@ -122,9 +124,9 @@
 	}
 }
 
-// endpointNotified notifies the observer for all balancers that share the watch. An update that a server is
-// ready counts at once, because each balancer that receives it may use the server. An update that it drains
-// counts once all balancers must have received it.
+// endpointNotified notifies the observer for all balancers that share the watch. That a server is ready counts at
+// once for all, because each balancer may use the server as soon as the group notifies it. Any other state counts at once
+// for the balancer that discovery wrote to, and after sharedNotifyTimeout for the others.
 func (s *sharedWatch) endpointNotified(running *environment, received notification) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +146,7 @@
 		time.AfterFunc(sharedNotifyTimeout, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			newer := s.notifications[key] != before // it received a later update itself
+			newer := s.notifications[key] != before // a later update has already counted for it
 			if !newer && !running.stopped.Load() {
 				s.notifyLocked(running, other)
 			}
@@ -152,7 +154,7 @@
 	}
 }
 
-// notifyLocked notifies the observer for one balancer. The lock is held.
+// notifyLocked notifies the observer for one balancer and counts the notification. The caller holds mu.
 func (s *sharedWatch) notifyLocked(running *environment, received notification) {
 	s.notifications[endpointKey{balancer: received.balancer, server: received.server}]++
 	running.observer.EndpointNotified(received)
--- a/internal/lab/loadtest/usage.go
+++ b/internal/lab/loadtest/usage.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// sampleInterval is the time between two samples of the balancers' use of resources.
+// sampleInterval is the time between two samples of the balancers' resource usage.
 const sampleInterval = 500 * time.Millisecond
 
-// clockTick is the unit of CPU time in /proc, which Linux fixes for user space.
+// clockTick is the unit of CPU time in /proc (USER_HZ), a constant of Linux's user space interface.
 const clockTick = 10 * time.Millisecond
 
-// usage is what a balancer's process uses at one time.
+// usage is a sample of a balancer's resource usage.
 type usage struct {
-	cpu         time.Duration // in all, of ended processes too
+	cpu         time.Duration // of the current process and all exited ones
 	residentMB  float64
 	descriptors int
 }
 
-// sampleUsage samples the balancers until stop is closed, and sums up by balancer and quarter of the run.
+// sampleUsage samples the balancers' resource usage until stop is closed. It returns the usage by balancer number
+// and quarter of the run.
 func (e *environment) sampleUsage(stop <-chan struct{}) [][]Quarter {
 	quarters := make([][]Quarter, len(e.balancers))
-	previous := make([]time.Duration, len(e.balancers)) // CPU time
+	previous := make([]time.Duration, len(e.balancers)) // CPU time at the last sample, by balancer number
 	for i, balancer := range e.balancers {
 		quarters[i] = make([]Quarter, 4)
 		previous[i] = balancer.usage().cpu
@@ -36,7 +37,7 @@
 			return quarters
 		case <-tick.C:
 		}
-		// What goes on after the realization's length belongs to the last quarter.
+		// Usage after the realization's length counts in the last quarter.
 		now := min(int(4*e.clock()/e.realization.Length), 3)
 		for i, balancer := range e.balancers {
 			used := balancer.usage()
@@ -49,7 +50,8 @@
 	}
 }
 
-// usage reads what the present process uses. What cannot be read is 0.
+// usage reads the resource usage of the current process from /proc. Its CPU time includes exited processes; values
+// that cannot be read are 0.
 func (b *balancer) usage() usage {
 	b.mu.Lock()
 	current := b.process
@@ -72,13 +74,13 @@
 	return used
 }
 
-// readCPUTime reads a process's user and system time from its stat file.
+// readCPUTime returns the user and system time in a /proc stat file; 0 if the file cannot be read.
 func readCPUTime(name string) time.Duration {
 	data, err := os.ReadFile(name)
 	if err != nil {
 		return 0
 	}
-	// Of the fields behind the name, which may hold spaces, the 12th and 13th.
+	// User and system time are the 12th and 13th field after the name. The name may contain spaces.
 	text := string(data)
 	fields := strings.Fields(text[strings.LastIndexByte(text, ')')+1:])
 	if len(fields) <= 13 {
@@ -89,7 +91,8 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// readResidentMB reads a process's resident memory from its statm file.
+// readResidentMB returns the resident memory in a /proc statm file, in MB of 2^20 bytes; 0 if the file cannot be
+// read.
 func readResidentMB(name string) float64 {
 	data, err := os.ReadFile(name)
 	if err != nil {
