--- a/internal/lab/loadtest/admin.go
+++ b/internal/lab/loadtest/admin.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// callTimeout is the time limit of an admin call and of a health check.
+// callTimeout is the time limit of admin calls and health checks.
 const callTimeout = time.Second
 
 // newCallClient returns a client that opens a new connection for each call: a reused connection could lead to a
@@ -59,12 +59,11 @@
 
 // Errors of awaitReady.
 var (
-	errProcessExited   = errors.New("the new process exited before it was ready")
+	errProcessExited   = errors.New("the new process has ended")
 	errProcessNotReady = errors.New("not ready")
 )
 
-// awaitReady polls the process until it reports that it can serve. It fails if the process exits, the context is
-// done, or the timeout passes.
+// awaitReady polls the process until it reports that it can serve.
 func (p *process) awaitReady(ctx context.Context, timeout time.Duration) error {
 	for end := time.Now().Add(timeout); time.Now().Before(end); {
 		status, err := p.callAdmin(adminCall{method: http.MethodGet, path: "/api/ready"})
@@ -82,8 +81,7 @@
 	return fmt.Errorf("%w within %v", errProcessNotReady, timeout)
 }
 
-// expectStatus makes a call and adds a problem to the handover report if the call fails, times out or returns
-// another status. It adds none once the context is done.
+// expectStatus makes a call and reports a problem if it fails or returns another status before the context is done.
 func (e *environment) expectStatus(ctx context.Context, target *process, call adminCall, status int) {
 	got, err := target.callAdmin(call)
 	if (err != nil || got != status) && ctx.Err() == nil {
--- a/internal/lab/loadtest/balancer.go
+++ b/internal/lab/loadtest/balancer.go
@@ -19,14 +19,14 @@
 	"piernotch/internal/simprotocol"
 )
 
-// A balancer that starts gets startPolls health checks, startPollPause apart, before its start counts as failed.
+// A start fails after startPolls unsuccessful health checks, startPollPause apart.
 const (
 	startPolls     = 200
 	startPollPause = 50 * time.Millisecond
 	startTimeout   = startPolls * startPollPause
 )
 
-// lastLogLines is the number of lines that an error quotes from the end of a balancer's log.
+// lastLogLines is the number of log lines that an error quotes.
 const lastLogLines = 4
 
 // balancer is one balancer of the realization. It persists across restarts and handovers, which replace its
@@ -37,7 +37,7 @@
 	program    string
 	args       []string
 	env        []string
-	dir        string // of its log and its processes' shared directory
+	dir        string // for its log and its listener's tempDir
 	address    string
 	configFile string
 	listener   *listener // nil: each process binds the address itself
@@ -45,9 +45,9 @@
 	handover sync.Mutex // held during a handover
 
 	mu        sync.Mutex    // guards the fields below
-	process   *process      // current process, or the last one if it has exited; nil before the first start
+	process   *process      // current process, which may have exited; nil before the first start
 	routing   routing       // says whether clients use the balancer
-	crash     error         // nil: no current process has exited by itself
+	crash     error         // of a process that exited by itself; nil: none did
 	exitedCPU time.Duration // CPU time of exited processes
 }
 
@@ -56,7 +56,7 @@
 	cmd          *exec.Cmd
 	exited       chan struct{} // closed once the process has exited
 	adminAddress string        // address for admin calls; "": none
-	stopping     bool          // set when the process is told to end or killed by signal; guarded by balancer.mu
+	stopping     bool          // told to end or killed while it was current; guarded by balancer.mu
 }
 
 // listener holds the listening socket that all processes of a balancer inherit, and the temporary directory that
@@ -89,8 +89,7 @@
 	}, nil
 }
 
-// configure writes the balancer's configuration file in the platform's JSON format. discovery is the address of
-// discovery, known is the endpoint list at the start.
+// configure writes the configuration file in the platform's JSON format. known is the initial endpoint list.
 func (b *balancer) configure(
 	realization *scenario.Realization,
 	discovery string,
@@ -131,7 +130,7 @@
 }
 
 // openListener opens the listening socket that the processes inherit, and creates their temporary directory. The
-// caller closes the listener's file.
+// caller closes the file.
 func (b *balancer) openListener() error {
 	socket, err := net.Listen("tcp", b.address)
 	if err != nil {
@@ -146,8 +145,8 @@
 	return os.MkdirAll(b.listener.tempDir, 0o700)
 }
 
-// commandEnvironment returns the environment variables of a new process. A process that inherits the listening
-// socket also gets a free address for admin calls; for others the address is empty.
+// commandEnvironment returns a new process's environment variables and, if it inherits the listening socket, its
+// admin address.
 func (b *balancer) commandEnvironment() (env []string, adminAddress string, err error) {
 	env = append(
 		append(os.Environ(), b.env...),
@@ -164,14 +163,14 @@
 	return env, adminAddress, err
 }
 
-// current returns the current process, or the last one if it has exited.
+// current returns the current process, which may have exited.
 func (b *balancer) current() *process {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.process
 }
 
-// isStopping reports whether the current process was told to end or killed by signal.
+// isStopping reports whether the current process was told to end or killed.
 func (b *balancer) isStopping() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -199,7 +198,7 @@
 	b.routing = how
 }
 
-// crashError returns the error of a current process that exited by itself; nil if none did.
+// crashError returns the error of a process that exited by itself; nil if none did.
 func (b *balancer) crashError() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -213,7 +212,7 @@
 
 func (b *balancer) logFile() string { return filepath.Join(b.dir, fmt.Sprintf("n%d.log", b.number)) }
 
-// lastLog returns the last lastLogLines lines of the log; "" if the log is empty or cannot be read.
+// lastLog returns the last lastLogLines lines of the log; "" if there are none.
 func (b *balancer) lastLog() string {
 	data, err := os.ReadFile(b.logFile())
 	if err != nil || len(data) == 0 {
@@ -247,8 +246,8 @@
 	return started, nil
 }
 
-// awaitProcess waits until a process has exited and adds its CPU time to the balancer's. If it was the current
-// process and not told to end, awaitProcess records a crash.
+// awaitProcess waits until a process has exited and adds up its CPU time. It records a crash if the process was the
+// current one and not told to end.
 func (b *balancer) awaitProcess(started *process) {
 	err := started.cmd.Wait()
 	b.mu.Lock()
@@ -264,8 +263,8 @@
 	close(started.exited)
 }
 
-// start starts a process, makes it the current one, and waits until its health check succeeds. It fails if the
-// process exits before that, the context is done, or startTimeout passes.
+// start starts a process, makes it the current one, and waits until its health check succeeds. It fails after
+// startTimeout.
 func (b *balancer) start(ctx context.Context) error {
 	started, err := b.spawn()
 	if err != nil {
@@ -290,7 +289,7 @@
 }
 
 // signal sends a signal to the current process and returns a channel that is closed once the process has exited.
-// Every signal but SIGHUP, which means reload, marks the process as stopping. Without a process the channel is
+// Every signal but SIGHUP (reload) marks the process as stopping. Without a process the channel is
 // already closed.
 func (b *balancer) signal(sent syscall.Signal) <-chan struct{} {
 	b.mu.Lock()
--- a/internal/lab/loadtest/crowd.go
+++ b/internal/lab/loadtest/crowd.go
@@ -18,8 +18,7 @@
 	}
 }
 
-// runIdleClient keeps a connection to the balancer on which it sends nothing, and reconnects when that one is
-// closed. While the balancer is not routed, it opens none.
+// runIdleClient connects to the balancer while it is routed, sends nothing, and reconnects when the connection ends.
 func (b *balancer) runIdleClient(ctx context.Context) {
 	for ctx.Err() == nil {
 		if b.currentRouting() == routed {
@@ -29,7 +28,7 @@
 	}
 }
 
-// holdIdleConnection opens a connection and holds it until the balancer closes it or the context is done.
+// holdIdleConnection opens a connection and waits until the balancer closes it.
 func (b *balancer) holdIdleConnection(ctx context.Context) {
 	var dialer net.Dialer
 	connection, err := dialer.DialContext(ctx, "tcp", b.address)
--- a/internal/lab/loadtest/environment.go
+++ b/internal/lab/loadtest/environment.go
@@ -17,7 +17,7 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// stopTimeout is how long a balancer may take to exit at the end of the run before it is killed.
+// stopTimeout is how long a balancer may take to exit at the end before it is killed.
 const stopTimeout = 3 * time.Second
 
 // environment holds the processes, emulated parts and state of one run.
@@ -46,8 +46,7 @@
 	return e
 }
 
-// open starts the emulated servers and discovery, the voters of a shared watch, and the proxies. The caller calls
-// close even if open fails.
+// open starts emulated servers, discovery and voters, and prepares proxies. The caller calls close even if it fails.
 func (e *environment) open() error {
 	var err error
 	balancers := len(e.realization.Balancers)
@@ -78,8 +77,7 @@
 	return nil
 }
 
-// close closes the inherited listening sockets and stops the balancers, the proxies, the voters and the emulated
-// servers and discovery, in this order.
+// close closes the inherited sockets, then stops balancers, proxies, voters, and the emulated servers and discovery.
 func (e *environment) close() {
 	for _, balancer := range e.balancers {
 		if balancer.listener != nil {
@@ -99,7 +97,7 @@
 	}
 }
 
-// clock returns the time since the run began; 0 before. The run begins once all balancers are ready.
+// clock returns the time since the run began, when all balancers were ready; 0 before.
 func (e *environment) clock() time.Duration {
 	if started := e.started.Load(); started != nil {
 		return time.Since(*started)
@@ -107,7 +105,7 @@
 	return 0
 }
 
-// recordError keeps the first error of a run and drops later ones.
+// recordError keeps the first error of a run.
 func (e *environment) recordError(err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -140,8 +138,8 @@
 	return e.launch(ctx, added)
 }
 
-// launch writes a balancer's configuration, tells the observer that the balancer starts without state, starts a
-// process and, once it is ready, routes clients to the balancer.
+// launch configures a balancer, reports its restart to the observer, starts a process, and routes clients to the
+// balancer once the process is ready.
 func (e *environment) launch(ctx context.Context, target *balancer) error {
 	if err := e.configure(target); err != nil {
 		return err
@@ -154,7 +152,7 @@
 	return nil
 }
 
-// configure writes a balancer's configuration with the current address of its discovery, or of the proxy before it.
+// configure writes a balancer's configuration with the current address of discovery or its proxy.
 func (e *environment) configure(target *balancer) error {
 	discovery := e.fleet.Discovery()
 	address := e.routeThroughProxy(target.number, chaos.Discovery, discovery.Address(target.number))
@@ -162,8 +160,8 @@
 	return target.configure(e.realization, address, discovery.EndpointList(target.number), limits)
 }
 
-// pickBalancer picks one of the zone's routed balancers at random, or one of all zones if no balancer in the zone
-// accepts new connections. It reports false if no balancer is routed. It implements load.PickBalancer.
+// pickBalancer picks a balancer of the zone at random, or of all zones if none in the zone takes new connections. It
+// reports false if clients can use no balancer. It implements load.PickBalancer.
 func (e *environment) pickBalancer(zone int, rng *rand.Rand) (picked load.Picked, ok bool) {
 	var sameZone, all []load.Picked
 	for _, candidate := range e.balancers {
@@ -189,8 +187,7 @@
 	return candidates[rng.IntN(len(candidates))], true
 }
 
-// stopBalancers excuses all open requests, then sends SIGTERM to one balancer after the other and kills those that
-// have not exited within stopTimeout.
+// stopBalancers excuses open requests, then stops each balancer in turn with SIGTERM and, after stopTimeout, SIGKILL.
 func (e *environment) stopBalancers() {
 	for _, balancer := range e.balancers {
 		e.observer.BalancerKilled(balancer.number)
--- a/internal/lab/loadtest/errors.go
+++ b/internal/lab/loadtest/errors.go
@@ -22,12 +22,12 @@
 // BalancerError is a failure of one balancer's process.
 type BalancerError struct {
 	Balancer int
-	Stage    string // what the test was doing, such as a handover; "": starting the balancer or using it
+	Stage    string // part of the test, such as a handover; "": the balancer's start or service
 	Err      error
 	LastLog  string // the last lines of the balancer's log; "": none
 }
 
-// Error names the balancer and the stage, and quotes the last lines of the log after the cause.
+// Error names the balancer, the stage and the cause, and quotes LastLog.
 func (e *BalancerError) Error() string {
 	text := fmt.Sprintf("balancer %d", e.Balancer)
 	if e.Stage != "" {
@@ -40,5 +40,5 @@
 	return text
 }
 
-// Unwrap returns Err, for errors.Is and errors.As.
+// Unwrap returns the cause.
 func (e *BalancerError) Unwrap() error { return e.Err }
--- a/internal/lab/loadtest/faults.go
+++ b/internal/lab/loadtest/faults.go
@@ -13,8 +13,8 @@
 	"piernotch/internal/lab/invariants"
 )
 
-// resumePause is how long after a pause a balancer may still respond late: it first handles the requests that
-// queued up during the pause.
+// resumePause is how long after a pause a balancer may still respond late: it first handles requests that
+// queued up meanwhile.
 const resumePause = time.Second
 
 // linkName returns the name of the link from a balancer to a server or to discovery. The name seeds the link's
@@ -29,8 +29,8 @@
 // serverLinkPrefix returns the common prefix of the names of a balancer's links to servers.
 func serverLinkPrefix(balancer int) string { return fmt.Sprintf("n%d>s", balancer) }
 
-// routeThroughProxy returns the address at which a balancer reaches a target: that of a proxy if the target needs
-// one, else the target's own. If a proxy cannot be opened, it records the error and returns the target's own.
+// routeThroughProxy returns the address at which a balancer reaches a target: that of a proxy if one is needed and
+// can be opened, else the target's own.
 func (e *environment) routeThroughProxy(balancer int, target chaos.Target, address string) string {
 	if e.proxies == nil || target != chaos.Discovery && !e.opts.needsServerProxies() {
 		return address
@@ -46,9 +46,9 @@
 	return link.Address()
 }
 
-// endpointNotified tells the observer that a balancer was notified of a server's state. An update that discovery
-// wrote through a proxy counts once it has arrived, because a cut link delays it. An overdue one, which was not
-// written, counts at once. With a shared watch, overdue ones are ignored and the others go to the shared watch.
+// endpointNotified tells the observer that a balancer was notified of a server's state. Behind a proxy, an update
+// counts once it has arrived: a cut link delays it. An overdue update, which was not written, counts at once. With a
+// shared watch, overdue updates are ignored and sharedWatch handles the others.
 func (e *environment) endpointNotified(sent emulator.Notification) {
 	received := notification{
 		balancer:  invariants.BalancerIndex(sent.Balancer),
@@ -83,8 +83,7 @@
 	return arrives
 }
 
-// notifyThroughProxy tells discovery and the observer of an update once the balancer's link to discovery has
-// delivered it.
+// notifyThroughProxy tells discovery and the observer of an update once the link has delivered it.
 func (e *environment) notifyThroughProxy(sent emulator.Notification, received notification) {
 	discovery := e.fleet.Discovery()
 	link, err := e.proxies.Link(linkName(sent.Balancer, chaos.Discovery), discovery.Address(sent.Balancer))
@@ -99,8 +98,8 @@
 	}()
 }
 
-// scheduleLinkAndProcessFaults starts a goroutine in the background group for each step of Options.Faults. It
-// plays the step at its time, unless the context is done by then.
+// scheduleLinkAndProcessFaults plays each step of Options.Faults at its time, in a goroutine of the background
+// group.
 func (e *environment) scheduleLinkAndProcessFaults(ctx context.Context) {
 	for _, step := range e.opts.Faults {
 		e.background.Go(func() {
@@ -112,8 +111,8 @@
 	}
 }
 
-// playFault plays one step of a schedule. At the step's end it heals links, and resumes or restarts the balancer.
-// Connections that FreezeLink froze stay frozen.
+// playFault plays one step of a schedule. At the step's end it heals links or brings the balancer back, but connections
+// that FreezeLink froze stay frozen.
 func (e *environment) playFault(ctx context.Context, step chaos.Step) {
 	faulted := e.balancers[step.Balancer]
 	awaitEnd := func() { sleep(ctx, step.End()-e.clock()) }
@@ -161,7 +160,7 @@
 	signalPause = 60 * time.Millisecond
 )
 
-// killDelay returns the shortest time between SIGTERM and SIGKILL that the platform may leave a balancer.
+// killDelay returns the shortest time from SIGTERM to SIGKILL that the platform may leave.
 func (e *environment) killDelay() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range e.realization.Classes {
@@ -170,9 +169,9 @@
 	return min(longest, maxShutdownDeadline) + shutdownGrace
 }
 
-// terminate sends SIGTERM to a balancer and kills it after killDelay if it still runs. It starts the balancer again
-// at the step's end or, if the shutdown takes longer, after the shutdown. unrouteDelay after
-// SIGTERM, clients stop opening connections and send only on those that are still open.
+// terminate sends SIGTERM to a balancer, kills it after killDelay if it still runs, and starts it again at the step's
+// end at the earliest. From unrouteDelay after SIGTERM, clients use only connections that are already open, and after
+// the exit none.
 func (e *environment) terminate(ctx context.Context, step chaos.Step) {
 	target := e.balancers[step.Balancer]
 	kill := time.After(e.killDelay())
@@ -224,7 +223,7 @@
 	}
 }
 
-// setLinkFault sets a step's fault on its links in the step's directions, and clears faults in the other ones.
+// setLinkFault sets a step's fault on its links, and clears faults of directions that are not the step's.
 func (e *environment) setLinkFault(step chaos.Step) {
 	e.setReachable(step, false)
 	e.eachLink(step, func(link *faultproxy.Link) {
--- a/internal/lab/loadtest/faulttests.go
+++ b/internal/lab/loadtest/faulttests.go
@@ -17,7 +17,7 @@
 
 // Times of a fault test, in seconds.
 const (
-	FaultTime       = 12 // from the start of the run to that of the fault
+	FaultTime       = 12 // when the fault begins
 	FaultTestLength = 45 // length of the run
 )
 
@@ -31,8 +31,7 @@
 	return fmt.Sprintf("[[trouble]]\nkind = %q\nat_s = %d\n%s", kind, FaultTime, settings)
 }
 
-// FaultTests returns a test for each fault that a service must recover from by itself, and first the test "none",
-// which has no fault.
+// FaultTests returns tests of faults that a service must recover from by itself, and one test without a fault.
 func FaultTests() []FaultTest {
 	return slices.Concat(
 		[]FaultTest{{"none", "nothing goes wrong", ""}},
--- a/internal/lab/loadtest/handover.go
+++ b/internal/lab/loadtest/handover.go
@@ -20,14 +20,14 @@
 	HandoverCrashAfterReady  HandoverKind = "dies-late"   // the new one is killed once ready; the old one serves on
 	HandoverBothReload       HandoverKind = "both-reload" // both get SIGHUP once the new one is ready
 	HandoverStopBeforeReady  HandoverKind = "too-soon"    // the old one gets SIGTERM while the new one starts
-	HandoverThirdProcess     HandoverKind = "third"       // a third takes over from the new one
+	HandoverThirdProcess     HandoverKind = "third"       // a third process takes over from the new one
 	// A server is excluded at both processes, and included again at the new one.
 	HandoverExclude HandoverKind = "exclude"
 	// The balancer is drained at the old process and rejoins at the new one.
 	HandoverDrain HandoverKind = "drain"
 )
 
-// HandoverKinds lists all kinds. DrawHandovers relies on the order: another one changes the runs of a seed.
+// HandoverKinds lists all kinds. Their order affects what DrawHandovers draws.
 var HandoverKinds = []HandoverKind{
 	HandoverPlain, HandoverLateStop, HandoverCrashBeforeReady, HandoverCrashAfterReady, HandoverBothReload,
 	HandoverStopBeforeReady, HandoverThirdProcess, HandoverExclude, HandoverDrain,
@@ -38,33 +38,30 @@
 	At       time.Duration // since the run began
 	Balancer int
 	Kind     HandoverKind
-	// StopDelay is the time from the new process's readiness to SIGTERM with HandoverLateStop. With
-	// HandoverCrashAfterReady the new process is killed after a third of it.
+	// StopDelay is the time from readiness to SIGTERM in HandoverLateStop. HandoverCrashAfterReady waits a third
+	// of it before the kill.
 	StopDelay time.Duration
 }
 
 const (
-	// HandoverInterval is the time from the start of one handover of a balancer to that of its next. It leaves
-	// enough time for the longest handover.
+	// HandoverInterval is the time between the starts of two handovers of a balancer. It covers the longest handover.
 	HandoverInterval = maxStopDelay + 8*time.Second
-	// HandoverLeadTime is the time from the start of the run to the first handover.
+	// HandoverLeadTime is the time before the first handover.
 	HandoverLeadTime = 2 * time.Second
 
 	maxStopDelay = 6 * time.Second
 	// readyTimeout is how long a new process may take to become ready.
 	readyTimeout = 5 * time.Second
-	// killGrace is the time that a process gets to exit after SIGTERM, on top of minStopLimit or the longest
-	// deadline of a class, whichever is longer. Then it is killed.
+	// killGrace is the time that a process gets to exit after SIGTERM, on top of minStopLimit or a longer
+	// deadline of a class.
 	killGrace = 700 * time.Millisecond
 )
 
-// handoverStream is the random stream of DrawHandovers. It differs from the streams of other draws of a seed, so that
-// these stay independent.
+// handoverStream is the random stream of DrawHandovers. Other draws of the same seed use other streams.
 const handoverStream = 23
 
-// DrawHandovers draws count handovers from the realization's seed, in the order of their times. It goes through the
-// balancers in turn and spaces the handovers of each by HandoverInterval. The numbers of
-// handovers of the kinds differ by at most one.
+// DrawHandovers draws handovers from the realization's seed. It spreads them over the balancers in turn, with
+// HandoverInterval between two of the same balancer, and over all kinds equally.
 func DrawHandovers(realization *scenario.Realization, count int) []Handover {
 	rng := rand.New(rand.NewPCG(realization.Seed, handoverStream))
 	handovers := make([]Handover, count)
@@ -86,11 +83,11 @@
 	mu           sync.Mutex
 	Done         map[HandoverKind]int `json:"done"`
 	SlowestReady time.Duration        `json:"slowest_yes_ns"`
-	Problems     []string             `json:"wrong,omitempty"` // late or wrong responses to admin calls and health checks
+	Problems     []string             `json:"wrong,omitempty"` // late or wrong admin responses and health checks
 	Exited       int                  `json:"ended"`           // processes that exited in time after SIGTERM
 	Killed       int                  `json:"killed"`          // processes that did not and were killed
-	// ClosedUnderRequest counts requests whose reused connection was closed before the balancer read them, as far
-	// as clients can tell. It leaves out balancers that were killed or paused at that time.
+	// ClosedUnderRequest counts requests whose reused connection was closed unread, as far as clients can tell, by
+	// balancers that were neither killed nor paused.
 	ClosedUnderRequest int `json:"turned_back"`
 }
 
@@ -107,7 +104,7 @@
 	h.Done[kind]++
 }
 
-// addReady updates SlowestReady with the time that a new process took to become ready.
+// addReady records how long a new process took to become ready.
 func (h *HandoverReport) addReady(after time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -121,7 +118,7 @@
 	h.Exited++
 }
 
-// addKilled counts a process that was killed because it did not exit in time after SIGTERM.
+// addKilled counts a process that had to be killed after SIGTERM.
 func (h *HandoverReport) addKilled() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/loadtest/handover_play.go
+++ b/internal/lab/loadtest/handover_play.go
@@ -21,8 +21,7 @@
 	minStopLimit = 3 * time.Second         // least time that the platform gives a process to exit
 )
 
-// scheduleHandovers starts a goroutine in the background group for each handover. It plays the handover at its
-// time and records an error unless the context is done.
+// scheduleHandovers plays each handover at its time, in a goroutine of the background group.
 func (e *environment) scheduleHandovers(ctx context.Context) {
 	for _, handover := range e.opts.Handovers {
 		e.background.Go(func() {
@@ -34,10 +33,9 @@
 	}
 }
 
-// playHandover plays one handover of a balancer. If another handover of the balancer is under way, it waits for the
-// end of that one.
+// playHandover plays a handover of a balancer, after any that is under way there.
 func (e *environment) playHandover(ctx context.Context, target *balancer, played Handover) error {
-	target.handover.Lock() // one handover of a balancer at a time
+	target.handover.Lock() // one at a time
 	defer target.handover.Unlock()
 	if ctx.Err() != nil {
 		return nil
@@ -91,8 +89,8 @@
 	next     *process
 }
 
-// disturbHandover plays the part of a handover that depends on its kind, while the old and the new process run. It
-// returns the process that takes over: the new one, or a third.
+// disturbHandover plays the steps that are specific to a kind of handover, while both processes run. It returns the
+// process that takes over.
 func (e *environment) disturbHandover(ctx context.Context, played Handover, both handoverProcesses) (*process, error) {
 	switch played.Kind {
 	case HandoverLateStop:
@@ -111,8 +109,7 @@
 	return both.next, nil
 }
 
-// crashNext kills the new process, which aborts its requests in flight, and waits crashPause. All requests open at
-// the balancer are excused, and so are failures until the end of the pause.
+// crashNext kills the new process and excuses the balancer's open requests, and failures until crashPause is over.
 func (e *environment) crashNext(ctx context.Context, target *balancer, next *process, played Handover) {
 	sleep(ctx, played.StopDelay/3)
 	e.observer.BalancerKilled(target.number)
@@ -122,8 +119,7 @@
 	e.observer.BalancerRecovered(target.number)
 }
 
-// handToThird starts a third process and hands over from the new one to it, while the old one still runs. It returns
-// the third process after the new one has exited.
+// handToThird hands over from the new process to a third one while the old one still runs. It returns the third.
 func (e *environment) handToThird(ctx context.Context, target *balancer, next *process) (*process, error) {
 	third, err := target.spawn()
 	if err != nil {
@@ -145,8 +141,8 @@
 	e.handovers.addDone(played.Kind)
 }
 
-// awaitExit waits as long as the platform does for a process to exit after SIGTERM, then kills it. It counts the
-// result in the handover report.
+// awaitExit waits as long as the platform does for a process to exit after SIGTERM, then kills it. The report counts
+// both outcomes.
 func (e *environment) awaitExit(old *process) {
 	limit := minStopLimit
 	for _, class := range e.realization.Classes {
@@ -163,8 +159,7 @@
 }
 
 // excludeServer excludes a ready server at both processes and includes it again at the new one. In between, the
-// invariant on draining applies to this server and balancer. The new process must also answer 404 to the name of an
-// unknown server.
+// invariant on draining applies to the server. The new process must also reject an unknown server's name.
 func (e *environment) excludeServer(ctx context.Context, both handoverProcesses) {
 	server, name, ok := e.fleet.Discovery().ReadyServer()
 	if !ok {
@@ -196,8 +191,8 @@
 	)
 }
 
-// drainBalancer drains the balancer at its old process and has it rejoin at the new one. It checks that the health
-// check shows both.
+// drainBalancer drains the balancer at its old process and has it rejoin at the new one. The health check must show
+// both.
 func (e *environment) drainBalancer(ctx context.Context, both handoverProcesses) {
 	e.expectStatus(ctx, both.old, adminCall{method: http.MethodPost, path: "/api/evacuate"}, http.StatusOK)
 	sleep(ctx, healthPause)
--- a/internal/lab/loadtest/loadtest.go
+++ b/internal/lab/loadtest/loadtest.go
@@ -27,11 +27,11 @@
 	// Handovers are played during the run. If there are any, Run opens each balancer's listening socket and
 	// the balancer's processes inherit it.
 	Handovers []Handover
-	// VoterProgram is the path of a voter's executable. Run starts three voters, through which the balancers
-	// share one watch of discovery; "": each balancer watches discovery itself.
+	// VoterProgram runs as three voters, through which the balancers share one watch of discovery;
+	// "": each balancer watches discovery itself.
 	VoterProgram string
 	// Faults are faults of links and balancer processes. With any fault of a link, balancers reach discovery
-	// through proxies; with any fault of a link to a server, they reach servers through proxies, too.
+	// through proxies; with any fault of a link to a server, servers, too.
 	Faults      []chaos.Step
 	IdleClients int // idle clients per balancer; they reconnect when it closes their connection
 	// KeepIdle is how long clients may reuse an idle connection; 0: the default of load.Clients.
@@ -39,8 +39,8 @@
 	LogDir   string // directory for configurations and logs; "": a temporary one that Run removes
 }
 
-// withDefaults fills in MemoryMB, Sockets and LogDir where they are not set, and creates the log directory. The
-// caller calls cleanup at the end of the run: it removes a temporary log directory.
+// withDefaults fills in unset limits and creates the log directory. The caller calls cleanup at the end, which
+// removes a temporary directory.
 func (o Options) withDefaults() (filled Options, cleanup func(), err error) {
 	if o.MemoryMB == 0 {
 		o.MemoryMB = defaultMemoryMB
@@ -94,8 +94,7 @@
 	return running.play(ctx, arrivals)
 }
 
-// play starts the run's clock, runs clients, faults and handovers, and reports the results. All balancers must be
-// ready.
+// play starts the run once all balancers are ready, and reports its results.
 func (e *environment) play(ctx context.Context, arrivals []simulation.Arrival) (*Report, error) {
 	now := time.Now()
 	e.started.Store(&now)
--- a/internal/lab/loadtest/loadtest_test.go
+++ b/internal/lab/loadtest/loadtest_test.go
@@ -115,8 +115,8 @@
 	return program
 }
 
-// The real balancer must violate no invariant while balancers crash and restart, servers drain, vanish or send
-// malformed responses, discovery fails and malformed clients connect.
+// The real balancer must violate no invariant while balancers crash and restart, servers drain or fail, discovery
+// is down, and clients are malformed.
 func TestBalancerKeepsInvariantsOnSockets(t *testing.T) {
 	t.Parallel()
 	program := buildBalancer(t)
--- a/internal/lab/loadtest/observer.go
+++ b/internal/lab/loadtest/observer.go
@@ -10,13 +10,11 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// socketTolerance is added to the response slack and the drain grace that the invariants allow in
-// simulated time.
+// socketTolerance is added to the response slack and the drain grace that apply in simulated time.
 const socketTolerance = 50 * time.Millisecond
 
-// How long after the final response an attempt that was sent earlier may still arrive at its server.
-// Through a proxy it may take longer: a link adds its delay, and a silent cut (blackhole) holds data back until the
-// connection breaks.
+// How long after the final response an earlier attempt may still arrive at a server. Through a proxy it may take
+// longer: a link adds its delay, and a silent cut (blackhole) holds data back until the connection breaks.
 const (
 	crossingTime            = 100 * time.Millisecond
 	crossingTimeWithProxies = crossingTime + 2500*time.Millisecond
@@ -25,8 +23,7 @@
 // endedRequestTTL is how long the observer remembers a request that has ended.
 const endedRequestTTL = 10 * time.Second
 
-// finalMargin is how far after the end of the run the deadline of an open request may lie for the final check to count
-// the request as overdue.
+// finalMargin is how far beyond the end of the run the final check looks for overdue responses.
 const finalMargin = time.Minute
 
 // observer reports what clients, servers and discovery observe to the checker of the invariants. It implements
@@ -45,7 +42,7 @@
 	closedUnderRequest int
 }
 
-// request is a request that a client has sent; a client's retry is another one.
+// request is one request that a client has sent.
 type request struct {
 	sequence uint64 // its ID in the checker
 	balancer int
@@ -85,7 +82,7 @@
 	}
 }
 
-// RequestSent implements load.Observer. It also forgets requests that ended more than endedRequestTTL ago.
+// RequestSent implements load.Observer. It forgets requests that ended more than endedRequestTTL ago.
 func (o *observer) RequestSent(id string, balancer, class int, deadline time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -121,7 +118,7 @@
 	if outcome == load.Unreachable && !excused {
 		o.closedUnderRequest++
 	}
-	// A paused balancer cannot respond in time. It must still not serve late the requests it got during the pause.
+	// A paused balancer cannot respond in time. But requests that came during the pause must not be served late.
 	excusedFailure := excused && (outcome == load.Rejected || outcome == load.Failed || outcome == load.Disconnected)
 	if sent.paused || excusedFailure {
 		o.checker.RequestExcused(now, sent.sequence)
@@ -153,8 +150,8 @@
 	o.ended = append(o.ended, endedRequest{id, now})
 }
 
-// BalancerKilled says that a balancer's process is about to be killed. It ends and excuses the requests that are
-// open at the balancer, and excuses rejections and failures of later ones until BalancerRestarted or BalancerRecovered.
+// BalancerKilled excuses the open requests of a balancer that is about to be killed, and failures of later ones until
+// BalancerRestarted or BalancerRecovered.
 func (o *observer) BalancerKilled(balancer int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -171,8 +168,8 @@
 // killMargin is the age up to which BalancerKilledAtLimit excuses an open request.
 const killMargin = 100 * time.Millisecond
 
-// BalancerKilledAtLimit is BalancerKilled for a balancer that has used up the platform's time for a shutdown: open
-// requests that were sent more than killMargin ago count as lost.
+// BalancerKilledAtLimit is BalancerKilled for a balancer that had the platform's full time for a shutdown, except that
+// open requests sent more than killMargin ago are lost.
 func (o *observer) BalancerKilledAtLimit(balancer int) {
 	o.mu.Lock()
 	now := o.clock()
@@ -186,7 +183,7 @@
 	o.BalancerKilled(balancer)
 }
 
-// BalancerRestarted says that a balancer starts without state. It ends all excuses of the balancer.
+// BalancerRestarted says that a balancer starts without state. This ends all excuses.
 func (o *observer) BalancerRestarted(balancer int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -194,16 +191,16 @@
 	o.checker.BalancerRestarted(invariants.BalancerIndex(balancer))
 }
 
-// ClosedUnderRequest returns the number of requests whose reused connection was closed before the balancer read them,
-// as far as clients can tell. It leaves out requests at balancers that were killed or paused at that time.
+// ClosedUnderRequest returns the number of requests whose reused connection was closed unread, as far as clients can
+// tell, by balancers that were neither killed nor paused.
 func (o *observer) ClosedUnderRequest() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.closedUnderRequest
 }
 
-// BalancerPaused excuses a balancer from responding in time, until BalancerRecovered. Requests that are open at the
-// balancer stay open and are excused for good.
+// BalancerPaused excuses a balancer from responding in time, until BalancerRecovered. Its open requests may
+// still end later, and are excused.
 func (o *observer) BalancerPaused(balancer int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -221,8 +218,7 @@
 	o.excused[balancer] = max(o.excused[balancer]-1, 0)
 }
 
-// AttemptReceived implements emulator.Observer. The checker does not get attempts that arrive within crossingTime
-// after the request's end.
+// AttemptReceived implements emulator.Observer. It ignores attempts within crossingTime of the request's end.
 func (o *observer) AttemptReceived(id string, server int, timeout time.Duration) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -321,7 +317,7 @@
 	})
 }
 
-// Finish checks for overdue requests and returns the checker with the results.
+// Finish checks for overdue responses and returns the checker.
 func (o *observer) Finish() *invariants.Checker {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/lab/loadtest/recovery.go
+++ b/internal/lab/loadtest/recovery.go
@@ -5,7 +5,7 @@
 const (
 	// recoverySpan is the length in seconds of the spans that are compared. A single second holds too few requests.
 	recoverySpan = 3
-	// recoveryThreshold is the share of the control's goodput in a span that a recovered run reaches at least.
+	// recoveryThreshold is the share of the control's goodput below which a span counts as not recovered.
 	recoveryThreshold = 0.95
 )
 
@@ -18,8 +18,7 @@
 	Failed         float64 // share of the run's client attempts that failed or found no balancer
 }
 
-// MeasureRecovery compares a run with its control of the same seed. faultSecond is the second of the run in which
-// the fault begins.
+// MeasureRecovery compares a run whose fault began at faultSecond with its control of the same seed.
 func MeasureRecovery(run, control *simulation.Result, faultSecond int) Recovery {
 	seconds := min(len(run.Seconds), len(control.Seconds))
 	recovery := Recovery{Served: servedShare(run, control, faultSecond, seconds), Worst: 1}
--- a/internal/lab/loadtest/repeated_response_test.go
+++ b/internal/lab/loadtest/repeated_response_test.go
@@ -9,8 +9,8 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// Servers send some responses a second time, up to 60 ms later. A balancer must not take the second one for the
-// response to the next request on the connection.
+// Servers send some responses a second time, up to 60 ms later. A balancer must not take the second one for
+// the response to the next request on the connection.
 func TestRequestNeverGetsResponseOfAnEarlierOne(t *testing.T) {
 	t.Parallel()
 	repeats := `
@@ -36,8 +36,8 @@
 	}
 }
 
-// Servers with short queues reject requests and send some rejections a second time, up to 60 ms later. A balancer must not take the second
-// one as proof that the next request on the connection was not executed, and retry that request.
+// Servers with short queues send some rejections a second time, up to 60 ms later. The second one does not prove that
+// the next request on the connection was not executed.
 func TestRejectionOfEarlierRequestDoesNotProveLaterOneUnexecuted(t *testing.T) {
 	t.Parallel()
 	repeats := `
--- a/internal/lab/loadtest/report.go
+++ b/internal/lab/loadtest/report.go
@@ -13,8 +13,8 @@
 // Quarter is a balancer's resource usage in a quarter of the run.
 type Quarter struct {
 	CPUSeconds  float64 `json:"cpu_s"`
-	ResidentMB  float64 `json:"resident_mb"` // the most of all samples
-	Descriptors int     `json:"descriptors"` // the most of all samples
+	ResidentMB  float64 `json:"resident_mb"` // highest sample
+	Descriptors int     `json:"descriptors"` // highest sample
 }
 
 // Report is the result of a load test: the figures of a simulation's result, and those that only a run on sockets has.
@@ -35,10 +35,10 @@
 	Malformed map[string]load.MalformedCount `json:"rude,omitempty"` // by kind of malformed client
 }
 
-// maxLateness is the highest 99th percentile of the test's own lateness at which a run counts.
+// maxLateness voids a run if the 99th percentile of the test's own lateness exceeds it.
 const maxLateness = 50 * time.Millisecond
 
-// buildReport returns the report of a finished run. It records crashes of balancers as errors of the run.
+// buildReport returns a finished run's report, and records crashes of balancers as errors.
 func (e *environment) buildReport(clients *load.Clients, usage [][]Quarter) *Report {
 	counts := clients.Counts()
 	lateness := clients.Lateness(99)
--- a/internal/lab/loadtest/scenario_faults.go
+++ b/internal/lab/loadtest/scenario_faults.go
@@ -10,7 +10,7 @@
 
 // Times of a restart.
 const (
-	// unrouteDelay is how long clients still open connections to a balancer after its SIGTERM.
+	// unrouteDelay is how long after a balancer's SIGTERM clients use it as before.
 	unrouteDelay = 300 * time.Millisecond
 	// restartTimeout is how long a balancer may take to exit after SIGTERM before it is killed.
 	restartTimeout = 10 * time.Second
@@ -64,8 +64,8 @@
 	})
 }
 
-// scheduleCrash schedules the kill of a balancer and its relaunch at the fault's end. After the failover delay,
-// clients no longer use the balancer unless it is back.
+// scheduleCrash schedules a balancer's kill, its relaunch, and its removal from routing if it is still down after
+// the failover delay.
 func (e *environment) scheduleCrash(ctx context.Context, fault *scenario.Fault, target *balancer) {
 	e.at(ctx, fault.At, func() {
 		e.observer.BalancerKilled(target.number)
@@ -79,8 +79,8 @@
 	e.at(ctx, fault.End(), func() { e.relaunch(ctx, target) })
 }
 
-// restart sends SIGTERM to a balancer, kills it if it runs longer than restartTimeout, and relaunches it fault.For
-// after its exit.
+// restart stops a balancer with SIGTERM and, after restartTimeout, SIGKILL, and relaunches it after fault.For. From
+// unrouteDelay on, clients avoid it.
 func (e *environment) restart(ctx context.Context, fault *scenario.Fault, target *balancer) {
 	exited := target.signal(syscall.SIGTERM)
 	time.AfterFunc(unrouteDelay, func() { target.route(notRouted) })
@@ -102,8 +102,7 @@
 	}
 }
 
-// moveDiscovery moves a balancer's discovery to another address, writes the address to the configuration and, unless
-// the balancer is stopping, has it reload the configuration.
+// moveDiscovery moves a balancer's discovery to another address and has the balancer reload its configuration.
 func (e *environment) moveDiscovery(ctx context.Context, target *balancer) {
 	err := e.fleet.Discovery().Move(ctx, target.number)
 	if err == nil {
--- a/internal/lab/loadtest/sharedwatch.go
+++ b/internal/lab/loadtest/sharedwatch.go
@@ -20,7 +20,7 @@
 	sharedWatchVoters = 3
 	// sharedLeaseDuration is how long the lease of the watch's duty is valid without renewal.
 	sharedLeaseDuration = 2 * time.Second
-	// sharedClockDrift is the highest relative clock drift between members; 0.01 is 1%.
+	// sharedClockDrift is the highest relative clock drift between members.
 	sharedClockDrift = 0.01
 )
 
@@ -36,7 +36,7 @@
 	balancers  int
 
 	mu            sync.Mutex
-	notifications map[endpointKey]int // how often each balancer counted as notified of a server; guarded by mu
+	notifications map[endpointKey]int // how often a balancer was notified of a server
 }
 
 type endpointKey struct {
@@ -44,17 +44,16 @@
 	server   invariants.ServerIndex
 }
 
-// notification says that a balancer was notified of a server's state. startedAt is the time of the run at which the
-// server's process started; 0: before the run.
+// notification says that a balancer was notified of a server's state.
 type notification struct {
 	balancer  invariants.BalancerIndex
 	server    invariants.ServerIndex
 	state     piernotch.State
-	startedAt time.Duration
+	startedAt time.Duration // since the run began; 0: before
 }
 
-// startSharedWatch starts the voters and writes the group files of voters and balancers. The caller calls stop,
-// unless it fails.
+// startSharedWatch starts the voters and writes the group files of all members. The caller calls stop, unless
+// it fails.
 func startSharedWatch(opts Options, balancers int) (*sharedWatch, error) {
 	shared := &sharedWatch{balancers: balancers, notifications: map[endpointKey]int{}}
 	group := controlgroup.Config{Name: "loadtest", LeaseDuration: sharedLeaseDuration, MaxClockDrift: sharedClockDrift}
@@ -116,7 +115,7 @@
 	return name, os.WriteFile(name, []byte(config.TOML()), 0o600)
 }
 
-// stop kills the voters and waits for their exit.
+// stop kills the voters and waits for them.
 func (s *sharedWatch) stop() {
 	for _, voter := range s.voters {
 		_ = voter.Process.Signal(syscall.SIGKILL)
@@ -124,9 +123,9 @@
 	}
 }
 
-// endpointNotified notifies the observer for all balancers that share the watch. That a server is ready counts at
-// once for all, because each balancer may use the server as soon as the group notifies it. Any other state counts at once
-// for the balancer that discovery wrote to, and after sharedNotifyTimeout for the others.
+// endpointNotified notifies the observer for all balancers that share the watch. An update counts at once for the
+// balancer that discovery wrote to. For the others, Ready also counts at once, because they may use the server once
+// the group notifies them. Other states count after sharedNotifyTimeout, unless a newer update counted by then.
 func (s *sharedWatch) endpointNotified(running *environment, received notification) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,7 +153,7 @@
 	}
 }
 
-// notifyLocked notifies the observer for one balancer and counts the notification. The caller holds mu.
+// notifyLocked notifies the observer for one balancer and counts it. The caller holds mu.
 func (s *sharedWatch) notifyLocked(running *environment, received notification) {
 	s.notifications[endpointKey{balancer: received.balancer, server: received.server}]++
 	running.observer.EndpointNotified(received)
--- a/internal/lab/loadtest/usage.go
+++ b/internal/lab/loadtest/usage.go
@@ -20,11 +20,11 @@
 	descriptors int
 }
 
-// sampleUsage samples the balancers' resource usage until stop is closed. It returns the usage by balancer number
-// and quarter of the run.
+// sampleUsage samples the balancers' resource usage until stop is closed, and returns it by balancer and quarter of
+// the run.
 func (e *environment) sampleUsage(stop <-chan struct{}) [][]Quarter {
 	quarters := make([][]Quarter, len(e.balancers))
-	previous := make([]time.Duration, len(e.balancers)) // CPU time at the last sample, by balancer number
+	previous := make([]time.Duration, len(e.balancers)) // CPU time at the last sample
 	for i, balancer := range e.balancers {
 		quarters[i] = make([]Quarter, 4)
 		previous[i] = balancer.usage().cpu
@@ -50,8 +50,7 @@
 	}
 }
 
-// usage reads the resource usage of the current process from /proc. Its CPU time includes exited processes; values
-// that cannot be read are 0.
+// usage returns the balancer's resource usage. Values of the current process that cannot be read are 0.
 func (b *balancer) usage() usage {
 	b.mu.Lock()
 	current := b.process
@@ -74,13 +73,13 @@
 	return used
 }
 
-// readCPUTime returns the user and system time in a /proc stat file; 0 if the file cannot be read.
+// readCPUTime returns the user plus system time in a /proc stat file.
 func readCPUTime(name string) time.Duration {
 	data, err := os.ReadFile(name)
 	if err != nil {
 		return 0
 	}
-	// User and system time are the 12th and 13th field after the name. The name may contain spaces.
+	// Skip the name, which may contain spaces: user and system time are the 12th and 13th field after it.
 	text := string(data)
 	fields := strings.Fields(text[strings.LastIndexByte(text, ')')+1:])
 	if len(fields) <= 13 {
@@ -91,8 +90,7 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// readResidentMB returns the resident memory in a /proc statm file, in MB of 2^20 bytes; 0 if the file cannot be
-// read.
+// readResidentMB returns the resident memory in a /proc statm file, in units of 2^20 bytes.
 func readResidentMB(name string) float64 {
 	data, err := os.ReadFile(name)
 	if err != nil {
