--- a/internal/lab/loadtest/environment.go
+++ b/internal/lab/loadtest/environment.go
@@ -17,7 +17,7 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// stopTimeout is how long a balancer may take to exit at the end before it is killed.
+// stopTimeout is how long a balancer may take to exit at the end of the run before it is killed.
 const stopTimeout = 3 * time.Second
 
 // environment holds the processes, emulated parts and state of one run.
--- a/internal/lab/loadtest/handover_play.go
+++ b/internal/lab/loadtest/handover_play.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// playHandover plays a handover of a balancer, after any that is under way there.
+// playHandover waits until no other handover of the balancer is under way, then plays one.
 func (e *environment) playHandover(ctx context.Context, target *balancer, played Handover) error {
 	target.handover.Lock() // one at a time
 	defer target.handover.Unlock()
