--- a/internal/lab/loadtest/admin.go
+++ b/internal/lab/loadtest/admin.go
@@ -19,7 +19,7 @@
 	return &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// healthStatus returns the HTTP status of a balancer's health check; 0 if there was no response.
+// healthStatus returns the HTTP status of a balancer's health check; 0 without a response.
 func healthStatus(address string) int {
 	response, err := newCallClient().Get("http://" + address + "/_health")
 	if err != nil {
@@ -63,7 +63,7 @@
 	errProcessNotReady = errors.New("not ready")
 )
 
-// awaitReady polls the process until it reports that it can serve.
+// awaitReady polls the process until it reports that it can serve. It fails on the process's exit or after the timeout.
 func (p *process) awaitReady(ctx context.Context, timeout time.Duration) error {
 	for end := time.Now().Add(timeout); time.Now().Before(end); {
 		status, err := p.callAdmin(adminCall{method: http.MethodGet, path: "/api/ready"})
@@ -81,7 +81,7 @@
 	return fmt.Errorf("%w within %v", errProcessNotReady, timeout)
 }
 
-// expectStatus makes a call and reports a problem if it fails or returns another status before the context is done.
+// expectStatus makes a call and reports a problem if it gets an error or another status before the context is done.
 func (e *environment) expectStatus(ctx context.Context, target *process, call adminCall, status int) {
 	got, err := target.callAdmin(call)
 	if (err != nil || got != status) && ctx.Err() == nil {
--- a/internal/lab/loadtest/balancer.go
+++ b/internal/lab/loadtest/balancer.go
@@ -19,7 +19,8 @@
 	"piernotch/internal/simprotocol"
 )
 
-// A start fails after startPolls unsuccessful health checks, startPollPause apart.
+// A start fails after startPolls unsuccessful health checks, startPollPause apart. startTimeout leaves out the duration
+// of the checks.
 const (
 	startPolls     = 200
 	startPollPause = 50 * time.Millisecond
@@ -29,25 +30,24 @@
 // lastLogLines is the number of log lines that an error quotes.
 const lastLogLines = 4
 
-// balancer is one balancer of the realization. It persists across restarts and handovers, which replace its
-// process.
+// balancer is one balancer of the realization. Restarts and handovers replace its process.
 type balancer struct {
 	number     int
 	zone       int
 	program    string
 	args       []string
 	env        []string
-	dir        string // for its log and its listener's tempDir
+	dir        string // holds the log and the listener's tempDir
 	address    string
 	configFile string
-	listener   *listener // nil: each process binds the address itself
+	listener   *listener // nil: each process binds the address
 
 	handover sync.Mutex // held during a handover
 
 	mu        sync.Mutex    // guards the fields below
-	process   *process      // current process, which may have exited; nil before the first start
-	routing   routing       // says whether clients use the balancer
-	crash     error         // of a process that exited by itself; nil: none did
+	process   *process      // may have exited; nil before the first start
+	routing   routing       // whether and on which connections clients use the balancer
+	crash     error         // error of a process that exited by itself while current; nil: none
 	exitedCPU time.Duration // CPU time of exited processes
 }
 
@@ -56,11 +56,10 @@
 	cmd          *exec.Cmd
 	exited       chan struct{} // closed once the process has exited
 	adminAddress string        // address for admin calls; "": none
-	stopping     bool          // told to end or killed while it was current; guarded by balancer.mu
+	stopping     bool          // told to end, or killed while current; guarded by balancer.mu
 }
 
-// listener holds the listening socket that all processes of a balancer inherit, and the temporary directory that
-// they share.
+// listener is the listening socket that all processes of a balancer inherit, and their shared temporary directory.
 type listener struct {
 	file    *os.File
 	tempDir string
@@ -136,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = socket.Close() }() // file holds a duplicate of the descriptor
+	defer func() { _ = socket.Close() }() // file has a duplicate descriptor
 	file, err := socket.(*net.TCPListener).File()
 	if err != nil {
 		return err
@@ -198,7 +197,7 @@
 	b.routing = how
 }
 
-// crashError returns the error of a process that exited by itself; nil if none did.
+// crashError returns the error of a process that exited by itself while current; nil if none did.
 func (b *balancer) crashError() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -242,12 +241,12 @@
 	if err := started.cmd.Start(); err != nil {
 		return nil, &BalancerError{Balancer: b.number, Err: err}
 	}
-	go b.awaitProcess(started) // returns once the process has exited
+	go b.awaitProcess(started) // ends with the process
 	return started, nil
 }
 
-// awaitProcess waits until a process has exited and adds up its CPU time. It records a crash if the process was the
-// current one and not told to end.
+// awaitProcess waits until a process has exited, adds up its CPU time, and closes its exited channel. It records a
+// crash if the process was current and not told to end.
 func (b *balancer) awaitProcess(started *process) {
 	err := started.cmd.Wait()
 	b.mu.Lock()
@@ -263,8 +262,8 @@
 	close(started.exited)
 }
 
-// start starts a process, makes it the current one, and waits until its health check succeeds. It fails after
-// startTimeout.
+// start starts a process, makes it the current one, and waits until the balancer's health check succeeds. It fails
+// after startPolls checks, on the process's exit, or when the context is done.
 func (b *balancer) start(ctx context.Context) error {
 	started, err := b.spawn()
 	if err != nil {
@@ -288,9 +287,8 @@
 	return b.error("", fmt.Errorf("%w after %v", ErrBalancerNotReady, startTimeout))
 }
 
-// signal sends a signal to the current process and returns a channel that is closed once the process has exited.
-// Every signal but SIGHUP (reload) marks the process as stopping. Without a process the channel is
-// already closed.
+// signal sends a signal to the current process and returns a channel that is closed once the process has exited
+// (already closed if there is none). Every signal but SIGHUP (reload) marks the process as stopping.
 func (b *balancer) signal(sent syscall.Signal) <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/lab/loadtest/crowd.go
+++ b/internal/lab/loadtest/crowd.go
@@ -13,12 +13,13 @@
 func (e *environment) startIdleClients(ctx context.Context) {
 	for _, target := range e.balancers {
 		for range e.opts.IdleClients {
-			go target.runIdleClient(ctx) // returns once the context is done
+			go target.runIdleClient(ctx) // ends with the context
 		}
 	}
 }
 
-// runIdleClient connects to the balancer while it is routed, sends nothing, and reconnects when the connection ends.
+// runIdleClient keeps a silent connection to the balancer until the context is done. It connects and reconnects only
+// while the balancer is routed.
 func (b *balancer) runIdleClient(ctx context.Context) {
 	for ctx.Err() == nil {
 		if b.currentRouting() == routed {
@@ -28,7 +29,7 @@
 	}
 }
 
-// holdIdleConnection opens a connection and waits until the balancer closes it.
+// holdIdleConnection opens a connection and waits until the balancer closes it or the context is done.
 func (b *balancer) holdIdleConnection(ctx context.Context) {
 	var dialer net.Dialer
 	connection, err := dialer.DialContext(ctx, "tcp", b.address)
@@ -37,6 +38,6 @@
 	}
 	defer context.AfterFunc(ctx, func() { _ = connection.Close() })()
 	var one [1]byte
-	_, _ = connection.Read(one[:]) // returns once the connection is closed
+	_, _ = connection.Read(one[:]) // ends with the connection
 	_ = connection.Close()
 }
--- a/internal/lab/loadtest/environment.go
+++ b/internal/lab/loadtest/environment.go
@@ -17,7 +17,7 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// stopTimeout is how long a balancer may take to exit at the end of the run before it is killed.
+// stopTimeout is how long after SIGTERM a balancer is killed at the end of the run.
 const stopTimeout = 3 * time.Second
 
 // environment holds the processes, emulated parts and state of one run.
@@ -30,8 +30,8 @@
 	balancers   []*balancer // indexed by balancer number
 	malformed   load.MalformedClients
 	handovers   *HandoverReport
-	background  sync.WaitGroup      // goroutines that play handovers, and faults of links and processes
-	proxies     *faultproxy.Network // nil: the processes connect without proxies
+	background  sync.WaitGroup      // handovers, and faults of links and processes
+	proxies     *faultproxy.Network // nil: the run has no proxies
 	sharedWatch *sharedWatch        // nil: each balancer watches discovery itself
 	stopped     atomic.Bool         // set when the run is over
 	mu          sync.Mutex
@@ -46,7 +46,8 @@
 	return e
 }
 
-// open starts emulated servers, discovery and voters, and prepares proxies. The caller calls close even if it fails.
+// open starts emulated servers and discovery and, if Options ask for them, voters or proxies. The caller calls close
+// even if open fails.
 func (e *environment) open() error {
 	var err error
 	balancers := len(e.realization.Balancers)
@@ -97,7 +98,7 @@
 	}
 }
 
-// clock returns the time since the run began, when all balancers were ready; 0 before.
+// clock returns the time since the run began; 0 before. The run begins once all balancers are ready.
 func (e *environment) clock() time.Duration {
 	if started := e.started.Load(); started != nil {
 		return time.Since(*started)
@@ -120,7 +121,8 @@
 	return e.err
 }
 
-// addBalancer creates a balancer of the realization and launches it.
+// addBalancer creates a balancer of the realization, opens its listening socket if handovers are planned, and launches
+// it.
 func (e *environment) addBalancer(ctx context.Context, number int) error {
 	added, err := newBalancer(e.opts, number, e.realization)
 	if err != nil {
@@ -138,8 +140,8 @@
 	return e.launch(ctx, added)
 }
 
-// launch configures a balancer, reports its restart to the observer, starts a process, and routes clients to the
-// balancer once the process is ready.
+// launch configures a balancer, tells the observer of its restart, starts a process, and routes clients to the balancer
+// once the process is ready.
 func (e *environment) launch(ctx context.Context, target *balancer) error {
 	if err := e.configure(target); err != nil {
 		return err
--- a/internal/lab/loadtest/errors.go
+++ b/internal/lab/loadtest/errors.go
@@ -15,7 +15,7 @@
 	ErrBalancerExited = errors.New("ended by itself")
 	// ErrBalancerNotStarted means that a balancer's process exited before it was ready.
 	ErrBalancerNotStarted = errors.New("did not start")
-	// ErrBalancerNotReady means that a balancer's process runs but did not become ready within startTimeout.
+	// ErrBalancerNotReady means that a balancer's process runs but was not ready after startPolls health checks.
 	ErrBalancerNotReady = errors.New("is not ready")
 )
 
--- a/internal/lab/loadtest/faults.go
+++ b/internal/lab/loadtest/faults.go
@@ -13,12 +13,11 @@
 	"piernotch/internal/lab/invariants"
 )
 
-// resumePause is how long after a pause a balancer may still respond late: it first handles requests that
-// queued up meanwhile.
+// resumePause is how long after a pause a balancer may still respond late to requests that queued up meanwhile.
 const resumePause = time.Second
 
-// linkName returns the name of the link from a balancer to a server or to discovery. The name seeds the link's
-// jitter: with other names, a seed would no longer reproduce the same run.
+// linkName returns the name of the link from a balancer to a server or to discovery. The name seeds the link's jitter:
+// other names would change the runs of a seed.
 func linkName(balancer int, target chaos.Target) string {
 	if target == chaos.Discovery {
 		return fmt.Sprintf("n%d>roster", balancer)
@@ -29,8 +28,8 @@
 // serverLinkPrefix returns the common prefix of the names of a balancer's links to servers.
 func serverLinkPrefix(balancer int) string { return fmt.Sprintf("n%d>s", balancer) }
 
-// routeThroughProxy returns the address at which a balancer reaches a target: that of a proxy if one is needed and
-// can be opened, else the target's own.
+// routeThroughProxy returns the address at which a balancer reaches a target: that of a proxy if one is needed and can
+// be opened, else the target's own. It records a failure to open a proxy during the run.
 func (e *environment) routeThroughProxy(balancer int, target chaos.Target, address string) string {
 	if e.proxies == nil || target != chaos.Discovery && !e.opts.needsServerProxies() {
 		return address
@@ -46,9 +45,9 @@
 	return link.Address()
 }
 
-// endpointNotified tells the observer that a balancer was notified of a server's state. Behind a proxy, an update
-// counts once it has arrived: a cut link delays it. An overdue update, which was not written, counts at once. With a
-// shared watch, overdue updates are ignored and sharedWatch handles the others.
+// endpointNotified tells discovery and the observer that a balancer was notified of a server's state: behind a proxy,
+// once the update has arrived, which a cut link delays. Overdue updates were not written; the observer alone is told of
+// them, at once. With a shared watch, overdue updates are ignored and sharedWatch handles the others.
 func (e *environment) endpointNotified(sent emulator.Notification) {
 	received := notification{
 		balancer:  invariants.BalancerIndex(sent.Balancer),
@@ -59,7 +58,7 @@
 	discovery := e.fleet.Discovery()
 	switch {
 	case sent.Overdue():
-		if e.sharedWatch == nil { // else the group notifies the other balancers
+		if e.sharedWatch == nil { // else the group notifies balancers that do not watch discovery
 			e.observer.EndpointNotified(received)
 		}
 	case e.sharedWatch != nil:
@@ -83,14 +82,14 @@
 	return arrives
 }
 
-// notifyThroughProxy tells discovery and the observer of an update once the link has delivered it.
+// notifyThroughProxy tells discovery and the observer of an update once the link has delivered it, if ever.
 func (e *environment) notifyThroughProxy(sent emulator.Notification, received notification) {
 	discovery := e.fleet.Discovery()
 	link, err := e.proxies.Link(linkName(sent.Balancer, chaos.Discovery), discovery.Address(sent.Balancer))
 	if err != nil {
 		return
 	}
-	go func() { // returns when the link heals, is reset or is closed
+	go func() { // ends once the update is delivered or lost
 		if link.Delivered(faultproxy.FromTarget) {
 			discovery.Received(sent.Balancer, sent.Generation)
 			e.observer.EndpointNotified(received)
@@ -98,8 +97,7 @@
 	}()
 }
 
-// scheduleLinkAndProcessFaults plays each step of Options.Faults at its time, in a goroutine of the background
-// group.
+// scheduleLinkAndProcessFaults plays each step of Options.Faults at its time, in a goroutine of e.background.
 func (e *environment) scheduleLinkAndProcessFaults(ctx context.Context) {
 	for _, step := range e.opts.Faults {
 		e.background.Go(func() {
@@ -154,7 +152,7 @@
 const (
 	// shutdownGrace is the time that a balancer gets to shut down, on top of the longest deadline of a class.
 	shutdownGrace = 700 * time.Millisecond
-	// maxShutdownDeadline is the longest deadline that the platform waits for.
+	// maxShutdownDeadline caps the class deadline that the platform waits for in a shutdown.
 	maxShutdownDeadline = 3 * time.Second
 	// signalPause is the time between two signals of a series.
 	signalPause = 60 * time.Millisecond
@@ -169,9 +167,9 @@
 	return min(longest, maxShutdownDeadline) + shutdownGrace
 }
 
-// terminate sends SIGTERM to a balancer, kills it after killDelay if it still runs, and starts it again at the step's
-// end at the earliest. From unrouteDelay after SIGTERM, clients use only connections that are already open, and after
-// the exit none.
+// terminate sends SIGTERM to a balancer (with SignalSeries, then SIGHUP and SIGTERM again), kills it after killDelay if
+// it still runs, and relaunches it at the step's end at the earliest. From unrouteDelay after the last signal, clients
+// use only open connections, and after the exit none.
 func (e *environment) terminate(ctx context.Context, step chaos.Step) {
 	target := e.balancers[step.Balancer]
 	kill := time.After(e.killDelay())
@@ -205,7 +203,7 @@
 	}
 }
 
-// flapLinks sets and heals the step's fault in turn, every chaos.FlapInterval. At the step's end it leaves the
+// flapLinks sets and heals the step's fault in turn, every chaos.FlapInterval until the step's end, and leaves the
 // links healed.
 func (e *environment) flapLinks(ctx context.Context, step chaos.Step) {
 	faulty := false
@@ -223,7 +221,8 @@
 	}
 }
 
-// setLinkFault sets a step's fault on its links, and clears faults of directions that are not the step's.
+// setLinkFault sets a step's fault on its links, clears faults of the other direction, and marks discovery as
+// unreachable if it is the target.
 func (e *environment) setLinkFault(step chaos.Step) {
 	e.setReachable(step, false)
 	e.eachLink(step, func(link *faultproxy.Link) {
@@ -237,7 +236,7 @@
 	})
 }
 
-// healLinks clears all faults of a step's links.
+// healLinks clears all faults of a step's links, and marks discovery as reachable if it is the target.
 func (e *environment) healLinks(step chaos.Step) {
 	e.eachLink(step, (*faultproxy.Link).Heal)
 	e.setReachable(step, true)
--- a/internal/lab/loadtest/faulttests.go
+++ b/internal/lab/loadtest/faulttests.go
@@ -12,7 +12,7 @@
 type FaultTest struct {
 	Name         string
 	Description  string
-	scenarioText string // TOML that is added to the base scenario
+	scenarioText string // TOML added to the base scenario
 }
 
 // Times of a fault test, in seconds.
@@ -121,8 +121,8 @@
 	return t.parse("fault test "+t.Name, t.scenarioText)
 }
 
-// Control returns the scenario without the fault: for a seed it has the same servers and traffic. Fault tests that
-// return the same text have the same control.
+// Control returns the scenario without the fault: for a seed it has the same servers and traffic. Equal texts mean
+// equal controls.
 func (t FaultTest) Control() (s *scenario.Scenario, text string, err error) {
 	text, _, _ = strings.Cut(t.scenarioText, "[[trouble]]")
 	s, err = t.parse("control", text)
--- a/internal/lab/loadtest/handover.go
+++ b/internal/lab/loadtest/handover.go
@@ -15,12 +15,12 @@
 // Kinds of handovers. After each, the balancer has one process. The values are those of stored results.
 const (
 	HandoverPlain            HandoverKind = "plain"       // the old process gets SIGTERM once the new one is ready
-	HandoverLateStop         HandoverKind = "late"        // the old one gets SIGTERM up to maxStopDelay later
+	HandoverLateStop         HandoverKind = "late"        // the old one gets SIGTERM StopDelay after the new is ready
 	HandoverCrashBeforeReady HandoverKind = "dies-early"  // the new one is killed before it is ready
-	HandoverCrashAfterReady  HandoverKind = "dies-late"   // the new one is killed once ready; the old one serves on
+	HandoverCrashAfterReady  HandoverKind = "dies-late"   // the new one is killed after it is ready; the old serves on
 	HandoverBothReload       HandoverKind = "both-reload" // both get SIGHUP once the new one is ready
 	HandoverStopBeforeReady  HandoverKind = "too-soon"    // the old one gets SIGTERM while the new one starts
-	HandoverThirdProcess     HandoverKind = "third"       // a third process takes over from the new one
+	HandoverThirdProcess     HandoverKind = "third"       // a third process takes over from the new and the old one
 	// A server is excluded at both processes, and included again at the new one.
 	HandoverExclude HandoverKind = "exclude"
 	// The balancer is drained at the old process and rejoins at the new one.
@@ -38,30 +38,31 @@
 	At       time.Duration // since the run began
 	Balancer int
 	Kind     HandoverKind
-	// StopDelay is the time from readiness to SIGTERM in HandoverLateStop. HandoverCrashAfterReady waits a third
-	// of it before the kill.
+	// StopDelay is the time from the new process's readiness to SIGTERM in HandoverLateStop. HandoverCrashAfterReady
+	// waits a third of StopDelay before the kill.
 	StopDelay time.Duration
 }
 
 const (
-	// HandoverInterval is the time between the starts of two handovers of a balancer. It covers the longest handover.
+	// HandoverInterval is the time between the starts of two handovers of a balancer. It usually exceeds the longest
+	// handover; if not, the next one waits.
 	HandoverInterval = maxStopDelay + 8*time.Second
-	// HandoverLeadTime is the time before the first handover.
+	// HandoverLeadTime is the time from the run's beginning to its first handover.
 	HandoverLeadTime = 2 * time.Second
 
 	maxStopDelay = 6 * time.Second
 	// readyTimeout is how long a new process may take to become ready.
 	readyTimeout = 5 * time.Second
-	// killGrace is the time that a process gets to exit after SIGTERM, on top of minStopLimit or a longer
-	// deadline of a class.
+	// killGrace is the time that a process gets to exit after SIGTERM, on top of minStopLimit or a longer class
+	// deadline.
 	killGrace = 700 * time.Millisecond
 )
 
 // handoverStream is the random stream of DrawHandovers. Other draws of the same seed use other streams.
 const handoverStream = 23
 
-// DrawHandovers draws handovers from the realization's seed. It spreads them over the balancers in turn, with
-// HandoverInterval between two of the same balancer, and over all kinds equally.
+// DrawHandovers draws handovers from the realization's seed. Balancers take turns, with HandoverInterval between two
+// handovers of the same one. All kinds occur equally often.
 func DrawHandovers(realization *scenario.Realization, count int) []Handover {
 	rng := rand.New(rand.NewPCG(realization.Seed, handoverStream))
 	handovers := make([]Handover, count)
@@ -85,9 +86,9 @@
 	SlowestReady time.Duration        `json:"slowest_yes_ns"`
 	Problems     []string             `json:"wrong,omitempty"` // late or wrong admin responses and health checks
 	Exited       int                  `json:"ended"`           // processes that exited in time after SIGTERM
-	Killed       int                  `json:"killed"`          // processes that did not and were killed
-	// ClosedUnderRequest counts requests whose reused connection was closed unread, as far as clients can tell, by
-	// balancers that were neither killed nor paused.
+	Killed       int                  `json:"killed"`          // processes that were killed because they did not
+	// ClosedUnderRequest counts requests on reused connections that the balancer, as far as clients can tell, closed
+	// before it read the request. Killed and paused balancers are left out.
 	ClosedUnderRequest int `json:"turned_back"`
 }
 
@@ -97,14 +98,13 @@
 	h.Problems = append(h.Problems, fmt.Sprintf(format, args...))
 }
 
-// addDone counts a finished handover.
 func (h *HandoverReport) addDone(kind HandoverKind) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.Done[kind]++
 }
 
-// addReady records how long a new process took to become ready.
+// addReady updates SlowestReady with the time that a new process took to become ready.
 func (h *HandoverReport) addReady(after time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/loadtest/handover_play.go
+++ b/internal/lab/loadtest/handover_play.go
@@ -21,7 +21,7 @@
 	minStopLimit = 3 * time.Second         // least time that the platform gives a process to exit
 )
 
-// scheduleHandovers plays each handover at its time, in a goroutine of the background group.
+// scheduleHandovers plays each handover at its time, in a goroutine of e.background. It records errors.
 func (e *environment) scheduleHandovers(ctx context.Context) {
 	for _, handover := range e.opts.Handovers {
 		e.background.Go(func() {
@@ -33,9 +33,9 @@
 	}
 }
 
-// playHandover waits until no other handover of the balancer is under way, then plays one.
+// playHandover waits for the end of the balancer's previous handover, then plays one unless the context is done.
 func (e *environment) playHandover(ctx context.Context, target *balancer, played Handover) error {
-	target.handover.Lock() // one at a time
+	target.handover.Lock() // one handover at a time
 	defer target.handover.Unlock()
 	if ctx.Err() != nil {
 		return nil
@@ -89,8 +89,8 @@
 	next     *process
 }
 
-// disturbHandover plays the steps that are specific to a kind of handover, while both processes run. It returns the
-// process that takes over.
+// disturbHandover plays the steps specific to a kind of handover, while both processes run. It returns the process that
+// takes over.
 func (e *environment) disturbHandover(ctx context.Context, played Handover, both handoverProcesses) (*process, error) {
 	switch played.Kind {
 	case HandoverLateStop:
@@ -109,7 +109,8 @@
 	return both.next, nil
 }
 
-// crashNext kills the new process and excuses the balancer's open requests, and failures until crashPause is over.
+// crashNext kills the new process StopDelay/3 after it became ready. It excuses the balancer's open requests, and
+// failures of later ones until crashPause after the exit.
 func (e *environment) crashNext(ctx context.Context, target *balancer, next *process, played Handover) {
 	sleep(ctx, played.StopDelay/3)
 	e.observer.BalancerKilled(target.number)
@@ -141,8 +142,8 @@
 	e.handovers.addDone(played.Kind)
 }
 
-// awaitExit waits as long as the platform does for a process to exit after SIGTERM, then kills it. The report counts
-// both outcomes.
+// awaitExit waits as long as the platform does for a process to exit after SIGTERM, then kills it. It counts the
+// outcome.
 func (e *environment) awaitExit(old *process) {
 	limit := minStopLimit
 	for _, class := range e.realization.Classes {
@@ -158,8 +159,9 @@
 	}
 }
 
-// excludeServer excludes a ready server at both processes and includes it again at the new one. In between, the
-// invariant on draining applies to the server. The new process must also reject an unknown server's name.
+// excludeServer excludes a ready server at both processes and includes it again at the new one. Until then, the
+// invariant on draining treats the server as draining for this balancer. The new process must also reject an unknown
+// server's name.
 func (e *environment) excludeServer(ctx context.Context, both handoverProcesses) {
 	server, name, ok := e.fleet.Discovery().ReadyServer()
 	if !ok {
@@ -191,8 +193,8 @@
 	)
 }
 
-// drainBalancer drains the balancer at its old process and has it rejoin at the new one. The health check must show
-// both.
+// drainBalancer drains the balancer at its old process and has it rejoin at the new one. The health check must show the
+// drain and the rejoin.
 func (e *environment) drainBalancer(ctx context.Context, both handoverProcesses) {
 	e.expectStatus(ctx, both.old, adminCall{method: http.MethodPost, path: "/api/evacuate"}, http.StatusOK)
 	sleep(ctx, healthPause)
--- a/internal/lab/loadtest/loadtest.go
+++ b/internal/lab/loadtest/loadtest.go
@@ -23,17 +23,17 @@
 	Program  string   // path of the balancer's executable
 	MemoryMB int      // memory limit of each balancer; 0: 192
 	Sockets  int      // descriptor limit of each balancer; 0: 1024
-	Env      []string // KEY=VALUE pairs that balancers get in addition to this program's environment
-	// Handovers are played during the run. If there are any, Run opens each balancer's listening socket and
-	// the balancer's processes inherit it.
+	Env      []string // KEY=VALUE pairs for balancers, in addition to this program's environment
+	// Handovers are played during the run. If there are any, Run opens each balancer's listening socket for its
+	// processes to inherit.
 	Handovers []Handover
-	// VoterProgram runs as three voters, through which the balancers share one watch of discovery;
-	// "": each balancer watches discovery itself.
+	// VoterProgram is the executable of three voters, through which the balancers share one watch of discovery; "":
+	// each balancer watches discovery itself.
 	VoterProgram string
-	// Faults are faults of links and balancer processes. With any fault of a link, balancers reach discovery
-	// through proxies; with any fault of a link to a server, servers, too.
+	// Faults are faults of links and balancer processes. With a fault of a link, balancers reach discovery through
+	// proxies; with a fault of a link to a server, they reach servers through proxies, too.
 	Faults      []chaos.Step
-	IdleClients int // idle clients per balancer; they reconnect when it closes their connection
+	IdleClients int // idle clients per balancer; they reconnect when a balancer closes their connection
 	// KeepIdle is how long clients may reuse an idle connection; 0: the default of load.Clients.
 	KeepIdle time.Duration
 	LogDir   string // directory for configurations and logs; "": a temporary one that Run removes
@@ -94,7 +94,7 @@
 	return running.play(ctx, arrivals)
 }
 
-// play starts the run once all balancers are ready, and reports its results.
+// play plays the run and returns its report. All balancers must be ready.
 func (e *environment) play(ctx context.Context, arrivals []simulation.Arrival) (*Report, error) {
 	now := time.Now()
 	e.started.Store(&now)
@@ -115,7 +115,7 @@
 	e.scheduleHandovers(ctx)
 	usage := make(chan [][]Quarter)
 	stop := make(chan struct{})
-	go func() { usage <- e.sampleUsage(stop) }() // returns once stop is closed
+	go func() { usage <- e.sampleUsage(stop) }() // until stop is closed
 	clients.Run(ctx)
 	e.background.Wait()
 	close(stop)
--- a/internal/lab/loadtest/observer.go
+++ b/internal/lab/loadtest/observer.go
@@ -13,8 +13,8 @@
 // socketTolerance is added to the response slack and the drain grace that apply in simulated time.
 const socketTolerance = 50 * time.Millisecond
 
-// How long after the final response an earlier attempt may still arrive at a server. Through a proxy it may take
-// longer: a link adds its delay, and a silent cut (blackhole) holds data back until the connection breaks.
+// How long after a request's final response an earlier attempt may still arrive at a server. Proxies prolong this time:
+// a link adds its delay, and a silent cut (blackhole) holds data back until the connection breaks.
 const (
 	crossingTime            = 100 * time.Millisecond
 	crossingTimeWithProxies = crossingTime + 2500*time.Millisecond
@@ -49,8 +49,8 @@
 	sentAt   time.Duration
 	attempts int
 	endedAt  time.Duration // 0: it has not ended
-	paused   bool          // its balancer was paused while it was open
-	ignored  map[int]bool  // attempts that arrived within crossingTime after the end
+	paused   bool          // its balancer was paused while the request was open
+	ignored  map[int]bool  // attempts that arrived within crossingTime after the request's end
 }
 
 type endedRequest struct {
@@ -82,7 +82,7 @@
 	}
 }
 
-// RequestSent implements load.Observer. It forgets requests that ended more than endedRequestTTL ago.
+// RequestSent implements load.Observer. It also forgets requests that ended more than endedRequestTTL ago.
 func (o *observer) RequestSent(id string, balancer, class int, deadline time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -99,8 +99,8 @@
 }
 
 // RequestEnded implements load.Observer. A request whose connection the balancer closes without a response is lost,
-// unless the balancer was killed or paused, or closed a reused connection before it read the request. A request that
-// times out is not lost.
+// unless the balancer was killed or paused, or the connection was a reused one and no attempt reached a server. A
+// request that times out is not lost.
 func (o *observer) RequestEnded(id string, outcome load.Outcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -134,7 +134,7 @@
 	case load.Disconnected:
 		o.checker.RequestDropped(now, sent.sequence)
 	case load.Unreachable:
-		if sent.attempts > 0 && !excused { // it had been read: an attempt reached a server
+		if sent.attempts > 0 && !excused { // the request had been read: an attempt reached a server
 			o.checker.RequestDropped(now, sent.sequence)
 			return
 		}
@@ -168,8 +168,8 @@
 // killMargin is the age up to which BalancerKilledAtLimit excuses an open request.
 const killMargin = 100 * time.Millisecond
 
-// BalancerKilledAtLimit is BalancerKilled for a balancer that had the platform's full time for a shutdown, except that
-// open requests sent more than killMargin ago are lost.
+// BalancerKilledAtLimit is BalancerKilled for a balancer that had the platform's full time for a shutdown, but open
+// requests sent more than killMargin ago are lost.
 func (o *observer) BalancerKilledAtLimit(balancer int) {
 	o.mu.Lock()
 	now := o.clock()
@@ -183,7 +183,7 @@
 	o.BalancerKilled(balancer)
 }
 
-// BalancerRestarted says that a balancer starts without state. This ends all excuses.
+// BalancerRestarted says that a balancer starts without state, and ends all its excuses.
 func (o *observer) BalancerRestarted(balancer int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -191,16 +191,15 @@
 	o.checker.BalancerRestarted(invariants.BalancerIndex(balancer))
 }
 
-// ClosedUnderRequest returns the number of requests whose reused connection was closed unread, as far as clients can
-// tell, by balancers that were neither killed nor paused.
+// ClosedUnderRequest returns the value of HandoverReport.ClosedUnderRequest so far.
 func (o *observer) ClosedUnderRequest() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.closedUnderRequest
 }
 
-// BalancerPaused excuses a balancer from responding in time, until BalancerRecovered. Its open requests may
-// still end later, and are excused.
+// BalancerPaused excuses a balancer from responding in time, until BalancerRecovered. Requests open at the pause are
+// excused whenever they end, except for a wrong response.
 func (o *observer) BalancerPaused(balancer int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -218,7 +217,8 @@
 	o.excused[balancer] = max(o.excused[balancer]-1, 0)
 }
 
-// AttemptReceived implements emulator.Observer. It ignores attempts within crossingTime of the request's end.
+// AttemptReceived implements emulator.Observer. It returns the attempt number; -1 for an unknown request. The checker
+// does not get attempts within crossingTime after the request's end.
 func (o *observer) AttemptReceived(id string, server int, timeout time.Duration) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -246,7 +246,8 @@
 	return attemptNumber
 }
 
-// attempt returns the request of an attempt, or nil if the checker did not get the attempt. The caller holds mu.
+// attempt returns the request of an attempt, or nil if the request is unknown or the attempt was ignored. The caller
+// holds mu.
 func (o *observer) attempt(id string, attemptNumber int) *request {
 	sent := o.requests[id]
 	if sent == nil || sent.ignored[attemptNumber] {
--- a/internal/lab/loadtest/outdated_list_test.go
+++ b/internal/lab/loadtest/outdated_list_test.go
@@ -9,14 +9,14 @@
 )
 
 // notifiedWithin is how soon a change must reach a balancer that can reach discovery. After that time the balancer
-// counts as notified and has only the drain grace left.
+// counts as notified, with only the drain grace left to stop using a draining server.
 const notifiedWithin = 6 * time.Second
 
-// Guards against a long backoff after an outage of discovery. The exponential backoff of failed polls once reached
-// the poll interval of 10 s, with jitter 15 s, although a change counts as notified 6 s after discovery can be
-// reached again. With an outage of 12 s, sixteen balancers polled 0.3 to 12.8 s after its end, five of them after
-// more than 8 s. They kept sending requests to servers that had been draining for 8 to 11 s, which rejected them;
-// clients had to retry or were rejected.
+// Guards against a long backoff after an outage of discovery. The backoff after failed polls used to grow to the poll
+// interval of 10 s (15 s with jitter), although a change counts as notified 6 s after discovery can be reached again.
+// Balancers poll only when their backoff is over: after an outage of 12 s, sixteen polled 0.3 to 12.8 s after its end,
+// five of them after more than 8 s. Meanwhile they sent requests to servers that had been draining for 8 to 11 s. The
+// servers rejected them, and clients had to wait for a retry or were rejected.
 func TestChangeReachesBalancersSoonAfterDiscoveryOutage(t *testing.T) {
 	t.Parallel()
 	faults := `
--- a/internal/lab/loadtest/recovery.go
+++ b/internal/lab/loadtest/recovery.go
@@ -12,10 +12,10 @@
 // Recovery compares a run with its control, from the start of the fault on.
 type Recovery struct {
 	Served         float64 // weight served within the latency objective, as a share of the control's
-	Worst          float64 // the same share in the worst recoverySpan, at most 1
-	RecoveredAfter float64 // seconds from the fault to the end of the last span below recoveryThreshold; 0: none
-	Rejected       float64 // rejected share of the run's client attempts
-	Failed         float64 // share of the run's client attempts that failed or found no balancer
+	Worst          float64 // the same share in the worst span of recoverySpan seconds, at most 1
+	RecoveredAfter float64 // seconds from the fault to the end of the last span below recoveryThreshold; 0: no span
+	Rejected       float64 // rejected share of the client attempts since the fault
+	Failed         float64 // share of client attempts since the fault that failed or found no balancer
 }
 
 // MeasureRecovery compares a run whose fault began at faultSecond with its control of the same seed.
--- a/internal/lab/loadtest/report.go
+++ b/internal/lab/loadtest/report.go
@@ -17,7 +17,7 @@
 	Descriptors int     `json:"descriptors"` // highest sample
 }
 
-// Report is the result of a load test: the figures of a simulation's result, and those that only a run on sockets has.
+// Report is the result of a load test: the figures of a simulation, and those that only sockets give.
 type Report struct {
 	simulation.Result
 	Counts       load.Counts `json:"counts"`
@@ -74,7 +74,7 @@
 	return report
 }
 
-// buildResult returns the part of the report that simulations have, too.
+// buildResult returns the part of the report that simulations have, too. It runs the final check of the invariants.
 func (e *environment) buildResult(counter *goodput.Counter, counts load.Counts) simulation.Result {
 	score := e.realization.Score
 	parts := counter.Parts()
--- a/internal/lab/loadtest/scenario_faults.go
+++ b/internal/lab/loadtest/scenario_faults.go
@@ -8,9 +8,9 @@
 	"piernotch/internal/lab/scenario"
 )
 
-// Times of a restart.
+// Times of a balancer's shutdown.
 const (
-	// unrouteDelay is how long after a balancer's SIGTERM clients use it as before.
+	// unrouteDelay is how long clients use a balancer as before after it gets SIGTERM.
 	unrouteDelay = 300 * time.Millisecond
 	// restartTimeout is how long a balancer may take to exit after SIGTERM before it is killed.
 	restartTimeout = 10 * time.Second
@@ -24,8 +24,8 @@
 	faultBalancerRestart  = "balancer_restart"
 )
 
-// scheduleScenarioFaults schedules the realization's faults of balancers, of discovery's address, and malformed
-// clients. The emulator plays the other faults.
+// scheduleScenarioFaults schedules the realization's crashes and restarts of balancers, moves of discovery's address,
+// and malformed clients. The emulator plays the other faults.
 func (e *environment) scheduleScenarioFaults(ctx context.Context) {
 	e.malformed.Pick = e.pickBalancer
 	for i := range e.realization.Faults {
@@ -54,8 +54,7 @@
 	}
 }
 
-// at calls do in a new goroutine at a time of the run, unless the context is done or the realization's length is
-// over by then.
+// at calls do in a new goroutine at a time of the run, unless the context is done or the realization has ended by then.
 func (e *environment) at(ctx context.Context, due time.Duration, do func()) {
 	time.AfterFunc(max(due-e.clock(), 0), func() {
 		if ctx.Err() == nil && e.clock() < e.realization.Length {
@@ -79,8 +78,8 @@
 	e.at(ctx, fault.End(), func() { e.relaunch(ctx, target) })
 }
 
-// restart stops a balancer with SIGTERM and, after restartTimeout, SIGKILL, and relaunches it after fault.For. From
-// unrouteDelay on, clients avoid it.
+// restart stops a balancer with SIGTERM and, after restartTimeout, SIGKILL, and relaunches it fault.For after the exit.
+// From unrouteDelay after SIGTERM to the relaunch, clients avoid the balancer.
 func (e *environment) restart(ctx context.Context, fault *scenario.Fault, target *balancer) {
 	exited := target.signal(syscall.SIGTERM)
 	time.AfterFunc(unrouteDelay, func() { target.route(notRouted) })
@@ -102,7 +101,8 @@
 	}
 }
 
-// moveDiscovery moves a balancer's discovery to another address and has the balancer reload its configuration.
+// moveDiscovery moves a balancer's discovery to another address and, unless the balancer is stopping, has it reload the
+// new configuration.
 func (e *environment) moveDiscovery(ctx context.Context, target *balancer) {
 	err := e.fleet.Discovery().Move(ctx, target.number)
 	if err == nil {
--- a/internal/lab/loadtest/sharedwatch.go
+++ b/internal/lab/loadtest/sharedwatch.go
@@ -25,7 +25,7 @@
 )
 
 // sharedNotifyTimeout is the time after which an endpoint update that discovery wrote to one balancer counts as known
-// to all: by then the group has notified each of the others, or it watches discovery itself.
+// to all: by then each of the others has been notified by the group or watches discovery itself.
 var sharedNotifyTimeout = watch.DefaultTiming.HeartbeatTimeout + watch.DefaultTiming.TimeoutJitter +
 	500*time.Millisecond
 
@@ -49,11 +49,10 @@
 	balancer  invariants.BalancerIndex
 	server    invariants.ServerIndex
 	state     piernotch.State
-	startedAt time.Duration // since the run began; 0: before
+	startedAt time.Duration // when the server's process started, since the run began; 0: before the run
 }
 
-// startSharedWatch starts the voters and writes the group files of all members. The caller calls stop, unless
-// it fails.
+// startSharedWatch starts the voters and writes the group files of all members. On success, the caller calls stop.
 func startSharedWatch(opts Options, balancers int) (*sharedWatch, error) {
 	shared := &sharedWatch{balancers: balancers, notifications: map[endpointKey]int{}}
 	group := controlgroup.Config{Name: "loadtest", LeaseDuration: sharedLeaseDuration, MaxClockDrift: sharedClockDrift}
@@ -124,8 +123,9 @@
 }
 
 // endpointNotified notifies the observer for all balancers that share the watch. An update counts at once for the
-// balancer that discovery wrote to. For the others, Ready also counts at once, because they may use the server once
-// the group notifies them. Other states count after sharedNotifyTimeout, unless a newer update counted by then.
+// balancer that discovery wrote to. Ready counts at once for the other balancers, too: they may use the server once the
+// group notifies them. Other states count for them after sharedNotifyTimeout, unless a newer update of the server
+// counts by then or the run is over.
 func (s *sharedWatch) endpointNotified(running *environment, received notification) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,7 +145,7 @@
 		time.AfterFunc(sharedNotifyTimeout, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			newer := s.notifications[key] != before // a later update has already counted for it
+			newer := s.notifications[key] != before // a later update of the server already counts for this balancer
 			if !newer && !running.stopped.Load() {
 				s.notifyLocked(running, other)
 			}
@@ -153,7 +153,7 @@
 	}
 }
 
-// notifyLocked notifies the observer for one balancer and counts it. The caller holds mu.
+// notifyLocked notifies the observer for one balancer and counts the notification. The caller holds mu.
 func (s *sharedWatch) notifyLocked(running *environment, received notification) {
 	s.notifications[endpointKey{balancer: received.balancer, server: received.server}]++
 	running.observer.EndpointNotified(received)
--- a/internal/lab/loadtest/usage.go
+++ b/internal/lab/loadtest/usage.go
@@ -73,13 +73,13 @@
 	return used
 }
 
-// readCPUTime returns the user plus system time in a /proc stat file.
+// readCPUTime returns the user plus system time in a /proc stat file; 0 if unreadable.
 func readCPUTime(name string) time.Duration {
 	data, err := os.ReadFile(name)
 	if err != nil {
 		return 0
 	}
-	// Skip the name, which may contain spaces: user and system time are the 12th and 13th field after it.
+	// Skip the process name, which may contain spaces: user and system time are the 12th and 13th field after it.
 	text := string(data)
 	fields := strings.Fields(text[strings.LastIndexByte(text, ')')+1:])
 	if len(fields) <= 13 {
@@ -90,7 +90,7 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// readResidentMB returns the resident memory in a /proc statm file, in units of 2^20 bytes.
+// readResidentMB returns the resident memory in a /proc statm file, in units of 2^20 bytes; 0 if unreadable.
 func readResidentMB(name string) float64 {
 	data, err := os.ReadFile(name)
 	if err != nil {
