--- a/internal/lab/loadtest/balancer.go
+++ b/internal/lab/loadtest/balancer.go
@@ -19,8 +19,8 @@
 	"piernotch/internal/simprotocol"
 )
 
-// A start fails after startPolls unsuccessful health checks, startPollPause apart. startTimeout leaves out the duration
-// of the checks.
+// A start fails after startPolls unsuccessful health checks, startPollPause apart. startTimeout is the sum of the
+// pauses, without the duration of the checks.
 const (
 	startPolls     = 200
 	startPollPause = 50 * time.Millisecond
@@ -45,7 +45,7 @@
 	handover sync.Mutex // held during a handover
 
 	mu        sync.Mutex    // guards the fields below
-	process   *process      // may have exited; nil before the first start
+	process   *process      // the current process: gets the signals; may have exited; nil before the first start
 	routing   routing       // whether and on which connections clients use the balancer
 	crash     error         // error of a process that exited by itself while current; nil: none
 	exitedCPU time.Duration // CPU time of exited processes
@@ -129,7 +129,7 @@
 }
 
 // openListener opens the listening socket that the processes inherit, and creates their temporary directory. The
-// caller closes the file.
+// caller closes b.listener.file.
 func (b *balancer) openListener() error {
 	socket, err := net.Listen("tcp", b.address)
 	if err != nil {
--- a/internal/lab/loadtest/fakebalancer_test.go
+++ b/internal/lab/loadtest/fakebalancer_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// TestMain runs the test binary as a fake balancer if FAKE_BALANCER names a fault.
+// TestMain runs the test binary as a fake balancer if FAKE_BALANCER is set: with the fault that it names, or with none.
 func TestMain(m *testing.M) {
 	if fault := os.Getenv("FAKE_BALANCER"); fault != "" {
 		runFakeBalancer(fault)
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-// runFakeBalancer runs a simple round-robin balancer with one fault. It uses the servers of its configuration and
+// runFakeBalancer runs a simple round-robin balancer with the fault, if any. It uses the servers of its configuration and
 // ignores endpoint updates.
 func runFakeBalancer(fault string) {
 	var config struct {
--- a/internal/lab/loadtest/faults.go
+++ b/internal/lab/loadtest/faults.go
@@ -46,8 +46,9 @@
 }
 
 // endpointNotified tells discovery and the observer that a balancer was notified of a server's state: behind a proxy,
-// once the update has arrived, which a cut link delays. Overdue updates were not written; the observer alone is told of
-// them, at once. With a shared watch, overdue updates are ignored and sharedWatch handles the others.
+// once the update has arrived, which a cut link delays. An overdue update is one that the balancer has not received
+// although it had time to ask for it. It counts as notified: only the observer is told, at once. With a shared watch,
+// overdue updates are ignored and sharedWatch handles the others.
 func (e *environment) endpointNotified(sent emulator.Notification) {
 	received := notification{
 		balancer:  invariants.BalancerIndex(sent.Balancer),
@@ -89,7 +90,7 @@
 	if err != nil {
 		return
 	}
-	go func() { // ends once the update is delivered or lost
+	go func() { // ends once the update is delivered, or the link is reset or closed
 		if link.Delivered(faultproxy.FromTarget) {
 			discovery.Received(sent.Balancer, sent.Generation)
 			e.observer.EndpointNotified(received)
@@ -150,7 +151,8 @@
 
 // Times of a shutdown by the platform.
 const (
-	// shutdownGrace is the time that a balancer gets to shut down, on top of the longest deadline of a class.
+	// shutdownGrace is the time that a balancer gets to finish its last requests and exit, on top of the longest
+	// deadline of a class, capped by maxShutdownDeadline.
 	shutdownGrace = 700 * time.Millisecond
 	// maxShutdownDeadline caps the class deadline that the platform waits for in a shutdown.
 	maxShutdownDeadline = 3 * time.Second
--- a/internal/lab/loadtest/handover.go
+++ b/internal/lab/loadtest/handover.go
@@ -62,7 +62,7 @@
 const handoverStream = 23
 
 // DrawHandovers draws handovers from the realization's seed. Balancers take turns, with HandoverInterval between two
-// handovers of the same one. All kinds occur equally often.
+// handovers of the same one. The numbers of handovers of any two kinds differ by at most one.
 func DrawHandovers(realization *scenario.Realization, count int) []Handover {
 	rng := rand.New(rand.NewPCG(realization.Seed, handoverStream))
 	handovers := make([]Handover, count)
--- a/internal/lab/loadtest/handover_play.go
+++ b/internal/lab/loadtest/handover_play.go
@@ -12,7 +12,7 @@
 	"piernotch/internal/lab/storednames"
 )
 
-// Pauses of handovers.
+// Times of handovers.
 const (
 	reloadPause  = 100 * time.Millisecond  // after SIGHUP to both processes
 	crashPause   = 1200 * time.Millisecond // until clients no longer use connections to a killed process
@@ -109,8 +109,8 @@
 	return both.next, nil
 }
 
-// crashNext kills the new process StopDelay/3 after it became ready. It excuses the balancer's open requests, and
-// failures of later ones until crashPause after the exit.
+// crashNext kills the new process StopDelay/3 after it became ready, and the requests in flight at it with it. It
+// therefore excuses the balancer's open requests, and failures of later ones until crashPause after the exit.
 func (e *environment) crashNext(ctx context.Context, target *balancer, next *process, played Handover) {
 	sleep(ctx, played.StopDelay/3)
 	e.observer.BalancerKilled(target.number)
--- a/internal/lab/loadtest/observer.go
+++ b/internal/lab/loadtest/observer.go
@@ -13,7 +13,8 @@
 // socketTolerance is added to the response slack and the drain grace that apply in simulated time.
 const socketTolerance = 50 * time.Millisecond
 
-// How long after a request's final response an earlier attempt may still arrive at a server. Proxies prolong this time:
+// How long after a request's final response an attempt that was sent before it may still arrive at a server. Proxies
+// prolong this time:
 // a link adds its delay, and a silent cut (blackhole) holds data back until the connection breaks.
 const (
 	crossingTime            = 100 * time.Millisecond
@@ -99,8 +100,8 @@
 }
 
 // RequestEnded implements load.Observer. A request whose connection the balancer closes without a response is lost,
-// unless the balancer was killed or paused, or the connection was a reused one and no attempt reached a server. A
-// request that times out is not lost.
+// unless the balancer was killed or paused, or the client took the request for unread (load.Unreachable) and no attempt
+// reached a server. A request that times out is not lost.
 func (o *observer) RequestEnded(id string, outcome load.Outcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/lab/loadtest/recovery.go
+++ b/internal/lab/loadtest/recovery.go
@@ -13,7 +13,7 @@
 type Recovery struct {
 	Served         float64 // weight served within the latency objective, as a share of the control's
 	Worst          float64 // the same share in the worst span of recoverySpan seconds, at most 1
-	RecoveredAfter float64 // seconds from the fault to the end of the last span below recoveryThreshold; 0: no span
+	RecoveredAfter float64 // seconds from the fault to the end of the last span below recoveryThreshold; 0: none
 	Rejected       float64 // rejected share of the client attempts since the fault
 	Failed         float64 // share of client attempts since the fault that failed or found no balancer
 }
--- a/internal/lab/loadtest/sharedwatch.go
+++ b/internal/lab/loadtest/sharedwatch.go
@@ -20,7 +20,7 @@
 	sharedWatchVoters = 3
 	// sharedLeaseDuration is how long the lease of the watch's duty is valid without renewal.
 	sharedLeaseDuration = 2 * time.Second
-	// sharedClockDrift is the highest relative clock drift between members.
+	// sharedClockDrift is the largest relative error of any member's clock rate.
 	sharedClockDrift = 0.01
 )
 
--- a/internal/lab/loadtest/usage.go
+++ b/internal/lab/loadtest/usage.go
@@ -37,7 +37,7 @@
 			return quarters
 		case <-tick.C:
 		}
-		// Usage after the realization's length counts in the last quarter.
+		// Usage after the realization's end counts in the last quarter.
 		now := min(int(4*e.clock()/e.realization.Length), 3)
 		for i, balancer := range e.balancers {
 			used := balancer.usage()
