--- a/internal/lab/loadtest/environment.go
+++ b/internal/lab/loadtest/environment.go
@@ -30,7 +30,7 @@
 	balancers   []*balancer // indexed by balancer number
 	malformed   load.MalformedClients
 	handovers   *HandoverReport
-	background  sync.WaitGroup      // handovers, and faults of links and processes
+	background  sync.WaitGroup      // plays handovers, and faults of links and processes
 	proxies     *faultproxy.Network // nil: the run has no proxies
 	sharedWatch *sharedWatch        // nil: each balancer watches discovery itself
 	stopped     atomic.Bool         // set when the run is over
@@ -46,8 +46,8 @@
 	return e
 }
 
-// open starts emulated servers and discovery and, if Options ask for them, voters or proxies. The caller calls close
-// even if open fails.
+// open starts emulated servers and discovery and, if Options ask for them, voters or proxies. It fails if Options
+// ask for both. The caller calls close even if open fails.
 func (e *environment) open() error {
 	var err error
 	balancers := len(e.realization.Balancers)
@@ -78,7 +78,8 @@
 	return nil
 }
 
-// close closes the inherited sockets, then stops balancers, proxies, voters, and the emulated servers and discovery.
+// close closes the inherited sockets, marks the run as over, and stops balancers, proxies, voters, and the emulated
+// servers and discovery.
 func (e *environment) close() {
 	for _, balancer := range e.balancers {
 		if balancer.listener != nil {
@@ -121,8 +122,8 @@
 	return e.err
 }
 
-// addBalancer creates a balancer of the realization, opens its listening socket if handovers are planned, and launches
-// it.
+// addBalancer creates a balancer of the realization and launches it. The balancer joins the group of a shared watch. Its
+// listening socket is opened here if handovers are planned.
 func (e *environment) addBalancer(ctx context.Context, number int) error {
 	added, err := newBalancer(e.opts, number, e.realization)
 	if err != nil {
@@ -154,7 +155,8 @@
 	return nil
 }
 
-// configure writes a balancer's configuration with the current address of discovery or its proxy.
+// configure writes a balancer's configuration with the current address of discovery or its proxy, and
+// with the endpoint list.
 func (e *environment) configure(target *balancer) error {
 	discovery := e.fleet.Discovery()
 	address := e.routeThroughProxy(target.number, chaos.Discovery, discovery.Address(target.number))
--- a/internal/lab/loadtest/fakebalancer_test.go
+++ b/internal/lab/loadtest/fakebalancer_test.go
@@ -23,8 +23,8 @@
 	os.Exit(m.Run())
 }
 
-// runFakeBalancer runs a simple round-robin balancer with the fault, if any. It uses the servers of its configuration and
-// ignores endpoint updates.
+// runFakeBalancer runs a simple round-robin balancer with the fault, if any. The balancer uses the servers of its
+// configuration and ignores endpoint updates.
 func runFakeBalancer(fault string) {
 	var config struct {
 		Listen, Discovery string
--- a/internal/lab/loadtest/faults.go
+++ b/internal/lab/loadtest/faults.go
@@ -170,8 +170,9 @@
 }
 
 // terminate sends SIGTERM to a balancer (with SignalSeries, then SIGHUP and SIGTERM again), kills it after killDelay if
-// it still runs, and relaunches it at the step's end at the earliest. From unrouteDelay after the last signal, clients
-// use only open connections, and after the exit none.
+// it still runs, and relaunches it at the step's end at the earliest, unless the context is done. From unrouteDelay
+// after the last of these signals, clients use only open connections, and after the exit none. Of the requests open at
+// the kill, BalancerKilledAtLimit excuses only recent ones.
 func (e *environment) terminate(ctx context.Context, step chaos.Step) {
 	target := e.balancers[step.Balancer]
 	kill := time.After(e.killDelay())
@@ -223,8 +224,8 @@
 	}
 }
 
-// setLinkFault sets a step's fault on its links, clears faults of the other direction, and marks discovery as
-// unreachable if it is the target.
+// setLinkFault sets a step's fault on its links, clears faults of a direction that the step leaves out, and marks
+// discovery as unreachable if it is the target.
 func (e *environment) setLinkFault(step chaos.Step) {
 	e.setReachable(step, false)
 	e.eachLink(step, func(link *faultproxy.Link) {
--- a/internal/lab/loadtest/handover_play.go
+++ b/internal/lab/loadtest/handover_play.go
@@ -120,7 +120,8 @@
 	e.observer.BalancerRecovered(target.number)
 }
 
-// handToThird hands over from the new process to a third one while the old one still runs. It returns the third.
+// handToThird hands over from the new process to a third one while the old one still runs. It waits for the
+// new process's exit and returns the third.
 func (e *environment) handToThird(ctx context.Context, target *balancer, next *process) (*process, error) {
 	third, err := target.spawn()
 	if err != nil {
@@ -159,9 +160,9 @@
 	}
 }
 
-// excludeServer excludes a ready server at both processes and includes it again at the new one. Until then, the
-// invariant on draining treats the server as draining for this balancer. The new process must also reject an unknown
-// server's name.
+// excludeServer excludes a ready server, if there is one, at both processes, and includes it again at the new one, a
+// second after the drain grace. Until then, the invariant on draining treats the server as draining for this balancer.
+// The new process must also reject an unknown server's name.
 func (e *environment) excludeServer(ctx context.Context, both handoverProcesses) {
 	server, name, ok := e.fleet.Discovery().ReadyServer()
 	if !ok {
--- a/internal/lab/loadtest/observer.go
+++ b/internal/lab/loadtest/observer.go
@@ -14,8 +14,8 @@
 const socketTolerance = 50 * time.Millisecond
 
 // How long after a request's final response an attempt that was sent before it may still arrive at a server. Proxies
-// prolong this time:
-// a link adds its delay, and a silent cut (blackhole) holds data back until the connection breaks.
+// before servers prolong this time: a link adds its delay, and a silent cut (blackhole) holds data back until the
+// connection breaks.
 const (
 	crossingTime            = 100 * time.Millisecond
 	crossingTimeWithProxies = crossingTime + 2500*time.Millisecond
@@ -28,7 +28,7 @@
 const finalMargin = time.Minute
 
 // observer reports what clients, servers and discovery observe to the checker of the invariants. It implements
-// load.Observer and emulator.Observer. All methods may be called from any goroutine.
+// load.Observer and emulator.Observer. All exported methods may be called from any goroutine.
 type observer struct {
 	clock        func() time.Duration
 	crossingTime time.Duration // crossingTime, or crossingTimeWithProxies; set before the run begins
@@ -45,11 +45,11 @@
 
 // request is one request that a client has sent.
 type request struct {
-	sequence uint64 // its ID in the checker
+	sequence uint64 // ID of the request in the checker
 	balancer int
 	sentAt   time.Duration
 	attempts int
-	endedAt  time.Duration // 0: it has not ended
+	endedAt  time.Duration // 0: the request has not ended
 	paused   bool          // its balancer was paused while the request was open
 	ignored  map[int]bool  // attempts that arrived within crossingTime after the request's end
 }
@@ -119,7 +119,7 @@
 	if outcome == load.Unreachable && !excused {
 		o.closedUnderRequest++
 	}
-	// A paused balancer cannot respond in time. But requests that came during the pause must not be served late.
+	// A paused or killed balancer cannot respond in time. But it must not serve later requests late.
 	excusedFailure := excused && (outcome == load.Rejected || outcome == load.Failed || outcome == load.Disconnected)
 	if sent.paused || excusedFailure {
 		o.checker.RequestExcused(now, sent.sequence)
--- a/internal/lab/loadtest/scenario_faults.go
+++ b/internal/lab/loadtest/scenario_faults.go
@@ -10,7 +10,7 @@
 
 // Times of a balancer's shutdown.
 const (
-	// unrouteDelay is how long clients use a balancer as before after it gets SIGTERM.
+	// unrouteDelay is the time after a balancer's SIGTERM during which clients still use the balancer as before.
 	unrouteDelay = 300 * time.Millisecond
 	// restartTimeout is how long a balancer may take to exit after SIGTERM before it is killed.
 	restartTimeout = 10 * time.Second
