--- a/internal/lab/loadtest/environment.go
+++ b/internal/lab/loadtest/environment.go
@@ -122,8 +122,8 @@
 	return e.err
 }
 
-// addBalancer creates a balancer of the realization and launches it. The balancer joins the group of a shared watch. Its
-// listening socket is opened here if handovers are planned.
+// addBalancer creates a balancer of the realization and launches it. The balancer joins the group of a shared watch.
+// Its listening socket is opened here if handovers are planned.
 func (e *environment) addBalancer(ctx context.Context, number int) error {
 	added, err := newBalancer(e.opts, number, e.realization)
 	if err != nil {
