--- a/internal/lab/loadtest/admin.go
+++ b/internal/lab/loadtest/admin.go
@@ -63,7 +63,8 @@
 	errProcessNotReady = errors.New("not ready")
 )
 
-// awaitReady polls the process until it reports that it can serve. It fails on the process's exit or after the timeout.
+// awaitReady polls the process until it reports that it can serve. It fails on the process's exit, after the
+// timeout, or when the context is done.
 func (p *process) awaitReady(ctx context.Context, timeout time.Duration) error {
 	for end := time.Now().Add(timeout); time.Now().Before(end); {
 		status, err := p.callAdmin(adminCall{method: http.MethodGet, path: "/api/ready"})
--- a/internal/lab/loadtest/handover.go
+++ b/internal/lab/loadtest/handover.go
@@ -86,7 +86,7 @@
 	SlowestReady time.Duration        `json:"slowest_yes_ns"`
 	Problems     []string             `json:"wrong,omitempty"` // late or wrong admin responses and health checks
 	Exited       int                  `json:"ended"`           // processes that exited in time after SIGTERM
-	Killed       int                  `json:"killed"`          // processes that were killed: no exit in time after SIGTERM
+	Killed       int                  `json:"killed"`          // processes killed: no exit in time after SIGTERM
 	// ClosedUnderRequest counts requests on reused connections that the balancer, as far as clients can tell, closed
 	// before it read the request. Killed and paused balancers are left out.
 	ClosedUnderRequest int `json:"turned_back"`
