--- a/internal/lab/loadtest/balancer.go
+++ b/internal/lab/loadtest/balancer.go
@@ -19,53 +19,53 @@
 	"piernotch/internal/simprotocol"
 )
 
-// How long a balancer's start may take: startPolls health checks, startPollPause apart.
+// A start fails after startPolls unsuccessful health checks, startPollPause apart. startTimeout is the sum of the
+// pauses, without the duration of the checks.
 const (
 	startPolls     = 200
 	startPollPause = 50 * time.Millisecond
 	startTimeout   = startPolls * startPollPause
 )
 
-// lastLogLines is how many lines of a balancer's log an error quotes.
+// lastLogLines is the number of log lines that an error quotes.
 const lastLogLines = 4
 
-// balancer is one logical balancer. It outlives its processes, which are starts of its program.
+// balancer is one balancer of the realization. Restarts and handovers replace its process.
 type balancer struct {
 	number     int
 	zone       int
 	program    string
 	args       []string
 	env        []string
-	dir        string // for logs
+	dir        string // holds the log and the listener's tempDir
 	address    string
 	configFile string
-	listener   *listener // nil: it binds its address itself
+	listener   *listener // nil: each process binds the address
 
-	handover sync.Mutex // held while a handover goes on
+	handover sync.Mutex // held during a handover
 
-	mu        sync.Mutex    // guards what follows
-	process   *process      // that clients are served by, or the last one
-	routing   routing       // how clients use it
-	crash     error         // nil: it has not ended by itself
-	exitedCPU time.Duration // of exited processes
+	mu        sync.Mutex    // guards the fields below
+	process   *process      // the current process: gets the signals; may have exited; nil before the first start
+	routing   routing       // whether and on which connections clients use the balancer
+	crash     error         // error of a process that exited by itself while current; nil: none
+	exitedCPU time.Duration // CPU time of exited processes
 }
 
 // process is one start of a balancer's program.
 type process struct {
 	cmd          *exec.Cmd
-	exited       chan struct{} // closed when it has exited
-	adminAddress string        // of its admin calls; "": none
-	stopping     bool          // it was asked to end, or killed; guarded by balancer.mu
+	exited       chan struct{} // closed once the process has exited
+	adminAddress string        // address for admin calls; "": none
+	stopping     bool          // told to end, or killed while current; guarded by balancer.mu
 }
 
-// listener is the listening socket that all processes of a balancer inherit, and the directory that they
-// share.
+// listener is the listening socket that all processes of a balancer inherit, and their shared temporary directory.
 type listener struct {
 	file    *os.File
 	tempDir string
 }
 
-// limits is what a balancer may use.
+// limits are the resource limits in a balancer's configuration.
 type limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
@@ -88,7 +88,7 @@
 	}, nil
 }
 
-// configure writes the platform's JSON.
+// configure writes the configuration file in the platform's JSON format. known is the initial endpoint list.
 func (b *balancer) configure(
 	realization *scenario.Realization,
 	discovery string,
@@ -128,13 +128,14 @@
 	return os.WriteFile(b.configFile, data, 0o600)
 }
 
-// openListener opens the socket that the processes inherit. The caller closes its file.
+// openListener opens the listening socket that the processes inherit, and creates their temporary directory. The
+// caller closes b.listener.file.
 func (b *balancer) openListener() error {
 	socket, err := net.Listen("tcp", b.address)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = socket.Close() }() // the file is a duplicate
+	defer func() { _ = socket.Close() }() // file has a duplicate descriptor
 	file, err := socket.(*net.TCPListener).File()
 	if err != nil {
 		return err
@@ -143,7 +144,8 @@
 	return os.MkdirAll(b.listener.tempDir, 0o700)
 }
 
-// commandEnvironment is the environment of a process, and the address of its admin calls.
+// commandEnvironment returns a new process's environment variables and, if it inherits the listening socket, its
+// admin address.
 func (b *balancer) commandEnvironment() (env []string, adminAddress string, err error) {
 	env = append(
 		append(os.Environ(), b.env...),
@@ -160,26 +162,26 @@
 	return env, adminAddress, err
 }
 
-// current returns the process that clients are served by.
+// current returns the current process, which may have exited.
 func (b *balancer) current() *process {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.process
 }
 
-// isStopping reports whether the present process was asked to end.
+// isStopping reports whether the current process was told to end or killed.
 func (b *balancer) isStopping() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.process.stopping
 }
 
-// routing is how clients use a balancer.
+// routing says whether clients use a balancer, and on which connections.
 type routing uint8
 
 const (
 	notRouted           routing = iota
-	openConnectionsOnly         // clients open no new connections, and send on the open ones
+	openConnectionsOnly         // clients send on open connections and open no new ones
 	routed
 )
 
@@ -189,28 +191,27 @@
 	return b.routing
 }
 
-// route sets how clients use the balancer.
 func (b *balancer) route(how routing) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.routing = how
 }
 
-// crashError returns how the balancer ended by itself; nil if it did not.
+// crashError returns the error of a process that exited by itself while current; nil if none did.
 func (b *balancer) crashError() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.crash
 }
 
-// error makes a BalancerError with the last lines of the log.
+// error returns err as a BalancerError with the last lines of the log.
 func (b *balancer) error(stage string, err error) error {
 	return &BalancerError{Balancer: b.number, Stage: stage, Err: err, LastLog: b.lastLog()}
 }
 
 func (b *balancer) logFile() string { return filepath.Join(b.dir, fmt.Sprintf("n%d.log", b.number)) }
 
-// lastLog returns the last lines of the log.
+// lastLog returns the last lastLogLines lines of the log; "" if there are none.
 func (b *balancer) lastLog() string {
 	data, err := os.ReadFile(b.logFile())
 	if err != nil || len(data) == 0 {
@@ -220,13 +221,13 @@
 	return strings.Join(lines[max(len(lines)-lastLogLines, 0):], "\n")
 }
 
-// spawn starts a process. It does not yet serve for the balancer.
+// spawn starts a process but does not make it the balancer's current one.
 func (b *balancer) spawn() (*process, error) {
 	log, err := os.OpenFile(b.logFile(), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = log.Close() }() // the process has its own
+	defer func() { _ = log.Close() }() // the process has its own descriptor
 	started := &process{cmd: exec.Command(b.program, b.args...), exited: make(chan struct{})}
 	started.cmd.Env, started.adminAddress, err = b.commandEnvironment()
 	if err != nil {
@@ -244,7 +245,8 @@
 	return started, nil
 }
 
-// awaitProcess waits until a process has exited, and notes its CPU time and whether it crashed.
+// awaitProcess waits until a process has exited, adds up its CPU time, and closes its exited channel. It records a
+// crash if the process was current and not told to end.
 func (b *balancer) awaitProcess(started *process) {
 	err := started.cmd.Wait()
 	b.mu.Lock()
@@ -260,7 +262,8 @@
 	close(started.exited)
 }
 
-// start starts a process that serves for the balancer, and waits until it is ready.
+// start starts a process, makes it the current one, and waits until the balancer's health check succeeds. It fails
+// after startPolls checks, on the process's exit, or when the context is done.
 func (b *balancer) start(ctx context.Context) error {
 	started, err := b.spawn()
 	if err != nil {
@@ -284,8 +287,8 @@
 	return b.error("", fmt.Errorf("%w after %v", ErrBalancerNotReady, startTimeout))
 }
 
-// signal sends a signal to the present process and returns the channel that is closed when it has exited.
-// All signals but a reload count as telling it to end. Without a process the channel is closed.
+// signal sends a signal to the current process and returns a channel that is closed once the process has exited
+// (already closed if there is none). Every signal but SIGHUP (reload) marks the process as stopping.
 func (b *balancer) signal(sent syscall.Signal) <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -301,7 +304,7 @@
 	return b.process.exited
 }
 
-// handTo has the next process serve for the balancer and tells the old one to end.
+// handTo makes next the current process and sends SIGTERM to old.
 func (b *balancer) handTo(next, old *process) {
 	b.mu.Lock()
 	b.process = next
--- a/internal/lab/loadtest/handover_play.go
+++ b/internal/lab/loadtest/handover_play.go
@@ -12,17 +12,16 @@
 	"piernotch/internal/lab/storednames"
 )
 
-// Pauses of handovers.
+// Times of handovers.
 const (
-	reloadPause  = 100 * time.Millisecond  // after a reload of both processes
-	crashPause   = 1200 * time.Millisecond // until clients have no connection to a killed process
-	drainPause   = time.Second             // between a drain and its end
-	healthPause  = 150 * time.Millisecond  // until the health check has to show a drain or its end
-	minStopLimit = 3 * time.Second         // that the platform gives a process to end, at least
+	reloadPause  = 100 * time.Millisecond  // after SIGHUP to both processes
+	crashPause   = 1200 * time.Millisecond // until clients no longer use connections to a killed process
+	drainPause   = time.Second             // from the check of a drain to the rejoin
+	healthPause  = 150 * time.Millisecond  // from a drain or rejoin until the health check must show it
+	minStopLimit = 3 * time.Second         // least time that the platform gives a process to exit
 )
 
-// scheduleHandovers plays the handovers of the run. Its goroutines end with them, and are waited for as
-// background.
+// scheduleHandovers plays each handover at its time, in a goroutine of e.background. It records errors.
 func (e *environment) scheduleHandovers(ctx context.Context) {
 	for _, handover := range e.opts.Handovers {
 		e.background.Go(func() {
@@ -34,9 +33,9 @@
 	}
 }
 
-// playHandover plays one handover of a balancer.
+// playHandover waits for the end of the balancer's previous handover, then plays one unless the context is done.
 func (e *environment) playHandover(ctx context.Context, target *balancer, played Handover) error {
-	target.handover.Lock() // one after the other
+	target.handover.Lock() // one handover at a time
 	defer target.handover.Unlock()
 	if ctx.Err() != nil {
 		return nil
@@ -83,15 +82,15 @@
 	return nil
 }
 
-// handoverProcesses are the two processes of a balancer during a handover.
+// handoverProcesses is a balancer with its old and new process during a handover.
 type handoverProcesses struct {
 	balancer *balancer
 	old      *process
 	next     *process
 }
 
-// disturbHandover plays what is particular to a kind of handover while both processes run. It returns the
-// process that takes over.
+// disturbHandover plays the steps specific to a kind of handover, while both processes run. It returns the process that
+// takes over.
 func (e *environment) disturbHandover(ctx context.Context, played Handover, both handoverProcesses) (*process, error) {
 	switch played.Kind {
 	case HandoverLateStop:
@@ -110,7 +109,8 @@
 	return both.next, nil
 }
 
-// crashNext kills the new process, and the requests in flight at it with it.
+// crashNext kills the new process StopDelay/3 after it became ready, and the requests in flight at it with it. It
+// therefore excuses the balancer's open requests, and failures of later ones until crashPause after the exit.
 func (e *environment) crashNext(ctx context.Context, target *balancer, next *process, played Handover) {
 	sleep(ctx, played.StopDelay/3)
 	e.observer.BalancerKilled(target.number)
@@ -120,7 +120,8 @@
 	e.observer.BalancerRecovered(target.number)
 }
 
-// handToThird hands over from the new process to a third one while the old one still runs.
+// handToThird hands over from the new process to a third one while the old one still runs. It waits for the
+// new process's exit and returns the third.
 func (e *environment) handToThird(ctx context.Context, target *balancer, next *process) (*process, error) {
 	third, err := target.spawn()
 	if err != nil {
@@ -134,7 +135,7 @@
 	return third, nil
 }
 
-// finishHandover notes that a handover has come to its end, with one process left.
+// finishHandover makes the remaining process the balancer's current one and counts the handover as done.
 func (e *environment) finishHandover(played Handover, target *balancer, left *process) {
 	target.mu.Lock()
 	target.process = left
@@ -142,7 +143,8 @@
 	e.handovers.addDone(played.Kind)
 }
 
-// awaitExit waits for a process that was asked to end, as long as the platform does, and kills it then.
+// awaitExit waits as long as the platform does for a process to exit after SIGTERM, then kills it. It counts the
+// outcome.
 func (e *environment) awaitExit(old *process) {
 	limit := minStopLimit
 	for _, class := range e.realization.Classes {
@@ -158,8 +160,9 @@
 	}
 }
 
-// excludeServer excludes a server at one process and includes it again at the other. Meanwhile the
-// invariant on draining applies to the balancer, and it has to reject the name of an unknown server.
+// excludeServer excludes a ready server, if there is one, at both processes, and includes it again at the new one, a
+// second after the drain grace. Until then, the invariant on draining treats the server as draining for this balancer.
+// The new process must also reject an unknown server's name.
 func (e *environment) excludeServer(ctx context.Context, both handoverProcesses) {
 	server, name, ok := e.fleet.Discovery().ReadyServer()
 	if !ok {
@@ -191,7 +194,8 @@
 	)
 }
 
-// drainBalancer drains the balancer at one process and has it rejoin at the other.
+// drainBalancer drains the balancer at its old process and has it rejoin at the new one. The health check must show the
+// drain and the rejoin.
 func (e *environment) drainBalancer(ctx context.Context, both handoverProcesses) {
 	e.expectStatus(ctx, both.old, adminCall{method: http.MethodPost, path: "/api/evacuate"}, http.StatusOK)
 	sleep(ctx, healthPause)
--- a/internal/lab/loadtest/sharedwatch.go
+++ b/internal/lab/loadtest/sharedwatch.go
@@ -18,20 +18,20 @@
 
 const (
 	sharedWatchVoters = 3
-	// sharedLeaseDuration is how long the lease of the watch is valid without a renewal.
+	// sharedLeaseDuration is how long the lease of the watch's duty is valid without renewal.
 	sharedLeaseDuration = 2 * time.Second
-	// sharedClockDrift is the most that the clocks of the group drift apart, as a share.
+	// sharedClockDrift is the largest relative error of any member's clock rate.
 	sharedClockDrift = 0.01
 )
 
-// sharedNotifyTimeout is the time after which an endpoint update that one balancer received counts as known to
-// all: by then each has been notified by the group, or watches discovery itself.
+// sharedNotifyTimeout is the time after which an endpoint update that discovery wrote to one balancer counts as known
+// to all: by then each of the others has been notified by the group or watches discovery itself.
 var sharedNotifyTimeout = watch.DefaultTiming.HeartbeatTimeout + watch.DefaultTiming.TimeoutJitter +
 	500*time.Millisecond
 
-// sharedWatch is one watch of discovery for all balancers, through a control group of voters.
+// sharedWatch is a control group of voters through which all balancers share one watch of discovery.
 type sharedWatch struct {
-	groupFiles []string // by balancer
+	groupFiles []string // indexed by balancer number
 	voters     []*exec.Cmd
 	balancers  int
 
@@ -44,15 +44,15 @@
 	server   invariants.ServerIndex
 }
 
-// notification is that discovery has written a server's state to a balancer.
+// notification says that a balancer was notified of a server's state.
 type notification struct {
 	balancer  invariants.BalancerIndex
 	server    invariants.ServerIndex
 	state     piernotch.State
-	startedAt time.Duration
+	startedAt time.Duration // when the server's process started, since the run began; 0: before the run
 }
 
-// startSharedWatch starts the voters and writes the group files of all members. The caller calls stop.
+// startSharedWatch starts the voters and writes the group files of all members. On success, the caller calls stop.
 func startSharedWatch(opts Options, balancers int) (*sharedWatch, error) {
 	shared := &sharedWatch{balancers: balancers, notifications: map[endpointKey]int{}}
 	group := controlgroup.Config{Name: "loadtest", LeaseDuration: sharedLeaseDuration, MaxClockDrift: sharedClockDrift}
@@ -87,9 +87,9 @@
 	return shared, nil
 }
 
-// startVoter starts one voter on an empty disk.
+// startVoter starts a voter without a stored state.
 func (s *sharedWatch) startVoter(opts Options, config controlgroup.Config) error {
-	_ = os.Remove(config.StorePath) // of an earlier run, if there is one
+	_ = os.Remove(config.StorePath) // a file of an earlier run may exist
 	file, err := writeGroupFile(opts, config)
 	if err != nil {
 		return err
@@ -98,7 +98,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // the voter has its own
+	defer func() { _ = log.Close() }() // the voter has its own descriptor
 	cmd := exec.Command(opts.VoterProgram, "--group", file)
 	cmd.Stdout = log
 	cmd.Stderr = log
@@ -114,7 +114,7 @@
 	return name, os.WriteFile(name, []byte(config.TOML()), 0o600)
 }
 
-// stop kills the voters.
+// stop kills the voters and waits for them.
 func (s *sharedWatch) stop() {
 	for _, voter := range s.voters {
 		_ = voter.Process.Signal(syscall.SIGKILL)
@@ -122,9 +122,10 @@
 	}
 }
 
-// endpointNotified notifies the observer for all balancers that share the watch. An update that a server is
-// ready counts at once, because each balancer that receives it may use the server. An update that it drains
-// counts once all balancers must have received it.
+// endpointNotified notifies the observer for all balancers that share the watch. An update counts at once for the
+// balancer that discovery wrote to. Ready counts at once for the other balancers, too: they may use the server once the
+// group notifies them. Other states count for them after sharedNotifyTimeout, unless a newer update of the server
+// counts by then or the run is over.
 func (s *sharedWatch) endpointNotified(running *environment, received notification) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +145,7 @@
 		time.AfterFunc(sharedNotifyTimeout, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			newer := s.notifications[key] != before // it received a later update itself
+			newer := s.notifications[key] != before // a later update of the server already counts for this balancer
 			if !newer && !running.stopped.Load() {
 				s.notifyLocked(running, other)
 			}
@@ -152,7 +153,7 @@
 	}
 }
 
-// notifyLocked notifies the observer for one balancer. The lock is held.
+// notifyLocked notifies the observer for one balancer and counts the notification. The caller holds mu.
 func (s *sharedWatch) notifyLocked(running *environment, received notification) {
 	s.notifications[endpointKey{balancer: received.balancer, server: received.server}]++
 	running.observer.EndpointNotified(received)
