--- a/internal/lab/clustersim/checks.go
+++ b/internal/lab/clustersim/checks.go
@@ -9,10 +9,10 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// maxViolations bounds what a result keeps; a run ends at its first violation.
+// maxViolations bounds the violations in a result; one event may cause several.
 const maxViolations = 8
 
-// violation records that the run broke a property.
+// violation records a violated property with the true time. The run ends after the current event.
 func (s *simulation) violation(format string, args ...any) {
 	if len(s.result.Violations) < maxViolations {
 		text := fmt.Sprintf("%.3f s: ", s.now.Seconds()) + fmt.Sprintf(format, args...)
@@ -20,7 +20,7 @@
 	}
 }
 
-// recordHeld extends the span of a duty that is held now.
+// recordHeld extends the span of this duty, token and holder to now, or begins a span.
 func (s *simulation) recordHeld(duty lease.Duty, token lease.Token, name string) {
 	for i := len(s.result.Spans) - 1; i >= 0; i-- {
 		span := &s.result.Spans[i]
@@ -32,8 +32,8 @@
 	s.result.Spans = append(s.result.Spans, Span{string(duty), token, name, s.now, s.now})
 }
 
-// checkExclusive checks, while a client holds a duty by its own clock, that no other client does. It also
-// adds up how long the duty had no lease holder.
+// checkExclusive checks that no client but holder holds duty i, each by its own clock. It also counts the time since
+// the last such check as time without a lease holder, if longer than two actIntervals.
 func (s *simulation) checkExclusive(holder *client, i int) {
 	if gap := s.now - s.lastHeld[duty(i)]; gap > 2*actInterval {
 		s.result.UnheldShare += gap.Seconds()
@@ -50,7 +50,7 @@
 	}
 }
 
-// recordAct records an act that a receiver did, and checks that only one client acts under each token.
+// recordAct records an act that a receiver carried out, and checks that only one client acts under a duty's token.
 func (s *simulation) recordAct(duty lease.Duty, token lease.Token, from processID) {
 	if s.actors[duty] == nil {
 		s.actors[duty] = map[lease.Token]processID{}
@@ -63,14 +63,15 @@
 	s.addToDigest(uint64(s.now), uint64(token), uint64(from))
 }
 
-// addToDigest makes what happens part of the run's digest: the same seed has to give the same digest.
+// addToDigest hashes parts into the run's digest. Two runs of one seed must have equal digests.
 func (s *simulation) addToDigest(parts ...uint64) {
 	for _, p := range parts {
 		s.digest = (s.digest ^ p) * digestPrime
 	}
 }
 
-// checkEnd checks the run as a whole, at its end.
+// checkEnd checks, at the end of a run, that every duty is held and that the history of calls is linearizable. It also
+// completes Grants and UnheldShare of the result.
 func (s *simulation) checkEnd() {
 	for i := range s.size.Duties {
 		isHeld := func(process *process) bool {
@@ -89,7 +90,8 @@
 	s.result.Violations = append(s.result.Violations, CheckLinearizability(final)...)
 }
 
-// Span is how long a client held a duty under a token, as its acts or its checks of the lease show.
+// Span is a period in which a client held a duty under one token. In the simulation, From and To are the first and
+// the last check that found the lease valid.
 type Span struct {
 	Duty   string        `json:"duty"`
 	Token  lease.Token   `json:"token"`
--- a/internal/lab/clustersim/client.go
+++ b/internal/lab/clustersim/client.go
@@ -11,15 +11,15 @@
 
 const (
 	actInterval     = 150 * time.Millisecond // how often a client considers each duty
-	minRetryPause   = 200 * time.Millisecond // before a duty that another process holds is requested again
-	retryJitter     = 500 * time.Millisecond
-	maxActDelay     = 5 * time.Millisecond // between the check of the lease and the act
-	maxLongActDelay = 6 * time.Second      // the same for one act in twelve: longer than a lease
-	callTimeout     = time.Second          // a voter that has not responded by then is left for another
-	transferPause   = 5 * time.Second      // how long a client that transferred its duties does not want them
+	minRetryPause   = 200 * time.Millisecond // before the next request for a duty that another process holds
+	retryJitter     = 500 * time.Millisecond // at most; added to minRetryPause
+	maxActDelay     = 5 * time.Millisecond   // maximum between the check of the lease and the act
+	maxLongActDelay = 6 * time.Second        // maximum for one act in twelve: longer than a lease
+	callTimeout     = time.Second            // without a response by then, the client picks a random voter
+	transferPause   = 5 * time.Second        // before a client that transferred its duties requests them again
 )
 
-// client is a process that wants all duties, and acts under those that it holds.
+// client is a process that requests all duties, and acts under the duties that it holds.
 type client struct {
 	*process
 	identity lease.Process
@@ -29,7 +29,7 @@
 
 func duty(i int) lease.Duty { return lease.Duty(fmt.Sprintf("d%d", i)) }
 
-// started begins a new incarnation.
+// started begins a new incarnation, with a random voter as the leader to try.
 func (c *client) started() {
 	c.identity = lease.Process{Name: fmt.Sprintf("c%d", c.id), Incarnation: lease.Incarnation(c.incarnation)}
 	c.leader = c.sim.rng.IntN(c.sim.size.Voters)
@@ -37,7 +37,7 @@
 	c.after(time.Duration(c.sim.rng.Int64N(int64(actInterval))), c.tick)
 }
 
-// wantDuties begins to request all duties.
+// wantDuties replaces the holders by new ones, which request their duties at the next ticks.
 func (c *client) wantDuties() {
 	c.holders = nil
 	for i := range c.sim.size.Duties {
@@ -51,7 +51,7 @@
 	}
 }
 
-// transferDuties gives the duties that are held to a random client, and wants them again later.
+// transferDuties transfers the held duties to a random client. After transferPause it requests all duties again.
 func (c *client) transferDuties() {
 	successor := c.sim.processes[c.sim.size.Voters+c.sim.rng.IntN(c.sim.size.Clients)].client
 	for i, holder := range c.holders {
@@ -62,7 +62,7 @@
 	c.after(transferPause, c.wantDuties)
 }
 
-// retryNow requests a duty that came free.
+// retryNow ends the holder's pause, so that the next tick requests the duty that came free.
 func (c *client) retryNow(freed lease.Duty) {
 	for i, holder := range c.holders {
 		if duty(i) == freed {
@@ -71,7 +71,8 @@
 	}
 }
 
-// tick sends the requests that are due, acts under the duties that are held, and reads one now and then.
+// tick sends the lease requests that are due. It acts under a held duty at one tick in three, and reads a random duty
+// at one tick in six.
 func (c *client) tick() {
 	c.after(actInterval, c.tick)
 	rng := c.sim.rng
@@ -90,7 +91,8 @@
 	}
 }
 
-// checkLease returns the token to act under now, and whether the duty is held.
+// checkLease returns the token to act under now, and whether duty i is held. If so, it records that and checks for a
+// second holder.
 func (c *client) checkLease(i int) (token lease.Token, held bool) {
 	token, held = steps.tokenToActUnder(c, c.holders[i])
 	if held {
@@ -100,7 +102,7 @@
 	return token, held
 }
 
-// actLater acts some time after the check of the lease: a real process may be busy or suspended in between.
+// actLater acts after a random delay: a real process may be suspended between the check of its lease and the act.
 func (c *client) actLater(d lease.Duty, token lease.Token) {
 	maxDelay := maxActDelay
 	if c.sim.rng.IntN(12) == 0 {
@@ -109,14 +111,14 @@
 	c.after(time.Duration(c.sim.rng.Int64N(int64(maxDelay))), func() { c.act(d, token) })
 }
 
-// act has all receivers do something under a token.
+// act sends an act under a token to all receivers.
 func (c *client) act(d lease.Duty, token lease.Token) {
 	for _, r := range c.sim.receivers() {
 		c.sim.send(c.id, r.id, func() { r.receive(d, token, c.id) })
 	}
 }
 
-// sendLeaseRequest sends a request of a holder, which gets its outcome.
+// sendLeaseRequest sends a request of the holder of duty i, and passes the response to that holder.
 func (c *client) sendLeaseRequest(i int, request lease.Request) {
 	holder := c.holders[i]
 	c.call(protocol.RequestFor(request), func(response protocol.Response) {
@@ -128,8 +130,8 @@
 	})
 }
 
-// call sends a request to the voter that is believed to lead, and records it in the history. handle is called
-// with each response that arrives.
+// call sends a request to c.leader, and records it in the history. handle is called with a response that arrives.
+// After callTimeout without one, or if the voter does not lead, c.leader becomes a random voter.
 func (c *client) call(request protocol.Request, handle func(protocol.Response)) {
 	sim := c.sim
 	index := len(sim.calls)
--- a/internal/lab/clustersim/disk.go
+++ b/internal/lab/clustersim/disk.go
@@ -9,14 +9,14 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// disk is what survives the end of a voter's process.
+// disk is the state of a voter that survives the end of its process.
 type disk struct {
 	id         protocol.VoterID
 	startCount uint64
 	state      consensus.PersistentState
 }
 
-// write makes work durable.
+// write stores the snapshot, entries, hard state and starts of work.
 func (d *disk) write(work consensus.Ready) {
 	state := &d.state
 	if work.Snapshot != nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// entriesWithout returns a copy: backups of the disk share the entries.
+// entriesWithout returns a copy, because backups of the disk share the given slice.
 func entriesWithout(entries []*raftpb.Entry, remove func(index uint64) bool) []*raftpb.Entry {
 	return slices.DeleteFunc(slices.Clone(entries), func(e *raftpb.Entry) bool { return remove(e.GetIndex()) })
 }
--- a/internal/lab/clustersim/event_queue.go
+++ b/internal/lab/clustersim/event_queue.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// event is something that happens at a moment of true time. Events of the same moment happen in the order in
-// which they were scheduled.
+// event is a function to call at a moment of true time. Events of the same moment run in the order in which they were
+// scheduled.
 type event struct {
 	at       time.Duration
 	sequence uint64
 	do       func()
 }
 
-// eventQueue holds the events to come.
+// eventQueue is a priority queue of the pending events.
 type eventQueue struct {
 	events       eventHeap
 	lastSequence uint64
@@ -26,7 +26,7 @@
 
 func (q *eventQueue) empty() bool { return len(q.events) == 0 }
 
-// next removes and returns the first event.
+// next removes and returns the earliest event. The queue must not be empty.
 func (q *eventQueue) next() event { return heap.Pop(&q.events).(event) }
 
 // eventHeap implements heap.Interface.
--- a/internal/lab/clustersim/fault.go
+++ b/internal/lab/clustersim/fault.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// FaultKind says what goes wrong. The values are part of schedules in files.
+// FaultKind is a kind of fault. Its values are stored in schedule files.
 type FaultKind string
 
 // Kinds of faults. Processes are numbered: voters first, then clients, then receivers.
 const (
-	FaultCutLink        FaultKind = "cut"     // nothing gets from Process to Other
-	FaultIsolate        FaultKind = "isolate" // nothing gets from or to Process, or, with OneWay, only from it
-	FaultPartition      FaultKind = "split"   // of the processes into two sides: see Fault.OnSameSide
+	FaultCutLink        FaultKind = "cut"     // nothing from Process to Other arrives
+	FaultIsolate        FaultKind = "isolate" // nothing from or to Process arrives; if OneWay, nothing from Process
+	FaultPartition      FaultKind = "split"   // of the processes into the two sides of Fault.OnSameSide
 	FaultFlap           FaultKind = "flap"    // Process is isolated and connected again every 200 ms
-	FaultCrash          FaultKind = "crash"   // Process ends, and starts again at the fault's end with its disk
-	FaultDiskLoss       FaultKind = "forget"  // as a crash, with an empty disk
-	FaultDiskRollback   FaultKind = "rewind"  // as a crash, with the disk as it was at an earlier start
-	FaultCrashAllVoters FaultKind = "alldown" // all voters end at once, and start again
+	FaultCrash          FaultKind = "crash"   // Process ends; at the fault's end it starts again with its disk
+	FaultDiskLoss       FaultKind = "forget"  // a crash, then a start with an empty disk
+	FaultDiskRollback   FaultKind = "rewind"  // a crash, then a start with the disk as it was at an earlier start
+	FaultCrashAllVoters FaultKind = "alldown" // all voters end at once; at the fault's end they start again
 	FaultPause          FaultKind = "stall"   // Process is suspended
-	FaultSlowDisk       FaultKind = "slow"    // Process's disk takes two seconds to sync
-	FaultDiskFull       FaultKind = "full"    // Process's disk takes no writes: its voter ends until the fault's end
+	FaultSlowDisk       FaultKind = "slow"    // each sync of Process's disk takes 2 s
+	FaultDiskFull       FaultKind = "full"    // Process's disk accepts no writes: its voter is down until the fault's end
 	FaultLossyNetwork   FaultKind = "lossy"   // messages are lost, duplicated and delayed on all links
-	FaultClockStep      FaultKind = "step"    // Process's wall clock steps by 10 s
-	FaultReleaseDuties  FaultKind = "leave"   // Process releases its duties, and wants them again at the fault's end
+	FaultClockStep      FaultKind = "step"    // Process's wall clock steps by 10 s, forward or back
+	FaultReleaseDuties  FaultKind = "leave"   // Process releases its duties; at the fault's end it requests them again
 	FaultTransferDuties FaultKind = "handon"  // Process transfers its duties to another client
 )
 
-// Fault is one step of a schedule. Its JSON form is that of schedules in files.
+// Fault is one step of a schedule. Schedule files store its JSON form.
 type Fault struct {
-	At       time.Duration `json:"At"`  // since the start, in true time
-	Duration time.Duration `json:"For"` // how long it lasts
+	At       time.Duration `json:"At"` // since the start of the run, in true time
+	Duration time.Duration `json:"For"`
 	Kind     FaultKind     `json:"Kind"`
-	Process  int           `json:"Node"` // the number of the process that it happens to
-	// Other is the process at the other end of a cut link; in a partition its parity chooses the clients and
-	// receivers on Process's side.
+	Process  int           `json:"Node"` // the number of the affected process
+	// Other is the process that a cut link leads to. In a partition, its parity selects the clients and receivers on
+	// Process's side.
 	Other  int  `json:"Other"`
 	OneWay bool `json:"OneWay"`
 }
 
-// String describes the fault for a person.
+// String describes the fault in one line, with its time and duration in seconds.
 func (f Fault) String() string {
 	text := fmt.Sprintf("%6.2f s for %.2f s: %s of process %d", f.At.Seconds(), f.Duration.Seconds(), f.Kind, f.Process)
 	if f.Kind == FaultCutLink {
@@ -51,8 +51,8 @@
 	return text
 }
 
-// OnSameSide reports whether a process is on the same side of a partition as the fault's Process, a voter:
-// every second client and receiver is, all other processes are on the other side.
+// OnSameSide reports whether a process is on the same side of a partition as the voter f.Process. Every second client
+// and receiver is; all other processes are on the opposite side.
 func (f Fault) OnSameSide(size Size, process int) bool {
 	if process == f.Process {
 		return true
@@ -60,16 +60,16 @@
 	return process >= size.Voters && (process+f.Other)%2 == 0
 }
 
-// Size is the group that a schedule is played on, and how much of it. Its JSON form is that of schedules in
-// files.
+// Size is the size of the group that a schedule is played on, and of the schedule. Schedule files store its JSON
+// form.
 type Size struct {
 	Voters    int           `json:"Voters"`
-	Clients   int           `json:"Members"` // clients of the group: processes that acquire duties
+	Clients   int           `json:"Members"` // processes that acquire duties
 	Receivers int           `json:"Receivers"`
 	Duties    int           `json:"Duties"`
-	Duration  time.Duration `json:"Length"` // of a run, QuietPeriod included
+	Duration  time.Duration `json:"Length"` // of a run, including QuietPeriod
 	Faults    int           `json:"Faults"`
 }
 
-// DefaultSize is the size of most campaigns.
+// DefaultSize has three voters, the smallest group that tolerates the loss of a voter.
 var DefaultSize = Size{Voters: 3, Clients: 4, Receivers: 2, Duties: 2, Duration: 60 * time.Second, Faults: 12}
--- a/internal/lab/clustersim/fault_test.go
+++ b/internal/lab/clustersim/fault_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Schedules in files were written by the names that the fields had before they had tags.
+// If a key changes, stored schedules can no longer be read. Some keys differ from the names of the Go fields.
 func TestScheduleJSONKeepsItsKeys(t *testing.T) {
 	fault, err := json.Marshal(Fault{
 		At:       time.Second,
--- a/internal/lab/clustersim/injection.go
+++ b/internal/lab/clustersim/injection.go
@@ -5,11 +5,11 @@
 )
 
 const (
-	flapPeriod = 400 * time.Millisecond // cut for the first half
+	flapPeriod = 400 * time.Millisecond // the links are cut in the first half
 	clockStep  = 10 * time.Second
 )
 
-// inject begins a fault, and schedules its end.
+// inject starts a fault, and schedules its end. A step of the wall clock and a transfer of duties have no end.
 func (s *simulation) inject(fault Fault) {
 	affected := s.processes[fault.Process]
 	end := fault.At + fault.Duration
@@ -45,7 +45,7 @@
 	}
 }
 
-// linksOf returns the links that a fault of the network cuts.
+// linksOf returns the links that a network fault cuts.
 func (s *simulation) linksOf(fault Fault) []link {
 	process := processID(fault.Process)
 	switch {
@@ -84,7 +84,7 @@
 	}
 }
 
-// flap cuts and restores links in turn until the end; the last period is complete.
+// flap cuts and restores links in turn until end. A cut that has begun lasts its full half period.
 func (s *simulation) flap(links []link, from, end time.Duration) {
 	for t := from; t < end; t += flapPeriod {
 		s.at(t, func() { s.cut(links) })
@@ -92,8 +92,8 @@
 	}
 }
 
-// crash ends a process that is up, and starts it again at the fault's end, unless it has been started otherwise
-// by then. A disk is lost only while the group can bear it.
+// crash stops a process that is up, and starts it again at end unless its incarnation has changed by then. Its disk is
+// lost or rolled back only if allDisksVote at end: otherwise the group could lose its majority for good.
 func (s *simulation) crash(crashed *process, kind FaultKind, end time.Duration) {
 	if !crashed.up {
 		return
--- a/internal/lab/clustersim/linearizability.go
+++ b/internal/lab/clustersim/linearizability.go
@@ -13,18 +13,18 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// Call is one request as its sender saw it, with the group's response. Calls are compared by their times,
-// whose zero is the same for all calls of a history.
+// Call is one request as its sender saw it, with the group's response. The times of all calls of a history have the
+// same zero.
 type Call struct {
 	Request    protocol.Request
 	SentAt     time.Duration
 	ReceivedAt time.Duration
 	Grant      lease.Grant
 	Err        error
-	completed  bool // there was a response
+	completed  bool // a response has arrived
 }
 
-// complete records the first response.
+// complete records the first response, and ignores others.
 func (c *Call) complete(now time.Duration, response protocol.Response) {
 	if c.completed {
 		return
@@ -35,22 +35,22 @@
 	c.completed = true
 }
 
-// changesNothing reports whether the call is known to have left the group's state as it was.
+// changesNothing reports whether the call is known to have left the group's state unchanged.
 func (c *Call) changesNothing() bool { return c.Request.Kind != protocol.Propose || c.Err != nil }
 
 const (
-	checkTimeout     = time.Second      // for a whole history
-	longCheckTimeout = 20 * time.Second // for what is left without slow reads
+	checkTimeout     = time.Second      // for the calls of one duty
+	longCheckTimeout = 20 * time.Second // for the same calls without slow reads
 
-	// A call that changes nothing and took longer than maxReadDuration is left out of a history that cannot be
-	// checked in time: many calls that a paused voter responds to at once can have taken effect in any order,
-	// and the number of orders to try grows without bounds.
+	// Calls that change nothing and took longer than maxReadDuration are left out of a history that cannot be checked
+	// in checkTimeout. When a paused voter resumes, it responds to many calls at once. These can have taken effect in
+	// any order, and the number of orders to try explodes.
 	maxReadDuration = 3 * time.Second
 )
 
-// CheckLinearizability returns a line for each duty whose calls cannot have taken effect one after the other,
-// each between its request and its response, or could not be checked in time. Calls without a final
-// response must not be in the history: what they may have done shows in later responses.
+// CheckLinearizability returns a line for each duty whose calls cannot have taken effect one after the other, each
+// between its request and its response, or whose history could not be checked in time. Calls without a final response
+// must not be in the history; any effect of theirs shows in later responses.
 func CheckLinearizability(calls []Call) []string {
 	byDuty := map[lease.Duty][]porcupine.Operation{}
 	for i, call := range calls {
@@ -87,23 +87,23 @@
 	return porcupine.CheckOperationsTimeout(leaseModel, withoutSlowReads, longCheckTimeout)
 }
 
-// leaseState is what the calls so far show of one duty.
+// leaseState is the state of one duty's lease that the calls so far show.
 type leaseState struct {
-	token  lease.Token // the highest
+	token  lease.Token // the highest seen
 	holder lease.Process
-	ended  bool // the lease of that token has ended, whichever process asked
+	ended  bool // a call has shown that the lease of this token ended, by release or expiry
 }
 
-// observe returns whether a response may show a grant, and the state after it. Grants that no call shows may lie
-// between, and each may expire at any time; but tokens rise, each has one holder, and a lease that
-// has ended does not come back.
+// observe returns whether a response may show a grant in state s, and the state after the response. Other grants may
+// lie between two calls, and a grant may expire at any time. But tokens rise, each token has one holder, and a lease
+// that has ended does not become valid again.
 func (s leaseState) observe(grant lease.Grant) (bool, leaseState) {
 	isNewer := grant.Token > s.token
 	isCurrent := grant.Token == s.token && grant.Holder == s.holder && !s.ended
 	return isNewer || isCurrent, leaseState{token: grant.Token, holder: grant.Holder}
 }
 
-// leaseModel is the sequential specification of one duty.
+// leaseModel is porcupine's sequential specification of one duty's lease.
 var leaseModel = porcupine.Model{
 	Init: func() any { return leaseState{} },
 	Step: func(state, input, _ any) (bool, any) {
@@ -112,7 +112,7 @@
 	},
 }
 
-// step returns whether a call may take effect in a state, and the state after it.
+// step returns whether a call may take effect in state s, and the state after the call.
 func (s leaseState) step(call *Call) (bool, leaseState) {
 	command := &call.Request.Command
 	succeeded := call.Err == nil
@@ -126,5 +126,5 @@
 	case call.Request.Kind == protocol.Read: // the duty has no lease holder
 		s.ended = true
 	}
-	return true, s // rejected: the lease that the request named may be valid for a moment longer
+	return true, s // rejected: shows nothing, since the lease that the request named may still be valid
 }
--- a/internal/lab/clustersim/network.go
+++ b/internal/lab/clustersim/network.go
@@ -2,23 +2,22 @@
 
 import "time"
 
-// link is one direction between two processes. anyProcess on either side stands for all processes.
+// link is one direction of the connection between two processes. anyProcess on either side stands for all processes.
 type link struct{ from, to processID }
 
 const anyProcess processID = -1
 
-// The network's delays are exponentially distributed, on top of a minimum.
+// The delay of a message is minDelay plus an exponentially distributed time.
 const (
 	minDelay        = 200 * time.Microsecond
 	meanDelay       = 2 * time.Millisecond
-	meanLossyDelay  = 600 * time.Millisecond // of a fifth of the messages in a lossy network
-	lossShare       = 0.15                   // of the messages in a lossy network
-	lossOrCopyShare = 0.25                   // lost, or delivered twice
+	meanLossyDelay  = 600 * time.Millisecond // additional delay of one message in five in a lossy network
+	lossShare       = 0.15                   // share of messages that a lossy network loses
+	lossOrCopyShare = 0.25                   // share that it loses or, between voters, delivers twice
 )
 
-// send delivers a message from one process to another, unless the network loses it. A message to a client or
-// receiver that restarts meanwhile is lost too; voters take messages over a restart, as from a peer that
-// sends again.
+// send delivers a message from one process to another, unless the network loses it. A restart of a client or receiver
+// loses the messages in flight to it. Messages to a voter survive a restart, as if the sender had repeated them.
 func (s *simulation) send(from, to processID, deliver func()) {
 	if s.isCut(from, to) {
 		return
@@ -40,8 +39,8 @@
 	return s.cuts[link{from, to}] > 0 || s.cuts[link{from, anyProcess}] > 0 || s.cuts[link{anyProcess, to}] > 0
 }
 
-// copies returns how often a message is delivered. Only messages between voters are duplicated: calls of
-// clients use streams.
+// copies returns how many times a message is delivered: 0, 1 or 2. Only messages between voters are duplicated,
+// because the calls of clients use streams.
 func (s *simulation) copies(from, to processID) int {
 	if s.lossyNetwork == 0 {
 		return 1
--- a/internal/lab/clustersim/planted_test.go
+++ b/internal/lab/clustersim/planted_test.go
@@ -10,7 +10,7 @@
 	"piernotch/internal/controlgroup/failpoint"
 )
 
-// Each planted fault is found; the log says by which seed and after how long. Run it with -tags planted -v.
+// The checks must find each planted fault within 4000 seeds. With -v, the log names the seed and the time needed.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	defer failpoint.Enable(failpoint.None)
 	for _, fault := range failpoint.All {
@@ -28,8 +28,8 @@
 	}
 }
 
-// firstViolation returns what a seed breaks, "" if nothing. A voter that panics over what is on its
-// disk counts as a violation.
+// firstViolation returns the first violation in the run of a seed, or "" if there is none. A panic counts as a
+// violation: raft panics on some states of a disk that a planted fault leaves.
 func firstViolation(seed uint64) (violation string) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/lab/clustersim/process.go
+++ b/internal/lab/clustersim/process.go
@@ -9,30 +9,30 @@
 // processID is the number of a process: voters first, then clients, then receivers, as in Fault.Process.
 type processID int
 
-// process is a voter, a client or a receiver, with its own monotonic clock. It keeps its number when it ends and is
-// started again; incarnation tells the starts apart.
+// process is a voter, a client or a receiver, with its own monotonic clock. It keeps its number over a restart;
+// incarnation distinguishes the starts.
 type process struct {
 	sim         *simulation
 	id          processID
 	up          bool
-	incarnation int           // counts starts and ends: what was scheduled under another one is void
+	incarnation int           // counts starts and ends; work scheduled under an earlier value does not run
 	pausedUntil time.Duration // in true time
-	clockRate   float64       // of the monotonic clock; 1: exact
-	wallOffset  time.Duration // of the wall clock, by steps
-	deferred    []func()      // what came while the process was paused
-	voter       *voter        // nil: not a voter
-	client      *client       // nil: not a client
-	fence       *lease.Fence  // of a receiver
+	clockRate   float64       // of the monotonic clock, relative to true time; 1 is exact
+	wallOffset  time.Duration // sum of the wall clock's steps
+	deferred    []func()      // work that arrived while the process was paused
+	voter       *voter        // nil for other processes
+	client      *client       // nil for other processes
+	fence       *lease.Fence  // nil for voters and clients
 
-	// persistedTokens is a receiver's disk: the highest token of each duty.
+	// persistedTokens is the content of a receiver's disk: the highest token of each duty.
 	persistedTokens map[lease.Duty]lease.Token
 }
 
 // now returns the time of the process's monotonic clock.
 func (p *process) now() time.Duration { return steps.monotonicTime(p) }
 
-// execute runs work in the process: now, or when the process is resumed. It does not run work if the process is down,
-// or ends before.
+// execute runs work now, or when a paused process resumes. Work is dropped if the process is down, or stops before
+// it resumes.
 func (p *process) execute(work func()) {
 	if !p.up {
 		return
@@ -49,7 +49,7 @@
 	})
 }
 
-// after runs work in the process after a time of its own clock.
+// after runs work once delay has passed on the process's own clock, unless the process has stopped by then.
 func (p *process) after(delay time.Duration, work func()) {
 	incarnation := p.incarnation
 	p.sim.at(p.sim.now+time.Duration(float64(delay)/p.clockRate), func() {
@@ -59,7 +59,7 @@
 	})
 }
 
-// start starts the process.
+// start begins a new incarnation.
 func (p *process) start() {
 	p.up = true
 	p.incarnation++
@@ -74,7 +74,7 @@
 	}
 }
 
-// stop ends the process as a crash does.
+// stop ends the process like a crash: a voter's write in progress may be lost.
 func (p *process) stop() {
 	p.up = false
 	p.incarnation++
@@ -84,14 +84,14 @@
 	}
 }
 
-// pause suspends the process until a moment of true time.
+// pause suspends the process until a moment of true time, or until the end of a longer pause.
 func (p *process) pause(until time.Duration) {
 	p.pausedUntil = max(p.pausedUntil, until)
 	p.sim.at(p.pausedUntil, p.resume)
 }
 
 func (p *process) resume() {
-	if p.sim.now < p.pausedUntil { // another pause began meanwhile
+	if p.sim.now < p.pausedUntil { // a longer pause has begun meanwhile
 		return
 	}
 	deferred := p.deferred
@@ -101,7 +101,7 @@
 	}
 }
 
-// receive handles an act at a receiver: it does the act, or rejects its token.
+// receive handles an act at a receiver: the fence rejects the token, or the receiver carries out the act.
 func (p *process) receive(duty lease.Duty, token lease.Token, from processID) {
 	sim := p.sim
 	admitted, isNewest := steps.admitAct(p, duty, token)
@@ -113,7 +113,7 @@
 		sim.violation("receiver %d carried out an act for %s under token %d after one under %d",
 			p.id, duty, token, p.persistedTokens[duty])
 	}
-	if isNewest { // persisted before the act is done
+	if isNewest { // persist the token before the act is carried out
 		if p.persistedTokens == nil {
 			p.persistedTokens = map[lease.Duty]lease.Token{}
 		}
--- a/internal/lab/clustersim/schedule.go
+++ b/internal/lab/clustersim/schedule.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// QuietPeriod is the time without faults at the end of a run, in which every duty has to be held again.
+// QuietPeriod is the time without faults at the end of a run. Every duty must be held when the run ends.
 const QuietPeriod = 25 * time.Second
 
 const (
 	minFaultDuration  = 200 * time.Millisecond
-	meanFaultDuration = 4 * time.Second // on top of the minimum; exponentially distributed
-	replacementTime   = 12 * time.Second
+	meanFaultDuration = 4 * time.Second  // of the exponentially distributed time that is added to the minimum
+	replacementTime   = 12 * time.Second // for the group to replace a lost disk
 )
 
-// drawnKinds are the kinds of faults in a schedule. A kind that is listed more often is drawn more often. The
-// order is part of what a seed means.
+// drawnKinds are the kinds of faults in a schedule. A kind that is listed more often is drawn more often. A change of
+// the order changes the schedule of every seed.
 var drawnKinds = []FaultKind{
 	FaultCutLink, FaultCutLink,
 	FaultIsolate, FaultIsolate,
@@ -39,13 +39,12 @@
 type scheduler struct {
 	rng              *rand.Rand
 	size             Size
-	end              time.Duration // all faults are over by then
-	diskReplacedFrom time.Duration // from then on the group has replaced the disks that were lost so far
+	end              time.Duration // no fault lasts longer than to this time
+	diskReplacedFrom time.Duration // by then the group has replaced the disks lost so far
 }
 
-// GenerateSchedule returns the schedule of a seed, ordered by time. All faults are over when QuietPeriod begins.
-// Disks are lost or rolled back one at a time, and only after the group has had the time to replace those
-// lost before.
+// GenerateSchedule returns the schedule of a seed, ordered by time. No fault extends into QuietPeriod. Disks are lost
+// or rolled back one at a time, and the group gets replacementTime to replace a disk before the next such fault.
 func GenerateSchedule(seed uint64, size Size) []Fault {
 	source := &scheduler{rng: rand.New(rand.NewPCG(seed, 0xfa17)), size: size, end: size.Duration - QuietPeriod}
 	var faults []Fault
@@ -56,7 +55,7 @@
 	return faults
 }
 
-// draw draws one fault. The order of the draws is part of what a seed means.
+// draw draws one fault. A change of the order of the random draws changes the schedule of every seed.
 func (s *scheduler) draw() Fault {
 	var fault Fault
 	fault.Kind = drawnKinds[s.rng.IntN(len(drawnKinds))]
@@ -79,7 +78,7 @@
 	return fault
 }
 
-// choose draws a voter (two times in five), a client (two) and a receiver (one).
+// choose returns the voter or the client, with a probability of 2/5 each, or a random receiver (1/5).
 func (s *scheduler) choose(voter, client int) int {
 	switch s.rng.IntN(5) {
 	case 0, 1:
@@ -90,8 +89,8 @@
 	return voter
 }
 
-// delayDiskFault moves a disk fault behind the replacement of the disk before it, or makes it a crash if
-// there is no time left for that.
+// delayDiskFault moves a disk fault to after the replacement of the previous disk, or makes it a crash if too little
+// time is left.
 func (s *scheduler) delayDiskFault(fault *Fault) {
 	at := max(fault.At, s.diskReplacedFrom)
 	replacedFrom := at + fault.Duration + replacementTime
--- a/internal/lab/clustersim/seams_default.go
+++ b/internal/lab/clustersim/seams_default.go
@@ -2,5 +2,5 @@
 
 package clustersim
 
-// steps are those of the simulation. Only a build with the tag "planted" has others: see package failpoint.
+// steps are the steps that the simulation calls. A build with the tag "planted" uses faultySteps instead.
 var steps correctSteps
--- a/internal/lab/clustersim/seams_planted.go
+++ b/internal/lab/clustersim/seams_planted.go
@@ -11,10 +11,10 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// faultySteps are the correctSteps but for the fault that is enabled.
+// faultySteps behave as correctSteps, except for the fault that package failpoint has enabled.
 type faultySteps struct{ correctSteps }
 
-// steps are those of the simulation.
+// steps are the steps that the simulation calls.
 var steps faultySteps
 
 func (s faultySteps) monotonicTime(p *process) time.Duration {
--- a/internal/lab/clustersim/simulation.go
+++ b/internal/lab/clustersim/simulation.go
@@ -9,48 +9,48 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// LeaseTiming is that of the simulated group: short, so that a schedule holds many leases.
+// LeaseTiming is the timing of the simulated group's leases: short, so that a run has many leases.
 var LeaseTiming = lease.Timing{Duration: 3 * time.Second, MaxClockDrift: 0.01}
 
-// The digest is that of FNV-1a, over whole numbers in place of bytes.
+// Constants of the digest: FNV-1a with 64 bits, applied to integers instead of bytes.
 const (
 	digestOffset = 14695981039346656037
 	digestPrime  = 1099511628211
 )
 
-// Result is what came of one seed.
+// Result is the outcome of one run.
 type Result struct {
 	Seed        uint64   `json:"seed"`
-	Violations  []string `json:"broken,omitempty"` // the violations, with the time of each
-	Faults      []Fault  `json:"faults,omitempty"` // of a run with violations
+	Violations  []string `json:"broken,omitempty"` // each with its time
+	Faults      []Fault  `json:"faults,omitempty"` // the schedule; only after a violation
 	Spans       []Span   `json:"-"`
-	Acts        int      `json:"acts"`   // that receivers did
-	Fenced      int      `json:"fenced"` // acts that receivers rejected by their token
+	Acts        int      `json:"acts"`   // that receivers carried out, counted per receiver
+	Fenced      int      `json:"fenced"` // acts that receivers rejected because of their token
 	Calls       int      `json:"calls"`
-	Grants      int      `json:"grants"` // tokens under which something was done
-	UnheldShare float64  `json:"unheld"` // the share of the time that a duty had no lease holder
-	Digest      uint64   `json:"digest"` // of all acts
+	Grants      int      `json:"grants"` // tokens under which a receiver carried out an act
+	UnheldShare float64  `json:"unheld"` // share of the run without a lease holder, the mean over the duties
+	Digest      uint64   `json:"digest"` // hash of the time, token and client of all acts carried out
 }
 
-// simulation is the state of one run. All of it is used from one goroutine.
+// simulation is the state of one run. It is not safe for concurrent use.
 type simulation struct {
 	size         Size
 	rng          *rand.Rand
 	now          time.Duration // true time
 	events       eventQueue
 	processes    []*process   // by processID
-	cuts         map[link]int // how many faults cut a link
-	lossyNetwork int          // how many faults make the network lossy
+	cuts         map[link]int // number of faults that cut a link
+	lossyNetwork int          // number of active faults that make the network lossy
 	lastVoterID  protocol.VoterID
 
 	result   Result
 	digest   uint64
-	actors   map[lease.Duty]map[lease.Token]processID // who acted under a token
+	actors   map[lease.Duty]map[lease.Token]processID // the client that acted under a token
 	lastHeld map[lease.Duty]time.Duration
 	calls    []Call
 }
 
-// simulate plays a seed with a schedule. The caller has made raft's random source that of the seed.
+// simulate runs a seed with a schedule. The caller has seeded crypto/rand.Reader, from which raft draws.
 func simulate(seed uint64, size Size, faults []Fault) Result {
 	sim := newSimulation(seed, size)
 	for _, started := range sim.processes {
@@ -108,7 +108,7 @@
 	return sim
 }
 
-// runEvents plays events until the run's length is reached or something is violated.
+// runEvents runs the events in order of time until size.Duration is reached or a violation is recorded.
 func (s *simulation) runEvents() {
 	for !s.events.empty() && s.now < s.size.Duration && !s.violated() {
 		next := s.events.next()
@@ -119,7 +119,7 @@
 
 func (s *simulation) violated() bool { return len(s.result.Violations) > 0 }
 
-// at schedules something for a moment of true time.
+// at schedules a call of do at t, in true time.
 func (s *simulation) at(t time.Duration, do func()) { s.events.schedule(t, do) }
 
 func (s *simulation) voters() []*process { return s.processes[:s.size.Voters] }
--- a/internal/lab/clustersim/timeline.go
+++ b/internal/lab/clustersim/timeline.go
@@ -19,19 +19,19 @@
 	headHeight  = 30
 	footHeight  = 30
 	rightMargin = 20
-	faultsGap   = 10 // between the faults and the spans
+	faultsGap   = 10 // between the rows of faults and of spans
 	textStyle   = "font-family:sans-serif;font-size:11px"
 )
 
-// Timeline is what DrawTimeline draws of a run.
+// Timeline is the part of a run that DrawTimeline draws.
 type Timeline struct {
 	Title    string
-	Duration time.Duration // of the run: the length of the axis
+	Duration time.Duration // of the run, and the length of the time axis
 	Faults   []Fault       // one row each
-	Spans    []Span        // one row for each duty and holder
+	Spans    []Span        // one row per pair of duty and holder
 }
 
-// DrawTimeline draws an SVG of what went wrong when, and of who held which duty under which token.
+// DrawTimeline writes an SVG to out, with the faults over time and the holders of each duty with their tokens.
 func DrawTimeline(out io.Writer, timeline Timeline) {
 	rows := spanRows(timeline.Spans)
 	spansTop := headHeight + rowHeight*len(timeline.Faults) + faultsGap
@@ -46,10 +46,10 @@
 	picture.canvas.End()
 }
 
-// spanRow is the label of a row of spans.
+// spanRow returns the label of the row that contains a span.
 func spanRow(s Span) string { return s.Duty + " " + s.Holder }
 
-// spanRows returns the labels of the rows, in order.
+// spanRows returns the labels of the rows of spans, sorted.
 func spanRows(spans []Span) []string {
 	labels := map[string]bool{}
 	for _, s := range spans {
@@ -58,7 +58,7 @@
 	return slices.Sorted(maps.Keys(labels))
 }
 
-// drawing is a timeline that is being drawn.
+// drawing is a timeline's canvas and scale.
 type drawing struct {
 	canvas   *svg.SVG
 	duration time.Duration
@@ -69,13 +69,13 @@
 	return labelWidth + int(float64(chartWidth)*at.Seconds()/d.duration.Seconds())
 }
 
-// bar draws a bar in the row that begins at y.
+// bar draws a bar, at least 2 pixels wide, in the row whose upper edge is at y.
 func (d *drawing) bar(from, to time.Duration, y int, style string) {
 	width := max(d.x(to)-d.x(from), 2)
 	d.canvas.Rect(d.x(from), y, width, rowHeight-4, style)
 }
 
-// label draws the text to the left of the row that begins at y.
+// label draws a text to the left of the row whose upper edge is at y.
 func (d *drawing) label(y int, text string) {
 	d.canvas.Text(labelWidth-6, y+rowHeight-6, text, textStyle+";text-anchor:end")
 }
--- a/internal/lab/clustersim/voter.go
+++ b/internal/lab/clustersim/voter.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	tickInterval = 100 * time.Millisecond // the consensus' tick
+	tickInterval = 100 * time.Millisecond // of the consensus state machine
 	minDiskSync  = 100 * time.Microsecond
-	meanDiskSync = time.Millisecond // on top of the minimum; exponentially distributed
-	slowDiskSync = 2 * time.Second
+	meanDiskSync = time.Millisecond // of the exponentially distributed time that is added to the minimum
+	slowDiskSync = 2 * time.Second  // instead, during FaultSlowDisk
 )
 
-// voter is the process of a voter: the real consensus state machine on a simulated disk.
+// voter runs the real consensus state machine on a simulated disk.
 type voter struct {
 	*process
 	name         string
 	disk         disk
-	backups      []disk // the disk as it was at earlier starts
+	backups      []disk // copies of the disk at each start since the voter's ID was assigned
 	stateMachine *consensus.StateMachine
-	syncing      bool             // the disk is
-	writing      *consensus.Ready // what the disk is syncing
-	inbox        []func()         // what the state machine takes after that
-	slowDisk     int              // how many faults slow the disk down
+	syncing      bool             // a write to the disk is in progress
+	writing      *consensus.Ready // by the write in progress, else nil
+	inbox        []func()         // work for the state machine after the write
+	slowDisk     int              // number of faults that slow the disk down
 	responses    map[uint64]func(protocol.Response)
-	lastKey      uint64 // of responses
+	lastKey      uint64 // the last key assigned to a request
 }
 
 func voterName(i int) string { return fmt.Sprintf("v%d", i) }
 
-// started begins a new incarnation on the disk as it is.
+// started begins a new incarnation with a backup of the disk and a state machine on it.
 func (v *voter) started() {
 	v.backups = append(v.backups, v.disk)
 	v.disk.startCount++
@@ -58,14 +58,14 @@
 	v.after(time.Duration(v.sim.rng.Int64N(int64(tickInterval))), v.tick)
 }
 
-// crashed interrupts a write: it is on the disk, or it is not.
+// crashed completes a write in progress with a probability of 1/2, and loses it otherwise.
 func (v *voter) crashed() {
 	if v.writing != nil && v.sim.rng.IntN(2) == 0 {
 		v.disk.write(*v.writing)
 	}
 }
 
-// loseDisk empties the disk, or replaces it by a backup.
+// loseDisk replaces the disk by a random backup for FaultDiskRollback, and by an empty disk otherwise.
 func (v *voter) loseDisk(kind FaultKind) {
 	if kind == FaultDiskRollback {
 		v.disk = v.backups[v.sim.rng.IntN(len(v.backups))]
@@ -74,7 +74,7 @@
 	steps.replaceLostDisk(v)
 }
 
-// newIdentity makes the disk that of another voter, which the group has to add.
+// newIdentity replaces the disk by an empty one with a new ID, which the group has to add as a voter.
 func (v *voter) newIdentity() {
 	v.sim.lastVoterID++
 	v.disk = disk{id: v.sim.lastVoterID}
@@ -95,21 +95,21 @@
 	}
 }
 
-// votes reports whether this voter's identity is among the voters, as far as it knows itself.
+// votes reports whether this voter's ID is among the voters that its own state machine knows.
 func (v *voter) votes() bool { return v.knowsVoter(v.disk.id) }
 
 func (v *voter) knowsVoter(id protocol.VoterID) bool {
 	return slices.ContainsFunc(v.stateMachine.Voters(), func(o protocol.Voter) bool { return o.ID == id })
 }
 
-// requestAddition sends some voter, which may lead, a request to add this one to the group.
+// requestAddition asks a random voter, which may not be the leader, to add this voter to the group.
 func (v *voter) requestAddition() {
 	request := protocol.Request{Kind: protocol.AddVoter, Voter: protocol.Voter{ID: v.disk.id, Name: v.name}}
 	to := v.sim.processes[v.sim.rng.IntN(v.sim.size.Voters)]
 	v.sim.send(v.id, to.id, func() { to.voter.propose(request, func(protocol.Response) {}) })
 }
 
-// submit hands something to the state machine, after the disk has what came before.
+// submit runs work on the state machine, now or after the write in progress and the work queued before.
 func (v *voter) submit(work func()) {
 	if v.syncing {
 		v.inbox = append(v.inbox, work)
@@ -119,7 +119,8 @@
 	v.processReady()
 }
 
-// processReady does what the state machine has ready, until there is no more or the disk has to sync.
+// processReady handles what the state machine has ready, until a write starts or nothing is left. In the latter case
+// it also sends the responses.
 func (v *voter) processReady() {
 	for {
 		work, ready := v.stateMachine.Ready()
@@ -135,7 +136,8 @@
 	}
 }
 
-// sync writes work to the disk, which takes time, and goes on afterwards.
+// sync starts a write to the disk. When the write is complete, the voter sends the messages of work and runs the
+// inbox.
 func (v *voter) sync(work consensus.Ready) {
 	v.syncing = true
 	v.writing = &work
@@ -158,7 +160,7 @@
 	})
 }
 
-// written sends what may be sent once work is durable.
+// written sends the messages of work that is now durable, and advances the state machine.
 func (v *voter) written(work consensus.Ready) {
 	v.sendMessages(work)
 	if err := v.stateMachine.Advance(v.now(), work); err != nil {
@@ -178,7 +180,7 @@
 
 func (v *voter) receiveMessage(msg consensus.Message) {
 	v.submit(func() {
-		if msg.To != v.disk.id { // this voter has got another identity meanwhile
+		if msg.To != v.disk.id { // this voter has got a new ID meanwhile
 			return
 		}
 		if err := steps.step(v, msg); err != nil && !errors.Is(err, consensus.ErrStaleStore) {
@@ -187,7 +189,7 @@
 	})
 }
 
-// propose handles a request that has arrived; respond gets the response, if there is one.
+// propose passes a request that has arrived to the state machine. respond is called with the response, if any.
 func (v *voter) propose(request protocol.Request, respond func(protocol.Response)) {
 	v.submit(func() {
 		v.lastKey++
@@ -197,7 +199,7 @@
 	})
 }
 
-// sendResponses sends the state machine's responses, and notifies one client of each duty that came free.
+// sendResponses notifies a random client of each duty that came free, and sends the state machine's responses.
 func (v *voter) sendResponses() {
 	for _, freed := range v.stateMachine.FreedDuties() {
 		to := v.sim.processes[v.sim.size.Voters+v.sim.rng.IntN(v.sim.size.Clients)]
@@ -211,8 +213,8 @@
 	}
 }
 
-// allDisksVote reports whether some leader counts the identity of every voter's disk among the voters. While a
-// disk that was lost has not been replaced, losing another may lose the majority, which no group survives.
+// allDisksVote reports whether a leader counts the ID of every voter's disk among the voters. If a second disk is lost
+// before the group has replaced the first, the group may lose its majority for good.
 func (s *simulation) allDisksVote() bool {
 	return slices.ContainsFunc(s.voters(), func(process *process) bool {
 		if !process.up || !process.voter.stateMachine.IsLeader() {
