--- a/internal/lab/clustersim/checks.go
+++ b/internal/lab/clustersim/checks.go
@@ -12,7 +12,7 @@
 // maxViolations bounds the violations in a result; one event may cause several.
 const maxViolations = 8
 
-// violation records a violated property with the true time. The run ends after the current event.
+// violation records a violated property with the true time, and so ends the run.
 func (s *simulation) violation(format string, args ...any) {
 	if len(s.result.Violations) < maxViolations {
 		text := fmt.Sprintf("%.3f s: ", s.now.Seconds()) + fmt.Sprintf(format, args...)
@@ -32,8 +32,8 @@
 	s.result.Spans = append(s.result.Spans, Span{string(duty), token, name, s.now, s.now})
 }
 
-// checkExclusive checks that no client but holder holds duty i, each by its own clock. It also counts the time since
-// the last such check as time without a lease holder, if longer than two actIntervals.
+// checkExclusive checks, while holder holds duty i by its own clock, that no other client does by that client's clock.
+// It also adds up the times without a lease holder.
 func (s *simulation) checkExclusive(holder *client, i int) {
 	if gap := s.now - s.lastHeld[duty(i)]; gap > 2*actInterval {
 		s.result.UnheldShare += gap.Seconds()
@@ -50,7 +50,7 @@
 	}
 }
 
-// recordAct records an act that a receiver carried out, and checks that only one client acts under a duty's token.
+// recordAct records an act that a receiver carried out, and checks that no two clients act under a duty's token.
 func (s *simulation) recordAct(duty lease.Duty, token lease.Token, from processID) {
 	if s.actors[duty] == nil {
 		s.actors[duty] = map[lease.Token]processID{}
@@ -90,8 +90,8 @@
 	s.result.Violations = append(s.result.Violations, CheckLinearizability(final)...)
 }
 
-// Span is a period in which a client held a duty under one token. In the simulation, From and To are the first and
-// the last check that found the lease valid.
+// Span is a period in which a client held a duty under one token. In the simulation, it
+// extends from the first check that found the lease valid to the last.
 type Span struct {
 	Duty   string        `json:"duty"`
 	Token  lease.Token   `json:"token"`
--- a/internal/lab/clustersim/client.go
+++ b/internal/lab/clustersim/client.go
@@ -102,7 +102,7 @@
 	return token, held
 }
 
-// actLater acts after a random delay: a real process may be suspended between the check of its lease and the act.
+// actLater acts after a random delay: a real process may be paused between the check of its lease and the act.
 func (c *client) actLater(d lease.Duty, token lease.Token) {
 	maxDelay := maxActDelay
 	if c.sim.rng.IntN(12) == 0 {
@@ -130,7 +130,7 @@
 	})
 }
 
-// call sends a request to c.leader, and records it in the history. handle is called with a response that arrives.
+// call sends a request to c.leader, and records it in the history. handle is called with the response, if any.
 // After callTimeout without one, or if the voter does not lead, c.leader becomes a random voter.
 func (c *client) call(request protocol.Request, handle func(protocol.Response)) {
 	sim := c.sim
--- a/internal/lab/clustersim/disk.go
+++ b/internal/lab/clustersim/disk.go
@@ -16,7 +16,7 @@
 	state      consensus.PersistentState
 }
 
-// write stores the snapshot, entries, hard state and starts of work.
+// write makes the changes in work durable.
 func (d *disk) write(work consensus.Ready) {
 	state := &d.state
 	if work.Snapshot != nil {
--- a/internal/lab/clustersim/fault.go
+++ b/internal/lab/clustersim/fault.go
@@ -12,7 +12,7 @@
 const (
 	FaultCutLink        FaultKind = "cut"     // nothing from Process to Other arrives
 	FaultIsolate        FaultKind = "isolate" // nothing from or to Process arrives; if OneWay, nothing from Process
-	FaultPartition      FaultKind = "split"   // of the processes into the two sides of Fault.OnSameSide
+	FaultPartition      FaultKind = "split"   // the processes are split into two sides: see Fault.OnSameSide
 	FaultFlap           FaultKind = "flap"    // Process is isolated and connected again every 200 ms
 	FaultCrash          FaultKind = "crash"   // Process ends; at the fault's end it starts again with its disk
 	FaultDiskLoss       FaultKind = "forget"  // a crash, then a start with an empty disk
@@ -20,11 +20,11 @@
 	FaultCrashAllVoters FaultKind = "alldown" // all voters end at once; at the fault's end they start again
 	FaultPause          FaultKind = "stall"   // Process is suspended
 	FaultSlowDisk       FaultKind = "slow"    // each sync of Process's disk takes 2 s
-	FaultDiskFull       FaultKind = "full"    // Process's disk accepts no writes: its voter is down until the fault's end
+	FaultDiskFull       FaultKind = "full"    // Process's disk is full: the voter is down until the fault's end
 	FaultLossyNetwork   FaultKind = "lossy"   // messages are lost, duplicated and delayed on all links
 	FaultClockStep      FaultKind = "step"    // Process's wall clock steps by 10 s, forward or back
 	FaultReleaseDuties  FaultKind = "leave"   // Process releases its duties; at the fault's end it requests them again
-	FaultTransferDuties FaultKind = "handon"  // Process transfers its duties to another client
+	FaultTransferDuties FaultKind = "handon"  // Process transfers its duties to a random client
 )
 
 // Fault is one step of a schedule. Schedule files store its JSON form.
@@ -33,8 +33,8 @@
 	Duration time.Duration `json:"For"`
 	Kind     FaultKind     `json:"Kind"`
 	Process  int           `json:"Node"` // the number of the affected process
-	// Other is the process that a cut link leads to. In a partition, its parity selects the clients and receivers on
-	// Process's side.
+	// Other is the process that a cut link leads to. In a partition, the parity of Other selects the clients and
+	// receivers on Process's side.
 	Other  int  `json:"Other"`
 	OneWay bool `json:"OneWay"`
 }
@@ -71,5 +71,5 @@
 	Faults    int           `json:"Faults"`
 }
 
-// DefaultSize has three voters, the smallest group that tolerates the loss of a voter.
+// DefaultSize has three voters, the fewest that tolerate the loss of one.
 var DefaultSize = Size{Voters: 3, Clients: 4, Receivers: 2, Duties: 2, Duration: 60 * time.Second, Faults: 12}
--- a/internal/lab/clustersim/fault_test.go
+++ b/internal/lab/clustersim/fault_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// If a key changes, stored schedules can no longer be read. Some keys differ from the names of the Go fields.
+// If a key changes, stored schedules can no longer be read.
 func TestScheduleJSONKeepsItsKeys(t *testing.T) {
 	fault, err := json.Marshal(Fault{
 		At:       time.Second,
--- a/internal/lab/clustersim/network.go
+++ b/internal/lab/clustersim/network.go
@@ -16,8 +16,8 @@
 	lossOrCopyShare = 0.25                   // share that it loses or, between voters, delivers twice
 )
 
-// send delivers a message from one process to another, unless the network loses it. A restart of a client or receiver
-// loses the messages in flight to it. Messages to a voter survive a restart, as if the sender had repeated them.
+// send delivers a message from one process to another, unless the network loses it. Messages in flight to a client or
+// receiver are lost if that process restarts. Those to a voter survive a restart, as if the sender had repeated them.
 func (s *simulation) send(from, to processID, deliver func()) {
 	if s.isCut(from, to) {
 		return
--- a/internal/lab/clustersim/process.go
+++ b/internal/lab/clustersim/process.go
@@ -6,7 +6,7 @@
 	"piernotch/internal/controlgroup/lease"
 )
 
-// processID is the number of a process: voters first, then clients, then receivers, as in Fault.Process.
+// processID is the number of a process, as in Fault.Process: voters first, then clients, then receivers.
 type processID int
 
 // process is a voter, a client or a receiver, with its own monotonic clock. It keeps its number over a restart;
@@ -31,8 +31,8 @@
 // now returns the time of the process's monotonic clock.
 func (p *process) now() time.Duration { return steps.monotonicTime(p) }
 
-// execute runs work now, or when a paused process resumes. Work is dropped if the process is down, or stops before
-// it resumes.
+// execute runs work now, or when a paused process resumes. Work is dropped if the process is down or
+// stops while paused.
 func (p *process) execute(work func()) {
 	if !p.up {
 		return
--- a/internal/lab/clustersim/schedule.go
+++ b/internal/lab/clustersim/schedule.go
@@ -15,8 +15,8 @@
 	replacementTime   = 12 * time.Second // for the group to replace a lost disk
 )
 
-// drawnKinds are the kinds of faults in a schedule. A kind that is listed more often is drawn more often. A change of
-// the order changes the schedule of every seed.
+// drawnKinds are the kinds of faults in a schedule. Kinds listed more often are drawn more often. A new order would
+// change the schedule of every seed.
 var drawnKinds = []FaultKind{
 	FaultCutLink, FaultCutLink,
 	FaultIsolate, FaultIsolate,
@@ -39,7 +39,7 @@
 type scheduler struct {
 	rng              *rand.Rand
 	size             Size
-	end              time.Duration // no fault lasts longer than to this time
+	end              time.Duration // the latest end of a fault
 	diskReplacedFrom time.Duration // by then the group has replaced the disks lost so far
 }
 
@@ -55,7 +55,7 @@
 	return faults
 }
 
-// draw draws one fault. A change of the order of the random draws changes the schedule of every seed.
+// draw draws one fault. A new order of the random draws would change the schedule of every seed.
 func (s *scheduler) draw() Fault {
 	var fault Fault
 	fault.Kind = drawnKinds[s.rng.IntN(len(drawnKinds))]
@@ -89,8 +89,8 @@
 	return voter
 }
 
-// delayDiskFault moves a disk fault to after the replacement of the previous disk, or makes it a crash if too little
-// time is left.
+// delayDiskFault delays a disk fault until the previous disk is replaced, or makes it a crash if too little time is
+// left.
 func (s *scheduler) delayDiskFault(fault *Fault) {
 	at := max(fault.At, s.diskReplacedFrom)
 	replacedFrom := at + fault.Duration + replacementTime
--- a/internal/lab/clustersim/seams.go
+++ b/internal/lab/clustersim/seams.go
@@ -10,7 +10,7 @@
 )
 
 // correctSteps has the steps of voters, clients and receivers that a planted fault can replace. Package failpoint lists
-// the faults. The simulation calls the steps through the variable steps.
+// the faults. They are called through the variable steps.
 type correctSteps struct{}
 
 // monotonicTime returns the time of a process's monotonic clock. The clocks of two processes have different zeros.
@@ -23,7 +23,7 @@
 	return p.fence.Admit(d, token)
 }
 
-// restoreFence initializes the fence of a receiver that starts with the tokens on its disk.
+// restoreFence restores the fence of a starting receiver from the tokens on the receiver's disk.
 func (correctSteps) restoreFence(p *process) {
 	p.fence.Restore(maps.Clone(p.persistedTokens))
 }
--- a/internal/lab/clustersim/voter.go
+++ b/internal/lab/clustersim/voter.go
@@ -26,7 +26,7 @@
 	backups      []disk // copies of the disk at each start since the voter's ID was assigned
 	stateMachine *consensus.StateMachine
 	syncing      bool             // a write to the disk is in progress
-	writing      *consensus.Ready // by the write in progress, else nil
+	writing      *consensus.Ready // the write in progress; nil if there is none
 	inbox        []func()         // work for the state machine after the write
 	slowDisk     int              // number of faults that slow the disk down
 	responses    map[uint64]func(protocol.Response)
@@ -109,7 +109,7 @@
 	v.sim.send(v.id, to.id, func() { to.voter.propose(request, func(protocol.Response) {}) })
 }
 
-// submit runs work on the state machine, now or after the write in progress and the work queued before.
+// submit runs work on the state machine and handles what becomes ready, after a write in progress has completed.
 func (v *voter) submit(work func()) {
 	if v.syncing {
 		v.inbox = append(v.inbox, work)
@@ -119,8 +119,8 @@
 	v.processReady()
 }
 
-// processReady handles what the state machine has ready, until a write starts or nothing is left. In the latter case
-// it also sends the responses.
+// processReady handles what the state machine has ready until a write starts, or until nothing is left and the
+// responses are sent.
 func (v *voter) processReady() {
 	for {
 		work, ready := v.stateMachine.Ready()
@@ -213,7 +213,7 @@
 	}
 }
 
-// allDisksVote reports whether a leader counts the ID of every voter's disk among the voters. If a second disk is lost
+// allDisksVote reports whether some leader counts every disk's ID among the voters. If a second disk is lost
 // before the group has replaced the first, the group may lose its majority for good.
 func (s *simulation) allDisksVote() bool {
 	return slices.ContainsFunc(s.voters(), func(process *process) bool {
--- a/internal/lab/clustertest/checks.go
+++ b/internal/lab/clustertest/checks.go
@@ -15,13 +15,14 @@
 	"piernotch/internal/lab/clustersim"
 )
 
-// tokenUse is when a holder acted under a token, in Unix nanoseconds of its checks of the lease.
+// tokenUse is the use of a token. first and last are the first and last check of the lease before an act, in Unix
+// nanoseconds.
 type tokenUse struct {
 	holder      string
 	first, last int64
 }
 
-// collectReports takes the connections of holders until the listener is closed.
+// collectReports accepts the connections of holders until the listener is closed.
 func (h *harness) collectReports() {
 	for {
 		conn, err := h.listener.Accept()
@@ -37,14 +38,14 @@
 	decoder := json.NewDecoder(bufio.NewReader(conn))
 	for {
 		var received report
-		if decoder.Decode(&received) != nil { // the holder has ended, perhaps within a line
+		if decoder.Decode(&received) != nil { // the holder has ended, perhaps while writing a line
 			return
 		}
 		h.record(received)
 	}
 }
 
-// record adds a report to the history.
+// record adds the call or act of a report to the run's state.
 func (h *harness) record(received report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,7 +63,7 @@
 	}
 }
 
-// recordActLocked receives an act: it fences it, and checks that only one holder acts under each token.
+// recordActLocked passes an act to the fence, and checks that no two holders act under a duty's token.
 func (h *harness) recordActLocked(holder string, done *act) {
 	if admitted, _ := h.fence.Admit(done.Duty, done.Token); admitted {
 		h.result.Acts++
@@ -88,7 +89,8 @@
 	use.last = max(use.last, done.CheckedAt)
 }
 
-// checkEnd checks the run as a whole, at its end.
+// checkEnd checks, at the end of a run, that every duty is held within endTimeout, that uses of tokens do not overlap,
+// and that the history of calls is linearizable.
 func (h *harness) checkEnd(ctx context.Context) {
 	if err := h.waitUntilHeld(ctx, endTimeout); err != nil {
 		h.violation("not every duty has a lease holder %v after the last fault: %v", clustersim.QuietPeriod, err)
@@ -102,7 +104,8 @@
 	h.result.Violations = append(h.result.Violations, clustersim.CheckLinearizability(h.calls)...)
 }
 
-// checkUsesLocked checks that no process acted under a token of the duty after another acted under the next.
+// checkUsesLocked checks that the uses of a duty's successive tokens do not overlap. It adds the duty's spans, gaps
+// and number of grants to the result.
 func (h *harness) checkUsesLocked(duty lease.Duty, uses map[lease.Token]*tokenUse) {
 	tokens := slices.Sorted(maps.Keys(uses))
 	h.result.Grants += len(tokens)
--- a/internal/lab/clustertest/failover.go
+++ b/internal/lab/clustertest/failover.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	rejoinPause     = 500 * time.Millisecond // after a restart, until the process waits for the duty
+	rejoinPause     = 500 * time.Millisecond // after a restart, until the process contends for the duty
 	failoverTimeout = time.Minute
 	failoverPoll    = time.Millisecond
 )
 
 var errNoFailover = errors.New("the duty had no lease holder for a minute")
 
-// FailoverTimes are how long a duty had no lease holder, in seconds, from the signal that ended its holder to the
-// first act under the next token.
+// FailoverTimes are the seconds from the signal that ended a duty's holder to the first reported act under a higher
+// token.
 type FailoverTimes struct {
 	Planned   []float64 `json:"planned_s"`   // SIGTERM
 	Unplanned []float64 `json:"unplanned_s"` // SIGKILL
 }
 
 // MeasureFailover ends the holder of one duty 2*times times, by SIGTERM and SIGKILL in turn, in a group of real
-// processes without other faults. With an error it returns what was measured before.
+// processes without other faults. Along with an error it returns the times measured so far.
 func MeasureFailover(ctx context.Context, opts Options, times int) (FailoverTimes, error) {
 	opts.Size.Duties = 1
 	harness := newHarness(opts)
 	defer harness.close()
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // runs before close, whose end of the processes is then no violation
+	defer cancel() // before close kills the processes, so that their end is no violation
 	if err := harness.start(ctx); err != nil {
 		return FailoverTimes{}, err
 	}
@@ -57,8 +57,8 @@
 	return measured, ctx.Err()
 }
 
-// failOver ends the duty's holder by a signal and starts it again after another took over. took is 0 if
-// none did.
+// failOver ends the duty's holder by a signal, and starts it again once another process has acted under a higher
+// token. took is the time from the signal until then, or 0 if that did not happen.
 func (h *harness) failOver(ctx context.Context, signal syscall.Signal) (took time.Duration, err error) {
 	name, token, err := h.waitForHolder(ctx, 0)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return took, h.startProcess(ctx, holder)
 }
 
-// processNamed returns the process of a name that a report has given.
+// processNamed returns the process that a report names.
 func (h *harness) processNamed(name string) (*process, error) {
 	for _, process := range h.processes {
 		if process.name == name {
@@ -88,7 +88,8 @@
 	return nil, fmt.Errorf("report from an unknown process: %q", name)
 }
 
-// waitForHolder waits until a holder acts under a token above one, and returns the highest such token.
+// waitForHolder waits until a holder has acted under a token higher than above. It returns the highest token and its
+// holder.
 func (h *harness) waitForHolder(ctx context.Context, above lease.Token) (name string, token lease.Token, err error) {
 	for startedAt := time.Now(); time.Since(startedAt) < failoverTimeout; time.Sleep(failoverPoll) {
 		name, token = h.latestHolder("d0")
@@ -102,7 +103,7 @@
 	return "", 0, errNoFailover
 }
 
-// latestHolder returns the process that acted under the duty's highest token so far, and that token; 0: none.
+// latestHolder returns the highest reported token of the duty and its holder; the token is 0 if there is none.
 func (h *harness) latestHolder(duty lease.Duty) (name string, token lease.Token) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/clustertest/harness.go
+++ b/internal/lab/clustertest/harness.go
@@ -16,55 +16,55 @@
 	"piernotch/internal/lab/faultproxy"
 )
 
-// LeaseDuration is that of the groups under test.
+// LeaseDuration is the duration of leases in the groups under test.
 const LeaseDuration = 2 * time.Second
 
 const (
 	maxClockDrift = 0.01
-	startTimeout  = 20 * time.Second // until every duty is held for the first time
-	endTimeout    = time.Second      // the same at the end of a run
+	startTimeout  = 20 * time.Second // from the start until every duty is held
+	endTimeout    = time.Second      // at the end of a run, until every duty is held
 	listInterval  = 50 * time.Millisecond
 	maxViolations = 8
-	harnessNumber = -1 // of the harness' own client, among the numbers of processes
+	harnessNumber = -1 // of the harness's own client, among the process numbers
 )
 
-// Options say what is run.
+// Options are the settings of a run.
 type Options struct {
-	VoterProgram  string // the path of the voter's program
-	HolderProgram string // the path of the holder's program: piernotch-lab, whose command "hold" is run
+	VoterProgram  string // path
+	HolderProgram string // path of piernotch-lab, whose command "hold" is run
 	Seed          uint64
-	Size          clustersim.Size // Receivers is not used: the harness receives the acts
-	Dir           string          // an existing folder for configurations, stores and logs
+	Size          clustersim.Size // the harness is the only receiver of acts
+	Dir           string          // existing directory for configurations, stores and logs
 }
 
-// Result is what came of one seed.
+// Result is the outcome of one run.
 type Result struct {
 	Seed        uint64             `json:"seed"`
-	Violations  []string           `json:"broken,omitempty"` // the violations
-	Faults      []clustersim.Fault `json:"faults,omitempty"` // of a run with violations
+	Violations  []string           `json:"broken,omitempty"`
+	Faults      []clustersim.Fault `json:"faults,omitempty"` // only after a violation
 	Spans       []clustersim.Span  `json:"-"`
 	Unsupported []string           `json:"left,omitempty"` // kinds of faults that cannot be injected into processes
 	Acts        int                `json:"acts"`
 	Fenced      int                `json:"fenced"` // acts whose token the harness rejected
 	Calls       int                `json:"calls"`
-	Grants      int                `json:"grants"` // tokens under which something was done
-	Gaps        []float64          `json:"gaps_s"` // seconds between the acts under one token and the next
+	Grants      int                `json:"grants"` // tokens under which a holder acted
+	Gaps        []float64          `json:"gaps_s"` // seconds from the last act under a token to the next token's first
 }
 
-// harness is the state of one run. Its goroutines are the collector of reports, which close ends, one for
-// each process, which ends with the process, and one for each fault, which Run waits for.
+// harness is the state of one run. Its goroutines are the collector of reports, which ends at close, one for each
+// holder's connection and each process, which end with the process, and one for each fault, which Run waits for.
 type harness struct {
 	opts      Options
 	proxies   *faultproxy.Network
 	rng       *rand.Rand // under mu
-	processes []*process // voters first, then holders: by the numbers of a schedule's processes
+	processes []*process // voters first, then holders, as numbered in a schedule
 	listener  net.Listener
-	observer  *client.Client // without duties: shows leases and voters
-	startedAt time.Time      // of the schedule
+	observer  *client.Client // lists leases and voters, and acquires no duties
+	startedAt time.Time      // zero of the schedule's times
 
 	mu         sync.Mutex
-	knownDisks map[string]protocol.VoterID // the identity of each voter's disk when allDisksVote was called last
-	lostDisks  map[string]protocol.VoterID // the identity of the disk that each voter lost last
+	knownDisks map[string]protocol.VoterID // voter IDs by name when allDisksVote was last true
+	lostDisks  map[string]protocol.VoterID // by voter name, the ID of the disk lost last
 	uses       map[lease.Duty]map[lease.Token]*tokenUse
 	fence      lease.Fence
 	calls      []clustersim.Call
@@ -83,13 +83,13 @@
 	}
 }
 
-// Run plays the schedule of one seed. Violations are in the result; the error says why a run could not be
-// played or was ended by ctx.
+// Run plays the schedule of one seed. Violations are in the result; the error says why the group did not start, or
+// that ctx ended the run.
 func Run(ctx context.Context, opts Options) (Result, error) {
 	harness := newHarness(opts)
 	defer harness.close()
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // runs before close, whose end of the processes is then no violation
+	defer cancel() // before close, which ends processes: that is then no violation
 	if err := harness.start(ctx); err != nil {
 		return harness.snapshot(), err
 	}
@@ -115,7 +115,7 @@
 	return result, ctx.Err()
 }
 
-// start starts all processes and waits until every duty is held. close has to be called in any case.
+// start starts all processes and waits until every duty is held. close must be called even if start fails.
 func (h *harness) start(ctx context.Context) error {
 	var err error
 	if h.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -133,7 +133,7 @@
 	return h.waitUntilHeld(ctx, startTimeout)
 }
 
-// close ends all that start began. The context of start must be done.
+// close ends everything that start began. The context of start must be done.
 func (h *harness) close() {
 	if h.observer != nil {
 		h.observer.Close(0)
@@ -165,7 +165,7 @@
 	}
 }
 
-// beginSchedule sets the zero of the schedule's times.
+// beginSchedule makes the current time the zero of the schedule's times.
 func (h *harness) beginSchedule() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -174,7 +174,7 @@
 
 func (h *harness) elapsed() time.Duration { return time.Since(h.startedAt) }
 
-// violation records that the run broke a property.
+// violation records a violated property with its time in the schedule.
 func (h *harness) violation(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -190,7 +190,7 @@
 	return h.result
 }
 
-// sleep waits, and reports whether ctx was not done before.
+// sleep waits for duration and returns true, or returns false as soon as ctx is done.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/lab/clustertest/holder.go
+++ b/internal/lab/clustertest/holder.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	actInterval    = 20 * time.Millisecond
+	actInterval    = 20 * time.Millisecond  // between checks of each lease
 	releaseTimeout = 500 * time.Millisecond // for releasing the duties at the end
 )
 
-// RunHolder is the program of a holder: it acquires the duties of a group's file and acts under those that it
-// holds, until ctx is done. harness is the TCP address that it reports to.
+// RunHolder is the program of a holder: until ctx is done, it acquires the duties that the group's configuration file
+// names, and acts under those that it holds. harness is the TCP address for its reports.
 func RunHolder(ctx context.Context, file, harness string) error {
 	cfg, err := controlgroup.LoadFile(file)
 	if err != nil {
@@ -31,7 +31,7 @@
 	}
 	defer func() { _ = conn.Close() }()
 	reports := &reporter{name: cfg.Self, encoder: json.NewEncoder(conn)}
-	// The end of ctx does not end the member: it has still to release its duties, in Close.
+	// The member must outlive ctx, because Close has yet to release its duties.
 	member := client.StartContext(context.WithoutCancel(ctx), cfg, reports.observe)
 	ticker := time.NewTicker(actInterval)
 	defer ticker.Stop()
@@ -62,10 +62,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	line.Name = r.name
-	_ = r.encoder.Encode(line) // fails when the harness has ended, which then needs no reports
+	_ = r.encoder.Encode(line) // fails only if the harness has ended and needs no reports
 }
 
-// observe reports the requests that got a final response; it is a client.RequestObserver.
+// observe is a client.RequestObserver that reports the requests with a final response.
 func (r *reporter) observe(record client.RequestRecord) {
 	if record.Err != nil || !protocol.IsFinal(record.Response.Err) {
 		return
--- a/internal/lab/clustertest/injection.go
+++ b/internal/lab/clustertest/injection.go
@@ -16,7 +16,7 @@
 	listTimeout  = time.Second
 )
 
-// inject begins a fault, and returns when it is over.
+// inject starts a fault, and returns when the fault is over.
 func (h *harness) inject(ctx context.Context, fault clustersim.Fault) {
 	if h.affectsReceiver(fault) {
 		return
@@ -47,8 +47,8 @@
 	}
 }
 
-// affectsReceiver reports whether a fault is one of a receiver, or of a link that is not to a voter: there
-// are no such processes and links.
+// affectsReceiver reports whether a fault concerns a receiver, or cuts a link that does not lead to a voter: real
+// processes have neither.
 func (h *harness) affectsReceiver(fault clustersim.Fault) bool {
 	size := h.opts.Size
 	cutsOtherLink := fault.Kind == clustersim.FaultCutLink && fault.Other >= size.Voters
@@ -59,7 +59,7 @@
 	sleep(ctx, fault.At+fault.Duration-h.elapsed())
 }
 
-// flap breaks and restores the fault's links in turn until its end.
+// flap breaks and restores a fault's links in turn until the fault's end.
 func (h *harness) flap(ctx context.Context, fault clustersim.Fault) {
 	broken := false
 	for h.elapsed() < fault.At+fault.Duration && sleep(ctx, flapInterval) {
@@ -81,7 +81,8 @@
 	}
 }
 
-// restart ends a process, loses its disk if that is the fault, and starts it again at the fault's end.
+// restart ends a process, loses the disk if the fault says so and allDisksVote, and starts the process again at the
+// fault's end. A release or transfer of duties is played as SIGTERM, other faults as SIGKILL.
 func (h *harness) restart(ctx context.Context, fault clustersim.Fault, target *process) {
 	signal := syscall.SIGKILL
 	if fault.Kind == clustersim.FaultReleaseDuties || fault.Kind == clustersim.FaultTransferDuties {
@@ -106,8 +107,8 @@
 	}
 }
 
-// allDisksVote reports whether every disk that was lost has been replaced: the group may not survive the loss
-// of another before. It notes the identities of the disks, for loseDisk.
+// allDisksVote reports whether the group has replaced every lost disk: before that, the group may not survive the loss
+// of another. It stores the voter IDs of the disks for loseDisk.
 func (h *harness) allDisksVote(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -128,7 +129,7 @@
 	return true
 }
 
-// loseDisk removes the store of a process that is down, or replaces it by a backup.
+// loseDisk removes the store of a process that is down or, for FaultDiskRollback, replaces it by a random backup.
 func (h *harness) loseDisk(kind clustersim.FaultKind, target *process) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/clustertest/links.go
+++ b/internal/lab/clustertest/links.go
@@ -9,13 +9,13 @@
 	"piernotch/internal/lab/faultproxy"
 )
 
-// What a lossy network does to a link: TCP turns losses into delays.
+// Delays of a link in a lossy network: TCP turns losses into delays.
 const (
 	lossyDelay  = 20 * time.Millisecond
 	lossyJitter = 400 * time.Millisecond
 )
 
-// breakLinks makes the links of a fault fail.
+// breakLinks delays a fault's links if the network is lossy, and cuts them silently otherwise.
 func (h *harness) breakLinks(f clustersim.Fault) {
 	if f.Kind == clustersim.FaultLossyNetwork {
 		h.setLinks(f, faultproxy.Fault{Delay: lossyDelay, Jitter: lossyJitter})
@@ -24,15 +24,16 @@
 	h.setLinks(f, faultproxy.Fault{Cut: faultproxy.Blackhole})
 }
 
-// restoreLinks ends what breakLinks began.
+// restoreLinks makes a fault's links healthy, also where they are still under another fault.
 func (h *harness) restoreLinks(f clustersim.Fault) { h.setLinks(f, faultproxy.Fault{}) }
 
-// setLinks sets the state of the links, and directions of links, that a fault affects.
+// setLinks sets the state of the directions of links that a fault affects. OneWay limits it to what Process sends,
+// except in a lossy network or a partition.
 func (h *harness) setLinks(fault clustersim.Fault, state faultproxy.Fault) {
 	bothWays := !fault.OneWay || fault.Kind == clustersim.FaultLossyNetwork || fault.Kind == clustersim.FaultPartition
 	affected := func(name string) bool { return h.affectsLink(fault, name) }
 	h.proxies.Each(affected, func(link *faultproxy.Link) {
-		fromProcess := faultproxy.ToTarget // on a link that the process has opened
+		fromProcess := faultproxy.ToTarget // on links that Process opens
 		if strings.HasSuffix(link.Name, linksTo(fault.Process)) {
 			fromProcess = faultproxy.FromTarget
 		}
@@ -44,11 +45,11 @@
 	})
 }
 
-// linksFrom is how the names of a process' links to voters begin, and linksTo how those to a voter end.
+// linksFrom returns the prefix of the names of a process's links, linksTo the suffix of the names of links to a voter.
 func linksFrom(process int) string { return fmt.Sprintf("%d>", process) }
 func linksTo(process int) string   { return fmt.Sprintf(">%d", process) }
 
-// affectsLink reports whether a fault affects the link of that name.
+// affectsLink reports whether a fault affects the link with this name.
 func (h *harness) affectsLink(fault clustersim.Fault, name string) bool {
 	switch fault.Kind {
 	case clustersim.FaultLossyNetwork:
--- a/internal/lab/clustertest/links_test.go
+++ b/internal/lab/clustertest/links_test.go
@@ -9,7 +9,7 @@
 	"piernotch/internal/lab/clustersim"
 )
 
-// Three voters (0 to 2) and two holders (3 and 4); the harness' own links begin with -1.
+// The group has three voters (0 to 2) and two holders (3 and 4). The names of the harness's own links begin with -1.
 func TestNetworkFaultsAffectTheirLinks(t *testing.T) {
 	h := newHarness(Options{Size: clustersim.Size{Voters: 3, Clients: 2}})
 	defer h.close()
@@ -28,7 +28,7 @@
 			[]string{"0>1", "1>0", "1>2", "2>1", "3>1", "4>1", "-1>1"},
 		},
 		{clustersim.Fault{Kind: clustersim.FaultFlap, Process: 4}, []string{"4>0", "4>1", "4>2"}},
-		// Holder 3 is on the side of voter 0, holder 4 on the other.
+		// Holder 3 is on the side of voter 0, holder 4 on the other side.
 		{
 			clustersim.Fault{Kind: clustersim.FaultPartition, Process: 0, Other: 1},
 			[]string{"0>1", "0>2", "1>0", "2>0", "3>1", "3>2", "4>0"},
--- a/internal/lab/clustertest/process.go
+++ b/internal/lab/clustertest/process.go
@@ -13,27 +13,27 @@
 	"piernotch/internal/lab/faultproxy"
 )
 
-// process is a voter or a holder.
+// process is a voter or a holder over all its starts.
 type process struct {
 	name    string
 	voter   bool
 	command []string
-	store   string   // the path of a voter's store
-	backups []string // copies of the store as it was before each start
+	store   string   // path of a voter's store
+	backups []string // paths of copies of the store from before each start
 
 	// Under harness.mu:
-	cmd    *exec.Cmd     // nil: down
+	cmd    *exec.Cmd     // nil while the process is down
 	done   chan struct{} // closed when cmd has ended
 	paused bool
 }
 
 func processName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// linkName is the name of the link from a process to a voter.
+// linkName returns the name of the link from a process to a voter.
 func linkName(from, to int) string { return fmt.Sprintf("%d>%d", from, to) }
 
-// prepare writes the configurations: each process reaches each other voter through a proxy of its own.
-// The observer that it starts lives until ctx is done.
+// prepare writes the configurations, in which each process reaches each other voter through a proxy of its own.
+// It also starts the observer, which lives until ctx is done.
 func (h *harness) prepare(ctx context.Context) error {
 	var addresses []string
 	for range h.opts.Size.Voters {
@@ -78,7 +78,7 @@
 	return prepared, os.WriteFile(file, []byte(cfg.TOML()), 0o600)
 }
 
-// groupConfig returns the configuration of process i, and starts its proxies to the voters.
+// groupConfig returns the configuration of process i, and starts its proxies to the other voters.
 func (h *harness) groupConfig(i int, name string, addresses []string) (controlgroup.Config, error) {
 	cfg := controlgroup.Config{Name: "rig", Self: name, LeaseDuration: LeaseDuration, MaxClockDrift: maxClockDrift}
 	for voter, address := range addresses {
@@ -94,8 +94,8 @@
 	return cfg, nil
 }
 
-// startProcess starts a process that is down. An end that signalEnd did not cause is a violation, unless
-// ctx is done.
+// startProcess starts a process that is down, and backs up a voter's store before. An end that signalEnd did not cause
+// is a violation, unless ctx is done.
 func (h *harness) startProcess(ctx context.Context, target *process) error {
 	if target.voter {
 		h.backUpStore(target)
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // the process has its own descriptor
+	defer func() { _ = log.Close() }() // the started process has its own descriptor
 	cmd := exec.Command(target.command[0], target.command[1:]...)
 	cmd.Stdout = log
 	cmd.Stderr = log
@@ -116,7 +116,7 @@
 	target.cmd = cmd
 	target.done = done
 	h.mu.Unlock()
-	go func() { // until the process ends
+	go func() { // ends with the process
 		err := cmd.Wait()
 		h.mu.Lock()
 		unexpected := target.cmd == cmd
@@ -129,10 +129,10 @@
 	return nil
 }
 
-// backUpStore copies a voter's store as it is before a start.
+// backUpStore copies a voter's store to a new backup file.
 func (h *harness) backUpStore(target *process) {
 	data, err := os.ReadFile(target.store)
-	if err != nil { // there is none before the first start
+	if err != nil { // there is no store before the first start
 		return
 	}
 	name := fmt.Sprintf("%s.copy-%d", target.store, len(target.backups))
@@ -141,7 +141,8 @@
 	}
 }
 
-// signalEnd signals a process to end, and returns what is closed when it has; nil if it is down.
+// signalEnd resumes a process and sends it a signal to end. The returned channel is closed when the process has ended,
+// and nil if the process is down.
 func (h *harness) signalEnd(target *process, signal syscall.Signal) <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -155,7 +156,7 @@
 	return target.done
 }
 
-// pause suspends a process, if it is up and not paused, and returns what was running.
+// pause suspends a process if it is up and not paused. It returns the running command, nil if the process is down.
 func (h *harness) pause(target *process) *exec.Cmd {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -166,7 +167,7 @@
 	return target.cmd
 }
 
-// resume resumes a process, unless it has ended since it was paused.
+// resume resumes a process, unless signalEnd has ended the paused command.
 func (h *harness) resume(target *process, paused *exec.Cmd) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/clustertest/report.go
+++ b/internal/lab/clustertest/report.go
@@ -5,14 +5,14 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// report is one line from a holder to the harness. One of Act and Call is set.
+// report is one line of JSON from a holder to the harness. Either Act or Call is set.
 type report struct {
-	Name string `json:"name"` // the holder's
+	Name string `json:"name"` // of the holder
 	Act  *act   `json:"act,omitempty"`
 	Call *call  `json:"call,omitempty"`
 }
 
-// act is something done under a token. CheckedAt is when the holder checked its lease, in Unix nanoseconds.
+// act is an act under a token. CheckedAt is when the holder checked its lease, in Unix nanoseconds.
 type act struct {
 	Duty      lease.Duty  `json:"duty"`
 	Token     lease.Token `json:"token"`
@@ -26,10 +26,10 @@
 	SentAt     int64         `json:"asked"`
 	ReceivedAt int64         `json:"answered"`
 	Grant      lease.Grant   `json:"grant"`
-	Err        string        `json:"err,omitempty"` // the error's text
+	Err        string        `json:"err,omitempty"` // text of the error
 }
 
-// errorOf returns the error of a call's text that matters to the history; nil for any other.
+// errorOf returns the lease error with this text, or nil: the history needs only lease.ErrHeld and lease.ErrNotHeld.
 func errorOf(text string) error {
 	for _, err := range []error{lease.ErrHeld, lease.ErrNotHeld} {
 		if text == err.Error() {
