--- a/internal/lab/chaos/schedule.go
+++ b/internal/lab/chaos/schedule.go
@@ -12,30 +12,31 @@
 	"piernotch/internal/lab/faultproxy"
 )
 
-// Errors of Draw.
+// Errors that Draw returns, wrapped with details.
 var (
 	ErrUnknownKind = errors.New("no such schedule")
 	ErrTooSmall    = errors.New("too small for a schedule")
 )
 
-// Size is what a schedule is drawn for.
+// Size describes the run that a schedule is drawn for.
 type Size struct {
 	Balancers int
 	Servers   int
-	Length    time.Duration // of the run; all faults are over RecoveryTime before its end
-	Steps     int           // fewer are drawn where so many cannot be placed without conflicts
+	Length    time.Duration // of the run; all faults end RecoveryTime before its end
+	Steps     int           // at most; fewer if no conflict-free place is found for some
 }
 
-// RecoveryTime is the time without faults at the end of a run, in which the service has to recover.
+// RecoveryTime is the time without faults at the end of a run, in which the service must recover.
 const RecoveryTime = 8 * time.Second
 
-// leadTime is the time before the first fault.
+// leadTime is the time without faults at the start of a run.
 const leadTime = 3 * time.Second
 
-// placementAttempts bounds how often a place is drawn for a step, on average.
+// placementAttempts bounds the draws of a schedule: this many per requested step.
 const placementAttempts = 20
 
-// Names of the kinds. The values are those of stored schedules, and part of what a seed means.
+// Names of the kinds. They are stored in schedules, and each is hashed into the random seed: a renamed kind would give
+// other schedules.
 const (
 	kindLinks     = "links"
 	kindDiscovery = "roster"
@@ -47,25 +48,25 @@
 
 // Kind is a kind of schedule.
 type Kind struct {
-	Name        string // as given to Draw and stored; storednames has the one that people read
+	Name        string // as stored and passed to Draw; package storednames has the name to display
 	Description string
 }
 
-// Kinds are the kinds of schedules.
+// Kinds are the kinds of schedules that Draw knows.
 var Kinds = []Kind{
 	{kindLinks, "links to servers are cut, delayed, throttled and reset, in one direction or both"},
-	{kindDiscovery, "links to discovery are, while servers are added and removed"},
+	{kindDiscovery, "links to discovery are cut, delayed, throttled and reset, while servers are added and removed"},
 	{kindProcesses, "balancers are paused and killed"},
 	{kindFlaps, "links are cut and healed every 200 ms"},
 	{kindMixed, "all of these, overlapping"},
 	{
 		kindSoak,
-		"watches fall silent, discovery is cut, balancers get series of signals, are killed at the earliest or paused",
+		"watches fall silent, discovery is cut, balancers get series of signals, are killed as early as allowed or paused",
 	},
 }
 
-// Draw draws a schedule of a kind, in the order of time. Steps on the same link or process do not
-// overlap: the later one would end the earlier. It fails with ErrUnknownKind or ErrTooSmall.
+// Draw draws a schedule of a kind, ordered by time. Steps on the same link or process do not overlap, because one
+// would end the fault of the other. Draw fails with ErrUnknownKind or ErrTooSmall.
 func Draw(kind string, seed uint64, size Size) ([]Step, error) {
 	if !slices.ContainsFunc(Kinds, func(known Kind) bool { return known.Name == kind }) {
 		return nil, fmt.Errorf("%w: %q; --list prints them", ErrUnknownKind, kind)
@@ -94,7 +95,8 @@
 	return steps, nil
 }
 
-// drawStep draws a step without its time. The order of the draws is part of what a seed means.
+// drawStep draws a step except its start time. A new order of the random draws would change the schedule of every
+// seed.
 func drawStep(kind string, rng *rand.Rand, size Size) Step {
 	step := Step{Action: FaultLink}
 	step.Balancer = rng.IntN(size.Balancers)
@@ -132,11 +134,10 @@
 	return step
 }
 
-// shortPause is how long a balancer may be held up at any time without that excusing it from anything.
+// shortPause is the longest pause of a balancer in a soak: too short to excuse any violation.
 const shortPause = 150 * time.Millisecond
 
-// drawSoakStep draws a step of a soak: faults that leave the links to servers alone, so that nothing excuses a
-// late attempt.
+// drawSoakStep draws a step of a soak. Its faults do not affect links to servers, which would excuse late attempts.
 func (s *Step) drawSoakStep(rng *rand.Rand) {
 	s.Target = 0
 	switch rng.IntN(8) {
@@ -149,7 +150,7 @@
 	case 3, 4:
 		s.Action = TerminateBalancer
 		s.SignalSeries = rng.IntN(2) == 0
-		s.Duration += 4 * time.Second // until after the latest kill
+		s.Duration += 4 * time.Second // longer than the time until SIGKILL
 	case 5:
 		s.Action = ReloadBalancer
 		s.Duration = min(s.Duration, time.Second)
@@ -162,7 +163,7 @@
 	}
 }
 
-// drawFault draws the fault of a link and its directions. A link that flaps is cut.
+// drawFault draws a link's fault and the fault's directions. For FlapLink, the fault is always a cut.
 func (s *Step) drawFault(rng *rand.Rand) {
 	s.Directions = Directions(rng.IntN(3))
 	flaps := s.Action == FlapLink
@@ -180,7 +181,7 @@
 	}
 }
 
-// between draws a duration from a lower bound up to, but not including, an upper one.
+// between draws a duration in [lower, upper).
 func between(rng *rand.Rand, lower, upper time.Duration) time.Duration {
 	return lower + time.Duration(rng.Int64N(int64(upper-lower)))
 }
--- a/internal/lab/chaos/step.go
+++ b/internal/lab/chaos/step.go
@@ -8,29 +8,29 @@
 	"piernotch/internal/lab/faultproxy"
 )
 
-// Action is what a step does.
+// Action is the kind of a step's fault.
 type Action string
 
-// Actions. The values are those of stored schedules.
+// Actions. The values are stored in schedules.
 const (
-	FaultLink     Action = "link" // Step.Fault on Step.Directions, for as long as the step lasts
-	FlapLink      Action = "flap" // the same, put on and healed every FlapInterval
+	FaultLink     Action = "link" // Step.Fault on Step.Directions, for the duration of the step
+	FlapLink      Action = "flap" // the same, but set and healed in turn every FlapInterval
 	PauseBalancer Action = "stop" // SIGSTOP, then SIGCONT
 	KillBalancer  Action = "kill" // SIGKILL, then a new start
-	// FreezeLink silences the connections that are open at Step.At; new ones are healthy.
+	// FreezeLink makes the connections that are open at Step.At silent. New connections are healthy.
 	FreezeLink Action = "freeze"
-	// TerminateBalancer sends SIGTERM, and SIGKILL at the earliest moment that the platform allows. Clients go
-	// on sending on the connections that stay open. The balancer starts again at the end of the step, at the
-	// earliest after that.
+	// TerminateBalancer sends SIGTERM, and SIGKILL at the earliest time that the platform allows. Clients continue
+	// to send on connections that stay open. The balancer starts again at the end of the step, but not before it
+	// has exited.
 	TerminateBalancer Action = "terminate"
-	// ReloadBalancer sends SIGHUP every ReloadInterval.
+	// ReloadBalancer sends SIGHUP every ReloadInterval until the step's end.
 	ReloadBalancer Action = "reload"
 )
 
-// ReloadInterval is the time between two reloads of a series.
+// ReloadInterval is the time between two SIGHUPs of ReloadBalancer.
 const ReloadInterval = 150 * time.Millisecond
 
-// onProcess reports whether the action concerns a process and not its links.
+// onProcess reports whether the action affects a process rather than a link.
 func (a Action) onProcess() bool {
 	switch a {
 	case PauseBalancer, KillBalancer, TerminateBalancer, ReloadBalancer:
@@ -39,23 +39,23 @@
 	return false
 }
 
-// OnLink reports whether the step concerns a link and not a process.
+// OnLink reports whether the step affects a link rather than a process.
 func (s Step) OnLink() bool { return !s.Action.onProcess() }
 
-// FlapInterval is how long a flapping link stays in one state.
+// FlapInterval is how long a flapping link stays cut, and how long it stays healthy.
 const FlapInterval = 200 * time.Millisecond
 
-// Directions says which directions of a link a fault is on.
+// Directions are the directions of a link that a fault affects.
 type Directions uint8
 
-// Directions of a fault. The values are those of stored schedules.
+// Directions of a fault. The values are stored in schedules.
 const (
 	Both Directions = iota
 	OnlyToTarget
 	OnlyFromTarget
 )
 
-// Includes reports whether a direction is among them.
+// Includes reports whether d includes a direction.
 func (d Directions) Includes(direction faultproxy.Direction) bool {
 	switch d {
 	case OnlyToTarget:
@@ -66,37 +66,37 @@
 	return d == Both
 }
 
-// Target is where a link leads: the number of a server, Discovery or AllServers.
+// Target is the far end of a balancer's link: the number of a server, Discovery or AllServers.
 type Target int
 
-// Targets that are not the number of a server. The values are those of stored schedules.
+// Targets that are not the number of a server. The values are stored in schedules.
 const (
 	Discovery  Target = -1
 	AllServers Target = -2
 )
 
-// includes reports whether a fault of one target is on the links of another, too.
+// includes reports whether a fault of the links to t also affects all links to other.
 func (t Target) includes(other Target) bool {
 	return t == other || t == AllServers && other >= 0
 }
 
-// Step is one fault of a schedule.
+// Step is one fault of a schedule. Its JSON form is stored.
 type Step struct {
-	At         time.Duration    `json:"at_ns"` // since the run began
+	At         time.Duration    `json:"at_ns"` // since the start of the run
 	Duration   time.Duration    `json:"for_ns"`
 	Action     Action           `json:"act"`
 	Balancer   int              `json:"balancer"`
-	Target     Target           `json:"to"` // of FaultLink and FlapLink
+	Target     Target           `json:"to"` // of FaultLink, FlapLink and FreezeLink
 	Directions Directions       `json:"way"`
 	Fault      faultproxy.Fault `json:"fault"`
-	// SignalSeries has TerminateBalancer send SIGHUP and a second SIGTERM behind the first.
+	// SignalSeries makes TerminateBalancer send SIGHUP and a second SIGTERM after the first SIGTERM.
 	SignalSeries bool `json:"signals,omitempty"`
 }
 
-// End returns when the step is over.
+// End returns the time since the start of the run at which the step ends.
 func (s Step) End() time.Duration { return s.At + s.Duration }
 
-// String describes the step in words.
+// String describes the step in one line, with times in seconds.
 func (s Step) String() string {
 	when := fmt.Sprintf("%5.2f s for %.2f s: ", s.At.Seconds(), s.Duration.Seconds())
 	switch s.Action {
@@ -119,7 +119,7 @@
 	return when + fmt.Sprintf("balancer %d to %s%s: %s", s.Balancer, s.Target, directions, s.faultText())
 }
 
-// String names the target.
+// String returns "discovery", "all servers" or "server" with the number.
 func (t Target) String() string {
 	switch t {
 	case Discovery:
@@ -149,7 +149,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// conflictsWith reports whether two steps concern the same process or link at the same time.
+// conflictsWith reports whether two steps affect the same process or the same link at the same time.
 func (s Step) conflictsWith(other Step) bool {
 	overlap := s.At < other.End() && other.At < s.End()
 	if !overlap || s.Balancer != other.Balancer || s.Action.onProcess() != other.Action.onProcess() {
