--- a/internal/lab/faultproxy/address.go
+++ b/internal/lab/faultproxy/address.go
@@ -8,19 +8,18 @@
 	"sync/atomic"
 )
 
-// ErrNoFreeAddress is that every port of the range is in use.
+// ErrNoFreeAddress reports that every port of the range is in use.
 var ErrNoFreeAddress = errors.New("no address is free")
 
-// The range of the ports that are given out: from firstPort up to, but not including, lastPort. They lie below those
-// that the system gives to outgoing connections, which could take one between its being found free and
-// its use.
+// FreeAddress returns ports in [firstPort, lastPort). The range lies below the ephemeral ports: otherwise an outgoing
+// connection could take a port between FreeAddress and the port's use.
 const firstPort, lastPort = 20000, 32000
 
-// lastGivenPort is the port that was tried last; 0 before the first.
+// lastGivenPort is a counter that selects the last tried port; 0 before the first call.
 var lastGivenPort atomic.Int32
 
-// FreeAddress returns a host:port on loopback that nobody listens on. This process does not get it again until
-// the whole range has been used. It may be called from any goroutine.
+// FreeAddress returns a host:port on loopback on which nobody listens. In one process, it repeats a port only after all
+// others of the range. It may be called from any goroutine.
 func FreeAddress() (string, error) {
 	lastGivenPort.CompareAndSwap(0, int32(firstPort+rand.IntN(lastPort-firstPort)))
 	for range lastPort - firstPort {
--- a/internal/lab/faultproxy/connection.go
+++ b/internal/lab/faultproxy/connection.go
@@ -8,18 +8,19 @@
 	"time"
 )
 
-// dialTimeout bounds how long the target may take to accept a connection.
+// dialTimeout bounds the time to connect to the target.
 const dialTimeout = time.Second
 
-// connection is an accepted connection and its other half.
+// connection is an accepted connection together with the connection to the target.
 type connection struct {
-	sockets [2]*net.TCPConn // of the process that opened it, and of the target
-	doomed  bool            // to be reset: data that was delayed must not pass any more
-	frozen  bool            // it carries nothing any more, and neither side is notified
-	once    sync.Once
+	sockets [2]*net.TCPConn // to the opener and to the target, indexed by Direction
+	doomed  bool            // about to be reset: delayed data must no longer be delivered
+	frozen  bool            // silent in both directions: data is dropped
+	once    sync.Once       // of Link.end
 }
 
-// carry connects an accepted connection to the target and returns when both directions have ended.
+// carry connects an accepted connection to the target, and returns when both directions have ended. It resets the
+// connection if a direction has a Reset cut, and connects only after a silent cut to the target ends.
 func (l *Link) carry(opener *net.TCPConn) {
 	carried := &connection{sockets: [2]*net.TCPConn{opener, nil}}
 	l.mu.Lock()
@@ -45,7 +46,7 @@
 	carried.sockets[1] = other.(*net.TCPConn)
 	_, live := l.connections[carried]
 	l.mu.Unlock()
-	if !live { // reset meanwhile
+	if !live { // reset or closed meanwhile
 		_ = other.Close()
 		return
 	}
@@ -56,8 +57,7 @@
 	l.end(carried)
 }
 
-// chunk is data on its way. With an error it is the last of its direction: the end of the stream, or how
-// it broke.
+// chunk is data in flight. err is set in the last chunk of a direction: io.EOF, or the read error.
 type chunk struct {
 	data []byte
 	due  time.Time
@@ -65,16 +65,16 @@
 }
 
 const (
-	maxChunks = 64 // on their way in one direction
-	chunkSize = 16 << 10
+	maxChunks = 64       // in flight in one direction of a connection
+	chunkSize = 16 << 10 // bytes
 )
 
-// forward carries one direction until it ends.
+// forward carries one direction of a connection until that direction ends.
 func (l *Link) forward(carried *connection, direction Direction) {
 	chunks := make(chan chunk, maxChunks)
 	gone := make(chan struct{})
 	defer close(gone)
-	go l.receive(carried.sockets[direction], direction, chunks, gone) // ends with its socket, or when gone is closed
+	go l.receive(carried.sockets[direction], direction, chunks, gone) // ends with the socket, or when gone is closed
 	for next := range chunks {
 		time.Sleep(time.Until(next.due))
 		if !l.deliver(carried, direction, next) {
@@ -83,7 +83,8 @@
 	}
 }
 
-// receive reads one direction and gives each chunk the time at which it is due. It closes the channel.
+// receive reads one direction of a connection, and sends chunks with their due times, which never decrease. It closes
+// chunks when it ends.
 func (l *Link) receive(from *net.TCPConn, direction Direction, chunks chan<- chunk, gone <-chan struct{}) {
 	defer close(chunks)
 	last := time.Time{}
@@ -106,7 +107,7 @@
 	}
 }
 
-// dueTime returns when data that has just been read is due at the other side.
+// dueTime returns when data that has just been read is due at the other end: after the fault's delay and jitter.
 func (l *Link) dueTime(direction Direction) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,8 +119,8 @@
 	return due
 }
 
-// deliver writes a chunk to the other side once the direction is open. It reports whether the direction
-// goes on.
+// deliver writes a chunk to the other end once no silent cut is on the direction, and passes on the end of the stream
+// or a reset. It reports whether more chunks may follow.
 func (l *Link) deliver(carried *connection, direction Direction, next chunk) bool {
 	destination := carried.sockets[1-direction]
 	fault, ok := l.waitUntilOpen(direction)
@@ -134,7 +135,7 @@
 	case doomed:
 		return false
 	case frozen:
-		if next.err != nil { // its opener or the target has given it up
+		if next.err != nil { // the sending end has closed or reset the connection
 			l.end(carried)
 			return false
 		}
@@ -160,7 +161,7 @@
 	return true
 }
 
-// reset ends both halves so that both sides see a reset.
+// reset closes both sockets in such a way that both ends see a reset.
 func (l *Link) reset(carried *connection) {
 	l.mu.Lock()
 	sockets := carried.sockets
@@ -173,7 +174,7 @@
 	l.end(carried)
 }
 
-// end closes both halves, once.
+// end closes both sockets and removes the connection from the link. Further calls do nothing.
 func (l *Link) end(carried *connection) {
 	carried.once.Do(func() {
 		l.mu.Lock()
--- a/internal/lab/faultproxy/doc.go
+++ b/internal/lab/faultproxy/doc.go
@@ -1,14 +1,14 @@
-// Package faultproxy stands between processes on loopback: each link from one process to another goes
-// through a proxy that can cut it, one way or both, silently or with resets, and delay, throttle and heal
-// it. The faults of a link are set from outside, at times that a seeded schedule draws; the random
-// numbers of a link (its jitter) come from the same seed.
+// Package faultproxy injects faults into TCP links between processes on loopback. Each link from one process to
+// another goes through a proxy that can cut the link, in one direction or both, silently or with resets, and can delay,
+// throttle and heal it. The caller sets the faults, at the times of a seeded schedule. The jitter of a link is drawn
+// from the seed of the network.
 //
-// TCP is carried byte for byte in order: data that a short silent cut delays is delivered when the link
-// heals, as retransmission would; connections that were under a long one are reset then. A connection
-// that is opened under a silent cut is accepted and then carries nothing: loopback cannot lose the first
-// packet, so this is a half-open connection and not one that is never established.
+// A proxy delivers bytes in order. Data that a short silent cut delays is delivered when the link heals, as TCP's
+// retransmission would do. A long silent cut resets its connections when the link heals. A connection that is
+// opened under a silent cut is accepted and then carries nothing: loopback cannot lose the SYN packet, so the
+// connection is half-open rather than never established.
 //
-// The package owns the proxies and their connections. It must not know what the processes are or send.
-// Schedules are drawn by chaos and clustersim, and played by loadtest and clustertest, which call it. All
-// exported methods may be called from any goroutine.
+// The package owns the proxies and their connections. It must not depend on what the processes are or send. Its
+// callers are loadtest and clustertest, which play the schedules of chaos and clustersim. All exported methods may
+// be called from any goroutine.
 package faultproxy
--- a/internal/lab/faultproxy/fault.go
+++ b/internal/lab/faultproxy/fault.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Cut is whether a direction of a link carries anything.
+// Cut is the way in which one direction of a link is cut, or Open.
 type Cut uint8
 
-// Cuts.
+// Cuts. Stored schedules contain the numbers.
 const (
 	Open      Cut = iota
-	Blackhole     // nothing arrives, and neither side is notified
-	Reset         // connections are reset, both the open ones and new ones
+	Blackhole     // nothing arrives, and neither end sees a reset or a close
+	Reset         // open and new connections are reset
 )
 
-// String returns the name of a cut.
+// String returns "open", "silent" or "reset".
 func (c Cut) String() string { return [...]string{"open", "silent", "reset"}[c] }
 
-// Fault is what is wrong with one direction of a link. The zero value is a healthy link. It is kept in
-// schedules as JSON.
+// Fault is the state of one direction of a link. The zero value is a healthy link. Schedules store the JSON form.
 type Fault struct {
 	Cut            Cut           `json:"Cut"`
-	Delay          time.Duration `json:"Delay"`  // added to each chunk of data
-	Jitter         time.Duration `json:"Jitter"` // random, on top of Delay: from 0 up to this; order is kept
-	BytesPerSecond int           `json:"Rate"`   // 0: unlimited
+	Delay          time.Duration `json:"Delay"`  // from the read of data to its delivery
+	Jitter         time.Duration `json:"Jitter"` // random, added to Delay: from 0 up to this; data stays in order
+	BytesPerSecond int           `json:"Rate"`   // 0 means unlimited
 }
 
-// Direction is one way of a link, as seen by the process that opened the connection.
+// Direction is one direction of a link.
 type Direction uint8
 
-// Directions.
+// Directions, as seen by the process that opens connections to the target.
 const (
-	ToTarget   Direction = iota // towards the target
-	FromTarget                  // from it
+	ToTarget Direction = iota
+	FromTarget
 )
 
-// retransmitLimit is how long a silent cut may last without breaking connections.
+// retransmitLimit is the longest silent cut that connections survive: longer than that, TCP is taken to have given up
+// retransmission.
 const retransmitLimit = time.Second
--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/goleak"
 )
 
-// startEchoServer starts a server that echoes line by line, and returns its address.
+// startEchoServer starts a server that echoes each line, and returns its address.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,7 +51,7 @@
 	return &peer{c, bufio.NewReader(c)}
 }
 
-// exchange sends a line and returns the response, or an error if none came within the time.
+// exchange sends a line and returns the response, or an error if none arrives in time.
 func (p *peer) exchange(line string, within time.Duration) (string, error) {
 	if _, err := fmt.Fprintln(p, line); err != nil {
 		return "", err
@@ -81,7 +81,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "one\n", got)
 
-	// A cut of either direction delays the response, and loses nothing.
+	// A short silent cut of either direction delays the response, and loses nothing.
 	for _, direction := range []Direction{ToTarget, FromTarget} {
 		link.SetFault(direction, Fault{Cut: Blackhole})
 		_, err = client.exchange("held", short)
@@ -113,7 +113,7 @@
 	_, err = client.receive(long)
 	require.ErrorContains(t, err, "reset")
 	require.False(t, link.Delivered(ToTarget))
-	if client, err := net.Dial("tcp", link.Address()); err == nil { // it may be reset at once
+	if client, err := net.Dial("tcp", link.Address()); err == nil { // a reset during Dial is fine, too
 		_, err = (&peer{client, bufio.NewReader(client)}).exchange("new", long)
 		require.Error(t, err)
 	}
@@ -123,7 +123,7 @@
 	require.True(t, link.Delivered(ToTarget))
 }
 
-// Connections under a cut that outlasts retransmission are reset when it heals.
+// A silent cut of more than retransmitLimit must reset the open connections when the link heals.
 func TestLongSilentCutResetsConnections(t *testing.T) {
 	network := New(1)
 	defer network.Close()
--- a/internal/lab/faultproxy/link.go
+++ b/internal/lab/faultproxy/link.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// acceptRetryPause is how long a link waits after it could not accept a connection.
+// acceptRetryPause is the pause of a link after a failed accept.
 const acceptRetryPause = 10 * time.Millisecond
 
-// Link is one link. Its methods may be called from any goroutine.
+// Link is a proxy for the connections from one process to one target. Its methods may be called from any goroutine.
 type Link struct {
 	Name     string
 	listener net.Listener
@@ -19,8 +19,8 @@
 	mu          sync.Mutex
 	target      string
 	faults      [2]Fault      // by direction
-	silentSince [2]time.Time  // by direction, while its cut is a silent one
-	changed     chan struct{} // closed and replaced when the faults change or the link is closed
+	silentSince [2]time.Time  // by direction: start of the last silent cut
+	changed     chan struct{} // closed and replaced when a fault is set, and when the link closes
 	connections map[*connection]struct{}
 	rng         *rand.Rand
 	closed      bool
@@ -29,8 +29,8 @@
 // Address returns the host:port at which the link accepts connections.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// SetFault replaces the fault of one direction. A reset, and the end of a silent cut that was longer than
-// retransmission goes on for, reset all open connections.
+// SetFault replaces the fault of one direction. All open connections are reset if the new fault is a Reset, or if it
+// ends a silent cut that lasted longer than retransmitLimit.
 func (l *Link) SetFault(direction Direction, fault Fault) {
 	l.mu.Lock()
 	wasSilent := l.faults[direction].Cut == Blackhole
@@ -54,14 +54,14 @@
 	}
 }
 
-// Heal ends all faults of the link.
+// Heal ends the faults of both directions. Frozen connections stay frozen.
 func (l *Link) Heal() {
 	l.SetFault(ToTarget, Fault{})
 	l.SetFault(FromTarget, Fault{})
 }
 
-// Freeze has the connections that are open now carry nothing any more, without a word to either side, as
-// where a machine on the way has forgotten them. New connections are healthy.
+// Freeze makes the open connections silent for good: neither end is notified, as if a NAT or firewall on the path had
+// lost its state. New connections are healthy.
 func (l *Link) Freeze() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,7 +70,8 @@
 	}
 }
 
-// Carries reports whether data goes through on the connection that the target sees as coming from an address.
+// Carries reports whether the connection that the target sees as coming from remoteAddress is open, and neither frozen
+// nor about to be reset.
 func (l *Link) Carries(remoteAddress string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,8 +84,8 @@
 	return false
 }
 
-// Delivered waits until what has been written to a direction by now has arrived, as far as the link's
-// faults are concerned. It reports false if that never happens: the connection was reset or the link
+// Delivered waits until data that was written to a direction before the call has arrived, as far as cuts, delay and
+// jitter determine. It reports false if the data never arrives, because the connections were reset or the link was
 // closed.
 func (l *Link) Delivered(direction Direction) bool {
 	started := time.Now()
@@ -96,8 +97,8 @@
 	return true
 }
 
-// waitUntilOpen waits while a direction is silent, and returns its fault then; false if the link was
-// closed.
+// waitUntilOpen waits until a direction has no silent cut, and returns its fault and true. It returns false if the link
+// is closed.
 func (l *Link) waitUntilOpen(direction Direction) (Fault, bool) {
 	for {
 		l.mu.Lock()
@@ -115,7 +116,7 @@
 	}
 }
 
-// notifyLocked wakes all that wait for a change. The lock is held.
+// notifyLocked wakes all goroutines in waitUntilOpen. l.mu must be held.
 func (l *Link) notifyLocked() {
 	close(l.changed)
 	l.changed = make(chan struct{})
@@ -146,6 +147,6 @@
 			time.Sleep(acceptRetryPause)
 			continue
 		}
-		go l.carry(opener.(*net.TCPConn)) // ends with the connection, which close ends
+		go l.carry(opener.(*net.TCPConn)) // ends with the connection; close ends all connections
 	}
 }
--- a/internal/lab/faultproxy/network.go
+++ b/internal/lab/faultproxy/network.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Network holds links by name.
+// Network is a set of links, each with a unique name.
 type Network struct {
 	seed   uint64
 	mu     sync.Mutex
@@ -16,12 +16,12 @@
 	closed bool
 }
 
-// New returns a network without links. Each link draws its jitter from the seed and its own name.
+// New returns a network without links. The seed and the link's name determine the random numbers of a link's jitter.
 func New(seed uint64) *Network { return &Network{seed: seed, links: map[string]*Link{}} }
 
-// Link returns the link of a name, and creates it if there is none. New connections go to the target, a
-// host:port address, from now on; open ones stay where they are. It fails with net.ErrClosed after
-// Close, or if no socket can be opened.
+// Link returns the link with a name, and creates it if there is none. target is a host:port address: an existing link
+// uses it for new connections, and keeps its open connections. A new link cannot be created after Close
+// (net.ErrClosed), or if no socket can be opened.
 func (n *Network) Link(name, target string) (*Link, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -51,8 +51,8 @@
 	return link, nil
 }
 
-// Each calls visit for every link whose name is selected, in no particular order. The network is not locked
-// meanwhile.
+// Each calls visit for every link whose name is selected, in no particular order. The network is not locked during
+// visit, which may call its methods.
 func (n *Network) Each(selects func(name string) bool, visit func(*Link)) {
 	n.mu.Lock()
 	var selected []*Link
