--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -11,32 +11,34 @@
 )
 
 const (
-	// MinLength is the shortest run that a plan fits in.
+	// MinLength is the minimum length of a run.
 	MinLength = 24 * time.Second
-	// afterOutage is the least time between the end of an outage of discovery and that of the run: a balancer
-	// counts as notified 6 s after the outage, the longest grace of a drain is 2 s, and then a request has to come.
+	// afterOutage is the minimum time between the end of an outage of discovery and the end of the run. A balancer
+	// counts as notified 6 s after the outage, and the longest grace of a drain is 2 s. A request must arrive after
+	// that, to show whether the balancer still sends to drained servers.
 	afterOutage = 14 * time.Second
 )
 
-// MaxNotification is the longest that a balancer which can reach discovery may lack a change: the wait of a poll
-// that falls silent, and two seconds.
+// MaxNotification is the longest time after which a balancer that can reach discovery must know of a change: the
+// timeout of a poll without a response, plus 2 s.
 const MaxNotification = 7 * time.Second
 
-// crowdSockets is the descriptor limit of balancers in a crowd; a crowd fills it.
+// crowdSockets is the descriptor limit of a balancer with a crowd, and the number of idle clients that exhaust it.
 const crowdSockets = 256
 
-// Plan is one run.
+// Plan describes one run.
 type Plan struct {
 	Seed        uint64
 	Realization *scenario.Realization
 	Steps       []chaos.Step
 	Crowd       int           // idle clients at each balancer
-	Sockets     int           // descriptor limit of each balancer; 0: the default
+	Sockets     int           // descriptor limit of each balancer; 0 means the default
 	KeepIdle    time.Duration // how long clients reuse an idle connection
-	Traits      []string      // what was drawn, in words
+	Traits      []string      // descriptions of what was drawn
 }
 
-// Draw draws the plan of a seed for runs of a length. It fails where the scenario that it draws is not valid.
+// Draw draws the plan of a seed for a run of the given length. It fails if length is less than MinLength, or if the
+// drawn scenario or schedule is invalid.
 func Draw(seed uint64, length time.Duration) (*Plan, error) {
 	if length < MinLength {
 		return nil, fmt.Errorf("a length of %v: at least %v is needed", length, MinLength)
@@ -66,7 +68,7 @@
 	return plan, err
 }
 
-// draft is a scenario's text under construction.
+// draft builds the text of a scenario and describes what it draws.
 type draft struct {
 	rng    *rand.Rand
 	length time.Duration
@@ -74,13 +76,13 @@
 	traits []string
 }
 
-// chance reports true once in n times.
+// chance returns true with a probability of 1/n.
 func (d *draft) chance(n int) bool { return d.rng.IntN(n) == 0 }
 
-// pick returns one of the values.
+// pick returns a random one of the values.
 func pick[T any](d *draft, values ...T) T { return values[d.rng.IntN(len(values))] }
 
-// between draws a number.
+// between draws a number in [low, high).
 func (d *draft) between(low, high float64) float64 { return low + d.rng.Float64()*(high-low) }
 
 func (d *draft) line(format string, args ...any) { fmt.Fprintf(&d.text, format+"\n", args...) }
@@ -89,7 +91,7 @@
 	d.traits = append(d.traits, fmt.Sprintf(format, args...))
 }
 
-// drawSettings draws what operators set, and the traffic.
+// drawSettings draws the operators' settings, the fleet, the traffic and the classes.
 func (d *draft) drawSettings() {
 	d.line("include = \"base\"\nlength_s = %.0f", d.length.Seconds())
 	balancers, servers := 2+d.rng.IntN(4), 6+d.rng.IntN(7)
@@ -109,7 +111,7 @@
 	d.drawClasses()
 }
 
-// drawClasses draws the classes: their retry safety, work and deadlines.
+// drawClasses draws the retry safety, work and deadline of each class.
 func (d *draft) drawClasses() {
 	short := d.chance(2)
 	for _, name := range []string{"segment-read", "pick-submit", "packet-append"} {
@@ -132,16 +134,16 @@
 	}
 }
 
-// fault writes one fault of the scenario.
+// fault adds a fault to the scenario. at and lasts are in seconds.
 func (d *draft) fault(kind string, at, lasts float64, settings string) {
 	d.line("[[trouble]]\nkind = %q\nat_s = %.2f\nfor_s = %.2f\n%s", kind, at, lasts, settings)
 	d.trait("%s at %.1f s for %.1f s", kind, at, lasts)
 }
 
-// drawFaults draws what happens to servers and to discovery. Half of the runs have an outage of discovery with
-// servers that drain about its end.
+// drawFaults draws the faults of servers, discovery and clients. Half of the runs have an outage of discovery, around
+// whose end servers drain.
 func (d *draft) drawFaults() {
-	// The end of the run is left alone, and so is its first second.
+	// The faults in the loop below start at least 1 s into the run and 3 s before chaos.RecoveryTime begins.
 	last := d.length.Seconds() - chaos.RecoveryTime.Seconds()
 	if d.chance(2) {
 		ends := d.between(5, (d.length - afterOutage).Seconds())
--- a/internal/lab/soak/plan_test.go
+++ b/internal/lab/soak/plan_test.go
@@ -9,7 +9,7 @@
 	"piernotch/internal/lab/chaos"
 )
 
-// Every seed gives a valid plan, the same each time, whose faults leave the service time to recover.
+// Every seed must give a valid plan, the same each time, whose steps end early enough for the service to recover.
 func TestDrawGivesValidPlans(t *testing.T) {
 	actions := map[chaos.Action]int{}
 	crowds := 0
