--- a/internal/lab/chaos/schedule.go
+++ b/internal/lab/chaos/schedule.go
@@ -61,12 +61,12 @@
 	{kindMixed, "all of these, overlapping"},
 	{
 		kindSoak,
-		"watches fall silent, discovery is cut, balancers get series of signals, are killed as early as allowed or paused",
+		"watches fall silent, discovery is cut, balancers get series of signals, are killed at the earliest or paused",
 	},
 }
 
-// Draw draws a schedule of a kind, ordered by time. Steps on the same link or process do not overlap, because one
-// would end the fault of the other. Draw fails with ErrUnknownKind or ErrTooSmall.
+// Draw draws a schedule of a kind, ordered by time. Steps on the same link or process do not overlap, because the
+// end of one would also end the other. Draw fails with ErrUnknownKind or ErrTooSmall.
 func Draw(kind string, seed uint64, size Size) ([]Step, error) {
 	if !slices.ContainsFunc(Kinds, func(known Kind) bool { return known.Name == kind }) {
 		return nil, fmt.Errorf("%w: %q; --list prints them", ErrUnknownKind, kind)
@@ -137,7 +137,8 @@
 // shortPause is the longest pause of a balancer in a soak: too short to excuse any violation.
 const shortPause = 150 * time.Millisecond
 
-// drawSoakStep draws a step of a soak. Its faults do not affect links to servers, which would excuse late attempts.
+// drawSoakStep draws a step of a soak. Its faults spare the links to servers: a fault there would excuse late
+// attempts.
 func (s *Step) drawSoakStep(rng *rand.Rand) {
 	s.Target = 0
 	switch rng.IntN(8) {
--- a/internal/lab/clustersim/checks.go
+++ b/internal/lab/clustersim/checks.go
@@ -71,7 +71,7 @@
 }
 
 // checkEnd checks, at the end of a run, that every duty is held and that the history of calls is linearizable. It also
-// completes Grants and UnheldShare of the result.
+// completes the result.
 func (s *simulation) checkEnd() {
 	for i := range s.size.Duties {
 		isHeld := func(process *process) bool {
--- a/internal/lab/clustersim/client.go
+++ b/internal/lab/clustersim/client.go
@@ -13,8 +13,8 @@
 	actInterval     = 150 * time.Millisecond // how often a client considers each duty
 	minRetryPause   = 200 * time.Millisecond // before the next request for a duty that another process holds
 	retryJitter     = 500 * time.Millisecond // at most; added to minRetryPause
-	maxActDelay     = 5 * time.Millisecond   // maximum between the check of the lease and the act
-	maxLongActDelay = 6 * time.Second        // maximum for one act in twelve: longer than a lease
+	maxActDelay     = 5 * time.Millisecond   // at most, from the check of the lease to the act
+	maxLongActDelay = 6 * time.Second        // at most, for one act in twelve: longer than a lease
 	callTimeout     = time.Second            // without a response by then, the client picks a random voter
 	transferPause   = 5 * time.Second        // before a client that transferred its duties requests them again
 )
@@ -37,7 +37,7 @@
 	c.after(time.Duration(c.sim.rng.Int64N(int64(actInterval))), c.tick)
 }
 
-// wantDuties replaces the holders by new ones, which request their duties at the next ticks.
+// wantDuties begins to request all duties, with new holders.
 func (c *client) wantDuties() {
 	c.holders = nil
 	for i := range c.sim.size.Duties {
@@ -62,7 +62,7 @@
 	c.after(transferPause, c.wantDuties)
 }
 
-// retryNow ends the holder's pause, so that the next tick requests the duty that came free.
+// retryNow ends the pause before the next request for a duty that came free.
 func (c *client) retryNow(freed lease.Duty) {
 	for i, holder := range c.holders {
 		if duty(i) == freed {
@@ -71,8 +71,8 @@
 	}
 }
 
-// tick sends the lease requests that are due. It acts under a held duty at one tick in three, and reads a random duty
-// at one tick in six.
+// tick sends the lease requests that are due, acts under a held duty one tick in three, and reads a random duty one
+// tick in six.
 func (c *client) tick() {
 	c.after(actInterval, c.tick)
 	rng := c.sim.rng
@@ -118,7 +118,7 @@
 	}
 }
 
-// sendLeaseRequest sends a request of the holder of duty i, and passes the response to that holder.
+// sendLeaseRequest sends a request of duty i's holder, and passes the response to that holder.
 func (c *client) sendLeaseRequest(i int, request lease.Request) {
 	holder := c.holders[i]
 	c.call(protocol.RequestFor(request), func(response protocol.Response) {
--- a/internal/lab/clustersim/event_queue.go
+++ b/internal/lab/clustersim/event_queue.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// event is a function to call at a moment of true time. Events of the same moment run in the order in which they were
-// scheduled.
+// event is a function to call at a moment of true time. Events of the same moment run in the order of their
+// scheduling.
 type event struct {
 	at       time.Duration
 	sequence uint64
--- a/internal/lab/clustersim/fault.go
+++ b/internal/lab/clustersim/fault.go
@@ -32,14 +32,14 @@
 	At       time.Duration `json:"At"` // since the start of the run, in true time
 	Duration time.Duration `json:"For"`
 	Kind     FaultKind     `json:"Kind"`
-	Process  int           `json:"Node"` // the number of the affected process
+	Process  int           `json:"Node"` // number of the affected process
 	// Other is the process that a cut link leads to. In a partition, the parity of Other selects the clients and
 	// receivers on Process's side.
 	Other  int  `json:"Other"`
 	OneWay bool `json:"OneWay"`
 }
 
-// String describes the fault in one line, with its time and duration in seconds.
+// String describes the fault in one line, with times in seconds.
 func (f Fault) String() string {
 	text := fmt.Sprintf("%6.2f s for %.2f s: %s of process %d", f.At.Seconds(), f.Duration.Seconds(), f.Kind, f.Process)
 	if f.Kind == FaultCutLink {
@@ -60,8 +60,7 @@
 	return process >= size.Voters && (process+f.Other)%2 == 0
 }
 
-// Size is the size of the group that a schedule is played on, and of the schedule. Schedule files store its JSON
-// form.
+// Size is the size of a group and of its schedule. Schedule files store its JSON form.
 type Size struct {
 	Voters    int           `json:"Voters"`
 	Clients   int           `json:"Members"` // processes that acquire duties
--- a/internal/lab/clustersim/linearizability.go
+++ b/internal/lab/clustersim/linearizability.go
@@ -44,7 +44,7 @@
 
 	// Calls that change nothing and took longer than maxReadDuration are left out of a history that cannot be checked
 	// in checkTimeout. When a paused voter resumes, it responds to many calls at once. These can have taken effect in
-	// any order, and the number of orders to try explodes.
+	// any order, which leaves too many orders to try.
 	maxReadDuration = 3 * time.Second
 )
 
--- a/internal/lab/clustersim/seams_planted.go
+++ b/internal/lab/clustersim/seams_planted.go
@@ -11,7 +11,7 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// faultySteps behave as correctSteps, except for the fault that package failpoint has enabled.
+// faultySteps are the correctSteps, except for the enabled fault of package failpoint.
 type faultySteps struct{ correctSteps }
 
 // steps are the steps that the simulation calls.
--- a/internal/lab/clustersim/timeline.go
+++ b/internal/lab/clustersim/timeline.go
@@ -23,7 +23,7 @@
 	textStyle   = "font-family:sans-serif;font-size:11px"
 )
 
-// Timeline is the part of a run that DrawTimeline draws.
+// Timeline is the input of DrawTimeline.
 type Timeline struct {
 	Title    string
 	Duration time.Duration // of the run, and the length of the time axis
--- a/internal/lab/clustersim/voter.go
+++ b/internal/lab/clustersim/voter.go
@@ -30,12 +30,12 @@
 	inbox        []func()         // work for the state machine after the write
 	slowDisk     int              // number of faults that slow the disk down
 	responses    map[uint64]func(protocol.Response)
-	lastKey      uint64 // the last key assigned to a request
+	lastKey      uint64 // last key of a request
 }
 
 func voterName(i int) string { return fmt.Sprintf("v%d", i) }
 
-// started begins a new incarnation with a backup of the disk and a state machine on it.
+// started backs up the disk and begins a new incarnation from its state.
 func (v *voter) started() {
 	v.backups = append(v.backups, v.disk)
 	v.disk.startCount++
--- a/internal/lab/clustertest/harness.go
+++ b/internal/lab/clustertest/harness.go
@@ -89,7 +89,7 @@
 	harness := newHarness(opts)
 	defer harness.close()
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // before close, which ends processes: that is then no violation
+	defer cancel() // before close kills the processes, so that their end is no violation
 	if err := harness.start(ctx); err != nil {
 		return harness.snapshot(), err
 	}
--- a/internal/lab/clustertest/holder.go
+++ b/internal/lab/clustertest/holder.go
@@ -62,7 +62,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	line.Name = r.name
-	_ = r.encoder.Encode(line) // fails only if the harness has ended and needs no reports
+	_ = r.encoder.Encode(line) // an error means that the harness has ended and needs no reports
 }
 
 // observe is a client.RequestObserver that reports the requests with a final response.
--- a/internal/lab/clustertest/injection.go
+++ b/internal/lab/clustertest/injection.go
@@ -108,7 +108,7 @@
 }
 
 // allDisksVote reports whether the group has replaced every lost disk: before that, the group may not survive the loss
-// of another. It stores the voter IDs of the disks for loseDisk.
+// of another. If true, it stores the disks' voter IDs for loseDisk.
 func (h *harness) allDisksVote(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
--- a/internal/lab/clustertest/links.go
+++ b/internal/lab/clustertest/links.go
@@ -27,7 +27,7 @@
 // restoreLinks makes a fault's links healthy, also where they are still under another fault.
 func (h *harness) restoreLinks(f clustersim.Fault) { h.setLinks(f, faultproxy.Fault{}) }
 
-// setLinks sets the state of the directions of links that a fault affects. OneWay limits it to what Process sends,
+// setLinks sets the state of the directions of links that a fault affects. OneWay limits them to what Process sends,
 // except in a lossy network or a partition.
 func (h *harness) setLinks(fault clustersim.Fault, state faultproxy.Fault) {
 	bothWays := !fault.OneWay || fault.Kind == clustersim.FaultLossyNetwork || fault.Kind == clustersim.FaultPartition
--- a/internal/lab/clustertest/process.go
+++ b/internal/lab/clustertest/process.go
@@ -94,7 +94,7 @@
 	return cfg, nil
 }
 
-// startProcess starts a process that is down, and backs up a voter's store before. An end that signalEnd did not cause
+// startProcess starts a process that is down, after a backup of a voter's store. An end that signalEnd did not cause
 // is a violation, unless ctx is done.
 func (h *harness) startProcess(ctx context.Context, target *process) error {
 	if target.voter {
--- a/internal/lab/faultproxy/connection.go
+++ b/internal/lab/faultproxy/connection.go
@@ -20,7 +20,7 @@
 }
 
 // carry connects an accepted connection to the target, and returns when both directions have ended. It resets the
-// connection if a direction has a Reset cut, and connects only after a silent cut to the target ends.
+// connection if a direction has a Reset cut, and connects only once no silent cut is on ToTarget.
 func (l *Link) carry(opener *net.TCPConn) {
 	carried := &connection{sockets: [2]*net.TCPConn{opener, nil}}
 	l.mu.Lock()
--- a/internal/lab/faultproxy/fault.go
+++ b/internal/lab/faultproxy/fault.go
@@ -32,6 +32,5 @@
 	FromTarget
 )
 
-// retransmitLimit is the longest silent cut that connections survive: longer than that, TCP is taken to have given up
-// retransmission.
+// retransmitLimit is the longest silent cut that connections survive, as if TCP then gave up retransmission.
 const retransmitLimit = time.Second
--- a/internal/lab/faultproxy/link.go
+++ b/internal/lab/faultproxy/link.go
@@ -84,9 +84,8 @@
 	return false
 }
 
-// Delivered waits until data that was written to a direction before the call has arrived, as far as cuts, delay and
-// jitter determine. It reports false if the data never arrives, because the connections were reset or the link was
-// closed.
+// Delivered waits until data written to a direction before the call has arrived, as far as cuts, delay and jitter
+// determine. It reports false if the data never arrives: the connections were reset or the link was closed.
 func (l *Link) Delivered(direction Direction) bool {
 	started := time.Now()
 	fault, ok := l.waitUntilOpen(direction)
--- a/internal/lab/soak/doc.go
+++ b/internal/lab/soak/doc.go
@@ -4,8 +4,8 @@
 //
 // Package chaos schedules faults for a given scenario. A Plan also has a drawn scenario: short deadlines, a short
 // grace of drains, classes of every retry safety, pushed and polled lists. Faults that interact (an outage of
-// discovery and servers that drain around its end) are drawn close together. Links to servers stay healthy, because
-// a fault of theirs would excuse late attempts.
+// discovery and servers that drain around its end) are drawn close together. Links to servers stay healthy: a fault
+// there would excuse late attempts.
 //
 // The package only draws. Package loadtest plays a plan, and checks the invariants against what clients, servers and
 // discovery observed. The caller is piernotch-lab.
