--- a/internal/lab/chaos/schedule.go
+++ b/internal/lab/chaos/schedule.go
@@ -22,7 +22,7 @@
 type Size struct {
 	Balancers int
 	Servers   int
-	Length    time.Duration // of the run; all faults end RecoveryTime before its end
+	Length    time.Duration // of the run; no fault lasts into the final RecoveryTime
 	Steps     int           // at most; fewer if no conflict-free place is found for some
 }
 
--- a/internal/lab/chaos/step.go
+++ b/internal/lab/chaos/step.go
@@ -19,9 +19,9 @@
 	KillBalancer  Action = "kill" // SIGKILL, then a new start
 	// FreezeLink makes the connections that are open at Step.At silent. New connections are healthy.
 	FreezeLink Action = "freeze"
-	// TerminateBalancer sends SIGTERM, and SIGKILL at the earliest time that the platform allows. Clients continue
-	// to send on connections that stay open. The balancer starts again at the end of the step, but not before it
-	// has exited.
+	// TerminateBalancer sends SIGTERM and, if the balancer is then still running, SIGKILL at the earliest time that
+	// the platform allows. Clients continue to send on connections that stay open. The balancer starts again at the
+	// end of the step, but not before it has exited.
 	TerminateBalancer Action = "terminate"
 	// ReloadBalancer sends SIGHUP every ReloadInterval until the step's end.
 	ReloadBalancer Action = "reload"
--- a/internal/lab/clustersim/checks.go
+++ b/internal/lab/clustersim/checks.go
@@ -90,8 +90,8 @@
 	s.result.Violations = append(s.result.Violations, CheckLinearizability(final)...)
 }
 
-// Span is a period in which a client held a duty under one token. In the simulation, it
-// extends from the first check that found the lease valid to the last.
+// Span is a period in which a client held a duty under one token: from the first check that found the lease valid to
+// the last. Package clustertest takes the checks from the reported acts.
 type Span struct {
 	Duty   string        `json:"duty"`
 	Token  lease.Token   `json:"token"`
--- a/internal/lab/clustersim/fault_test.go
+++ b/internal/lab/clustersim/fault_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// If a key changes, stored schedules can no longer be read.
+// Stored schedules use the fields' former names as keys. If a key changes, stored schedules can no longer be read.
 func TestScheduleJSONKeepsItsKeys(t *testing.T) {
 	fault, err := json.Marshal(Fault{
 		At:       time.Second,
--- a/internal/lab/clustersim/linearizability.go
+++ b/internal/lab/clustersim/linearizability.go
@@ -94,9 +94,9 @@
 	ended  bool // a call has shown that the lease of this token ended, by release or expiry
 }
 
-// observe returns whether a response may show a grant in state s, and the next state. Grants that no call shows may lie
-// between, and a grant may expire at any time. But tokens rise, each token has one holder, and a lease that has ended
-// does not become valid again.
+// observe returns whether a response may show a grant in state s, and the next state. Between two calls there may be
+// grants that no call shows, and a grant may expire at any time. But tokens rise, each token has one holder, and a
+// lease that has ended does not become valid again.
 func (s leaseState) observe(grant lease.Grant) (bool, leaseState) {
 	isNewer := grant.Token > s.token
 	isCurrent := grant.Token == s.token && grant.Holder == s.holder && !s.ended
--- a/internal/lab/clustersim/planted_test.go
+++ b/internal/lab/clustersim/planted_test.go
@@ -10,7 +10,8 @@
 	"piernotch/internal/controlgroup/failpoint"
 )
 
-// The checks must find each planted fault within 4000 seeds. With -v, the log has the seed and the time.
+// The checks must find each planted fault within 4000 seeds. Run the test with -tags planted; with -v, the log has the
+// seed and the time.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	defer failpoint.Enable(failpoint.None)
 	for _, fault := range failpoint.All {
--- a/internal/lab/clustersim/process.go
+++ b/internal/lab/clustersim/process.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// pause suspends the process until a moment of true time. A longer pause is not shortened.
+// pause suspends the process until a moment of true time. If an earlier pause ends later, that end applies.
 func (p *process) pause(until time.Duration) {
 	p.pausedUntil = max(p.pausedUntil, until)
 	p.sim.at(p.pausedUntil, p.resume)
--- a/internal/lab/clustersim/seams.go
+++ b/internal/lab/clustersim/seams.go
@@ -38,7 +38,7 @@
 	holder.HandleResponse(c.now(), seq, response.Grant, response.Err)
 }
 
-// newStateMachine creates a voter's state machine from the state of its disk, in cfg.
+// newStateMachine creates a voter's state machine. cfg.State is the state of the voter's disk.
 func (correctSteps) newStateMachine(cfg consensus.Config) (*consensus.StateMachine, error) {
 	return consensus.New(cfg)
 }
--- a/internal/lab/clustersim/voter.go
+++ b/internal/lab/clustersim/voter.go
@@ -102,7 +102,7 @@
 	return slices.ContainsFunc(v.stateMachine.Voters(), func(o protocol.Voter) bool { return o.ID == id })
 }
 
-// requestAddition asks a random voter, which may not be the leader, to add this voter to the group.
+// requestAddition asks a random voter, not necessarily the leader, to add this voter to the group.
 func (v *voter) requestAddition() {
 	request := protocol.Request{Kind: protocol.AddVoter, Voter: protocol.Voter{ID: v.disk.id, Name: v.name}}
 	to := v.sim.processes[v.sim.rng.IntN(v.sim.size.Voters)]
--- a/internal/lab/clustertest/links.go
+++ b/internal/lab/clustertest/links.go
@@ -27,8 +27,8 @@
 // restoreLinks makes a fault's links healthy, also where they are still under another fault.
 func (h *harness) restoreLinks(f clustersim.Fault) { h.setLinks(f, faultproxy.Fault{}) }
 
-// setLinks sets the state of the directions of links that a fault affects. OneWay limits them to what Process sends,
-// except in a lossy network or a partition.
+// setLinks sets state on the links that a fault affects: in both directions or, with OneWay, only in the direction in
+// which Process sends. A lossy network and a partition always affect both directions.
 func (h *harness) setLinks(fault clustersim.Fault, state faultproxy.Fault) {
 	bothWays := !fault.OneWay || fault.Kind == clustersim.FaultLossyNetwork || fault.Kind == clustersim.FaultPartition
 	affected := func(name string) bool { return h.affectsLink(fault, name) }
@@ -49,7 +49,7 @@
 func linksFrom(process int) string { return fmt.Sprintf("%d>", process) }
 func linksTo(process int) string   { return fmt.Sprintf(">%d", process) }
 
-// affectsLink reports whether a fault affects the link with this name.
+// affectsLink reports whether a fault affects the named link. A partition spares the links that the harness opens.
 func (h *harness) affectsLink(fault clustersim.Fault, name string) bool {
 	switch fault.Kind {
 	case clustersim.FaultLossyNetwork:
--- a/internal/lab/clustertest/report.go
+++ b/internal/lab/clustertest/report.go
@@ -26,7 +26,7 @@
 	SentAt     int64         `json:"asked"`
 	ReceivedAt int64         `json:"answered"`
 	Grant      lease.Grant   `json:"grant"`
-	Err        string        `json:"err,omitempty"` // text of the error
+	Err        string        `json:"err,omitempty"` // empty on success; see errorOf
 }
 
 // errorOf returns the lease error with this text, or nil: the history needs only lease.ErrHeld and lease.ErrNotHeld.
--- a/internal/lab/faultproxy/address.go
+++ b/internal/lab/faultproxy/address.go
@@ -11,11 +11,12 @@
 // ErrNoFreeAddress reports that every port of the range is in use.
 var ErrNoFreeAddress = errors.New("no address is free")
 
-// FreeAddress returns ports in [firstPort, lastPort). The range lies below the ephemeral ports: otherwise an outgoing
-// connection could take a port between FreeAddress and the port's use.
+// firstPort and lastPort bound the ports of FreeAddress, lastPort excluded. They lie below the ephemeral ports:
+// otherwise an outgoing connection could take a port between FreeAddress and the port's use.
 const firstPort, lastPort = 20000, 32000
 
-// lastGivenPort is a counter that selects the last tried port; 0 before the first call.
+// lastGivenPort counts up from a random port of the range. FreeAddress takes it modulo the size of the range.
+// It is 0 before the first call.
 var lastGivenPort atomic.Int32
 
 // FreeAddress returns a host:port on loopback on which nobody listens. In one process, a port is repeated only after
--- a/internal/lab/faultproxy/link.go
+++ b/internal/lab/faultproxy/link.go
@@ -61,7 +61,8 @@
 }
 
 // Freeze makes the open connections silent for good: neither end is notified, as if a NAT or firewall on the path had
-// lost its state. New connections are healthy.
+// lost its state. When one end closes a frozen connection, the proxy closes the other end, too. New connections are
+// healthy.
 func (l *Link) Freeze() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/faultproxy/network.go
+++ b/internal/lab/faultproxy/network.go
@@ -52,7 +52,7 @@
 }
 
 // Each calls visit for every link whose name is selected, in no particular order. The network is not locked during
-// visit, which may call its methods.
+// visit, so visit may call the network's methods.
 func (n *Network) Each(selects func(name string) bool, visit func(*Link)) {
 	n.mu.Lock()
 	var selected []*Link
