--- a/internal/lab/chaos/schedule.go
+++ b/internal/lab/chaos/schedule.go
@@ -23,7 +23,7 @@
 	Balancers int
 	Servers   int
 	Length    time.Duration // of the run; no fault lasts into the final RecoveryTime
-	Steps     int           // at most; fewer if no conflict-free place is found for some
+	Steps     int           // at most; fewer if too many of the drawn steps conflict
 }
 
 // RecoveryTime is the time without faults at the end of a run, in which the service must recover.
@@ -32,7 +32,7 @@
 // leadTime is the time without faults at the start of a run.
 const leadTime = 3 * time.Second
 
-// placementAttempts bounds the draws of a schedule: this many per requested step.
+// A schedule takes at most placementAttempts draws per requested step.
 const placementAttempts = 20
 
 // Names of the kinds. They are stored in schedules, and each is hashed into the random seed: a renamed kind would give
@@ -65,8 +65,9 @@
 	},
 }
 
-// Draw draws a schedule of a kind, ordered by time. Steps on the same link or process do not overlap, because the
-// end of one would also end the other. Draw fails with ErrUnknownKind or ErrTooSmall.
+// Draw draws a schedule of a kind, ordered by time. Steps on the same link or process do not overlap, because the end
+// of one step would also end the other step's fault. Draw fails with ErrUnknownKind, or with ErrTooSmall if there is no
+// balancer, no server or no time for faults.
 func Draw(kind string, seed uint64, size Size) ([]Step, error) {
 	if !slices.ContainsFunc(Kinds, func(known Kind) bool { return known.Name == kind }) {
 		return nil, fmt.Errorf("%w: %q; --list prints them", ErrUnknownKind, kind)
@@ -137,7 +138,7 @@
 // shortPause is the longest pause of a balancer in a soak: too short to excuse any violation.
 const shortPause = 150 * time.Millisecond
 
-// drawSoakStep draws a step of a soak. Its faults spare the links to servers: a fault there would excuse late
+// drawSoakStep draws a step of a soak. No such step affects a link to a server: a fault there would excuse late
 // attempts.
 func (s *Step) drawSoakStep(rng *rand.Rand) {
 	s.Target = 0
--- a/internal/lab/chaos/shrink.go
+++ b/internal/lab/chaos/shrink.go
@@ -5,7 +5,8 @@
 // Shrink removes steps as long as fails reports true for the remaining steps, and returns these. At least one step
 // remains. Shrink calls fails at most maxCalls times.
 func Shrink[T any](steps []T, maxCalls int, fails func([]T) bool) []T {
-	// Try to remove length consecutive steps: half of all at first, and half as many when no such removal still fails.
+	// Try to remove length consecutive steps, half of all at first. If fails reports false for every such removal,
+	// halve length.
 	for length := (len(steps) + 1) / 2; length >= 1 && maxCalls > 0; {
 		shorter := false
 		for i := 0; i < len(steps) && len(steps) > 1 && maxCalls > 0; i += length {
--- a/internal/lab/chaos/step.go
+++ b/internal/lab/chaos/step.go
@@ -13,11 +13,11 @@
 
 // Actions. The values are stored in schedules.
 const (
-	FaultLink     Action = "link" // Step.Fault on Step.Directions, for the duration of the step
-	FlapLink      Action = "flap" // the same, but set and healed in turn every FlapInterval
+	FaultLink     Action = "link" // applies Step.Fault on Step.Directions until the step's end
+	FlapLink      Action = "flap" // applies and heals Step.Fault in turn, every FlapInterval
 	PauseBalancer Action = "stop" // SIGSTOP, then SIGCONT
 	KillBalancer  Action = "kill" // SIGKILL, then a new start
-	// FreezeLink makes the connections that are open at Step.At silent. New connections are healthy.
+	// FreezeLink silences the link's connections that are open at Step.At. New connections are healthy.
 	FreezeLink Action = "freeze"
 	// TerminateBalancer sends SIGTERM and, if the balancer is then still running, SIGKILL at the earliest time that
 	// the platform allows. Clients continue to send on connections that stay open. The balancer starts again at the
--- a/internal/lab/clustersim/checks.go
+++ b/internal/lab/clustersim/checks.go
@@ -32,8 +32,8 @@
 	s.result.Spans = append(s.result.Spans, Span{string(duty), token, name, s.now, s.now})
 }
 
-// checkExclusive checks, while holder holds duty i by its own clock, that no other client does by that client's clock.
-// It also adds up the times without a lease holder.
+// checkExclusive is called while holder holds duty i by holder's clock. Another running client that holds the duty by that
+// client's clock is a violation. A gap of more than 2*actInterval since the duty was last held is added to UnheldShare.
 func (s *simulation) checkExclusive(holder *client, i int) {
 	if gap := s.now - s.lastHeld[duty(i)]; gap > 2*actInterval {
 		s.result.UnheldShare += gap.Seconds()
@@ -50,7 +50,8 @@
 	}
 }
 
-// recordAct records an act that a receiver carried out, and checks that no two clients act under a duty's token.
+// recordAct counts an act that a receiver carried out, and adds the act to the digest. It checks that no two clients
+// act under one token of a duty.
 func (s *simulation) recordAct(duty lease.Duty, token lease.Token, from processID) {
 	if s.actors[duty] == nil {
 		s.actors[duty] = map[lease.Token]processID{}
--- a/internal/lab/clustersim/client.go
+++ b/internal/lab/clustersim/client.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// transferDuties transfers the held duties to a random client. After transferPause it requests all duties again.
+// transferDuties transfers the held duties to a random client. After transferPause, the transferring client requests
+// all duties again.
 func (c *client) transferDuties() {
 	successor := c.sim.processes[c.sim.size.Voters+c.sim.rng.IntN(c.sim.size.Clients)].client
 	for i, holder := range c.holders {
@@ -71,8 +72,8 @@
 	}
 }
 
-// tick sends the lease requests that are due, acts under a held duty one tick in three, and reads a random duty one
-// tick in six.
+// tick sends the lease requests that are due. It starts an act under each held duty with a probability of 1/3, and
+// reads a random duty with a probability of 1/6.
 func (c *client) tick() {
 	c.after(actInterval, c.tick)
 	rng := c.sim.rng
@@ -91,8 +92,8 @@
 	}
 }
 
-// checkLease returns the token to act under now, and whether duty i is held. If so, it records that and checks for a
-// second holder.
+// checkLease returns the token to act under now, and whether duty i is held. If the duty is held, checkLease records
+// this and checks for a second holder.
 func (c *client) checkLease(i int) (token lease.Token, held bool) {
 	token, held = steps.tokenToActUnder(c, c.holders[i])
 	if held {
@@ -130,8 +131,8 @@
 	})
 }
 
-// call sends a request to c.leader, and records it in the history. handle is called with the response, if any.
-// After callTimeout without one, or if the voter does not lead, c.leader becomes a random voter.
+// call sends a request to c.leader, and records the request in the history. handle is called with the response, if any.
+// After callTimeout without a response, or if the voter does not lead, c.leader becomes a random voter.
 func (c *client) call(request protocol.Request, handle func(protocol.Response)) {
 	sim := c.sim
 	index := len(sim.calls)
--- a/internal/lab/clustersim/fault.go
+++ b/internal/lab/clustersim/fault.go
@@ -52,7 +52,7 @@
 }
 
 // OnSameSide reports whether a process is on the same side of a partition as the voter f.Process. Every second client
-// and receiver is; all other processes are on the opposite side.
+// and receiver is on that side, too; all other processes are on the opposite side.
 func (f Fault) OnSameSide(size Size, process int) bool {
 	if process == f.Process {
 		return true
--- a/internal/lab/clustersim/injection.go
+++ b/internal/lab/clustersim/injection.go
@@ -92,8 +92,9 @@
 	}
 }
 
-// crash stops a process that is up, and starts it again at end unless its incarnation has changed by then. A fault
-// of the disk takes effect only if allDisksVote then: otherwise the group could lose its majority for good.
+// crash stops a process that is up, and starts the process again at end, unless its incarnation has changed by then. A
+// disk fault takes effect at end, and only if allDisksVote then reports true: otherwise the group could lose its
+// majority for good.
 func (s *simulation) crash(crashed *process, kind FaultKind, end time.Duration) {
 	if !crashed.up {
 		return
--- a/internal/lab/clustersim/linearizability.go
+++ b/internal/lab/clustersim/linearizability.go
@@ -50,7 +50,7 @@
 
 // CheckLinearizability returns a line for each duty whose calls cannot have taken effect one after the other, each
 // between its request and its response, or whose history could not be checked in time. Calls without a final response
-// must not be in the history; any effect of theirs shows in later responses.
+// must not be in the history; later responses show any effects of such calls.
 func CheckLinearizability(calls []Call) []string {
 	byDuty := map[lease.Duty][]porcupine.Operation{}
 	for i, call := range calls {
--- a/internal/lab/clustersim/process.go
+++ b/internal/lab/clustersim/process.go
@@ -9,7 +9,7 @@
 // processID is the number of a process, as in Fault.Process: voters first, then clients, then receivers.
 type processID int
 
-// process is a voter, a client or a receiver, with its own monotonic clock. It keeps its number over a restart;
+// process is a voter, a client or a receiver, with its own monotonic clock. A process keeps its number over a restart;
 // incarnation distinguishes the starts.
 type process struct {
 	sim         *simulation
@@ -101,7 +101,8 @@
 	}
 }
 
-// receive handles an act at a receiver: the fence rejects the token, or the receiver carries out the act.
+// receive handles an act at a receiver. The fence rejects the token, or the receiver persists a new highest token and
+// carries out the act. An act under a token lower than the persisted token is a violation.
 func (p *process) receive(duty lease.Duty, token lease.Token, from processID) {
 	sim := p.sim
 	admitted, isNewest := steps.admitAct(p, duty, token)
--- a/internal/lab/clustersim/seams.go
+++ b/internal/lab/clustersim/seams.go
@@ -10,7 +10,7 @@
 )
 
 // correctSteps has the steps of voters, clients and receivers that a planted fault can replace. Package failpoint lists
-// the faults. They are called through the variable steps.
+// the faults. The simulation calls the steps through the variable steps.
 type correctSteps struct{}
 
 // monotonicTime returns the time of a process's monotonic clock. The clocks of two processes have different zeros.
--- a/internal/lab/clustersim/voter.go
+++ b/internal/lab/clustersim/voter.go
@@ -35,7 +35,7 @@
 
 func voterName(i int) string { return fmt.Sprintf("v%d", i) }
 
-// started backs up the disk and begins a new incarnation from its state.
+// started backs up the disk, and starts a state machine from the disk's state.
 func (v *voter) started() {
 	v.backups = append(v.backups, v.disk)
 	v.disk.startCount++
@@ -74,7 +74,8 @@
 	steps.replaceLostDisk(v)
 }
 
-// newIdentity replaces the disk by an empty one with a new ID, which the group has to add as a voter.
+// newIdentity replaces the disk by an empty one with a new ID, and drops the backups. The group has to add the new ID
+// as a voter.
 func (v *voter) newIdentity() {
 	v.sim.lastVoterID++
 	v.disk = disk{id: v.sim.lastVoterID}
@@ -109,7 +110,7 @@
 	v.sim.send(v.id, to.id, func() { to.voter.propose(request, func(protocol.Response) {}) })
 }
 
-// submit runs work on the state machine and handles what becomes ready, after a write in progress has completed.
+// submit runs work on the state machine and handles what becomes ready. During a write, work waits in the inbox.
 func (v *voter) submit(work func()) {
 	if v.syncing {
 		v.inbox = append(v.inbox, work)
@@ -119,8 +120,8 @@
 	v.processReady()
 }
 
-// processReady handles what the state machine has ready until a write starts, or until nothing is left and the
-// responses are sent.
+// processReady handles what the state machine has ready until a write starts. If nothing is left, processReady sends
+// the responses.
 func (v *voter) processReady() {
 	for {
 		work, ready := v.stateMachine.Ready()
@@ -136,8 +137,8 @@
 	}
 }
 
-// sync starts a write to the disk. When the write is complete, the voter sends the messages of work and runs the
-// inbox.
+// sync starts a write to the disk. When the write is complete, the voter sends the messages of work, advances the state
+// machine and runs the inbox until the next write.
 func (v *voter) sync(work consensus.Ready) {
 	v.syncing = true
 	v.writing = &work
@@ -189,7 +190,7 @@
 	})
 }
 
-// propose passes a request that has arrived to the state machine. respond is called with the response, if any.
+// propose passes an incoming request to the state machine. respond is called with the response, if any.
 func (v *voter) propose(request protocol.Request, respond func(protocol.Response)) {
 	v.submit(func() {
 		v.lastKey++
@@ -199,7 +200,7 @@
 	})
 }
 
-// sendResponses notifies a random client of each duty that came free, and sends the state machine's responses.
+// sendResponses notifies one random client for each duty that came free, and sends the state machine's responses.
 func (v *voter) sendResponses() {
 	for _, freed := range v.stateMachine.FreedDuties() {
 		to := v.sim.processes[v.sim.size.Voters+v.sim.rng.IntN(v.sim.size.Clients)]
--- a/internal/lab/clustertest/checks.go
+++ b/internal/lab/clustertest/checks.go
@@ -15,8 +15,8 @@
 	"piernotch/internal/lab/clustersim"
 )
 
-// tokenUse is the use of a token. first and last are the first and last check of the lease before an act, in Unix
-// nanoseconds.
+// tokenUse records who acted under a token, and when: first and last are the times of the first and last check of the
+// lease before an act, in Unix nanoseconds.
 type tokenUse struct {
 	holder      string
 	first, last int64
@@ -63,7 +63,8 @@
 	}
 }
 
-// recordActLocked passes an act to the fence, and checks that no two holders act under a duty's token.
+// recordActLocked passes an act to the fence, counts the act and extends the token's use. It checks that no two holders
+// act under one token of a duty.
 func (h *harness) recordActLocked(holder string, done *act) {
 	if admitted, _ := h.fence.Admit(done.Duty, done.Token); admitted {
 		h.result.Acts++
@@ -90,7 +91,7 @@
 }
 
 // checkEnd checks, at the end of a run, that every duty is held within endTimeout, that uses of tokens do not overlap,
-// and that the history of calls is linearizable.
+// and that the history of calls is linearizable. It also completes the result.
 func (h *harness) checkEnd(ctx context.Context) {
 	if err := h.waitUntilHeld(ctx, endTimeout); err != nil {
 		h.violation("not every duty has a lease holder %v after the last fault: %v", clustersim.QuietPeriod, err)
--- a/internal/lab/clustertest/failover.go
+++ b/internal/lab/clustertest/failover.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	rejoinPause     = 500 * time.Millisecond // after a restart, until the process contends for the duty
+	rejoinPause     = 500 * time.Millisecond // after a restart, for the process to contend for the duty again
 	failoverTimeout = time.Minute
 	failoverPoll    = time.Millisecond
 )
@@ -21,8 +21,8 @@
 // FailoverTimes are the seconds from the signal that ended a duty's holder to the first reported act under a higher
 // token.
 type FailoverTimes struct {
-	Planned   []float64 `json:"planned_s"`   // SIGTERM
-	Unplanned []float64 `json:"unplanned_s"` // SIGKILL
+	Planned   []float64 `json:"planned_s"`   // after SIGTERM
+	Unplanned []float64 `json:"unplanned_s"` // after SIGKILL
 }
 
 // MeasureFailover ends the holder of one duty 2*times times, by SIGTERM and SIGKILL in turn, in a group of real
@@ -57,8 +57,8 @@
 	return measured, ctx.Err()
 }
 
-// failOver ends the duty's holder by a signal, and starts it again once another process has acted under a higher
-// token. took is the time from the signal until then, or 0 if that did not happen.
+// failOver ends the duty's holder by a signal, waits for an act under a higher token, and starts the ended process
+// again. took is the time from the signal to the report of that act, or 0 if there was none.
 func (h *harness) failOver(ctx context.Context, signal syscall.Signal) (took time.Duration, err error) {
 	name, token, err := h.waitForHolder(ctx, 0)
 	if err != nil {
@@ -88,8 +88,8 @@
 	return nil, fmt.Errorf("report from an unknown process: %q", name)
 }
 
-// waitForHolder waits until a holder has acted under a token higher than above. It returns the highest token and its
-// holder.
+// waitForHolder waits until a holder has acted under a token higher than above. It returns the highest token and that
+// token's holder, or fails after failoverTimeout.
 func (h *harness) waitForHolder(ctx context.Context, above lease.Token) (name string, token lease.Token, err error) {
 	for startedAt := time.Now(); time.Since(startedAt) < failoverTimeout; time.Sleep(failoverPoll) {
 		name, token = h.latestHolder("d0")
--- a/internal/lab/clustertest/harness.go
+++ b/internal/lab/clustertest/harness.go
@@ -51,8 +51,8 @@
 	Gaps        []float64          `json:"gaps_s"` // seconds from the last act under a token to the next token's first
 }
 
-// harness is the state of one run. Its goroutines are the collector of reports, which ends at close, one for each
-// holder's connection and each process, which end with the process, and one for each fault, which Run waits for.
+// harness is the state of one run. Its goroutines are: the collector of reports, until close; one for each holder's
+// connection and each process, until that process ends; and one for each fault, for which Run waits.
 type harness struct {
 	opts      Options
 	proxies   *faultproxy.Network
@@ -149,7 +149,7 @@
 	h.proxies.Close()
 }
 
-// waitUntilHeld waits until every duty is held.
+// waitUntilHeld waits until the group lists a grant for every duty. It fails if List fails, or after timeout.
 func (h *harness) waitUntilHeld(ctx context.Context, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/lab/clustertest/holder.go
+++ b/internal/lab/clustertest/holder.go
@@ -31,7 +31,7 @@
 	}
 	defer func() { _ = conn.Close() }()
 	reports := &reporter{name: cfg.Self, encoder: json.NewEncoder(conn)}
-	// The member must outlive ctx, because Close has yet to release its duties.
+	// The member must outlive ctx: Close releases the duties when ctx is already done.
 	member := client.StartContext(context.WithoutCancel(ctx), cfg, reports.observe)
 	ticker := time.NewTicker(actInterval)
 	defer ticker.Stop()
--- a/internal/lab/clustertest/injection.go
+++ b/internal/lab/clustertest/injection.go
@@ -16,7 +16,8 @@
 	listTimeout  = time.Second
 )
 
-// inject starts a fault, and returns when the fault is over.
+// inject plays a fault, and returns when the fault is over. It skips faults for which affectsReceiver reports true, and
+// records the kinds that it cannot play.
 func (h *harness) inject(ctx context.Context, fault clustersim.Fault) {
 	if h.affectsReceiver(fault) {
 		return
@@ -47,8 +48,8 @@
 	}
 }
 
-// affectsReceiver reports whether a fault concerns a receiver, or cuts a link that does not lead to a voter: real
-// processes have neither.
+// affectsReceiver reports whether a fault concerns a receiver, or cuts a link that does not lead to a voter. Groups of
+// real processes have neither receivers nor such links.
 func (h *harness) affectsReceiver(fault clustersim.Fault) bool {
 	size := h.opts.Size
 	cutsOtherLink := fault.Kind == clustersim.FaultCutLink && fault.Other >= size.Voters
@@ -81,8 +82,9 @@
 	}
 }
 
-// restart ends a process, loses the disk if the fault says so and allDisksVote, and starts the process again at the
-// fault's end. A release or transfer of duties is played as SIGTERM, other faults as SIGKILL.
+// restart ends a process, and starts the process again at the fault's end. A disk fault affects the disk only if
+// allDisksVote reports true before the process ends. A release or transfer of duties is played as SIGTERM, other faults
+// as SIGKILL.
 func (h *harness) restart(ctx context.Context, fault clustersim.Fault, target *process) {
 	signal := syscall.SIGKILL
 	if fault.Kind == clustersim.FaultReleaseDuties || fault.Kind == clustersim.FaultTransferDuties {
@@ -108,7 +110,7 @@
 }
 
 // allDisksVote reports whether the group has replaced every lost disk: before that, the group may not survive the loss
-// of another. If true, it stores the disks' voter IDs for loseDisk.
+// of another disk. If so, allDisksVote stores the disks' voter IDs for loseDisk.
 func (h *harness) allDisksVote(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -129,7 +131,8 @@
 	return true
 }
 
-// loseDisk removes the store of a process that is down or, for FaultDiskRollback, replaces it by a random backup.
+// loseDisk removes the store of a process that is down or, for FaultDiskRollback, replaces the store by a random
+// backup. It records the lost disk's voter ID for allDisksVote.
 func (h *harness) loseDisk(kind clustersim.FaultKind, target *process) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/clustertest/links.go
+++ b/internal/lab/clustertest/links.go
@@ -45,7 +45,8 @@
 	})
 }
 
-// linksFrom returns the prefix of the names of a process's links, linksTo the suffix of the names of links to a voter.
+// linksFrom returns the prefix of the names of the links that a process opens, linksTo the suffix of the names of the
+// links to a voter.
 func linksFrom(process int) string { return fmt.Sprintf("%d>", process) }
 func linksTo(process int) string   { return fmt.Sprintf(">%d", process) }
 
--- a/internal/lab/clustertest/process.go
+++ b/internal/lab/clustertest/process.go
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// backUpStore copies a voter's store to a new backup file.
+// backUpStore copies a voter's store, if it exists, to a new backup file.
 func (h *harness) backUpStore(target *process) {
 	data, err := os.ReadFile(target.store)
 	if err != nil { // there is no store before the first start
@@ -141,8 +141,8 @@
 	}
 }
 
-// signalEnd resumes a process and sends it a signal to end. The returned channel is closed when the process has ended,
-// and nil if the process is down.
+// signalEnd resumes a process and sends it a signal that ends it. The process then counts as down. The returned channel
+// is closed when the process has ended; it is nil if the process was already down.
 func (h *harness) signalEnd(target *process, signal syscall.Signal) <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -156,7 +156,7 @@
 	return target.done
 }
 
-// pause suspends a process if it is up and not paused. It returns the running command, nil if the process is down.
+// pause suspends a process if it is up and not paused. It returns the running command, or nil if the process is down.
 func (h *harness) pause(target *process) *exec.Cmd {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/faultproxy/address.go
+++ b/internal/lab/faultproxy/address.go
@@ -19,8 +19,8 @@
 // It is 0 before the first call.
 var lastGivenPort atomic.Int32
 
-// FreeAddress returns a host:port on loopback on which nobody listens. In one process, a port is repeated only after
-// all others of the range. It may be called from any goroutine.
+// FreeAddress returns a host:port on loopback on which nobody listens. Within one process, a port is returned again
+// only after all other ports of the range have been tried. FreeAddress may be called from any goroutine.
 func FreeAddress() (string, error) {
 	lastGivenPort.CompareAndSwap(0, int32(firstPort+rand.IntN(lastPort-firstPort)))
 	for range lastPort - firstPort {
--- a/internal/lab/faultproxy/connection.go
+++ b/internal/lab/faultproxy/connection.go
@@ -19,8 +19,9 @@
 	once    sync.Once       // of Link.end
 }
 
-// carry connects an accepted connection to the target, and returns when both directions have ended. It resets the
-// connection if a direction has a Reset cut, and connects only once no silent cut is on ToTarget.
+// carry connects an accepted connection to the target once no silent cut is on ToTarget, and returns when both
+// directions have ended. It resets the accepted connection if a direction has a Reset cut, or if the target cannot be
+// reached.
 func (l *Link) carry(opener *net.TCPConn) {
 	carried := &connection{sockets: [2]*net.TCPConn{opener, nil}}
 	l.mu.Lock()
@@ -119,8 +120,9 @@
 	return due
 }
 
-// deliver writes a chunk to the other end once no silent cut is on the direction, and passes on the end of the stream
-// or a reset. It reports whether more chunks may follow.
+// deliver writes a chunk to the other end once no silent cut is on the direction, at the fault's rate, and passes on
+// the end of the stream or a reset. It drops the data of a frozen connection. It reports whether more chunks may
+// follow.
 func (l *Link) deliver(carried *connection, direction Direction, next chunk) bool {
 	destination := carried.sockets[1-direction]
 	fault, ok := l.waitUntilOpen(direction)
--- a/internal/lab/faultproxy/doc.go
+++ b/internal/lab/faultproxy/doc.go
@@ -4,7 +4,7 @@
 // from the seed of the network.
 //
 // A proxy delivers bytes in order. Data that a short silent cut delays is delivered when the link heals, as TCP's
-// retransmission would do. A long silent cut resets its connections when the link heals. A connection that is
+// retransmission would do. A long silent cut resets the link's connections when the link heals. A connection that is
 // opened under a silent cut is accepted and then carries nothing: loopback cannot lose the SYN packet, so the
 // connection is half-open rather than never established.
 //
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -15,7 +15,7 @@
 	MinLength = 24 * time.Second
 	// afterOutage is the minimum time between the end of an outage of discovery and the end of the run. A balancer
 	// counts as notified 6 s after the outage, and the longest grace of a drain is 2 s. A request must arrive after
-	// that, to show whether the balancer still sends to drained servers.
+	// both, to show whether the balancer still sends to drained servers.
 	afterOutage = 14 * time.Second
 )
 
@@ -23,7 +23,8 @@
 // timeout of a poll without a response, plus 2 s.
 const MaxNotification = 7 * time.Second
 
-// crowdSockets is the descriptor limit of a balancer with a crowd, and the number of idle clients that exhaust it.
+// crowdSockets is the descriptor limit of a balancer with a crowd, and the number of idle clients that exhaust that
+// limit.
 const crowdSockets = 256
 
 // Plan describes one run.
@@ -143,7 +144,7 @@
 // drawFaults draws the faults of servers, discovery and clients. Half of the runs have an outage of discovery, around
 // whose end servers drain.
 func (d *draft) drawFaults() {
-	// The faults in the loop below start at least 1 s into the run and 3 s before chaos.RecoveryTime begins.
+	// The faults in the loop below start at least 1 s into the run, and at least 3 s before chaos.RecoveryTime begins.
 	last := d.length.Seconds() - chaos.RecoveryTime.Seconds()
 	if d.chance(2) {
 		ends := d.between(5, (d.length - afterOutage).Seconds())
