--- a/internal/lab/clustersim/checks.go
+++ b/internal/lab/clustersim/checks.go
@@ -32,8 +32,9 @@
 	s.result.Spans = append(s.result.Spans, Span{string(duty), token, name, s.now, s.now})
 }
 
-// checkExclusive is called while holder holds duty i by holder's clock. Another running client that holds the duty by that
-// client's clock is a violation. A gap of more than 2*actInterval since the duty was last held is added to UnheldShare.
+// checkExclusive is called while holder holds duty i by holder's clock. Another running client that holds the duty by
+// that client's clock is a violation. A gap of more than 2*actInterval since the duty was last held is added to
+// UnheldShare.
 func (s *simulation) checkExclusive(holder *client, i int) {
 	if gap := s.now - s.lastHeld[duty(i)]; gap > 2*actInterval {
 		s.result.UnheldShare += gap.Seconds()
--- a/internal/lab/clustersim/planted_test.go
+++ b/internal/lab/clustersim/planted_test.go
@@ -11,7 +11,7 @@
 )
 
 // The checks must find each planted fault within 4000 seeds. Run the test with -tags planted; with -v, the log has the
-// seed and the time.
+// seed that found the fault and the time until then.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	defer failpoint.Enable(failpoint.None)
 	for _, fault := range failpoint.All {
--- a/internal/lab/clustersim/schedule.go
+++ b/internal/lab/clustersim/schedule.go
@@ -11,7 +11,7 @@
 
 const (
 	minFaultDuration  = 200 * time.Millisecond
-	meanFaultDuration = 4 * time.Second  // of the exponentially distributed time that is added to the minimum
+	meanFaultDuration = 4 * time.Second  // mean of the exponentially distributed time added to minFaultDuration
 	replacementTime   = 12 * time.Second // for the group to replace a lost disk
 )
 
--- a/internal/lab/clustersim/seams.go
+++ b/internal/lab/clustersim/seams.go
@@ -51,8 +51,8 @@
 // step passes another voter's message to a voter's state machine.
 func (correctSteps) step(v *voter, msg consensus.Message) error { return v.stateMachine.Step(msg) }
 
-// writeAndSend writes work to a voter's disk, and sends its messages only after the write.
+// writeAndSend writes work to a voter's disk, and sends the messages of work only after the write.
 func (correctSteps) writeAndSend(v *voter, work consensus.Ready) { v.sync(work) }
 
-// replaceLostDisk gives a voter an empty disk in place of its lost one, with a new voter ID.
+// replaceLostDisk replaces a voter's lost disk by an empty disk with a new voter ID.
 func (correctSteps) replaceLostDisk(v *voter) { v.newIdentity() }
--- a/internal/lab/clustersim/simulation.go
+++ b/internal/lab/clustersim/simulation.go
@@ -21,7 +21,7 @@
 // Result is the outcome of one run.
 type Result struct {
 	Seed        uint64   `json:"seed"`
-	Violations  []string `json:"broken,omitempty"` // each with its time
+	Violations  []string `json:"broken,omitempty"` // with their times, except for those of CheckLinearizability
 	Faults      []Fault  `json:"faults,omitempty"` // the schedule; only after a violation
 	Spans       []Span   `json:"-"`
 	Acts        int      `json:"acts"`   // that receivers carried out, counted per receiver
--- a/internal/lab/clustersim/voter.go
+++ b/internal/lab/clustersim/voter.go
@@ -14,8 +14,8 @@
 const (
 	tickInterval = 100 * time.Millisecond // of the consensus state machine
 	minDiskSync  = 100 * time.Microsecond
-	meanDiskSync = time.Millisecond // of the exponentially distributed time that is added to the minimum
-	slowDiskSync = 2 * time.Second  // instead, during FaultSlowDisk
+	meanDiskSync = time.Millisecond // mean of the exponentially distributed time added to minDiskSync
+	slowDiskSync = 2 * time.Second  // duration of each sync during FaultSlowDisk
 )
 
 // voter runs the real consensus state machine on a simulated disk.
--- a/internal/lab/clustertest/harness.go
+++ b/internal/lab/clustertest/harness.go
@@ -63,7 +63,7 @@
 	startedAt time.Time      // zero of the schedule's times
 
 	mu         sync.Mutex
-	knownDisks map[string]protocol.VoterID // voter IDs by name when allDisksVote was last true
+	knownDisks map[string]protocol.VoterID // voter IDs by voter name, when allDisksVote last reported true
 	lostDisks  map[string]protocol.VoterID // by voter name, the ID of the disk lost last
 	uses       map[lease.Duty]map[lease.Token]*tokenUse
 	fence      lease.Fence
--- a/internal/lab/faultproxy/link.go
+++ b/internal/lab/faultproxy/link.go
@@ -29,8 +29,8 @@
 // Address returns the host:port at which the link accepts connections.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// SetFault replaces the fault of one direction. All open connections are reset if the new fault is a Reset, or if it
-// ends a silent cut that lasted longer than retransmitLimit.
+// SetFault replaces the fault of one direction. All open connections are reset if the new fault is a Reset, or if the
+// new fault ends a silent cut that lasted longer than retransmitLimit.
 func (l *Link) SetFault(direction Direction, fault Fault) {
 	l.mu.Lock()
 	wasSilent := l.faults[direction].Cut == Blackhole
