--- a/internal/lab/chaos/shrink.go
+++ b/internal/lab/chaos/shrink.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Shrink removes steps as long as fails reports true for the remaining steps, and returns these. At least one step
-// remains. Shrink calls fails at most maxCalls times.
+// Shrink removes steps without which fails still reports true, and returns the steps that are left, at least one unless
+// steps is empty. It calls fails at most maxCalls times.
 func Shrink[T any](steps []T, maxCalls int, fails func([]T) bool) []T {
 	// Try to remove length consecutive steps, half of all at first. If fails reports false for every such removal,
 	// halve length.
--- a/internal/lab/clustersim/checks.go
+++ b/internal/lab/clustersim/checks.go
@@ -9,7 +9,8 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// maxViolations bounds the violations in a result; one event may cause several.
+// maxViolations bounds the violations in a result, except for those of CheckLinearizability. One event may
+// cause several.
 const maxViolations = 8
 
 // violation records a violated property with the true time, and so ends the run.
--- a/internal/lab/clustersim/fault.go
+++ b/internal/lab/clustersim/fault.go
@@ -20,7 +20,7 @@
 	FaultCrashAllVoters FaultKind = "alldown" // all voters end at once; at the fault's end they start again
 	FaultPause          FaultKind = "stall"   // Process is suspended
 	FaultSlowDisk       FaultKind = "slow"    // each sync of Process's disk takes 2 s
-	FaultDiskFull       FaultKind = "full"    // Process's disk is full: the voter is down until the fault's end
+	FaultDiskFull       FaultKind = "full"    // Process's disk takes no writes: the voter is down until the fault's end
 	FaultLossyNetwork   FaultKind = "lossy"   // messages are lost, duplicated and delayed on all links
 	FaultClockStep      FaultKind = "step"    // Process's wall clock steps by 10 s, forward or back
 	FaultReleaseDuties  FaultKind = "leave"   // Process releases its duties; at the fault's end it requests them again
--- a/internal/lab/clustersim/injection.go
+++ b/internal/lab/clustersim/injection.go
@@ -9,7 +9,8 @@
 	clockStep  = 10 * time.Second
 )
 
-// inject starts a fault, and schedules its end. A step of the wall clock and a transfer of duties have no end.
+// inject starts a fault, and schedules its end. A step of the wall clock has no end; a transfer of
+// duties lasts transferPause.
 func (s *simulation) inject(fault Fault) {
 	affected := s.processes[fault.Process]
 	end := fault.At + fault.Duration
--- a/internal/lab/clustersim/network.go
+++ b/internal/lab/clustersim/network.go
@@ -13,7 +13,7 @@
 	meanDelay       = 2 * time.Millisecond
 	meanLossyDelay  = 600 * time.Millisecond // additional delay of one message in five in a lossy network
 	lossShare       = 0.15                   // share of messages that a lossy network loses
-	lossOrCopyShare = 0.25                   // share that it loses or, of messages between voters, delivers twice
+	lossOrCopyShare = 0.25                   // lossShare plus the share that it delivers twice, between voters only
 )
 
 // send delivers a message from one process to another, unless the network loses it. Messages in flight to a client or
--- a/internal/lab/clustertest/harness.go
+++ b/internal/lab/clustertest/harness.go
@@ -33,7 +33,7 @@
 	VoterProgram  string // path
 	HolderProgram string // path of piernotch-lab, whose command "hold" is run
 	Seed          uint64
-	Size          clustersim.Size // the harness is the only receiver of acts
+	Size          clustersim.Size // Receivers only shapes the schedule: the harness receives the acts
 	Dir           string          // existing directory for configurations, stores and logs
 }
 
@@ -51,8 +51,8 @@
 	Gaps        []float64          `json:"gaps_s"` // seconds from the last act under a token to the next token's first
 }
 
-// harness is the state of one run. Its goroutines are: the collector of reports, until close; one for each holder's
-// connection and each process, until that process ends; and one for each fault, for which Run waits.
+// harness is the state of one run. Its goroutines are: the collector of reports, until close; one for each
+// connection of a holder and one for each process, until the process ends; and one for each fault, for which Run waits.
 type harness struct {
 	opts      Options
 	proxies   *faultproxy.Network
--- a/internal/lab/faultproxy/connection.go
+++ b/internal/lab/faultproxy/connection.go
@@ -13,7 +13,7 @@
 
 // connection is an accepted connection together with the connection to the target.
 type connection struct {
-	sockets [2]*net.TCPConn // to the opener and to the target, indexed by the Direction read from the socket
+	sockets [2]*net.TCPConn // to the opener and to the target; indexed by the direction of the data read from it
 	doomed  bool            // about to be reset: delayed data must no longer be delivered
 	frozen  bool            // silent in both directions: data is dropped
 	once    sync.Once       // of Link.end
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -144,7 +144,6 @@
 // drawFaults draws the faults of servers, discovery and clients. Half of the runs have an outage of discovery, around
 // whose end servers drain.
 func (d *draft) drawFaults() {
-	// The faults in the loop below start at least 1 s into the run, and at least 3 s before chaos.RecoveryTime begins.
 	last := d.length.Seconds() - chaos.RecoveryTime.Seconds()
 	if d.chance(2) {
 		ends := d.between(5, (d.length - afterOutage).Seconds())
@@ -153,6 +152,7 @@
 		drainAt := max(ends+d.between(-3, 1), 0.5)
 		d.fault(scenario.FaultLeave, drainAt, 0.5, "part = 0.3\nramp_s = 30")
 	}
+	// These faults start at least 3 s before chaos.RecoveryTime begins, but may last into it.
 	for range 1 + d.rng.IntN(3) {
 		at := d.between(1, last-3)
 		switch d.rng.IntN(7) {
