--- a/internal/lab/chaos/shrink.go
+++ b/internal/lab/chaos/shrink.go
@@ -2,10 +2,11 @@
 
 import "slices"
 
-// Shrink removes steps as long as fails reports that the remaining ones still fail, and returns those that
-// remain. It calls fails at most maxCalls times.
+// Shrink removes steps without which fails still reports true, and returns the steps that are left, at least one unless
+// steps is empty. It calls fails at most maxCalls times.
 func Shrink[T any](steps []T, maxCalls int, fails func([]T) bool) []T {
-	// It tries to remove consecutive steps: half of all at first, and fewer at a time where that does not fail.
+	// Try to remove length consecutive steps, half of all at first. If fails reports false for every such removal,
+	// halve length.
 	for length := (len(steps) + 1) / 2; length >= 1 && maxCalls > 0; {
 		shorter := false
 		for i := 0; i < len(steps) && len(steps) > 1 && maxCalls > 0; i += length {
--- a/internal/lab/clustersim/checks.go
+++ b/internal/lab/clustersim/checks.go
@@ -9,10 +9,11 @@
 	"piernotch/internal/controlgroup/protocol"
 )
 
-// maxViolations bounds what a result keeps; a run ends at its first violation.
+// maxViolations bounds the violations in a result, except for those of CheckLinearizability. One event may
+// cause several.
 const maxViolations = 8
 
-// violation records that the run broke a property.
+// violation records a violated property with the true time, and so ends the run.
 func (s *simulation) violation(format string, args ...any) {
 	if len(s.result.Violations) < maxViolations {
 		text := fmt.Sprintf("%.3f s: ", s.now.Seconds()) + fmt.Sprintf(format, args...)
@@ -20,7 +21,7 @@
 	}
 }
 
-// recordHeld extends the span of a duty that is held now.
+// recordHeld extends the span of this duty, token and holder to now, or begins a span.
 func (s *simulation) recordHeld(duty lease.Duty, token lease.Token, name string) {
 	for i := len(s.result.Spans) - 1; i >= 0; i-- {
 		span := &s.result.Spans[i]
@@ -32,8 +33,9 @@
 	s.result.Spans = append(s.result.Spans, Span{string(duty), token, name, s.now, s.now})
 }
 
-// checkExclusive checks, while a client holds a duty by its own clock, that no other client does. It also
-// adds up how long the duty had no lease holder.
+// checkExclusive is called while holder holds duty i by holder's clock. Another running client that holds the duty by
+// that client's clock is a violation. A gap of more than 2*actInterval since the duty was last held is added to
+// UnheldShare.
 func (s *simulation) checkExclusive(holder *client, i int) {
 	if gap := s.now - s.lastHeld[duty(i)]; gap > 2*actInterval {
 		s.result.UnheldShare += gap.Seconds()
@@ -50,7 +52,8 @@
 	}
 }
 
-// recordAct records an act that a receiver did, and checks that only one client acts under each token.
+// recordAct counts an act that a receiver carried out, and adds the act to the digest. It checks that no two clients
+// act under one token of a duty.
 func (s *simulation) recordAct(duty lease.Duty, token lease.Token, from processID) {
 	if s.actors[duty] == nil {
 		s.actors[duty] = map[lease.Token]processID{}
@@ -63,14 +66,15 @@
 	s.addToDigest(uint64(s.now), uint64(token), uint64(from))
 }
 
-// addToDigest makes what happens part of the run's digest: the same seed has to give the same digest.
+// addToDigest hashes parts into the run's digest. Two runs of one seed must have equal digests.
 func (s *simulation) addToDigest(parts ...uint64) {
 	for _, p := range parts {
 		s.digest = (s.digest ^ p) * digestPrime
 	}
 }
 
-// checkEnd checks the run as a whole, at its end.
+// checkEnd checks, at the end of a run, that every duty is held and that the history of calls is linearizable. It also
+// completes the result.
 func (s *simulation) checkEnd() {
 	for i := range s.size.Duties {
 		isHeld := func(process *process) bool {
@@ -89,7 +93,8 @@
 	s.result.Violations = append(s.result.Violations, CheckLinearizability(final)...)
 }
 
-// Span is how long a client held a duty under a token, as its acts or its checks of the lease show.
+// Span is a period in which a client held a duty under one token: from the first check that found the lease valid to
+// the last. Package clustertest takes the checks from the reported acts.
 type Span struct {
 	Duty   string        `json:"duty"`
 	Token  lease.Token   `json:"token"`
